--- a/oakcroft/running/__init__.py
+++ b/oakcroft/running/__init__.py
@@ -1,1 +1,1 @@
-"""What every kind of front runs on: the clock, the logs, the collections of memory."""
+"""Runtime shared by all kinds of front ends: clock, event queue, logs and garbage collection."""
--- a/oakcroft/running/clock.py
+++ b/oakcroft/running/clock.py
@@ -1,4 +1,4 @@
-"""The front's one clock."""
+"""Clock of a front end."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 
 
 class Clock:
-    """Whole nanoseconds since the epoch, running by trio's clock.
+    """Whole nanoseconds since the epoch, advanced by trio's clock.
 
-    The wall clock is looked at once, at the start: a step of it later moves nothing here. The cold pace shares
-    out slots of time among fronts by this clock, and clocks that disagree cost it margin only.
+    The wall clock is read only once, at the start, so a later step of it has no effect. The cold pace assigns time
+    slots to front ends by this clock; differences between their clocks only use up some of its margin.
     """
 
     def __init__(self, epoch: int | None = None) -> None:
+        """Starts at `epoch_ns`, by default at the wall clock's time."""
         self.offset = (time.time_ns() if epoch is None else epoch) - round(trio.current_time() * 1e9)
 
     def now(self) -> int:
-        """Now."""
+        """Returns the time in ns since the epoch."""
         return round(trio.current_time() * 1e9) + self.offset
 
     def deadline(self, at: int) -> float:
-        """A time of this clock as trio's."""
+        """Converts a time of this clock to trio's clock, in seconds."""
         return (at - self.offset) / 1e9
--- a/oakcroft/running/collections.py
+++ b/oakcroft/running/collections.py
@@ -1,4 +1,4 @@
-"""Seldom collections of memory."""
+"""Settings of the garbage collector."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def spare_collections() -> None:
-    """Makes whole collections of the process's memory seldom.
+    """Makes full garbage collections rare.
 
-    Guards against stalls: each looks at every object there is, half a second of them with 10,000 connections open, and
-    they come with each quarter that is added. What dies young, as most here does, is collected as before. Harm: cycles
-    that grow old are given back late.
+    A full collection visits every object and stalls the process, by half a second with 10,000 open connections, and
+    comes each time the number of objects has grown by a quarter. Young objects, of which most garbage consists here, are
+    collected as before. Drawback: the memory of old reference cycles is freed late.
     """
     gc.collect()
-    gc.freeze()  # what is loaded now stays for good
+    gc.freeze()  # what is loaded by now is never freed
     gc.set_threshold(10_000, 20, 200)
--- a/oakcroft/running/inbox.py
+++ b/oakcroft/running/inbox.py
@@ -1,4 +1,4 @@
-"""Handles what comes through a channel, in order of arrival, for the one task that owns a module."""
+"""Event queue of the one task that owns a decision module."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 import trio
 
 Event = Callable[[], None]
-AT_ONCE = 0.005  # seconds of events between two turns of the other tasks
+"""A queued call, run by the owning task."""
+AT_ONCE = 0.005
+"""For so long, events are handled before the other tasks get a turn."""
 
 
 async def handle_all(inbox: trio.MemoryReceiveChannel[Event], handle: Callable[[Event], None]) -> None:
-    """Hands each event to `handle`, until it is cancelled."""
+    """Passes each event to `handle` in order of arrival, until cancelled."""
     async for event in inbox:
         handle(event)
         until = trio.current_time() + AT_ONCE
         while trio.current_time() < until:
-            # A receive gives way to all other tasks each time: one event a round is too slow.
+            # An awaited receive lets all other tasks run first; one event per round would be too slow.
             try:
                 event = inbox.receive_nowait()
             except trio.WouldBlock:
--- a/oakcroft/running/logs.py
+++ b/oakcroft/running/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line an event, as JSON or for a console. No offer, answer, token or key is ever a field."""
+"""Structured logs: one line per event, as JSON or for a console. Offers, answers, tokens and keys are never logged."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def mask(_: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
-    """Guards against a secret that slips into a field by its name; covers what callers add later."""
+    """Masks fields whose names indicate a secret, as a safeguard against callers that log one by mistake."""
     for name in event:
         if SECRETS & set(name.lower().replace("-", "_").split("_")):
             event[name] = "***"
@@ -21,17 +21,21 @@
 
 
 class Rate:
-    """Drops lines past so many in a second, and says in the next that passes how many it dropped.
+    """Log processor that drops lines over a number per second, and adds the count of dropped lines to the next one.
 
-    Guards against a log that costs more than the work it tells of; covers any cause that repeats. Harm: what came in
-    the same second is not told.
+    Keeps an event that repeats quickly, whatever its cause, from spending more on its log lines than on its work.
+    Drawback: unrelated lines of the same second are dropped, too.
     """
 
     def __init__(self, most: int) -> None:
+        """Passes at most `max_lines_per_second`."""
         self.most, self.second, self.told, self.dropped = most, 0, 0, 0
 
     def __call__(self, _: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
-        """One line."""
+        """Passes or drops a line.
+
+        Raises structlog.DropEvent for a line over the limit.
+        """
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.told = second, 0
@@ -45,17 +49,18 @@
 
 
 class Spared:
-    """An output that is lost where it can't be written, and says with the next line that can how much was.
+    """Output that drops what can't be written, and counts it for the next line that can.
 
-    Guards against a full disk under the log, which would otherwise fail whatever was being done when a line was due;
-    covers a pipe that nobody reads any more. Harm: what was not written is not told.
+    A full disk under the log, or a pipe without a reader, would otherwise fail the work that logs a line. Drawback: the
+    dropped lines are lost.
     """
 
     def __init__(self, out: Any) -> None:
+        """Writes to `out`."""
         self.out, self.lost = out, 0
 
     def write(self, text: Any) -> int:
-        """Writes, or counts."""
+        """Writes a text; returns 0 and counts it as lost if that fails."""
         try:
             written = int(self.out.write(text) or 0)
         except (OSError, ValueError):
@@ -65,29 +70,35 @@
         return written
 
     def flush(self) -> None:
-        """What is buffered goes out, or is lost with what it holds."""
+        """Flushes the output; buffered text that can't be written is lost and counted as one write."""
         try:
             self.out.flush()
         except (OSError, ValueError):
             self.lost += 1
 
     def told(self, _: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
-        """Puts into the next line how many were lost."""
+        """Log processor that adds the number of lost writes to a line."""
         if self.lost:
             event["unwritten"] = self.lost
         return event
 
 
 def unbuffered(out: TextIO) -> Any:
-    """The raw file under a text stream: a buffer keeps what could not be written and fails again with each later
-    line."""
+    """Returns the raw file under a text stream.
+
+    A buffered stream would keep what could not be written, and fail again with each later line.
+    """
     return getattr(out.buffer, "raw", out.buffer)
 
 
 def set_up(
     form: str, front: int, out: TextIO = sys.stderr, most: int = 1_000_000
 ) -> structlog.typing.FilteringBoundLogger:
-    """The program's logger, on standard error and with any number of lines a second where nothing else is said."""
+    """Configures structlog and returns the program's logger.
+
+    `log_format` is "console", or anything else for JSON. By default it writes to standard error, practically without a
+    limit on the lines per second.
+    """
     spared = Spared(out if form == "console" else unbuffered(out))
     shared: list[Any] = [
         Rate(most),
--- a/oakcroft/terms.py
+++ b/oakcroft/terms.py
@@ -1,4 +1,4 @@
-"""What a deployment's settings mean, and what outcomes and notes tell: words and units to ours, in this one place."""
+"""Translates settings, outcomes and metrics from the wire into the types and units of `oakcroft/interface.py`."""
 
 from __future__ import annotations
 
@@ -22,31 +22,34 @@
 
 
 CAUSES = {34: Outcome.FULL, 47: Outcome.ERROR, 102: Outcome.NOT_SENT}
-"""A node's refusal by its cause; any other cause may have run."""
+"""Outcomes of a refused set-up by the node's cause; with any other cause it may have run."""
 ENDS = {16: Outcome.DONE, 31: Outcome.WITHDRAWN}
-"""The end of a playback by its cause; any other cause cut it."""
+"""Outcomes of a playback's end by its cause; any other cause means that it was cut off."""
 NOTE_NAMES = {"fill": NOTES[1], "grade": NOTES[2], "local": NOTES[3], "upstream": NOTES[4]}
 
 
 def nanos(ms: float | None) -> int:
-    """Wire time to ours; an absent one is 0."""
+    """Converts milliseconds to nanoseconds, rounded to whole microseconds; None is 0."""
     return round(ms * 1000) * 1000 if ms else 0
 
 
 def millis(ns: int) -> float:
-    """Our time to the wire's."""
+    """Converts nanoseconds to milliseconds."""
     return ns / MS
 
 
 def report_values(report: dict[str, float] | None) -> tuple[float | None, float | None, float | None]:
-    """What a load report says of the link, of the link up to full, and of the rack's uplink."""
+    """Returns the link's load, the link's load capped at 1, and the uplink's load; None for what is not reported."""
     if not report:
         return None, None, None
     return report.get("x0"), report.get("utilization"), report.get("x1")
 
 
 def plans(env: dict[str, Any]) -> dict[str, Plan]:
-    """The plans by name."""
+    """Reads the plans, by name.
+
+    Raises KeyError where a setting is missing or has an unknown word.
+    """
     info = env["familyInfo"]
     rungs = len(info["ratesKb"])
     out = {}
@@ -68,7 +71,10 @@
 
 
 def terms(env: dict[str, Any]) -> Terms:
-    """The settings that the module reads."""
+    """Reads the settings of the decision module.
+
+    Raises KeyError where a setting is missing.
+    """
     info, rules, may = env["familyInfo"], env["rules"], env["permissions"]
     return Terms(
         fronts=max(1, env["balancers"]),
--- a/oakcroft/wirehost/__init__.py
+++ b/oakcroft/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decision module on the simulator's wire."""
+"""Runs the decision module for front ends of the simulator, over its line protocol on standard input and output."""
--- a/oakcroft/wirehost/codec.py
+++ b/oakcroft/wirehost/codec.py
@@ -1,4 +1,4 @@
-"""The words of the simulator's wire for lists; all else is decoded in `oakcroft/terms.py`."""
+"""Codes of node lists in the simulator's protocol; all others are in `oakcroft/terms.py`."""
 
 from __future__ import annotations
 
--- a/oakcroft/wirehost/instance.py
+++ b/oakcroft/wirehost/instance.py
@@ -1,4 +1,4 @@
-"""One front end on the wire: ids to objects on the way in, objects to ids on the way out."""
+"""Front end of the simulator: translates events to calls of the decision module, and its calls to actions."""
 
 from __future__ import annotations
 
@@ -13,9 +13,13 @@
 
 
 class Instance:
-    """Holds the id maps of one front end and speaks to its controller."""
+    """Host of the decision module for one front end; maps the ids on the wire to objects."""
 
     def __init__(self, who: str, event: Message, now: int, out: list[Message]) -> None:
+        """Reads the settings from a `powerOn` event.
+
+        Raises KeyError where a setting is missing.
+        """
         env = event["env"]
         self.who = who
         self.out = out
@@ -29,39 +33,47 @@
         self.ids: dict[Playback, str] = {}
         self.controller = Controller(self.terms, event["seed"], self, now)
 
-    # What the module may ask for.
+    # Host protocol.
 
     def _act(self, op: str, **fields: Any) -> None:
+        """Adds an action for the simulator; the keywords are its keys on the wire."""
         self.out.append({"op": op, "who": self.who, **fields})
 
     def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+        """Sends a setup try."""
         self._act("deliver", rid=self.ids[pb], node=node.name, abandonAtMs=terms.millis(abandon_at))
 
     def reject(self, pb: Playback, stay_away: int) -> None:
+        """Rejects a request."""
         self._act("pushBack", rid=self.ids[pb], stayAwayMs=terms.millis(stay_away))
 
     def abort(self, pb: Playback) -> None:
+        """Ends a request whose set-up may have run."""
         self._act("abort", rid=self.ids[pb])
 
     def set_rung(self, pb: Playback, rung: int) -> None:
+        """Changes the rung of a playback."""
         self._act("setRung", rid=self.ids[pb], grade=rung)
 
     def alarm(self, at: int) -> None:
+        """Sets the timer of the decision module."""
         self._act("setAlarm", alarmTimeMs=terms.millis(at), label=0)
 
     def follow(self) -> None:
+        """Subscribes to the node list."""
         self._act("follow", active=True)
 
     def log(self, line: str) -> None:
+        """Records a log line."""
         self._act("record", message=line)
 
-    # What the wire says.
+    # Events of the simulator.
 
     def hear(self, event: Message, now: int, lists: dict[int, list[Message]]) -> None:
-        """One event, in order of arrival."""
+        """Handles one event; events have to come in order of arrival."""
         pb = self.playbacks.get(event.get("rid", ""))
         if pb and event.get("sendNo") not in (None, len(pb.tries) - 1):
-            return  # of an earlier setup try, which has had its outcome
+            return  # belongs to an earlier try, whose outcome was handled
         match event["op"]:
             case "accept":
                 pb = self._playback(event, now)
@@ -95,11 +107,13 @@
             del self.ids[self.playbacks.pop(event["rid"])]
 
     def _node(self, name: str) -> Node:
+        """Returns the node of a name, a new one at its first use."""
         if name not in self.nodes:
             self.nodes[name] = Node(name)
         return self.nodes[name]
 
     def _entry(self, e: Message) -> Entry:
+        """Translates an entry of the node list."""
         node = self._node(e["node"])
         node.cell, node.zone = e["cell"], e["zone"]
         weight = e.get("share")
@@ -112,6 +126,7 @@
         )
 
     def _playback(self, e: Message, now: int) -> Playback:
+        """Creates the playback of a request."""
         name = e["programme"]
         if name not in self.titles:
             self.titles[name] = Title(name, e["home"], e["copies"])
--- a/oakcroft/wirehost/loop.py
+++ b/oakcroft/wirehost/loop.py
@@ -1,4 +1,4 @@
-"""Batches in, replies out, until the input ends."""
+"""Reads batches of events line by line and writes the resulting actions, until the input ends."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 
 class Batches:
-    """All instances of this process and the numbered lists that they share by the wire's rule."""
+    """All front ends of this process, and the numbered node lists that the protocol lets them share."""
 
     def __init__(self) -> None:
+        """Starts without front ends and lists."""
         self.instances: dict[str, Instance] = {}
         self.lists: dict[int, list[Message]] = {}
 
     def answer(self, batch: dict[str, Any]) -> list[Message]:
-        """All actions that one batch calls for."""
+        """Handles the events of a batch and returns the resulting actions.
+
+        A fault in one event is reported as an action and ends the batch.
+        """
         now = terms.nanos(batch["momentMs"])
         out: list[Message] = []
         for event in batch["news"]:
@@ -29,13 +33,14 @@
             who = event["who"]
             try:
                 self._hear(op, who, event, now, out)
-            except Exception as fault:  # the wire has a message of its own for this
+            except Exception as fault:  # the protocol has an action for it
                 cause = f"{type(fault).__name__}: {fault} on {op}"
                 out.append({"op": "giveIn", "who": who, "message": cause})
                 break
         return out
 
     def _hear(self, op: str, who: str, event: Message, now: int, out: list[Message]) -> None:
+        """Handles one event of a front end; events of front ends that do not run are ignored."""
         if op == "kill":
             self.instances.pop(who, None)
         elif op == "powerOn":
@@ -47,7 +52,7 @@
 
 
 def serve(lines: BinaryIO, replies: BinaryIO, errors: TextIO) -> int:
-    """Answer each line; 0 at the end of input, 1 on a line that is no batch."""
+    """Answers each line; returns the exit status: 0 at the end of input, 1 on a line that is not a batch."""
     batches = Batches()
     for line in lines:
         try:
--- a/tests/test_formulas.py
+++ b/tests/test_formulas.py
@@ -1,4 +1,4 @@
-"""The design's formulas at their edges."""
+"""The paper's formulas at the ends of their ranges."""
 
 from collections import deque
 
@@ -8,22 +8,26 @@
 
 
 def test_fit_continues_a_straight_line_and_never_falls_below_zero() -> None:
+    """A forecast is the next point of the fitted line, or 0 where that is negative."""
     assert choice.forecast(deque([0.1, 0.2, 0.3, 0.4, 0.5])) == pytest.approx(0.6)
     assert choice.forecast(deque([0.7])) == pytest.approx(0.7)
     assert choice.forecast(deque([0.9, 0.5, 0.1])) == 0.0
 
 
 def test_cluster_load_weighs_mean_and_variance() -> None:
+    """Mean and variance are weighted by alpha and 1 - alpha."""
     assert choice.cluster_load([0.5, 0.5]) == pytest.approx(choice.ALPHA * 0.5)
     assert choice.cluster_load([0.0, 1.0]) == pytest.approx(choice.ALPHA * 0.5 + (1 - choice.ALPHA) * 0.25)
 
 
 def test_blend_is_measured_at_full_error_and_predicted_at_none() -> None:
+    """The prediction counts only as far as the last one was right."""
     assert choice.blend(1.0, 0.2, 0.8) == 0.8
     assert choice.blend(0.0, 0.2, 0.8) == 0.2
 
 
 def test_refusals_rise_between_the_marks() -> None:
+    """The probability of a rejection rises from T1 to T2."""
     t1, t2 = choice.T1, choice.T2
     assert choice.refusal_probability(t1, t2) == 0.0
     assert choice.refusal_probability((t1 + t2) / 2, t2) == pytest.approx(0.5)
@@ -31,6 +35,7 @@
 
 
 def test_step_down_probability_is_highest_at_both_ends() -> None:
+    """It is 1 at T3 and at the cap of the load, and lowest midway."""
     t3, full = choice.T3, choice.FULL
     assert choice.step_down_probability(t3, t3) == 1.0
     assert choice.step_down_probability((t3 + full) / 2, t3) == pytest.approx(0.5)
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -1,4 +1,4 @@
-"""The module's own calls in any order, twice, late and on what has ended: none raises, leaves or changes anything."""
+"""Duplicate, late and misordered events: the decision module neither raises nor leaks nor changes its state."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def standing_of(fleet: Fleet) -> list[Any]:
-    """All that later decisions come of."""
+    """All state that later decisions depend on."""
     c, nodes = fleet.control, fleet.nodes
     held = [
         (len(n.playbacks), len(n.waiting), n.level, n.distrust.sum, n.failed_at, n.short, n.slot_used)
@@ -48,7 +48,7 @@
 
 
 def ended(fleet: Fleet, how: str) -> Playback:
-    """A playback that has come to its end."""
+    """Returns a playback that has ended in the given state."""
     pb = fleet.ask(PAID)
     if how == "rejected":
         fleet.control.tried(pb, Outcome.NOT_SENT, False, None, None, None, pb.abandon)
@@ -65,6 +65,7 @@
 @pytest.mark.parametrize("how", ["rejected", "aborted", "ended"])
 @pytest.mark.parametrize("what", LATE)
 def test_an_event_on_a_playback_that_has_ended_changes_nothing(what: str, how: str) -> None:
+    """Late events must not change seats, loads or scores."""
     fleet = Fleet(terms=BUDGETED)
     pb = ended(fleet, how)
     before = standing_of(fleet)
@@ -74,6 +75,7 @@
 
 
 def test_an_event_that_comes_twice_counts_once() -> None:
+    """Duplicates of an event are ignored."""
     fleet = Fleet(terms=BUDGETED)
     pb = fleet.ask()
     assert pb.node is not None
@@ -87,6 +89,7 @@
 
 
 def test_an_alarm_that_comes_twice_runs_one_interval() -> None:
+    """A duplicate timer must not start a second chain of intervals."""
     fleet = Fleet()
     for _ in range(5):
         fleet.now += SECOND
@@ -98,13 +101,13 @@
 
 
 def test_a_list_that_is_behind_warms_no_node_up_and_one_ahead_keeps_none_cold() -> None:
+    """A node's start time neither goes back nor lies in the future."""
     for told in (0, 50):
         fleet = Fleet(nodes=1, terms=replace(TERMS, fronts=1))
         started = fleet.now
         fleet.relist(ListKind.CHANGES, started_at=started)
-        fleet.relist(
-            ListKind.CHANGES, started_at=told * SECOND
-        )  # from a service that has not heard of the restart
+        # From a list service that does not know of the restart.
+        fleet.relist(ListKind.CHANGES, started_at=told * SECOND)
         assert fleet.nodes[0].started_at == started
     fleet.relist(ListKind.CHANGES, started_at=fleet.now + 10**18)
     fleet.now += TERMS.cold_for
@@ -112,6 +115,7 @@
 
 
 def test_nothing_is_set_up_for_a_viewer_whose_time_is_up() -> None:
+    """A request past its abandon time is rejected without a try."""
     fleet = Fleet()
     pb = Playback(Title("t", 0, 0), PAID, 2, fleet.now, False)
     fleet.control.arrived(pb, fleet.now)
@@ -121,8 +125,9 @@
 
 @pytest.mark.parametrize("terms", [TERMS, BUDGETED])
 def test_a_front_keeps_no_more_times_of_requests_and_tries_than_its_window_holds(terms: Any) -> None:
+    """The history of the retry budget must not grow without bound."""
     fleet = Fleet(terms=replace(terms, uplink=0.0))
-    for _ in range(2_000):  # each takes a second try, as while one node is full
+    for _ in range(2_000):  # each needs a retry, as while one node is full
         pb = fleet.ask()
         fleet.control.tried(pb, Outcome.NOT_SENT, False, None, None, None, fleet.now)
         fleet.control.tried(pb, Outcome.WITHDRAWN, True, None, None, None, fleet.now)
@@ -139,6 +144,7 @@
 def test_any_calls_in_any_order_raise_nothing_and_leave_nothing(
     steps: list[tuple[str, int]], budget: bool
 ) -> None:
+    """After any sequence of events, no seat, playback or load is left over."""
     fleet, all_ = Fleet(terms=BUDGETED if budget else TERMS), list[Playback]()
     title, plans = Title("t", 0, 0), [FREE, PAID, KEYED, replace(FREE, floor=1, seats=2)]
     for what, k in steps:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""A plain, slow model of the six rules beside the module, on generated days."""
+"""The decision module against a simple model of the six rules, on generated sequences of events."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 
 class Model:
-    """What the rules allow, read off the calls one by one."""
+    """What the rules allow, derived from the module's calls of its host one by one."""
 
     def __init__(self, fleet: Fleet, budgeted: bool) -> None:
+        """Watches the calls that the fleet records."""
         self.fleet, self.budgeted, self.seen = fleet, budgeted, 0
         self.taken: list[int] = []
         self.further: list[int] = []
@@ -34,6 +35,7 @@
         self.cold: dict[Node, list[int]] = {}
 
     def check(self) -> None:
+        """Checks the calls since the last check."""
         now = self.fleet.now
         for call in self.fleet.calls[self.seen :]:
             if call[0] == "send":
@@ -48,6 +50,7 @@
         self.seen = len(self.fleet.calls)
 
     def check_send(self, pb: Playback, node: Node, now: int) -> None:
+        """Checks a setup try against the rules for repeats, seats, the retry budget and the cold pace."""
         assert pb not in self.answered
         assert pb not in self.out
         assert node.listing is Listing.READY
@@ -77,6 +80,7 @@
 def test_module_and_model_agree_on_what_is_allowed(
     steps: list[tuple[str, int, Outcome]], budget: bool
 ) -> None:
+    """No generated sequence of events makes the module break a rule or leave a request unanswered."""
     fleet = Fleet(terms=BUDGETED if budget else TERMS)
     model = Model(fleet, budget)
     titles = [Title(f"t{i}", i % 4, 3) for i in range(3)]
@@ -116,6 +120,7 @@
 
 
 def test_limits_of_the_settings_neither_crash_nor_break_a_rule() -> None:
+    """The smallest settings work, and so does a front end without nodes."""
     small = replace(TERMS, fronts=1, cells=1, racks=1, rates=(200.0,), rung_worth=(1.0,), uplink=0.0,
                     reports_every=0, most_tries=1, stay_away_most=0)  # fmt: skip
     fleet = Fleet(nodes=1, terms=small)
@@ -131,6 +136,7 @@
 
 
 def test_an_error_on_a_title_that_never_played_costs_a_node_no_trust() -> None:
+    """Requests for titles that don't exist must not raise the failure score of a good node."""
     fleet, title = Fleet(), Title("unknown", 0, 0)
 
     def fails() -> float:
--- a/tests/test_untold_loads.py
+++ b/tests/test_untold_loads.py
@@ -1,4 +1,4 @@
-"""Fleets whose nodes report no loads: what a front takes links for, and what one that is found full tells of the rest."""
+"""Fleets whose nodes report no loads: the load assumed for links, and what a full link says about the others."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 from oakcroft.choice import T1, USUAL
 from oakcroft.interface import SECOND, ListKind, Node, Note, Outcome, Playback, Title
 
-NODES, LINK = 8, 4000.0  # of `Fleet`
+NODES, LINK = 8, 4000.0  # the nodes of `Fleet`, and the capacity of their links in kB/s
 UNTOLD = replace(TERMS, fronts=40, reports_every=0, uplink=0.65 * NODES / TERMS.racks * LINK)
-"""Nothing is reported unasked, and a rack's uplink gives two thirds of what its links give."""
-LIGHT = replace(FREE, rate_factor=0.1)  # one on each of forty fronts asks a twentieth of what the links give
+"""Nodes send no reports, and a rack's uplink has two thirds of the capacity of its links."""
+# One such playback on each of 40 front ends takes a twentieth of the links' capacity.
+LIGHT = replace(FREE, rate_factor=0.1)
 
 
 def pass_seconds(fleet: Fleet, seconds: int) -> None:
-    """The end of each interval comes."""
+    """Lets sample intervals end."""
     for _ in range(seconds):
         fleet.now += SECOND
         fleet.control.alarm(fleet.now)
 
 
 def plays_on(fleet: Fleet, node: Node) -> Playback:
-    """A playback that this front was handed."""
+    """Hands a playback on a node over to the front end."""
     pb = Playback(Title(f"on {node.name}", 0, 0), FREE, 2, fleet.now + SECOND, False)
     fleet.control.resumed(pb, node, fleet.now)
     return pb
 
 
 def test_racks_do_not_look_full_on_a_guess_alone() -> None:
-    """A guess of each link alone fills no uplink: requests are placed, off the ladder's foot."""
+    """The load assumed for each link must not add up to a full uplink: requests are placed, above the lowest rung."""
     fleet = Fleet(NODES, UNTOLD)
     pass_seconds(fleet, 3)
     playing = []
@@ -42,11 +43,11 @@
         playing.append(pb)
         pass_seconds(fleet, 10)
         assert fleet.control.x < (T1 + USUAL) / 2
-    assert sum(pb.rung for pb in playing) / len(playing) >= 1  # off the ladder's foot
+    assert sum(pb.rung for pb in playing) / len(playing) >= 1  # above the lowest rung
 
 
 def test_links_are_taken_at_the_usual_of_what_their_uplink_lets_through() -> None:
-    """The guess is of what is tighter, link or uplink, and stands before the first request."""
+    """The assumption is made for the narrower of link and uplink, before the first request."""
     wide = Fleet(NODES, replace(UNTOLD, uplink=NODES * LINK))
     without = Fleet(NODES, replace(UNTOLD, uplink=0.0))
     assert wide.control.usual == without.control.usual == USUAL
@@ -57,12 +58,12 @@
 
 @pytest.mark.parametrize("sign", ["short delivery", "full answer"])
 def test_one_link_that_is_found_full_says_nothing_of_the_others(sign: str) -> None:
-    """Full links are what is noticed where nothing reports; the rest is taken for usual all the same."""
+    """Where nothing reports, only full links are noticed; they must not stand for the other links."""
     fleet = Fleet(NODES, UNTOLD)
     pass_seconds(fleet, 3)
     usual = fleet.control.usual
     if sign == "short delivery":
-        plays_on(fleet, fleet.nodes[2])  # in the same rack, with all that it asks
+        plays_on(fleet, fleet.nodes[2])  # in the same rack, with full delivery
         node = fleet.nodes[0]
         fleet.control.noted(plays_on(fleet, node), Note.DELIVERED, 0.7, fleet.now)
     else:
@@ -77,7 +78,7 @@
 
 
 def test_what_is_found_full_counts_beside_what_is_told() -> None:
-    """Where nodes report, short delivery is a sample among others."""
+    """Where nodes report, the load inferred from short delivery is one sample among others."""
     fleet = Fleet(NODES, replace(UNTOLD, reports_every=3 * SECOND))
     told, short = plays_on(fleet, fleet.nodes[0]), plays_on(fleet, fleet.nodes[2])
     fleet.control.noted(told, Note.LINK_ASKED, 0.5, fleet.now)
@@ -87,7 +88,7 @@
 
 
 def test_a_mean_that_was_told_stands_when_the_list_changes() -> None:
-    """Once a link has told, no list brings the first guess back."""
+    """Once a link has reported, a new node list must not bring back the default."""
     fleet = Fleet(NODES, UNTOLD)
     fleet.control.noted(plays_on(fleet, fleet.nodes[0]), Note.LINK_ASKED, 0.2, fleet.now)
     pass_seconds(fleet, 1)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Exchanges through the started adapter."""
+"""Exchanges with the simulator adapter, run as a process."""
 
 from __future__ import annotations
 
@@ -27,6 +27,7 @@
 
 
 def exchange(*lines: str) -> tuple[list[Any], int, str]:
+    """Runs the adapter on some lines; returns its actions by line, its exit status and its error output."""
     text = "".join(line + "\n" for line in lines)
     done = subprocess.run(
         [sys.executable, "-m", "oakcroft.wirehost"], input=text, capture_output=True, text=True, check=False
@@ -35,10 +36,12 @@
 
 
 def batch(ms: float, *news: dict[str, Any]) -> str:
+    """A line of input: events at a time."""
     return json.dumps({"momentMs": ms, "news": news})
 
 
 def test_a_playback_from_start_to_end() -> None:
+    """A request is sent to a node, and its end needs no further action."""
     start = batch(
         1.0,
         {"op": "powerOn", "who": "e", "seed": 3, "env": ENV},
@@ -56,6 +59,8 @@
 
 
 def test_the_outcome_of_a_try_that_comes_twice_is_not_that_of_the_next() -> None:
+    """A duplicate outcome must not end the try that followed."""
+
     def reply(number: int) -> dict[str, Any]:
         return {"op": "reply", "who": "e", "rid": "r", "doneFlag": False, "delaySeenMs": 9.0, "outcome": "NOCONN",
                 "node": "n", "sendNo": number}  # fmt: skip
@@ -80,6 +85,7 @@
 
 
 def test_a_fault_inside_goes_out_with_its_cause() -> None:
+    """An exception becomes an action that names it."""
     replies, code, _ = exchange(batch(1.0, {"op": "powerOn", "who": "e", "seed": 3, "env": {}}))
     assert replies[0][-1]["op"] == "giveIn"
     assert "KeyError" in replies[0][-1]["message"]
@@ -87,6 +93,7 @@
 
 
 def test_a_line_that_is_no_batch_ends_the_adapter_plainly() -> None:
+    """Malformed input ends the process with one line of error."""
     for line in ("nonsense", "[]", '{"momentMs": 1}'):
         replies, code, errors = exchange(line)
         assert replies == []
