--- a/oakcroft/decisions/admission/__init__.py
+++ b/oakcroft/decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who is let in, how fast, and what happens to the rest."""
+"""Admission at the front end: connection limits, request limits, load shedding and reduced service."""
--- a/oakcroft/decisions/admission/clients.py
+++ b/oakcroft/decisions/admission/clients.py
@@ -1,4 +1,4 @@
-"""What one client of the session API may hold and ask for, and what it hears at each limit."""
+"""Limits on one client of the session API: connections, pending requests, playbacks and messages."""
 
 from __future__ import annotations
 
@@ -10,8 +10,12 @@
 
 @dataclass(frozen=True)
 class Allowance:
-    """The figures: connections of one caller; requests without an answer, playbacks, messages a second with bursts,
-    bytes of one message, and messages that it may be behind, of one seat."""
+    """Limits on one client.
+
+    `connections` counts all connections under one token or address. The other limits hold for each client
+    session: requests without an answer, playbacks, messages a second with their burst, bytes of one message,
+    and messages that the client has not acknowledged.
+    """
 
     connections: int = 20_000
     asks: int = 64
@@ -23,7 +27,7 @@
 
 
 class Word(Enum):
-    """What a client hears."""
+    """Result of checking a client against its limits."""
 
     PASS = "pass"
     TOO_MANY_ASKS = "too many requests wait for their answer"
@@ -33,13 +37,20 @@
 
 
 CLOSE = {Word.TOO_FAST: 1008, Word.TOO_MANY_CONNECTIONS: 1013}
-"""Close codes (RFC 6455 7.4.1 and its registry); what does not stand here is answered, and the connection stays."""
+"""WebSocket close code (RFC 6455 7.4.1 and its registry) by verdict.
+
+Any other verdict is sent as an answer, and the connection stays open.
+"""
 
 
 @dataclass
 class Client:
-    """What one client holds now. Requests, playbacks and messages are counted by seat, since a portal's viewers share
-    its token, and those behind one network its address; connections by token or address."""
+    """What one client uses of its limits.
+
+    Connections are counted by token or address. Requests, playbacks and messages are counted by client
+    session, since all viewers of a portal share its token and all viewers behind one network share its
+    address.
+    """
 
     allowance: Allowance
     connections: int = 0
@@ -48,25 +59,32 @@
     pace: Bucket = field(default_factory=lambda: Bucket(0.0, 0))
 
     def __post_init__(self) -> None:
+        """Starts with a full message bucket."""
         self.limit = Limit("messages", Scope.TOKEN, "", self.allowance.messages, self.allowance.burst)
         self.pace = Bucket(self.allowance.burst, 0)
 
     def connects(self) -> Word:
-        """A connection comes."""
+        """Counts a new connection, unless the client has too many."""
         if self.connections >= self.allowance.connections:
             return Word.TOO_MANY_CONNECTIONS
         self.connections += 1
         return Word.PASS
 
     def says(self, now: int) -> Word:
-        """A message comes. The bucket holds a burst, so that a client that resumes may say much at once."""
+        """Charges one message to the message bucket. `now`: ns.
+
+        The bucket holds a burst, so that a client that resumes its session may send many messages at once.
+        """
         if self.pace.read(self.limit, now) < 1.0:
             return Word.TOO_FAST
         self.pace.level -= 1.0
         return Word.PASS
 
     def asks_for(self, repeat: bool = False) -> Word:
-        """It asks for a playback. A `repeat` of what is answered already is never turned away."""
+        """Counts a request for a playback as pending, unless a limit is reached.
+
+        A request whose answer is known already (`is_repeat`) is never rejected here.
+        """
         if not repeat and self.asks >= self.allowance.asks:
             return Word.TOO_MANY_ASKS
         if not repeat and self.asks + self.playbacks >= self.allowance.playbacks:
@@ -75,11 +93,11 @@
         return Word.PASS
 
     def answered(self, plays: bool) -> None:
-        """A request has its answer."""
+        """Ends a pending request. `is_playing`: whether the answer is a playback."""
         self.asks -= 1
         self.playbacks += plays
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of it is left, so that it may be forgotten."""
+        """Whether the client uses nothing, so that its entry may be dropped."""
         return not (self.connections or self.asks or self.playbacks)
--- a/oakcroft/decisions/admission/levels.py
+++ b/oakcroft/decisions/admission/levels.py
@@ -1,15 +1,16 @@
-"""Levels of reduced service: named, in order, with clear entries and exits, and no more changes than stated.
-
-Level 0 is full service. Each further level is entered when one of its signs is over its entry for a while, and left when
-all of them are under their exits for longer. Between the two lies a gap in which nothing changes, so a load that hovers
-at an edge stays on one side of it. That alone is tuning; the bound is by construction: a change is made only if fewer
-than `most_changes` lie in the `window` before it, whatever the signs say. The last place in a window is kept for a change
-to more reduction, since being late to reduce costs more than being late to return.
-
-Guards against flapping, against service that stays reduced for ever (exits are looked at all the time, and a window
-passes), and against hundreds of fronts that swing in step: each draws once for how long a sign must hold, and makes its
-least time and its window longer by a part of its own. Harm: after many changes the level lags behind the load by up to
-one and a half windows.
+"""Levels of reduced service: named, in order, with defined entries and exits and a bounded rate of changes.
+
+Level 0 is full service. Each further level is entered once one of its load signals has been over its entry
+threshold for a while, and left once all of them have been under their exit thresholds for longer. Nothing
+changes in the gap between the two, so a load that hovers at a threshold stays on one side of it. The bound on
+changes does not depend on the thresholds: a change is made only if fewer than `most_changes` were made in the
+`window` before it, whatever the signals say. The last place in a window is kept for a change to more
+reduction, since reducing late costs more than returning late.
+
+This guards against flapping; against service that stays reduced for ever, since exits are checked all the
+time and a window passes; and against hundreds of front ends that change in step: each draws once how long a
+signal must hold, and lengthens its least time in a level and its window by a factor of its own. Drawback:
+after many changes the level lags behind the load by up to one and a half windows.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 
 
 class Sign(Enum):
-    """What a level looks at. Each is a figure that is higher when things are worse."""
+    """A figure that levels are entered and left by; higher is worse. The values are configuration keys."""
 
-    X = "x"  # the design's load of all links
-    BLIND = "blind"  # how few nodes tell, 0 to 1
-    REFUSED = "refused"  # share of answers of late that were rejections
-    LATE = "late"  # share of revenue of late that was not answered within its startup target
-    LAG = "lag"  # how late the front's own loop is, in ns
+    X = "x"  # load of all links, as admission control (SA2C) estimates it
+    BLIND = "blind"  # share of the nodes that do not report, 0 to 1
+    REFUSED = "refused"  # share of recent answers that were rejections
+    LATE = "late"  # share of recent revenue that was not answered within its startup target
+    LAG = "lag"  # lag of the front end's event loop, ns
 
 
 @dataclass(frozen=True)
 class Mark:
-    """One sign's entry and exit; the exit lies under the entry."""
+    """Entry and exit threshold of one load signal; the exit threshold is the lower one."""
 
     sign: Sign
     enter: float
@@ -44,8 +45,13 @@
 
 @dataclass(frozen=True)
 class Acts:
-    """What a level does. `top`: highest rung of new playbacks. `admits`: the share of a plan's requests that is let in,
-    for plans of which some is turned away. `moves`, `upkeep`: whether moves begin and background work goes on."""
+    """What a level restricts.
+
+    - `max_rung`: highest rung of new playbacks, None for no restriction.
+    - `admitted_shares`: share of requests let in, by plan, for plans of which some are rejected.
+    - `moves_allowed`: whether moves begin.
+    - `maintenance_allowed`: whether background work goes on.
+    """
 
     top: int | None = None
     admits: Mapping[str, float] = field(default_factory=dict)
@@ -55,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Level:
-    """One level."""
+    """One level of reduced service."""
 
     name: str
     marks: tuple[Mark, ...]
@@ -64,8 +70,15 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """`least`: time in a level before the next change; `most_changes` in any `window`; `hold`: how long a sign must hold
-    to enter, twice as long to leave; `strong`: a sign past its entry by this factor counts at once. Times in ns."""
+    """Limits on changes of level. Times in ns.
+
+    The field names are the keys of the `levels` form of the configuration.
+
+    - `least`: least time in a level before the next change.
+    - `most_changes`: largest number of changes in any `window`.
+    - `hold`: how long a signal must hold to enter a level; leaving takes twice as long.
+    - `strong`: a signal over its entry threshold by this factor counts at once.
+    """
 
     least: int = 10 * SECOND
     most_changes: int = 6
@@ -74,13 +87,13 @@
     strong: float = 1.5
 
 
-SPREAD = 4  # how many times the stated hold fronts may differ in
+SPREAD = 4  # front ends differ in their hold times by up to this many configured hold times
 FULL = Level("full", (), Acts())
 
 
 @dataclass(frozen=True)
 class Change:
-    """One change of level, with what brought it."""
+    """One change of level and its reason. `changed_at`: ns."""
 
     at: int
     before: str
@@ -90,16 +103,21 @@
 
 @dataclass
 class Pin:
-    """An operator's word: this level until then, whatever the signs say."""
+    """A level set by an operator, in force until a time (ns) whatever the load signals say."""
 
     level: int
     until: int
 
 
 class Levels:
-    """The level of one front."""
+    """Decides on the service level of one front end."""
 
     def __init__(self, levels: Sequence[Level], bounds: Bounds, rng: Random, now: int) -> None:
+        """Starts at full service. `now`: ns.
+
+        Draws four times from `rng`: the hold times for entering and leaving, the least time in a level, and
+        the window.
+        """
         self.levels, self.bounds = [FULL, *levels], bounds
         self.at, self.since, self.why = 0, now - 2 * bounds.least, "at the start"
         self.changes = deque[int]()
@@ -109,19 +127,22 @@
         self.leave_after = round(bounds.hold * (2 + SPREAD * rng.random()))
         self.least = round(bounds.least * (1 + rng.random()))
         self.window = round(bounds.window * (1 + rng.random() / 2))
-        self.over: dict[int, int] = {}  # of each level: since when an entry holds
-        self.under: dict[int, int] = {}  # since when all exits hold
-        self.held_back = 0  # changes that the bound forbade
+        self.over: dict[int, int] = {}  # by level, since when an entry threshold is exceeded
+        self.under: dict[int, int] = {}  # by level, since when all exits hold
+        self.held_back = 0  # changes that the limits forbade
 
     @property
     def level(self) -> Level:
         """The level in force."""
         return self.levels[self.at]
 
-    # Looking.
+    # Load signals.
 
     def look(self, signs: Mapping[Sign, float], now: int) -> Change | None:
-        """To be called with fresh signs, a few times a second; a change, if one is due."""
+        """Takes new load signals and changes the level if a change is due.
+
+        Called a few times a second. Returns the change that was made, or None. `now`: ns.
+        """
         for n, level in enumerate(self.levels):
             entered = any(signs.get(m.sign, 0.0) >= m.enter for m in level.marks)
             left = all(signs.get(m.sign, 0.0) < m.leave for m in level.marks)
@@ -138,14 +159,18 @@
 
     @staticmethod
     def _held(since: dict[int, int], level: int, holds: bool, now: int) -> None:
+        """Notes since when a condition of a level holds, or that it does not hold."""
         if not holds:
             since.pop(level, None)
         else:
             since.setdefault(level, now)
 
     def _up(self, signs: Mapping[Sign, float], now: int) -> int | None:
-        """The highest level whose entry has held for long enough; where the entry of any is passed so far that it need
-        not be waited for, the highest of which the entry holds at all."""
+        """Returns the highest level that may be entered, or None.
+
+        That is the highest level whose entry threshold has been exceeded for long enough. If any signal
+        exceeds its threshold by the factor `strong`, the time is not waited for.
+        """
         held = [n for n, since in self.over.items() if now - since >= self.enter_after]
         far = any(
             signs.get(m.sign, 0.0) >= m.enter * self.bounds.strong
@@ -155,28 +180,32 @@
         return max(self.over if far else held, default=None)
 
     def _down(self, now: int) -> int:
-        """The level to go back to: as far as exits have held for long enough."""
+        """Returns the level to go back to: the lowest one above which all exits have held for long enough."""
         n = self.at
         while n > 0 and n in self.under and now - self.under[n] >= self.leave_after:
             n -= 1
         return n
 
     def _told(self, signs: Mapping[Sign, float], level: int) -> str:
+        """Describes the entry thresholds of a level that the signals exceed."""
         passed = [f"{m.sign.value} {signs.get(m.sign, 0.0):.3g} over {m.enter:.3g}" for m in self.levels[level].marks
                   if signs.get(m.sign, 0.0) >= m.enter]  # fmt: skip
         return ", ".join(passed)
 
-    # Changing.
+    # Changes of level.
 
     def allowed(self, more: bool, now: int) -> bool:
-        """Whether a change may be made now. `more`: to more reduction."""
+        """Whether a change may be made now. `reduces`: it is a change to more reduction. `now`: ns."""
         while self.changes and self.changes[0] <= now - self.window:
             self.changes.popleft()
         most = self.bounds.most_changes if more else self.bounds.most_changes - 1
         return now - self.since >= self.least and len(self.changes) < most
 
     def _change(self, to: int, why: str, now: int, pinned: bool = False) -> Change | None:
-        """The one place where the level changes."""
+        """Puts a level in force, unless it is in force already or the limits on changes forbid it.
+
+        This is the only place where the level changes. A pinned level is not subject to the limits.
+        """
         if to == self.at:
             return None
         if not pinned and not self.allowed(to > self.at, now):
@@ -192,7 +221,7 @@
     # Operators.
 
     def pin_to(self, name: str, until: int) -> bool:
-        """Holds a level until then; False where there is none of this name."""
+        """Pins a level until a time (ns); False if there is no level of this name."""
         names = [x.name for x in self.levels]
         if name not in names:
             return False
@@ -200,11 +229,11 @@
         return True
 
     def unpin(self) -> None:
-        """Lets the signs decide again."""
+        """Lets the load signals decide again."""
         self.pin = None
 
     def next(self, signs: Mapping[Sign, float], now: int) -> list[str]:
-        """What would change the level, for people."""
+        """Describes for operators what would change the level. `now`: ns."""
         if self.pin is not None:
             return [
                 f"pinned to {self.levels[self.pin.level].name} for {max(0, self.pin.until - now) // SECOND} s more"
@@ -225,14 +254,15 @@
 
 
 class Gate:
-    """Lets a stated share of a plan's requests in, evenly: no plan is starved but by a level that says so."""
+    """Lets in a fixed share of a plan's requests, evenly spread; a plan is shut out only by a share of 0."""
 
     def __init__(self) -> None:
+        """Starts without counts."""
         self.credit: dict[str, float] = {}
         self.turned: dict[str, int] = {}
 
     def admits(self, acts: Acts, plan: str) -> bool:
-        """Whether this request of a plan is let in."""
+        """Whether to let this request of a plan in."""
         share = acts.admits.get(plan)
         if share is None:
             self.credit.pop(plan, None)
@@ -248,7 +278,7 @@
 
 @dataclass
 class Tally:
-    """Answers of late, for the signs that come of them: sums that halve every `half`."""
+    """Recent answers, for the load signals based on them: sums that halve every `half_life` ns."""
 
     half: int = 5 * SECOND
     at: int = 0
@@ -258,6 +288,7 @@
     late: float = 0.0
 
     def _fade(self, now: int) -> None:
+        """Decays the sums to a time, ns."""
         if now > self.at:
             kept = 0.5 ** ((now - self.at) / self.half)
             self.answers, self.rejected = self.answers * kept, self.rejected * kept
@@ -265,7 +296,7 @@
             self.at = now
 
     def answered(self, rejected: bool, revenue: float, in_time: bool, now: int) -> None:
-        """One final answer of the module."""
+        """Adds one final answer of admission control. `now`: ns."""
         self._fade(now)
         self.answers += 1
         self.rejected += rejected
@@ -273,7 +304,7 @@
         self.late += 0.0 if in_time else revenue
 
     def signs(self, now: int) -> dict[Sign, float]:
-        """Shares, 0 while there is too little to tell by."""
+        """Returns the shares as load signals; 0 while there are too few answers to tell. `now`: ns."""
         self._fade(now)
         enough = self.answers >= 3
         return {
--- a/oakcroft/decisions/admission/limits.py
+++ b/oakcroft/decisions/admission/limits.py
@@ -1,8 +1,9 @@
-"""Rate and concurrency limits on requests, held by one front as its share of what is stated for all.
+"""Rate and concurrency limits on requests; a front end enforces its share of the limits of the fleet.
 
-A limit stands on a token, a route, a plan, a wing or on all. A request passes when every limit that applies passes;
-they are looked at in that order, all are charged or none, and the first that refuses names itself and, where it
-can, when to come back. Limits feed the front before the module is asked: what they refuse the module never sees.
+A limit applies to a token, a route, a plan, a wing (zone) or to all requests. A request passes if every limit
+that applies to it has room. Limits are checked in that order; all of them are charged or none, and the first
+that refuses names itself and, where it can, the time after which to try again. Limits are checked before
+admission control, which never sees what they refuse.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Scope(Enum):
-    """What a limit stands on, in the order in which limits are looked at."""
+    """What a limit applies to, in the order in which limits are checked."""
 
     TOKEN = "token"
     ROUTE = "route"
@@ -29,10 +30,13 @@
 
 @dataclass(frozen=True)
 class Limit:
-    """`rate` new playbacks a second with bursts of `burst`; `at_once` playbacks held, set-ups included. None: no such.
+    """One limit on new playbacks and on playbacks held at one time.
 
-    `on`: the name of what it stands on; "*" counts each of that scope by itself. `whole`: the figures are for all
-    fronts together, so that this one holds its share; else for this front alone.
+    - `rate`: new playbacks a second, with bursts of `burst`; None for no rate limit.
+    - `max_concurrent`: playbacks held at one time, set-ups included; None for no limit.
+    - `subject`: name of what the limit applies to; "*" counts each name of the scope by itself.
+    - `is_fleet_wide`: the figures hold for all front ends together, and this one enforces its share;
+      otherwise they hold for this front end alone.
     """
 
     name: str
@@ -45,10 +49,14 @@
 
 
 def share_of(limit: Limit, front: int, fronts: int, parts: int = 0) -> Limit:
-    """What one front may use. Rates may be divided into fewer `parts` than there are fronts, where others have left
-    for good (decisions/fleet/shares.py); places never are, for what was let in on them stays for as long as it plays.
-    Whole places are dealt out so that all fronts' shares sum to the figure exactly; a front whose share of places is
-    none admits none, which keeps the sum kept without any talk between fronts."""
+    """Returns what one front end may use of a limit.
+
+    Rates may be divided into fewer shares (`rate_shares`) than there are front ends if some have left for
+    good (decisions/membership/shares.py). Concurrency limits are always divided by the number of front ends,
+    because playbacks that were let in by a front end that has left still play. Whole places are dealt out so
+    that the shares of all front ends sum to the limit exactly; a front end whose share is 0 admits none. So
+    the sum holds without any communication between front ends.
+    """
     if not limit.whole or fronts <= 1:
         return limit
     at_once = None if limit.at_once is None else limit.at_once // fronts + (front < limit.at_once % fronts)
@@ -59,14 +67,17 @@
 
 @dataclass
 class Bucket:
-    """A token bucket: `level` tokens at time `at`."""
+    """A token bucket: `tokens` at the time `updated_at`, ns."""
 
     level: float
     at: int
 
     def read(self, limit: Limit, now: int) -> float:
-        """Tokens now. A clock that goes back adds nothing and takes nothing; one that jumps ahead, or a front that
-        stood still, fills the bucket at most to its burst."""
+        """Returns the tokens at a time, ns.
+
+        A clock that goes back neither adds nor removes tokens. A clock that jumps ahead, or a pause of the
+        process, fills the bucket to its burst at most.
+        """
         if now > self.at and limit.rate is not None:
             self.level = min(burst_of(limit), self.level + (now - self.at) / SECOND * limit.rate)
         self.at = max(self.at, now)
@@ -74,14 +85,14 @@
 
 
 def burst_of(limit: Limit) -> float:
-    """The largest level: as stated, else one second's worth, and never under 1 or nothing could ever pass."""
+    """Returns the capacity of a bucket: the burst, else one second of the rate, and never less than 1."""
     stated = limit.burst if limit.burst is not None else (limit.rate or 0.0)
     return max(1.0, stated)
 
 
 @dataclass(frozen=True)
 class Party:
-    """Whom and what a request is charged to."""
+    """The token, route, plan and wing (zone) that a request is charged to."""
 
     token: str
     route: str
@@ -89,7 +100,7 @@
     wing: str
 
     def of(self, scope: Scope) -> str:
-        """Its name in a scope."""
+        """Returns the name that the request has in a scope."""
         return {
             Scope.TOKEN: self.token,
             Scope.ROUTE: self.route,
@@ -100,7 +111,9 @@
 
 @dataclass(frozen=True)
 class Over:
-    """A limit refuses: which one, what of it is used up, and when to come back (ns; None where nothing tells)."""
+    """A limit that refuses a request: its name, what is used up, and the time until it has room (ns, if
+    known).
+    """
 
     limit: str
     what: str
@@ -109,7 +122,7 @@
 
 @dataclass(eq=False)
 class Ticket:
-    """What a request holds until its playback is over."""
+    """The places that a request holds until its playback is over."""
 
     places: tuple[tuple[str, str], ...]
     returned: bool = False
@@ -117,12 +130,12 @@
 
 @dataclass
 class Ledger:
-    """What is used of every limit, by the limit's name and whom it counts. It outlives versions of the configuration.
+    """Usage of every limit, by the limit's name and the subject it counts.
 
-    Guards against a change of version that forgets what is held: counts stay by name, so a limit that is lowered under
-    what is held admits none until enough have ended, and one that is raised admits more at once. Memory: buckets that
-    are full again and count nobody are dropped as new ones come (`most`). Harm: a limit renamed in a change begins at
-    nothing.
+    Usage outlives changes of the configuration. It is kept by name, so that a limit that is lowered below
+    what is held admits nothing until enough playbacks have ended, and one that is raised admits more at once.
+    Past `max_buckets`, buckets that are full again are dropped as new ones are needed, since they carry no
+    information. Drawback: a limit that is renamed starts from zero.
     """
 
     front: int = 0
@@ -132,11 +145,11 @@
     by_scope: dict[Scope, dict[str, list[Limit]]] = field(default_factory=dict)
     buckets: dict[tuple[str, str], Bucket] = field(default_factory=dict)
     held: dict[tuple[str, str], int] = field(default_factory=dict)
-    parts: int = 0  # into which rates are divided; 0: as many as there are fronts
+    parts: int = 0  # shares that rates are divided into; 0 for one share per front end
     stated: list[Limit] = field(default_factory=list)
 
     def take_parts(self, parts: int) -> bool:
-        """Rates are divided into so many parts from this instant on; whether that is news."""
+        """Divides rates into this many shares from now on; returns whether that is a change."""
         if parts == (self.parts or self.fronts):
             return False
         self.parts = parts
@@ -144,7 +157,7 @@
         return True
 
     def take_version(self, limits: Iterable[Limit]) -> None:
-        """New figures from this instant on."""
+        """Puts new limits in force."""
         self.stated = list(limits)
         self.limits = {x.name: share_of(x, self.front, self.fronts, self.parts) for x in self.stated}
         self.by_scope = {}
@@ -157,7 +170,7 @@
                 bucket.level = min(bucket.level, burst_of(self.limits[key[0]]))
 
     def applying(self, party: Party) -> list[tuple[Limit, str]]:
-        """The limits that apply, in their order, and whom each counts."""
+        """Returns the limits that apply to a request, in order, each with the name that it counts."""
         found = []
         for scope in ORDER:
             here, who = self.by_scope.get(scope), party.of(scope)
@@ -171,7 +184,7 @@
         return found
 
     def ask(self, party: Party, now: int) -> Ticket | Over:
-        """Charges a request to every limit that applies, or to none."""
+        """Charges a request to every limit that applies to it, or to none. `now`: ns."""
         applying = self.applying(party)
         for limit, who in applying:
             if over := self._over(limit, who, now):
@@ -186,6 +199,7 @@
         return Ticket(tuple(places))
 
     def _over(self, limit: Limit, who: str, now: int) -> Over | None:
+        """Returns the refusal of a limit that has no room, else None."""
         if limit.at_once is not None and self.held.get((limit.name, who), 0) >= limit.at_once:
             return Over(limit.name, f"{limit.at_once} at once", None)
         if limit.rate is not None:
@@ -196,6 +210,7 @@
         return None
 
     def _bucket(self, limit: Limit, who: str, now: int) -> Bucket:
+        """Returns the bucket of a limit and subject; a new one is full."""
         key = (limit.name, who)
         bucket = self.buckets.get(key)
         if bucket is None:
@@ -205,13 +220,14 @@
         return bucket
 
     def _tidy(self, now: int) -> None:
+        """Drops buckets that are full or whose limit is gone."""
         for key, bucket in list(self.buckets.items()):
             limit = self.limits.get(key[0])
             if limit is None or bucket.read(limit, now) >= burst_of(limit):
                 del self.buckets[key]
 
     def back(self, ticket: Ticket) -> None:
-        """The playback is over, or never began; a ticket counts once however often it comes back."""
+        """Releases the places of a request whose playback is over or never began; idempotent."""
         if ticket.returned:
             return
         ticket.returned = True
@@ -224,7 +240,10 @@
 
 
 def never_binds(limit: Limit, limits: Mapping[str, Limit]) -> str | None:
-    """Which other limit is always reached before this one, if any: one on all with lower figures."""
+    """Returns the name of another limit that is always reached before this one, if any.
+
+    That is a limit on all requests with equal or lower figures.
+    """
     for other in limits.values():
         if other.name == limit.name or other.scope is not Scope.ALL or limit.whole != other.whole:
             continue
--- a/oakcroft/decisions/admission/passes.py
+++ b/oakcroft/decisions/admission/passes.py
@@ -1,8 +1,9 @@
-"""Passes by which a client comes back to its seat: authenticated, bound, expiring, with keys that rotate.
+"""Tokens by which a client resumes its session: signed, bound to the client, expiring, with rotating keys.
 
-A pass names the seat, the client that it was given to and when it ends, sealed with HMAC-SHA256 (RFC 2104). The
-sealing key is replaced every `rotate`; the one before still opens. A front that restarts has new keys, so an old pass is
-told clearly that it opens nothing and the client asks anew with its Idempotency-Keys.
+A resume token names the client session and its expiry. It is signed with HMAC-SHA256 (RFC 2104) over these
+and the client that it was issued to. The signing key is replaced every `rotation_interval`; the previous key
+still verifies. A front end that restarts has new keys, so an older token is refused with a defined error, and
+the client sends its requests again with their Idempotency-Keys.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Invalid(Enum):
-    """Why a pass opens nothing."""
+    """Why a resume token is refused."""
 
     SHAPE = "it is no pass"
     KEY = "this front did not give it, or long ago"
@@ -27,7 +28,9 @@
 
 @dataclass
 class Passes:
-    """Gives and checks passes. Key material is handed in, since nothing here draws chance of its own."""
+    """Issues and verifies resume tokens. Keys are passed in, since this module draws no random numbers. Times
+    in ns.
+    """
 
     lasts: int
     rotate: int = 3600 * SECOND
@@ -40,19 +43,22 @@
         return self.newest < 0 or now - self.since >= self.rotate
 
     def take_key(self, number: int, key: bytes, now: int) -> None:
-        """A new key, with a number that grows; the one before stays, older ones go."""
+        """Adds a signing key under a growing number; only the previous key is kept beside it.
+
+        Raises ValueError for a number that does not grow or a key of less than 32 bytes.
+        """
         if number <= self.newest or len(key) < 32:
             raise ValueError("keys have growing numbers and 32 bytes")
         self.keys = {n: k for n, k in self.keys.items() if n == self.newest} | {number: key}
         self.newest, self.since = number, now
 
     def give(self, seat: str, client: str, now: int) -> str:
-        """A pass to a seat for a client."""
+        """Issues a token for a client session to a client."""
         body = f"{self.newest}.{now + self.lasts}.{seat}"
         return f"{body}.{self._seal(self.keys[self.newest], body, client)}"
 
     def open(self, given: str, client: str, now: int) -> str | Invalid:
-        """The seat that a pass opens for a client."""
+        """Returns the client session that a token is for, or why the token is refused."""
         parts = given.split(".")
         if len(parts) != 4 or len(given) > 300 or not (parts[0].isdecimal() and parts[1].isdecimal()):
             return Invalid.SHAPE
@@ -61,10 +67,11 @@
             return Invalid.KEY
         body = ".".join(parts[:3])
         if not hmac.compare_digest(self._seal(key, body, client).encode(), parts[3].encode()):
-            return Invalid.SEAL  # forged, or another client's: which of them is nobody's business
+            return Invalid.SEAL  # forged or issued to another client; the error does not tell which
         return Invalid.EXPIRED if now > int(parts[1]) else parts[2]
 
     @staticmethod
     def _seal(key: bytes, body: str, client: str) -> str:
+        """Returns the signature of a token's body for a client."""
         mac = hmac.new(key, f"{body}\0{client}".encode(), hashlib.sha256).digest()
         return base64.urlsafe_b64encode(mac[:24]).decode()
--- a/oakcroft/decisions/admission/patience.py
+++ b/oakcroft/decisions/admission/patience.py
@@ -1,8 +1,8 @@
-"""How long a viewer waits, as far as the front can know, and when its answer is due.
+"""Deadlines of requests: how long a viewer waits, as far as the front end can know.
 
-The viewer's clock starts when it writes its request. The front sees the request when it reads it; between the
-two lies the time in the socket's buffer, which is long when the front itself stood still. `Stillness` tells for
-each moment since when that time may have run.
+A viewer's time starts when it writes its request; the front end sees the request when it reads it. Between
+the two lies the time in the socket buffer, which is long when the process was paused. `PauseDetector` tells
+how far back a request read now may have been written.
 """
 
 from __future__ import annotations
@@ -14,30 +14,31 @@
 from oakcroft.interface import MS, SECOND
 
 BEAT = 25 * MS
-"""Time between two beats by which a front knows that it runs."""
+"""Time between two heartbeats of the event loop."""
 
 STOOD = 4
-"""Beats missed that count as standing still; fewer is the scheduler's noise."""
+"""Missed heartbeats that count as a pause; fewer are scheduling jitter."""
 
 MOST_LAG = 150 * MS
-"""Lag of the loop beyond this is standing still, and taken care of as such."""
+"""Largest lag of the event loop that the margin covers; a larger one is handled as a pause."""
 
 PREFER_WAIT = re.compile(r"^\s*wait\s*=\s*\"?(\d{1,9})\"?\s*(?:;.*)?$", re.IGNORECASE)
 
 
 class Stillness:
-    """Knows since when the front may not have looked at its sockets.
+    """Detects pauses of the process, during which its sockets were not read.
 
-    Guards against answers after the abandon time to requests that came while the front stood still; covers any
-    pause of the whole process (a stopped machine, a long collection, a starved core). Harm: for a second
-    after a pause, a request that came after it is given less time than it has, and may be aborted early.
+    This guards against answers that come after the abandon time to requests that arrived during a pause of
+    the whole process (a stopped machine, a long garbage collection, a starved core). Drawback: for a second
+    after a pause, a request that arrived after it is given less time than it has, and may be aborted early.
     """
 
     def __init__(self, now: int) -> None:
+        """Starts with a heartbeat at `now`, ns."""
         self.last_beat, self.pauses = now, deque[tuple[int, int]](maxlen=16)
 
     def beat(self, now: int) -> int:
-        """The front runs now; returns how long it stood still before, 0 if it did not."""
+        """Notes a heartbeat; returns the length of the pause before it in ns, 0 if there was none."""
         gap = now - self.last_beat
         stood = gap if gap > STOOD * BEAT else 0
         if stood:
@@ -46,15 +47,16 @@
         return stood
 
     def written_at(self, read_at: int, idle_before: int) -> int:
-        """The earliest time at which a request read now may have been written.
+        """Returns the earliest time at which a request read now may have been written. Times in ns.
 
-        `idle_before` is the last time at which its connection is known to have been empty: its accept, or
-        the end of the exchange before. A request read within a beat after a pause may have lain in the
-        buffer all through it, so it counts from the pause's start, but never from before `idle_before`.
+        `idle_before` is the last time at which the connection is known to have been empty: its accept, or the
+        end of the previous exchange. A request read within a second after a pause may have been in the buffer
+        throughout the pause, so its time counts from the start of the pause, but never from before
+        `idle_before`.
         """
         gap = read_at - self.last_beat
         since = read_at
-        if gap > STOOD * BEAT:  # the beat itself has not run yet
+        if gap > STOOD * BEAT:  # the heartbeat after the pause has not run yet
             since = self.last_beat
         else:
             for start, end in reversed(self.pauses):
@@ -65,9 +67,10 @@
 
 
 def asked_wait(prefer: list[str]) -> int | None:
-    """The time that a client states in `Prefer: wait=SECONDS` (RFC 7240 4.3), in ns; the first one counts.
+    """Returns the wait that a client states in `Prefer: wait=SECONDS` (RFC 7240 4.3), in ns.
 
-    None where it states none. Preferences that are not understood are ignored, as section 2 demands.
+    The first one counts; None if there is none. Preferences that are not understood are ignored, as section 2
+    requires.
     """
     for value in prefer:
         for part in value.split(","):
@@ -78,21 +81,22 @@
 
 @dataclass(frozen=True)
 class Due:
-    """When one request's answer is due, and since when its client waits."""
+    """Deadline of one request's answer, and since when its client waits. Times in ns."""
 
     written: int
     abandon: int
 
     def left(self, now: int) -> int:
-        """Time left until the abandon time, in ns, never under 0."""
+        """Time left until the deadline, in ns; never negative."""
         return max(0, self.abandon - now)
 
 
 def due(written: int, abandon_time: int, prefer: list[str], margin: int) -> Due:
-    """The plan's abandon time bounds what the client asks for; the margin is for the way back.
+    """Returns the deadline of a request. Times in ns.
 
-    An answer written in the last moment still has to cross the network and the client's own queue, so the
-    front works to a time that is earlier by the margin (half of it for clients that wait under two margins).
+    The client waits for as long as it asked for, at most for the plan's abandon time. The margin is time kept
+    for the way back: an answer written at the last moment still has to cross the network and the client's own
+    queue. It is at most half of the wait, for clients that wait for less than two margins.
     """
     asked = asked_wait(prefer)
     wait = abandon_time if asked is None else min(asked, abandon_time)
@@ -100,19 +104,20 @@
 
 
 def margin(way_back: int, lag: int) -> int:
-    """What is kept of each wait for the answer's way, in ns: as stated, and as much as the front's own loop has been late
-    of late, up to `MOST_LAG`.
+    """Returns the time that is kept of each wait for the answer's way back, in ns.
 
-    Guards against answers that come milliseconds after the abandon time because the process got no core in between;
-    covers any machine that is short of time. Harm: on such a machine set-ups have that much less time.
+    That is the configured time plus the recent lag of the front end's event loop, up to `MAX_LOOP_LAG_NS`.
+    The lag guards against answers that come milliseconds after the abandon time because the process got no
+    core, on any machine that is short of processor time. Drawback: on such a machine set-ups have that much
+    less time.
     """
     return way_back + min(lag, MOST_LAG)
 
 
 def hopeless(request: Due, now: int, shortest_setup: int) -> bool:
-    """Whether no set-up could end in the time that is left, so the request is answered at once.
+    """Whether no set-up can end in the time that is left, so that the request is answered at once.
 
-    Guards against spending set-ups, and paid ones at that, on viewers that will be gone; covers a front
-    that comes back from standing still to a queue of old requests. Harm: a very fast node is never asked.
+    This guards against set-ups, paid ones among them, for viewers that will be gone, such as when a front end
+    returns from a pause to a queue of old requests. Drawback: a very fast node is never tried.
     """
     return request.left(now) < shortest_setup
--- a/oakcroft/decisions/admission/shedding.py
+++ b/oakcroft/decisions/admission/shedding.py
@@ -1,12 +1,15 @@
-"""Who is asked about next when the process nears its own capacity: a deadline-aware line in front of the module.
-
-While the front keeps up, every request goes straight through. When its loop lags, fewer are let in at a time and the
-rest wait here. What can no longer be answered in time is answered at once, and so is a newcomer whose plan has as many
-waiting already as get their turn within its startup target (`sheds`): that costs least before its request is read.
-Among those that can be answered, plans share turns in
-proportion to their revenue, none under a least share, so that the dear do not starve the cheap; within a plan
-clients take turns, and one client's requests go by their deadline. What is turned away here the module never sees: it
-learns load from the nodes, not from the door, so its view stays true.
+"""Load shedding when the process nears its own capacity: a deadline-aware fair queue before admission
+control.
+
+While the front end keeps up, every request is processed at once. When its event loop lags, fewer requests are
+processed at a time and the rest wait here. Requests that can no longer be answered in time are answered at
+once. So is a new request whose plan already has as many waiting as get their turn within its startup target
+(`should_shed`), since rejecting is cheapest before the request is read.
+
+Among the rest, plans share turns in proportion to their revenue, each with a least share, so that plans of
+high revenue do not starve the others. Within a plan clients take turns, and the requests of one client go by
+deadline. Admission control never sees what is shed here: it learns load from the nodes, so its estimates stay
+correct.
 """
 
 from __future__ import annotations
@@ -19,28 +22,31 @@
 from oakcroft.interface import MS, SECOND
 
 LEAST_SHARE = 0.1
-SHORTEST = 4  # so many of a plan may always wait
-PACE_KEPT = 0.8  # of the estimate of turns a second, with each beat
+SHORTEST = 4  # requests of a plan that may always wait
+PACE_KEPT = 0.8  # weight of the old estimate at each heartbeat
 
 
 @dataclass
 class Window:
-    """How many requests may be at work at once, by how late the loop is: a little more with each beat in time, a fifth
-    less with each late one (additive increase, multiplicative decrease)."""
+    """Number of requests that may be processed at one time, adapted to the lag of the event loop.
+
+    Additive increase, multiplicative decrease: 8 more with each heartbeat in time, a fifth less with each
+    late one.
+    """
 
     least: int = 16
     most: int = 512
-    late: int = 12 * MS  # a set-up takes some ten rounds of the loop
+    late: int = 12 * MS  # a set-up takes about ten iterations of the event loop
     size: float = 512.0
 
     def beat(self, lag: int) -> None:
-        """A beat came so much later than it was due."""
+        """Adapts the size after a heartbeat that was `lag` ns late."""
         self.size = max(self.least, self.size * 0.8) if lag > self.late else min(self.most, self.size + 8)
 
 
 @dataclass(order=True)
 class Waiting:
-    """One request in the line."""
+    """One queued request. `abandon_at`: its deadline, ns."""
 
     abandon: int
     number: int
@@ -50,36 +56,40 @@
 
 @dataclass
 class _Plan:
-    """The line of one plan: its clients in turn, each with its requests by deadline."""
+    """Queue of one plan: its clients in turn, the requests of each by deadline."""
 
     weight: float
-    served: float = 0.0  # turns taken, over the weight: the plan with least goes next
+    served: float = 0.0  # turns taken divided by the weight; the plan with the least goes next
     waiting: int = 0
     clients: OrderedDict[str, list[Waiting]] = field(default_factory=OrderedDict)
 
 
 @dataclass
 class Line:
-    """The line. `needs`: the time that an answer needs at least."""
+    """Weighted fair queue of requests by plan. `min_answer_time`: least time that an answer needs, ns."""
 
     weights: Mapping[str, float]
     window: Window
     needs: int
     most: int = 4096
-    targets: Mapping[str, int] = field(default_factory=dict)  # of each plan: its startup target
-    pace: float = 0.0  # turns a second of late, while any wait
-    turns: int = 0  # since the last beat
+    targets: Mapping[str, int] = field(default_factory=dict)  # startup target by plan
+    pace: float = 0.0  # recent turns a second, while requests wait
+    turns: int = 0  # since the last heartbeat
     at_work: int = 0
     waiting: dict[int, Waiting] = field(default_factory=dict)
     plans: dict[str, _Plan] = field(default_factory=dict)
     clock: float = 0.0
 
     def __post_init__(self) -> None:
+        """Makes the queues of the plans."""
         self.take_version(self.weights, self.targets)
 
     def take_version(self, weights: Mapping[str, float], targets: Mapping[str, int]) -> None:
-        """Revenue and startup target by plan; each gets its share of turns, none under the least. A plan that is gone
-        stays until its last request has left."""
+        """Sets revenue (`weights`) and startup target (ns) by plan.
+
+        Each plan gets its share of turns, none less than the least share. A plan that is gone stays until its
+        last request has left.
+        """
         self.weights, self.targets = weights, targets
         for name in [n for n, p in self.plans.items() if n not in weights and not p.waiting]:
             del self.plans[name]
@@ -92,7 +102,7 @@
                 self.plans[name] = _Plan(share, self.clock)
 
     def enter(self, one: Waiting) -> bool:
-        """A request comes; whether it may go on at once. Else it waits for `next`, or the line was full (`full`)."""
+        """Adds a request; True if it may be processed at once, False if it waits for `next_request`."""
         if not self.waiting and self.at_work < self.window.size:
             self._serve(one.plan)
             return True
@@ -100,28 +110,34 @@
         plan = self.plans.setdefault(one.plan, _Plan(LEAST_SHARE, self.clock))
         plan.waiting += 1
         if not plan.clients:
-            plan.served = max(plan.served, self.clock)  # time away from the line gives no credit
+            plan.served = max(plan.served, self.clock)  # a plan gains no credit while it has no requests
         heapq.heappush(plan.clients.setdefault(one.client, []), one)
         return False
 
     @property
     def full(self) -> bool:
-        """Whether nobody more may wait: a line several times as long as what is at work cannot be answered in time, and
-        reading its requests takes the turns of those that can."""
+        """Whether no further request may wait.
+
+        A queue several times as long as what is processed at one time cannot be answered in time, and reading
+        its requests takes time from those that can be.
+        """
         return len(self.waiting) >= min(self.most, max(64, 4 * self.window.size))
 
     def beat(self, lag: int, passed: int) -> None:
-        """A beat of the loop, so late, so long after the last."""
+        """Adapts the window and the throughput after a heartbeat. `lag`, `elapsed` since the last one: ns."""
         self.window.beat(lag)
         now = self.turns * SECOND / max(1, passed)
         self.pace = now if not self.pace else PACE_KEPT * self.pace + (1 - PACE_KEPT) * now
         self.turns = 0
 
     def sheds(self, name: str) -> bool:
-        """Whether a newcomer of this plan is to be turned away at once: the plan's turns, at the pace of late and against
-        the plans that wait beside it, are taken for half its startup target. Guards against answers that come late to
-        all instead of in time to some; a crowd of one plan does not shut the door to another. Harm: where the pace was
-        low for lack of demand, some few wait less than they could have."""
+        """Whether a new request of a plan is to be rejected at once.
+
+        It is if the plan's turns, at the recent throughput and against the plans that wait beside it, are
+        taken for half its startup target. This guards against answers that come late to all instead of in
+        time to some, without letting a crowd of one plan shut out the others. Drawback: if the throughput was
+        low for lack of demand, a few requests wait for less time than they could have.
+        """
         if self.full:
             return True
         plan = self.plans.get(name)
@@ -131,6 +147,7 @@
         return plan.waiting >= self.pace * plan.weight / beside * self.targets[name] / (2 * SECOND)
 
     def _serve(self, name: str) -> None:
+        """Counts a turn of a plan and a request in progress."""
         plan = self.plans.setdefault(name, _Plan(LEAST_SHARE, self.clock))
         self.clock = max(self.clock, plan.served)
         plan.served += 1.0 / plan.weight
@@ -138,14 +155,14 @@
         self.turns += 1
 
     def hopeless(self, now: int) -> list[Waiting]:
-        """Those that can no longer be answered in time; they leave the line."""
+        """Removes and returns the requests that can no longer be answered in time. `now`: ns."""
         gone = [w for w in self.waiting.values() if w.abandon - now < self.needs]
         for w in gone:
             self.leave(w.number)
         return gone
 
     def leave(self, number: int) -> None:
-        """A request leaves the line without its turn."""
+        """Removes a request without its turn."""
         one = self.waiting.pop(number, None)
         if one is None:
             return
@@ -158,7 +175,7 @@
             del plan.clients[one.client]
 
     def next(self) -> Waiting | None:
-        """The request whose turn it is, when there is room for one more at work."""
+        """Takes the request whose turn it is; None if none waits or too many are in progress."""
         if not self.waiting or self.at_work >= self.window.size:
             return None
         name = min((n for n, p in self.plans.items() if p.clients), key=lambda n: (self.plans[n].served, n))
@@ -172,5 +189,5 @@
         return one
 
     def done(self) -> None:
-        """One at work has its answer."""
+        """A request in progress has its answer."""
         self.at_work -= 1
--- a/oakcroft/decisions/moving/__init__.py
+++ b/oakcroft/decisions/moving/__init__.py
@@ -1,1 +1,1 @@
-"""Playbacks that leave their node while they play."""
+"""Moves of playbacks from one node to another while they play."""
--- a/oakcroft/decisions/moving/fading.py
+++ b/oakcroft/decisions/moving/fading.py
@@ -1,7 +1,8 @@
-"""Nodes that weaken before they die: what evidence suffices to leave one early.
+"""Detection of nodes whose delivery degrades before they fail: the evidence that suffices to leave one early.
 
-A node that ages delivers less and less while its list entry stays ready. Each short-delivery note is one piece of
-evidence; a link that another program has for a while looks alike for seconds, and so does a shared squeeze.
+A node that ages delivers less and less while its list entry stays ready. Each report of a short delivery is
+one piece of evidence. Another program that takes the node's link for a while looks alike for seconds, and so
+does congestion that many nodes share.
 """
 
 from __future__ import annotations
@@ -13,36 +14,40 @@
 from oakcroft.interface import SECOND
 
 NOTES, SPAN = 4, 12 * SECOND
-FALL = 0.06  # of the delivered share, from note to note on average
-WEAK = 0.75  # and under this at last: viewers begin to leave there
+FALL = 0.06  # of the delivered share, on average
+WEAK = 0.75  # of the last report; viewers begin to leave at this share
 
 
 @dataclass
 class Trend:
-    """The last notes of one node."""
+    """The last delivery reports of one node: time (ns) and delivered share of each."""
 
     notes: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=NOTES))
 
 
 @dataclass
 class Fadings:
-    """Which nodes are fading.
-
-    A node fades when its last four notes within twelve seconds fall each time, by six hundredths a note at least, to
-    under three quarters, while the fleet's other nodes deliver better than it by a quarter: a squeeze of all is no
-    reason to move, there is nowhere better to go. Guards against viewers that stall for the ten seconds between a node's
-    first weakness and its death. Cost of a false alarm: one further try and a second copy for some hundred
-    milliseconds for each free playback there; so at most `at_once` nodes of a front are left early at one time.
-    Harm: a neighbour program that swells slowly empties a node that would have recovered.
+    """Which nodes degrade.
+
+    A node degrades if its last four reports within twelve seconds fall each time, by at least 0.06 a report
+    on average, to under three quarters, and it delivers less than three quarters of what the other nodes
+    deliver. Congestion of all nodes is no reason to move, as no other node is better.
+
+    This guards against viewers that stall for the ten seconds between a node's first weakness and its
+    failure. A false alarm costs one further try and a second copy for some hundred milliseconds for each free
+    playback there, so at most `max_concurrent` nodes of a front end are left early at one time. Drawback:
+    another program whose use of the node grows slowly empties a node that would have recovered.
     """
 
     at_once: int = 1
     trends: dict[str, Trend] = field(default_factory=dict)
-    leaving: dict[str, int] = field(default_factory=dict)  # and since when
+    leaving: dict[str, int] = field(default_factory=dict)  # nodes being left and since when, ns
 
     def note(self, node: str, share: float, usual: float, now: int) -> bool:
-        """A note of the share delivered at a node, and what the others deliver on average; True when the node is
-        to be left from now on."""
+        """Takes a report of the share delivered at a node; True if the node is to be left from now on.
+
+        `fleet_share` is the share that the other nodes deliver on average. `now`: ns.
+        """
         trend = self.trends.setdefault(node, Trend())
         trend.notes.append((now, share))
         if share >= 0.98:
@@ -54,6 +59,7 @@
         return True
 
     def _falls(self, trend: Trend, usual: float, now: int) -> bool:
+        """Whether the reports of a node show that it degrades."""
         notes = list(trend.notes)
         if len(notes) < NOTES or now - notes[0][0] > SPAN:
             return False
@@ -63,6 +69,6 @@
         return falling and steep and shares[-1] < WEAK and shares[-1] < usual * 0.75
 
     def forget(self, node: str) -> None:
-        """The node delivers again, has died, or is drained by the list."""
+        """Drops a node that delivers again, has failed, or drains by the list."""
         self.trends.pop(node, None)
         self.leaving.pop(node, None)
--- a/oakcroft/decisions/moving/handover.py
+++ b/oakcroft/decisions/moving/handover.py
@@ -1,11 +1,13 @@
-"""The course of one move: a playback that leaves its node while it plays, made before it is broken.
+"""State machine of one move: a playback leaves its node while it plays, by make before break.
 
-Every pair of state and event has one stated way out (`TABLE`), at worst the playback goes on at its source. What the
-front has to do with a step is an `Act`. tests/test_moves.py walks every reachable state, with all faults.
+`TRANSITIONS` defines the next state for every pair of state and event; at worst the playback goes on at its
+source. What the front end has to do with a step is a `MoveAction`. tests/test_moves.py checks every reachable
+state, with all faults.
 
-The usual way: PLANNED, ASKED (the player was told to make an offer), PLACING (its offer came, the module looks for a
-place and the set-up is out), BESIDE (it plays on both), SWITCHED (the player has the target; the source is being
-ended), DONE. STAYED: it plays on at its source and the move is over. LOST: it plays nowhere.
+The usual sequence is PLANNED, ASKED (the player was told to make an offer), PLACING (its offer has arrived,
+admission control looks for a place and the set-up is sent), BESIDE (it plays on both nodes), SWITCHED (the
+player has the target; the source is being ended), DONE. In STAYED it plays on at its source and the move is
+over. In LOST it plays nowhere.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 
 
 class Course(Enum):
-    """Where a move stands."""
+    """State of a move. The names of the members are written to the log."""
 
     PLANNED = "planned"
     ASKED = "player asked"
@@ -30,7 +32,7 @@
 
 
 class Happening(Enum):
-    """What can happen to a move."""
+    """An event of a move."""
 
     DUE = "its time has come"
     OFFER = "the player makes its offer"
@@ -48,7 +50,7 @@
 
 
 class Act(Enum):
-    """What the front does with a step."""
+    """What the front end does with a step."""
 
     NOTHING = "nothing"
     ASK = "tell the player to make an offer"
@@ -67,20 +69,20 @@
 S, H, A = Course, Happening, Act
 OVER = (S.DONE, S.STAYED, S.LOST)
 TABLE: dict[tuple[Course, Happening], tuple[Course, Act]] = {
-    # Planned: nothing has been done yet, so nothing has to be undone.
+    # PLANNED: nothing has been done yet, so nothing has to be undone.
     (S.PLANNED, H.DUE): (S.ASKED, A.ASK),
     (S.PLANNED, H.SOURCE_DIED): (S.LOST, A.TELL_LOST),
     (S.PLANNED, H.SOURCE_ENDED): (S.LOST, A.NOTHING),
     (S.PLANNED, H.TAKEN_BACK): (S.STAYED, A.NOTHING),
     (S.PLANNED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # Asked: the player may never answer, as plain players do not; it then stays.
+    # ASKED: a player that does not support moves never answers; its playback stays.
     (S.ASKED, H.OFFER): (S.PLACING, A.PLACE),
     (S.ASKED, H.NO_OFFER): (S.STAYED, A.NOTHING),
     (S.ASKED, H.SOURCE_DIED): (S.LOST, A.TELL_LOST),
     (S.ASKED, H.SOURCE_ENDED): (S.LOST, A.NOTHING),
     (S.ASKED, H.TAKEN_BACK): (S.STAYED, A.NOTHING),
     (S.ASKED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # Placing: a set-up may be out, which cannot be undone, only awaited.
+    # PLACING: a set-up may have been sent, which cannot be undone, only awaited.
     (S.PLACING, H.PLACED): (S.BESIDE, A.GIVE),
     (S.PLACING, H.NO_PLACE): (S.STAYED, A.REFUSE),
     (S.PLACING, H.SOURCE_DIED): (S.ORPHANED, A.NOTHING),
@@ -89,19 +91,19 @@
     (S.PLACING, H.TAKEN_BACK): (S.RECALLED, A.NOTHING),
     (S.PLACING, H.TARGET_DRAINS): (S.RECALLED, A.NOTHING),
     (S.PLACING, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # Called off: when the target plays after all it is ended, and the player stays.
+    # RECALLED: if the target plays after all, it is ended, and the player stays.
     (S.RECALLED, H.PLACED): (S.STAYED, A.END_TARGET_AND_REFUSE),
     (S.RECALLED, H.NO_PLACE): (S.STAYED, A.REFUSE),
-    (S.RECALLED, H.SOURCE_DIED): (S.ORPHANED, A.NOTHING),  # then the target is better than nothing
+    (S.RECALLED, H.SOURCE_DIED): (S.ORPHANED, A.NOTHING),  # with the source gone, the target is wanted again
     (S.RECALLED, H.SOURCE_ENDED): (S.ORPHANED, A.NOTHING),
     (S.RECALLED, H.TARGET_DIED): (S.STAYED, A.REFUSE),
     (S.RECALLED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # Source lost: a target that comes is the playback; without one it is lost.
+    # ORPHANED: if the target plays, it becomes the playback; otherwise the playback is lost.
     (S.ORPHANED, H.PLACED): (S.DONE, A.GIVE_AS_ONLY),
     (S.ORPHANED, H.NO_PLACE): (S.LOST, A.TELL_LOST),
     (S.ORPHANED, H.TARGET_DIED): (S.LOST, A.TELL_LOST),
     (S.ORPHANED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # Beside: the player has the target's answer. Silence is taken for consent, or both would play for ever.
+    # BESIDE: the player has the target's answer. No confirmation counts as one, or both would play for ever.
     (S.BESIDE, H.CONFIRMED): (S.SWITCHED, A.END_SOURCE),
     (S.BESIDE, H.UNCONFIRMED): (S.SWITCHED, A.END_SOURCE),
     (S.BESIDE, H.SOURCE_DIED): (S.DONE, A.SWITCH),
@@ -109,24 +111,27 @@
     (S.BESIDE, H.TARGET_DIED): (S.STAYED, A.NOTHING),
     (S.BESIDE, H.TARGET_DRAINS): (S.STAYED, A.END_TARGET),
     (S.BESIDE, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # Switched: the target is the playback now, whatever becomes of the source.
+    # SWITCHED: the target is the playback, whatever becomes of the source.
     (S.SWITCHED, H.SOURCE_ENDED): (S.DONE, A.NOTHING),
     (S.SWITCHED, H.SOURCE_DIED): (S.DONE, A.NOTHING),
     (S.SWITCHED, H.TARGET_DIED): (S.LOST, A.TELL_LOST),
     (S.SWITCHED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
 }
-"""Pairs that do not stand here change nothing: late timers, second offers, drains of a node left already."""
+"""Next state and action by state and event.
+
+Other pairs change nothing: late timers, second offers, drains of a node that was left already.
+"""
 
 
 @dataclass
 class Handover:
-    """One move. `state` changes in `happens` alone."""
+    """One move. Only `handle` changes its state."""
 
     state: Course = Course.PLANNED
     way: list[Course] = field(default_factory=lambda: [Course.PLANNED])
 
     def happens(self, what: Happening) -> Act:
-        """The one place where a move changes state; what the front does with the step."""
+        """Applies an event and returns what the front end has to do; the only place where the state changes."""
         after = TABLE.get((self.state, what))
         if after is None:
             return Act.NOTHING
@@ -136,7 +141,7 @@
 
     @property
     def over(self) -> bool:
-        """Whether the move has come to its end."""
+        """Whether the move has ended."""
         return self.state in OVER
 
     def takes_offer(self) -> bool:
@@ -144,5 +149,5 @@
         return self.state is Course.ASKED
 
     def waits_for(self) -> Happening | None:
-        """The timer that runs in this state: what happens when its time is up."""
+        """Returns the event of the timer that runs in this state; None if there is no timer."""
         return {Course.ASKED: Happening.NO_OFFER, Course.BESIDE: Happening.UNCONFIRMED}.get(self.state)
--- a/oakcroft/decisions/moving/may_move.py
+++ b/oakcroft/decisions/moving/may_move.py
@@ -1,15 +1,17 @@
-"""Which playbacks may move at all, and how, from the six rules alone.
+"""Which playbacks may move at all, and how; this follows from the six rules alone.
 
 A move is a second set-up of a playback that plays.
 
-- Paid (rule 2): the first set-up has run, so a second one would be paid twice. Never, whatever happens to its node.
-- Keyed (rule 2): only while the node's group still recognises the key, counted from the first set-up, and only to
-  nodes of that group; later a second set-up has an effect of its own.
+- Paid (rule 2): the first set-up has run, so a second one would be paid for again. Never, whatever happens to
+  its node.
+- Keyed (rule 2): only while the node's group still recognises the key, counted from the first set-up, and
+  only to nodes of that group; later a second set-up has an effect of its own.
 - Free: always.
-- Seats (rule 5): a playback and its copy are two. Where a seat is left, the copy is made first. At the limit the move
-  waits for a seat, and breaks before it makes only when the notice runs out, since a short gap is better than an end.
-- Tries (rule 6): the copy's set-up is a further try of its playback and is charged to that budget.
-- Players: one that has not said that it can be moved cannot be; it stays and finishes where it is.
+- Seats (rule 5): a playback and its copy take two. If a seat is left, the copy is set up first. At the limit
+  the move waits for a seat, and breaks before it makes only when the notice runs out, since a short gap is
+  better than an end.
+- Tries (rule 6): the set-up of the copy is a further try of its playback and is charged to that budget.
+- Players: one that has not said that it can be moved stays and finishes where it is.
 """
 
 from __future__ import annotations
@@ -37,8 +39,10 @@
 
 
 def stays(plan: Plan, set_up_at: int, now: int, longest_setup: int, movable: bool) -> Reason | None:
-    """Why a playback must stay where it is; None where it may move. A keyed one must be set up again, at the
-    latest, before its key lapses."""
+    """Returns why a playback must stay where it is; None if it may move. Times in ns.
+
+    A keyed playback must be set up again before its key expires.
+    """
     if plan.effect is Effect.PAID:
         return Reason.PAID
     if plan.effect is Effect.KEYED and now + longest_setup - set_up_at >= plan.key_lasts:
@@ -47,15 +51,18 @@
 
 
 def way(plan: Plan, seats_taken: int, notice_left: int, reserve: int) -> Way:
-    """How a playback that may move does it now. `seats_taken`: of its title and plan, its own included; `reserve`:
-    the time that a break and a new set-up need."""
+    """Returns how a playback that may move does so now. Times in ns.
+
+    `seats_taken`: seats of its title and plan, its own included. `setup_time`: time that a break and a new
+    set-up need.
+    """
     if not plan.seats or seats_taken < plan.seats:
         return Way.MAKE_FIRST
     return Way.WAIT if notice_left > reserve else Way.BREAK_FIRST
 
 
 def allowed(plan: Plan, source: Node, node: Node) -> bool:
-    """Whether a node may be the target as far as the key goes; the module decides the rest."""
+    """Whether a node may be the target as far as the key goes; admission control decides the rest."""
     if node is source:
         return False
     if plan.effect is not Effect.KEYED:
@@ -65,5 +72,5 @@
 
 
 def keeps_to_its_zone(plan: Plan) -> bool:
-    """Whether the key confines a copy to the source's zone or cell, so that no other zone needs to be looked for."""
+    """Whether the key confines a copy to the source's zone or cell, so that no other zone is searched."""
     return plan.effect is Effect.KEYED and plan.group is not Group.ALL
--- a/oakcroft/decisions/moving/mover.py
+++ b/oakcroft/decisions/moving/mover.py
@@ -1,9 +1,10 @@
 """When each playback on a node that is to be left begins to move: order, pace and spread.
 
-Two hundred fronts hear of the same drain within a second or two and share nothing. Each spreads its own moves over
-the notice, by lot within the part of it that is safe to use, the dearest first; and it keeps few moves under way at a
-time, few to any one target, and within the budget of further tries. What a target can take is the module's view; a
-refusal of the module puts the playback back for a while rather than at once onto the next node.
+Two hundred front ends learn of the same drain within a second or two and share no state. Each spreads its own
+moves at random over the part of the notice in which a move can still be completed, those of most value first.
+It keeps few moves in progress at a time, few of them to one target, and stays within the budget of further
+tries. What a target can take is known to admission control; if it rejects a move, the playback is retried
+after a delay rather than at once on the next node.
 """
 
 from __future__ import annotations
@@ -18,8 +19,13 @@
 
 @dataclass(frozen=True)
 class Pace:
-    """The mover's figures: moves under way at once in one front, to one target; the part of a notice in which
-    moves begin; the time that one move needs; how often one playback is tried."""
+    """Limits on the moves of one front end. Times in ns.
+
+    - `max_concurrent`: moves in progress at one time, and `max_per_target` of them to one target.
+    - `notice_fraction`: part of a notice in which moves begin.
+    - `move_duration`: time that one move needs.
+    - `max_attempts`: attempts for one playback, `retry_delay` apart on average.
+    """
 
     at_once: int = 8
     to_one: int = 2
@@ -38,7 +44,7 @@
 
 @dataclass
 class Wish:
-    """One playback that is to move: `key` names it, `worth` is revenue still to come."""
+    """One playback that is to move: `key` names it, `value` is revenue still to come, `due_at` is in ns."""
 
     key: str
     node: str
@@ -51,19 +57,20 @@
 
 @dataclass
 class Mover:
-    """All wishes of one front."""
+    """All planned moves of one front end. Times in ns."""
 
     pace: Pace
     rng: Random
     wishes: dict[str, Wish] = field(default_factory=dict)
-    targets: dict[str, str] = field(default_factory=dict)  # of moves under way, by their playback
+    targets: dict[str, str] = field(default_factory=dict)  # target of each move in progress, by playback
 
     def leave(self, node: str, some: list[tuple[str, float]], notice: int, why: Why, now: int) -> int:
-        """A node is to be left: plans its playbacks (key, worth) over the notice. Returns how many are new.
+        """Plans the moves of a node's playbacks (key and value) over the notice; returns how many are new.
 
-        They begin at times drawn evenly over the safe part of the notice, the dearest at the earliest: a front
-        with one playback there begins anywhere in it, so that all fronts together load targets evenly. With a notice
-        shorter than one move needs, all begin at once, since a late move is a stall.
+        They begin at times drawn evenly over the part of the notice in which a move can still be completed,
+        those of most value at the earliest. A front end with one playback there begins anywhere in it, so
+        that all front ends together load the targets evenly. If the notice is shorter than one move needs,
+        all begin at once, since a late move is a stall.
         """
         room = max(0, round(notice * self.pace.part) - self.pace.needs)
         fresh = [(key, worth) for key, worth in some if key not in self.wishes]
@@ -73,7 +80,7 @@
         return len(fresh)
 
     def taken_back(self, node: str) -> list[str]:
-        """The node need not be left any more: its wishes are dropped; returns those under way."""
+        """The node need not be left any more: drops its planned moves, returns those in progress."""
         mine = [w for w in self.wishes.values() if w.node == node]
         for wish in mine:
             if not wish.under_way:
@@ -81,13 +88,16 @@
         return [w.key for w in mine if w.under_way]
 
     def next_due(self, now: int) -> int | None:
-        """When the next wish falls due; None when none waits."""
+        """Returns when the next move is due; None if none waits."""
         waiting = [w.due for w in self.wishes.values() if not w.under_way]
         return min(waiting, default=None)
 
     def begin(self, now: int, budget: int) -> list[Wish]:
-        """The moves to begin now: those due, dearest first, while fewer than `at_once` are under way and `budget`
-        further tries are left."""
+        """Returns the moves to begin now, those of most value first.
+
+        They are due, fewer than `max_concurrent` are in progress, and `tries_left` further tries are left in
+        the budget. Moves that are due but find no room are put off for a random time.
+        """
         running = sum(w.under_way for w in self.wishes.values())
         free = min(self.pace.at_once - running, budget)
         due = sorted((w for w in self.wishes.values() if not w.under_way and w.due <= now),
@@ -101,16 +111,19 @@
         return chosen
 
     def may_go_to(self, key: str, node: str) -> bool:
-        """Whether a target has room among this front's own moves."""
+        """Whether a target takes one more move, among this front end's own."""
         return sum(t == node for k, t in self.targets.items() if k != key) < self.pace.to_one
 
     def goes_to(self, key: str, node: str) -> None:
-        """The module has chosen a target."""
+        """Notes the target that admission control has chosen."""
         self.targets[key] = node
 
     def over(self, key: str, moved: bool, now: int, notice_left: int | None) -> bool:
-        """A move has come to its end. True when the playback is planned again: it stayed, tries are left, and its node
-        is still to be left and good for one more move."""
+        """Ends a move; True if the playback is planned again.
+
+        It is if it stayed, attempts are left, and its node is still to be left and stays long enough for one
+        more move.
+        """
         self.targets.pop(key, None)
         wish = self.wishes.get(key)
         if wish is None:
@@ -124,13 +137,13 @@
         return True
 
     def forget(self, key: str) -> None:
-        """The playback has ended."""
+        """Drops a playback that has ended."""
         self.wishes.pop(key, None)
         self.targets.pop(key, None)
 
 
 def waits(way: Way, now: int, rng: Random) -> int:
-    """When a playback that waits for a seat is looked at again."""
+    """Returns when a playback that may have to wait for a seat is looked at again, ns."""
     return now + round(250 * MS * (0.5 + rng.random())) if way is Way.WAIT else now
 
 
--- a/oakcroft/decisions/moving/notice.py
+++ b/oakcroft/decisions/moving/notice.py
@@ -1,7 +1,8 @@
-"""How long a draining node stays, told or learnt.
+"""How long a draining node stays, stated or estimated.
 
-Some lists say until when a node stays; most say only that it drains. What was seen of earlier drains is kept as a low
-estimate that follows quickly downwards, since a move that comes too late is a stall, and slowly upwards.
+Some lists state until when a node stays; most say only that it drains. The duration of earlier drains is kept
+as a low estimate that follows quickly downwards, since a move that comes too late is a stall, and slowly
+upwards.
 """
 
 from __future__ import annotations
@@ -12,12 +13,14 @@
 
 DOWN, UP = 0.5, 0.1
 SHORTEST, LONGEST = 200 * MS, 600 * SECOND
-SAFE = 0.8  # of an estimate, since nodes go early as well as late
+SAFE = 0.8  # part of the estimate that is relied on, since nodes go early as well as late
 
 
 @dataclass
 class Drain:
-    """One node's drain: when this front heard of it, and until when the node says that it stays."""
+    """Drain of one node: when this front end heard of it, and until when the node stays, if stated. Times in
+    ns.
+    """
 
     heard_at: int
     until: int | None
@@ -25,13 +28,13 @@
 
 @dataclass
 class Notices:
-    """All drains that run, and what earlier ones have taught."""
+    """All drains in progress, and the estimate of their duration from earlier ones. Times in ns."""
 
     usual: int
     drains: dict[str, Drain] = field(default_factory=dict)
 
     def begins(self, node: str, now: int, until: int | None) -> bool:
-        """A node drains; False where that is known already (a later word on its end counts)."""
+        """A node drains; False if that was known already. A later statement of its end is taken over."""
         known = self.drains.get(node)
         if known is not None:
             known.until = until if until is not None else known.until
@@ -40,12 +43,14 @@
         return True
 
     def taken_back(self, node: str) -> bool:
-        """The node is ready again; whether it was draining."""
+        """The node is ready again; returns whether it was draining."""
         return self.drains.pop(node, None) is not None
 
     def gone(self, node: str, now: int) -> None:
-        """The node has gone or died; its drain teaches how long they last. One of which the end was told teaches
-        nothing about those of which it is not."""
+        """The node has gone or failed: the duration of its drain updates the estimate.
+
+        A drain whose end was stated says nothing about those whose end is not.
+        """
         drain = self.drains.pop(node, None)
         if drain is None or drain.until is not None:
             return
@@ -54,7 +59,7 @@
         self.usual = round(self.usual + part * (lasted - self.usual))
 
     def left(self, node: str, now: int) -> int | None:
-        """Time that a draining node is good for still, never under 0; None where it does not drain."""
+        """Returns the time that a draining node still stays, never negative; None if it does not drain."""
         drain = self.drains.get(node)
         if drain is None:
             return None
--- a/oakcroft/decisions/sessions/__init__.py
+++ b/oakcroft/decisions/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one playback beside the module, and what it proves."""
+"""Sessions: setup tries, answers, idempotency, session resources and the health of a node's event stream."""
--- a/oakcroft/decisions/sessions/answers.py
+++ b/oakcroft/decisions/sessions/answers.py
@@ -1,9 +1,10 @@
-"""The one final answer of a playback, in HTTP's words.
+"""The final answer of a request for a playback, as an HTTP response.
 
-201 means that it plays. Rejected is 503 (RFC 9110 15.6.4): nothing ran or a repeat is harmless, come again, with
-Retry-After where the deployment allows one. Aborted is 504 (15.6.5) where a set-up may be running unseen: for
-a plan paid at set-up the problem body says `retry: false`, and no Retry-After is sent, since well-behaved
-clients repeat a 503 by themselves but not a POST that ended in 504. docs/front.md weighs the codes.
+201 means that it plays. A rejection is 503 (RFC 9110 15.6.4): nothing ran, or a repeat is harmless, and the
+client may try again, after Retry-After if the deployment allows one. An abort is 504 (15.6.5): a set-up may
+have run without the front end's knowledge. For a plan paid at set-up its problem body says `retry: false`. No
+Retry-After is sent with a 504, since well-behaved clients repeat a 503 by themselves but not a POST that
+ended in 504. docs/front.md gives the reasons for these codes.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Final(Enum):
-    """What became of a request for a playback."""
+    """Result of a request for a playback."""
 
     PLAYS = "plays"
     REJECTED = "rejected"
@@ -24,7 +25,7 @@
 
 
 class Refusal(Enum):
-    """Why the front itself turned a request away before it became a playback."""
+    """Why the front end refused a request before it became a playback."""
 
     BUSY = "too many requests wait"
     TOO_LATE = "it cannot be answered in time"
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """Status, problem type and title (RFC 9457), and the Retry-After in whole seconds if one is named."""
+    """Status, problem type and title (RFC 9457), and the Retry-After in whole seconds if there is one."""
 
     status: int
     kind: str
@@ -48,18 +49,18 @@
 
 
 def whole_seconds(stay_away: int) -> int | None:
-    """Retry-After knows whole seconds (RFC 9110 10.2.3); a wait is rounded up, none is named for 0."""
+    """Rounds a wait (ns) up to the whole seconds of Retry-After (RFC 9110 10.2.3); None for no wait."""
     return -(-stay_away // SECOND) if stay_away > 0 else None
 
 
 def rejected(stay_away: int) -> Reply:
-    """The answer of the module's rejection, `stay_away` in ns."""
+    """Returns the answer of a rejection by admission control. `wait_ns`: how long the client is to stay away."""
     title = "No room for this playback now"
     return Reply(503, "urn:oakcroft:problem:rejected", title, whole_seconds(stay_away))
 
 
 def aborted(effect: Effect) -> Reply:
-    """The answer of the module's abort."""
+    """Returns the answer of an abort by admission control."""
     paid = effect is Effect.PAID
     title = "A set-up may have run without an answer"
     return Reply(
@@ -68,7 +69,9 @@
 
 
 def over(limit: Over) -> Reply:
-    """The answer of a limit that is reached: 429 (RFC 6585 4), with the time after which it has room where it knows."""
+    """Returns the answer of a limit that is reached: 429 (RFC 6585 4), with Retry-After if the limit knows
+    it.
+    """
     title = f"Limit {limit.limit} is reached: {limit.what}"
     return Reply(429, "urn:oakcroft:problem:limit", title, whole_seconds(limit.back_after or 0))
 
--- a/oakcroft/decisions/sessions/claims.py
+++ b/oakcroft/decisions/sessions/claims.py
@@ -1,7 +1,8 @@
-"""Which sessions on a node are whose: what a front believes to play there against what the node says.
+"""Sessions of this front end on one node: what it believes to play there, compared with what the node
+reports.
 
-A set-up whose answer was lost leaves a session that nobody names; a stream that broke hides ends. The node's own
-word, given when a stream opens and with each start and end, settles both.
+A set-up whose answer was lost leaves a session that belongs to no playback; an event stream that broke hides
+ends. The node's reports, sent when an event stream opens and at each start and end, settle both.
 """
 
 from __future__ import annotations
@@ -11,25 +12,28 @@
 
 
 class Claims:
-    """The sessions of this front on one node, by the path of their resource.
-
-    Guards against orphans: a session that the node started for this front and that no try has claimed in
-    `claim_within` (longer than any try may be out) is to be ended, as its viewer was told that it failed. Covers
-    answers lost on the way, time-outs, viewers that left in between, and a node that names sessions without end: past
-    `most`, far more than tries can be out to one node, the oldest are ended at once. Also guards against playbacks kept
-    here that the node has ended unheard. Harm: none while claims come in time; a front that stands still for longer than
-    `claim_within` would end sessions whose answers lie in its buffers, so time stood still is not counted
-    (`stood`).
+    """The sessions of this front end on one node, by the path of their resource.
+
+    This guards against orphans. A session that the node started for this front end and that no try has
+    claimed within `claim_timeout` (longer than any try may take) is to be ended, as its viewer was told that
+    the set-up failed. Causes are lost answers, timeouts, viewers that left meanwhile, and a node that reports
+    sessions without end: past `max_unclaimed`, far more than the tries that can be in progress on one node,
+    the oldest are ended at once. It also guards against playbacks kept here that the node has ended without
+    the front end's knowledge.
+
+    A front end that is paused for longer than `claim_timeout` would end sessions whose answers wait in its
+    buffers, so pauses are not counted (`discount_pause`).
     """
 
     def __init__(self, claim_within: int, most: int = 4096) -> None:
+        """Starts without sessions. `claim_timeout`: ns."""
         self.claim_within, self.most = claim_within, most
-        self.mine: dict[str, int] = {}  # claimed, and since when
-        self.unclaimed: OrderedDict[str, int] = OrderedDict()  # started by the node's word, and when
+        self.mine: dict[str, int] = {}  # claimed sessions and the times of their claims, ns
+        self.unclaimed: OrderedDict[str, int] = OrderedDict()  # sessions that the node reported, and when, ns
         self.ended_early: OrderedDict[str, None] = OrderedDict()  # ended before they were claimed
 
     def claim(self, session: str, now: int) -> bool:
-        """A try came back with this session. False when the node has said already that it ended."""
+        """Claims the session that a try returned; False if the node has reported its end already. `now`: ns."""
         self.unclaimed.pop(session, None)
         if session in self.ended_early:
             del self.ended_early[session]
@@ -38,12 +42,12 @@
         return True
 
     def started(self, session: str, now: int) -> None:
-        """The node says that it started one for this front."""
+        """The node reports that it started a session for this front end. `now`: ns."""
         if session not in self.mine and session not in self.ended_early:
             self.unclaimed.setdefault(session, now)
 
     def ended(self, session: str) -> bool:
-        """The node says that one ended; whether it was claimed."""
+        """The node reports the end of a session; returns whether it was claimed."""
         self.unclaimed.pop(session, None)
         if self.mine.pop(session, None) is not None:
             return True
@@ -53,16 +57,15 @@
         return False
 
     def drop(self, session: str) -> None:
-        """This front ended one itself."""
+        """This front end ended a session itself."""
         self.mine.pop(session, None)
         self.unclaimed.pop(session, None)
 
     def told(self, sessions: Iterable[str], as_of: int, now: int) -> list[str]:
-        """All sessions that the node runs for this front, in a word that was asked for at a time; returns those claimed
-        here that it lacks.
+        """Takes the node's list of all sessions of this front end; returns the claimed ones that it lacks.
 
-        A session claimed after the asking may be missing from the word and play all the same: it began between the
-        node's word and the word's arrival.
+        `requested_at`: when the list was requested, ns. A session claimed since then may be missing from the
+        list and play all the same, because it began between the node's report and the report's arrival.
         """
         running = set(sessions)
         lost = [s for s, since in self.mine.items() if s not in running and since < as_of]
@@ -73,7 +76,7 @@
         return lost
 
     def orphans(self, now: int) -> list[str]:
-        """The sessions to end now; each is named once."""
+        """Returns the sessions to end now, each of them once. `now`: ns."""
         out = []
         while self.unclaimed:
             session, since = next(iter(self.unclaimed.items()))
@@ -84,16 +87,16 @@
         return out
 
     def stood(self, for_ns: int) -> None:
-        """The front stood still for so long; that time counts against nobody's claim."""
+        """Discounts a pause of the front end: it counts against no unclaimed session."""
         for session in self.unclaimed:
             self.unclaimed[session] += for_ns
 
     def presumed(self) -> list[str]:
-        """The node is silent for too long: the sessions claimed there, which stay so until their end is known."""
+        """Returns the claimed sessions; on a silent node they stay claimed until their end is known."""
         return list(self.mine)
 
     def all_lost(self) -> list[str]:
-        """The node is lost: every claimed session, which it forgets."""
+        """The node is lost: forgets all sessions and returns the claimed ones."""
         lost, self.mine = list(self.mine), {}
         self.unclaimed.clear()
         self.ended_early.clear()
--- a/oakcroft/decisions/sessions/evidence.py
+++ b/oakcroft/decisions/sessions/evidence.py
@@ -1,8 +1,8 @@
-"""What the bytes of one setup try prove: how far it got on its socket, and so how it ended.
+"""Outcome of a setup try, from how far its request got on its connection.
 
-The module must know 'provably never ran' from 'may have run' (RFC 9110 9.2.2 leaves it to the client to know
-whether a request was applied). A try moves through named stages, in one function; the stage at its end and
-the kind of end decide the outcome. docs/front.md shows the same as a table.
+Admission control must know "provably never ran" from "may have run"; RFC 9110 9.2.2 leaves it to the client
+to know whether a request was applied. A try moves through defined stages, and the stage at its end together
+with the kind of end decide the outcome. docs/front.md shows the same as a table.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from oakcroft.interface import Outcome
 
 FULL_TYPE = "urn:oakcroft:problem:full"
-"""Problem type (RFC 9457) by which a node says that it turned a set-up away before any work."""
+"""Problem type (RFC 9457) of a node that rejected a set-up before any work, since it is full."""
 
 DRAINING_TYPE = "urn:oakcroft:problem:draining"
-"""The same, of a node that is being emptied."""
+"""Problem type (RFC 9457) of a node that rejected a set-up before any work, since it is draining."""
 
 
 class Stage(Enum):
-    """How far a setup try has got."""
+    """How far a request has got."""
 
     WAITING = "waiting for its turn"
     CONNECTING = "connecting"
@@ -32,7 +32,7 @@
 
 
 class End(Enum):
-    """How a setup try ended on its socket."""
+    """How a request ended."""
 
     ANSWERED = "answered"
     UNREACHED = "no connection"
@@ -46,7 +46,7 @@
     Stage.WAITING: {Stage.CONNECTING, Stage.OPEN},
     Stage.CONNECTING: {Stage.OPEN},
     Stage.OPEN: {Stage.WRITING},
-    Stage.WRITING: {Stage.WRITTEN, Stage.HEADED},  # a node may refuse before it has read all
+    Stage.WRITING: {Stage.WRITTEN, Stage.HEADED},  # a node may answer before it has read the whole request
     Stage.WRITTEN: {Stage.HEADED},
     Stage.HEADED: {Stage.READ},
     Stage.READ: set[Stage](),
@@ -56,7 +56,7 @@
 
 @dataclass
 class Trail:
-    """The trail of one setup try: its stage, and the head of the answer once there is one."""
+    """Progress of one request: its stage, and the status and problem type of the response once there is one."""
 
     stage: Stage = Stage.WAITING
     status: int = 0
@@ -64,7 +64,10 @@
     stages: list[Stage] = field(default_factory=lambda: [Stage.WAITING])
 
     def reach(self, stage: Stage) -> None:
-        """The one place where a try's stage changes. ValueError for a step that no socket can make."""
+        """Moves to the next stage; the only place where the stage changes.
+
+        Raises ValueError for a step that cannot happen on a connection.
+        """
         if stage not in FOLLOWS[self.stage]:
             raise ValueError(f"a try cannot go from {self.stage.value!r} to {stage.value!r}")
         self.stage = stage
@@ -72,12 +75,14 @@
 
 
 def outcome(trail: Trail, end: End) -> Outcome:
-    """How a try counts for the module.
+    """Returns the outcome of a setup try for admission control.
+
+    This guards against a paid playback that is set up twice: only what the connection proves counts as never
+    run. A request written in part counts as run, since a node may act on what it has (only the end of the
+    body is marked), and so does one on a kept-alive connection that closed under it. Drawback: a paid
+    playback is aborted that might have been tried again.
 
-    Guards against a paid playback set up twice: only what the sockets prove counts as never ran. A request
-    written in part counts as run, since a node may act on what it has (the body's end is the only mark), and so
-    does one on a kept-alive connection that closed under it. Harm: a paid playback is aborted that might have
-    been tried again.
+    Raises ValueError for an answer that was not read whole.
     """
     if end is End.ANSWERED:
         if trail.stage is not Stage.READ:
@@ -95,6 +100,7 @@
 
 
 def _answered(trail: Trail) -> Outcome:
+    """Returns the outcome of a whole response."""
     if trail.status == 201:
         return Outcome.DONE
     if trail.status == 503 and trail.problem in (FULL_TYPE, DRAINING_TYPE):
--- a/oakcroft/decisions/sessions/lifeline.py
+++ b/oakcroft/decisions/sessions/lifeline.py
@@ -1,7 +1,7 @@
-"""Whether the playbacks on a node are lost, judged by the one event stream that a front keeps to it.
+"""Health of a node's event stream, by which a front end judges whether the playbacks on the node are lost.
 
-A node's list entry comes seconds late and knows only of processes. The stream is the front's own lifeline: it
-names the node's process, and beats. The life of a node, as seen here, is a state machine.
+A node's entry on the list comes seconds late and knows only of processes. The event stream is the front end's
+own: it names the node's process and carries heartbeats.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Life(Enum):
-    """How a node's stream stands."""
+    """State of a node's event stream."""
 
     UNTRIED = "untried"
     HEARD = "heard"
@@ -20,7 +20,7 @@
 
 
 class Break(Enum):
-    """Why a stream, or an attempt to open one, ended."""
+    """Why a stream ended or could not be opened."""
 
     REFUSED = "connection refused"
     RESET = "connection reset"
@@ -30,7 +30,7 @@
 
 
 class Loss(Enum):
-    """How surely a node's playbacks are lost."""
+    """How certain the loss of a node's playbacks is."""
 
     PROVEN = "its process is gone"
     PRESUMED = "it has been silent for too long"
@@ -38,42 +38,48 @@
 
 @dataclass(frozen=True)
 class Patience:
-    """How long without a beat counts as silent, and how long a break or silence may last, all in ns."""
+    """Timeouts of an event stream: how long without a message counts as silent, and as lost. Times in ns."""
 
     silent_after: int
     lost_after: int
 
 
 class Lifeline:
-    """One node's life, as one front sees it.
-
-    Guards against playbacks that are kept as playing on a node that died, which would hold places, and against
-    ending them all for a stream that broke while the node played on. A process that names itself anew has
-    lost them for certain; so has one that refuses two connections in a row, since nothing listens there, or that says
-    it knows nothing. A reset may be the stream alone, so it is opened again first. Silence is given `lost_after`, as
-    set-ups to a silent node are stopped by the module's distrust much sooner; a loss by silence is presumed only, so
-    that the node may play on: its seats stay taken until it has confirmed the end or had time for it. Harm: viewers
-    of a node cut off for longer are told that their playback ended though the node would have played on.
+    """Health of the event stream from one node to one front end.
+
+    This guards against playbacks that are kept as playing on a node that died, which would hold places, and
+    against ending them all because of a stream that broke while the node played on.
+
+    - Proven loss: the node names a new process, refuses two connections in a row (nothing listens there), or
+      says that it knows no session of this front end.
+    - A reset may concern the stream alone, so the stream is opened again first.
+    - Presumed loss: silence for `lost_after`. That is long, because admission control stops sending set-ups
+      to a silent node much sooner. The node may play on, so its seats stay taken until it has confirmed the
+      end or had time for it.
+
+    Drawback: viewers of a node that is cut off for longer are told that their playback ended though the node
+    would have played on.
     """
 
     def __init__(self, patience: Patience, now: int) -> None:
+        """Starts with a stream that was never opened. `now`: ns."""
         self.patience, self.state = patience, Life.UNTRIED
         self.process, self.last_heard, self.broken_at, self.refusals = "", now, 0, 0
-        self.how: Loss | None = None  # how surely it was lost, until it is heard again
+        self.how: Loss | None = None  # certainty of the loss, until the node is heard again
 
     def _change(self, state: Life) -> bool:
-        """The one place where the state changes; True when it did."""
+        """Changes the state; True if it is another. The only place where the state changes."""
         changed, self.state = self.state is not state, state
         return changed
 
     def wanted(self, now: int) -> None:
-        """A stream is wanted from now on: silence counts from here, not from when the node was first listed."""
+        """Silence counts from now on, not from when the node was first listed. `now`: ns."""
         if self.state in (Life.UNTRIED, Life.LOST):
             self._change(Life.UNTRIED)
             self.last_heard, self.broken_at, self.refusals = now, 0, 0
 
     def opened(self, process: str, now: int) -> Loss | None:
-        """The stream stands and names the node's process. A loss when that is another than before."""
+        """The stream is open and names the node's process; a loss if that is another than before. `now`: ns."""
         another = bool(self.process) and process != self.process
         self.process, self.last_heard, self.broken_at, self.refusals = process, now, 0, 0
         self.how = None
@@ -81,12 +87,12 @@
         return Loss.PROVEN if another else None
 
     def beat(self, now: int) -> None:
-        """Anything came on the stream."""
+        """A message arrived on the stream. `now`: ns."""
         self.last_heard, self.broken_at = now, 0
         self._change(Life.HEARD)
 
     def broke(self, why: Break, now: int) -> Loss | None:
-        """The stream ended or could not be opened; the loss of the node's playbacks, if it comes to that now."""
+        """The stream ended or could not be opened; returns the loss of the playbacks, if it proves one."""
         if self.state is Life.LOST:
             return None
         self.broken_at = self.broken_at or now
@@ -97,14 +103,16 @@
         return self.look(now)
 
     def stood(self, for_ns: int) -> None:
-        """The front itself stood still for so long: the node could not be heard, and that speaks neither for nor against
-        it. Guards against a front that wakes and ends all that it has, for its own sleep was longer than `lost_after`."""
+        """Discounts a pause of the front end, during which the node could not be heard.
+
+        This guards against a front end that ends all its playbacks after a pause longer than `lost_after`.
+        """
         self.last_heard += for_ns
         if self.broken_at:
             self.broken_at += for_ns
 
     def look(self, now: int) -> Loss | None:
-        """To be called now and then; the loss of the node's playbacks, if it comes to that now."""
+        """Checks the timeouts; returns the loss of the playbacks, if they have passed. `now`: ns."""
         if self.state is Life.LOST:
             return None
         if now - self.last_heard > self.patience.silent_after:
@@ -113,6 +121,7 @@
         return self._lose(Loss.PRESUMED) if now - since > self.patience.lost_after else None
 
     def _lose(self, how: Loss) -> Loss | None:
+        """Marks the node as lost; returns the loss unless it was marked before."""
         if how is Loss.PROVEN:
             self.process = ""
         self.refusals, self.how = 0, how
--- a/oakcroft/decisions/sessions/release_delivery.py
+++ b/oakcroft/decisions/sessions/release_delivery.py
@@ -1,8 +1,8 @@
-"""How the end of a session reaches its viewer: the connection it is sent on, and when it is sent again.
+"""How the end of a session reaches its viewer: on which connection it is sent, and when it is sent again.
 
-A session belongs to no connection, so its release may be sent on any connection from viewers. Who holds such a connection
-is not known, though: a client that only asks and stays passes nothing on. A viewer's side confirms each release that
-it has heard; one that stays unconfirmed is sent again elsewhere.
+A session belongs to no connection, so its release may be sent on any connection from viewers. Who holds such
+a connection is not known, though: a client that sends requests but no viewer's traffic passes nothing on. A
+viewer confirms each release that it receives; one that is not confirmed is sent again on another connection.
 """
 
 from __future__ import annotations
@@ -13,8 +13,10 @@
 from oakcroft.interface import MS
 
 CONFIRMED_WITHIN = 200 * MS
-"""A viewer's side confirms within a round trip and its own turn. With `MAX_ATTEMPTS` the last goes out after 0.6 s,
-inside the second in which an end is owed."""
+"""Time for a confirmation: a round trip and the viewer's own processing.
+
+With `MAX_ATTEMPTS` the last attempt is sent after 0.6 s, within the second in which an end must be sent.
+"""
 
 MAX_ATTEMPTS = 4
 MAX_UNCONFIRMED = 4_096
@@ -22,10 +24,11 @@
 
 @dataclass(frozen=True)
 class ReleaseTarget:
-    """What is known of a connection that a release could be sent on.
+    """A connection that a release could be sent on.
 
-    `own`: the session's set-up came on it. `has_served`: a set-up that came on it was answered with a session.
-    `sessions`: that stand and came on it.
+    - `carried_setup`: the session's set-up arrived on it.
+    - `has_served`: a set-up that arrived on it was answered with a session.
+    - `session_count`: live sessions whose set-up arrived on it.
     """
 
     own: bool
@@ -34,43 +37,43 @@
 
 
 def target_order(target: ReleaseTarget) -> tuple[bool, bool, bool]:
-    """The least of these is tried first.
+    """Returns the sort key of a connection: the least is tried first.
 
-    Guards against releases that go to clients which are no viewers; measured on a day with a crowd, none of 231 sent on
-    connections that had never been served was heard, and all of 1,813 on others were.
+    This guards against releases that go to clients which are no viewers. On a day with a crowd, none of 231
+    releases sent on connections that had never been served was confirmed, and all of 1,813 on others were.
     """
     return not target.own, not target.has_served, not target.sessions
 
 
 @dataclass
 class _Attempt:
-    """The last time a release was sent, and how often it has been."""
+    """When a release was last sent (ns), and how often it has been."""
 
     sent_at: int
     attempts: int
 
 
 class UnconfirmedReleases:
-    """Releases that were sent and that no viewer's side has confirmed.
+    """Releases that were sent and that no viewer has confirmed.
 
-    Bounded: past `MAX_UNCONFIRMED` the oldest is taken as heard. Harm of a release that is sent twice: some octets, as
-    whoever knows nothing of the session passes over it.
+    Past `MAX_UNCONFIRMED` the oldest counts as confirmed. A release that is sent twice costs some bytes only,
+    since a viewer ignores sessions that it does not know.
     """
 
     def __init__(self) -> None:
-        """None is under way."""
+        """Starts without releases."""
         self._attempts: OrderedDict[str, _Attempt] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many are under way."""
+        """Number of unconfirmed releases."""
         return len(self._attempts)
 
     def __contains__(self, session: str) -> bool:
-        """Whether a session's release is under way."""
+        """Whether a session's release is unconfirmed."""
         return session in self._attempts
 
     def sent(self, session: str, now: int) -> None:
-        """A session's release was sent, the first time or again."""
+        """Notes that a release was sent, for the first time or again. `now`: ns."""
         attempt = self._attempts.setdefault(session, _Attempt(now, 0))
         attempt.sent_at = now
         attempt.attempts += 1
@@ -78,11 +81,11 @@
             self._attempts.popitem(last=False)
 
     def confirmed(self, session: str) -> None:
-        """A viewer's side has heard it; one that is not under way is no error."""
+        """Notes that a viewer has confirmed a release; unknown ones are ignored."""
         self._attempts.pop(session, None)
 
     def overdue(self, now: int) -> list[str]:
-        """Those to be sent again. One that has had all its attempts is let go of."""
+        """Returns the releases to send again; drops those without attempts left. `now`: ns."""
         again = []
         for session, attempt in list(self._attempts.items()):
             if now - attempt.sent_at < CONFIRMED_WITHIN:
--- a/oakcroft/decisions/sessions/repeats.py
+++ b/oakcroft/decisions/sessions/repeats.py
@@ -1,9 +1,10 @@
-"""Requests that come again under the same Idempotency-Key (draft-ietf-httpapi-idempotency-key-header-07).
+"""Requests repeated under one Idempotency-Key (draft-ietf-httpapi-idempotency-key-header-07).
 
-A viewer whose connection broke does not know whether its playback runs. With its key it may ask again: while
-the first request is at work, its viewer gone or not, it is told so (409); an answer that bound the fleet is given
-again; and a request that ran nothing starts anew. A paid playback is so set up once however often its viewer asks, and
-its answer is given again after its end too: the session that it names is then 404.
+A viewer whose connection broke does not know whether its playback runs. With its key it may ask again. While
+the first request is in progress, whether or not its viewer has gone, the repeat is answered with 409. An
+answer that binds the fleet is given again. A request that ran nothing starts anew. So a paid playback is set
+up once, however often its viewer asks. Its answer is given again even after its end, when the session that it
+names is a 404.
 """
 
 from __future__ import annotations
@@ -25,32 +26,34 @@
 
 @dataclass
 class Known:
-    """What is remembered of one key."""
+    """What is kept of one key. `updated_at`: ns."""
 
-    about: str  # title, plan and a digest of the offer: the same request must have the same
+    about: str  # title, plan and a digest of the offer; a repeat must have the same
     since: int
     paid: bool
     final: Final | None = None
     playing: bool = False
     answer: object = None
-    given: bool = False  # again, to a request that came later
+    given: bool = False  # to a later request
 
 
 class Repeats:
-    """The keys of one front, a bounded number of them, oldest forgotten first.
+    """The keys of one front end, a bounded number, oldest dropped first.
 
-    When all places are taken, the oldest key goes that binds nothing: it has an answer, no running playback, and is not
-    of a paid one that may have run. Where only others are left the new one is not remembered (`begin` says so): a free
-    request is served all the same, for a full memory must not turn viewers away; a paid one must not be begun.
+    When the store is full, the oldest key that binds nothing is evicted: it has an answer, no running
+    playback, and is not of a paid request that may have run. If there is none, the new key is not kept, as
+    `begin` reports. A free request is served all the same, since a full store must not reject viewers; a paid
+    one must not be begun.
     """
 
     def __init__(self, most: int, keep: int) -> None:
+        """Starts without keys. `retention`: how long a key is kept, ns."""
         self.most, self.keep = most, keep
         self.known: OrderedDict[str, Known] = OrderedDict()
-        self.loose: OrderedDict[str, None] = OrderedDict()  # those of them that bind nothing, oldest first
+        self.loose: OrderedDict[str, None] = OrderedDict()  # keys that bind nothing, oldest first
 
     def turn(self, key: str, about: str, now: int) -> tuple[Turn, Refusal | None, object]:
-        """What a request with this key gets, and the refusal or the answer to give."""
+        """Decides on a request with a key; returns the refusal or the answer to give with it. `now`: ns."""
         self._forget(now)
         known = self.known.get(key)
         if known is None:
@@ -65,19 +68,19 @@
         return Turn.NEW, None, None
 
     def answered(self, key: str) -> bool:
-        """Whether an answer is remembered that a request with this key gets again."""
+        """Whether a request with this key gets an answer that is kept."""
         known = self.known.get(key)
         return known is not None and self._again(known)
 
     @staticmethod
     def _again(known: Known) -> bool:
-        """What plays, and what may have run of a paid plan, must not run again."""
+        """Whether a request must not run again: it plays, or is paid and may have run."""
         return (known.final is Final.PLAYS and (known.playing or known.paid)) or (
             known.final is Final.ABORTED and known.paid
         )
 
     def begin(self, key: str, about: str, paid: bool, now: int) -> bool:
-        """A request with this key has become a playback; False where there is no place to remember it."""
+        """A request with this key has become a playback; False if there is no room for the key. `now`: ns."""
         self._forget(now)
         self._drop(key)
         if len(self.known) >= self.most and not self._make_room():
@@ -86,7 +89,7 @@
         return True
 
     def settled(self, key: str, final: Final, answer: object, now: int) -> None:
-        """Its one answer has been given."""
+        """Keeps the final answer of a request. `now`: ns."""
         if known := self.known.get(key):
             known.final, known.answer, known.since = final, answer, now
             known.playing = final is Final.PLAYS
@@ -94,8 +97,11 @@
             self._loosen(key, known)
 
     def ended(self, key: str, answer: object, now: int) -> None:
-        """The playback of this answer is over; a later request with the key of a free one is a new one. An earlier
-        playback under the same key, whose end comes late, ends nothing of the later one."""
+        """The playback of an answer is over; a later request with the key of a free one is a new one. `now`:
+        ns.
+
+        The end of an earlier playback under the same key may come late; it does not end the later one.
+        """
         known = self.known.get(key)
         if known is not None and known.playing and known.answer is answer:
             known.playing, known.since = False, now
@@ -103,14 +109,16 @@
             self._loosen(key, known)
 
     def recall(self, key: str, about: str, paid: bool, final: Final, answer: object, now: int) -> None:
-        """An answer of an earlier life of this front."""
+        """Restores an answer that an earlier process of this front end gave. `now`: ns."""
         if key not in self.known and (len(self.known) < self.most or self._make_room()):
             known = self.known[key] = Known(about, now, paid, final, final is Final.PLAYS, answer)
             self._loosen(key, known)
 
     def forget(self, key: str) -> bool:
-        """What was promised under a key provably never ran: a request with it is a new one. False, and nothing changes,
-        where its answer has been given again already."""
+        """Drops a key whose set-up provably never ran, so that a request with it is a new one.
+
+        False, and nothing changes, if its answer has been given again already.
+        """
         known = self.known.get(key)
         if known is not None and known.given:
             return False
@@ -118,12 +126,13 @@
         return True
 
     def _forget(self, now: int) -> None:
+        """Drops keys past their retention; those in progress or playing stay."""
         while self.known:
             key, first = next(iter(self.known.items()))
             if first.final is None or first.playing:
                 if now - first.since <= self.keep:
                     return
-                first.since = now  # still at work: to the back of the queue
+                first.since = now  # still in progress or playing: moves to the end of the queue
                 self.known.move_to_end(key)
             elif now - first.since > self.keep:
                 self._drop(key)
@@ -131,15 +140,18 @@
                 return
 
     def _drop(self, key: str) -> None:
+        """Drops a key."""
         self.known.pop(key, None)
         self.loose.pop(key, None)
 
     def _loosen(self, key: str, known: Known) -> None:
+        """Updates whether a key may be evicted."""
         self.loose.pop(key, None)
         if known.final is not None and not self._again(known):
             self.loose[key] = None
 
     def _make_room(self) -> bool:
+        """Evicts the oldest key that may be; False if there is none."""
         if not self.loose:
             return False
         self._drop(next(iter(self.loose)))
--- a/oakcroft/decisions/sessions/resource.py
+++ b/oakcroft/decisions/sessions/resource.py
@@ -1,8 +1,8 @@
-"""The life of one WHIP or WHEP session resource, as seen by its client: what a PATCH, a DELETE or a layer
-selection on it gets (RFC 9725 4.3 and 4.2, draft-ietf-wish-whep 4).
+"""State machine of one WHIP or WHEP session resource: what a PATCH, a DELETE or a layer selection on it gets.
 
-The ETag names the ICE session. Trickle candidates must name the one in force; a restart makes a new one. Steps
-that a playout node has to take are answered with `Act`, and the resource changes when the node has answered.
+It follows RFC 9725 4.3 and 4.2 and draft-ietf-wish-whep 4. The ETag names the ICE session. Trickled
+candidates must name the one in force; a restart makes a new one. A step that a playout node has to take is
+returned as a `ResourceAction`, and the resource changes once the node has answered.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Act(Enum):
-    """What is to be done with a call that is in order."""
+    """Step to take for a valid request."""
 
     TRICKLE = "pass the candidates on"
     RESTART = "ask for a new ICE session"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Said:
-    """A call's answer that needs no node."""
+    """An error answer that needs no node: status, problem type and title (RFC 9457)."""
 
     status: int
     kind: str
@@ -30,7 +30,7 @@
 
 
 class Phase(Enum):
-    """Where a session resource stands."""
+    """Phase of a session resource."""
 
     LIVE = "live"
     RESTARTING = "restarting ICE"
@@ -49,8 +49,11 @@
 
 @dataclass
 class Resource:
-    """One session resource. `tag` is the entity tag in force, without quotes; `ufrag` the ICE user fragment
-    that the client's offer named, by which trickled candidates are told from a restart."""
+    """One session resource.
+
+    `etag` is the entity tag in force, without quotes. `ufrag` is the ICE user fragment of the client's offer,
+    by which trickled candidates are told from a restart.
+    """
 
     tag: str
     ufrag: str
@@ -59,22 +62,22 @@
     candidates: int = 0
 
     def _change(self, phase: Phase) -> None:
-        """The one place where the phase changes. ValueError for a step that cannot be."""
+        """Changes the phase; the only place where it changes. Raises ValueError for an invalid step."""
         if phase not in FOLLOWS[self.phase]:
             raise ValueError(f"a session cannot go from {self.phase.value} to {phase.value}")
         self.phase = phase
 
     def gone(self) -> Said | None:
-        """404 once it has ended; the resource no longer exists."""
+        """Returns a 404 once the session is ending or has ended, else None."""
         if self.phase in (Phase.ENDING, Phase.ENDED):
             return Said(404, "urn:oakcroft:problem:no-session", "No such session")
         return None
 
     def patched(self, media_type: str, if_match: list[str] | None, ufrag: str, candidates: int) -> Act | Said:
-        """A PATCH with a fragment that names `ufrag` and carries so many candidates.
+        """Checks a PATCH with a fragment that names `ufrag` and carries `candidate_count` candidates.
 
-        A precondition is demanded (428, RFC 6585 3) and checked (412, RFC 9110 15.5.13) as RFC 9725 4.3.1 has it: a
-        restart comes with `If-Match: *`, trickled candidates with the tag in force.
+        A precondition is required (428, RFC 6585 3) and checked (412, RFC 9110 15.5.13) as RFC 9725 4.3.1
+        defines: a restart has `If-Match: *`, trickled candidates have the entity tag in force.
         """
         if media_type != SDPFRAG:
             return Said(415, "urn:oakcroft:problem:media-type", f"A PATCH carries {SDPFRAG}")
@@ -115,13 +118,13 @@
             self._change(Phase.LIVE)
 
     def deleted(self) -> Act | Said:
-        """A DELETE; a second one finds nothing."""
+        """Checks a DELETE; a second one gets 404."""
         if said := self.gone():
             return said
         self._change(Phase.ENDING)
         return Act.END
 
     def ended(self) -> None:
-        """The playback is over."""
+        """The playback is over; may be called more than once."""
         if self.phase is not Phase.ENDED:
             self._change(Phase.ENDED)
--- a/oakcroft/decisions/sessions/resumption.py
+++ b/oakcroft/decisions/sessions/resumption.py
@@ -1,8 +1,8 @@
-"""A client's side of the session API that outlives its connections: what it has yet to hear, and who speaks for it.
+"""A client's session of the session API, which outlives its connections.
 
-Everything a client must hear is numbered. It acknowledges what it has, and after a break hears just the rest, in
-order, none twice. The backlog is bounded: a client that takes nothing for too long loses its seat, and asks anew with
-its keys.
+Every message to the client is numbered. The client acknowledges what it has, and after a break it receives
+the rest, in order and without duplicates. The outbox is bounded: a client that acknowledges nothing for too
+long loses its session, and sends its requests again with their Idempotency-Keys.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Standing(Enum):
-    """How a client's seat stands."""
+    """State of a client session."""
 
     ATTACHED = "a connection speaks for it"
     DETACHED = "its connection broke; it may come back"
@@ -46,7 +46,7 @@
     kept: deque[tuple[int, T]] = field(default_factory=deque)
 
     def put(self, message: T) -> int | None:
-        """Its number; None when the outbox is full."""
+        """Keeps a message and returns its number; None if the outbox is full."""
         if len(self.kept) >= self.most:
             return None
         number = self.next_number
@@ -55,8 +55,11 @@
         return number
 
     def acknowledged(self, number: int) -> bool:
-        """The client has everything up to a number. False for one that was never sent: a client that claims it is
-        broken, and believing it would lose messages."""
+        """Drops the messages up to a number, which the client has.
+
+        False for a number that was never sent: a client that acknowledges it is faulty, and believing it
+        would lose messages.
+        """
         if number >= self.next_number:
             return False
         while self.kept and self.kept[0][0] <= number:
@@ -64,7 +67,9 @@
         return True
 
     def after(self, number: int) -> list[tuple[int, T]] | None:
-        """What a client that has everything up to a number must hear; None when that cannot be told any more."""
+        """Returns the messages after a number, which the client lacks; None if some of them are no longer
+        kept.
+        """
         if number >= self.next_number or (self.kept and number + 1 < self.kept[0][0]):
             return None
         if not self.kept and number + 1 < self.next_number:
@@ -74,12 +79,13 @@
 
 @dataclass
 class Seat(Generic[T]):
-    """One client: its outbox, its standing, and the connection that speaks for it.
+    """One client's session: its outbox, its state and its connection. Times in ns.
 
-    Guards against a connection that looks alive and is not, which would hold its playbacks for ever, and against two
-    that both claim a client: the later wins, since only the client itself can have opened it with its pass, and the
-    earlier is told. A broken connection leaves the seat `keep` ns to come back. Harm: viewers behind a network that
-    breaks for longer lose their playbacks though they would have come back.
+    This guards against a dead connection that looks alive, which would hold its playbacks for ever, and
+    against two connections for one client: the later one wins, since only the client itself can have opened
+    it with its resume token, and the earlier one is told. After its connection broke, the client has
+    `resume_timeout` to come back. Drawback: viewers behind a network that is down for longer lose their
+    playbacks though they would have come back.
     """
 
     keep: int
@@ -89,7 +95,7 @@
     since: int = 0
 
     def _change(self, standing: Standing, now: int) -> None:
-        """The one place where the standing changes. ValueError for a step that cannot be."""
+        """Changes the state; the only place where it changes. Raises ValueError for an invalid step."""
         if standing not in FOLLOWS[self.standing]:
             raise ValueError(f"a seat cannot go from {self.standing.value!r} to {standing.value!r}")
         self.standing, self.since = standing, now
@@ -100,7 +106,10 @@
         return self.standing in ENDED
 
     def put(self, message: T, now: int) -> int | None:
-        """A message for the client, its number; None when the seat is over, at the latest by this one."""
+        """Queues a message for the client and returns its number. `now`: ns.
+
+        None if the session has ended, or ends because its outbox is full.
+        """
         if self.over:
             return None
         number = self.outbox.put(message)
@@ -109,8 +118,11 @@
         return number
 
     def attach(self, connection: int, seen: int, now: int) -> tuple[list[tuple[int, T]], int | None] | None:
-        """A connection claims the seat and says what it has seen. What it must hear, and the connection that it takes
-        the place of; None when the seat is over or what was missed cannot be told."""
+        """A connection resumes the session and names the last message that the client has. `now`: ns.
+
+        Returns the messages that it lacks, and the connection that it replaces, if any; None if the session
+        has ended or some of the messages are no longer kept.
+        """
         if self.over:
             return None
         missed = self.outbox.after(seen)
@@ -124,21 +136,21 @@
         return missed, earlier
 
     def detached(self, connection: int, now: int) -> bool:
-        """A connection broke; whether it was the one that speaks for the seat."""
+        """A connection broke; returns whether it was the session's connection. `now`: ns."""
         if self.standing is not Standing.ATTACHED or connection != self.connection:
             return False
         self._change(Standing.DETACHED, now)
         return True
 
     def left(self, connection: int, now: int) -> bool:
-        """A connection said goodbye for its client."""
+        """A client said goodbye on a connection; returns whether it was the session's connection. `now`: ns."""
         if self.standing is not Standing.ATTACHED or connection != self.connection:
             return False
         self._change(Standing.LEFT, now)
         return True
 
     def look(self, now: int) -> bool:
-        """To be called now and then; True when its time to come back is up with this look."""
+        """Ends the session if its time to come back is over; True if this call ended it. `now`: ns."""
         if self.standing is Standing.DETACHED and now - self.since > self.keep:
             self._change(Standing.EXPIRED, now)
             return True
@@ -147,21 +159,24 @@
 
 @dataclass
 class Pulse:
-    """Whether a connection that looks alive is: it is asked (ping) when nothing came for `every`, and counts as dead
-    when two questions in a row stay without an answer."""
+    """Keepalive of one connection, by pings.
+
+    A ping is sent when nothing arrived for `interval` ns. The connection counts as dead when two pings in a
+    row stay without an answer.
+    """
 
     every: int = 30 * SECOND
     asked: int = 0
 
     def heard(self) -> None:
-        """Anything came."""
+        """A message arrived."""
         self.asked = 0
 
     def quiet(self) -> None:
-        """Nothing came for `every`: it is asked."""
+        """Nothing arrived for `interval`: a ping is sent."""
         self.asked += 1
 
     @property
     def dead(self) -> bool:
-        """Whether it counts as dead."""
+        """Whether the connection counts as dead."""
         return self.asked > 2
--- a/oakcroft/decisions/state/__init__.py
+++ b/oakcroft/decisions/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a front promises on disk and takes up again."""
+"""Durable state: promises, the health of the state file, and recovery after a restart."""
--- a/oakcroft/decisions/state/durable.py
+++ b/oakcroft/decisions/state/durable.py
@@ -1,8 +1,8 @@
-"""Whether a front may promise: the health of its state file, and what it does while that is not sound.
+"""Whether a front end may make promises: the health of its state file.
 
-While the file does not take what is written in time, nothing that must be on record leaves: such requests are rejected
-before anything is sent, with a time to come back. Free plans go on. Nothing but a commit that worked, after everything in
-memory has been written anew, makes the file sound again; that is tried at growing intervals.
+While the file does not take what is written in time, no set-up that must be recorded first is sent: such
+requests are rejected, with a time after which to try again. Free plans go on. The file counts as healthy
+again only after a commit that worked and wrote everything in memory anew; that is tried at growing intervals.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Disk(Enum):
-    """How the state file stands."""
+    """State of the state file. The values are written to the log."""
 
     SOUND = "sound"
     SLOW = "slow"
@@ -23,7 +23,7 @@
 
 
 class Trouble(Enum):
-    """What a call on the file ended with."""
+    """How a call on the file failed."""
 
     FULL = "the disk is full"
     IO = "input or output error"
@@ -34,16 +34,17 @@
 
 
 FIRST_RETRY, LONGEST_RETRY = 200 * MS, 5 * SECOND
-CALM = 3  # commits in time, one after the other, before a slow file is sound again
+CALM = 3  # commits in time, one after the other, before a slow file is healthy again
 
 
 @dataclass
 class Health:
-    """The file's health. `slow_after`: a commit that takes longer, in ns, counts as slow while it lasts and after it.
+    """Health of the state file. Times in ns.
 
-    Guards against viewers that wait out their time for a disk that does not answer, and against flapping: a slow file
-    is sound again after `CALM` commits in time. Harm: one commit delayed by chance rejects the paid requests of the next
-    few.
+    A commit that takes longer than `slow_after` counts as slow, while it lasts and after it. This guards
+    against viewers that wait in vain for a disk that does not answer. A slow file is healthy again after
+    `RECOVERY_COMMITS` commits in time, which guards against flapping. Drawback: one commit delayed by chance
+    rejects the paid requests during the next few commits.
     """
 
     slow_after: int = 250 * MS
@@ -52,19 +53,19 @@
     trouble: Trouble | None = None
     retry_at: int = 0
     retry: int = FIRST_RETRY
-    began: int | None = None  # of the commit that is under way
+    began: int | None = None  # of the commit in progress
     in_time: int = 0
     changes: int = 0
 
     def _change(self, state: Disk, now: int) -> bool:
-        """The one place where the state changes; True when it did."""
+        """Changes the state; True if it is another. The only place where the state changes."""
         if state is self.state:
             return False
         self.state, self.since, self.changes = state, now, self.changes + 1
         return True
 
     def takes_promises(self, now: int) -> bool:
-        """Whether a set-up that must be on record first may be begun now."""
+        """Whether a set-up that must be recorded first may be begun now."""
         self.look(now)
         return self.state is Disk.SOUND
 
@@ -73,14 +74,16 @@
         self.began = now
 
     def look(self, now: int) -> bool:
-        """To be called now and then: a commit under way for too long makes the file slow. True on a change."""
+        """Notes if the commit in progress takes too long; True if the state changed."""
         if self.state is Disk.SOUND and self.began is not None and now - self.began > self.slow_after:
             self.in_time = 0
             return self._change(Disk.SLOW, now)
         return False
 
     def done(self, now: int, whole: bool = False) -> bool:
-        """The commit worked. `whole`: it wrote all that is in memory anew. True on a change."""
+        """The commit worked; `is_full_rewrite` if it wrote all that is in memory anew. True if the state
+        changed.
+        """
         took = now - self.began if self.began is not None else 0
         self.began = None
         if self.state in (Disk.FAILING, Disk.FOREIGN):
@@ -95,23 +98,23 @@
         return self.state is Disk.SLOW and self.in_time >= CALM and self._change(Disk.SOUND, now)
 
     def failed(self, trouble: Trouble, now: int) -> bool:
-        """The commit, or the opening, failed. True on a change."""
+        """A commit, or the opening of the file, failed. True if the state changed."""
         self.began, self.in_time, self.trouble = None, 0, trouble
         self.retry_at, self.retry = now + self.retry, min(LONGEST_RETRY, self.retry * 2)
         return self._change(Disk.FOREIGN if trouble is Trouble.FOREIGN else Disk.FAILING, now)
 
     def due(self, now: int) -> bool:
-        """Whether a file that failed is to be tried again now."""
+        """Whether to try a failed file again now."""
         return self.state in (Disk.FAILING, Disk.FOREIGN) and now >= self.retry_at
 
 
 @dataclass
 class Upkeep:
-    """How much background work the file gets: expired records and free pages go a few at a time, less while the front is
-    busy, none while the file is not sound.
+    """Pace of the maintenance of the state file. Times in ns.
 
-    Guards against a file that grows without end and against upkeep that delays intents. Harm: a file that grew under a
-    long crowd shrinks over minutes.
+    Expired records and free pages are dropped a few at a time, fewer while the front end is busy, and none
+    while the file is not healthy. This guards against a file that grows without bound and against maintenance
+    that delays intents. Drawback: a file that grew during a long crowd takes minutes to shrink.
     """
 
     rows: int = 200
@@ -120,7 +123,7 @@
     paused: bool = False
 
     def allowance(self, health: Health, waiting: int, now: int) -> int:
-        """Rows and pages that may be dropped in the next commit; 0 for none now."""
+        """Returns how many rows and pages the next commit may drop; 0 for none now."""
         if self.paused or health.state is not Disk.SOUND or now - self.last < self.every:
             return 0
         self.last = now
--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -1,15 +1,18 @@
-"""What a front that starts again makes of what its earlier life has left: promises on record, the list, and nodes' words.
+"""What a front end that starts again makes of the state of its earlier process: promises, the node list, node
+reports.
 
-A promise that plays is taken on at once (its seat counts, its viewer's key finds it) and stands until its node's word
-confirms it or lacks it. An intent of unknown outcome may have run: its key is answered with an abort, its seat stays
-taken, and a session that it left is ended. A node's word proves that it never ran only if all of this holds:
+A promise that plays is adopted at once: its seat counts, and its viewer's key finds it, until a report of its
+node confirms it or lacks it. An intent of unknown outcome may have run: its key is answered with an abort,
+its seat stays taken, and a session that it left behind is ended. A node's report proves that an intent never
+ran only if all of this holds:
 
-- the word comes from a process that ran already when the set-up was sent;
+- the report comes from a process that already ran when the set-up was sent;
 - that process remembers keys from that far back, and not this one;
-- the word was asked for after the set-up could still arrive (`IN_FLIGHT` past its abandon time).
+- the report was requested after the set-up could still arrive (`MAX_IN_FLIGHT_NS` after its abandon time).
 
-Node time is never compared with front time: a node says how long ago things were, and the latest that this can mean by
-the front's clock is taken. Whatever ran in a process that is gone has run, so its end frees the seat but proves nothing.
+Times of the node's clock are never compared with times of the front end's. A node says how long ago something
+was, and the latest time by the front end's clock that this allows is used. Whatever ran in a process that is
+gone did run, so its end frees the seat but proves nothing.
 """
 
 from __future__ import annotations
@@ -21,11 +24,11 @@
 from oakcroft.decisions.state.remembered import Mark, Promise, expired, step
 from oakcroft.interface import SECOND
 
-IN_FLIGHT = 2 * SECOND  # after a try's abandon time, bytes of it may still be read by its node
+IN_FLIGHT = 2 * SECOND  # after a try's abandon time its node may still read bytes of it
 
 
 class Fate(Enum):
-    """What becomes of a promise at the start."""
+    """What becomes of a promise at the start. The names of the members are keys of a log line."""
 
     ADOPT = "plays on"
     HOLD = "may have run: its key aborts, its seat is taken, its node is asked"
@@ -35,7 +38,7 @@
 
 
 class Verdict(Enum):
-    """What a node's word says of a promise."""
+    """What a node's report says of a promise. The names of the members are written to the log."""
 
     CONFIRMED = "plays"
     OVER = "does not play any more"
@@ -47,12 +50,15 @@
 
 @dataclass(frozen=True)
 class Word:
-    """What a node says of this front's sessions when asked. `up`, `remembers`: for how long its process has run, and how
-    far back it knows keys, both in ns by the node's clock; `asked`, `heard`: when, by the front's."""
+    """What a node reports of this front end's sessions when asked.
+
+    `uptime` and `key_memory`: how long its process has run, and how far back it remembers keys, in ns by the
+    node's clock. `requested_at` and `received_at`: ns by the front end's clock.
+    """
 
     process: str
-    running: Mapping[str, str]  # session -> key
-    keys: frozenset[str]  # of all set-ups of this front that ran as far back as it remembers
+    running: Mapping[str, str]  # key by session
+    keys: frozenset[str]  # of all set-ups of this front end, as far back as it remembers
     up: int
     remembers: int
     asked: int
@@ -60,7 +66,7 @@
 
 
 def fate(promise: Promise, listed: bool, plan_known: bool, keep: int, now: int) -> Fate:
-    """What to do with a promise at the start. `listed`: its node is on the list in force."""
+    """Returns what to do with a promise at the start. `node_listed`: its node is on the list in force."""
     if promise.mark is Mark.GONE or expired(promise, keep, now):
         return Fate.FORGET
     if promise.mark is Mark.ABORTED:
@@ -68,7 +74,7 @@
     if promise.mark is Mark.PLAYS:
         if not plan_known:
             return Fate.END
-        # A node off the list has no process any more, as far as anybody knows.
+        # A node that is not listed is taken to have no process any more.
         return Fate.ADOPT if listed and promise.resource else Fate.REMEMBER if promise.binds else Fate.FORGET
     if listed and plan_known:
         return Fate.HOLD
@@ -76,11 +82,11 @@
 
 
 def judge(promise: Promise, word: Word) -> Verdict:
-    """What a node's word says of a promise that it was sent, or that it plays."""
+    """Returns what a node's report says of a promise that was sent to it, or that plays on it."""
     if promise.mark is Mark.PLAYS:
         if promise.resource in word.running:
             return Verdict.CONFIRMED
-        # It may have begun between the asking and the word; none that was on record at the start has.
+        # It may have begun between the request and the report; none that was recorded before the start has.
         return Verdict.OVER if promise.changed < word.asked else Verdict.UNPROVEN
     if promise.key in word.running.values():
         return Verdict.RUNNING
@@ -93,8 +99,11 @@
 
 
 def resolved(promise: Promise, verdict: Verdict, now: int, told: bool = False) -> Promise:
-    """The promise after a node's word. `told`: its viewer has heard an abort already, which then stands, whatever is
-    proven later: no key is answered two ways."""
+    """Returns the promise after a verdict on it. `now`: ns.
+
+    `abort_replayed`: its viewer has been told of an abort already, which then stays whatever is proven later,
+    since no key is answered in two ways.
+    """
     never = verdict is Verdict.NEVER_RAN and promise.mark is Mark.INTENT
     if verdict is Verdict.OVER or (never and not told):
         return step(promise, replace(promise, mark=Mark.GONE, changed=now))
@@ -105,12 +114,12 @@
 
 
 def asks_again_at(promise: Promise) -> int:
-    """When a node's word can prove that an intent never ran, if it can at all."""
+    """Returns the earliest time (ns) at which a node's report can prove that an intent never ran."""
     return promise.abandon + IN_FLIGHT
 
 
 class Phase(Enum):
-    """How far a front's start has got."""
+    """Phase of the start of a front end."""
 
     READING = "reading its state"
     SERVING = "serving"
@@ -119,37 +128,43 @@
 
 @dataclass
 class Recovery:
-    """The start of one life.
+    """The start of one process of a front end. Times in ns.
 
-    Without its state a front cannot know which keys it has promised. The nodes can: each that is asked tells keys that
-    it ran for this front. Until all listed nodes have told, or the longest time for which a viewer may come again with
-    its key has passed, requests that must be on record are rejected. Harm: losing the state of a front costs its paid
-    plans until its nodes have answered, `keep` at the longest.
+    Without its state a front end cannot know which keys it has promised, but the nodes can: each one that is
+    asked reports the keys that it ran for this front end. Requests that must be recorded are rejected until
+    all listed nodes have reported, or until the longest time has passed in which a viewer may repeat its key.
+    Drawback: a front end that loses its state serves no paid plans until its nodes have answered, for
+    `retention` at most.
     """
 
     keep: int
     began: int
     phase: Phase = Phase.READING
-    listed: bool = False  # a list of nodes is in force
+    listed: bool = False  # a node list is in force
     unheard: set[str] = field(default_factory=set)
     told: set[str] = field(default_factory=set)
-    learnt: set[str] = field(default_factory=set)  # keys that nodes ran for a life that is forgotten
+    learnt: set[str] = field(
+        default_factory=set
+    )  # keys that nodes ran for an earlier process whose state is lost
 
     def read(self, had: bool, nodes: Iterable[str], now: int) -> Phase:
-        """The state has been read, or is not to be had (`had`). A front that has never run cannot be told from one whose
-        file is lost, but by its nodes: for it this is over as soon as they have answered."""
+        """The state has been read, or is lost (`was_found` is false).
+
+        A front end that has never run cannot be told from one whose file is lost; its recovery is complete as
+        soon as its nodes have answered.
+        """
         self.phase = Phase.SERVING if had else Phase.FORGETFUL
         self.list_came(nodes)
         return self.look(now)
 
     def list_came(self, nodes: Iterable[str]) -> None:
-        """These nodes are listed now."""
+        """A node list is in force."""
         names = set(nodes)
         self.listed = self.listed or bool(names)
         self.unheard = names - self.told if self.phase is Phase.FORGETFUL else set()
 
     def heard(self, node: str, word: Word | None, now: int) -> Phase:
-        """A node has told, or is known to be gone (None)."""
+        """A node has reported, or is known to be gone (None)."""
         if self.phase is Phase.FORGETFUL:
             if word is not None:
                 self.learnt |= word.keys
@@ -158,20 +173,20 @@
         return self.look(now)
 
     def look(self, now: int) -> Phase:
-        """To be called now and then."""
+        """Checks whether the recovery is complete; called regularly. Returns the phase."""
         all_told = self.listed and not self.unheard
         if self.phase is Phase.FORGETFUL and (all_told or now - self.began > self.keep):
             self.phase = Phase.SERVING
         return self.phase
 
     def takes_promises(self, key: str) -> bool:
-        """Whether a request that must be on record may be begun, as far as the start goes."""
+        """Whether a request that must be recorded may be begun, as far as the recovery goes."""
         return self.phase is Phase.SERVING and key not in self.learnt
 
 
 @dataclass(frozen=True)
 class Spent:
-    """What an earlier life left of one node's slot of time (rule 4)."""
+    """What an earlier process used of one node's time slot (rule 4). Times in ns."""
 
     node: str
     started_at: int
@@ -182,7 +197,7 @@
 
 @dataclass(frozen=True)
 class Grudge:
-    """What an earlier life held against a node: its distrust at a time, and when it last failed."""
+    """Distrust score of a node at a time, and its last failure, as an earlier process saw them. Times in ns."""
 
     node: str
     score: float
@@ -191,9 +206,12 @@
 
 
 def further_tries(last_seen: int, free: float | None, window: int, now: int) -> list[int]:
-    """Further tries to count at the start as if made at `last_seen` (rule 6): as many as the earlier life could have made
-    beyond its share, since their records need not have reached the disk. Harm: after a restart the free part of the
-    budget comes back only as the window passes."""
+    """Returns times of further tries (rule 6) to count at the start, all at `last_seen`. Times in ns.
+
+    They are as many as the earlier process could have made beyond its share, since their records need not
+    have reached the disk. Drawback: after a restart the free part of the budget returns only as the window
+    passes.
+    """
     if free is None or now - last_seen > window:
         return []
     return [last_seen] * int(free)
--- a/oakcroft/decisions/state/remembered.py
+++ b/oakcroft/decisions/state/remembered.py
@@ -1,8 +1,9 @@
-"""What a front has promised and must not forget when it is killed: one record for each request that may bind a node.
+"""Promises: durable records of the playback requests that may bind a node, kept across crashes.
 
-A promise goes through named marks, in one function. A plan that is paid for, that a key protects or that has seats must
-have its intent on record before its set-up leaves, or a successor could set it up again or give its seat away; a free
-one is recorded once it plays, so that a successor can go on with it.
+A promise moves through defined states, in one function. A set-up of a plan that is paid, protected by a key,
+or limited by seats must have its intent recorded before it is sent; otherwise the next process could set it
+up again or give its seat away. A free one is recorded once it plays, so that the next process can go on with
+it.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Mark(Enum):
-    """How far a promise has got."""
+    """State of a promise. Promises are stored with the names of the members."""
 
     INTENT = "may have been sent"
     PLAYS = "plays"
@@ -35,7 +36,10 @@
 
 @dataclass(frozen=True)
 class Promise:
-    """One request on record. Times in ns since the epoch, by the clock of the front that wrote it."""
+    """One recorded request. Times in ns since the epoch, by the clock of the front end that wrote it.
+
+    It is stored with the names of its fields.
+    """
 
     id: str
     key: str
@@ -53,7 +57,7 @@
     abandon: int
     mark: Mark = Mark.INTENT
     node: str = ""
-    process: str = ""  # the node's process, where its stream had named it
+    process: str = ""  # the node's process, if its event stream had named it
     sent_at: int = 0
     resource: str = ""
     events: str = ""
@@ -62,16 +66,20 @@
     answer: str = ""
     rung: int = 0
     changed: int = 0
-    seated: bool = False  # it belongs to a seat of the session API, and ends with that
+    seated: bool = False  # it belongs to a client session of the session API, and ends with it
 
     @property
     def binds(self) -> bool:
-        """Whether a second set-up of it would cost somebody."""
+        """Whether a second set-up would have an effect of its own, so that none may be made."""
         return self.effect != Effect.FREE.value
 
 
 def step(promise: Promise | None, to: Promise) -> Promise:
-    """The one place where a promise's mark changes. ValueError for a step that cannot be."""
+    """Checks a change of a promise's state and returns the changed promise; the only place where the state
+    changes.
+
+    Raises ValueError for an invalid step.
+    """
     mark = promise.mark if promise is not None else None
     if to.mark not in FOLLOWS[mark]:
         raise ValueError(
@@ -81,19 +89,22 @@
 
 
 def waits_for_record(plan: Plan) -> bool:
-    """Whether a set-up of this plan may leave only after its intent is durable."""
+    """Whether a set-up of this plan may be sent only after its intent is durable."""
     return plan.effect is not Effect.FREE or plan.seats > 0
 
 
 def after_try(promise: Promise, outcome: Outcome, now: int) -> Promise:
-    """What a try's end makes of its intent: proof that it never ran takes it back, all else leaves it standing."""
+    """Returns the promise after a try has ended. `now`: ns.
+
+    Proof that the try never ran withdraws the intent; any other outcome leaves it in force.
+    """
     if promise.mark is Mark.INTENT and never_ran(outcome):
         return replace(promise, mark=Mark.GONE, changed=now)
     return promise
 
 
 def after_answer(promise: Promise, final: Final, now: int) -> Promise:
-    """What the one final answer makes of it. An abort of a free plan binds nobody."""
+    """Returns the promise after its final answer; an abort of a free plan binds nothing. `now`: ns."""
     if final is Final.PLAYS:
         return replace(promise, mark=Mark.PLAYS, changed=now)
     binds = final is Final.ABORTED and promise.binds
@@ -101,6 +112,8 @@
 
 
 def expired(promise: Promise, keep: int, now: int) -> bool:
-    """Whether a promise need not be kept any longer: an abort, or an intent that nobody resolved, binds for as long as a
-    viewer may come again with its key."""
+    """Whether a promise need not be kept any longer. Times in ns.
+
+    An abort, or an intent whose outcome is unknown, is kept for as long as a viewer may repeat its key.
+    """
     return promise.mark in (Mark.ABORTED, Mark.INTENT) and now - promise.changed > keep
