--- a/oakcroft/decisions/admission/doors.py
+++ b/oakcroft/decisions/admission/doors.py
@@ -1,8 +1,8 @@
-"""Limits of a server on its connections: how many there are, and how much and how slowly a client may send or
-read.
+"""Limits of a server on its connections.
 
-Each limit has a defined answer. The limits keep one client from using up what others need. Admission control,
-which decides what a playback gets, sees a request only once it has passed them.
+They bound how many connections there are, and how much and how slowly a client may send or read. Each limit
+has a defined answer. The limits keep one client from using up what others need. Admission control, which
+decides what a playback gets, sees a request only once it has passed them.
 """
 
 from __future__ import annotations
--- a/oakcroft/decisions/admission/limits.py
+++ b/oakcroft/decisions/admission/limits.py
@@ -111,8 +111,9 @@
 
 @dataclass(frozen=True)
 class Over:
-    """A limit that refuses a request: its name, what is used up, and the time until it has room (ns, if
-    known).
+    """A limit that refuses a request: its name, what of it is used up, and when to try again.
+
+    `retry_after_ns`: time until it has room; None if it is not known.
     """
 
     limit: str
--- a/oakcroft/decisions/admission/passes.py
+++ b/oakcroft/decisions/admission/passes.py
@@ -28,8 +28,9 @@
 
 @dataclass
 class Passes:
-    """Issues and verifies resume tokens. Keys are passed in, since this module draws no random numbers. Times
-    in ns.
+    """Issues and verifies resume tokens. Times in ns.
+
+    Keys are passed in, since this module draws no random numbers.
     """
 
     lasts: int
--- a/oakcroft/decisions/admission/shedding.py
+++ b/oakcroft/decisions/admission/shedding.py
@@ -1,5 +1,4 @@
-"""Load shedding when the process nears its own capacity: a deadline-aware fair queue before admission
-control.
+"""Load shedding when the process nears its own capacity: a fair queue before admission control.
 
 While the front end keeps up, every request is processed at once. When its event loop lags, fewer requests are
 processed at a time and the rest wait here. Requests that can no longer be answered in time are answered at
--- a/oakcroft/decisions/moving/notice.py
+++ b/oakcroft/decisions/moving/notice.py
@@ -18,8 +18,9 @@
 
 @dataclass
 class Drain:
-    """Drain of one node: when this front end heard of it, and until when the node stays, if stated. Times in
-    ns.
+    """Drain of one node. Times in ns.
+
+    `heard_at`: when this front end heard of it. `ends_at`: until when the node stays, if stated.
     """
 
     heard_at: int
--- a/oakcroft/decisions/sessions/answers.py
+++ b/oakcroft/decisions/sessions/answers.py
@@ -69,8 +69,9 @@
 
 
 def over(limit: Over) -> Reply:
-    """Returns the answer of a limit that is reached: 429 (RFC 6585 4), with Retry-After if the limit knows
-    it.
+    """Returns the answer of a limit that is reached: 429 (RFC 6585 4).
+
+    It has a Retry-After if the limit knows when it will have room.
     """
     title = f"Limit {limit.limit} is reached: {limit.what}"
     return Reply(429, "urn:oakcroft:problem:limit", title, whole_seconds(limit.back_after or 0))
--- a/oakcroft/decisions/sessions/claims.py
+++ b/oakcroft/decisions/sessions/claims.py
@@ -1,5 +1,4 @@
-"""Sessions of this front end on one node: what it believes to play there, compared with what the node
-reports.
+"""Sessions of this front end on one node: its own view compared with the node's reports.
 
 A set-up whose answer was lost leaves a session that belongs to no playback; an event stream that broke hides
 ends. The node's reports, sent when an event stream opens and at each start and end, settle both.
--- a/oakcroft/decisions/sessions/repeats.py
+++ b/oakcroft/decisions/sessions/repeats.py
@@ -97,10 +97,10 @@
             self._loosen(key, known)
 
     def ended(self, key: str, answer: object, now: int) -> None:
-        """The playback of an answer is over; a later request with the key of a free one is a new one. `now`:
-        ns.
+        """The playback of an answer is over. `now`: ns.
 
-        The end of an earlier playback under the same key may come late; it does not end the later one.
+        A later request with the key of a free playback is a new one. The end of an earlier playback under the
+        same key may come late; it does not end the later one.
         """
         known = self.known.get(key)
         if known is not None and known.playing and known.answer is answer:
--- a/oakcroft/decisions/sessions/resumption.py
+++ b/oakcroft/decisions/sessions/resumption.py
@@ -67,9 +67,7 @@
         return True
 
     def after(self, number: int) -> list[tuple[int, T]] | None:
-        """Returns the messages after a number, which the client lacks; None if some of them are no longer
-        kept.
-        """
+        """Returns the messages after a number; None if some of them are no longer kept."""
         if number >= self.next_number or (self.kept and number + 1 < self.kept[0][0]):
             return None
         if not self.kept and number + 1 < self.next_number:
--- a/oakcroft/decisions/state/durable.py
+++ b/oakcroft/decisions/state/durable.py
@@ -81,8 +81,9 @@
         return False
 
     def done(self, now: int, whole: bool = False) -> bool:
-        """The commit worked; `is_full_rewrite` if it wrote all that is in memory anew. True if the state
-        changed.
+        """The commit worked; True if the state changed.
+
+        `is_full_rewrite`: it wrote all that is in memory anew.
         """
         took = now - self.began if self.began is not None else 0
         self.began = None
--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -1,5 +1,4 @@
-"""What a front end that starts again makes of the state of its earlier process: promises, the node list, node
-reports.
+"""Recovery of a front end that starts again: promises of its earlier process, the node list, node reports.
 
 A promise that plays is adopted at once: its seat counts, and its viewer's key finds it, until a report of its
 node confirms it or lacks it. An intent of unknown outcome may have run: its key is answered with an abort,
@@ -11,8 +10,8 @@
 - the report was requested after the set-up could still arrive (`MAX_IN_FLIGHT_NS` after its abandon time).
 
 Times of the node's clock are never compared with times of the front end's. A node says how long ago something
-was, and the latest time by the front end's clock that this allows is used. Whatever ran in a process that is
-gone did run, so its end frees the seat but proves nothing.
+was, and the latest time by the front end's clock that this allows is used. Whatever was sent to a process
+that is gone counts as run: the end of the process frees the seat but proves nothing.
 """
 
 from __future__ import annotations
--- a/oakcroft/decisions/state/remembered.py
+++ b/oakcroft/decisions/state/remembered.py
@@ -75,8 +75,7 @@
 
 
 def step(promise: Promise | None, to: Promise) -> Promise:
-    """Checks a change of a promise's state and returns the changed promise; the only place where the state
-    changes.
+    """Returns a promise after a change of its state; the only place where the state changes.
 
     Raises ValueError for an invalid step.
     """
