--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Which connection makes room for a new one, and on which connection the end of a session is sent."""
+"""Which connection is closed for a new one, and on which connection the release of a session is sent."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 def connection(
     since: int = NOW, has_asked: bool = True, sessions: int = 0, partial: bool = False, unsent: bool = False
 ) -> IdleConnection:
-    """A connection that has asked once and plays nothing, but for what a test names."""
+    """Makes a connection that has sent one request and plays nothing, except for what a test states."""
     return IdleConnection(since, has_asked, sessions, partial, unsent)
 
 
 def test_the_silent_go_first_then_whoever_plays_nothing_and_newcomers_late() -> None:
-    """Each line of the classes, in the order in which they make room."""
+    """The classes are closed in their order: connections without a request first, new ones late."""
     connections = [
         connection(since=NOW - FIRST_REQUEST_EXPECTED - 1, has_asked=False),
         connection(),
@@ -44,34 +44,34 @@
 
 
 def test_of_one_class_the_one_idle_for_longest_goes_first() -> None:
-    """Whatever the order in which they came."""
+    """Within a class the connection that was idle for longest is closed first, in whatever order they came."""
     older, newer = connection(since=NOW - 2), connection(since=NOW - 1)
     assert min((newer, older), key=lambda one: eviction_order(one, NOW)) is older
 
 
 class HeldClock:
-    """A clock that a test moves."""
+    """A clock that a test sets."""
 
     def __init__(self) -> None:
-        """It stands at `NOW`."""
+        """Starts at `NOW`."""
         self.at = NOW
 
     def now(self) -> int:
-        """Its time."""
+        """Returns its time, ns."""
         return self.at
 
 
 class FakeConnection:
-    """A connection that has asked once and plays nothing."""
+    """A connection that has sent one request and plays nothing."""
 
     def __init__(self, since: int) -> None:
-        """`since`: of its last message."""
+        """`since`: time of its last message, ns."""
         self.open, self.idle, self.unread = True, True, 0
         self.as_idle = connection(since=since)
 
 
 def evict(connections: IdleConnections[FakeConnection]) -> FakeConnection | None:
-    """Closes the first that makes room."""
+    """Closes the first connection in the order of eviction and returns it."""
     found = connections.first()
     if found is not None:
         found.open = found.idle = False
@@ -79,7 +79,7 @@
 
 
 def test_connections_make_room_in_order_though_found_several_at_once() -> None:
-    """More than one look finds."""
+    """The order of eviction holds beyond the candidates that one search finds."""
     links = [FakeConnection(since) for since in range(3 * CANDIDATES)]
     idle = IdleConnections(links, HeldClock())  # type: ignore[arg-type]
     evicted = [evict(idle) for _ in links]
@@ -87,7 +87,10 @@
 
 
 def test_a_connection_that_came_to_use_since_it_was_found_stays() -> None:
-    """Each for another reason: a request under way, one unread, a part of one, a session; and one closed."""
+    """A candidate that is in use by now is not closed.
+
+    It has a request in progress, an unread message, a partial message or a session, or it is closed already.
+    """
     links = [FakeConnection(since) for since in range(7)]
     idle = IdleConnections(links, HeldClock())  # type: ignore[arg-type]
     assert evict(idle) is links[0]
@@ -100,7 +103,7 @@
 
 
 def test_what_was_found_is_looked_for_anew_after_a_while() -> None:
-    """One that has been idle for longer is found then."""
+    """Old candidates are searched again, so that one that was idle for longer is found."""
     links, clock = [FakeConnection(since) for since in range(10, 20)], HeldClock()
     idle = IdleConnections(links, clock)  # type: ignore[arg-type]
     assert evict(idle) is links[0]
@@ -110,7 +113,7 @@
 
 
 def test_an_end_is_sent_on_its_own_connection_then_on_those_that_were_served() -> None:
-    """A stranger's connection is the last resort."""
+    """A connection that was never served is the last choice."""
     targets = [
         ReleaseTarget(own=True, has_served=False, sessions=0),
         ReleaseTarget(own=False, has_served=True, sessions=2),
@@ -123,7 +126,7 @@
 
 
 def test_an_end_is_sent_again_until_it_is_confirmed_and_so_often_at_most() -> None:
-    """Each attempt has its time; one that is confirmed is never sent again."""
+    """Each attempt has its timeout; a release that is confirmed is not sent again."""
     releases, now = UnconfirmedReleases(), NOW
     for session in ("heard", "never heard"):
         releases.sent(session, now)
@@ -138,7 +141,7 @@
 
 
 def test_ends_without_confirmation_are_bounded() -> None:
-    """Past the bound the oldest is taken as heard."""
+    """Past the limit the oldest release counts as confirmed."""
     releases = UnconfirmedReleases()
     for i in range(MAX_UNCONFIRMED + 2):
         releases.sent(str(i), NOW)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions around the module, one by one, each with the failure that it answers."""
+"""Unit tests of the decisions on sessions, connections, deadlines, node lists and stopping."""
 
 from __future__ import annotations
 
@@ -39,6 +39,7 @@
 
 
 def trail(stage: Stage, status: int = 0, problem: str = "") -> Trail:
+    """Makes the progress of a request that has got to a stage."""
     t = Trail(status=status, problem=problem)
     for step in WAY[: WAY.index(stage) + 1] if stage is not Stage.WAITING else []:
         t.reach(step)
@@ -64,6 +65,7 @@
     ],
 )
 def test_the_stage_at_the_end_tells_the_outcome(stage: Stage, end: End, wanted: Outcome) -> None:
+    """The stage of the request and the kind of its end decide the outcome of the try."""
     assert outcome(trail(stage), end) is wanted
 
 
@@ -76,6 +78,10 @@
 def test_a_request_of_which_a_byte_was_out_never_counts_as_unrun_but_by_the_nodes_own_proof(
     stage: Stage, end: End, status: int, problem: str
 ) -> None:
+    """Guards against a paid playback that is set up twice.
+
+    Once a byte of the request was written, only the node's own rejection proves that nothing ran.
+    """
     t = trail(stage, status, problem)
     if end is End.ANSWERED and stage is not Stage.READ:
         with pytest.raises(ValueError, match="whole"):
@@ -89,11 +95,13 @@
 
 
 def test_a_try_goes_no_way_that_a_socket_cannot() -> None:
+    """A stage that cannot follow the present one raises ValueError."""
     with pytest.raises(ValueError, match="cannot go"):
         trail(Stage.CONNECTING).reach(Stage.WRITTEN)
 
 
 def test_the_wait_is_the_clients_within_the_plans() -> None:
+    """The client's `Prefer: wait` shortens the plan's abandon time and never extends it."""
     assert patience.asked_wait(["respond-async, wait=3"]) == 3 * SECOND
     assert patience.asked_wait(["wait=x", 'wait="2"; a=b']) == 2 * SECOND
     assert patience.asked_wait(["wait=-1", "WAITS=2"]) is None
@@ -105,22 +113,29 @@
 
 
 def test_a_request_read_after_standing_still_may_have_been_written_at_its_start() -> None:
+    """Guards against answers after the abandon time to requests that arrived while the process was paused.
+
+    Such a request counts from the start of the pause, or from when its connection was last empty.
+    """
     still, now = Stillness(0), 0
     for _ in range(10):
         now += BEAT
         assert still.beat(now) == 0
     assert still.written_at(now, 0) == now
     woke = now + 2 * SECOND
-    assert still.written_at(woke, 0) == now  # read before the beat itself ran again
+    assert still.written_at(woke, 0) == now  # read before the first heartbeat after the pause
     assert still.beat(woke) == 2 * SECOND
     assert still.written_at(woke + MS, 0) == now
-    assert still.written_at(woke + MS, woke - SECOND) == woke - SECOND  # its connection is younger
+    assert (
+        still.written_at(woke + MS, woke - SECOND) == woke - SECOND
+    )  # its connection was accepted during the pause
     for at in range(woke, woke + 2 * SECOND, BEAT):
         still.beat(at)
     assert still.written_at(woke + 2 * SECOND, 0) == woke + 2 * SECOND
 
 
 def test_answers_tell_a_paid_viewer_not_to_ask_again() -> None:
+    """An abort of a paid plan forbids a retry; a rejection rounds its wait up to whole seconds."""
     assert answers.aborted(Effect.PAID).retry is False
     assert answers.aborted(Effect.FREE).retry is True
     assert answers.rejected(1500 * MS).retry_after == 2
@@ -129,6 +144,7 @@
 
 
 def test_the_margin_for_the_way_back_grows_with_the_loops_lag_and_is_bounded() -> None:
+    """The margin is the configured time plus the loop lag, up to 150 ms of it."""
     assert [patience.margin(40 * MS, lag) for lag in (0, 30 * MS, 10 * SECOND)] == [
         40 * MS,
         70 * MS,
@@ -137,6 +153,10 @@
 
 
 def test_a_repeated_key_never_sets_up_a_paid_playback_twice() -> None:
+    """Guards against a second set-up of a paid playback whose viewer repeats its Idempotency-Key.
+
+    The repeat gets the first answer, during the playback and after its end, until the key expires.
+    """
     r, one = Repeats(10, 60 * SECOND), object()
     assert r.turn("k", "a", 0) == (Turn.NEW, None, None)
     assert r.begin("k", "a", True, 0)
@@ -153,6 +173,7 @@
 
 
 def test_a_full_memory_forgets_no_key_at_work() -> None:
+    """A full store evicts no key of a request in progress; it refuses the new key instead."""
     r = Repeats(2, 60 * SECOND)
     assert r.begin("a", "", True, 0)
     assert r.begin("b", "", True, 0)
@@ -164,6 +185,7 @@
 
 
 def test_the_viewers_best_rung_comes_from_its_bandwidth() -> None:
+    """The best rung is the highest whose rate fits the bandwidth; an invalid wish is ignored."""
     rates = (200.0, 400.0, 800.0)
     assert ladder.best_rung(rates, 1.0, None) == 2
     assert ladder.best_rung(rates, 1.0, ladder.bytes_a_second(3300, None)) == 1
@@ -178,6 +200,7 @@
 
 
 def test_repeated_errands_wait_longer_and_end() -> None:
+    """Retries wait longer each time and stop after the total time, if there is one."""
     again, now, waits = Again(RUNG, Random(1), 0), 0, []
     while (wait := again.failed(now)) is not None:
         waits.append(wait)
@@ -189,6 +212,7 @@
 
 
 def test_a_refused_step_down_is_asked_again_a_bounded_number_of_times() -> None:
+    """Retries of a step down stay within their delays, their number and their total time."""
     for seed in range(200):
         retry, now, attempts = Again(RENDITION_BOUND, Random(seed), 0), 0, 0
         while (wait := retry.failed(now)) is not None:
@@ -197,10 +221,13 @@
             attempts += 1
         assert 8 <= attempts <= 15
         assert now <= RENDITION_BOUND.give_up_after
-        assert retry.failed(RENDITION_BOUND.give_up_after) is None  # for good, whatever fails later
+        assert retry.failed(RENDITION_BOUND.give_up_after) is None  # it stays given up, whatever fails later
 
 
 def test_a_full_door_sheds_the_longest_idle_and_never_one_at_work() -> None:
+    """A full connection table closes the connection that was idle for longest, never one with an open
+    request.
+    """
     door = Door(Bounds(connections=2))
     assert door.knock(1, "a", 0)[0] is Verdict.PASS
     assert door.knock(2, "b", 0)[0] is Verdict.PASS
@@ -209,7 +236,7 @@
     door.busy(3)
     assert door.knock(4, "d", 9 * SECOND)[0] is Verdict.TURN_AWAY
     door.rests(1, 10 * SECOND)
-    assert door.knock(5, "e", 10 * SECOND)[0] is Verdict.TURN_AWAY  # idle for a moment only
+    assert door.knock(5, "e", 10 * SECOND)[0] is Verdict.TURN_AWAY  # not idle for long enough
     assert door.knock(6, "f", 12 * SECOND) == (Verdict.SHED, 1)
     door.leave(2)
     door.leave(6)
@@ -218,6 +245,7 @@
 
 
 def test_one_source_fills_only_its_share_and_slow_clients_hear_of_it() -> None:
+    """One source gets no more than its connections; slow and oversized requests get their status."""
     bounds = Bounds(connections_from_one=1)
     door = Door(bounds)
     door.knock(1, "a", 0)
@@ -232,6 +260,7 @@
 
 
 def test_a_full_queue_answers_the_newcomer() -> None:
+    """A full queue of pending requests refuses the next one until one has left."""
     queue = Queue(Bounds(waiting=1))
     assert queue.enter(1)
     assert not queue.enter(2)
@@ -240,10 +269,12 @@
 
 
 def line(name: str, port: int = 1, listing: Listing = Listing.READY, started: int = 0) -> Line:
+    """Makes an entry of a node list."""
     return Line(name, "127.0.0.1", port, "w", 0, listing, started, 1000.0, 10.0)
 
 
 def test_a_list_that_cannot_be_right_changes_nothing() -> None:
+    """An empty, ambiguous, invalid or outdated node list is refused and changes nothing."""
     roster = Roster()
     assert roster.take([line("a", 1), line("b", 2)], 5, "s", 0)
     for bad in (
@@ -254,12 +285,16 @@
         [line("a", 0)],
     ):
         assert isinstance(roster.take(bad, 6, "s", 1), Refused)
-    assert isinstance(roster.take([line("a", 1)], 4, "s", 1), Refused)  # it goes back in time
+    assert isinstance(roster.take([line("a", 1)], 4, "s", 1), Refused)  # its version is older
     assert sorted(roster.lines) == ["a", "b"]
     assert roster.take([line("a", 1)], 5, "s", 1) is None
 
 
 def test_a_list_tells_the_module_only_what_changed_and_keeps_nodes() -> None:
+    """A node list yields only its changes, and a node that stays listed keeps its object.
+
+    A node that is gone is forgotten a minute later.
+    """
     roster = Roster()
     first = roster.take([line("a", 1), line("b", 2)], 1, "s", 0, kept=True)
     assert not isinstance(first, Refused)
@@ -280,6 +315,7 @@
 
 
 def test_a_front_answers_what_is_open_and_then_ends_in_bounded_time() -> None:
+    """A stopping front end answers open requests first, and ends in bounded time all the same."""
     stop = Stopping(10 * SECOND, 2 * SECOND, 5 * SECOND)
     stop.serve(0)
     assert stop.takes_new()
@@ -294,10 +330,13 @@
     stuck = Stopping(SECOND, SECOND, 5 * SECOND)
     stuck.serve(0)
     stuck.signal(0)
-    assert stuck.look(1, 0, 1, 11 * SECOND) is Course.LEAVING  # nothing holds it for ever
+    assert (
+        stuck.look(1, 0, 1, 11 * SECOND) is Course.LEAVING
+    )  # an unanswered request does not hold it for ever
 
 
 def test_a_session_resource_checks_its_preconditions() -> None:
+    """PATCH and DELETE get the status that RFC 9725 defines; a failed ICE restart keeps the old session."""
     r = Resource("1", "abcd", most_candidates=2)
     codes = [
         r.patched("text/plain", ['"1"'], "abcd", 1), r.patched(SDPFRAG, None, "abcd", 1),
@@ -324,12 +363,17 @@
 
 
 def test_a_node_is_lost_when_it_names_itself_anew_refuses_twice_or_stays_silent() -> None:
+    """A new process name, two refused connections and an unknown session prove the loss of a node's
+    playbacks.
+
+    Silence makes the loss presumed only, and a broken stream alone is none.
+    """
     patience_ = Patience(SECOND, 4 * SECOND)
     life = Lifeline(patience_, 0)
     life.wanted(0)
     assert life.opened("p1", 0) is None
     assert life.broke(Break.RESET, SECOND) is None
-    assert life.opened("p1", 2 * SECOND) is None  # the stream alone had broken
+    assert life.opened("p1", 2 * SECOND) is None  # only the stream had broken
     assert life.opened("p2", 3 * SECOND) is Loss.PROVEN
     assert life.broke(Break.REFUSED, 4 * SECOND) is None
     assert life.broke(Break.REFUSED, 4 * SECOND) is Loss.PROVEN
@@ -341,25 +385,27 @@
     assert silent.state is Life.SILENT
     assert silent.look(5 * SECOND) is Loss.PRESUMED
     assert silent.look(6 * SECOND) is None
-    assert silent.opened("q", 7 * SECOND) is Loss.PROVEN  # it had died while it was silent
+    assert silent.opened("q", 7 * SECOND) is Loss.PROVEN  # it failed while it was silent
     gone = Lifeline(patience_, 0)
     gone.opened("p", 0)
     assert gone.broke(Break.GONE, 1) is Loss.PROVEN
 
 
 def test_a_fronts_own_pause_is_no_silence_of_its_nodes() -> None:
+    """Guards against a front end that ends all its playbacks after a pause of its own process."""
     life = Lifeline(Patience(SECOND, 4 * SECOND), 0)
     life.opened("p", 0)
     life.stood(20 * SECOND)
-    assert life.broke(Break.UNANSWERED, 20 * SECOND) is None  # the stream broke while nobody looked
+    assert life.broke(Break.UNANSWERED, 20 * SECOND) is None  # the stream broke during the pause
     life.stood(20 * SECOND)
     assert life.look(43 * SECOND) is None
-    assert life.look(45 * SECOND) is Loss.PRESUMED  # and from its waking on silence counts
+    assert life.look(45 * SECOND) is Loss.PRESUMED  # silence counts from the end of the pause
 
 
 def test_silence_counts_from_when_a_stream_is_wanted() -> None:
+    """Guards against a node that counts as lost because it was listed long before its first set-up."""
     life = Lifeline(Patience(SECOND, 4 * SECOND), 0)
-    life.wanted(60 * SECOND)  # listed long ago, first set-up now
+    life.wanted(60 * SECOND)  # listed at 0, first set-up now
     assert life.look(61 * SECOND) is None
     assert life.look(65 * SECOND) is Loss.PRESUMED
     life.wanted(70 * SECOND)
@@ -367,20 +413,24 @@
 
 
 def test_sessions_nobody_claims_are_ended_and_ends_unheard_are_found() -> None:
+    """Guards against orphaned sessions on a node and against playbacks that the node has ended unnoticed.
+
+    A pause of the front end does not count towards the claim timeout.
+    """
     c = Claims(10 * SECOND)
     assert c.claim("/s/1", 0)
     c.started("/s/2", SECOND)
     assert not c.orphans(5 * SECOND)
     c.stood(3 * SECOND)
-    assert not c.orphans(12 * SECOND)  # the front itself stood still for a part of it
+    assert not c.orphans(12 * SECOND)  # the front end was paused for a part of it
     assert c.orphans(15 * SECOND) == ["/s/2"]
     assert not c.orphans(30 * SECOND)
     assert not c.ended("/s/3")
-    assert not c.claim("/s/3", 16 * SECOND)  # it ended before its answer came
+    assert not c.claim("/s/3", 16 * SECOND)  # it ended before its answer arrived
     c.claim("/s/4", 20 * SECOND)
     assert c.told(["/s/9"], 19 * SECOND, 21 * SECOND) == [
         "/s/1"
-    ]  # 4 was claimed after that word was asked for
+    ]  # /s/4 was claimed after the list was requested
     assert c.orphans(40 * SECOND) == ["/s/9"]
     assert c.ended("/s/4")
     c.claim("/s/5", 41 * SECOND)
@@ -388,6 +438,7 @@
 
 
 def test_a_full_shelf_lets_go_of_no_title_in_use() -> None:
+    """A full title cache evicts only titles without seats taken."""
     shelf = Shelf(2, 4, 3, {"stated": (1, 2)})
     a, b = shelf.get("a", 9), shelf.get("stated", 9)
     assert a is not None
@@ -407,6 +458,7 @@
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(STEPS)
 def test_the_door_counts_its_guests_rightly_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
+    """After any sequence of steps the connection table and its counts by source match a plain model."""
     door, inside, now = Door(Bounds(connections=4, connections_from_one=3)), dict[int, str](), 0
     for i, (what, number, source) in enumerate(steps):
         now += SECOND
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,6 @@
-"""Levels of reduced service: the machine walked through, its bound under any load, and a front whose level changes."""
+"""Service levels: the state machine, its bound on changes under any load, and a front end whose level
+changes.
+"""
 
 from __future__ import annotations
 
@@ -30,10 +32,12 @@
 
 
 def machine(seed: int = 1, bounds: Bounds = BOUNDS) -> Levels:
+    """Makes a level controller."""
     return Levels(LEVELS, bounds, Random(seed), 0)
 
 
 def play(m: Levels, loads: list[float], step: int = 500 * MS) -> list[tuple[int, str]]:
+    """Feeds a series of link loads, `step` ns apart; returns the times and names of the levels entered."""
     out = []
     for n, x in enumerate(loads):
         if change := m.look({Sign.X: x}, n * step):
@@ -42,11 +46,14 @@
 
 
 def test_it_enters_by_what_holds_leaves_one_by_one_and_jumps_on_strong_evidence() -> None:
+    """A level is entered once a signal holds, or at once if it is far over the threshold; levels are left
+    when exits hold.
+    """
     m = machine()
-    assert play(m, [1.1, 0.5] * 20) == []  # nothing holds
+    assert play(m, [1.1, 0.5] * 20) == []  # the signal never holds for long enough
     m = machine()
     names = [name for _, name in play(m, [1.1] * 60 + [0.95] * 60 + [0.2] * 100)]
-    assert names == ["tight", "full"]  # 0.95 lies in the gap
+    assert names == ["tight", "full"]  # 0.95 is between the thresholds
     m = machine()
     changes = play(m, [2.4] + [0.2] * 200)
     assert [name for _, name in changes] == ["core", "full"]
@@ -65,6 +72,10 @@
 def test_no_load_brings_more_changes_than_stated_and_calm_brings_full_service_back(
     seed: int, loads: list[float], step_ms: int
 ) -> None:
+    """Guards against flapping and against service that stays reduced for ever.
+
+    No load causes more changes than the limit in any window, and low load always brings full service back.
+    """
     m = machine(seed)
     at = [t for t, _ in play(m, loads, step_ms * MS)]
     for i, first in enumerate(at):
@@ -77,6 +88,7 @@
 
 
 def test_every_small_history_keeps_the_bound() -> None:
+    """All sequences of six loads keep the limit on changes and return to full service."""
     bounds, seen = Bounds(least=2, most_changes=3, window=9, hold=1), Counter[str]()
     for loads in product((0.2, 1.1, 1.3, 2.4), repeat=6):
         m = Levels(LEVELS, bounds, Random(1), 0)
@@ -94,6 +106,9 @@
 
 
 def test_two_hundred_fronts_on_an_edge_do_not_swing_in_step() -> None:
+    """Guards against hundreds of front ends that change level in step when the load swings around a
+    threshold.
+    """
     fronts, rng = [machine(seed) for seed in range(200)], Random(9)
     at, load = list[int](), 1.0
     for n in range(1200):  # ten minutes
@@ -106,10 +121,11 @@
     plain = 0
     for n in range(1, 1200):
         plain += (1 if n // 30 % 2 else -1) != (1 if (n - 1) // 30 % 2 else -1)
-    assert sum(len(m.history) for m in fronts) / 200 < plain  # a bare threshold follows each swing
+    assert sum(len(m.history) for m in fronts) / 200 < plain  # a plain threshold would follow each swing
 
 
 def test_a_pin_holds_and_runs_out_and_a_gate_lets_in_what_is_stated() -> None:
+    """A pinned level holds until its time; the admission gate lets the configured share in."""
     m = machine()
     assert not m.pin_to("nothing", 9)
     assert m.pin_to("low", 20 * SECOND)
@@ -126,12 +142,13 @@
 
 
 def test_the_tally_tells_shares_of_late() -> None:
+    """The shares of recent answers are those of the sums, and 0 once too few answers are left."""
     t = Tally()
     assert t.signs(0)[Sign.REFUSED] == 0.0
     for n in range(10):
         t.answered(n % 2 == 0, 2.0, n >= 5, 0)
     assert t.signs(0) == {Sign.REFUSED: 0.5, Sign.LATE: 0.5}
-    assert t.signs(60 * SECOND)[Sign.REFUSED] == 0.0  # too little of late to tell by
+    assert t.signs(60 * SECOND)[Sign.REFUSED] == 0.0  # too few recent answers
 
 
 SITE = """(operators (secret "operators-secret"))
@@ -151,6 +168,7 @@
     ("(levels (most-changes 1))", "most-changes"),
 ])  # fmt: skip
 def test_a_faulty_level_is_told(form: str, says: str) -> None:
+    """A faulty level in the configuration is reported."""
     text = """(fleet (cells 2)) (ladder (rates 200kB/s 400kB/s) (worth 0.5 1))
       (plan open (effect free) (startup-target 1s) (abandon 5s) (revenue 1))
       (route open (path "/whep/open/") (plan open))"""
@@ -160,6 +178,7 @@
 
 
 def test_a_front_reduces_by_its_level_and_tells_so(tmp_path: Path) -> None:
+    """A front end rejects and lowers by its level, and its status reports the level and the reason."""
     auth: dict[str, Any] = {"Authorization": "Bearer operators-secret"}
 
     async def test() -> None:
@@ -171,7 +190,7 @@
             refused = await rig.watch("/whep/open/a")
             assert refused.status == 503
             assert b"urn:oakcroft:problem:reduced" in refused.body
-            assert (await rig.watch("/whep/course/a")).status == 201  # courses are chosen over open lessons
+            assert (await rig.watch("/whep/course/a")).status == 201  # only the open plan is reduced
             assert rig.facts("setup")[-1]["rung"] == 0
             status = orjson.loads((await rig.ask("GET", "/operators/status", **auth)).body)
             assert (status["level"]["name"], status["level"]["why"]) == (
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,6 @@
-"""Moves: every reachable state of the machine, the decisions around it, and whole moves with their failures."""
+"""Moves: every reachable state of the state machine, the decisions around it, and whole moves with their
+failures.
+"""
 
 from __future__ import annotations
 
@@ -27,27 +29,27 @@
 from oakcroft.standins import rtp
 from oakcroft.standins.playout import PlayoutNode
 
-# A model check: the world that a move lives in, with all faults, walked exhaustively.
+# Model check: all states of a move with all faults.
 
 
 @dataclass(frozen=True)
 class World:
-    """One playback, its copy, and what the front owes: a plain model, slower and simpler than the front."""
+    """Model of one playback, its copy and what the front end owes; simpler than the front end."""
 
     state: Course
     source: str  # plays, ending, gone
     target: str  # none, out, plays, ending, gone
-    viewer: bool  # is there
+    viewer: bool  # whether it is connected
     offer: str  # none, waits, answered
     held: str  # where the player plays: source, target, nothing
-    doomed: str = ""  # a copy whose set-up is out is to be ended when it comes
+    doomed: str = ""  # a copy whose set-up is in progress is to be ended once it plays
 
 
 START = World(Course.PLANNED, "plays", "none", True, "none", "source")
 
 
 def possible(w: World) -> list[Happening]:
-    """What the world can do next."""
+    """Returns the events that can happen next."""
     out = []
     if w.state is Course.PLANNED:
         out.append(Happening.DUE)
@@ -74,7 +76,9 @@
 
 
 def after(w: World, what: Happening) -> World:
-    """The world after it: first what happens by itself, then what the machine has the front do."""
+    """Returns the model after an event: its direct effect first, then what the state machine has the front
+    end do.
+    """
     source, target, viewer, asked, held, doomed = w.source, w.target, w.viewer, w.offer, w.held, w.doomed
     if what in (Happening.SOURCE_DIED, Happening.SOURCE_ENDED):
         source, held = "gone", "nothing" if held == "source" else held
@@ -116,6 +120,11 @@
 
 
 def test_every_reachable_state_has_a_way_out_and_keeps_the_promises() -> None:
+    """Checks every reachable state of the model with all faults.
+
+    Each state has a way out, every offer gets its answer, a playback whose source plays on is never lost, and
+    no copy is left over.
+    """
     seen, edge = {START}, [START]
     while edge:
         w = edge.pop()
@@ -129,20 +138,21 @@
     assert len(seen) == 38, len(seen)  # written in docs/moving.md
     for w in seen:
         if w.state not in OVER:
-            assert any(after(w, what).state is not w.state for what in possible(w)), w  # a way out
+            assert any(after(w, what).state is not w.state for what in possible(w)), w  # it has a way out
         else:
             assert w.offer != "waits", w  # every offer has its answer
             if w.viewer and w.source == "plays":
-                assert w.held == "source", w  # whatever failed, it plays on
+                assert w.held == "source", w  # it plays on, whatever failed
             assert not (w.viewer and w.state is Course.DONE and w.held != "target" and w.target == "plays"), w
         assert not (w.source == "plays" and w.target == "plays" and w.state in OVER), (
             w
-        )  # no copy is forgotten
+        )  # no copy is left over
         if w.state is Course.STAYED and w.viewer:
             assert w.source != "ending", w
 
 
 def test_the_table_leads_only_forward_and_an_end_is_an_end() -> None:
+    """No transition leaves an end state or keeps its state; a move that has ended ignores all events."""
     for (state, _), (to, _) in TABLE.items():
         assert state not in OVER
         assert to is not state
@@ -159,10 +169,13 @@
     assert [move.happens(what) for what in Happening] == [Act.NOTHING] * len(Happening)
 
 
-# The decisions around it.
+# The decisions around it: rules, notices, degrading nodes and the schedule.
 
 
 def test_what_may_move_follows_from_the_rules() -> None:
+    """Paid playbacks and unmovable players stay, keyed ones move within their group, and seats decide the
+    order.
+    """
     a, b = Node("a"), Node("b")
     a.zone, b.zone = "west", "east"
     assert stays(PAID, 0, 1, 0, True) is Reason.PAID
@@ -185,15 +198,16 @@
 
 
 def test_notices_are_told_or_learnt() -> None:
+    """The notice is the stated one or the estimate, which follows quickly downwards and slowly upwards."""
     n = Notices(10 * SECOND)
     assert n.begins("a", 0, None)
     assert not n.begins("a", SECOND, None)
     assert n.left("a", 2 * SECOND) == 6 * SECOND
     n.gone("a", 4 * SECOND)
-    assert n.usual == 7 * SECOND  # quickly down
+    assert n.usual == 7 * SECOND  # follows quickly downwards
     n.begins("b", 0, None)
     n.gone("b", 17 * SECOND)
-    assert n.usual == 8 * SECOND  # slowly up
+    assert n.usual == 8 * SECOND  # follows slowly upwards
     n.begins("c", 0, 30 * SECOND)
     assert n.left("c", 10 * SECOND) == 20 * SECOND
     n.gone("c", SECOND)
@@ -204,6 +218,10 @@
 
 
 def test_a_node_fades_by_falling_notes_and_never_in_a_squeeze_of_all() -> None:
+    """Guards against false alarms that empty a good node.
+
+    A node degrades only by falling reports while the others deliver more, and one node at a time.
+    """
     falling = [0.95, 0.85, 0.78, 0.7]
     alone, shared, swinging = Fadings(), Fadings(), Fadings()
     assert [alone.note("n", s, 1.0, i * SECOND) for i, s in enumerate(falling)] == [False, False, False, True]
@@ -215,6 +233,7 @@
 
 
 def test_two_hundred_fronts_spread_a_drain_and_keep_few_moves_at_once() -> None:
+    """The moves of many front ends spread over the notice, without a burst in any second."""
     begun, notice, step = list[int](), 20 * SECOND, 50 * MS
     for front in range(200):
         mover = Mover(Pace(), Random(front))
@@ -226,10 +245,11 @@
     assert len(begun) == 600
     assert max(begun) <= notice * 0.7
     seconds = Counter(t // SECOND for t in begun)
-    assert max(seconds.values()) < 2 * 600 / (20 * 0.7 - 1.5)  # no crowd in any second
+    assert max(seconds.values()) < 2 * 600 / (20 * 0.7 - 1.5)  # no burst in any second
 
 
 def test_the_mover_begins_the_dearest_first_within_its_bounds_and_tries_again() -> None:
+    """Moves of most value begin first, within the limits, and are tried again while there is time."""
     mover = Mover(Pace(at_once=2, to_one=1), Random(1))
     mover.leave("n", [("a", 1.0), ("b", 3.0), ("c", 2.0)], 0, Why.DRAIN, 0)
     assert [w.key for w in mover.begin(0, 9)] == ["b", "c"]
@@ -237,22 +257,25 @@
     mover.goes_to("b", "t")
     assert not mover.may_go_to("c", "t")
     assert mover.may_go_to("b", "t")
-    assert mover.over("b", False, 0, 5 * SECOND)  # it stayed, and there is time
+    assert mover.over("b", False, 0, 5 * SECOND)  # it stayed, and there is time for another attempt
     assert not mover.over("c", True, 0, 5 * SECOND)
-    assert mover.begin(SECOND, 0) == []  # no budget of further tries
+    assert mover.begin(SECOND, 0) == []  # no further tries are left
     assert {w.key for w in mover.begin(20 * SECOND, 9)} == {"a", "b"}
-    assert not mover.over("b", False, 0, 100 * MS)  # too late for another
+    assert not mover.over("b", False, 0, 100 * MS)  # too late for another attempt
     assert mover.taken_back("n") == ["a"]
-    assert mover.leave("n", [("a", 1.0)], 0, Why.DRAIN, 0) == 0  # under way already
+    assert mover.leave("n", [("a", 1.0)], 0, Why.DRAIN, 0) == 0  # in progress already
     assert mover.next_due(0) is None
 
 
 def test_a_copy_is_a_further_try_in_the_module_and_never_refused_at_the_door() -> None:
+    """The copy of a playback counts as a further try, and is not rejected by admission control as a new
+    request.
+    """
     terms = TERMS.__class__(
         **{**TERMS.__dict__, "tries_free": 1.0, "tries_share": 0.0, "tries_window": 10 * SECOND}
     )
     fleet = Fleet(terms=terms)
-    fleet.control.x = 9.0  # all new requests are refused
+    fleet.control.x = 9.0  # all new requests are rejected
     first = Playback(fleet.ask().title, FREE, 2, fleet.now + SECOND, False)
     answers = []
     for _ in range(2):
@@ -265,7 +288,7 @@
     fleet.control.tried(first, Outcome.DONE, True, None, None, None, fleet.now)
 
 
-# Whole moves on sockets.
+# Whole moves on sockets, with a front end and playout nodes.
 
 
 @dataclass
@@ -279,8 +302,9 @@
     ended: trio.Event
 
     async def listen(self) -> None:
+        """Reads its event stream and notes the request for an offer and the end of the playback."""
         peer, reader = Peer("127.0.0.1", self.rig.port), words.EventReader()
-        with suppress(Ended):  # its front may die
+        with suppress(Ended):  # its front end may stop
             async with peer.stream("GET", f"{self.here}/events?kinds=inactive.move", []) as (_, chunks):
                 async for chunk in chunks:
                     for name, data in reader.feed(chunk):
@@ -292,15 +316,18 @@
         self.ended.set()
 
     async def offer(self) -> Response:
+        """Makes its offer for the move."""
         return await self.rig.ask(
             "POST", f"{self.here}/move", offer(9_000, 2).encode(), Content_Type=sdp.MEDIA_TYPE
         )
 
     async def done(self) -> None:
+        """Confirms that it plays from the target."""
         assert (await self.rig.ask("POST", f"{self.here}/move/done")).status == 204
 
 
 async def playing(rig: Rig, nursery: trio.Nursery, path: str = "/whep/open/t") -> Player:
+    """Starts a playback and its event stream."""
     sat = await rig.watch(path)
     assert sat.status == 201
     player = Player(rig, sat, sat.header("location") or "", trio.Event(), trio.Event())
@@ -313,7 +340,7 @@
 
 
 def drain(rig: Rig) -> tuple[PlayoutNode, PlayoutNode]:
-    """The node that plays begins draining; it and the other one."""
+    """Begins to drain the node that plays; returns it and the other one."""
     source = rig.playing()[0]
     other = next(n for n in rig.fleet.nodes.values() if n is not source)
     source.ails.draining = True
@@ -322,10 +349,13 @@
 
 
 def ends(rig: Rig) -> list[str]:
+    """Returns the end states of all moves so far, from the log."""
     return [e["end"] for e in rig.logged() if e["event"] == "moved"]
 
 
 def test_a_playback_leaves_a_draining_node_and_its_player_keeps_its_session(tmp_path: Path) -> None:
+    """A move off a draining node keeps the session: the copy plays before the source ends."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery)
@@ -335,7 +365,7 @@
             assert (moved.status, moved.header("location")) == (201, player.here)
             assert moved.header("etag") != player.sat.header("etag") or target.name != source.name
             assert source.sessions
-            assert target.sessions  # made before it is broken
+            assert target.sessions  # make before break
             await player.done()
             await until(lambda: not source.sessions and target.sessions)
             await until(lambda: ends(rig) == ["done"])
@@ -352,7 +382,7 @@
 
 
 async def moved_away(rig: Rig, player: Player) -> PlayoutNode:
-    """Drains the node that plays until its playback plays on the other; the node that it left."""
+    """Drains the node that plays until its playback plays on the other one; returns the node that it left."""
     helm, before = rig.helm(), len(ends(rig))
     player.told = trio.Event()
     source, _ = drain(rig)
@@ -368,6 +398,8 @@
 
 
 def test_a_playback_moves_back_to_the_node_that_it_left(tmp_path: Path) -> None:
+    """A node that was left and is ready again can be the target of a later move."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery)
@@ -381,6 +413,7 @@
 
 
 def test_a_copy_keeps_to_the_pool_of_its_route(tmp_path: Path) -> None:
+    """Guards against a copy on a node outside the pool of its route."""
     form = """(pool first (nodes n1)) (route first (path "/whep/first/") (plan open) (pool first))"""
 
     async def test() -> None:
@@ -397,6 +430,8 @@
 
 
 def test_paid_playbacks_and_plain_players_stay(tmp_path: Path) -> None:
+    """A paid playback on a draining node stays there, and its player is not asked."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery, "/whep/course/t")
@@ -418,6 +453,8 @@
      "viewer leaves beside", "taken back", "taken back placing", "source dies beside"],
 )  # fmt: skip
 def test_whatever_fails_in_a_move_has_its_stated_end(tmp_path: Path, fault: str) -> None:
+    """Each failure during a move leads to its defined end state, on real sockets."""
+
     async def test() -> None:
         async with standing(tmp_path, fleet="(most-tries 1)") as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery)
@@ -456,7 +493,7 @@
                     target.ails.hung = False
                     target.stir()
                     await until(lambda: answers)
-                    assert answers[0].status == 201  # the copy is the playback now
+                    assert answers[0].status == 201  # the copy has become the playback
                     assert not player.ended.is_set()
                     assert (await rig.ask("DELETE", player.here)).status == 200
                 case "viewer leaves beside":
@@ -493,6 +530,7 @@
 
 
 def test_rtp_is_read_as_it_is_sent_and_a_screen_plays_an_overlap_once() -> None:
+    """RTP packets are parsed as sent, and a player plays overlapping streams once."""
     for i in range(5):
         sent = rtp.packet(65_535 + i, 1000 + i, 7, 123, 2)
         read = rtp.parse(sent)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,6 @@
-"""State that survives crashes: the file and its faults, what recovery decides, and whole fronts that are killed."""
+"""State that survives crashes: the file and its faults, the decisions of a recovery, and front ends that are
+killed.
+"""
 
 from __future__ import annotations
 
@@ -64,24 +66,28 @@
 
 
 def promise(id_: str = "p", mark: Mark = Mark.INTENT, effect: Effect = Effect.PAID, **more: Any) -> Promise:
+    """Makes a promise that was sent to node n1 at one second."""
     base = Promise(id_, f"key-{id_}", "about", "/whep/course/t", "t", "course", effect.value, False, False, "u", 2, "",
                    0, 5 * SECOND, mark, "n1", "n1-1", SECOND, changed=SECOND)  # fmt: skip
     return replace(base, **more)
 
 
 def plan(effect: Effect, seats: int = 0) -> Plan:
+    """Makes a plan."""
     return Plan(effect, Group.ALL, SECOND, SECOND, 1.0, 0, 2, seats, 1.0, False)
 
 
 def word(**more: Any) -> Word:
+    """Makes a node report that can prove that an intent never ran."""
     at = 8 * SECOND
     return replace(Word("n1-1", {}, frozenset(), 60 * SECOND, 60 * SECOND, at, at + MS), **more)
 
 
-# What is decided.
+# Decisions: promises, node reports, recovery and the health of the file.
 
 
 def test_a_promise_goes_only_where_it_can() -> None:
+    """Invalid changes of state raise ValueError; outcomes and answers lead to the right states."""
     p = promise()
     assert step(None, p) is p
     for mark, allowed in ((Mark.ABORTED, {Mark.GONE}), (Mark.GONE, set[Mark]())):
@@ -103,15 +109,19 @@
         True,
     ]
     assert waits_for_record(plan(Effect.FREE, seats=1))
-    assert not expired(promise(mark=Mark.PLAYS), KEEP, 1 << 60)  # what plays is never forgotten
+    assert not expired(promise(mark=Mark.PLAYS), KEEP, 1 << 60)  # a promise that plays is kept
 
 
 def test_only_a_nodes_word_that_can_prove_it_frees_a_key() -> None:
+    """Guards against a paid set-up that is sent twice after a restart.
+
+    Only a report that covers the time of the set-up proves that it never ran.
+    """
     p = promise()
     assert judge(p, word()) is Verdict.NEVER_RAN
-    assert judge(p, word(up=6 * SECOND)) is Verdict.UNPROVEN  # a process that may be younger than the set-up
+    assert judge(p, word(up=6 * SECOND)) is Verdict.UNPROVEN  # the process may be younger than the set-up
     assert judge(p, word(remembers=6 * SECOND)) is Verdict.UNPROVEN
-    assert judge(p, word(asked=5 * SECOND + IN_FLIGHT - 1)) is Verdict.UNPROVEN  # it may still arrive
+    assert judge(p, word(asked=5 * SECOND + IN_FLIGHT - 1)) is Verdict.UNPROVEN  # the set-up may still arrive
     assert judge(p, word(keys=frozenset({p.key}))) is Verdict.RAN
     assert judge(p, word(running={"/s/1": p.key}, keys=frozenset({p.key}))) is Verdict.RUNNING
     plays = promise(mark=Mark.PLAYS, resource="/s/1")
@@ -125,6 +135,7 @@
 
 
 def test_fates_at_the_start() -> None:
+    """What becomes of a promise at the start, by its state, plan, node and age."""
     now = 10 * SECOND
     plays = promise(mark=Mark.PLAYS, resource="/s/1")
     assert fate(plays, True, True, KEEP, now) is Fate.ADOPT
@@ -136,14 +147,17 @@
     assert fate(promise(effect=Effect.FREE), False, True, KEEP, now) is Fate.FORGET
     assert fate(promise(mark=Mark.ABORTED), True, True, KEEP, now) is Fate.REMEMBER
     assert fate(promise(mark=Mark.ABORTED), True, True, KEEP, now + KEEP) is Fate.FORGET
-    assert fate(promise(), True, True, KEEP, -now) is Fate.HOLD  # a clock that went back
+    assert fate(promise(), True, True, KEEP, -now) is Fate.HOLD  # the clock went back
 
 
 def test_a_front_without_its_state_asks_its_nodes_first() -> None:
+    """A front end that lost its state records nothing until all listed nodes have reported, or the retention
+    has passed.
+    """
     r = Recovery(KEEP, 0)
     assert r.read(True, ["a"], 0) is Phase.SERVING
     r = Recovery(KEEP, 0)
-    assert r.read(False, [], 0) is Phase.FORGETFUL  # no list yet: nobody has been asked
+    assert r.read(False, [], 0) is Phase.FORGETFUL  # no node list yet, so no node was asked
     r.list_came(["a", "b"])
     assert r.heard("a", word(keys=frozenset({"k"})), 1) is Phase.FORGETFUL
     assert not r.takes_promises("other")
@@ -161,6 +175,7 @@
 
 
 def test_health_comes_back_only_by_what_worked() -> None:
+    """A slow or failed file is healthy again only after commits that worked; retries wait longer each time."""
     h = Health(slow_after=100)
     h.begins(0)
     assert h.takes_promises(100)
@@ -182,7 +197,7 @@
         waits.append(before)
     assert waits == sorted(waits)
     assert waits[-1] == 5 * SECOND
-    assert not h.done(400)  # not everything was written anew
+    assert not h.done(400)  # not a full rewrite
     assert h.done(401, whole=True)
     assert h.takes_promises(401)
     u = Upkeep(rows=200, every=10)
@@ -192,15 +207,18 @@
 
 
 class World:
-    """Paid and seated requests, one node, and lives of a front that use only the pure parts; the rules by plain sets."""
+    """Model of paid requests with seats, one node, and a front end that is killed; it uses only the pure
+    functions.
+    """
 
     SEATS = 2
 
     def __init__(self, rng: Random) -> None:
+        """Starts with one process of the node and no requests."""
         self.rng, self.now = rng, 100 * SECOND
         self.durable: dict[str, Promise] = {}
         self.memory: dict[str, Promise] = {}
-        self.flying: list[Promise] = []  # set-ups that the node has not read, which outlive the front
+        self.flying: list[Promise] = []  # set-ups that the node has not read; they outlive the front end
         self.running: dict[str, str] = {}
         self.ran, self.times = Counter[str](), dict[str, int]()
         self.answers: dict[str, list[str]] = {}
@@ -208,16 +226,18 @@
         self.outstanding: set[str] = set()
 
     def seats(self) -> int:
+        """Returns the number of seats taken."""
         return sum(p.mark in (Mark.INTENT, Mark.PLAYS) for p in self.memory.values())
 
     def ask(self, key: str) -> None:
+        """A viewer sends a request with a key, for the first time or again."""
         p = self.memory.get(key)
         if p is not None and p.mark is Mark.PLAYS:
             self.answers.setdefault(key, []).append("plays")
         elif p is not None and key not in self.outstanding:
             self.answers.setdefault(key, []).append("aborted")
         elif p is None and self.seats() < self.SEATS:
-            self.outstanding.add(key)  # asked again in this life, it is told so and gets no answer
+            self.outstanding.add(key)  # a repeat in the same process gets no final answer
             p = promise(
                 key,
                 sent_at=self.now,
@@ -227,12 +247,13 @@
             )
             self.memory[key] = step(None, p)
             if self.rng.random() < 0.2:
-                return self.kill()  # before the intent was durable: it never left
+                return self.kill()  # before the intent was durable, so it was not sent
             self.durable[key] = p
             self.flying.append(p)
         return None
 
     def arrive(self) -> None:
+        """The node reads the oldest set-up that was sent, if it is not too late."""
         if self.flying and self.now <= self.flying[0].abandon + IN_FLIGHT:
             p = self.flying.pop(0)
             self.ran[p.key] += 1
@@ -247,21 +268,23 @@
                 self.memory[p.id] = step(mine, replace(plays, resource=p.id))
                 self.outstanding.discard(p.id)
                 if self.rng.random() < 0.3:
-                    return self.kill()  # before its answer was on record: it was not given
+                    return self.kill()  # before the answer was recorded, so it was not given
                 self.durable[p.id] = self.memory[p.id]
                 self.answers.setdefault(p.id, []).append("plays")
         elif self.flying:
-            p = self.flying.pop(0)  # its connection is long gone
+            p = self.flying.pop(0)  # its connection is closed by now
         return None
 
     def kill(self) -> None:
+        """The front end is killed and starts again from its durable promises."""
         self.memory = {}
-        self.outstanding.clear()  # its connections are gone with it
+        self.outstanding.clear()  # its connections are closed with it
         for id_, p in self.durable.items():
             if fate(p, True, True, KEEP, self.now) is not Fate.FORGET:
                 self.memory[id_] = p
 
     def hear(self) -> None:
+        """The front end receives a node report."""
         keys = frozenset(k for k, t in self.times.items() if self.now - t < 60 * SECOND)
         asked = self.now - self.rng.randrange(SECOND)
         w = Word(
@@ -282,19 +305,21 @@
                 self.memory[id_] = self.durable[id_] = after
 
     def over(self, id_: str) -> None:
-        """Nothing binds a key any more: a request with it is a new one."""
+        """A promise binds nothing any more: a request with its key is a new one."""
         if self.memory.pop(id_).mark is Mark.PLAYS:
             self.ran[f"key-{id_}"] = 0
             self.answers.pop(id_, None)
         self.durable.pop(id_, None)
 
     def node_dies(self) -> None:
+        """The node's process is replaced by a new one, which remembers nothing."""
         self.process, self.up = self.process + 1, self.now
         self.running.clear()
         self.times.clear()
         self.flying.clear()
 
     def check(self) -> None:
+        """Checks that no paid key ran twice, no seat is exceeded, and each key has one answer."""
         assert max(self.ran.values(), default=0) <= 1, "a paid playback was set up twice"
         assert len(self.running) <= self.SEATS, "more than the seats"
         for key, heard in self.answers.items():
@@ -307,6 +332,7 @@
 def test_over_any_history_of_lives_no_paid_key_runs_twice_and_no_seat_is_over(
     seed: int, steps: list[str]
 ) -> None:
+    """Guards against double set-ups and exceeded seats across restarts, for any sequence of events."""
     world, numbers = World(Random(seed)), count()
     for what in steps:
         match what:
@@ -334,18 +360,21 @@
         world.check()
 
 
-# The file.
+# The state file.
 
 
 def disk() -> Disk:
+    """Makes a disk under a name of its own."""
     return Disk(f"disk-{next(NAMES)}")
 
 
 def line(name: str) -> Line:
+    """Makes an entry of the node list."""
     return Line(name, "127.0.0.1", 80, "west", 1, Listing.READY, 5, 1000.0, 10.0, "", ("a",), None)
 
 
 def filled(file: StateFile) -> None:
+    """Writes one record of each kind."""
     file.commit([
         Put(promise("a")), Put(promise("b", Mark.PLAYS, resource="/s/b")), Told((line("n1"), line("n2")), 7, "svc", 9),
         Move("b", "copy", 3), Grudge("n1", 0.5, 4, 3), Spent("n2", 1, 2, 3, 4), Fact("alive", b"12"),
@@ -354,6 +383,7 @@
 
 
 def test_the_file_gives_back_what_was_put_into_it(tmp_path: Path) -> None:
+    """The file and a snapshot of it return what was committed."""
     file = StateFile(str(tmp_path / "state"))
     filled(file)
     file.snapshot(tmp_path / "copy")
@@ -377,6 +407,7 @@
 
 @pytest.mark.parametrize("version", range(VERSION + 1))
 def test_a_file_of_any_earlier_version_is_brought_forward(tmp_path: Path, version: int) -> None:
+    """A file of any earlier schema version is migrated, with its promises."""
     path = tmp_path / "state"
     db = apsw.Connection(str(path))
     for number in range(version):
@@ -396,6 +427,7 @@
 
 
 def test_a_newer_file_another_programs_and_one_in_use_are_left_alone(tmp_path: Path) -> None:
+    """A file of a newer version, of another program, or in use is not opened and not changed."""
     path = str(tmp_path / "state")
     first = StateFile(path)
     filled(first)
@@ -418,6 +450,7 @@
 
 
 def test_what_was_committed_survives_a_power_cut_at_every_call_and_nothing_comes_by_halves() -> None:
+    """Guards against lost or partial commits after a power cut at any call of the file system."""
     for cut in range(60):
         d, rng, done = disk(), Random(cut), 0
 
@@ -443,6 +476,7 @@
 
 
 def test_expired_promises_go_a_few_at_a_time_and_the_file_shrinks(tmp_path: Path) -> None:
+    """Expired promises are dropped in steps, those that play stay, and the file shrinks."""
     file = StateFile(str(tmp_path / "state"))
     file.commit([Put(promise(str(n), Mark.ABORTED, answer="x" * 2000)) for n in range(400)])
     file.commit([Put(promise("plays", Mark.PLAYS, changed=0)), Put(promise("young", changed=1 << 50))])
@@ -457,6 +491,7 @@
 
 
 def test_a_damaged_file_is_put_aside(tmp_path: Path) -> None:
+    """A damaged file is reported, and set aside so that a new one can be made."""
     path = tmp_path / "state"
     file = StateFile(str(path))
     filled(file)
@@ -472,10 +507,11 @@
     assert StateFile(str(path)).read().promises == []
 
 
-# The writer.
+# The writer of the state file.
 
 
 def store(d: Disk, whole: Callable[[], Whole] | None = None) -> Store:
+    """Makes a store on a disk."""
     log = structlog.wrap_logger(structlog.PrintLogger(io.StringIO()))
     made = Store(
         "state",
@@ -491,6 +527,11 @@
 
 @pytest.mark.parametrize("kind", ["full", "io-write", "io-sync", "read-only"])
 def test_a_fault_at_any_call_refuses_what_must_be_durable_and_passes_by_itself(kind: str) -> None:
+    """Guards against a promise that is reported as durable but lost.
+
+    A fault at any call refuses the write, and the store recovers by itself.
+    """
+
     async def test() -> None:
         for at in range(14):
             d, kept = disk(), dict[str, Promise]()
@@ -507,19 +548,21 @@
                     await trio.sleep(0.002)
                 await until(lambda s=s: s.health.state is Standing.SOUND)  # type: ignore[misc]
                 kept["late"] = late = promise("late", changed=s.now())
-                while not await s.durable(Put(late)):  # the fault may fall on this one
+                while not await s.durable(Put(late)):  # the fault may hit this write
                     await until(lambda s=s: s.health.state is Standing.SOUND)  # type: ignore[misc]
                 nursery.cancel_scope.cancel()
             d.mend()
             file = StateFile("state", vfs=d.cut_power(Random(at)).name)
             on_record = {p.id for p in file.read().promises}
-            assert set(kept) <= on_record, (at, set(kept) - on_record)  # what was told to be durable is
+            assert set(kept) <= on_record, (at, set(kept) - on_record)  # all that was reported as durable
             file.close()
 
     run(test, 60)
 
 
 def test_a_slow_disk_refuses_at_once_and_a_full_queue_drops_no_durable_change() -> None:
+    """A slow disk refuses durable writes at once and accepts them again later."""
+
     async def test() -> None:
         d = disk()
         s = store(d)
@@ -545,19 +588,21 @@
     run(test)
 
 
-# Whole fronts.
+# Whole front ends.
 
 
 def key(name: str) -> dict[str, Any]:
+    """Returns the header of an idempotency key."""
     return {"Idempotency_Key": words.quoted(name)}
 
 
 def kind_of(sat: Response) -> str:
+    """Returns the last part of a response's problem type."""
     return words.problem_type(sat.body).rpartition(":")[2]
 
 
 def nothing_twice_and_no_seat_over(rig: Rig) -> None:
-    """Judges rules 2 and 5 from the nodes' records."""
+    """Checks rules 2 and 5 on the nodes' records."""
     facts = [f for kind in ("setup", "ran", "answer", "broken", "over") for f in rig.facts(kind)]
     facts.sort(key=lambda f: f["t"])
     found, _ = check("site", lambda _: rig.site, False)
@@ -568,13 +613,15 @@
 
 
 async def again(rig: Rig, nursery: trio.Nursery, opens: Callable[[str], StateFile] | None = None) -> None:
-    """The front is killed and another takes its place."""
+    """Kills the front end and starts another on the same state."""
     rig.front_scope.cancel()
     await rig.ended.wait()
     await start_front(nursery, rig, state=True, opens=opens)
 
 
 def test_a_killed_front_goes_on_with_what_played(tmp_path: Path) -> None:
+    """Guards against playbacks, keys and seats that are lost when a front end is killed."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
             await remembers(rig)
@@ -607,6 +654,8 @@
 def test_playbacks_that_ended_while_no_front_was_there_say_nothing_against_their_nodes(
     tmp_path: Path,
 ) -> None:
+    """Guards against a good node that is distrusted for playbacks that ended while the front end was down."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
             await remembers(rig)
@@ -629,6 +678,11 @@
 
 
 def test_a_paid_set_up_that_was_out_when_its_front_died_is_never_sent_again(tmp_path: Path) -> None:
+    """Guards against a paid set-up sent twice because the front end was killed before its answer arrived.
+
+    The key is answered with an abort, and the session that nobody can use is ended.
+    """
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
             await remembers(rig)
@@ -641,7 +695,7 @@
                 node.ails.lost_share = 0.0
             sat = await rig.watch("/whep/course/a", **key("k1"))
             assert (sat.status, kind_of(sat)) == (504, "aborted")
-            await until(lambda: len(rig.facts("over")) == 1)  # nobody can use it, so it is ended
+            await until(lambda: len(rig.facts("over")) == 1)  # no viewer can use it, so it is ended
             await again(rig, nursery)
             assert (await rig.watch("/whep/course/a", **key("k1"))).status == 504
             assert len(rig.facts("ran")) == 1
@@ -651,6 +705,8 @@
 
 
 def test_an_intent_that_provably_never_ran_frees_its_key_and_its_seat(tmp_path: Path) -> None:
+    """A node report that proves that an intent never ran frees its key and its seat."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
             await remembers(rig)
@@ -679,7 +735,9 @@
                 )
             )
             assert (await rig.watch("/whep/course/t", **key("key-x"))).status == 201
-            assert (await rig.watch("/whep/course/t", **key("key-z"))).status == 504  # it was told so before
+            assert (
+                await rig.watch("/whep/course/t", **key("key-z"))
+            ).status == 504  # its viewer was told so before
             assert (await rig.watch("/whep/seats/s")).status == 201
             nursery.cancel_scope.cancel()
 
@@ -687,6 +745,10 @@
 
 
 def test_a_front_that_lost_its_state_learns_from_its_nodes_what_it_may_not_set_up(tmp_path: Path) -> None:
+    """Guards against a second set-up by a front end whose state file is gone: its nodes report the keys that
+    ran.
+    """
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
             await remembers(rig)
@@ -711,6 +773,8 @@
 def test_while_the_disk_fails_free_plans_go_on_and_paid_ones_are_turned_away_unsent(
     tmp_path: Path, kind: str, only: str
 ) -> None:
+    """While the disk fails, free plans are served, and paid ones are rejected before anything is sent."""
+
     async def test() -> None:
         d = disk()
         opens = lambda _: StateFile("state", vfs=d.name)  # noqa: E731
@@ -723,9 +787,11 @@
             sat = [await rig.watch("/whep/course/a", **key(f"f{n}")) for n in range(3)]
             assert {s.status for s in sat} == {503}
             assert all(s.header("retry-after") for s in sat[1:])
-            assert len(rig.facts("setup")) == before  # nothing of them left
+            assert len(rig.facts("setup")) == before  # none of them was sent
             assert (await rig.watch("/whep/open/a", **key("k3"))).status == 201
-            assert (await rig.watch("/whep/course/a", **key("k1"))).status == 201  # what was promised stands
+            assert (
+                await rig.watch("/whep/course/a", **key("k1"))
+            ).status == 201  # the earlier answer still holds
             d.mend()
             await until(lambda: rig.front and rig.front.helm and rig.front.helm.memory
                         and rig.front.helm.memory.store.health.state is Standing.SOUND)  # fmt: skip
@@ -741,6 +807,8 @@
 
 
 def test_killed_at_every_commit_point_no_key_is_answered_two_ways_and_none_runs_twice(tmp_path: Path) -> None:
+    """Guards against two answers for one key, or two runs, when the front end is killed at any commit."""
+
     async def test() -> None:
         d, rng = disk(), Random(5)
         opens = lambda _: StateFile("state", vfs=d.name)  # noqa: E731
@@ -784,7 +852,7 @@
                 for path, name in paths:
                     await ask(path, name)
             sat = Counter(answers[0][:1] for answers in heard.values())
-            assert sat["c"]  # some were cut
+            assert sat["c"]  # some were cut off
             assert sat["/"]  # and some were answered before the kill
             for name, (first, second) in heard.items():
                 if first.startswith("/") or first == "504":
@@ -796,11 +864,12 @@
 
 
 def test_commands_on_a_state_file(tmp_path: Path) -> None:
+    """The commands show, check, snapshot and restore a state file."""
     path, copy, runner = tmp_path / "state", tmp_path / "copy", CliRunner()
     file = StateFile(str(path))
     filled(file)
     file.commit([Fact("whole", b"1")])
-    assert runner.invoke(main, ["state", "show", str(path)]).exit_code == 1  # a front has it
+    assert runner.invoke(main, ["state", "show", str(path)]).exit_code == 1  # a front end has it open
     file.close()
     shown = runner.invoke(main, ["state", "show", str(path), "--promises"]).output
     assert "knows all promises" in shown
@@ -817,6 +886,8 @@
 
 @pytest.mark.parametrize("kind", ["full", "io-write", "io-sync", "read-only"])
 def test_one_fault_at_each_call_in_turn_under_a_front_breaks_no_rule(tmp_path: Path, kind: str) -> None:
+    """One disk fault at each call under a running front end breaks no rule."""
+
     async def test() -> None:
         d = disk()
         opens = lambda _: StateFile("state", vfs=d.name)  # noqa: E731
@@ -836,7 +907,7 @@
                 async with trio.open_nursery() as asking:
                     for path, name in names:
                         asking.start_soon(ask, path, name)
-                assert heard[f"o{call}"].status == 201  # a free plan does not notice
+                assert heard[f"o{call}"].status == 201  # a free plan is not affected
                 for path, name in names[:2]:
                     first, second = heard[name], await rig.watch(path, **key(name))
                     assert second.status in (
@@ -852,6 +923,8 @@
 
 
 def test_a_file_of_a_newer_program_is_left_alone_until_it_can_be_read(tmp_path: Path) -> None:
+    """A file of a newer version stays untouched, and is used once it can be read."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
             await remembers(rig)
@@ -882,6 +955,8 @@
 
 
 def test_a_damaged_file_and_one_with_a_torn_end_cost_no_key_its_answer(tmp_path: Path) -> None:
+    """Guards against a second run of a key after its state file was damaged: the node knows that it ran."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
             await remembers(rig)
