--- a/oakcroft/decisions/fleet/__init__.py
+++ b/oakcroft/decisions/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The front among others: the list it goes by, how it comes and goes."""
+"""Decisions of a front as one of a fleet: leases, rollouts, takeovers, node lists and shutdown."""
--- a/oakcroft/decisions/fleet/adopting.py
+++ b/oakcroft/decisions/fleet/adopting.py
@@ -1,12 +1,13 @@
-"""Playbacks of fronts that will not come back: which nodes this front asks for them, when, and what it takes.
+"""Takeover of the sessions of failed fronts: which nodes this front asks for them, when, and for which sessions.
 
-A playback's media runs between node and viewer and needs no front; without one the node ends it with its lease. So where
-the view says that a front is gone, the living ask the nodes for what it held. Each pair of dead front and node has a line
-of the living, by hash (rendezvous): the first three ask, take a third each, and a little later what is left; nodes hand
-each session to one (holding.py), so that two who ask do no harm. All of it is bounded: pairs looked at a turn, errands at
-once, hashes a turn, playbacks taken. A front's own earlier life is one of the dead, of which it is always first in line.
+The media of a playback flows between node and viewer without a front, but the node ends it when the front's lease runs
+out. So when the membership shows a front as failed, the others ask the nodes for its sessions. For each pair of failed
+front and node, rendezvous hashing orders the present fronts: the first three ask and take a third each, and a little
+later they ask for what is left. A node gives each session to one front only (session_ownership.py), so requests of
+several fronts do no harm. All work is bounded: tasks looked at in a turn, requests in flight, hashes in a turn, and
+sessions taken over. An earlier process of this front counts as a failed front for which this front is always first.
 
-Time comes in with each call; nothing here sends.
+Time is passed in with each call, and nothing here sends messages.
 """
 
 from __future__ import annotations
@@ -21,27 +22,49 @@
 from oakcroft.interface import MS, SECOND
 
 IN_LINE = 3
-STEP = SECOND  # between the rounds: an errand that works takes some tens of ms
-AGAIN = 400 * MS  # after a node that could not say, or is to be asked once more
-AT_ONCE = 24  # errands: with 140 of 200 fronts dead a node then has some hundred of them a second
-MOST_NAMES = 16  # dead fronts named in one errand
-MOST_PAIRS = 65_536  # of dead fronts and nodes; what is over is left to its lease
-SCAN = 400  # pairs looked at a turn
-KEYS = 12  # lines reckoned a turn: 2 ms at 200 fronts
-SLOTS = 4  # lines a node, so that the playbacks of many dead fronts on one node go to more than three
+"""Fronts that ask one node for the sessions of one failed front."""
+
+STEP = SECOND
+"""Time between the two rounds of requests; a successful request takes some tens of ms."""
+
+AGAIN = 400 * MS
+"""Delay before a node that could not be reached, or refused for now, is asked again."""
+
+AT_ONCE = 24
+"""Requests in flight: with 140 of 200 fronts failed, a node then gets about a hundred requests a second."""
+
+MOST_NAMES = 16
+"""Failed fronts in one request."""
+
+MOST_PAIRS = 65_536
+"""Pairs of failed front and node that are queued; the sessions of further pairs end with their lease."""
+
+SCAN = 400
+"""Tasks looked at in one turn."""
+
+KEYS = 12
+"""Rendezvous orders computed in one turn; they take 2 ms at 200 fronts."""
+
+SLOTS = 4
+"""Rendezvous orders of each node, so that the sessions of many failed fronts on one node go to more than three fronts."""
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """What a site allows. Times in ns."""
+    """Configured bounds of takeovers. Times in ns."""
+
+    after: int
+    """Delay after a front is seen as failed."""
+
+    lease: int
+    """Lease that fronts ask nodes for."""
 
-    after: int  # from when a front is seen as gone
-    lease: int  # asked of nodes
-    most: int  # playbacks adopted and still held
+    most: int
+    """Playbacks taken over that one front may hold at a time."""
 
 
 class Why(Enum):
-    """Why an offered playback is left."""
+    """Whether an offered session is taken over, or why not; operators read the values."""
 
     TAKES = "takes it"
     UNKNOWN_PLAN = "no such plan here"
@@ -54,70 +77,92 @@
 
 @dataclass
 class Dead:
-    """A front whose playbacks may be taken over."""
+    """A front whose sessions may be taken over. Times in ns."""
 
     name: str
     since: int
+    """When this front saw it as failed."""
+
     until: int
+    """When nodes have ended its sessions; 0 once the takeover has been reported as finished."""
+
     slot: int
-    asking: set[str] = field(default_factory=set)  # nodes that are still to be asked, or are being asked
+    """Which of a node's rendezvous orders applies to it."""
+
+    asking: set[str] = field(default_factory=set)
+    """Nodes that are still to be asked, or are being asked."""
+
     taken: int = 0
+    """Sessions taken over."""
+
     left: Counter[str] = field(default_factory=Counter)
+    """Sessions not taken over, by the value of the `TakeoverDecision`."""
 
 
 @dataclass
 class Pair:
-    """What one dead front held on one node. `rank`: this front's place among `width` that ask; in its first round it
-    takes its own share of the sessions, in the second all that are left."""
+    """Asks one node for the sessions of one failed front.
+
+    In the first round this front takes its own share of the sessions, in the second round all that are left.
+    """
 
     dead: Dead
     node: str
     at: int
+    """Earliest time of the request, in ns."""
+
     second: bool = False
     rank: int = 0
+    """This front's place among those that ask."""
+
     width: int = 1
+    """Number of fronts that ask, and share the sessions."""
 
     def shares(self, session: str) -> bool:
-        """Whether a session is this front's to take in this round."""
+        """Returns whether this front takes a session in this round."""
         return self.second or weight("session", session) % self.width == self.rank
 
 
 @dataclass(frozen=True)
 class Errand:
-    """A node to be asked for what these hold there."""
+    """A request to one node for the sessions of several failed fronts."""
 
     node: str
     pairs: tuple[Pair, ...]
 
     @property
     def names(self) -> list[str]:
-        """The dead fronts to ask for."""
+        """Names of the failed fronts."""
         return [p.dead.name for p in self.pairs]
 
     def shares(self, name: str, session: str) -> bool:
-        """Whether a session of a dead front is this front's to take now."""
+        """Returns whether this front takes a session of a failed front now."""
         return any(p.dead.name == name and p.shares(session) for p in self.pairs)
 
 
 class Adopting:
-    """The course of one front's taking over."""
+    """The takeovers of one front: which requests are due, and what became of them."""
 
     def __init__(self, me: str, bounds: Bounds) -> None:
+        """`me` is this front's name in the membership."""
         self.me, self.bounds = me, bounds
         self.dead: dict[str, Dead] = {}
         self.nodes: set[str] = set()
         self.present: frozenset[str] = frozenset()
         self.known: set[str] = set()
-        self.before: dict[tuple[str, int], tuple[str, ...]] = {}  # those before this front in a line
-        self.ranks: dict[tuple[str, int], int] = {}  # this front's, among those present
+        self.before: dict[tuple[str, int], tuple[str, ...]] = {}  # by node and slot
+        self.ranks: dict[tuple[str, int], int] = {}  # by node and slot, among the present fronts
         self.pairs: deque[Pair] = deque()
         self.busy: dict[str, Errand] = {}  # by node
-        self.passed_over = 0  # pairs that had no place
+        self.passed_over = 0
 
-    # What is known.
+    # Updates.
 
     def sees(self, gone: Collection[str], present: Iterable[str], now: int) -> list[Dead]:
-        """The view has changed; those that are over with it: back, or forgotten."""
+        """Takes a change of the membership: names of the failed and of the present fronts.
+
+        Returns the takeovers that end with it, as the front is back or forgotten.
+        """
         self.present = frozenset(present)
         self.ranks.clear()
         if not self.present <= self.known:
@@ -129,12 +174,12 @@
         for name in sorted(set(gone) - set(self.dead) - {self.me}):
             self._die(name, now, self.bounds.after)
         if len(self.known) > 4 * max(64, len(self.present) + len(gone)):
-            self.known = set(self.present) | set(gone)  # names that come and go leave nothing behind
+            self.known = set(self.present) | set(gone)  # bounds the table where names come and go
             self.before.clear()
         return over
 
     def earlier_life(self, now: int) -> None:
-        """This front has no record of its earlier lives: what they held is its to ask for."""
+        """Begins the takeover of this front's own earlier sessions, for a front without a record of them."""
         self._die(self.me, now, 0)
 
     def _die(self, name: str, now: int, after: int) -> None:
@@ -152,20 +197,19 @@
         self.pairs.append(Pair(dead, node, at, second))
 
     def listed(self, nodes: Iterable[str], now: int) -> None:
-        """The list of nodes has changed."""
+        """Takes a change of the node list."""
         some = set(nodes)
         for node in sorted(some - self.nodes):
             for dead in self.dead.values():
-                if (
-                    now < dead.until and node not in dead.asking
-                ):  # it may have left the list for a moment only
+                # The node may have been off the list for a moment only, with its task still queued.
+                if now < dead.until and node not in dead.asking:
                     self._pair(dead, node, now)
         self.nodes = some
 
-    # What is due.
+    # Due actions.
 
     def _rank(self, node: str, slot: int, may: list[int]) -> int | None:
-        """How many of the living are before this front; None where that is for a later turn to reckon."""
+        """Returns how many present fronts precede this one; None where the budget of this turn is used up."""
         rank = self.ranks.get((node, slot))
         if rank is not None:
             return rank
@@ -186,7 +230,7 @@
         return rank
 
     def due(self, now: int) -> list[Errand]:
-        """The errands to begin now. A turn costs the same however many fronts have died."""
+        """Returns the requests to begin now. The cost of a turn does not grow with the number of failed fronts."""
         errands: dict[str, list[Pair]] = {}
         may, later = [KEYS], list[Pair]()
         for _ in range(min(SCAN, len(self.pairs))):
@@ -221,7 +265,7 @@
         return True
 
     def asked(self, errand: Errand, told: Mapping[str, Word] | None, now: int) -> None:
-        """An errand is over. `told`: what the node said of each; None: it could not be asked."""
+        """Takes the result of a request: the node's answer for each front, None where the node could not be asked."""
         self.busy.pop(errand.node, None)
         for pair in errand.pairs:
             dead = pair.dead
@@ -236,8 +280,8 @@
                 self._pair(dead, errand.node, now + AGAIN, pair.second)
 
     def finished(self, now: int) -> list[Dead]:
-        """Those of whom nothing is left to ask, each told once; they stay known, so that they are not begun anew."""
-        known = bool(self.nodes)  # before the first list nothing can have been asked
+        """Returns the takeovers that have finished, each once; they stay known, so that they do not begin again."""
+        known = bool(self.nodes)  # before the first node list no node can have been asked
         out = [d for d in self.dead.values() if d.until and ((known and not d.asking) or now >= d.until)]
         for d in out:
             d.until = 0
--- a/oakcroft/decisions/fleet/freshness.py
+++ b/oakcroft/decisions/fleet/freshness.py
@@ -1,8 +1,8 @@
-"""How fresh a front's list of nodes is, and when it may be acted on after a start.
+"""Freshness of the node list, and when a starting front may act on it.
 
-A front that starts is handed the list that was known when its life before ended. What was told since, a drain above
-all, stands with whoever keeps the list and counts as told whether it was asked for or not. Acting on the kept list first
-and asking afterwards sends set-ups to nodes that have been draining for as long as the start took.
+A starting front has the list that its previous process cached. Changes since then, above all drains, are known to the
+list service and apply to the front whether it has asked for them or not. A front that acted on the cached list before
+asking would send set-ups to nodes that have been draining for as long as the start took.
 """
 
 from __future__ import annotations
@@ -12,49 +12,54 @@
 from oakcroft.interface import SECOND
 
 UNTOLD = 8 * SECOND
-"""How long a front that starts waits for a list service that does not answer. Longer than the platform says that news
-may stand untold (7 s, PROTOCOL); past it, a fleet that stays shut does more harm than a list that may be old."""
+"""How long a starting front waits for a list service that does not answer. The platform's protocol allows 7 s before
+a change is told; past that, refusing viewers does more harm than an outdated list."""
 
 READY = 9 * SECOND
-"""How long after its process began a front is ready at the latest, as far as it can: the platform wants nine in ten of
-the restarted to be within 10 s, the way to its first test included."""
+"""When a front is ready at the latest, counted from the start of its process. The platform requires nine in ten
+restarted fronts to be ready within 10 s, including the delay until its first health check."""
 
 LEAST = SECOND
-"""However long the start took, the list service is given so long to answer: it mostly does within milliseconds."""
+"""Time that the list service always has for its answer, however long the start took; it mostly takes milliseconds."""
 
 ASK_AT_ONCE = 0
-"""Milliseconds that a first question, and the first after a break, waits for news: it is to tell what stands already."""
+"""Timeout in ms of the first poll after a start or a break, which asks for the current state and not for changes."""
 
 
 @dataclass
 class Freshness:
-    """Whether the list has been confirmed since the start, and since the last break.
+    """Whether the list has been confirmed since the start, and since the last loss of the list service.
 
-    Guards against set-ups on a list of before the start; covers a slow start, a starved machine, and any crowd that
-    comes to a front the moment it listens. Harm: a front takes its first viewer one exchange with the list service
-    later, and up to `UNTOLD` later while that service is out.
+    This prevents set-ups on a list from before the start, also after a slow start, on a starved machine, and when many
+    viewers arrive the moment a front listens. The cost: a front admits its first viewer one exchange with the list
+    service later, and up to `MAX_LIST_WAIT` later while that service is down.
     """
 
     began: int
-    start_took: int = 0  # from the process's beginning to then: a small share of a core makes seconds of it
-    confirmed: bool = (
-        False  # all that stood with the list service at some time since the start has been heard
-    )
-    current: bool = False  # the same since the last break
+    """When the wait for the list service began, in ns."""
+
+    start_took: int = 0
+    """Time in ns from the start of the process to `began_at`; seconds where the process gets a small share of a core."""
+
+    confirmed: bool = False
+    """Whether a complete answer of the list service has been processed since the start."""
+
+    current: bool = False
+    """Whether a complete answer has been processed since the last loss of the list service."""
 
     def heard(self) -> None:
-        """An answer has come and all that it told has been handed on."""
+        """Records that a complete answer has been processed."""
         self.confirmed = self.current = True
 
     def lost(self) -> None:
-        """The list service can't be heard, or was changed for another."""
+        """Records that the list service cannot be reached, or was replaced by another."""
         self.current = False
 
     def patience(self, usual: int) -> int:
-        """How many milliseconds the next question may wait for news, where `usual` is what a standing one waits."""
+        """Returns the timeout in ms of the next poll; `standing_timeout_ms` is that of a poll on a current list."""
         return usual if self.current else ASK_AT_ONCE
 
     @property
     def opens_by(self) -> int:
-        """When viewers may come at the latest, whether the list has been confirmed or asked for in vain."""
+        """When viewers are admitted at the latest, in ns, whether or not the list has been confirmed by then."""
         return self.began + max(LEAST, min(UNTOLD, READY - self.start_took))
--- a/oakcroft/decisions/fleet/holding.py
+++ b/oakcroft/decisions/fleet/holding.py
@@ -1,12 +1,12 @@
-"""Who holds a session on a playout node: which front may change or end it, and which may take it over.
+"""Ownership of sessions on a playout node: which front may change or end one, and which may take it over.
 
-A session concerns one node only, so the node itself grants it and no majority is asked: it alone knows which fronts
-listen to it. A front is known there by three words: its pseudonym, its name among its peers, and the number of its
-start, which only grows over its lives (docs/fleet.md). What is checked is checked here, at the resource, by what the
-node has seen itself: a caller's belief that another is dead, or that it is still the owner, is never the proof.
+A session concerns one node only, so the node itself decides and no quorum is needed: it alone knows which fronts have an
+event stream open to it. A node knows a front by its pseudonym, its name in the membership, and the generation of its
+process, which only grows from start to start (docs/fleet.md). The checks are made at the node, from what it has observed
+itself: a caller's belief that another front has failed, or that it still holds a session, proves nothing.
 
-The node ends what a front holds once nothing of it was heard for the lease that it asked for. Until then another may
-take it, but never from a front that listens.
+A node ends the sessions of a front that it has not heard for the lease that the front asked for. Until then another
+front may take them over, but never from a front whose event stream is open.
 """
 
 from __future__ import annotations
@@ -16,51 +16,63 @@
 
 from oakcroft.interface import MS, SECOND
 
-MOST_LEASE = (
-    30 * SECOND
-)  # whatever a front asks for: what nobody holds any more uses the node's link for so long
-HELD_BACK = 1_000 * MS  # a stream that broke may be opened again: its sessions are kept for its front so long
+MOST_LEASE = 30 * SECOND
+"""The longest lease that a node grants: sessions without a front use the node's link for as long."""
+
+HELD_BACK = 1_000 * MS
+"""How long the sessions of a front whose event stream broke are kept for it, as it may open the stream again."""
 
 
 @dataclass(frozen=True)
 class Caller:
-    """A front as a node knows it. `member` "", `start` 0: it takes no part in taking over."""
+    """A front as a node knows it."""
 
     front: str
+    """Its pseudonym."""
+
     member: str = ""
+    """Its name in the membership; empty where it takes no part in takeovers."""
+
     start: int = 0
+    """Generation of its process; 0 where it takes no part in takeovers."""
 
 
 class Word(Enum):
-    """What a node says to one that would take over what a front holds."""
+    """A node's answer to a front that would take over a session; the values are those on the wire."""
 
-    AWAY = "away"  # it may be taken
-    SOON = "soon"  # its stream broke a moment ago
-    HERE = "here"  # it listens
-    DEAF = "deaf"  # who asks does not listen itself, and so would lose it at once
-    OLDER = "older"  # who asks is an earlier life of the one that holds it, or no member
+    AWAY = "away"  # the session may be taken over
+    SOON = "soon"  # the holder's event stream broke a moment ago
+    HERE = "here"  # the holder's event stream is open
+    DEAF = "deaf"  # the caller has no event stream open itself, and would lose the session at once
+    OLDER = "older"  # the caller is the holder's process or an earlier one, or no member
 
 
 def lease(asked: int, own: int) -> int:
-    """How long a node keeps what a silent front holds, ns. `asked`: by the front, 0: it has not; `own`: the node's."""
+    """Returns how long a node keeps the sessions of a silent front.
+
+    `requested` is the lease that the front asked for, 0 for none; `node_default` is the node's own. All in ns.
+    """
     return max(own, min(asked, MOST_LEASE)) if asked > 0 else own
 
 
 def may_act(held: Caller, caller: Caller) -> bool:
-    """Whether a caller may change or end a session.
+    """Returns whether a caller may change or end a session.
 
-    Guards against a front that slept while its sessions passed on, and whose words come late; and against the earlier of
-    two lives under one pseudonym once the later one has touched a session.
+    This rejects late requests of a front that was suspended while its sessions were taken over, and requests of the
+    earlier of two processes under one pseudonym once the later one has touched the session.
     """
     return caller.front == held.front and caller.start >= held.start
 
 
 def may_take(held: Caller, caller: Caller, away: int | None, listens: bool) -> Word:
-    """Whether a caller may take over a session. `away`: for how long its holder's stream has been gone, ns; None: it is
-    open. `listens`: the caller's own stream is open.
+    """Returns whether a caller may take over a session, or why not.
+
+    `disconnected_for` is the time in ns since the holder's event stream broke, None while it is open;
+    `caller_connected` says whether the caller's own event stream is open.
 
-    Guards against a wrong view (a living front is never robbed while it listens), against an adopter that died or was cut
-    off while its word was under way (it does not listen any more), and against an earlier life of the holder.
+    A front that is alive keeps its sessions while its stream is open, whatever other fronts believe. A caller that has
+    failed or was cut off while its request was in flight gets nothing, as its stream is closed by then. An earlier
+    process of the holder gets nothing either.
     """
     if not caller.member or (caller.member == held.member and caller.start <= held.start):
         return Word.OLDER
--- a/oakcroft/decisions/fleet/keeping.py
+++ b/oakcroft/decisions/fleet/keeping.py
@@ -1,15 +1,14 @@
-"""A keeper: one of those that grant terms. A state machine without disk, sockets or clock.
-
-What must be on record before an answer leaves is told by `unsaved`: the host saves it, and sends the answer only when
-that is durable. The rules, each of which the proof in docs/owners.md rests on (and each of which the walk of
-tests/test_terms.py takes away once, to see that the walk fails):
-
-- a promise binds: no word under a lower number is followed any more, nor one of another under the same number;
-- while a term runs here nobody else is promised anything;
-- a term runs here for its whole length from when it was accepted, which is after it was asked for;
-- a keeper that was started again lets the term on its record run anew, for it can't know what is left of it;
-- a keeper whose record is lost answers nobody until a term's length has passed, and until it has learnt from a majority
-  of sound keepers what numbers there were, or from all.
+"""The acceptor of fleet leases, one member of the quorum: a state machine without disk, sockets or clock.
+
+`unsaved` names what must be durable before an answer is sent: the host saves it first. The proof in docs/owners.md rests
+on the following rules. tests/test_terms.py disables each of them in turn and checks that its random walk then fails.
+
+- A promise binds: requests under a lower fencing token are refused, and so are those of another process under the same.
+- While a term runs here, no other process is promised anything.
+- A term runs here for its whole length from when it was accepted, which is after it was requested.
+- A restarted acceptor lets the term on its record run its whole length again, as it cannot know what is left of it.
+- An acceptor that lost its record answers nobody until the length of a term has passed and it has received the records
+  of a majority of acceptors that have theirs, or of all others.
 """
 
 from __future__ import annotations
@@ -30,28 +29,34 @@
 )
 
 MOST_DUTIES = 64
+"""Leases that one acceptor has on record."""
 
 
 class Keeper:
-    """One keeper. `length`: the longest term it grants, in ns; `epoch`: a number of its record, later ones are higher."""
+    """One acceptor of the fleet's leases. Times in ns."""
 
     def __init__(self, me: str, keepers: Iterable[str], length: int, epoch: int, now: int) -> None:
+        """`me` is its name among `acceptors`, `term_length` the longest term that it grants.
+
+        `epoch` numbers its record: each new record has a higher epoch than the one before.
+        """
         self.me, self.keepers, self.length = me, tuple(sorted(keepers)), length
         self.epoch, self.mute_until = epoch, now + length
         self.rows: dict[str, Row] = {}
-        self.until: dict[str, int] = {}  # of terms that run
-        self.seqs: dict[str, int] = {}  # of the last proposal of each
-        self.epochs: dict[str, int] = {}  # of the other keepers' records
+        self.until: dict[str, int] = {}  # end of each running term
+        self.seqs: dict[str, int] = {}  # sequence number of the last proposal for each lease
+        self.epochs: dict[str, int] = {}  # record epochs of the other acceptors
         self.sound = False
         self.learnt: dict[str, Learnt] = {}
-        self.unsaved: set[str] = (
-            set()
-        )  # duties whose rows are to be on record before anything leaves ("": the epochs)
+        self.unsaved: set[str] = set()  # leases whose records must be durable first; "" for the peers' epochs
 
     def take_on(
         self, epoch: int, epochs: Mapping[str, int], rows: Mapping[str, Row], whole: bool, now: int
     ) -> None:
-        """What its record holds, at the start. `whole`: it is the last that was written, and no copy of an older one."""
+        """Loads the stored record at the start.
+
+        `is_latest` says that it is the last one written and not an older copy; an older one does not count as complete.
+        """
         self.rows = dict(rows)
         self.epochs = dict(epochs)
         for duty, row in self.rows.items():
@@ -61,18 +66,18 @@
             self.epoch, self.sound, self.mute_until = epoch, True, now
 
     def speaks(self, now: int) -> bool:
-        """Whether it may answer candidates."""
+        """Returns whether it may answer candidates."""
         return self.sound and now >= self.mute_until
 
     def runs(self, duty: str, now: int) -> Term | None:
-        """The term that runs here, as far as this keeper knows."""
+        """Returns the term that runs, as far as this acceptor knows."""
         row = self.rows.get(duty)
         return row.term if row is not None and now < self.until.get(duty, 0) else None
 
-    # Candidates' words.
+    # Requests of candidates.
 
     def asked(self, ask: Ask, now: int) -> Answer | None:
-        """The answer to a candidate; None where there is none to be given. Save what is `unsaved` before it leaves."""
+        """Returns the answer to a candidate, None where there is none. Save what is `unsaved` before sending it."""
         if not self.speaks(now) or not 0 < ask.term.number < MOST_NUMBER or len(ask.note.body) > MOST_NOTE:
             return None
         if ask.duty not in self.rows and len(self.rows) >= MOST_DUTIES:
@@ -108,9 +113,9 @@
         note = ask.note if ask.note.key > row.note.key else row.note
         after = Row(ask.term.number, whom(ask.term), ask.term, note)
         again = row.term == ask.term and ask.seq <= self.seqs.get(ask.duty, 0)
-        if after != row:  # to keep a term needs no record: after a restart it runs its whole length anyway
+        if after != row:  # a renewal needs no save: after a restart the term runs its whole length anyway
             self._save(ask.duty, after)
-        if not again:  # guards against words of an owner that is gone, played again by whoever recorded them
+        if not again:  # a replayed proposal of an earlier holder must not renew its term
             self.until[ask.duty], self.seqs[ask.duty] = now + self.length, ask.seq
         return self._mine(ask, Step.ACCEPTED, after, now)
 
@@ -122,18 +127,19 @@
         self.rows[duty] = row
         self.unsaved.add(duty)
 
-    # Other keepers' words.
+    # Records of other acceptors.
 
     def asks_others(self) -> list[str]:
-        """Whom a keeper that remembers nothing has to ask still."""
+        """Returns the acceptors that one without its record still has to ask for theirs."""
         return [] if self.sound else [k for k in self.keepers if k != self.me and k not in self.learnt]
 
     def tells(self, to: str, epoch: int) -> Learnt | None:
-        """What it tells a keeper that remembers nothing; from then on only that one's new record counts. None: that was
-        no keeper, or one with an older record than is known. Save what is `unsaved` before it leaves.
+        """Returns its record for an acceptor that lost its own, and notes the epoch of that acceptor's new record.
+
+        None where the peer is no acceptor, or where a newer record of it is known. Save what is `unsaved` before sending.
 
-        Guards against two processes under one keeper's name: the votes of the one with the older record are not counted
-        beside that of any keeper that knows of the newer.
+        This guards against two processes under one acceptor's name: a vote on the older record is not counted together
+        with a vote of any acceptor that knows of the newer one.
         """
         if to not in self.keepers or to == self.me or epoch < self.epochs.get(to, 0):
             return None
@@ -143,7 +149,10 @@
         return Learnt(self.me, self.epoch, self.sound, tuple(sorted(self.rows.items())))
 
     def hears(self, told: Learnt, now: int) -> bool:
-        """What another keeper told; True where this one is sound from now on (save all rows and the epochs)."""
+        """Takes the record of another acceptor.
+
+        Returns True where this acceptor's record is complete with it; everything is `unsaved` then.
+        """
         if self.sound or told.keeper not in self.keepers or told.keeper == self.me:
             return False
         self.learnt[told.keeper] = told
@@ -169,5 +178,5 @@
 
 
 def whom(term: Term) -> str:
-    """A process, as one word."""
+    """Returns the holder's name and generation as one string."""
     return f"{term.owner}/{term.start}"
--- a/oakcroft/decisions/fleet/owning.py
+++ b/oakcroft/decisions/fleet/owning.py
@@ -1,9 +1,10 @@
-"""A candidate: a front that would have a duty, and keeps it while it has it. Time and chance come in with each call.
+"""A candidate for a fleet lease, which renews the lease while it holds it.
 
-A term is asked for in two rounds (single-decree Paxos, Lamport 1998; with leases as in PaxosLease, Trencseni and others
-2012): promises of a majority of keepers to a number, none of which has a term of another running; then acceptance by a
-majority. The term counts from when acceptance was asked for. It is kept by asking for acceptance again, under the same
-number; a note for the owner after this one goes on record by the same word.
+A term takes two rounds (single-decree Paxos, Lamport 1998; with leases as in PaxosLease, Trencseni et al. 2012). First a
+majority of acceptors, none of which has a term of another process running, promises a fencing token; then a majority
+accepts the term. The term counts from when acceptance was requested. The holder renews it by requesting acceptance again
+under the same token, and puts a note for its successor on record with the same request. Time is passed in with each
+call, and nothing here sends messages.
 """
 
 from __future__ import annotations
@@ -25,12 +26,15 @@
 )
 from oakcroft.interface import MS
 
-WITHIN = 400 * MS  # for the answers to one round; then it is asked anew
-ROUNDS = 4  # times that a round is asked before the candidate stands back
+WITHIN = 400 * MS
+"""Time for the answers to one round, after which its requests are sent again."""
+
+ROUNDS = 4
+"""Times that the requests of a round are sent before the candidate backs off."""
 
 
 class Course(Enum):
-    """How a candidate stands."""
+    """State of a candidate; operators read the values."""
 
     IDLE = "does not want it"
     BACK = "waits before it asks"
@@ -41,50 +45,55 @@
 
 @dataclass(frozen=True)
 class Word:
-    """Something for a keeper."""
+    """A request addressed to one acceptor."""
 
     to: str
     ask: Ask
 
 
 class Candidate:
-    """One front's try for one duty. `length`: of a term in ns, the same on all keepers or less."""
+    """One front's candidacy for one lease. Times in ns."""
 
     def __init__(
         self, duty: str, me: str, start: int, keepers: Iterable[str], length: int, rng: Random, floor: int, now: int,
     ) -> None:  # fmt: skip
+        """`term_length` must not exceed that of any acceptor; fencing tokens of this candidate are above `min_token`."""
         self.duty, self.me, self.start, self.length, self.rng = duty, me, start, length, rng
         self.keepers = tuple(sorted(keepers))
         self.course = Course.IDLE
-        self.rank = 0  # its place among those that would have it, set by the host: later ones wait longer
-        self.highest = floor  # number seen: the next is over it
+        self.rank = 0  # place among the candidates, set by the host: later ones wait longer
+        self.highest = floor  # highest token seen; the next one is above it
         self.term: Term | None = None
         self.seq = self.rounds = self.first = 0
         self.kept = False  # the present round of acceptances has its majority
         self.asked_at = self.due = now
-        self.held_until = 0  # by its own belief
-        self.note = Note()  # the last on record, or asked to be
-        self.settled = (0, 0)  # key of the last note that a majority has
+        self.held_until = 0  # until when this front may act as the holder
+        self.note = Note()  # the last one on record, or being put there
+        self.settled = (0, 0)  # version of the last note that a majority has
         self.answers: dict[str, Answer] = {}
-        self.refusals: dict[
-            str, int
-        ] = {}  # of the present round: by keeper, what is left of the term that runs there
-        self.other: Term | None = None  # whoever else has it, as told last
+        self.refusals: dict[str, int] = {}  # of the present round: time left of the running term, by acceptor
+        self.other: Term | None = None  # term of another holder, as last told
         self.other_until = 0
-        self.taken = 0  # terms of its own so far
+        self.taken = 0  # terms held so far
 
-    # What the host asks.
+    # Calls of the host.
 
     def owns(self, now: int) -> Term | None:
-        """The term, while this front may take itself for the owner. Not the proof: that is at the `Fence`."""
+        """Returns the term while this front may act as the holder.
+
+        This is no proof: only the `Fence` at the resource keeps out late work of an earlier holder.
+        """
         return self.term if self.course is Course.OWNS and now < self.held_until else None
 
     def owner(self, now: int) -> Term | None:
-        """Who has it, as far as this front was told."""
+        """Returns the term of the holder, as far as this front knows."""
         return self.owns(now) or (self.other if now < self.other_until else None)
 
     def want(self, wanted: bool, now: int) -> list[Word]:
-        """Whether this front would have the duty."""
+        """Sets whether this front wants the lease; a holder that does not want it any more releases it.
+
+        Returns the requests to send, as all methods do that return `AcceptorMessage`.
+        """
         if wanted and self.course is Course.IDLE:
             self._stand_back(now, self.rank * self.length // 4 + self.rng.randrange(self.length // 16 + 1))
             return []
@@ -96,7 +105,7 @@
         return []
 
     def record(self, body: bytes, now: int) -> list[Word]:
-        """Puts a note on record; it is there once `settled` has reached its key."""
+        """Puts a note on record; a majority has it once `recorded_version` has reached the note's version."""
         if self.owns(now) is None or self.term is None:
             return []
         self.note = Note(
@@ -104,10 +113,10 @@
         )
         return self._propose(now)
 
-    # Time.
+    # Timers.
 
     def tick(self, now: int) -> list[Word]:
-        """Does what is due."""
+        """Returns the requests that are due."""
         if self.course is Course.IDLE:
             return []
         if self.course is Course.OWNS and now >= self.held_until:
@@ -121,8 +130,8 @@
             return self._propose(now, again=not self.kept)
         self.rounds += 1
         if self.refusals:
-            # One has promised more to another: this one asks over that, soon. Or another's term runs there: it is left
-            # its time, for it may be just being taken, and asking meanwhile would take its keepers' promises away.
+            # Either an acceptor has promised a higher token, and the next round soon goes above it. Or a term of another
+            # process runs there: it may be about to get its majority, and a request now would take away its promises.
             runs = max(self.refusals.values())
             self._stand_back(now, runs + 20 * MS + self.rng.randrange(self.length // 16 + 1))
             return []
@@ -148,7 +157,7 @@
         return self._prepare(now)
 
     def _prepare(self, now: int) -> list[Word]:
-        """Asks for promises, again under the same number: answers to any asking count together."""
+        """Requests promises. Repeated requests use the same token, so answers to any of them count together."""
         assert self.term is not None
         self.asked_at, self.due = now, now + WITHIN
         return [
@@ -156,8 +165,12 @@
         ]
 
     def _propose(self, now: int, again: bool = False) -> list[Word]:
-        """Asks for acceptance; `again`: the same once more, answers to any asking of the round counting together, and the
-        term from the first. Guards an owner against lossy links: a term holds as many askings as fit into it."""
+        """Requests acceptance, or renews the term.
+
+        With `is_resend` the proposal of the present round is sent once more: answers to any of its requests count
+        together, and the term counts from the first. So a holder on a lossy link has as many attempts at a renewal as
+        fit into a term.
+        """
         assert self.term is not None
         if self.course is Course.ASKING:
             self.course = Course.PROPOSING
@@ -168,10 +181,10 @@
         ask = Ask(Step.PROPOSE, self.duty, self.term, self.seq, self.length, self.note)
         return [Word(k, ask) for k in self.keepers]
 
-    # Keepers' answers.
+    # Answers of acceptors.
 
     def heard(self, answer: Answer, now: int) -> list[Word]:
-        """An answer; one to another round than the last is none."""
+        """Takes an answer; answers to earlier rounds are ignored."""
         if answer.keeper not in self.keepers:
             return []
         if answer.running is not None and (answer.running.owner, answer.running.start) != (
@@ -195,14 +208,18 @@
             return []
         if self.course is Course.ASKING:
             last = max((a.note for a in self.answers.values()), key=lambda n: n.key)
-            # Under this term's number from here on: what a minority has of an owner in between can't come to light later.
+            # The note gets this term's token, so that a note which an earlier holder put on a minority only cannot
+            # supersede it later.
             self.note = Note(self.term.number if self.term is not None else 0, 0, last.body)
             return self._propose(now)
         self._accepted()
         return []
 
     def counted(self) -> list[Answer]:
-        """Votes but those of a keeper of whose newer record another in the same round knows."""
+        """Returns the answers without those on an outdated record.
+
+        A record is outdated where another answer of the round knows of a newer record of the same acceptor.
+        """
         newest = dict[str, int]()
         for answer in self.answers.values():
             newest[answer.keeper] = max(newest.get(answer.keeper, 0), answer.epoch)
@@ -221,16 +238,19 @@
         self.other = None
 
     def _refused(self, answer: Answer, mine: bool, now: int) -> list[Word]:
-        """One keeper refuses. It counts once so many do that no majority is left: a term that only a minority ever
-        accepted would else keep everybody away for its whole length."""
+        """Takes a refusal. The round ends once the refusals leave no majority.
+
+        A single refusal must not end it: otherwise a term that only a minority accepted would keep all candidates out
+        for its whole length.
+        """
         if not mine or self.course not in (Course.ASKING, Course.PROPOSING):
-            return []  # an owner that one keeper refuses has the others, or loses the term at its end
+            return []  # a holder that one acceptor refuses renews at the others, or its term runs out
         self.refusals[answer.keeper] = answer.left if answer.running is not None else 0
         self.answers.pop(answer.keeper, None)
         short = majority(len(self.keepers)) - (len(self.keepers) - len(self.refusals))
         if short <= 0:
             return []
-        left = sorted(self.refusals.values())[short - 1]  # until enough of them are free
+        left = sorted(self.refusals.values())[short - 1]  # until enough acceptors are free again
         self.term = None
         self._stand_back(now, left + self.rank * self.length // 8 * (left > 0) + 20 * MS
                          + self.rng.randrange(self.length // 16 + 1))  # fmt: skip
--- a/oakcroft/decisions/fleet/rollout.py
+++ b/oakcroft/decisions/fleet/rollout.py
@@ -1,8 +1,9 @@
-"""A roll-out over the fleet: one version taken by a share of the fronts, watched, taken by more, or taken back.
+"""Staged rollout of a catalogue version: activated by a share of the fronts, watched, then extended or rolled back.
 
-The plan stands on record at the keepers before anything is done under it, so whoever owns the duty next goes on where the
-last owner died. Each change of the plan is a step; what the owner orders goes under its term's number and that step, and
-every front turns older ones away, so that a late owner can push neither an older version nor the same one backwards.
+The holder of the rollout's lease puts each plan on record at the acceptors before it acts on it, so that the next holder
+continues where the last one failed. Each change of the plan is a step. Orders carry the fencing token of the holder's
+term and the step, and every front rejects older ones, so that a late holder can neither push an older version nor move
+the rollout back.
 """
 
 from __future__ import annotations
@@ -15,25 +16,38 @@
 from oakcroft.interface import SECOND
 
 SHARES = (0.1, 0.5, 1.0)
-"""Of all fronts, one after the other: a fault that shows at a tenth costs a tenth."""
+"""Canary shares of all fronts, one after the other: a fault that shows at a tenth of the fronts affects a tenth."""
+
+HAND_WITHIN = 20 * SECOND
+"""Time for a version's text to reach all present fronts."""
 
-HAND_WITHIN = 20 * SECOND  # for a version to reach all that are there
 TAKE_WITHIN = 20 * SECOND
-STALE = 10 * SECOND  # a report older than this is asked for again: the front may have started anew since
-ENOUGH = 50  # answers of those that took it, under which their failures say nothing
-WORSE = 0.05  # of the share of failures, over that of those that did not
-ERRORS = 3.0  # standard errors of that difference that it must be over as well: chance gives one of 700
+"""Time for all fronts of the share to activate the version."""
+
+STALE = 10 * SECOND
+"""An older report is requested again, as the front may have restarted since."""
+
+ENOUGH = 50
+"""Answers of the fronts with the new version below which their failures are not judged."""
+
+WORSE = 0.05
+"""Increase of the failure share, over that of the fronts without the new version, that rolls it back."""
+
+ERRORS = 3.0
+"""Standard errors that the increase must exceed as well: chance alone exceeds them once in 700 times."""
+
 MOST_REASON = 120
+"""Characters of a reason in a plan."""
 
 
 class Stage(Enum):
-    """How a roll-out stands; the number is the record's."""
+    """Stage of a rollout. The values are stored in plans; operators and logs show the names in lower case."""
 
-    HANDED = 1  # the text goes round; nobody takes it
-    TAKEN = 2  # by a share
-    DONE = 3
-    BACK = 4  # whoever took it goes back to the version before
-    STOPPED = 5  # nobody has it in force
+    HANDED = 1  # the text is distributed; no front activates it
+    TAKEN = 2  # a share of the fronts activates it
+    DONE = 3  # all fronts have it
+    BACK = 4  # the fronts that activated it roll back to the version before
+    STOPPED = 5  # no front has it in force
 
 
 ENDED = (Stage.DONE, Stage.STOPPED)
@@ -41,22 +55,39 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One roll-out as it stands on record. `base`: digest of the version before; `watch`: ns before the next share."""
+    """A rollout as it is on record."""
 
     number: int
+    """Counts the rollouts of the fleet."""
+
     digest: str
+    """Digest of the new version."""
+
     base: str
+    """Digest of the version before."""
+
     stage: Stage
     step: int
-    share: int = 0  # index into SHARES
+    """Grows with each change of the plan, also from rollout to rollout."""
+
+    share: int = 0
+    """Index into `ROLLOUT_SHARES`."""
+
     watch: int = 10 * SECOND
+    """How long a share is watched before the next one, in ns."""
+
     force: bool = False
+    """Whether fronts activate the version although it fails their checks."""
+
     why: str = ""
-    reason: str = ""  # of its end, where it was not carried through
+    """Why the version was made, as the operator says."""
+
+    reason: str = ""
+    """Why the rollout was not completed."""
 
     @property
     def part(self) -> float:
-        """Of the fronts that are to have it in force."""
+        """Share of the fronts that are to have the version in force, 0 to 1."""
         if self.stage is Stage.DONE:
             return 1.0
         return SHARES[self.share] if self.stage is Stage.TAKEN else 0.0
@@ -64,40 +95,55 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What a front says: whether it holds the text, what is in force there, whether it is one of the share, why it will
-    not, and its answers under this step: all of them, and those that failed."""
+    """A front's report on an order."""
 
     step: int
+    """Step of the plan that it reports on."""
+
     holds: bool
+    """Whether the front has the text of the version."""
+
     in_force: str
+    """Digest of the version in force there."""
+
     takes_part: bool = False
+    """Whether the front is one of the share."""
+
     refused: str = ""
+    """Why the front does not activate the version; empty where it does."""
+
     answers: int = 0
+    """Answers to set-ups since the step began there."""
+
     failures: int = 0
-    bare: bool = False  # it has no catalogue at all, though there is a version before this one
+    """Those of the answers that failed."""
+
+    bare: bool = False
+    """Whether the front has no catalogue although there is a version before this one."""
 
 
 class Rollout:
-    """The owner's side of one roll-out. What goes on record next comes from `next`; the host records it, then acts."""
+    """The holder's side of a rollout: `next_plan` returns the plan that the host is to put on record, then act on."""
 
     def __init__(self, plan: Plan) -> None:
+        """`plan` is the one on record."""
         self.plan = plan
-        self.reports: dict[str, tuple[Report, int]] = {}
+        self.reports: dict[str, tuple[Report, int]] = {}  # by front, with the time of the report
         self.all_since: int | None = None  # when all of the share had it in force
-        self.missing_since: int | None = None
+        self.missing_since: int | None = None  # since when not all present fronts are as planned
 
     def heard(self, front: str, report: Report, now: int) -> None:
-        """A front's report; one to an earlier step tells nothing of this one."""
+        """Takes a front's report; reports on earlier steps are ignored."""
         if report.step == self.plan.step:
             self.reports[front] = (report, now)
 
     def recorded(self, plan: Plan) -> None:
-        """A plan is on record and in force."""
+        """Sets the plan that is on record now."""
         self.plan, self.all_since, self.missing_since = plan, None, None
         self.reports.clear()
 
     def unconfirmed(self, present: Iterable[str], now: int) -> list[str]:
-        """Fronts that have not said of late that they stand as the plan wants."""
+        """Returns the present fronts without a recent report that they are as the plan wants."""
         return [f for f in present if (told := self.reports.get(f)) is None or now - told[1] > STALE
                 or not self._stands(told[0])]  # fmt: skip
 
@@ -110,11 +156,13 @@
         return report.in_force == plan.digest or (not report.takes_part and plan.stage is Stage.TAKEN)
 
     def next(self, present: Iterable[str], now: int) -> Plan | None:
-        """The plan to be put on record next; None where the present one is to go on. `present`: fronts that are there by
-        the view; one that is not is not waited for, and comes to the version when it is back.
+        """Returns the plan to put on record next, None where the present one continues.
+
+        `present_fronts` are those that the membership shows as present. Others are not waited for; they get the version
+        when they are back.
 
-        Guards against a version that does harm where it is in force: those that took it are held against those that did
-        not, as both answer at the same time under the same load.
+        The fronts with the new version are compared with those without it, as both answer at the same time under the
+        same load. A version that does harm is rolled back.
         """
         plan, there = self.plan, list(present)
         if plan.stage in ENDED:
@@ -157,13 +205,13 @@
         )
 
     def _turned(self, reason: str) -> Plan:
-        """It goes no further: back where anybody may have it in force, else it is over."""
+        """Returns the plan that rolls back where a front may have the version in force, and otherwise stops."""
         return self._step(
             Stage.STOPPED if self.plan.stage is Stage.HANDED else Stage.BACK, self.plan.share, reason
         )
 
     def take_back(self, reason: str) -> Plan | None:
-        """An operator takes it back; None where it is being taken back already."""
+        """Returns the plan for an operator's rollback, None where the rollout is being rolled back already."""
         if self.plan.stage in (Stage.BACK, Stage.STOPPED):
             return None
         return self._turned(reason)
@@ -186,7 +234,7 @@
 
 
 def begins(last: Plan | None, digest: str, base: str, watch: int, force: bool, why: str) -> Plan | str:
-    """The plan of a new roll-out, or why there can be none now."""
+    """Returns the plan of a new rollout, or why there can be none now. `watch_time` in ns."""
     if last is not None and last.stage not in ENDED:
         return f"roll-out {last.number} is under way"
     number, step = (last.number + 1, last.step + 1) if last is not None else (1, 1)
--- a/oakcroft/decisions/fleet/roster.py
+++ b/oakcroft/decisions/fleet/roster.py
@@ -1,8 +1,8 @@
-"""The list of playout nodes as one front holds it: which lists are believed and what each says to the module.
+"""The list of playout nodes on one front: which lists it accepts, and what each means for the module.
 
-Lists come whole and versioned from the list service (docs/front.md names the format). What a list says of a node
-becomes ready, draining or gone; what it does not say has gone. A list that cannot be right is refused whole, and
-the one before stays in force.
+The list service sends whole, versioned lists (docs/front.md describes the format). A listed node is ready, draining or
+gone; a node that a list does not name is gone. A list that cannot be right is rejected as a whole, and the one before
+stays in force.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 HOST = re.compile(
     r"(?=.{1,253}$)(?:[A-Za-z0-9_-]{1,63}\.)*[A-Za-z0-9_-]{1,63}\.?|[0-9A-Fa-f.]*:[0-9A-Fa-f:.]{1,44}"
 )
-"""A host name (RFC 1123 2.1, underscores suffered) or an IP address; no resolver can be asked for anything else."""
+"""A host name (RFC 1123 2.1, with underscores allowed) or an IP address; nothing else can be resolved."""
 
 
 @dataclass(frozen=True, order=True)
 class Line:
-    """What one list says of one node. Times in ns since the epoch, link in kB a second."""
+    """One node of a list. The field names are stored in the state file. Times in ns since the epoch."""
 
     name: str
     address: str
@@ -31,42 +31,51 @@
     listing: Listing
     started_at: int
     link: float
+    """Capacity of the node's link in kB a second."""
+
     places: float
     kind: str = ""
     tags: tuple[str, ...] = ()
-    drains_until: int | None = None  # told only of some draining nodes
+    drains_until: int | None = None
+    """When a draining node leaves; known only of some."""
 
 
 @dataclass(frozen=True)
 class Refused:
-    """Why a list was not believed."""
+    """Why a list was rejected."""
 
     why: str
 
 
 class Roster:
-    """The list in force and what it takes to change it.
-
-    Guards against a list service that has lost its data, answers with a part of it, or goes back in time. Covers
-    duplicate names, impossible figures and two nodes at one address. An empty list is never believed: a fleet
-    that is really gone shows by its refused connections. A list that drops over half of the nodes at once is believed
-    for what it removes (nothing new goes there) but the removed are kept for `WITHHELD`, so that a list that returns
-    finds their history. Harm: a service restarted with lower versions is ignored until it passes
-    the old one, or names itself anew.
+    """The list in force, and the checks for a new one.
+
+    The checks protect against a list service that has lost its data, answers with a part of it, or goes back to an older
+    version, and against duplicate names, impossible figures and two nodes at one address. An empty list is always
+    rejected: a fleet that is really gone shows by refused connections. Removed nodes get nothing new, but their history
+    is kept for `REMOVED_RETENTION`, so that it is still there where a list that dropped many nodes is followed by a
+    complete one. The cost: a list service that restarts with lower versions is ignored until it passes the last version,
+    or uses another name.
     """
 
     WITHHELD = 60 * SECOND
+    """How long removed nodes are kept, in ns."""
 
     def __init__(self) -> None:
-        self.lines: dict[str, Line] = {}
-        self.nodes: dict[str, Node] = {}
-        self.gone_at: dict[str, int] = {}
+        """Begins without a list."""
+        self.lines: dict[str, Line] = {}  # by name
+        self.nodes: dict[str, Node] = {}  # by name, removed ones included
+        self.gone_at: dict[str, int] = {}  # when a node was removed, by name
         self.version, self.service = -1, ""
 
     def take(
         self, lines: Sequence[Line], version: int, service: str, now: int, kept: bool = False
     ) -> tuple[ListKind, list[Entry]] | Refused | None:
-        """What a list means for the module; None where it says nothing new."""
+        """Applies a list of the list service that calls itself `service`.
+
+        Returns what it changes for the module, a rejection, or None where nothing changes. `is_cached` marks the list
+        that an earlier process cached: it does not count as a version of the service. `now` in ns.
+        """
         same_service = service == self.service
         if not kept and same_service and version == self.version:
             return None
@@ -100,7 +109,7 @@
         return None
 
     def _entries(self, lines: Iterable[Line], now: int) -> list[Entry]:
-        """The lines that differ from those in force; the caller's module is told of nothing else."""
+        """Sets the list in force and returns entries for the nodes that differ; the module needs no others."""
         entries, missing = [], dict(self.lines)
         for line in sorted(lines):
             missing.pop(line.name, None)
@@ -127,7 +136,7 @@
 
 
 def line_fault(line: Line) -> str | None:
-    """What is impossible about one line, if anything."""
+    """Returns what is impossible about one node, None where nothing is."""
     if not line.name:
         return "it has no name"
     if not HOST.fullmatch(line.address):
--- a/oakcroft/decisions/fleet/terms.py
+++ b/oakcroft/decisions/fleet/terms.py
@@ -1,9 +1,9 @@
-"""Terms: whose work a duty is, for how long, and under which number; the words that keepers and candidates exchange.
+"""Fleet leases: terms with fencing tokens, and the messages between acceptors and candidates.
 
-A duty is a piece of work on behalf of the whole fleet, by name. Its owner has it for a term, granted by a majority of the
-keepers that the configuration names. Each term has a number that only grows, which goes with everything the owner does:
-whoever the work lands on keeps the highest number seen and turns lower ones away (`Fence`). The owner's own look at its
-clock is a courtesy, never the proof.
+A lease gives one front the right to a piece of work on behalf of the whole fleet. Its holder has it for a term, granted
+by a majority of the acceptors that the configuration names. Each term has a fencing token that only grows and that goes
+with everything the holder does: whoever receives the work keeps the highest token seen and rejects lower ones (`Fence`).
+The holder also watches its own clock, but this only spares work and proves nothing.
 """
 
 from __future__ import annotations
@@ -14,128 +14,176 @@
 from oakcroft.interface import MS
 
 MOST_NUMBER = 1 << 62
-MOST_NOTE = 500  # octets of a note: what fits one datagram beside the rest
-DRIFT = 50  # clocks of two machines differ by less than one part in so many over a term
+"""All numbers in messages are below this."""
+
+MOST_NOTE = 500
+"""Octets of a note, so that a message with one fits into a datagram."""
+
+DRIFT = 50
+"""The clocks of two machines drift apart by less than 1/50 of a term."""
 
 
 class Step(Enum):
-    """What a word between candidate and keeper is for; the number is the wire's."""
+    """Kind of a message between candidate and acceptor; the values are those on the wire."""
 
-    PREPARE = 1  # may I have the next term, under this number?
-    PROPOSE = 2  # I have it; again to keep it, or to put a note on record
-    RELEASE = 3  # I give it back
-    LEARN = 4  # a keeper that remembers nothing asks another what it knows
+    PREPARE = 1  # requests a promise for the next term, under a fencing token
+    PROPOSE = 2  # requests acceptance of the term; sent again to renew it, or to put a note on record
+    RELEASE = 3  # the holder gives the lease back
+    LEARN = 4  # an acceptor that lost its record requests that of another
     PROMISED = 5
     REFUSED = 6
     ACCEPTED = 7
-    LEARNT = 8
+    LEARNT = 8  # the record of an acceptor, for one that lost its own
 
 
 @dataclass(frozen=True)
 class Term:
-    """One turn of one owner: `owner` and `start` name the process, `number` fences what it does."""
+    """One term of a lease."""
 
     number: int
+    """Grows from term to term, and fences the work done in this one."""
+
     owner: str
+    """Name of the front."""
+
     start: int
+    """Generation of the front's process."""
 
 
 @dataclass(frozen=True)
 class Note:
-    """What the owner of a duty put on record for whoever comes after it. Of two the later (number, then step) holds."""
+    """What the holder of a lease put on record for its successor. Of two notes the one with the higher version counts."""
 
     number: int = 0
+    """Fencing token of the term in which it was written."""
+
     step: int = 0
+    """Counts the notes of one term."""
+
     body: bytes = b""
 
     @property
     def key(self) -> tuple[int, int]:
+        """Fencing token and step."""
         return self.number, self.step
 
 
 @dataclass(frozen=True)
 class Ask:
-    """A candidate's word to a keeper."""
+    """A candidate's message to an acceptor."""
 
     step: Step
     duty: str
     term: Term
-    seq: int = 0  # of a proposal: the answers name it
-    length: int = 0  # of a proposal: the term asked for, in ns
+    seq: int = 0
+    """Sequence number of a proposal, repeated in its answers."""
+
+    length: int = 0
+    """Length in ns of the term that a proposal requests."""
+
     note: Note = Note()
 
 
 @dataclass(frozen=True)
 class Answer:
-    """A keeper's word to a candidate. `epoch`: of the keeper's record; `epochs`: which record of each other keeper holds.
-
-    `highest`: the highest number promised; `running`: the term that runs, where another has it, and `left`: for how long.
-    """
+    """An acceptor's message to a candidate."""
 
     step: Step
     duty: str
     keeper: str
     epoch: int
+    """Epoch of the acceptor's record."""
+
     number: int
+    """Fencing token of the request."""
+
     seq: int = 0
+    """Sequence number of the request."""
+
     highest: int = 0
+    """Highest fencing token that the acceptor has promised."""
+
     running: Term | None = None
+    """The term that runs at the acceptor, None where none does."""
+
     left: int = 0
+    """What is left of the running term, in ns."""
+
     note: Note = Note()
     epochs: tuple[tuple[str, int], ...] = ()
+    """Epochs of the other acceptors' records, as far as this one knows."""
 
 
 @dataclass(frozen=True)
 class Row:
-    """What a keeper has on record of one duty."""
+    """What an acceptor has on record of one lease."""
 
     promised: int = 0
-    to: str = ""  # whom it was promised to: two may come with one number
-    term: Term | None = None  # accepted last, whether or not it runs still
+    """Highest fencing token that was promised."""
+
+    to: str = ""
+    """The process that it was promised to, as two may request the same token."""
+
+    term: Term | None = None
+    """The term that was accepted last, whether or not it still runs."""
+
     note: Note = Note()
 
 
 @dataclass(frozen=True)
 class Learnt:
-    """What one keeper tells another that remembers nothing."""
+    """The record of an acceptor, for another that lost its own."""
 
     keeper: str
     epoch: int
-    sound: bool  # it remembers everything it ever promised
+    """Epoch of the acceptor's record."""
+
+    sound: bool
+    """Whether the acceptor knows everything that it ever promised."""
+
     rows: tuple[tuple[str, Row], ...]
+    """Records by lease name."""
 
 
 def majority(of: int) -> int:
-    """How many make one."""
+    """Returns the size of a majority of `count` acceptors."""
     return of // 2 + 1
 
 
 def belief(length: int) -> int:
-    """For how long an owner may take itself for one, from when it asked: less than any keeper's own count of the term."""
+    """Returns for how long a holder may act on a term, counted from its request; `term_length` and the result in ns.
+
+    This is less than any acceptor counts for the term, whatever the drift of its clock.
+    """
     return length - length // DRIFT - MS
 
 
 class Fence:
-    """The highest number that has taken effect of each duty, at whoever the work lands on.
+    """The highest fencing token that has taken effect for each lease, at the resource that the work is done on.
 
-    Guards against an owner that slept through the end of its term with a message half sent: its number is lower than that
-    of the owner after it, and the work of lower numbers is turned away here. Within one term steps count up, so that a
-    message that was overtaken does nothing either. Whoever lives on after a restart has `seen` on record first.
+    This rejects the work of a holder that was suspended past the end of its term while a message was under way: its
+    token is lower than that of the next holder. Steps grow within a term, so a message that was overtaken by a later one
+    has no effect either. A resource that must survive restarts makes `highest_seen` durable before the work takes effect.
     """
 
-    MOST = 64  # duties; they are named by the program, not by what peers say
+    MOST = 64
+    """Leases that a fence keeps; the program names them, not the peers."""
 
     def __init__(self, seen: dict[str, tuple[int, int]] | None = None) -> None:
+        """`highest_seen` gives the (fencing token, step) by lease name that were durable before a restart."""
         self.seen = dict(seen or {})
         self.turned_away = 0
 
     def admits(self, duty: str, number: int, step: int) -> bool:
-        """Whether work under this number and step may take effect; the same step again may, it changes nothing."""
+        """Returns whether work under this token and step may take effect.
+
+        A repeated step is admitted, as repeating it changes nothing. Work that is too old is counted as rejected.
+        """
         if (number, step) < self.seen.get(duty, (0, 0)):
             self.turned_away += 1
             return False
         return duty in self.seen or len(self.seen) < self.MOST
 
     def takes(self, duty: str, number: int, step: int) -> None:
-        """It takes effect now."""
+        """Records that work under this token and step takes effect."""
         self.seen[duty] = max(self.seen.get(duty, (0, 0)), (number, step))
--- a/oakcroft/decisions/routing/__init__.py
+++ b/oakcroft/decisions/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which plan, pool, wing, title and rung a request comes to."""
+"""Routing decisions: the plan, pool, zone, title and rungs that apply to a request."""
--- a/oakcroft/decisions/routing/catalogue.py
+++ b/oakcroft/decisions/routing/catalogue.py
@@ -1,8 +1,8 @@
-"""The catalogue in force, and how it changes while the front serves: which titles there are, on which nodes and rungs.
+"""The catalogue in force and its changes while the front serves: which titles there are, on which nodes and rungs.
 
-A change is taken whole at one instant, between two events of the task that owns the module, or refused whole with its
-reasons. Every set-up is decided under, and carries the number of, the version in force when it leaves. What plays
-already is not ended by a change: it finishes, or steps down to what is left, a few at a time and never under its floor.
+A change is applied as a whole between two events of the task that owns the module, or rejected as a whole with its
+reasons. Each set-up is decided under the version in force when it is sent, and carries its number. A change ends no
+playback: playbacks finish, or step down to a rung that is left, a few at a time and never below their floor.
 """
 
 from __future__ import annotations
@@ -15,40 +15,49 @@
 from oakcroft.interface import MS
 
 MOST_REASONS = 20
+"""Reasons listed for one rejection."""
 
 
 @dataclass(frozen=True)
 class Item:
-    """One title: the nodes that hold it by name, or its cells; and the rate of each of its rungs in kB a second, lowest
-    first (none: the ladder's)."""
+    """One title of the catalogue."""
 
     holders: tuple[str, ...] = ()
+    """Names of the nodes that hold it; empty where its cells say which do."""
+
     home: int = -1
+    """The first cell that holds it; -1 where the catalogue names none."""
+
     copies: int = 0
+    """Cells that hold it; 0 for all."""
+
     rates: tuple[float, ...] = ()
+    """Rate of each of its rungs in kB a second, lowest first; empty for those of the ladder."""
 
     def top(self, rungs: int) -> int:
-        """Its highest rung, on a ladder of so many."""
+        """Returns its highest rung, on a ladder of `rung_count` rungs."""
         return (len(self.rates) or rungs) - 1
 
 
 @dataclass(frozen=True)
 class Catalogue:
-    """A version. Number 0 is none at all: every title is served, by the rule for all."""
+    """A version of the catalogue."""
 
     number: int = 0
+    """0 stands for no catalogue: every title is served, by the default placement."""
+
     digest: str = ""
     titles: Mapping[str, Item] = field(default_factory=dict)
-    others: bool = True  # titles that it does not name are served too
+    others: bool = True
+    """Whether titles that it does not name are served too."""
 
     def serves(self, title: str) -> bool:
-        """Whether there is such a title."""
+        """Returns whether the title is served."""
         return self.others or title in self.titles
 
 
 def bound(catalogue: Catalogue, title: str, asked_top: int, floor: int, rungs: int) -> int | None:
-    """The highest rung for a request under a version; None where it has no such title, or nothing of it on or over the
-    floor."""
+    """Returns the highest rung for a request; None where the title is not served, or on no rung from the floor up."""
     if not catalogue.serves(title):
         return None
     item = catalogue.titles.get(title)
@@ -57,13 +66,13 @@
 
 
 def changed(old: Catalogue, new: Catalogue) -> list[str]:
-    """The titles of which the two say different things, in order of names."""
+    """Returns the names of the titles in which two versions differ, sorted."""
     names = old.titles.keys() | new.titles.keys()
     return sorted(n for n in names if old.titles.get(n) != new.titles.get(n))
 
 
 class Verdict(Enum):
-    """What becomes of a change that is offered."""
+    """Result of an offered change; logs and operators show the names in lower case."""
 
     TAKEN = "taken"
     SAME = "it says what is in force"
@@ -74,27 +83,31 @@
 
 @dataclass(frozen=True)
 class Fleet:
-    """What a change is judged against: names of ready and of all listed nodes, rungs of the ladder, cells, and the
-    floors of plans."""
+    """What a change is checked against."""
 
     ready: frozenset[str]
+    """Names of the ready nodes."""
+
     listed: frozenset[str]
+    """Names of all listed nodes."""
+
     rungs: int
     cells: int
     floors: Mapping[str, int]
+    """Floor of each plan, by plan name."""
 
 
 def base(node: str) -> str:
-    """The place that a node, or its replacement NAME+1, stands on."""
+    """Returns the name of a node without the suffix that a replacement carries, as in NAME+1."""
     return node.partition("+")[0]
 
 
 def reasons(names: Iterable[str], new: Catalogue, fleet: Fleet, force: bool = False) -> list[str]:
-    """Why a change cannot be taken, at most `MOST_REASONS`; none where it can. Only what differs from what is in force
-    is looked at: a title that has lost its nodes by itself does not hold up the change of another.
+    """Returns why a change cannot be applied, `MAX_REASONS` or a few more; none where it can.
 
-    Guards against a title that would have no ready holder, which looks like an outage to its viewers. Harm: a title put
-    in before its nodes are up is refused, unless `force` says that this is meant.
+    Only titles that differ from the version in force are checked, so a title that has lost its nodes does not block a
+    change of another. A title without a ready holder is rejected, as it looks like an outage to its viewers. The cost: a
+    title added before its nodes are up is rejected too, unless `force` is set.
     """
     out, ready, listed = list[str](), {base(n) for n in fleet.ready}, {base(n) for n in fleet.listed}
     highest_floor = max(fleet.floors.values(), default=0)
@@ -131,9 +144,12 @@
     fleet: Fleet,
     force: bool = False,
 ) -> tuple[Verdict, list[str]]:
-    """What becomes of a change. `names`: the titles that are `changed`, found beside the loop; `made_from`: the digest of
-    the version that it was made from, None for any. Of two that were made from one version the first is taken and the
-    second is stale, whatever they change."""
+    """Decides on an offered change.
+
+    `changed_names` are the `changed_titles`, which the caller computes off the event loop. `base_digest` is the digest
+    of the version that the change was made from, None for any. Of two changes made from one version the first is
+    accepted and the second is stale, whatever they change.
+    """
     if made_from is not None and made_from != old.digest:
         return Verdict.STALE, [f"version {old.number} is in force"]
     if new.digest == old.digest and old.number:
@@ -143,7 +159,7 @@
 
 
 class Course(Enum):
-    """What becomes of a playback whose title has changed."""
+    """What a change does to a playback of a changed title; logs show the names in lower case."""
 
     STAYS = "goes on as it is"
     STEPS_DOWN = "goes down to the highest rung that is left"
@@ -153,8 +169,11 @@
 def course(
     floor: int, rung: int, item: Item | None, others: bool, rungs: int, node: str
 ) -> tuple[Course, int]:
-    """What becomes of a playback, and the highest rung for it from now on. A removed title, and a holder taken away, end
-    nothing: their playbacks finish. Neither does a rung under its floor become its rung."""
+    """Returns what a change does to a playback, and the highest rung for it from now on.
+
+    Playbacks of a removed title, or on a node that does not hold the title any more, finish. So do those whose title has
+    no rung left from their floor up.
+    """
     if item is None:
         return (Course.STAYS, rungs - 1) if others else (Course.FINISHES, rung)
     if item.holders and base(node) not in {base(n) for n in item.holders}:
@@ -167,24 +186,29 @@
 
 @dataclass
 class Steps:
-    """Steps down that a change asks for, a few at a time: `at_once` of them in each `every` ns.
+    """Playbacks that a change steps down, in batches.
 
-    Guards against a change that sends thousands of layer calls to nodes in one moment. A playback that ends, or is
-    stepped down by the module meanwhile, is passed over by whoever carries out the step. Harm: the last of many
-    playbacks goes on for seconds on a rendition that is gone.
+    Otherwise a change could send thousands of layer calls to nodes at one moment. The host skips playbacks that have
+    ended or were stepped down meanwhile. The cost: the last of many playbacks stays for seconds on a rendition that is
+    gone.
     """
 
     at_once: int = 50
     every: int = 100 * MS
+    """Time between two batches, in ns."""
+
     waiting: deque[str] = field(default_factory=deque)
+    """Ids of sessions."""
+
     last: int = -(1 << 62)
+    """When the last batch was due, in ns."""
 
     def add(self, some: Iterable[str]) -> None:
-        """More sessions to step down, each to what it is bounded by when its turn comes."""
+        """Adds sessions; each steps down to the highest rung that applies when its turn comes."""
         self.waiting.extend(some)
 
     def due(self, now: int) -> list[str]:
-        """Those whose turn it is."""
+        """Returns the sessions to step down now, none before the next batch is due. `now` in ns."""
         if not self.waiting or now - self.last < self.every:
             return []
         self.last = now
@@ -192,8 +216,11 @@
 
 
 def takes_part(front: int, fronts: int, digest: int, share: float) -> bool:
-    """Whether a front takes a version that is rolled out to a share of all fronts: the same ones for one version, and
-    they stay in as the share grows. `digest`: of the version, as a number."""
+    """Returns whether a front activates a version that is rolled out to a share (0 to 1) of all fronts.
+
+    The choice is the same each time for one version, and fronts stay in as the share grows. `digest` is that of the
+    version, as a number.
+    """
     if share >= 1:
         return True
     place = (front + digest) % max(1, fronts)
@@ -207,25 +234,28 @@
     number: int
     digest: str
     taken: int
+    """In ns."""
+
     why: str
+    """Why the version was made, as the operator says."""
 
 
 @dataclass
 class History:
-    """The versions that a front has taken, the last `most` of them; a roll-back is a new version with an old text."""
+    """The last `max_versions` versions that a front activated; a rollback is a new version with an old text."""
 
     most: int = 50
     versions: list[Kept] = field(default_factory=list)
 
     def take(self, kept: Kept) -> list[int]:
-        """A version is in force now; returns the numbers of those that are forgotten for it."""
+        """Adds the version in force and returns the numbers of those that are dropped for it."""
         self.versions.append(kept)
         gone = self.versions[: -self.most]
         self.versions = self.versions[-self.most :]
         return [k.number for k in gone]
 
     def find(self, number: int) -> Kept | None:
-        """One that is still known."""
+        """Returns a version by its number, None where it is not in the history."""
         return next((k for k in self.versions if k.number == number), None)
 
     @property
--- a/oakcroft/decisions/routing/ladder.py
+++ b/oakcroft/decisions/routing/ladder.py
@@ -1,4 +1,4 @@
-"""A viewer's best rung, from what its offer says that it can take."""
+"""Rungs for a viewer, from the bandwidth in its SDP offer and from its layer selection."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 def best_rung(rates: Sequence[float], rate_factor: float, takes: float | None) -> int:
-    """The highest rung whose rate stays within `takes`, in bytes a second; the lowest where none does.
+    """Returns the highest rung whose rate is within `max_rate` bytes a second, the lowest rung where none is.
 
-    `rates` are the ladder's in kB a second, before the plan's factor. Without a figure every rung is open.
+    `rates` are those of the ladder in kB a second, to be multiplied by the plan's `rate_factor`. Without a `max_rate`
+    every rung is allowed.
     """
     if takes is None:
         return len(rates) - 1
@@ -17,14 +18,18 @@
 
 
 def bytes_a_second(application_kbit: int | None, tias_bit: int | None) -> float | None:
-    """From `b=AS` (RFC 8866 5.8, kbit/s with headers) or `b=TIAS` (RFC 3890, bit/s without); TIAS counts first."""
+    """Returns the rate that an offer allows in bytes a second, None where it names none.
+
+    `application_kbit` is `b=AS` (RFC 8866 5.8, kbit/s with headers), `tias_bit` is `b=TIAS` (RFC 3890, bit/s without
+    headers); TIAS takes precedence.
+    """
     if tias_bit is not None:
         return tias_bit / 8
     return application_kbit * 1000 / 8 if application_kbit is not None else None
 
 
 def rung_wished(wish: str, floor: int, top: int) -> int | None:
-    """The rung that a viewer names by layer selection; None where the name is no rung that it may have."""
+    """Returns the rung that a layer selection requests, None where it is no rung from `floor` to `top`."""
     if not wish.isascii() or not wish.isdigit() or len(wish) > 3:
         return None
     rung = int(wish)
--- a/oakcroft/decisions/routing/pools.py
+++ b/oakcroft/decisions/routing/pools.py
@@ -1,7 +1,7 @@
-"""Pools of playout nodes: which nodes a route's playbacks may go to.
+"""Pools of playout nodes: which nodes the playbacks of a route may go to.
 
-A pool names what its nodes have in common; it places nothing. The module goes through the holders of a title in its own
-order and leaves out those that the playback's pool does not admit.
+A pool filters nodes by their properties and does not place playbacks. The module tries the holders of a title in its own
+order and skips those that the pool does not admit.
 """
 
 from __future__ import annotations
@@ -13,18 +13,25 @@
 
 @dataclass(frozen=True)
 class Pool:
-    """Each part that is not empty must hold. `racks` count by cell mod racks; `but` takes nodes out again."""
+    """A pool by name; each of its conditions that is not empty must hold."""
 
     name: str
     wings: tuple[str, ...] = ()
     racks: tuple[int, ...] = ()
+    """A node's rack is its cell modulo the number of racks."""
+
     kinds: tuple[str, ...] = ()
     tags: tuple[str, ...] = ()
+    """A node must have all of them."""
+
     nodes: tuple[str, ...] = ()
+    """Names of nodes; a name covers the node's replacements NAME+1 too."""
+
     but: tuple[str, ...] = ()
+    """Names of nodes that are not admitted."""
 
     def admits(self, node: Node, racks: int) -> bool:
-        """Whether a node is one of the pool."""
+        """Returns whether a node belongs to the pool."""
         return (
             (not self.wings or node.zone in self.wings)
             and (not self.racks or node.cell % max(1, racks) in self.racks)
@@ -35,7 +42,7 @@
         )
 
     def empty_by_itself(self) -> str | None:
-        """Why no node at all can be in it, as far as its own words tell."""
+        """Returns why the pool can admit no node, as far as its own conditions show; None where it may admit some."""
         if self.nodes and all(node in self.but for node in self.nodes):
             return "every node that it names is taken out again"
         return None
--- a/oakcroft/decisions/routing/routing.py
+++ b/oakcroft/decisions/routing/routing.py
@@ -1,9 +1,10 @@
-"""Which route takes a request: a compiled table whose look-up visits only what can match.
+"""The route table: finds the route of a request, looking only at routes that can match.
 
-Routes have no order of their own, so that text may be moved and split into files without changing what it
-means. The most particular route that matches takes the request: an exact title before a title prefix, a longer prefix
-before a shorter one, any before none; then more claims, then a wing before none. Two routes that could both take one
-request and are equally particular are a fault of the configuration (`clashes`), so the answer is always one.
+Routes have no order, so configuration text can be moved and split into files without a change of meaning. The most
+specific route that matches takes the request: an exact title before a title prefix, a longer prefix before a shorter
+one, any title pattern before none; then more claims before fewer, then a zone before none. Two routes of the same
+specificity that could both match one request are a fault of the configuration (`ambiguous_routes`), so the result is
+unique.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Side(Enum):
-    """Who a route is for."""
+    """Who a route is for; the values are those of the configuration."""
 
     WATCH = "watch"
     PUBLISH = "publish"
@@ -22,29 +23,39 @@
 
 @dataclass(frozen=True)
 class Match:
-    """What a route asks of a request. `titles`: exact names, or prefixes ending in *; none: any title."""
+    """The conditions of a route."""
 
     side: Side
     prefix: str
+    """The path before the title, with its last slash."""
+
     titles: tuple[str, ...] = ()
+    """Exact titles, or title prefixes ending in *; empty for any title."""
+
     wing: str = ""
+    """Zone that the front must be in; empty for any."""
+
     claims: tuple[tuple[str, str], ...] = ()
+    """Names and values that the request's token must have."""
 
 
 @dataclass(frozen=True)
 class Route:
-    """A route by name: what it asks of a request and what it leads to."""
+    """A route by name: its conditions and what applies to the requests that it takes."""
 
     name: str
     match: Match
     plan: str
     pool: str = ""
+    """Name of the pool of nodes; empty for all nodes."""
+
     top: int | None = None
+    """Highest rung; None for that of the plan."""
 
 
 @dataclass(frozen=True)
 class Asked:
-    """What of a request the routes look at."""
+    """The properties of a request that routes are matched against."""
 
     side: Side
     path: str
@@ -52,13 +63,13 @@
     claims: Mapping[str, str]
 
     def split(self) -> tuple[str, str]:
-        """The prefix, up to and with the last slash, and the title after it."""
+        """Returns the path up to and with the last slash, and the title after it."""
         at = self.path.rfind("/") + 1
         return self.path[:at], self.path[at:]
 
 
 class Why(Enum):
-    """Why a route does not take a request."""
+    """Why a route does not match a request; operators read the values."""
 
     SIDE = "it is for the other side"
     PATH = "its path is another"
@@ -68,7 +79,7 @@
 
 
 def refuses(match: Match, asked: Asked) -> Why | None:
-    """The first thing about a request that a route does not take; None when it takes it."""
+    """Returns the first condition that a request does not meet, None where it meets all."""
     prefix, title = asked.split()
     if match.side is not asked.side:
         return Why.SIDE
@@ -84,7 +95,7 @@
 
 
 def covers(pattern: str, title: str) -> bool:
-    """Whether a title pattern takes a title."""
+    """Returns whether a title pattern (an exact title, or a prefix ending in *) matches a title."""
     return title.startswith(pattern[:-1]) if pattern.endswith("*") else title == pattern
 
 
@@ -92,7 +103,7 @@
 
 
 def rank(pattern: str | None, match: Match) -> Rank:
-    """How particular a route is where one of its patterns (None: any title) matched; larger goes first."""
+    """Returns how specific a route is where one of its title patterns matched, None for any title; larger goes first."""
     depth = 0 if pattern is None else len(pattern) if pattern.endswith("*") else 1_000_000
     return depth, len(match.claims), 1 if match.wing else 0
 
@@ -106,11 +117,12 @@
 
 
 class _Bucket:
-    """All routes of one side and prefix, by what they ask of the title."""
+    """All routes of one role and path prefix, indexed by title pattern."""
 
     def __init__(self) -> None:
+        """Begins without routes."""
         self.exact: dict[str, list[Route]] = {}
-        self.root = _Step([], {})  # of title prefixes; the root itself holds routes for any title
+        self.root = _Step([], {})  # trie of title prefixes; the root holds the routes for any title
 
     def add(self, route: Route) -> None:
         if not route.match.titles:
@@ -125,7 +137,7 @@
             step.routes.append(route)
 
     def sort(self) -> None:
-        """Puts the routes of each place in order, most particular first."""
+        """Sorts the routes under each title pattern, most specific first."""
         steps = [self.root]
         while steps:
             step = steps.pop()
@@ -135,7 +147,7 @@
             routes.sort(key=lambda r: (-len(r.match.claims), not r.match.wing, r.name))
 
     def candidates(self, title: str) -> list[list[Route]]:
-        """Lists of routes whose title pattern takes the title, most particular first."""
+        """Returns the lists of routes whose title pattern matches a title, most specific first."""
         found, step = [self.root.routes], self.root
         for letter in title:
             following = step.after.get(letter)
@@ -151,13 +163,17 @@
 
 
 class RouteTable:
-    """All routes, ready for look-ups. The time of one grows with the title's length and with the routes that share its
-    very pattern, not with how many there are."""
+    """All routes, indexed for look-up.
+
+    The time of a look-up grows with the length of the title and with the routes of the same pattern, not with the number
+    of routes.
+    """
 
     def __init__(self, routes: Iterable[Route]) -> None:
+        """`routes` must be free of `ambiguous_routes`."""
         self.routes = {r.name: r for r in routes}
         self.buckets: dict[tuple[Side, str], _Bucket] = {}
-        self.plans: dict[str, set[str]] = {}  # by prefix: of all its routes, on either side
+        self.plans: dict[str, set[str]] = {}  # plans of all routes of a path prefix, for both roles
         for route in self.routes.values():
             key = (route.match.side, route.match.prefix)
             self.buckets.setdefault(key, _Bucket()).add(route)
@@ -166,7 +182,7 @@
             bucket.sort()
 
     def find(self, asked: Asked) -> Route | None:
-        """The route that takes a request."""
+        """Returns the route that takes a request, None where no route matches."""
         prefix, title = asked.split()
         bucket = self.buckets.get((asked.side, prefix))
         if bucket is None or not title:
@@ -178,13 +194,15 @@
         return None
 
     def sides(self, path: str) -> set[Side]:
-        """For which sides anything is served under a path."""
+        """Returns the roles for which a path is served."""
         prefix, title = Asked(Side.WATCH, path, "", {}).split()
         return {side for side, p in self.buckets if p == prefix and title}
 
     def ahead_of(self, route: Route, asked: Asked) -> list[tuple[Route, Why]]:
-        """The routes that would go before this one for a request if they took it, and why each does not: those
-        with the same prefix, most particular first, then the nearest others."""
+        """Returns the routes of the same path prefix that would precede `route` if they matched a request.
+
+        They come most specific first, each with the reason why it does not match.
+        """
         out = []
         mine = max(ranks(route, asked), default=(0, 0, 0))
         for other in sorted(self.routes.values(), key=lambda r: (best_rank(r), r.name), reverse=True):
@@ -200,7 +218,7 @@
 
 
 def ranks(route: Route, asked: Asked) -> list[Rank]:
-    """The ranks at which a route takes a request."""
+    """Returns the specificities of the title patterns by which a route matches a request."""
     title = asked.split()[1]
     if not route.match.titles:
         return [rank(None, route.match)]
@@ -208,12 +226,12 @@
 
 
 def best_rank(route: Route) -> Rank:
-    """The highest rank that a route can have."""
+    """Returns the highest specificity that a route can have."""
     return max((rank(p, route.match) for p in route.match.titles), default=rank(None, route.match))
 
 
 def compatible(a: Match, b: Match) -> bool:
-    """Whether some request passes the wing and claims of both."""
+    """Returns whether one request can meet the zone and claims of both."""
     if a.wing and b.wing and a.wing != b.wing:
         return False
     claims = dict(a.claims)
@@ -221,7 +239,7 @@
 
 
 def clashes(routes: Sequence[Route]) -> list[tuple[Route, Route, str]]:
-    """Pairs of routes that are equally particular for some request, and a title by which it shows."""
+    """Returns the pairs of routes that are equally specific for some request, each with an example of a title."""
     places: dict[tuple[Side, str, str | None], list[Route]] = {}
     for route in routes:
         patterns: Iterable[str | None] = route.match.titles or (None,)
@@ -239,7 +257,7 @@
 
 
 def example(route: Route, wing: str) -> Asked:
-    """A request that a route takes, unless a more particular one does."""
+    """Returns a request that a route takes, unless a more specific route does. `zone` is that of the front."""
     pattern = route.match.titles[0] if route.match.titles else "example"
     title = pattern[:-1] + "1" if pattern.endswith("*") else pattern
     return Asked(
--- a/oakcroft/decisions/routing/titles.py
+++ b/oakcroft/decisions/routing/titles.py
@@ -1,4 +1,4 @@
-"""The titles that one front has met, a bounded number of them."""
+"""A bounded cache of the titles that were requested from one front."""
 
 from __future__ import annotations
 
@@ -10,22 +10,26 @@
 
 
 class Shelf:
-    """Titles by name; the module keeps seats and holders on them, so that one in use must stay the same object.
+    """Titles by name. The module keeps seats and holders on them, so a title in use must stay the same object.
 
-    Guards against clients that ask for names without end. When the shelf is full, the title unused for longest
-    goes, if no seat of it is taken; where all are in use, the new one gets no place (`get` answers None). Harm: the
-    holder order of a seldom title is reckoned anew.
+    The bound protects against clients that request ever new names. When the cache is full, the title unused for longest
+    that has no seat taken is evicted; where all are in use, a new title is refused. The cost: the holder order of a
+    rarely used title is computed again.
     """
 
     def __init__(self, most: int, cells: int, copies: int, stated: Mapping[str, tuple[int, int]]) -> None:
+        """`configured_placements` gives (home cell, copies) by title; others are in `default_copies` cells."""
         self.most, self.cells, self.copies, self.stated = most, cells, copies, stated
         self.titles: OrderedDict[str, Title] = OrderedDict()
-        self.homes: dict[str, tuple[int, int | None]] = {}
+        self.homes: dict[str, tuple[int, int | None]] = {}  # (home cell, copies) as `get` was called
         self.items: Mapping[str, Item] = {}  # of the catalogue in force
 
     def get(self, name: str, home: int, copies: int | None = None) -> Title | None:
-        """The title; `home` is the first cell that holds it, in `copies` cells or the usual number, unless its place is
-        stated."""
+        """Returns a title, None where it is new and the cache is full of titles in use.
+
+        `home` is the first cell that holds it and `copies` the number of cells, None for the default. A placement in the
+        configuration or the catalogue takes precedence.
+        """
         title = self.titles.get(name)
         if title is None:
             if len(self.titles) >= self.most and not self._make_room():
@@ -37,21 +41,23 @@
         return title
 
     def take_version(self, copies: int, stated: Mapping[str, tuple[int, int]]) -> None:
-        """Where titles are held has changed; those on the shelf stay the same objects, with their seats."""
+        """Applies another configuration; cached titles stay the same objects, with their seats."""
         self.copies, self.stated = copies, stated
         for title in self.titles.values():
             self._place(title)
 
     def take_catalogue(self, items: Mapping[str, Item], changed: Iterable[str]) -> None:
-        """Another catalogue is in force; only these titles are looked at, and of them those on the shelf."""
+        """Applies another catalogue; `changed` names the titles that differ in it."""
         self.items = items
         for name in changed:
             if (title := self.titles.get(name)) is not None:
                 self._place(title)
 
     def _place(self, title: Title) -> None:
-        """Where a title is held and at which rates: by the catalogue, else as stated, else by the rule for all. The
-        object stays the same, with its seats."""
+        """Sets where a title is held and its rates: by the catalogue, else the configuration, else the default.
+
+        The object stays the same, with its seats.
+        """
         item = self.items.get(title.name)
         first, asked = self.homes[title.name]
         usual = first % self.cells, self.copies if asked is None else asked
--- a/oakcroft/decisions/routing/versions.py
+++ b/oakcroft/decisions/routing/versions.py
@@ -1,8 +1,8 @@
-"""Which version of the configuration is in force, and what may be taken while the front serves.
+"""The version of the configuration in force, and which versions can be applied while the front serves.
 
-A version is checked whole before it gets here. It comes into force at one instant, between two events of the task
-that owns the module; a request is decided under the version in force when it arrived, and what plays keeps the terms
-it was taken under.
+A version is checked as a whole before it gets here. It comes into force between two events of the task that owns the
+module. A request is decided under the version in force when it arrived, and a playback keeps the terms that it was
+admitted under.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Verdict(Enum):
-    """What became of a version that was offered."""
+    """Result of an offered version; logs and operators show the values."""
 
     TAKEN = "taken"
     SAME = "it means what is in force"
@@ -26,30 +26,35 @@
 
 
 RESTART_ONLY = ("ladder", "fleet", "front")
-"""Parts of a configuration that the module and the sockets are built on: the ladder's rungs have numbers that
-playing sessions hold, cells and racks place titles, fronts share out turns and limits among them."""
+"""Parts of a configuration that only a restart changes, as the module and the sockets are built on them: playbacks refer
+to rungs of the ladder by number, titles are placed by cells and racks, and fronts divide turns and limits among them."""
 
 
 @dataclass(frozen=True)
 class Offer(Generic[T]):
-    """A version: when its text was read (a number that only grows), what it means, its compiled form."""
+    """A version of the configuration that has passed its check."""
 
     number: int
+    """Grows with each text that is read."""
+
     meaning: Mapping[str, Mapping[str, object]]
+    """Its values by form, by which versions are compared."""
+
     compiled: T
 
 
 class InForce(Generic[T]):
-    """The version in force and the history of what was offered."""
+    """The version in force."""
 
     def __init__(self, first: Offer[T]) -> None:
+        """`first` is the version that the front starts with."""
         self.offer = first
 
     def consider(self, offer: Offer[T] | None) -> tuple[Verdict, list[str]]:
-        """Takes a version or says why not; None stands for one that did not pass its check.
+        """Applies a version, or says why not; None stands for one that did not pass its check.
 
-        Two that come close together are taken in the order in which they were read, so the later one stays,
-        whichever check was done first.
+        For `NEEDS_RESTART` the parts that differ are returned too. Of two versions that come close together the one
+        that was read later stays, whichever check ended first.
         """
         if offer is None:
             return Verdict.BROKEN, []
@@ -66,8 +71,11 @@
 
 
 def families(plans: Mapping[str, int], names: list[str]) -> dict[str, int]:
-    """A number for each plan name that stays the same over all versions of one front's life, so that seats are
-    counted across them. `plans`: those given so far."""
+    """Returns a family number for each plan name.
+
+    A number stays the same over all versions that one process applies, so that seats are counted across them.
+    `known_families` are the numbers given so far.
+    """
     out = dict(plans)
     for name in names:
         out.setdefault(name, len(out))
--- a/oakcroft/decisions/routing/wings.py
+++ b/oakcroft/decisions/routing/wings.py
@@ -1,17 +1,17 @@
-"""Which zone a new session may go to: the front's own first, others within a bound, and a returning zone by and by.
+"""Zone preference: a new session goes to the front's own zone, with failover and bounded overflow to others.
 
-A zone's health, as one front sees it, is a state machine. Evidence is what this front meets by itself: connections
-refused and processes gone, silence, and the list. A zone whose nodes are silent while the list has them ready is
-*cut* off from this front as far as it can tell, and its nodes may be warm and busy; one whose processes are gone is
-*lost*, and comes back cold. Either way this front sends nothing there until it answers again, and then a share that
-rises with the square of time. One that relapses while it returns waits twice as long the next time, up to a bound; a
-stretch in service takes that back.
+Each front keeps a state machine of each zone's health, from what it observes itself (refused connections, ended
+processes, silence) and from the node list. A zone whose nodes are silent while they are listed as ready is *cut* off from
+this front, as far as it can tell, and its nodes may be warm and busy. A zone whose processes are gone is *lost* and comes
+back cold. In both cases the front sends nothing there until the zone answers again, and then a share of its requests that
+grows with the square of time. A zone that fails again while it returns takes twice as long the next time, up to a bound;
+time in service takes that back.
 
-Where the own zone takes nothing, others do, for no more than a stated part of this front's requests in any window and
-only while their links have room. What is over that the module turns away at once, before the surviving zone is overrun.
+Where the own zone takes nothing, other zones do, for a bounded part of the front's requests in any window and only while
+their links have room. Requests past that bound are rejected at once, before they overload the remaining zone.
 
-A draining node takes nothing new and is meant to leave. It is no evidence for or against its zone, and a zone without a
-ready node has no room, whatever its nodes' links carry.
+A draining node accepts nothing new and is expected to leave. It does not count as evidence for or against its zone. A
+zone without a ready node has no room, whatever the load of its links.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 from oakcroft.interface import SECOND
 
 NO_READY_NODE = math.inf
-"""The load of a zone in which no node is ready: over any `room`."""
+"""Load of a zone in which no node is ready; it is above any `room`."""
 
 
 def zone_load(ready_nodes: Sequence[float]) -> float:
-    """The load of a zone from the link loads (asked over given) of its ready nodes: their mean."""
+    """Returns the load of a zone: the mean link load (demand over capacity) of its ready nodes."""
     return sum(ready_nodes) / len(ready_nodes) if ready_nodes else NO_READY_NODE
 
 
 class NodeEvidence(Enum):
-    """How one node looks from here."""
+    """How one node appears to this front; logs show the names in lower case."""
 
     ANSWERS = "answers"
     SILENT = "silent, though the list has it"
@@ -44,7 +44,7 @@
 
 
 class ZoneState(Enum):
-    """How a zone stands, as one front sees it."""
+    """Health of a zone as one front sees it; logs and operators show the values."""
 
     SOUND = "sound"
     CUT = "cut off from this front"
@@ -62,32 +62,48 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """`most`: share of a zone's nodes that must be out for it to be out; `hold`: for so long; `spill`: part of requests
-    of any `window` that may go to other zones; `room`: mean load under which another zone takes them, and over which the
-    own zone is full; `ramp`: time of the way back, up to `longest`. Times in ns."""
+    """Configured bounds; the fields are named as the configuration's fields. Times in ns."""
 
     most: float = 0.6
+    """Share of a zone's nodes that must be out for the zone to be out."""
+
     hold: int = 2 * SECOND
+    """How long the evidence must hold."""
+
     spill: float = 0.5
+    """Share of the requests in any window that may go to other zones."""
+
     window: int = 10 * SECOND
     room: float = 0.9
+    """Mean load under which another zone accepts requests, and over which the own zone is full."""
+
     ramp: int = 30 * SECOND
+    """Time in which a lost zone gets its full share back."""
+
     longest: int = 300 * SECOND
+    """Upper bound of the ramp after repeated failures."""
 
 
 @dataclass
 class ZoneHealth:
-    """One zone's health, as this front sees it. `relapses`: how often it went out again while it came back."""
+    """Health of one zone as this front sees it. Times in ns."""
 
     bounds: Bounds
     state: ZoneState = ZoneState.SOUND
     since: int = 0
+    """When the present state began; in SOUND also when a relapse was last taken back."""
+
     relapses: int = 0
-    cold: bool = False  # it comes back from being lost, not from a cut
-    pending: tuple[ZoneState, int] | None = None  # what the evidence says, and since when
+    """How often the zone failed again while it returned, less what time in service took back."""
+
+    cold: bool = False
+    """Whether the zone was lost, and not only cut off, so that its nodes are cold when it returns."""
+
+    pending: tuple[ZoneState, int] | None = None
+    """The state that the evidence asks for, and since when; None where it agrees with the present state."""
 
     def _change(self, state: ZoneState, now: int) -> ZoneState:
-        """The one place where the state changes."""
+        """Sets the state. ValueError for a transition that is not in `TRANSITIONS`."""
         if state not in TRANSITIONS[self.state]:
             raise ValueError(f"a zone cannot go from {self.state.value!r} to {state.value!r}")
         if self.state is ZoneState.RETURNING and state in (ZoneState.CUT, ZoneState.LOST):
@@ -100,10 +116,10 @@
         return state
 
     def evidence(self, nodes: Mapping[NodeEvidence, int]) -> ZoneState:
-        """What the nodes of a zone say of it now: sound, cut or lost.
+        """Returns the state that the numbers of nodes by evidence ask for: sound, cut or lost.
 
-        Draining nodes are left out. Guards against a zone that looks sound as most of its nodes drain and answer, while
-        the ready ones are out. Harm: a zone whose few ready nodes are out while the rest drain comes back by its ramp.
+        Draining nodes do not count: otherwise a zone would look sound while most of its nodes drain and answer but its
+        ready nodes are out. The cost: a zone whose few ready nodes are out while the rest drain returns by its ramp.
         """
         whole = sum(nodes.values()) - nodes.get(NodeEvidence.DRAINS, 0)
         dead = nodes.get(NodeEvidence.REFUSES, 0) + nodes.get(NodeEvidence.GONE, 0)
@@ -113,8 +129,10 @@
         return ZoneState.LOST if dead >= self.bounds.most * whole else ZoneState.CUT
 
     def look(self, nodes: Mapping[NodeEvidence, int], now: int) -> ZoneState | None:
-        """To be called a few times a second; the new state where it changes. Evidence must hold, the list's too, since
-        lists may be wrong."""
+        """Takes fresh evidence a few times a second and returns the new state where it changes.
+
+        Evidence must hold for `hold` ns; that of the node list too, as lists can be wrong.
+        """
         found = self.evidence(nodes)
         if self.state is ZoneState.RETURNING and now - self.since >= self.ramp and found is ZoneState.SOUND:
             return self._change(ZoneState.SOUND, now)
@@ -135,12 +153,15 @@
 
     @property
     def ramp(self) -> int:
-        """How long the way back takes: a cut zone's nodes are warm, a lost one's are not; twice for each relapse."""
+        """Time in which the zone gets its full share back, in ns.
+
+        It is a quarter for a zone that was only cut off, as its nodes are warm, and doubles with each relapse.
+        """
         whole = self.bounds.ramp if self.cold else self.bounds.ramp // 4
         return min(self.bounds.longest, whole << min(self.relapses, 10))
 
     def share(self, now: int) -> float:
-        """The share of requests that may go there, 0 to 1."""
+        """Returns the share of requests that may go to the zone, 0 to 1."""
         if self.state is ZoneState.SOUND:
             return 1.0
         if self.state is not ZoneState.RETURNING:
@@ -150,32 +171,36 @@
 
 @dataclass
 class SpillWindow:
-    """Set-ups of this front in a window, and those of them that went to other zones."""
+    """Requests of this front in the present window, and how many of them overflowed to other zones."""
 
     bounds: Bounds
     sent: deque[tuple[int, bool]] = field(default_factory=deque)
+    """Time in ns, and whether the request went to another zone."""
+
     spilled: int = 0
+    """Requests in the window that went to another zone."""
 
     def _pass(self, now: int) -> None:
         while self.sent and self.sent[0][0] <= now - self.bounds.window:
             self.spilled -= self.sent.popleft()[1]
 
     def may(self, now: int) -> bool:
-        """Whether one more may go to another zone: it and those in the window within the part of all requests."""
+        """Returns whether one more request may go to another zone, itself counted in the window."""
         self._pass(now)
         return self.spilled + 1 <= self.bounds.spill * (len(self.sent) + 1)
 
     def asked(self, other: bool, now: int) -> None:
-        """A request came and was let to another zone, or was not."""
+        """Records a request and whether it went to another zone."""
         self._pass(now)
         self.sent.append((now, other))
         self.spilled += other
 
 
 class ZonePreference:
-    """All zones of one front. `tiers`: its own first, then the others in order of preference."""
+    """The zones of one front: their health, and which of them a request may go to."""
 
     def __init__(self, tiers: Sequence[str], bounds: Bounds) -> None:
+        """`zones` begins with the front's own, then come the others in order of preference."""
         self.tiers, self.bounds = tuple(tiers), bounds
         self.health = {zone: ZoneHealth(bounds) for zone in tiers}
         self.spill = SpillWindow(bounds)
@@ -184,7 +209,7 @@
     def look(
         self, nodes: Mapping[str, Mapping[NodeEvidence, int]], now: int
     ) -> list[tuple[str, ZoneState, ZoneState]]:
-        """Fresh evidence of all zones; what has changed: zone, before, after."""
+        """Takes fresh evidence of all zones and returns the changes as (zone, state before, state after)."""
         out = []
         for zone, health in self.health.items():
             before = health.state
@@ -193,8 +218,10 @@
         return out
 
     def choose(self, loads: Mapping[str, float], draw: float, now: int) -> frozenset[str]:
-        """The zones that a request may go to; none where it is to be turned away. `loads`: of each zone, by `zone_load`;
-        `draw`: from 0 to 1, by lot."""
+        """Returns the zones that a request may go to, none where it is to be rejected.
+
+        `zone_loads` gives the `zone_load` of each zone; `draw` is a random number from 0 to 1.
+        """
         own, *others = self.tiers
         if draw < self.health[own].share(now) and loads.get(own, 0.0) <= self.bounds.room:
             self.spill.asked(False, now)
@@ -206,6 +233,6 @@
                     return frozenset({zone})
         self.spill.asked(False, now)
         if self.health[own].state is ZoneState.SOUND:
-            return frozenset({own})  # full, but in service: the module decides
+            return frozenset({own})  # the own zone is full but in service, so the module decides
         self.turned += 1
         return frozenset()
