--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,5 +1,7 @@
-"""Duties of the fleet over several processes: owners that are killed, stopped and woken, cut off, and keepers without a
-record. What is judged is what the fronts say over the operators' interface; nothing is looked up inside.
+"""Fleet leases over several processes: holders that are killed, suspended or cut off, and acceptors without a record.
+
+The tests read only the operators' interface of the fronts, where a lease is a duty, its holder an owner and an acceptor
+a keeper.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 
 class Owners(Fronts):
-    """Fronts of which the first three are keepers; all keep a state file."""
+    """Fronts of which the first three are acceptors; all have a state file."""
 
     def file(self, name: str) -> Path:
         path = super().file(name)
@@ -56,7 +58,7 @@
         return {"status": 0}
 
     async def owner(self, among: list[str], but: str = "", within: float = 12) -> tuple[str, int]:
-        """Waits until one of these says that the duty is its own; name and number."""
+        """Waits until one of these fronts holds the lease and returns its name and fencing token."""
         with trio.fail_after(within):
             while True:
                 for name in among:
@@ -66,14 +68,14 @@
                 await trio.sleep(0.05)
 
     async def owns(self, name: str) -> bool:
-        """Whether a front takes itself for the owner."""
+        """Returns whether a front acts as the holder."""
         return any(d["mine"] for d in (await self.call(name, "GET", "fleet/owners")).get("duties", []))
 
     async def standing(self, name: str) -> dict[str, Any]:
         return await self.call(name, "GET", "fleet/roll-out")
 
     async def rolls(self, at: list[str], within: float = 25, **wanted: object) -> list[dict[str, Any]]:
-        """Waits until all of these say so of the last roll-out."""
+        """Waits until all of these fronts report these values of the last rollout."""
         said = list[dict[str, Any]]()
         with trio.move_on_after(within):
             while True:
@@ -87,11 +89,11 @@
         return await self.call(at, "PUT", f"fleet/roll-out?watch={watch}", text.encode(), If_Match="*")
 
     async def numbers(self, at: list[str]) -> list[tuple[int, int]]:
-        """The (number, step) that stands at each."""
+        """Returns the (fencing token, step) of each front's fence."""
         return [tuple((await self.standing(n))["fence"]) for n in at]
 
     async def versions(self, name: str) -> list[str]:
-        """Digests of all that was in force on a front, in order."""
+        """Returns the digests of all versions that a front had in force, in order."""
         return [v["digest"] for v in (await self.call(name, "GET", "catalogue/versions"))["all"]]
 
 
@@ -118,8 +120,8 @@
         one = {s["in_force"] for s in [await rig.standing(n) for n in rig.names]}
         assert len(one) == 1
 
-        # Of the next version a share has it when its owner's orders come to be under way for long, and it is stopped;
-        # meanwhile another owner takes the version back.
+        # A share has the next version when the holder's orders begin to take long, and the holder is suspended. The next
+        # holder rolls the version back meanwhile, so the late orders must be rejected.
         second, later = await rig.owner(rig.names)
         others = [n for n in rig.names if n != second]
         assert (await rig.roll_out(second, TWO, watch=60))["status"] == 202
@@ -128,7 +130,7 @@
             rig.between.on(second, name).late = (4 * TERM, 4 * TERM + 1)
         passed = rig.between.waiting
         with trio.fail_after(6):
-            while rig.between.waiting < passed + 40:  # so many of its words are under way
+            while rig.between.waiting < passed + 40:  # 40 of its messages are in flight
                 await trio.sleep(0.02)
         rig.signal(second, signal.SIGSTOP)
         third, latest = await rig.owner(others, within=6 * TERM)
@@ -145,7 +147,7 @@
         await rig.rolls(rig.names, stage="stopped")
         for name in rig.names:
             assert (await rig.standing(name))["in_force"] in one
-            assert len(await rig.versions(name)) <= 3  # the first, the second, and back
+            assert len(await rig.versions(name)) <= 3  # the first, the second, and the first again
 
     on_owners(tmp_path, test)
 
@@ -163,10 +165,10 @@
         with trio.fail_after(3 * TERM):
             while await rig.owns(first):
                 await trio.sleep(0.05)
-        assert (await rig.standing(first))["status"] == 200  # it serves on
+        assert (await rig.standing(first))["status"] == 200  # it still serves
         rig.between.heal()
 
-        # A keeper loses its record: it grants nothing for a term, learns, and numbers go on from where they were.
+        # An acceptor loses its record: it grants nothing for a term, gets the records of the others, and tokens grow on.
         wiped = next(n for n in sorted(keepers) if n != second)
         rig.signal(wiped, signal.SIGKILL)
         await rig.processes[wiped].wait()
@@ -191,12 +193,12 @@
         await rig.owner(rig.names)
         assert (await rig.roll_out("f4", BROKEN))["status"] == 202
         said = await rig.rolls(rig.names, stage="stopped")
-        # On a machine that is short of everything the time for handing it round may be up before it is refused.
+        # On an overloaded machine the distribution may time out before a front refuses the version.
         reason = said[0]["roll_out"]["reason"]
         assert "refused it" in reason or "did not take it in" in reason
         assert [await rig.versions(n) for n in rig.names] == [[]] * 5
 
-        # Two of three keepers have a full disk: no term can begin, and all fronts serve on.
+        # Two of three acceptors have a full disk: no term can begin, and all fronts still serve.
         for name in ("f0", "f1"):
             rig.signal(name, signal.SIGKILL)
             await rig.processes[name].wait()
@@ -232,7 +234,7 @@
     assert "stands twice" in said("(keepers (names f0 f1 f1))")[0]
     assert "there are none" in said("(keepers (names f0 f1 f2))", peers=False)[0]
     assert "would forget what it has granted" in said("(keepers (names f0 f1 f2))", state=False)[0]
-    assert said("(keepers (names f1 f2 f3))", state=False) == []  # it is none itself
+    assert said("(keepers (names f1 f2 f3))", state=False) == []  # this front is no acceptor
     assert "2 keepers bear no more losses than 1" in said("(keepers (names f0 f1))")[0]
 
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,5 +1,7 @@
-"""Nodes' loads shared among fronts: who asks whom, what is told on and how old it is, what the module makes of it; pure,
-and over several processes with a front that dies and one that lies."""
+"""Load sharing among fronts: who probes which node, what is passed on and how old it is, and what the module makes of it.
+
+The last test runs several processes, with a front that is killed and one that sends false loads.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +47,7 @@
 
 
 def due(figures: Figures, now: int) -> set[str]:
-    """All that is due now, asked and answered by nobody yet."""
+    """Returns all nodes that a front would probe now where no probe is answered."""
     some, asked = set(figures.due(now)), set[str]()
     while some:
         asked |= some
@@ -62,7 +64,7 @@
     rest = [n for n in NAMES if n != "f4"]
     then = {n: due(front(n, rest), SECOND) for n in rest}
     assert set().union(*then.values()) == set(NODES)
-    assert all(first[n] <= then[n] for n in rest)  # only what f4 had has passed on
+    assert all(first[n] <= then[n] for n in rest)  # only the nodes of f4 have moved to other fronts
 
 
 def test_the_second_in_line_asks_where_the_first_has_long_been_silent() -> None:
@@ -80,7 +82,7 @@
     assert one not in due(figures, 10 * SECOND)
     ((to, rows),) = figures.tells(10 * SECOND)
     assert (to, [(r.mark, r.asked) for r in rows]) == ("f1", [(mark(one, NODES[one]), 0.5)])
-    for i in range(5):  # what its traffic tells before the interval is over is its own matter
+    for i in range(5):  # loads seen before the interval is over are not reported
         figures.own(one, 0.6, 0, 10 * SECOND + (i + 1) * 100 * MS)
     told = [figures.tells(11 * SECOND + i * SECOND) for i in range(5)]
     assert sum(bool(t) for t in told) <= 2
@@ -94,7 +96,7 @@
     assert figures.heard([Row(mark(node, NODES[node]), 0.8, 300 * MS)], 10 * SECOND) == [
         (node, 0.8, 305 * MS)
     ]
-    assert figures.heard([Row(mark(node, NODES[node]), 0.8, 300 * MS)], 10 * SECOND) == []  # no news any more
+    assert figures.heard([Row(mark(node, NODES[node]), 0.8, 300 * MS)], 10 * SECOND) == []  # known already
     rounds, now, ages = 0, 10 * SECOND, []
     while tells := figures.tells(now):
         assert len(tells) == FANOUT
@@ -170,28 +172,28 @@
     module.told(node, 0.95, SECOND, now)
     assert (node.heard, node.reported, node.told) == (True, 0.95, True)
     assert node.level != usual
-    module.told(node, 0.2, 2 * SECOND, now)  # an older word
+    module.told(node, 0.2, 2 * SECOND, now)  # an older report
     assert node.reported == 0.95
-    # Its own traffic replaces it, though that tells of a little before.
+    # The front's own traffic replaces the report, although it is slightly older.
     pb = fleet.ask()
     (node,) = fleet.sends()
     module.told(node, 0.95, 0, now)
     module.tried(pb, Outcome.FULL, False, 0.4, None, None, now)
     assert not node.told
     own = node.reported
-    module.told(node, 0.05, 0, now + SECOND)  # and holds while it is fresh
+    module.told(node, 0.05, 0, now + SECOND)  # own traffic counts while it is recent
     assert node.reported == own
     module.told(node, 0.05, 0, now + 30 * SECOND)
     assert (node.reported, node.told) == (0.05, True)
 
 
 class Probers(Adopters):
-    """Fronts that share what nodes tell."""
+    """Fronts that share the loads of nodes."""
 
     form = "(probing (every 500ms))"
 
     async def knows(self, name: str, within: float = 10, **more: Any) -> dict[str, Any]:
-        """Waits until a front knows of both nodes' loads."""
+        """Waits until a front knows the loads of both nodes."""
         said = dict[str, Any]()
         with trio.move_on_after(within):
             while True:
@@ -210,16 +212,16 @@
                 await rig.knows(name)
             some = rig.facts("load asked")
             began, last = some[0]["t"], some[-1]["t"]
-            await trio.sleep(4)  # the stretch that is measured
+            await trio.sleep(4)  # the measured time
             later = [f for f in rig.facts("load asked") if f["t"] > last]
             span = (later[-1]["t"] - last) / 1e9
             assert began <= last
-            # Five fronts: a node bears about two asks a second where each asking for itself would be ten.
+            # A node gets about two probes a second; with each of the five fronts probing it would get ten.
             assert len(later) / 2 / span < 4, (len(later), span)
             askers = {f["front"].split("-")[1] for f in later}
-            assert 1 <= len(askers) <= 2 + 1  # one a node; now and then the second in line of one
+            assert 1 <= len(askers) <= 2 + 1  # one for each of two nodes, and at times the backup of one
 
-            # Whoever asks dies: the others come to know anew, by another.
+            # A front that probes is killed: the others get the loads from another one.
             first = f"f{sorted(askers)[0]}"
             rig.signal(first, signal.SIGKILL)
             await rig.see([n for n in rig.names if n != first], {first: "gone"}, 12)
@@ -227,7 +229,7 @@
                 if name != first:
                     await rig.knows(name)
 
-            # A liar with the key says that all is full; whoever plays there goes by its own traffic, and no rule breaks.
+            # A front with the key reports all nodes as full; fronts with playbacks there go by their own traffic.
             honest = next(n for n in rig.names if n != first)
             await rig.plays(honest, "/whep/open/t1", "before")
             codec = LoadCodec("oakcroft", KeyRing((bytes.fromhex(KEY),)))
--- a/tests/test_handing.py
+++ b/tests/test_handing.py
@@ -1,5 +1,7 @@
-"""Taking over, pure: who holds a session, whom this front asks and when, the words between; and a whole fleet of both
-sides in simulated time, with words late, doubled and lost."""
+"""Session takeover without sockets: ownership at a node, the requests of a front, and the fields that carry them.
+
+A simulated fleet of fronts and nodes runs it as a whole, with late, duplicated and lost messages.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,8 @@
 
 
 def test_who_may_act_and_who_may_take_in_every_case() -> None:
-    """All of two fronts, three starts, streams open, just lost and away, callers that listen and do not."""
+    """All combinations of two fronts, three generations, event streams that are open, just broken and long gone, and
+    callers with and without an event stream."""
     for held_by, held_start, by, start in product("ab", (1, 2), ("a", "b", ""), (1, 2, 3)):
         held = Caller(f"front-{held_by}", held_by, held_start)
         caller = Caller(f"front-{by}", by, start)
@@ -34,13 +37,13 @@
         for away, listens in product((None, 0, HELD_BACK - 1, HELD_BACK, MOST_LEASE), (True, False)):
             word = may_take(held, caller, away, listens)
             taken = word is Word.AWAY
-            assert not taken or (away is not None and away >= HELD_BACK)  # none that listens is robbed
-            assert not taken or listens  # nor is it given to one that may be dead
-            assert not taken or by  # nor to one without a name
-            assert not taken or by != held_by or start > held_start  # nor back to an earlier life
+            assert not taken or (away is not None and away >= HELD_BACK)  # never from a connected front
+            assert not taken or listens  # never to a front that may have failed
+            assert not taken or by  # never to a front without a name
+            assert not taken or by != held_by or start > held_start  # never to an earlier generation
             if by and by != held_by and listens and away is not None and away >= HELD_BACK:
                 assert taken
-            if taken:  # after which the one before can do nothing
+            if taken:  # afterwards the previous holder can do nothing
                 assert not may_act(
                     Caller(caller.front, by, start), Caller(held.front, held_by, held_start)
                 ) or (by == held_by and held_start >= start)
@@ -64,7 +67,7 @@
         course.sees([], names, 0)
         assert course.due(10 * SECOND) == []
         course.sees(["f4"], living, 10 * SECOND)
-        assert course.due(10 * SECOND + 100 * MS) == []  # not before its time
+        assert course.due(10 * SECOND + 100 * MS) == []  # the delay is not over
         for errand in course.due(10 * SECOND + 300 * MS):
             assert errand.names == ["f4"]
             mine = {s for s in sessions if errand.shares("f4", s)}
@@ -80,7 +83,7 @@
     for some in asked.values():
         assert len(some) == 3
         assert set().union(*(mine for _, mine in some)) == sessions
-        assert sum(len(mine) for _, mine in some) == len(sessions)  # each is one front's
+        assert sum(len(mine) for _, mine in some) == len(sessions)  # each belongs to one front
 
 
 def test_one_that_is_back_is_left_alone_and_what_a_node_could_not_say_is_asked_again() -> None:
@@ -92,7 +95,7 @@
     course.asked(errand, None, 2 * SECOND)
     assert course.due(2 * SECOND + 100 * MS) == []
     (errand,) = course.due(3 * SECOND)
-    course.asked(errand, {"f1": Word.HERE}, 3 * SECOND)  # the node hears it
+    course.asked(errand, {"f1": Word.HERE}, 3 * SECOND)  # its event stream at the node is open
     (errand,) = course.due(4 * SECOND)
     (over,) = course.sees([], ["f0", "f1"], 4 * SECOND)
     assert over.name == "f1"
@@ -100,10 +103,10 @@
     assert course.due(9 * SECOND) == []
     assert not course.pairs
     course.sees(["f1"], ["f0"], 20 * SECOND)
-    assert course.due(21 * SECOND)  # it dies again
+    assert course.due(21 * SECOND)  # it failed again
     course.sees([], ["f0"], 22 * SECOND)
     course.sees(["f1"], ["f0"], 23 * SECOND)
-    assert course.due(23 * SECOND + BOUNDS.lease + 10 * SECOND) == []  # nodes have ended what it had
+    assert course.due(23 * SECOND + BOUNDS.lease + 10 * SECOND) == []  # nodes have ended its sessions
     assert [d.name for d in course.finished(60 * SECOND)] == ["f1"]
     assert course.finished(61 * SECOND) == []
 
@@ -146,7 +149,7 @@
             told = rng.choice([None, dict.fromkeys(errand.names, rng.choice(list(Word)))])
             course.asked(errand, told, now)
         course.finished(now)
-        # Each living pair stands once: waiting, or at work.
+        # Each task of a current takeover is there once: waiting, or in a request.
         stands = [(p.dead.name, p.node) for p in course.pairs if course.dead.get(p.dead.name) is p.dead]
         stands += [
             (p.dead.name, p.node) for e in out for p in e.pairs if course.dead.get(p.dead.name) is p.dead
@@ -207,7 +210,7 @@
     assert place("(probing)").probes == 2500 * MS
 
 
-# A whole fleet, simulated.
+# A simulated fleet.
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_owners_judged.py
+++ b/tests/test_owners_judged.py
@@ -1,4 +1,4 @@
-"""The check of owners finds what is planted: facts as processes leave them, from a model with one fault at a time."""
+"""The rule check of lease holders finds injected faults in records that a model produces, one fault at a time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Unchecked(Fence):
-    """A front that does whatever it is told."""
+    """A fence that admits everything."""
 
     def admits(self, duty: str, number: int, step: int) -> bool:
         return True
@@ -29,9 +29,11 @@
 def played(
     fence: Callable[[], Fence] = Fence, early: int = 0, forgets: bool = False, away: int = 0
 ) -> list[Fact]:
-    """Owners in turn for ten seconds each, whose orders reach five fronts, some of them late. `early`: how long before
-    its predecessor's end each begins (a term counted from the wrong end); `forgets`: the keepers give a number twice;
-    `away`: how long nobody owns it in between."""
+    """Returns the records of four holders in turn, ten seconds each, whose orders reach five fronts, some of them late.
+
+    `early` is how long before its predecessor's end each holder begins, as if a term were counted wrongly. With
+    `forgets` the acceptors grant one fencing token twice. `away` is how long nobody holds the lease in between.
+    """
     rng, facts, arriving = Random(3), list[Fact](), list[tuple[int, int, int, int]]()
     for turn in range(4):
         owner, number = turn % 5, 100 + (0 if forgets and turn == 2 else turn)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Roll-outs as decided, without sockets: when a version goes on, when it goes back, and by whose word; and their wire."""
+"""Staged rollouts: when a version advances, when it is rolled back, by whose orders, and the messages; no sockets."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def say(one: Rollout, now: int, some: list[str] = FRONTS, **more: object) -> None:
-    """Fronts report as the plan wants; the first tenth or half of them have the version in force."""
+    """The fronts report as the plan wants: those of the share have the new version in force, the others the old."""
     share = round(one.plan.part * len(FRONTS))
     for front in some:
         part = FRONTS.index(front) < share
@@ -44,7 +44,7 @@
 def test_a_version_goes_round_share_by_share() -> None:
     one, now, seen = begun(), 0, []
     while one.plan.stage is not Stage.DONE:
-        assert one.next(FRONTS, now) is None  # nobody has reported
+        assert one.next(FRONTS, now) is None  # no front has reported
         say(one, now)
         after = one.next(FRONTS, now)
         if one.plan.stage is Stage.TAKEN:
@@ -72,9 +72,8 @@
     say(one, 1, ["f3"], refused="no ready holder")
     after = one.next(FRONTS, 1)
     assert after is not None
-    assert after.stage is (
-        Stage.STOPPED if stage is Stage.HANDED else Stage.BACK
-    )  # nobody had it, or some may
+    # In the first stage no front has the version in force; later some may.
+    assert after.stage is (Stage.STOPPED if stage is Stage.HANDED else Stage.BACK)
     assert "f3 refused it: no ready holder" in after.reason
 
 
@@ -88,7 +87,7 @@
     one = taken(1)
     say(one, 1, FRONTS[:5], answers=100, failures=20)
     say(one, 1, FRONTS[5:], answers=100, failures=18)
-    assert one.next(FRONTS, 1) is None  # a bad time for all
+    assert one.next(FRONTS, 1) is None  # failures rise on all fronts alike
     say(one, 2, FRONTS[5:], answers=100, failures=2)
     after = one.next(FRONTS, 2)
     assert after is not None
@@ -96,8 +95,9 @@
     assert "20% of 500 answers failed with it, 2% without" in after.reason
     few = taken()
     say(few, 1, FRONTS[:1], answers=10, failures=10)
-    assert few.next(FRONTS[:1], 1) is None  # too few to say anything
-    chance = taken()  # six of sixty where three of sixty is usual: more by 5 parts, and no news
+    assert few.next(FRONTS[:1], 1) is None  # too few answers to judge
+    # 7 of 60 failures against 3 of 60 is over MIN_FAILURE_INCREASE but within MIN_STANDARD_ERRORS.
+    chance = taken()
     say(chance, 1, FRONTS[:1], answers=60, failures=7)
     say(chance, 1, FRONTS[1:2], answers=60, failures=3)
     assert chance.next(FRONTS[:2], 1) is None
@@ -113,7 +113,7 @@
     say(one, 0)
     one.heard("f4", Report(2, True, "none", bare=True), 0)
     assert one.unconfirmed(FRONTS, 0) == ["f4"]
-    assert one.unconfirmed(FRONTS, 11 * SECOND) == FRONTS  # any may have started anew since
+    assert one.unconfirmed(FRONTS, 11 * SECOND) == FRONTS  # any front may have restarted since
 
 
 def test_whoever_is_not_there_is_not_waited_for_and_whoever_is_stops_it_in_time() -> None:
@@ -123,7 +123,7 @@
     assert one.next(FRONTS[:9], 1) is None
     assert one.all_since == 1
     say(one, 5 * SECOND, FRONTS[:9])
-    assert one.next(FRONTS, 5 * SECOND) is None  # f9 came back, and says nothing
+    assert one.next(FRONTS, 5 * SECOND) is None  # f9 is back and sends no report
     say(one, 20 * SECOND, FRONTS[:9])
     assert one.next(FRONTS, 25 * SECOND) is None
     after = one.next(FRONTS, 25 * SECOND + 1)
@@ -141,7 +141,7 @@
     say(one, 2, FRONTS[:9])
     one.heard("f9", Report(back.step, True, NEW), 2)
     assert one.next(FRONTS, 2) is None
-    one.heard("f9", Report(back.step - 1, True, OLD), 3)  # of the step before
+    one.heard("f9", Report(back.step - 1, True, OLD), 3)  # on the step before
     assert one.next(FRONTS, 3) is None
     one.heard("f9", Report(back.step, True, OLD), 3)
     after = one.next(FRONTS, 3)
@@ -182,7 +182,7 @@
     assert all(60 < firsts.count(n) < 140 for n in FRONTS)
 
 
-# The wire.
+# Messages.
 
 KEY = bytes(range(32))
 TERM = Term(1 << 50, "f1", 99)
@@ -297,11 +297,11 @@
         codec().taken(opened(other))
 
 
-# An owner that dies in the middle of each step.
+# A holder that fails in the middle of each step.
 
 
 class Played:
-    """Ten fronts behind their fences, the record at the keepers, and owners that die where they are told to."""
+    """Ten fronts with their fences, the plan on record, and lease holders that fail at a chosen point."""
 
     def __init__(self, refuses: str = "") -> None:
         self.record = begun(0).plan
@@ -314,7 +314,7 @@
         self.one = Rollout(self.record)
 
     def owner(self) -> None:
-        """Another owner goes on from what is on record."""
+        """The next holder continues from what is on record."""
         self.number += 1
         self.one = Rollout(self.record)
 
@@ -338,7 +338,7 @@
             self.one.heard(front, report, self.now)
 
     def round(self, dies: str = "") -> bool:
-        """One round of the owner; True where it was to die, and did."""
+        """Runs one round of the holder; returns True where it failed at the point `dies`."""
         self.now += SECOND
         after = self.one.next(FRONTS, self.now)
         if after is not None:
@@ -360,7 +360,7 @@
 @pytest.mark.parametrize("point", ["before the record", "after the record", "between orders"])
 def test_an_owner_dies_in_the_middle_of_each_step(point: str, refuses: str) -> None:
     deaths = 0
-    for at in range(1, 8):  # the so-many-th change of the plan
+    for at in range(1, 8):  # at which change of the plan the holder fails
         played, changes, died = Played(refuses), 0, False
         played.owner()
         for _ in range(60):
@@ -371,10 +371,10 @@
                 deaths += 1
                 played.owner()
             changes += played.record.step > before
-        for front, number, plan in played.under_way:  # what the dead owner had said comes at last
+        for front, number, plan in played.under_way:  # late orders of the failed holder arrive
             played.order(front, number, plan)
         ends, stage = (OLD, Stage.STOPPED) if refuses else (NEW, Stage.DONE)
         assert played.record.stage is stage
         assert set(played.in_force.values()) == {ends}
         assert all(seen in ([], [NEW], [NEW, OLD]) for seen in played.changes.values()), played.changes
-    assert deaths >= 4  # at each step there is
+    assert deaths >= 4  # once at each step that a rollout has
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,7 +1,8 @@
-"""One owner at a time: keepers and candidates walked through every order of events to a stated depth, through long seeded
-walks, and with one rule taken away at a time, which the same checks must then see broken.
+"""Fleet leases have one holder at a time: a model check of acceptors and candidates.
 
-No sockets and no clock: a world is three to seven keepers, some candidates, and the words between them.
+The tests try every order of events up to a depth and long seeded random walks. They also disable one rule at a time and
+require that the same checks then fail. There are no sockets and no clock: a world consists of three to seven acceptors,
+some candidates, and the messages between them.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 
 
 class Zero(Random):
-    """No chance: each wait is the shortest."""
+    """Draws the shortest delay each time."""
 
     def randrange(self, *_: Any) -> int:
         return 0
 
 
 class Letters:
-    """What was ever said, each word once, so that worlds hold numbers."""
+    """All messages ever sent, each once, so that worlds refer to them by number."""
 
     def __init__(self) -> None:
         self.letters: list[tuple[str, Any]] = []
@@ -50,18 +51,21 @@
 
 @dataclass
 class World:
-    """Keepers, candidates and what is under way. A restart with a record brings back what was saved before an answer."""
+    """Acceptors, candidates and the messages in flight.
+
+    An acceptor that restarts with its record has everything that was saved before an answer was sent.
+    """
 
     keepers: dict[str, Keeper]
     candidates: dict[str, Candidate]
-    words: list[int] = field(default_factory=list)  # from a candidate, under way; numbers of `Letters`
-    answers: list[int] = field(default_factory=list)  # to a candidate
+    words: list[int] = field(default_factory=list)  # requests in flight, by message number
+    answers: list[int] = field(default_factory=list)  # answers in flight, by message number
     now: int = 0
     epoch: int = 1
     owned: list[tuple[int, str]] = field(default_factory=list)  # terms in the order in which they began
-    settled: Note = field(default_factory=Note)  # the last that its owner knew to be on record
+    settled: Note = field(default_factory=Note)  # the last note that its holder knew to be on record
     begun: set[int] = field(default_factory=set)
-    spent: tuple[int, ...] = (0, 0, 0, 0)  # of the budgets of a walk
+    spent: tuple[int, ...] = (0, 0, 0, 0)  # used up of the budgets of a walk
 
     def said(self, name: str, words: list[Word]) -> None:
         self.words += [LETTERS.number((name, w)) for w in words]
@@ -72,7 +76,7 @@
             self.said(name, candidate.tick(self.now))
 
     def deliver(self, which: int) -> int | None:
-        """A word reaches its keeper; the number of its answer, which is not under way yet."""
+        """Delivers a request to its acceptor and returns the number of the answer, which is not sent yet."""
         name, word = LETTERS.letters[which]
         answer = self.keepers[word.to].asked(word.ask, self.now)
         return None if answer is None else LETTERS.number((name, answer))
@@ -82,7 +86,7 @@
         self.said(name, self.candidates[name].heard(answer, self.now))
 
     def restart(self, name: str, record: bool) -> None:
-        """A keeper starts again. Without a record it asks all others, whose answers come at once."""
+        """Restarts an acceptor. Without its record it asks all others, which answer at once."""
         old, self.epoch = self.keepers[name], self.epoch + 1
         new = Keeper(name, self.keepers, LENGTH, self.epoch, self.now)
         if record:
@@ -94,7 +98,7 @@
                 new.hears(told, self.now)
 
     def times(self) -> list[int]:
-        """The steps of time that matter: just when something ends or falls due."""
+        """Returns the future times at which something ends or is due."""
         some = {c.due for c in self.candidates.values() if c.course is not Course.IDLE}
         some |= {c.held_until for c in self.candidates.values()}
         for keeper in self.keepers.values():
@@ -102,7 +106,7 @@
         return sorted(t for t in some if t > self.now)
 
     def look(self) -> None:
-        """What must hold at any moment."""
+        """Checks the invariants: one holder, growing fencing tokens, no lost note."""
         owners = [c for c in self.candidates.values() if c.owns(self.now) is not None]
         assert len(owners) <= 1, f"owned by {[c.me for c in owners]}"
         for one in owners:
@@ -118,7 +122,7 @@
                 self.settled = one.note
 
     def key(self) -> Any:
-        """By which two worlds are the same."""
+        """Returns a key that is the same for equal worlds."""
         return (
             self.now, self.spent, self.settled.body, tuple(sorted(self.words)), tuple(sorted(self.answers)),
             *[(k.epoch, k.sound, k.mute_until, k.until.get(DUTY, 0), *k.epochs.values(),
@@ -143,7 +147,7 @@
 
 
 def copied(at: World) -> World:
-    """The same world over again; what never changes is shared."""
+    """Returns a copy of a world; what never changes is shared."""
     new = copy(at)
     new.keepers = {n: copy(k) for n, k in at.keepers.items()}
     for k in new.keepers.values():
@@ -162,12 +166,15 @@
 
 
 Happening = tuple[str, Any]
-PART = {"lost": 0, "late": 0, "twice": 1, "restart": 2, "wiped": 3}  # what each takes of which budget
+PART = {"lost": 0, "late": 0, "twice": 1, "restart": 2, "wiped": 3}  # which budget each kind of event uses
 
 
 def happenings(at: World, budgets: tuple[int, ...]) -> Iterator[Happening]:
-    """All that may happen next: a word is answered, or its answer is lost, or comes late; a word comes twice; a keeper
-    starts again with its record or without; time passes to the next moment that matters. The undelivered are lost."""
+    """Returns all events that may come next.
+
+    A request is answered, its answer is lost or late, a request is delivered twice, an acceptor restarts with or without
+    its record, or time advances to the next due time. Requests that are never delivered are lost.
+    """
     able = {kind for kind, part in PART.items() if at.spent[part] < budgets[part]}
     for which in sorted(set(at.words)):
         yield "answered", which
@@ -185,7 +192,7 @@
 
 
 def after(at: World, what: Happening) -> World:
-    """The world one happening later."""
+    """Returns the world after one event."""
     new, (kind, which) = copied(at), what
     if kind in PART:
         new.spent = tuple(n + (i == PART[kind]) for i, n in enumerate(at.spent))
@@ -210,7 +217,7 @@
 
 
 def walk(start: World, depth: int, budgets: tuple[int, ...]) -> int:
-    """Every order of events to a depth; how many worlds were seen."""
+    """Tries every order of events up to a depth and returns the number of distinct worlds."""
     seen, here = {start.key()}, [start]
     for _ in range(depth):
         later = list[World]()
@@ -226,7 +233,7 @@
 
 
 def owned_by_two_of_three() -> World:
-    """c0 has the duty by k0 and k1; its words to k2 are under way still, and c1 has not asked."""
+    """c0 holds the lease by k0 and k1; its requests to k2 are still in flight, and c1 has sent none."""
     start = world(3, 2)
     start.words = [n for n in start.words if LETTERS.letters[n][0] == "c0"]
     for _ in range(2):
@@ -238,7 +245,7 @@
 
 
 def over_and_asked_by_another() -> World:
-    """The same, later: c0 heard nothing more and its term is over, and c1 may ask."""
+    """The same later: c0 has received nothing more and its term has ended, and c1 may request one."""
     start = owned_by_two_of_three()
     until = max(start.keepers["k0"].until.values())
     late = next(n for n in start.words if LETTERS.letters[n][1].ask.step is Step.PROPOSE)
@@ -256,23 +263,23 @@
 def test_every_order_of_events_to_a_depth(
     start: Callable[[], World], depth: int, budgets: tuple[int, ...], record_property: Any
 ) -> None:
-    """One owner at most, numbers that only grow, no note lost: in every world that can be reached."""
+    """One holder at most, tokens that only grow, and no lost note, in every world that can be reached."""
     count = walk(start(), depth, budgets)
     record_property("worlds", count)
     assert count > 2_000, count
 
 
-# Long walks.
+# Random walks.
 
 
 def long_walk(seed: int, many: int, wipes: int, events: int = 4_000) -> World:
-    """One seeded walk: any word lost, late or twice, candidates that sleep, keepers that start again."""
+    """A seeded random walk: messages are lost, late or duplicated, candidates are suspended, acceptors restart."""
     rng = Random(seed)
     at = world(many, 3, lambda i: Random(seed * 10 + i))
     wiped_until, asleep = dict[str, int](), dict[str, int]()
     for _ in range(events):
         dice = rng.random()
-        quiet = 1 - 0.3 / many  # a round with many keepers takes more words
+        quiet = 1 - 0.3 / many  # a round with many acceptors takes more messages
         if at.words and dice < 0.6 * quiet:
             which = at.words.pop(rng.randrange(len(at.words)))
             fate = rng.random()
@@ -318,16 +325,16 @@
     terms_begun = 0
     for seed in range(40):
         terms_begun += len(long_walk(seed, many, wipes).owned)
-    assert terms_begun > 100, terms_begun  # the walks go somewhere
+    assert terms_begun > 100, terms_begun  # otherwise the walks test nothing
 
 
 def forgets(self: Keeper, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
-    """A keeper that starts again and takes part at once, with nothing of what it had promised."""
+    """An acceptor that takes part right after a restart, without what it had promised."""
     self.sound, self.mute_until = True, now
 
 
 def lets_go(self: Keeper, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
-    """A keeper that starts again with its record, and lets the term on it end at once."""
+    """An acceptor that restarts with its record and lets the term on it end at once."""
     self.rows, self.epochs, self.epoch, self.sound, self.mute_until = (
         dict(rows),
         dict(epochs),
@@ -384,7 +391,7 @@
     assert one.asked(ask, 0) is not None
     again = one.asked(ask, LENGTH - 1)
     assert again is not None
-    assert again.step is Step.ACCEPTED  # its first answer may have been lost
+    assert again.step is Step.ACCEPTED  # the first answer may have been lost
     assert one.runs(DUTY, LENGTH - 1)
     assert one.runs(DUTY, LENGTH) is None
     assert one.asked(replace(ask, seq=2), LENGTH) is not None
@@ -400,7 +407,7 @@
     assert one.unsaved == {DUTY}
     one.unsaved.clear()
     one.asked(Ask(Step.PROPOSE, DUTY, term(1), 2, LENGTH), 0)
-    assert not one.unsaved  # to keep a term needs no record
+    assert not one.unsaved  # a renewal needs no save
 
 
 def test_tables_of_a_keeper_are_bounded_and_figures_are_sound() -> None:
@@ -408,11 +415,13 @@
     for i in range(MOST_DUTIES + 5):
         one.asked(Ask(Step.PREPARE, f"d{i}", term(1)), 0)
     assert len(one.rows) == MOST_DUTIES
-    assert one.asked(Ask(Step.PREPARE, "d0", term(terms.MOST_NUMBER)), 0) is None  # nobody could outbid it
+    assert (
+        one.asked(Ask(Step.PREPARE, "d0", term(terms.MOST_NUMBER)), 0) is None
+    )  # no higher token is possible
     assert one.asked(Ask(Step.PROPOSE, "d0", term(2), 1, LENGTH, Note(2, 1, b"x" * 5_000)), 0) is None
     refused = one.asked(Ask(Step.PROPOSE, "d0", term(2), 1, LENGTH + 1), 0)
     assert refused is not None
-    assert refused.step is Step.REFUSED  # a longer term than its keepers count
+    assert refused.step is Step.REFUSED  # a longer term than the acceptor grants
 
 
 def test_of_two_processes_under_one_keepers_name_the_older_record_does_not_count() -> None:
@@ -420,13 +429,13 @@
     others = [keeper("k0"), keeper("k1")]
     new = Keeper("k2", names, LENGTH, 7, 0)
     assert new.asks_others() == ["k0", "k1"]
-    assert new.asked(Ask(Step.PREPARE, DUTY, term(9)), 2 * LENGTH) is None  # it remembers nothing
+    assert new.asked(Ask(Step.PREPARE, DUTY, term(9)), 2 * LENGTH) is None  # it has no record yet
     for one in others:
         told = one.tells("k2", new.epoch)
         assert told is not None
         new.hears(told, 0)
     assert new.sound
-    assert not new.speaks(LENGTH - 1)  # it sits out the longest term
+    assert not new.speaks(LENGTH - 1)  # it waits for the longest term to end
     assert new.speaks(LENGTH)
     candidate = Candidate(DUTY, "c0", 1, names, LENGTH, Zero(), 0, 0)
     candidate.want(True, 0)
@@ -437,7 +446,7 @@
         candidate.heard(answer, 0)
     assert candidate.course is Course.ASKING
     assert [a.keeper for a in candidate.counted()] == ["k0"]
-    assert others[0].tells("k2", 1) is None  # nor does it get its place back
+    assert others[0].tells("k2", 1) is None  # the older record gets no answer either
 
 
 def test_a_new_fleet_begins_where_no_keeper_has_a_record() -> None:
@@ -445,7 +454,7 @@
     some = {n: Keeper(n, names, LENGTH, 5, 0) for n in names}
     told = some["k1"].tells("k0", 5)
     assert told is not None
-    assert not some["k0"].hears(told, 0)  # one of two others, that remembers nothing either
+    assert not some["k0"].hears(told, 0)  # one of two others, which has no record either
     told = some["k2"].tells("k0", 5)
     assert told is not None
     assert some["k0"].hears(told, 0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Fifty changes of the configuration under load on real sockets, broken ones among them."""
+"""Configuration changes while the front serves: fifty under load on real sockets, invalid ones among them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def version(i: int, front: str) -> Deployment | list[str]:
-    """Even ones lead to n1 on rung 0, odd ones to n2 on rung 1; every seventh is broken."""
+    """Even versions send requests to n1 on rung 0, odd ones to n2 on rung 1; every seventh is invalid."""
     pool, floor = ("n1", 0) if i % 2 == 0 else ("n2", 1)
     site = (
         SITE.replace("EXTRA", "")
@@ -95,7 +95,7 @@
     assert verdicts[Verdict.BROKEN] == sum(i % 7 == 6 for i in range(CHANGES))
     assert sum(answers.values()) == 280
     assert set(answers) <= {201, 429, 503}
-    # Five times what the limit lets play at once: how often places come free after that is the machine's pace.
+    # Five times the limit of concurrent playbacks; how many more get in depends on the speed of the machine.
     assert answers[201] > 70
 
 
--- a/tests/test_wings.py
+++ b/tests/test_wings.py
@@ -1,4 +1,4 @@
-"""Preference between zones: evidence, the way back, and the bound on what spills."""
+"""Zone preference: evidence, the ramp of a returning zone, and the bound on overflow."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 def test_a_cut_is_told_from_a_loss_and_both_from_a_few_dead_nodes() -> None:
     life = ZoneHealth(Bounds())
     assert through(life, 10, SOME) == []
-    assert through(life, 1, SILENT, 10) == []  # not for long enough
+    assert through(life, 1, SILENT, 10) == []  # the evidence did not hold for long enough
     assert through(life, 10, ALL, 11) == []
     assert through(life, 5, SILENT, 30) == [ZoneState.CUT]
     assert through(life, 5, DEAD, 40) == [ZoneState.LOST]
-    assert through(life, 5, SILENT, 50) == []  # what is lost is not found again by silence
+    assert through(life, 5, SILENT, 50) == []  # silence does not turn a lost zone into a cut one
     assert through(life, 60, ALL, 60) == [ZoneState.RETURNING, ZoneState.SOUND]
     assert through(life, 5, {}, 130) == []
 
@@ -68,7 +68,7 @@
     cut = ZoneHealth(Bounds())
     through(cut, 5, SILENT)
     through(cut, 4, ALL, 5)
-    assert cut.ramp == 30 * SECOND // 4  # its nodes are warm
+    assert cut.ramp == 30 * SECOND // 4  # the nodes of a cut zone are warm
 
 
 def test_every_small_history_goes_only_where_it_can_and_comes_back() -> None:
@@ -111,12 +111,12 @@
     chosen = [wings.choose({"east": 0.5}, 0.5, 8 * SECOND + n) for n in range(100)]
     assert sum(c == {"east"} for c in chosen) == 50
     assert sum(not c for c in chosen) == wings.turned == 50
-    assert wings.choose({"east": 0.95}, 0.5, 60 * SECOND) == set()  # the surviving wing has no room
+    assert wings.choose({"east": 0.95}, 0.5, 60 * SECOND) == set()  # the other zone has no room
     full = ZonePreference(("west", "east"), Bounds(spill=1.0))
-    assert full.choose({"west": 0.95, "east": 0.5}, 0.5, 0) == {"east"}  # its own wing is full
+    assert full.choose({"west": 0.95, "east": 0.5}, 0.5, 0) == {"east"}  # the own zone is full
     assert full.choose({"west": 0.95, "east": 0.95}, 0.5, 0) == {
         "west"
-    }  # so is the other: the module decides
+    }  # both are full, so the module decides
 
 
 def test_a_zone_without_a_ready_node_has_no_room_at_any_bound() -> None:
@@ -135,7 +135,9 @@
     chosen = [zones.choose({"west": NO_READY_NODE, "east": 0.5}, 0.5, n) for n in range(100)]
     assert sum(c == {"east"} for c in chosen) == 50
     zones.look({"west": drained, "east": ALL}, 9 * SECOND)
-    assert zones.health["west"].state is ZoneState.SOUND  # a drain is no loss, and has no way back
+    assert (
+        zones.health["west"].state is ZoneState.SOUND
+    )  # a drain is no failure, so there is no ramp after it
     assert zones.choose({"west": 0.5, "east": 0.5}, 0.99, 10 * SECOND) == {"west"}
 
 
@@ -168,7 +170,9 @@
             sent += sum(wings.choose({}, rng.random(), now) == {"west"} for _ in range(2))
         got.append(sent)
     assert sum(got[3:12]) <= 4
-    assert max(b - a for a, b in pairwise(got[12:42])) <= 60  # no step of all fronts at once, at 400 a second
+    assert (
+        max(b - a for a, b in pairwise(got[12:42])) <= 60
+    )  # of 400 a second: the fronts do not return at once
     assert got[-1] == 400
 
 
@@ -179,7 +183,7 @@
     assert spill.may(0)
     spill.asked(True, 0)
     assert not spill.may(5)
-    assert not spill.may(11)  # nothing is left in the window: one alone would be all of it
+    assert not spill.may(11)  # the window is empty, so one request alone would be all of it
 
 
 def test_a_front_keeps_to_its_wing_spills_within_its_bound_and_goes_back_by_and_by(tmp_path: Path) -> None:
@@ -196,9 +200,7 @@
             answers = [(await rig.watch(f"/whep/open/u{n}")).status for n in range(20)]
             spilt = [f for f in rig.facts("setup") if f["node"] == "n2"]
             asked = len(rig.facts("setup")) + answers.count(503)
-            assert (
-                5 <= len(spilt) <= asked / 2 + 1
-            )  # no more than the bound, and the rest is turned away at once
+            assert 5 <= len(spilt) <= asked / 2 + 1  # within the bound; the rest is rejected at once
             assert answers.count(503) >= 5
             rig.node("n1").machine.restart(rig.fleet.clock.now())
             await rig.fleet.boot(rig.node("n1"))
