--- a/oakcroft/platform/releases.py
+++ b/oakcroft/platform/releases.py
@@ -1,4 +1,4 @@
-"""Releases towards viewers: sends the end of each session on a connection, and again until it is confirmed."""
+"""Sends releases to viewers: the end of each session, and again until a viewer's side confirms it."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from oakcroft.platform.ticket import ViewerEnd
 from oakcroft.running.clock import Clock
 
-MAX_OWED = 4_096  # releases for which no viewer's connection is open; past it the oldest goes
+MAX_OWED = 4_096  # releases that wait for a viewer's connection; beyond it the oldest is dropped
 
 
 @dataclass
 class _Release:
-    """One release: its message, its session's own connection, and the connections it was sent on."""
+    """One release: the message, the connection of its session's set-up, and the connections it was sent on."""
 
     message: bytes
     own: ViewerEnd | None
@@ -23,20 +23,21 @@
 
 
 class Releases:
-    """Ends of sessions on their way to their viewers, over the connections that are open.
+    """Releases on their way to viewers over the open connections.
 
-    One that went on its session's own connection needs no confirmation: it arrives, or the connection breaks.
+    A release that was sent on the connection of its session's set-up needs no confirmation: it arrives, or
+    the connection breaks.
     """
 
     def __init__(self, clock: Clock, connections: Iterable[ViewerEnd]) -> None:
-        """`connections`: those that are open, a live view."""
+        """`connections` is a live view of the open connections."""
         self.clock, self.connections = clock, connections
-        self.owed = OrderedDict[str, _Release]()  # for the next connection that opens
+        self.owed = OrderedDict[str, _Release]()  # by session id, for the next connection that opens
         self.unconfirmed = UnconfirmedReleases()
         self._under_way: dict[str, _Release] = {}
 
     def send(self, session: str, message: bytes, own: ViewerEnd | None) -> None:
-        """Sends the end of a session on its own connection, else on another, else on the next that opens."""
+        """Sends a release on the session's own connection, else on another, else on the next one that opens."""
         release = _Release(message, own)
         if self._attempt(session, release):
             return
@@ -45,19 +46,19 @@
             self.owed.popitem(last=False)
 
     def opened(self, connection: ViewerEnd) -> None:
-        """A connection has come: releases that found none open go out on it."""
+        """Sends the releases that wait for a connection on one that has just opened."""
         for session, release in list(self.owed.items()):
             if not self._send_on(connection, session, release):
                 return
             del self.owed[session]
 
     def confirmed(self, session: str) -> None:
-        """A viewer's side has heard the release."""
+        """A viewer's side has received the release."""
         self.unconfirmed.confirmed(session)
         self._under_way.pop(session, None)
 
     def look(self) -> None:
-        """Sends again what has not been confirmed in time, where there is another connection to send it on."""
+        """Sends unconfirmed releases again if there is another connection to send them on."""
         for session in self.unconfirmed.overdue(self.clock.now()):
             if not self._attempt(session, self._under_way[session]):
                 self.unconfirmed.confirmed(session)
@@ -65,11 +66,11 @@
             del self._under_way[session]
 
     def _attempt(self, session: str, release: _Release) -> bool:
-        """Whether there was a connection on which it had not been sent yet."""
+        """Sends a release on the best connection that it was not sent on yet; returns whether there was one."""
         return any(self._send_on(connection, session, release) for connection in self._targets(release))
 
     def _targets(self, release: _Release) -> list[ViewerEnd]:
-        """The connections that it may be sent on next, the best first."""
+        """The connections that the release may be sent on next, the best first."""
         candidates = dict.fromkeys([release.own, *self.connections])
         untried = [c for c in candidates if c is not None and c not in release.sent_on]
 
@@ -80,6 +81,7 @@
         return sorted(untried, key=order)
 
     def _send_on(self, connection: ViewerEnd, session: str, release: _Release) -> bool:
+        """Sends a release on one connection; returns whether the connection was usable."""
         if connection.ended() or not connection.write(release.message):
             return False
         release.sent_on.append(connection)
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -1,4 +1,4 @@
-"""One front end as a process on the platform: puts the parts together, and ends in order on a signal."""
+"""The process of one front end on the platform: builds the parts, and shuts down in order on a signal."""
 
 from __future__ import annotations
 
@@ -26,12 +26,15 @@
 from oakcroft.running.logs import set_up
 
 FAULTY = 2
-MOST_LINES = 50  # of the log in a second
-LISTENS = 750 * MS  # after the stop signal: connections and requests still come for so long
-LEAST_DRAIN = 3 * SECOND + 300 * MS  # what plays, plays on so long
-# The platform's kill comes after the longest deadline, taken as so long at least, and so much later.
+MOST_LINES = 50
+LISTENS = 750 * MS  # connections and requests still arrive for a while after the stop signal
+LEAST_DRAIN = 3 * SECOND + 300 * MS  # playbacks continue for so long
+# The platform kills the process a fixed delay after the longest abandon time, which counts as 3 s at least.
 LEAST_LONGEST, KILLED_AFTER = 3 * SECOND, 700 * MS
-BEFORE_KILL, LAST_ANSWER = 200 * MS, 350 * MS  # the front is gone, and has answered all, so long before that
+BEFORE_KILL, LAST_ANSWER = (
+    200 * MS,
+    350 * MS,
+)  # the process ends, and the last answer is given, so long before
 FAREWELL = 500 * MS  # for answers and releases that wait for a slow reader
 
 
@@ -42,6 +45,9 @@
         self, told: Configuration, log: structlog.typing.FilteringBoundLogger, file: Path | None = None,
         start_took: int = 0,
     ) -> None:  # fmt: skip
+        """`configuration_file` is read again on reload; `start_took_ns` is the time the process has spent
+        starting.
+        """
         self.told, self.log, self.file, self.start_took = told, log, file, start_took
         self.serving = trio.Event()
         self.owner: Owner | None = None
@@ -55,7 +61,11 @@
         stop: trio.Event | None = None,
         ready: Callable[[int], Awaitable[None]] | None = None,
     ) -> None:
-        """Serves. `ready` is told the port; `stop` works like a stop signal where there are none."""
+        """Serves until stopped.
+
+        `ready` receives the port once the front end listens; setting `stop` acts like a stop signal. Raises
+        OSError if the address cannot be bound.
+        """
         family = socket.AF_INET6 if ":" in self.told.listen[0] else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -88,7 +98,7 @@
         self, listener: socket.socket, stopping: Stopping, clock: Clock, nursery: trio.Nursery,
         ready: Callable[[int], Awaitable[None]] | None,
     ) -> None:  # fmt: skip
-        """Listens once the list may be acted on: until then whoever comes is told at once that nobody is here."""
+        """Starts to listen once the node list may be used; until then connections are refused."""
         assert self.follower is not None
         assert self.owner is not None
         freshness = self.follower.freshness
@@ -104,8 +114,11 @@
     def _serve(
         self, listener: socket.socket, stopping: Stopping, clock: Clock, nursery: trio.Nursery
     ) -> None:
-        """The known list has been given to the module: tests may pass. In one step with the course's change: a stop
-        signal finds a front that nobody can have reached, or one that owes answers."""
+        """Starts to listen and to pass the platform's tests; runs after the known list has been applied.
+
+        Listening and the change of state happen in one step, so a stop signal finds either a front end that
+        nobody can have reached, or one that owes answers.
+        """
         assert self.viewers is not None
         if stopping.course is not Course.STARTING:
             return
@@ -119,7 +132,7 @@
         )
 
     async def _watch(self, stopping: Stopping, clock: Clock) -> None:
-        """Waits for the end of the front's course. Nothing that stands is cut by it."""
+        """Returns when the front end has shut down. The shutdown itself ends no playback."""
         assert self.owner is not None
         assert self.viewers is not None
         while True:
@@ -138,6 +151,7 @@
                 return
 
     async def _signals(self, stopping: Stopping, clock: Clock) -> None:
+        """Reloads on SIGHUP, and stops on SIGTERM and SIGINT."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             async for number in received:
                 if number == signal.SIGHUP:
@@ -146,11 +160,14 @@
                     self._stop(stopping, clock, signal.Signals(number).name)
 
     async def _stopped(self, stop: trio.Event, stopping: Stopping, clock: Clock) -> None:
+        """Stops when the event is set."""
         await stop.wait()
         self._stop(stopping, clock, "none")
 
     def _stop(self, stopping: Stopping, clock: Clock, name: str) -> None:
-        """What comes in time is still served, but waits no longer for its answer than this process will live."""
+        """Starts the shutdown. Requests that arrive in time are still served, but must be answered before the
+        process ends.
+        """
         assert self.owner is not None
         now = clock.now()
         if stopping.signal(now):
@@ -160,7 +177,9 @@
             self.owner.ends_at = now + self.killed_after - LAST_ANSWER
 
     def reload(self) -> None:
-        """Reads the file again. Only the channel's address may change meanwhile; a broken file changes nothing."""
+        """Reads the configuration file again. Only the command channel's address may change; a faulty file
+        changes nothing.
+        """
         assert self.follower is not None
         try:
             told = decode(self.file.read_bytes()) if self.file is not None else self.told
@@ -177,8 +196,8 @@
 
 
 def main() -> int:
-    """Serves by the file that PROXY_CONFIG names until a stop signal; the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the front can follow it, a reload is none
+    """Serves with the configuration that PROXY_CONFIG names until a stop signal; returns the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a reload has no effect before the front end runs
     name = os.environ.get("PROXY_CONFIG", "")
     try:
         if not name:
@@ -189,6 +208,6 @@
         return FAULTY
     log = set_up("json", told.terms.front, sys.stdout, MOST_LINES)
     spare_collections()
-    took = time.process_time_ns() / max(told.cores, 0.01)  # on its share of a core
+    took = time.process_time_ns() / max(told.cores, 0.01)  # with its share of a core
     trio.run(Platform(told, log, Path(name), round(took)).run)
     return 0
--- a/oakcroft/platform/ticket.py
+++ b/oakcroft/platform/ticket.py
@@ -1,4 +1,6 @@
-"""What belongs to one playback outside the module: its id, its viewer's connection, its description and its try."""
+"""One playback outside the decision module: its id, its viewer's connection, its description and its setup
+try.
+"""
 
 from __future__ import annotations
 
@@ -10,81 +12,81 @@
 
 
 class ViewerEnd(Protocol):
-    """What a playback needs of its viewer's connection."""
+    """What a session needs of its viewer's connection."""
 
-    sessions: int  # that stand and came on it
-    has_served: bool  # a set-up that came on it was answered with a session
+    sessions: int  # playing sessions whose set-up came on it
+    has_served: bool  # a set-up that came on it became a session
 
     @property
     def open_here(self) -> dict[str, Ticket]:
-        """The set-ups that are open on it."""
+        """The set-ups open on it, by session id."""
 
     @property
     def asked(self) -> dict[str, Asked]:
-        """Those that have been handed in there and not taken."""
+        """The requests from it that wait in the coordinator's inbox, by session id."""
 
     def write(self, data: bytes) -> bool:
-        """Writes; whether the connection is still of use."""
+        """Sends or buffers data; returns whether the connection is still usable."""
 
     def ended(self) -> bool:
-        """Whether the peer has closed it."""
+        """Whether the peer has closed it and everything received has been read."""
 
     def gone(self, session: str) -> bool:
-        """Whether the viewer of a set-up has left or taken it back, by what its socket knows now."""
+        """Whether the viewer of a set-up has left or released it, as far as its socket shows now."""
 
     def shut(self) -> None:
         """Closes it at once."""
 
 
 class NodeEnd(Protocol):
-    """What a setup try needs of the connection that it is out on."""
+    """What a setup try needs of the connection it was sent on."""
 
-    taken: int  # of the octets queued there, those with the kernel
+    taken: int  # bytes accepted by the kernel since the start
 
     def unsay(self, said: range) -> bool:
-        """Takes back octets that were queued, where none of them is with the kernel; whether that was so."""
+        """Removes bytes that were queued, if the kernel has accepted none of them; returns whether it did."""
 
     def shut(self) -> None:
         """Closes it at once."""
 
     @property
     def out_here(self) -> dict[Ticket, range]:
-        """The set-ups that are out on it, and which of its octets each is."""
+        """The set-ups that await an answer on it, with the bytes of each."""
 
     def write(self, data: bytes) -> bool:
-        """Writes; whether the connection is still of use."""
+        """Sends or buffers data; returns whether the connection is still usable."""
 
 
 class NodeSide(Protocol):
-    """What a playback needs of the node that it plays on, or is being set up on."""
+    """What a session needs of the node it plays on or is being set up on."""
 
     @property
     def standing(self) -> dict[Ticket, None]:
-        """What plays there."""
+        """The sessions that play there."""
 
     def set_up(self, t: Ticket) -> None:
         """Sends a set-up."""
 
     def give_up(self, t: Ticket) -> bool:
-        """Nobody waits for a set-up any more; whether the node can't have it whole."""
+        """Cancels a set-up that nobody waits for; returns whether the node cannot have received all of it."""
 
     def settled(self, t: Ticket) -> None:
-        """A set-up has its answer."""
+        """A set-up is over."""
 
     def say(self, kind: str, session: str, attrs: lines.Attributes, code: int | None = None) -> None:
-        """Something on a playback that stands."""
+        """Sends a message about a playback."""
 
     def look(self, now: int) -> None:
-        """Keeps a connection where something stands."""
+        """Keeps a connection open while sessions play there."""
 
 
 @dataclass(eq=False, slots=True)
 class Asked:
-    """A set-up that has been read and handed in, and that the owner has not taken yet."""
+    """A set-up request that has been queued and that the coordinator has not processed yet. Times are in ns."""
 
     link: ViewerEnd
     session: str
-    written: int  # the earliest time at which it may have been
+    written: int  # the earliest time at which the viewer may have sent it
     plan_name: str
     wait: int
     title: str
@@ -92,16 +94,17 @@
     copies: int
     top: int
     description: str
-    at: str  # the node where it plays already; none: ""
-    withdrawn: bool = False  # its viewer has left or taken it back
+    at: str  # the node on which it plays already; "" for a new set-up
+    withdrawn: bool = False  # its viewer has left or released it
 
 
 class Ticket:
-    """One playback's ends; the playback itself has the state."""
+    """One playback's viewer, node and setup try; its state is in the decision module's `Playback`."""
 
     def __init__(
         self, session: str, pb: Playback, plan_name: str, description: str, viewer: ViewerEnd | None
     ) -> None:
+        """A session that has not been sent to a node yet."""
         self.id, self.pb, self.plan_name, self.description, self.viewer = (
             session,
             pb,
@@ -109,6 +112,6 @@
             description,
             viewer,
         )
-        self.pool: NodeSide | None = None  # of its try, or of the node where it plays
-        self.link: NodeEnd | None = None  # on which its set-up is out
-        self.until = self.timer = self.began_at = 0  # of its try
+        self.pool: NodeSide | None = None  # of its current try, or of the node it plays on
+        self.link: NodeEnd | None = None  # while its set-up awaits an answer there
+        self.until = self.timer = self.began_at = 0  # `began_at` is 0 until it plays
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -23,17 +23,15 @@
 FAILED = 41
 REFUSED = 42
 OVER = 16
-WHOLE_WITHIN = (
-    2 * SECOND
-)  # a first message, and one that has begun, must be whole by then: a close is owed within 3 s
-MOST_HERE = 256  # set-ups open on one connection
-TURN = 32  # messages of one connection before the others have their turn
+WHOLE_WITHIN = 2 * SECOND  # for the first message and any that has begun; a close is due within 3 s
+MOST_HERE = 256
+TURN = 32  # messages of one connection before other tasks run
 LOOK = 0.1
-BACKLOG = 1_024  # connections that the kernel accepts before this program has
+BACKLOG = 1_024  # connections that wait in the kernel to be accepted
 
 
 class Owner(Protocol):
-    """What the viewers' side needs of the one that decides. What it is told, it acts on in the same step."""
+    """What the viewers' side needs of the session coordinator. Calls take effect in the same step."""
 
     told: Configuration
     stillness: Stillness
@@ -41,49 +39,54 @@
     most_held: int
 
     def opened(self, link: ViewerLink) -> None:
-        """A connection has come."""
+        """A connection opened."""
 
     def count(self, what: str, why: str = "") -> None:
-        """Counts something that clients did wrong."""
+        """Counts a fault of a client."""
 
     def viewer_gone(self, link: ViewerLink) -> None:
-        """A connection is over."""
+        """A connection closed."""
 
     def released(self, link: ViewerLink, session: str) -> None:
-        """A viewer gives a set-up up, or ends a playback."""
+        """A viewer cancels a set-up or ends a playback."""
 
     def release_heard(self, session: str) -> None:
-        """A viewer's side confirms that it has heard the end of a session."""
+        """A viewer's side confirms that it has received a release."""
 
     def asked(self, a: Asked) -> None:
-        """A set-up has come. It waits for its turn."""
+        """Queues a set-up request."""
 
 
 class ViewerLink(Link):
-    """One connection from viewers, with the set-ups that are open on it.
+    """A connection from viewers, with the set-ups open on it.
 
-    What lies in its socket is read by whoever needs to know it, not by its own task alone: a set-up is sent only where
-    the socket does not say that its viewer has gone, however much else waits in the front.
+    Its socket is read not only by its own task but by any that needs to know its state: a set-up is sent only
+    if the socket does not show that its viewer has left, however much other work waits in the front end.
     """
 
     def __init__(
         self, sock: socket.socket, nursery: trio.Nursery, clock: Clock, stillness: Stillness
     ) -> None:
+        """Wraps an accepted socket."""
         super().__init__(sock, nursery)
         self.clock, self.stillness = clock, stillness
         self.frames = Frames()
         self.open_here: dict[str, Ticket] = {}
-        self.asked: dict[str, Asked] = {}  # handed to the owner and not yet taken by it
-        self.since = self.empty_at = clock.now()  # when it last gave a whole message; was last known empty
-        self.written: int | None = None  # the earliest time at which what is unread may have been
+        self.asked: dict[str, Asked] = {}  # queued in the coordinator's inbox
+        self.since = self.empty_at = clock.now()  # last complete message; socket last known to be empty
+        self.written: int | None = None  # earliest time at which the unread data may have been sent
         self.spoke = False
-        self.sessions = 0  # that stand and came on it
-        self.has_served = False  # a set-up that came on it was answered with a session
-        self.left = False  # the peer has closed or reset it: nothing more comes
+        self.sessions = 0  # playing sessions whose set-up came on it
+        self.has_served = False  # a set-up that came on it became a session
+        self.left = False  # the peer has closed or reset it
         self.waiting = trio.CancelScope()
 
     def hear(self) -> bool:
-        """Takes in what lies in the socket, up to a message and a receive, without waiting; whether any did."""
+        """Receives what the socket holds, without waiting; returns whether there was anything.
+
+        Stops once a maximal message is buffered, so that the buffer holds at most one message and one
+        receive.
+        """
         heard = False
         while self.open and not self.left and len(self.frames.buffer) < framing.MOST:
             try:
@@ -100,17 +103,20 @@
                 self.since = now
             self.frames.receive_data(data)
         if heard:
-            self.waiting.cancel()  # its own task has not seen that it came
+            self.waiting.cancel()  # wakes its own task, which has not seen this data arrive
         return heard
 
     async def wait(self) -> None:
-        """Until something comes, or has been read by another."""
+        """Waits until data arrives, or until another task has received it."""
         with trio.CancelScope() as self.waiting, suppress(trio.ClosedResourceError, OSError):
             await trio.lowlevel.wait_readable(self.sock)
 
     def gone(self, session: str) -> bool:
-        """Whether the viewer of a set-up has left or taken it back, by what its socket knows now. A peer that has said
-        its end has left, whether or not it still reads: nothing else tells of a close (docs/platform.md)."""
+        """Whether the viewer of a set-up has left or released it, as far as the socket shows now.
+
+        A half-closed peer counts as having left even if it still reads, because a full close looks the same
+        from here (docs/platform.md).
+        """
         self.hear()
         if not self.open or self.left or self.closing():
             return True
@@ -118,28 +124,29 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is owed on it."""
+        """Whether no set-up is open or queued on it."""
         return not (self.open_here or self.asked)
 
     @property
     def as_idle(self) -> IdleConnection:
-        """What its eviction is decided by, where it is idle."""
+        """The facts that the eviction order depends on; valid while it is idle."""
         return IdleConnection(self.since, self.spoke, self.sessions, self.frames.partial, bool(self.out))
 
     @property
     def unread(self) -> int:
-        """Whole messages that have not been taken, those in its socket among them."""
+        """Number of complete messages that have not been handled, including those still in the socket."""
         self.hear()
         return sum(1 for _ in self.frames.waiting())
 
 
 class Viewers:
-    """Accepts connections and hands what comes on them to the owner."""
+    """Accepts viewers' connections and passes their messages to the session coordinator."""
 
     def __init__(
         self, listener: socket.socket, most: int, owner: Owner, clock: Clock, nursery: trio.Nursery,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:  # fmt: skip
+        """Takes a bound socket and accepts connections from it once `run` is called."""
         self.listener, self.most, self.owner, self.clock, self.nursery, self.log = (
             listener,
             most,
@@ -155,7 +162,7 @@
         self.shed = 0
 
     async def run(self) -> None:
-        """Accepts until it is told to stop."""
+        """Accepts connections until it is stopped."""
         self.nursery.start_soon(self._look)
         while self.accepting:
             try:
@@ -165,13 +172,14 @@
                     await trio.lowlevel.wait_readable(self.listener)
                 except trio.ClosedResourceError:
                     return
-            except OSError:  # no descriptor left, or the peer has gone meanwhile
+            except OSError:  # no descriptor is free, or the peer has left already
                 self._make_room()
                 await trio.sleep(0.01)
             else:
                 await trio.lowlevel.checkpoint()
 
     def _accept(self) -> None:
+        """Accepts one connection; closes it at once if there is no room and none can be made."""
         sock, _ = self.listener.accept()
         if len(self.links) >= self.most and not self._make_room():
             sock.close()
@@ -182,11 +190,14 @@
         self.nursery.start_soon(self._serve, link)
 
     def stop(self) -> None:
-        """No more connections. Those that the kernel has accepted are taken first: closing the listener would reset
-        them, with the set-ups that they brought."""
+        """Stops accepting and closes the listener.
+
+        Connections that wait in the kernel are accepted first; closing the listener would reset them, and
+        with them any set-ups they have sent.
+        """
         if self.accepting:
             self.accepting = False
-            with suppress(OSError):  # none is left, or nobody ever listened
+            with suppress(OSError):  # none is left, or the socket never listened
                 for _ in range(BACKLOG):
                     self._accept()
             trio.lowlevel.notify_closing(self.listener)
@@ -194,16 +205,18 @@
 
     @property
     def unanswered(self) -> int:
-        """Set-ups and other messages that have come and that the module does not know, those unread in sockets too."""
+        """Number of messages and queued requests that the decision module does not know yet, including those
+        in sockets.
+        """
         return sum(link.unread + len(link.asked) for link in self.links)
 
     @property
     def unsaid(self) -> int:
-        """Connections on which answers and releases wait for their reader."""
+        """Number of connections on which answers or releases wait for the peer to read."""
         return sum(1 for link in self.links if link.out)
 
     def _make_room(self) -> bool:
-        """Closes a connection without an open set-up, if there is one."""
+        """Closes an idle connection; returns whether there was one."""
         link = self.idle_connections.first()
         if link is None:
             return False
@@ -211,21 +224,24 @@
         return True
 
     def _drop(self, link: ViewerLink) -> None:
+        """Closes a connection for want of room or because a message is overdue."""
         self.links.pop(link, None)
         link.shut()
         self.shed += 1
 
     async def _look(self) -> None:
+        """Closes connections whose first message, or a message that has begun, is overdue."""
         while True:
             await trio.sleep(LOOK)
             now = self.clock.now()
             for link in list(self.links):
                 overdue = (not link.spoke or link.frames.partial) and now - link.since > WHOLE_WITHIN
-                # What has come is not held against it where this front was late.
+                # If the data has arrived, the delay is this front end's own.
                 if overdue and not link.hear() and not link.unread:
                     self._drop(link)
 
     async def _serve(self, link: ViewerLink) -> None:
+        """Handles the messages of one connection until it ends."""
         self.owner.opened(link)
         try:
             while link.open:
@@ -243,7 +259,7 @@
                 await link.wait()
         except Unreadable as fault:
             self.owner.count("unreadable viewer", str(fault))
-        except Exception as fault:  # what one connection brings may not end the front with all that it holds
+        except Exception as fault:  # no single connection may stop the front end and with it all sessions
             self.log.error("connection failed", error=repr(fault), exc_info=fault)
         finally:
             self.links.pop(link, None)
@@ -251,7 +267,7 @@
             link.shut()
 
     def _take(self, link: ViewerLink, kind: int, session: str, params: dict[int, bytes]) -> None:
-        """One message. A test is answered here: it waits for nobody."""
+        """Handles one message. A test is answered here, without the coordinator."""
         owner = self.owner
         if kind == framing.TEST:
             self.tested = self.tested or self.ready
@@ -270,8 +286,8 @@
                 self.turn_away(link, session, FAILED)
                 return
             at = asked[-1]
-            description = "" if at else asked[-2]  # nothing is set up, and no answer brings one
-            # Guards memory against set-ups as many and as long as they may be, on one connection and on all.
+            description = "" if at else asked[-2]  # not needed for a playback that is set up already
+            # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
             crowded = len(link.open_here) + len(link.asked) >= MOST_HERE
             if not at and (crowded or owner.held + len(description) > owner.most_held):
                 self.turn_away(link, session, REFUSED, owner.told.terms.stay_away_most)
@@ -281,11 +297,11 @@
 
     @staticmethod
     def turn_away(link: ViewerLink, session: str, cause: int, away: int = 0) -> None:
-        """A final answer to what never became a playback."""
+        """Sends the final answer to a request that is not queued."""
         link.write(release(session, cause, away))
 
 
 def release(session: str, cause: int, away: int = 0) -> bytes:
-    """A release, with the time to stay away where there is one."""
+    """Encodes a release, with the time to stay away if there is one."""
     stay = [(framing.AWAY, str(away // MS).encode())] if away else []
     return framing.encode(framing.RELEASE, session, (framing.CAUSE, bytes((cause,))), *stay)
--- a/oakcroft/platformwire/__init__.py
+++ b/oakcroft/platformwire/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs of the platform's protocol: bytes in, events out, bounded, without I/O or clock."""
+"""Codecs of the platform's protocol: bytes in, messages out, with bounded buffers and without I/O or a clock."""
--- a/oakcroft/platformwire/asking.py
+++ b/oakcroft/platformwire/asking.py
@@ -1,4 +1,4 @@
-"""What a viewer's set-up asks: its parameters, checked."""
+"""Parses and checks the parameters of a viewer's set-up request."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class Unusable(Exception):
-    """A set-up that is well framed and can't be served."""
+    """A set-up request that is well-formed but cannot be served."""
 
 
 def text(params: Mapping[int, bytes], code: int, most: int = MOST_NAME) -> str:
-    """A parameter as text; Unusable where it is absent, empty, too long or no UTF-8."""
+    """A parameter as text; raises SetupRequestError if it is missing, empty, too long or not UTF-8."""
     value = params.get(code, b"")
     if not value or len(value) > most:
         raise Unusable(f"parameter {code} of {len(value)} octets")
@@ -28,7 +28,10 @@
 
 
 def number(said: str, most: float, what: str) -> float:
-    """A figure from 0 to `most`; Unusable for all else, what Python alone would read as a number included."""
+    """A number from 0 to `maximum`; raises SetupRequestError otherwise.
+
+    Notations that only Python reads as a number, such as underscores or surrounding spaces, are refused.
+    """
     plain = said.isascii() and "_" not in said and said.strip() == said
     try:
         value = float(said) if plain else math.nan
@@ -40,7 +43,7 @@
 
 
 def whole(said: str, most: int, what: str) -> int:
-    """The same, whole."""
+    """A whole number from 0 to `maximum`; raises SetupRequestError otherwise."""
     value = number(said, most, what)
     if value != int(value):
         raise Unusable(f"{what} is not whole")
@@ -48,7 +51,7 @@
 
 
 def extras(said: str) -> dict[str, str]:
-    """`a:1;b:2` by name; Unusable where it is not of that form."""
+    """The extras `a:1;b:2` by name; raises SetupRequestError if they do not have that form."""
     found = dict[str, str]()
     for part in said.split(";"):
         name, colon, value = part.partition(":")
@@ -59,7 +62,7 @@
 
 
 def figure(found: Mapping[str, str], name: str, most: int) -> int:
-    """A whole figure of the extras."""
+    """One whole number of the extras; raises SetupRequestError if it is missing or out of range."""
     if name not in found:
         raise Unusable(f"no {name}")
     return whole(found[name], most, name)
@@ -68,8 +71,12 @@
 def playback(
     session: str, params: Mapping[int, bytes], plans: Mapping[str, int], cells: int, rungs: int
 ) -> tuple[str, int, str, int, int, int, str, str]:
-    """The plan's name, the wait in ns, the title, its first cell and copies, the highest rung, the description, and the
-    node at which it plays already ("": none). `plans` has each plan's longest wait."""
+    """The checked parameters of a set-up request; raises SetupRequestError if they cannot be served.
+
+    Returns the plan's name, the wait in ns, the title, its first cell and number of copies, the highest rung,
+    the description, and the node on which it plays already ("" for a new set-up). `abandon_ns_by_plan` has
+    each plan's abandon time.
+    """
     if session == NO_ID:
         raise Unusable("no id")
     plan = text(params, framing.PLAN)
@@ -77,12 +84,10 @@
         raise Unusable("a plan that does not exist")
     found = extras(text(params, framing.EXTRAS, 1024))
     at = found.get("at", "")
-    longest = (
-        2 * plans[plan] / MS
-    )  # a viewer's own clock and rounding apart, nobody waits longer than the plan says
-    wait = (
-        0.0 if at else number(text(params, framing.WAIT, 32), longest, "wait")
-    )  # what plays waits for nothing
+    # Allows for the viewer's clock and for rounding; otherwise nobody waits longer than the plan's abandon time.
+    longest = 2 * plans[plan] / MS
+    # A playback that plays already waits for no answer.
+    wait = 0.0 if at else number(text(params, framing.WAIT, 32), longest, "wait")
     if framing.HINT in params:
         number(text(params, framing.HINT, 32), 1e9, "hint")
     title = text(params, framing.TITLE)
--- a/oakcroft/platformwire/channel.py
+++ b/oakcroft/platformwire/channel.py
@@ -1,4 +1,4 @@
-"""Documents of the command channel: numbered events on the list of playout nodes."""
+"""Documents of the command channel: numbered events that change the list of playout nodes."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 MOST_NAME = 128
 
 Member = tuple[str, tuple[str, int], str, str, int, Listing, float, int]
-"""Id, address, wing, kind, cell, listing, size, start in ns."""
+"""A listed node: id, address, wing, kind, cell, status on the list, size, start of its process in ns."""
 Change = tuple[int, bool, list[Member]]
-"""Number, whether it is the whole list, and the nodes that it tells of."""
+"""An event: its cursor, whether it has the whole list, and the nodes in it."""
 
 
 class Unreadable(Exception):
-    """A document that can't be read; it changes nothing."""
+    """A document that cannot be read; none of its events applies."""
 
 
 def address(said: object) -> tuple[str, int]:
-    """`HOST:PORT` with a numeric host, since there are no names to look up. Unreadable for all else."""
+    """Parses `HOST:PORT` with a numeric host, as names are not resolved; raises ChannelError otherwise."""
     host, _, port = said.rpartition(":") if isinstance(said, str) else ("", "", "")
     try:
         host = str(ip_address(host.strip("[]")))
@@ -37,14 +37,14 @@
 
 
 def whole(said: object, what: str) -> int:
-    """A whole figure that is not negative."""
+    """A whole number that is not negative; raises ChannelError otherwise."""
     if isinstance(said, bool) or not isinstance(said, int) or said < 0:
         raise Unreadable(f"{what} is no number")
     return said
 
 
 def member(said: object) -> Member:
-    """One line of a list."""
+    """Parses one node of a list; raises ChannelError if a field is missing or invalid."""
     if not isinstance(said, dict):
         raise Unreadable("a node is no object")
     name, phase = said.get("id"), said.get("phase")
@@ -66,7 +66,7 @@
 
 
 def events(said: object) -> tuple[int, list[Change]]:
-    """The number of the last event, and the events. Unreadable unless all of it can be read."""
+    """The cursor of the last event, and the events; raises ChannelError unless all of them can be read."""
     if not isinstance(said, dict) or not isinstance(said.get("cmds"), list):
         raise Unreadable("no events")
     changes = list[Change]()
@@ -74,7 +74,7 @@
         if not isinstance(one, dict):
             raise Unreadable("an event is no object")
         nodes = one.get("nodes")
-        if nodes is None:  # an event of another kind
+        if nodes is None:  # an event that does not concern nodes
             continue
         if not isinstance(nodes, dict) or not isinstance(nodes.get("members"), list):
             raise Unreadable("an event without nodes")
@@ -88,7 +88,7 @@
 
 
 def document(body: bytes) -> tuple[int, list[Change]]:
-    """The same, of an answer's body."""
+    """The same, from the body of an answer."""
     try:
         said = orjson.loads(body)
     except orjson.JSONDecodeError as fault:
--- a/oakcroft/platformwire/configuration.py
+++ b/oakcroft/platformwire/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands a front end, as JSON."""
+"""The JSON configuration that the platform gives a front end."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 
 class Faulty(Exception):
-    """A configuration that can't be used; says which field."""
+    """A configuration that cannot be used; the message names the field."""
 
 
 class Configuration:
-    """What one front end is told at its start."""
+    """What a front end is configured with at its start. Times are in ns, rates in kB a second."""
 
     def __init__(self, said: dict[str, Any]) -> None:
+        """Reads a decoded configuration; raises ConfigurationError for the first field that cannot be used."""
         field: Any = ""
         try:
             for field in ("name", "listen", "seed", "limits", "channel", "known", "settings"):
@@ -76,7 +77,7 @@
 
 
 def decode(body: bytes) -> Configuration:
-    """The configuration of a file's bytes; Faulty where it can't be used."""
+    """The configuration in a file's bytes; raises ConfigurationError if it cannot be used."""
     try:
         said = orjson.loads(body)
     except orjson.JSONDecodeError as fault:
--- a/oakcroft/platformwire/framing.py
+++ b/oakcroft/platformwire/framing.py
@@ -1,7 +1,8 @@
-"""The binary framing of viewers.
+"""The binary framing of viewers' connections.
 
-A message is `length:2 type:1 session:8 parameters`, a parameter `code:1 length:2 value`, all big-endian; the length
-counts all that follows it. Events are a type, an id and the parameters by code.
+A message is `length:2 type:1 session:8 parameters`, a parameter is `code:1 length:2 value`, all big-endian.
+The length counts everything after it. An event has the type, the session id in hexadecimal, and the
+parameters by code.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 from collections.abc import Iterator
 
 MOST = 16_384
-HEAD, LEAST = 2, 9  # octets of the length itself, and of the shortest message after it
+HEAD, LEAST = 2, 9  # bytes of the length field, and the least value that it may have
 
 SET_UP, PROGRESS, ANSWER, RELEASE, HEARD = 1, 6, 9, 12, 16
 NOTE, MOVE, TEST, TESTED, RUNG = 44, 51, 52, 53, 60
@@ -21,29 +22,31 @@
 
 
 class Unreadable(Exception):
-    """The peer's bytes are no messages: nothing after them can be trusted to be one."""
+    """The peer's bytes are not a valid message, so nothing after them can be trusted either."""
 
 
 class Frames:
-    """Takes the bytes of one connection at any split, and gives its messages.
+    """Decodes the messages of one connection from bytes that arrive in any pieces.
 
-    Holds less than one message and one receive: the caller takes all events before it hands in more.
+    The buffer holds less than one message and one receive, provided the caller takes all events before it
+    adds more bytes.
     """
 
     def __init__(self) -> None:
+        """Starts with an empty buffer."""
         self.buffer = bytearray()
 
     def receive_data(self, data: bytes) -> None:
-        """More bytes."""
+        """Adds received bytes."""
         self.buffer += data
 
     @property
     def partial(self) -> bool:
-        """Whether a message has begun that is not whole."""
+        """Whether a message has begun that is not complete."""
         return bool(self.buffer)
 
     def waiting(self) -> Iterator[tuple[int, str]]:
-        """Type and id of each whole message that has not been taken, which stays where it is."""
+        """Type and session id of each complete message in the buffer, without taking it."""
         at = 0
         while at + HEAD + LEAST <= len(self.buffer):
             length = int.from_bytes(self.buffer[at : at + HEAD], "big")
@@ -53,7 +56,10 @@
             at += HEAD + length
 
     def next_event(self) -> Event | None:
-        """The next message; None while it is not whole. Unreadable as soon as it can't become one."""
+        """Takes the next message; None if it is not complete.
+
+        Raises ProtocolError as soon as the bytes cannot become a message.
+        """
         if len(self.buffer) < HEAD:
             return None
         length = int.from_bytes(self.buffer[:HEAD], "big")
@@ -69,7 +75,7 @@
 
 
 def parameters(data: bytes) -> dict[int, bytes]:
-    """The parameters of a message by code. Unreadable where one overruns it or stands twice."""
+    """The parameters of a message by code; raises ProtocolError if one overruns the message or is repeated."""
     found = dict[int, bytes]()
     at = 0
     while at < len(data):
@@ -87,7 +93,7 @@
 
 
 def encode(kind: int, session: str, *values: tuple[int, bytes]) -> bytes:
-    """One message. ValueError where it would pass the bound."""
+    """Encodes one message; raises ValueError if it would be too long."""
     body = b"".join(
         bytes((code,)) + len(value).to_bytes(2, "big") + value for code, value in values if len(value) < MOST
     )
--- a/oakcroft/platformwire/lines.py
+++ b/oakcroft/platformwire/lines.py
@@ -1,4 +1,4 @@
-"""JSON lines to and from playout nodes: one object a line, 16 KiB at most."""
+"""JSON lines to and from playout nodes: one object per line, at most 16 KiB."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from oakcroft.platformwire.framing import MOST, Unreadable
 from oakcroft.platformwire.numbers import finite
 
-LONGEST = 1_024  # octets of a field that is read
-ROOM = 256  # octets that a set-up needs beside its plan, title and description
+LONGEST = 1_024  # characters of an attribute that is read
+ROOM = 256  # of a set-up, besides its plan, title and description
 ID = re.compile(r"[0-9a-f]{16}")
 MESSAGES = frozenset(
     (
@@ -34,18 +34,22 @@
 
 
 class Lines:
-    """Takes the bytes of one connection at any split, and gives its messages."""
+    """Decodes the messages of one connection from bytes that arrive in any pieces."""
 
     def __init__(self) -> None:
+        """Starts with an empty buffer."""
         self.buffer = bytearray()
         self.searched = 0
 
     def receive_data(self, data: bytes) -> None:
-        """More bytes; the caller takes all events before it hands in more."""
+        """Adds received bytes; the caller takes all events before it adds more."""
         self.buffer += data
 
     def next_event(self) -> Event | None:
-        """The next message; None while it is not whole. Unreadable as soon as it can't become one."""
+        """Takes the next message; None if it is not complete.
+
+        Raises ProtocolError as soon as the bytes cannot become a message.
+        """
         end = self.buffer.find(b"\n", self.searched)
         if end < 0:
             self.searched = len(self.buffer)
@@ -61,7 +65,7 @@
 
 
 def message(line: bytes) -> Event:
-    """One line; Unreadable where it is no message."""
+    """Decodes one line; raises ProtocolError if it is not a message."""
     try:
         said = orjson.loads(line)
     except orjson.JSONDecodeError as fault:
@@ -89,7 +93,7 @@
 def encode(
     kind: str, session: str, attrs: Attributes, code: int | None = None, text: str | None = None
 ) -> bytes:
-    """One line."""
+    """Encodes one message with its line end."""
     said: dict[str, object] = {"msg": kind, "sid": session, "attrs": attrs}
     if code is not None:
         said["code"] = code
@@ -99,7 +103,7 @@
 
 
 def carries(plan: str, title: str, description: str) -> bool:
-    """Whether a set-up with these fits a line, its escapes included."""
+    """Whether a set-up with these fits a line, including JSON escapes."""
     try:
         return len(orjson.dumps((plan, title, description))) + ROOM <= MOST
     except orjson.JSONEncodeError:
@@ -107,14 +111,18 @@
 
 
 def bounded(attrs: Attributes) -> Attributes:
-    """The fields that a message on a standing playback is read for, when it is to be kept for a while."""
+    """The attributes that are read of a message about a playing session, for a message that is stored
+    meanwhile.
+    """
     read = {name: attrs[name] for name in ("note", "value", "load") if name in attrs}
     return {name: v for name, v in read.items() if not isinstance(v, str) or len(v) <= LONGEST}
 
 
 def report(attrs: Attributes) -> dict[str, float] | None:
-    """The load report of a message: `x0:0.4;queue:3` by name. What can't be read is left out, so that a report never
-    costs the message that it came with."""
+    """The load report of a message, such as `x0:0.4;queue:3`, by name; None if there is none.
+
+    Unreadable parts are left out, so that a bad report never costs the message that carries it.
+    """
     said = attrs.get("load")
     if not isinstance(said, str) or len(said) > LONGEST:
         return None
--- a/oakcroft/platformwire/numbers.py
+++ b/oakcroft/platformwire/numbers.py
@@ -1,4 +1,4 @@
-"""Figures as peers write them."""
+"""Parsing of numbers as peers write them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def finite(said: object) -> float | None:
-    """A finite figure written as a number or as text; None for all else."""
+    """A finite number, given as a number or as text; None for anything else."""
     if isinstance(said, bool) or not isinstance(said, str | int | float):
         return None
     try:
--- a/oakcroft/platformwire/polling.py
+++ b/oakcroft/platformwire/polling.py
@@ -1,7 +1,7 @@
-"""One connection of long polls to the command channel, without a socket: octets in, answered polls out.
+"""The protocol state of one HTTP connection of long polls to the command channel, without a socket.
 
-h11 reads the HTTP; this knows which poll is open and what its answer told. A poll is written only when the answer before
-has been read whole, so that an answer always belongs to the last number that was asked with.
+h11 handles the HTTP; this module tracks the open poll and decodes its answer. A poll is sent only when the
+previous answer has been read completely, so an answer always belongs to the cursor that was last sent.
 """
 
 from __future__ import annotations
@@ -16,19 +16,23 @@
 
 
 class Polling:
-    """`ask` gives what is to be written, `receive_data` and `next_answer` what has been told.
+    """Turns polls into bytes and bytes into answers.
 
-    channel.Unreadable says that the connection is of no further use: what came is no answer, or breaks off.
+    A ChannelError means that the connection can no longer be used: the answer is invalid or incomplete.
     """
 
     def __init__(self, host: str, port: int) -> None:
+        """The connection to an address; nothing has been sent."""
         self.host = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
         self.body = bytearray()
         self.status = 0
 
     def ask(self, after: int, block: int) -> bytes:
-        """Asks for what comes after event `after`, which may take `block` ms to come."""
+        """The bytes of a poll for the events after `after_cursor`, which the channel may hold for `wait_ms`.
+
+        Raises ChannelError if the previous answer has not been read.
+        """
         if self.http.our_state is not h11.IDLE:
             raise channel.Unreadable("the answer before has not been read")
         request = h11.Request(
@@ -37,14 +41,18 @@
         return (self.http.send(request) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
 
     def receive_data(self, data: bytes) -> None:
-        """Takes octets in; none is the connection's end."""
+        """Adds received bytes; an empty value marks the end of the connection."""
         try:
             self.http.receive_data(data)
-        except RuntimeError as fault:  # octets after the end
+        except RuntimeError as fault:  # bytes after the end of the connection
             raise channel.Unreadable(str(fault)) from fault
 
     def next_answer(self) -> tuple[int, list[channel.Change]] | None:
-        """The answer to the open poll: the number of the last event, and the events. None while it is not whole."""
+        """The answer to the open poll: the cursor of the last event, and the events. None if it is not
+        complete.
+
+        Raises ChannelError if it cannot be read.
+        """
         try:
             while True:
                 event = self.http.next_event()
@@ -64,6 +72,7 @@
             raise channel.Unreadable(str(fault)) from fault
 
     def _whole(self) -> tuple[int, list[channel.Change]]:
+        """Decodes the complete answer and makes the connection ready for the next poll if it stays open."""
         body, self.body = bytes(self.body), bytearray()
         if self.status != 200:
             raise channel.Unreadable(f"status {self.status}")
@@ -74,5 +83,5 @@
 
     @property
     def may_ask(self) -> bool:
-        """Whether the connection takes another poll."""
+        """Whether the connection can take another poll."""
         return bool(self.http.our_state is h11.IDLE)
--- a/oakcroft/platformwire/settings.py
+++ b/oakcroft/platformwire/settings.py
@@ -1,4 +1,4 @@
-"""Whether the platform's settings can be served: each field that is read, before anything is made of it."""
+"""Checks each field of the platform's settings that is read, before anything is built from them."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from oakcroft import terms
 
-NONE = -1.0  # what is no figure at all
-TINY = 1e-9  # for what has to be more than nothing
+NONE = -1.0  # below every range
+TINY = 1e-9  # for fields that must be more than 0
 FIGURES: dict[str, tuple[float, float]] = {
     "balancers": (0, inf), "me": (0, inf), "familyInfo.cells": (0, inf), "familyInfo.groups": (0, inf),
     "familyInfo.joinAdds": (0, inf), "familyInfo.reportsEveryMs": (0, inf), "familyInfo.seenAfterMs": (0, inf),
@@ -18,7 +18,7 @@
     "permissions.maxAttempts": (1, inf), "permissions.connIdleMs": (TINY, inf),
     "permissions.dialTimeoutMs": (TINY, inf), "permissions.streamsPerConn": (1, inf), "permissions.maxOpen": (1, inf),
 }  # fmt: skip
-EACH = {  # lists of figures, what each is at least, and the list that is as long
+EACH = {  # lists of numbers: the least value of each, and the list that must have the same length
     "familyInfo.classSeats": (0, "classes"), "familyInfo.classTop": (0, "classes"),
     "familyInfo.floorByClass": (0, "classes"), "familyInfo.rateFactor": (TINY, "classes"),
     "familyInfo.live": (0, "classes"), "familyInfo.ratesKb": (TINY, "familyInfo.rungWorth"),
@@ -30,11 +30,11 @@
 
 
 class Unserved(Exception):
-    """Settings that can't be served; says which field, and why."""
+    """Settings that cannot be served; the message names the field and the reason."""
 
 
 def at(settings: Any, path: str) -> Any:
-    """A field by its path; Unserved where there is none."""
+    """A field by its path; raises SettingsError if it is missing."""
     for name in path.split("."):
         if not isinstance(settings, dict) or name not in settings:
             raise Unserved(f"settings.{path} is missing")
@@ -43,7 +43,7 @@
 
 
 def figure(said: object, path: str, least: float, most: float = inf) -> None:
-    """Unserved where it is no figure in that range."""
+    """Raises SettingsError if a field is not a number in a range."""
     value = float(said) if isinstance(said, int | float) else NONE
     if not least <= value <= most:
         shown = "more than 0" if least == TINY else f"{least:g} at least"
@@ -52,7 +52,7 @@
 
 
 def listed(settings: Any, path: str) -> list[Any]:
-    """A list that is not empty."""
+    """A list that is not empty; raises SettingsError otherwise."""
     found = at(settings, path)
     if not isinstance(found, list) or not found:
         raise Unserved(f"settings.{path}: a list with something in it is wanted")
@@ -60,7 +60,7 @@
 
 
 def classes(settings: Any) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Each class with its path; Unserved for what is none."""
+    """Each class with its path; raises SettingsError if one has no name or the name of another."""
     names = set[str]()
     for i, one in enumerate(listed(settings, "classes")):
         path = f"classes[{i}]"
@@ -73,7 +73,7 @@
 
 
 def check(settings: Any) -> None:
-    """Unserved with the first field that can't be served."""
+    """Raises SettingsError for the first field that cannot be served."""
     for path, (least, most) in FIGURES.items():
         figure(at(settings, path), path, least, most)
     for path, least in MAY_LACK.items():
