--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,6 @@
-"""A host that records what the module asks for, and a small fleet to play with."""
+"""A host that records what the decision module asks for, and stubs of the platform's peers over real
+connections.
+"""
 
 from __future__ import annotations
 
@@ -39,9 +41,10 @@
 
 
 class Fleet:
-    """One front end before a few nodes; keeps every call that the module made of its host."""
+    """A decision module with a few nodes and a host that keeps every call."""
 
     def __init__(self, nodes: int = 4, terms: Terms = TERMS, warm: bool = True) -> None:
+        """Lists the nodes as kept from before; with `warm` they have started long enough ago not to be cold."""
         self.calls: list[tuple[Any, ...]] = []
         self.now = START
         self.control = Controller(terms, 7, self, START)
@@ -53,45 +56,56 @@
             self.now += 20 * SECOND
 
     def relist(self, kind: ListKind, started_at: int = 0, listing: Listing = Listing.READY) -> None:
+        """Gives the module the whole list, with every node in one status."""
         lines = [Entry(n, listing, started_at, 4000.0, 12.0) for n in self.nodes]
         self.control.listed(kind, lines, self.now)
 
     def ask(self, plan: Plan = FREE, title: Title | None = None, wait: int = 4 * SECOND) -> Playback:
+        """A viewer's request that waits for so long."""
         pb = Playback(title or Title("t", 0, 0), plan, 2, self.now + wait, False)
         self.control.arrived(pb, self.now)
         return pb
 
     def sends(self) -> list[Node]:
+        """The nodes that setup tries were sent to, in order."""
         return [call[2] for call in self.calls if call[0] == "send"]
 
     def answers(self, pb: Playback) -> list[str]:
+        """The kinds of final answers to a playback."""
         return [c[0] for c in self.calls if c[0] in ("reject", "abort") and c[1] is pb]
 
     def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+        """Records a setup try; its abandon time must not be later than the playback's."""
         assert START < abandon_at <= pb.abandon + 40 * MS
         self.calls.append(("send", pb, node, abandon_at))
 
     def reject(self, pb: Playback, stay_away: int) -> None:
+        """Records a rejected playback."""
         self.calls.append(("reject", pb, stay_away))
 
     def abort(self, pb: Playback) -> None:
+        """Records an aborted playback."""
         self.calls.append(("abort", pb))
 
     def set_rung(self, pb: Playback, rung: int) -> None:
+        """Records a rung, which must be within the bounds of the plan and the viewer."""
         assert pb.plan.floor <= rung <= pb.top
         self.calls.append(("set_rung", pb, rung))
 
     def alarm(self, at: int) -> None:
+        """Records a timer."""
         self.calls.append(("alarm", at))
 
     def follow(self) -> None:
+        """Records a subscription to the list."""
         self.calls.append(("follow",))
 
     def log(self, line: str) -> None:
+        """Records a log line."""
         self.calls.append(("log", line))
 
 
-# Short stand-ins for the platform: a viewer, a playout node and the command channel.
+# Stubs of the platform's peers: a playout node, the command channel and a viewer.
 
 SETTINGS: dict[str, Any] = {
     "balancers": 1, "me": 0, "membershipMode": "automatic", "models": ["k"],
@@ -112,21 +126,24 @@
 
 
 class WireNode:
-    """A playout node: `script` says what it does with each set-up in turn, and it answers when that is used up."""
+    """A playout node. `script` says how it treats the next set-ups, in order; without an entry it answers."""
 
     def __init__(self, name: str, facts: list[dict[str, Any]]) -> None:
+        """A node that records what happens there in `facts`."""
         self.name, self.facts = name, facts
         self.script: list[str | int] = []
         self.heard: list[dict[str, Any]] = []
         self.links: list[trio.SocketStream] = []
         self.port = 0
-        self.reads = trio.Event()  # set but while the node is held back
+        self.reads = trio.Event()  # set unless the node is held back
         self.reads.set()
 
     def note(self, kind: str, **fields: Any) -> None:
+        """Adds a fact about this node."""
         self.facts.append({"t": time.time_ns(), "kind": kind, "node": self.name, **fields})
 
     async def serve(self, stream: trio.SocketStream) -> None:
+        """Reads the messages of one connection."""
         self.links.append(stream)
         rest = b""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
@@ -145,6 +162,7 @@
         await trio.aclose_forcefully(stream)
 
     async def set_up(self, stream: trio.SocketStream, said: dict[str, Any]) -> None:
+        """Treats a set-up as the script says."""
         sid, plan = said["sid"], said["attrs"]["class"]
         number = f"{self.name}.{sid}"
         self.note("setup", id=number, front="front-0-a", key=sid, plan=plan, title=said["attrs"]["key"],
@@ -157,7 +175,7 @@
                 await self.say(stream, msg="ready", sid="ff" * 8, attrs={}, text="of another")
             for _ in range(2 if do == "more" else 1):
                 await self.say(stream, msg="ready", sid=sid, attrs={}, text=f"{self.name} é\r\n{sid}")
-        elif do == "brief":  # it has played, and is over already
+        elif do == "brief":  # it has played and is already over
             self.note("answer", id=number, key=sid, status=201, problem="")
             await self.say(
                 stream,
@@ -178,31 +196,35 @@
             await trio.aclose_forcefully(stream)
 
     async def say(self, stream: trio.SocketStream, **said: Any) -> None:
+        """Sends a message."""
         await stream.send_all(orjson.dumps(said) + b"\n")
 
     def got(self, msg: str, sid: str = "") -> list[dict[str, Any]]:
+        """The messages of a kind received, of one session or of all."""
         return [h for h in self.heard if h["msg"] == msg and sid in ("", h["sid"])]
 
 
 class WireChannel:
-    """The command channel; a poll is answered once there are later events. While `silent`, no poll is."""
+    """The command channel. A poll is answered once there are later events; while it is silent, none is."""
 
     def __init__(self) -> None:
+        """A channel without events."""
         self.cmds: list[dict[str, Any]] = []
         self.polls: list[int] = []
         self.silent, self.closes, self.garbage, self.port = False, False, 0, 0
-        self.spoils = list[str]()  # what becomes of the next answers: "half", "break", "again", "back"
+        self.spoils = list[str]()  # how the next answers are damaged: "half", "break", "again", "back"
         self.spoilt = 0
-        self.stream: trio.SocketStream | None = None  # of the newest poll
+        self.stream: trio.SocketStream | None = None  # connection of the newest poll
 
     def say_now(self, cursor: int, *members: dict[str, Any]) -> None:
-        """Answers the newest poll in this very step, so that nothing else runs in between."""
+        """Answers the newest poll without a turn of the event loop, so nothing else runs in between."""
         assert self.stream is not None
         cmd = {"cursor": cursor, "nodes": {"complete": False, "members": list(members)}}
         body = orjson.dumps({"cursor": cursor, "cmds": [cmd]})
         self.stream.socket._sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))  # type: ignore[attr-defined]
 
     async def serve(self, stream: trio.SocketStream) -> None:
+        """Answers the polls of one connection."""
         with suppress(trio.BrokenResourceError):
             while head := await stream.receive_some(4096):
                 after = int(head.split(b"resume=")[1].split(b"&")[0])
@@ -217,7 +239,7 @@
                 body = orjson.dumps({"cursor": max([after, *(c["cursor"] for c in later)]), "cmds": later})
                 spoil = self.spoils.pop(0) if self.spoils and later else ""
                 self.spoilt += bool(spoil)
-                if spoil in ("again", "back"):  # the first events once more, undoing what came after them
+                if spoil in ("again", "back"):  # repeats the first events, which undo the later ones
                     undone = [c | {"cursor": 1 + i} for i, c in enumerate(self.cmds)]
                     body = orjson.dumps({"cursor": after if spoil == "again" else 1, "cmds": undone[:after]})
                 if self.garbage:
@@ -238,10 +260,12 @@
     """One connection of viewers."""
 
     def __init__(self, stream: trio.SocketStream, facts: list[dict[str, Any]]) -> None:
+        """Records requests and answers in `facts`."""
         self.stream, self.facts, self.frames = stream, facts, framing.Frames()
 
     def set_up(self, sid: str, plan: str = "free", title: str = "t", wait: str = "1000", at: str = "",
                text: bytes = b"offer\r\n", **odd: bytes) -> bytes:  # fmt: skip
+        """The bytes of a set-up request; `odd` replaces parameters by their code, as in `p101`."""
         extras = "home:0;copies:0;top:2;viewer:1" + (f";at:{at}" if at else "")
         params = {
             100: plan.encode(),
@@ -257,10 +281,13 @@
         return framing.encode(framing.SET_UP, sid, *params.items())
 
     async def ask(self, sid: str, plan: str = "free", **odd: Any) -> None:
+        """Sends a set-up request."""
         await self.stream.send_all(self.set_up(sid, plan, **odd))
 
     def leave(self, how: str, sid: str = "") -> None:
-        """In this very step: a full close, a reset, a half-close, or the release of a set-up."""
+        """Leaves without a turn of the event loop: a full close, a reset, a half-close, or the release of a
+        set-up.
+        """
         raw: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
         if how == "release":
             raw.send(framing.encode(framing.RELEASE, sid, (framing.CAUSE, b"\x10")))
@@ -272,15 +299,16 @@
             self.stream.socket.close()
 
     def ask_now(self, sid: str, plan: str = "free", **odd: Any) -> None:
-        """Sends a set-up in this very step."""
+        """Sends a set-up request without a turn of the event loop."""
         raw: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
         raw.send(self.set_up(sid, plan, **odd))
 
     async def say(self, kind: int, sid: str, cause: int = 16) -> None:
+        """Sends a message with a cause."""
         await self.stream.send_all(framing.encode(kind, sid, (framing.CAUSE, bytes((cause,)))))
 
     async def hear(self, seconds: float = 4) -> tuple[int, str, int, bytes] | None:
-        """The next message: its type, id, cause and description; None at the connection's end."""
+        """The next message: its type, session id, cause and description; None at the end of the connection."""
         with trio.fail_after(seconds):
             while (event := self.frames.next_event()) is None:
                 try:
@@ -303,9 +331,10 @@
 
 
 class PlatformRig:
-    """One front end on the platform's protocol, with two nodes n0 and n1."""
+    """One front end on the platform's protocol, with the nodes n0 and n1."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
+        """Nothing runs before `start`."""
         self.nursery, self.facts = nursery, list[dict[str, Any]]()
         self.nodes = [WireNode("n0", self.facts), WireNode("n1", self.facts)]
         self.channel = WireChannel()
@@ -315,19 +344,23 @@
 
     @property
     def owner(self) -> Owner:
+        """The front end's session coordinator."""
         assert self.platform.owner is not None
         return self.platform.owner
 
     async def listen(self, serve: Any) -> int:
+        """Serves a stub on a free port; returns the port."""
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.nursery.start_soon(trio.serve_listeners, serve, listeners)
         return int(listeners[0].socket.getsockname()[1])
 
     def member(self, node: WireNode, phase: str = "up", name: str = "") -> dict[str, Any]:
+        """A node as the command channel lists it."""
         return {"id": name or node.name, "host_port": f"127.0.0.1:{node.port}", "locality": "w", "flavor": "k",
                 "cell": int(node.name[1]), "phase": phase, "size": 1, "up_since_ms": 0}  # fmt: skip
 
     def told(self) -> dict[str, Any]:
+        """The front end's configuration, with both nodes on the known list."""
         members = [self.member(n) for n in self.nodes]
         known = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"complete": True, "members": members}}]}
         return {"name": "n0", "listen": "127.0.0.1:1", "seed": "07", "limits": {"sockets": 64, "memory_mb": 64},
@@ -335,6 +368,7 @@
                 "settings": SETTINGS | {"familyInfo": self.info}}  # fmt: skip
 
     async def start(self, dead: int = -1) -> None:
+        """Starts the stubs and the front end, and waits until it listens. Nothing listens at the node `dead`."""
         self.channel.port = await self.listen(self.channel.serve)
         for i, node in enumerate(self.nodes):
             node.port = 1 if i == dead else await self.listen(node.serve)
@@ -355,9 +389,11 @@
         await up.wait()
 
     async def viewer(self) -> WireViewer:
+        """Opens a viewer's connection."""
         return WireViewer(await trio.open_tcp_stream("127.0.0.1", self.port), self.facts)
 
     def change(self, cursor: int, *members: dict[str, Any]) -> None:
+        """Adds an event with changes of the list to the command channel."""
         self.channel.cmds.append({"cursor": cursor, "nodes": {"complete": False, "members": list(members)}})
 
 
@@ -365,7 +401,7 @@
     test: Callable[[PlatformRig], Awaitable[None]], dead: int = -1, started: bool = True, within: float = 30,
     info: dict[str, Any] | None = None,
 ) -> None:  # fmt: skip
-    """Runs a test against one front end, within a time. One that is not `started` the test starts itself."""
+    """Runs a test against one front end, within a time. With `started` false the test starts it itself."""
 
     async def bounded() -> None:
         with trio.fail_after(within):
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -1,5 +1,5 @@
-"""Instants at which something is owed, each forced over real connections: a front end that is held where it is late, and
-what its peers do in the meantime, in one step of the loop.
+"""Races at the moments at which something is owed, each forced over real connections: tasks of the front end
+are held back while its peers act, within one step of the event loop.
 """
 
 from __future__ import annotations
@@ -44,21 +44,24 @@
 
 
 class Hold:
-    """Holds one task of the front where it is, from `shut` to `open`."""
+    """Holds back one task of the front end, from `shut` to `open`."""
 
     def __init__(self) -> None:
+        """Nothing is held back."""
         self.gate = trio.Event()
         self.gate.set()
 
     def shut(self) -> None:
+        """Holds the task back from its next step."""
         self.gate = trio.Event()
 
     def open(self) -> None:
+        """Lets the task go on."""
         self.gate.set()
 
 
 def held_owner(monkeypatch: pytest.MonkeyPatch) -> Hold:
-    """A front that is behind: what has been handed in waits."""
+    """Holds back the coordinator's inbox, as on a front end that is behind."""
     hold = Hold()
 
     async def handle_all(inbox: Any, handle: Callable[[Any], None]) -> None:
@@ -71,7 +74,7 @@
 
 
 def held_dials(monkeypatch: pytest.MonkeyPatch) -> Hold:
-    """Connections to nodes that come up late."""
+    """Holds back connects to nodes."""
     hold, connect = Hold(), linking.connect
 
     async def late(address: tuple[str, int], within: float) -> socket.socket:
@@ -83,7 +86,7 @@
 
 
 def held_readers(monkeypatch: pytest.MonkeyPatch) -> Hold:
-    """Viewers' connections that are not read: their tasks do not get their turn."""
+    """Holds back the tasks that read viewers' connections."""
     hold, wait = Hold(), viewing.ViewerLink.wait
 
     async def late(link: viewing.ViewerLink) -> None:
@@ -95,11 +98,12 @@
 
 
 def opens(rig: PlatformRig, sid: str = A) -> int:
+    """Number of set-ups of a session that have reached nodes."""
     return sum(len(node.got("open", sid)) for node in rig.nodes)
 
 
 def empty(rig: PlatformRig) -> bool:
-    """Whether no table holds anything of a set-up."""
+    """Whether no table holds anything of an open set-up."""
     owner = rig.owner
     links = [x for pool in owner.pools.values() for x in pool.links]
     held: list[Any] = [owner.coming, *(p.waiting for p in owner.pools.values())]
@@ -112,27 +116,27 @@
 
 
 async def after(rig: PlatformRig) -> None:
-    """What has left is settled, and another is served as ever."""
+    """Checks that a set-up whose viewer left is cleaned up, and that another viewer is served."""
     await until(lambda: empty(rig))
     other = await rig.viewer()
     await other.ask(C)
     assert (await other.hear() or (0,))[0] == framing.ANSWER
 
 
-# A client that has gone: nothing begins for it.
+# Viewers that have left: no set-up is sent for them.
 
 
 @pytest.mark.parametrize("plan", ["paid", "free"])
 @pytest.mark.parametrize("how", LEAVES)
 def test_nothing_is_sent_for_a_client_that_left_before_its_set_up_was_read(how: str, plan: str) -> None:
-    """Set-up and end arrive in one read, as they do on a front that stood still."""
+    """The set-up and the viewer's leaving arrive in one read, as after a pause of the front end."""
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         viewer.ask_now(A, plan)
         viewer.leave(how, A)
         await until(lambda: rig.owner.counts.get("try:_viewer_gone", 0) or empty(rig))
-        if how == "half-close":  # it still reads: it hears at once that it waits in vain
+        if how == "half-close":  # it still reads, so it is answered at once
             assert (await viewer.hear() or ())[:3] == (framing.RELEASE, A, REFUSED)
         await after(rig)
         assert opens(rig) == 0
@@ -145,6 +149,7 @@
 def test_nothing_is_sent_for_a_client_that_left_while_its_set_up_waited_behind_others(
     how: str, read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The viewer leaves while its request waits in the inbox, seen or not yet seen by its connection's task."""
     owner, readers = held_owner(monkeypatch), held_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -166,7 +171,7 @@
         readers.open()
         await after(rig)
         assert opens(rig) == 0
-        assert rig.owner.tickets[B].pb.state is State.PLAYING  # nobody else's is ended
+        assert rig.owner.tickets[B].pb.state is State.PLAYING  # other playbacks go on
 
     on_platform(test)
 
@@ -175,6 +180,7 @@
 def test_nothing_is_sent_for_a_client_that_left_while_a_connection_was_opened(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The viewer leaves while its set-up waits for a connect to a node."""
     dials, readers = held_dials(monkeypatch), held_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -195,6 +201,7 @@
 
 @pytest.mark.parametrize("how", LEAVES)
 def test_no_further_try_follows_for_a_client_that_left(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The viewer leaves before a refusal that would allow another try."""
     readers = held_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -206,7 +213,8 @@
         first = next(n for n in rig.nodes if n.got("open"))
         readers.shut()
         viewer.leave(how, A)
-        await first.say(first.links[0], msg="close", sid=A, attrs={}, code=34)  # a further try may follow
+        # The node is full, so another try would be allowed.
+        await first.say(first.links[0], msg="close", sid=A, attrs={}, code=34)
         await until(lambda: rig.owner.counts.get("try:_viewer_gone"))
         readers.open()
         for node in rig.nodes:
@@ -218,10 +226,12 @@
 
 
 async def fill(link: Link, message: bytes) -> None:
-    """Messages that mean nothing, until the kernel takes no more, then and later: what follows stays here."""
+    """Sends meaningless messages until the kernel accepts no more, so that whatever follows stays in the send
+    buffer.
+    """
     full = 0
     while full < 5:
-        link._flush()  # a socket that is not writable yet may take some
+        link._flush()  # the kernel may accept some before it reports the socket as writable
         full = full + 1 if link.out else 0
         while not link.out:
             link.write(message)
@@ -229,7 +239,7 @@
 
 
 async def full_link(rig: PlatformRig) -> tuple[WireNode, NodeLink]:
-    """A node that reads no more, with one connection that is full."""
+    """A node that no longer reads, with one connection whose send buffer is full."""
     first = await rig.viewer()
     await first.ask(B)
     await first.hear()
@@ -246,8 +256,11 @@
 
 @pytest.mark.parametrize("how", ["close", "release", "late", "drains"])
 def test_a_set_up_in_unsent_bytes_is_taken_back_whole(how: str) -> None:
-    """What has been queued behind a node that does not read never reaches it once nobody waits, or it may have nothing
-    new; what stands beside it is not cut."""
+    """A set-up in the send buffer of a node that does not read is removed when its viewer leaves, its time
+    runs out, or the node drains.
+
+    Other set-ups on the same connection are not affected.
+    """
 
     async def test(rig: PlatformRig) -> None:
         node, link = await full_link(rig)
@@ -264,7 +277,7 @@
         assert len(link.out_here) == (0 if how == "drains" else 1)
         node.reads.set()
         if how == "late" or how == "drains":
-            assert (await viewer.hear() or ())[:3] == (framing.RELEASE, A, REFUSED)  # it never ran
+            assert (await viewer.hear() or ())[:3] == (framing.RELEASE, A, REFUSED)  # no try ran
         if how != "drains":
             assert (await later.hear() or (0,))[0] == framing.ANSWER
         assert opens(rig) == 0
@@ -274,6 +287,8 @@
 
 
 def test_hundreds_under_one_id_taken_back_and_sent_again_are_set_up_once_at_most() -> None:
+    """A paid set-up that was sent is not repeated under the same id after its release."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for node in rig.nodes:
@@ -297,6 +312,7 @@
 def test_a_playback_ended_in_the_same_read_as_its_handing_over_ends_at_its_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The release of a playback may wait in the inbox behind its own handover; the node still gets the close."""
     owner = held_owner(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -316,6 +332,7 @@
 def test_an_answer_for_a_client_that_left_ends_at_its_node(
     how: str, plan: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A playback whose viewer left before the node's answer is closed at the node."""
     readers = held_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -340,6 +357,7 @@
 def test_a_playback_whose_connection_ends_in_the_same_read_as_its_handing_over_plays_on(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A playback is not tied to the connection on which its viewer hands it over."""
     owner = held_owner(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -357,14 +375,15 @@
     on_platform(test)
 
 
-# Shutdown and exit.
+# Shutdown.
 
 
 @pytest.mark.parametrize("where", ["kernel", "socket", "inbox"])
 @pytest.mark.parametrize("plays", [True, False])
 def test_what_came_by_the_stop_is_answered(where: str, plays: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Set-ups that the kernel has accepted, that lie unread, or that have been handed in and not taken when the front's
-    course is judged."""
+    """Set-ups that wait in the kernel, in a socket or in the inbox at the stop signal are answered before the
+    exit.
+    """
     monkeypatch.setattr(serve, "LISTENS", 100 * MS)
     owner, readers = held_owner(monkeypatch), held_readers(monkeypatch)
 
@@ -380,7 +399,7 @@
             owner.open()
             rig.stop.set()
             await until(lambda: rig.owner.closes_at < owning.NEVER)
-            raw = socket.create_connection(("127.0.0.1", rig.port))  # in one step with the listener's end
+            raw = socket.create_connection(("127.0.0.1", rig.port))  # in one step with closing the listener
             raw.send(viewer.set_up(A))
             rig.platform.viewers.stop()
             raw.setblocking(False)
@@ -389,7 +408,7 @@
             viewer.ask_now(A)
             await until(lambda: where == "socket" or A in rig.owner.coming)
             rig.stop.set()
-            with trio.move_on_after(0.5):  # it does not end meanwhile
+            with trio.move_on_after(0.5):  # the front end must not exit meanwhile
                 await rig.ended.wait()
             assert not rig.ended.is_set()
         owner.open()
@@ -402,6 +421,7 @@
 def test_an_answer_behind_a_slow_reader_is_read_whole_before_the_front_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The process waits a while for answers in a send buffer before it exits."""
     monkeypatch.setattr(serve, "LISTENS", 0)
 
     async def test(rig: PlatformRig) -> None:
@@ -409,13 +429,14 @@
         await until(lambda: rig.owner.viewers)
         link = next(iter(rig.owner.viewers))
         await fill(link, framing.encode(framing.PROGRESS, C, (framing.TEXT, b"x" * 8_000)))
-        await viewer.ask(A, "paid", p115=b"x", p101=b"nan")  # a final answer, behind all that
+        # The final answer is queued behind the data above.
+        await viewer.ask(A, "paid", p115=b"x", p101=b"nan")
         await until(lambda: rig.owner.counts)
         queued = len(link.out)
         rig.stop.set()
         await until(lambda: rig.owner.closes_at < owning.NEVER)
         assert queued
-        with trio.move_on_after(serve.FAREWELL / SECOND / 2):  # nothing else is owed, nor plays
+        with trio.move_on_after(serve.FAREWELL / SECOND / 2):  # nothing else is due or plays
             await rig.ended.wait()
         heard = await viewer.hear()
         while heard is not None and heard[1] != A:
@@ -427,6 +448,8 @@
 
 
 def test_a_stop_before_the_list_is_confirmed_ends_a_front_that_nobody_has_reached() -> None:
+    """A stop signal before the list is confirmed ends the process, which never listens."""
+
     async def test(rig: PlatformRig) -> None:
         rig.channel.silent = True
         rig.nursery.start_soon(rig.start)
@@ -442,7 +465,10 @@
 def test_a_stop_that_crosses_the_listening_finds_none_reached_or_owes_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The list is confirmed, and the step in which the front begins to serve still waits for its turn."""
+    """The stop signal arrives after the list is confirmed and before the front end starts to listen.
+
+    It must then end without listening, since a viewer that reached it would not be answered.
+    """
     owner = held_owner(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -464,6 +490,7 @@
 def test_set_ups_after_the_listening_are_refused_and_none_waits_past_the_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Late set-ups are rejected, and the waits of open ones are cut to the process's end."""
     monkeypatch.setattr(serve, "LISTENS", 50 * MS)
     monkeypatch.setattr(serve, "LEAST_LONGEST", 100 * MS)
     monkeypatch.setattr(serve, "LEAST_DRAIN", 0)
@@ -493,6 +520,7 @@
 def test_a_front_has_ended_before_it_is_killed_whatever_holds_it(
     longest: int, unanswered: int, playing: int, unsaid: int
 ) -> None:
+    """The process exits before the platform kills it, whatever is still open, and soon if nothing is."""
     drain, killed = max(serve.LEAST_DRAIN, longest), max(serve.LEAST_LONGEST, longest) + serve.KILLED_AFTER
     stopping, now = Stopping(drain, serve.FAREWELL, drain, killed - serve.BEFORE_KILL), SECOND
     stopping.serve(0)
@@ -501,7 +529,7 @@
     while course is not Course.GONE:
         now += 50 * MS
         course = stopping.look(unanswered, playing, unsaid, now)
-        stopping.signal(now)  # again and again, at each stage
+        stopping.signal(now)  # a repeated signal in every state
     assert now - SECOND < killed - 50 * MS
     if not (unanswered or unsaid or playing):
         assert now - SECOND <= 200 * MS
@@ -511,6 +539,7 @@
 
 
 def test_a_set_up_that_waits_takes_a_connection_that_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A set-up that waits for a connect is sent on a connection that becomes free first."""
     dials = held_dials(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -525,7 +554,8 @@
         await until(lambda: rig.owner.pools["n0"].waiting)
         await node.say(node.links[0], msg="ready", sid=A, attrs={}, text="answer")
         assert (await viewer.hear() or ())[:2] == (framing.ANSWER, A)
-        assert (await viewer.hear() or ())[:2] == (framing.ANSWER, B)  # no connection has come up for it
+        # B is sent on the connection that A has freed, while its own connect is still held back.
+        assert (await viewer.hear() or ())[:2] == (framing.ANSWER, B)
 
     on_platform(test)
 
@@ -533,6 +563,7 @@
 def test_a_viewer_whose_set_up_is_arriving_is_not_the_one_that_makes_room(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """An unread set-up in the socket protects its connection from eviction."""
     readers = held_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -552,7 +583,7 @@
 
 
 async def stranger(rig: PlatformRig) -> WireViewer:
-    """A client that asks once, has its answer, and keeps its connection for good."""
+    """A client that sends one message, gets its answer, and keeps its connection open."""
     one = await rig.viewer()
     await one.say(framing.TEST, C, 0)
     assert (await one.hear() or (0,))[0] == framing.TESTED
@@ -560,7 +591,7 @@
 
 
 async def plays(rig: PlatformRig, sid: str) -> tuple[WireViewer, WireNode]:
-    """A viewer with a session that stands, and its node."""
+    """A viewer with a playing session, and the node it plays on."""
     viewer = await rig.viewer()
     await viewer.ask(sid)
     assert (await viewer.hear() or (0,))[0] == framing.ANSWER
@@ -568,6 +599,8 @@
 
 
 def test_a_crowd_that_asks_once_and_stays_closes_no_connection_with_a_session() -> None:
+    """Connections without sessions are evicted before those with sessions."""
+
     async def test(rig: PlatformRig) -> None:
         viewers = rig.platform.viewers
         assert viewers is not None
@@ -582,6 +615,8 @@
 
 
 def test_a_newcomer_does_not_close_the_one_before_it_whose_set_up_is_on_its_way() -> None:
+    """A new connection is not evicted for the next one before its first request can arrive."""
+
     async def test(rig: PlatformRig) -> None:
         viewers = rig.platform.viewers
         assert viewers is not None
@@ -597,6 +632,8 @@
 
 
 def test_an_end_whose_connection_has_gone_goes_to_one_that_was_served_and_to_no_stranger() -> None:
+    """A release prefers connections on which a set-up was answered."""
+
     async def test(rig: PlatformRig) -> None:
         first = await stranger(rig)
         viewer, node = await plays(rig, A)
@@ -608,13 +645,15 @@
         await other.say(framing.HEARD, A)
         await until(lambda: len(rig.owner.releases.unconfirmed) == 0)
         await first.say(framing.TEST, C, 0)
-        assert (await first.hear() or (0,))[0] == framing.TESTED  # and nothing before it
+        assert (await first.hear() or (0,))[0] == framing.TESTED  # and no release before it
 
     on_platform(test)
 
 
 @pytest.mark.parametrize("owed", [False, True], ids=["strangers there", "strangers come"])
 def test_an_end_that_strangers_do_not_confirm_is_sent_again_until_a_viewer_hears_it(owed: bool) -> None:
+    """A release that is not confirmed is sent again on other connections."""
+
     async def test(rig: PlatformRig) -> None:
         strangers = [] if owed else [await stranger(rig), await stranger(rig)]
         viewer, node = await plays(rig, A)
@@ -637,7 +676,7 @@
 def test_a_front_that_stood_still_does_not_hold_it_against_those_who_spoke(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time is over in which a connection has to say something whole, and what it said lies unread."""
+    """A connection is not closed as overdue while its message lies unread because the front end was paused."""
     readers = held_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -656,6 +695,8 @@
 
 @pytest.mark.parametrize("again", ["ready", "close"])
 def test_answers_twice_late_of_others_and_to_what_was_given_up_change_nothing(again: str) -> None:
+    """Repeated and late answers, answers of another node, and answers to cancelled set-ups are ignored."""
+
     async def test(rig: PlatformRig) -> None:
         viewer, gone = await rig.viewer(), await rig.viewer()
         await viewer.ask(A, "paid")
@@ -670,7 +711,7 @@
         gone.leave("release", B)
         await until(lambda: given.got("close", B))
         await given.say(given.links[-1], msg=again, sid=B, attrs={}, text="late", code=47)
-        await viewer.ask(C, at=other.name, wait="0")  # so that the other node has a connection too
+        await viewer.ask(C, at=other.name, wait="0")  # connects to the other node
         await until(lambda: other.links and C in rig.owner.tickets)
         await other.say(other.links[0], msg=again, sid=A, attrs={}, text="of another node", code=16)
         await node.say(node.links[0], msg="ready", sid=A, attrs={}, text="twice")
@@ -684,6 +725,8 @@
 
 
 def test_a_connection_closed_in_the_step_in_which_a_set_up_is_chosen_for_it_carries_none() -> None:
+    """A connection that the node has just closed is not chosen for a set-up."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await viewer.ask(A)
@@ -691,20 +734,22 @@
         node = next(n for n in rig.nodes if n.got("open"))
         pool = rig.owner.pools[node.name]
         t = rig.owner.tickets[A]
-        node.links[0].socket.close()  # and in the same step:
+        node.links[0].socket.close()  # the check follows without a turn of the event loop
         assert pool._free() is None
         assert t.pb.state is State.PLAYING
 
     on_platform(test)
 
 
-# A list that falls silent.
+# A command channel that fails.
 
 
 @pytest.mark.parametrize("spoil", ["half", "break", "again", "back"])
 def test_an_answer_of_the_channel_that_is_none_neither_undoes_news_nor_keeps_it(spoil: str) -> None:
-    """Half an answer and silence, a break within an event, numbers that repeat or go back."""
-    assert following.OVERDUE < 2  # news counts as told so long after the wait that was asked for
+    """Damaged answers are not applied: half an answer, a break within one, and cursors that repeat or go
+    back.
+    """
+    assert following.OVERDUE < 2  # an event counts as delivered 2 s after the wait that the poll asked for
 
     async def test(rig: PlatformRig) -> None:
         follower = rig.platform.follower
@@ -722,6 +767,8 @@
 
 
 def test_an_answer_to_a_question_that_was_given_up_is_not_heard() -> None:
+    """An answer on the connection of an abandoned poll is ignored."""
+
     async def test(rig: PlatformRig) -> None:
         rig.channel.silent = True
         rig.channel.polls.clear()
@@ -742,6 +789,7 @@
 def test_a_set_up_that_waits_for_an_address_its_node_has_left_is_not_sent_there(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A set-up that waits for a connect is not sent to the former address of its node."""
     dials = held_dials(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
@@ -762,6 +810,8 @@
 
 @pytest.mark.parametrize("plan", ["paid", "free"])
 def test_a_node_that_answers_in_the_instant_in_which_its_time_is_up_is_answered_once(plan: str) -> None:
+    """A node's answer arrives in the same step in which the try times out: the viewer gets one answer."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for node in rig.nodes:
@@ -784,7 +834,10 @@
 
 @pytest.mark.parametrize(("every", "silent"), [(1000.0, 1_800), (0.0, 4_000)])
 def test_a_node_that_tells_nothing_unasked_is_not_taken_for_silent(every: float, silent: int) -> None:
-    """Seen against the bench (piedmont-playback): 16,150 connections to nodes for 1,653 requests."""
+    """Without reports, silence is tolerated for longer before another connection checks the node.
+
+    Seen on the bench (piedmont-playback): 16,150 connections to nodes for 1,653 requests.
+    """
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
@@ -804,6 +857,8 @@
 
 
 def test_more_nodes_than_descriptors_leave_the_channel_and_viewers_theirs() -> None:
+    """Connections to many nodes share a bounded number of descriptors, and all set-ups are still served."""
+
     async def test(rig: PlatformRig) -> None:
         rig.owner.node_pools.max_connections = 1
         viewer = await rig.viewer()
@@ -816,14 +871,16 @@
     on_platform(test)
 
 
-# Processes: what only a process of its own can show.
+# Tests that need a process of their own.
 
 
 @asynccontextmanager
 async def process(
     rig: PlatformRig, told: dict[str, Any], tmp: Path, files: int = 0
 ) -> AsyncIterator[trio.Process]:
-    """The program as the platform starts it, with so many descriptors at most; ended at the test's end."""
+    """The program as the platform starts it, with a limit of descriptors if given; killed at the end of the
+    test.
+    """
     rig.channel.port = rig.channel.port or await rig.listen(rig.channel.serve)
     for node in rig.nodes:
         node.port = node.port or await rig.listen(node.serve)
@@ -845,7 +902,7 @@
 
 
 async def reached(rig: PlatformRig) -> WireViewer:
-    """A connection, once the front listens."""
+    """A viewer's connection, as soon as the front end listens."""
     while True:
         try:
             return await rig.viewer()
@@ -856,7 +913,10 @@
 def test_idle_clients_that_fill_all_while_the_channel_is_down_leave_it_and_good_ones_their_descriptors(
     tmp_path: Path,
 ) -> None:
-    """At the least limit that a configuration may give, which is a bound of the process too."""
+    """Idle connections must not take the descriptors of the command channel and of new viewers.
+
+    Tested with the least limit that a configuration may give, as a limit of the process too.
+    """
 
     async def test(rig: PlatformRig) -> None:
         told = {"limits": {"sockets": 64, "memory_mb": 64, "cores": 1.0}}
@@ -867,7 +927,7 @@
             await until(lambda: rig.channel.polls)
             idle = [
                 await rig.viewer() for _ in range(200)
-            ]  # whoever finds no place is closed, or waits in the kernel
+            ]  # those without a place are closed, or wait in the kernel
             for one in idle[::2]:
                 with suppress(trio.BrokenResourceError):
                     await one.stream.send_all(b"\x00\x20\x01")
@@ -891,6 +951,8 @@
 
 @pytest.mark.parametrize("when", ["before the list", "serving", "twice", "with a reload"])
 def test_a_process_told_to_stop_ends_in_order(when: str, tmp_path: Path) -> None:
+    """The process answers what is open and exits with code 0."""
+
     async def test(rig: PlatformRig) -> None:
         rig.channel.silent = when == "before the list"
         async with process(rig, {}, tmp_path) as running:
@@ -911,7 +973,7 @@
                 running.send_signal(signal.SIGTERM)
             if not rig.channel.silent:
                 assert (await viewer.hear() or ())[:3] == (framing.RELEASE, A, FAILED)
-            with trio.fail_after(serve.LISTENS / SECOND + 2):  # soon after nothing is owed
+            with trio.fail_after(serve.LISTENS / SECOND + 2):  # soon after the last answer
                 assert await running.wait() == 0
 
     on_platform(test, started=False)
@@ -920,7 +982,10 @@
 def test_thirty_fronts_together_keep_the_pace_of_cold_nodes_also_when_some_start_again(
     tmp_path: Path,
 ) -> None:
-    """Processes with clocks and lists of their own; all nodes count as cold, as no front has heard of them."""
+    """Thirty processes with their own clocks and lists keep the common pace of set-ups to cold nodes.
+
+    All nodes count as cold, since no front end has heard of them, and a third of the front ends restart.
+    """
     window, places, cold_for = 1.0, 40, 6.0
     rules = SETTINGS["rules"] | {
         "coldMs": 1000 * cold_for,
@@ -956,16 +1021,17 @@
             times = [f["t"] / SECOND for f in rig.facts if f["kind"] == "setup" and f["node"] == node.name]
             fullest = max(sum(1 for t in times if last - window < t <= last) for last in times)
             assert fullest <= n + 2 * n**0.5 + 2
-            assert len(times) > n / 2  # a pace that sends nothing would be no answer
+            assert len(times) > n / 2  # a front end that sends nothing would keep any pace
 
     on_platform(test, started=False, within=90)
 
 
-# Ready in time.
+# Readiness.
 
 
 @pytest.mark.parametrize(("took", "waits"), [(0, 8), (SECOND // 2, 8), (3 * SECOND, 6), (20 * SECOND, 1)])
 def test_a_front_that_started_slowly_waits_for_its_list_no_longer_than_its_readiness_allows(
     took: int, waits: int
 ) -> None:
+    """The wait for the list shrinks with the time the process took to start."""
     assert Freshness(100 * SECOND, took).opens_by == (100 + waits) * SECOND
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback: a front end on the platform's protocol between short stand-ins."""
+"""A front end on the platform's protocol over loopback, with stubs of its peers."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
 
 
 def site() -> Any:
+    """The rules that the recorded facts are judged by."""
     found, _problems = compiling.check(
         "s",
         lambda _: (
@@ -48,10 +49,13 @@
 
 
 def broken(rig: PlatformRig) -> list[str]:
+    """Breaches of the rules in the recorded facts."""
     return [b for finding in judge(rig.facts, site()) for b in finding.breaches]
 
 
 def test_a_playback_from_set_up_to_its_end() -> None:
+    """A paid playback from the health check to its release: messages, reports and the final state."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await viewer.say(framing.TEST, C, 0)
@@ -71,7 +75,7 @@
         await node.say(node.links[0], msg="event", sid=A, attrs={"note": "local", "value": "nan"})
         await node.say(node.links[0], msg="close", sid=A, attrs={"load": "x0:0.5"}, code=16)
         assert await viewer.hear() == (framing.RELEASE, A, OVER, b"")
-        assert ticket.pb.node.reported == 0.75  # the report of the end is older than the note
+        assert ticket.pb.node.reported == 0.75  # the load report in the close is older than the note
         assert not rig.owner.tickets
         assert broken(rig) == []
 
@@ -88,8 +92,14 @@
     ],
 )  # fmt: skip
 def test_what_the_end_of_a_try_proves(plan: str, does: str | int, tries: int, cause: int) -> None:
+    """What each end of a setup try shows decides whether another try may follow.
+
+    A refusal shows that nothing ran. Any other end may have run, so a paid set-up is aborted and a free one
+    is tried again.
+    """
+
     async def test(rig: PlatformRig) -> None:
-        rig.nodes[0].script = rig.nodes[1].script = [does]  # whichever is asked first does it
+        rig.nodes[0].script = rig.nodes[1].script = [does]  # applies to whichever node is tried first
         first = await rig.viewer()
         await first.ask(A, plan, wait="700")
         heard = await first.hear()
@@ -106,6 +116,8 @@
 
 @pytest.mark.parametrize("plan", ["paid", "free"])
 def test_an_end_that_brings_the_description_is_an_answer_and_the_end(plan: str) -> None:
+    """A close that carries a description is passed on as an answer and then as a release."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         rig.nodes[0].script = rig.nodes[1].script = ["brief"]
@@ -122,6 +134,8 @@
 
 
 def test_a_planted_second_try_of_a_paid_playback_is_found() -> None:
+    """The judge finds a second try of a paid playback, so the other tests can rely on it."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await viewer.ask(A, "paid", wait="900")
@@ -136,6 +150,8 @@
 
 
 def test_a_node_that_refuses_connections_costs_no_paid_playback() -> None:
+    """Paid set-ups go to the other node when nothing listens at the first."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for i in range(8):
@@ -149,6 +165,8 @@
 
 
 def test_what_is_told_of_a_playback_before_it_is_handed_over_is_believed() -> None:
+    """Messages of a node on a playback are kept until its viewer hands it over."""
+
     async def test(rig: PlatformRig) -> None:
         viewer, (node, _) = await rig.viewer(), rig.nodes
         await viewer.ask(A, at="n0", wait="0")
@@ -161,7 +179,7 @@
         await viewer.ask(C, at="n0", wait="0")
         assert await viewer.hear() == (framing.RELEASE, C, OVER, b"")
         assert rig.owner.tickets[B].pb.rung == 2
-        await viewer.ask(A, at="n0", wait="0")  # held already
+        await viewer.ask(A, at="n0", wait="0")  # handed over already
         await viewer.ask("0" * 15 + "d", at="nowhere", wait="0")
         assert await viewer.hear() == (framing.RELEASE, "0" * 15 + "d", FAILED, b"")
         assert len(rig.owner.tickets) == 2
@@ -170,6 +188,8 @@
 
 
 def test_an_id_that_is_known_is_turned_away_alone() -> None:
+    """A second set-up under a known id is rejected and does not affect the first."""
+
     async def test(rig: PlatformRig) -> None:
         one, other = await rig.viewer(), await rig.viewer()
         for node in rig.nodes:
@@ -178,7 +198,7 @@
         await until(lambda: any(n.got("open") for n in rig.nodes))
         await other.ask(A, "paid", p115=b"another")
         assert await other.hear() == (framing.RELEASE, A, FAILED, b"")
-        await other.say(framing.RELEASE, A)  # not its own to give up
+        await other.say(framing.RELEASE, A)  # another connection's set-up, which it may not cancel
         await other.ask(B)
         assert (await other.hear() or (0,))[0] == framing.ANSWER
         assert rig.owner.tickets[A].pb.state is State.SETTING_UP
@@ -192,6 +212,8 @@
 
 @pytest.mark.parametrize("closes", [True, False])
 def test_a_viewer_that_leaves_gives_the_try_up_at_the_node(closes: bool) -> None:
+    """The node is told when the viewer of an open set-up closes or releases it."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for node in rig.nodes:
@@ -210,6 +232,8 @@
 
 
 def test_an_end_goes_on_its_own_connection_else_another_else_the_next() -> None:
+    """A release goes to another open connection if its own has closed, else to the next one that opens."""
+
     async def test(rig: PlatformRig) -> None:
         one, other = await rig.viewer(), await rig.viewer()
         for sid in (A, B):
@@ -230,12 +254,14 @@
 
 
 def test_a_viewer_that_ends_its_playback_ends_it_at_the_node_too_and_hears_nothing() -> None:
+    """The node gets the close even after its connection broke, and the viewer gets no release."""
+
     async def test(rig: PlatformRig) -> None:
         one, other = await rig.viewer(), await rig.viewer()
         await one.ask(A)
         await one.hear()
         node = next(n for n in rig.nodes if n.got("open"))
-        await trio.aclose_forcefully(node.links[0])  # its connection breaks meanwhile
+        await trio.aclose_forcefully(node.links[0])  # the node's connection breaks meanwhile
         await until(lambda: not rig.owner.pools[node.name].links)
         await other.say(framing.RELEASE, A)
         await until(lambda: node.got("close", A))
@@ -248,6 +274,8 @@
 
 
 def test_bad_clients_are_turned_away_and_nothing_of_theirs_reaches_a_node() -> None:
+    """Invalid parameters get a release; unreadable, silent or stalled connections are closed."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for i, odd in enumerate((b"nan", b"-5", b"1e99", b"")):
@@ -275,6 +303,8 @@
 
 
 def test_connections_are_bounded_and_the_silent_ones_make_room() -> None:
+    """Past the limit idle connections are closed, and the newest is served."""
+
     async def test(rig: PlatformRig) -> None:
         assert rig.platform.viewers is not None
         most = rig.platform.viewers.most
@@ -288,6 +318,8 @@
 
 
 def test_a_client_that_does_not_read_is_cut_off_and_delays_nobody() -> None:
+    """A client that sends without reading is disconnected while others are served."""
+
     async def test(rig: PlatformRig) -> None:
         deaf, viewer = await rig.viewer(), await rig.viewer()
 
@@ -309,6 +341,12 @@
 
 
 def test_the_list_changes_while_serving_and_a_new_node_may_take_an_address() -> None:
+    """Removals, drains and restarts on the command channel apply while it is served, also after a damaged
+    answer.
+
+    A new node that takes the address of a removed one is a different node.
+    """
+
     async def test(rig: PlatformRig) -> None:
         viewer, (gone, stays) = await rig.viewer(), rig.nodes
         await viewer.ask(A, at="n0", wait="0")
@@ -327,13 +365,15 @@
         assert not stays.got("open")
         assert rig.owner.pools["n0b"].standing
         rig.change(4, rig.member(stays, "removed"), rig.member(gone, "up", "n0b") | {"up_since_ms": 10**13})
-        assert await viewer.hear() == (framing.RELEASE, B, FAILED, b"")  # another process has its node's name
+        assert await viewer.hear() == (framing.RELEASE, B, FAILED, b"")  # its node was restarted
         await until(lambda: set(rig.owner.pools) == {"n0b"})
 
     on_platform(test)
 
 
 def test_a_reload_moves_the_channel_and_a_broken_file_changes_nothing(tmp_path: Path) -> None:
+    """A reload applies the channel's new address; a file that is not valid JSON has no effect."""
+
     async def test(rig: PlatformRig) -> None:
         rig.platform.file = tmp_path / "config.json"
         rig.platform.file.write_bytes(b"{")
@@ -353,6 +393,8 @@
 
 
 def test_after_the_stop_signal_what_comes_is_answered_and_nothing_standing_is_cut() -> None:
+    """Requests after the stop signal are served, and no playback is ended at its node."""
+
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await viewer.ask(A)
@@ -368,6 +410,8 @@
 
 
 def test_a_node_that_is_gone_ends_what_stood_there() -> None:
+    """Viewers get a release when the node of their playback cannot be reached any more."""
+
     async def test(rig: PlatformRig) -> None:
         viewer, node = await rig.viewer(), rig.nodes[0]
         await viewer.ask(A, at="n0", wait="0")
@@ -381,6 +425,8 @@
 
 
 def test_thousands_of_ids_titles_and_connections_leave_nothing_behind() -> None:
+    """Guards against tables that grow with every session, title or connection."""
+
     async def test(rig: PlatformRig) -> None:
         owner = rig.owner
         for batch in range(30):
@@ -408,12 +454,14 @@
             assert not pool.waiting
             assert len(pool.links) <= pool.most
             assert not pool.node.playbacks
-        await until(lambda: len(owner.alarms.heap) <= 2, 4)  # the module's own, and what ends with the last
+        # What is left are the decision module's timer and that of the last set-up.
+        await until(lambda: len(owner.alarms.heap) <= 2, 4)
 
     on_platform(test)
 
 
 def test_a_start_without_a_sound_configuration_says_why_in_one_line(tmp_path: Path) -> None:
+    """The process exits with code 2 and one line on standard error."""
     file = tmp_path / "config.json"
     file.write_text('{"name": "n0"}')
     for name, said in (
@@ -431,6 +479,7 @@
 
 
 def test_the_platform_loads_nothing_that_it_does_not_need() -> None:
+    """The platform's process does not import packages that only other commands use."""
     code = "import sys, oakcroft.platform.serve; print(*sorted(m for m in sys.modules))"
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -449,6 +498,8 @@
 
 
 def test_a_connection_that_is_retired_is_read_to_its_end() -> None:
+    """A close that is on its way when a connection is retired still arrives."""
+
     async def test(rig: PlatformRig) -> None:
         viewer, node = await rig.viewer(), rig.nodes[0]
         await viewer.ask(A, at="n0", wait="0")
@@ -457,7 +508,8 @@
         pool.links[0].used_at = 0
         pool.look(rig.owner.clock.now())
         assert not pool.links
-        await node.say(stream, msg="close", sid=A, attrs={}, code=16)  # it was on its way already
+        # The node sends this before it has seen the half-close.
+        await node.say(stream, msg="close", sid=A, attrs={}, code=16)
         assert await viewer.hear() == (framing.RELEASE, A, OVER, b"")
         await until(lambda: not pool.retired)
 
@@ -467,6 +519,7 @@
 def test_what_waits_for_a_connection_is_not_sent_to_a_node_that_drains(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Set-ups that wait for a connection are rejected when their nodes begin to drain."""
     monkeypatch.setattr(Pool, "_open", lambda self: None)
 
     async def test(rig: PlatformRig) -> None:
@@ -484,6 +537,7 @@
 
 
 def test_a_log_that_would_flood_says_how_much_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Lines past the rate are dropped, and the next line tells how many."""
     now = [100.0]
     monkeypatch.setattr("oakcroft.running.logs.time.monotonic", lambda: now[0])
     rate = Rate(2)
@@ -497,6 +551,8 @@
 
 
 def test_what_is_taken_back_at_once_leaves_no_timer_and_no_description() -> None:
+    """Set-ups that are released at once release their timers and descriptions."""
+
     async def test(rig: PlatformRig) -> None:
         owner, viewer = rig.owner, await rig.viewer()
         for node in rig.nodes:
@@ -506,7 +562,7 @@
             await viewer.say(framing.RELEASE, f"{i + 1:016x}")
         await viewer.say(framing.TEST, C, 0)
         while (await viewer.hear() or (0,))[0] != framing.TESTED:
-            pass  # some were refused
+            pass  # some were rejected
         await until(lambda: not owner.tickets)
         assert owner.held == 0
         assert len(owner.alarms.heap) < 100
@@ -515,6 +571,8 @@
 
 
 def test_descriptions_are_bounded_together_and_what_is_over_is_refused_at_once() -> None:
+    """The memory for descriptions is bounded and is released when set-ups end."""
+
     async def test(rig: PlatformRig) -> None:
         owner, viewer = rig.owner, await rig.viewer()
         owner.most_held = 50_000
@@ -541,14 +599,17 @@
 
 
 def test_a_front_that_starts_sends_nothing_to_a_node_that_began_to_drain_meanwhile() -> None:
-    """Seen against the bench (herd+mass): fronts served for 4 to 106 ms on the list of before their start."""
+    """A front end that starts must not serve on the list from before its start.
+
+    Seen on the bench (herd+mass): front ends served for 4 to 106 ms on the old list.
+    """
 
     async def test(rig: PlatformRig) -> None:
-        rig.channel.silent = True  # the list service is slow to answer
+        rig.channel.silent = True  # the command channel is slow to answer
         rig.nursery.start_soon(rig.start)
         await until(lambda: rig.channel.polls == [1])
         with pytest.raises(OSError, match=r"."):
-            await trio.open_tcp_stream("127.0.0.1", rig.platform.port)  # nobody is here yet
+            await trio.open_tcp_stream("127.0.0.1", rig.platform.port)  # not listening yet
         drains = rig.member(rig.nodes[0], "draining")
         rig.channel.cmds.append({"cursor": 2, "nodes": {"complete": False, "members": [drains]}})
         rig.channel.silent = False
@@ -568,6 +629,7 @@
 def test_a_front_that_starts_without_its_list_service_opens_on_the_kept_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """If the command channel does not answer, the front end serves on the known list after a time."""
     monkeypatch.setattr(freshness, "UNTOLD", 300 * MS)
 
     async def test(rig: PlatformRig) -> None:
@@ -584,7 +646,7 @@
 
 
 def test_news_goes_before_set_ups_that_wait_in_a_front_that_is_behind() -> None:
-    """A change of the list counts as told since it was said, however much the front has still to do."""
+    """A list change takes effect before the set-ups that wait in the inbox of a front end that is behind."""
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
@@ -594,26 +656,28 @@
             await viewer.ask(f"{i:016x}", title=f"t{i}")
             await viewer.hear()
         before = [len(n.got("open")) for n in rig.nodes]
-        assert all(before)  # a connection is open to either, on which a set-up leaves at once
+        assert all(before)  # an open connection to each node, so that a set-up is sent at once
         for pool in owner.pools.values():
             pool.most = 1
         rig.channel.silent = True
         rig.channel.polls.clear()
         await until(lambda: rig.channel.polls)
         now = owner.clock.now()
-        for i in range(24):  # half a second of work, and what came in that time
+        for i in range(24):  # half a second of work, and the requests that arrive meanwhile
             owner.events.send_nowait(partial(time.sleep, 0.02))
             owner.asked(Asked(link, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", ""))
         rig.channel.say_now(2, rig.member(rig.nodes[0], "draining"))
         for _ in range(24):
             await viewer.hear()
         assert len(rig.nodes[1].got("open")) > before[1]
-        assert len(rig.nodes[0].got("open")) <= before[0] + 2  # of one turn of the loop
+        assert len(rig.nodes[0].got("open")) <= before[0] + 2  # those of one turn of the loop
 
     on_platform(test)
 
 
 def test_a_channel_that_closes_after_each_answer_is_followed_without_a_break() -> None:
+    """Connections that the channel closes after an answer do not count as failures."""
+
     async def test(rig: PlatformRig) -> None:
         rig.channel.closes = True
         for cursor in (2, 3, 4):
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -1,5 +1,5 @@
-"""Terms that the platform's users have renewed and that no page shows in full, each forced over real connections:
-reloads while nodes drain, whole lists, nodes killed behind an accept, requests in pieces, channels that fall silent late.
+"""Terms of the platform's users that no page shows in full, each tested over real connections: reloads while
+nodes drain, whole lists, nodes killed after an accept, requests in pieces, and late releases.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 
 
 async def asks_all(rig: PlatformRig, viewer: WireViewer) -> None:
-    """Several titles, so that every node that may be chosen is."""
+    """Sets up several titles, so that every node that may be chosen is chosen."""
     for sid in SET_UPS:
         await viewer.ask(sid, title=f"title {sid}")
         assert (await viewer.hear() or (0,))[0] == framing.ANSWER
 
 
 def listed(rig: PlatformRig, name: str) -> Listing:
-    """What the front believes of a node."""
+    """The status of a node as the front end knows it."""
     return rig.owner.pools[name].node.listing
 
 
 def opens(rig: PlatformRig, node: int) -> int:
-    """Set-ups that have reached a node."""
+    """Number of set-ups that have reached a node."""
     return len(rig.nodes[node].got("open"))
 
 
 @pytest.mark.parametrize("how", ["told on the new channel", "told on the old one as it ends"])
 def test_a_reload_while_a_node_drains_sends_it_nothing(how: str, tmp_path: Path) -> None:
-    """The channel moves in the same moment in which a node begins to drain."""
+    """The command channel moves at the moment a node begins to drain."""
 
     async def test(rig: PlatformRig) -> None:
         rig.platform.file = tmp_path / "config.json"
@@ -66,7 +66,7 @@
 
 
 def test_a_whole_list_in_the_middle_removes_what_it_does_not_name() -> None:
-    """A later event may hold the whole list again; a node that is not on it has gone, with what stood there."""
+    """A later event may carry a whole list; a node that is not on it is gone, with the playbacks there."""
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
@@ -90,7 +90,7 @@
 
 
 def reset(stream: trio.SocketStream) -> None:
-    """Ends a connection as the death of its process does."""
+    """Resets a connection, as the death of its process does."""
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     stream.socket.close()
 
@@ -99,7 +99,10 @@
 def test_a_node_killed_behind_its_accept_costs_one_answer_and_no_second_run(
     plan: str, answers: tuple[int, ...]
 ) -> None:
-    """It has accepted the connection and dies with the set-up unread: it may have run, so a paid one is not repeated."""
+    """A node accepts the connection and dies before it reads the set-up.
+
+    The front end cannot tell whether the set-up ran, so a paid one is not repeated.
+    """
 
     async def test(rig: PlatformRig) -> None:
         killed: list[int] = []
@@ -113,7 +116,7 @@
                 killed.append(number)
                 reset(node.links[0])
         for number, node in enumerate(rig.nodes):
-            if number not in killed:  # the dead read nothing
+            if number not in killed:  # a dead node reads nothing
                 node.reads.set()
         heard = await viewer.hear()
         assert heard is not None
@@ -121,13 +124,16 @@
         assert len(killed) == 1
         assert sum(opens(rig, number) for number in range(2)) == (plan == "free")
         await viewer.ask(C)
-        assert (await viewer.hear() or (0, ""))[1] == C  # and nothing else under the first id
+        assert (await viewer.hear() or (0, ""))[1] == C  # no second answer for the first id
 
     on_platform(test)
 
 
 def test_a_request_in_pieces_is_answered_also_while_places_are_short() -> None:
-    """Each octet by itself, while a crowd takes every place for connections: its connection makes room last."""
+    """Each byte is sent separately while a crowd takes every place for connections.
+
+    A connection on which a request is arriving is the last to be evicted.
+    """
 
     async def test(rig: PlatformRig) -> None:
         viewers = rig.platform.viewers
@@ -148,7 +154,7 @@
 
 
 def test_a_request_whose_last_piece_brings_its_release_is_set_up_nowhere() -> None:
-    """What is taken back in the read that makes it whole was never owed anything."""
+    """A request that is released in the same read that completes it is never sent to a node."""
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -1,4 +1,4 @@
-"""The platform's codecs: any split, any damage, and there and back."""
+"""Codecs of the platform's protocol: any split, damaged input, and round trips."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def fed(codec: Any, data: bytes, cuts: list[int]) -> list[Any]:
-    """All events of the bytes, handed in at these cuts again and again."""
+    """All events of the bytes, added in pieces of these lengths over and over."""
     events, at, i = [], 0, 0
     while at < len(data):
         codec.receive_data(data[at : at + cuts[i % len(cuts)]])
@@ -31,6 +31,7 @@
 
 
 def test_a_frame_has_the_octets_that_the_page_states() -> None:
+    """The encoding is byte for byte that of the protocol's page."""
     data = framing.encode(framing.RELEASE, "9b1f03aa5c7e2d41", (106, b"250"), (framing.CAUSE, b"\x2a"))
     assert data == bytes.fromhex("0013 0c 9b1f03aa5c7e2d41 6a0003 323530 720001 2a")
 
@@ -39,6 +40,7 @@
 def test_frames_come_back_at_any_split(
     some: list[tuple[int, str, dict[int, bytes]]], cuts: list[int]
 ) -> None:
+    """Messages survive a round trip however the bytes are split."""
     data = b"".join(framing.encode(kind, sid, *params.items()) for kind, sid, params in some)
     frames = framing.Frames()
     assert fed(frames, data, cuts) == some
@@ -49,6 +51,8 @@
 def test_any_bytes_are_frames_or_unreadable_and_the_split_does_not_matter(
     data: bytes, cuts: list[int]
 ) -> None:
+    """Random bytes are decoded or refused, the same at any split, and the buffer stays bounded."""
+
     def read(cuts: list[int]) -> tuple[list[Any], bool]:
         frames, events = framing.Frames(), []
         try:
@@ -64,6 +68,7 @@
 
 @pytest.mark.parametrize("length", [0, 1, 8, framing.MOST - 1, 65_535])
 def test_a_length_that_no_message_has_is_unreadable_before_the_rest_comes(length: int) -> None:
+    """An impossible length is refused at once, without waiting for the message."""
     frames = framing.Frames()
     frames.receive_data(length.to_bytes(2, "big"))
     with pytest.raises(framing.Unreadable):
@@ -75,12 +80,14 @@
 
 @given(st.lists(st.tuples(SIDS, TEXTS, st.integers(0, 255)), max_size=5), CUTS)
 def test_lines_come_back_at_any_split(some: list[tuple[str, str, int]], cuts: list[int]) -> None:
+    """JSON lines survive a round trip however the bytes are split."""
     data = b"".join(lines.encode("open", sid, {"key": text}, code, text) for sid, text, code in some)
     assert fed(lines.Lines(), data, cuts) == [("open", s, {"key": t}, c, t) for s, t, c in some]
 
 
 @given(st.binary(max_size=200))
 def test_any_line_is_a_message_or_unreadable(data: bytes) -> None:
+    """A random line is decoded or refused."""
     heard = lines.Lines()
     try:
         for _, sid, attrs, _, _ in fed(heard, data + b"\n", [7]):
@@ -91,6 +98,7 @@
 
 
 def test_a_line_without_an_end_is_unreadable_at_the_bound() -> None:
+    """A line without an end is refused when it reaches the maximum length."""
     heard = lines.Lines()
     heard.receive_data(b"x" * (framing.MOST - 1))
     assert heard.next_event() is None
@@ -100,6 +108,7 @@
 
 
 def test_a_report_keeps_what_can_be_read() -> None:
+    """Unreadable parts of a load report are left out."""
     assert lines.report({"load": "x0:1.5;x1:nan;queue:-1;odd;:3;b:inf;c:2"}) == {"x0": 1.5, "c": 2.0}
     assert lines.report({"load": 3}) is None
 
@@ -116,6 +125,7 @@
 
 
 def test_a_set_up_is_read_and_what_can_not_be_served_is_not() -> None:
+    """Valid parameters are parsed; each invalid one is refused."""
     plans = {"paid": 1000 * MS}
     assert asking.playback("0" * 15 + "1", GOOD, plans, 2, 3) == (
         "paid",
@@ -138,6 +148,7 @@
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=6000))
 def test_what_is_taken_fits_a_line_with_its_escapes(text: str) -> None:
+    """A description that is accepted fits a node's line even if JSON escapes lengthen it."""
     if lines.carries("paid", "t" * 100, text):
         attrs: lines.Attributes = {"class": "paid", "left": "99999", "key": "t" * 100, "rung": "63"}
         assert len(lines.encode("open", "0" * 16, attrs, None, text)) <= framing.MOST
@@ -148,6 +159,8 @@
 
 
 def test_events_of_the_channel_are_read_whole_or_not_at_all() -> None:
+    """A document with an invalid field, or cut off anywhere, yields no events."""
+
     def body(**odd: Any) -> bytes:
         nodes = {"complete": True, "members": [MEMBER | odd]}
         return orjson.dumps({"cursor": 4, "cmds": [{"cursor": 4, "nodes": nodes}]})
@@ -173,6 +186,7 @@
 
 
 def test_a_faulty_configuration_says_which_field() -> None:
+    """The error names the field that is missing or invalid."""
     assert configuration.decode(orjson.dumps(TOLD)).sockets == 256
     faults: list[tuple[list[Any], Any, str]] = [
         (["listen"], None, "listen"), (["channel"], "here:1", "channel"), (["seed"], "zz", "seed"),
@@ -212,6 +226,7 @@
 
 
 def test_what_is_kept_of_a_message_is_what_is_read() -> None:
+    """Of a stored message only the attributes that are read are kept, and no long ones."""
     said: lines.Attributes = {"note": "fill", "value": 1.5, "load": "x" * 5_000, "other": "o" * 9_000}
     assert lines.bounded(said) == {"note": "fill", "value": 1.5}
     assert lines.bounded({"load": "x0:1"}) == {"load": "x0:1"}
