--- a/oakcroft/front/__init__.py
+++ b/oakcroft/front/__init__.py
@@ -1,1 +1,4 @@
-"""The running front: viewers on one side, playout nodes on the other, the module between."""
+"""
+
+he running front end: viewers on one side, playout nodes on the other, the decision policy between them.
+"""
--- a/oakcroft/front/recalling.py
+++ b/oakcroft/front/recalling.py
@@ -1,4 +1,4 @@
-"""A playback that runs already, taken on: by a front that starts again, or from one that will not come back."""
+"""Sessions that play already and are taken on, after a restart or from a front end that does not return."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def viewing(helm: Steering, promise: Promise) -> Viewing | None:
-    """A promise as a viewing; None where its plan or title has no place here any more."""
+    """Session of a stored promise; None where its plan or its title is not available here any more."""
     plan = helm.site.plans.get(promise.plan)
     title = helm.titles.get(promise.title, digest(promise.title) % helm.site.terms.cells)
     if plan is None or title is None:
@@ -29,13 +29,13 @@
 
 
 def resume(helm: Steering, v: Viewing, node: Node) -> None:
-    """The module takes it on as one that plays: its seat and its load count from now on."""
+    """Tells the policy that the playback plays on a node: its seat and its load count from now on."""
     helm.viewings[v.pb] = v
     helm.controller.resumed(v.pb, node, helm.clock.now())
 
 
 def plays_on(helm: Steering, v: Viewing, leg: NodeLeg, upstream: Upstream) -> None:
-    """Its viewer finds it here from now on, and the node's word on it is heard."""
+    """Registers a session that plays on a node, for its viewer and for the node's events."""
     v.final, v.upstream = Final.PLAYS, upstream
     v.resource = Resource(upstream.tag, v.ufrag)
     helm.sessions[v.id] = v
--- a/oakcroft/front/viewing.py
+++ b/oakcroft/front/viewing.py
@@ -1,4 +1,4 @@
-"""One request for a playback and what becomes of it, as the front holds it beside the module's `Playback`."""
+"""A playback request and its session, as the front end holds them beside the policy's `Playback`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class Upstream:
-    """The session on a playout node: its resource there, and what goes with it."""
+    """The session on a playout node: paths, entity tag and answer of its WHIP or WHEP resource."""
 
     node: str
     resource: str
@@ -30,7 +30,7 @@
 
 @dataclass(eq=False)
 class Reader:
-    """One reader of a session's event stream."""
+    """A reader of a session's event stream: the kinds of events it takes, and both ends of its channel."""
 
     kinds: frozenset[str]
     send: trio.MemorySendChannel[tuple[str, dict[str, str]]]
@@ -39,7 +39,7 @@
 
 @dataclass(eq=False)
 class Viewing:
-    """A request, its one answer, and its session once it plays."""
+    """A playback request, its final answer, and its session while it plays."""
 
     id: str
     path: str
@@ -57,23 +57,24 @@
     resource: Resource | None = None
     rung_wanted: int | None = None
     rung_at_work: bool = False
-    bound_retry: Again | None = None  # of a step down to `pb.top` that its node has not carried out
+    # For a step down to `playback.top_rung` that its node has not carried out.
+    bound_retry: Again | None = None
     bound_retry_waits: bool = False
     ending: bool = False
     readers: list[Reader] = field(default_factory=list)
-    token: str = ""  # the name of the token that it was asked with
-    beside: Viewing | None = None  # the one that its player knows, of which this is the copy in a move
-    ticket: Ticket | None = None  # what it holds of the limits
-    pool: Pool | None = None  # of its route: every set-up of it keeps to these nodes; none: all
-    seated: bool = False  # it belongs to a seat of the session API
-    asked_top: int = 1 << 30  # its highest rung but for what its title has
-    catalogue: int = 0  # the version of the catalogue under which its last set-up left
-    keyed: bool = False  # its viewer chose its key, and so can ask for it again
-    unheard: bool = False  # its answer could not be written whole, and has not been asked for again
-    about: str = ""  # a digest of what was asked, by which a repeated request is known
+    token: str = ""  # empty where the request had no token
+    beside: Viewing | None = None  # the session that the player knows, of which this is the copy in a move
+    ticket: Ticket | None = None  # what it holds of the request limits
+    pool: Pool | None = None  # nodes of its route for every set-up; None: all nodes
+    seated: bool = False  # whether it belongs to a client session of the session API
+    asked_top: int = 1 << 30  # highest rung before the title's own bound is applied
+    catalogue: int = 0  # version of the catalogue under which its last set-up was sent
+    keyed: bool = False  # whether the viewer chose the idempotency key and so can ask again
+    unheard: bool = False  # its answer was not fully written and has not been asked for again
+    about: str = ""  # digest of the request, by which a repeat is recognised
 
     def settle(self, final: Final, reply: Reply | None = None) -> bool:
-        """Gives the one final answer; False if there was one before."""
+        """Sets the final answer; returns False if there was one before."""
         if self.final is not None:
             return False
         self.final, self.reply = final, reply
