--- a/oakcroft/front/__init__.py
+++ b/oakcroft/front/__init__.py
@@ -1,4 +1,1 @@
-"""
-
-he running front end: viewers on one side, playout nodes on the other, the decision policy between them.
-"""
+"""The running front end: it connects viewers, the decision policy and playout nodes."""
--- a/oakcroft/front/core.py
+++ b/oakcroft/front/core.py
@@ -1,6 +1,8 @@
-"""The session core: what every signalling shares. It takes requests for playbacks, owns their one answer each, and
-changes and ends sessions; it knows no HTTP and no WebSocket. `viewers` (WHIP, WHEP) and `sockets` (the session API) are
-adapters to it, neither of which knows the other.
+"""Session operations that all signalling protocols share.
+
+The service takes requests for playbacks, gives each its one answer, and changes and ends sessions; it knows
+neither HTTP nor WebSocket. The WHIP and WHEP adapter and the session API adapter call it, and neither knows
+the other.
 """
 
 from __future__ import annotations
@@ -39,13 +41,14 @@
 READER_KINDS = ("active", "inactive", "layers", "move")
 MOST_READERS = 4
 MOST_TITLE = 200
-TURN = 0.02  # seconds, of the margin for the way back
+TURN = 0.02  # taken from the margin for the answer's way to the viewer
 
 
 class Faulty(Exception):
-    """A request that gets a problem (RFC 9457) for its answer."""
+    """A request that is answered with a problem document (RFC 9457)."""
 
     def __init__(self, status: int, kind: str, title: str, detail: str = "") -> None:
+        """Creates an error with an HTTP status, the last part of a problem type, a title and a detail."""
         super().__init__(title)
         self.status, self.kind, self.title, self.detail = (
             status,
@@ -57,7 +60,10 @@
 
 @dataclass
 class Ask:
-    """A request for a playback, however it came. `written`: the earliest time at which it may have been written."""
+    """A request for a playback, whichever protocol it came by.
+
+    `written_at` is the earliest time at which it may have been written.
+    """
 
     path: str
     offer: str
@@ -72,17 +78,18 @@
 
 @dataclass
 class Patched:
-    """What a fragment led to: nothing to say, or a new ICE session."""
+    """Result of a PATCH on a session: empty, or the entity tag and the fragment of a new ICE session."""
 
     tag: str = ""
     fragment: bytes = b""
 
 
 class Core:
-    """Sessions of one front."""
+    """The session operations of one front end."""
 
     def __init__(self, zone: str, helm: Helm, door: Door, stopping: Stopping, clock: Clock,
                  log: structlog.typing.FilteringBoundLogger) -> None:  # fmt: skip
+        """Creates the service of a front end in `zone`; `run_queue` has to run beside it."""
         self.zone, self.helm, self.door, self.stopping, self.clock, self.log = (
             zone,
             helm,
@@ -95,7 +102,7 @@
         self.publishing: dict[str, Viewing] = {}
         self.line = Line({}, Window(), SHORTEST_SETUP)
         self.take_version()
-        self.shed, self.shed_told = 0, 0  # turned away before they were read; and of those, told in the log
+        self.shed, self.shed_told = 0, 0  # rejected unread; of those, logged
         self.shedding = False
         self.reducing: Reducing | None = None
         self.zone_routing: ZoneRouting | None = None
@@ -103,15 +110,15 @@
         self.granted: set[int] = set()
 
     def take_version(self) -> None:
-        """Plans may have other revenues and targets than before."""
+        """Applies the revenues and startup targets of the plans in force."""
         plans = {name: p.plan for name, p in self.helm.site.plans.items()}
         targets = {name: plan.startup_target for name, plan in plans.items()}
         self.line.take_version({name: plan.revenue for name, plan in plans.items()}, targets)
 
-    # The line before the module.
+    # Queue in front of the policy.
 
     async def beat(self) -> None:
-        """Knows how late the loop is, and lets those go on whose turn it is."""
+        """Measures how late the event loop runs, and lets queued requests go on as their turn comes."""
         while True:
             at = trio.current_time()
             await trio.sleep(BEAT / 1e9)
@@ -125,12 +132,15 @@
             self._advance()
 
     def _advance(self) -> None:
+        """Gives queued requests their turn while there is room."""
         while (one := self.line.next()) is not None:
             self.granted.add(one.number)
             self.turns.pop(one.number).set()
 
     def sheds(self, path: str) -> bool:
-        """Whether a request for this path is to be turned away unread, as its plan's line is as long as can be served."""
+        """Whether a request for this path is to be rejected unread, because its plan's queue is as long as
+        can be served.
+        """
         if not self.line.waiting:
             return False
         plans = self.helm.site.table.plans.get(path[: path.rfind("/") + 1])
@@ -140,7 +150,7 @@
         return True
 
     def _tell_shedding(self) -> None:
-        """One line when shedding begins and when it has ended, with its figures."""
+        """Logs once when shedding begins and once when it has ended, with its figures."""
         since, ended = self.shed - self.shed_told, not self.line.waiting
         begins, ends = since > 0 and not self.shedding, self.shedding and ended
         if begins or ends:
@@ -149,7 +159,9 @@
                              window=round(self.line.window.size), waiting=len(self.line.waiting))  # fmt: skip
 
     async def _turn(self, one: Waiting) -> bool:
-        """Waits for a request's turn; False where it can no longer be answered in time, or too many wait."""
+        """Waits for a request's turn; returns False where it can no longer be answered in time, or too many
+        wait.
+        """
         if self.line.full:
             return False
         if self.line.enter(one):
@@ -165,15 +177,18 @@
                 self.line.leave(one.number)
             if one.number in self.granted:
                 self.granted.discard(one.number)
-                if not taken:  # its turn came too late for it, or its viewer left in that moment
+                if not taken:  # its turn came too late, or its viewer left at that moment
                     self.line.done()
         return taken
 
     # Requests.
 
     def token(self, given: str | None) -> Token | None:
-        """The token of a bearer (RFC 6750), where the site states any: found by its digest, so that the time of a look-up
-        tells nothing of it. Faulty 401 without a good one."""
+        """The token of a bearer credential (RFC 6750); None where the configuration has no tokens.
+
+        It is looked up by its digest, so that the time of a look-up reveals nothing about it. Raises
+        RequestError 401 without a valid one.
+        """
         tokens = self.helm.site.tokens
         if not tokens:
             return None
@@ -183,7 +198,7 @@
         return token
 
     def served(self, path: str) -> set[Side]:
-        """For whom anything is served at a path. Faulty 404 where nothing is."""
+        """The client roles that are served at a path. Raises RequestError 404 where none is."""
         title = unquote(path.rpartition("/")[2], errors="replace")
         sides = self.helm.site.table.sides(path) if words.is_path(path) else set()
         if not sides or not title or "/" in title or len(title) > MOST_TITLE or not title.isprintable():
@@ -192,7 +207,7 @@
 
     @staticmethod
     def parse(text: str) -> sdp.Description:
-        """An offer, read. Faulty 400."""
+        """Parses an offer. Raises RequestError 400."""
         try:
             return sdp.parse(text)
         except sdp.SdpFault as fault:
@@ -200,6 +215,7 @@
 
     @staticmethod
     def _check(offer: sdp.Description, publishes: bool) -> None:
+        """Checks that an offer can be answered. Raises RequestError 422."""
         try:
             sdp.check_offer(offer, publishes)
         except sdp.SdpFault as fault:
@@ -207,10 +223,15 @@
 
     @staticmethod
     def _check_key(key: str | None) -> None:
+        """Checks the form of an idempotency key. Raises RequestError 400."""
         if key is not None and not words.is_key(key):
             raise Faulty(400, "key", 'A key is 1 to 255 visible characters or spaces but " and \\')
 
     def _route(self, site: Site, ask: Ask, offer: sdp.Description, title: str) -> Route:
+        """Route of a request.
+
+        Raises RequestError 403 where only a claim is missing, 404 where no route matches.
+        """
         sides = self.served(ask.path)
         publishes = any(offer.direction(m) == "sendonly" for m in offer.media)
         side = next(iter(sides)) if len(sides) == 1 else Side.PUBLISH if publishes else Side.WATCH
@@ -224,21 +245,27 @@
         raise Faulty(404, "no-route", "Nothing is served at this path")
 
     def repeated(self, key: str | None, token: Token | None) -> bool:
-        """Whether a request with this key of this client has its answer: it is let in at every door, for it binds nobody
-        any more and gets that answer again."""
+        """Whether a request with this key of this client has its answer already.
+
+        Such a request is exempt from all limits, as it binds nothing any more and gets the same answer again.
+        """
         return key is not None and self.helm.repeats.answered(self._own(key, token))
 
     @staticmethod
     def _own(key: str, token: Token | None) -> str:
-        return f"{token.name}/{key}" if token else key  # one client's key is no other's
+        """Key with its client's name, since keys of different clients are unrelated."""
+        return f"{token.name}/{key}" if token else key
 
     async def ask(self, ask: Ask) -> tuple[Viewing | Reply, bool]:
-        """The one answer to a request: the viewing with its `final`, or a refusal before it became a playback; and
-        whether it is given for the first time. Faulty where the request itself is wrong. A caller that is cancelled
-        has left."""
-        site = self.helm.site  # the version under which this request is decided, from here to its answer
+        """Answers a request for a playback.
+
+        Returns the session with its final answer, or a reply that rejects the request before it became a
+        playback; and whether the answer is given for the first time. Raises RequestError where the request
+        itself is wrong. A caller that is cancelled counts as a viewer that left.
+        """
+        site = self.helm.site  # the request is decided under this version throughout
         title = unquote(ask.path.rpartition("/")[2], errors="replace")
-        # Before anything is parsed: under a crowd, reading requests is what costs.
+        # Before anything is parsed, since parsing dominates the cost of a rejected request.
         if not self.repeated(ask.key, ask.token) and self.sheds(ask.path):
             return REFUSALS[Refusal.BUSY], True
         self._check_key(ask.key)
@@ -258,7 +285,7 @@
         self._check(offer, publishes)
         if not self.stopping.takes_new():
             return REFUSALS[Refusal.DRAINING], True
-        if publishes:  # what has ended by itself holds its title no longer
+        if publishes:  # a session that has ended no longer holds its title
             some = self.publishing.items()
             self.publishing = {t: o for t, o in some if o.final is None or o.id in self.helm.sessions}
         if publishes and title in self.publishing:
@@ -296,8 +323,10 @@
         return await self._answered(v, self.number, about, ask.client or who)
 
     def _admits(self, v: Viewing, zones_matter: bool = True) -> Admits | None:
-        """The nodes that a set-up asked for now may go to: those of its route's pool, in the zones that may take it as
-        they stand now; None for all."""
+        """Filter for the nodes that a set-up may go to now; None for all nodes.
+
+        These are the nodes of its route's pool, in the zones that may take it at present.
+        """
         zones = self.zone_routing.admits() if self.zone_routing is not None and zones_matter else None
         pool, racks = v.pool, self.helm.site.terms.racks
         if pool is None:
@@ -307,11 +336,11 @@
     async def _answered(
         self, v: Viewing, number: int, about: str, client: str
     ) -> tuple[Viewing | Reply, bool]:
-        """Lets a request through the line to the module and waits for its answer."""
+        """Queues a request in front of the policy and waits for its answer."""
         paid = v.plan.plan.effect.value == "paid"
         self.queue.enter(number)
         if not self.helm.repeats.begin(v.key, about, paid, self.clock.now()) and paid:
-            self.queue.leave(number)  # unremembered, a repeat of it would be set up again
+            self.queue.leave(number)  # without a record, a repeat would be set up again
             if v.ticket is not None:
                 self.helm.ledger.back(v.ticket)
             return REFUSALS[Refusal.BUSY], True
@@ -329,10 +358,10 @@
                 return reply, True
             with trio.CancelScope(deadline=self.clock.deadline(v.due.abandon)):
                 await v.answered.wait()
-            if v.final is None:  # both fell due in one moment, as after standing still: the module goes first
+            if v.final is None:  # both fell due at once, as after a pause: the policy goes first
                 with trio.move_on_after(TURN):
                     await v.answered.wait()
-            if v.final is None:  # the module owes it; a defence against any fault on the way there
+            if v.final is None:  # the policy owes the answer; guards against any fault there
                 self.log.error("no answer in time", playback=v.id, plan=v.plan.name)
                 v.settle(Final.ABORTED, answers.aborted(v.plan.plan.effect))
                 self.helm.repeats.settled(v.key, Final.ABORTED, v, self.clock.now())
@@ -348,7 +377,7 @@
             self.queue.leave(number)
             if not asked and v.ticket is not None:
                 self.helm.ledger.back(v.ticket)
-            if v.final is None:  # the viewer has gone; its key stays at work until its set-up's end is known
+            if v.final is None:  # the viewer left; its key stays in use until the set-up's end is known
                 if asked:
                     self.helm.insist(partial(self.helm.left, v))
                 else:
@@ -359,10 +388,10 @@
                 self.publishing.pop(v.pb.title.name, None)
             self.helm.bell.ring()
 
-    # Sessions that play.
+    # Playing sessions.
 
     def session(self, name: str, token: Token | None) -> Viewing:
-        """A session by its id. Faulty 404, or 403 for another client's."""
+        """Session by its id. Raises RequestError 404, or 403 for a session of another client."""
         v = self.helm.sessions.get(name)
         if v is None or v.resource is None or v.upstream is None:
             raise Faulty(404, "no-session", "No such session")
@@ -372,16 +401,21 @@
         return v
 
     def _stands(self, v: Viewing) -> None:
-        """Faulty 404 for a session that has ended, or is being ended."""
+        """Raises RequestError 404 for a session that has ended, or is being ended."""
         if v.resource is None or v.resource.gone() or v.id not in self.helm.sessions:
             raise Faulty(404, "no-session", "No such session")
 
     @staticmethod
     def _said(said: Said) -> Faulty:
+        """The error of a session resource as RequestError."""
         return Faulty(said.status, said.kind.rpartition(":")[2], said.title)
 
     async def patch(self, v: Viewing, kind: str, tags: list[str] | None, body: bytes) -> Patched:
-        """A trickle fragment for a session (RFC 9725 4.3)."""
+        """Applies a trickle ICE fragment to a session (RFC 9725 4.3).
+
+        Raises RequestError with the status of a request that does not fit the resource, or 502 where the node
+        failed.
+        """
         assert v.resource is not None
         assert v.upstream is not None
         fragment = sdp.Fragment("", "", [], True)
@@ -393,7 +427,7 @@
         act = v.resource.patched(kind, tags, fragment.ufrag, len(fragment.candidates))
         if isinstance(act, Said):
             raise self._said(act)
-        upstream, resource = v.upstream, v.resource  # a move may put others in their place meanwhile
+        upstream, resource = v.upstream, v.resource  # a move may replace both meanwhile
         leg = self.helm.legs.get(upstream.node)
         if act is Act.TRICKLE:
             reply = await leg.patch(upstream, f'"{upstream.tag}"', body) if leg else None
@@ -415,7 +449,7 @@
                 resource.restart_failed()
 
     async def end(self, v: Viewing) -> None:
-        """Ends a session for its viewer. Faulty 404 for one that has ended."""
+        """Ends a session for its viewer. Raises RequestError 404 for one that has ended."""
         assert v.resource is not None
         act = v.resource.deleted()
         if isinstance(act, Said):
@@ -425,20 +459,27 @@
         await self.helm.tell(partial(self.helm.end, v))
 
     async def layer(self, v: Viewing, wish: str) -> None:
-        """The viewer names the rung that it takes at most; under it the module goes on choosing."""
+        """Sets the highest rung that the viewer takes; below it the policy goes on choosing.
+
+        Raises RequestError 422 for a rung that the plan does not have.
+        """
         self._stands(v)
         plan = v.pb.plan
         rung = ladder.rung_wished(wish, plan.floor, plan.top)
         if rung is None:
             raise Faulty(422, "layer", "No such layer in this plan", f"rungs {plan.floor} to {plan.top}")
-        # A level bounds what is new, and takes nothing away.
+        # A level of reduced service limits increases only and takes nothing away.
         if self.reducing is not None and rung > v.pb.top:
             rung = max(v.pb.top, self.reducing.top(rung, plan.floor))
         await self.helm.tell(partial(self.helm.wished, v, rung))
 
     def reader(self, v: Viewing, kinds: frozenset[str], seat: bool = False) -> Reader:
-        """A reader of a session's events, which begins with the present state; of one that has ended it hears just that.
-        Faulty 409 for one too many; that of a `seat` is not counted, or a repeated request would find no answer."""
+        """Opens a reader of a session's events, which begins with the present state.
+
+        The reader of a session that has ended gets just that event. Raises RequestError 409 for one reader
+        too many; with `for_client_session` the reader is not counted, since otherwise a repeated request
+        could not get its answer.
+        """
         if len(v.readers) >= MOST_READERS and not seat:
             raise Faulty(409, "events", f"{MOST_READERS} streams of this session are open")
         send, receive = trio.open_memory_channel[tuple[str, dict[str, str]]](self.door.bounds.event_backlog)
@@ -457,13 +498,17 @@
 
     @staticmethod
     def unread(v: Viewing, reader: Reader) -> None:
-        """A reader has gone."""
+        """Closes a reader of a session's events."""
         reader.receive.close()
         if reader in v.readers:
             v.readers.remove(reader)
 
     async def move(self, v: Viewing, text: str, key: str, prefer: list[str]) -> tuple[str, str] | Reply:
-        """A player that was told to move makes a new offer: the target's answer and tag, or that it stays."""
+        """Handles the new offer of a player that was told to move.
+
+        Returns the answer and the entity tag of the target, or a reply by which the player stays. Raises
+        RequestError 409 where the session is not being moved.
+        """
         self._stands(v)
         self._check_key(key)
         offer = self.parse(text)
@@ -487,12 +532,13 @@
         return upstream.answer, upstream.tag
 
     def _begin_move(self, move: Move, other: Viewing) -> None:
+        """Hands an offer to its move."""
         other.pool = move.v.pool
         if not self.helm.moves.offered(move, other, self._admits):
             other.settle(Final.REJECTED, STAY)
 
     async def moved(self, v: Viewing) -> None:
-        """The player plays from the target."""
+        """Handles the confirmation that the player plays from the target."""
         self._stands(v)
         move = self.helm.moves.moves.get(v.id)
         if move is not None:
--- a/oakcroft/front/hearing.py
+++ b/oakcroft/front/hearing.py
@@ -1,4 +1,6 @@
-"""What nodes tell: their event streams, what each word means for playbacks there, and when a node counts as lost."""
+"""Handles the event streams of playout nodes: what each event means for the sessions there, and the loss of a
+node.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +15,16 @@
 
 
 class Hearing:
-    """The nodes' words, as one front takes them."""
+    """Handler of the node events of one front end."""
 
     def __init__(self, helm: Steering, moves: Moving, log: structlog.typing.FilteringBoundLogger) -> None:
+        """Creates the handler."""
         self.helm, self.moves, self.log = helm, moves, log
 
     def follow(self, leg: NodeLeg, events: str) -> None:
-        """Keeps the event stream of a node open from now on."""
+        """Keeps the event stream of a node open from now on; `events_path` is empty where the node named
+        none.
+        """
         if events and leg.events != events:
             leg.events = events
         if leg.events:
@@ -31,9 +36,11 @@
                 self.helm.nursery.start_soon(leg.watch, partial(self._hear, leg), partial(self._lost, leg))
 
     async def _hear(self, leg: NodeLeg, name: str, told: Told) -> None:
+        """Submits a node event, with the time at which its stream was requested."""
         await self.helm.tell(partial(self._heard, leg, name, told, leg.asked_at))
 
     def _heard(self, leg: NodeLeg, name: str, told: Told, asked_at: int) -> None:
+        """Handles a node event in the event task."""
         now = self.helm.clock.now()
         node = self.helm.roster.nodes.get(leg.name)
         if name == "hello":
@@ -41,7 +48,7 @@
                 self.helm.memory.word(leg, told, asked_at)
             missing = leg.claims.told(told.sessions, asked_at, now)
             passed = set(told.passed).intersection(missing)
-            if passed:  # nothing is lost, and it says nothing against the node
+            if passed:  # nothing is lost, and it does not count against the node
                 self.log.warning("passed on", node=leg.name, playbacks=len(passed))
                 self.helm.told_passed(len(passed))
             if len(missing) > len(passed):
@@ -80,6 +87,7 @@
                     self.helm.controller.noted(pb, Note.UPLINK_ASKED, told.uplink, now)
 
     def _rung_told(self, leg: NodeLeg, session: str, rung: int, now: int) -> None:
+        """Applies the rung that a node reports for a session."""
         v = self.helm.upstreams.get((leg.name, session))
         if v is not None and 0 <= rung < len(self.helm.site.terms.rates) and rung != v.pb.rung:
             self.helm.controller.noted(v.pb, Note.RUNG, rung, now)
@@ -87,18 +95,22 @@
                 self.helm.above_bound(v)
 
     async def _lost(self, leg: NodeLeg, loss: Loss, why: str) -> None:
+        """Submits the loss of a node."""
         await self.helm.tell(partial(self.node_lost, leg, loss, why))
 
     def node_lost(self, leg: NodeLeg, loss: Loss, why: str) -> None:
-        """Ends what played on a node. Where its loss is only presumed, the module hears that nothing is delivered
-        there, the viewers are told, and seats stay taken until the node confirms the end or has had its time."""
+        """Ends what played on a node.
+
+        Where the loss is only presumed, the policy is told that nothing is delivered there, the viewers are
+        told of the end, and seats stay taken until the node confirms the end or its time has run out.
+        """
         proven = loss is Loss.PROVEN
         if self.helm.memory is not None:
             self.helm.memory.node_lost(leg.name, proven)
         lost = leg.claims.all_lost() if proven else leg.claims.presumed()
         if lost:
             self.log.warning("node lost", node=leg.name, why=why, how=loss.value, playbacks=len(lost))
-        told = False  # one silence speaks once against its node, however many playbacks it had
+        told = False  # one silence counts once against its node, whatever the number of its playbacks
         for session in lost:
             v = self.helm.upstreams.get((leg.name, session))
             if v is None:
@@ -118,5 +130,6 @@
             self.helm.end(v)
 
     def _session_over(self, leg: NodeLeg, session: str, how: Outcome) -> None:
+        """Ends the playback of a session that has ended on its node."""
         if v := self.helm.upstreams.get((leg.name, session)):
             self.helm.over(v, how)
--- a/oakcroft/front/helm.py
+++ b/oakcroft/front/helm.py
@@ -178,10 +178,7 @@
                 leg.lifeline.stood(stood)
 
     async def look_after(self) -> None:
-        """
-
-        hecks periodically for nodes that have fallen silent and for sessions that no setup try has claimed.
-        """
+        """Checks periodically for silent nodes and for sessions that no setup try has claimed."""
         while True:
             await trio.sleep(0.5)
             now = self.clock.now()
@@ -311,11 +308,7 @@
         self._forget(v)
 
     def release(self, v: Viewing) -> None:
-        """
-
-        eleases a playback of an earlier process that may have run and has been proven to hold nothing any
-        more.
-        """
+        """Releases a playback of an earlier process that may have run, once it is known to hold nothing."""
         if v.pb in self.viewings and not self.controller.over(v.pb):
             self.controller.tried(v.pb, Outcome.WITHDRAWN, True, None, None, None, self.clock.now())
             self._forget(v)
@@ -422,10 +415,7 @@
         self.nursery.start_soon(self._alarm, at)
 
     def follow(self) -> None:
-        """
-
-        oes nothing, since the node list is followed all the time; implements `Host.subscribe_to_nodes`.
-        """
+        """Does nothing, as the node list is always followed; implements `Host.subscribe_to_nodes`."""
 
     def log(self, line: str) -> None:
         """Logs a change of the policy's mode of operation; implements `Host.log`."""
--- a/oakcroft/front/listing.py
+++ b/oakcroft/front/listing.py
@@ -1,8 +1,8 @@
-"""The list of playout nodes: asked for by long poll, kept on disk, handed to the roster.
+"""Client of the node list service: gets the list by long polls and caches it on disk.
 
-The format is the endpoint discovery of the xDS REST-JSON variant (envoy.service.discovery.v3 DiscoveryRequest and
-DiscoveryResponse, envoy.config.endpoint.v3 ClusterLoadAssignment), asked again with the version in force, which the
-service answers when it has another. Fields that xDS leaves to metadata stand under `oakcroft`.
+The format is the endpoint discovery of the xDS REST-JSON variant (envoy.service.discovery.v3 DiscoveryRequest
+and DiscoveryResponse, envoy.config.endpoint.v3 ClusterLoadAssignment), requested again with the version in
+force; the service answers when it has another. Fields that xDS leaves to metadata are below `oakcroft`.
 """
 
 from __future__ import annotations
@@ -37,19 +37,27 @@
 
 
 class SocketAddress(msgspec.Struct):
+    """envoy.config.core.v3.SocketAddress."""
+
     address: str
     port_value: int
 
 
 class Address(msgspec.Struct):
+    """envoy.config.core.v3.Address."""
+
     socket_address: SocketAddress
 
 
 class Endpoint(msgspec.Struct):
+    """envoy.config.endpoint.v3.Endpoint."""
+
     address: Address
 
 
 class Particulars(msgspec.Struct):
+    """What this system adds to an endpoint; rates in kB/s, times in milliseconds."""
+
     name: str
     cell: int
     link_kb: float
@@ -61,49 +69,65 @@
 
 
 class FilterMetadata(msgspec.Struct):
+    """Metadata by filter name."""
+
     oakcroft: Particulars
 
 
 class Metadata(msgspec.Struct):
+    """envoy.config.core.v3.Metadata."""
+
     filter_metadata: FilterMetadata
 
 
 class LbEndpoint(msgspec.Struct):
+    """envoy.config.endpoint.v3.LbEndpoint."""
+
     endpoint: Endpoint
     metadata: Metadata
     health_status: str = "UNKNOWN"
 
 
 class Locality(msgspec.Struct):
+    """envoy.config.core.v3.Locality."""
+
     zone: str = ""
 
 
 class LocalityEndpoints(msgspec.Struct):
+    """envoy.config.endpoint.v3.LocalityLbEndpoints."""
+
     lb_endpoints: list[LbEndpoint]
     locality: Locality = msgspec.field(default_factory=Locality)
 
 
 class Assignment(msgspec.Struct):
+    """envoy.config.endpoint.v3.ClusterLoadAssignment."""
+
     cluster_name: str
     endpoints: list[LocalityEndpoints]
 
 
 class ControlPlane(msgspec.Struct):
+    """envoy.config.core.v3.ControlPlane."""
+
     identifier: str = ""
 
 
 class Discovery(msgspec.Struct):
+    """envoy.service.discovery.v3.DiscoveryResponse."""
+
     version_info: str
     resources: list[Assignment]
     control_plane: ControlPlane = msgspec.field(default_factory=ControlPlane)
 
 
 class BadList(ValueError):
-    """A list that is not of the format; its text says where."""
+    """A node list that is not in the expected format; its text says where."""
 
 
 def parse(body: bytes) -> tuple[list[Line], int, str]:
-    """Lines, version and the service's name out of a discovery response."""
+    """Nodes, version and name of the service in a discovery response. Raises NodeListError."""
     try:
         response = msgspec.json.decode(body, type=Discovery)
     except msgspec.DecodeError as fault:
@@ -126,13 +150,14 @@
 
 
 def _ns(ms: float) -> int:
+    """Nanoseconds of a time in milliseconds. Raises NodeListError for a time out of range."""
     if not abs(ms) < 1e15:  # some 30,000 years
         raise BadList(f"a time of {ms:g} ms cannot be")
     return round(ms * MS)
 
 
 def request_body(version: int, front: str) -> bytes:
-    """A discovery request with the version in force; -1 for none."""
+    """A discovery request with the version in force, -1 for none."""
     return orjson.dumps({
         "version_info": "" if version < 0 else str(version), "node": {"id": front}, "type_url": TYPE,
         "resource_names": ["playout"],
@@ -140,7 +165,7 @@
 
 
 def keep(path: Path, body: bytes) -> None:
-    """Writes the list so that a crash leaves the old one or the new one, whole."""
+    """Writes the cached list so that a crash leaves either the old or the new one complete."""
     temporary = path.with_name(path.name + ".new")
     with temporary.open("wb") as out:
         out.write(hashlib.sha256(body).hexdigest().encode() + b"\n" + body)
@@ -150,7 +175,7 @@
 
 
 def kept(path: Path) -> bytes | None:
-    """The list as kept; None where there is none. BadList for one that is not as it was written."""
+    """Reads the cached list; None where there is none. Raises NodeListError where it is damaged."""
     try:
         digest, _, body = path.read_bytes().partition(b"\n")
     except FileNotFoundError:
@@ -164,18 +189,19 @@
 
 
 class Follower:
-    """Asks the list service for as long as the front runs."""
+    """Follows the list of the node list service by long polls."""
 
     def __init__(self, peer: Peer, clock: Clock, rng: Random, path: str, me: str, take: Take,
                  log: structlog.typing.FilteringBoundLogger) -> None:  # fmt: skip
+        """Creates a follower; an empty `cache_path` turns the cache off."""
         self.peer, self.clock, self.me, self.take, self.log = peer, clock, me, take, log
         self.path = Path(path) if path else None
         self.again = Again(LIST, rng, clock.now())
         self.version, self.failing = -1, False
-        self.answered = trio.Event()  # the service has told what stands now
+        self.answered = trio.Event()  # the service has confirmed or sent the current list
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Polls until it is cancelled, after a delay where a poll failed."""
         while True:
             why = await self._once()
             if why is None:
@@ -191,7 +217,7 @@
             await trio.sleep((wait or 0) / 1e9)
 
     async def _once(self) -> str | None:
-        """One call; why it failed, or None."""
+        """Runs one poll; returns why it failed, or None."""
         headers = [("Content-Type", "application/json"), ("Via", f"1.1 {self.me}")]
         body = request_body(self.version, self.me)
         try:
--- a/oakcroft/front/moves.py
+++ b/oakcroft/front/moves.py
@@ -1,7 +1,9 @@
-"""Carries out moves: hears of drains and weak nodes, begins what the mover says is due, walks each handover's steps.
+"""Carries out moves of playing sessions: reacts to drains and degrading nodes, starts due moves, runs each
+handover.
 
-All of it runs in the helm's task but for the timers. What is decided stands in `oakcroft/decisions/`: handover, mover,
-may_move, notice, fading; where a playback goes is the module's choice.
+All of it runs in the event task except the timers. The rules are in `oakcroft/decisions/moving/`: the state
+machine of a handover, the scheduler, which playbacks may move, drain notices and degrading nodes. Where a
+playback goes is decided by the policy.
 """
 
 from __future__ import annotations
@@ -31,8 +33,11 @@
 
 @dataclass(eq=False)
 class Move:
-    """One move: the viewing that its player knows, and the one beside it. Before the switch `v` plays at the source;
-    after it `v` has the target, and `other` the source that is being ended."""
+    """One move: the session that its player knows, and its counterpart.
+
+    Before the switch `session` plays at the source and `counterpart` is the copy at the target; after it
+    `session` has the target, and `counterpart` the source that is being ended.
+    """
 
     v: Viewing
     hand: Handover
@@ -43,23 +48,24 @@
 
 
 class Moves:
-    """All moves of one front."""
+    """All moves of one front end."""
 
     def __init__(
         self, helm: Steering, rng: Random, usual_notice: int, log: structlog.typing.FilteringBoundLogger
     ) -> None:
+        """Creates the executor; `expected_notice_ns` is assumed for drains that state no end."""
         self.helm, self.rng, self.log = helm, rng, log
         self.mover = Mover(Pace(), rng)
         self.notices, self.fadings = Notices(usual_notice), Fadings()
-        self.moves: dict[str, Move] = {}  # by the session's id
+        self.moves: dict[str, Move] = {}  # by session id
         self.roles: dict[Viewing, Move] = {}
         self.wake = trio.Event()
         self.paused = False
 
-    # What calls for moves.
+    # Causes of moves.
 
     def listed(self, entries: list[Entry], until: dict[str, int | None], now: int) -> None:
-        """The list has changed."""
+        """Handles changes of the node list; `drain_ends` has the stated end of each drain by node."""
         for e in entries:
             name = e.node.name
             if e.listing is Listing.DRAINING:
@@ -76,9 +82,9 @@
                 self.fadings.forget(name)
 
     def shared(self, name: str, share: float, usual: float, now: int) -> None:
-        """A note of the share delivered at a node; `usual` is what the others deliver."""
+        """Handles a node's reported share of delivery; `fleet_share` is the mean of the other nodes."""
         if name in self.helm.roster.gone_at:
-            return  # forgotten with its listing, and for good
+            return  # its reports no longer count
         was = name in self.fadings.leaving
         if self.fadings.note(name, share, usual, now):
             self.log.info("mode", change=f"node {name} fades: {share:.2f} delivered, {usual:.2f} elsewhere")
@@ -87,6 +93,7 @@
             self._recall(name)
 
     def _leave(self, name: str, why: Why, now: int) -> None:
+        """Plans the moves away from a node."""
         node = self.helm.roster.nodes.get(name)
         playing = (
             [self.helm.viewings[pb] for pb in node.playbacks if pb in self.helm.viewings] if node else []
@@ -107,28 +114,31 @@
         self._stir()
 
     def _recall(self, name: str) -> None:
+        """Cancels the moves away from a node that is usable again."""
         for key in self.mover.taken_back(name):
             if key in self.moves:
                 self.happens(self.moves[key], Happening.TAKEN_BACK)
 
     @staticmethod
     def _target(move: Move) -> str:
+        """Name of the node that a move goes to, empty before it is chosen."""
         at = move.v if move.hand.state is Course.SWITCHED else move.other
         node = at.pb.node if at is not None else None
         return node.name if node is not None else ""
 
-    # Beginning.
+    # Start of moves.
 
     def _stir(self) -> None:
+        """Wakes the task that starts moves."""
         self.wake.set()
         self.wake = trio.Event()
 
     async def run(self) -> None:
-        """Begins moves as they fall due."""
+        """Starts moves as they fall due, until it is cancelled."""
         while True:
             now = self.helm.clock.now()
             due = self.mover.next_due(now)
-            if self.paused:  # at this level of service moves wait
+            if self.paused:  # moves wait at this level of service
                 await trio.sleep(0.25)
                 continue
             if due is not None and due <= now:
@@ -140,6 +150,7 @@
                 await wake.wait()
 
     def _begin(self) -> None:
+        """Starts the moves that are due now."""
         now = self.helm.clock.now()
         for wish in self.mover.begin(now, self.mover.pace.at_once):
             v = self.helm.sessions.get(wish.key)
@@ -166,12 +177,15 @@
     # One move.
 
     def of(self, v: Viewing) -> Move | None:
-        """The move that a viewing is part of."""
+        """The move that a session takes part in, or None."""
         return self.roles.get(v)
 
     def offered(self, move: Move, other: Viewing, admits: Callable[[Viewing, bool], Admits | None]) -> bool:
-        """The player has made its offer; False when it is not wanted any more. `admits` names the nodes that the copy may
-        go to now, with or without a choice of zones: that for the source is as old as the playback."""
+        """Handles the player's offer; returns False when it is no longer wanted.
+
+        `node_filter` gives the nodes that the copy may go to now, with or without zone preference: the filter
+        of the source session is as old as its playback.
+        """
         if not move.hand.takes_offer() or move.v.pb.node is None:
             return False
         move.other, other.beside = other, move.v
@@ -188,12 +202,12 @@
         return True
 
     def chosen(self, other: Viewing, node: str) -> None:
-        """The module sends the copy's set-up to a node."""
+        """Records the node to which the policy sends the copy's set-up."""
         if move := self.roles.get(other):
             self.mover.goes_to(move.v.id, node)
 
     def happens(self, move: Move, what: Happening) -> None:
-        """One step of a move."""
+        """Applies an event to a move and carries out the resulting action."""
         before = move.hand.state
         act = move.hand.happens(what)
         if move.hand.state is before and act is Act.NOTHING:
@@ -207,10 +221,12 @@
             self._close(move)
 
     async def _timer(self, move: Move, what: Happening, state: Course) -> None:
+        """Applies a timeout event to a move that is still in the state that set the timer."""
         await trio.sleep(TIMES[what] / 1e9)
         await self.helm.tell(lambda: self.happens(move, what) if move.hand.state is state else None)
 
     def _do(self, move: Move, act: Act) -> None:
+        """Carries out an action of the state machine."""
         v, other, helm = move.v, move.other, self.helm
         match act:
             case Act.ASK:
@@ -244,7 +260,7 @@
                 helm.hide(v)
 
     def _switch(self, move: Move) -> None:
-        """The player's viewing gets the target; the other one takes over what is left of the source."""
+        """Gives the player's session the target; the counterpart takes over what is left of the source."""
         v, other = move.v, move.other
         assert other is not None
         assert other.upstream is not None
@@ -256,12 +272,13 @@
         self.helm.rebind(other)
         self.helm.bounded(
             v, max(v.pb.plan.floor, min(v.pb.top, other.pb.top))
-        )  # its viewer may have wished meanwhile
+        )  # its viewer may have requested a lower rung meanwhile
         if self.helm.memory is not None:
             self.helm.memory.moved(v)
         self.helm.publish(v, "layers", {"encodingId": str(v.pb.rung)})
 
     def _close(self, move: Move) -> None:
+        """Handles the end of a move, once."""
         if move.closed:
             return
         move.closed = True
@@ -282,10 +299,14 @@
         self.log.info("moved", playback=move.v.id, source=move.source, target=target, end=state.value, again=again,
                       ms=(now - move.began) // 1_000_000, way=[c.name for c in move.hand.way])  # fmt: skip
 
-    # What becomes of its parts.
+    # Ends of participants.
 
     def over(self, part: Viewing, died: bool) -> bool:
-        """A part of a move is over; True when the player's playback goes on all the same."""
+        """Handles the end of a session in a move; returns True when the player's playback goes on all the
+        same.
+
+        `was_lost` says that its node was lost, rather than that the session ended in order.
+        """
         move = self.roles.get(part)
         if move is None:
             return False
@@ -297,12 +318,12 @@
         return part is not move.v or move.hand.state is not Course.LOST
 
     def viewer_left(self, v: Viewing) -> None:
-        """The viewer has ended its session, or this front does."""
+        """Handles the end of a session by its viewer or by this front end."""
         self.mover.forget(v.id)
         if move := self.moves.get(v.id):
             self.happens(move, Happening.VIEWER_LEFT)
 
 
 def movable(v: Viewing) -> bool:
-    """Whether a player has said that it can be moved: it listens for that event."""
+    """Whether a player has declared support for moves: it reads events of that kind."""
     return any("move" in reader.kinds for reader in v.readers)
--- a/oakcroft/front/nodeleg.py
+++ b/oakcroft/front/nodeleg.py
@@ -1,9 +1,9 @@
-"""The leg to one playout node: setup tries, errands on sessions, and the one event stream that tells of the node.
+"""Client for one playout node: setup tries, requests on sessions, and the node's event stream.
 
-The node is a WHIP and WHEP endpoint of its own. A set-up is a POST of the viewer's offer to the same path; its rung
-is the `encodingId` of the query, later ones go to the layer resource of the session. Late notes come by server-sent
-events: the node names one stream for all sessions of one client, so that a front keeps a stream to a node, not to
-a session.
+The node is a WHIP and WHEP endpoint itself. A set-up is a POST of the viewer's offer to the same path; its
+rung is the `encodingId` of the query, and later rungs go to the layer resource of the session. Events come as
+server-sent events: the node names one stream for all sessions of one client, so that a front end keeps one
+stream to a node and not one to each session.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class TryEnd:
-    """How one setup try ended."""
+    """Result of one setup try; `upstream` is the session where it succeeded, `cause` a text for the log."""
 
     outcome: Outcome
     load: words.Load
@@ -47,14 +47,14 @@
 
 
 class Told(msgspec.Struct):
-    """An event of a node's stream, whichever kind: each field stands only where it has something to say."""
+    """An event of a node's stream of any kind; each field is present only in events that use it."""
 
     process: str = ""
     sessions: list[str] = []
-    keys: list[str] = []  # of the sessions, one each
-    rungs: list[int] = []  # likewise
-    ran: list[str] = []  # keys of this front's set-ups that ran, as far back as the node remembers
-    passed: list[str] = []  # sessions that were this front's and that another has taken over since
+    keys: list[str] = []  # one for each of `sessions`
+    rungs: list[int] = []  # one for each of `sessions`
+    ran: list[str] = []  # keys of this front end's set-ups that ran, as far back as the node remembers
+    passed: list[str] = []  # sessions of this front end that another has taken over
     up_ms: int = 0
     remembers_ms: int = 0
     session: str = ""
@@ -66,14 +66,18 @@
 
 
 class Standing:
-    """Who this front is among its peers, and how long its sessions are to outlive its silence (docs/adopting.md).
-    `start`: the number of its start, which may be raised while it runs."""
+    """Identity of this front end among its peers, and the lease of its sessions (docs/adopting.md).
+
+    `generation` returns the number of this start, which may rise at run time; `lease_ns` is how long sessions
+    outlive the front end's silence.
+    """
 
     def __init__(self, member: str, start: Callable[[], int], lease: int) -> None:
+        """Creates an identity; the lease is in nanoseconds."""
         self.member, self.start, self.lease = member, start, lease
 
     def headers(self) -> Headers:
-        """What goes with every request to a node."""
+        """Headers that go with every request to a node."""
         return [
             (handing.FRONT, handing.front(self.member, self.start())),
             (handing.LEASE, str(self.lease // SECOND)),
@@ -81,7 +85,10 @@
 
 
 def memo_of(v: Viewing) -> str:
-    """What whoever takes a playback over must know of it; "" where that does not fit, and it can't be taken over."""
+    """Memo that lets another front end take a session over.
+
+    Empty where it would be too long, in which case the session cannot be taken over.
+    """
     pb = v.pb
     return handing.memo(handing.Memo(v.id, v.about, v.path, pb.title.name, v.plan.name, v.ufrag, v.token, pb.top,
                                      v.due.written, v.due.abandon, v.publishes))  # fmt: skip
@@ -92,12 +99,13 @@
 
 
 class NodeLeg:
-    """One node, as this front speaks to it."""
+    """Client of this front end for one playout node."""
 
     def __init__(
         self, name: str, host: str, port: int, me: str, clock: Clock, rng: Random, connect_within: int,
         patience: Patience, claim_within: int,
     ) -> None:  # fmt: skip
+        """Creates the client; `watch` has to run before events come. Times are in nanoseconds."""
         self.name, self.me, self.clock, self.rng = name, me, clock, rng
         self.address = (host, port)
         self.peer = Peer(host, port, connect_within / 1e9)
@@ -105,20 +113,21 @@
         self.claims = Claims(claim_within)
         self.events = ""
         self.watched = False
-        self.asked_at = 0  # when the stream was asked for: the node's word at its beginning is no older
-        self.wake = trio.Event()  # set when it is worth opening the stream
+        self.asked_at = 0  # the hello event of the stream is no older than this
+        self.wake = trio.Event()  # set when the stream is worth opening
         self.stream: trio.CancelScope | None = None
         self.renewing = False
-        self.life = trio.CancelScope()  # of the watch
-        self.awake: Callable[[int], None] = lambda _: None  # asked before time that has passed is judged
-        self.standing: Standing | None = None  # where sessions are to outlive this front
+        self.life = trio.CancelScope()  # of the watch task
+        self.awake: Callable[[int], None] = lambda _: None  # called before elapsed time is judged
+        self.standing: Standing | None = None  # where sessions are to outlive this front end end
 
     def _headers(self, **more: str) -> Headers:
+        """Headers of every request, and further ones whose names have underscores for hyphens."""
         who = self.standing.headers() if self.standing is not None else []
         return [("Via", f"1.1 {self.me}"), *who, *((k.replace("_", "-"), v) for k, v in more.items())]
 
     async def set_up(self, v: Viewing, rung: int, until: int) -> TryEnd:
-        """One setup try, ended by `until` at the latest."""
+        """Runs one setup try, which ends by `abandon_at` at the latest."""
         trail = Trail()
         end, cause, response = End.TIME_UP, "", None
         with trio.CancelScope(deadline=self.clock.deadline(until)):
@@ -145,6 +154,7 @@
         return TryEnd(outcome(trail, end), load, upstream, cause or trail.problem)
 
     def _upstream(self, path: str, response: Response) -> Upstream | None:
+        """Session that a 201 response describes; None where a part of it is missing."""
         location = response.header("location")
         if not location or words.media_type(response.header("content-type") or "") != sdp.MEDIA_TYPE:
             return None
@@ -163,8 +173,11 @@
         )  # fmt: skip
 
     def _here(self, base: str, reference: str) -> str | None:
-        """The path of a URL on this node; None for one elsewhere, since a node does not send a front to others, and for
-        what is no URL (RFC 3986), which this front could never ask for again."""
+        """Path of a URL on this node.
+
+        None for a URL elsewhere, since a node cannot redirect a front end to other hosts, and for what is no
+        URL (RFC 3986), which could not be requested again.
+        """
         try:
             parts = urlsplit(urljoin(base, reference))
             here = (parts.hostname, parts.port) == self.address and parts.scheme == "http"
@@ -176,7 +189,10 @@
     async def _errand(
         self, again: Again, method: str, target: str, headers: Headers, body: bytes, insists: bool = False
     ) -> Response | None:
-        """A call that may be repeated until it is answered; None when it was given up."""
+        """Repeats a request until it is answered with a status below 500; None when it was given up.
+
+        Unless `even_if_lost`, it is given up as soon as the node counts as lost.
+        """
         while True:
             response = await self._once(method, target, self._headers() + headers, body)
             if response is not None and response.status < 500:
@@ -189,13 +205,13 @@
             await trio.sleep(wait / 1e9)
 
     async def farewell(self, resource: str) -> bool:
-        """Ends a session; whether the node has confirmed it."""
+        """Ends a session; returns whether the node has confirmed it."""
         again = Again(FAREWELL, self.rng, self.clock.now())
         response = await self._errand(again, "DELETE", resource, [], b"", insists=True)
         return response is not None
 
     async def set_rung(self, upstream: Upstream, rung: int) -> bool:
-        """Sets the rung of a playing session; whether it is in force."""
+        """Sets the rung of a playing session; returns whether it is in force."""
         if not upstream.layer:
             return False
         body = orjson.dumps({"encodingId": str(rung)})
@@ -205,27 +221,32 @@
         return response is not None and response.status in (200, 204)
 
     async def patch(self, upstream: Upstream, if_match: str, body: bytes) -> Response | None:
-        """Passes a trickle fragment on, once; None when it got no answer."""
+        """Forwards a trickle ICE fragment, once; None when it got no answer."""
         return await self._once(
             "PATCH", upstream.resource, self._headers(Content_Type=SDPFRAG, If_Match=if_match), body
         )
 
     async def offered(self, names: Iterable[str], after: str) -> handing.Listing | None:
-        """What the node has of fronts that do not listen to it any more, from a place on; None where it could not say."""
+        """Lists the node's sessions of front ends that no longer listen to it, from a position on.
+
+        None where the node gave no usable answer.
+        """
         target = (
             f"{handing.PATH}?of={','.join(quote(n, safe='') for n in names)}&after={quote(after, safe='')}"
         )
         return await self._question("GET", target, b"", handing.LISTING)
 
     async def take(self, sessions: list[str]) -> set[str] | None:
-        """Takes over sessions; those that the node has given, None where its answer did not come."""
+        """Takes over sessions; returns those that the node has granted, None where no answer came."""
         body = msgspec.json.encode(handing.Taking(sessions))
         given = await self._question("POST", handing.PATH, body, handing.TAKING)
         return set(given.sessions) if given is not None else None
 
     async def load(self) -> tuple[float | None, bool]:
-        """What is asked of the node's link over what it gives; None where it did not say, and whether it knows the
-        question."""
+        """Load of the node's link: requested rate over capacity, None where the node did not report it.
+
+        The second value is False where the node does not support the question.
+        """
         response = await self._once("GET", words.LOAD_PATH, self._headers(), b"")
         if response is None:
             return None, True
@@ -235,7 +256,7 @@
     async def _question(
         self, method: str, target: str, body: bytes, decoder: msgspec.json.Decoder[T]
     ) -> T | None:
-        """What a node answers in JSON; None where it did not, or nothing that can be read."""
+        """Decoded JSON response to a request; None where it did not come or cannot be decoded."""
         headers = self._headers(**({"Content_Type": "application/json"} if body else {}))
         response = await self._once(method, target, headers, body)
         try:
@@ -244,7 +265,7 @@
             return None
 
     async def _once(self, method: str, target: str, headers: Headers, body: bytes) -> Response | None:
-        """One call; None where it got no whole answer in time."""
+        """Sends one request; None where no complete response came in time."""
         try:
             with trio.fail_after(ERRAND):
                 return await self.peer.ask(method, target, headers, body)
@@ -252,22 +273,23 @@
             return None
 
     def renew(self) -> None:
-        """Opens the stream anew, so that the node tells what it runs now."""
+        """Reopens the event stream, so that the node reports what it runs now."""
         if self.stream is not None:
             self.renewing = True
             self.stream.cancel()
 
     async def close(self) -> None:
-        """The front has nothing to do with this node any more."""
+        """Ends the watch task and closes the connections."""
         self.life.cancel()
         await self.peer.close()
 
     async def watch(self, hear: Hear, lost: Lost) -> None:
-        """Keeps the event stream open until the leg is closed; tells what comes and when the node is lost."""
+        """Keeps the event stream open until the client is closed; reports events and the loss of the node."""
         with self.life:
             await self._watch(hear, lost)
 
     async def _watch(self, hear: Hear, lost: Lost) -> None:
+        """Opens the event stream again after each break."""
         again = Again(EVENTS, self.rng, self.clock.now())
         while True:
             await self.wake.wait()
@@ -277,11 +299,12 @@
             if loss is not None:
                 await lost(loss, why.value)
             if self.lifeline.state is Life.LOST:
-                self.wake = trio.Event()  # the next set-up that works wakes it
+                self.wake = trio.Event()  # set again by the next successful set-up
                 continue
             await trio.sleep((again.failed(self.clock.now()) or 0) / 1e9)
 
     async def _listen(self, hear: Hear, lost: Lost, again: Again) -> Break:
+        """Reads one event stream to its end; returns how it ended."""
         reader, headers = words.EventReader(), self._headers(Accept=words.EVENTS)
         self.asked_at = self.clock.now()
         try:
@@ -316,12 +339,12 @@
         return Break.CLOSED
 
     def _silence(self) -> float:
-        """Seconds without a byte after which the stream is opened anew."""
+        """Seconds without data after which the stream is reopened."""
         return self.lifeline.patience.silent_after / 1e9
 
 
 def sound(value: float | None) -> bool:
-    """Whether a note's figure can be one."""
+    """Whether a reported value is present and within bounds."""
     return value is not None and math.isfinite(value) and 0 <= value < 1e6
 
 
--- a/oakcroft/front/serve.py
+++ b/oakcroft/front/serve.py
@@ -1,4 +1,4 @@
-"""One front as a process: puts the parts together, listens, and ends in order on a signal."""
+"""One front end as a process: creates its parts, listens, and shuts down in order on a signal."""
 
 from __future__ import annotations
 
@@ -46,22 +46,23 @@
 
 
 class StateRecord:
-    """The state file, as a keeper of duties uses it."""
+    """The state file, as the acceptor of fleet leases uses it."""
 
     def __init__(self, store: Store) -> None:
+        """Wraps an open store."""
         self.store = store
 
     async def save(self, name: str, value: bytes) -> bool:
-        """Puts a value on record; False where that is not known to have succeeded."""
+        """Stores a value durably; returns False where that is not known to have succeeded."""
         return await self.store.durable(Fact(name, value))
 
     def held(self) -> tuple[dict[str, bytes], bool] | None:
-        """What the file held when it was read, and whether it knew everything then; None before."""
+        """What the file held when it was read, and whether it was complete then; None before that."""
         return (self.store.facts, self.store.had) if self.store.read else None
 
 
 Source = Callable[[dict[str, int]], "Deployment | list[str]"]
-"""Reads the configuration anew: what it says (plans keep the family numbers that are handed in), or what is wrong."""
+"""Reads the configuration again: a deployment (plans keep the family ids that are passed in), or its errors."""
 
 
 class Front:
@@ -71,6 +72,7 @@
         self, told: Deployment, log: structlog.typing.FilteringBoundLogger, decide: Decide = Controller,
         source: Source | None = None,
     ) -> None:  # fmt: skip
+        """Creates a front end; `source` reads the configuration again, without which it cannot be reloaded."""
         self.told, self.log, self.decide, self.source = told, log, decide, source
         self.helm: Helm | None = None
         self.core: Core | None = None
@@ -81,7 +83,7 @@
         self.held: Held | None = None
         self.catalogues: Catalogues | None = None
         self.adopting: Adopting | None = None
-        self.opens: Callable[[str], StateFile] | None = None  # in the place of the file system's
+        self.opens: Callable[[str], StateFile] | None = None  # replaces the file system's
 
     async def run(
         self,
@@ -89,12 +91,15 @@
         signals: bool = True,
         stop: trio.Event | None = None,
     ) -> None:
-        """Serves. `ready` is told the port; `stop` works like a stop signal where there are none."""
+        """Serves until it is stopped.
+
+        `ready` is called with the port; `stop` works like a stop signal where there are none.
+        """
         site, stand = self.told.site, self.told.stand
         clock = Clock()
         longest = max(p.abandon for p in site.plans.values())
         stopping = Stopping(site.drain_within, site.leave_within, longest)
-        # Nodes know a front that remembers by the same name in each of its lives.
+        # A front end with stored state keeps its pseudonym across restarts.
         me = f"front-{site.terms.front}-" + ("0" if stand.state else f"{clock.now() // 1_000_000:x}")
         async with trio.open_nursery() as nursery:
             helm = Helm(self.told, stand.seed, me, clock, nursery, self.log, self.decide)
@@ -130,8 +135,8 @@
             follower = Follower(peer, clock, rng, stand.kept, me, helm.listed, self.log)
             nursery.start_soon(follower.run)
             leave = await self._meet(peers, core, operators, catalogues, nursery)
-            # Guards against set-ups to nodes that have begun to drain, or went, while this front was away: all it has
-            # until the service answers is the list of its last life. Harm: no service for so long while that is down.
+            # Guards against set-ups to nodes that began to drain, or went away, while this front end was down: until the
+            # list service answers it only has the cached list. The cost: no service for that long while it is down.
             with trio.move_on_after(site.list_within / 1e9):
                 await follower.answered.wait()
             if not follower.answered.is_set():
@@ -157,7 +162,10 @@
             nursery.cancel_scope.cancel()
 
     def _peers(self, helm: Helm, clock: Clock) -> PeerEndpoint | None:
-        """This front's part in the fleet's view, where the configuration has peers; it speaks later."""
+        """Creates this front end's endpoint for membership, where the configuration has peers.
+
+        It sends nothing yet. Raises OSError for a key file that cannot be used.
+        """
         stand = self.told.stand
         if stand.peers is None:
             return None
@@ -192,7 +200,7 @@
         catalogues: Catalogues,
         nursery: trio.Nursery,
     ) -> Callable[[], Awaitable[None]] | None:
-        """Takes part in the fleet's view; how to leave it in order."""
+        """Joins the membership of the fleet; returns the function by which to leave it in order."""
         helm, place = core.helm, self.told.stand.peers
         if peers is None or place is None:
             return None
@@ -227,7 +235,7 @@
         return peers.leave
 
     async def _store(self, helm: Helm, clock: Clock) -> Store | None:
-        """The state file, open and read where that can be had."""
+        """Opens and reads the state file; None where none is configured."""
         stand = self.told.stand
         if not stand.state:
             return None
@@ -238,7 +246,7 @@
         return store
 
     async def _recall(self, helm: Helm, core: Core, store: Store, nursery: trio.Nursery) -> None:
-        """What the earlier life left is taken on before the first request is taken."""
+        """Restores the state of the earlier process before the first request is accepted."""
         assert helm.memory is not None
         if self.held is not None and self.held.lines and not helm.roster.lines:
             await helm.listed(self.held.lines, self.held.list_version, self.held.service, kept=True)
@@ -255,6 +263,7 @@
         nursery.start_soon(store.run)
 
     async def _take_kept(self, helm: Helm) -> None:
+        """Applies the cached node list, if there is a usable one."""
         if not self.told.stand.kept:
             return
         try:
@@ -266,7 +275,7 @@
             self.log.warning("kept list unusable", why=str(fault))
 
     async def _watch(self, stopping: Stopping, helm: Helm, clock: Clock) -> None:
-        """Waits for the end of the front's course."""
+        """Waits until the shutdown has completed, and ends all sessions when it begins to leave."""
         leaving = False
         while True:
             await helm.bell.wait(
@@ -282,13 +291,15 @@
                 return
 
     async def _reloads(self) -> None:
-        """SIGHUP: the front's file is read again."""
+        """Reloads the configuration on SIGHUP."""
         with trio.open_signal_receiver(signal.SIGHUP) as received:
             async for _ in received:
                 await self.reload()
 
     async def reload(self) -> Verdict | None:
-        """Reads and checks the configuration beside the event loop, then offers it; None where there is no source."""
+        """Reads and checks the configuration in a worker thread, then applies it; None where there is no
+        source.
+        """
         if self.source is None or self.helm is None:
             return None
         self.reads += 1
@@ -300,7 +311,11 @@
         return await self.offer(number, await trio.to_thread.run_sync(source, known))
 
     async def offer(self, number: int, found: Deployment | list[str]) -> Verdict:
-        """Offers a version that was read as the so-many-th: what it says, or why it is not sound."""
+        """Applies the configuration of the given read, by count: a deployment, or the errors that make it
+        invalid.
+
+        Returns the verdict.
+        """
         assert self.helm is not None
         helm, door = self.helm, self.door
         if isinstance(found, list):
@@ -318,6 +333,7 @@
         return verdict
 
     async def _signals(self, stopping: Stopping, clock: Clock, bell: Bell) -> None:
+        """Starts the shutdown on SIGTERM and SIGINT, and speeds it up on a second one."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
             async for number in received:
                 if stopping.signal(clock.now()):
@@ -327,9 +343,11 @@
                     )
 
     async def _stopped(self, stop: trio.Event, stopping: Stopping, clock: Clock, bell: Bell) -> None:
+        """Starts the shutdown when the event is set."""
         await stop.wait()
         stopping.signal(clock.now())
         bell.ring()
 
     def _failed(self, request: Request, error: BaseException) -> None:
+        """Logs an exception that a request handler raised."""
         self.log.error("request failed", method=request.method, path=request.path, error=repr(error))
--- a/oakcroft/front/viewers.py
+++ b/oakcroft/front/viewers.py
@@ -1,4 +1,4 @@
-"""WHEP (draft-ietf-wish-whep) and WHIP (RFC 9725) over HTTP: an adapter to the session core."""
+"""WHEP (draft-ietf-wish-whep) and WHIP (RFC 9725) over HTTP: an adapter to the session service."""
 
 from __future__ import annotations
 
@@ -32,21 +32,22 @@
 
 
 class Misused(Faulty):
-    """A request that HTTP itself forbids; it says what would be right."""
+    """A request that HTTP itself does not allow, with response headers that name what is allowed."""
 
     def __init__(self, status: int, kind: str, title: str, headers: Headers) -> None:
+        """Creates an error with extra response headers."""
         super().__init__(status, kind, title)
         self.headers = headers
 
 
 def bearer(request: Request) -> str | None:
-    """The bearer token of a request, if it has one."""
+    """Bearer token of a request; None where it has none."""
     scheme, _, given = (request.header("authorization") or "").partition(" ")
     return given if scheme.lower() == "bearer" else None
 
 
 def busy() -> bytes:
-    """The answer to a request that is turned away unread, as it goes onto the wire."""
+    """The serialized response to a request that is rejected unread."""
     reply = answers.REFUSALS[answers.Refusal.BUSY]
     body = words.problem(reply.status, reply.kind, reply.title, retry=reply.retry)
     head = (
@@ -58,26 +59,32 @@
 
 
 class Viewers:
-    """Handles HTTP requests of viewers and publishers."""
+    """Handles the HTTP requests of viewers and publishers."""
 
     def __init__(
         self, core: Core, other: tuple[str, Callable[[Request], Response]] | None = None,
         operators: tuple[str, Callable[[Request], Awaitable[Response]]] | None = None,
     ) -> None:  # fmt: skip
-        """`other`: a path of its own that something else serves; `operators`: the beginning of paths likewise."""
+        """Creates the handler.
+
+        `extra_route` is a path and the function that serves it; `operators_route` is a path prefix and the
+        function that serves all paths below it.
+        """
         self.operators = operators
         self.core, self.helm, self.other = core, core.helm, other
         self.busy = busy()
 
     def shed(self, data: bytes) -> bytes | None:
-        """What a whole request gets that the line has no place for; None where it is to be read."""
+        """Response to a complete unparsed request that is to be shed; None where it is to be parsed and
+        handled.
+        """
         target = data[5 : data.find(b" ", 5)].decode("latin-1").partition("?")[0]
         if not self.core.line.waiting or self._repeated(data):
             return None
         return self.busy if self.core.sheds(target) else None
 
     def _repeated(self, data: bytes) -> bool:
-        """Whether a whole request, unread, has a key whose answer stands; any doubt is False."""
+        """Whether a complete unparsed request has a key that already has its answer; False in any doubt."""
         head = data[: data.find(b"\r\n\r\n") + 2]
         key, bearer_ = KEY_LINE.search(head), BEARER_LINE.search(head)
         if key is None:
@@ -89,7 +96,7 @@
         return self.core.repeated(words.idempotency_key(key[1].decode("latin-1")), token)
 
     async def handle(self, request: Request) -> Response:
-        """The answer to one request, whatever it is."""
+        """Response to one request; errors become problem documents."""
         try:
             response = await self._handle(request)
         except Faulty as fault:
@@ -106,6 +113,7 @@
         return response
 
     async def _handle(self, request: Request) -> Response:
+        """Dispatches a request by its path."""
         if self.other is not None and request.path == self.other[0]:
             return self.other[1](request)
         if self.operators is not None and request.path.startswith(self.operators[0]):
@@ -116,7 +124,7 @@
         if request.path.startswith("/session/"):
             return await self._session(request)
         if request.method == "POST" and self._answered(request):
-            return await self._post(request)  # whatever is served here by now
+            return await self._post(request)  # even where the path is no longer served
         self.core.served(request.path)
         if request.method == "OPTIONS":
             return self._options(ENDPOINT, [("Accept-Post", sdp.MEDIA_TYPE)])
@@ -126,6 +134,7 @@
 
     @staticmethod
     def _options(methods: str, more: Headers) -> Response:
+        """Response to OPTIONS."""
         return Response(204, [
             ("Allow", methods), ("Access-Control-Allow-Methods", methods), ("Access-Control-Max-Age", "86400"),
             ("Access-Control-Allow-Headers", ALLOWED), *more,
@@ -133,10 +142,12 @@
 
     @staticmethod
     def _method(allowed: str) -> Faulty:
+        """The error for a method that is not allowed."""
         return Misused(405, "method", "This method is not for here", [("Allow", allowed)])
 
     @staticmethod
     def _offer(request: Request) -> str:
+        """The offer in a request. Raises RequestError 400, 406 or 415."""
         if words.media_type(request.header("content-type") or "") != sdp.MEDIA_TYPE:
             raise Misused(
                 415, "media-type", f"An offer comes as {sdp.MEDIA_TYPE}", [("Accept-Post", sdp.MEDIA_TYPE)]
@@ -150,6 +161,7 @@
 
     @staticmethod
     def _key(request: Request) -> str | None:
+        """The idempotency key of a request, if it has one. Raises RequestError 400."""
         given = request.header("idempotency-key")
         key = words.idempotency_key(given) if given is not None else None
         if given is not None and key is None:
@@ -157,12 +169,14 @@
         return key
 
     def _answered(self, request: Request) -> bool:
+        """Whether a request repeats one that has its answer."""
         key = request.header("idempotency-key")
         return key is not None and self.core.repeated(
             words.idempotency_key(key), self.core.token(bearer(request))
         )
 
     async def _post(self, request: Request) -> Response:
+        """Handles the POST of an offer."""
         token = self.core.token(bearer(request))
         written = self.helm.stillness.written_at(request.read_at, request.idle_before)
         ask = Ask(request.path, self._offer(request), self._key(request), written, token, request.source,
@@ -172,6 +186,7 @@
 
     @staticmethod
     def _reply(reply: Reply) -> Response:
+        """A reply as a response with a problem document."""
         headers = [("Content-Type", words.PROBLEM)]
         if reply.retry_after is not None:
             headers.append(("Retry-After", str(reply.retry_after)))
@@ -180,7 +195,7 @@
         )
 
     def _answer(self, v: Viewing, first: bool) -> Response:
-        """The final answer, the first time or again."""
+        """Response with a session's final answer; `is_first` says that it was not given before."""
         if v.final is not Final.PLAYS or v.upstream is None or v.resource is None:
             return self._reply(v.reply or answers.rejected(0))
         here = f"/session/{v.id}"
@@ -195,6 +210,7 @@
         return Response(201, headers, v.upstream.answer.encode(), unsent=lost)
 
     async def _session(self, request: Request) -> Response:
+        """Handles a request on a session resource or one of its sub-resources."""
         _, _, rest = request.path.partition("/session/")
         name, _, part = rest.partition("/")
         if part not in SESSION_PARTS:
@@ -227,6 +243,7 @@
         return Response(200, [("Content-Type", SDPFRAG), ("ETag", f'"{patched.tag}"')], patched.fragment)
 
     async def _layer(self, request: Request, v: Viewing) -> Response:
+        """Handles the choice of the highest rung."""
         try:
             body = orjson.loads(request.body)
             wish = body.get("encodingId") if isinstance(body, dict) else None
@@ -238,6 +255,7 @@
         return Response(200)
 
     async def _move(self, request: Request, v: Viewing) -> Response:
+        """Handles the offer of a player that is being moved."""
         key = self._key(request) or secrets.token_urlsafe(15)
         moved = await self.core.move(v, self._offer(request), key, request.all("prefer"))
         if isinstance(moved, Reply):
@@ -247,7 +265,10 @@
         return Response(201, headers, answer.encode())
 
     def _events(self, request: Request, v: Viewing) -> Response:
-        """Server-sent events of one session. POST names the kinds wanted and gets the place of the stream."""
+        """Handles server-sent events of one session.
+
+        POST names the kinds of events and returns the location of the stream; GET opens the stream.
+        """
         here = f"/session/{v.id}/events"
         if request.method == "POST":
             try:
@@ -266,6 +287,7 @@
         return Response(200, headers, stream=self._chunks(v, reader))
 
     async def _chunks(self, v: Viewing, reader: Reader) -> AsyncIterator[bytes]:
+        """Server-sent events of a reader, with a comment as keepalive every 10 seconds."""
         try:
             while True:
                 chunk = words.BEAT
