--- a/oakcroft/front/core.py
+++ b/oakcroft/front/core.py
@@ -138,9 +138,7 @@
             self.turns.pop(one.number).set()
 
     def sheds(self, path: str) -> bool:
-        """Whether a request for this path is to be rejected unread, because its plan's queue is as long as
-        can be served.
-        """
+        """Whether to reject a request for this path unread, because its plan's queue is too long."""
         if not self.line.waiting:
             return False
         plans = self.helm.site.table.plans.get(path[: path.rfind("/") + 1])
@@ -159,9 +157,7 @@
                              window=round(self.line.window.size), waiting=len(self.line.waiting))  # fmt: skip
 
     async def _turn(self, one: Waiting) -> bool:
-        """Waits for a request's turn; returns False where it can no longer be answered in time, or too many
-        wait.
-        """
+        """Waits for a request's turn; returns False where it cannot be answered in time, or too many wait."""
         if self.line.full:
             return False
         if self.line.enter(one):
--- a/oakcroft/front/hearing.py
+++ b/oakcroft/front/hearing.py
@@ -1,6 +1,4 @@
-"""Handles the event streams of playout nodes: what each event means for the sessions there, and the loss of a
-node.
-"""
+"""Handles the events of playout nodes: what each means for the sessions there, and the loss of a node."""
 
 from __future__ import annotations
 
@@ -22,9 +20,7 @@
         self.helm, self.moves, self.log = helm, moves, log
 
     def follow(self, leg: NodeLeg, events: str) -> None:
-        """Keeps the event stream of a node open from now on; `events_path` is empty where the node named
-        none.
-        """
+        """Keeps the event stream of a node open from now on; an empty `events_path` is ignored."""
         if events and leg.events != events:
             leg.events = events
         if leg.events:
--- a/oakcroft/front/serve.py
+++ b/oakcroft/front/serve.py
@@ -297,9 +297,7 @@
                 await self.reload()
 
     async def reload(self) -> Verdict | None:
-        """Reads and checks the configuration in a worker thread, then applies it; None where there is no
-        source.
-        """
+        """Reads the configuration in a worker thread, then applies it; None where there is no source."""
         if self.source is None or self.helm is None:
             return None
         self.reads += 1
--- a/oakcroft/front/viewers.py
+++ b/oakcroft/front/viewers.py
@@ -75,9 +75,7 @@
         self.busy = busy()
 
     def shed(self, data: bytes) -> bytes | None:
-        """Response to a complete unparsed request that is to be shed; None where it is to be parsed and
-        handled.
-        """
+        """Response to a complete unparsed request that is to be shed; None where it is to be handled."""
         target = data[5 : data.find(b" ", 5)].decode("latin-1").partition("?")[0]
         if not self.core.line.waiting or self._repeated(data):
             return None
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A front and a small fleet in one event loop, on loopback, for end-to-end tests."""
+"""A front end and a small fleet of stand-in nodes in one event loop, on loopback, for end-to-end tests."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]], seconds: float = 30) -> None:
-    """Runs an async test within a time."""
+    """Runs an async test with a timeout."""
 
     async def bounded() -> None:
         with trio.fail_after(seconds):
@@ -56,7 +56,7 @@
 
 
 async def until(true: Callable[[], object], seconds: float = 6) -> None:
-    """Waits for an event that the test has caused."""
+    """Waits until a condition holds that the test has caused."""
     with trio.fail_after(seconds):
         while not true():
             await trio.sleep(0.01)
@@ -64,7 +64,7 @@
 
 @dataclass
 class Rig:
-    """One front before a fleet."""
+    """One front end and its fleet."""
 
     port: int
     fleet: Fleet
@@ -76,22 +76,27 @@
     site: str
     front: Front | None = None
     ended: trio.Event = field(default_factory=trio.Event)
-    up: trio.Event = field(default_factory=trio.Event)  # `port` is that of the front that runs now
+    up: trio.Event = field(default_factory=trio.Event)  # set when `port` is that of the running front end
 
     def node(self, name: str) -> PlayoutNode:
+        """Node by name."""
         return self.fleet.nodes[name]
 
     def playing(self) -> list[PlayoutNode]:
+        """Nodes that have sessions."""
         return [n for n in self.fleet.nodes.values() if n.sessions]
 
     def facts(self, kind: str) -> list[dict[str, Any]]:
+        """Recorded facts of one kind, in order."""
         self.record.out.flush()
         return [f for f in read_record(self.folder / "fleet.jsonl") if f["kind"] == kind]
 
     def logged(self) -> list[dict[str, Any]]:
+        """Log entries of the front end so far."""
         return [orjson.loads(line) for line in self.log.getvalue().splitlines()]
 
     async def ask(self, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
+        """Sends one HTTP request on a connection of its own; header names have underscores for hyphens."""
         peer = Peer("127.0.0.1", self.port)
         fields = [(k.replace("_", "-"), v) for k, v in headers.items()]
         response = await peer.ask(method, path, fields, body)
@@ -99,6 +104,7 @@
         return response
 
     async def watch(self, path: str = "/whep/open/t", kbit: int = 20_000, **headers: str) -> Response:
+        """Requests a playback with an offer of the given bandwidth in kbit/s."""
         headers.setdefault("Content_Type", sdp.MEDIA_TYPE)
         return await self.ask("POST", path, offer(kbit, 1, path.startswith("/whip")).encode(), **headers)
 
@@ -108,7 +114,7 @@
         path: str = "/whep/open/t",
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> Response | None:
-        """A viewer with a key of its own, whose request and answer, or leaving, go on record."""
+        """Requests a playback with a key of its own, and records the request and its answer, or its leaving."""
         plan = path.split("/")[2]
         wait = self.fleet.day.site.plans[plan].abandon
         self.record.note("ask", key=key, plan=plan, front=0, wait=wait)
@@ -126,23 +132,24 @@
         return response
 
     def breaches(self) -> dict[int, list[str]]:
-        """What broke a rule, by what passed on the sockets."""
+        """Violations of the six rules, by rule, judged from what passed on the sockets."""
         self.record.out.flush()
         found = judge(read_record(self.folder / "fleet.jsonl"), self.fleet.day.site)
         assert [f.rule for f in found] == [1, 2, 3, 4, 5, 6]
         return {f.rule: f.breaches for f in found if f.breaches}
 
     def judged(self) -> None:
-        """All six rules held."""
+        """Asserts that all six rules held."""
         assert self.breaches() == {}
 
     def helm(self) -> Helm:
+        """Session coordinator of the front end that runs."""
         assert self.front is not None
         assert self.front.helm is not None
         return self.front.helm
 
     async def watch_quietly(self, path: str, headers: dict[str, Any]) -> None:
-        """A request whose front may die under it."""
+        """Requests a playback from a front end that may die meanwhile."""
         with suppress(Ended, OSError):
             await self.watch(path, **headers)
 
@@ -151,8 +158,11 @@
 async def standing(
     folder: Path, extra: str = "", fleet: str = "", state: bool = False, wings: bool = False
 ) -> AsyncIterator[Rig]:
-    """A front that serves and two warm nodes that it knows. `state`: it remembers over its own death. `wings`: the second
-    node stands in another wing than the front."""
+    """A front end that serves and two warm nodes that it knows.
+
+    `with_state`: it keeps a state file across restarts. `two_zones`: the second node is in another zone than
+    the front end.
+    """
     site = SITE.replace("EXTRA", extra).replace("(drain-grace 250ms)", f"(drain-grace 250ms) {fleet}")
     day = DAY.replace("n2 (wing west)", "n2 (wing east)") if wings else DAY
     site = site.replace("(wings west)", "(wings west east)") if wings else site
@@ -171,7 +181,7 @@
 
 
 async def remembers(rig: Rig) -> None:
-    """Until the front takes what must be on record."""
+    """Waits until the front end has recovered and stores promises."""
     await until(lambda: rig.front and rig.front.helm and rig.front.helm.memory
                 and rig.front.helm.memory.recovery.phase is Phase.SERVING)  # fmt: skip
 
@@ -180,7 +190,7 @@
     nursery: trio.Nursery, rig: Rig, list_port: int | None = None, port: int = 0, state: bool = False,
     opens: Callable[[str], StateFile] | None = None,
 ) -> None:  # fmt: skip
-    """Starts a front (again)."""
+    """Starts a front end, for the first time or again."""
     service = rig.fleet.list_port if list_port is None else list_port
     places = f'(listen "127.0.0.1:{port}") (list-service "127.0.0.1:{service}") (kept "{rig.folder}/kept")'
     if state:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,5 +1,8 @@
-"""Faults against stages: each cell that can happen, on real sockets. All six rules are judged at its end from what
-passed, and all that the playback held must be given back. docs/review-of-parts.md says why a cell cannot be."""
+"""Every combination of a fault and a stage that can occur, on real sockets.
+
+At the end of each, all six rules are judged from what passed on the sockets, and everything that the playback
+held must have been released. docs/review-of-parts.md says why a combination cannot occur.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 @dataclass
 class At:
-    """A playback that stands at a stage, and what holds it there."""
+    """A playback that is held at a stage."""
 
     rig: Rig
     nursery: trio.Nursery
@@ -50,7 +53,7 @@
     gate: Gate = field(default_factory=lambda: Gate())
 
     async def ask(self) -> None:
-        """The viewer's request."""
+        """Sends the viewer's request and waits for its answer."""
         try:
             with self.asked:
                 self.answer = await self.rig.viewer(self.key, self.path)
@@ -60,7 +63,7 @@
             self.here = self.answer.header("location") or ""
 
     def node(self) -> PlayoutNode:
-        """The node that has, or had, its set-up."""
+        """The node that its last set-up was sent to."""
         return self.rig.node(self.rig.facts("setup")[-1]["node"])
 
 
@@ -68,6 +71,7 @@
 
 
 async def taken(at: At) -> None:
+    """The request is accepted, but its event has not reached the coordinator."""
     helm, waits = at.rig.helm(), list[Callable[[], None]]()
     offered = helm.offer
     helm.offer = lambda event: not waits.append(event)  # type: ignore[method-assign,func-returns-value]
@@ -83,6 +87,7 @@
 
 
 async def waiting(at: At) -> None:
+    """The request waits in the fair queue."""
     core = at.rig.front.core if at.rig.front else None
     assert core is not None
     core.line.window.size = core.line.window.most = 0
@@ -92,6 +97,7 @@
 
 
 async def try_out(at: At) -> None:
+    """A setup try runs on a node that does not answer."""
     for node in at.rig.fleet.nodes.values():
         node.ails.hung = True
     at.nursery.start_soon(at.ask)
@@ -99,11 +105,12 @@
 
 
 async def answered(at: At) -> None:
-    """Its 201 is about to be written; `release` lets it go."""
+    """The 201 response is about to be written; `release` lets it go."""
     go, there, write = trio.Event(), trio.Event(), Connection._write
 
     async def held(self: Connection, response: Response) -> None:
-        names = (response.header("location") or "").startswith("/session/")  # of the front, not of a node
+        # Only a response of the front end names a session like this, not one of a node.
+        names = (response.header("location") or "").startswith("/session/")
         if names and response.unsent is not None and not there.is_set():
             there.set()
             await go.wait()
@@ -122,6 +129,7 @@
 
 
 async def plays(at: At) -> None:
+    """The session plays and its node's event stream is open."""
     await at.ask()
     assert at.answer is not None
     assert at.answer.status == 201
@@ -130,12 +138,15 @@
 
 
 class Gate:
-    """Holds the changes of rung that a node has read, while it is shut."""
+    """Holds the rung changes that a node has read, while it is shut."""
 
     def __init__(self) -> None:
+        """Creates an open gate."""
         self.shut, self.there, self.go, self.handle = False, trio.Event(), trio.Event(), PlayoutNode.handle
 
     def around(self) -> Callable[[PlayoutNode, Request], Awaitable[Response]]:
+        """A request handler of a node that waits while the gate is shut."""
+
         async def handle(node: PlayoutNode, request: Request) -> Response:
             if self.shut and request.path.endswith("/layer"):
                 self.there.set()
@@ -145,12 +156,13 @@
         return handle
 
     def open(self) -> None:
+        """Lets held rung changes go on."""
         self.shut = False
         self.go.set()
 
 
 async def stepping_down(at: At) -> None:
-    """A change of rung is out to the node, which holds it."""
+    """A rung change has been sent to the node, which holds it."""
     await plays(at)
     at.gate.shut, at.release = True, at.gate.open
     v = at.rig.helm().sessions[at.here.rpartition("/")[2]]
@@ -159,7 +171,7 @@
 
 
 async def moving(at: At) -> None:
-    """The target's set-up is out; the source plays."""
+    """The target's set-up runs while the source plays."""
     at.path = "/whep/open/t"
     at.player = player = await playing(at.rig, at.nursery)
     at.here = player.here
@@ -168,7 +180,7 @@
     target.ails.hung = True
 
     async def offer() -> None:
-        with suppress(Ended):  # its front may die
+        with suppress(Ended):  # the front end may die
             await player.offer()
 
     at.over.set()
@@ -177,13 +189,14 @@
 
 
 async def ended(at: At) -> None:
+    """The viewer has ended the session."""
     await plays(at)
     assert (await at.rig.ask("DELETE", at.here)).status == 200
     await until(lambda: not at.rig.helm().viewings)
 
 
 async def restarting(at: At) -> None:
-    """The front is away; `release` starts it again."""
+    """The front end is down; `release` starts it again."""
     await plays(at)
     await gone(at)
     at.release = lambda: at.nursery.start_soon(again, at)
@@ -199,7 +212,8 @@
 
 
 async def viewer_cut(at: At) -> None:
-    if at.over.is_set():  # a stream of events, half read, is what its connection carries by now
+    """The viewer's connection is reset."""
+    if at.over.is_set():  # its connection carries a partly read event stream by now
         stream = await trio.open_tcp_stream("127.0.0.1", at.rig.port)
         await stream.send_all(f"GET {at.here}/events HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         await stream.receive_some(64)
@@ -217,6 +231,7 @@
 
 
 async def repeated(at: At) -> None:
+    """The viewer repeats its request with the same key."""
     before = at.over.is_set()
     again = await at.rig.watch(at.path, Idempotency_Key=f'"{at.key}"')
     if not before and not at.here:
@@ -227,6 +242,8 @@
 
 
 async def late_calls(at: At) -> None:
+    """Requests on the session that come late, or with outdated entity tags."""
+
     async def patch(**headers: str) -> int:
         fragment = b"a=ice-ufrag:fresh001\r\na=ice-pwd:" + b"q" * 24 + b"\r\n"
         return (await at.rig.ask("PATCH", at.here, fragment, Content_Type=SDPFRAG, **headers)).status
@@ -242,23 +259,27 @@
 
 
 async def node_cut(at: At) -> None:
+    """All connections of the node are reset."""
     for stream in list(at.node().streams):
         reset(stream)
 
 
 async def node_silent(at: At) -> None:
+    """The node stops sending."""
     at.node().ails.silent = True
     leg = at.rig.helm().legs[at.node().name]
-    if at.over.is_set():  # else its answer is not held up for that
+    if at.over.is_set():  # otherwise the stream has not been opened
         await until(lambda: leg.lifeline.state is not Life.HEARD)
 
 
 async def node_dies(at: At) -> None:
+    """The node's process is killed and the node list says so."""
     at.node().kill()
     at.rig.fleet.publish()
 
 
 async def node_drains(at: At) -> None:
+    """The node starts to drain."""
     at.node().ails.draining = True
     at.rig.fleet.publish()
     if at.rig.front is not None and not at.rig.ended.is_set():
@@ -266,12 +287,14 @@
 
 
 async def stream_cut(at: At) -> None:
+    """The node closes its event streams."""
     for ear in at.node().ears.values():
         if ear.send is not None:
             ear.send.close()
 
 
 async def list_wrong(at: At) -> None:
+    """The node list service sends malformed and empty lists and then fails."""
     for trouble in ("list-broken", "list-empty", "list-down"):
         at.rig.fleet.list.trouble = trouble
         at.rig.fleet.publish()
@@ -280,25 +303,27 @@
 
 
 async def gone(at: At) -> None:
-    """The front is killed, as by a signal that asks nothing."""
+    """The front end is killed without any shutdown."""
     at.rig.record.note("front killed", front=0)
     at.rig.front_scope.cancel()
     await at.rig.ended.wait()
 
 
 async def again(at: At) -> None:
+    """The front end is started again and recovers."""
     await start_front(at.nursery, at.rig, state=True)
     await remembers(at.rig)
 
 
 async def front_killed(at: At) -> None:
+    """The front end is killed and restarted, and the viewer repeats its request."""
     await gone(at)
     await again(at)
     if at.player is not None:
         return
     repeat = await at.rig.watch(at.path, Idempotency_Key=f'"{at.key}"')
     if at.here and at.answer is not None:
-        # The same again; an abort where the end was on record, or the node's word has told of it.
+        # The same answer, or an abort where the end was stored or the node has reported it.
         assert repeat.status == 504 or (repeat.status, repeat.header("location")) == (201, at.here)
     elif at.rig.facts("setup"):
         assert repeat.status in (201, 504)
@@ -314,7 +339,7 @@
     (fault, stage)
     for fault in ("late calls", "node cut", "node silent", "node dies", "node drains", "stream cut")
     for stage in EARLY
-}  # nothing of it has reached a node, and no session has a name
+}  # nothing has reached a node, and no session has an id
 CANNOT |= {("late calls", "try out"), ("late calls", "front restarting"), ("key repeated", "front restarting"),
            ("viewer cut", "front restarting"), ("front killed", "front restarting"), ("viewer cut", "ended"),
            ("node cut", "front restarting"), ("node silent", "front restarting"),
@@ -326,7 +351,7 @@
 
 
 def left(rig: Rig, front: Front) -> dict[str, Any]:
-    """What is not given back."""
+    """Everything that has not been released, by name."""
     helm, core = front.helm, front.core
     assert helm is not None
     assert core is not None
@@ -348,7 +373,7 @@
 
 
 async def settled(at: At) -> None:
-    """The fault passes, the viewers end what plays, and everything is given back; the rules held all the way."""
+    """Ends the fault and all playbacks, waits until everything is released, and checks the rules."""
     rig = at.rig
     at.release()
     at.release = lambda: None
@@ -380,6 +405,8 @@
 
 @pytest.mark.parametrize(("fault", "stage"), CELLS, ids=[f"{f} while {s}" for f, s in CELLS])
 def test_fault(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fault: str, stage: str) -> None:
+    """One fault at one stage leaves nothing behind and violates no rule."""
+
     async def test() -> None:
         gate = Gate()
         monkeypatch.setattr(PlayoutNode, "handle", gate.around())
@@ -398,7 +425,10 @@
 
 
 def test_a_planted_breach_is_seen(tmp_path: Path) -> None:
-    """The check at the end of each cell can fail: a set-up of a paid key on the other node beside its first."""
+    """The check at the end of each combination can fail.
+
+    A paid key is set up on a second node, which violates rule 2.
+    """
 
     async def test() -> None:
         async with standing(tmp_path, state=True) as rig, trio.open_nursery() as nursery:
@@ -420,7 +450,7 @@
 
 
 async def cycle(rig: Rig, number: int) -> None:
-    """One round of faults, each on a playback of its own, until all of it is over."""
+    """One round of faults, each on a playback of its own, until all of them have ended."""
     assert rig.front is not None
     front, helm, nodes = rig.front, rig.helm(), list(rig.fleet.nodes.values())
     assert front.sessions is not None
@@ -471,9 +501,9 @@
 
 
 def stock(rig: Rig) -> dict[str, int]:
-    """What would grow if anything did: open files, tasks, and playbacks that anything but a remembered key holds."""
+    """What would grow in a leak: open files, tasks, and objects that only a remembered key may hold."""
     helm = rig.helm()
-    helm.repeats.known.clear()  # bounded by keep-keys, and by MOST_KEYS
+    helm.repeats.known.clear()  # bounded by keep-keys and MAX_IDEMPOTENCY_KEYS
     helm.repeats.loose.clear()
     gc.collect()
     kinds = [type(one) for one in gc.get_objects()]
@@ -485,8 +515,11 @@
 
 
 async def at_rest(rig: Rig) -> None:
-    """Until nothing is open but what stands for good: one event stream to each node, asked for anew since its old one was
-    reset. Guards the count of files against a moment between two streams, or an errand's connection that lies idle."""
+    """Waits until nothing is open except one event stream to each node, reopened after a reset.
+
+    Otherwise the count of files could include a moment between two streams, or an idle connection of a
+    request.
+    """
     nodes, legs = rig.fleet.nodes.values(), rig.helm().legs
     for node in nodes:
         for stream in list(node.streams):
@@ -509,6 +542,8 @@
 
 
 def test_many_cycles_of_faults_give_back_sockets_tasks_seats_and_memory(tmp_path: Path) -> None:
+    """Guards against leaks: after eight rounds of faults no count has grown since the second."""
+
     async def test() -> None:
         async with standing(tmp_path, state=True) as rig:
             await remembers(rig)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,6 @@
-"""The whole path on loopback: viewers over HTTP, every decision, nodes and back, with the failures it must survive."""
+"""End-to-end tests on loopback: viewers over HTTP, all decisions and the nodes, with the failures to be
+survived.
+"""
 
 from __future__ import annotations
 
@@ -27,6 +29,8 @@
 
 
 def test_a_playback_from_offer_to_farewell(tmp_path: Path) -> None:
+    """A session answers each request as RFC 9725 demands, from its offer to its end."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             sat = await rig.watch("/whep/course/intro")
@@ -55,6 +59,7 @@
 
 
 def test_what_cannot_be_served_gets_its_own_answer(tmp_path: Path) -> None:
+    """Each kind of invalid request gets its status and a problem document, and no secret is logged."""
     good, form = offer(900, 1).encode(), {"Content_Type": sdp.MEDIA_TYPE}
     bad_direction = offer(900, 1, publishes=True).encode()
 
@@ -98,6 +103,11 @@
 
 
 def test_a_paid_playback_that_may_run_unseen_is_aborted_and_never_sent_again(tmp_path: Path) -> None:
+    """Guards against a paid playback that is set up twice.
+
+    Both nodes hang, so the set-up may have run unknown to the front end; a repeat must not send it again.
+    """
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
@@ -114,12 +124,14 @@
             again = await rig.watch("/whep/course/t", Idempotency_Key='"k"')
             assert again.status == 504
             assert len(rig.facts("setup")) == 1
-            await until(lambda: not rig.playing(), 8)  # what ran unseen is found and ended
+            await until(lambda: not rig.playing(), 8)  # the set-up that ran is found as an orphan and ended
 
     run(test)
 
 
 def test_a_free_playback_goes_on_past_a_node_that_hangs(tmp_path: Path) -> None:
+    """A free playback is tried on another node while its first node hangs."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
@@ -144,14 +156,16 @@
 
 @pytest.mark.parametrize("how", ["dead", "full", "draining"])
 def test_a_paid_playback_goes_on_after_a_proof_that_nothing_ran(tmp_path: Path, how: str) -> None:
+    """A paid playback is tried on another node where the first one provably did not run it."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
-            first = await rig.watch("/whep/course/t")  # finds the node that the title goes to
+            first = await rig.watch("/whep/course/t")  # shows which node is chosen for the title
             chosen = rig.playing()[0]
             await rig.ask("DELETE", first.header("location") or "")
             await until(lambda: not rig.playing())
             if how == "dead":
-                chosen.kill()  # the list does not know yet
+                chosen.kill()  # the node list still has it
             elif how == "full":
                 chosen.machine.places = 0
             else:
@@ -165,6 +179,8 @@
 
 
 def test_the_viewer_hears_when_its_node_dies(tmp_path: Path) -> None:
+    """The viewer gets exactly the event that it asked for when its node dies, and the session is gone."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             sat = await rig.watch()
@@ -190,6 +206,8 @@
 
 
 def test_a_viewer_that_leaves_while_its_set_up_is_out_leaves_nothing_behind(tmp_path: Path) -> None:
+    """Guards against a session that nobody ends, where the viewer leaves during the set-up."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
@@ -206,6 +224,8 @@
 
 
 def test_layers_and_lowering_the_best_rung(tmp_path: Path) -> None:
+    """The rung follows the offer's bandwidth, and a layer request is checked against the plan."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             low = await rig.watch(kbit=1000)
@@ -220,6 +240,8 @@
 
 
 def test_a_title_has_one_publisher(tmp_path: Path) -> None:
+    """A second publisher of a title is rejected until the first one has ended."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             first = await rig.watch("/whip/open/live")
@@ -233,11 +255,13 @@
 
 
 def test_a_front_restarted_with_only_its_last_list_serves(tmp_path: Path) -> None:
+    """A restarted front end serves with the cached node list, and rejects a damaged one."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
             assert (await rig.watch("/whep/course/t")).status == 201
             await until(lambda: (tmp_path / "kept").exists())
-            rig.front_scope.cancel()  # killed: nothing is said to anybody
+            rig.front_scope.cancel()  # killed without any shutdown
             rig.log.truncate(0)
             rig.log.seek(0)
             await start_front(nursery, rig, list_port=1)
@@ -255,7 +279,10 @@
 
 
 def test_a_restarted_front_listens_once_it_knows_what_stands_now(tmp_path: Path) -> None:
-    """A node began to drain while the front was away; the list service is slow to say so."""
+    """Guards against set-ups to a node that began to drain while the front end was down.
+
+    The list service is slow to answer, so only the outdated cached list is known at first.
+    """
 
     async def test() -> None:
         async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
@@ -279,6 +306,8 @@
 
 
 def test_a_stopped_front_takes_nothing_new_and_ends_what_plays(tmp_path: Path) -> None:
+    """A stopping front end rejects new requests, still serves playing sessions, and ends them at last."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             sat = await rig.watch()
@@ -297,6 +326,8 @@
 
 
 def test_lists_that_cannot_be_right_change_nothing(tmp_path: Path) -> None:
+    """An empty or malformed node list is rejected and the one in force stays."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             for trouble, event in (("list-empty", "list refused"), ("list-broken", "list service failing")):
@@ -312,6 +343,7 @@
 
 
 async def dribble(rig: Rig, data: bytes, pause: float) -> bytes:
+    """Sends data in pieces of 8 bytes with a pause after each; returns what came back within 3 s."""
     stream = await trio.open_tcp_stream("127.0.0.1", rig.port)
     async with stream:
         got = b""
@@ -328,6 +360,7 @@
 
 
 def test_slow_half_sent_and_malformed_requests_cost_nobody_else_anything(tmp_path: Path) -> None:
+    """Slow, partial and malformed requests get their status while other viewers are served."""
     limits = "(door (head-within 300ms) (body-within 300ms) (idle 400ms) (head-bytes 4kB))"
 
     async def test() -> None:
@@ -339,11 +372,11 @@
 
             async with trio.open_nursery() as nursery:
                 head = b"POST /whep/open/t HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\n"
-                nursery.start_soon(slow, head, 0.2)  # a head that never ends in time
-                nursery.start_soon(slow, head + b"v=0", 0.0)  # a body half sent
+                nursery.start_soon(slow, head, 0.2)  # a head that is not complete in time
+                nursery.start_soon(slow, head + b"v=0", 0.0)  # an incomplete body
                 nursery.start_soon(slow, b"\x16\x03\x01 not http\r\n\r\n", 0.0)
                 nursery.start_soon(slow, b"GET / HTTP/1.1\r\nX: " + b"y" * 9000, 0.0)
-                nursery.start_soon(slow, b"", 0.0)  # nothing at all
+                nursery.start_soon(slow, b"", 0.0)  # no data
                 for _ in range(5):
                     assert (await rig.watch()).status == 201
             codes = sorted(a.split(b" ")[1] if a else b"-" for a in answers)
@@ -353,6 +386,12 @@
 
 
 def test_seats_of_a_silent_node_stay_taken_until_it_confirms_the_end(tmp_path: Path) -> None:
+    """Guards against more playbacks than seats.
+
+    Playbacks of a node that is silent may play on, so their seats stay taken until the node has confirmed
+    their end.
+    """
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             sat = [await rig.watch("/whep/seats/t") for _ in range(2)]
@@ -366,10 +405,10 @@
             await until(
                 lambda: rig.front is not None and rig.front.helm is not None and not rig.front.helm.sessions
             )
-            assert (await rig.ask("DELETE", here)).status == 404  # its viewer was told that it ended
+            assert (await rig.ask("DELETE", here)).status == 404  # the viewer has been told that it ended
             for node in rig.fleet.nodes.values():
                 node.ails.silent = False
-            assert (await rig.watch("/whep/seats/t")).status == 503  # both may play on there
+            assert (await rig.watch("/whep/seats/t")).status == 503  # both may still play on the silent node
             for node in rig.fleet.nodes.values():
                 node.stir()
             await until(lambda: not rig.playing(), 10)
@@ -388,6 +427,8 @@
 
 
 def test_a_front_that_stood_still_for_long_ends_nothing_when_it_wakes(tmp_path: Path) -> None:
+    """Guards against a pause of the process being taken for the silence of all nodes."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             for i in range(4):
@@ -409,6 +450,11 @@
 
 
 def test_a_session_that_begins_while_the_stream_opens_is_not_taken_as_lost(tmp_path: Path) -> None:
+    """Guards against ending a session that is newer than the node's hello event.
+
+    The event is written before the session starts and arrives after it.
+    """
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             helm = rig.front.helm if rig.front else None
@@ -416,7 +462,7 @@
             real, waiting = PlayoutNode.open_events, trio.Event()
 
             def early(self: PlayoutNode, front: str) -> Response:
-                response = real(self, front)  # the node's word is written now and arrives late
+                response = real(self, front)  # the hello event is written now and arrives late
                 chunks = response.stream
                 assert chunks is not None
 
@@ -441,6 +487,8 @@
 
 
 def test_a_pause_of_the_front_ends_no_session_whose_claim_lies_in_its_buffers(tmp_path: Path) -> None:
+    """Guards against taking a session for an orphan whose answer was not read because the process was paused."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             sat = await rig.watch()
@@ -452,7 +500,7 @@
             leg.claims.started("/sessions/unheard", now)
             for at in range(now, now + leg.claims.claim_within // 2, 20 * MS):
                 helm.awake(at)
-            woke = now + 2 * leg.claims.claim_within  # it stood still for the rest
+            woke = now + 2 * leg.claims.claim_within  # the process was paused for the rest
             helm.awake(woke)
             assert leg.claims.orphans(woke) == []
             assert leg.claims.orphans(woke + leg.claims.claim_within) == ["/sessions/unheard"]
@@ -462,12 +510,16 @@
 
 
 def test_what_began_on_a_new_process_is_not_lost_with_the_old_one(tmp_path: Path) -> None:
+    """A session that started on a node's new process survives the detected loss of the old process."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             helm = rig.front.helm if rig.front else None
             assert helm is not None
             for leg in helm.legs.values():
-                leg.lifeline.process = "the one before"  # it went in silence, and a new one takes set-ups
+                leg.lifeline.process = (
+                    "the one before"  # it ended unnoticed, and a new process accepts set-ups
+                )
             sat = await rig.watch()
             assert sat.status == 201
             await until(lambda: any(leg.lifeline.process.startswith("n") for leg in helm.legs.values()))
@@ -479,6 +531,8 @@
 
 
 def test_requests_past_the_line_are_turned_away_unread_on_a_connection_that_lives_on(tmp_path: Path) -> None:
+    """Requests over the queue limit are rejected unread, and their connection stays usable."""
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             assert rig.front is not None
@@ -486,7 +540,9 @@
             line, peer = rig.front.core.line, Peer("127.0.0.1", rig.port)
             form, body = [("Content-Type", sdp.MEDIA_TYPE)], offer(900, 1).encode()
             assert (await peer.ask("POST", "/whep/open/t", form, body)).status == 201
-            line.window.size = line.window.most = 0  # no turns: four of a plan wait, and no more
+            line.window.size = line.window.most = (
+                0  # nothing is started: four requests of a plan wait, and no more
+            )
             async with trio.open_nursery() as nursery:
                 for _ in range(4):
                     nursery.start_soon(rig.watch)
@@ -507,6 +563,10 @@
 
 
 def test_events_that_wait_are_handled_together_not_one_a_round(tmp_path: Path) -> None:
+    """Guards against handling one queued event per round of the event loop, which would fall behind under
+    load.
+    """
+
     async def test() -> None:
         async with standing(tmp_path) as rig:
             assert rig.front is not None
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -1,4 +1,4 @@
-"""What parses bytes from outside: strict, with a clear fault, and never anything but that fault."""
+"""Parsers of data from outside: strict, with an error that names the place, and never another exception."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
     ],
 )
 def test_a_broken_description_is_told_by_line(change: tuple[str, str], why: str) -> None:
+    """A malformed session description is rejected with the reason."""
     with pytest.raises(sdp.SdpFault, match=why):
         sdp.parse(OFFER.replace(*change))
 
@@ -48,12 +49,14 @@
     ],
 )
 def test_an_offer_is_checked_for_what_whep_demands(change: tuple[str, str], why: str) -> None:
+    """An offer that WHEP does not allow is rejected with the reason."""
     sdp.check_offer(sdp.parse(OFFER), False)
     with pytest.raises(sdp.SdpFault, match=why):
         sdp.check_offer(sdp.parse(OFFER.replace(*change)), False)
 
 
 def test_an_answer_is_a_description_in_the_other_direction() -> None:
+    """A generated answer parses and has the opposite direction of its offer."""
     for publishes in (False, True):
         asked = sdp.parse(offer(800, 7, publishes))
         sdp.check_offer(asked, publishes)
@@ -62,12 +65,14 @@
 
 
 def test_bandwidth_is_the_sessions_or_the_sum_of_its_media() -> None:
+    """The bandwidth is that of the session, or the sum of its media sections."""
     assert sdp.bandwidth(sdp.parse(OFFER)) == (800, None)
     parts = OFFER.replace("b=AS:800\r\n", "").replace("c=IN IP4 0.0.0.0", "c=IN IP4 0.0.0.0\r\nb=TIAS:5000")
     assert sdp.bandwidth(sdp.parse(parts)) == (None, 10_000)
 
 
 def test_headers_are_read_by_their_texts() -> None:
+    """Link, Idempotency-Key and Accept headers are parsed as their specifications say."""
     value = '<a>; rel="x y"; q=1, <b,c>;rel=z , <d>'
     assert words.links([value]) == {"x": "a", "y": "a", "z": "b,c"}
     made = words.link("/s", words.REL_EVENTS, events="a,b")
@@ -80,6 +85,7 @@
 
 
 def test_load_reports_in_both_forms_and_nothing_from_others() -> None:
+    """Load reports are read in both encodings; anything else gives an empty report."""
     load = words.Load(1.25, 1.0, 0.5)
     assert words.read_load(words.load_report(load)) == load
     assert words.read_load('JSON {"named_metrics": {"link_asked": 0.5}}') == words.Load(0.5)
@@ -89,6 +95,7 @@
 
 
 def test_event_streams_come_in_any_pieces() -> None:
+    """Server-sent events are parsed whatever the sizes of the chunks."""
     data = words.event("share", {"share": 0.5}) + words.BEAT + b"data: 1\r\ndata: 2\r\n\r\n"
     for size in (1, 2, 7, 100):
         reader, got = words.EventReader(), list[tuple[str, bytes]]()
@@ -102,6 +109,7 @@
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.data())
 def test_mutated_offers_give_a_description_or_the_parsers_fault(data: st.DataObject) -> None:
+    """Mutated offers parse or raise SdpFault, and no other exception."""
     raw = bytearray(OFFER.encode())
     for _ in range(data.draw(st.integers(1, 6))):
         at = data.draw(st.integers(0, len(raw) - 1))
@@ -118,6 +126,7 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=200), st.text(max_size=80))
 def test_no_bytes_from_outside_raise_anything_unexpected(raw: bytes, text: str) -> None:
+    """Arbitrary bytes raise only the error that each parser declares."""
     for parser, fault in ((sdp.parse, sdp.SdpFault), (sdp.parse_fragment, sdp.SdpFault)):
         with contextlib.suppress(fault):
             parser(text)
@@ -145,6 +154,7 @@
 
 
 def test_a_discovery_response_is_read_or_refused_with_its_place() -> None:
+    """A discovery response is parsed, or rejected with the place of the error."""
     lines, version, service = parse(orjson.dumps(LIST))
     assert (lines[0].name, lines[0].zone, lines[0].listing.value, version, service) == (
         "n",
