--- a/oakcroft/front/__init__.py
+++ b/oakcroft/front/__init__.py
@@ -1,1 +1,1 @@
-"""The running front: viewers on one side, playout nodes on the other, the module between."""
+"""The running front end: it connects viewers, the decision policy and playout nodes."""
