--- a/oakcroft/front/adopting.py
+++ b/oakcroft/front/adopting.py
@@ -1,8 +1,9 @@
-"""Takes over playbacks of fronts that will not come back. What is decided stands in decisions/fleet/adopting.py and, for
-the node, holding.py; docs/adopting.md has the design.
+"""Takes over the sessions of failed front ends.
 
-An errand to a node: listen there; ask what it has of the dead; take on what has a place here, so that seats and loads
-count before anything is owed; take it at the node; let go of what the node gave to another.
+The decisions are in decisions/fleet/session_takeover.py and, for the node, session_ownership.py; docs/adopting.md has
+the design. One request to a node: opens its event stream; lists its sessions of failed front ends; restores those that
+can be served here, so that seats and loads are counted before the front end is responsible for them; takes them over at
+the node; drops those that the node gave to another front end.
 """
 
 from __future__ import annotations
@@ -30,38 +31,39 @@
 
 LOOK = 50 * MS
 WORDS = {w.value: w for w in Word}
-MOST_PAGES = 64  # of one node in one errand; what is over comes in the second round
+MOST_PAGES = 64  # of one node's list in one request; the second round asks for the rest
 
 
 class Adopting:
-    """One front's taking over."""
+    """Runs session takeover on one front end."""
 
     def __init__(
         self, helm: Helm, view: Membership, bounds: Bounds, published: Callable[[Viewing], None],
         takes_new: Callable[[], bool], log: structlog.typing.FilteringBoundLogger,
     ) -> None:  # fmt: skip
+        """`on_published` is called with each adopted session that publishes."""
         self.helm, self.view, self.bounds, self.published, self.log = helm, view, bounds, published, log
-        self.takes_new = takes_new  # a front that leaves would end at once what it took over
+        self.takes_new = takes_new  # a front end that is leaving would at once end what it took over
         self.course = Course(view.me.name, bounds)
-        self.held: dict[str, Viewing] = {}  # adopted, by the session's id
+        self.held: dict[str, Viewing] = {}  # adopted sessions by id
         self.adopted, self.passed = Counter[str](), 0
         self.left = Counter[str]()
         helm.told_passed = self.gave
 
     def gave(self, playbacks: int) -> None:
-        """Nodes have told that so many of this front's playbacks have passed on to others."""
+        """Counts sessions of this front end that nodes report as taken over by others."""
         self.passed += playbacks
 
     def sees(self) -> None:
-        """The view has changed."""
+        """Applies a change of the fleet's membership."""
         gone = [n for n, m in self.view.members.items() if m.latest.state is MemberState.FAILED]
         present = [self.view.me.name] if self.view.displaced else self.view.present()
         for dead in self.course.sees(() if self.view.displaced else gone, present, self.helm.clock.now()):
             self.log.info("adoption over", of=dead.name, why="it is back, or forgotten", taken=dead.taken)
 
     async def run(self) -> None:
-        """Looks after it until it is cancelled."""
-        if self.helm.memory is None:  # a front with a file knows by that what it held
+        """Sends due takeover requests until cancelled."""
+        if self.helm.memory is None:  # a front end with a state file restores its own sessions from that
             self.course.earlier_life(self.helm.clock.now())
         while True:
             now = self.helm.clock.now()
@@ -84,7 +86,7 @@
                 for _ in range(MOST_PAGES):
                     listing = await leg.offered(errand.names, after)
                     if listing is None:
-                        told = None  # not all was seen: it is asked again
+                        told = None  # the list is incomplete: the node is asked again
                         break
                     told = {n: WORDS.get(w, Word.SOON) for n, w in listing.fronts.items()}
                     mine = [s for s in listing.sessions if errand.shares(s.front, s.session)]
@@ -97,7 +99,7 @@
             self.course.asked(errand, told, self.helm.clock.now())
 
     async def _take(self, leg: NodeLeg, offered: list[handing.Offered]) -> None:
-        """Takes what has a place here."""
+        """Takes over the offered sessions that can be served here."""
         chosen: dict[str, tuple[handing.Offered, Viewing]] = {}
         done = trio.Event()
 
@@ -123,7 +125,7 @@
                 await self.helm.tell(partial(self._given, leg, chosen, given))
 
     def _prune(self) -> None:
-        """Forgets those that have ended."""
+        """Drops adopted sessions that have ended."""
         self.held = {id_: v for id_, v in self.held.items() if v.pb in self.helm.viewings}
 
     def _leaves(self, of: str, why: Why) -> None:
@@ -132,7 +134,10 @@
             dead.left[why.value] += 1
 
     def _fits(self, leg: NodeLeg, one: handing.Offered) -> tuple[Why, Viewing | None]:
-        """Takes a playback on with the module where it has a place, seats first (rule 5); else why it is left."""
+        """Restores an offered session as a playback of the decision module, if it can be served here.
+
+        Returns why it is declined otherwise. Its seat is checked before the playback is counted (rule 5).
+        """
         helm, memo = self.helm, handing.read_memo(one.memo)
         if memo is None or not words.is_path(memo.path) or not words.is_path(one.session):
             return Why.UNREADABLE, None
@@ -165,7 +170,10 @@
     def _given(
         self, leg: NodeLeg, chosen: dict[str, tuple[handing.Offered, Viewing]], given: set[str] | None
     ) -> None:
-        """The node has given these; where its answer was lost, the beginning of its stream tells which."""
+        """Keeps the sessions that the node has given and ends the others.
+
+        `given` is None if the node's answer was lost; its event stream is then reopened, whose start lists the sessions.
+        """
         helm = self.helm
         for session, (one, v) in chosen.items():
             if v.pb not in helm.viewings or v.pb.state is not State.PLAYING:
@@ -179,7 +187,7 @@
                 helm, v, leg,
                 Upstream(leg.name, one.session, f"/events/{helm.me}", layer, one.tag, one.answer),
             )  # fmt: skip
-            # A key that this front answered with an abort, as nodes told of it while its own file was lost, stays so.
+            # A key that was aborted because nodes told of it while the state file was lost stays aborted.
             if helm.memory is None or not helm.memory.learnt(v.key):
                 paid = v.plan.plan.effect is not Effect.FREE
                 helm.repeats.recall(v.key, v.about, paid, Final.PLAYS, v, helm.clock.now())
@@ -198,7 +206,7 @@
             self.log.info("adopted", node=leg.name, taken=len(given), asked=len(chosen), held=len(self.held))
 
     def status(self) -> dict[str, object]:
-        """For operators."""
+        """Counts and failed front ends, for operators."""
         course = self.course
         self._prune()
         return {
--- a/oakcroft/front/catalogues.py
+++ b/oakcroft/front/catalogues.py
@@ -1,6 +1,9 @@
-"""Owns the catalogue of one front: reads what is offered beside the event loop, takes it between two events, keeps its
-versions in the state file, and carries out the steps down that a change asks for. What is decided stands in
-`oakcroft/decisions/routing/catalogue.py`."""
+"""The active catalogue of one front end and its versions.
+
+A submitted catalogue is parsed in a worker thread, evaluated and activated between two events of the coordinator, and
+kept as a version in the state file. Playbacks that the new version allows only lower rungs are stepped down in batches.
+The decisions are in `oakcroft/decisions/routing/catalogue.py`.
+"""
 
 from __future__ import annotations
 
@@ -33,24 +36,25 @@
 
 
 class Catalogues:
-    """The catalogue in force on one front and its history."""
+    """The active catalogue of one front end and its version history."""
 
     def __init__(self, helm: Helm, log: structlog.typing.FilteringBoundLogger) -> None:
+        """Starts with no versions; `restore` loads the stored ones."""
         self.helm, self.log = helm, log
         self.history, self.steps = History(), Steps()
         self.texts: dict[int, str] = {}
-        self.turn = trio.Lock()  # one text is read at a time; a second waits
+        self.turn = trio.Lock()  # one change is parsed and evaluated at a time
         self.wake = trio.Event()
 
     @property
     def text(self) -> str:
-        """What is in force, as text."""
+        """The text of the active catalogue."""
         return self.texts.get(self.helm.catalogue.number, write((), True))
 
-    # At the start.
+    # Startup.
 
     def begin(self, held: Held | None) -> None:
-        """The last version that was taken in an earlier life is in force again, before any request is taken."""
+        """Activates the last stored version, before any request is accepted, and drops versions over the limit."""
         versions = [v for v in held.versions if v.kind == KIND] if held is not None else []
         for v in versions[-self.history.most :]:
             self.history.take(Kept(v.number, v.digest, v.taken, v.why))
@@ -71,19 +75,23 @@
     async def replace(
         self, text: str, made_from: str | None, force: bool, why: str, share: float = 1.0
     ) -> T_OFFER:
-        """A whole catalogue is offered. Unsound where its text has faults."""
+        """Submits a whole catalogue. Raises the parser's error if the text is invalid.
+
+        `base_digest`: the version that the text was made from, None for any; `force` accepts a change that would
+        otherwise be refused; `share`: the share of the front ends that activate it.
+        """
         return await self._offer(partial(read, text), made_from, force, why, share)
 
     async def change(
         self, text: str, made_from: str | None, force: bool, why: str, share: float = 1.0
     ) -> T_OFFER:
-        """A change of the catalogue in force is offered. Unsound where its text has faults."""
+        """Submits a change to the active catalogue, with arguments as for `replace`."""
         base = self.helm.catalogue
         said = Said(dict(base.titles), base.others)
         return await self._offer(partial(apply, text, said), made_from or base.digest, force, why, share)
 
     async def roll_back(self, number: int, made_from: str | None, force: bool) -> T_OFFER | None:
-        """An earlier version is offered as a new one; None where it is not known any more."""
+        """Submits an earlier version as a new one; None if that version is no longer kept."""
         if self.history.find(number) is None or number not in self.texts:
             return None
         return await self._offer(
@@ -117,7 +125,7 @@
         self, base: Catalogue, new: Catalogue, names: list[str], text: str, made_from: str | None, force: bool, why: str,
         share: float,
     ) -> T_OFFER:  # fmt: skip
-        """Taken here and now, between two events, or refused whole."""
+        """Evaluates a change and activates it as a whole, or refuses it; runs as one event of the coordinator."""
         helm, terms = self.helm, self.helm.site.terms
         lines = helm.roster.lines.values()
         ready = frozenset(x.name for x in lines if x.listing is Listing.READY)
@@ -157,9 +165,9 @@
         return verdict, []
 
     def _goes_on(self, v: Viewing, new: Catalogue) -> Course:
-        """Bounds what may become of a playback under the new version."""
+        """Applies the new version's rung limit to a playback; queues it if it must step down."""
         rungs, item = len(self.helm.site.terms.rates), new.titles.get(v.pb.title.name)
-        if v.pb.state is not State.PLAYING:  # its next try, if there is one, is of the new version
+        if v.pb.state is not State.PLAYING:  # its next try, if any, uses the new version
             if item is not None:
                 v.pb.top = max(v.pb.plan.floor, min(v.asked_top, item.top(rungs)))
             return Course.STAYS
@@ -170,7 +178,7 @@
         return what
 
     async def run(self) -> None:
-        """Steps playbacks down as their turn comes."""
+        """Steps queued playbacks down in batches until cancelled."""
         while True:
             await self.wake.wait()
             self.wake = trio.Event()
@@ -185,5 +193,5 @@
             v = self.helm.sessions.get(id_)
             if (
                 v is not None and v.pb.rung > v.pb.top
-            ):  # as it is bounded now: a later version may have more again
+            ):  # compared with the current limit: a later version may have raised it again
                 self.helm.bounded(v, v.pb.top)
--- a/oakcroft/front/memory.py
+++ b/oakcroft/front/memory.py
@@ -1,5 +1,8 @@
-"""What one front remembers over its own death: keeps promises on record as they are made, and at the start takes on what
-its earlier life has left. What is decided stands in `decisions/`: remembered, durable, recovery."""
+"""The state of one front end that survives a restart.
+
+Records promises (setup intents and playing sessions) in the state file as they are made, and restores them at startup.
+The decisions are in `decisions/state/`: remembered, durable, recovery.
+"""
 
 from __future__ import annotations
 
@@ -37,24 +40,27 @@
 from oakcroft.store.writer import WHOLE, Store
 
 
-GRUDGE = 0.1  # distrust under this is not worth keeping
-SEAT_KEEP = 15 * SECOND  # as a seat is kept while its client is away
-LATELY = 60 * SECOND  # nor a failure longer ago
+GRUDGE = 0.1  # lower failure scores are not stored
+SEAT_KEEP = 15 * SECOND  # the same time as a client session waits for its client to reconnect
+LATELY = 60 * SECOND  # older failures are not stored
 
 
 class Memory:
-    """The record of one front."""
+    """The promises of one front end, recorded in its state file, and their restore after a restart."""
 
     def __init__(self, store: Store, helm: Steering, log: structlog.typing.FilteringBoundLogger) -> None:
+        """Connects to the store of the state file; `restore` loads what the file holds."""
         self.store, self.helm, self.log = store, helm, log
         self.promises: dict[str, Promise] = {}  # by the session's id
-        self.adopted: set[str] = set()  # recalled playbacks that no node's word has confirmed yet
-        self.held: dict[str, Viewing] = {}  # recalled intents of unknown outcome, by the session's id
+        self.adopted: set[str] = set()  # ids of restored sessions that no node has confirmed yet
+        self.held: dict[str, Viewing] = {}  # restored intents of unknown outcome, by the session's id
         self.seat_keep = SEAT_KEEP
         self.unclaimed: dict[
             str, int
-        ] = {}  # recalled playbacks of seats, and until when a client may ask for them
-        self.asked: dict[str, int] = {}  # when a held intent's node is asked again
+        ] = {}  # ids of restored sessions of API clients, with the time until which a client may claim them
+        self.asked: dict[
+            str, int
+        ] = {}  # when the node of an uncertain intent is asked again, by the session's id
         self.kept: dict[str, Grudge] = {}
         self.recovery = Recovery(store.keep, helm.clock.now())
         self.alive_at = 0
@@ -62,14 +68,17 @@
         store.whole = lambda: Whole(tuple(self.promises.values()), self.list)
         store.found = partial(self._take_on, late=True)
 
-    # While the front serves.
+    # During service.
 
     def refusal(self, v: Viewing) -> answers.Reply | None:
-        """What a request gets that must be on record while nothing can be, or whose key an earlier life is known to have
-        promised; None where it may be begun."""
+        """The reply to a request that may not begin; None if it may.
+
+        A request whose intent must be recorded is rejected while nothing can be recorded, and aborted if nodes have told
+        that its key was promised before the state file was lost.
+        """
         if not waits_for_record(v.pb.plan):
             return None
-        # While its own file can't be read yet, a key that nodes have told of may stand there as playing: it would be
+        # While the state file cannot be read yet, it may hold a key learned from nodes as playing: the key would be
         # answered "aborted" now and "plays" later.
         if v.key in self.recovery.learnt and self.store.read:
             return answers.aborted(v.pb.plan.effect)
@@ -81,14 +90,14 @@
         )
 
     def learnt(self, key: str) -> bool:
-        """Whether nodes have told of a key of an earlier life that this front has forgotten."""
+        """Whether nodes have told of this key, promised before this front end lost its state file."""
         return key in self.recovery.learnt
 
     async def before_try(self, v: Viewing, node: str, rung: int, until: int) -> bool:
-        """Puts the intent of a set-up on record before it leaves; False where that did not succeed in time."""
+        """Records the intent of a set-up before it is sent; False if that did not succeed by `deadline`."""
         if not waits_for_record(v.pb.plan):
             return True
-        if v.final is not None:  # its time was up in this very moment: nothing leaves any more
+        if v.final is not None:  # its abandon time has just passed: no set-up is sent any more
             return False
         before, promise = self.promises.get(v.id), self._promise(v, node, rung)
         self.promises[v.id] = step(before, promise)
@@ -99,7 +108,7 @@
         return False
 
     def put(self, promise: Promise) -> None:
-        """A promise has changed; written soon."""
+        """Stores a changed promise without waiting for the write."""
         before = self.promises.get(promise.id)
         if before is None and promise.mark is Mark.GONE:
             return
@@ -113,14 +122,14 @@
         self.store.note(Put(promise))
 
     def tried(self, v: Viewing, outcome: Outcome) -> None:
-        """A setup try of a viewing has ended without a session."""
+        """A setup try of a session has ended without success."""
         if (promise := self.promises.get(v.id)) is not None:
             after = after_try(promise, outcome, self.helm.clock.now())
             if after is not promise:
                 self.put(after)
 
     def playing(self, v: Viewing) -> Promise | None:
-        """What is to be on record of a viewing that plays, whether for the first time or on another node."""
+        """The promise to record for a playing session, whether newly set up or moved to another node."""
         if v.upstream is None or v.pb.node is None:
             return None
         u, promise = v.upstream, self._promise(v, v.upstream.node, v.pb.rung)
@@ -130,7 +139,7 @@
         )  # fmt: skip
 
     def _promise(self, v: Viewing, node: str, rung: int) -> Promise:
-        """An intent to set a viewing up on a node, now."""
+        """The promise for an intent to set a session up on a node, now."""
         now, leg = self.helm.clock.now(), self.helm.legs.get(node)
         return Promise(
             v.id, v.key, v.about, v.path, v.pb.title.name, v.plan.name, v.pb.plan.effect.value, v.pb.plan.seats > 0,
@@ -139,20 +148,22 @@
         )  # fmt: skip
 
     def waits(self, v: Viewing) -> bool:
-        """Whether the answer that a viewing plays must be on record before it is given: or its key would be answered
-        otherwise after a restart."""
+        """Whether the answer that a session plays must be recorded before it is given.
+
+        Otherwise its key could be answered differently after a restart.
+        """
         return waits_for_record(v.pb.plan) and v.beside is None
 
     async def record(self, v: Viewing) -> bool:
-        """Puts on record that a viewing plays; False where that did not succeed in time."""
+        """Records that a session plays; False if that did not succeed in time."""
         promise = self.playing(v)
-        if promise is None or v.final is not None:  # it was answered that it may have run, and that stands
+        if promise is None or v.final is not None:  # already answered "may have run", which is final
             return False
         self.promises[v.id] = step(self.promises.get(v.id), promise)
         return await self.store.durable(Put(promise))
 
     def answered(self, v: Viewing, final: Final) -> None:
-        """The one answer of a viewing is given."""
+        """Records the final answer of a session."""
         if v.beside is not None:
             return
         if final is Final.PLAYS:
@@ -165,40 +176,47 @@
             self.put(after_answer(before, final, self.helm.clock.now()))
 
     def moved(self, v: Viewing) -> None:
-        """A viewing plays on another node than before."""
+        """Records that a session plays on another node than before."""
         promise = self.playing(v)
         if promise is not None and v.id in self.promises:
             self.put(promise)
 
     def over(self, v: Viewing) -> None:
-        """A viewing's session has ended. The key of a plan that binds stays on record for as long as a viewer may come
-        with it again: after a restart it aborts, where it would be set up a second time."""
+        """Records that a session has ended.
+
+        If the session must not repeat, its key is kept for as long as a viewer may repeat the request: after a restart
+        the request is then aborted instead of being set up a second time.
+        """
         promise = self.promises.get(v.id)
         if v.final is Final.PLAYS and promise is not None and promise.mark is Mark.PLAYS:
             mark = Mark.ABORTED if promise.binds else Mark.GONE
             self.put(replace(promise, mark=mark, answer="", changed=self.helm.clock.now()))
 
     def move_begins(self, v: Viewing, copy: Viewing) -> None:
-        """A copy of a viewing may be set up from now on."""
+        """Records that a move may set up a copy of a session from now on."""
         self.store.note(Move(v.id, copy.key, self.helm.clock.now()))
 
     def move_over(self, v: Viewing) -> None:
-        """The move of a viewing is over."""
+        """Records that the move of a session has ended."""
         self.store.note(Move(v.id, "", 0))
 
     def listed(self, lines: Iterable[Line], version: int, service: str) -> None:
-        """The list of nodes has changed."""
+        """Stores a changed node list."""
         self.list = Told(tuple(lines), version, service, self.helm.clock.now())
         self.store.note(self.list)
 
     def sent(self, node: Node) -> None:
-        """A set-up goes to a node: while it may be cold, what it takes of the running slot is kept."""
+        """Stores how much of its cold slot a node has used, while the node may be cold."""
         now = self.helm.clock.now()
         if now - max(node.started_at, node.failed_at) < self.helm.site.terms.cold_for:
             self.store.note(Spent(node.name, node.started_at, node.slot, node.slot_used, now))
 
     def look(self) -> None:
-        """Now and then: keeps what is held against nodes, asks for words that can prove something by now, and forgets."""
+        """Runs periodic work.
+
+        Stores changed failure scores of nodes, asks nodes again that can now prove what became of uncertain intents, and
+        ends restored sessions that no client has claimed.
+        """
         now = self.helm.clock.now()
         if now - self.alive_at >= SECOND:
             self.alive_at = now
@@ -221,7 +239,7 @@
                 for i, p in self.promises.items()
                 if p.mark is Mark.ABORTED and now - p.changed > self.store.keep
             ]:
-                del self.promises[id_]  # the file drops it by itself
+                del self.promises[id_]  # the store expires its copy on its own
         for id_, at in list(self.asked.items()):
             if now >= at and id_ in self.held:
                 del self.asked[id_]
@@ -236,10 +254,10 @@
         if self.recovery.phase is Phase.FORGETFUL and self.recovery.look(now) is Phase.SERVING:
             self._whole_again()
 
-    # At the start.
+    # Startup.
 
     def begin(self, held: Held | None) -> None:
-        """Takes on what the file holds; without it, asks the nodes what this front has promised."""
+        """Restores what the state file holds; if it was lost, asks the nodes what this front end has promised."""
         now = self.helm.clock.now()
         if held is not None:
             self._take_on(held)
@@ -259,14 +277,17 @@
                 self.helm.follow_events(leg, f"/events/{self.helm.me}")
 
     def list_came(self, lines: Iterable[Line]) -> None:
-        """The first list after the start may name nodes that have not been asked."""
+        """Asks the nodes that the first node list after startup adds, if the state file was lost."""
         if self.recovery.phase is Phase.FORGETFUL or not self.recovery.listed:
             self.recovery.list_came([x.name for x in lines])
             if self.recovery.phase is Phase.FORGETFUL:
                 self._ask_all()
 
     def _take_on(self, held: Held, late: bool = False) -> None:
-        """Adopts, holds, remembers or ends each promise of an earlier life."""
+        """Restores the promises of the previous run: resumes, holds, remembers or ends each.
+
+        `late`: the file became readable during service; promises whose keys are known by then are skipped.
+        """
         helm, now = self.helm, self.helm.clock.now()
         counts: dict[str, int] = {}
         copies = {m.copy for m in held.moves}
@@ -307,7 +328,10 @@
                       late=late, spent=len(spent), **counts)  # fmt: skip
 
     def _recall(self, promise: Promise, what: Fate, now: int) -> bool:
-        """Takes a promise on as a playback of the module, which then counts its seat and its load."""
+        """Restores a promise as a playback of the decision module, which then counts its seat and load.
+
+        False if its node is gone or its title or plan is not served.
+        """
         helm = self.helm
         node, leg, v = (
             helm.roster.nodes.get(promise.node),
@@ -338,7 +362,7 @@
         return True
 
     def _remember(self, promise: Promise, now: int) -> None:
-        """The key of a promise that may have run is answered with an abort."""
+        """Makes repeated requests with the key of a promise that may have run abort."""
         v = viewing(self.helm, promise)
         plan = self.helm.site.plans.get(promise.plan)
         if v is None or plan is None:
@@ -351,10 +375,10 @@
         if leg is not None and promise.resource:
             self.helm.nursery.start_soon(leg.farewell, promise.resource)
 
-    # Nodes' words.
+    # Reports from nodes.
 
     def word(self, leg: NodeLeg, hello: Hello, asked_at: int) -> None:
-        """A node has told which sessions of this front it runs, and which keys it ran."""
+        """Handles a node's report of this front end's sessions that it runs and the keys that it has run."""
         now = self.helm.clock.now()
         running = dict(zip(hello.sessions, hello.keys, strict=False))
         for playing in hello.sessions:
@@ -395,19 +419,22 @@
             self._whole_again()
 
     def claimed(self, v: Viewing) -> None:
-        """A client has asked for a recalled playback again."""
+        """A client has requested a restored session again."""
         self.unclaimed.pop(v.id, None)
 
     def ended_away(self, v: Viewing) -> bool:
-        """Whether a playback ended while no front was there to hear it, which says nothing against its node: a thousand
-        of them, counted as resets, would keep a good node out for most of a minute."""
+        """Whether a session ended while this front end was not running.
+
+        Such an end is not the node's fault: a thousand of them, counted as resets, would exclude a healthy node for most
+        of a minute.
+        """
         if v.id not in self.adopted:
             return False
         self.adopted.discard(v.id)
         return True
 
     def _whole_again(self) -> None:
-        """The file knows everything from now on, together with the keys that nodes have told."""
+        """Records that the state file is complete again, together with the keys learned from nodes."""
         learnt = msgspec.msgpack.encode((self.helm.clock.now(), sorted(self.recovery.learnt)))
         self.store.note(Fact("learnt", learnt))
         self.store.note(Fact(WHOLE, b"1"))
@@ -418,7 +445,7 @@
         await self.helm.tell(partial(self.helm.release, v))
 
     def node_lost(self, name: str, proven: bool) -> None:
-        """A node's process is gone, or it has long been silent: what ran there is over, what may have run stays so."""
+        """Handles a lost node: if the loss is proven, resolves its uncertain intents as having run."""
         if not proven:
             return
         for id_, v in list(self.held.items()):
--- a/oakcroft/front/operators.py
+++ b/oakcroft/front/operators.py
@@ -1,5 +1,8 @@
-"""The operators' interface over HTTP: the catalogue, its versions, and how the front stands. Every request needs the
-operators' bearer token (RFC 6750); a change names the version that it was made from by If-Match (RFC 9110 13.1.1)."""
+"""The operators' HTTP interface: the catalogue and its versions, service levels, the fleet and the front end's status.
+
+Every request needs the operators' bearer token (RFC 6750). A change to the catalogue names the version that it was made
+from in If-Match (RFC 9110 13.1.1).
+"""
 
 from __future__ import annotations
 
@@ -39,29 +42,47 @@
 
 
 class Duties(Protocol):
-    """The fleet's duties, as operators see them; a protocol, since a front without peers loads nothing of theirs."""
+    """The fleet's leases, for operators. A protocol, because a front end without peers does not import their modules."""
+
+    def status(self) -> dict[str, object]:
+        """The leases as this front end knows them."""
+        ...
+
+    def term(self, duty: str) -> object | None:
+        """The running term of a lease, if this front end holds it."""
+        ...
 
-    def status(self) -> dict[str, object]: ...
-    def term(self, duty: str) -> object | None: ...
-    def give_back(self, duty: str) -> None: ...
+    def give_back(self, duty: str) -> None:
+        """Releases a lease before its term ends."""
+        ...
 
 
 class Rolling(Protocol):
-    """Roll-outs over the fleet, likewise."""
+    """Catalogue roll-outs over the fleet, for operators; a protocol for the same reason."""
 
-    def status(self) -> dict[str, object]: ...
-    async def submit(self, text: str, base: str, watch: int, force: bool, why: str) -> str: ...
-    async def take_back(self, why: str) -> str: ...
+    def status(self) -> dict[str, object]:
+        """The last roll-out as this front end knows it."""
+        ...
+
+    async def submit(self, text: str, base: str, watch: int, force: bool, why: str) -> str:
+        """Starts a roll-out; returns why not, or ""."""
+        ...
+
+    async def take_back(self, why: str) -> str:
+        """Rolls the last roll-out back; returns why not, or ""."""
+        ...
 
 
 class Told(Protocol):
-    """Taking over, and nodes' loads from others, likewise."""
+    """A part of the front end that has a status for operators; a protocol for the same reason."""
 
-    def status(self) -> dict[str, object]: ...
+    def status(self) -> dict[str, object]:
+        """The status, as a JSON object."""
+        ...
 
 
 class Operators:
-    """Handles the operators' requests of one front."""
+    """Handles the operators' requests to one front end."""
 
     def __init__(
         self, helm: Helm, catalogues: Catalogues, reducing: Reducing, zone_routing: ZoneRouting
@@ -69,27 +90,30 @@
         self.helm, self.catalogues = helm, catalogues
         self.reducing, self.zone_routing = reducing, zone_routing
         self.fleet: Callable[[], dict[str, object]] | None = (
-            None  # how the front sees its peers, where it has any
+            None  # the fleet as this front end sees it, if it has peers
         )
-        self.duties: Duties | None = None  # of the fleet, where its keepers are named
+        self.duties: Duties | None = None  # if lease acceptors are configured
         self.rolling: Rolling | None = None
-        self.adopting: Told | None = None  # where it takes over from those that are gone
-        self.probing: Told | None = None  # where nodes' loads are shared
+        self.adopting: Told | None = None  # if session takeover is configured
+        self.probing: Told | None = None  # if nodes' loads are shared among front ends
 
     def known(self, authorization: str | None) -> bool:
-        """Whether this is the operators' token."""
+        """Whether an Authorization header has the operators' token."""
         scheme, _, given = (authorization or "").partition(" ")
         digest = hashlib.blake2b(given.strip().encode(), digest_size=32).digest()
         return scheme.lower() == "bearer" and hmac.compare_digest(digest, self.helm.site.operators)
 
     def roomy(self, target: str, headers: Headers) -> bool:
-        """Whether a request may have a large body: only the operators' own, or anybody could fill the front's memory."""
+        """Whether a request may have a large body.
+
+        Only authorized operators' requests may, so that nobody else can exhaust the front end's memory.
+        """
         if not target.startswith(PATH) or not self.helm.site.operators:
             return False
         return self.known(next((v for n, v in headers if n == "authorization"), None))
 
     async def handle(self, request: Request) -> Response:
-        """One request. Faulty where it is wrong."""
+        """Answers one request. Raises RequestError if it is invalid or unauthorized."""
         if not self.helm.site.operators:
             raise Faulty(404, "no-route", "Nothing is served at this path")
         if not self.known(request.header("authorization")):
@@ -130,7 +154,7 @@
         return await self._roll_back(request)
 
     async def _roll_out(self, request: Request) -> Response:
-        """A version for the whole fleet is handed to the owner of the catalogue, looked at, or taken back."""
+        """Starts, shows or rolls back a roll-out over the whole fleet."""
         rolling = self.rolling
         if rolling is None:
             raise Faulty(404, "no-keepers", "This front has no (keepers …) in its configuration")
@@ -243,7 +267,7 @@
         return Response(200, [("Content-Type", "application/json")], orjson.dumps(some))
 
     def _level(self, request: Request) -> Response:
-        """Pins a level for so many seconds; without a name the signs decide again."""
+        """Pins a service level for a number of seconds; without a name, removes the pin."""
         name, seconds, levels = (
             request.query("name") or "",
             request.query("for") or "600",
--- a/oakcroft/front/probing.py
+++ b/oakcroft/front/probing.py
@@ -1,5 +1,8 @@
-"""Nodes' loads shared among fronts: asks the nodes that are this front's to ask, tells the others, and lets the module
-know what they tell. What is decided stands in decisions/fleet/figures.py."""
+"""Sharing of nodes' loads among front ends.
+
+Probes the nodes assigned to this front end, sends their loads to other front ends, and passes the loads that others send
+to the decision module. The decisions are in decisions/fleet/load_sharing.py.
+"""
 
 from __future__ import annotations
 
@@ -18,35 +21,41 @@
 
 
 class Speaking(Protocol):
-    """The peers, as far as figures go."""
+    """The fleet's other front ends, as far as loads go."""
+
+    def send_loads(self, to: str, rows: list[Row]) -> None:
+        """Sends load reports to one front end."""
+        ...
 
-    def send_loads(self, to: str, rows: list[Row]) -> None: ...
-    def present(self) -> list[str]: ...
+    def present(self) -> list[str]:
+        """The names of the present front ends."""
+        ...
 
 
 class Probing:
-    """One front's part."""
+    """One front end's part in sharing nodes' loads."""
 
     def __init__(
         self, helm: Helm, peers: Speaking, me: str, every: int, seed: int,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:  # fmt: skip
+        """`probe_interval` in ns; `seed` spreads the probes."""
         self.helm, self.peers, self.log = helm, peers, log
         self.figures = Figures(me, every, Random(seed))
         helm.heard_load = self.own
 
     def own(self, node: str, asked: float, age: int) -> None:
-        """This front's own traffic has told of a node's load."""
+        """Records a node's load, reported with this front end's own traffic `age_ns` ago."""
         self.figures.own(node, asked, age, self.helm.clock.now())
 
     def heard(self, rows: list[Row]) -> None:
-        """Another front's word."""
+        """Handles load reports from another front end."""
         now = self.helm.clock.now()
         for node, asked, age in self.figures.heard(rows, now):
             self.helm.offer(partial(self.helm.told_load, node, asked, now - age))
 
     async def run(self) -> None:
-        """Looks after it until it is cancelled."""
+        """Probes nodes and sends load reports as they are due, until cancelled."""
         while True:
             now = self.helm.clock.now()
             self.figures.listed({line.name: line.started_at for line in self.helm.roster.lines.values()})
@@ -69,7 +78,7 @@
             await self.helm.tell(partial(self.helm.told_load, node, asked, now))
 
     def status(self) -> dict[str, object]:
-        """For operators."""
+        """Probe counts and the ages of known loads, for operators."""
         figures, now = self.figures, self.helm.clock.now()
         ages = figures.ages(now)
         first = sum(p.rank == 0 for p in figures.places.values())
--- a/oakcroft/front/reducing.py
+++ b/oakcroft/front/reducing.py
@@ -1,5 +1,8 @@
-"""Levels of reduced service on one front: takes the signs, changes the level, and lets it act on what comes in. What is
-decided stands in `oakcroft/decisions/admission/levels.py`."""
+"""Levels of reduced service on one front end.
+
+Collects load signals, changes the service level, and applies its effects to new requests. The decisions are in
+`oakcroft/decisions/admission/service_levels.py`.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,14 @@
 from oakcroft.front.helm import Helm
 from oakcroft.interface import MS
 
-EVERY = 0.25  # seconds between looks
+EVERY = 0.25  # seconds between checks
 
 
 class Reducing:
-    """The level of one front."""
+    """The service level of one front end."""
 
     def __init__(self, helm: Helm, rng: Random, log: structlog.typing.FilteringBoundLogger) -> None:
+        """Starts at full service; `rng` spreads the times of changes among front ends."""
         self.helm, self.rng, self.log = helm, rng, log
         self.levels = self._made()
         self.gate, self.tally, self.lag = Gate(), Tally(), 0
@@ -29,19 +33,19 @@
         site = self.helm.site
         return Levels(site.levels, site.level_bounds, self.rng, self.helm.clock.now())
 
-    # What it goes by.
+    # Load signals.
 
     def answered(self, rejected: bool, plan: PlanTerms, took: int) -> None:
-        """One final answer of the module."""
+        """Records a final answer of the decision module, given `duration_ns` after the request."""
         in_time = not rejected and took <= plan.plan.startup_target
         self.tally.answered(rejected, plan.plan.revenue, in_time, self.helm.clock.now())
 
     def lagged(self, lag: int) -> None:
-        """A beat of the loop came so late."""
+        """Records how late the event loop ran a periodic task, in ns."""
         self.lag = max(lag, round(self.lag * 0.9))
 
     def signs(self, now: int) -> dict[Sign, float]:
-        """What the level goes by now."""
+        """The current load signals."""
         decider = self.helm.controller
         own = {
             Sign.X: getattr(decider, "x", 0.0),
@@ -51,17 +55,17 @@
         return own | self.tally.signs(now)
 
     async def run(self) -> None:
-        """Looks, for as long as the front runs."""
+        """Updates the level until cancelled."""
         site = self.helm.site
         while True:
             await trio.sleep(EVERY)
             if self.helm.site.levels != site.levels or self.helm.site.level_bounds != site.level_bounds:
-                site = self.helm.site  # another configuration: its levels begin at full service
+                site = self.helm.site  # a changed configuration starts at full service
                 self.levels = self._made()
             self.look()
 
     def look(self) -> None:
-        """Changes the level where that is due."""
+        """Changes the level if that is due, and applies its effects on moves and on upkeep of the state file."""
         now = self.helm.clock.now()
         signs = self.signs(now)
         if (change := self.levels.look(signs, now)) is not None:
@@ -78,19 +82,19 @@
                          changes=changes, **figures)  # fmt: skip
         self.gate.turned.clear()
 
-    # What it does.
+    # Effects.
 
     def admits(self, plan: str) -> bool:
-        """Whether a request of this plan is let in at this level."""
+        """Whether a request of this plan is admitted at the current level."""
         return self.gate.admits(self.levels.level.acts, plan)
 
     def top(self, asked: int, floor: int) -> int:
-        """The highest rung of a new playback at this level, never under its floor."""
+        """The highest rung of a new playback at the current level, never below its floor."""
         top = self.levels.level.acts.top
         return asked if top is None else max(floor, min(asked, top))
 
     def status(self) -> dict[str, object]:
-        """For operators: the level, since when and why, and what would change it."""
+        """For operators: the level, since when and why, and what would change it next."""
         now, levels = self.helm.clock.now(), self.levels
         signs = self.signs(now)
         return {
--- a/oakcroft/front/rendition_bound.py
+++ b/oakcroft/front/rendition_bound.py
@@ -1,7 +1,7 @@
-"""Holds a playing session to the highest rendition that its viewer and the catalogue leave it.
+"""Limits a playing session to the highest rendition that its viewer and the catalogue allow.
 
-Its node carries a change of rendition out, and may refuse. What is in force then is known from the node's event stream,
-which names the rendition of each session; where that is over the bound, the node is asked again, for a limited time.
+The session's node carries out a change of rendition, or refuses it. The node's event stream tells the rendition of each
+session; if that is above the bound, the node is asked again, for a limited time.
 """
 
 from __future__ import annotations
@@ -18,26 +18,27 @@
 
 
 class RenditionBound:
-    """The bounds of all sessions of one front."""
+    """Enforces the rendition bounds of all sessions of one front end."""
 
     def __init__(self, helm: Steering, rng: Random, log: structlog.typing.FilteringBoundLogger) -> None:
-        """`helm` has the sessions and sends what is decided; `rng` spreads repeated attempts."""
+        """`coordinator` has the sessions and sends rung changes to nodes; `rng` spreads repeated attempts."""
         self.helm, self.rng, self.log = helm, rng, log
 
     def set(self, v: Viewing, top: int) -> None:
-        """The session goes no higher than `top`; where it does, it steps down at once."""
+        """Sets the highest rung of a session; a session above it steps down at once."""
         v.pb.top = top
-        v.bound_retry = None  # a new bound has all its attempts
+        v.bound_retry = None  # a new bound starts with all its attempts
         if v.pb.rung > top:
             self._step_down(v)
 
     def exceeded(self, v: Viewing) -> None:
-        """The node has told of a rendition over the bound: it is asked again after a while.
+        """Handles a node's report of a rendition above the bound: asks the node again after a delay.
 
-        Guards against a step down that a node refused once and that nobody repeats: its viewer gets more than it can
-        take. Each new bound gives the node `RENDITION_BOUND` anew, and one attempt waits at a time. Past that the session
-        plays on at what is in force, its viewer hears which that is, and a new wish begins over. Harm: a node that never
-        changes a rendition is asked about ten times for each bound, and the module's view of its link swings as often.
+        Guards against a step down that a node refused once and that is never repeated: the viewer would get more than it
+        can receive. Attempts follow `RENDITION_BOUND_RETRY`, restarted by each new bound, and one is pending at a time.
+        After the last attempt the session keeps its rendition, and its viewer is told which that is. Cost: a node that
+        never changes a rendition is asked about ten times for each bound, and the decision module's estimate of its link
+        load changes as often.
         """
         if v.bound_retry_waits or not self._plays(v):
             return
@@ -68,7 +69,10 @@
         self.helm.publish(v, "layers", {"encodingId": str(v.pb.rung)})
 
     def _step_down(self, v: Viewing) -> None:
-        """Sends the highest rendition within the bound; the module takes it as in force until the node says otherwise."""
+        """Requests the highest rung within the bound.
+
+        The decision module assumes that it is in force until the node reports otherwise.
+        """
         self.helm.controller.noted(v.pb, Note.RUNG, v.pb.top, self.helm.clock.now())
         self.helm.set_rung(v.pb, v.pb.top)
 
--- a/oakcroft/front/rolling.py
+++ b/oakcroft/front/rolling.py
@@ -1,8 +1,10 @@
-"""Roll-outs of the catalogue over the fleet, on one front: what it does as ordered, and orders while it owns the duty.
+"""Staged roll-outs of the catalogue over the fleet, on one front end.
 
-What is decided stands in decisions/fleet: rollout (when to go on, when back) and terms (`Fence`: whose orders count). An
-order takes effect only after its number and step are on this front's record, and one order at a time, so that an older
-one that comes late finds the newer there, also after a restart. Texts are fetched from whoever holds them, by digest.
+Each front end carries out orders; the one that holds the catalogue lease also runs the roll-out and sends the orders. The
+decisions are in decisions/fleet: rollout (when to advance and when to roll back) and lease (`Fence`: whose orders are
+valid). One order is handled at a time, and it takes effect only after its number and step are in this front end's state
+file, so that an older order that arrives late is recognised, also after a restart. Catalogue texts are fetched by digest
+from a front end that has them.
 """
 
 from __future__ import annotations
@@ -28,14 +30,17 @@
 from oakcroft.store.file import Fact
 
 DUTY = "catalogue"
-FENCE = "fence"  # a fact of the state file: numbers and steps that have taken effect, by duty
-ORDER_EVERY = 0.5  # seconds between orders to one front, until it stands as wanted
-MOST_TEXTS = 3  # held at once: what is going round, and what was
+FENCE = "fence"  # a fact in the state file: number and step of the last order that took effect, by lease name
+ORDER_EVERY = 0.5  # seconds between orders to one front end, until it reports the wanted state
+MOST_TEXTS = 3  # room for the version being rolled out and earlier ones
 SUBMIT_WITHIN = 12.0
 
 
 class PlanWord(msgspec.Struct, array_like=True, frozen=True):
-    """A plan as it goes on record and with each order. Stages by their numbers, which later programs keep."""
+    """A roll-out plan as it is recorded and sent with each order.
+
+    Encoded by position; stages are encoded by their numbers, which must not change between releases.
+    """
 
     number: int
     digest: str
@@ -49,12 +54,16 @@
     reason: str
 
     def plan(self) -> Plan:
+        """The decoded plan, not yet validated."""
         return Plan(self.number, self.digest, self.base, self.stage, self.step, self.share, self.watch, self.force,
                     self.why, self.reason)  # fmt: skip
 
 
 class SubmitWord(msgspec.Struct, array_like=True, frozen=True):
-    """What an operator wants, handed on to the owner: a version by its digest, or (none) the one under way taken back."""
+    """An operator's request, forwarded to the lease owner. Encoded by position.
+
+    Starts a roll-out of the version with this digest; an empty digest rolls the current roll-out back.
+    """
 
     digest: str
     base: str
@@ -64,6 +73,8 @@
 
 
 class ReportBody(msgspec.Struct, array_like=True, frozen=True):
+    """What a front end reports to the lease owner after an order. Encoded by position."""
+
     step: int
     holds: bool
     in_force: str
@@ -80,11 +91,11 @@
 SUBMIT, REPORT = msgspec.msgpack.Decoder(SubmitWord), msgspec.msgpack.Decoder(ReportBody)
 SEEN = msgspec.msgpack.Decoder(dict[str, tuple[int, int]])
 SUBMITTED, ACCEPTED = "submit", "submitted"
-"""Duties' names on the wire for an operator's wish on its way to the owner, and for the owner's word back."""
+"""Lease names on the wire for an operator's request on its way to the owner, and for the owner's reply."""
 
 
 def word_of(plan: Plan) -> bytes:
-    """A plan for the record; what people wrote into it is cut where it would not fit."""
+    """Encodes a plan; the free-text reasons are shortened until it fits into a lease note."""
     why, reason = plan.why, plan.reason
     while True:
         word = ENCODER.encode(PlanWord(plan.number, plan.digest, plan.base, plan.stage, plan.step, plan.share,
@@ -95,8 +106,10 @@
 
 
 def plan_of(body: bytes) -> Plan:
-    """A plan as it was recorded or ordered. ValueError where it is none: figures and digests that nothing can be done
-    with are found here, before anything is done under it."""
+    """Decodes a recorded or received plan.
+
+    Raises ValueError if it cannot be decoded, or if a digest or number in it is invalid.
+    """
     plan = PLAN.decode(body).plan()
     if not (DIGEST.fullmatch(plan.digest) and DIGEST.fullmatch(plan.base)):
         raise ValueError("a digest is 24 hexadecimal digits")
@@ -106,12 +119,12 @@
 
 
 def why_not(verdict: Verdict, reasons: list[str]) -> str:
-    """Why a version is not in force after it was offered; "" where it is."""
+    """Why a submitted version was not activated; "" if it is active."""
     return "" if verdict in (Verdict.TAKEN, Verdict.SAME) else f"{verdict.value}: {'; '.join(reasons)}"
 
 
 class Rolling:
-    """One front's part in roll-outs."""
+    """One front end's part in roll-outs: carries out orders, and runs the roll-out while it holds the lease."""
 
     def __init__(
         self,
@@ -120,6 +133,7 @@
         peers: PeerEndpoint,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
+        """Registers the handlers of orders and reports with `peers`, and asks for the catalogue lease."""
         assert peers.duties is not None
         self.helm, self.catalogues, self.peers, self.duties, self.log = (
             helm,
@@ -134,15 +148,16 @@
         except msgspec.MsgspecError:
             self.fence = Fence()
             log.error("fence unreadable", why="orders wait for what the keepers say")
-        # A record that may be missing its last words is no fence: the keepers tell from where numbers count.
+        # A state file that may lack its last writes cannot reject old orders; the lease acceptors then tell the lowest
+        # valid number.
         self.sure = helm.memory is not None and helm.memory.store.had and held is not None
         self.texts: dict[str, str] = {}
         self.turn = trio.Lock()
-        self.plan: Plan | None = None  # as last ordered here
-        self.base = Counter[Final]()  # answers when the present step began here
-        self.running: Rollout | None = None  # while this front owns the duty
-        self.accepted: dict[str, str] = {}  # by digest, the owner's word on what was handed on
-        self.waited: set[str] = set()  # whose word is waited for
+        self.plan: Plan | None = None  # from the last order
+        self.base = Counter[Final]()  # counts of final answers when the current step began here
+        self.running: Rollout | None = None  # while this front end holds the lease
+        self.accepted: dict[str, str] = {}  # the owner's replies to forwarded requests, by request key
+        self.waited: set[str] = set()  # keys of requests whose reply is awaited
         self.wake = trio.Event()
         self.beginning = trio.Lock()
         duties = self.duties
@@ -154,10 +169,14 @@
         duties.changed[DUTY] = self._changed
         duties.texts = self._held
 
-    # What is ordered.
+    # Orders.
 
     async def _ordered(self, got: ReceivedLeaseMessage, word: Order) -> OrderReport | None:
-        """One order: on record first, then done; turned away where a newer one has been taken."""
+        """Handles one order: records it, then carries it out and reports.
+
+        An order older than the last recorded one is rejected. None, which sends no report, if the order is invalid or
+        its number cannot be confirmed yet.
+        """
         try:
             plan = plan_of(word.body)
         except ValueError:
@@ -165,8 +184,9 @@
         if plan.step != word.step:
             return None
         async with self.turn:
-            # Guards against a number that nobody has promised, and, where this front's own record may be missing its last
-            # words, against one that was the highest once: the keepers tell how far numbers are. The order comes again.
+            # Guards against a number that no acceptor has promised, and, if this front end's state file may lack its last
+            # writes, against a number that was once the highest: the acceptors tell the highest number. The owner repeats
+            # the order.
             if not self.sure or word.number > self.fence.seen.get(DUTY, (0, 0))[0]:
                 floor = self.duties.floor(DUTY)
                 if floor is None or floor < word.number:
@@ -215,11 +235,11 @@
 
     @property
     def in_force(self) -> str:
-        """The digest of this front's catalogue; of none at all where it has none."""
+        """The digest of the active catalogue, or of the empty catalogue if there is none."""
         return self.helm.catalogue.digest or NONE
 
     def _held(self, digest: str) -> bytes | None:
-        """A text that this front can hand out: one that goes round, or a version that it keeps."""
+        """The catalogue text with this digest, from the cache or the kept versions; None if it is in neither."""
         text = self.texts.get(digest)
         if text is None:
             numbers = [k.number for k in self.catalogues.history.versions if k.digest == digest]
@@ -227,9 +247,10 @@
         return None if text is None else text.encode()
 
     async def _do(self, plan: Plan, sender: str) -> str:
-        """What a plan wants of this front; why it will not."""
+        """Brings this front end to the state that a plan wants; returns why it cannot, or ""."""
         if self.in_force == NONE and plan.base != NONE and plan.stage is not Stage.DONE:
-            # It has lost its catalogue with its record, or is new here: it comes to what all others have.
+            # This front end has lost its catalogue with its state file, or is new: it activates the base version, which
+            # all others have.
             before = replace(plan, digest=plan.base, base=NONE)
             if why := await self._hold(before, sender) or await self._take(plan.base, before):
                 return why
@@ -247,7 +268,10 @@
         return await self._take(plan.digest, plan)
 
     async def _hold(self, plan: Plan, sender: str) -> str:
-        """Has the text of a version, from whoever orders it or from another that does."""
+        """Fetches the text of a version from the sender of the order or from two other front ends.
+
+        Returns "" whether or not it was found; the report then tells that the text is missing.
+        """
         if plan.digest in self.texts or plan.digest == self.in_force:
             return ""
         others = [
@@ -265,10 +289,10 @@
             if digest_of(write(said.titles.items(), said.others)) == plan.digest:
                 self.hold(plan.digest, text)
                 return ""
-        return ""  # nobody had it just now: the report says that it is not held, and the order comes again
+        return ""  # not found: the report says so, and the owner repeats the order
 
     def hold(self, digest: str, text: str) -> None:
-        """Keeps a text for others to fetch; the oldest makes room."""
+        """Caches a text for other front ends to fetch; evicts the oldest if the cache is full."""
         self.texts[digest] = text
         while len(self.texts) > MOST_TEXTS:
             del self.texts[next(iter(self.texts))]
@@ -276,14 +300,14 @@
     async def _take(self, digest: str, plan: Plan) -> str:
         if digest not in self.texts:
             return ""
-        # Once all have it, whoever was away comes to it from whatever it has.
+        # After the roll-out is done, a front end that was absent activates the version whatever its own base is.
         made_from = None if plan.base == NONE or plan.stage is Stage.DONE else plan.base
         reason = plan.why or f"roll-out {plan.number}"
         verdict, why = await self.catalogues.replace(self.texts[digest], made_from, plan.force, reason)
         return why_not(verdict, why)
 
     async def _go_back(self, plan: Plan) -> str:
-        """To the version before, where this front had taken the one that is taken back."""
+        """Activates the base version if this front end has activated the one that is rolled back."""
         if self.in_force != plan.digest:
             return ""
         if plan.base == NONE:
@@ -302,7 +326,7 @@
         )
         return why_not(verdict, why)
 
-    # While this front owns the duty.
+    # The owner of the lease.
 
     def _changed(self, term: Term | None) -> None:
         self.running = None
@@ -314,7 +338,7 @@
             return
         if not word.taken:
             if (word.number, word.step) > (term.number, running.plan.step):
-                # Numbers were promised that this owner never saw: a term over them is asked for.
+                # The acceptors have promised numbers that this owner never saw: it asks for a term with a higher one.
                 self.duties.outbid(DUTY, word.number)
             return
         if word.number != term.number:
@@ -328,7 +352,10 @@
         ), self.helm.clock.now())  # fmt: skip
 
     async def run(self) -> None:
-        """Owns the duty while it has a term: nothing is ordered without one, nor before the plan is on record."""
+        """Runs the roll-out while this front end holds the lease.
+
+        Orders are sent only during a term of the lease and only after their plan is recorded.
+        """
         while True:
             self.wake = trio.Event()
             term = self.duties.term(DUTY)
@@ -340,25 +367,25 @@
     async def _own(self, term: Term) -> None:
         self._load(term)
         if self.running is None:
-            return  # there never was a roll-out
+            return  # there has been no roll-out
         running, present = self.running, self.peers.membership.present()
         now = self.helm.clock.now()
         async with (
             self.beginning
-        ):  # an operator's wish changes the plan too, and each change is a step of its own
+        ):  # an operator's request changes the plan too, and each change is a step of its own
             after = running.next(present, now)
             if after is not None:
                 await self._go_on(running, after)
         if self.duties.term(DUTY) != term or self.running is not running:
             return
         body = word_of(running.plan)
-        # While it is watched each tells how it does; after its end only those that have not heard, or were away.
+        # During the roll-out all front ends report; after its end only those that have not confirmed it, or were absent.
         some = running.unconfirmed(present, now) if running.plan.stage in ENDED else present
         for name in some:
             self.duties.order(name, Order(DUTY, term.number, running.plan.step, body))
 
     def _load(self, term: Term) -> None:
-        """Goes on where the owner before this one left the plan on record."""
+        """Continues the roll-out whose plan the previous owner recorded."""
         note = self.duties.note(DUTY)
         if self.running is not None or not note:
             return
@@ -380,10 +407,13 @@
                       digest=after.digest, reason=after.reason)  # fmt: skip
         return True
 
-    # What operators want.
+    # Operators' requests.
 
     async def submit(self, text: str, base: str, watch: int, force: bool, why: str) -> str:
-        """Hands a version to the owner; "" once a plan for it is on record. Unsound where the text has faults."""
+        """Starts a roll-out of a catalogue; returns "" once its plan is recorded, else why not.
+
+        `watch_time` in ns. Raises the parser's error if the text is invalid.
+        """
         said = await trio.to_thread.run_sync(read, text)
         laid_out = write(said.titles.items(), said.others)
         digest = digest_of(laid_out)
@@ -391,7 +421,7 @@
         return await self._hand_on(SubmitWord(digest, base or NONE, watch, force, why))
 
     async def take_back(self, why: str) -> str:
-        """Has what is under way, or was done last, taken back."""
+        """Rolls back the current or last roll-out; returns "" once that is recorded, else why not."""
         return await self._hand_on(SubmitWord("", "", 0, False, why))
 
     async def _hand_on(self, wish: SubmitWord) -> str:
@@ -403,7 +433,7 @@
                 if self.duties.term(DUTY) is not None:
                     self.accepted[key] = await self._begin(wish, self.peers.membership.me.name)
                     break
-                self.duties.look_for_floor(DUTY)  # the answers tell who has it
+                self.duties.look_for_floor(DUTY)  # the acceptors' answers name the owner
                 if owner := self.duties.owner(DUTY):
                     self.duties.order(owner.owner, Order(SUBMITTED, owner.number, 0, ENCODER.encode(wish)))
                 await trio.sleep(0.3)
@@ -411,7 +441,7 @@
         return self.accepted.pop(key, "nobody owns the duty just now: look at `fleet owners`, and ask again")
 
     async def _submitted(self, got: ReceivedLeaseMessage, word: Order) -> OrderReport | None:
-        """Another front hands on what an operator wants."""
+        """Handles an operator's request that another front end has forwarded; None if it is invalid or misdirected."""
         if self.duties.term(DUTY) is None:
             return None
         try:
@@ -429,12 +459,12 @@
 
     def _answered(self, sender: str, word: OrderReport) -> None:
         key, _, said = word.body.decode("utf-8", "replace").partition(" ")
-        if key in self.waited:  # the owner's word may come again after it was told on
+        if key in self.waited:  # the owner may repeat its reply after the operator has been answered
             self.accepted[key] = said
 
     async def _begin(self, wish: SubmitWord, by: str) -> str:
-        """Begins a roll-out, or takes one back; why not. The same wish again is answered as before."""
-        if wish.digest:  # outside of the lock: it may take long
+        """Starts a roll-out or rolls one back; returns why not, or "". A repeated request gets the same answer."""
+        if wish.digest:  # outside the lock: the fetch may take long
             await self._hold(Plan(0, wish.digest, wish.base, Stage.HANDED, 0), by)
         async with self.beginning:
             term = self.duties.term(DUTY)
@@ -468,7 +498,7 @@
             return ""
 
     def status(self) -> dict[str, object]:
-        """How the last roll-out stands, as this front knows."""
+        """The last roll-out as this front end knows it, for operators."""
         running = self.running
         plan = running.plan if running is not None else self.plan
         owner = self.duties.owner(DUTY)
--- a/oakcroft/front/siding.py
+++ b/oakcroft/front/siding.py
@@ -1,5 +1,8 @@
-"""Preference between zones on one front: gathers the evidence, and holds each request to the zones that it may go to.
-What is decided stands in `oakcroft/decisions/routing/wings.py`."""
+"""Preference between zones on one front end.
+
+Collects evidence of the zones' health and restricts each new request to the zones that may take it. The decisions are in
+`oakcroft/decisions/routing/zone_preference.py`.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,20 @@
 from oakcroft.front.helm import Helm
 from oakcroft.interface import SECOND, Listing, Node
 
-EVERY = 0.25  # seconds between looks
-KNOCK = SECOND  # between two tries to hear of one lost node
+EVERY = 0.25  # seconds between checks
+KNOCK = SECOND  # between two attempts to reconnect to one lost node
 
 
 class ZoneRouting:
-    """Where requests of one front may go. Without a (preference …) form, or a zone of its own, everywhere."""
+    """The zones that new requests to one front end may use.
+
+    Without a (preference …) form in the configuration, or without a zone of its own, all zones.
+    """
 
     def __init__(
         self, helm: Helm, zone: str, rng: Random, log: structlog.typing.FilteringBoundLogger
     ) -> None:
+        """`zone` is this front end's own zone, "" for none; `rng` spreads requests over zones."""
         self.helm, self.zone, self.rng, self.log = helm, zone, rng, log
         self.knocked: dict[str, int] = {}
         self.zones = self._made()
@@ -37,12 +44,12 @@
         return ZonePreference((self.zone, *others), site.preference)
 
     def evidence(self, now: int) -> dict[str, dict[NodeEvidence, int]]:
-        """How many nodes of each zone look how."""
+        """The number of nodes in each zone by the evidence on their health."""
         out: dict[str, dict[NodeEvidence, int]] = {}
         listed = {name.partition("+")[0] for name in self.helm.roster.lines}
         for name, node in self.helm.roster.nodes.items():
             if name in self.helm.roster.gone_at and name.partition("+")[0] in listed:
-                continue  # its replacement counts in its place
+                continue  # the process that replaces it is counted instead
             seen = NodeEvidence.GONE if name in self.helm.roster.gone_at else self._seen(node, now)
             of_zone = out.setdefault(node.zone, {})
             of_zone[seen] = of_zone.get(seen, 0) + 1
@@ -63,7 +70,7 @@
         )
 
     def loads(self, zones: Iterable[str]) -> dict[str, float]:
-        """The load of each zone, from the loads of links as the module knows them."""
+        """The load of each zone, from the link loads that the decision module has estimated."""
         ready: dict[str, list[float]] = {zone: [] for zone in zones}
         for node in self.helm.roster.nodes.values():
             if node.listing is Listing.READY and node.zone in ready:
@@ -71,7 +78,7 @@
         return {zone: zone_load(levels) for zone, levels in ready.items()}
 
     async def run(self) -> None:
-        """Looks, for as long as the front runs."""
+        """Updates the zones' health until cancelled."""
         made_from = (self.helm.site.preference, self.helm.site.then)
         while True:
             await trio.sleep(EVERY)
@@ -81,21 +88,23 @@
                 self.look(self.zones)
 
     def look(self, zones: ZonePreference) -> None:
-        """Takes fresh evidence; one line for each change."""
+        """Updates the zones' health from current evidence; logs each change of state."""
         now = self.helm.clock.now()
         self._knock(zones, now)
         self.knocked = {n: at for n, at in self.knocked.items() if n in self.helm.legs}
         nodes = self.evidence(now)
         for zone, before, after in zones.look(nodes, now):
             health = zones.health[zone]
-            # Operators' tools know the event and its fields by these names.
+            # Operators' tools match the event name and its fields.
             self.log.warning("wing", wing=zone, before=before.value, after=after.value, falters=health.relapses,
                              ramp_s=health.ramp // 1_000_000_000, turned_away=zones.turned,
                              nodes={s.name.lower(): n for s, n in nodes.get(zone, {}).items()})  # fmt: skip
 
     def _knock(self, zones: ZonePreference, now: int) -> None:
-        """Opens the event streams of lost nodes now and then: nothing else goes to a zone that is out, so nothing else
-        would tell that it answers again."""
+        """Periodically opens the event streams of lost nodes in unhealthy zones.
+
+        No requests go to such a zone, so nothing else would show that its nodes answer again.
+        """
         for name, leg in self.helm.legs.items():
             node = self.helm.roster.nodes.get(name)
             if node is None or leg.lifeline.state is not NodeLife.LOST or node.listing is not Listing.READY:
@@ -110,7 +119,7 @@
                 self.helm.follow_events(leg, leg.events)
 
     def admits(self) -> Callable[[Node], bool] | None:
-        """The nodes that a new request may go to, as far as zones go; None for all."""
+        """The filter of nodes by zone for a new request; None for all nodes."""
         if self.zones is None:
             return None
         loads = self.loads(self.zones.tiers)
@@ -118,7 +127,7 @@
         return lambda node: node.zone in chosen
 
     def status(self) -> dict[str, object]:
-        """For operators."""
+        """The zones' health and the overflow between them, for operators."""
         if self.zones is None:
             return {}
         now = self.helm.clock.now()
--- a/oakcroft/front/sockets.py
+++ b/oakcroft/front/sockets.py
@@ -1,8 +1,9 @@
-"""The session API over WebSocket (RFC 6455, on wsproto): an adapter to the session core.
+"""The session API over WebSocket (RFC 6455, on wsproto): an adapter to the session service.
 
-A connection speaks for a seat, which outlives it: playbacks, open requests and what the client has yet to hear belong to
-the seat (`decisions/sessions/resumption.py`). Requests and forwarders of a seat are tasks of the API's nursery, under
-its scope; they end with the seat, not with the connection.
+A connection acts for a client session, which outlives it: playbacks, open requests and messages that the client has not
+acknowledged belong to the client session (`decisions/sessions/client_session.py`). The requests and event forwarders of
+a client session are tasks of the API's nursery, each in a cancel scope of the client session; they end with the client
+session, not with the connection.
 """
 
 from __future__ import annotations
@@ -44,24 +45,28 @@
 
 @dataclass(eq=False)
 class Holder:
-    """A seat with what belongs to it."""
+    """A client session with the tasks, playbacks and connection that belong to it."""
 
     id: str
     seat: Seat[object]
     client: Client
     token: Token | None
     source: str
-    scopes: set[trio.CancelScope] = field(default_factory=set)  # of its requests and forwarders
+    scopes: set[trio.CancelScope] = field(default_factory=set)  # of its requests and event forwarders
     playbacks: dict[str, Viewing] = field(default_factory=dict)
     readers: dict[str, Reader] = field(default_factory=dict)
     tops: dict[str, int] = field(default_factory=dict)
     calls: OrderedDict[int, None] = field(
         default_factory=OrderedDict
-    )  # ids of late, so that none is taken twice
+    )  # recent call ids, to recognise repeated calls; the values are unused
     link: Link | None = None
 
     def takes(self, call: int) -> bool:
-        """Whether a call is new: a client says again after a break what it does not know to be read."""
+        """Records a call id; False for a repeated call.
+
+        After a lost connection a client repeats calls that it does not know to have been received. Calls without an id
+        (0) are never repeated calls.
+        """
         if call and call in self.calls:
             return False
         if call:
@@ -72,7 +77,7 @@
 
     @contextmanager
     def task(self) -> Iterator[None]:
-        """Runs something under the seat, that ends when the seat does."""
+        """Runs the body in a cancel scope that is cancelled when the client session ends."""
         with trio.CancelScope() as scope:
             self.scopes.add(scope)
             try:
@@ -82,17 +87,18 @@
 
 
 class SessionApi:
-    """All seats of one front."""
+    """The session API of one front end: all its client sessions and their connections."""
 
     def __init__(self, core: Core, nursery: trio.Nursery, log: structlog.typing.FilteringBoundLogger) -> None:
+        """`service` does what clients request; requests and event forwarders run in `nursery`."""
         self.core, self.nursery, self.log, self.clock = core, nursery, log, core.clock
         self.allowance = Allowance()
         self.passes = Passes(KEEP + 60 * SECOND)
         self.holders: dict[str, Holder] = {}
-        self.callers: dict[str, Client] = {}  # connections by token or address; the rest is counted by seat
+        self.callers: dict[str, Client] = {}  # connections by access token or address
         self.numbers = 0
 
-    # Seats.
+    # Client sessions.
 
     def _key(self) -> None:
         now = self.clock.now()
@@ -100,7 +106,7 @@
             self.passes.take_key(self.passes.newest + 1, secrets.token_bytes(32), now)
 
     async def look_after(self) -> None:
-        """Ends seats whose clients do not come back, forgets idle clients."""
+        """Ends client sessions whose clients have not reconnected in time; drops unused connection counts."""
         while True:
             await trio.sleep(0.5)
             now = self.clock.now()
@@ -112,7 +118,7 @@
                 del self.callers[name]
 
     async def end(self, holder: Holder) -> None:
-        """A seat is over: its requests are left, its playbacks end."""
+        """Ends a client session: cancels its requests and ends its playbacks."""
         if self.holders.pop(holder.id, None) is None:
             return
         for scope in list(holder.scopes):
@@ -123,11 +129,11 @@
     async def _gone(self, holder: Holder, v: Viewing) -> None:
         if not self._let_go(holder, v):
             return
-        with suppress(Faulty):  # it has ended by itself
+        with suppress(Faulty):  # the playback has already ended
             await self.core.end(v)
 
     def _let_go(self, holder: Holder, v: Viewing) -> bool:
-        """A playback is this seat's no more; False where it was not."""
+        """Detaches a playback from its client session; False if it was not attached."""
         if holder.playbacks.pop(v.id, None) is None:
             return False
         holder.client.playbacks -= 1
@@ -136,7 +142,11 @@
         return True
 
     def put(self, holder: Holder, make: Make) -> None:
-        """Something that the client must hear. `make`: the message by its number."""
+        """Queues a message until the client acknowledges it, and sends it if the client is connected.
+
+        `make_message` makes the message from its number. A client with too many unacknowledged messages loses its
+        client session.
+        """
         number = holder.seat.outbox.next_number
         message = make(number)
         if holder.seat.put(message, self.clock.now()) is None:
@@ -152,7 +162,10 @@
     # Connections.
 
     def response(self, request: Request) -> Response:
-        """The HTTP side of a connection's beginning (RFC 6455 4.2)."""
+        """The HTTP response to a WebSocket opening handshake (RFC 6455 4.2).
+
+        Raises RequestError if the handshake is invalid or names no known subprotocol.
+        """
         offered = [p.strip() for value in request.all("sec-websocket-protocol") for p in value.split(",")]
         chosen = next((p for p in api.SUBPROTOCOLS if p in offered), None)
         if (request.header("upgrade") or "").lower() != "websocket" or request.method != "GET":
@@ -165,7 +178,7 @@
             return Response(426, [("Upgrade", "websocket"), ("Sec-WebSocket-Version", "13")], close=True)
         ws = wsproto.WSConnection(wsproto.ConnectionType.SERVER)
         fields = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in request.headers]
-        try:  # judged here, where it still gets an answer of its own
+        try:  # checked here, where the client can still get an HTTP error response
             ws.initiate_upgrade_connection(fields, request.target)
         except wsproto.utilities.RemoteProtocolError as fault:
             raise Faulty(400, "handshake", "This is no WebSocket handshake", str(fault)) from None
@@ -181,7 +194,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(link.write, nursery.cancel_scope)
                 await self._speak(link, source)
-                nursery.cancel_scope.deadline = trio.current_time() + 1  # for what is still to be written
+                nursery.cancel_scope.deadline = trio.current_time() + 1  # for messages still to be written
                 link.finish()
         finally:
             if link.caller is not None:
@@ -191,7 +204,7 @@
                 holder.link = None
 
     async def _speak(self, link: Link, source: str) -> None:
-        """Reads messages until the connection ends."""
+        """Reads and handles messages until the connection ends; the first must be a hello."""
         with trio.move_on_after(HELLO_WITHIN) as hello:
             first = await link.receive()
             if not isinstance(first, api.Hello):
@@ -232,7 +245,10 @@
                 self.nursery.start_soon(self._call, holder, message, self.clock.now())
 
     def _attach(self, link: Link, hello: api.Hello, source: str) -> bool:
-        """Gives a connection its seat: a new one, or that to which its pass leads."""
+        """Gives a connection its client session: the one that its resume token names, or a new one.
+
+        False if the connection is closed because its caller has too many.
+        """
         self._key()
         token, now = self.core.token(hello.token or None), self.clock.now()
         who = token.name if token else source
@@ -288,7 +304,7 @@
                 await self._do(holder, message, number)
             except Faulty as fault:
                 self.put(holder, partial(_done, number, fault.status, fault.kind, fault.title))
-            except Exception as error:  # one call's fault is not the front's
+            except Exception as error:  # a failed call must not end the front end
                 self.log.error("call failed", kind=type(message).__name__, error=repr(error))
                 self.put(
                     holder,
@@ -322,11 +338,11 @@
             holder.client.answered(plays)
 
     def _plays(self, holder: Holder, v: Viewing) -> bool:
-        """A playback belongs to the seat now; whether it did not before."""
+        """Attaches a playback to the client session; False if it was attached already."""
         if v.id in holder.playbacks:
             return False
         v.unheard = False
-        for other in self.holders.values():  # it belongs to one seat: that which asked for it last
+        for other in self.holders.values():  # it belongs to the one client session that requested it last
             if other.playbacks.get(v.id) is v:
                 self._let_go(other, v)
                 self.put(other, partial(_event, v.id, "inactive", {"why": "another seat has asked for it"}))
@@ -337,8 +353,8 @@
         return True
 
     async def _forward(self, holder: Holder, v: Viewing, reader: Reader) -> None:
-        """Tells the client what becomes of a playback, until it ends."""
-        with holder.task(), suppress(trio.ClosedResourceError):  # closed where the client itself has ended it
+        """Sends the events of a playback to the client until the playback ends."""
+        with holder.task(), suppress(trio.ClosedResourceError):  # closed when the client ends the playback
             async for kind, data in reader.receive:
                 self.put(holder, partial(_event, v.id, kind, data))
         if holder.readers.get(v.id) is reader:
@@ -409,11 +425,12 @@
 
 
 class Link:
-    """One WebSocket connection: frames in, messages out through a bounded queue."""
+    """One WebSocket connection: reads messages from frames, writes messages through a bounded queue."""
 
     def __init__(
         self, stream: trio.SocketStream, ws: wsproto.WSConnection, subprotocol: str, number: int, allowance: Allowance
     ) -> None:  # fmt: skip
+        """`number` identifies the connection to its client session; later connections have higher numbers."""
         self.stream, self.subprotocol, self.number, self.allowance = stream, subprotocol, number, allowance
         self.codec, self.ws = api.Codec(subprotocol), ws
         self.out, self.queue = trio.open_memory_channel[bytes](allowance.behind + 16)
@@ -424,7 +441,11 @@
         self.closing = False
 
     async def open(self, rest: bytes) -> None:
-        """Accepts the upgrade. A client that does not take the answer in time loses the connection."""
+        """Sends the upgrade response.
+
+        `early_data`: bytes received after the request. Raises trio.BrokenResourceError if the client does not read the
+        response in time.
+        """
         for event in self.ws.events():
             if isinstance(event, events.Request):
                 with trio.move_on_after(WRITE_WITHIN) as slow:
@@ -436,7 +457,10 @@
             self.ws.receive_data(rest)
 
     def send(self, message: object) -> None:
-        """Queues a message; a client too far behind loses the connection, not the message."""
+        """Queues a message for writing.
+
+        A full queue ends the connection; the client session still has the message until it is acknowledged.
+        """
         if self.closing:
             return
         data = self.codec.write(message)
@@ -453,19 +477,22 @@
             self.out.close()
 
     def close(self, code: int, why: str) -> None:
-        """Closes with a code (RFC 6455 7.4) after what is queued."""
+        """Closes the connection with a status code (RFC 6455 7.4) after the queued messages are written."""
         if not self.closing:
             with suppress(wsproto.utilities.LocalProtocolError):
                 self._queue(self.ws.send(events.CloseConnection(code=code, reason=why[:120])))
             self.finish()
 
     def finish(self) -> None:
-        """Nothing more is written after what is queued."""
+        """Accepts no more messages; those already queued are still written."""
         self.closing = True
         self.out.close()
 
     async def write(self, scope: trio.CancelScope) -> None:
-        """Writes what is queued; a client that takes nothing in time loses the connection."""
+        """Writes queued messages until writing ends, then cancels `connection_scope`.
+
+        A client that does not read a message in time loses the connection.
+        """
         with trio.CancelScope() as whole:
             async for data in self.queue:
                 with trio.move_on_after(WRITE_WITHIN) as slow:
@@ -478,7 +505,7 @@
         scope.cancel()
 
     async def receive(self) -> api.FromClient | None:
-        """The next message; None when the connection ends, by either side."""
+        """The next message; None when either side ends the connection."""
         while True:
             try:
                 for event in self.ws.events():
