--- a/oakcroft/front/catalogues.py
+++ b/oakcroft/front/catalogues.py
@@ -191,7 +191,6 @@
     def _step_down(self, some: list[str]) -> None:
         for id_ in some:
             v = self.helm.sessions.get(id_)
-            if (
-                v is not None and v.pb.rung > v.pb.top
-            ):  # compared with the current limit: a later version may have raised it again
+            # Compared with the current limit: a later version may have raised it again.
+            if v is not None and v.pb.rung > v.pb.top:
                 self.helm.bounded(v, v.pb.top)
--- a/oakcroft/front/memory.py
+++ b/oakcroft/front/memory.py
@@ -55,12 +55,10 @@
         self.adopted: set[str] = set()  # ids of restored sessions that no node has confirmed yet
         self.held: dict[str, Viewing] = {}  # restored intents of unknown outcome, by the session's id
         self.seat_keep = SEAT_KEEP
-        self.unclaimed: dict[
-            str, int
-        ] = {}  # ids of restored sessions of API clients, with the time until which a client may claim them
-        self.asked: dict[
-            str, int
-        ] = {}  # when the node of an uncertain intent is asked again, by the session's id
+        # Ids of restored sessions of API clients, with the time until which a client may claim them.
+        self.unclaimed: dict[str, int] = {}
+        # When the node of an uncertain intent is asked again, by the session's id.
+        self.asked: dict[str, int] = {}
         self.kept: dict[str, Grudge] = {}
         self.recovery = Recovery(store.keep, helm.clock.now())
         self.alive_at = 0
--- a/oakcroft/front/operators.py
+++ b/oakcroft/front/operators.py
@@ -89,9 +89,8 @@
     ) -> None:
         self.helm, self.catalogues = helm, catalogues
         self.reducing, self.zone_routing = reducing, zone_routing
-        self.fleet: Callable[[], dict[str, object]] | None = (
-            None  # the fleet as this front end sees it, if it has peers
-        )
+        # The fleet as this front end sees it, if it has peers.
+        self.fleet: Callable[[], dict[str, object]] | None = None
         self.duties: Duties | None = None  # if lease acceptors are configured
         self.rolling: Rolling | None = None
         self.adopting: Told | None = None  # if session takeover is configured
--- a/oakcroft/front/rolling.py
+++ b/oakcroft/front/rolling.py
@@ -370,9 +370,8 @@
             return  # there has been no roll-out
         running, present = self.running, self.peers.membership.present()
         now = self.helm.clock.now()
-        async with (
-            self.beginning
-        ):  # an operator's request changes the plan too, and each change is a step of its own
+        # An operator's request changes the plan too, and each change is a step of its own.
+        async with self.beginning:
             after = running.next(present, now)
             if after is not None:
                 await self._go_on(running, after)
--- a/oakcroft/front/sockets.py
+++ b/oakcroft/front/sockets.py
@@ -56,9 +56,8 @@
     playbacks: dict[str, Viewing] = field(default_factory=dict)
     readers: dict[str, Reader] = field(default_factory=dict)
     tops: dict[str, int] = field(default_factory=dict)
-    calls: OrderedDict[int, None] = field(
-        default_factory=OrderedDict
-    )  # recent call ids, to recognise repeated calls; the values are unused
+    # Recent call ids, to recognise repeated calls; the values are unused.
+    calls: OrderedDict[int, None] = field(default_factory=OrderedDict)
     link: Link | None = None
 
     def takes(self, call: int) -> bool:
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -1,5 +1,7 @@
-"""Playbacks that outlive their front, over several processes of the program: fronts killed, stopped and woken, cut off
-from each other, restarted, with nodes that remember who holds what. Judged by the nodes' records and the sockets."""
+"""Session takeover with several front-end processes that are killed, paused, partitioned and restarted.
+
+The nodes record which front end holds which session; the tests check their records and the answers to requests.
+"""
 
 from __future__ import annotations
 
@@ -28,11 +30,11 @@
 
 
 class Adopters(Fronts):
-    """Fronts that take over from each other."""
+    """Front ends that take over each other's sessions."""
 
     form = "(adopting (after 200ms) (lease 10s))"
     state = False
-    unsound = False  # a breach was planted
+    unsound = False  # the test has caused a breach on purpose
 
     def file(self, name: str) -> Path:
         path = super().file(name)
@@ -57,7 +59,7 @@
         )
 
     async def plays(self, name: str, path: str, key: str) -> Response:
-        """A playback that is asked for until it plays: a front that has just started paces its nodes."""
+        """Requests a playback until it plays; a front end that has just started limits set-ups to its nodes."""
         with trio.fail_after(20):
             while (answer := await self.watch(name, path, key)).status in (429, 503):
                 await trio.sleep(0.1)
@@ -73,7 +75,7 @@
             return {}
 
     def sessions(self) -> dict[str, str]:
-        """By key, the member that holds it, as the nodes have it."""
+        """The front end that holds each session, by idempotency key, as the nodes record it."""
         return {s.key: s.holder.member for n in self.nodes.nodes.values() for s in n.sessions.values()}
 
     async def fill(self, name: str, many: int, plan: str = "open") -> list[str]:
@@ -88,12 +90,12 @@
                 await trio.sleep(0.02)
 
     async def ask_quietly(self, name: str, method: str, path: str) -> None:
-        """A call whose front may never answer it."""
+        """A call that the front end may never answer."""
         with trio.move_on_after(20), suppress(Ended, OSError):
             await self.ask(name, method, path)
 
     def lose_streams(self, name: str) -> None:
-        """The nodes lose the streams of a front, as where its machine drops."""
+        """Closes a front end's event streams at the nodes, as if its machine had failed."""
         pseudonyms = {
             s.front for n in self.nodes.nodes.values() for s in n.sessions.values() if s.holder.member == name
         }
@@ -103,7 +105,7 @@
                     send.close()
 
     def judged(self) -> None:
-        """Each session had one front at a time, and no front held more than its seats."""
+        """Asserts that each session had one front end at a time and that no front end exceeded its seats."""
         if self.unsound:
             return
         facts = self.facts(*KINDS, "setup", "answer", "broken")
@@ -111,7 +113,7 @@
         assert [f.breaches for f in found] == [[]] * 4, found
 
     async def held_by(self, keys: list[str], among: set[str], within: float = 14) -> Counter[str]:
-        """Waits until all of these are held by some of `among`."""
+        """Waits until all sessions with these keys are held by front ends in `among`; counts them by front end."""
         some = dict[str, str]()
         with trio.move_on_after(within):
             while True:
@@ -141,25 +143,25 @@
         rest = {n for n in rig.names if n != "f2"}
         rig.signal("f2", signal.SIGKILL)
         spread = await rig.held_by([*keys, "paid"], rest)
-        assert len(spread) >= 3, spread  # three in line for each node take a share each
+        assert len(spread) >= 3, spread  # the three adopters of each node take a share each
 
-        # A paid one that is asked for again at whoever has it plays on: the same answer, and no second set-up.
+        # A paid request repeated at the new holder gets the same answer, without a second set-up.
         keeper = rig.sessions()["paid"]
         again = await rig.watch(keeper, "/whep/course/t9", "paid")
         assert (again.status, again.body) == (201, first.body)
         assert len([f for f in rig.facts("ran") if f["key"] == "paid"]) == 1
 
-        # Its viewer ends it there, under the name that it has had from the start.
+        # Its viewer ends it there, at the location that it was given at first.
         location = str(first.header("location")).split("://", 1)[-1]
         gone = await rig.ask(keeper, "DELETE", location[location.index("/") :])
         assert gone.status == 200
         await rig.until(lambda: "paid" not in rig.sessions())
 
-        # The one that has most dies in turn: its own are taken over, and those that it had taken.
+        # The front end that adopted most fails too: its sessions are taken over, including the adopted ones.
         second = spread.most_common(1)[0][0]
         rig.signal(second, signal.SIGKILL)
         await rig.held_by(keys, rest - {second})
-        # What the nodes' leases would have ended plays on after all have asked.
+        # The sessions that the nodes' leases would have ended still play after all requests are done.
         with trio.fail_after(30):
             for name in sorted(rest - {second}):
                 while (await rig.status(name))["adopting"]["asking"]:
@@ -177,20 +179,20 @@
         location = str(first.header("location")).split("://", 1)[-1]
         path, rest = location[location.index("/") :], {n for n in rig.names if n != "f1"}
         rig.signal(f := "f1", signal.SIGSTOP)
-        # While nodes hear its stream, nothing is taken from it, whatever all the others see.
+        # While nodes have its event stream, none of its sessions is taken over, whatever the other front ends see.
         await rig.see(sorted(rest), {f: "gone"}, 12)
         with trio.fail_after(10):
             while not any([(await rig.status(n))["adopting"]["asking"] for n in sorted(rest)]):
                 await trio.sleep(0.05)
         assert await rig.held_by([*keys, "mine"], {f})
-        # Its viewer's call waits for it; the nodes lose its streams, and others take over what it had.
+        # A viewer's call waits for the paused front end; the nodes lose its streams, and others take its sessions over.
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.ask_quietly, f, "DELETE", path)
             rig.lose_streams(f)
             await rig.held_by([*keys, "mine"], rest)
             rig.signal(f, signal.SIGCONT)
             await rig.see(sorted(rest), {f: "alive"}, 12)
-            # The call of its viewer may have come before the nodes' word on the ninth.
+            # The viewer's call may be handled before the nodes' report on the ninth session.
             with trio.fail_after(10):
                 while (await rig.status(f))["adopting"]["passed_on"] < 8:
                     await trio.sleep(0.05)
@@ -219,7 +221,7 @@
         assert not rig.facts("passed")
         assert all([await rig.held_by(keys[n], {n}) for n in rig.names])
 
-        # Killed and started again at once, without a file: what its earlier life had is its own again.
+        # Killed and restarted at once without a state file: it takes over the sessions of its previous run.
         rig.signal("f3", signal.SIGKILL)
         await rig.processes["f3"].wait()
         await rig.start("f3")
@@ -235,7 +237,7 @@
 
 
 class Keeping(Adopters):
-    """They keep state files."""
+    """Front ends with state files."""
 
     state = True
 
@@ -247,7 +249,7 @@
         await rig.processes["f1"].wait()
         await rig.start("f1")
         await rig.held_by(keys, {"f1"})
-        assert not rig.facts("passed")  # it knows them by its file
+        assert not rig.facts("passed")  # it restored them from its state file
         again = await rig.watch("f1", "/whep/course/t0", keys[4])
         assert again.status == 201
 
@@ -256,7 +258,7 @@
         await rig.processes["f1"].wait()
         spread = await rig.held_by(keys, rest)
         keeper = rig.sessions()[keys[4]]
-        # An adopter that keeps a file has it on record: killed and started again, it knows the key and sets up nothing.
+        # An adopter records the adopted session: after a restart it knows the key and sets nothing up.
         rig.signal(keeper, signal.SIGKILL)
         await rig.processes[keeper].wait()
         await rig.start(keeper)
@@ -265,7 +267,7 @@
         assert again.status == 201
         assert len([f for f in rig.facts("ran") if f["key"] == keys[4]]) == 1
 
-        # The dead one comes back with its file, long after: it ends nothing that others have.
+        # The failed front end restarts late with its state file: it ends no session that others hold.
         await rig.start("f1")
         with trio.fail_after(10):
             while (await rig.status("f1"))["adopting"]["passed_on"] < len(keys) - spread.get("f1", 0):
@@ -277,7 +279,7 @@
 
 
 class Leaving(Adopters):
-    """They take their time to leave."""
+    """Front ends that drain for a long time when they stop."""
 
     def file(self, name: str) -> Path:
         path = super().file(name)
@@ -292,7 +294,7 @@
     async def test(rig: Adopters) -> None:
         dead, node = "f4", "n1"
         order = line(f"{node}/{weight('slot', dead) % SLOTS}", [n for n in rig.names if n != dead])
-        leaving = order[0]  # the first of those that would ask
+        leaving = order[0]  # the first that would send a takeover request
         keys = await rig.fill(dead, 10)
         kept = await rig.fill(leaving, 2)
         rig.signal(leaving, signal.SIGTERM)
@@ -307,12 +309,13 @@
 
 def test_what_has_no_seat_is_left_and_no_rule_broken(tmp_path: Path) -> None:
     async def test(rig: Adopters) -> None:
-        for name in ("f0", "f1", "f2", "f3"):  # two seats a title at each
+        for name in ("f0", "f1", "f2", "f3"):  # each front end has two seats a title
             for i in range(2):
                 await rig.plays(name, "/whep/seats/t0", f"{name}-seat-{i}")
         rig.signal("f0", signal.SIGKILL)
         await rig.held_by(["f0-seat-0", "f0-seat-1"], {"f4"})
-        rig.signal("f1", signal.SIGKILL)  # nobody has a seat for its two: nodes end them with the lease
+        # No front end has seats for its two: nodes end them when the lease expires.
+        rig.signal("f1", signal.SIGKILL)
         gone = {"f1-seat-0", "f1-seat-1"}
         await rig.until(lambda: not gone & set(rig.sessions()), 25)
         why = {f["why"] for f in rig.facts("over") if f["key"] in gone}
@@ -364,7 +367,7 @@
             await peer.close()
             return answer.status
 
-        # What the dead front had under way comes now: a change of rung, a trickle, an end, and its wish to have it back.
+        # Late calls of the failed front end: a rung change, a trickle, an end, and a takeover request.
         assert await word("POST", f"{path}/layer", b'{"encodingId": "0"}') == 409
         assert await word("PATCH", path) == 409
         assert await word("DELETE", path) == 409
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue: its text, what a change may do, and fronts whose catalogue is swapped while they serve."""
+"""The catalogue: its text format, the evaluation of changes, and changes while a front end serves."""
 
 from __future__ import annotations
 
@@ -141,10 +141,8 @@
     old = cat(1, a=Item(("n1",)), gone=Item(("n9",)))
     assert judged(old, cat(2, a=Item(("n1",)), gone=Item(("n9",))), old.digest, FLEET) == (Verdict.SAME, [])
     good = cat(2, a=Item(("n1", "n2")), gone=Item(("n9",)), b=Item((), 3, 2))
-    assert judged(old, good, old.digest, FLEET) == (
-        Verdict.TAKEN,
-        [],
-    )  # what was without a holder holds nothing up
+    # A title that had no listed holder before does not block a change.
+    assert judged(old, good, old.digest, FLEET) == (Verdict.TAKEN, [])
     assert judged(old, good, "other", FLEET)[0] is Verdict.STALE
     assert judged(old, good, None, FLEET)[0] is Verdict.TAKEN
     for bad, says in (
@@ -221,9 +219,8 @@
     async def test() -> None:
         async with trio.open_nursery() as nursery, standing(tmp_path, OPS, state=True) as rig:
             assert (await rig.ask("GET", "/operators/catalogue")).status == 401
-            assert (
-                await rig.ask("PUT", "/operators/catalogue", b"x" * 100_000)
-            ).status == 413  # not for anybody
+            # Large bodies only with the operators' token.
+            assert (await rig.ask("PUT", "/operators/catalogue", b"x" * 100_000)).status == 413
             assert (await rig.ask("GET", "/operators/nothing", **AUTH)).status == 404
             assert (await rig.ask("DELETE", "/operators/catalogue", **AUTH)).status == 405
             first = await rig.ask("GET", "/operators/catalogue", **AUTH)
@@ -260,7 +257,8 @@
             rig.front_scope.cancel()
             await rig.ended.wait()
             await start_front(nursery, rig, state=True)
-            assert (await rig.watch("/whep/open/b")).status == 404  # in force as before
+            # The version is active again after the restart.
+            assert (await rig.watch("/whep/open/b")).status == 404
             back = await rig.ask("POST", "/operators/catalogue/roll-back?to=1", If_Match="*", **AUTH)
             assert (back.status, told(back)["version"]) == (200, 3)
             assert (await rig.watch("/whep/open/b")).status == 201
@@ -288,7 +286,7 @@
             refused = await put(
                 rig, "(put (title a (home 0) (copies 2) (renditions 200kB/s)))", "*", "", "PATCH"
             )
-            assert refused.status == 409  # plan high could not be served
+            assert refused.status == 409  # the title could not be served under plan high
             less = "(put (title a (home 0) (copies 2) (renditions 200kB/s))) (put (title b (holders n2)))"
             assert (await put(rig, less, "*", "?force=yes", "PATCH")).status == 200
             assert (await rig.watch("/whep/high/a")).status == 404
@@ -298,9 +296,9 @@
             low_one = rig.front.helm.sessions[session]
             await until(lambda: low_one.pb.rung == 0)
             high_one = rig.front.helm.sessions[(high.header("location") or "").rpartition("/")[2]]
-            assert high_one.pb.rung == 2  # under its floor there is nothing: it finishes as it is
+            assert high_one.pb.rung == 2  # no rung at or above its floor is left: it keeps its rung to the end
             assert (await put(rig, "(drop a)", "*", "", "PATCH")).status == 200
-            assert len([n for p in rig.playing() for n in p.sessions]) == 3  # nothing was ended
+            assert len([n for p in rig.playing() for n in p.sessions]) == 3  # no session was ended
             assert (await rig.watch("/whep/open/b")).status == 201
             assert rig.facts("setup")[-1]["node"] == "n2"
             assert (await rig.ask("DELETE", high.header("location") or "")).status == 200
@@ -344,7 +342,7 @@
                         text = text.replace("n1", "n8").replace("n2", "n9")
                     tag = (await rig.ask("GET", "/operators/catalogue", **AUTH)).header("etag") or ""
                     sat = [await put(rig, text, tag)]
-                    if n % 10 == 5 and sat[0].status == 200:  # a second one, made from the same version
+                    if n % 10 == 5 and sat[0].status == 200:  # a second change made from the same version
                         sat.append(await put(rig, some(), tag))
                     for one in sat:
                         verdicts[one.status] += 1
@@ -361,7 +359,8 @@
             seen = Counter[int]()
             for f in rig.facts("setup"):
                 if f["catalogue"]:
-                    item = versions[f["catalogue"]][f["title"]]  # a KeyError: it had no such title then
+                    # A KeyError would mean that the version has no such title.
+                    item = versions[f["catalogue"]][f["title"]]
                     assert f["node"] in item.holders, f
                     assert f["rung"] < len(item.rates), f
                     seen[f["catalogue"]] += 1
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -1,4 +1,4 @@
-"""Odd but legal input, and what only shows after months: each answered as stated, ending nothing for anybody else."""
+"""Unusual but legal input and faults that show only after months: each is handled as defined and affects no others."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 from test_sessions import Raw, parts, raw
 
 
-# What goes on for months.
+# Faults that last for months.
 
 
 def test_an_errand_that_fails_for_months_keeps_its_longest_wait() -> None:
@@ -78,7 +78,7 @@
     assert tried[0] > 1_100
 
 
-# What one client or one node says, on sockets: the front goes on for all others.
+# Input of one client or one node over sockets: the front end keeps serving all others.
 
 UPGRADE = (
     "GET /api/v1 HTTP/1.1\r\nHost: a\r\nUpgrade: websocket\r\nSec-WebSocket-Protocol: oakcroft.v1.json\r\n"
@@ -86,7 +86,7 @@
 
 
 async def said(rig: Rig, data: bytes) -> bytes:
-    """The first bytes of the answer to bytes on a connection of their own."""
+    """The first bytes of the answer to `request_bytes` on a new connection."""
     stream = await trio.open_tcp_stream("127.0.0.1", rig.port)
     async with stream:
         await stream.send_all(data)
@@ -202,13 +202,13 @@
     assert isinstance(Roster().take(lines, version, service, 0), Refused)
 
 
-# A key that comes again, in each state.
+# Repeated idempotency keys, in each state of their request.
 
 
 def test_the_end_of_an_earlier_playback_ends_nothing_of_a_later_one_under_its_key() -> None:
     repeats, first, later = Repeats(10, 60 * SECOND), object(), object()
     repeats.begin("k", "a", False, 0)
-    repeats.settled("k", Final.ABORTED, first, 1)  # its answer was due; its set-up comes back late
+    repeats.settled("k", Final.ABORTED, first, 1)  # its abandon time was reached; its set-up succeeds later
     repeats.begin("k", "a", False, 2)
     repeats.settled("k", Final.PLAYS, later, 3)
     repeats.ended("k", first, 4)
@@ -288,7 +288,7 @@
             helm, path = rig.helm(), f"/whep/{plan}/t"
             first = await rig.watch(path, Idempotency_Key='"k"')
             v = helm.sessions[(first.header("location") or "").rpartition("/")[2]]
-            helm.unsent(v)  # as where its connection broke while the answer was written
+            helm.unsent(v)  # as if the connection was lost while the answer was written
             assert (await rig.watch(path, Idempotency_Key='"k"')).header("location") == first.header(
                 "location"
             )
@@ -324,7 +324,7 @@
 
 
 async def plays(one: Raw, key: str, id_: int = 1, path: str = "/whep/open/t") -> api.Answer:
-    """The answer to a request over the session API."""
+    """Requests a playback over the session API and returns the answer."""
     await one.say(api.Ask(id_, path, offer(20_000, 1), key))
     while not isinstance(answer := await one.hear(), api.Answer):
         pass
@@ -336,7 +336,8 @@
         async with standing(tmp_path) as rig, AsyncExitStack() as stack:
             _, seats = parts(rig)
             first = None
-            for _ in range(MOST_READERS + 2):  # each a new seat, as of a client that lost its pass
+            # Each a new client session, as of a client without its resume token.
+            for _ in range(MOST_READERS + 2):
                 one = await stack.enter_async_context(raw(rig, api.Hello()))
                 await one.hear()
                 answer = await plays(one, "k")
@@ -367,7 +368,8 @@
         async with standing(tmp_path) as rig, raw(rig, api.Hello()) as one:
             _, seats = parts(rig)
             await one.hear()
-            monkeypatch.setattr(Claims, "claim", lambda *_: False)  # the node's word of the end came first
+            # The node's report of the end arrived first.
+            monkeypatch.setattr(Claims, "claim", lambda *_: False)
             answer = await plays(one, "k")
             assert answer.status == 201
             event = await one.hear()
@@ -420,7 +422,7 @@
             seat = await plays(one, "k")
             here = (await rig.watch()).header("location") or ""
             for node in rig.playing():
-                node.ails.silent = ended == "ending"  # the farewell finds no answer yet
+                node.ails.silent = ended == "ending"  # the end of the session at the node is not answered yet
             for name in (here, f"/session/{seat.playback}"):
                 assert (await rig.ask("DELETE", name)).status == 200
             if ended == "ended":
@@ -444,11 +446,11 @@
     run(test)
 
 
-# Nodes that come and go.
+# Nodes that are added and removed.
 
 
 async def relisted(rig: Rig, *lines: Line) -> None:
-    """Another list is in force: these lines, and those before that it does not replace."""
+    """Applies a new node list: these nodes, and those of the current list that they do not replace."""
     helm = rig.helm()
     kept = {x.name: x for x in helm.roster.lines.values()} | {x.name: x for x in lines}
     assert await helm.listed(list(kept.values()), helm.roster.version + 100, helm.roster.service)
@@ -463,7 +465,7 @@
             monkeypatch.setattr(Roster, "WITHHELD", -1)
             n1 = helm.roster.lines["n1"]
             before = len(helm.nursery.child_tasks)
-            for n in range(20):  # a machine that is replaced has a new name, one that moves a new address
+            for n in range(20):  # a replaced machine has a new name, a moved one a new address
                 line = replace(n1, name=f"n{n + 10}", port=1 + n, address="127.0.0.1")
                 await relisted(rig, line)
                 leg = helm.legs[line.name]
@@ -563,9 +565,8 @@
             helm, memory = rig.helm(), rig.helm().memory
             assert memory is not None
             v = helm.sessions[(sat.header("location") or "").rpartition("/")[2]]
-            memory.put(
-                replace(memory.promises[v.id], mark=Mark.ABORTED)
-            )  # as where its time was up meanwhile
+            # As if its abandon time was reached meanwhile.
+            memory.put(replace(memory.promises[v.id], mark=Mark.ABORTED))
             v.final = Final.ABORTED
             assert not await memory.record(v)
             assert not await memory.before_try(v, "n1", 0, helm.clock.now() + SECOND)
@@ -577,7 +578,7 @@
     run(test)
 
 
-# Connections at their worst.
+# Connections that fail.
 
 
 def test_a_kept_alive_connection_closed_as_a_set_up_is_written_proves_nothing() -> None:
@@ -585,7 +586,7 @@
         while b"\r\n\r\n" not in await stream.receive_some(4_096):
             pass
         await stream.send_all(b"HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n")
-        await stream.receive_some(1)  # the next one has begun to arrive
+        await stream.receive_some(1)  # the next request has begun to arrive
         reset(stream)
 
     async def test() -> None:
@@ -625,7 +626,7 @@
             assert (await plays(one, "k")).status == 201
             (holder,) = seats.holders.values()
             await until(lambda: v.readers)
-            for _ in range(100):  # far more than the sockets' buffers take
+            for _ in range(100):  # far more than the socket buffers hold
                 helm.publish(v, "layers", {"encodingId": "x" * 200_000})
                 for w in list(holder.playbacks.values()):
                     helm.publish(w, "layers", {"encodingId": "x" * 200_000})
@@ -633,7 +634,7 @@
             await until(lambda: not v.readers and holder.link is None)
             assert await idle.receive_some(1) == b""
             await until(lambda: not door.guests)
-            assert len(helm.sessions) == 2  # what plays, plays on: the seat may come back
+            assert len(helm.sessions) == 2  # playbacks continue: the client may resume its session
             assert (await rig.watch()).status == 201
 
     run(test)
@@ -653,7 +654,7 @@
                 leg: NodeLeg, upstream: Upstream, if_match: str, body: bytes
             ) -> Response | None:
                 reply = await patch(leg, upstream, if_match, body)
-                v.upstream = target  # the move has switched while the node answered
+                v.upstream = target  # the move switched to its target while the node answered
                 return reply
 
             monkeypatch.setattr(NodeLeg, "patch", overtaken)
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""What the module decides and a later part decides too: one owner each, and no cause acted on twice."""
+"""Decisions that both the decision module and a later component could make: one makes each, and no cause counts twice."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         async with standing(tmp_path, OPS) as rig:
             await taken(rig, TWO)
             sat, v = await watched(rig)
-            assert await layer(rig, sat, 2) == 200  # a rung of the ladder that this title has not
+            assert await layer(rig, sat, 2) == 200  # a rung that exists, but not for this title
             await until(lambda: v.asked_top == 2)
             assert v.pb.top == 1
             assert await layer(rig, sat, 0) == 200
@@ -83,7 +83,7 @@
         async with standing(tmp_path, OPS) as rig:
             _, v = await watched(rig)
             v.pb.rung = 2
-            catalogues(rig).steps.last = rig.helm().clock.now() + 10**12  # no turn yet
+            catalogues(rig).steps.last = rig.helm().clock.now() + 10**12  # no batch is due yet
             await taken(rig, ONE)
             assert len(catalogues(rig).steps.waiting) == 1
             await taken(rig, THREE)
@@ -158,14 +158,14 @@
 
 @dataclass
 class Refused:
-    """What nodes were asked for, and whether they refuse it now."""
+    """The paths of rejected calls, and whether calls are being rejected."""
 
     asked: list[str] = field(default_factory=list)
     now: bool = True
 
 
 def refusing(monkeypatch: pytest.MonkeyPatch, status: int) -> Refused:
-    """Nodes that answer each change of rung with a status of their own."""
+    """Makes all nodes answer each rung change with `status`."""
     refused, handle = Refused(), PlayoutNode.handle
 
     async def answer(node: PlayoutNode, request: Request) -> Response:
@@ -220,9 +220,8 @@
             before = v.pb.rung
             await until(lambda: rig.helm().legs[rig.playing()[0].name].lifeline.state is Life.HEARD)
             assert await layer(rig, sat, 0) == 200
-            await until(
-                lambda: v.pb.top == 0 and v.pb.rung == before
-            )  # the node's word has told what is in force
+            # The node's event has told the rung in force.
+            await until(lambda: v.pb.top == 0 and v.pb.rung == before)
             refused.now = False
             for leg in rig.helm().legs.values():
                 leg.renew()
@@ -245,15 +244,16 @@
             assert await layer(rig, sat, 0) == 200
             await until(lambda: [e for e in rig.logged() if e["event"] == "rendition bound not in force"])
             assert 3 <= len(refused.asked) <= 12
-            assert (v.pb.rung, v.pb.top) == (before, 0)  # it plays on, and the module knows at what
+            # It plays on, and the decision module knows the rung in force.
+            assert (v.pb.rung, v.pb.top) == (before, 0)
             leg = rig.helm().legs[rig.playing()[0].name]
             refused.now, asked_at = False, leg.asked_at
             leg.renew()
             await until(lambda: leg.lifeline.last_heard > leg.asked_at > asked_at)
             await trio.testing.wait_all_tasks_blocked()
-            assert not v.bound_retry_waits  # the node's word alone does not begin it anew
+            assert not v.bound_retry_waits  # the node's event alone does not restart the attempts
             assert not rig.facts("rung")
-            assert await layer(rig, sat, 0) == 200  # a new wish does
+            assert await layer(rig, sat, 0) == 200  # a new request does
             await until(lambda: rig.facts("rung"))
             rig.judged()
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""The session API: seats that outlive connections, the line before the module, and whole sessions over WebSocket."""
+"""The session API: client sessions that outlive connections, the request queue, and whole sessions over WebSocket."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
                 sent += 1
                 if seat.standing is Standing.ATTACHED:
                     wire.append((number, sent - 1))
-        elif what == "a":  # the connection delivers some, the client acknowledges
+        elif what == "a":  # the connection delivers some messages, the client acknowledges them
             for number, message in wire[:k]:
                 if number == len(heard) + 1:
                     heard.append(message)
             del wire[:k]
             assert seat.outbox.acknowledged(len(heard))
-        elif what == "c":  # it breaks and comes back: what was on the wire is lost
+        elif what == "c":  # the connection is lost and the client reconnects: messages in transit are lost
             seat.detached(conn, now)
             wire.clear()
             conn += 1
@@ -77,7 +77,7 @@
     seat = Seat[str](SECOND, Outbox(4), connection=1)
     assert seat.put("a", 0) == 1
     assert seat.attach(2, 0, 1) == ([(1, "a")], 1)
-    assert not seat.detached(1, 2)  # the earlier one no longer speaks for it
+    assert not seat.detached(1, 2)  # the earlier connection no longer acts for the client session
     assert not seat.left(1, 2)
     assert seat.detached(2, 3)
     assert not seat.look(SECOND)
@@ -85,7 +85,7 @@
     assert seat.attach(3, 0, 2 * SECOND) is None
     liar = Seat[str](SECOND, Outbox(4), connection=1)
     assert not liar.outbox.acknowledged(1)
-    assert liar.attach(2, 5, 0) is None  # it claims what was never sent
+    assert liar.attach(2, 5, 0) is None  # it acknowledges a message that was never sent
     pulse = Pulse(SECOND)
     for asked in range(3):
         assert not pulse.dead, asked
@@ -137,9 +137,8 @@
         queue = list[Waiting]()
         finishes: list[int] = []
         for now in range(0, 20 * SECOND, 10 * MS):
-            for _ in range(
-                rng.choice([0, 1, 1, 2])
-            ):  # a hundred a second for one that takes 50 ms each: five times over
+            # 100 requests a second at 50 ms each: five times the capacity
+            for _ in range(rng.choice([0, 1, 1, 2])):
                 number += 1
                 one = Waiting(now + 500 * MS, number, rng.choice(["dear", "cheap"]), f"c{rng.randrange(5)}")
                 if order == "first come":
@@ -162,7 +161,7 @@
         served[order] = in_time
     revenue = {order: 9 * s["dear"] + s["cheap"] for order, s in served.items()}
     assert revenue["line"] > 5 * revenue["first come"]
-    assert served["line"]["cheap"] >= 0.08 * sum(served["line"].values())  # its least share
+    assert served["line"]["cheap"] >= 0.08 * sum(served["line"].values())  # its minimum share
     assert served["line"]["dear"] > 4 * served["line"]["cheap"]
 
 
@@ -185,9 +184,9 @@
         assert not line.sheds("dear")
         if not line.sheds("cheap"):
             line.enter(Waiting(5 * SECOND, number, "cheap", ""))
-    assert line.plans["cheap"].waiting == 19  # alone it has all the turns: fifty in half its target
+    assert line.plans["cheap"].waiting == 19  # alone it gets all the turns: 50 in half its startup target
     line.enter(Waiting(5 * SECOND, 20, "dear", ""))
-    assert line.sheds("cheap")  # now a tenth of them
+    assert line.sheds("cheap")  # now it gets a tenth of them
     assert not line.sheds("dear")
 
 
@@ -207,9 +206,8 @@
     retries = Retries(Random(1), most=3)
     assert retries.after(1, 201, "", True, None)[0] is Next.DONE
     assert retries.after(1, None, "", True, None, sent=False)[0] is Next.SAME_KEY
-    assert (
-        retries.after(1, None, "", True, None, sent=True)[0] is Next.GIVE_UP
-    )  # a killed front forgets its keys
+    # A killed front end without a state file forgets its keys.
+    assert retries.after(1, None, "", True, None, sent=True)[0] is Next.GIVE_UP
     assert Retries(Random(1), repeatable=True).after(1, None, "", True, None)[0] is Next.SAME_KEY
     assert retries.after(1, 409, "urn:oakcroft:problem:outstanding", True, 1.0)[0] is Next.SAME_KEY
     how, wait = retries.after(1, 503, "", True, 2.0)
@@ -249,7 +247,7 @@
 
 
 class Raw:
-    """A WebSocket client that does just what a test says."""
+    """A WebSocket client whose every step is under the test's control."""
 
     def __init__(self, stream: trio.SocketStream, ws: wsproto.WSConnection) -> None:
         self.stream, self.ws = stream, ws
@@ -325,7 +323,8 @@
                     await until(lambda: not rig.playing())
                     third = await client.play("/whep/course/u", OFFER)
                     assert third.id in helm.sessions
-                await until(lambda: not rig.playing() and not helm.viewings)  # it said goodbye
+                # Closing the client ended its playbacks.
+                await until(lambda: not rig.playing() and not helm.viewings)
                 await until(lambda: not sessions.holders)
                 for node in rig.fleet.nodes.values():
                     if node.ails.dead:
@@ -364,7 +363,10 @@
 
 @pytest.mark.parametrize("cut", range(2 * len(SCRIPT) + 1))
 def test_a_cut_at_any_message_loses_and_doubles_nothing(tmp_path: Path, cut: int) -> None:
-    """The connection is cut before or after each message of a script, then taken up again, to the script's end."""
+    """Cuts the connection before or after one message of a script, reconnects and runs the rest of the script.
+
+    Guards against messages lost or repeated when a client session is resumed.
+    """
 
     async def test() -> None:
         async with standing(tmp_path) as rig:
@@ -383,7 +385,7 @@
 
             one = await connect()
             for i, message in enumerate(SCRIPT):
-                if cut == 2 * i:  # before it is said
+                if cut == 2 * i:  # before the message is sent
                     await one.cut()
                     one = await connect()
                 if isinstance(message, api.Layer):
@@ -391,7 +393,7 @@
                 elif isinstance(message, api.End):
                     message = api.End(playing[1], message.id)
                 await one.say(message)
-                if cut == 2 * i + 1:  # said, its answer unheard
+                if cut == 2 * i + 1:  # sent, but its answer is not received
                     await trio.sleep(0.05)
                     await one.cut()
                     one = await connect()
@@ -401,7 +403,7 @@
                 one = await connect()
             answers = [m.id for m in heard if isinstance(m, api.Answer | api.Done)]
             assert answers == [1, 2, 3, 4]
-            assert numbers == list(range(1, len(numbers) + 1))  # each once, in order
+            assert numbers == list(range(1, len(numbers) + 1))  # each message once, in order
             assert len(rig.facts("ran")) == 2
             await one.say(api.Bye())
             assert await one.code() == 1000
@@ -415,7 +417,7 @@
 async def collect(
     one: Raw, heard: list[object], numbers: list[int], playing: dict[int, str], wanted: int
 ) -> None:
-    """Hears until the answers to the first so many calls are in."""
+    """Receives messages until the answers to the first `wanted` calls have arrived."""
     with trio.fail_after(5):
         while len([m for m in heard if isinstance(m, api.Answer | api.Done)]) < wanted:
             message = await one.hear()
@@ -450,14 +452,14 @@
         (b"\x81\x05hello", 1002),  # a client's frames are masked (5.1)
         (b"\x83\x80\0\0\0\0", 1002),  # a reserved opcode (5.2)
         (b"\xc1\x80\0\0\0\0", 1002),  # a reserved bit (5.2)
-        (b"\x09\x80\0\0\0\0", 1002),  # a control frame in pieces (5.5)
+        (b"\x09\x80\0\0\0\0", 1002),  # a fragmented control frame (5.5)
         (b"\x89\xfe\x00\x7e\0\0\0\0" + b"x" * 126, 1002),  # a control frame over 125 bytes (5.5)
-        (b"\x80\x80\0\0\0\0", 1002),  # a continuation of nothing (5.4)
+        (b"\x80\x80\0\0\0\0", 1002),  # a continuation frame without a message (5.4)
         (b"\x81\x82\0\0\0\0\xff\xfe", 1007),  # text that is not UTF-8 (8.1)
         (b"\x82\x82\0\0\0\0{}", 1003),  # a binary frame under the JSON subprotocol
-        (b"\x81\x82\0\0\0\0{}", 1007),  # no message
-        (b"\x88\x82\0\0\0\0\x03\xe8", 1000),  # a close is answered by a close (5.5.1)
-        (b"\x88\x81\0\0\0\0x", 1002),  # a close with half a code (5.5.1)
+        (b"\x81\x82\0\0\0\0{}", 1007),  # a JSON object that is no message
+        (b"\x88\x82\0\0\0\0\x03\xe8", 1000),  # a close frame is answered with one (5.5.1)
+        (b"\x88\x81\0\0\0\0x", 1002),  # a close frame with half a status code (5.5.1)
     ],
 )
 def test_frames_that_the_rfc_forbids_close_with_its_code(tmp_path: Path, data: bytes, code: int) -> None:
@@ -476,9 +478,8 @@
         async with standing(tmp_path) as rig, raw(rig) as one:
             text = api.Codec(api.JSON).write(api.Hello()).decode()
             await one.stream.send_all(one.ws.send(events.TextMessage(data=text[:5], message_finished=False)))
-            await one.stream.send_all(
-                one.ws.send(events.Ping(payload=b"p"))
-            )  # a control frame between pieces (5.4)
+            # A control frame between fragments (5.4).
+            await one.stream.send_all(one.ws.send(events.Ping(payload=b"p")))
             assert isinstance(await one.event(), events.Pong)
             await one.stream.send_all(one.ws.send(events.TextMessage(data=text[5:], message_finished=True)))
             assert isinstance(await one.hear(), api.Welcome)
@@ -582,7 +583,7 @@
                                 node.ails.hung = False
                                 node.stir()
 
-                    async with trio.open_nursery() as nursery:  # or while its set-up is out
+                    async with trio.open_nursery() as nursery:  # or while its set-up is pending at a node
                         if not i % 2:
                             nursery.start_soon(cut)
                         playback = await client.play(f"/whep/course/t{i}", OFFER)
@@ -604,7 +605,7 @@
                 paid = await client.play("/whep/course/a", offer(900, 1))
                 free = await client.play("/whep/open/b", offer(900, 1))
                 for node in rig.fleet.nodes.values():
-                    node.ails.silent = True  # a third request is out when the front dies
+                    node.ails.silent = True  # a third request is pending when the front end stops
                 answers = list[object]()
 
                 async def third() -> None:
@@ -652,7 +653,7 @@
                 await client.play("/whep/course/a", offer(900, 1))
                 rig.front_scope.cancel()
                 await rig.ended.wait()
-                client.closing = True  # it does not come back
+                client.closing = True  # it does not reconnect
             await start_front(nursery, rig, state=True)
             assert rig.front is not None
             assert rig.front.helm is not None
