--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -296,7 +296,7 @@
             low_one = rig.front.helm.sessions[session]
             await until(lambda: low_one.pb.rung == 0)
             high_one = rig.front.helm.sessions[(high.header("location") or "").rpartition("/")[2]]
-            assert high_one.pb.rung == 2  # no rung at or above its floor is left: it keeps its rung to the end
+            assert high_one.pb.rung == 2  # no rung from its floor up is left: it finishes at its own
             assert (await put(rig, "(drop a)", "*", "", "PATCH")).status == 200
             assert len([n for p in rig.playing() for n in p.sessions]) == 3  # no session was ended
             assert (await rig.watch("/whep/open/b")).status == 201
