--- a/oakcroft/catalogue/text.py
+++ b/oakcroft/catalogue/text.py
@@ -1,5 +1,5 @@
-"""The text of a catalogue: S-expressions as in the configuration, read by a scanner of its own, since a catalogue has a
-hundred thousand titles where a configuration has a few hundred forms.
+"""The text format of a catalogue: S-expressions as in the configuration. The format has its own scanner, since a
+catalogue has a hundred thousand titles where a configuration has a few hundred forms.
 
     (catalogue
       (others no)
@@ -33,19 +33,19 @@
 
 @dataclass
 class Fault:
-    """One thing that is wrong: its line, what, and what to write."""
+    """An error in a catalogue text: its line, the message, and a suggested fix."""
 
     line: int
     what: str
     fix: str = ""
 
     def show(self, name: str = "catalogue") -> str:
-        """For people."""
+        """Formats the error for people."""
         return f"{name}:{self.line}: {self.what}" + (f"\n    {self.fix}" if self.fix else "")
 
 
 class Unsound(Exception):
-    """A text with faults."""
+    """Raised for a catalogue text with errors; `faults` holds them."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__(faults[0].show() if faults else "unsound")
@@ -54,27 +54,27 @@
 
 @dataclass
 class Form:
-    """A list, and the line that it begins on."""
+    """A list and the line that it begins on."""
 
     line: int
     items: list[str | Form] = field(default_factory=list)
 
     @property
     def name(self) -> str:
-        """Its first word."""
+        """The word that the list begins with, "" if there is none."""
         return self.items[0] if self.items and isinstance(self.items[0], str) else ""
 
 
 @dataclass
 class Said:
-    """What a text says."""
+    """The content of a catalogue text. `others`: titles that it doesn't list are served as well."""
 
     titles: dict[str, Item]
     others: bool = False
 
 
 def scan(text: str) -> list[Form]:
-    """The forms of a text. Unsound where its brackets or strings do not fit."""
+    """Parses a text into forms. Raises CatalogueError at the first syntax error."""
     out, stack, line, at, size = list[Form](), list[Form](), 1, 0, len(text)
     match = TOKEN.match
     while at < size:
@@ -107,19 +107,19 @@
 
 
 class Reader:
-    """Reads forms into items, noting every fault."""
+    """Reads (title …) forms and collects the errors in them."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
-        self.rates: dict[str, float] = {}  # by how they are written: there are few different ones
+        self.rates: dict[str, float] = {}  # parsed rates by their text; a catalogue has few different ones
 
     def fault(self, line: int, what: str, fix: str = "") -> None:
-        """Notes one."""
+        """Records an error, up to a bound."""
         if len(self.faults) < MOST_PROBLEMS:
             self.faults.append(Fault(line, what, fix))
 
     def title(self, form: Form) -> tuple[str, Item] | None:
-        """One (title …)."""
+        """Reads one (title …). Returns its name and content, None after an error that leaves no usable title."""
         if len(form.items) < 2 or not isinstance(form.items[1], str):
             self.fault(form.line, "(title …) begins with its name", "(title intro (home 0) (copies 6))")
             return None
@@ -156,7 +156,7 @@
         return self.item(form, name, seen)
 
     def item(self, form: Form, name: str, seen: Mapping[str, list[str]]) -> tuple[str, Item]:
-        """A title by the values of its fields."""
+        """Builds a title from the values of its fields and records what is wrong with them."""
         holders, rates = (
             seen.get("holders", []),
             [self._rate(form, name, r) for r in seen.get("renditions", [])],
@@ -199,7 +199,10 @@
 
 
 def read_laid_out(text: str) -> Said | None:
-    """A sound catalogue in the layout of `write`, much faster than by its forms; None for any other text."""
+    """Reads a catalogue in the layout of `format_catalogue`, much faster than the general parser.
+
+    Returns None for any other text and for one with errors.
+    """
     lines = text.split("\n")
     if len(lines) < 4 or lines[0] != "(catalogue" or lines[-2:] != [")", ""]:
         return None
@@ -230,7 +233,7 @@
 
 
 def read(text: str) -> Said:
-    """A whole catalogue. Unsound with all its faults."""
+    """Reads a whole catalogue. Raises CatalogueError with all errors found."""
     if (quickly := read_laid_out(text)) is not None:
         return quickly
     reader, said, where = Reader(), Said({}), dict[str, int]()
@@ -271,7 +274,7 @@
 
 
 def apply(text: str, to: Said) -> Said:
-    """A change applied to a catalogue. Unsound with all its faults; then nothing of it is applied."""
+    """Returns a copy of a catalogue with a change applied. Raises CatalogueError with all errors found."""
     reader, out = Reader(), Said(dict(to.titles), to.others)
     for form in scan(text):
         if form.name == "put":
@@ -316,11 +319,11 @@
 
 
 def write(titles: Iterable[tuple[str, Item]], others: bool) -> str:
-    """The text that says this, the same for the same catalogue: titles by name, one a line."""
+    """Formats a catalogue in its canonical layout: titles by name, one a line."""
     lines = [f"  {' '.join(_parts(name, item))})\n" for name, item in sorted(titles)]
     return f"(catalogue\n  (others {'yes' if others else 'no'})\n{''.join(lines)})\n"
 
 
 def digest(text: str) -> str:
-    """Of a text as `write` writes it."""
+    """Returns the digest of a text in the layout of `format_catalogue`."""
     return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line interface."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from oakcroft.running.logs import set_up
 
 CHECK_WITHIN_SECONDS = 120
-"""A check that a process of its own has not ended by then is given up."""
+"""Timeout of a configuration check in a subprocess."""
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
@@ -40,7 +40,10 @@
 
 
 def read_anew(file: Path, families: dict[str, int]) -> Deployment | list[str]:
-    """A front's file as it stands now: what it says, or what is wrong with it."""
+    """Reads a front end's file. Returns the deployment settings, or the errors as lines of text.
+
+    `known_families` holds the family numbers of plans that are in use.
+    """
     try:
         return told(load_meaning(file), families)
     except Unsound as fault:
@@ -50,7 +53,7 @@
 
 
 def read_apart(file: Path, families: dict[str, int]) -> Deployment | list[str]:
-    """The same, checked by a process of its own: a large check would take the serving one's turns."""
+    """Like `read_deployment`, but checks the file in a subprocess: a large check would delay the serving process."""
     command = [sys.executable, "-m", "oakcroft", "config", "meaning", str(file)]
     done = subprocess.run(command, capture_output=True, timeout=CHECK_WITHIN_SECONDS, check=False)
     if done.returncode == 0:
@@ -60,7 +63,7 @@
 
 
 def serve_file(file: Path, decide: Decide = Controller) -> int:
-    """Serves by a front's file until a stop signal; the exit code."""
+    """Serves with a front end's file until a stop signal. Returns the exit code."""
     found = read_anew(file, {})
     if isinstance(found, list):
         click.echo("\n".join(found), err=True)
--- a/oakcroft/commands/arguments.py
+++ b/oakcroft/commands/arguments.py
@@ -1,4 +1,4 @@
-"""What several commands share: their exit codes, and arguments that are files."""
+"""Exit codes and argument types that several commands share."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 import click
 
 FAULTY = 2
-"""The exit code where what was given has faults, or a word is missing."""
+"""The exit code for invalid input or wrong usage."""
 
 BROKEN = 1
-"""The exit code where something could not be done."""
+"""The exit code for an operation that failed."""
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 NEW_FILE = click.Path(dir_okay=False, path_type=Path)
--- a/oakcroft/commands/catalogue.py
+++ b/oakcroft/commands/catalogue.py
@@ -1,4 +1,4 @@
-"""Commands on catalogues: check and lay out a file, and change the one that a front serves by."""
+"""The `catalogue` commands: check and format a file, and read or change the catalogue of a running front end."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from oakcroft.commands.operators import FRONT, call, end_with, etag, query_text
 
 LINES_BESIDE_TITLES = 3
-"""Lines of a catalogue's layout that hold no title."""
+"""Lines of a formatted catalogue that hold no title."""
 
 
 @click.group()
@@ -21,7 +21,7 @@
 
 
 def text_of(file: Path) -> str:
-    """A catalogue file's own layout, or the end of the command with its faults."""
+    """Returns a catalogue file's text in the canonical layout. Ends the command if the file has errors."""
     try:
         said = read(file.read_text(encoding="utf-8"))
     except Unsound as fault:
--- a/oakcroft/commands/configuration.py
+++ b/oakcroft/commands/configuration.py
@@ -1,4 +1,4 @@
-"""Commands on configurations: check them, lay them out, compare them, and explain what they do with a request."""
+"""The `config` commands: check, format and compare configurations, and explain how they route a request."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 def checked(file: Path, front: bool) -> tuple[Meaning | None, Problems]:
-    """Checks a file from its folder."""
+    """Checks a file; its includes are relative to its folder."""
     return check_config(file.name, Folder(file.parent).open, front)
 
 
 def sound(file: Path, front: bool) -> Meaning:
-    """A file's meaning; shows its errors and exits where it has any."""
+    """Returns the resolved configuration of a file. Ends the command if the file has errors."""
     found, problems = checked(file, front)
     if found is None:
         for problem in problems.errors:
--- a/oakcroft/commands/fleet.py
+++ b/oakcroft/commands/fleet.py
@@ -1,4 +1,4 @@
-"""Commands that ask a running front how it stands, and how it sees the others."""
+"""The `status` and `fleet` commands, which query a running front end for its own state and its view of its peers."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def owner_lines(said: dict[str, Any]) -> list[str]:
-    """Duties in lines."""
+    """Describes the duties' owners in lines of text, from a decoded answer."""
     term = said["term_ms"] / MS_PER_SECOND
     out = [f"{said['name']}: keepers {', '.join(said['keepers'])}; a term is {term:g} s"]
     if keeper := said.get("keeper"):
@@ -110,7 +110,7 @@
 
 
 def member_lines(view: dict[str, Any]) -> list[str]:
-    """A front's view of the others in lines."""
+    """Describes a front end's view of its peers in lines of text, from a decoded answer."""
     members = view["members"]
     states = Counter(member["standing"] for member in members)
     own = "displaced by another of its name" if view["displaced"] else "alive"
--- a/oakcroft/commands/operators.py
+++ b/oakcroft/commands/operators.py
@@ -1,4 +1,4 @@
-"""Requests to the operators' interface of a running front."""
+"""Requests to the operators' interface of a running front end."""
 
 from __future__ import annotations
 
@@ -14,17 +14,21 @@
 
 FRONT = click.option("--front", "address", required=True, help="HOST:PORT of the front.")
 SECRET = "OAKCROFT_OPERATORS"
-"""The environment variable that holds the operators' token."""
+"""The environment variable that holds the operators' bearer token."""
 
 ANSWER_WITHIN_SECONDS = 60
 FIRST_REFUSAL = 400
-"""Statuses from here on say that the front did not do it."""
+"""HTTP status codes from here on are errors."""
 
 ANY_VERSION = "*"
 
 
 def call(address: str, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
-    """One request to the operators' interface, with the token from the environment."""
+    """Sends a request to the operators' interface, with the token from the environment.
+
+    `path` is relative to /operators/. A keyword in `headers` has underscores for the header name's hyphens. Ends the
+    command if the token is not set or the front end doesn't answer.
+    """
     secret = os.environ.get(SECRET, "")
     if not secret:
         click.echo(f"set {SECRET} to the operators' token", err=True)
@@ -44,21 +48,21 @@
 
 
 def is_refusal(answer: Response) -> bool:
-    """Whether the front did not do what it was asked."""
+    """Whether a response has an error status."""
     return answer.status >= FIRST_REFUSAL
 
 
 def end_with(answer: Response) -> None:
-    """Prints an answer and ends the command, with 1 where it is a refusal."""
+    """Prints a response and ends the command, with exit code 1 for an error."""
     click.echo(answer.body.decode("utf-8", "replace"), err=is_refusal(answer))
     sys.exit(BROKEN if is_refusal(answer) else 0)
 
 
 def etag(address: str) -> str:
-    """The entity tag of the catalogue that a front has in force, for a change that is made from it."""
+    """Returns the entity tag of the catalogue in force at a front end, for a change that is based on it."""
     return call(address, "GET", "catalogue").header("etag") or ANY_VERSION
 
 
 def query_text(text: str) -> str:
-    """Text as it may stand in a query: what is no letter, digit, hyphen, underscore or dot becomes a space."""
+    """Makes text safe for a query: any character but a letter, digit, hyphen, underscore or dot becomes a space."""
     return "".join(letter if letter.isalnum() or letter in "-_." else "%20" for letter in text)
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -1,7 +1,7 @@
-"""Commands that rehearse a day on loopback.
+"""The `rehearse` and `stand-in` commands, which play a day on loopback.
 
-What they run is imported only when they are called: a front that serves starts by way of the same command line and has
-no use for it.
+The commands import what they run only when called, since a serving front end starts from the same command line and
+doesn't need it.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 
 def _read_day(file: str | None, bench_day: Path | None) -> tuple[Day, str]:
-    """A day and its text: the one that is named, or one that is made of the bench's file."""
+    """Returns a day and its text: a file, a shipped day by its name, or a day translated from a file of the bench."""
     from oakcroft.rehearsal.bench_day import translate
     from oakcroft.standins.day import parse
 
--- a/oakcroft/commands/state.py
+++ b/oakcroft/commands/state.py
@@ -1,4 +1,4 @@
-"""Commands on the state file of a front that does not run."""
+"""The `state` commands, which work on the state file of a front end that is not running."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def open_file(file: Path) -> StateFile:
-    """A state file, or the end of the command with what is wrong."""
+    """Opens a state file. Prints the error and ends the command if that fails."""
     try:
         return StateFile(str(file))
     except Unusable as fault:
@@ -36,7 +36,7 @@
 
 
 def content_lines(held: Held, now: int) -> list[str]:
-    """A state file's contents in lines."""
+    """Describes a state file's contents in lines of text. `now` is the time in ns since the epoch."""
     alive = int(held.facts.get("alive", b"0"))
     knows_all = "whole" in held.facts
     marks = Counter(promise.mark for promise in held.promises)
@@ -123,7 +123,7 @@
         if not yes:
             click.echo(f"{file} is there; say --yes to replace it", err=True)
             sys.exit(FAULTY)
-        open_file(file).close()  # nobody may have it, and its log goes into it
+        open_file(file).close()  # no front end may have it open; closing also checkpoints its WAL
         file.replace(file.with_name(file.name + ".before"))
     with closing(open_file(snapshot)) as held:
         count = len(held.read().promises)
--- a/oakcroft/config/__init__.py
+++ b/oakcroft/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration language: S-expressions with units, definitions and includes, checked whole, compiled, compared."""
+"""The configuration language: S-expressions with units, definitions and includes, with a checker and a diff."""
--- a/oakcroft/config/checks/__init__.py
+++ b/oakcroft/config/checks/__init__.py
@@ -1,4 +1,4 @@
-"""Checks across forms: names that must exist, terms that contradict each other, and what can never happen."""
+"""Checks across forms: undefined names, contradictory values, and forms that can never take effect."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     peers.check_peers, peers.check_keepers, peers.check_adopting, peers.check_probing,
     zones.check_zones,
 )  # fmt: skip
-"""In the order in which their problems are noted, where the number of those is bounded."""
+"""All checks in the order in which they run, which matters where the bound on diagnostics is reached."""
 
 
 def cross_check(records: Records, problems: Problems) -> None:
-    """Notes what is wrong between the forms of a configuration, all of it."""
+    """Runs all checks across the forms of a configuration and records what they find."""
     for check in CHECKS:
         check(records, problems)
--- a/oakcroft/config/checks/fronts.py
+++ b/oakcroft/config/checks/fronts.py
@@ -1,4 +1,4 @@
-"""Checks of a front's own place and of how it judges its nodes."""
+"""Checks of a front end's own settings and of its timeouts for nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def check_front(records: Records, problems: Problems) -> None:
-    """A front is one of the fleet's, in one of its wings."""
+    """Checks that the front end's number and wing are among those of the fleet."""
     front = records.one(forms.FRONT)
     if front is None:
         return
@@ -25,7 +25,7 @@
 
 
 def check_nodes(records: Records, problems: Problems) -> None:
-    """Waits for nodes fit into each other, and the answer's way into each plan's patience."""
+    """Checks that the timeouts for nodes are in order and that the answer's margin fits into each plan's abandon time."""
     nodes = records.one(forms.NODES)
     if nodes is not None and nodes.get("lost-after") < nodes.get("silent-after"):
         what = "playbacks would count as lost before their node counts as silent"
--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -1,4 +1,4 @@
-"""Checks of degradation levels and of the preference between wings."""
+"""Checks of the levels of reduced service and of the preference between wings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_levels(records: Records, problems: Problems) -> None:
-    """Each level has a rank of its own, is entered by a sign and left under its entry, and admits plans there are."""
+    """Checks that each level has a unique rank, a load signal with entry over exit, and only admits defined plans."""
     ranks: dict[int, str] = {}
     for name, level in records.all(forms.LEVEL).items():
         rank = level.get("rank")
@@ -27,7 +27,7 @@
 
 
 def _check_signs(level: Record, problems: Problems) -> None:
-    """Guards against a level that is left and entered at once, over and over."""
+    """Checks that the entry threshold of each signal exceeds its exit, so that the level doesn't flap."""
     for sign in forms.SIGNS:
         bounds = level.get(sign)
         if not bounds:
@@ -48,7 +48,7 @@
 
 
 def check_preference(records: Records, problems: Problems) -> None:
-    """A preference orders wings of the fleet, of which there is more than one."""
+    """Checks that the preference names wings of the fleet, each once, and that the fleet has at least two."""
     preference = records.one(forms.PREFERENCE)
     if preference is None:
         return
--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -1,4 +1,4 @@
-"""Checks of limits and of the tokens that some of them stand on."""
+"""Checks of limits and of bearer tokens."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from oakcroft.decisions.admission.limits import Limit, Scope, never_binds
 
 EVERY = "*"
-"""In the place of a name: each by itself."""
+"""Stands for every name of the scope, each counted by itself."""
 
 
 def check_limits(records: Records, problems: Problems) -> None:
-    """Each limit stands on something that there is, says a figure, and can bind."""
+    """Checks that each limit applies to something defined, states a rate or a concurrency, and can be reached."""
     made = dict[str, Limit]()
     for name, record in records.all(forms.LIMIT).items():
         if not _check_scope(record, records, problems):
@@ -36,7 +36,7 @@
 
 
 def _check_scope(record: Record, records: Records, problems: Problems) -> bool:
-    """Whether a limit says what it stands on; that a name in it is known is noted besides."""
+    """Whether the scope of a limit is valid. Records an error if it isn't, and for an undefined name in it."""
     on = record.values.get("on")
     if on is None:
         return False
@@ -59,7 +59,7 @@
 
 
 def _names_of(scope: str, records: Records) -> list[str]:
-    """The names that a limit of a scope may stand on; of wings none where the fleet names none."""
+    """Returns the names that a limit of a scope may refer to. There are no wings if the fleet names none."""
     by_scope: dict[str, Iterable[str]] = {
         "plan": records.all(forms.PLAN), "route": records.all(forms.ROUTE), "token": records.all(forms.TOKEN),
         "wing": records.fleet("wings"),
@@ -81,7 +81,7 @@
 
 
 def check_tokens(records: Records, problems: Problems) -> None:
-    """No two tokens have the same secret, and a route's claim can be met."""
+    """Checks that the secrets of tokens are unique, and that there is a token if a route requires a claim."""
     seen: dict[str, str] = {}
     for name, token in records.all(forms.TOKEN).items():
         secret = token.values.get("secret")
--- a/oakcroft/config/checks/names.py
+++ b/oakcroft/config/checks/names.py
@@ -1,4 +1,4 @@
-"""What every check of names shares: a name that another form has to define."""
+"""The check that a referenced name is defined, shared by the other checks."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 def is_defined(
     record: Record, field: str, known: Iterable[str], what: str, problems: Problems, given: str | None = None
 ) -> bool:
-    """Whether a field's name, or `given` in its place, is known; an error is noted where it is not. No name at all is
-    another check's matter."""
+    """Whether the name in a field, or `name_override` in its place, is known. Records an error if it isn't.
+
+    An absent or empty name passes; whether the field is required is checked elsewhere.
+    """
     names = list(known)
     name = record.values.get(field) if given is None else given
     if not name or name in names:
--- a/oakcroft/config/checks/peers.py
+++ b/oakcroft/config/checks/peers.py
@@ -1,4 +1,4 @@
-"""Checks of the forms by which fronts speak to each other: peers, keepers, adopting and probing."""
+"""Checks of the forms on communication between front ends: peers, keepers, adopting and probing."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from oakcroft.interface import SECOND
 
 NOTICED_NS = 6 * SECOND
-"""In which the others see a front as gone, with a link that loses a twentieth (docs/fleet.md)."""
+"""Time in which peers detect a failed front end on links that lose 5% of the packets (docs/fleet.md)."""
 
 Address = tuple[str, int]
 
 
 def check_peers(records: Records, problems: Problems) -> None:
-    """The others can reach this front, it knows one of them, and viewers are listened for elsewhere."""
+    """Checks that peers can reach this front end, that it has a seed, and that viewers use another address."""
     peers = records.one(forms.PEERS)
     if peers is None:
         return
@@ -41,7 +41,7 @@
 def _check_address(
     peers: Record, field: str, address: Address | None, is_told: bool, problems: Problems
 ) -> None:
-    """`is_told`: the others are told this address, so that it has to be one that they can reach."""
+    """Checks an address. `is_advertised`: it is sent to the peers, so that they must be able to reach it."""
     if address is None:
         return
     text, port = address
@@ -59,9 +59,9 @@
 
 
 def check_keepers(records: Records, problems: Problems) -> None:
-    """Guards against keepers that could never grant anything, or that would forget what they have granted."""
+    """Checks that the keepers can reach a majority and that this one, if it is a keeper, keeps its grants on disk."""
     keepers, front = records.one(forms.KEEPERS), records.one(forms.FRONT)
-    if keepers is None or "names" not in keepers.values:  # that they are missing is noted already
+    if keepers is None or "names" not in keepers.values:  # missing names are reported already
         return
     names = keepers.get("names")
     many = len(set(names))
@@ -80,14 +80,14 @@
 
 
 def check_probing(records: Records, problems: Problems) -> None:
-    """Loads are told to somebody."""
+    """Checks that there are peers to share node loads with."""
     probing = records.one(forms.PROBING)
     if probing is not None:
         has_peers(records, probing, "every", "loads are told among the peers", problems)
 
 
 def check_adopting(records: Records, problems: Problems) -> None:
-    """Guards against playbacks that nodes have ended before anybody could take them over."""
+    """Checks that nodes keep the sessions of a failed front end long enough for the others to take them over."""
     adopting = records.one(forms.ADOPTING)
     if adopting is None:
         return
@@ -102,8 +102,10 @@
 
 
 def has_peers(records: Records, record: Record, field: str, reason: str, problems: Problems) -> bool:
-    """Whether a form that works by way of the peers has any; an error is noted where it has none. Forms that all fronts
-    share are checked without a front's own place, too, where no peers can stand."""
+    """Whether there is (peers …) for a form that depends on it. Records an error if it is missing.
+
+    A shared part without (front …) passes, since (peers …) belongs to one front end's own file.
+    """
     if records.one(forms.PEERS) is not None or records.one(forms.FRONT) is None:
         return True
     problems.error(record.at(field), f"{reason}, and there are none", "add (peers …)")
--- a/oakcroft/config/checks/plans.py
+++ b/oakcroft/config/checks/plans.py
@@ -1,4 +1,4 @@
-"""Checks of the bitrate ladder and of the plans that play on it."""
+"""Checks of the bitrate ladder and of plans."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_ladder(records: Records, problems: Problems) -> None:
-    """Rates rise, and each has a worth."""
+    """Checks that each rate has a worth, that rates rise from rung to rung and that worths don't fall."""
     ladder = records.one(forms.LADDER)
     if ladder is None or "rates" not in ladder.values or "worth" not in ladder.values:
         return
@@ -28,7 +28,7 @@
 
 
 def check_plans(records: Records, problems: Problems) -> None:
-    """Each plan's bounds lie on the ladder, its times follow each other, and a route leads to it."""
+    """Checks that each plan's rungs are on the ladder, its times are in order, and a route leads to it."""
     used = {route.values.get("plan") for route in records.all(forms.ROUTE).values()}
     for name, plan in records.all(forms.PLAN).items():
         _check_rungs(plan, records.ladder_length(), problems)
--- a/oakcroft/config/checks/pools.py
+++ b/oakcroft/config/checks/pools.py
@@ -10,7 +10,7 @@
 
 
 def check_pools(records: Records, problems: Problems) -> None:
-    """Each pool names what the fleet has, can match a node, and is used."""
+    """Checks that each pool refers to what the fleet defines, can match a node, and is used by a route."""
     used = {route.values.get("pool") for route in records.all(forms.ROUTE).values()}
     for name, pool in records.all(forms.POOL).items():
         for field, what in (("wings", "wing"), ("kinds", "kind")):
@@ -26,7 +26,7 @@
 
 
 def _check_names(pool: Record, field: str, known: tuple[str, ...], what: str, problems: Problems) -> None:
-    """A fleet that names none of them leaves the pool free to."""
+    """Checks names against those of the fleet. A fleet that lists none allows any name."""
     for word in pool.get(field) if known else ():
         if word in known:
             continue
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -1,4 +1,4 @@
-"""Checks of routes: the names in them, their bounds, and which of them can ever take a request."""
+"""Checks of routes: the names they refer to, their bounds, and whether a request can reach them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def check_routes(records: Records, problems: Problems) -> None:
-    """Each route leads to a plan and a pool that there are, and some request can reach it."""
+    """Checks that each route refers to a defined plan and pool, and that some request can reach it."""
     plans = records.all(forms.PLAN)
     sound = list[Route]()
     for name, record in records.all(forms.ROUTE).items():
@@ -76,7 +76,7 @@
 
 
 def _check_clashes(routes: list[Route], records: Records, problems: Problems) -> None:
-    """Guards against two routes of which chance would choose."""
+    """Checks that no two routes of equal specificity match the same request, since either could be chosen."""
     places = {name: record.place for name, record in records.all(forms.ROUTE).items()}
     for one, other, title in clashes(routes):
         what = (
@@ -88,8 +88,8 @@
 
 
 def _check_shadowed(routes: list[Route], records: Records, problems: Problems) -> None:
-    """Routes that others always go before: for every wing and every token there is, another of the same titles is
-    more particular and takes the request."""
+    """Warns of routes that take no request: for every wing and every token, another route of the same titles has a
+    higher specificity and matches."""
     wings = list(records.fleet("wings")) or [""]
     askers = [(wing, claims) for wing in wings for claims in _token_claims(records) or [{}]]
     for pattern, rivals in _rivals(routes):
@@ -104,7 +104,7 @@
 
 
 def _rivals(routes: list[Route]) -> list[tuple[str | None, list[Route]]]:
-    """Routes of the same side, path and pattern of titles, two or more, with that pattern."""
+    """Returns each title pattern with its routes, where two or more share client role, path and pattern."""
     groups: dict[tuple[Side, str, str | None], list[Route]] = {}
     for route in routes:
         for pattern in route.match.titles or (None,):
@@ -113,13 +113,16 @@
 
 
 def _always_behind(route: Route, ahead: list[Route], askers: list[tuple[str, Claims]]) -> bool:
-    """Whether each asker that a route would take is taken by one of those ahead of it."""
+    """Whether each origin whose requests a route accepts is also accepted by a route of higher rank.
+
+    False if the route accepts none of the origins.
+    """
     taken = [(wing, claims) for wing, claims in askers if _takes(route, wing, claims)]
     return bool(taken) and all(any(_takes(other, wing, claims) for other in ahead) for wing, claims in taken)
 
 
 def _takes(route: Route, wing: str, claims: Mapping[str, str]) -> bool:
-    """Whether a request at a front of a wing, with a token's claims, meets a route's conditions."""
+    """Whether a route's conditions hold for a request with a token's claims at a front end of a zone."""
     return route.match.wing in ("", wing) and _has_claims(claims, route.match.claims)
 
 
--- a/oakcroft/config/checks/zones.py
+++ b/oakcroft/config/checks/zones.py
@@ -1,4 +1,4 @@
-"""Checks of the zones of a large fleet, and of what needs to know all fronts by name."""
+"""Checks of the zones of a large fleet, and of the forms that don't work with zones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 
 def check_zones(records: Records, problems: Problems) -> None:
-    """Each zone can be reached and named on the wire, this front stands in one, and nothing needs all fronts by name."""
+    """Checks that zones can be reached and fit the wire format, that this front end is in one, and that no form
+    requires every front end to know all others by name."""
     zones = records.all(forms.ZONE)
     if not zones:
         return
@@ -55,8 +56,11 @@
 
 
 def _check_keepers(records: Records, problems: Problems) -> None:
-    """Guards against a duty for each zone: keepers are reached by name, and a front knows those of its own zone alone, so
-    that a version of titles would be rolled out in one zone and not in the others."""
+    """Checks that there are no keepers beside zones.
+
+    Keepers are reached by name, and a front end knows only the names of its own zone. Each zone would have an owner of
+    its own for a duty, and a catalogue version would be rolled out in one zone only.
+    """
     keepers = records.one(forms.KEEPERS)
     if keepers is not None:
         what = (
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -1,4 +1,4 @@
-"""What two configurations mean, compared: changes, what they do to requests, and applying them."""
+"""Semantic diff of two configurations: field changes, requests that are routed differently, and patching."""
 
 from __future__ import annotations
 
@@ -18,8 +18,11 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One thing that means something else: a form's name, the name of the one meant ("" where it stands once), the
-    field (None: the whole form), and its values before and after (ABSENT: not there)."""
+    """A difference between two resolved configurations.
+
+    `name` is the name of a named form, "" for a single form. `field` is None where a whole form was added or removed;
+    `before` and `after` are then its field values. ABSENT marks a missing form or field.
+    """
 
     form: str
     name: str
@@ -29,7 +32,8 @@
 
 
 def compare(a: Meaning, b: Meaning) -> list[Change]:
-    """All changes from a to b; none exactly when both mean the same."""
+    """Returns all changes from `old` to `new`, in the order of the forms in the language. The list is empty exactly
+    when both are equal."""
     out: list[Change] = []
     for form in sorted({*a, *b}, key=_order):
         schema = forms.ALL[form]
@@ -58,7 +62,10 @@
 
 
 def apply(changes: list[Change], a: Meaning) -> Meaning:
-    """What a means after the changes. ValueError where a is not what they start from."""
+    """Returns a copy of `old` with the changes applied.
+
+    Raises ValueError if a changed form or field doesn't have the change's `before` value in `old`.
+    """
     out = copy.deepcopy(a)
     for c in changes:
         single = forms.ALL[c.form].head is None
@@ -78,7 +85,7 @@
 
 
 def tell(changes: list[Change]) -> list[str]:
-    """Changes as lines for people."""
+    """Describes each change in one line of text. Secrets are not shown."""
     out = []
     for c in changes:
         what = f"{c.form} {c.name}".strip()
@@ -133,7 +140,7 @@
 
 @dataclass(frozen=True)
 class Moved:
-    """A request that goes elsewhere, or is served otherwise."""
+    """An example request that two configurations route differently, with its destination under each."""
 
     asked: Asked
     before: str
@@ -141,7 +148,10 @@
 
 
 def elsewhere(a: Meaning, b: Meaning, most: int = 20) -> list[Moved]:
-    """Example requests, one for each route of either, that are taken differently: by another route, plan or pool, or by none."""
+    """Returns example requests that get another route, plan or pool, or none, under the new configuration.
+
+    The examples are derived from every route of both configurations, in each zone. At most `max_requests` are returned.
+    """
     routes = [{n: route_of(n, r) for n, r in m["route"].items()} for m in (a, b)]
     tables = [RouteTable(r.values()) for r in routes]
     wings = sorted({*a["fleet"]["wings"], *b["fleet"]["wings"]}) or [""]
@@ -171,7 +181,7 @@
 
 
 def told_move(moved: Moved) -> str:
-    """One such request as a line."""
+    """Describes a rerouted request in one line."""
     a = moved.asked
     claims = "".join(f" with {k} {v}" for k, v in sorted(a.claims.items()))
     wing = f" in {a.wing}" if a.wing else ""
--- a/oakcroft/config/compile.py
+++ b/oakcroft/config/compile.py
@@ -1,4 +1,4 @@
-"""From a configuration's text to its meaning, and on to what a front is told: the steps in their order."""
+"""The steps from a configuration's text to its resolved form and on to a front end's deployment settings."""
 
 from __future__ import annotations
 
@@ -18,15 +18,19 @@
 
 
 def check(name: str, open_: Callable[[str], str], front: bool = True) -> tuple[Meaning | None, Problems]:
-    """Checks a file and all it includes; its meaning where it has no error. `open_` gives the text of a file by its path from
-    the first one's folder (OSError where it cannot)."""
+    """Checks a file and everything it includes.
+
+    `read_text` returns the text of a file by its path relative to the first file's folder, or raises OSError.
+    `is_front_file`: the file belongs to one front end and must hold (front …). Returns the resolved configuration, None
+    if there are errors, and all diagnostics.
+    """
     problems = Problems()
     some = Expander(open_, problems).file(name)
     return check_forms(some, problems, front)
 
 
 def check_forms(some: Iterable[Form], problems: Problems, front: bool) -> tuple[Meaning | None, Problems]:
-    """Checks plain forms. `front`: they are a front's own file, which holds (front …)."""
+    """Checks forms whose includes and definitions are expanded; see `check_file` for the arguments and the result."""
     records = read_records(some, problems, front)
     if not problems.unread:
         cross_check(records, problems)
@@ -34,7 +38,10 @@
 
 
 def load_meaning(path: Path, front: bool = True) -> Meaning:
-    """The meaning of a file. Unsound where it has errors, OSError where it cannot be read."""
+    """Returns the resolved configuration of a file.
+
+    Raises InvalidConfigurationError if it has errors, a file that cannot be read among them.
+    """
     found, problems = check(path.name, Folder(path.parent).open, front)
     if found is None:
         raise Unsound(problems)
@@ -42,5 +49,5 @@
 
 
 def load(path: Path) -> Deployment:
-    """What a front is told by its file. Unsound where that has errors."""
+    """Returns the deployment settings of a front end's file. Raises InvalidConfigurationError if it has errors."""
     return told(load_meaning(path))
--- a/oakcroft/config/deployment.py
+++ b/oakcroft/config/deployment.py
@@ -1,4 +1,4 @@
-"""From a configuration's meaning to what a front works with."""
+"""Builds the settings that a front end runs with from a resolved configuration."""
 
 from __future__ import annotations
 
@@ -22,19 +22,23 @@
 from oakcroft.interface import SECOND, Effect, Group, Plan, Terms
 
 Fields = Mapping[str, Any]
-"""What one form means: its values by field."""
+"""Resolved values of one form by field name."""
 
 NO_ADDRESS = ("127.0.0.1", 0)
-"""Where a configuration without a front's own place would listen: any free port."""
+"""The addresses of a configuration without (front …): any free local port."""
 
 TRIES_WINDOW_NS = 10 * SECOND
-"""The window of a budget of tries that is not stated, so that nothing is counted in it."""
+"""The window of a tries budget that is not configured. Nothing is counted against it."""
 
 PERCENT = 100
 
 
 def told(meaning: Meaning, known_families: Mapping[str, int] | None = None) -> Deployment:
-    """What a front is told by a sound configuration. `known_families`: numbers of plans that are in use already."""
+    """Builds the deployment settings of a front end from a resolved configuration.
+
+    `known_families` holds the family numbers of plans that are already in use; they are kept, so that seats are
+    counted across versions of the configuration.
+    """
     front = meaning.get("front") or _default_front()
     list_host, list_port = front["list-service"]
     host, port = front["listen"]
@@ -81,7 +85,7 @@
 
 
 def _by_field_name(bounds: Any, values: Fields) -> dict[str, Any]:
-    """The values of a form that are fields of a dataclass, by their names there."""
+    """Returns the values of a form that a dataclass has fields for, by the dataclass's field names."""
     return {field.name: values[field.name.replace("_", "-")] for field in fields(bounds)}
 
 
@@ -111,7 +115,7 @@
 
 
 def _peers_place(meaning: Meaning, own_zone: str) -> PeersPlace:
-    """Where a front stands among its peers, with what is done by way of them."""
+    """Builds a front end's peer settings, with those of the functions that depend on its peers."""
     peers, keepers = meaning["peers"], meaning.get("keepers")
     adopting, probing = meaning.get("adopting"), meaning.get("probing")
     zones = meaning["zone"]
@@ -129,19 +133,19 @@
 
 
 def route_of(name: str, values: Fields) -> Route:
-    """A route from its meaning."""
+    """Builds a route from its resolved field values."""
     side = Side(values["for"])
     match = Match(side, values["path"], tuple(values["titles"]), values["wing"], tuple(values["claim"]))
     return Route(name, match, values["plan"], values["pool"], values["top"])
 
 
 def route_of_record(name: str, record: Record) -> Route:
-    """A route from its form."""
+    """Builds a route from its record."""
     return route_of(name, plain_values(record))
 
 
 def pool_of(name: str, values: Fields) -> Pool:
-    """A pool from its meaning."""
+    """Builds a node pool from its resolved field values."""
     return Pool(
         name,
         values["wings"],
@@ -154,12 +158,12 @@
 
 
 def pool_of_record(name: str, record: Record) -> Pool:
-    """A pool from its form."""
+    """Builds a node pool from its record."""
     return pool_of(name, plain_values(record))
 
 
 def limit_of(name: str, values: Fields) -> Limit:
-    """A limit from its meaning."""
+    """Builds a limit from its resolved field values."""
     scope, *names = values["on"]
     on = names[0] if names else ""
     is_whole = values["of"] == "whole"
@@ -167,12 +171,12 @@
 
 
 def limit_of_record(name: str, record: Record) -> Limit:
-    """A limit from its form."""
+    """Builds a limit from its record."""
     return limit_of(name, plain_values(record))
 
 
 def level_of(name: str, values: Fields) -> Level:
-    """A level from its meaning."""
+    """Builds a service level from its resolved field values."""
     marks = tuple(
         Mark(Sign(sign), float(values[sign][0]), float(values[sign][1]))
         for sign in forms.SIGNS
@@ -185,12 +189,12 @@
 
 
 def _share(text: str) -> float:
-    """A share as it is written, 0.2 or 20%."""
+    """Parses a share that is written as a fraction or a percentage, such as 0.2 or 20%."""
     return float(text.removesuffix("%")) / (PERCENT if text.endswith("%") else 1)
 
 
 def plan_of(name: str, values: Fields, rungs: int, family: int) -> PlanTerms:
-    """A plan from its meaning. `rungs`: the length of the ladder, which bounds its top."""
+    """Builds a plan from its resolved field values. The top rung is bounded by the ladder's `rung_count`."""
     top = rungs - 1 if values["top"] is None else min(values["top"], rungs - 1)
     plan = Plan(
         effect=Effect(values["effect"]), group=Group(values["group"]), key_lasts=values["key-lasts"],
--- a/oakcroft/config/expand.py
+++ b/oakcroft/config/expand.py
@@ -1,4 +1,4 @@
-"""Includes and definitions: from files to the plain forms that they stand for."""
+"""Expands includes and definitions into plain forms."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Definition:
-    """A named piece of configuration with parameters."""
+    """A named group of forms with parameters, expanded by (use NAME VALUE …)."""
 
     name: str
     parameters: tuple[str, ...]
@@ -26,14 +26,18 @@
 
 
 class Folder:
-    """Opens files below one folder; an include cannot lead out of it."""
+    """Reads files below one folder. An include cannot refer to a file outside of it."""
 
     def __init__(self, root: Path) -> None:
-        """`root`: the folder."""
+        """Resolves `root`, so that symbolic links in its path don't count as leaving it."""
         self.root = root.resolve()
 
     def open(self, name: str) -> str:
-        """A file's text. OSError where it cannot be read, PermissionError where it lies outside."""
+        """Returns the text of a file by its path relative to the folder.
+
+        Raises PermissionError if the path leads out of the folder, and OSError if the file cannot be read or is not
+        UTF-8.
+        """
         path = (self.root / name).resolve()
         if not path.is_relative_to(self.root):
             raise PermissionError("it lies outside the folder of the first file")
@@ -45,17 +49,17 @@
 
 
 class Expander:
-    """Expands one configuration."""
+    """Expands the includes and definitions of one configuration."""
 
     def __init__(self, open_: Open, problems: Problems) -> None:
-        """`open_`: gives the text of a file by its path from the first one's folder."""
+        """`read_text` returns the text of a file by its path relative to the first file's folder."""
         self.open, self.problems = open_, problems
         self.definitions: dict[str, Definition] = {}
         self.files: set[str] = set()
         self.forms = 0
 
     def file(self, name: str) -> list[Form]:
-        """All plain forms of a file and of what it includes."""
+        """Returns the plain forms of a file and of everything it includes. Errors go to the diagnostics."""
         gathered: list[Form] = []
         self._gather(name, [], None, gathered)
         out: list[Form] = []
@@ -72,7 +76,7 @@
             )
             return
         if name in self.files:
-            return  # its forms stand already: an include is once, wherever it is written
+            return  # each file is included once, however many includes name it
         self.files.add(name)
         if len(self.files) > MOST_FILES:
             self.problems.error(at, f"over {MOST_FILES} files are included", "join some of them")
@@ -214,7 +218,7 @@
 
 
 def _parameters(atom: Atom) -> list[str]:
-    """The parameters that an atom speaks of: itself as $name, or ${name} within a string."""
+    """Returns the parameters that an atom refers to: `$name` as a symbol, or `${name}` within a string."""
     return WITHIN.findall(atom.text) if atom.quoted else [atom.text[1:]] if atom.text.startswith("$") else []
 
 
@@ -223,8 +227,10 @@
 
 
 def _fill(part: Part, values: dict[str, Form | Atom], use: Place) -> Part:
-    """A part of a definition with its parameters' values; values keep their own places, so that a wrong one is shown
-    where it was given."""
+    """Replaces the parameters in a part of a definition by their values.
+
+    A value keeps its own location, so that an error in it is reported where the value was given.
+    """
     if isinstance(part, Atom):
         if part.quoted:
             return replace(part, text=WITHIN.sub(lambda m: _plain(values.get(m[1]), m[0]), part.text))
--- a/oakcroft/config/explain.py
+++ b/oakcroft/config/explain.py
@@ -1,4 +1,4 @@
-"""For one request: which route takes it, why each that might go before it does not, and what follows."""
+"""Explains the routing of one request: the route that matches, why others don't, and the plan, pool and limits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def explain(site: Site, asked: Asked, token: str, front: int) -> list[str]:
-    """Lines that tell how a request is taken."""
+    """Describes in lines of text how a front end would handle a request.
+
+    `token_name` is the name of the request's bearer token, "" for none; `front_index` selects whose share of the
+    limits is shown.
+    """
     claims = "".join(f", {k} {v}" for k, v in sorted(asked.claims.items()))
     out = [f"{asked.side.value} {asked.path} at a front of wing {asked.wing or '(none)'}{claims}"]
     if site.tokens and not token:
@@ -50,7 +54,7 @@
 
 
 def pool_line(pool: Pool) -> str:
-    """A pool in words."""
+    """Describes a node pool in one line."""
     parts = [
         f"{name} {' or '.join(map(str, some))}"
         for name, some in (
@@ -67,7 +71,7 @@
 
 
 def limit_line(share: Limit, fronts: int, stated: Limit) -> str:
-    """A limit in words, as stated and as this front's share."""
+    """Describes a limit in one line: the configured values and, for a fleet-wide limit, this front end's share."""
     on = stated.scope.value + (f" {stated.on}" if stated.scope is not Scope.ALL else "")
     parts = []
     if stated.rate is not None and share.rate is not None:
--- a/oakcroft/config/format.py
+++ b/oakcroft/config/format.py
@@ -1,4 +1,4 @@
-"""The formatter: one layout for every text, comments kept, nothing changed in meaning, a fixed point."""
+"""The formatter: one canonical layout. It keeps comments and semantics, and formatting twice changes nothing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def fmt(text: str, file: str) -> str:
-    """A text in its layout. Unsound where it is not of the language."""
+    """Formats a configuration text. Raises InvalidConfigurationError if it has syntax errors."""
     problems = Problems()
     parts = read(text, file, problems)
     if problems.found:
@@ -29,7 +29,7 @@
 
 
 def flat(part: Part) -> str | None:
-    """A part on one line; None where a comment in it forbids that."""
+    """Formats a part on one line. Returns None if it contains a comment, which would end the line."""
     if isinstance(part, Comment):
         return None
     if isinstance(part, Atom):
@@ -51,13 +51,13 @@
 
 
 def _leading(form: Form) -> int:
-    """How many plain values a list begins with."""
+    """Returns the number of atoms that a list begins with."""
     return next((i for i, p in enumerate(form.parts) if not isinstance(p, Atom)), len(form.parts))
 
 
 def _spread(form: Form) -> bool:
-    """Whether a list stays on several lines though it would fit: a part of it follows an empty line, by which its
-    writer has set it apart."""
+    """Whether a list stays on several lines although it would fit on one, because its author has put an empty line
+    before one of its parts."""
     first = _leading(form)
     last = form.parts[first].place.line if first < len(form.parts) else 0
     for i, part in enumerate(form.parts[first:]):
@@ -68,7 +68,10 @@
 
 
 def _broken(form: Form, depth: int) -> list[str]:
-    """Head and the plain values after it on the first line, filled; every other part on a line of its own."""
+    """Formats a list on several lines.
+
+    The atoms that it begins with fill the first lines up to the maximum width; every other part starts a new line.
+    """
     margin, first = INDENT * depth, _leading(form)
     out, filling = [margin + "("], True
     last = form.place.line
--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -1,4 +1,4 @@
-"""Every form of the language, once: the checker, the reference page and completion are made from these."""
+"""The schema of every form of the language. The checker, the reference page and completion are derived from these."""
 
 from __future__ import annotations
 
--- a/oakcroft/config/meaning.py
+++ b/oakcroft/config/meaning.py
@@ -1,4 +1,4 @@
-"""What a configuration means: plain data in which only what matters differs."""
+"""Resolves records to plain data that is equal for configurations with the same semantics."""
 
 from __future__ import annotations
 
@@ -10,22 +10,24 @@
 from oakcroft.config.schema import Record
 
 Meaning = dict[str, dict[str, Any]]
-"""By form: its fields, or for a named form its fields by name."""
+"""Resolved field values by form name; for a named form the values of each instance by the instance's name."""
 
 OPTIONAL = (
     forms.FRONT, forms.FLEET, forms.LADDER, forms.PREFERENCE, forms.PEERS, forms.KEEPERS, forms.ADOPTING, forms.PROBING,
 )  # fmt: skip
-"""Forms that mean something else when they are absent than when all their fields stand by default."""
+"""Forms that are left out when absent: a form with only default values would have another meaning."""
 
 UNORDERED = {"wings", "kinds", "racks", "tags", "nodes", "but", "titles", "claim"}
-"""Fields whose values mean the same in any order."""
+"""Fields whose values form a set: their order has no meaning."""
 
 DIGEST_OCTETS = 32
 
 
 def meaning(records: Records) -> Meaning:
-    """What a sound configuration means: the same for texts that differ only in order, layout, comments, units,
-    includes and definitions."""
+    """Resolves the records of a configuration without errors.
+
+    The result is equal for texts that differ only in order, layout, comments, units, includes and definitions.
+    """
     out: Meaning = {}
     for schema in forms.SINGLE:
         record = records.one(schema)
@@ -40,10 +42,11 @@
 
 
 def plain_values(record: Record) -> dict[str, Any]:
-    """A record's values by field, defaults included. Secrets stand as their digests, so that a meaning may be shown."""
+    """Returns a record's values by field name, defaults included. A secret is replaced by its digest, so that the
+    result can be shown."""
     out = {field.name: _plain(record, field.name) for field in record.schema.fields}
     if "titles" in out and "*" in out["titles"]:
-        out["titles"] = ()  # all titles, as when none is named
+        out["titles"] = ()  # "*" stands for all titles, as does no title
     return out
 
 
--- a/oakcroft/config/problems.py
+++ b/oakcroft/config/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a configuration: places, messages, fixes, and how they are shown."""
+"""Diagnostics of a configuration: locations, messages and suggested fixes, and their text and JSON forms."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Grade(Enum):
-    """How bad a problem is: an error refuses the whole version, a warning does not."""
+    """Severity of a diagnostic. An error rejects the whole configuration, a warning doesn't."""
 
     ERROR = "error"
     WARNING = "warning"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, order=True)
 class Place:
-    """Where something stands: file, line and column, both from 1, and how many characters it takes there."""
+    """A location in a source file: line and column, both counted from 1, and a length in characters."""
 
     file: str
     line: int
@@ -25,13 +25,13 @@
     length: int = 1
 
     def __str__(self) -> str:
-        """As editors and terminals know to follow it."""
+        """Returns `file:line:column`, which editors and terminals recognize as a link."""
         return f"{self.file}:{self.line}:{self.column}"
 
 
 @dataclass(frozen=True)
 class Problem:
-    """One problem: what was found, what was wanted, and what to write instead where that can be told."""
+    """An error or warning: the message, the suggested fix ("" if none is known), and further notes."""
 
     grade: Grade
     place: Place
@@ -42,19 +42,23 @@
 
 @dataclass
 class Problems:
-    """All problems of one check, with the texts that they stand in."""
+    """The diagnostics of one check, with the lines of the files they refer to.
+
+    At most `max_items` are kept. `is_incomplete` is set once a file could not be read or parsed; missing forms are
+    then not reported, since they may be in it.
+    """
 
     texts: dict[str, list[str]] = field(default_factory=dict)
     found: list[Problem] = field(default_factory=list)
     most: int = 1000
-    unread: bool = False  # a part could not be read, so that nothing can be said of what is missing
+    unread: bool = False
 
     def error(self, place: Place, what: str, fix: str = "", also: Iterable[str] = ()) -> None:
-        """Notes an error."""
+        """Records an error."""
         self._note(Problem(Grade.ERROR, place, what, fix, tuple(also)))
 
     def warn(self, place: Place, what: str, fix: str = "", also: Iterable[str] = ()) -> None:
-        """Notes a warning."""
+        """Records a warning."""
         self._note(Problem(Grade.WARNING, place, what, fix, tuple(also)))
 
     def _note(self, problem: Problem) -> None:
@@ -63,15 +67,15 @@
 
     @property
     def errors(self) -> list[Problem]:
-        """The errors alone."""
+        """The errors, without the warnings."""
         return [p for p in self.found if p.grade is Grade.ERROR]
 
     def sorted(self) -> list[Problem]:
-        """All, by file, line and column."""
+        """Returns all diagnostics in the order of their locations."""
         return sorted(self.found, key=lambda p: (p.place, p.grade.value, p.what))
 
     def show(self, problem: Problem) -> str:
-        """A problem with its line of text underlined."""
+        """Formats a diagnostic for people, with the source line and the location underlined."""
         place = problem.place
         out = [f"{place}: {problem.grade.value}: {problem.what}"]
         lines = self.texts.get(place.file, [])
@@ -85,7 +89,7 @@
         return "\n".join(out)
 
     def plain(self, problem: Problem) -> dict[str, object]:
-        """A problem for tools."""
+        """Returns a diagnostic as a JSON object for tools."""
         p = problem.place
         return {
             "grade": problem.grade.value, "file": p.file, "line": p.line, "column": p.column, "length": p.length,
@@ -94,22 +98,22 @@
 
 
 class Unsound(Exception):
-    """A configuration that did not pass its check."""
+    """Raised for a configuration that has errors."""
 
     def __init__(self, problems: Problems) -> None:
-        """Its text has the errors; `problems` the warnings as well."""
+        """The exception's text holds the errors only; `diagnostics` holds the warnings as well."""
         super().__init__("\n".join(problems.show(p) for p in problems.sorted() if p.grade is Grade.ERROR))
         self.problems = problems
 
 
 def near(word: str, known: Iterable[str]) -> str:
-    """A known word that is meant perhaps, "" where none is close."""
+    """Returns the known word that is most similar to `word`, "" if none is close enough to suggest."""
     found = difflib.get_close_matches(word, sorted(known), 1, 0.7)
     return found[0] if found else ""
 
 
 def or_list(words: Iterable[str], most: int = 12) -> str:
-    """Words as one says a choice, cut short where they are many."""
+    """Joins words to a phrase like "a, b or c". Of more than `max_words` only the first ones are listed."""
     some = sorted(words)
     if len(some) > most:
         return ", ".join(some[:most]) + f" and {len(some) - most} more"
--- a/oakcroft/config/reading.py
+++ b/oakcroft/config/reading.py
@@ -1,4 +1,4 @@
-"""Reading forms by their schemas. Every problem is noted and reading goes on, so that one run shows all."""
+"""Reads forms by their schemas. Reading goes on after an error, so that one run reports all of them."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from oakcroft.config.syntax import Atom, Form
 
 MOST_FIELDS_SHOWN = 20
-"""Names of known fields in one message, at most."""
+"""Bound on the known field names that one message lists."""
 
 MANY = 999
-"""A field that may hold as many values is said to hold one or more."""
+"""Messages describe a field that may hold this many values as unbounded."""
 
 SAMPLES = {
     "time": "1s", "size": "64KiB", "rate": "400kB/s", "pace": "40/s", "whole number": "3", "figure": "1", "share": "20%",
     "name": "NAME", "text": "TEXT", "path": '"/whep/open/"', "title": "intro", "address": '"127.0.0.1:8080"',
     "ICE server": '"stun:host:3478"', "secret": '"…"',
 }  # fmt: skip
-"""By kind of value: how one might be written."""
+"""A sample value by the name of the value type, for suggested fixes."""
 
 PREFERRED_UNITS = ("ms", "s", "kB/s", "MB/s", "Mbit/s", "KiB", "kB", "/s", "/min")
-"""Of several units that would make a figure usual, the first of these is proposed."""
+"""Units in order of preference, for suggesting one of several that bring a value into its usual range."""
 
 Used = tuple[str, ...]
-"""Where a form that comes from a definition is used, as notes beside a problem."""
+"""Notes for diagnostics that say where the definition is used that a form comes from."""
 
 
 def read_form(schema: Schema, form: Form, problems: Problems) -> Record:
-    """A form by its schema. What is wrong is noted; the record holds what could be read."""
+    """Reads a form by its schema. Errors go to the diagnostics; the record holds the values that could be read."""
     used = tuple(f"used at {place}" for place in form.used)
     record, items = Record(schema, form.place, also=used), list(form.items[1:])
     if schema.head is not None:
@@ -46,7 +46,7 @@
 
 
 def _read_item(item: Atom | Form, record: Record, problems: Problems) -> None:
-    """One field of a form, put into its record."""
+    """Reads one field of a form into the record."""
     schema, used = record.schema, record.also
     if not isinstance(item, Form) or not item.name:
         shown = item.raw if isinstance(item, Atom) else "a list without a name"
@@ -90,7 +90,7 @@
 
 
 def sample(field: Field) -> str:
-    """A field as it might be written."""
+    """Returns a sample of a field's text, for suggested fixes."""
     if field.form is not None:
         return f"({field.name} …)"
     value = SAMPLES.get(field.kind.name) or field.kind.how.split(",")[0].split(" or ")[0]
@@ -100,7 +100,7 @@
 def _read_value(
     kind: Kind, item: Atom | Form, problems: Problems, used: Used, field: Field | None = None
 ) -> Any:
-    """A value of a kind; None where it is not one, which is noted."""
+    """Parses a value. Records an error and returns None if it is not of the type."""
     if isinstance(item, Form):
         problems.error(item.place, f"a list stands where a {kind.name} is wanted: {kind.how}", "", used)
         return None
@@ -117,7 +117,11 @@
 
 
 def _read_field(field: Field, form: Form, problems: Problems, used: Used) -> Any:
-    """What a field holds: a record, a value, or where it may hold several a list; None where that cannot be read."""
+    """Reads the content of a field.
+
+    Returns a record for a subform, a list for a field that may hold several values, else the value; None if an error
+    was recorded.
+    """
     if field.form is not None:
         return read_form(field.form, form, problems)
     items = form.items[1:]
@@ -145,7 +149,7 @@
 
 
 def _check_bounds(field: Field, value: Any, atom: Atom, problems: Problems, used: Used) -> None:
-    """Bounds refuse a value; one outside its usual range is doubted only."""
+    """Records an error for a value out of bounds, and a warning for one outside of its usual range."""
     if isinstance(value, str):
         return
     if field.at_least is not None and value < field.at_least:
@@ -163,7 +167,10 @@
 
 
 def usual_spelling(field: Field, atom: Atom, low: float, high: float) -> str:
-    """The same figure in another unit, where that would be usual: seconds written for milliseconds and the like."""
+    """Returns the same number with a unit that brings it into the usual range, "" if there is none.
+
+    This finds slips such as seconds written for milliseconds.
+    """
     match = FIGURE.match(atom.text)
     units = UNITS.get(field.kind.name)
     if match is None or units is None:
--- a/oakcroft/config/records.py
+++ b/oakcroft/config/records.py
@@ -1,4 +1,4 @@
-"""The forms of a configuration, each read by its schema."""
+"""The records of a whole configuration, each read from a form by its schema."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from oakcroft.config.syntax import Form
 
 MOST_NAMES_SHOWN = 30
-"""Names of known forms in one message, at most."""
+"""Bound on the known form names that one message lists."""
 
 
 class Records:
     """The records of a whole configuration."""
 
     def __init__(self) -> None:
-        """None yet; `read_records` fills it."""
+        """Starts empty; `read_records` fills it."""
         self.single: dict[str, Record] = {}
         self.named: dict[str, dict[str, Record]] = {schema.name: {} for schema in forms.NAMED}
 
     def one(self, schema: Schema) -> Record | None:
-        """The record of a form that stands once."""
+        """Returns the record of a form that may stand once, None if it is absent."""
         return self.single.get(schema.name)
 
     def all(self, schema: Schema) -> dict[str, Record]:
-        """The records of a named form, by name."""
+        """Returns the records of a named form by their names."""
         return self.named[schema.name]
 
     def fleet(self, field: str) -> Any:
-        """A field of the form (fleet …), by default where it does not stand."""
+        """Returns the value of a field of (fleet …), its default if the field or the form is absent."""
         fleet = self.one(forms.FLEET)
         if fleet is not None:
             return fleet.get(field)
@@ -41,14 +41,17 @@
         return known.default
 
     def ladder_length(self) -> int:
-        """How many renditions the bitrate ladder has; 0 where it could not be read."""
+        """Returns the number of rungs of the bitrate ladder, 0 if it could not be read."""
         ladder = self.one(forms.LADDER)
         rates = ladder.values.get("rates") if ladder else None
         return len(rates) if rates else 0
 
 
 def read_records(some: Iterable[Form], problems: Problems, front: bool) -> Records:
-    """Reads every form by its schema. `front`: a front's own file is checked, which holds (front …)."""
+    """Reads every form by its schema and reports required forms that are missing.
+
+    `is_front_file`: the configuration belongs to one front end and must hold (front …).
+    """
     records = Records()
     for form in some:
         schema = forms.ALL.get(form.name)
--- a/oakcroft/config/reference.py
+++ b/oakcroft/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference page and completion, made from the schemas."""
+"""The reference page of the language and editor completion, both derived from the schemas."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def page() -> str:
-    """The whole page."""
+    """Returns the whole reference page as Markdown."""
     out = [HEAD]
     for schema in forms.ALL.values():
         out += _form(schema, 2)
@@ -66,7 +66,7 @@
 
 
 def complete(within: str, word: str) -> list[str]:
-    """Names that may stand where `word` has been begun: fields of the form `within`, or forms where it is ""."""
+    """Returns the names that begin with `prefix`: fields of the form `form_name`, or forms if that is ""."""
     if not within:
         names = [*forms.ALL, *forms.WORDS]
     else:
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -1,7 +1,7 @@
-"""Schemas of forms: the one source for the checker, the reference page and completion.
+"""Schemas of forms, the common source of the checker, the reference page and completion.
 
-A schema says what a form is called, which value names it, and which fields it has; a field says what values it holds, in
-which unit, within which usual range.
+A schema defines a form: its name, the type of the value that names an instance, and its fields. A field defines the
+type of its values, their unit, and their bounds.
 """
 
 from __future__ import annotations
@@ -30,17 +30,20 @@
 
 
 class Bad(Exception):
-    """A value that is not of its kind: what is wrong and what to write."""
+    """Raised for a value that is not of its type, with a message and a suggested fix."""
 
     def __init__(self, what: str, fix: str = "", bare: bool = False) -> None:
-        """`bare`: it is a figure that lacks its unit."""
+        """`lacks_unit`: the value is a number that needs a unit and has none."""
         super().__init__(what)
         self.what, self.fix, self.bare = what, fix, bare
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of value: its name, how it is written, and how it is read (Bad where it is not one)."""
+    """A type of values: its name, a description of how a value is written, and the function that parses an atom.
+
+    `parse` raises InvalidValueError if the atom is not of the type.
+    """
 
     name: str
     how: str
@@ -48,7 +51,7 @@
 
 
 LARGEST_SHOWN_SHORT = 1e6
-"""From here on, a figure in its shortest form would be shown with an exponent."""
+"""From here on `%g` formats a number with an exponent."""
 
 
 def _show(value: float) -> str:
@@ -56,7 +59,11 @@
 
 
 def measured(name: str, units: Mapping[str, float], usual: tuple[str, str], whole: bool = False) -> Kind:
-    """A figure whose unit is part of it."""
+    """Returns the type of a number with one of some units.
+
+    A parsed value is in the base unit, the one with factor 1 in `units`; `is_whole` rounds it to a whole number.
+    `examples` are two values for descriptions and suggested fixes.
+    """
 
     def read(atom: Atom) -> float | int:
         match = FIGURE.match(atom.text) if not atom.quoted else None
@@ -120,7 +127,7 @@
 
 
 def choice(name: str, words: Sequence[str]) -> Kind:
-    """One of some words."""
+    """Returns the type of a value that is one of `words`."""
 
     def read(atom: Atom) -> str:
         if atom.text not in words:
@@ -133,10 +140,11 @@
 
 @dataclass(frozen=True)
 class Field:
-    """One field of a form, written (name value …).
+    """A field of a form, written (name value …).
 
-    `least` and `most` bound how many values it holds; `repeats`: the field may stand several times. `usual`: bounds
-    in the kind's base unit outside which a value is suspicious, with what to think of. `form`: the field is a form of its own.
+    `min_values` and `max_values` bound the number of its values; `is_repeatable`: the field may stand several times.
+    `minimum` and `maximum` bound a value, in the type's base unit. `usual_range` is a lower and an upper bound, outside
+    of which a value gets a warning, and a hint for that warning. `subform` is the schema of a field that is a form.
     """
 
     name: str
@@ -155,7 +163,10 @@
 
 @dataclass(frozen=True)
 class Schema:
-    """A form: its name, what it is for, the value that names it, and its fields."""
+    """A form of the language: its name, help text and fields; for a named form also the type and help text of the name.
+
+    `example` is a sample of the form's text.
+    """
 
     name: str
     doc: str
@@ -165,13 +176,16 @@
     example: str = ""
 
     def field(self, name: str) -> Field | None:
-        """A field by name."""
+        """Returns a field by name, None if there is none."""
         return next((f for f in self.fields if f.name == name), None)
 
 
 @dataclass
 class Record:
-    """A form as read: values by field name, and where each stood."""
+    """A form that was read by its schema: its values by field name, and the location of each field.
+
+    `notes` are lines for diagnostics on the form: where the definition is used that it comes from.
+    """
 
     schema: Schema
     place: Place
@@ -181,7 +195,7 @@
     places: dict[str, Place] = field(default_factory=dict)
 
     def get(self, name: str) -> Any:
-        """A field's value, its default where it does not stand."""
+        """Returns the value of a field, its default if the field is absent."""
         if name in self.values:
             return self.values[name]
         found = self.schema.field(name)
@@ -189,25 +203,25 @@
         return found.default
 
     def at(self, name: str) -> Place:
-        """Where a field stands; the form's place where it does not."""
+        """Returns the location of a field, that of the form if the field is absent."""
         return self.places.get(name, self.place)
 
 
 UNITS: dict[str, Mapping[str, float]] = {"time": TIME, "size": SIZE, "rate": RATE, "pace": PACE}
-"""By kind: what each unit is worth in the kind's base unit."""
+"""The factor of each unit to the base unit, by the name of the value type."""
 
 SHOWN_UNITS = {
     "time": ("d", "h", "min", "s", "ms", "us", "ns"), "size": ("GiB", "MiB", "KiB", "B"),
     "rate": ("GB/s", "MB/s", "kB/s", "B/s"), "pace": ("/s",),
 }  # fmt: skip
-"""By kind: the units in which a value may be shown, the largest first."""
+"""The units that values are displayed in, the largest first, by the name of the value type."""
 
 DECIMALS = 3
-"""A value is shown in the largest unit in which it has no more."""
+"""A value is displayed in the largest unit in which it has at most this many decimals."""
 
 
 def say(kind: Kind, value: float) -> str:
-    """A value of a kind in the unit that reads best."""
+    """Formats a value, given in the type's base unit, in the largest unit that suits it."""
     if kind.name not in UNITS:
         return _show(value)
     worth, shown = UNITS[kind.name], SHOWN_UNITS[kind.name]
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -1,4 +1,4 @@
-"""Text to forms that know where they stand, comments included; bounds on what may be read."""
+"""The parser: from text to forms with source locations, comments included. It bounds the text's size and nesting."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Atom:
-    """A symbol, a figure, a $parameter or a string (`quoted`); `raw` as it was written."""
+    """A symbol, a number, a $parameter or a string (`is_quoted`). `source_text` is the atom as it was written."""
 
     text: str
     place: Place
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Comment:
-    """From ; to the end of its line."""
+    """A comment, from ; to the end of the line."""
 
     raw: str
     place: Place
@@ -36,8 +36,11 @@
 
 @dataclass(frozen=True)
 class Form:
-    """A list; `parts` with comments, `items` without. `end` is the line of its last parenthesis. `used` tells through
-    which (use …) it came, if any."""
+    """A list. `children` includes comments, `items` doesn't.
+
+    `end_line` is the line of the closing parenthesis. `use_locations` holds the location of each (use …) that the form
+    was expanded from, if any.
+    """
 
     parts: tuple[Form | Atom | Comment, ...]
     place: Place
@@ -46,12 +49,12 @@
 
     @property
     def items(self) -> tuple[Form | Atom, ...]:
-        """What it holds."""
+        """The children without comments."""
         return tuple(p for p in self.parts if not isinstance(p, Comment))
 
     @property
     def name(self) -> str:
-        """Its head symbol; "" where it has none."""
+        """The symbol that the list begins with, "" if it begins with something else."""
         head = next((p for p in self.parts if not isinstance(p, Comment)), None)
         return head.text if isinstance(head, Atom) and not head.quoted else ""
 
@@ -60,7 +63,7 @@
 
 
 class _Build(Transformer[Token, list[Part]]):
-    """Makes forms while lark parses."""
+    """Builds forms while lark parses. Its methods are named after the rules of grammar.lark."""
 
     file = ""
 
@@ -109,7 +112,7 @@
 
 
 def _building() -> tuple[Lark, _Build]:
-    """A parser that makes forms as it goes, one for each thread since it holds the name of the file."""
+    """Returns this thread's parser and its builder. The builder holds the file name, so threads cannot share it."""
     if not hasattr(LOCAL, "pair"):
         build = _Build()
         LOCAL.pair = (
@@ -121,7 +124,7 @@
 
 
 def read(text: str, file: str, problems: Problems) -> list[Part]:
-    """All parts of a text; none where it is not of the language, which is noted with its place."""
+    """Parses a text. Records an error and returns no parts if it is too large, nested too deeply or malformed."""
     problems.texts[file] = text.split("\n")
     if len(text) > MOST_BYTES:
         problems.unread = True
@@ -148,7 +151,10 @@
 
 
 def _too_deep(text: str) -> tuple[int, int] | None:
-    """Where nesting passes the bound, found without recursion, so that no text can exhaust the stack."""
+    """Returns line and column of the list that exceeds the nesting bound, None if there is none.
+
+    It scans without recursion, so that no text can exhaust the stack.
+    """
     depth, quoted, comment, line, start = 0, False, False, 1, 0
     skip = False
     for at, letter in enumerate(text):
@@ -177,7 +183,7 @@
 
 
 def _explain(text: str, file: str, fault: UnexpectedInput, problems: Problems) -> None:
-    """Why a text is not of the language."""
+    """Records an error for a text that cannot be parsed, as specific as the parser's error allows."""
     kind = getattr(getattr(fault, "token", None), "type", "")
     lines = text.split("\n")
     if kind == "$END":
@@ -202,8 +208,11 @@
 
 
 def _open(text: str) -> tuple[int, int] | None:
-    """The innermost list that is never closed; the outermost one where a later line begins a new list at its
-    margin, since the missing ) is then most likely before it."""
+    """Returns line and column of a list that is never closed, None if there is none.
+
+    This is the innermost open list at the end of the text, or at the first line that begins with a list in column 1
+    while lists are open, since the missing parenthesis is then most likely before that line.
+    """
     stack: list[tuple[int, int]] = []
     for token in _lexing().lex(text):
         if token.type == "LPAR":
@@ -216,5 +225,5 @@
 
 
 def without_comments(parts: list[Part]) -> list[Form | Atom]:
-    """The parts that mean something."""
+    """Returns the parts without comments."""
     return [p for p in parts if not isinstance(p, Comment)]
--- a/oakcroft/config/told.py
+++ b/oakcroft/config/told.py
@@ -1,4 +1,4 @@
-"""What one front is told, compiled: plain values that the program works with."""
+"""The settings that a front end runs with, built from its configuration. Times are in ns."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class PlanTerms:
-    """A plan with what the front itself needs of it beside the module's part. Times in ns."""
+    """A plan as the decision module knows it, with the abandon time, which only the front end needs."""
 
     name: str
     plan: Plan
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Holding:
-    """Which cells hold a title."""
+    """The cells that hold a title: `copy_count` cells in a row, starting with `home_cell`."""
 
     home: int
     copies: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Token:
-    """A bearer token by its digest; the secret itself is not kept."""
+    """The name and claims of a bearer token. The secret is not kept; tokens are looked up by its digest."""
 
     name: str
     claims: dict[str, str]
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """What all fronts of a deployment share."""
+    """The settings that all front ends of a deployment share."""
 
     terms: Terms
     plans: dict[str, PlanTerms]
@@ -53,7 +53,7 @@
     copies: int
     ice: tuple[str, ...]
     bounds: Bounds
-    way_back: int  # margin of the answer's way back, ns
+    way_back: int  # kept of each abandon time for the answer to reach the viewer, ns
     drain_grace: int
     usual_notice: int
     drain_within: int
@@ -63,16 +63,16 @@
     connect_within: int
     list_within: int  # how long a starting front waits for the list service
     keep_keys: int
-    operators: bytes  # digest of their bearer token; empty: no interface
-    levels: tuple[Level, ...]  # of reduced service, in order
+    operators: bytes  # empty: no operators' interface
+    levels: tuple[Level, ...]  # levels of reduced service, in order of rank
     level_bounds: LevelBounds
-    preference: WingBounds | None  # between wings; None: they take no side
-    then: tuple[str, ...]  # other wings in order of preference
+    preference: WingBounds | None  # None: no zone is preferred
+    then: tuple[str, ...]  # other zones in order of preference
 
 
 @dataclass(frozen=True)
 class OtherZone:
-    """Another zone, with addresses of some of its fronts."""
+    """Another zone, with the addresses of some of its front ends."""
 
     zone: str
     region: str
@@ -81,7 +81,11 @@
 
 @dataclass(frozen=True)
 class PeersPlace:
-    """Where a front stands among its peers."""
+    """The settings for talking to peers.
+
+    `start_count_file` holds the number of the front end's last start; without it that number comes from the clock and
+    the peers.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -90,17 +94,21 @@
     key_file: str
     fleet: str
     starts: str
-    keepers: tuple[str, ...] = ()  # those that grant terms of duties, by name
-    term: int = 0  # length of one, ns
-    probes: int = 0  # between two figures of a node, ns; 0: none are shared
-    adopts: Adopts | None = None  # how it takes over from those that are gone; None: it does not
-    region: str = ""  # of this front's zone; empty: one flat membership of all fronts
+    keepers: tuple[str, ...] = ()  # names of the front ends that grant terms of duties by majority
+    term: int = 0  # length of a term, ns
+    probes: int = 0  # time between two load probes of a node, ns; 0: loads are not shared
+    adopts: Adopts | None = None  # None: playbacks of failed front ends are not taken over
+    region: str = ""  # region of this front end's zone; empty: one flat membership of all front ends
     other_zones: tuple[OtherZone, ...] = ()
 
 
 @dataclass(frozen=True)
 class Stand:
-    """One front's own place."""
+    """The settings of one front end.
+
+    `node_list_file` caches the last node list and `state_file` keeps promises, seats and the list over a crash; ""
+    means none. `is_state_synced`: a commit to the state file waits for the disk.
+    """
 
     host: str
     port: int
@@ -117,7 +125,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """All that one front is told, and what it means as plain data."""
+    """All settings of one front end, with the resolved configuration that they were built from."""
 
     site: Site
     stand: Stand
--- a/oakcroft/store/__init__.py
+++ b/oakcroft/store/__init__.py
@@ -1,1 +1,1 @@
-"""State that survives crashes: one SQLite file a front, written by group commits."""
+"""State that survives crashes: one SQLite file for each front end, written by group commits."""
--- a/oakcroft/store/changes.py
+++ b/oakcroft/store/changes.py
@@ -1,4 +1,4 @@
-"""What is written to a state file, one typed change each, and what a file holds when it is read."""
+"""The changes that can be written to a state file, one type each, and the contents of a file as read."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True)
 class Put:
-    """A promise as it stands now; one that binds no more goes."""
+    """Writes the current state of a promise. A promise whose mark is GONE is deleted."""
 
     promise: Promise
 
 
 @dataclass(frozen=True)
 class Told:
-    """The list of nodes in force."""
+    """Replaces the stored node list. `received_at` is in ns."""
 
     lines: tuple[Line, ...]
     version: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Move:
-    """A move under way, or over (no copy)."""
+    """A move of a playback in progress since `started_at`, in ns. Written with an empty `new_playback` when over."""
 
     playback: str
     copy: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Version:
-    """A version of a document that is changed while serving."""
+    """A version of a document that can change while the front end serves. `activated_at` is in ns."""
 
     kind: str
     number: int
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Dropped:
-    """A version that is out of its history."""
+    """Deletes a version that has left its history."""
 
     kind: str
     number: int
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Fact:
-    """One named value."""
+    """Writes a value under a name."""
 
     name: str
     value: bytes
@@ -65,8 +65,11 @@
 
 @dataclass(frozen=True)
 class Expire:
-    """Drops up to `most` promises in these marks that were changed before a time, what is held against nodes and spent
-    of their slots `nodes_before` another, and gives pages back."""
+    """Deletes expired rows and returns as many free pages to the file system.
+
+    These are at most `max_promises` promises with the marks ABORTED and INTENT that were last changed before
+    `changed_before`, and all node penalties and slot usage recorded before `node_rows_before`. Both times are in ns.
+    """
 
     before: int
     most: int
@@ -75,7 +78,7 @@
 
 @dataclass(frozen=True)
 class Whole:
-    """Everything that is in memory, in the place of everything that is in the file; versions and facts stay."""
+    """Replaces the promises, and the node list if one is given, by what is in memory. All else in the file stays."""
 
     promises: tuple[Promise, ...]
     told: Told | None = None
@@ -86,7 +89,7 @@
 
 @dataclass
 class Held:
-    """All that a file holds."""
+    """The contents of a state file."""
 
     promises: list[Promise] = field(default_factory=list)
     lines: list[Line] = field(default_factory=list)
--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -1,7 +1,7 @@
-"""The state file itself: blocking calls on SQLite (apsw), one thread at a time.
+"""Blocking access to the state file through SQLite (apsw), one thread at a time.
 
-The file is held exclusively for as long as it is open, in WAL mode. A commit returns when its bytes are synced
-(`synchronous=FULL`), or with `sync` off when the operating system has them.
+The file is locked exclusively while it is open, and is in WAL mode. A commit returns once its data is synced to disk
+(`synchronous=FULL`), or, if `is_synced` is off, once the operating system has it.
 """
 
 from __future__ import annotations
@@ -29,29 +29,29 @@
 ]  # fmt: skip
 
 MAGIC = 0x6F616B63
-"""The application id, "oakc": what the file says that it is."""
+"""SQLite's application id of a state file, "oakc" in ASCII."""
 
 HEAD_OCTETS = 100
 HEAD_BEGINS = b"SQLite format 3\0"
 USER_VERSION, APPLICATION_ID = slice(60, 64), slice(68, 72)
-"""The head of a database, and where two numbers stand in it (SQLite's file format, section 1.3)."""
+"""The header of a database and the positions of two numbers in it (SQLite's file format, section 1.3)."""
 
 REPORT_SHOWN = 200
-"""Characters of a failed check that are shown."""
+"""Bound on the text of a failed integrity check in an error message, in characters."""
 
 
 class Unusable(Exception):
-    """A call on the file failed; `trouble` says how."""
+    """Raised when a call on the state file fails. `fault` is the kind of failure."""
 
     def __init__(self, trouble: Trouble, detail: str) -> None:
-        """`detail`: what the library or the system said."""
+        """`detail` is the message of the library or the operating system."""
         super().__init__(f"{trouble.value}: {detail}")
         self.trouble = trouble
 
 
 @contextmanager
 def troubles() -> Iterator[None]:
-    """Turns the library's errors into ours."""
+    """Translates errors of SQLite, of decoding and of the operating system to StateFileError."""
     try:
         yield
     except apsw.FullError as error:
@@ -67,10 +67,17 @@
 
 
 class StateFile:
-    """One open file. Unusable where a call cannot be carried out; after that it must be closed and opened anew."""
+    """An open state file.
+
+    A call that fails raises StateFileError; after that the file must be closed and opened anew.
+    """
 
     def __init__(self, path: str, vfs: str | None = None, sync: bool = True) -> None:
-        """Opens the file, made where there is none, and brings it to this program's version."""
+        """Opens the file, or creates it, and migrates it to the current schema version.
+
+        `vfs` is the name of an SQLite VFS to use in place of the default one. With `is_synced` off, commits don't wait
+        for the disk.
+        """
         self.path, self.vfs, self.written = path, vfs, 0
         if vfs is None:
             self._look(Path(path))
@@ -85,7 +92,7 @@
 
     @staticmethod
     def _look(path: Path) -> None:
-        """Looks at the head of a file before SQLite touches it, so that a newer program's stays as it is."""
+        """Checks the file header before SQLite opens the file, so that the file of a newer program stays unchanged."""
         try:
             with path.open("rb") as file:
                 head = file.read(HEAD_OCTETS)
@@ -122,28 +129,28 @@
                 self.db.pragma("user_version", VERSION)
 
     def close(self) -> None:
-        """Closes it, whatever state it is in; what a last checkpoint could not write stays in the log."""
+        """Closes the file in any state. Data that the last checkpoint cannot write stays in the WAL."""
         with suppress(apsw.Error):
             self.db.close(True)
 
     # Writing.
 
     def commit(self, changes: Iterable[Change]) -> None:
-        """All of these, or none."""
+        """Writes the changes in one transaction."""
         with troubles(), self.db:
             for change in changes:
                 write_change(change, self.db)
                 self.written += 1
 
     def forget_fact(self, name: str) -> None:
-        """Drops a named value."""
+        """Deletes a named value."""
         with troubles():
             self.db.execute("DELETE FROM facts WHERE name = ?", (name,))
 
     # Reading.
 
     def read(self) -> Held:
-        """Everything."""
+        """Returns all contents of the file."""
         with troubles():
             run, held = self.db.execute, Held()
             bodies = msgspec.msgpack.Decoder(Promise)
@@ -162,12 +169,15 @@
             return held
 
     def size(self) -> int:
-        """Bytes of the main file."""
+        """Returns the size of the main file in bytes, without the WAL."""
         with troubles():
             return int(self.db.pragma("page_count")) * int(self.db.pragma("page_size"))
 
     def snapshot(self, to: Path) -> None:
-        """A copy of all that is committed, whole or not at all. Unusable where it cannot be written."""
+        """Writes a copy of the committed contents to a file, which appears complete or not at all.
+
+        Raises StateFileError if it cannot be written.
+        """
         temporary = to.with_name(to.name + ".new")
         temporary.unlink(missing_ok=True)
         with troubles():
@@ -180,7 +190,7 @@
 
 
 def set_aside(path: str) -> str:
-    """Puts a damaged file and its log out of the way, where they can be looked at; the new name."""
+    """Renames a damaged file and its logs, so that they can be examined later. Returns the file's new path."""
     kept = Path(path)
     number = 1
     while (aside := kept.with_name(f"{kept.name}.damaged-{number}")).exists():
--- a/oakcroft/store/schema.py
+++ b/oakcroft/store/schema.py
@@ -1,17 +1,20 @@
-"""The tables of a state file, as the steps by which they came to be. A file of an earlier version is brought forward by
-the steps that it lacks, in one transaction; one of a later version is left alone."""
+"""The tables of a state file as a list of migrations.
+
+A file of an earlier version gets the migrations that it lacks in one transaction. A file of a later version is not
+opened.
+"""
 
 from __future__ import annotations
 
 STEPS = (
-    # 1: promises, and the list of nodes with when each line was told.
+    # 1: promises, and the node list with the time at which it was received.
     """
     CREATE TABLE promises (id TEXT PRIMARY KEY, key TEXT NOT NULL, mark TEXT NOT NULL, node TEXT NOT NULL,
         changed INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID;
     CREATE TABLE nodes (name TEXT PRIMARY KEY, told INTEGER NOT NULL, body BLOB NOT NULL) WITHOUT ROWID;
     CREATE TABLE facts (name TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
     """,
-    # 2: what is held against nodes, what of their slots is spent, and moves under way.
+    # 2: penalties of nodes, slot usage of cold nodes, and moves in progress.
     """
     CREATE TABLE grudges (node TEXT PRIMARY KEY, score REAL NOT NULL, at INTEGER NOT NULL, failed INTEGER NOT NULL)
         WITHOUT ROWID;
@@ -19,7 +22,7 @@
         at INTEGER NOT NULL) WITHOUT ROWID;
     CREATE TABLE moves (playback TEXT PRIMARY KEY, copy TEXT NOT NULL, began INTEGER NOT NULL) WITHOUT ROWID;
     """,
-    # 3: versions of the catalogue, and the index by which expired promises are found.
+    # 3: versions of the catalogue, and the index for finding expired promises.
     """
     CREATE TABLE versions (kind TEXT NOT NULL, number INTEGER NOT NULL, digest TEXT NOT NULL, taken INTEGER NOT NULL,
         why TEXT NOT NULL, body BLOB NOT NULL, PRIMARY KEY (kind, number)) WITHOUT ROWID;
--- a/oakcroft/store/statements.py
+++ b/oakcroft/store/statements.py
@@ -1,4 +1,4 @@
-"""The statements by which each kind of change is written; the caller has a transaction open."""
+"""The SQL statements that write each type of change, within the caller's transaction."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from oakcroft.store.changes import Dropped, Expire, Fact, Move, Put, Told, Version, Whole
 
 LIST = "list"
-"""The fact that says which list of nodes the file holds."""
+"""The name of the value that holds version and service of the stored node list."""
 
 TABLES_OF_NODES = ("grudges", "spent")
-"""Tables whose rows are of nodes, which may be long gone."""
+"""Tables with a row for each node, which may have left the fleet long ago."""
 
 
 @singledispatch
 def write_change(change: object, db: apsw.Connection) -> None:
-    """Writes a change. apsw.Error where that fails, TypeError where it is no change."""
+    """Writes a change. Raises apsw.Error if that fails, and TypeError for an object that is no change."""
     raise TypeError(f"{type(change).__name__} is no change of a state file")
 
 
@@ -80,7 +80,8 @@
     db.execute(f"DELETE FROM promises WHERE id IN ({old})", values)
     for table in TABLES_OF_NODES:
         db.execute(f"DELETE FROM {table} WHERE at < ?", (change.nodes_before,))
-    db.execute(f"PRAGMA incremental_vacuum({int(change.most)})").fetchall()  # a row for each page
+    # One step frees one page, so all rows have to be fetched.
+    db.execute(f"PRAGMA incremental_vacuum({int(change.most)})").fetchall()
 
 
 @write_change.register
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -1,8 +1,8 @@
-"""Group commits to the state file, from a trio program: what waits while one commit runs goes out with the next.
+"""Group commits to the state file from a trio program: changes queued during one commit are written by the next.
 
-A change that must be durable waits for its commit, at most as long as health allows a commit to take; all others are
-noted and never waited for. The queue is bounded: a note that finds it full is dropped and everything in memory is written
-anew later; a change that must be durable is refused, and so what depends on it.
+The caller of a durable change waits for its commit, at most for as long as the file's health allows a commit to take.
+All other changes are queued without waiting. The queue is bounded. When it is full, other changes are dropped and
+everything in memory is written anew later; a durable change is refused, and with it the set-up that depends on it.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 from oakcroft.store.changes import Change, Expire, Held, Whole
 from oakcroft.store.file import StateFile, Unusable, set_aside
 
-WHOLE = "whole"  # the fact that a file knows all promises
+WHOLE = "whole"  # the value's presence says that the file holds all promises
 T = TypeVar("T")
 MOST_WAITING = 16_384
 MOST_TOGETHER = 1_024
-NODES_KEPT = 3600 * SECOND  # for longer than any cold time or distrust lasts
-BEAT = 0.25  # seconds between looks at health and upkeep while nothing is to be written
+NODES_KEPT = 3600 * SECOND  # longer than any node stays cold or penalized
+BEAT = 0.25  # between checks of health and maintenance while nothing is queued
 
 
 @dataclass(eq=False)
 class Waiting:
-    """One change in the queue, and who waits for it."""
+    """A queued change. If a caller waits for its commit, `finished` is set once it is committed or has failed."""
 
     change: Change
     done: trio.Event | None = None
@@ -40,7 +40,7 @@
 
 @dataclass
 class Counts:
-    """What was written."""
+    """Counters of commits and changes: `refused` durable ones, `dropped` others, and the longest commit in ns."""
 
     commits: int = 0
     changes: int = 0
@@ -51,8 +51,14 @@
 
 @dataclass
 class Store:
-    """One state file and the queue before it. `now`: the front's clock; `whole`: all promises in memory; `keep`: for
-    how long promises of no more use are kept, in ns; `found`: told of what a file held that could not be read earlier."""
+    """Writes one state file from a queue of changes.
+
+    `clock` returns the time in ns. `retention_ns` is how long promises that are no longer needed are kept.
+    `snapshot_memory` returns everything in memory as one change. `on_late_read` is called with the contents of a file
+    that could be read only after the start. `was_complete`: the file held all promises of this front end when it was
+    read; `named_values` are its values at that time. `needs_full_write`: a change was not written, so everything in
+    memory has to be written anew.
+    """
 
     path: str
     sync: bool
@@ -66,10 +72,10 @@
     upkeep: Upkeep = field(default_factory=Upkeep)
     counts: Counts = field(default_factory=Counts)
     file: StateFile | None = None
-    had: bool = False  # the file knew all that this front had promised
-    read: bool = False  # what it held has been taken on
-    facts: dict[str, bytes] = field(default_factory=dict)  # as they were then
-    stale: bool = False  # something was not written: all is to be written anew
+    had: bool = False
+    read: bool = False
+    facts: dict[str, bytes] = field(default_factory=dict)
+    stale: bool = False
     queue: deque[Waiting] = field(default_factory=deque)
     wake: trio.Event = field(default_factory=trio.Event)
     threads: trio.CapacityLimiter = field(default_factory=lambda: trio.CapacityLimiter(1))
@@ -77,7 +83,10 @@
     # Opening.
 
     async def start(self) -> Held | None:
-        """Opens the file and reads it; None where it cannot be had now. A damaged one is put aside, a new one begun."""
+        """Opens the file and returns its contents, None if it cannot be opened now.
+
+        A damaged file is moved aside and replaced by a new one.
+        """
         held: Held | None = None
         try:
             held = await self._thread(self._open)
@@ -113,10 +122,10 @@
     async def _thread(self, call: Callable[[], T]) -> T:
         return await trio.to_thread.run_sync(call, abandon_on_cancel=True, limiter=self.threads)
 
-    # What is to be written.
+    # Queueing changes.
 
     def note(self, change: Change) -> None:
-        """Written soon, and waited for by nobody."""
+        """Queues a change without waiting for its commit."""
         if self.health.state in (Disk.FAILING, Disk.FOREIGN):
             self.stale = True
             return
@@ -128,7 +137,11 @@
         self.wake.set()
 
     async def durable(self, change: Change) -> bool:
-        """Written and synced when this returns True. False: nobody knows, and it must be taken as not written."""
+        """Writes a change and waits for its commit.
+
+        Returns True once it is committed, and synced if commits wait for the disk. After False it may or may not have
+        been written, and must be treated as not written.
+        """
         if not self.health.takes_promises(self.now()) or len(self.queue) >= MOST_WAITING:
             self.counts.refused += 1
             return False
@@ -143,10 +156,10 @@
         self._tell(self.health.look(self.now()))
         return one.durable
 
-    # The writer.
+    # Writing.
 
     async def run(self) -> None:
-        """Writes until it is cancelled, then what still waits."""
+        """Writes queued changes until it is cancelled, then those that are left, and closes the file."""
         try:
             while True:
                 if not self.queue and not self.stale:
@@ -155,7 +168,8 @@
                 self.wake = trio.Event()
                 await self._round()
         finally:
-            # The file's one thread may be at work still: what waits goes out behind it, or is left after two seconds.
+            # A call may still run in the file's one thread. The last changes are written after it, or lost if that
+            # takes more than two seconds.
             with trio.CancelScope(shield=True), trio.move_on_after(2):
                 if self.health.state in (Disk.SOUND, Disk.SLOW):
                     await self._write(list(self.queue))
@@ -204,7 +218,7 @@
                 one.done.set()
 
     def _refuse_all(self) -> None:
-        """Nothing that waits can be written now."""
+        """Empties the queue and wakes the callers of durable changes, which were not written."""
         self.stale = self.stale or bool(self.queue)
         while self.queue:
             one = self.queue.popleft()
@@ -212,7 +226,7 @@
                 one.done.set()
 
     async def _try_again(self) -> None:
-        """Opens the file anew and writes all that is in memory; what it held that was never read is told first."""
+        """Reopens the file and writes everything in memory. Contents that were never read are reported first."""
         try:
             held = await self._thread(self._open)
         except Unusable as fault:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration language: what its checker says, that its formatter and diff keep meaning, and its decisions."""
+"""The configuration language: its checker, formatter and diff, and the routing, limits and versions that it feeds."""
 
 from __future__ import annotations
 
@@ -232,7 +232,7 @@
     assert cli.invoke(main, ["serve", str(bad)]).exit_code == 2
 
 
-# Routing against a plain model.
+# The route table against a linear search over all routes.
 
 MATCHES = st.builds(
     Match, st.sampled_from(list(Side)), st.sampled_from(["/a/", "/b/"]),
