--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from oakcroft.decisions.fleet.adopting import Bounds
+from oakcroft.decisions.fleet.session_takeover import Bounds
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.many_adopters import ManyAdopters, Net
 
--- a/benchmarks/capacity/fleet_socket_host.py
+++ b/benchmarks/capacity/fleet_socket_host.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity.fleet_socket_messages import HostResult, HostTask, Reading
 from benchmarks.capacity.fleet_zoned import seed_addresses
 from benchmarks.capacity.topology import LOOPBACK_NETWORK, Site, Topology
-from oakcroft.config.told import OtherZone, PeersPlace
+from oakcroft.config.settings import OtherZone, PeersPlace
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.decisions.membership.messages import MessageKind
 from oakcroft.peerwire.membership_codec import MembershipCodec, WireBody
--- a/benchmarks/capacity/measure_module.py
+++ b/benchmarks/capacity/measure_module.py
@@ -16,10 +16,10 @@
 from benchmarks.capacity.platform_process import SETTINGS, members
 from oakcroft import terms
 from oakcroft.choice import Controller
-from oakcroft.decisions.routing.titles import Shelf
+from oakcroft.decisions.routing.title_cache import Shelf
 from oakcroft.interface import MS, SECOND, Entry, Listing, ListKind, Node, Playback, State, Title
-from oakcroft.platform.owner import Owner
-from oakcroft.platformwire import channel, configuration
+from oakcroft.platform.session_coordinator import Owner
+from oakcroft.platformwire import command_channel, configuration
 from oakcroft.running.clock import Clock
 
 NODES = (100, 200, 400, 800, 1_600, 3_200)
@@ -70,7 +70,7 @@
     change = answer(2, False, members([1], count)[:1])
 
     def take(octets: bytes) -> None:
-        for _, complete, some in channel.document(octets)[1]:
+        for _, complete, some in command_channel.document(octets)[1]:
             owner.listed_at_once(complete, some)
 
     whole_ms = milliseconds(lambda: take(whole), LISTS)
--- a/benchmarks/capacity/measure_rollout.py
+++ b/benchmarks/capacity/measure_rollout.py
@@ -12,7 +12,7 @@
 from oakcroft.catalogue.text import digest, read, write
 from oakcroft.decisions.fleet.rollout import ENDED, Plan, Report, Rollout, Stage
 from oakcroft.decisions.routing.catalogue import Catalogue, Item, changed, takes_part
-from oakcroft.front.rolling import DUTY, ENCODER, ORDER_EVERY, ReportBody, plan_of, word_of
+from oakcroft.front.catalogue_rollout import DUTY, ENCODER, ORDER_EVERY, ReportBody, plan_of, word_of
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.lease_wire import Order, OrderReport
@@ -87,7 +87,7 @@
             heapq.heappush(self.heap, (self.now + self.rng.randint(*LATENCY), self.number, event))
 
     def _obey(self, front: int, order: Order) -> None:
-        """A front's part in `front/rolling.py`, without its record and its text."""
+        """A front's part in `front/catalogue_rollout.py`, without its record and its text."""
         plan, name = plan_of(order.body), self.names[front]
         takes = takes_part(front, len(self.names), int(plan.digest, 16), plan.part)
         if takes and plan.stage in (Stage.TAKEN, Stage.DONE):
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -14,9 +14,9 @@
 from benchmarks.capacity.targets import TARGET
 from benchmarks.cold_ramp import LOADS, SETTINGS, Day
 from benchmarks.figures import play
-from oakcroft.decisions.fleet.adopting import KEYS, SCAN, SLOTS, Adopting, Bounds
-from oakcroft.decisions.fleet.holding import Word
-from oakcroft.decisions.fleet.terms import Answer, Ask, Note, Step, Term
+from oakcroft.decisions.fleet.session_takeover import KEYS, SCAN, SLOTS, Adopting, Bounds
+from oakcroft.decisions.fleet.session_ownership import Word
+from oakcroft.decisions.fleet.lease import Answer, Ask, Note, Step, Term
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.sealing import KeyRing
--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -18,9 +18,9 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from oakcroft.config.compile import check, told
-from oakcroft.decisions.routing.routing import Asked, Side
-from oakcroft.front.serve import Front
+from oakcroft.config.pipeline import check, told
+from oakcroft.decisions.routing.route_table import Asked, Side
+from oakcroft.front.front_end import Front
 
 BASE = """(front (number 0) (zone west) (listen "127.0.0.1:0") (list-service "127.0.0.1:1"))
 (fleet (fronts 4) (wings west east) (cells 12) (racks 3))
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from oakcroft.decisions.fleet.figures import Figures
+from oakcroft.decisions.fleet.load_sharing import Figures
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.load_codec import LoadCodec
 from oakcroft.peerwire.sealing import KeyRing
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from random import Random
 
-from oakcroft.decisions.admission.levels import Acts, Bounds, Level, Levels, Mark, Sign
+from oakcroft.decisions.admission.service_levels import Acts, Bounds, Level, Levels, Mark, Sign
 from oakcroft.interface import MS, SECOND
 
 LEVELS = (
--- a/benchmarks/mass_drain.py
+++ b/benchmarks/mass_drain.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from oakcroft.choice import Controller
-from oakcroft.decisions.moving.mover import Mover, Pace, Why
+from oakcroft.decisions.moving.move_scheduler import Mover, Pace, Why
 from oakcroft.interface import (
     MS,
     SECOND,
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -24,9 +24,9 @@
 import trio
 
 from benchmarks.front_cost import SITE, WARM, Process, day
-from oakcroft.decisions.admission.doors import Bounds, Door
+from oakcroft.decisions.admission.connection_limits import Bounds, Door
 from oakcroft.running.clock import Clock
-from oakcroft.front.listing import PATH
+from oakcroft.front.node_list_client import PATH
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
--- a/benchmarks/peers_lag.py
+++ b/benchmarks/peers_lag.py
@@ -24,7 +24,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.front_cost import SITE, WARM, Load, Process, day, line
-from oakcroft.config.told import PeersPlace
+from oakcroft.config.settings import PeersPlace
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.running.clock import Clock
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -25,8 +25,8 @@
 import trio
 
 from benchmarks.front_cost import Process
-from oakcroft.config.compile import check, told
-from oakcroft.decisions.state.remembered import Mark, Promise
+from oakcroft.config.pipeline import check, told
+from oakcroft.decisions.state.promise import Mark, Promise
 from oakcroft.running.clock import Clock
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.rehearsal.viewers import offer
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -24,7 +24,7 @@
 from benchmarks.front_cost import SITE, WARM, Load, Process, day, line
 from oakcroft.catalogue.text import digest, read, write
 from oakcroft.decisions.routing.catalogue import Catalogue, Fleet, Item, changed, consider
-from oakcroft.decisions.routing.titles import Shelf
+from oakcroft.decisions.routing.title_cache import Shelf
 from oakcroft.httpwire.client import Peer
 
 PAID = SITE.replace("(effect free)", "(effect paid)")
--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -18,11 +18,11 @@
 from oakcroft.commands.fleet import fleet, status
 from oakcroft.commands.rehearsal import rehearse, stand_in
 from oakcroft.commands.state import state
-from oakcroft.config.compile import load_meaning, told
-from oakcroft.config.problems import Unsound
-from oakcroft.config.told import Deployment
-from oakcroft.front.serve import Front
-from oakcroft.front.steering import Decide
+from oakcroft.config.pipeline import load_meaning, told
+from oakcroft.config.diagnostics import Unsound
+from oakcroft.config.settings import Deployment
+from oakcroft.front.front_end import Front
+from oakcroft.front.protocols import Decide
 from oakcroft.running.collections import spare_collections
 from oakcroft.running.logs import set_up
 
--- a/oakcroft/client/whep.py
+++ b/oakcroft/client/whep.py
@@ -12,7 +12,7 @@
 import trio
 
 from oakcroft.client.retry import Next, Retries, fault
-from oakcroft.decisions.sessions.evidence import End
+from oakcroft.decisions.sessions.setup_outcome import End
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Headers, Response
 from oakcroft.signalling import sdp, words
--- a/oakcroft/commands/configuration.py
+++ b/oakcroft/commands/configuration.py
@@ -11,11 +11,11 @@
 
 from oakcroft.commands.arguments import BROKEN, FAULTY, FILE
 from oakcroft.config import compare, explain as explaining, reference
-from oakcroft.config.compile import Meaning, check as check_config, told
-from oakcroft.config.expand import Folder
+from oakcroft.config.pipeline import Meaning, check as check_config, told
+from oakcroft.config.expander import Folder
 from oakcroft.config.format import fmt
-from oakcroft.config.problems import Grade, Problems, Unsound
-from oakcroft.decisions.routing.routing import Asked, Side
+from oakcroft.config.diagnostics import Grade, Problems, Unsound
+from oakcroft.decisions.routing.route_table import Asked, Side
 
 
 @click.group()
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -14,7 +14,7 @@
 import trio
 
 from oakcroft.commands.arguments import BROKEN, FAULTY, FILE
-from oakcroft.config.problems import Unsound
+from oakcroft.config.diagnostics import Unsound
 
 if TYPE_CHECKING:
     from oakcroft.standins.day import Day
--- a/oakcroft/commands/state.py
+++ b/oakcroft/commands/state.py
@@ -11,8 +11,8 @@
 import click
 
 from oakcroft.commands.arguments import BROKEN, FAULTY, FILE, NEW_FILE
-from oakcroft.decisions.state.durable import Trouble
-from oakcroft.decisions.state.remembered import Mark
+from oakcroft.decisions.state.state_file_health import Trouble
+from oakcroft.decisions.state.promise import Mark
 from oakcroft.interface import SECOND
 from oakcroft.store.changes import Held
 from oakcroft.store.file import StateFile, Unusable
--- a/oakcroft/config/checks/__init__.py
+++ b/oakcroft/config/checks/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakcroft.config.checks import fronts, levels, limits, peers, plans, pools, routes, zones
-from oakcroft.config.problems import Problems
+from oakcroft.config.diagnostics import Problems
 from oakcroft.config.records import Records
 
 CHECKS = (
--- a/oakcroft/config/checks/fronts.py
+++ b/oakcroft/config/checks/fronts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakcroft.config import forms
-from oakcroft.config.problems import Problems, near, or_list
+from oakcroft.config.diagnostics import Problems, near, or_list
 from oakcroft.config.records import Records
 from oakcroft.config.schema import TIMES, say
 
--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from oakcroft.config import forms
-from oakcroft.config.checks.names import is_defined
-from oakcroft.config.problems import Problems
+from oakcroft.config.checks.references import is_defined
+from oakcroft.config.diagnostics import Problems
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Bad, Record
 from oakcroft.config.syntax import Atom
--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 
 from oakcroft.config import forms
-from oakcroft.config.checks.names import is_defined
-from oakcroft.config.deployment import limit_of_record
-from oakcroft.config.problems import Problems, near, or_list
+from oakcroft.config.checks.references import is_defined
+from oakcroft.config.deployment_builder import limit_of_record
+from oakcroft.config.diagnostics import Problems, near, or_list
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
-from oakcroft.decisions.admission.limits import Limit, Scope, never_binds
+from oakcroft.decisions.admission.request_limits import Limit, Scope, never_binds
 
 EVERY = "*"
 """Stands for every name of the scope, each counted by itself."""
--- a/oakcroft/config/checks/peers.py
+++ b/oakcroft/config/checks/peers.py
@@ -5,10 +5,10 @@
 from ipaddress import ip_address
 
 from oakcroft.config import forms
-from oakcroft.config.problems import Problems
+from oakcroft.config.diagnostics import Problems
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
-from oakcroft.decisions.fleet.holding import MOST_LEASE
+from oakcroft.decisions.fleet.session_ownership import MOST_LEASE
 from oakcroft.interface import SECOND
 
 NOTICED_NS = 6 * SECOND
--- a/oakcroft/config/checks/plans.py
+++ b/oakcroft/config/checks/plans.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 from oakcroft.config import forms
-from oakcroft.config.problems import Problems
+from oakcroft.config.diagnostics import Problems
 from oakcroft.config.records import Records
 from oakcroft.config.schema import TIMES, Record, say
 
--- a/oakcroft/config/checks/pools.py
+++ b/oakcroft/config/checks/pools.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from oakcroft.config import forms
-from oakcroft.config.deployment import pool_of_record
-from oakcroft.config.problems import Problems, near
+from oakcroft.config.deployment_builder import pool_of_record
+from oakcroft.config.diagnostics import Problems, near
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
 
--- a/oakcroft/config/checks/names.py
+++ b/oakcroft/config/checks/references.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from oakcroft.config.problems import Problems, near, or_list
+from oakcroft.config.diagnostics import Problems, near, or_list
 from oakcroft.config.schema import Record
 
 
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable, Mapping
 
 from oakcroft.config import forms
-from oakcroft.config.checks.names import is_defined
-from oakcroft.config.deployment import route_of_record
-from oakcroft.config.problems import Problems, or_list
+from oakcroft.config.checks.references import is_defined
+from oakcroft.config.deployment_builder import route_of_record
+from oakcroft.config.diagnostics import Problems, or_list
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
-from oakcroft.decisions.routing.routing import Route, Side, clashes, rank
+from oakcroft.decisions.routing.route_table import Route, Side, clashes, rank
 
 Claims = dict[str, str]
 
--- a/oakcroft/config/checks/zones.py
+++ b/oakcroft/config/checks/zones.py
@@ -6,7 +6,7 @@
 
 from oakcroft.config import forms
 from oakcroft.config.checks.peers import has_peers
-from oakcroft.config.problems import Problems
+from oakcroft.config.diagnostics import Problems
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
 from oakcroft.decisions.membership.zone_directory import MAX_ZONES
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from oakcroft.config import forms
-from oakcroft.config.deployment import route_of
-from oakcroft.config.meaning import Meaning
+from oakcroft.config.deployment_builder import route_of
+from oakcroft.config.resolved import Meaning
 from oakcroft.config.schema import Field, Schema, say
-from oakcroft.decisions.routing.routing import Asked, RouteTable, example
+from oakcroft.decisions.routing.route_table import Asked, RouteTable, example
 
 ABSENT = object()
 
--- a/oakcroft/config/deployment.py
+++ b/oakcroft/config/deployment_builder.py
@@ -7,18 +7,18 @@
 from typing import Any
 
 from oakcroft.config import forms
-from oakcroft.config.meaning import Meaning, plain_values
+from oakcroft.config.resolved import Meaning, plain_values
 from oakcroft.config.schema import Record
-from oakcroft.config.told import Deployment, Holding, OtherZone, PeersPlace, PlanTerms, Site, Stand, Token
-from oakcroft.decisions.admission.doors import Bounds
-from oakcroft.decisions.admission.levels import Acts, Level, Mark, Sign
-from oakcroft.decisions.admission.levels import Bounds as LevelBounds
-from oakcroft.decisions.admission.limits import Limit, Scope
-from oakcroft.decisions.fleet.adopting import Bounds as AdoptingBounds
+from oakcroft.config.settings import Deployment, Holding, OtherZone, PeersPlace, PlanTerms, Site, Stand, Token
+from oakcroft.decisions.admission.connection_limits import Bounds
+from oakcroft.decisions.admission.service_levels import Acts, Level, Mark, Sign
+from oakcroft.decisions.admission.service_levels import Bounds as LevelBounds
+from oakcroft.decisions.admission.request_limits import Limit, Scope
+from oakcroft.decisions.fleet.session_takeover import Bounds as AdoptingBounds
 from oakcroft.decisions.routing.pools import Pool
-from oakcroft.decisions.routing.routing import Match, Route, RouteTable, Side
-from oakcroft.decisions.routing.versions import families
-from oakcroft.decisions.routing.wings import Bounds as WingBounds
+from oakcroft.decisions.routing.route_table import Match, Route, RouteTable, Side
+from oakcroft.decisions.routing.configuration_version import families
+from oakcroft.decisions.routing.zone_preference import Bounds as WingBounds
 from oakcroft.interface import SECOND, Effect, Group, Plan, Terms
 
 Fields = Mapping[str, Any]
--- a/oakcroft/config/expand.py
+++ b/oakcroft/config/expander.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from oakcroft.config.problems import Place, Problems, near
+from oakcroft.config.diagnostics import Place, Problems, near
 from oakcroft.config.syntax import Atom, Form, Part, read, without_comments
 
 MOST_FILES, MOST_FORMS, MOST_USES = 256, 500_000, 16
--- a/oakcroft/config/explain.py
+++ b/oakcroft/config/explain.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from oakcroft.config.schema import PACES, TIMES, say
-from oakcroft.config.told import Site
-from oakcroft.decisions.admission.limits import Ledger, Limit, Party, Scope
+from oakcroft.config.settings import Site
+from oakcroft.decisions.admission.request_limits import Ledger, Limit, Party, Scope
 from oakcroft.decisions.routing.pools import Pool
-from oakcroft.decisions.routing.routing import Asked, refuses
+from oakcroft.decisions.routing.route_table import Asked, refuses
 
 
 def explain(site: Site, asked: Asked, token: str, front: int) -> list[str]:
--- a/oakcroft/config/reading.py
+++ b/oakcroft/config/form_reader.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from oakcroft.config.problems import Problems, near, or_list
+from oakcroft.config.diagnostics import Problems, near, or_list
 from oakcroft.config.schema import FIGURE, UNITS, Bad, Field, Kind, Record, Schema, say
 from oakcroft.config.syntax import Atom, Form
 
--- a/oakcroft/config/format.py
+++ b/oakcroft/config/format.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oakcroft.config.problems import Problems, Unsound
+from oakcroft.config.diagnostics import Problems, Unsound
 from oakcroft.config.syntax import Atom, Comment, Form, Part, read
 
 WIDTH, INDENT = 100, "  "
--- a/oakcroft/config/compile.py
+++ b/oakcroft/config/pipeline.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 
 from oakcroft.config.checks import cross_check
-from oakcroft.config.deployment import route_of, told
-from oakcroft.config.expand import Expander, Folder
-from oakcroft.config.meaning import Meaning, meaning
-from oakcroft.config.problems import Problems, Unsound
+from oakcroft.config.deployment_builder import route_of, told
+from oakcroft.config.expander import Expander, Folder
+from oakcroft.config.resolved import Meaning, meaning
+from oakcroft.config.diagnostics import Problems, Unsound
 from oakcroft.config.records import read_records
 from oakcroft.config.syntax import Form
-from oakcroft.config.told import Deployment
+from oakcroft.config.settings import Deployment
 
 __all__ = ["Meaning", "check", "check_forms", "load", "load_meaning", "route_of", "told"]
 
--- a/oakcroft/config/records.py
+++ b/oakcroft/config/records.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from oakcroft.config import forms
-from oakcroft.config.problems import Place, Problems, near, or_list
-from oakcroft.config.reading import read_form
+from oakcroft.config.diagnostics import Place, Problems, near, or_list
+from oakcroft.config.form_reader import read_form
 from oakcroft.config.schema import Record, Schema
 from oakcroft.config.syntax import Form
 
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakcroft.config.problems import Place, near, or_list
+from oakcroft.config.diagnostics import Place, near, or_list
 from oakcroft.config.syntax import Atom
 from oakcroft.interface import MS, SECOND
 
--- a/oakcroft/config/told.py
+++ b/oakcroft/config/settings.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from oakcroft.decisions.admission.doors import Bounds
-from oakcroft.decisions.admission.levels import Bounds as LevelBounds, Level
-from oakcroft.decisions.admission.limits import Limit
-from oakcroft.decisions.fleet.adopting import Bounds as Adopts
+from oakcroft.decisions.admission.connection_limits import Bounds
+from oakcroft.decisions.admission.service_levels import Bounds as LevelBounds, Level
+from oakcroft.decisions.admission.request_limits import Limit
+from oakcroft.decisions.fleet.session_takeover import Bounds as Adopts
 from oakcroft.decisions.routing.pools import Pool
-from oakcroft.decisions.routing.routing import RouteTable
-from oakcroft.decisions.routing.wings import Bounds as WingBounds
+from oakcroft.decisions.routing.route_table import RouteTable
+from oakcroft.decisions.routing.zone_preference import Bounds as WingBounds
 from oakcroft.interface import Plan, Terms
 
 
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -10,7 +10,7 @@
 
 from lark import Lark, Token, Transformer, UnexpectedInput
 
-from oakcroft.config.problems import Place, Problems
+from oakcroft.config.diagnostics import Place, Problems
 
 MOST_BYTES, MOST_DEPTH = 8_000_000, 64
 ESCAPES = {"n": "\n", "\\": "\\", '"': '"'}
--- a/oakcroft/decisions/admission/clients.py
+++ b/oakcroft/decisions/admission/client_limits.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from oakcroft.decisions.admission.limits import Bucket, Limit, Scope
+from oakcroft.decisions.admission.request_limits import Bucket, Limit, Scope
 
 
 @dataclass(frozen=True)
--- a/oakcroft/decisions/fleet/keeping.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from oakcroft.decisions.fleet.terms import (
+from oakcroft.decisions.fleet.lease import (
     MOST_NOTE,
     MOST_NUMBER,
     Answer,
--- a/oakcroft/decisions/fleet/owning.py
+++ b/oakcroft/decisions/fleet/candidate.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from random import Random
 
-from oakcroft.decisions.fleet.terms import (
+from oakcroft.decisions.fleet.lease import (
     MOST_NUMBER,
     Answer,
     Ask,
--- a/oakcroft/decisions/fleet/adopting.py
+++ b/oakcroft/decisions/fleet/session_takeover.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from oakcroft.decisions.fleet.holding import Word
+from oakcroft.decisions.fleet.session_ownership import Word
 from oakcroft.decisions.membership.rendezvous import line, weight
 from oakcroft.interface import MS, SECOND
 
--- a/oakcroft/decisions/moving/mover.py
+++ b/oakcroft/decisions/moving/move_scheduler.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from random import Random
 
-from oakcroft.decisions.moving.may_move import Way
+from oakcroft.decisions.moving.move_rules import Way
 from oakcroft.interface import MS, SECOND
 
 
--- a/oakcroft/decisions/sessions/answers.py
+++ b/oakcroft/decisions/sessions/answers.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from oakcroft.decisions.admission.limits import Over
+from oakcroft.decisions.admission.request_limits import Over
 from oakcroft.interface import SECOND, Effect
 
 
--- a/oakcroft/decisions/state/remembered.py
+++ b/oakcroft/decisions/state/promise.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.sessions.evidence import never_ran
+from oakcroft.decisions.sessions.setup_outcome import never_ran
 from oakcroft.interface import Effect, Outcome, Plan
 
 
--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from oakcroft.decisions.state.remembered import Mark, Promise, expired, step
+from oakcroft.decisions.state.promise import Mark, Promise, expired, step
 from oakcroft.interface import SECOND
 
 IN_FLIGHT = 2 * SECOND  # after a try's abandon time its node may still read bytes of it
--- a/oakcroft/front/rolling.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -19,11 +19,11 @@
 
 from oakcroft.catalogue.text import Unsound, digest as digest_of, read, write
 from oakcroft.decisions.fleet.rollout import ENDED, SHARES, Plan, Report, Rollout, Stage, begins
-from oakcroft.decisions.fleet.terms import MOST_NOTE, Fence, Term
+from oakcroft.decisions.fleet.lease import MOST_NOTE, Fence, Term
 from oakcroft.decisions.routing.catalogue import Verdict, takes_part
 from oakcroft.decisions.sessions.answers import Final
-from oakcroft.front.catalogues import Catalogues
-from oakcroft.front.helm import Helm
+from oakcroft.front.catalogue_versions import Catalogues
+from oakcroft.front.session_coordinator import Helm
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.peerwire.lease_codec import ReceivedLeaseMessage
 from oakcroft.peerwire.lease_wire import Order, OrderReport
--- a/oakcroft/front/catalogues.py
+++ b/oakcroft/front/catalogue_versions.py
@@ -26,8 +26,8 @@
     consider,
 )
 from oakcroft.decisions.routing.catalogue import takes_part
-from oakcroft.front.helm import Helm
-from oakcroft.front.viewing import Viewing
+from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.playback_session import Viewing
 from oakcroft.interface import Listing, State
 from oakcroft.store.file import Dropped, Held, Version
 
--- a/oakcroft/front/memory.py
+++ b/oakcroft/front/durable_state.py
@@ -29,12 +29,12 @@
     fate,
 )
 from oakcroft.decisions.state.recovery import further_tries, judge, resolved
-from oakcroft.decisions.state.remembered import Mark, Promise, after_answer, after_try, step, waits_for_record
-from oakcroft.decisions.fleet.roster import Line
-from oakcroft.front.nodeleg import NodeLeg, Told as Hello
-from oakcroft.front.recalling import plays_on, resume, viewing
-from oakcroft.front.steering import Steering
-from oakcroft.front.viewing import Upstream, Viewing
+from oakcroft.decisions.state.promise import Mark, Promise, after_answer, after_try, step, waits_for_record
+from oakcroft.decisions.fleet.node_list import Line
+from oakcroft.front.node_client import NodeLeg, Told as Hello
+from oakcroft.front.recovered_session import plays_on, resume, viewing
+from oakcroft.front.protocols import Steering
+from oakcroft.front.playback_session import Upstream, Viewing
 from oakcroft.interface import MS, SECOND, Node, Outcome
 from oakcroft.store.file import Fact, Held, Move, Put, Told, Whole
 from oakcroft.store.writer import WHOLE, Store
--- a/oakcroft/front/serve.py
+++ b/oakcroft/front/front_end.py
@@ -14,34 +14,34 @@
 import trio
 
 from oakcroft.choice import Controller
-from oakcroft.decisions.admission.doors import Door, Queue
-from oakcroft.decisions.fleet.stopping import Course, Stopping
-from oakcroft.decisions.routing.versions import Offer, Verdict
-from oakcroft.front.catalogues import Catalogues
+from oakcroft.decisions.admission.connection_limits import Door, Queue
+from oakcroft.decisions.fleet.shutdown import Course, Stopping
+from oakcroft.decisions.routing.configuration_version import Offer, Verdict
+from oakcroft.front.catalogue_versions import Catalogues
 from oakcroft.running.clock import Clock
-from oakcroft.front.core import Core
-from oakcroft.front.helm import Helm
-from oakcroft.front.memory import Memory
-from oakcroft.front.listing import BadList, Follower, kept, parse
-from oakcroft.front.operators import PATH as OPERATORS, Operators
-from oakcroft.front.nodeleg import Standing
-from oakcroft.front.reducing import Reducing
-from oakcroft.front.siding import ZoneRouting
-from oakcroft.front.steering import Bell, Decide
-from oakcroft.front.sockets import PATH, SessionApi
-from oakcroft.front.viewers import Viewers
+from oakcroft.front.session_service import Core
+from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.durable_state import Memory
+from oakcroft.front.node_list_client import BadList, Follower, kept, parse
+from oakcroft.front.operators_api import PATH as OPERATORS, Operators
+from oakcroft.front.node_client import Standing
+from oakcroft.front.service_levels import Reducing
+from oakcroft.front.zone_routing import ZoneRouting
+from oakcroft.front.protocols import Bell, Decide
+from oakcroft.front.websocket_api import PATH, SessionApi
+from oakcroft.front.whip_whep import Viewers
 from oakcroft.httpwire.client import Peer
 from oakcroft.httpwire.message import Request
 from oakcroft.interface import MS
 from oakcroft.httpwire.server import Server
-from oakcroft.config.told import Deployment
+from oakcroft.config.settings import Deployment
 from oakcroft.store.file import Fact, Held, StateFile
 from oakcroft.store.writer import Store
 
 if TYPE_CHECKING:
     from oakcroft.decisions.membership.membership import Membership
-    from oakcroft.front.adopting import Adopting
-    from oakcroft.front.viewing import Viewing
+    from oakcroft.front.session_takeover import Adopting
+    from oakcroft.front.playback_session import Viewing
     from oakcroft.peers.peer_endpoint import PeerEndpoint
 
 
@@ -206,7 +206,7 @@
             return None
         operators.fleet = peers.status
         if peers.duties is not None:
-            from oakcroft.front.rolling import Rolling
+            from oakcroft.front.catalogue_rollout import Rolling
 
             operators.duties, operators.rolling = (
                 peers.duties,
@@ -214,14 +214,14 @@
             )
             nursery.start_soon(rolling.run)
         if place.probes:
-            from oakcroft.front.probing import Probing
+            from oakcroft.front.load_probing import Probing
 
             seed = self.told.stand.seed + 8
             operators.probing = probing = Probing(helm, peers, place.name, place.probes, seed, self.log)
             peers.on_loads = probing.heard
             nursery.start_soon(probing.run)
         if place.adopts is not None:
-            from oakcroft.front.adopting import Adopting
+            from oakcroft.front.session_takeover import Adopting
 
             def published(v: Viewing) -> None:
                 core.publishing[v.pb.title.name] = v
--- a/oakcroft/front/probing.py
+++ b/oakcroft/front/load_probing.py
@@ -13,8 +13,8 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.figures import Figures, Row
-from oakcroft.front.helm import Helm
+from oakcroft.decisions.fleet.load_sharing import Figures, Row
+from oakcroft.front.session_coordinator import Helm
 from oakcroft.interface import MS, SECOND
 
 LOOK = 100 * MS
--- a/oakcroft/front/moves.py
+++ b/oakcroft/front/move_executor.py
@@ -16,14 +16,14 @@
 import trio
 
 from oakcroft.decisions.sessions.answers import Final, Reply
-from oakcroft.decisions.moving.fading import Fadings
+from oakcroft.decisions.moving.degrading_nodes import Fadings
 from oakcroft.decisions.moving.handover import Act, Course, Handover, Happening
-from oakcroft.decisions.moving.may_move import Way, allowed, keeps_to_its_zone, stays, way
-from oakcroft.decisions.moving.mover import LONGEST_CONFIRM, LONGEST_OFFER, Mover, Pace, Why, waits
-from oakcroft.decisions.moving.notice import Notices
-from oakcroft.decisions.sessions.resource import Resource
-from oakcroft.front.steering import Steering
-from oakcroft.front.viewing import Viewing
+from oakcroft.decisions.moving.move_rules import Way, allowed, keeps_to_its_zone, stays, way
+from oakcroft.decisions.moving.move_scheduler import LONGEST_CONFIRM, LONGEST_OFFER, Mover, Pace, Why, waits
+from oakcroft.decisions.moving.drain_notice import Notices
+from oakcroft.decisions.sessions.session_resource import Resource
+from oakcroft.front.protocols import Steering
+from oakcroft.front.playback_session import Viewing
 from oakcroft.interface import SECOND, Entry, Listing, Node, State
 
 STAY = Reply(503, "urn:oakcroft:problem:stay", "No other place was found: stay where you are", None, False)
--- a/oakcroft/front/nodeleg.py
+++ b/oakcroft/front/node_client.py
@@ -19,13 +19,13 @@
 import orjson
 import trio
 
-from oakcroft.decisions.fleet.again import EVENTS, FAREWELL, RUNG, Again
-from oakcroft.decisions.sessions.claims import Claims
-from oakcroft.decisions.sessions.evidence import End, Trail, outcome
-from oakcroft.decisions.sessions.lifeline import Break, Life, Lifeline, Loss, Patience
-from oakcroft.decisions.sessions.resource import SDPFRAG
+from oakcroft.decisions.fleet.backoff import EVENTS, FAREWELL, RUNG, Again
+from oakcroft.decisions.sessions.node_sessions import Claims
+from oakcroft.decisions.sessions.setup_outcome import End, Trail, outcome
+from oakcroft.decisions.sessions.event_stream_health import Break, Life, Lifeline, Loss, Patience
+from oakcroft.decisions.sessions.session_resource import SDPFRAG
 from oakcroft.running.clock import Clock
-from oakcroft.front.viewing import Upstream, Viewing
+from oakcroft.front.playback_session import Upstream, Viewing
 from oakcroft.httpwire.client import REFUSED, Ended, Peer
 from oakcroft.httpwire.message import Headers, Response
 from oakcroft.interface import SECOND, Outcome
--- a/oakcroft/front/hearing.py
+++ b/oakcroft/front/node_events.py
@@ -6,9 +6,9 @@
 
 import structlog
 
-from oakcroft.decisions.sessions.lifeline import Loss
-from oakcroft.front.nodeleg import NodeLeg, Told, sound
-from oakcroft.front.steering import Moving, Steering
+from oakcroft.decisions.sessions.event_stream_health import Loss
+from oakcroft.front.node_client import NodeLeg, Told, sound
+from oakcroft.front.protocols import Moving, Steering
 from oakcroft.interface import Note, Outcome
 
 
--- a/oakcroft/front/listing.py
+++ b/oakcroft/front/node_list_client.py
@@ -18,8 +18,8 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.again import LIST, Again
-from oakcroft.decisions.fleet.roster import Line
+from oakcroft.decisions.fleet.backoff import LIST, Again
+from oakcroft.decisions.fleet.node_list import Line
 from oakcroft.running.clock import Clock
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.interface import MS, Listing
--- a/oakcroft/front/operators.py
+++ b/oakcroft/front/operators_api.py
@@ -15,11 +15,11 @@
 
 from oakcroft.catalogue.text import Unsound
 from oakcroft.decisions.routing.catalogue import Verdict
-from oakcroft.front.catalogues import T_OFFER, Catalogues
-from oakcroft.front.core import Faulty
-from oakcroft.front.helm import Helm
-from oakcroft.front.reducing import Reducing
-from oakcroft.front.siding import ZoneRouting
+from oakcroft.front.catalogue_versions import T_OFFER, Catalogues
+from oakcroft.front.session_service import Faulty
+from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.service_levels import Reducing
+from oakcroft.front.zone_routing import ZoneRouting
 from oakcroft.interface import SECOND
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling import words
--- a/oakcroft/front/viewing.py
+++ b/oakcroft/front/playback_session.py
@@ -7,13 +7,13 @@
 import trio
 
 from oakcroft.decisions.sessions.answers import Final, Reply
-from oakcroft.decisions.admission.limits import Ticket
-from oakcroft.decisions.admission.patience import Due
-from oakcroft.decisions.fleet.again import Again
+from oakcroft.decisions.admission.request_limits import Ticket
+from oakcroft.decisions.admission.deadlines import Due
+from oakcroft.decisions.fleet.backoff import Again
 from oakcroft.decisions.routing.pools import Pool
-from oakcroft.decisions.sessions.resource import Resource
+from oakcroft.decisions.sessions.session_resource import Resource
 from oakcroft.interface import Playback
-from oakcroft.config.told import PlanTerms
+from oakcroft.config.settings import PlanTerms
 
 
 @dataclass
--- a/oakcroft/front/steering.py
+++ b/oakcroft/front/protocols.py
@@ -12,12 +12,12 @@
 
 import trio
 
-from oakcroft.decisions.fleet.roster import Roster
-from oakcroft.decisions.routing.titles import Shelf
-from oakcroft.decisions.sessions.repeats import Repeats
-from oakcroft.front.nodeleg import NodeLeg, Told
-from oakcroft.front.viewing import Viewing
-from oakcroft.config.told import Site
+from oakcroft.decisions.fleet.node_list import Roster
+from oakcroft.decisions.routing.title_cache import Shelf
+from oakcroft.decisions.sessions.idempotency import Repeats
+from oakcroft.front.node_client import NodeLeg, Told
+from oakcroft.front.playback_session import Viewing
+from oakcroft.config.settings import Site
 from oakcroft.interface import Host, ListKind, Entry, Node, Note, Outcome, Playback, Terms
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
--- a/oakcroft/front/recalling.py
+++ b/oakcroft/front/recovered_session.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from oakcroft.choice import digest
-from oakcroft.decisions.admission.patience import Due
+from oakcroft.decisions.admission.deadlines import Due
 from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.sessions.resource import Resource
-from oakcroft.decisions.state.remembered import Promise
-from oakcroft.front.nodeleg import NodeLeg
-from oakcroft.front.steering import Steering
-from oakcroft.front.viewing import Upstream, Viewing
+from oakcroft.decisions.sessions.session_resource import Resource
+from oakcroft.decisions.state.promise import Promise
+from oakcroft.front.node_client import NodeLeg
+from oakcroft.front.protocols import Steering
+from oakcroft.front.playback_session import Upstream, Viewing
 from oakcroft.interface import Node, Playback
 
 
--- a/oakcroft/front/rendition_bound.py
+++ b/oakcroft/front/rendition_bound.py
@@ -11,9 +11,9 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.again import RENDITION_BOUND, Again
-from oakcroft.front.steering import Steering
-from oakcroft.front.viewing import Viewing
+from oakcroft.decisions.fleet.backoff import RENDITION_BOUND, Again
+from oakcroft.front.protocols import Steering
+from oakcroft.front.playback_session import Viewing
 from oakcroft.interface import Note, State
 
 
--- a/oakcroft/front/reducing.py
+++ b/oakcroft/front/service_levels.py
@@ -11,9 +11,9 @@
 import structlog
 import trio
 
-from oakcroft.config.told import PlanTerms
-from oakcroft.decisions.admission.levels import Change, Gate, Levels, Sign, Tally
-from oakcroft.front.helm import Helm
+from oakcroft.config.settings import PlanTerms
+from oakcroft.decisions.admission.service_levels import Change, Gate, Levels, Sign, Tally
+from oakcroft.front.session_coordinator import Helm
 from oakcroft.interface import MS
 
 EVERY = 0.25  # seconds between checks
--- a/oakcroft/front/helm.py
+++ b/oakcroft/front/session_coordinator.py
@@ -24,29 +24,29 @@
 from oakcroft.decisions.sessions.answers import Final
 from oakcroft.decisions.routing.catalogue import Catalogue, Course, bound, course
 from oakcroft.decisions.moving.handover import Happening
-from oakcroft.decisions.sessions.lifeline import Loss, Patience
-from oakcroft.decisions.admission.limits import Ledger
-from oakcroft.decisions.admission.patience import BEAT, Due, Stillness
-from oakcroft.decisions.sessions.repeats import Repeats
-from oakcroft.decisions.sessions.resource import Resource
-from oakcroft.decisions.fleet.roster import Line, Refused, Roster
-from oakcroft.decisions.routing.titles import Shelf
-from oakcroft.decisions.routing.versions import InForce, Offer, Verdict
+from oakcroft.decisions.sessions.event_stream_health import Loss, Patience
+from oakcroft.decisions.admission.request_limits import Ledger
+from oakcroft.decisions.admission.deadlines import BEAT, Due, Stillness
+from oakcroft.decisions.sessions.idempotency import Repeats
+from oakcroft.decisions.sessions.session_resource import Resource
+from oakcroft.decisions.fleet.node_list import Line, Refused, Roster
+from oakcroft.decisions.routing.title_cache import Shelf
+from oakcroft.decisions.routing.configuration_version import InForce, Offer, Verdict
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event, handle_all
-from oakcroft.front.hearing import Hearing
-from oakcroft.front.moves import Moves
-from oakcroft.front.nodeleg import LONGEST_TRY_GRACE, NodeLeg, Standing, TryEnd
+from oakcroft.front.node_events import Hearing
+from oakcroft.front.move_executor import Moves
+from oakcroft.front.node_client import LONGEST_TRY_GRACE, NodeLeg, Standing, TryEnd
 from oakcroft.front.rendition_bound import RenditionBound
-from oakcroft.front.steering import Bell, Decide, Decider
-from oakcroft.front.viewing import Viewing
+from oakcroft.front.protocols import Bell, Decide, Decider
+from oakcroft.front.playback_session import Viewing
 from oakcroft.interface import Node, Note, Outcome, Playback, State
-from oakcroft.config.told import Deployment, PlanTerms, Site
+from oakcroft.config.settings import Deployment, PlanTerms, Site
 from oakcroft.signalling import words
 
 
 if TYPE_CHECKING:
-    from oakcroft.front.memory import Memory
+    from oakcroft.front.durable_state import Memory
 
 
 NO_LOAD = words.Load()
--- a/oakcroft/front/core.py
+++ b/oakcroft/front/session_service.py
@@ -16,25 +16,25 @@
 import structlog
 import trio
 
-from oakcroft.config.told import Site, Token
+from oakcroft.config.settings import Site, Token
 from oakcroft.decisions.sessions import answers
 from oakcroft.decisions.routing import ladder
 from oakcroft.decisions.sessions.answers import REFUSALS, Final, Refusal, Reply
-from oakcroft.decisions.admission.doors import SHORTEST_SETUP, Door, Queue, slow_reader
+from oakcroft.decisions.admission.connection_limits import SHORTEST_SETUP, Door, Queue, slow_reader
 from oakcroft.decisions.moving.handover import Course, Happening
-from oakcroft.decisions.admission.limits import Over, Party
-from oakcroft.decisions.admission.patience import BEAT, due, hopeless, margin
-from oakcroft.decisions.sessions.repeats import Turn
-from oakcroft.decisions.sessions.resource import SDPFRAG, Act, Said
-from oakcroft.decisions.routing.routing import Asked, Route, Side, Why, refuses
-from oakcroft.decisions.admission.shedding import Line, Waiting, Window
-from oakcroft.decisions.fleet.stopping import Stopping
+from oakcroft.decisions.admission.request_limits import Over, Party
+from oakcroft.decisions.admission.deadlines import BEAT, due, hopeless, margin
+from oakcroft.decisions.sessions.idempotency import Turn
+from oakcroft.decisions.sessions.session_resource import SDPFRAG, Act, Said
+from oakcroft.decisions.routing.route_table import Asked, Route, Side, Why, refuses
+from oakcroft.decisions.admission.load_shedding import Line, Waiting, Window
+from oakcroft.decisions.fleet.shutdown import Stopping
 from oakcroft.running.clock import Clock
-from oakcroft.front.helm import Helm
-from oakcroft.front.moves import STAY, Admits, Move
-from oakcroft.front.reducing import Reducing
-from oakcroft.front.siding import ZoneRouting
-from oakcroft.front.viewing import Reader, Viewing
+from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.move_executor import STAY, Admits, Move
+from oakcroft.front.service_levels import Reducing
+from oakcroft.front.zone_routing import ZoneRouting
+from oakcroft.front.playback_session import Reader, Viewing
 from oakcroft.interface import Outcome
 from oakcroft.signalling import sdp, words
 
--- a/oakcroft/front/adopting.py
+++ b/oakcroft/front/session_takeover.py
@@ -15,17 +15,17 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.adopting import Adopting as Course, Bounds, Errand, Why
-from oakcroft.decisions.fleet.holding import Word
+from oakcroft.decisions.fleet.session_takeover import Adopting as Course, Bounds, Errand, Why
+from oakcroft.decisions.fleet.session_ownership import Word
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.state.remembered import Mark, Promise
-from oakcroft.front.core import MOST_TITLE
-from oakcroft.front.helm import Helm
-from oakcroft.front.nodeleg import NodeLeg
-from oakcroft.front.recalling import plays_on, resume, viewing
-from oakcroft.front.viewing import Upstream, Viewing
+from oakcroft.decisions.state.promise import Mark, Promise
+from oakcroft.front.session_service import MOST_TITLE
+from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.node_client import NodeLeg
+from oakcroft.front.recovered_session import plays_on, resume, viewing
+from oakcroft.front.playback_session import Upstream, Viewing
 from oakcroft.interface import MS, SECOND, Effect, Outcome, State
 from oakcroft.signalling import handing, words
 
--- a/oakcroft/front/sockets.py
+++ b/oakcroft/front/websocket_api.py
@@ -21,15 +21,15 @@
 from wsproto import events
 from wsproto.frame_protocol import CloseReason
 
-from oakcroft.config.told import Token
+from oakcroft.config.settings import Token
 from oakcroft.decisions.sessions import answers
 from oakcroft.decisions.sessions.answers import Final, Reply
-from oakcroft.decisions.admission.clients import CLOSE, Allowance, Client, Word
-from oakcroft.decisions.admission.passes import Invalid, Passes
-from oakcroft.decisions.sessions.resource import SDPFRAG
-from oakcroft.decisions.sessions.resumption import Outbox, Pulse, Seat, Standing
-from oakcroft.front.core import Ask, Core, Faulty
-from oakcroft.front.viewing import Reader, Viewing
+from oakcroft.decisions.admission.client_limits import CLOSE, Allowance, Client, Word
+from oakcroft.decisions.admission.resume_tokens import Invalid, Passes
+from oakcroft.decisions.sessions.session_resource import SDPFRAG
+from oakcroft.decisions.sessions.client_session import Outbox, Pulse, Seat, Standing
+from oakcroft.front.session_service import Ask, Core, Faulty
+from oakcroft.front.playback_session import Reader, Viewing
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
 from oakcroft.signalling import session_api as api
--- a/oakcroft/front/viewers.py
+++ b/oakcroft/front/whip_whep.py
@@ -13,9 +13,9 @@
 
 from oakcroft.decisions.sessions import answers
 from oakcroft.decisions.sessions.answers import Final, Reply
-from oakcroft.decisions.sessions.resource import SDPFRAG
-from oakcroft.front.core import READER_KINDS, Ask, Core, Faulty
-from oakcroft.front.viewing import Reader, Viewing
+from oakcroft.decisions.sessions.session_resource import SDPFRAG
+from oakcroft.front.session_service import READER_KINDS, Ask, Core, Faulty
+from oakcroft.front.playback_session import Reader, Viewing
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling import sdp, words
 
--- a/oakcroft/front/siding.py
+++ b/oakcroft/front/zone_routing.py
@@ -13,9 +13,9 @@
 import trio
 
 from oakcroft.choice import DISTRUST_HALF, DISTRUSTED
-from oakcroft.decisions.sessions.lifeline import Life as NodeLife, Loss
-from oakcroft.decisions.routing.wings import NodeEvidence, ZonePreference, ZoneState, zone_load
-from oakcroft.front.helm import Helm
+from oakcroft.decisions.sessions.event_stream_health import Life as NodeLife, Loss
+from oakcroft.decisions.routing.zone_preference import NodeEvidence, ZonePreference, ZoneState, zone_load
+from oakcroft.front.session_coordinator import Helm
 from oakcroft.interface import SECOND, Listing, Node
 
 EVERY = 0.25  # seconds between checks
--- a/oakcroft/httpwire/client.py
+++ b/oakcroft/httpwire/client.py
@@ -1,7 +1,7 @@
 """The asking side: kept-alive connections to one peer, and the trail of each exchange.
 
-An exchange is never repeated here. What a broken one proves is for decisions/sessions/evidence.py; this file reports each
-stage as the socket reaches it.
+An exchange is never repeated here. What a broken one proves is for decisions/sessions/setup_outcome.py; this file reports
+each stage as the socket reaches it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import h11
 import trio
 
-from oakcroft.decisions.sessions.evidence import End, Stage, Trail
+from oakcroft.decisions.sessions.setup_outcome import End, Stage, Trail
 from oakcroft.httpwire.message import Headers, Response
 
 MOST_ANSWER = 262_144
--- a/oakcroft/httpwire/server.py
+++ b/oakcroft/httpwire/server.py
@@ -1,8 +1,8 @@
 """The serving side: connections within the door's bounds, one handler for each request.
 
 Every connection is a task under the server's nursery.
-Each phase of an exchange has its time (decisions/admission/doors.py), each limit its answer. While a handler works, the
-connection is watched: a client that closes it cancels the handler.
+Each phase of an exchange has its time (decisions/admission/connection_limits.py), each limit its answer. While a handler
+works, the connection is watched: a client that closes it cancels the handler.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import h11
 import trio
 
-from oakcroft.decisions.admission.doors import (
+from oakcroft.decisions.admission.connection_limits import (
     Door,
     Phase,
     Verdict,
@@ -23,7 +23,7 @@
     head_verdict,
     status_when_slow,
 )
-from oakcroft.decisions.admission.doors import time_allowed
+from oakcroft.decisions.admission.connection_limits import time_allowed
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling.words import PROBLEM, problem
 
--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -16,8 +16,8 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.keeping import MOST_DUTIES, Keeper
-from oakcroft.decisions.fleet.terms import Answer, Ask, Learnt
+from oakcroft.decisions.fleet.acceptor import MOST_DUTIES, Keeper
+from oakcroft.decisions.fleet.lease import Answer, Ask, Learnt
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.lease_codec import ENCODER, LeaseCodec
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -8,9 +8,9 @@
 from collections import Counter
 from typing import Protocol
 
-from oakcroft.config.told import PeersPlace
-from oakcroft.decisions.fleet.owning import Candidate
-from oakcroft.decisions.fleet.terms import Term
+from oakcroft.config.settings import PeersPlace
+from oakcroft.decisions.fleet.candidate import Candidate
+from oakcroft.decisions.fleet.lease import Term
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.interface import MS
 from oakcroft.peers.lease_acceptor import AcceptorHost
--- a/oakcroft/peers/leases.py
+++ b/oakcroft/peers/leases.py
@@ -15,11 +15,11 @@
 import structlog
 import trio
 
-from oakcroft.config.told import PeersPlace
-from oakcroft.decisions.fleet.keeping import Keeper
-from oakcroft.decisions.fleet.owning import Candidate, Course, Word
+from oakcroft.config.settings import PeersPlace
+from oakcroft.decisions.fleet.acceptor import Keeper
+from oakcroft.decisions.fleet.candidate import Candidate, Course, Word
 from oakcroft.decisions.membership.rendezvous import rank
-from oakcroft.decisions.fleet.terms import MOST_NUMBER, Answer, Ask, Step, Term, majority
+from oakcroft.decisions.fleet.lease import MOST_NUMBER, Answer, Ask, Step, Term, majority
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.interface import MS, SECOND
 from oakcroft.peers.lease_acceptor import AcceptorHost, Keeping
--- a/oakcroft/peers/membership_start.py
+++ b/oakcroft/peers/membership_start.py
@@ -8,7 +8,7 @@
 import structlog
 
 from oakcroft import __version__
-from oakcroft.config.told import PeersPlace
+from oakcroft.config.settings import PeersPlace
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate, commitment
 from oakcroft.decisions.membership.membership import Membership
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -13,8 +13,8 @@
 import structlog
 import trio
 
-from oakcroft.config.told import PeersPlace
-from oakcroft.decisions.fleet.figures import Row
+from oakcroft.config.settings import PeersPlace
+from oakcroft.decisions.fleet.load_sharing import Row
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import Message, MessageKind
--- a/oakcroft/peerwire/lease_codec.py
+++ b/oakcroft/peerwire/lease_codec.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from oakcroft.decisions.fleet.terms import Answer, Ask, Learnt, Step
+from oakcroft.decisions.fleet.lease import Answer, Ask, Learnt, Step
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.lease_wire import (
     Order,
--- a/oakcroft/peerwire/lease_wire.py
+++ b/oakcroft/peerwire/lease_wire.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from oakcroft.decisions.fleet.terms import MOST_NOTE, MOST_NUMBER, Note, Row, Term
+from oakcroft.decisions.fleet.lease import MOST_NOTE, MOST_NUMBER, Note, Row, Term
 from oakcroft.peerwire.errors import MessageError
 
 MAX_NAME_LENGTH = 64
--- a/oakcroft/peerwire/load_codec.py
+++ b/oakcroft/peerwire/load_codec.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from oakcroft.decisions.fleet.figures import MOST_AGE, MOST_ASKED, MOST_ROWS, Row
+from oakcroft.decisions.fleet.load_sharing import MOST_AGE, MOST_ASKED, MOST_ROWS, Row
 from oakcroft.interface import MS
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
--- a/oakcroft/platform/follower.py
+++ b/oakcroft/platform/channel_follower.py
@@ -10,11 +10,11 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.freshness import Freshness
-from oakcroft.platform.link import Link, connect
-from oakcroft.platform.owner import Owner
-from oakcroft.platformwire import channel
-from oakcroft.platformwire.polling import Polling
+from oakcroft.decisions.fleet.node_list_freshness import Freshness
+from oakcroft.platform.connection import Link, connect
+from oakcroft.platform.session_coordinator import Owner
+from oakcroft.platformwire import command_channel
+from oakcroft.platformwire.long_poll import Polling
 
 BLOCK = 1_000  # ms that a poll waits for events
 OVERDUE = 0.4  # seconds past that, after which the channel has stopped and is asked again
@@ -53,7 +53,7 @@
             with trio.CancelScope() as self.moved:
                 try:
                     silent = await self._follow()
-                except (OSError, trio.TooSlowError, channel.Unreadable) as fault:
+                except (OSError, trio.TooSlowError, command_channel.Unreadable) as fault:
                     if self.freshness.current or not told:
                         self.log.warning("channel broken", after=self.last, why=str(fault)[:200])
                         wait, told = FIRST_WAIT, True
@@ -84,7 +84,7 @@
             self.link.shut()
             self.link = None
         if self.fault:
-            raise channel.Unreadable(self.fault)
+            raise command_channel.Unreadable(self.fault)
         return silent
 
     def _ask(self) -> None:
@@ -107,11 +107,11 @@
                         self.link.shut()  # the channel closes after this answer
             except BlockingIOError:
                 return
-            except (OSError, channel.Unreadable) as fault:
+            except (OSError, command_channel.Unreadable) as fault:
                 self.fault = str(fault) or repr(fault)
                 self.link.shut()
 
-    def _heard(self, last: int, changes: list[channel.Change]) -> None:
+    def _heard(self, last: int, changes: list[command_channel.Change]) -> None:
         for number, complete, members in changes:
             if number > self.last:
                 self.last = number
--- a/oakcroft/platform/pool.py
+++ b/oakcroft/platform/node_pool.py
@@ -15,9 +15,9 @@
 import trio
 
 from oakcroft.interface import MS, SECOND, Listing, Node, Outcome
-from oakcroft.platform.link import Link, connect
-from oakcroft.platform.ticket import NodeEnd, Ticket
-from oakcroft.platformwire import lines
+from oakcroft.platform.connection import Link, connect
+from oakcroft.platform.playback_session import NodeEnd, Ticket
+from oakcroft.platformwire import json_lines
 from oakcroft.platformwire.framing import Unreadable
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
@@ -107,14 +107,17 @@
             return True
         now = self.clock.now()
         left = max(1, (t.until - now) // MS)
-        attrs: lines.Attributes = {
+        attrs: json_lines.Attributes = {
             "class": t.plan_name,
             "left": str(left),
             "key": t.pb.title.name,
             "rung": str(t.pb.rung),
         }
         before = link.queued
-        if not link.write(lines.encode("open", t.id, attrs, None, t.description)) and link.taken <= before:
+        if (
+            not link.write(json_lines.encode("open", t.id, attrs, None, t.description))
+            and link.taken <= before
+        ):
             self._drop(link)  # no byte of it was sent, so it can go to another connection
             return False
         t.link = link
@@ -126,7 +129,7 @@
         link = t.link
         unsaid = link is None or self._unsaid(link, t)
         if link is not None and not unsaid:
-            link.write(lines.encode("close", t.id, {}, GIVEN_UP))
+            link.write(json_lines.encode("close", t.id, {}, GIVEN_UP))
         self.settled(t)
         return unsaid
 
@@ -171,9 +174,9 @@
             self.settled(t)
             self.listener.tried(t, Outcome.NOT_SENT, None)
 
-    def say(self, kind: str, session: str, attrs: lines.Attributes, code: int | None = None) -> None:
+    def say(self, kind: str, session: str, attrs: json_lines.Attributes, code: int | None = None) -> None:
         """Sends a message about a playback on any open connection, else on the next one that opens."""
-        message = lines.encode(kind, session, attrs, code)
+        message = json_lines.encode(kind, session, attrs, code)
         for link in self.links:
             if link.open and not link.ended() and link.write(message):
                 return
@@ -243,7 +246,7 @@
 
     async def _read(self, link: NodeLink) -> None:
         """Submits the messages of a connection until it ends; closes it if the data is unreadable."""
-        heard, why = lines.Lines(), ""
+        heard, why = json_lines.Lines(), ""
         try:
             while data := await link.read():
                 heard.receive_data(data)
@@ -349,7 +352,7 @@
         """Cancels a set-up that is about to be sent if its viewer has left; returns whether it did."""
 
     def said(
-        self, pool: Pool, link: NodeLink, kind: str, session: str, attrs: lines.Attributes, code: int | None,
+        self, pool: Pool, link: NodeLink, kind: str, session: str, attrs: json_lines.Attributes, code: int | None,
         text: str | None,
     ) -> None:  # fmt: skip
         """A message arrived from the node."""
--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from oakcroft.interface import Entry, Listing, Node
-from oakcroft.platform.pool import NodeLink, Pool
-from oakcroft.platformwire import channel
+from oakcroft.platform.node_pool import NodeLink, Pool
+from oakcroft.platformwire import command_channel
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.running.clock import Clock
 
@@ -52,7 +52,7 @@
         """Connections that are open to nodes on the list."""
         return sum(len(pool.links) for pool in self.by_name.values())
 
-    def entries(self, members: list[channel.Member]) -> list[Entry]:
+    def entries(self, members: list[command_channel.Member]) -> list[Entry]:
         """What a list or its changes say, as the module takes it; makes the pools that are new."""
         found = [self._entry(*member) for member in members]
         return [entry for entry in found if entry is not None]
--- a/oakcroft/platform/ticket.py
+++ b/oakcroft/platform/playback_session.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from oakcroft.interface import Playback
-from oakcroft.platformwire import lines
+from oakcroft.platformwire import json_lines
 
 
 class ViewerEnd(Protocol):
@@ -73,7 +73,7 @@
     def settled(self, t: Ticket) -> None:
         """A set-up is over."""
 
-    def say(self, kind: str, session: str, attrs: lines.Attributes, code: int | None = None) -> None:
+    def say(self, kind: str, session: str, attrs: json_lines.Attributes, code: int | None = None) -> None:
         """Sends a message about a playback."""
 
     def look(self, now: int) -> None:
--- a/oakcroft/platform/releases.py
+++ b/oakcroft/platform/releases.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from oakcroft.decisions.sessions.release_delivery import ReleaseTarget, UnconfirmedReleases, target_order
-from oakcroft.platform.ticket import ViewerEnd
+from oakcroft.platform.playback_session import ViewerEnd
 from oakcroft.running.clock import Clock
 
 MAX_OWED = 4_096  # releases that wait for a viewer's connection; beyond it the oldest is dropped
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -14,11 +14,11 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.stopping import Course, Stopping
+from oakcroft.decisions.fleet.shutdown import Course, Stopping
 from oakcroft.interface import MS, SECOND
-from oakcroft.platform.follower import Follower
-from oakcroft.platform.link import prepared
-from oakcroft.platform.owner import Owner
+from oakcroft.platform.channel_follower import Follower
+from oakcroft.platform.connection import prepared
+from oakcroft.platform.session_coordinator import Owner
 from oakcroft.platform.viewers import BACKLOG, Viewers
 from oakcroft.platformwire.configuration import Configuration, Faulty, decode
 from oakcroft.running.clock import Clock
--- a/oakcroft/platform/owner.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -18,19 +18,19 @@
 
 from oakcroft import terms
 from oakcroft.choice import Controller
-from oakcroft.decisions.admission.patience import BEAT, Stillness, due, margin
-from oakcroft.decisions.routing.titles import Shelf
+from oakcroft.decisions.admission.deadlines import BEAT, Stillness, due, margin
+from oakcroft.decisions.routing.title_cache import Shelf
 from oakcroft.interface import MS, SECOND, Effect, ListKind, Node, Note, Outcome, Playback
 from oakcroft.interface import State
-from oakcroft.platform.alarms import Alarms
+from oakcroft.platform.timers import Alarms
 from oakcroft.platform.node_pools import MAX_CONNECTIONS_PER_NODE, NodePools
-from oakcroft.platform.pool import GIVEN_UP, NodeLink, Pool
+from oakcroft.platform.node_pool import GIVEN_UP, NodeLink, Pool
 from oakcroft.platform.releases import Releases
-from oakcroft.platform.ticket import Asked, Ticket, ViewerEnd
+from oakcroft.platform.playback_session import Asked, Ticket, ViewerEnd
 from oakcroft.platform.viewers import FAILED, OVER, REFUSED, ViewerLink, release
-from oakcroft.platformwire import channel, framing, lines
+from oakcroft.platformwire import command_channel, framing, json_lines
 from oakcroft.platformwire.configuration import Configuration
-from oakcroft.platformwire.numbers import finite
+from oakcroft.platformwire.number_parsing import finite
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event, handle_all
 
@@ -169,7 +169,7 @@
         if name in self.counts or len(self.counts) < 64:
             self.counts[name] = self.counts.get(name, 0) + 1
 
-    def listed_at_once(self, complete: bool, members: list[channel.Member]) -> None:
+    def listed_at_once(self, complete: bool, members: list[command_channel.Member]) -> None:
         """Applies list changes at once, before the events in the inbox. Never called from within an event.
 
         If list changes waited in the inbox, a front end that was late or had been paused would send set-ups
@@ -178,7 +178,7 @@
         """
         self._handle(partial(self.listed, complete, members))
 
-    def listed(self, complete: bool, members: list[channel.Member]) -> None:
+    def listed(self, complete: bool, members: list[command_channel.Member]) -> None:
         """Applies a list or its changes to the pools and the decision module."""
         entries = self.node_pools.entries(members)
         kind = ListKind.WHOLE if complete else ListKind.CHANGES
@@ -411,7 +411,7 @@
         self.alarms.drop(t.timer)
 
     def said(
-        self, pool: Pool, link: NodeLink, kind: str, session: str, attrs: lines.Attributes, code: int | None,
+        self, pool: Pool, link: NodeLink, kind: str, session: str, attrs: json_lines.Attributes, code: int | None,
         text: str | None,
     ) -> None:  # fmt: skip
         """Handles a message of a node. Drops it if it is for no session there, repeated, or too late."""
@@ -425,7 +425,7 @@
         ):
             # The node reports on its playbacks as soon as it is connected, possibly before the viewer hands them over.
             # Without these messages the rung would be taken for the lowest and the node for nearly empty.
-            again = partial(self.said, pool, link, kind, session, lines.bounded(attrs), code, None)
+            again = partial(self.said, pool, link, kind, session, json_lines.bounded(attrs), code, None)
             self.early.setdefault(session, deque(maxlen=4)).append(again)
         if t is None or t.pool is not pool:
             return
@@ -434,16 +434,18 @@
                 # A close that carries a description is an answer as well: the playback was set up and is already over.
                 self._answered(t, text, now)
                 if kind == "close" and t.began_at:
-                    self._over(t, Outcome.DONE, OVER, lines.report(attrs))
+                    self._over(t, Outcome.DONE, OVER, json_lines.report(attrs))
             elif kind == "close":
                 pool.settled(t)
                 self.tried(
-                    t, terms.CAUSES.get(code if code is not None else -1, Outcome.RESET), lines.report(attrs)
+                    t,
+                    terms.CAUSES.get(code if code is not None else -1, Outcome.RESET),
+                    json_lines.report(attrs),
                 )
         elif t.began_at and kind == "close":
             outcome = terms.ENDS.get(code if code is not None else -1, Outcome.RESET)
             cause = {Outcome.DONE: OVER, Outcome.WITHDRAWN: 0}.get(outcome, FAILED)
-            self._over(t, outcome, cause, lines.report(attrs))
+            self._over(t, outcome, cause, json_lines.report(attrs))
         elif t.began_at and kind == "event":
             self._noted(t, attrs, now)
 
@@ -472,7 +474,7 @@
             t.viewer.write(answer)
         self.controller.playing(t.pb, now)
 
-    def _noted(self, t: Ticket, attrs: lines.Attributes, now: int) -> None:
+    def _noted(self, t: Ticket, attrs: json_lines.Attributes, now: int) -> None:
         """Applies a metric that a node reports for a playback; ignores unknown metrics and invalid values."""
         note, value = terms.NOTE_NAMES.get(str(attrs.get("note"))), finite(attrs.get("value"))
         if note is None or value is None or value < 0:
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -10,12 +10,12 @@
 import trio
 
 from oakcroft.decisions.admission.eviction import IdleConnection
-from oakcroft.decisions.admission.patience import Stillness
+from oakcroft.decisions.admission.deadlines import Stillness
 from oakcroft.interface import MS, SECOND
 from oakcroft.platform.idle_connections import IdleConnections
-from oakcroft.platform.link import READ, Link, prepared
-from oakcroft.platform.ticket import Asked, Ticket
-from oakcroft.platformwire import asking, framing
+from oakcroft.platform.connection import READ, Link, prepared
+from oakcroft.platform.playback_session import Asked, Ticket
+from oakcroft.platformwire import setup_request, framing
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.platformwire.framing import Frames, Unreadable
 from oakcroft.running.clock import Clock
@@ -278,10 +278,10 @@
             owner.release_heard(session)
         elif kind == framing.SET_UP:
             try:
-                asked = asking.playback(
+                asked = setup_request.playback(
                     session, params, owner.told.waits, owner.told.terms.cells, len(owner.told.terms.rates)
                 )
-            except asking.Unusable as fault:
+            except setup_request.Unusable as fault:
                 owner.count("unusable set-up", str(fault))
                 self.turn_away(link, session, FAILED)
                 return
--- a/oakcroft/platformwire/channel.py
+++ b/oakcroft/platformwire/command_channel.py
@@ -7,7 +7,7 @@
 import orjson
 
 from oakcroft.interface import MS, Listing
-from oakcroft.platformwire.numbers import finite
+from oakcroft.platformwire.number_parsing import finite
 
 PHASES = {"up": Listing.READY, "draining": Listing.DRAINING, "removed": Listing.GONE}
 MOST_NODES = 4_096
--- a/oakcroft/platformwire/configuration.py
+++ b/oakcroft/platformwire/configuration.py
@@ -8,7 +8,7 @@
 
 from oakcroft import terms
 from oakcroft.interface import Plan, Terms
-from oakcroft.platformwire import channel, settings
+from oakcroft.platformwire import command_channel, settings
 
 
 class Faulty(Exception):
@@ -25,19 +25,19 @@
             for field in ("name", "listen", "seed", "limits", "channel", "known", "settings"):
                 said[field]
             field = "listen"
-            self.listen = channel.address(said["listen"])
+            self.listen = command_channel.address(said["listen"])
             field = "channel"
-            self.channel = channel.address(said["channel"])
+            self.channel = command_channel.address(said["channel"])
             field = "known"
-            self.known = channel.events(said["known"])
+            self.known = command_channel.events(said["known"])
             field = "seed"
             self.seed = int(said["seed"], 16)
             field = "name"
             self.name = str(said["name"])
             field = "limits.sockets"
-            self.sockets = channel.whole(said["limits"]["sockets"], field)
+            self.sockets = command_channel.whole(said["limits"]["sockets"], field)
             field = "limits.memory_mb"
-            self.memory = channel.whole(said["limits"]["memory_mb"], field) << 20
+            self.memory = command_channel.whole(said["limits"]["memory_mb"], field) << 20
             field = "limits.cores"
             self.cores = float(said["limits"].get("cores", 1.0))
             field = "settings"
@@ -61,7 +61,7 @@
         except settings.Unserved as fault:
             raise Faulty(str(fault)) from fault
         except (
-            channel.Unreadable,
+            command_channel.Unreadable,
             TypeError,
             ValueError,
             IndexError,
--- a/oakcroft/platformwire/lines.py
+++ b/oakcroft/platformwire/json_lines.py
@@ -7,7 +7,7 @@
 import orjson
 
 from oakcroft.platformwire.framing import MOST, Unreadable
-from oakcroft.platformwire.numbers import finite
+from oakcroft.platformwire.number_parsing import finite
 
 LONGEST = 1_024  # characters of an attribute that is read
 ROOM = 256  # of a set-up, besides its plan, title and description
--- a/oakcroft/platformwire/polling.py
+++ b/oakcroft/platformwire/long_poll.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from oakcroft.platformwire import channel
+from oakcroft.platformwire import command_channel
 
 PATH = "/cmd/next"
 MOST_ANSWER = 262_144
@@ -34,7 +34,7 @@
         Raises ChannelError if the previous answer has not been read.
         """
         if self.http.our_state is not h11.IDLE:
-            raise channel.Unreadable("the answer before has not been read")
+            raise command_channel.Unreadable("the answer before has not been read")
         request = h11.Request(
             method="GET", target=f"{PATH}?resume={after}&block={block}", headers=[("Host", self.host)]
         )
@@ -45,9 +45,9 @@
         try:
             self.http.receive_data(data)
         except RuntimeError as fault:  # bytes after the end of the connection
-            raise channel.Unreadable(str(fault)) from fault
+            raise command_channel.Unreadable(str(fault)) from fault
 
-    def next_answer(self) -> tuple[int, list[channel.Change]] | None:
+    def next_answer(self) -> tuple[int, list[command_channel.Change]] | None:
         """The answer to the open poll: the cursor of the last event, and the events. None if it is not
         complete.
 
@@ -63,20 +63,20 @@
                 elif isinstance(event, h11.Data):
                     self.body += event.data
                     if len(self.body) > MOST_ANSWER:
-                        raise channel.Unreadable("the answer is too large")
+                        raise command_channel.Unreadable("the answer is too large")
                 elif isinstance(event, h11.EndOfMessage):
                     return self._whole()
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise channel.Unreadable("closed without an answer")
+                    raise command_channel.Unreadable("closed without an answer")
         except h11.RemoteProtocolError as fault:
-            raise channel.Unreadable(str(fault)) from fault
+            raise command_channel.Unreadable(str(fault)) from fault
 
-    def _whole(self) -> tuple[int, list[channel.Change]]:
+    def _whole(self) -> tuple[int, list[command_channel.Change]]:
         """Decodes the complete answer and makes the connection ready for the next poll if it stays open."""
         body, self.body = bytes(self.body), bytearray()
         if self.status != 200:
-            raise channel.Unreadable(f"status {self.status}")
-        found = channel.document(body)
+            raise command_channel.Unreadable(f"status {self.status}")
+        found = command_channel.document(body)
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         return found
--- a/oakcroft/platformwire/asking.py
+++ b/oakcroft/platformwire/setup_request.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from oakcroft.interface import MS
-from oakcroft.platformwire import framing, lines
+from oakcroft.platformwire import framing, json_lines
 
 MOST_NAME = 128
 NO_ID = "0" * 16
@@ -94,7 +94,7 @@
     if not title.isprintable():
         raise Unusable("a title that can't be printed")
     description = text(params, framing.TEXT, framing.MOST)
-    if not lines.carries(plan, title, description):
+    if not json_lines.carries(plan, title, description):
         raise Unusable("the description is too long for a node")
     return (
         plan, round(wait * MS), title, figure(found, "home", cells - 1), figure(found, "copies", cells),
--- a/oakcroft/rehearsal/firstcome.py
+++ b/oakcroft/rehearsal/firstcome.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 
 from oakcroft.cli import serve_file
-from oakcroft.decisions.admission.shedding import Window
-from oakcroft.front import core
+from oakcroft.decisions.admission.load_shedding import Window
+from oakcroft.front import session_service
 
 ENDLESS = 1 << 40
 
 if __name__ == "__main__":
-    core.Window = lambda: Window(least=ENDLESS, most=ENDLESS, size=float(ENDLESS))  # type: ignore[assignment, misc, attr-defined]
+    session_service.Window = lambda: Window(least=ENDLESS, most=ENDLESS, size=float(ENDLESS))  # type: ignore[assignment, misc, attr-defined]
     sys.exit(serve_file(Path(sys.argv[1])))
--- a/oakcroft/rehearsal/many_adopters.py
+++ b/oakcroft/rehearsal/many_adopters.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from oakcroft.decisions.fleet.adopting import Adopting, Bounds, Errand
-from oakcroft.decisions.fleet.holding import Caller, Word, lease, may_act, may_take
+from oakcroft.decisions.fleet.session_takeover import Adopting, Bounds, Errand
+from oakcroft.decisions.fleet.session_ownership import Caller, Word, lease, may_act, may_take
 from oakcroft.interface import MS, SECOND
 
 STEP = 50 * MS
--- a/oakcroft/rehearsal/many_owners.py
+++ b/oakcroft/rehearsal/many_owners.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from random import Random
 
-from oakcroft.decisions.fleet.keeping import Keeper
-from oakcroft.decisions.fleet.owning import Candidate, Course, Word
+from oakcroft.decisions.fleet.acceptor import Keeper
+from oakcroft.decisions.fleet.candidate import Candidate, Course, Word
 from oakcroft.decisions.membership.rendezvous import line
-from oakcroft.decisions.fleet.terms import Answer, Learnt
+from oakcroft.decisions.fleet.lease import Answer, Learnt
 from oakcroft.interface import MS, SECOND
 
 DUTY = "catalogue"
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -11,11 +11,11 @@
 
 import trio
 
-from oakcroft.decisions.routing.routing import Side
+from oakcroft.decisions.routing.route_table import Side
 from oakcroft.httpwire.client import Ended, Peer, readable
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
-from oakcroft.config.told import PlanTerms
+from oakcroft.config.settings import PlanTerms
 from oakcroft.signalling import sdp, words
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
--- a/oakcroft/rulecheck/answers.py
+++ b/oakcroft/rulecheck/answers.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from oakcroft.config.told import Site
+from oakcroft.config.settings import Site
 from oakcroft.interface import MS, SECOND
 from oakcroft.rulecheck.facts import Fact, Finding
 
--- a/oakcroft/rulecheck/facts.py
+++ b/oakcroft/rulecheck/facts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakcroft.decisions.sessions.evidence import DRAINING_TYPE, FULL_TYPE
+from oakcroft.decisions.sessions.setup_outcome import DRAINING_TYPE, FULL_TYPE
 from oakcroft.interface import MS
 
 Fact = dict[str, Any]
--- a/oakcroft/rulecheck/plan_terms.py
+++ b/oakcroft/rulecheck/plan_terms.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 
-from oakcroft.config.told import Site
+from oakcroft.config.settings import Site
 from oakcroft.rulecheck.facts import CREATED, Fact, Finding, SetUp
 
 Changes = dict[tuple[str, str, str], list[tuple[int, int]]]
--- a/oakcroft/rulecheck/repeated_set_ups.py
+++ b/oakcroft/rulecheck/repeated_set_ups.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from itertools import pairwise
 
-from oakcroft.config.told import Site
+from oakcroft.config.settings import Site
 from oakcroft.interface import Effect
 from oakcroft.rulecheck.facts import CREATED, TRANSIT_NS, UNAVAILABLE, Fact, Finding, SetUp
 
--- a/oakcroft/rulecheck/retry_budget.py
+++ b/oakcroft/rulecheck/retry_budget.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 
-from oakcroft.config.told import Site
+from oakcroft.config.settings import Site
 from oakcroft.rulecheck.facts import Fact, Finding, SetUp
 
 ROUNDING = 1e-9
--- a/oakcroft/rulecheck/rules.py
+++ b/oakcroft/rulecheck/rules.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from oakcroft.config.told import Site
+from oakcroft.config.settings import Site
 from oakcroft.rulecheck.answers import one_answer
 from oakcroft.rulecheck.cold_nodes import cold_kept
 from oakcroft.rulecheck.drains import drains_kept
--- a/oakcroft/standins/day.py
+++ b/oakcroft/standins/day.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 from oakcroft.interface import MS, SECOND
-from oakcroft.config.compile import check_forms, told
-from oakcroft.config.expand import Expander
+from oakcroft.config.pipeline import check_forms, told
+from oakcroft.config.expander import Expander
 from oakcroft.config.format import flat
-from oakcroft.config.problems import Place, Problems, Unsound, or_list
-from oakcroft.config.reading import read_form
+from oakcroft.config.diagnostics import Place, Problems, Unsound, or_list
+from oakcroft.config.form_reader import read_form
 from oakcroft.config.schema import (
     NAME,
     NUMBER,
@@ -24,7 +24,7 @@
     choice,
 )
 from oakcroft.config.syntax import Form, read, without_comments
-from oakcroft.config.told import Site
+from oakcroft.config.settings import Site
 
 NODE_FAULTS = (
     "crash", "vanish", "hang", "slow", "shared-slow", "neighbour", "report-late", "ageing", "answer-lost",
--- a/oakcroft/standins/event_streams.py
+++ b/oakcroft/standins/event_streams.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from oakcroft.decisions.fleet.holding import lease
+from oakcroft.decisions.fleet.session_ownership import lease
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
 from oakcroft.signalling import handing, words
--- a/oakcroft/standins/fleet.py
+++ b/oakcroft/standins/fleet.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from oakcroft.decisions.admission.doors import Bounds, Door
+from oakcroft.decisions.admission.connection_limits import Bounds, Door
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import MS, SECOND
 from oakcroft.running.clock import Clock
--- a/oakcroft/standins/list_service.py
+++ b/oakcroft/standins/list_service.py
@@ -8,7 +8,7 @@
 import orjson
 import trio
 
-from oakcroft.front.listing import PATH
+from oakcroft.front.node_list_client import PATH
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
 from oakcroft.running.clock import Clock
--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from oakcroft.config.told import Site
-from oakcroft.decisions.fleet.holding import MOST_LEASE, Caller
-from oakcroft.decisions.routing.routing import Asked, Side
+from oakcroft.config.settings import Site
+from oakcroft.decisions.fleet.session_ownership import MOST_LEASE, Caller
+from oakcroft.decisions.routing.route_table import Asked, Side
 from oakcroft.httpwire.message import Request
 from oakcroft.interface import SECOND
 from oakcroft.signalling import handing, words
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -11,11 +11,11 @@
 import orjson
 import trio
 
-from oakcroft.config.told import Site
-from oakcroft.decisions.admission.doors import Bounds, Door
-from oakcroft.decisions.fleet.holding import may_act
-from oakcroft.decisions.sessions.evidence import DRAINING_TYPE, FULL_TYPE
-from oakcroft.decisions.sessions.resource import SDPFRAG
+from oakcroft.config.settings import Site
+from oakcroft.decisions.admission.connection_limits import Bounds, Door
+from oakcroft.decisions.fleet.session_ownership import may_act
+from oakcroft.decisions.sessions.setup_outcome import DRAINING_TYPE, FULL_TYPE
+from oakcroft.decisions.sessions.session_resource import SDPFRAG
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import SECOND
--- a/oakcroft/standins/takeover.py
+++ b/oakcroft/standins/takeover.py
@@ -7,7 +7,7 @@
 import msgspec
 import trio
 
-from oakcroft.decisions.fleet.holding import Caller, Word, may_take
+from oakcroft.decisions.fleet.session_ownership import Caller, Word, may_take
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.signalling import handing
 from oakcroft.standins.node_state import KEYS_KEPT_SECONDS, NodeState, Session, caller_of
--- a/oakcroft/store/changes.py
+++ b/oakcroft/store/changes.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from oakcroft.decisions.fleet.roster import Line
+from oakcroft.decisions.fleet.node_list import Line
 from oakcroft.decisions.state.recovery import Grudge, Spent
-from oakcroft.decisions.state.remembered import Promise
+from oakcroft.decisions.state.promise import Promise
 
 
 @dataclass(frozen=True)
--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -13,10 +13,10 @@
 import apsw
 import msgspec
 
-from oakcroft.decisions.state.durable import Trouble
+from oakcroft.decisions.state.state_file_health import Trouble
 from oakcroft.decisions.state.recovery import Grudge, Spent
-from oakcroft.decisions.state.remembered import Promise
-from oakcroft.decisions.fleet.roster import Line
+from oakcroft.decisions.state.promise import Promise
+from oakcroft.decisions.fleet.node_list import Line
 from oakcroft.store.changes import (
     Change, Dropped, Expire, Fact, Held, Move, Put, Told, Version, Whole,
 )  # fmt: skip
--- a/oakcroft/store/statements.py
+++ b/oakcroft/store/statements.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from oakcroft.decisions.state.recovery import Grudge, Spent
-from oakcroft.decisions.state.remembered import Mark, Promise
+from oakcroft.decisions.state.promise import Mark, Promise
 from oakcroft.store.changes import Dropped, Expire, Fact, Move, Put, Told, Version, Whole
 
 LIST = "list"
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -16,7 +16,7 @@
 import structlog
 import trio
 
-from oakcroft.decisions.state.durable import Disk, Health, Trouble, Upkeep
+from oakcroft.decisions.state.state_file_health import Disk, Health, Trouble, Upkeep
 from oakcroft.interface import SECOND
 from oakcroft.store.changes import Change, Expire, Held, Whole
 from oakcroft.store.file import StateFile, Unusable, set_aside
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,10 +17,10 @@
 import trio
 
 from oakcroft.choice import Controller
-from oakcroft.decisions.sessions.evidence import FULL_TYPE
+from oakcroft.decisions.sessions.setup_outcome import FULL_TYPE
 from oakcroft.interface import MS, SECOND, Effect, Entry, Group, Listing, ListKind, Node, Plan, Playback
 from oakcroft.interface import Terms, Title
-from oakcroft.platform.owner import Owner
+from oakcroft.platform.session_coordinator import Owner
 from oakcroft.platform.serve import Platform
 from oakcroft.platformwire import configuration, framing
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -13,11 +13,11 @@
 import structlog
 import trio
 
-from oakcroft.config.compile import check, told
+from oakcroft.config.pipeline import check, told
 from oakcroft.decisions.state.recovery import Phase
 from oakcroft.running.clock import Clock
-from oakcroft.front.helm import Helm
-from oakcroft.front.serve import Front
+from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.front_end import Front
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -17,7 +17,7 @@
 from rig import run
 from test_peers import TOKEN, Fronts, fronts
 
-from oakcroft.decisions.fleet.adopting import SLOTS
+from oakcroft.decisions.fleet.session_takeover import SLOTS
 from oakcroft.decisions.membership.rendezvous import line, weight
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -29,7 +29,7 @@
     consider,
 )
 from oakcroft.decisions.routing.catalogue import bound, course, takes_part
-from oakcroft.decisions.routing.titles import Shelf
+from oakcroft.decisions.routing.title_cache import Shelf
 from oakcroft.httpwire.message import Response
 
 FLEET = Fleet(frozenset({"n1", "n2+1"}), frozenset({"n1", "n2+1", "n3"}), 3, 4, {"course": 0})
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -11,7 +11,7 @@
 import trio.testing
 from rig import run
 
-from oakcroft.decisions.sessions.evidence import End, Trail, outcome
+from oakcroft.decisions.sessions.setup_outcome import End, Trail, outcome
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.interface import Outcome
 from oakcroft.standins.playout import reset
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,15 +12,24 @@
 from oakcroft.cli import main
 from oakcroft.config import reference
 from oakcroft.config.compare import apply, compare, elsewhere, tell, told_move
-from oakcroft.config.compile import Meaning, check, load_meaning, route_of, told
-from oakcroft.config.expand import Folder
+from oakcroft.config.pipeline import Meaning, check, load_meaning, route_of, told
+from oakcroft.config.expander import Folder
 from oakcroft.config.explain import explain
 from oakcroft.config.format import fmt
-from oakcroft.config.problems import Problems, Unsound
+from oakcroft.config.diagnostics import Problems, Unsound
 from oakcroft.config.syntax import read
-from oakcroft.decisions.admission.limits import Ledger, Limit, Over, Party, Scope, Ticket, burst_of, share_of
+from oakcroft.decisions.admission.request_limits import (
+    Ledger,
+    Limit,
+    Over,
+    Party,
+    Scope,
+    Ticket,
+    burst_of,
+    share_of,
+)
 from oakcroft.decisions.routing.pools import Pool
-from oakcroft.decisions.routing.routing import (
+from oakcroft.decisions.routing.route_table import (
     Asked,
     Match,
     Route,
@@ -32,7 +41,7 @@
     rank,
     refuses,
 )
-from oakcroft.decisions.routing.versions import InForce, Offer, Verdict, families
+from oakcroft.decisions.routing.configuration_version import InForce, Offer, Verdict, families
 from oakcroft.interface import SECOND, Node
 
 HERE = Path(__file__).parent
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,11 +10,11 @@
 
 from oakcroft.decisions.sessions import answers
 from oakcroft.decisions.routing import ladder
-from oakcroft.decisions.admission import patience
-from oakcroft.decisions.fleet.again import EVENTS, RENDITION_BOUND, RUNG, Again
+from oakcroft.decisions.admission import deadlines
+from oakcroft.decisions.fleet.backoff import EVENTS, RENDITION_BOUND, RUNG, Again
 from oakcroft.decisions.sessions.answers import Final, Refusal
-from oakcroft.decisions.sessions.claims import Claims
-from oakcroft.decisions.admission.doors import (
+from oakcroft.decisions.sessions.node_sessions import Claims
+from oakcroft.decisions.admission.connection_limits import (
     Bounds,
     Door,
     Phase,
@@ -24,15 +24,15 @@
     head_verdict,
     slow_reader,
 )
-from oakcroft.decisions.admission.doors import status_when_slow, time_allowed
-from oakcroft.decisions.sessions.evidence import FULL_TYPE, End, Stage, Trail, never_ran, outcome
-from oakcroft.decisions.sessions.lifeline import Break, Life, Lifeline, Loss, Patience
-from oakcroft.decisions.admission.patience import BEAT, Stillness
-from oakcroft.decisions.sessions.repeats import Repeats, Turn
-from oakcroft.decisions.sessions.resource import SDPFRAG, Act, Phase as Standing, Resource, Said
-from oakcroft.decisions.fleet.roster import Line, Refused, Roster
-from oakcroft.decisions.fleet.stopping import Course, Stopping
-from oakcroft.decisions.routing.titles import Shelf
+from oakcroft.decisions.admission.connection_limits import status_when_slow, time_allowed
+from oakcroft.decisions.sessions.setup_outcome import FULL_TYPE, End, Stage, Trail, never_ran, outcome
+from oakcroft.decisions.sessions.event_stream_health import Break, Life, Lifeline, Loss, Patience
+from oakcroft.decisions.admission.deadlines import BEAT, Stillness
+from oakcroft.decisions.sessions.idempotency import Repeats, Turn
+from oakcroft.decisions.sessions.session_resource import SDPFRAG, Act, Phase as Standing, Resource, Said
+from oakcroft.decisions.fleet.node_list import Line, Refused, Roster
+from oakcroft.decisions.fleet.shutdown import Course, Stopping
+from oakcroft.decisions.routing.title_cache import Shelf
 from oakcroft.interface import MS, SECOND, Effect, Listing, ListKind, Outcome
 
 WAY = [Stage.CONNECTING, Stage.OPEN, Stage.WRITING, Stage.WRITTEN, Stage.HEADED, Stage.READ]
@@ -102,14 +102,14 @@
 
 def test_the_wait_is_the_clients_within_the_plans() -> None:
     """The client's `Prefer: wait` shortens the plan's abandon time and never extends it."""
-    assert patience.asked_wait(["respond-async, wait=3"]) == 3 * SECOND
-    assert patience.asked_wait(["wait=x", 'wait="2"; a=b']) == 2 * SECOND
-    assert patience.asked_wait(["wait=-1", "WAITS=2"]) is None
-    due = patience.due(100, 5 * SECOND, ["wait=99"], 40 * MS)
+    assert deadlines.asked_wait(["respond-async, wait=3"]) == 3 * SECOND
+    assert deadlines.asked_wait(["wait=x", 'wait="2"; a=b']) == 2 * SECOND
+    assert deadlines.asked_wait(["wait=-1", "WAITS=2"]) is None
+    due = deadlines.due(100, 5 * SECOND, ["wait=99"], 40 * MS)
     assert due.abandon == 100 + 5 * SECOND - 40 * MS
-    assert patience.due(0, 5 * SECOND, ["wait=0"], 40 * MS).abandon == 0
-    assert patience.hopeless(due, due.abandon - 10 * MS, 15 * MS)
-    assert not patience.hopeless(due, 100, 15 * MS)
+    assert deadlines.due(0, 5 * SECOND, ["wait=0"], 40 * MS).abandon == 0
+    assert deadlines.hopeless(due, due.abandon - 10 * MS, 15 * MS)
+    assert not deadlines.hopeless(due, 100, 15 * MS)
 
 
 def test_a_request_read_after_standing_still_may_have_been_written_at_its_start() -> None:
@@ -145,7 +145,7 @@
 
 def test_the_margin_for_the_way_back_grows_with_the_loops_lag_and_is_bounded() -> None:
     """The margin is the configured time plus the loop lag, up to 150 ms of it."""
-    assert [patience.margin(40 * MS, lag) for lag in (0, 30 * MS, 10 * SECOND)] == [
+    assert [deadlines.margin(40 * MS, lag) for lag in (0, 30 * MS, 10 * SECOND)] == [
         40 * MS,
         70 * MS,
         190 * MS,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -18,8 +18,8 @@
 from test_peers import TOKEN, Fronts, fronts
 
 from oakcroft.commands.fleet import owner_lines
-from oakcroft.config.compile import check
-from oakcroft.config.problems import Unsound
+from oakcroft.config.pipeline import check
+from oakcroft.config.diagnostics import Unsound
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.standins.day import parse
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -20,11 +20,11 @@
 from test_moves import Player, drain, playing
 from test_sessions import dial
 
-from oakcroft.decisions.sessions.lifeline import Life
-from oakcroft.decisions.sessions.resource import SDPFRAG
-from oakcroft.front.nodeleg import NodeLeg
-from oakcroft.front.serve import Front
-from oakcroft.front.viewing import Viewing
+from oakcroft.decisions.sessions.event_stream_health import Life
+from oakcroft.decisions.sessions.session_resource import SDPFRAG
+from oakcroft.front.node_client import NodeLeg
+from oakcroft.front.front_end import Front
+from oakcroft.front.playback_session import Viewing
 from oakcroft.httpwire.client import Ended
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Connection
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -18,7 +18,7 @@
 from test_adopting import Adopters
 from test_peers import KEY, fronts
 
-from oakcroft.decisions.fleet.figures import (
+from oakcroft.decisions.fleet.load_sharing import (
     AT_ONCE,
     FANOUT,
     MOST_AGE,
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -13,8 +13,8 @@
 import trio
 from rig import Rig, run, standing, start_front, until
 
-from oakcroft.decisions.sessions.lifeline import Life
-from oakcroft.decisions.sessions.resource import SDPFRAG
+from oakcroft.decisions.sessions.event_stream_health import Life
+from oakcroft.decisions.sessions.session_resource import SDPFRAG
 from oakcroft.httpwire.client import Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS
--- a/tests/test_handing.py
+++ b/tests/test_handing.py
@@ -13,11 +13,19 @@
 
 from rig import SITE
 
-from oakcroft.config.compile import check, told
-from oakcroft.config.told import PeersPlace
-from oakcroft.decisions.fleet import adopting
-from oakcroft.decisions.fleet.adopting import AT_ONCE, MOST_NAMES, Adopting, Bounds
-from oakcroft.decisions.fleet.holding import HELD_BACK, MOST_LEASE, Caller, Word, lease, may_act, may_take
+from oakcroft.config.pipeline import check, told
+from oakcroft.config.settings import PeersPlace
+from oakcroft.decisions.fleet import session_takeover
+from oakcroft.decisions.fleet.session_takeover import AT_ONCE, MOST_NAMES, Adopting, Bounds
+from oakcroft.decisions.fleet.session_ownership import (
+    HELD_BACK,
+    MOST_LEASE,
+    Caller,
+    Word,
+    lease,
+    may_act,
+    may_take,
+)
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.many_adopters import ManyAdopters, Net
 from oakcroft.signalling import handing
@@ -134,7 +142,7 @@
     rng = Random(seed)
     names = [f"f{i}" for i in range(fronts)]
     course, now = Adopting("f0", BOUNDS), 0
-    out: list[adopting.Errand] = []
+    out: list[session_takeover.Errand] = []
     for _ in range(60):
         now += rng.randrange(400 * MS)
         gone = {n for n in names[1:] if rng.random() < 0.4}
@@ -159,7 +167,7 @@
 
 
 def test_pairs_past_the_bound_are_left_to_their_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(adopting, "MOST_PAIRS", 10)
+    monkeypatch.setattr(session_takeover, "MOST_PAIRS", 10)
     course = Adopting("f0", BOUNDS)
     course.listed([f"n{i}" for i in range(4)], 0)
     course.sees([f"f{i}" for i in range(1, 6)], ["f0"], 0)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -116,10 +116,15 @@
     """Both hide a cycle from the interpreter, not from a reader."""
     file = tmp_path / "some.py"
     file.write_text(
-        "if TYPE_CHECKING:\n    from oakcroft.front.helm import Helm\n"
+        "if TYPE_CHECKING:\n    from oakcroft.front.session_coordinator import Helm\n"
         "def late():\n    from oakcroft.config import forms\n    import oakcroft.choice\n"
     )
-    known = {"oakcroft.front.helm", "oakcroft.config", "oakcroft.config.forms", "oakcroft.choice"}
+    known = {
+        "oakcroft.front.session_coordinator",
+        "oakcroft.config",
+        "oakcroft.config.forms",
+        "oakcroft.choice",
+    }
     assert modules_imported(file, known) == known - {"oakcroft.config"}
 
 
@@ -167,6 +172,6 @@
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT.parent
     ).stdout.split()
-    assert "oakcroft.platform.owner" in loaded
+    assert "oakcroft.platform.session_coordinator" in loaded
     barred = ("oakcroft.peer", "oakcroft.decisions.membership", "oakcroft.front", "oakcroft.config")
     assert not [m for m in loaded if m.startswith(barred)]
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -23,19 +23,19 @@
 from helpers import SETTINGS, PlatformRig, WireNode, WireViewer, on_platform
 from rig import until
 
-from oakcroft.decisions.fleet.freshness import Freshness
-from oakcroft.decisions.fleet.stopping import Course, Stopping
+from oakcroft.decisions.fleet.node_list_freshness import Freshness
+from oakcroft.decisions.fleet.shutdown import Course, Stopping
 from oakcroft.interface import MS, SECOND, Listing, State
 from oakcroft.platform import (
-    follower as following,
-    link as linking,
-    owner as owning,
-    pool as pooling,
+    channel_follower as following,
+    connection as linking,
+    session_coordinator as owning,
+    node_pool as pooling,
     serve,
     viewers as viewing,
 )
-from oakcroft.platform.link import Link
-from oakcroft.platform.pool import NodeLink
+from oakcroft.platform.connection import Link
+from oakcroft.platform.node_pool import NodeLink
 from oakcroft.platformwire import framing
 
 A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -15,8 +15,8 @@
 from hypothesis import given, strategies as st
 from rig import run, standing, until
 
-from oakcroft.config.compile import check
-from oakcroft.decisions.admission.levels import Acts, Bounds, Gate, Level, Levels, Mark, Sign, Tally
+from oakcroft.config.pipeline import check
+from oakcroft.decisions.admission.service_levels import Acts, Bounds, Gate, Level, Levels, Mark, Sign, Tally
 from oakcroft.interface import MS, SECOND
 
 LEVELS = (
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -16,11 +16,11 @@
 from helpers import FREE, KEYED, PAID, TERMS, Fleet
 from rig import Rig, run, standing, until
 
-from oakcroft.decisions.moving.fading import Fadings
+from oakcroft.decisions.moving.degrading_nodes import Fadings
 from oakcroft.decisions.moving.handover import OVER, TABLE, Act, Course, Handover, Happening
-from oakcroft.decisions.moving.may_move import Reason, Way, allowed, keeps_to_its_zone, stays, way
-from oakcroft.decisions.moving.mover import Mover, Pace, Why
-from oakcroft.decisions.moving.notice import Notices
+from oakcroft.decisions.moving.move_rules import Reason, Way, allowed, keeps_to_its_zone, stays, way
+from oakcroft.decisions.moving.move_scheduler import Mover, Pace, Why
+from oakcroft.decisions.moving.drain_notice import Notices
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS, SECOND, Group, Listing, Node, Outcome, Playback
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -15,22 +15,22 @@
 import trio.testing
 from oakcroft.client.retry import Retries
 from oakcroft.client.session import SessionClient
-from oakcroft.decisions.fleet.again import EVENTS, LIST, Again
+from oakcroft.decisions.fleet.backoff import EVENTS, LIST, Again
 from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.sessions.claims import Claims
-from oakcroft.decisions.sessions.resource import SDPFRAG
+from oakcroft.decisions.sessions.node_sessions import Claims
+from oakcroft.decisions.sessions.session_resource import SDPFRAG
 from oakcroft.decisions.routing.catalogue import Verdict as Taken
 from oakcroft.decisions.state.recovery import Grudge, Spent
-from oakcroft.decisions.state.remembered import Mark
+from oakcroft.decisions.state.promise import Mark
 from oakcroft.store.file import Expire, StateFile
-from oakcroft.decisions.sessions.evidence import Trail, outcome
-from oakcroft.decisions.sessions.lifeline import Life
-from oakcroft.decisions.sessions.repeats import Repeats, Turn
-from oakcroft.decisions.fleet.roster import Line, Refused, Roster
-from oakcroft.front import listing
-from oakcroft.front.core import MOST_READERS
-from oakcroft.front.nodeleg import NodeLeg
-from oakcroft.front.viewing import Upstream
+from oakcroft.decisions.sessions.setup_outcome import Trail, outcome
+from oakcroft.decisions.sessions.event_stream_health import Life
+from oakcroft.decisions.sessions.idempotency import Repeats, Turn
+from oakcroft.decisions.fleet.node_list import Line, Refused, Roster
+from oakcroft.front import node_list_client
+from oakcroft.front.session_service import MOST_READERS
+from oakcroft.front.node_client import NodeLeg
+from oakcroft.front.playback_session import Upstream
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import MS, SECOND, Outcome
@@ -196,8 +196,8 @@
     resources = [{"cluster_name": "c", "endpoints": [{"lb_endpoints": [line]}]}]
     body = orjson.dumps({"version_info": "1", "resources": resources})
     try:
-        lines, version, service = listing.parse(body)
-    except listing.BadList:
+        lines, version, service = node_list_client.parse(body)
+    except node_list_client.BadList:
         return
     assert isinstance(Roster().take(lines, version, service, 0), Refused)
 
@@ -293,7 +293,7 @@
                 "location"
             )
             assert not v.unheard
-            monkeypatch.setattr("oakcroft.front.helm.UNHEARD", 0.05)
+            monkeypatch.setattr("oakcroft.front.session_coordinator.UNHEARD", 0.05)
             helm.unsent(v)
             await until(lambda: not helm.viewings)
             assert len(rig.facts("ran")) == 1
@@ -608,7 +608,7 @@
 def test_idle_connections_and_readers_that_stop_lose_their_connection_and_nothing_else(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("oakcroft.front.sockets.WRITE_WITHIN", 0.2)
+    monkeypatch.setattr("oakcroft.front.websocket_api.WRITE_WITHIN", 0.2)
 
     async def test() -> None:
         async with standing(tmp_path) as rig, AsyncExitStack() as stack:
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -13,13 +13,13 @@
 from test_moves import drain, playing
 
 from oakcroft.decisions.routing.catalogue import Verdict
-from oakcroft.decisions.admission.levels import Acts, Level
-from oakcroft.front.catalogues import Catalogues
+from oakcroft.decisions.admission.service_levels import Acts, Level
+from oakcroft.front.catalogue_versions import Catalogues
 from oakcroft.front import rendition_bound
-from oakcroft.front.viewing import Viewing
-from oakcroft.decisions.fleet.again import Rhythm
-from oakcroft.decisions.sessions.lifeline import Life
-from oakcroft.decisions.routing.versions import Verdict as Taken
+from oakcroft.front.playback_session import Viewing
+from oakcroft.decisions.fleet.backoff import Rhythm
+from oakcroft.decisions.sessions.event_stream_health import Life
+from oakcroft.decisions.routing.configuration_version import Verdict as Taken
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import MS
 from oakcroft.standins.playout import PlayoutNode
--- a/tests/test_owners_judged.py
+++ b/tests/test_owners_judged.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oakcroft.decisions.fleet.terms import Fence
+from oakcroft.decisions.fleet.lease import Fence
 from oakcroft.interface import MS, SECOND
 from oakcroft.rulecheck.owners import judge_owners
 from oakcroft.rulecheck.facts import Fact
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -28,8 +28,8 @@
 from rig import DAY, SITE, run, standing, until
 
 from oakcroft import __version__
-from oakcroft.config.compile import check, told
-from oakcroft.config.told import OtherZone, PeersPlace
+from oakcroft.config.pipeline import check, told
+from oakcroft.config.settings import OtherZone, PeersPlace
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import (
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,12 +17,12 @@
 from helpers import PlatformRig, on_platform
 from rig import until
 
-from oakcroft.config import compile as compiling
-from oakcroft.decisions.fleet import freshness
+from oakcroft.config import pipeline as compiling
+from oakcroft.decisions.fleet import node_list_freshness
 from oakcroft.interface import MS, SECOND, Listing, State
-from oakcroft.platform import owner as limits
-from oakcroft.platform.pool import Pool
-from oakcroft.platform.ticket import Asked
+from oakcroft.platform import session_coordinator as limits
+from oakcroft.platform.node_pool import Pool
+from oakcroft.platform.playback_session import Asked
 from oakcroft.platformwire import framing
 from oakcroft.rulecheck.rules import judge
 from oakcroft.running.logs import Rate
@@ -630,7 +630,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """If the command channel does not answer, the front end serves on the known list after a time."""
-    monkeypatch.setattr(freshness, "UNTOLD", 300 * MS)
+    monkeypatch.setattr(node_list_freshness, "UNTOLD", 300 * MS)
 
     async def test(rig: PlatformRig) -> None:
         rig.channel.silent = True
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -11,7 +11,7 @@
 from hypothesis import given, strategies as st
 
 from oakcroft.interface import MS, Listing
-from oakcroft.platformwire import asking, channel, configuration, framing, lines
+from oakcroft.platformwire import setup_request, command_channel, configuration, framing, json_lines
 
 SIDS = st.binary(min_size=8, max_size=8).map(bytes.hex)
 PARAMS = st.dictionaries(st.integers(0, 255), st.binary(max_size=300), max_size=6)
@@ -81,25 +81,25 @@
 @given(st.lists(st.tuples(SIDS, TEXTS, st.integers(0, 255)), max_size=5), CUTS)
 def test_lines_come_back_at_any_split(some: list[tuple[str, str, int]], cuts: list[int]) -> None:
     """JSON lines survive a round trip however the bytes are split."""
-    data = b"".join(lines.encode("open", sid, {"key": text}, code, text) for sid, text, code in some)
-    assert fed(lines.Lines(), data, cuts) == [("open", s, {"key": t}, c, t) for s, t, c in some]
+    data = b"".join(json_lines.encode("open", sid, {"key": text}, code, text) for sid, text, code in some)
+    assert fed(json_lines.Lines(), data, cuts) == [("open", s, {"key": t}, c, t) for s, t, c in some]
 
 
 @given(st.binary(max_size=200))
 def test_any_line_is_a_message_or_unreadable(data: bytes) -> None:
     """A random line is decoded or refused."""
-    heard = lines.Lines()
+    heard = json_lines.Lines()
     try:
         for _, sid, attrs, _, _ in fed(heard, data + b"\n", [7]):
-            assert sid == "" or lines.ID.fullmatch(sid)
-            lines.report(attrs)
+            assert sid == "" or json_lines.ID.fullmatch(sid)
+            json_lines.report(attrs)
     except framing.Unreadable:
         pass
 
 
 def test_a_line_without_an_end_is_unreadable_at_the_bound() -> None:
     """A line without an end is refused when it reaches the maximum length."""
-    heard = lines.Lines()
+    heard = json_lines.Lines()
     heard.receive_data(b"x" * (framing.MOST - 1))
     assert heard.next_event() is None
     heard.receive_data(b"x")
@@ -109,8 +109,8 @@
 
 def test_a_report_keeps_what_can_be_read() -> None:
     """Unreadable parts of a load report are left out."""
-    assert lines.report({"load": "x0:1.5;x1:nan;queue:-1;odd;:3;b:inf;c:2"}) == {"x0": 1.5, "c": 2.0}
-    assert lines.report({"load": 3}) is None
+    assert json_lines.report({"load": "x0:1.5;x1:nan;queue:-1;odd;:3;b:inf;c:2"}) == {"x0": 1.5, "c": 2.0}
+    assert json_lines.report({"load": 3}) is None
 
 
 GOOD = {100: b"paid", 101: b"1500", 104: b"7f3a", 105: b"home:1;copies:2;top:2;viewer:00", 115: b"c=IN"}
@@ -127,7 +127,7 @@
 def test_a_set_up_is_read_and_what_can_not_be_served_is_not() -> None:
     """Valid parameters are parsed; each invalid one is refused."""
     plans = {"paid": 1000 * MS}
-    assert asking.playback("0" * 15 + "1", GOOD, plans, 2, 3) == (
+    assert setup_request.playback("0" * 15 + "1", GOOD, plans, 2, 3) == (
         "paid",
         1500 * MS,
         "7f3a",
@@ -138,20 +138,20 @@
         "",
     )
     held = GOOD | {101: b"0", 105: b"home:1;copies:2;top:2;at:s-1"}
-    assert asking.playback("0" * 15 + "1", held, plans, 2, 3)[-1] == "s-1"
+    assert setup_request.playback("0" * 15 + "1", held, plans, 2, 3)[-1] == "s-1"
     for bad in BAD:
-        with pytest.raises(asking.Unusable):
-            asking.playback("0" * 15 + "1", GOOD | bad, plans, 2, 3)
-    with pytest.raises(asking.Unusable):
-        asking.playback(asking.NO_ID, GOOD, plans, 2, 3)
+        with pytest.raises(setup_request.Unusable):
+            setup_request.playback("0" * 15 + "1", GOOD | bad, plans, 2, 3)
+    with pytest.raises(setup_request.Unusable):
+        setup_request.playback(setup_request.NO_ID, GOOD, plans, 2, 3)
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=6000))
 def test_what_is_taken_fits_a_line_with_its_escapes(text: str) -> None:
     """A description that is accepted fits a node's line even if JSON escapes lengthen it."""
-    if lines.carries("paid", "t" * 100, text):
-        attrs: lines.Attributes = {"class": "paid", "left": "99999", "key": "t" * 100, "rung": "63"}
-        assert len(lines.encode("open", "0" * 16, attrs, None, text)) <= framing.MOST
+    if json_lines.carries("paid", "t" * 100, text):
+        attrs: json_lines.Attributes = {"class": "paid", "left": "99999", "key": "t" * 100, "rung": "63"}
+        assert len(json_lines.encode("open", "0" * 16, attrs, None, text)) <= framing.MOST
 
 
 MEMBER = {"id": "s", "host_port": "10.1.0.9:5070", "locality": "e", "flavor": "k", "cell": 2, "phase": "up", "size": 4,
@@ -166,18 +166,18 @@
         return orjson.dumps({"cursor": 4, "cmds": [{"cursor": 4, "nodes": nodes}]})
 
     member = ("s", ("10.1.0.9", 5070), "e", "k", 2, Listing.READY, 4.0, 7 * MS)
-    assert channel.document(body()) == (4, [(4, True, [member])])
-    assert channel.document(b'{"cursor":4,"cmds":[]}') == (4, [])
+    assert command_channel.document(body()) == (4, [(4, True, [member])])
+    assert command_channel.document(b'{"cursor":4,"cmds":[]}') == (4, [])
     odd: list[dict[str, Any]] = [
         {"id": ""}, {"id": 3}, {"phase": "new"}, {"host_port": "name:5070"}, {"host_port": "10.1.0.9:0"}, {"size": -1},
         {"cell": -1}, {"cell": "1"}, {"up_since_ms": -4}, {"locality": 3},
     ]  # fmt: skip
     for one in odd:
-        with pytest.raises(channel.Unreadable):
-            channel.document(body(**one))
+        with pytest.raises(command_channel.Unreadable):
+            command_channel.document(body(**one))
     for cut in range(len(body())):
-        with pytest.raises(channel.Unreadable):
-            channel.document(body()[:cut])
+        with pytest.raises(command_channel.Unreadable):
+            command_channel.document(body()[:cut])
 
 
 TOLD = {"name": "n0", "listen": "127.0.0.1:5070", "seed": "8c1f", "limits": {"sockets": 256, "memory_mb": 32},
@@ -227,6 +227,6 @@
 
 def test_what_is_kept_of_a_message_is_what_is_read() -> None:
     """Of a stored message only the attributes that are read are kept, and no long ones."""
-    said: lines.Attributes = {"note": "fill", "value": 1.5, "load": "x" * 5_000, "other": "o" * 9_000}
-    assert lines.bounded(said) == {"note": "fill", "value": 1.5}
-    assert lines.bounded({"load": "x0:1"}) == {"load": "x0:1"}
+    said: json_lines.Attributes = {"note": "fill", "value": 1.5, "load": "x" * 5_000, "other": "o" * 9_000}
+    assert json_lines.bounded(said) == {"note": "fill", "value": 1.5}
+    assert json_lines.bounded({"load": "x0:1"}) == {"load": "x0:1"}
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -13,8 +13,8 @@
 
 from oakcroft.decisions.membership.rendezvous import line, rank
 from oakcroft.decisions.fleet.rollout import ENDED, SHARES, Plan, Report, Rollout, Stage, begins
-from oakcroft.decisions.fleet.terms import MOST_NOTE, Answer, Ask, Fence, Learnt, Note, Row, Step, Term
-from oakcroft.front.rolling import PLAN, plan_of, word_of
+from oakcroft.decisions.fleet.lease import MOST_NOTE, Answer, Ask, Fence, Learnt, Note, Row, Step, Term
+from oakcroft.front.catalogue_rollout import PLAN, plan_of, word_of
 from oakcroft.interface import SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, row_from_wire
--- a/tests/test_rulecheck.py
+++ b/tests/test_rulecheck.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from oakcroft.config import compile as compiling
-from oakcroft.decisions.sessions.evidence import FULL_TYPE
+from oakcroft.config import pipeline as compiling
+from oakcroft.decisions.sessions.setup_outcome import FULL_TYPE
 from oakcroft.interface import MS, SECOND
 from oakcroft.rulecheck.rules import judge
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -19,13 +19,13 @@
 from oakcroft.client import Refused, Retries, SessionClient, Unsure, WhepClient
 from oakcroft.client.blocking import BlockingWhepClient
 from oakcroft.client.retry import Next
-from oakcroft.decisions.admission.clients import Allowance, Client, Word
-from oakcroft.decisions.admission.passes import Invalid, Passes
-from oakcroft.decisions.sessions.resumption import Outbox, Pulse, Seat, Standing
-from oakcroft.decisions.admission.shedding import Line, Waiting, Window
+from oakcroft.decisions.admission.client_limits import Allowance, Client, Word
+from oakcroft.decisions.admission.resume_tokens import Invalid, Passes
+from oakcroft.decisions.sessions.client_session import Outbox, Pulse, Seat, Standing
+from oakcroft.decisions.admission.load_shedding import Line, Waiting, Window
 from oakcroft.httpwire.server import whole_post
-from oakcroft.front.helm import Helm
-from oakcroft.front.sockets import SessionApi
+from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.websocket_api import SessionApi
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import session_api as api
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakcroft.config.problems import Problems
+from oakcroft.config.diagnostics import Problems
 from oakcroft.config.syntax import read
-from oakcroft.front.listing import BadList, parse
+from oakcroft.front.node_list_client import BadList, parse
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import sdp, words
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -22,10 +22,10 @@
 from hypothesis import given, settings, strategies as st
 from rig import Rig, remembers, run, standing, start_front, until
 
-from oakcroft.config.compile import check, told
+from oakcroft.config.pipeline import check, told
 from oakcroft.cli import main
 from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.state.durable import CALM, Disk as Standing, Health, Trouble, Upkeep
+from oakcroft.decisions.state.state_file_health import CALM, Disk as Standing, Health, Trouble, Upkeep
 from oakcroft.decisions.state.recovery import (
     IN_FLIGHT,
     Fate,
@@ -38,7 +38,7 @@
     judge,
 )
 from oakcroft.decisions.state.recovery import Grudge, Spent, resolved
-from oakcroft.decisions.state.remembered import (
+from oakcroft.decisions.state.promise import (
     Mark,
     Promise,
     after_answer,
@@ -47,7 +47,7 @@
     step,
     waits_for_record,
 )
-from oakcroft.decisions.fleet.roster import Line
+from oakcroft.decisions.fleet.node_list import Line
 from oakcroft.httpwire.client import Ended
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS, SECOND, Effect, Group, Listing, Outcome, Plan
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -15,10 +15,11 @@
 
 import pytest
 
-from oakcroft.decisions.fleet import keeping, owning, terms
-from oakcroft.decisions.fleet.keeping import MOST_DUTIES, Keeper
-from oakcroft.decisions.fleet.owning import Candidate, Course, Word
-from oakcroft.decisions.fleet.terms import Ask, Fence, Note, Step, Term, belief
+from oakcroft.decisions.fleet import acceptor, lease
+from oakcroft.decisions.fleet import candidate as candidate_module
+from oakcroft.decisions.fleet.acceptor import MOST_DUTIES, Keeper
+from oakcroft.decisions.fleet.candidate import Candidate, Course, Word
+from oakcroft.decisions.fleet.lease import Ask, Fence, Note, Step, Term, belief
 from oakcroft.interface import MS, SECOND
 
 LENGTH = 4 * SECOND
@@ -353,9 +354,9 @@
     "nothing is promised while a term runs": [(Keeper, "runs", lambda self, duty, now: None)],
     "a keeper remembers": [(Keeper, "take_on", forgets)],
     "a term on record runs anew": [(Keeper, "take_on", lets_go)],
-    "a term counts from the asking": [(owning, "belief", lambda length: 2 * length)],
-    "it takes a majority": [(owning, "majority", lambda of: 1)],
-    "one that forgot learns from a majority": [(keeping, "majority", lambda of: 0)],
+    "a term counts from the asking": [(candidate_module, "belief", lambda length: 2 * length)],
+    "it takes a majority": [(candidate_module, "majority", lambda of: 1)],
+    "one that forgot learns from a majority": [(acceptor, "majority", lambda of: 0)],
 }
 
 
@@ -416,7 +417,7 @@
         one.asked(Ask(Step.PREPARE, f"d{i}", term(1)), 0)
     assert len(one.rows) == MOST_DUTIES
     assert (
-        one.asked(Ask(Step.PREPARE, "d0", term(terms.MOST_NUMBER)), 0) is None
+        one.asked(Ask(Step.PREPARE, "d0", term(lease.MOST_NUMBER)), 0) is None
     )  # no higher token is possible
     assert one.asked(Ask(Step.PROPOSE, "d0", term(2), 1, LENGTH, Note(2, 1, b"x" * 5_000)), 0) is None
     refused = one.asked(Ask(Step.PROPOSE, "d0", term(2), 1, LENGTH + 1), 0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,9 +11,9 @@
 from rig import SITE, Rig, run, standing, until
 
 from oakcroft.cli import read_apart
-from oakcroft.config.compile import check, told
-from oakcroft.config.told import Deployment
-from oakcroft.decisions.routing.versions import Verdict
+from oakcroft.config.pipeline import check, told
+from oakcroft.config.settings import Deployment
+from oakcroft.decisions.routing.configuration_version import Verdict
 from oakcroft.interface import Effect
 
 CHANGES = 50
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -16,7 +16,7 @@
 import structlog
 from hypothesis import given, strategies as st
 
-from oakcroft.decisions.admission.limits import Ledger, Limit, Scope
+from oakcroft.decisions.admission.request_limits import Ledger, Limit, Scope
 from oakcroft.decisions.membership import suspicion
 from oakcroft.decisions.membership.member import (
     MAX_INCARNATION,
--- a/tests/test_wings.py
+++ b/tests/test_wings.py
@@ -11,7 +11,7 @@
 from hypothesis import given, strategies as st
 from rig import run, standing, until
 
-from oakcroft.decisions.routing.wings import (
+from oakcroft.decisions.routing.zone_preference import (
     TRANSITIONS,
     NO_READY_NODE,
     Bounds,
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -21,7 +21,7 @@
 from rig import run, until
 
 from oakcroft.commands.fleet import member_lines
-from oakcroft.config.told import OtherZone, PeersPlace
+from oakcroft.config.settings import OtherZone, PeersPlace
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate, commitment
 from oakcroft.decisions.membership.messages import Message, MessageKind
