--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from oakcroft.decisions.fleet.session_takeover import Bounds
+from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.many_adopters import ManyAdopters, Net
 
@@ -37,7 +37,9 @@
     """A row for each size of loss."""
     print(" | ".join(HEAD))
     for fronts, nodes, each, killed, lose in ROWS:
-        fleet = ManyAdopters(fronts, nodes, each, 1, Bounds(SECOND, 15 * SECOND, 1_000), Net(lose=lose))
+        fleet = ManyAdopters(
+            fronts, nodes, each, 1, TakeoverBounds(SECOND, 15 * SECOND, 1_000), Net(lose=lose)
+        )
         fleet.play(2)
         fleet.cost = 0.0
         fleet.kill([f"f{i}" for i in range(killed)])
@@ -64,20 +66,20 @@
 
     from oakcroft.rulecheck.holding import taken_after
 
-    class Fronts(test_adopting.Adopters):
+    class Fronts(test_adopting.TakeoverFronts):
         pass
 
-    Fronts.form = form
+    Fronts.adopting_form = form
     with tempfile.TemporaryDirectory() as folder:
         async with test_peers.fronts(Path(folder), 5, Fronts) as rig:
             assert isinstance(rig, Fronts)
             for node in rig.nodes.nodes.values():
                 node.machine.places = 400
-            keys = [k for name in victims for k in await rig.fill(name, 14)]
+            keys = [k for name in victims for k in await rig.start_playbacks(name, 14)]
             for name in victims:
                 rig.signal(name, signal.SIGKILL)
             await trio.sleep(20)
-            left = sum(k in rig.sessions() for k in keys)
+            left = sum(k in rig.holders_by_key() for k in keys)
             after = taken_after(rig.facts("listens", "passed"))
             return left, len(keys), after[-1] if after else 0.0
 
--- a/benchmarks/capacity/fleet_socket_host.py
+++ b/benchmarks/capacity/fleet_socket_host.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity.fleet_socket_messages import HostResult, HostTask, Reading
 from benchmarks.capacity.fleet_zoned import seed_addresses
 from benchmarks.capacity.topology import LOOPBACK_NETWORK, Site, Topology
-from oakcroft.config.settings import OtherZone, PeersPlace
+from oakcroft.config.settings import OtherZone, PeerSettings
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.decisions.membership.messages import MessageKind
 from oakcroft.peerwire.membership_codec import MembershipCodec, WireBody
@@ -60,10 +60,10 @@
         self.peers.codec = self.peers.push_pulls.codec = self.codec
 
 
-def _place(site: Site, topology: Topology, task: HostTask) -> PeersPlace:
+def _place(site: Site, topology: Topology, task: HostTask) -> PeerSettings:
     """What a front end of this fleet is configured with."""
     if task.membership == "flat":
-        return PeersPlace(site.name, site.address, site.address, topology.seeds(), task.key_file, FLEET, "")
+        return PeerSettings(site.name, site.address, site.address, topology.seeds(), task.key_file, FLEET, "")
     zones = [topology.zone_members(zone) for zone in range(len(topology.region_of_zone))]
     others = tuple(
         OtherZone(members[0].zone_name, members[0].region_name, seed_addresses(members))
@@ -71,7 +71,7 @@
         if members[0].zone != site.zone
     )
     seeds = seed_addresses(zones[site.zone])
-    return PeersPlace(
+    return PeerSettings(
         site.name, site.address, site.address, seeds, task.key_file, FLEET, "",
         region=site.region_name, other_zones=others,
     )  # fmt: skip
--- a/benchmarks/capacity/measure_module.py
+++ b/benchmarks/capacity/measure_module.py
@@ -16,9 +16,19 @@
 from benchmarks.capacity.platform_process import SETTINGS, members
 from oakcroft import terms
 from oakcroft.choice import Controller
-from oakcroft.decisions.routing.title_cache import Shelf
-from oakcroft.interface import MS, SECOND, Entry, Listing, ListKind, Node, Playback, State, Title
-from oakcroft.platform.session_coordinator import Owner
+from oakcroft.decisions.routing.title_cache import TitleCache
+from oakcroft.interface import (
+    MS,
+    SECOND,
+    NodeEntry,
+    NodeStatus,
+    NodeListKind,
+    Node,
+    Playback,
+    PlaybackState,
+    Title,
+)
+from oakcroft.platform.session_coordinator import SessionCoordinator
 from oakcroft.platformwire import command_channel, configuration
 from oakcroft.running.clock import Clock
 
@@ -65,13 +75,13 @@
 
 def measure_list(count: int, nursery: trio.Nursery) -> Sequence[float]:
     """All of it at one number of nodes."""
-    owner = Owner(told(), Clock(), nursery, structlog.wrap_logger(structlog.ReturnLogger()))
+    owner = SessionCoordinator(told(), Clock(), nursery, structlog.wrap_logger(structlog.ReturnLogger()))
     whole = answer(1, True, members([1], count))
     change = answer(2, False, members([1], count)[:1])
 
     def take(octets: bytes) -> None:
-        for _, complete, some in command_channel.document(octets)[1]:
-            owner.listed_at_once(complete, some)
+        for _, complete, some in command_channel.decode_events(octets)[1]:
+            owner.apply_list_immediately(complete, some)
 
     whole_ms = milliseconds(lambda: take(whole), LISTS)
     change_ms = milliseconds(lambda: take(change), CHANGES)
@@ -82,8 +92,8 @@
 
     def second() -> None:
         for _ in range(10):
-            owner._look()
-        owner.controller._interval(owner.clock.now())
+            owner._maintain()
+        owner.controller._end_interval(owner.clock.now())
 
     return whole_ms, change_ms, title_ms, milliseconds(second, TURNS) / 10, len(whole) / 1e3
 
@@ -97,54 +107,56 @@
 class QuietHost:
     """A host of the module that answers nothing."""
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """A set-up leaves."""
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """A set-up is refused."""
 
-    def abort(self, pb: Playback) -> None:
+    def abort(self, playback: Playback) -> None:
         """A set-up is given up."""
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """A session changes its rendition."""
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """The module would be called then."""
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         """The list would be followed."""
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         """The module has changed its mode."""
 
 
 def held(seed: int) -> Found:
     """Sessions that the module holds on a region's nodes: one interval of its design, and one set-up."""
     rng = Random(seed)
-    site, plan = terms.terms(SETTINGS), terms.plans(SETTINGS)["free"]
-    control = Controller(replace(site, fronts=200), seed, QuietHost(), START)
+    site, plan = terms.read_settings(SETTINGS), terms.read_plans(SETTINGS)["free"]
+    control = Controller(replace(site, front_count=200), seed, QuietHost(), START)
     some = [Node(f"node-{i:05}") for i in range(SOME_NODES)]
     for i, node in enumerate(some):
-        node.cell = i % site.cells
+        node.cell = i % site.cell_count
     now = START + 20 * SECOND
-    control.listed(ListKind.WHOLE, [Entry(n, Listing.READY, 0, LINK, PLACES) for n in some], now)
+    control.on_node_list(
+        NodeListKind.WHOLE, [NodeEntry(n, NodeStatus.READY, 0, LINK, PLACES) for n in some], now
+    )
     titles, playing, found = [Title(f"title-{i}", 0, 0) for i in range(1_000)], 0, Found()
     for count in SESSIONS:
         began = time.process_time()
         before = playing
         while playing < count:
             pb = Playback(rng.choice(titles), plan, 2, now + 8 * SECOND, False)
-            control.arrived(pb, now)
-            if pb.state is not State.SETTING_UP:
+            control.on_request(pb, now)
+            if pb.state is not PlaybackState.SETTING_UP:
                 raise RuntimeError(f"refused with {playing} held: {pb.state}")
-            control.playing(pb, now)
+            control.on_playing(pb, now)
             playing += 1
         set_up = 1e3 * (time.process_time() - began) / (count - before)
         now += SECOND
 
         def interval(at: int = now) -> None:
-            control._interval(at)
+            control._end_interval(at)
 
         found[count] = milliseconds(interval, TURNS) / 10, set_up
         now += MS
@@ -153,19 +165,19 @@
 
 def titles(_seed: int) -> Found:
     """Titles that a front has met, each with its order of a region's nodes: memory."""
-    site = terms.terms(SETTINGS)
+    site = terms.read_settings(SETTINGS)
     control = Controller(site, 1, QuietHost(), START)
-    some = [Entry(Node(f"node-{i:05}"), Listing.READY, 0, LINK, PLACES) for i in range(SOME_NODES)]
-    control.listed(ListKind.WHOLE, some, START)
+    some = [NodeEntry(Node(f"node-{i:05}"), NodeStatus.READY, 0, LINK, PLACES) for i in range(SOME_NODES)]
+    control.on_node_list(NodeListKind.WHOLE, some, START)
     found = Found()
     tracemalloc.start()
     before, met = tracemalloc.get_traced_memory()[0], 0
-    shelf = Shelf(max(TITLES), site.cells, 0, {})
+    shelf = TitleCache(max(TITLES), site.cell_count, 0, {})
     for count in TITLES:
         while met < count:
             title = shelf.get(f"title-{met}", 0)
             assert title is not None
-            title.holders, title.known = list(control.nodes), control.version
+            title.holders, title.holders_version = list(control.nodes), control.list_version
             met += 1
         found[count] = ((tracemalloc.get_traced_memory()[0] - before) / MB,)
     tracemalloc.stop()
--- a/benchmarks/capacity/measure_rollout.py
+++ b/benchmarks/capacity/measure_rollout.py
@@ -9,10 +9,17 @@
 from random import Random
 
 from benchmarks.capacity.experiments import Experiment, Quantity
-from oakcroft.catalogue.text import digest, read, write
-from oakcroft.decisions.fleet.rollout import ENDED, Plan, Report, Rollout, Stage
-from oakcroft.decisions.routing.catalogue import Catalogue, Item, changed, takes_part
-from oakcroft.front.catalogue_rollout import DUTY, ENCODER, ORDER_EVERY, ReportBody, plan_of, word_of
+from oakcroft.catalogue.text import text_digest, read_catalogue, format_catalogue
+from oakcroft.decisions.fleet.rollout import FINAL_STAGES, RolloutPlan, FrontReport, Rollout, RolloutStage
+from oakcroft.decisions.routing.catalogue import Catalogue, CatalogueTitle, changed_titles, is_in_share
+from oakcroft.front.catalogue_rollout import (
+    CATALOGUE_LEASE,
+    ENCODER,
+    ORDER_INTERVAL_S,
+    ReportBody,
+    decode_plan,
+    encode_plan,
+)
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.lease_wire import Order, OrderReport
@@ -41,16 +48,16 @@
         self.names = [f"front-{i:04}" for i in range(fronts)]
         self.places = {name: i for i, name in enumerate(self.names)}
         self.codec = LeaseCodec("oakcroft", KeyRing((b"k" * 32,)))
-        new, base = (write([(name, Item())], False) for name in ("new", "base"))
-        self.rollout = Rollout(Plan(1, digest(new), digest(base), Stage.HANDED, 1, 0))
-        self.in_force = dict.fromkeys(self.names, self.rollout.plan.base)
+        new, base = (format_catalogue([(name, CatalogueTitle())], False) for name in ("new", "base"))
+        self.rollout = Rollout(RolloutPlan(1, text_digest(new), text_digest(base), RolloutStage.HANDED, 1, 0))
+        self.in_force = dict.fromkeys(self.names, self.rollout.plan.base_digest)
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.sent = self.received = 0
         self.processor = 0.0
 
     def play(self, ended: Callable[[], bool]) -> None:
         """Until something holds. RuntimeError where it never does."""
-        turn = round(ORDER_EVERY * SECOND)
+        turn = round(ORDER_INTERVAL_S * SECOND)
         while not ended():
             if self.now > GIVE_UP:
                 raise RuntimeError("the rollout did not end")
@@ -68,13 +75,13 @@
     def _order(self) -> None:
         """The owner's turn: on to the next stage where it is due, and an order to each front."""
         began = time.process_time()
-        after = self.rollout.next(self.names, self.now)
+        after = self.rollout.next_plan(self.names, self.now)
         if after is not None:
-            self.rollout.recorded(after)
+            self.rollout.set_recorded_plan(after)
         plan, to = self.rollout.plan, self.names
-        if plan.stage in ENDED:
-            to = self.rollout.unconfirmed(to, self.now)
-        word = Order(DUTY, 7, plan.step, word_of(plan))
+        if plan.stage in FINAL_STAGES:
+            to = self.rollout.unconfirmed_fronts(to, self.now)
+        word = Order(CATALOGUE_LEASE, 7, plan.step, encode_plan(plan))
         orders = [self.codec.order(self.names[0], 1, word) for _ in to]
         self.processor += time.process_time() - began
         for name, octets in zip(to, orders, strict=True):
@@ -88,13 +95,13 @@
 
     def _obey(self, front: int, order: Order) -> None:
         """A front's part in `front/catalogue_rollout.py`, without its record and its text."""
-        plan, name = plan_of(order.body), self.names[front]
-        takes = takes_part(front, len(self.names), int(plan.digest, 16), plan.part)
-        if takes and plan.stage in (Stage.TAKEN, Stage.DONE):
+        plan, name = decode_plan(order.body), self.names[front]
+        takes = is_in_share(front, len(self.names), int(plan.digest, 16), plan.target_share)
+        if takes and plan.stage in (RolloutStage.TAKEN, RolloutStage.DONE):
             self.in_force[name] = plan.digest
         body = ReportBody(plan.step, True, self.in_force[name], takes, "", 100, 1, False)
         octets = self.codec.report(
-            name, 1, OrderReport(DUTY, order.number, order.step, True, ENCODER.encode(body))
+            name, 1, OrderReport(CATALOGUE_LEASE, order.number, order.step, True, ENCODER.encode(body))
         )
         self._carry(lambda: self._heard(name, octets, body))
 
@@ -104,10 +111,10 @@
         opened = self.codec.ring.open(octets, self.now)
         assert opened is not None
         self.codec.taken(opened)
-        report = Report(
-            body.step, body.holds, body.in_force, body.takes_part, "", body.answers, body.failures
+        report = FrontReport(
+            body.step, body.has_text, body.active_digest, body.is_in_share, "", body.answers, body.failures
         )
-        self.rollout.heard(name, report, self.now)
+        self.rollout.receive_report(name, report, self.now)
         self.processor += time.process_time() - began
 
 
@@ -118,7 +125,7 @@
         played = SimulatedRollout(fronts, seed)
         played.play(played.everywhere)
         in_force = played.now / SECOND
-        played.play(lambda some=played: some.rollout.plan.stage is Stage.DONE)  # type: ignore[misc]
+        played.play(lambda some=played: some.rollout.plan.stage is RolloutStage.DONE)  # type: ignore[misc]
         ended = played.now / SECOND
         sent, received, processor = played.sent, played.received, played.processor
         quiet_until = played.now + QUIET
@@ -136,16 +143,16 @@
     for count in TITLE_SIZES:
         titles = {f"lesson-{i}": item(rng) for i in range(count)}
         before = Catalogue(1, "before", dict(titles), False)
-        text = write((titles | {"lesson-0": item(rng)}).items(), False)
+        text = format_catalogue((titles | {"lesson-0": item(rng)}).items(), False)
         began = time.process_time()
-        said = read(text)
-        laid_out = write(said.titles.items(), said.others)
-        after = Catalogue(2, digest(laid_out), said.titles, False)
-        names = changed(before, after)
+        said = read_catalogue(text)
+        laid_out = format_catalogue(said.titles.items(), said.others)
+        after = Catalogue(2, text_digest(laid_out), said.titles, False)
+        names = changed_titles(before, after)
         processor = time.process_time() - began
         assert names == ["lesson-0"]
         tracemalloc.start()
-        held = read(text)
+        held = read_catalogue(text)
         memory = tracemalloc.get_traced_memory()[0] / MB
         tracemalloc.stop()
         assert len(held.titles) == count
@@ -153,10 +160,10 @@
     return found
 
 
-def item(rng: Random) -> Item:
+def item(rng: Random) -> CatalogueTitle:
     """A title on some nodes, in three renditions."""
     holders = tuple(f"node-{n:05}" for n in rng.sample(range(NODES), HOLDERS))
-    return Item(holders, rates=(200.0, 400.0, 800.0))
+    return CatalogueTitle(holders, rates=(200.0, 400.0, 800.0))
 
 
 ROLLOUT_EXPERIMENTS = (
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -14,9 +14,15 @@
 from benchmarks.capacity.targets import TARGET
 from benchmarks.cold_ramp import LOADS, SETTINGS, Day
 from benchmarks.figures import play
-from oakcroft.decisions.fleet.session_takeover import KEYS, SCAN, SLOTS, Adopting, Bounds
-from oakcroft.decisions.fleet.session_ownership import Word
-from oakcroft.decisions.fleet.lease import Answer, Ask, Note, Step, Term
+from oakcroft.decisions.fleet.session_takeover import (
+    MAX_ORDERS_COMPUTED,
+    MAX_TASKS_SCANNED,
+    HASH_SLOTS_PER_NODE,
+    SessionTakeover,
+    TakeoverBounds,
+)
+from oakcroft.decisions.fleet.session_ownership import TakeoverAnswer
+from oakcroft.decisions.fleet.lease import LeaseAnswer, LeaseRequest, LeaseNote, LeaseMessageKind, LeaseTerm
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.sealing import KeyRing
@@ -55,11 +61,15 @@
 
 def lease_message_octets() -> float:
     """A question and its answer on the wire, with a plan on record as a rollout has it: the mean of the two."""
-    codec, note = LeaseCodec("oakcroft", KeyRing((b"k" * 32,))), Note(7, 1, b"p" * NOTE_OCTETS)
-    term = Term(7, "front-0001", 1)
-    question = codec.ask("front-0001", 1, Ask(Step.PROPOSE, "catalogue", term, 9, TERM, note))
+    codec, note = LeaseCodec("oakcroft", KeyRing((b"k" * 32,))), LeaseNote(7, 1, b"p" * NOTE_OCTETS)
+    term = LeaseTerm(7, "front-0001", 1)
+    question = codec.ask(
+        "front-0001", 1, LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", term, 9, TERM, note)
+    )
     epochs = tuple((f"front-{i:04}", 1) for i in range(KEEPERS - 1))
-    reply = Answer(Step.ACCEPTED, "catalogue", "front-0002", 1, 7, 9, 7, term, TERM, note, epochs)
+    reply = LeaseAnswer(
+        LeaseMessageKind.ACCEPTED, "catalogue", "front-0002", 1, 7, 9, 7, term, TERM, note, epochs
+    )
     return (len(question) + len(codec.answer("front-0002", 1, reply))) / 2 + IP_UDP
 
 
@@ -82,24 +92,26 @@
     names, nodes = [f"f{i}" for i in range(size)], [f"n{i}" for i in range(size)]
     rng.shuffle(names)
     me, lost = names[-1], names[: max(1, round(size / TARGET.zones * assumed.LARGEST_ZONE_OVER_MEAN.value))]
-    course = Adopting(me, Bounds(0, GIVE_UP_S * SECOND, 10_000))
-    course.listed(nodes, 0)
-    course.sees((), names, 0)
-    course.sees(lost, [name for name in names if name not in lost], 0)
+    course = SessionTakeover(me, TakeoverBounds(0, GIVE_UP_S * SECOND, 10_000))
+    course.update_nodes(nodes, 0)
+    course.update_fronts((), names, 0)
+    course.update_fronts(lost, [name for name in names if name not in lost], 0)
     now = last = 0
     began = time.process_time()
     while now - last <= rotation(course) and now < GIVE_UP_S * SECOND:
         now += TURN
-        for errand in course.due(now):
-            course.asked(errand, {pair.dead.name: Word.OLDER for pair in errand.pairs}, now)
+        for errand in course.due_requests(now):
+            course.request_finished(
+                errand, {pair.front.name: TakeoverAnswer.CALLER_NOT_ELIGIBLE for pair in errand.tasks}, now
+            )
             last = now
     return last / SECOND, 100 * (time.process_time() - began) / (now / SECOND), len(lost) * size
 
 
-def rotation(course: Adopting) -> int:
+def rotation(course: SessionTakeover) -> int:
     """In what time all pairs that are left have been looked at, and all lines computed."""
-    lines = SLOTS * len(course.nodes) // KEYS
-    return TURN * (lines + len(course.pairs) // SCAN + 2)
+    lines = HASH_SLOTS_PER_NODE * len(course.listed_nodes) // MAX_ORDERS_COMPUTED
+    return TURN * (lines + len(course.tasks) // MAX_TASKS_SCANNED + 2)
 
 
 SIMULATED_EXPERIMENTS = (
--- a/benchmarks/capacity/platform_process.py
+++ b/benchmarks/capacity/platform_process.py
@@ -200,7 +200,7 @@
 
     def __init__(self, sock: trio.socket.SocketType) -> None:
         """A socket that is connected."""
-        self.sock, self.frames = sock, framing.Frames()
+        self.sock, self.frames = sock, framing.FrameDecoder()
 
     @classmethod
     async def connect(cls, port: int) -> Viewer:
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -21,20 +21,20 @@
     MS,
     SECOND,
     Effect,
-    Entry,
-    Group,
-    Listing,
-    ListKind,
+    NodeEntry,
+    KeyScope,
+    NodeStatus,
+    NodeListKind,
     Node,
     Outcome,
     Plan,
     Playback,
 )
-from oakcroft.interface import Terms, Title
+from oakcroft.interface import DeploymentSettings, Title
 
 PLAN = Plan(
-    effect=Effect.FREE, group=Group.ALL, key_lasts=SECOND, startup_target=SECOND, revenue=1.0,
-    floor=0, top=2, seats=0, rate_factor=1.0, shares_stream=False,
+    effect=Effect.FREE, key_scope=KeyScope.ALL, key_ttl_ns=SECOND, startup_target_ns=SECOND, revenue=1.0,
+    floor=0, top_rung=2, seats=0, rate_factor=1.0, shares_stream=False,
 )  # fmt: skip
 LIFE, SET_UP, LATE, SKEW = 25 * SECOND, 80 * MS, (400 * MS, 2 * SECOND), 50 * MS
 WARM, LASTS = 12 * SECOND, 30 * SECOND  # before the first node starts; a day
@@ -96,52 +96,59 @@
         self.nodes: dict[str, Node] = {}
         self.titles: dict[str, Title] = {}
         self.control = Controller(
-            replace(day.terms, front=number), day.rng.getrandbits(60), self, now + self.skew
+            replace(day.terms, front_index=number), day.rng.getrandbits(60), self, now + self.skew
         )
         self.told(list(day.listed.values()), now)
 
     def told(self, some: list[tuple[str, int, float, int]], now: int) -> None:
-        entries = list[Entry]()
+        entries = list[NodeEntry]()
         for name, cell, places, started in some:
             node = self.nodes.setdefault(name, Node(name))
             node.cell = cell
-            entries.append(Entry(node, Listing.READY, started, 4000.0 * places, places))
-        self.control.listed(
-            ListKind.CHANGES if self.control.nodes else ListKind.WHOLE, entries, now + self.skew
+            entries.append(NodeEntry(node, NodeStatus.READY, started, 4000.0 * places, places))
+        self.control.on_node_list(
+            NodeListKind.CHANGES if self.control.nodes else NodeListKind.WHOLE, entries, now + self.skew
         )
 
     def ask(self, name: str, now: int) -> None:
-        title = self.titles.setdefault(name, Title(name, int(name) % self.day.terms.cells, self.day.copies))
-        self.control.arrived(Playback(title, PLAN, 2, now + self.skew + 4 * SECOND, False), now + self.skew)
+        title = self.titles.setdefault(
+            name, Title(name, int(name) % self.day.terms.cell_count, self.day.copies)
+        )
+        self.control.on_request(
+            Playback(title, PLAN, 2, now + self.skew + 4 * SECOND, False), now + self.skew
+        )
 
     # What the module asks for.
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         now, day = self.day.now, self.day
         day.sent.setdefault(node.name, []).append(now)
-        self.later(now + SET_UP, lambda: self.control.playing(pb, day.now + self.skew))
+        self.later(now + SET_UP, lambda: self.control.on_playing(playback, day.now + self.skew))
         ends = now + round(day.rng.expovariate(1 / LIFE)) + SET_UP
         self.later(
-            ends, lambda: self.control.tried(pb, Outcome.DONE, True, 0.3, None, None, day.now + self.skew)
+            ends,
+            lambda: self.control.on_try_ended(
+                playback, Outcome.DONE, True, 0.3, None, None, day.now + self.skew
+            ),
         )
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         self.day.rejected += 1
 
-    def abort(self, pb: Playback) -> None: ...
+    def abort(self, playback: Playback) -> None: ...
 
-    def set_rung(self, pb: Playback, rung: int) -> None: ...
+    def set_rung(self, playback: Playback, rung: int) -> None: ...
 
-    def alarm(self, at: int) -> None:
-        self.later(at - self.skew, lambda: self.control.alarm(self.day.now + self.skew))
+    def set_timer(self, at: int) -> None:
+        self.later(at - self.skew, lambda: self.control.on_timer(self.day.now + self.skew))
 
     def later(self, when: int, what: Callable[[], None]) -> None:
         """At that time, if this process still lives."""
         self.day.at(when, lambda: what() if self.day.fronts[self.number] is self else None)
 
-    def follow(self) -> None: ...
+    def subscribe_to_nodes(self) -> None: ...
 
-    def log(self, line: str) -> None: ...
+    def log(self, message: str) -> None: ...
 
 
 class Day:
@@ -152,12 +159,29 @@
         self.crowd = load.crowd
         nodes = max(6, min(60, fronts // 2))
         self.copies = 3 if load.hot else 0
-        self.terms = Terms(
-            fronts=fronts, front=0, must_follow=False, ask_within=0, cells=nodes, racks=3, rates=(100.0, 200.0, 400.0),
-            rung_worth=(0.3, 0.6, 1.0), uplink=0.0, join_adds=1.0, seen_after=SECOND, reports_every=3 * SECOND,
-            most_tries=3, stay_away_most=SECOND, cold_share=setting.share, cold_for=setting.cold_for,
-            fall_multiple=setting.multiple, fall_window=setting.window, tries_free=None, tries_share=0.0, tries_window=0,
-        )  # fmt: skip
+        self.terms = DeploymentSettings(
+            front_count=fronts,
+            front_index=0,
+            must_subscribe=False,
+            subscribe_within_ns=0,
+            cell_count=nodes,
+            rack_count=3,
+            rung_rates=(100.0, 200.0, 400.0),
+            rung_revenue_shares=(0.3, 0.6, 1.0),
+            uplink_capacity=0.0,
+            join_rate_share=1.0,
+            report_delay_ns=SECOND,
+            report_interval_ns=3 * SECOND,
+            max_tries=3,
+            max_retry_after_ns=SECOND,
+            cold_pace_share=setting.share,
+            cold_duration_ns=setting.cold_for,
+            overload_multiple=setting.multiple,
+            overload_window_ns=setting.window,
+            retry_budget_base=None,
+            retry_budget_share=0.0,
+            retry_budget_window_ns=0,
+        )
         self.heap = list[tuple[int, int, Callable[[], object]]]()
         self.sent: dict[str, list[int]] = {}
         places = [setting.places[i % len(setting.places)] for i in range(nodes)]
--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -18,9 +18,9 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from oakcroft.config.pipeline import check, told
-from oakcroft.decisions.routing.route_table import Asked, Side
-from oakcroft.front.front_end import Front
+from oakcroft.config.pipeline import check_file, build_deployment
+from oakcroft.decisions.routing.route_table import RouteRequest, ClientRole
+from oakcroft.front.front_end import FrontEnd
 
 BASE = """(front (number 0) (zone west) (listen "127.0.0.1:0") (list-service "127.0.0.1:1"))
 (fleet (fronts 4) (wings west east) (cells 12) (racks 3))
@@ -42,17 +42,17 @@
     """Check and look-up at one size."""
     body = text(some)
     began = time.perf_counter()
-    found, problems = check("f", lambda _: body)
+    found, problems = check_file("f", lambda _: body)
     took = time.perf_counter() - began
-    assert found is not None, [problems.show(p) for p in problems.errors[:3]]
+    assert found is not None, [problems.format(p) for p in problems.errors[:3]]
     began = time.perf_counter()
-    site = told(found).site
+    site = build_deployment(found).shared
     compiled = time.perf_counter() - began
-    asks = [Asked(Side.WATCH, f"/p{i % 50}/live-{i}-x", "west", {}) for i in range(some)][:1000]
+    asks = [RouteRequest(ClientRole.WATCH, f"/p{i % 50}/live-{i}-x", "west", {}) for i in range(some)][:1000]
     began, rounds = time.perf_counter(), max(1, 20_000 // len(asks))
     for _ in range(rounds):
         for asked in asks:
-            site.table.find(asked)
+            site.route_table.find(asked)
     each = (time.perf_counter() - began) / rounds / len(asks)
     figures = f"check {took * 1000:8.1f} ms, compile {compiled * 1000:7.1f} ms, look-up {each * 1e6:5.2f} us"
     print(f"{some:6} routes: {figures}")
@@ -63,23 +63,23 @@
     import sys
 
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
-    from rig import standing  # type: ignore[import-not-found,unused-ignore]
+    from rig import running_front_end  # type: ignore[import-not-found,unused-ignore]
     from test_versions import version, own  # type: ignore[import-not-found,unused-ignore]
 
     with tempfile.TemporaryDirectory() as name:
-        async with standing(Path(name)) as rig:
-            front = rig.front
-            assert isinstance(front, Front)
+        async with running_front_end(Path(name)) as rig:
+            front = rig.front_end
+            assert isinstance(front, FrontEnd)
             versions = [version(i, own(rig)) for i in range(6)]
 
             async def load(found: HdrHistogram, seconds: float) -> None:
                 start = trio.current_time()
 
                 async def one(at: float, number: int) -> None:
-                    sat = await rig.watch(f"/whep/open/t{number % 5}")
+                    sat = await rig.request_playback(f"/whep/open/t{number % 5}")
                     found.record_value(round((trio.current_time() - at) * 1e6))
                     if sat.status == 201:
-                        await rig.ask("DELETE", sat.header("location") or "")
+                        await rig.request("DELETE", sat.header("location") or "")
 
                 async with trio.open_nursery() as nursery:
                     for i in range(int(seconds * 60)):
@@ -92,7 +92,7 @@
 
                 async def change() -> None:
                     for i in range(1, 10_000):
-                        await front.offer(i, versions[i % 6])
+                        await front.apply_configuration(i, versions[i % 6])
                         await trio.sleep(0.1)
 
                 nursery.start_soon(change)
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from oakcroft.decisions.fleet.load_sharing import Figures
+from oakcroft.decisions.fleet.load_sharing import LoadSharing
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.load_codec import LoadCodec
 from oakcroft.peerwire.sealing import KeyRing
@@ -55,14 +55,14 @@
     """One fleet for so long, without traffic of its own; the first third is not counted."""
     rng = Random(seed)
     names, list_ = [f"f{i}" for i in range(fronts)], {f"n{i}": i + 1 for i in range(nodes)}
-    all_ = {n: Figures(n, 2500 * MS, Random(i)) for i, n in enumerate(names)}
+    all_ = {n: LoadSharing(n, 2500 * MS, Random(i)) for i, n in enumerate(names)}
     codec = LoadCodec("oakcroft", KeyRing((b"x" * 32,)))
     now, cost, datagrams, octets, asks = 0, 0.0, 0, 0, 0
     ages, unknown, looks = list[int](), 0, 0
     truth = {n: rng.random() for n in list_}
     for figures in all_.values():
-        figures.listed(list_)
-        figures.sees(names)
+        figures.update_nodes(list_)
+        figures.update_present_fronts(names)
     while now < seconds * SECOND:
         now += STEP
         counted = now > seconds * SECOND // 3
@@ -70,22 +70,22 @@
             truth[node] = min(1.2, max(0.0, truth[node] + rng.gauss(0, 0.01)))
         for name, figures in all_.items():
             began = time.perf_counter()
-            figures.sees(names)
-            due, tells = figures.due(now), figures.tells(now)
+            figures.update_present_fronts(names)
+            due, tells = figures.due_probes(now), figures.due_messages(now)
             cost += (time.perf_counter() - began) * counted
             for node in due:
                 asks += counted
-                figures.asked(node, truth[node], True, now)
+                figures.probe_finished(node, truth[node], True, now)
             for to, rows in tells:
                 if counted:
                     datagrams, octets = datagrams + 1, octets + len(codec.rows(name, 1, rows)) + 28
                 if rng.random() >= lose:
                     began = time.perf_counter()
-                    all_[to].heard(rows, now)
+                    all_[to].receive_reports(rows, now)
                     cost += (time.perf_counter() - began) * counted
         if counted and now % SECOND == 0:
             for figures in all_.values():
-                some = figures.ages(now)
+                some = figures.known_ages(now)
                 ages += some
                 unknown += nodes - len(some)
                 looks += 1
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -15,13 +15,28 @@
 from collections.abc import Callable
 from random import Random
 
-from oakcroft.decisions.admission.service_levels import Acts, Bounds, Level, Levels, Mark, Sign
+from oakcroft.decisions.admission.service_levels import (
+    LevelEffects,
+    LevelBounds,
+    ServiceLevel,
+    LevelController,
+    SignalThreshold,
+    LoadSignal,
+)
 from oakcroft.interface import MS, SECOND
 
 LEVELS = (
-    Level("careful", (Mark(Sign.X, 1.05, 0.9),), Acts(top=2)),
-    Level("courses-first", (Mark(Sign.X, 1.3, 1.0),), Acts(top=1, admits={"open": 0.5})),
-    Level("courses-only", (Mark(Sign.X, 1.6, 1.1),), Acts(top=0, admits={"open": 0.0})),
+    ServiceLevel("careful", (SignalThreshold(LoadSignal.X, 1.05, 0.9),), LevelEffects(max_rung=2)),
+    ServiceLevel(
+        "courses-first",
+        (SignalThreshold(LoadSignal.X, 1.3, 1.0),),
+        LevelEffects(max_rung=1, admitted_shares={"open": 0.5}),
+    ),
+    ServiceLevel(
+        "courses-only",
+        (SignalThreshold(LoadSignal.X, 1.6, 1.1),),
+        LevelEffects(max_rung=0, admitted_shares={"open": 0.0}),
+    ),
 )
 STEP = 250 * MS
 
@@ -47,21 +62,21 @@
 ) -> tuple[list[int], int, int, int, float]:
     """Changes of each front, the most in any window, the most fronts within a second, a threshold's changes a front, and
     the share of time spent reduced."""
-    rng, bounds = Random(seed), Bounds()
-    some = [Levels(LEVELS, bounds, Random(seed * 1000 + n), 0) for n in range(fronts)]
+    rng, bounds = Random(seed), LevelBounds()
+    some = [LevelController(LEVELS, bounds, Random(seed * 1000 + n), 0) for n in range(fronts)]
     changes, times, over, plain, reduced = [list[int]() for _ in some], list[int](), [False] * fronts, 0, 0
     steps = round(minutes * 60 * SECOND / STEP)
     for n in range(steps):
         now, x = n * STEP, load(n * STEP / 1e9)
         for i, one in enumerate(some):
             seen = max(0.0, x + rng.gauss(0, 0.05))
-            if one.look({Sign.X: seen}, now) is not None:
+            if one.update({LoadSignal.X: seen}, now) is not None:
                 changes[i].append(now)
                 times.append(now)
             if (seen >= 1.05) != over[i]:
                 over[i] = not over[i]
                 plain += 1
-            reduced += one.at > 0
+            reduced += one.current > 0
     worst = max((sum(t <= u < t + bounds.window for u in mine) for mine in changes for t in mine), default=0)
     return [len(mine) for mine in changes], worst, at_once(times), plain // fronts, reduced / steps / fronts
 
@@ -75,7 +90,7 @@
     parser.add_argument("--minutes", type=float, default=10)
     parser.add_argument("--seeds", type=int, default=10)
     given = parser.parse_args()
-    bound = f"at most {Bounds().most_changes} changes in {Bounds().window // SECOND} s"
+    bound = f"at most {LevelBounds().most_changes} changes in {LevelBounds().window // SECOND} s"
     where = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     print(f"{where}; {given.fronts} fronts, {given.minutes:.0f} minutes, {bound}")
     for load in (swinging, weakening):
--- a/benchmarks/mass_drain.py
+++ b/benchmarks/mass_drain.py
@@ -16,36 +16,53 @@
 from random import Random
 
 from oakcroft.choice import Controller
-from oakcroft.decisions.moving.move_scheduler import Mover, Pace, Why
+from oakcroft.decisions.moving.move_scheduler import MoveScheduler, MoveLimits, MoveReason
 from oakcroft.interface import (
     MS,
     SECOND,
     Effect,
-    Entry,
-    Group,
-    Listing,
-    ListKind,
+    NodeEntry,
+    KeyScope,
+    NodeStatus,
+    NodeListKind,
     Node,
-    Note,
+    PlaybackMetric,
     Outcome,
     Plan,
     Playback,
 )
-from oakcroft.interface import Terms, Title
+from oakcroft.interface import DeploymentSettings, Title
 from oakcroft.standins.links import Machine, Rack, Stream, Warmth
 
-PLAN = Plan(Effect.FREE, Group.ALL, SECOND, SECOND, 1.0, 0, 2, 0, 1.0, False)
+PLAN = Plan(Effect.FREE, KeyScope.ALL, SECOND, SECOND, 1.0, 0, 2, 0, 1.0, False)
 STEP, COLD_FOR, WINDOW = 20 * MS, 8 * SECOND, 2 * SECOND
 
 
-def terms(fronts: int, front: int, cells: int) -> Terms:
+def terms(fronts: int, front: int, cells: int) -> DeploymentSettings:
     """The site, as one front is told it."""
-    return Terms(
-        fronts=fronts, front=front, must_follow=False, ask_within=0, cells=cells, racks=1, rates=(200.0, 400.0, 800.0),
-        rung_worth=(0.3, 0.6, 1.0), uplink=0.0, join_adds=1.0, seen_after=600 * MS, reports_every=2500 * MS, most_tries=3,
-        stay_away_most=SECOND, cold_share=0.4, cold_for=COLD_FOR, fall_multiple=4.0, fall_window=WINDOW,
-        tries_free=10.0, tries_share=0.2, tries_window=5 * SECOND,
-    )  # fmt: skip
+    return DeploymentSettings(
+        front_count=fronts,
+        front_index=front,
+        must_subscribe=False,
+        subscribe_within_ns=0,
+        cell_count=cells,
+        rack_count=1,
+        rung_rates=(200.0, 400.0, 800.0),
+        rung_revenue_shares=(0.3, 0.6, 1.0),
+        uplink_capacity=0.0,
+        join_rate_share=1.0,
+        report_delay_ns=600 * MS,
+        report_interval_ns=2500 * MS,
+        max_tries=3,
+        max_retry_after_ns=SECOND,
+        cold_pace_share=0.4,
+        cold_duration_ns=COLD_FOR,
+        overload_multiple=4.0,
+        overload_window_ns=WINDOW,
+        retry_budget_base=10.0,
+        retry_budget_share=0.2,
+        retry_budget_window_ns=5 * SECOND,
+    )
 
 
 class Front:
@@ -55,45 +72,45 @@
         self.world, self.number = world, number
         self.nodes: dict[str, Node] = {}
         self.control = Controller(terms(world.fronts, number, world.cells), number, self, 0)
-        self.mover = Mover(Pace(), Random(number))
+        self.mover = MoveScheduler(MoveLimits(), Random(number))
         self.playing: dict[str, Playback] = {}
         self.copies: dict[Playback, str] = {}
         self.titles = [Title(f"t{i}", i * 7 % world.cells, 12) for i in range(60)]
 
-    def hear(self, kind: ListKind, lines: list[tuple[str, int, Listing, int]], now: int) -> None:
+    def hear(self, kind: NodeListKind, lines: list[tuple[str, int, NodeStatus, int]], now: int) -> None:
         """A list, or its changes: name, cell, listing, start."""
         entries = []
         for name, cell, listing, started in lines:
             node = self.nodes.setdefault(name, Node(name))
             node.cell, node.zone = cell, "w"
-            entries.append(Entry(node, listing, started, 24_000.0, 60.0))
-        self.control.listed(kind, entries, now)
+            entries.append(NodeEntry(node, listing, started, 24_000.0, 60.0))
+        self.control.on_node_list(kind, entries, now)
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
-        self.world.sent(self, pb, node)
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
+        self.world.sent(self, playback, node)
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
-        self._stays(pb)
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
+        self._stays(playback)
 
-    def abort(self, pb: Playback) -> None:
-        self._stays(pb)
+    def abort(self, playback: Playback) -> None:
+        self._stays(playback)
 
     def _stays(self, pb: Playback) -> None:
         key = self.copies.pop(pb, None)
         if key is not None:
             self.world.count["refused"] += 1
-            self.mover.over(key, False, self.world.now, self.world.notice_left())
+            self.mover.finish(key, False, self.world.now, self.world.notice_left())
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         pass
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         pass
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         pass
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         pass
 
 
@@ -110,16 +127,16 @@
         self.due: list[tuple[int, Front, Playback, Node]] = []
         self.notice, self.drained_at, self.number = notice, 0, 0
         self.all = [Front(self, i) for i in range(fronts)]
-        lines = [(n, c, Listing.READY, 0) for n, c in self.cell.items()]
+        lines = [(n, c, NodeStatus.READY, 0) for n, c in self.cell.items()]
         for front in self.all:
-            front.hear(ListKind.KEPT, lines, 0)
+            front.hear(NodeListKind.KEPT, lines, 0)
         self.now = 20 * SECOND
         for _ in range(playbacks):
             front = self.rng.choice(self.all)
             title = self.rng.choice(front.titles)
-            name = f"n{(title.home + self.rng.randrange(12)) % nodes}"
+            name = f"n{(title.home_cell + self.rng.randrange(12)) % nodes}"
             pb = Playback(title, PLAN, 2, self.now, False)
-            front.control.resumed(pb, front.nodes[name], self.now)
+            front.control.on_handed_over(pb, front.nodes[name], self.now)
             self.number += 1
             front.playing[f"p{self.number}"] = pb
             self.machines[name].begin(f"p{self.number}", Stream(400.0, 1, (0.3, 0.6, 1.0), 0))
@@ -134,7 +151,7 @@
         self.setups[node.name][self.now // SECOND] += 1
         if not machine.knock(self.now):
             self.count["pushed over"] += 1
-        front.mover.goes_to(front.copies[pb], node.name)
+        front.mover.set_target(front.copies[pb], node.name)
         self.due.append((self.now + 15 * MS, front, pb, node))
 
     def run(self, drained: list[str]) -> None:
@@ -156,12 +173,12 @@
                     self._drain(front, drained)
                 if ready.get(front, self.now + 1) <= self.now:
                     del ready[front]
-                    lines = [(new, self.cell[new], Listing.READY, cold_at) for new in replaced.values()]
-                    front.hear(ListKind.CHANGES, lines, self.now)
+                    lines = [(new, self.cell[new], NodeStatus.READY, cold_at) for new in replaced.values()]
+                    front.hear(NodeListKind.CHANGES, lines, self.now)
                 if ticks[front] <= self.now:
                     ticks[front] += SECOND
-                    front.control.alarm(self.now)
-                for wish in front.mover.begin(self.now, 8):
+                    front.control.on_timer(self.now)
+                for wish in front.mover.start_due(self.now, 8):
                     self._copy(front, wish.key)
             for at, front, pb, node in [d for d in self.due if d[0] <= self.now]:
                 self.due.remove((at, front, pb, node))
@@ -169,31 +186,35 @@
             self.now += STEP
 
     def _drain(self, front: Front, drained: list[str]) -> None:
-        front.hear(ListKind.CHANGES, [(n, self.cell[n], Listing.DRAINING, 0) for n in drained], self.now)
+        front.hear(
+            NodeListKind.CHANGES, [(n, self.cell[n], NodeStatus.DRAINING, 0) for n in drained], self.now
+        )
         for name in drained:
             some = [(k, 1.0) for k, pb in front.playing.items() if pb.node is front.nodes[name]]
-            self.count["to move"] += front.mover.leave(name, some, self.notice_left(), Why.DRAIN, self.now)
+            self.count["to move"] += front.mover.plan_node(
+                name, some, self.notice_left(), MoveReason.DRAIN, self.now
+            )
 
     def _copy(self, front: Front, key: str) -> None:
         old = front.playing[key]
         copy = Playback(old.title, PLAN, 2, self.now + 4 * SECOND, True)
-        copy.beside = old
-        copy.admits = lambda node: front.mover.may_go_to(key, node.name)
+        copy.copy_of = old
+        copy.node_filter = lambda node: front.mover.has_room_on(key, node.name)
         front.copies[copy] = key
-        front.control.arrived(copy, self.now)
+        front.control.on_request(copy, self.now)
 
     def _placed(self, front: Front, pb: Playback, node: Node) -> None:
         key = front.copies.pop(pb)
         machine, old = self.machines[node.name], front.playing[key]
-        front.control.playing(pb, self.now)
-        front.control.noted(pb, Note.LINK_ASKED, machine.asked(), self.now)
+        front.control.on_playing(pb, self.now)
+        front.control.on_metric(pb, PlaybackMetric.LINK_LOAD, machine.asked(), self.now)
         assert old.node is not None
         self.machines[old.node.name].end(key)
         machine.begin(key, Stream(400.0, pb.rung, (0.3, 0.6, 1.0), self.now))
-        front.control.left(old, self.now)
-        front.control.tried(old, Outcome.WITHDRAWN, True, None, None, None, self.now)
+        front.control.on_viewer_left(old, self.now)
+        front.control.on_try_ended(old, Outcome.WITHDRAWN, True, None, None, None, self.now)
         front.playing[key] = pb
-        front.mover.over(key, True, self.now, None)
+        front.mover.finish(key, True, self.now, None)
         self.count["moved"] += 1
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -24,9 +24,9 @@
 import trio
 
 from benchmarks.front_cost import SITE, WARM, Process, day
-from oakcroft.decisions.admission.connection_limits import Bounds, Door
+from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
 from oakcroft.running.clock import Clock
-from oakcroft.front.node_list_client import PATH
+from oakcroft.front.node_list_client import DISCOVERY_PATH
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
@@ -85,7 +85,7 @@
         fleet = Process("stand-in", str(folder / f"day-{i}.oak"), "--seed", str(i), "--start", str(1 << 62),
                         "--record", str(folder / f"record-{i}"))  # fmt: skip
         port = orjson.loads(await fleet.start(folder / f"fleet-{i}.log"))["list"]
-        asked = await Peer("127.0.0.1", port).ask("POST", PATH, [], b"{}")
+        asked = await Peer("127.0.0.1", port).ask("POST", DISCOVERY_PATH, [], b"{}")
         some.append(fleet)
         lists.append(asked.body)
     whole, known = orjson.loads(lists[0]), orjson.loads(lists[0])["version_info"]
@@ -100,7 +100,9 @@
         return Response(200, [("Content-Type", "application/json")], joined)
 
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-    server = Server(handle, Door(Bounds(idle=3600 * 10**9)), Clock().now, lambda *_: None)
+    server = Server(
+        handle, ConnectionTable(ConnectionLimits(idle=3600 * 10**9)), Clock().now, lambda *_: None
+    )
     scope = trio.CancelScope()
 
     async def serve() -> None:
--- a/benchmarks/peers_lag.py
+++ b/benchmarks/peers_lag.py
@@ -24,7 +24,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.front_cost import SITE, WARM, Load, Process, day, line
-from oakcroft.config.settings import PeersPlace
+from oakcroft.config.settings import PeerSettings
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.running.clock import Clock
 
@@ -43,7 +43,7 @@
     log = structlog.wrap_logger(
         structlog.ReturnLogger(), processors=[], wrapper_class=structlog.make_filtering_bound_logger(50)
     )
-    place = PeersPlace("", address(0), address(0), (address(0), address(1)), key_file, "oakcroft", "")
+    place = PeerSettings("", address(0), address(0), (address(0), address(1)), key_file, "oakcroft", "")
     rng = Random(1)
 
     async def one(number: int, scope: trio.CancelScope) -> None:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -25,15 +25,15 @@
 import trio
 
 from benchmarks.front_cost import Process
-from oakcroft.config.pipeline import check, told
-from oakcroft.decisions.state.promise import Mark, Promise
+from oakcroft.config.pipeline import check_file, build_deployment
+from oakcroft.decisions.state.promise import PromiseState, Promise
 from oakcroft.running.clock import Clock
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
 from oakcroft.signalling import sdp, words
 from oakcroft.standins.record import read
-from oakcroft.store.file import Put, StateFile
+from oakcroft.store.file import PutPromise, StateFile
 
 SITE = """(fleet (fronts 1) (cells 10) (copies 6) (cold-for 2s) (fall-multiple 60) (fall-window 1s)
     (reports-every 2s) (seen-after 200ms) (tries-budget (free 10) (share 20%) (window 5s)))
@@ -155,9 +155,13 @@
         rig.fleet.child.terminate()
         await rig.fleet.child.wait()
         facts = read(Path(name) / "record")
-        found, _ = check("site", lambda _: SITE, False)
+        found, _ = check_file("site", lambda _: SITE, False)
         assert found is not None
-        rules = {f.rule: f.breaches for f in judge(facts, told(found).site) if f.rule in (2, 3, 4, 5, 6)}
+        rules = {
+            f.rule: f.breaches
+            for f in judge(facts, build_deployment(found).shared)
+            if f.rule in (2, 3, 4, 5, 6)
+        }
     ran = Counter(f["key"] for f in facts if f["kind"] == "ran" and f["plan"] == "paid")
     twice = [k for k, n in ran.items() if n > 1]
     two_ways = [k for k, got in answers.items() if len(binding(got)) > 1]
@@ -185,9 +189,9 @@
             await rig.kill()
         if kind == "held":
             file, now, answer = StateFile(str(Path(name) / "state")), Clock().now(), offer(20_000, 1)
-            file.commit(Put(Promise(
+            file.commit(PutPromise(Promise(
                 f"id{i}", f"k{i}", "about", "/whep/open/t", f"t{i % 50}", "open", "free", False, False, "u", 2, "",
-                now, now, Mark.PLAYS, f"n{i % 10}", "", now, f"/sessions/s{i}", "", "", "t", answer, 1, now,
+                now, now, PromiseState.PLAYS, f"n{i % 10}", "", now, f"/sessions/s{i}", "", "", "t", answer, 1, now,
             )) for i in range(held))  # fmt: skip
             file.close()
         began = trio.current_time()
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -22,9 +22,15 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.front_cost import SITE, WARM, Load, Process, day, line
-from oakcroft.catalogue.text import digest, read, write
-from oakcroft.decisions.routing.catalogue import Catalogue, Fleet, Item, changed, consider
-from oakcroft.decisions.routing.title_cache import Shelf
+from oakcroft.catalogue.text import text_digest, read_catalogue, format_catalogue
+from oakcroft.decisions.routing.catalogue import (
+    Catalogue,
+    FleetSnapshot,
+    CatalogueTitle,
+    changed_titles,
+    evaluate_change,
+)
+from oakcroft.decisions.routing.title_cache import TitleCache
 from oakcroft.httpwire.client import Peer
 
 PAID = SITE.replace("(effect free)", "(effect paid)")
@@ -89,9 +95,9 @@
             nonlocal taken
             peer = Peer("127.0.0.1", port)
             for n in range(1 << 30):
-                some = {f"t{i}": Item(("n0", f"n{1 + (i + n) % 9}")) for i in range(50)}
-                some |= {f"lesson-{i}": Item((f"n{(i + n) % 10}",)) for i in range(titles)}
-                text = write(some.items(), False).encode()
+                some = {f"t{i}": CatalogueTitle(("n0", f"n{1 + (i + n) % 9}")) for i in range(50)}
+                some |= {f"lesson-{i}": CatalogueTitle((f"n{(i + n) % 10}",)) for i in range(titles)}
+                text = format_catalogue(some.items(), False).encode()
                 headers = [("Authorization", "Bearer operators-secret"), ("If-Match", "*")]
                 sat = await peer.ask("PUT", "/operators/catalogue", headers, text)
                 taken += sat.status == 200
@@ -116,34 +122,43 @@
 
 def catalogues(sizes: list[int]) -> None:
     """Catalogues of different sizes: reading, one change, and what it takes."""
-    fleet = Fleet(frozenset(f"n{i}" for i in range(200)), frozenset(f"n{i}" for i in range(200)), 5, 200, {})
+    fleet = FleetSnapshot(
+        frozenset(f"n{i}" for i in range(200)), frozenset(f"n{i}" for i in range(200)), 5, 200, {}
+    )
     for size in sizes:
         titles = {
-            f"lesson-{i}": Item(tuple(f"n{(i + k) % 200}" for k in range(4)), rates=(200.0, 400.0, 800.0))
+            f"lesson-{i}": CatalogueTitle(
+                tuple(f"n{(i + k) % 200}" for k in range(4)), rates=(200.0, 400.0, 800.0)
+            )
             for i in range(size)
         }
-        text = write(titles.items(), False)
+        text = format_catalogue(titles.items(), False)
         began = time.perf_counter()
-        said = read(text)
+        said = read_catalogue(text)
         took = time.perf_counter() - began
         began = time.perf_counter()
-        read("; by its forms\n" + text)
+        read_catalogue("; by its forms\n" + text)
         slowly = time.perf_counter() - began
         tracemalloc.start()
-        held = read(text)
+        held = read_catalogue(text)
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        old = Catalogue(1, digest(text), said.titles, False)
-        new = Catalogue(2, "new", held.titles | {"lesson-0": Item(("n7",)), "another": Item(("n9",))}, False)
-        shelf = Shelf(50_000, 200, 6, {})
+        old = Catalogue(1, text_digest(text), said.titles, False)
+        new = Catalogue(
+            2,
+            "new",
+            held.titles | {"lesson-0": CatalogueTitle(("n7",)), "another": CatalogueTitle(("n9",))},
+            False,
+        )
+        shelf = TitleCache(50_000, 200, 6, {})
         for name in list(titles)[:50_000]:
             shelf.get(name, 0)
         began = time.perf_counter()
-        names = changed(old, new)
+        names = changed_titles(old, new)
         differ = time.perf_counter() - began
         began = time.perf_counter()
-        verdict, _ = consider(old, new, names, old.digest, fleet)
-        shelf.take_catalogue(new.titles, names)
+        verdict, _ = evaluate_change(old, new, names, old.digest, fleet)
+        shelf.apply_catalogue(new.titles, names)
         taken = time.perf_counter() - began
         print(f"{size:7} titles, {len(text) / 1e6:6.2f} MB: read in {took * 1e3:7.1f} ms ({slowly * 1e3:.1f} else), "
               f"compared in {differ * 1e3:5.1f} ms, both beside the loop; judged and taken in {taken * 1e3:6.3f} ms; "
--- a/benchmarks/untold_loads.py
+++ b/benchmarks/untold_loads.py
@@ -17,8 +17,19 @@
 from random import Random
 
 from oakcroft.choice import Controller
-from oakcroft.interface import MS, SECOND, Effect, Entry, Group, Listing, ListKind, Node, Note, Outcome
-from oakcroft.interface import Plan, Playback, State, Terms, Title
+from oakcroft.interface import (
+    MS,
+    SECOND,
+    Effect,
+    NodeEntry,
+    KeyScope,
+    NodeStatus,
+    NodeListKind,
+    Node,
+    PlaybackMetric,
+    Outcome,
+)
+from oakcroft.interface import Plan, Playback, PlaybackState, DeploymentSettings, Title
 
 DAY, STEP, SHOWS = 45 * SECOND, 100 * MS, 5 * SECOND
 SET_UP, SEEN_AFTER = 60 * MS, SECOND
@@ -38,8 +49,8 @@
 def plan(effect: Effect, revenue: float, rate_factor: float) -> Plan:
     """One plan without seats or floor."""
     return Plan(
-        effect=effect, group=Group.ALL, key_lasts=SECOND, startup_target=1500 * MS, revenue=revenue,
-        floor=0, top=len(RATES) - 1, seats=0, rate_factor=rate_factor, shares_stream=False,
+        effect=effect, key_scope=KeyScope.ALL, key_ttl_ns=SECOND, startup_target_ns=1500 * MS, revenue=revenue,
+        floor=0, top_rung=len(RATES) - 1, seats=0, rate_factor=rate_factor, shares_stream=False,
     )  # fmt: skip
 
 
@@ -83,12 +94,12 @@
         self.day = day
         self.nodes = {Node(f"n{i}"): node for i, node in enumerate(day.nodes)}
         self.sessions: dict[Playback, Session] = {}
-        self.control = Controller(replace(day.terms, front=number), day.rng.getrandbits(50), self, 0)
-        entries = list[Entry]()
+        self.control = Controller(replace(day.terms, front_index=number), day.rng.getrandbits(50), self, 0)
+        entries = list[NodeEntry]()
         for i, (node, model) in enumerate(self.nodes.items()):
             node.cell = i
-            entries.append(Entry(node, Listing.READY, 0, model.link, model.places))
-        self.control.listed(ListKind.KEPT, entries, 0)
+            entries.append(NodeEntry(node, NodeStatus.READY, 0, model.link, model.places))
+        self.control.on_node_list(NodeListKind.KEPT, entries, 0)
 
     def ask(self, terms: Plan, top: int, ends: int) -> None:
         """A viewer comes."""
@@ -96,69 +107,69 @@
         pb = Playback(title, terms, top, self.day.now + 3 * SECOND, False)
         self.sessions[pb] = Session(pb, top, ends)
         self.day.asks += 1
-        self.control.arrived(pb, self.day.now)
+        self.control.on_request(pb, self.day.now)
 
     def hand_over(self, terms: Plan, top: int, ends: int, node: Node, rung: int) -> None:
         """A session plays from before the start."""
         pb = Playback(Title(str(self.day.rng.random()), 0, 0), terms, top, 0, False)
         session = self.sessions[pb] = Session(pb, top, ends, self.nodes[node], rung)
         self.nodes[node].sessions[session] = None
-        self.control.resumed(pb, node, 0)
-        self.control.noted(pb, Note.RUNG, rung, 0)
+        self.control.on_handed_over(pb, node, 0)
+        self.control.on_metric(pb, PlaybackMetric.RUNG, rung, 0)
         self.day.at(ends, lambda: self.over(session, Outcome.DONE))
 
     def over(self, session: Session, how: Outcome) -> None:
         """A session that played is over."""
         if session.node is not None and self.sessions.pop(session.pb, None) is not None:
             del session.node.sessions[session]
-            self.control.tried(session.pb, how, True, None, None, None, self.day.now)
+            self.control.on_try_ended(session.pb, how, True, None, None, None, self.day.now)
 
     def _set_up(self, pb: Playback, model: ModelNode) -> None:
-        if pb.state is not State.SETTING_UP:
+        if pb.state is not PlaybackState.SETTING_UP:
             return
         if len(model.sessions) >= model.places or model.asked() > REFUSES_AT * model.gives:
-            self.control.tried(pb, Outcome.FULL, False, None, None, None, self.day.now)
+            self.control.on_try_ended(pb, Outcome.FULL, False, None, None, None, self.day.now)
             return
         session = self.sessions[pb]
         session.node, session.rung = model, pb.rung
         model.sessions[session] = None
-        self.control.playing(pb, self.day.now)
+        self.control.on_playing(pb, self.day.now)
         self.day.at(session.ends, lambda: self.over(session, Outcome.DONE))
 
     # What the module asks for.
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """A set-up leaves."""
         model = self.nodes[node]
-        self.day.at(self.day.now + SET_UP, lambda: self._set_up(pb, model))
+        self.day.at(self.day.now + SET_UP, lambda: self._set_up(playback, model))
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """A viewer is refused; most come again, to any front."""
-        session, day = self.sessions.pop(pb), self.day
+        session, day = self.sessions.pop(playback), self.day
         day.refused += 1
         if day.rng.random() < RETURNS:
             back = day.now + day.rng.randrange(*RETURNS_AFTER)
             if back < session.ends:
                 front = day.rng.choice(day.fronts)
-                day.at(back, lambda: front.ask(pb.plan, session.top, session.ends))
+                day.at(back, lambda: front.ask(playback.plan, session.top, session.ends))
 
-    def abort(self, pb: Playback) -> None:
+    def abort(self, playback: Playback) -> None:
         """The same to a viewer."""
-        self.reject(pb, 0)
+        self.reject(playback, 0)
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """A rung comes into force at once."""
-        if pb in self.sessions:
-            self.sessions[pb].rung = rung
+        if playback in self.sessions:
+            self.sessions[playback].rung = rung
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """The end of an interval."""
-        self.day.at(at, lambda: self.control.alarm(self.day.now))
+        self.day.at(at, lambda: self.control.on_timer(self.day.now))
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         """The list does not change."""
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         """Nobody reads it."""
 
 
@@ -175,12 +186,29 @@
         self.nodes = [self._node(i % racks) for i in range(nodes)]
         uplink = UPLINK_SHARE * sum(n.link for n in self.nodes) / racks
         self.uplinks = [uplink * self._spread() for _ in range(racks)]
-        self.terms = Terms(
-            fronts=fronts, front=0, must_follow=False, ask_within=0, cells=nodes, racks=racks, rates=RATES,
-            rung_worth=WORTH, uplink=uplink, join_adds=1.0, seen_after=SEEN_AFTER, reports_every=0, most_tries=4,
-            stay_away_most=500 * MS, cold_share=0.5, cold_for=SECOND, fall_multiple=2.5, fall_window=1500 * MS,
-            tries_free=None, tries_share=0.0, tries_window=0,
-        )  # fmt: skip
+        self.terms = DeploymentSettings(
+            front_count=fronts,
+            front_index=0,
+            must_subscribe=False,
+            subscribe_within_ns=0,
+            cell_count=nodes,
+            rack_count=racks,
+            rung_rates=RATES,
+            rung_revenue_shares=WORTH,
+            uplink_capacity=uplink,
+            join_rate_share=1.0,
+            report_delay_ns=SEEN_AFTER,
+            report_interval_ns=0,
+            max_tries=4,
+            max_retry_after_ns=500 * MS,
+            cold_pace_share=0.5,
+            cold_duration_ns=SECOND,
+            overload_multiple=2.5,
+            overload_window_ns=1500 * MS,
+            retry_budget_base=None,
+            retry_budget_share=0.0,
+            retry_budget_window_ns=0,
+        )
         self.fronts = [Front(self, i) for i in range(fronts)]
         self.weights = [self.rng.lognormvariate(0, 0.5) for _ in range(fronts)]
         mean = MIDDLE * sum(s * p.rate_factor for s, p in zip(PLAN_SHARES, PLANS, strict=True))
@@ -211,7 +239,7 @@
 
     def _viewer(self) -> tuple[Front, Plan, int, int]:
         terms = self.rng.choices(PLANS, PLAN_SHARES)[0]
-        top = SMALL_TOP if self.rng.random() < SMALL_SCREENS else terms.top
+        top = SMALL_TOP if self.rng.random() < SMALL_SCREENS else terms.top_rung
         ends = self.now + round(max(1.0, self.rng.expovariate(1 / LIFE)) * SECOND)
         self.wanted += terms.revenue * WORTH[top] * (min(ends, DAY) - self.now) / SECOND
         return self.rng.choices(self.fronts, self.weights)[0], terms, top, ends
@@ -257,7 +285,7 @@
             node.was_short[front] = short
 
     def _note(self, front: Front, pb: Playback, value: float) -> Callable[[], None]:
-        return lambda: front.control.noted(pb, Note.DELIVERED, value, self.now)
+        return lambda: front.control.on_metric(pb, PlaybackMetric.DELIVERED_SHARE, value, self.now)
 
     def play(self) -> tuple[float, float, float]:
         """Revenue earned over wanted, refusals over asks, and the mean x of the fronts at the end."""
--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -12,21 +12,21 @@
 import trio
 
 from oakcroft.choice import Controller
-from oakcroft.commands.arguments import BROKEN, FAULTY, FILE
+from oakcroft.commands.arguments import EXIT_FAILURE, EXIT_INVALID_INPUT, EXISTING_FILE
 from oakcroft.commands.catalogue import catalogue
 from oakcroft.commands.configuration import config
 from oakcroft.commands.fleet import fleet, status
 from oakcroft.commands.rehearsal import rehearse, stand_in
 from oakcroft.commands.state import state
-from oakcroft.config.pipeline import load_meaning, told
-from oakcroft.config.diagnostics import Unsound
+from oakcroft.config.pipeline import load_resolved, build_deployment
+from oakcroft.config.diagnostics import InvalidConfigurationError
 from oakcroft.config.settings import Deployment
-from oakcroft.front.front_end import Front
-from oakcroft.front.protocols import Decide
-from oakcroft.running.collections import spare_collections
-from oakcroft.running.logs import set_up
+from oakcroft.front.front_end import FrontEnd
+from oakcroft.front.protocols import PolicyFactory
+from oakcroft.running.collections import reduce_gc_frequency
+from oakcroft.running.logs import configure_logging
 
-CHECK_WITHIN_SECONDS = 120
+CHECK_TIMEOUT_SECONDS = 120
 """Timeout of a configuration check in a subprocess."""
 
 
@@ -39,53 +39,53 @@
     """
 
 
-def read_anew(file: Path, families: dict[str, int]) -> Deployment | list[str]:
+def read_deployment(file: Path, known_families: dict[str, int]) -> Deployment | list[str]:
     """Reads a front end's file. Returns the deployment settings, or the errors as lines of text.
 
     `known_families` holds the family numbers of plans that are in use.
     """
     try:
-        return told(load_meaning(file), families)
-    except Unsound as fault:
-        return [fault.problems.show(p) for p in fault.problems.errors]
+        return build_deployment(load_resolved(file), known_families)
+    except InvalidConfigurationError as fault:
+        return [fault.diagnostics.format(p) for p in fault.diagnostics.errors]
     except OSError as fault:
         return [f"{file}: {fault}"]
 
 
-def read_apart(file: Path, families: dict[str, int]) -> Deployment | list[str]:
+def read_deployment_in_subprocess(file: Path, known_families: dict[str, int]) -> Deployment | list[str]:
     """Like `read_deployment`, but checks the file in a subprocess: a large check would delay the serving process."""
     command = [sys.executable, "-m", "oakcroft", "config", "meaning", str(file)]
-    done = subprocess.run(command, capture_output=True, timeout=CHECK_WITHIN_SECONDS, check=False)
+    done = subprocess.run(command, capture_output=True, timeout=CHECK_TIMEOUT_SECONDS, check=False)
     if done.returncode == 0:
-        return told(pickle.loads(done.stdout), families)
+        return build_deployment(pickle.loads(done.stdout), known_families)
     said = done.stderr.decode("utf-8", "replace").strip()
     return [said or f"the check ended with {done.returncode}"]
 
 
-def serve_file(file: Path, decide: Decide = Controller) -> int:
+def serve_file(file: Path, decide: PolicyFactory = Controller) -> int:
     """Serves with a front end's file until a stop signal. Returns the exit code."""
-    found = read_anew(file, {})
+    found = read_deployment(file, {})
     if isinstance(found, list):
         click.echo("\n".join(found), err=True)
-        return FAULTY
-    stand = found.stand
+        return EXIT_INVALID_INPUT
+    stand = found.front
 
     async def ready(port: int) -> None:
         print(f"serving on {stand.host}:{port}", flush=True)
 
-    log, code = set_up(stand.log, found.site.terms.front), 0
-    spare_collections()
+    log, code = configure_logging(stand.log_format, found.shared.terms.front_index), 0
+    reduce_gc_frequency()
     try:
-        trio.run(Front(found, log, decide, partial(read_apart, file)).run, ready)
+        trio.run(FrontEnd(found, log, decide, partial(read_deployment_in_subprocess, file)).run, ready)
     except* OSError as group:
-        code = BROKEN
+        code = EXIT_FAILURE
         for error in group.exceptions:
             click.echo(f"cannot serve: {error}", err=True)
     return code
 
 
 @main.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 def serve(file: Path) -> None:
     """Run one front by FILE. SIGTERM lets it answer what is open and ends it; SIGHUP has it read FILE again."""
     sys.exit(serve_file(file))
--- a/oakcroft/client/whep.py
+++ b/oakcroft/client/whep.py
@@ -12,7 +12,7 @@
 import trio
 
 from oakcroft.client.retry import Next, Retries, fault
-from oakcroft.decisions.sessions.setup_outcome import End
+from oakcroft.decisions.sessions.setup_outcome import RequestEnd
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Headers, Response
 from oakcroft.signalling import sdp, words
@@ -67,7 +67,7 @@
             with trio.fail_after((wait or 30) + 2):
                 return await self.peer.ask("POST", path, headers, offer.encode()), True
         except Ended as ended:
-            return None, ended.end is not End.UNREACHED
+            return None, ended.end is not RequestEnd.UNREACHED
         except trio.TooSlowError:
             return None, True
 
--- a/oakcroft/commands/arguments.py
+++ b/oakcroft/commands/arguments.py
@@ -6,11 +6,11 @@
 
 import click
 
-FAULTY = 2
+EXIT_INVALID_INPUT = 2
 """The exit code for invalid input or wrong usage."""
 
-BROKEN = 1
+EXIT_FAILURE = 1
 """The exit code for an operation that failed."""
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 NEW_FILE = click.Path(dir_okay=False, path_type=Path)
--- a/oakcroft/commands/catalogue.py
+++ b/oakcroft/commands/catalogue.py
@@ -7,11 +7,17 @@
 
 import click
 
-from oakcroft.catalogue.text import Unsound, read, write
-from oakcroft.commands.arguments import FAULTY, FILE
-from oakcroft.commands.operators import FRONT, call, end_with, etag, query_text
+from oakcroft.catalogue.text import CatalogueError, read_catalogue, format_catalogue
+from oakcroft.commands.arguments import EXIT_INVALID_INPUT, EXISTING_FILE
+from oakcroft.commands.operators import (
+    FRONT_OPTION,
+    request_front,
+    print_and_exit,
+    catalogue_etag,
+    escape_query_text,
+)
 
-LINES_BESIDE_TITLES = 3
+NON_TITLE_LINES = 3
 """Lines of a formatted catalogue that hold no title."""
 
 
@@ -20,46 +26,46 @@
     """Check catalogues, and change the one that a front serves by."""
 
 
-def text_of(file: Path) -> str:
+def formatted_catalogue(file: Path) -> str:
     """Returns a catalogue file's text in the canonical layout. Ends the command if the file has errors."""
     try:
-        said = read(file.read_text(encoding="utf-8"))
-    except Unsound as fault:
+        said = read_catalogue(file.read_text(encoding="utf-8"))
+    except CatalogueError as fault:
         for one in fault.faults:
-            click.echo(one.show(str(file)), err=True)
-        sys.exit(FAULTY)
+            click.echo(one.format(str(file)), err=True)
+        sys.exit(EXIT_INVALID_INPUT)
     except UnicodeDecodeError as fault:
         click.echo(f"{file}: not UTF-8: {fault}", err=True)
-        sys.exit(FAULTY)
-    return write(said.titles.items(), said.others)
+        sys.exit(EXIT_INVALID_INPUT)
+    return format_catalogue(said.titles.items(), said.others)
 
 
 @catalogue.command("check")
-@click.argument("files", nargs=-1, required=True, type=FILE)
+@click.argument("files", nargs=-1, required=True, type=EXISTING_FILE)
 def catalogue_check(files: tuple[Path, ...]) -> None:
     """Show every fault of FILES."""
     for file in files:
-        click.echo(f"{file}: sound, {text_of(file).count(chr(10)) - LINES_BESIDE_TITLES} titles")
+        click.echo(f"{file}: sound, {formatted_catalogue(file).count(chr(10)) - NON_TITLE_LINES} titles")
 
 
 @catalogue.command("fmt")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 def catalogue_fmt(file: Path) -> None:
     """Bring FILE into its layout: titles by name, one a line."""
-    file.write_text(text_of(file), encoding="utf-8")
+    file.write_text(formatted_catalogue(file), encoding="utf-8")
 
 
 @catalogue.command("get")
-@FRONT
+@FRONT_OPTION
 @click.option("--version", default="", help="An earlier version.")
 def catalogue_get(address: str, version: str) -> None:
     """Print the catalogue in force."""
-    end_with(call(address, "GET", f"catalogue?version={version}" if version else "catalogue"))
+    print_and_exit(request_front(address, "GET", f"catalogue?version={version}" if version else "catalogue"))
 
 
 @catalogue.command("put")
-@click.argument("file", type=FILE)
-@FRONT
+@click.argument("file", type=EXISTING_FILE)
+@FRONT_OPTION
 @click.option("--change", is_flag=True, help="FILE holds changes, (put …) and (drop …).")
 @click.option(
     "--from", "made_from", default="", help="ETag of the version it was made from; else the one in force now."
@@ -71,22 +77,24 @@
     file: Path, address: str, change: bool, made_from: str, force: bool, share: float, why: str
 ) -> None:
     """Offer FILE to a front."""
-    body = file.read_bytes() if change else text_of(file).encode()
-    query = f"catalogue?share={share}&why={query_text(why)}" + ("&force=yes" if force else "")
+    body = file.read_bytes() if change else formatted_catalogue(file).encode()
+    query = f"catalogue?share={share}&why={escape_query_text(why)}" + ("&force=yes" if force else "")
     method = "PATCH" if change else "PUT"
-    end_with(call(address, method, query, body, If_Match=made_from or etag(address)))
+    print_and_exit(request_front(address, method, query, body, If_Match=made_from or catalogue_etag(address)))
 
 
 @catalogue.command("versions")
-@FRONT
+@FRONT_OPTION
 def catalogue_versions(address: str) -> None:
     """List the versions that a front keeps."""
-    end_with(call(address, "GET", "catalogue/versions"))
+    print_and_exit(request_front(address, "GET", "catalogue/versions"))
 
 
 @catalogue.command("roll-back")
 @click.argument("to", type=int)
-@FRONT
+@FRONT_OPTION
 def catalogue_roll_back(to: int, address: str) -> None:
     """Put version TO into force again, as a new version."""
-    end_with(call(address, "POST", f"catalogue/roll-back?to={to}", If_Match=etag(address)))
+    print_and_exit(
+        request_front(address, "POST", f"catalogue/roll-back?to={to}", If_Match=catalogue_etag(address))
+    )
--- a/oakcroft/commands/fleet.py
+++ b/oakcroft/commands/fleet.py
@@ -9,19 +9,26 @@
 import click
 import orjson
 
-from oakcroft.commands.arguments import FILE
-from oakcroft.commands.catalogue import text_of
-from oakcroft.commands.operators import FRONT, call, end_with, etag, is_refusal, query_text
+from oakcroft.commands.arguments import EXISTING_FILE
+from oakcroft.commands.catalogue import formatted_catalogue
+from oakcroft.commands.operators import (
+    FRONT_OPTION,
+    request_front,
+    print_and_exit,
+    catalogue_etag,
+    is_error,
+    escape_query_text,
+)
 
 MS_PER_SECOND = 1000
-NOBODY = "nobody, as far as this front knows"
+UNKNOWN_OWNER = "nobody, as far as this front knows"
 
 
 @click.command()
-@FRONT
+@FRONT_OPTION
 def status(address: str) -> None:
     """Tell how a running front stands."""
-    end_with(call(address, "GET", "status"))
+    print_and_exit(request_front(address, "GET", "status"))
 
 
 @click.group()
@@ -30,19 +37,19 @@
 
 
 @fleet.command("view")
-@FRONT
+@FRONT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="For tools: what the front said, as it said it.")
 def fleet_view(address: str, as_json: bool) -> None:
     """Tell who is there, by one front: a line each, with how it stands, since when, and by whose word."""
-    answer = call(address, "GET", "fleet")
-    if as_json or is_refusal(answer):
-        end_with(answer)
-    for line in member_lines(orjson.loads(answer.body)):
+    answer = request_front(address, "GET", "fleet")
+    if as_json or is_error(answer):
+        print_and_exit(answer)
+    for line in describe_members(orjson.loads(answer.body)):
         click.echo(line)
 
 
 @fleet.command("owners")
-@FRONT
+@FRONT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="For tools: what the front said, as it said it.")
 @click.option(
     "--give-back",
@@ -53,16 +60,16 @@
 def fleet_owners(address: str, as_json: bool, duty: str) -> None:
     """Tell who owns which duty of the fleet, under which number, and how this front's keeper stands."""
     method, query = ("DELETE", f"?duty={duty}") if duty else ("GET", "")
-    answer = call(address, method, f"fleet/owners{query}")
-    if as_json or is_refusal(answer):
-        end_with(answer)
-    for line in owner_lines(orjson.loads(answer.body)):
+    answer = request_front(address, method, f"fleet/owners{query}")
+    if as_json or is_error(answer):
+        print_and_exit(answer)
+    for line in describe_owners(orjson.loads(answer.body)):
         click.echo(line)
 
 
 @fleet.command("roll-out")
-@click.argument("file", type=FILE, required=False)
-@FRONT
+@click.argument("file", type=EXISTING_FILE, required=False)
+@FRONT_OPTION
 @click.option(
     "--watch", type=click.IntRange(0, 86_400), default=10, help="Seconds between one share and the next."
 )
@@ -78,29 +85,29 @@
     more answers fail than without it, is taken back everywhere.
     """
     if take_back:
-        end_with(call(address, "DELETE", f"fleet/roll-out?why={query_text(why)}"))
+        print_and_exit(request_front(address, "DELETE", f"fleet/roll-out?why={escape_query_text(why)}"))
     if file is None:
-        end_with(call(address, "GET", "fleet/roll-out"))
+        print_and_exit(request_front(address, "GET", "fleet/roll-out"))
     else:
-        tag = etag(address)
-        query = f"fleet/roll-out?watch={watch}&why={query_text(why)}" + ("&force=yes" if force else "")
-        end_with(call(address, "PUT", query, text_of(file).encode(), If_Match=tag))
+        tag = catalogue_etag(address)
+        query = f"fleet/roll-out?watch={watch}&why={escape_query_text(why)}" + ("&force=yes" if force else "")
+        print_and_exit(request_front(address, "PUT", query, formatted_catalogue(file).encode(), If_Match=tag))
 
 
-def owner_lines(said: dict[str, Any]) -> list[str]:
+def describe_owners(status: dict[str, Any]) -> list[str]:
     """Describes the duties' owners in lines of text, from a decoded answer."""
-    term = said["term_ms"] / MS_PER_SECOND
-    out = [f"{said['name']}: keepers {', '.join(said['keepers'])}; a term is {term:g} s"]
-    if keeper := said.get("keeper"):
-        out.append(_keeper_line(keeper))
-    for duty in said["duties"]:
-        owner = f"{duty['owner']}, number {duty['number']}" if duty["owner"] else NOBODY
+    term = status["term_ms"] / MS_PER_SECOND
+    out = [f"{status['name']}: keepers {', '.join(status['keepers'])}; a term is {term:g} s"]
+    if keeper := status.get("keeper"):
+        out.append(_describe_keeper(keeper))
+    for duty in status["duties"]:
+        owner = f"{duty['owner']}, number {duty['number']}" if duty["owner"] else UNKNOWN_OWNER
         mine = f"; here: {duty['course']}, {duty['in_line'] + 1}. in line" if duty["course"] else ""
         out.append(f"  {duty['duty']}: {owner}{mine}")
     return out
 
 
-def _keeper_line(keeper: dict[str, Any]) -> str:
+def _describe_keeper(keeper: dict[str, Any]) -> str:
     grants = "grants" if keeper["speaks"] and keeper["record"] else "grants nothing"
     memory = "" if keeper["sound"] else ", remembers nothing"
     mute = f", mute for {keeper['mute_ms'] / MS_PER_SECOND:.1f} s" if keeper["mute_ms"] else ""
@@ -109,7 +116,7 @@
     return f"  a keeper, {grants}{memory}{mute}{waits}{disk}"
 
 
-def member_lines(view: dict[str, Any]) -> list[str]:
+def describe_members(view: dict[str, Any]) -> list[str]:
     """Describes a front end's view of its peers in lines of text, from a decoded answer."""
     members = view["members"]
     states = Counter(member["standing"] for member in members)
@@ -119,20 +126,20 @@
     dropped = ", ".join(f"{what} {count}" for what, count in sorted(view["dropped"].items())) or "nothing"
     return [
         f"{view['name']}, start {view['start']}, {own}: {counts}",
-        *(_member_line(member, width) for member in members),
-        *(_zone_line(zone) for zone in view.get("zones", ())),
+        *(_describe_member(member, width) for member in members),
+        *(_describe_zone(zone) for zone in view.get("zones", ())),
         f"  sent {view['sent']}, taken {view['taken']}, dropped: {dropped}",
     ]
 
 
-def _zone_line(zone: dict[str, Any]) -> str:
+def _describe_zone(zone: dict[str, Any]) -> str:
     reach = "reachable" if zone["reachable"] else "unreachable"
     counts = f"{zone['present']} present, {zone['failed']} gone, {zone['left']} left"
     moved = f"heard {zone['moved_ms'] / MS_PER_SECOND:.1f} s ago"
     return f"  zone {zone['zone']} of {zone['region']}: {reach}, {counts}, {moved}"
 
 
-def _member_line(member: dict[str, Any], width: int) -> str:
+def _describe_member(member: dict[str, Any], width: int) -> str:
     heard = ""
     if member["heard_ms"] is not None:
         heard = f", heard {member['heard_ms'] / MS_PER_SECOND:.1f} s ago"
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -13,20 +13,22 @@
 import click
 import trio
 
-from oakcroft.commands.arguments import BROKEN, FAULTY, FILE
-from oakcroft.config.diagnostics import Unsound
+from oakcroft.commands.arguments import EXIT_FAILURE, EXIT_INVALID_INPUT, EXISTING_FILE
+from oakcroft.config.diagnostics import InvalidConfigurationError
 
 if TYPE_CHECKING:
     from oakcroft.standins.day import Day
 
-SHIPPED_DAYS = Path(__file__).parents[1] / "rehearsal"
+SHIPPED_DAYS_FOLDER = Path(__file__).parents[1] / "rehearsal"
 
 
 @click.command()
 @click.argument("file", required=False)
 @click.option("--seed", type=int, help="Play the day from another seed.")
 @click.option("--baseline/--no-baseline", default=True, help="Play the same day with the naive baseline too.")
-@click.option("--day", "bench_day", type=FILE, help="Play the troubles of a day file as the bench draws it.")
+@click.option(
+    "--day", "bench_day", type=EXISTING_FILE, help="Play the troubles of a day file as the bench draws it."
+)
 @click.option(
     "--keep", type=click.Path(file_okay=False, path_type=Path), help="Keep records and logs in this folder."
 )
@@ -53,9 +55,9 @@
 
     try:
         day, body = _read_day(file, bench_day)
-    except (Unsound, ValueError, OSError) as fault:
+    except (InvalidConfigurationError, ValueError, OSError) as fault:
         click.echo(str(fault), err=True)
-        sys.exit(FAULTY)
+        sys.exit(EXIT_INVALID_INPUT)
     if seed is not None:
         day = day.seeded(seed)
     audience = Mixed if mixed else Audience
@@ -65,7 +67,7 @@
         click.echo("the naive baseline on the same day:")
         other = runner.play(day, body, "naive", click.echo, keep and keep / "naive")
     click.echo(report.whole(outcome, other))
-    sys.exit(0 if outcome.kept else BROKEN)
+    sys.exit(0 if outcome.kept else EXIT_FAILURE)
 
 
 def _read_day(file: str | None, bench_day: Path | None) -> tuple[Day, str]:
@@ -78,14 +80,14 @@
         for note in notes:
             click.echo(note)
         return parse(body, bench_day.stem), body
-    shipped = SHIPPED_DAYS / f"{file or 'bad-day'}.oak"
+    shipped = SHIPPED_DAYS_FOLDER / f"{file or 'bad-day'}.oak"
     source = shipped if shipped.exists() else Path(file or "")
     body = source.read_text(encoding="utf-8")
     return parse(body, source.stem), body
 
 
 @click.command(name="stand-in", hidden=True)
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option("--seed", type=int, required=True)
 @click.option("--start", type=int, required=True, help="When the day begins, ns since the epoch.")
 @click.option("--record", type=click.Path(dir_okay=False, path_type=Path), required=True)
--- a/oakcroft/commands/state.py
+++ b/oakcroft/commands/state.py
@@ -10,24 +10,24 @@
 
 import click
 
-from oakcroft.commands.arguments import BROKEN, FAULTY, FILE, NEW_FILE
-from oakcroft.decisions.state.state_file_health import Trouble
-from oakcroft.decisions.state.promise import Mark
+from oakcroft.commands.arguments import EXIT_FAILURE, EXIT_INVALID_INPUT, EXISTING_FILE, NEW_FILE
+from oakcroft.decisions.state.state_file_health import FileFault
+from oakcroft.decisions.state.promise import PromiseState
 from oakcroft.interface import SECOND
-from oakcroft.store.changes import Held
-from oakcroft.store.file import StateFile, Unusable
-from oakcroft.store.schema import VERSION
+from oakcroft.store.changes import StateContents
+from oakcroft.store.file import StateFile, StateFileError
+from oakcroft.store.schema import SCHEMA_VERSION
 
 
-def open_file(file: Path) -> StateFile:
+def open_or_exit(file: Path) -> StateFile:
     """Opens a state file. Prints the error and ends the command if that fails."""
     try:
         return StateFile(str(file))
-    except Unusable as fault:
+    except StateFileError as fault:
         click.echo(f"{file}: {fault}", err=True)
-        if fault.trouble is Trouble.BUSY:
+        if fault.fault is FileFault.LOCKED:
             click.echo("a running front has it; ask that front: oakcroft status", err=True)
-        sys.exit(BROKEN)
+        sys.exit(EXIT_FAILURE)
 
 
 @click.group()
@@ -35,44 +35,45 @@
     """Look at, copy and check the state file of a front that does not run."""
 
 
-def content_lines(held: Held, now: int) -> list[str]:
+def describe_contents(contents: StateContents, now: int) -> list[str]:
     """Describes a state file's contents in lines of text. `now` is the time in ns since the epoch."""
-    alive = int(held.facts.get("alive", b"0"))
-    knows_all = "whole" in held.facts
-    marks = Counter(promise.mark for promise in held.promises)
-    by_mark = ", ".join(f"{marks[mark]} {mark.value}" for mark in Mark if marks[mark])
+    alive = int(contents.named_values.get("alive", b"0"))
+    knows_all = "whole" in contents.named_values
+    marks = Counter(promise.mark for promise in contents.promises)
+    by_mark = ", ".join(f"{marks[mark]} {mark.value}" for mark in PromiseState if marks[mark])
     return [
-        f"version {VERSION}; "
+        f"version {SCHEMA_VERSION}; "
         + ("knows all promises" if knows_all else "does not know all promises: nodes are asked"),
         f"last written {max(0, now - alive) / SECOND:.1f} s ago"
         if alive
         else "never written by a serving front",
-        f"{len(held.promises)} promises: {by_mark}",
-        *_plan_lines(held),
-        f"{len(held.lines)} nodes in list {held.list_version} of {held.service or 'no service'}",
-        f"{len(held.grudges)} nodes with something held against them, {len(held.spent)} slots of cold nodes spent",
-        f"{len(held.moves)} moves under way",
+        f"{len(contents.promises)} promises: {by_mark}",
+        *_describe_plans(contents),
+        f"{len(contents.listed_nodes)} nodes in list {contents.list_version} of {contents.service or 'no service'}",
+        f"{len(contents.node_penalties)} nodes with something held against them, "
+        f"{len(contents.slot_usage)} slots of cold nodes spent",
+        f"{len(contents.moves)} moves under way",
         *(
-            f"{version.kind} {version.number} {version.digest} {version.why}".rstrip()
-            for version in held.versions
+            f"{version.kind} {version.number} {version.digest} {version.reason}".rstrip()
+            for version in contents.versions
         ),
     ]
 
 
-def _plan_lines(held: Held) -> list[str]:
-    plans = Counter((promise.plan, promise.mark) for promise in held.promises)
+def _describe_plans(contents: StateContents) -> list[str]:
+    plans = Counter((promise.plan, promise.mark) for promise in contents.promises)
     in_order = sorted(plans, key=lambda plan_and_mark: (plan_and_mark[0], plan_and_mark[1].name))
     return [f"  {plan}: {plans[plan, mark]} {mark.value}" for plan, mark in in_order]
 
 
 @state.command("show")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option("--promises", is_flag=True, help="Each promise on a line of its own.")
 def state_show(file: Path, promises: bool) -> None:
     """Tell what FILE holds."""
-    with closing(open_file(file)) as one:
+    with closing(open_or_exit(file)) as one:
         held = one.read()
-    for line in content_lines(held, time.time_ns()):
+    for line in describe_contents(held, time.time_ns()):
         click.echo(line)
     for promise in held.promises if promises else []:
         mark = promise.mark.name.lower()
@@ -80,15 +81,15 @@
 
 
 @state.command("check")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 def state_check(file: Path) -> None:
     """Read all of FILE; exit 1 where it is damaged or another program's."""
-    with closing(open_file(file)) as one:
+    with closing(open_or_exit(file)) as one:
         try:
             held = one.read()
-        except Unusable as fault:
+        except StateFileError as fault:
             click.echo(f"{file}: {fault}", err=True)
-            sys.exit(BROKEN)
+            sys.exit(EXIT_FAILURE)
     keys = Counter(promise.key for promise in held.promises)
     twice = [key for key, times in keys.items() if times > 1]
     more = f", {len(twice)} keys twice" if twice else ""
@@ -96,21 +97,21 @@
 
 
 @state.command("snapshot")
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.argument("to", type=NEW_FILE)
 def state_snapshot(file: Path, to: Path) -> None:
     """Copy FILE to TO, whole or not at all."""
-    with closing(open_file(file)) as one:
+    with closing(open_or_exit(file)) as one:
         try:
             one.snapshot(to)
-        except Unusable as fault:
+        except StateFileError as fault:
             click.echo(f"{to}: {fault}", err=True)
-            sys.exit(BROKEN)
+            sys.exit(EXIT_FAILURE)
         click.echo(f"{to}: {len(one.read().promises)} promises")
 
 
 @state.command("restore")
-@click.argument("snapshot", type=FILE)
+@click.argument("snapshot", type=EXISTING_FILE)
 @click.argument("file", type=NEW_FILE)
 @click.option("--yes", is_flag=True, help="Replace a FILE that is there; it is kept beside, as FILE.before.")
 def state_restore(snapshot: Path, file: Path, yes: bool) -> None:
@@ -122,12 +123,12 @@
     if file.exists():
         if not yes:
             click.echo(f"{file} is there; say --yes to replace it", err=True)
-            sys.exit(FAULTY)
-        open_file(file).close()  # no front end may have it open; closing also checkpoints its WAL
+            sys.exit(EXIT_INVALID_INPUT)
+        open_or_exit(file).close()  # no front end may have it open; closing also checkpoints its WAL
         file.replace(file.with_name(file.name + ".before"))
-    with closing(open_file(snapshot)) as held:
+    with closing(open_or_exit(snapshot)) as held:
         count = len(held.read().promises)
         held.snapshot(file)
-    with closing(open_file(file)) as new:
-        new.forget_fact("whole")
+    with closing(open_or_exit(file)) as new:
+        new.delete_named_value("whole")
     click.echo(f"{file}: {count} promises; the front will ask its nodes for what it promised since")
--- a/oakcroft/config/checks/__init__.py
+++ b/oakcroft/config/checks/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakcroft.config.checks import fronts, levels, limits, peers, plans, pools, routes, zones
-from oakcroft.config.diagnostics import Problems
+from oakcroft.config.diagnostics import Diagnostics
 from oakcroft.config.records import Records
 
 CHECKS = (
@@ -15,7 +15,7 @@
 """All checks in the order in which they run, which matters where the bound on diagnostics is reached."""
 
 
-def cross_check(records: Records, problems: Problems) -> None:
+def cross_check(records: Records, diagnostics: Diagnostics) -> None:
     """Runs all checks across the forms of a configuration and records what they find."""
     for check in CHECKS:
-        check(records, problems)
+        check(records, diagnostics)
--- a/oakcroft/config/checks/fronts.py
+++ b/oakcroft/config/checks/fronts.py
@@ -3,40 +3,40 @@
 from __future__ import annotations
 
 from oakcroft.config import forms
-from oakcroft.config.diagnostics import Problems, near, or_list
+from oakcroft.config.diagnostics import Diagnostics, closest_match, join_alternatives
 from oakcroft.config.records import Records
-from oakcroft.config.schema import TIMES, say
+from oakcroft.config.schema import TIME_TYPE, format_value
 
 
-def check_front(records: Records, problems: Problems) -> None:
+def check_front(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that the front end's number and wing are among those of the fleet."""
-    front = records.one(forms.FRONT)
+    front = records.find_single(forms.FRONT)
     if front is None:
         return
-    fronts, wings = records.fleet("fronts"), records.fleet("wings")
+    fronts, wings = records.fleet_value("fronts"), records.fleet_value("wings")
     if front.get("number") >= fronts:
         what = f"front {front.get('number')} of {fronts}: fronts count from 0"
-        problems.error(front.at("number"), what, f"write (number {max(0, fronts - 1)}) or less")
+        diagnostics.error(front.location_of("number"), what, f"write (number {max(0, fronts - 1)}) or less")
     zone = front.get("zone")
     if wings and zone and zone not in wings:
-        guess = near(zone, wings)
-        fix = f"write {guess}" if guess else f"write {or_list(wings)}"
-        problems.error(front.at("zone"), f"there is no wing {zone}", fix)
+        guess = closest_match(zone, wings)
+        fix = f"write {guess}" if guess else f"write {join_alternatives(wings)}"
+        diagnostics.error(front.location_of("zone"), f"there is no wing {zone}", fix)
 
 
-def check_nodes(records: Records, problems: Problems) -> None:
+def check_nodes(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that the timeouts for nodes are in order and that the answer's margin fits into each plan's abandon time."""
-    nodes = records.one(forms.NODES)
+    nodes = records.find_single(forms.NODES)
     if nodes is not None and nodes.get("lost-after") < nodes.get("silent-after"):
         what = "playbacks would count as lost before their node counts as silent"
-        fix = f"write (lost-after {say(TIMES, nodes.get('silent-after'))}) or more"
-        problems.error(nodes.at("lost-after"), what, fix)
-    signalling = records.one(forms.SIGNALLING)
+        fix = f"write (lost-after {format_value(TIME_TYPE, nodes.get('silent-after'))}) or more"
+        diagnostics.error(nodes.location_of("lost-after"), what, fix)
+    signalling = records.find_single(forms.SIGNALLING)
     if signalling is None:
         return
     way_back = signalling.get("way-back")
-    for plan in records.all(forms.PLAN).values():
+    for plan in records.named_records(forms.PLAN).values():
         abandon = plan.values.get("abandon")
         if abandon and way_back * 2 > abandon:
-            what = f"the way back takes over half of plan {plan.head}'s abandon time {say(TIMES, abandon)}"
-            problems.error(signalling.at("way-back"), what, "write a shorter one")
+            what = f"the way back takes over half of plan {plan.name}'s abandon time {format_value(TIME_TYPE, abandon)}"
+            diagnostics.error(signalling.location_of("way-back"), what, "write a shorter one")
--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -3,60 +3,60 @@
 from __future__ import annotations
 
 from oakcroft.config import forms
-from oakcroft.config.checks.references import is_defined
-from oakcroft.config.diagnostics import Problems
+from oakcroft.config.checks.references import check_defined
+from oakcroft.config.diagnostics import Diagnostics
 from oakcroft.config.records import Records
-from oakcroft.config.schema import Bad, Record
+from oakcroft.config.schema import InvalidValueError, Record
 from oakcroft.config.syntax import Atom
 
 
-def check_levels(records: Records, problems: Problems) -> None:
+def check_levels(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that each level has a unique rank, a load signal with entry over exit, and only admits defined plans."""
     ranks: dict[int, str] = {}
-    for name, level in records.all(forms.LEVEL).items():
+    for name, level in records.named_records(forms.LEVEL).items():
         rank = level.get("rank")
         other = ranks.setdefault(rank, name)
         if other != name:
             what = f"levels {other} and {name} have the same rank"
-            problems.error(level.at("rank"), what, "number them from 1")
-        if not any(sign in level.places for sign in forms.SIGNS):
+            diagnostics.error(level.location_of("rank"), what, "number them from 1")
+        if not any(sign in level.field_locations for sign in forms.SIGNAL_FIELDS):
             what = f"level {name} names no sign and is never entered"
-            problems.error(level.place, what, "add (x 1.05 0.9)")
-        _check_signs(level, problems)
-        _check_admitted(level, records, problems)
+            diagnostics.error(level.location, what, "add (x 1.05 0.9)")
+        _check_signs(level, diagnostics)
+        _check_admitted(level, records, diagnostics)
 
 
-def _check_signs(level: Record, problems: Problems) -> None:
+def _check_signs(level: Record, diagnostics: Diagnostics) -> None:
     """Checks that the entry threshold of each signal exceeds its exit, so that the level doesn't flap."""
-    for sign in forms.SIGNS:
+    for sign in forms.SIGNAL_FIELDS:
         bounds = level.get(sign)
         if not bounds:
             continue
         entry, leave = bounds
         if entry <= leave:
-            what = f"level {level.head} is left at {sign} {leave:g} and entered at {entry:g}"
-            problems.error(level.at(sign), what, "write the entry first, and the exit under it")
+            what = f"level {level.name} is left at {sign} {leave:g} and entered at {entry:g}"
+            diagnostics.error(level.location_of(sign), what, "write the entry first, and the exit under it")
 
 
-def _check_admitted(level: Record, records: Records, problems: Problems) -> None:
+def _check_admitted(level: Record, records: Records, diagnostics: Diagnostics) -> None:
     for plan, share in level.get("admits"):
-        is_defined(level, "admits", records.all(forms.PLAN), "plan", problems, plan)
+        check_defined(level, "admits", records.named_records(forms.PLAN), "plan", diagnostics, plan)
         try:
-            forms.SHARE.read(Atom(share, level.at("admits"), False, share))
-        except Bad as bad:
-            problems.error(level.at("admits"), bad.what, bad.fix)
+            forms.SHARE_TYPE.parse(Atom(share, level.location_of("admits"), False, share))
+        except InvalidValueError as bad:
+            diagnostics.error(level.location_of("admits"), bad.message, bad.fix)
 
 
-def check_preference(records: Records, problems: Problems) -> None:
+def check_preference(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that the preference names wings of the fleet, each once, and that the fleet has at least two."""
-    preference = records.one(forms.PREFERENCE)
+    preference = records.find_single(forms.PREFERENCE)
     if preference is None:
         return
-    wings, order = records.fleet("wings"), preference.get("then")
+    wings, order = records.fleet_value("wings"), preference.get("then")
     for wing in order:
-        is_defined(preference, "then", dict.fromkeys(wings), "wing", problems, wing)
+        check_defined(preference, "then", dict.fromkeys(wings), "wing", diagnostics, wing)
     if len(set(order)) != len(order):
-        problems.error(preference.at("then"), "a wing stands twice in the order", "take one out")
+        diagnostics.error(preference.location_of("then"), "a wing stands twice in the order", "take one out")
     if len(wings) <= 1:
         what = "a preference needs two wings or more"
-        problems.error(preference.place, what, "name them in (fleet (wings …))")
+        diagnostics.error(preference.location, what, "name them in (fleet (wings …))")
--- a/oakcroft/config/checks/references.py
+++ b/oakcroft/config/checks/references.py
@@ -4,23 +4,30 @@
 
 from collections.abc import Iterable
 
-from oakcroft.config.diagnostics import Problems, near, or_list
+from oakcroft.config.diagnostics import Diagnostics, closest_match, join_alternatives
 from oakcroft.config.schema import Record
 
 
-def is_defined(
-    record: Record, field: str, known: Iterable[str], what: str, problems: Problems, given: str | None = None
+def check_defined(
+    record: Record,
+    field_name: str,
+    known_names: Iterable[str],
+    form_name: str,
+    diagnostics: Diagnostics,
+    name_override: str | None = None,
 ) -> bool:
     """Whether the name in a field, or `name_override` in its place, is known. Records an error if it isn't.
 
     An absent or empty name passes; whether the field is required is checked elsewhere.
     """
-    names = list(known)
-    name = record.values.get(field) if given is None else given
+    names = list(known_names)
+    name = record.values.get(field_name) if name_override is None else name_override
     if not name or name in names:
         return True
-    guess = near(name, names)
-    there = f"; did you mean {guess}?" if guess else f"; there is {or_list(names)}" if names else ""
-    fix = f"write {guess}" if guess else f"add ({what} {name} …)"
-    problems.error(record.at(field), f"there is no {what} {name}{there}", fix, record.also)
+    guess = closest_match(name, names)
+    there = f"; did you mean {guess}?" if guess else f"; there is {join_alternatives(names)}" if names else ""
+    fix = f"write {guess}" if guess else f"add ({form_name} {name} …)"
+    diagnostics.error(
+        record.location_of(field_name), f"there is no {form_name} {name}{there}", fix, record.notes
+    )
     return False
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -5,36 +5,36 @@
 from collections.abc import Iterable, Mapping
 
 from oakcroft.config import forms
-from oakcroft.config.checks.references import is_defined
-from oakcroft.config.deployment_builder import route_of_record
-from oakcroft.config.diagnostics import Problems, or_list
+from oakcroft.config.checks.references import check_defined
+from oakcroft.config.deployment_builder import build_route_from_record
+from oakcroft.config.diagnostics import Diagnostics, join_alternatives
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
-from oakcroft.decisions.routing.route_table import Route, Side, clashes, rank
+from oakcroft.decisions.routing.route_table import Route, ClientRole, ambiguous_routes, specificity
 
 Claims = dict[str, str]
 
 
-def check_routes(records: Records, problems: Problems) -> None:
+def check_routes(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that each route refers to a defined plan and pool, and that some request can reach it."""
-    plans = records.all(forms.PLAN)
+    plans = records.named_records(forms.PLAN)
     sound = list[Route]()
-    for name, record in records.all(forms.ROUTE).items():
-        is_sound = is_defined(record, "plan", plans, "plan", problems)
-        is_defined(record, "pool", records.all(forms.POOL), "pool", problems)
-        wings = records.fleet("wings")
+    for name, record in records.named_records(forms.ROUTE).items():
+        is_sound = check_defined(record, "plan", plans, "plan", diagnostics)
+        check_defined(record, "pool", records.named_records(forms.POOL), "pool", diagnostics)
+        wings = records.fleet_value("wings")
         if wings and record.get("wing"):
-            is_defined(record, "wing", wings, "wing", problems)
-        _check_claims(record, records, problems)
+            check_defined(record, "wing", wings, "wing", diagnostics)
+        _check_claims(record, records, diagnostics)
         if is_sound and record.values.get("plan") in plans:
-            _check_top(record, plans[record.values["plan"]], records.ladder_length(), problems)
-        _check_titles(record, problems)
+            _check_top(record, plans[record.values["plan"]], records.ladder_length(), diagnostics)
+        _check_redundant_titles(record, diagnostics)
         if "path" in record.values and is_sound:
-            sound.append(route_of_record(name, record))
-    _check_clashes(sound, records, problems)
-    _check_shadowed(sound, records, problems)
+            sound.append(build_route_from_record(name, record))
+    _check_ambiguous_routes(sound, records, diagnostics)
+    _check_unreachable_routes(sound, records, diagnostics)
     for route in sound:
-        _check_patterns(route, records.all(forms.ROUTE)[route.name], problems)
+        _check_redundant_patterns(route, records.named_records(forms.ROUTE)[route.name], diagnostics)
 
 
 def _claims(record: Record) -> Claims:
@@ -42,93 +42,101 @@
 
 
 def _token_claims(records: Records) -> list[Claims]:
-    return [_claims(token) for token in records.all(forms.TOKEN).values()]
+    return [_claims(token) for token in records.named_records(forms.TOKEN).values()]
 
 
-def _check_claims(record: Record, records: Records, problems: Problems) -> None:
+def _check_claims(record: Record, records: Records, diagnostics: Diagnostics) -> None:
     claims = _claims(record)
     if claims and not any(_has_claims(token, claims.items()) for token in _token_claims(records)):
         shown = " and ".join(f"{claim} {value}" for claim, value in sorted(claims.items()))
-        what = f"route {record.head} is never reached: no token has the claim {shown}"
-        problems.warn(record.at("claim"), what, f"add (claim {shown}) to a token")
+        what = f"route {record.name} is never reached: no token has the claim {shown}"
+        diagnostics.warn(record.location_of("claim"), what, f"add (claim {shown}) to a token")
 
 
-def _has_claims(token: Mapping[str, str], wanted: Iterable[tuple[str, str]]) -> bool:
-    return all(token.get(claim) == value for claim, value in wanted)
+def _has_claims(token_claims: Mapping[str, str], required: Iterable[tuple[str, str]]) -> bool:
+    return all(token_claims.get(claim) == value for claim, value in required)
 
 
-def _check_top(record: Record, plan: Record, rungs: int, problems: Problems) -> None:
+def _check_top(record: Record, plan: Record, rung_count: int, diagnostics: Diagnostics) -> None:
     top, floor = record.get("top"), plan.get("floor")
     if top is None:
         return
     if top < floor:
-        what = f"route {record.head} has top {top} under the floor {floor} of plan {plan.head}"
-        problems.error(record.at("top"), what, f"write (top {floor}) or more")
-    elif rungs and top >= rungs:
-        what = f"route {record.head} has top {top}, but the ladder ends at rung {rungs - 1}"
-        problems.warn(record.at("top"), what, "take it out")
+        what = f"route {record.name} has top {top} under the floor {floor} of plan {plan.name}"
+        diagnostics.error(record.location_of("top"), what, f"write (top {floor}) or more")
+    elif rung_count and top >= rung_count:
+        what = f"route {record.name} has top {top}, but the ladder ends at rung {rung_count - 1}"
+        diagnostics.warn(record.location_of("top"), what, "take it out")
 
 
-def _check_titles(record: Record, problems: Problems) -> None:
+def _check_redundant_titles(record: Record, diagnostics: Diagnostics) -> None:
     if "*" in record.get("titles") and len(record.get("titles")) > 1:
-        what = f"route {record.head} takes all titles by *; the others beside it say nothing"
-        problems.warn(record.at("titles"), what, "take the others out")
+        what = f"route {record.name} takes all titles by *; the others beside it say nothing"
+        diagnostics.warn(record.location_of("titles"), what, "take the others out")
 
 
-def _check_clashes(routes: list[Route], records: Records, problems: Problems) -> None:
+def _check_ambiguous_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
     """Checks that no two routes of equal specificity match the same request, since either could be chosen."""
-    places = {name: record.place for name, record in records.all(forms.ROUTE).items()}
-    for one, other, title in clashes(routes):
+    places = {name: record.location for name, record in records.named_records(forms.ROUTE).items()}
+    for one, other, title in ambiguous_routes(routes):
         what = (
             f"routes {one.name} and {other.name} both take {title} under {one.match.prefix}, "
             "and neither is more particular"
         )
         fix = "give one of them titles, a wing or a claim that the other has not"
-        problems.error(places[other.name], what, fix, [f"{one.name} stands at {places[one.name]}"])
+        diagnostics.error(places[other.name], what, fix, [f"{one.name} stands at {places[one.name]}"])
 
 
-def _check_shadowed(routes: list[Route], records: Records, problems: Problems) -> None:
+def _check_unreachable_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
     """Warns of routes that take no request: for every wing and every token, another route of the same titles has a
     higher specificity and matches."""
-    wings = list(records.fleet("wings")) or [""]
+    wings = list(records.fleet_value("wings")) or [""]
     askers = [(wing, claims) for wing in wings for claims in _token_claims(records) or [{}]]
-    for pattern, rivals in _rivals(routes):
+    for pattern, rivals in _competing_routes(routes):
         for route in rivals:
-            ahead = [rival for rival in rivals if rank(pattern, rival.match) > rank(pattern, route.match)]
-            if not _always_behind(route, ahead, askers):
+            ahead = [
+                rival
+                for rival in rivals
+                if specificity(pattern, rival.match) > specificity(pattern, route.match)
+            ]
+            if not _is_always_outranked(route, ahead, askers):
                 continue
-            place = records.all(forms.ROUTE)[route.name].place
-            names = or_list(rival.name for rival in ahead)
+            place = records.named_records(forms.ROUTE)[route.name].location
+            names = join_alternatives(rival.name for rival in ahead)
             what = f"route {route.name} is never reached for {pattern or 'any title'}: {names} always go before it"
-            problems.warn(place, what, "take it out, or give it a condition of its own")
+            diagnostics.warn(place, what, "take it out, or give it a condition of its own")
 
 
-def _rivals(routes: list[Route]) -> list[tuple[str | None, list[Route]]]:
+def _competing_routes(routes: list[Route]) -> list[tuple[str | None, list[Route]]]:
     """Returns each title pattern with its routes, where two or more share client role, path and pattern."""
-    groups: dict[tuple[Side, str, str | None], list[Route]] = {}
+    groups: dict[tuple[ClientRole, str, str | None], list[Route]] = {}
     for route in routes:
-        for pattern in route.match.titles or (None,):
-            groups.setdefault((route.match.side, route.match.prefix, pattern), []).append(route)
+        for pattern in route.match.title_patterns or (None,):
+            groups.setdefault((route.match.role, route.match.prefix, pattern), []).append(route)
     return [(pattern, rivals) for (_, _, pattern), rivals in groups.items() if len(rivals) > 1]
 
 
-def _always_behind(route: Route, ahead: list[Route], askers: list[tuple[str, Claims]]) -> bool:
+def _is_always_outranked(
+    route: Route, higher_ranked: list[Route], request_origins: list[tuple[str, Claims]]
+) -> bool:
     """Whether each origin whose requests a route accepts is also accepted by a route of higher rank.
 
     False if the route accepts none of the origins.
     """
-    taken = [(wing, claims) for wing, claims in askers if _takes(route, wing, claims)]
-    return bool(taken) and all(any(_takes(other, wing, claims) for other in ahead) for wing, claims in taken)
+    taken = [(wing, claims) for wing, claims in request_origins if _accepts(route, wing, claims)]
+    return bool(taken) and all(
+        any(_accepts(other, wing, claims) for other in higher_ranked) for wing, claims in taken
+    )
 
 
-def _takes(route: Route, wing: str, claims: Mapping[str, str]) -> bool:
+def _accepts(route: Route, zone: str, claims: Mapping[str, str]) -> bool:
     """Whether a route's conditions hold for a request with a token's claims at a front end of a zone."""
-    return route.match.wing in ("", wing) and _has_claims(claims, route.match.claims)
+    return route.match.zone in ("", zone) and _has_claims(claims, route.match.claims)
 
 
-def _check_patterns(route: Route, record: Record, problems: Problems) -> None:
-    patterns = [pattern for pattern in route.match.titles if pattern.endswith("*")]
+def _check_redundant_patterns(route: Route, record: Record, diagnostics: Diagnostics) -> None:
+    patterns = [pattern for pattern in route.match.title_patterns if pattern.endswith("*")]
     for pattern in patterns:
         if any(other != pattern and pattern.startswith(other[:-1]) for other in patterns):
             what = f"route {route.name} names {pattern}, which another of its titles takes in"
-            problems.warn(record.at("titles"), what, f"take {pattern} out")
+            diagnostics.warn(record.location_of("titles"), what, f"take {pattern} out")
--- a/oakcroft/config/checks/zones.py
+++ b/oakcroft/config/checks/zones.py
@@ -5,65 +5,65 @@
 from ipaddress import ip_address
 
 from oakcroft.config import forms
-from oakcroft.config.checks.peers import has_peers
-from oakcroft.config.diagnostics import Problems
+from oakcroft.config.checks.peers import check_has_peers
+from oakcroft.config.diagnostics import Diagnostics
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
 from oakcroft.decisions.membership.zone_directory import MAX_ZONES
 from oakcroft.decisions.membership.zone_summary import MAX_ZONE_NAME_LENGTH
 
 
-def check_zones(records: Records, problems: Problems) -> None:
+def check_zones(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that zones can be reached and fit the wire format, that this front end is in one, and that no form
     requires every front end to know all others by name."""
-    zones = records.all(forms.ZONE)
+    zones = records.named_records(forms.ZONE)
     if not zones:
         return
     first = next(iter(zones.values()))
     if len(zones) > MAX_ZONES:
-        problems.error(
-            first.place, f"there are {len(zones)} zones, and {MAX_ZONES} at most can be", "join some"
+        diagnostics.error(
+            first.location, f"there are {len(zones)} zones, and {MAX_ZONES} at most can be", "join some"
         )
     for name, zone in zones.items():
-        _check_names(name, zone, problems)
-        _check_seeds(zone, problems)
-    if not has_peers(records, first, "region", "zones are of the peers", problems):
+        _check_names(name, zone, diagnostics)
+        _check_seeds(zone, diagnostics)
+    if not check_has_peers(records, first, "region", "zones are of the peers", diagnostics):
         return
-    front = records.one(forms.FRONT)
+    front = records.find_single(forms.FRONT)
     if front is not None and front.get("zone") not in zones:
         shown = front.get("zone") or "none"
         what = f"this front stands in no zone that is listed, but in {shown}"
-        problems.error(front.at("zone"), what, f"add (zone {shown} …), or write another")
-    _check_keepers(records, problems)
+        diagnostics.error(front.location_of("zone"), what, f"add (zone {shown} …), or write another")
+    _check_keepers(records, diagnostics)
 
 
-def _check_names(name: str, zone: Record, problems: Problems) -> None:
+def _check_names(name: str, zone: Record, diagnostics: Diagnostics) -> None:
     for text in (name, zone.values.get("region", "")):
         if len(text) > MAX_ZONE_NAME_LENGTH:
             what = f"{text} is longer than the {MAX_ZONE_NAME_LENGTH} letters that go to other zones"
-            problems.error(zone.place, what, "write a shorter name")
+            diagnostics.error(zone.location, what, "write a shorter name")
 
 
-def _check_seeds(zone: Record, problems: Problems) -> None:
+def _check_seeds(zone: Record, diagnostics: Diagnostics) -> None:
     for host, port in zone.values.get("seeds", ()):
         try:
             ip_address(host)
         except ValueError:
             what = f"{host} is not an IP address; names are not looked up"
-            problems.error(zone.at("seeds"), what, "write its address")
+            diagnostics.error(zone.location_of("seeds"), what, "write its address")
         if port == 0:
-            problems.error(zone.at("seeds"), "port 0: nobody listens there", "write its port")
+            diagnostics.error(zone.location_of("seeds"), "port 0: nobody listens there", "write its port")
 
 
-def _check_keepers(records: Records, problems: Problems) -> None:
+def _check_keepers(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that there are no keepers beside zones.
 
     Keepers are reached by name, and a front end knows only the names of its own zone. Each zone would have an owner of
     its own for a duty, and a catalogue version would be rolled out in one zone only.
     """
-    keepers = records.one(forms.KEEPERS)
+    keepers = records.find_single(forms.KEEPERS)
     if keepers is not None:
         what = (
             "with (zone …) a front knows by name the fronts of its own zone alone, and could not reach these"
         )
-        problems.error(keepers.at("names"), what, "take (keepers …) out, or all (zone …)")
+        diagnostics.error(keepers.location_of("names"), what, "take (keepers …) out, or all (zone …)")
--- a/oakcroft/config/deployment_builder.py
+++ b/oakcroft/config/deployment_builder.py
@@ -7,144 +7,161 @@
 from typing import Any
 
 from oakcroft.config import forms
-from oakcroft.config.resolved import Meaning, plain_values
+from oakcroft.config.resolved import ResolvedConfig, resolve_fields
 from oakcroft.config.schema import Record
-from oakcroft.config.settings import Deployment, Holding, OtherZone, PeersPlace, PlanTerms, Site, Stand, Token
-from oakcroft.decisions.admission.connection_limits import Bounds
-from oakcroft.decisions.admission.service_levels import Acts, Level, Mark, Sign
-from oakcroft.decisions.admission.service_levels import Bounds as LevelBounds
-from oakcroft.decisions.admission.request_limits import Limit, Scope
-from oakcroft.decisions.fleet.session_takeover import Bounds as AdoptingBounds
+from oakcroft.config.settings import (
+    Deployment,
+    TitlePlacement,
+    OtherZone,
+    PeerSettings,
+    PlanTerms,
+    SharedSettings,
+    FrontSettings,
+    BearerToken,
+)
+from oakcroft.decisions.admission.connection_limits import ConnectionLimits
+from oakcroft.decisions.admission.service_levels import (
+    LevelEffects,
+    ServiceLevel,
+    SignalThreshold,
+    LoadSignal,
+)
+from oakcroft.decisions.admission.service_levels import LevelBounds as LevelBounds
+from oakcroft.decisions.admission.request_limits import RequestLimit, LimitScope
+from oakcroft.decisions.fleet.session_takeover import TakeoverBounds as AdoptingBounds
 from oakcroft.decisions.routing.pools import Pool
-from oakcroft.decisions.routing.route_table import Match, Route, RouteTable, Side
-from oakcroft.decisions.routing.configuration_version import families
-from oakcroft.decisions.routing.zone_preference import Bounds as WingBounds
-from oakcroft.interface import SECOND, Effect, Group, Plan, Terms
+from oakcroft.decisions.routing.route_table import Match, Route, RouteTable, ClientRole
+from oakcroft.decisions.routing.configuration_version import plan_families
+from oakcroft.decisions.routing.zone_preference import ZonePreferenceBounds as WingBounds
+from oakcroft.interface import SECOND, Effect, KeyScope, Plan, DeploymentSettings
 
-Fields = Mapping[str, Any]
+FieldValues = Mapping[str, Any]
 """Resolved values of one form by field name."""
 
-NO_ADDRESS = ("127.0.0.1", 0)
+ANY_LOCAL_PORT = ("127.0.0.1", 0)
 """The addresses of a configuration without (front …): any free local port."""
 
-TRIES_WINDOW_NS = 10 * SECOND
+DEFAULT_TRIES_WINDOW_NS = 10 * SECOND
 """The window of a tries budget that is not configured. Nothing is counted against it."""
 
 PERCENT = 100
 
 
-def told(meaning: Meaning, known_families: Mapping[str, int] | None = None) -> Deployment:
+def build_deployment(resolved: ResolvedConfig, known_families: Mapping[str, int] | None = None) -> Deployment:
     """Builds the deployment settings of a front end from a resolved configuration.
 
     `known_families` holds the family numbers of plans that are already in use; they are kept, so that seats are
     counted across versions of the configuration.
     """
-    front = meaning.get("front") or _default_front()
+    front = resolved.get("front") or _default_front_values()
     list_host, list_port = front["list-service"]
     host, port = front["listen"]
-    stand = Stand(
-        host=host, port=port, list_host=list_host, list_port=list_port, kept=front["kept"], state=front["state"],
-        state_sync=_is_yes(front["state-sync"]), zone=front["zone"], seed=front["seed"], log=front["log"],
-        peers=_peers_place(meaning, front["zone"]) if "peers" in meaning else None,
+    stand = FrontSettings(
+        host=host, port=port, list_service_host=list_host, list_service_port=list_port, node_list_file=front["kept"], state_file=front["state"],
+        is_state_synced=_is_yes(front["state-sync"]), zone=front["zone"], seed=front["seed"], log_format=front["log"],
+        peers=_peer_settings(resolved, front["zone"]) if "peers" in resolved else None,
     )  # fmt: skip
-    return Deployment(_site(meaning, front["number"], known_families or {}), stand, meaning)
+    return Deployment(_shared_settings(resolved, front["number"], known_families or {}), stand, resolved)
 
 
-def _default_front() -> dict[str, Any]:
+def _default_front_values() -> dict[str, Any]:
     defaults = {field.name: field.default for field in forms.FRONT.fields}
-    return defaults | {"listen": NO_ADDRESS, "list-service": NO_ADDRESS}
+    return defaults | {"listen": ANY_LOCAL_PORT, "list-service": ANY_LOCAL_PORT}
 
 
 def _is_yes(answer: str) -> bool:
     return answer == "yes"
 
 
-def _site(meaning: Meaning, front: int, known_families: Mapping[str, int]) -> Site:
-    fleet, signalling = meaning["fleet"], meaning["signalling"]
-    nodes, stopping = meaning["nodes"], meaning["stopping"]
-    preference = meaning.get("preference")
-    levels = sorted(meaning["level"].items(), key=lambda level: level[1]["rank"])
-    return Site(
-        terms=_terms(fleet, meaning["ladder"], front), plans=_plans(meaning, known_families),
-        table=RouteTable(route_of(name, route) for name, route in meaning["route"].items()),
-        pools={name: pool_of(name, pool) for name, pool in meaning["pool"].items()},
-        limits=tuple(limit_of(name, limit) for name, limit in meaning["limit"].items()),
-        tokens=_tokens(meaning["token"]),
-        titles={name: Holding(title["home"], title["copies"]) for name, title in meaning["title"].items()},
-        copies=fleet["copies"], ice=tuple(signalling["ice-servers"]),
-        bounds=replace(Bounds(), **_by_field_name(Bounds, meaning["door"])), way_back=signalling["way-back"],
-        drain_grace=fleet["drain-grace"], usual_notice=fleet["usual-notice"], drain_within=stopping["drain-within"],
-        leave_within=stopping["leave-within"], silent_after=nodes["silent-after"], lost_after=nodes["lost-after"],
-        connect_within=nodes["connect-within"], list_within=nodes["list-within"], keep_keys=signalling["keep-keys"],
-        operators=bytes.fromhex(meaning["operators"]["secret"]),
-        levels=tuple(level_of(name, level) for name, level in levels),
-        level_bounds=LevelBounds(**_by_field_name(LevelBounds, meaning["levels"])),
-        preference=WingBounds(**_by_field_name(WingBounds, preference)) if preference is not None else None,
-        then=tuple(preference["then"] or fleet["wings"]) if preference is not None else (),
+def _shared_settings(
+    resolved: ResolvedConfig, front_index: int, known_families: Mapping[str, int]
+) -> SharedSettings:
+    fleet, signalling = resolved["fleet"], resolved["signalling"]
+    nodes, stopping = resolved["nodes"], resolved["stopping"]
+    preference = resolved.get("preference")
+    levels = sorted(resolved["level"].items(), key=lambda level: level[1]["rank"])
+    return SharedSettings(
+        terms=_terms(fleet, resolved["ladder"], front_index), plans=_plans(resolved, known_families),
+        route_table=RouteTable(build_route(name, route) for name, route in resolved["route"].items()),
+        pools={name: build_pool(name, pool) for name, pool in resolved["pool"].items()},
+        limits=tuple(build_limit(name, limit) for name, limit in resolved["limit"].items()),
+        tokens=_tokens(resolved["token"]),
+        titles={name: TitlePlacement(title["home"], title["copies"]) for name, title in resolved["title"].items()},
+        copy_count=fleet["copies"], ice_servers=tuple(signalling["ice-servers"]),
+        connection_limits=replace(ConnectionLimits(), **_by_field_name(ConnectionLimits, resolved["door"])), answer_margin_ns=signalling["way-back"],
+        drain_grace_ns=fleet["drain-grace"], default_drain_notice_ns=fleet["usual-notice"], drain_timeout_ns=stopping["drain-within"],
+        leave_timeout_ns=stopping["leave-within"], silence_timeout_ns=nodes["silent-after"], loss_timeout_ns=nodes["lost-after"],
+        connect_timeout_ns=nodes["connect-within"], list_timeout_ns=nodes["list-within"], key_retention_ns=signalling["keep-keys"],
+        operator_token_digest=bytes.fromhex(resolved["operators"]["secret"]),
+        levels=tuple(build_level(name, level) for name, level in levels),
+        level_bounds=LevelBounds(**_by_field_name(LevelBounds, resolved["levels"])),
+        zone_preference=WingBounds(**_by_field_name(WingBounds, preference)) if preference is not None else None,
+        preferred_zones=tuple(preference["then"] or fleet["wings"]) if preference is not None else (),
     )  # fmt: skip
 
 
-def _by_field_name(bounds: Any, values: Fields) -> dict[str, Any]:
+def _by_field_name(bounds: Any, values: FieldValues) -> dict[str, Any]:
     """Returns the values of a form that a dataclass has fields for, by the dataclass's field names."""
     return {field.name: values[field.name.replace("_", "-")] for field in fields(bounds)}
 
 
-def _terms(fleet: Fields, ladder: Fields, front: int) -> Terms:
+def _terms(fleet: FieldValues, ladder: FieldValues, front_index: int) -> DeploymentSettings:
     budget = fleet["tries-budget"]
-    return Terms(
-        fronts=fleet["fronts"], front=front, must_follow=False, ask_within=0, cells=fleet["cells"],
-        racks=fleet["racks"], rates=ladder["rates"], rung_worth=ladder["worth"], uplink=fleet["uplink"],
-        join_adds=fleet["join-adds"], seen_after=fleet["seen-after"], reports_every=fleet["reports-every"],
-        most_tries=fleet["most-tries"], stay_away_most=fleet["stay-away-most"], cold_share=fleet["cold-share"],
-        cold_for=fleet["cold-for"], fall_multiple=fleet["fall-multiple"], fall_window=fleet["fall-window"],
-        tries_free=budget["free"] if budget else None, tries_share=budget["share"] if budget else 0.0,
-        tries_window=budget["window"] if budget else TRIES_WINDOW_NS,
+    return DeploymentSettings(
+        front_count=fleet["fronts"], front_index=front_index, must_subscribe=False, subscribe_within_ns=0, cell_count=fleet["cells"],
+        rack_count=fleet["racks"], rung_rates=ladder["rates"], rung_revenue_shares=ladder["worth"], uplink_capacity=fleet["uplink"],
+        join_rate_share=fleet["join-adds"], report_delay_ns=fleet["seen-after"], report_interval_ns=fleet["reports-every"],
+        max_tries=fleet["most-tries"], max_retry_after_ns=fleet["stay-away-most"], cold_pace_share=fleet["cold-share"],
+        cold_duration_ns=fleet["cold-for"], overload_multiple=fleet["fall-multiple"], overload_window_ns=fleet["fall-window"],
+        retry_budget_base=budget["free"] if budget else None, retry_budget_share=budget["share"] if budget else 0.0,
+        retry_budget_window_ns=budget["window"] if budget else DEFAULT_TRIES_WINDOW_NS,
     )  # fmt: skip
 
 
-def _plans(meaning: Meaning, known_families: Mapping[str, int]) -> dict[str, PlanTerms]:
-    rungs = len(meaning["ladder"]["rates"])
-    numbers = families(known_families, list(meaning["plan"]))
-    return {name: plan_of(name, plan, rungs, numbers[name]) for name, plan in meaning["plan"].items()}
+def _plans(resolved: ResolvedConfig, known_families: Mapping[str, int]) -> dict[str, PlanTerms]:
+    rungs = len(resolved["ladder"]["rates"])
+    numbers = plan_families(known_families, list(resolved["plan"]))
+    return {name: build_plan(name, plan, rungs, numbers[name]) for name, plan in resolved["plan"].items()}
 
 
-def _tokens(tokens: Mapping[str, Fields]) -> dict[bytes, Token]:
+def _tokens(tokens: Mapping[str, FieldValues]) -> dict[bytes, BearerToken]:
     return {
-        bytes.fromhex(token["secret"]): Token(name, dict(token["claim"])) for name, token in tokens.items()
+        bytes.fromhex(token["secret"]): BearerToken(name, dict(token["claim"]))
+        for name, token in tokens.items()
     }
 
 
-def _peers_place(meaning: Meaning, own_zone: str) -> PeersPlace:
+def _peer_settings(resolved: ResolvedConfig, own_zone: str) -> PeerSettings:
     """Builds a front end's peer settings, with those of the functions that depend on its peers."""
-    peers, keepers = meaning["peers"], meaning.get("keepers")
-    adopting, probing = meaning.get("adopting"), meaning.get("probing")
-    zones = meaning["zone"]
+    peers, keepers = resolved["peers"], resolved.get("keepers")
+    adopting, probing = resolved.get("adopting"), resolved.get("probing")
+    zones = resolved["zone"]
     own = zones.get(own_zone, {"region": "", "seeds": ()})
-    return PeersPlace(
+    return PeerSettings(
         name=peers["name"], listen=peers["listen"], advertise=peers["advertise"] or peers["listen"],
-        seeds=tuple(dict.fromkeys([*peers["seeds"], *own["seeds"]])), key_file=peers["key-file"], fleet=peers["fleet"],
-        starts=peers["starts"], keepers=tuple(keepers["names"]) if keepers is not None else (),
-        term=keepers["term"] if keepers is not None else 0, probes=probing["every"] if probing is not None else 0,
-        adopts=AdoptingBounds(adopting["after"], adopting["lease"], adopting["most"]) if adopting is not None else None,
+        seeds=tuple(dict.fromkeys([*peers["seeds"], *own["seeds"]])), key_file=peers["key-file"], fleet_name=peers["fleet"],
+        start_count_file=peers["starts"], keepers=tuple(keepers["names"]) if keepers is not None else (),
+        term_ns=keepers["term"] if keepers is not None else 0, probe_interval_ns=probing["every"] if probing is not None else 0,
+        takeover_bounds=AdoptingBounds(adopting["after"], adopting["lease"], adopting["most"]) if adopting is not None else None,
         region=own["region"], other_zones=tuple(
             OtherZone(name, zone["region"], tuple(zone["seeds"])) for name, zone in zones.items() if name != own_zone
         ),
     )  # fmt: skip
 
 
-def route_of(name: str, values: Fields) -> Route:
+def build_route(name: str, values: FieldValues) -> Route:
     """Builds a route from its resolved field values."""
-    side = Side(values["for"])
+    side = ClientRole(values["for"])
     match = Match(side, values["path"], tuple(values["titles"]), values["wing"], tuple(values["claim"]))
     return Route(name, match, values["plan"], values["pool"], values["top"])
 
 
-def route_of_record(name: str, record: Record) -> Route:
+def build_route_from_record(name: str, record: Record) -> Route:
     """Builds a route from its record."""
-    return route_of(name, plain_values(record))
+    return build_route(name, resolve_fields(record))
 
 
-def pool_of(name: str, values: Fields) -> Pool:
+def build_pool(name: str, values: FieldValues) -> Pool:
     """Builds a node pool from its resolved field values."""
     return Pool(
         name,
@@ -157,49 +174,51 @@
     )
 
 
-def pool_of_record(name: str, record: Record) -> Pool:
+def build_pool_from_record(name: str, record: Record) -> Pool:
     """Builds a node pool from its record."""
-    return pool_of(name, plain_values(record))
+    return build_pool(name, resolve_fields(record))
 
 
-def limit_of(name: str, values: Fields) -> Limit:
+def build_limit(name: str, values: FieldValues) -> RequestLimit:
     """Builds a limit from its resolved field values."""
     scope, *names = values["on"]
     on = names[0] if names else ""
     is_whole = values["of"] == "whole"
-    return Limit(name, Scope(scope), on, values["rate"], values["burst"], values["at-once"], is_whole)
+    return RequestLimit(
+        name, LimitScope(scope), on, values["rate"], values["burst"], values["at-once"], is_whole
+    )
 
 
-def limit_of_record(name: str, record: Record) -> Limit:
+def build_limit_from_record(name: str, record: Record) -> RequestLimit:
     """Builds a limit from its record."""
-    return limit_of(name, plain_values(record))
+    return build_limit(name, resolve_fields(record))
 
 
-def level_of(name: str, values: Fields) -> Level:
+def build_level(name: str, values: FieldValues) -> ServiceLevel:
     """Builds a service level from its resolved field values."""
     marks = tuple(
-        Mark(Sign(sign), float(values[sign][0]), float(values[sign][1]))
-        for sign in forms.SIGNS
+        SignalThreshold(LoadSignal(sign), float(values[sign][0]), float(values[sign][1]))
+        for sign in forms.SIGNAL_FIELDS
         if values[sign]
     )
-    admits = {plan: _share(share) for plan, share in values["admits"]}
-    return Level(
-        name, marks, Acts(values["top"], admits, _is_yes(values["moves"]), _is_yes(values["upkeep"]))
+    admits = {plan: _parse_share(share) for plan, share in values["admits"]}
+    return ServiceLevel(
+        name, marks, LevelEffects(values["top"], admits, _is_yes(values["moves"]), _is_yes(values["upkeep"]))
     )
 
 
-def _share(text: str) -> float:
+def _parse_share(text: str) -> float:
     """Parses a share that is written as a fraction or a percentage, such as 0.2 or 20%."""
     return float(text.removesuffix("%")) / (PERCENT if text.endswith("%") else 1)
 
 
-def plan_of(name: str, values: Fields, rungs: int, family: int) -> PlanTerms:
+def build_plan(name: str, values: FieldValues, rung_count: int, family_number: int) -> PlanTerms:
     """Builds a plan from its resolved field values. The top rung is bounded by the ladder's `rung_count`."""
-    top = rungs - 1 if values["top"] is None else min(values["top"], rungs - 1)
+    top = rung_count - 1 if values["top"] is None else min(values["top"], rung_count - 1)
     plan = Plan(
-        effect=Effect(values["effect"]), group=Group(values["group"]), key_lasts=values["key-lasts"],
-        startup_target=values["startup-target"], revenue=values["revenue"], floor=values["floor"], top=top,
+        effect=Effect(values["effect"]), key_scope=KeyScope(values["group"]), key_ttl_ns=values["key-lasts"],
+        startup_target_ns=values["startup-target"], revenue=values["revenue"], floor=values["floor"], top_rung=top,
         seats=values["seats"], rate_factor=values["rate-factor"], shares_stream=_is_yes(values["shares-stream"]),
-        family=family,
+        family_id=family_number,
     )  # fmt: skip
     return PlanTerms(name, plan, values["abandon"])
--- a/oakcroft/config/diagnostics.py
+++ b/oakcroft/config/diagnostics.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class Grade(Enum):
+class Severity(Enum):
     """Severity of a diagnostic. An error rejects the whole configuration, a warning doesn't."""
 
     ERROR = "error"
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class Place:
+class SourceLocation:
     """A location in a source file: line and column, both counted from 1, and a length in characters."""
 
     file: str
@@ -30,91 +30,93 @@
 
 
 @dataclass(frozen=True)
-class Problem:
+class Diagnostic:
     """An error or warning: the message, the suggested fix ("" if none is known), and further notes."""
 
-    grade: Grade
-    place: Place
-    what: str
+    severity: Severity
+    location: SourceLocation
+    message: str
     fix: str = ""
-    also: tuple[str, ...] = ()
+    notes: tuple[str, ...] = ()
 
 
 @dataclass
-class Problems:
+class Diagnostics:
     """The diagnostics of one check, with the lines of the files they refer to.
 
     At most `max_items` are kept. `is_incomplete` is set once a file could not be read or parsed; missing forms are
     then not reported, since they may be in it.
     """
 
-    texts: dict[str, list[str]] = field(default_factory=dict)
-    found: list[Problem] = field(default_factory=list)
-    most: int = 1000
-    unread: bool = False
+    source_lines: dict[str, list[str]] = field(default_factory=dict)
+    items: list[Diagnostic] = field(default_factory=list)
+    max_items: int = 1000
+    is_incomplete: bool = False
 
-    def error(self, place: Place, what: str, fix: str = "", also: Iterable[str] = ()) -> None:
+    def error(self, location: SourceLocation, message: str, fix: str = "", notes: Iterable[str] = ()) -> None:
         """Records an error."""
-        self._note(Problem(Grade.ERROR, place, what, fix, tuple(also)))
+        self._add(Diagnostic(Severity.ERROR, location, message, fix, tuple(notes)))
 
-    def warn(self, place: Place, what: str, fix: str = "", also: Iterable[str] = ()) -> None:
+    def warn(self, location: SourceLocation, message: str, fix: str = "", notes: Iterable[str] = ()) -> None:
         """Records a warning."""
-        self._note(Problem(Grade.WARNING, place, what, fix, tuple(also)))
+        self._add(Diagnostic(Severity.WARNING, location, message, fix, tuple(notes)))
 
-    def _note(self, problem: Problem) -> None:
-        if len(self.found) < self.most and problem not in self.found[-64:]:
-            self.found.append(problem)
+    def _add(self, diagnostic: Diagnostic) -> None:
+        if len(self.items) < self.max_items and diagnostic not in self.items[-64:]:
+            self.items.append(diagnostic)
 
     @property
-    def errors(self) -> list[Problem]:
+    def errors(self) -> list[Diagnostic]:
         """The errors, without the warnings."""
-        return [p for p in self.found if p.grade is Grade.ERROR]
+        return [p for p in self.items if p.severity is Severity.ERROR]
 
-    def sorted(self) -> list[Problem]:
+    def sorted(self) -> list[Diagnostic]:
         """Returns all diagnostics in the order of their locations."""
-        return sorted(self.found, key=lambda p: (p.place, p.grade.value, p.what))
+        return sorted(self.items, key=lambda p: (p.location, p.severity.value, p.message))
 
-    def show(self, problem: Problem) -> str:
+    def format(self, diagnostic: Diagnostic) -> str:
         """Formats a diagnostic for people, with the source line and the location underlined."""
-        place = problem.place
-        out = [f"{place}: {problem.grade.value}: {problem.what}"]
-        lines = self.texts.get(place.file, [])
+        place = diagnostic.location
+        out = [f"{place}: {diagnostic.severity.value}: {diagnostic.message}"]
+        lines = self.source_lines.get(place.file, [])
         if 0 < place.line <= len(lines):
             line = lines[place.line - 1]
             mark = "^" * max(1, min(place.length, len(line) - place.column + 1))
             out += ["  " + line.replace("\t", " "), "  " + " " * (place.column - 1) + mark]
-        out += [f"  {note}" for note in problem.also]
-        if problem.fix:
-            out.append(f"  fix: {problem.fix}")
+        out += [f"  {note}" for note in diagnostic.notes]
+        if diagnostic.fix:
+            out.append(f"  fix: {diagnostic.fix}")
         return "\n".join(out)
 
-    def plain(self, problem: Problem) -> dict[str, object]:
+    def to_dict(self, diagnostic: Diagnostic) -> dict[str, object]:
         """Returns a diagnostic as a JSON object for tools."""
-        p = problem.place
+        p = diagnostic.location
         return {
-            "grade": problem.grade.value, "file": p.file, "line": p.line, "column": p.column, "length": p.length,
-            "what": problem.what, "fix": problem.fix, "also": list(problem.also),
+            "grade": diagnostic.severity.value, "file": p.file, "line": p.line, "column": p.column, "length": p.length,
+            "what": diagnostic.message, "fix": diagnostic.fix, "also": list(diagnostic.notes),
         }  # fmt: skip
 
 
-class Unsound(Exception):
+class InvalidConfigurationError(Exception):
     """Raised for a configuration that has errors."""
 
-    def __init__(self, problems: Problems) -> None:
+    def __init__(self, diagnostics: Diagnostics) -> None:
         """The exception's text holds the errors only; `diagnostics` holds the warnings as well."""
-        super().__init__("\n".join(problems.show(p) for p in problems.sorted() if p.grade is Grade.ERROR))
-        self.problems = problems
+        super().__init__(
+            "\n".join(diagnostics.format(p) for p in diagnostics.sorted() if p.severity is Severity.ERROR)
+        )
+        self.diagnostics = diagnostics
 
 
-def near(word: str, known: Iterable[str]) -> str:
+def closest_match(word: str, known: Iterable[str]) -> str:
     """Returns the known word that is most similar to `word`, "" if none is close enough to suggest."""
     found = difflib.get_close_matches(word, sorted(known), 1, 0.7)
     return found[0] if found else ""
 
 
-def or_list(words: Iterable[str], most: int = 12) -> str:
+def join_alternatives(words: Iterable[str], max_words: int = 12) -> str:
     """Joins words to a phrase like "a, b or c". Of more than `max_words` only the first ones are listed."""
     some = sorted(words)
-    if len(some) > most:
-        return ", ".join(some[:most]) + f" and {len(some) - most} more"
+    if len(some) > max_words:
+        return ", ".join(some[:max_words]) + f" and {len(some) - max_words} more"
     return " or ".join([", ".join(some[:-1]), some[-1]] if len(some) > 1 else some)
--- a/oakcroft/config/explain.py
+++ b/oakcroft/config/explain.py
@@ -2,50 +2,56 @@
 
 from __future__ import annotations
 
-from oakcroft.config.schema import PACES, TIMES, say
-from oakcroft.config.settings import Site
-from oakcroft.decisions.admission.request_limits import Ledger, Limit, Party, Scope
+from oakcroft.config.schema import PACE_TYPE, TIME_TYPE, format_value
+from oakcroft.config.settings import SharedSettings
+from oakcroft.decisions.admission.request_limits import LimitLedger, RequestLimit, RequestSubject, LimitScope
 from oakcroft.decisions.routing.pools import Pool
-from oakcroft.decisions.routing.route_table import Asked, refuses
+from oakcroft.decisions.routing.route_table import RouteRequest, find_mismatch
 
 
-def explain(site: Site, asked: Asked, token: str, front: int) -> list[str]:
+def explain_request(
+    settings: SharedSettings, request: RouteRequest, token_name: str, front_index: int
+) -> list[str]:
     """Describes in lines of text how a front end would handle a request.
 
     `token_name` is the name of the request's bearer token, "" for none; `front_index` selects whose share of the
     limits is shown.
     """
-    claims = "".join(f", {k} {v}" for k, v in sorted(asked.claims.items()))
-    out = [f"{asked.side.value} {asked.path} at a front of wing {asked.wing or '(none)'}{claims}"]
-    if site.tokens and not token:
+    claims = "".join(f", {k} {v}" for k, v in sorted(request.claims.items()))
+    out = [f"{request.role.value} {request.path} at a front of wing {request.zone or '(none)'}{claims}"]
+    if settings.tokens and not token_name:
         out.append("without a token: 401")
         return out
-    route = site.table.find(asked)
+    route = settings.route_table.find(request)
     if route is None:
         out.append("no route takes it: 404")
-        near = [r for r in site.table.routes.values() if refuses(r.match, asked) is not None]
-        for other in sorted(near, key=lambda r: (r.match.prefix != asked.split()[0], r.name))[:8]:
-            why = refuses(other.match, asked)
+        near = [
+            r for r in settings.route_table.routes.values() if find_mismatch(r.match, request) is not None
+        ]
+        for other in sorted(near, key=lambda r: (r.match.prefix != request.split_path()[0], r.name))[:8]:
+            why = find_mismatch(other.match, request)
             out.append(f"  not route {other.name}: {why.value if why else ''}")
         return out
-    for other, why in site.table.ahead_of(route, asked)[:12]:
+    for other, why in settings.route_table.more_specific_routes(route, request)[:12]:
         out.append(f"  not route {other.name}: {why.value}")
-    plan = site.plans[route.plan]
+    plan = settings.plans[route.plan]
     p = plan.plan
     out.append(f"route {route.name} takes it")
-    top = p.top if route.top is None else min(p.top, route.top)
+    top = p.top_rung if route.top is None else min(p.top_rung, route.top)
     out.append(
-        f"plan {plan.name}: {p.effect.value}, playing within {say(TIMES, p.startup_target)}, given up after "
-        f"{say(TIMES, plan.abandon)}, rungs {p.floor} to {top}"
+        f"plan {plan.name}: {p.effect.value}, playing within {format_value(TIME_TYPE, p.startup_target_ns)}, given up after "
+        f"{format_value(TIME_TYPE, plan.abandon_ns)}, rungs {p.floor} to {top}"
         + (f", {p.seats} seats a title" if p.seats else "")
     )
-    out.append(pool_line(site.pools[route.pool]) if route.pool else "any node that holds the title")
-    ledger = Ledger(front, site.terms.fronts)
-    ledger.take_version(site.limits)
-    party = Party(token, route.name, route.plan, asked.wing)
-    applying = ledger.applying(party)
+    out.append(describe_pool(settings.pools[route.pool]) if route.pool else "any node that holds the title")
+    ledger = LimitLedger(front_index, settings.terms.front_count)
+    ledger.set_limits(settings.limits)
+    party = RequestSubject(token_name, route.name, route.plan, request.zone)
+    applying = ledger.matching_limits(party)
     out += [
-        limit_line(limit, site.terms.fronts, next(x for x in site.limits if x.name == limit.name))
+        describe_limit(
+            limit, settings.terms.front_count, next(x for x in settings.limits if x.name == limit.name)
+        )
         for limit, _ in applying
     ]
     if not applying:
@@ -53,12 +59,12 @@
     return out
 
 
-def pool_line(pool: Pool) -> str:
+def describe_pool(pool: Pool) -> str:
     """Describes a node pool in one line."""
     parts = [
         f"{name} {' or '.join(map(str, some))}"
         for name, some in (
-            ("wing", pool.wings),
+            ("wing", pool.zones),
             ("rack", pool.racks),
             ("kind", pool.kinds),
             ("tag", pool.tags),
@@ -66,20 +72,22 @@
         )
         if some
     ]
-    but = f", but not {' or '.join(pool.but)}" if pool.but else ""
+    but = f", but not {' or '.join(pool.excluded_nodes)}" if pool.excluded_nodes else ""
     return f"pool {pool.name}: {' and '.join(parts) or 'every node'}{but}"
 
 
-def limit_line(share: Limit, fronts: int, stated: Limit) -> str:
+def describe_limit(front_share: RequestLimit, front_count: int, configured: RequestLimit) -> str:
     """Describes a limit in one line: the configured values and, for a fleet-wide limit, this front end's share."""
-    on = stated.scope.value + (f" {stated.on}" if stated.scope is not Scope.ALL else "")
+    on = configured.scope.value + (f" {configured.subject}" if configured.scope is not LimitScope.ALL else "")
     parts = []
-    if stated.rate is not None and share.rate is not None:
+    if configured.rate is not None and front_share.rate is not None:
         parts.append(
-            f"{say(PACES, stated.rate)}" + (f", here {share.rate:g}/s" if stated.whole and fronts > 1 else "")
+            f"{format_value(PACE_TYPE, configured.rate)}"
+            + (f", here {front_share.rate:g}/s" if configured.is_fleet_wide and front_count > 1 else "")
         )
-    if stated.at_once is not None:
+    if configured.max_concurrent is not None:
         parts.append(
-            f"{stated.at_once} at once" + (f", here {share.at_once}" if stated.whole and fronts > 1 else "")
+            f"{configured.max_concurrent} at once"
+            + (f", here {front_share.max_concurrent}" if configured.is_fleet_wide and front_count > 1 else "")
         )
-    return f"limit {stated.name} on {on}: {'; '.join(parts)}"
+    return f"limit {configured.name} on {on}: {'; '.join(parts)}"
--- a/oakcroft/config/reference.py
+++ b/oakcroft/config/reference.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from oakcroft.config import forms
-from oakcroft.config.schema import Field, Schema, say
+from oakcroft.config.schema import Field, Schema, format_value
 
-HEAD = """# Reference of the configuration language
+INTRODUCTION = """# Reference of the configuration language
 
 Made from the schemas by `oakcroft config reference`; do not edit.
 
@@ -21,57 +21,75 @@
 """
 
 
-def page() -> str:
+def reference_page() -> str:
     """Returns the whole reference page as Markdown."""
-    out = [HEAD]
-    for schema in forms.ALL.values():
-        out += _form(schema, 2)
+    out = [INTRODUCTION]
+    for schema in forms.SCHEMAS_BY_NAME.values():
+        out += _form_section(schema, 2)
     return "\n".join(out).rstrip() + "\n"
 
 
-def _form(schema: Schema, depth: int) -> list[str]:
-    head = f" {schema.head_doc.replace('the ', '').upper().replace(' ', '-')[:24]}" if schema.head else ""
-    out = [f"{'#' * depth} ({schema.name}{head} …)", "", schema.doc, ""]
+def _form_section(schema: Schema, heading_level: int) -> list[str]:
+    head = (
+        f" {schema.name_doc.replace('the ', '').upper().replace(' ', '-')[:24]}" if schema.name_type else ""
+    )
+    out = [f"{'#' * heading_level} ({schema.name}{head} …)", "", schema.doc, ""]
     if schema.example:
         out += [f"    {schema.example}", ""]
     out += ["| field | holds | default | what for |", "| --- | --- | --- | --- |"]
     for f in schema.fields:
-        out.append(f"| `{f.name}` | {_holds(f)} | {_default(f)} | {f.doc.replace('|', '/')} |")
+        out.append(f"| `{f.name}` | {_values_cell(f)} | {_default_cell(f)} | {f.doc.replace('|', '/')} |")
     out.append("")
     for f in schema.fields:
-        if f.form is not None:
-            out += _form(f.form, depth + 1)
+        if f.subform is not None:
+            out += _form_section(f.subform, heading_level + 1)
     return out
 
 
-def _holds(f: Field) -> str:
-    if f.form is not None:
+def _values_cell(field: Field) -> str:
+    if field.subform is not None:
         return "fields, see below"
-    many = "" if f.most == 1 else f"{f.most} of " if f.least == f.most else "one or more of "
-    again = ", may stand again" if f.repeats else ""
+    many = (
+        ""
+        if field.max_values == 1
+        else f"{field.max_values} of "
+        if field.min_values == field.max_values
+        else "one or more of "
+    )
+    again = ", may stand again" if field.is_repeatable else ""
     bounds = ""
-    if f.at_least is not None:
-        bounds += f", {say(f.kind, f.at_least)} or more"
-    if f.usual is not None:
-        bounds += f", usual {say(f.kind, f.usual[0])} to {say(f.kind, f.usual[1])}"
-    return f"{many}{f.kind.name}: {f.kind.how}{bounds}{again}".replace("|", "/")
+    if field.minimum is not None:
+        bounds += f", {format_value(field.value_type, field.minimum)} or more"
+    if field.usual_range is not None:
+        bounds += f", usual {format_value(field.value_type, field.usual_range[0])} to {format_value(field.value_type, field.usual_range[1])}"
+    return f"{many}{field.value_type.name}: {field.value_type.description}{bounds}{again}".replace("|", "/")
 
 
-def _default(f: Field) -> str:
-    if f.required:
+def _default_cell(field: Field) -> str:
+    if field.required:
         return "must stand"
-    if f.default is None or f.default == () or f.default == "":
+    if field.default is None or field.default == () or field.default == "":
         return "none"
-    return say(f.kind, f.default) if isinstance(f.default, int | float) else str(f.default)
+    return (
+        format_value(field.value_type, field.default)
+        if isinstance(field.default, int | float)
+        else str(field.default)
+    )
 
 
-def complete(within: str, word: str) -> list[str]:
+def completions(form_name: str, prefix: str) -> list[str]:
     """Returns the names that begin with `prefix`: fields of the form `form_name`, or forms if that is ""."""
-    if not within:
-        names = [*forms.ALL, *forms.WORDS]
+    if not form_name:
+        names = [*forms.SCHEMAS_BY_NAME, *forms.KEYWORDS]
     else:
-        schema = forms.ALL.get(within) or next(
-            (f.form for s in forms.ALL.values() for f in s.fields if f.form and f.name == within), None
+        schema = forms.SCHEMAS_BY_NAME.get(form_name) or next(
+            (
+                f.subform
+                for s in forms.SCHEMAS_BY_NAME.values()
+                for f in s.fields
+                if f.subform and f.name == form_name
+            ),
+            None,
         )
         names = [f.name for f in schema.fields] if schema else []
-    return sorted(n for n in names if n.startswith(word))
+    return sorted(n for n in names if n.startswith(prefix))
--- a/oakcroft/config/resolved.py
+++ b/oakcroft/config/resolved.py
@@ -9,56 +9,56 @@
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
 
-Meaning = dict[str, dict[str, Any]]
+ResolvedConfig = dict[str, dict[str, Any]]
 """Resolved field values by form name; for a named form the values of each instance by the instance's name."""
 
-OPTIONAL = (
+OPTIONAL_FORMS = (
     forms.FRONT, forms.FLEET, forms.LADDER, forms.PREFERENCE, forms.PEERS, forms.KEEPERS, forms.ADOPTING, forms.PROBING,
 )  # fmt: skip
 """Forms that are left out when absent: a form with only default values would have another meaning."""
 
-UNORDERED = {"wings", "kinds", "racks", "tags", "nodes", "but", "titles", "claim"}
+UNORDERED_FIELDS = {"wings", "kinds", "racks", "tags", "nodes", "but", "titles", "claim"}
 """Fields whose values form a set: their order has no meaning."""
 
-DIGEST_OCTETS = 32
+DIGEST_BYTES = 32
 
 
-def meaning(records: Records) -> Meaning:
+def resolve(records: Records) -> ResolvedConfig:
     """Resolves the records of a configuration without errors.
 
     The result is equal for texts that differ only in order, layout, comments, units, includes and definitions.
     """
-    out: Meaning = {}
-    for schema in forms.SINGLE:
-        record = records.one(schema)
+    out: ResolvedConfig = {}
+    for schema in forms.SINGLE_FORMS:
+        record = records.find_single(schema)
         if record is not None:
-            out[schema.name] = plain_values(record)
-        elif schema not in OPTIONAL:
+            out[schema.name] = resolve_fields(record)
+        elif schema not in OPTIONAL_FORMS:
             out[schema.name] = {field.name: field.default for field in schema.fields}
-    for schema in forms.NAMED:
-        named = sorted(records.all(schema).items())
-        out[schema.name] = {name: plain_values(record) for name, record in named}
+    for schema in forms.NAMED_FORMS:
+        named = sorted(records.named_records(schema).items())
+        out[schema.name] = {name: resolve_fields(record) for name, record in named}
     return out
 
 
-def plain_values(record: Record) -> dict[str, Any]:
+def resolve_fields(record: Record) -> dict[str, Any]:
     """Returns a record's values by field name, defaults included. A secret is replaced by its digest, so that the
     result can be shown."""
-    out = {field.name: _plain(record, field.name) for field in record.schema.fields}
+    out = {field.name: _resolve_field(record, field.name) for field in record.schema.fields}
     if "titles" in out and "*" in out["titles"]:
         out["titles"] = ()  # "*" stands for all titles, as does no title
     return out
 
 
-def _plain(record: Record, name: str) -> Any:
-    value = record.get(name)
+def _resolve_field(record: Record, field_name: str) -> Any:
+    value = record.get(field_name)
     if isinstance(value, Record):
-        return plain_values(value)
-    if name == "secret" and value:
-        return hashlib.blake2b(value.encode(), digest_size=DIGEST_OCTETS).hexdigest()
-    field = record.schema.field(name)
-    is_address = field is not None and field.kind is forms.ADDRESS
+        return resolve_fields(value)
+    if field_name == "secret" and value:
+        return hashlib.blake2b(value.encode(), digest_size=DIGEST_BYTES).hexdigest()
+    field = record.schema.find_field(field_name)
+    is_address = field is not None and field.value_type is forms.ADDRESS_TYPE
     if isinstance(value, list | tuple) and not is_address:
         items = [tuple(item) if isinstance(item, list) else item for item in value]
-        return tuple(sorted(set(items)) if name in UNORDERED else items)
+        return tuple(sorted(set(items)) if field_name in UNORDERED_FIELDS else items)
     return value
--- a/oakcroft/config/settings.py
+++ b/oakcroft/config/settings.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass
 
-from oakcroft.decisions.admission.connection_limits import Bounds
-from oakcroft.decisions.admission.service_levels import Bounds as LevelBounds, Level
-from oakcroft.decisions.admission.request_limits import Limit
-from oakcroft.decisions.fleet.session_takeover import Bounds as Adopts
+from oakcroft.decisions.admission.connection_limits import ConnectionLimits
+from oakcroft.decisions.admission.service_levels import LevelBounds as LevelBounds, ServiceLevel
+from oakcroft.decisions.admission.request_limits import RequestLimit
+from oakcroft.decisions.fleet.session_takeover import TakeoverBounds as Adopts
 from oakcroft.decisions.routing.pools import Pool
 from oakcroft.decisions.routing.route_table import RouteTable
-from oakcroft.decisions.routing.zone_preference import Bounds as WingBounds
-from oakcroft.interface import Plan, Terms
+from oakcroft.decisions.routing.zone_preference import ZonePreferenceBounds as WingBounds
+from oakcroft.interface import Plan, DeploymentSettings
 
 
 @dataclass(frozen=True)
@@ -20,19 +20,19 @@
 
     name: str
     plan: Plan
-    abandon: int
+    abandon_ns: int
 
 
 @dataclass(frozen=True)
-class Holding:
+class TitlePlacement:
     """The cells that hold a title: `copy_count` cells in a row, starting with `home_cell`."""
 
-    home: int
-    copies: int
+    home_cell: int
+    copy_count: int
 
 
 @dataclass(frozen=True)
-class Token:
+class BearerToken:
     """The name and claims of a bearer token. The secret is not kept; tokens are looked up by its digest."""
 
     name: str
@@ -40,34 +40,34 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class SharedSettings:
     """The settings that all front ends of a deployment share."""
 
-    terms: Terms
+    terms: DeploymentSettings
     plans: dict[str, PlanTerms]
-    table: RouteTable
+    route_table: RouteTable
     pools: dict[str, Pool]
-    limits: tuple[Limit, ...]
-    tokens: dict[bytes, Token]
-    titles: dict[str, Holding]
-    copies: int
-    ice: tuple[str, ...]
-    bounds: Bounds
-    way_back: int  # kept of each abandon time for the answer to reach the viewer, ns
-    drain_grace: int
-    usual_notice: int
-    drain_within: int
-    leave_within: int
-    silent_after: int
-    lost_after: int
-    connect_within: int
-    list_within: int  # how long a starting front waits for the list service
-    keep_keys: int
-    operators: bytes  # empty: no operators' interface
-    levels: tuple[Level, ...]  # levels of reduced service, in order of rank
+    limits: tuple[RequestLimit, ...]
+    tokens: dict[bytes, BearerToken]
+    titles: dict[str, TitlePlacement]
+    copy_count: int
+    ice_servers: tuple[str, ...]
+    connection_limits: ConnectionLimits
+    answer_margin_ns: int  # kept of each abandon time for the answer to reach the viewer, ns
+    drain_grace_ns: int
+    default_drain_notice_ns: int
+    drain_timeout_ns: int
+    leave_timeout_ns: int
+    silence_timeout_ns: int
+    loss_timeout_ns: int
+    connect_timeout_ns: int
+    list_timeout_ns: int  # how long a starting front waits for the list service
+    key_retention_ns: int
+    operator_token_digest: bytes  # empty: no operators' interface
+    levels: tuple[ServiceLevel, ...]  # levels of reduced service, in order of rank
     level_bounds: LevelBounds
-    preference: WingBounds | None  # None: no zone is preferred
-    then: tuple[str, ...]  # other zones in order of preference
+    zone_preference: WingBounds | None  # None: no zone is preferred
+    preferred_zones: tuple[str, ...]  # other zones in order of preference
 
 
 @dataclass(frozen=True)
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True)
-class PeersPlace:
+class PeerSettings:
     """The settings for talking to peers.
 
     `start_count_file` holds the number of the front end's last start; without it that number comes from the clock and
@@ -92,18 +92,18 @@
     advertise: tuple[str, int]
     seeds: tuple[tuple[str, int], ...]
     key_file: str
-    fleet: str
-    starts: str
+    fleet_name: str
+    start_count_file: str
     keepers: tuple[str, ...] = ()  # names of the front ends that grant terms of duties by majority
-    term: int = 0  # length of a term, ns
-    probes: int = 0  # time between two load probes of a node, ns; 0: loads are not shared
-    adopts: Adopts | None = None  # None: playbacks of failed front ends are not taken over
+    term_ns: int = 0  # length of a term, ns
+    probe_interval_ns: int = 0  # time between two load probes of a node, ns; 0: loads are not shared
+    takeover_bounds: Adopts | None = None  # None: playbacks of failed front ends are not taken over
     region: str = ""  # region of this front end's zone; empty: one flat membership of all front ends
     other_zones: tuple[OtherZone, ...] = ()
 
 
 @dataclass(frozen=True)
-class Stand:
+class FrontSettings:
     """The settings of one front end.
 
     `node_list_file` caches the last node list and `state_file` keeps promises, seats and the list over a crash; ""
@@ -112,21 +112,21 @@
 
     host: str
     port: int
-    list_host: str
-    list_port: int
-    kept: str
-    state: str
-    state_sync: bool
+    list_service_host: str
+    list_service_port: int
+    node_list_file: str
+    state_file: str
+    is_state_synced: bool
     zone: str
     seed: int
-    log: str
-    peers: PeersPlace | None = None
+    log_format: str
+    peers: PeerSettings | None = None
 
 
 @dataclass(frozen=True)
 class Deployment:
     """All settings of one front end, with the resolved configuration that they were built from."""
 
-    site: Site
-    stand: Stand
-    meaning: dict[str, dict[str, object]]
+    shared: SharedSettings
+    front: FrontSettings
+    resolved: dict[str, dict[str, object]]
--- a/oakcroft/decisions/admission/client_limits.py
+++ b/oakcroft/decisions/admission/client_limits.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from oakcroft.decisions.admission.request_limits import Bucket, Limit, Scope
+from oakcroft.decisions.admission.request_limits import TokenBucket, RequestLimit, LimitScope
 
 
 @dataclass(frozen=True)
-class Allowance:
+class ClientLimits:
     """Limits on one client.
 
     `connections` counts all connections under one token or address. The other limits hold for each client
@@ -18,25 +18,25 @@
     """
 
     connections: int = 20_000
-    asks: int = 64
+    pending_requests: int = 64
     playbacks: int = 512
-    messages: float = 50.0
-    burst: float = 200.0
-    message_bytes: int = 131_072
-    behind: int = 1024
+    messages_per_second: float = 50.0
+    message_burst: float = 200.0
+    max_message_bytes: int = 131_072
+    max_unacknowledged: int = 1024
 
 
-class Word(Enum):
+class ClientVerdict(Enum):
     """Result of checking a client against its limits."""
 
-    PASS = "pass"
-    TOO_MANY_ASKS = "too many requests wait for their answer"
+    ALLOWED = "pass"
+    TOO_MANY_REQUESTS = "too many requests wait for their answer"
     TOO_MANY_PLAYBACKS = "too many playbacks"
-    TOO_FAST = "messages come too fast"
+    MESSAGE_RATE_EXCEEDED = "messages come too fast"
     TOO_MANY_CONNECTIONS = "too many connections"
 
 
-CLOSE = {Word.TOO_FAST: 1008, Word.TOO_MANY_CONNECTIONS: 1013}
+CLOSE_CODES = {ClientVerdict.MESSAGE_RATE_EXCEEDED: 1008, ClientVerdict.TOO_MANY_CONNECTIONS: 1013}
 """WebSocket close code (RFC 6455 7.4.1 and its registry) by verdict.
 
 Any other verdict is sent as an answer, and the connection stays open.
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Client:
+class ClientUsage:
     """What one client uses of its limits.
 
     Connections are counted by token or address. Requests, playbacks and messages are counted by client
@@ -52,52 +52,54 @@
     address.
     """
 
-    allowance: Allowance
+    limits: ClientLimits
     connections: int = 0
-    asks: int = 0
+    pending_requests: int = 0
     playbacks: int = 0
-    pace: Bucket = field(default_factory=lambda: Bucket(0.0, 0))
+    message_bucket: TokenBucket = field(default_factory=lambda: TokenBucket(0.0, 0))
 
     def __post_init__(self) -> None:
         """Starts with a full message bucket."""
-        self.limit = Limit("messages", Scope.TOKEN, "", self.allowance.messages, self.allowance.burst)
-        self.pace = Bucket(self.allowance.burst, 0)
+        self.message_limit = RequestLimit(
+            "messages", LimitScope.TOKEN, "", self.limits.messages_per_second, self.limits.message_burst
+        )
+        self.message_bucket = TokenBucket(self.limits.message_burst, 0)
 
-    def connects(self) -> Word:
+    def open_connection(self) -> ClientVerdict:
         """Counts a new connection, unless the client has too many."""
-        if self.connections >= self.allowance.connections:
-            return Word.TOO_MANY_CONNECTIONS
+        if self.connections >= self.limits.connections:
+            return ClientVerdict.TOO_MANY_CONNECTIONS
         self.connections += 1
-        return Word.PASS
+        return ClientVerdict.ALLOWED
 
-    def says(self, now: int) -> Word:
+    def receive_message(self, now: int) -> ClientVerdict:
         """Charges one message to the message bucket. `now`: ns.
 
         The bucket holds a burst, so that a client that resumes its session may send many messages at once.
         """
-        if self.pace.read(self.limit, now) < 1.0:
-            return Word.TOO_FAST
-        self.pace.level -= 1.0
-        return Word.PASS
+        if self.message_bucket.refill(self.message_limit, now) < 1.0:
+            return ClientVerdict.MESSAGE_RATE_EXCEEDED
+        self.message_bucket.tokens -= 1.0
+        return ClientVerdict.ALLOWED
 
-    def asks_for(self, repeat: bool = False) -> Word:
+    def request_playback(self, is_repeat: bool = False) -> ClientVerdict:
         """Counts a request for a playback as pending, unless a limit is reached.
 
         A request whose answer is known already (`is_repeat`) is never rejected here.
         """
-        if not repeat and self.asks >= self.allowance.asks:
-            return Word.TOO_MANY_ASKS
-        if not repeat and self.asks + self.playbacks >= self.allowance.playbacks:
-            return Word.TOO_MANY_PLAYBACKS
-        self.asks += 1
-        return Word.PASS
-
-    def answered(self, plays: bool) -> None:
+        if not is_repeat and self.pending_requests >= self.limits.pending_requests:
+            return ClientVerdict.TOO_MANY_REQUESTS
+        if not is_repeat and self.pending_requests + self.playbacks >= self.limits.playbacks:
+            return ClientVerdict.TOO_MANY_PLAYBACKS
+        self.pending_requests += 1
+        return ClientVerdict.ALLOWED
+
+    def finish_request(self, is_playing: bool) -> None:
         """Ends a pending request. `is_playing`: whether the answer is a playback."""
-        self.asks -= 1
-        self.playbacks += plays
+        self.pending_requests -= 1
+        self.playbacks += is_playing
 
     @property
-    def idle(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether the client uses nothing, so that its entry may be dropped."""
-        return not (self.connections or self.asks or self.playbacks)
+        return not (self.connections or self.pending_requests or self.playbacks)
--- a/oakcroft/decisions/admission/connection_limits.py
+++ b/oakcroft/decisions/admission/connection_limits.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Bounds:
+class ConnectionLimits:
     """All limits on connections: counts, bytes, and times in ns.
 
     The field names are the keys of the `door` form of the configuration.
@@ -33,25 +33,25 @@
     event_backlog: int = 64  # unread events of one event stream
 
 
-class Verdict(Enum):
+class ConnectionVerdict(Enum):
     """What to do with a new connection."""
 
-    PASS = "pass"
-    SHED = "close an idle connection for it"
-    TURN_AWAY = "answer 503 and close"
+    ACCEPT = "pass"
+    EVICT_IDLE = "close an idle connection for it"
+    REJECT = "answer 503 and close"
 
 
 @dataclass
-class Guest:
+class Connection:
     """One open connection: its source, and since when it has been idle. Times in ns."""
 
     source: str
-    since: int
-    busy: bool = False
+    connected_at: int
+    is_busy: bool = False
     idle_since: int = 0
 
 
-class Door:
+class ConnectionTable:
     """The open connections of a server.
 
     When the table is full, the connection that has been idle between requests for longest is closed for the
@@ -60,104 +60,106 @@
     connections.
     """
 
-    IDLE_ENOUGH = SECOND
+    MIN_IDLE_NS = SECOND
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, limits: ConnectionLimits) -> None:
         """Starts with no connections."""
-        self.bounds = bounds
-        self.guests: dict[int, Guest] = {}
-        self.idle: dict[int, None] = {}  # longest idle first
-        self.sources: dict[str, int] = {}
+        self.limits = limits
+        self.connections: dict[int, Connection] = {}
+        self.idle_numbers: dict[int, None] = {}  # longest idle first
+        self.connections_by_source: dict[str, int] = {}
 
-    def knock(self, number: int, source: str, now: int) -> tuple[Verdict, int | None]:
+    def accept(self, number: int, source: str, now: int) -> tuple[ConnectionVerdict, int | None]:
         """Admits or rejects a new connection. `now`: ns.
 
         With `EVICT_IDLE` the number of the connection to close is returned as well; it has already left the
         table.
         """
-        if self.sources.get(source, 0) >= self.bounds.connections_from_one:
-            return Verdict.TURN_AWAY, None
+        if self.connections_by_source.get(source, 0) >= self.limits.connections_from_one:
+            return ConnectionVerdict.REJECT, None
         loser: int | None = None
-        if len(self.guests) >= self.bounds.connections:
-            loser = next(iter(self.idle), None)
-            if loser is None or now - self.guests[loser].idle_since < self.IDLE_ENOUGH:
-                return Verdict.TURN_AWAY, None
-            self.leave(loser)
-        self.guests[number] = Guest(source, now, idle_since=now)
-        self.idle[number] = None
-        self.sources[source] = self.sources.get(source, 0) + 1
-        return (Verdict.PASS, None) if loser is None else (Verdict.SHED, loser)
-
-    def busy(self, number: int) -> None:
+        if len(self.connections) >= self.limits.connections:
+            loser = next(iter(self.idle_numbers), None)
+            if loser is None or now - self.connections[loser].idle_since < self.MIN_IDLE_NS:
+                return ConnectionVerdict.REJECT, None
+            self.remove(loser)
+        self.connections[number] = Connection(source, now, idle_since=now)
+        self.idle_numbers[number] = None
+        self.connections_by_source[source] = self.connections_by_source.get(source, 0) + 1
+        return (ConnectionVerdict.ACCEPT, None) if loser is None else (ConnectionVerdict.EVICT_IDLE, loser)
+
+    def mark_busy(self, number: int) -> None:
         """Notes that a request has begun to arrive on a connection."""
-        if guest := self.guests.get(number):
-            guest.busy = True
-            self.idle.pop(number, None)
+        if guest := self.connections.get(number):
+            guest.is_busy = True
+            self.idle_numbers.pop(number, None)
 
-    def rests(self, number: int, now: int) -> None:
+    def mark_idle(self, number: int, now: int) -> None:
         """Notes that the response is written and the connection waits for its next request. `now`: ns."""
-        if guest := self.guests.get(number):
-            guest.busy, guest.idle_since = False, now
-            self.idle.pop(number, None)
-            self.idle[number] = None
+        if guest := self.connections.get(number):
+            guest.is_busy, guest.idle_since = False, now
+            self.idle_numbers.pop(number, None)
+            self.idle_numbers[number] = None
 
-    def leave(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Removes a closed connection; one that was evicted before is ignored."""
-        guest = self.guests.pop(number, None)
-        self.idle.pop(number, None)
+        guest = self.connections.pop(number, None)
+        self.idle_numbers.pop(number, None)
         if guest is None:
             return
-        left = self.sources[guest.source] - 1
+        left = self.connections_by_source[guest.source] - 1
         if left:
-            self.sources[guest.source] = left
+            self.connections_by_source[guest.source] = left
         else:
-            del self.sources[guest.source]
+            del self.connections_by_source[guest.source]
 
 
-class Phase(Enum):
+class ExchangePhase(Enum):
     """Phase of one HTTP exchange on a connection."""
 
     IDLE = "idle"
-    HEAD = "reading the head"
-    BODY = "reading the body"
-    WORK = "at work"
-    WRITE = "writing"
+    READING_HEAD = "reading the head"
+    READING_BODY = "reading the body"
+    PROCESSING = "at work"
+    WRITING = "writing"
 
 
-def time_allowed(phase: Phase, bounds: Bounds) -> int | None:
+def phase_timeout(phase: ExchangePhase, limits: ConnectionLimits) -> int | None:
     """Returns how long a phase may take, ns; None for processing, which has a deadline of its own."""
     return {
-        Phase.IDLE: bounds.idle,
-        Phase.HEAD: bounds.head_within,
-        Phase.BODY: bounds.body_within,
-        Phase.WORK: None,
-        Phase.WRITE: bounds.write_within,
+        ExchangePhase.IDLE: limits.idle,
+        ExchangePhase.READING_HEAD: limits.head_within,
+        ExchangePhase.READING_BODY: limits.body_within,
+        ExchangePhase.PROCESSING: None,
+        ExchangePhase.WRITING: limits.write_within,
     }[phase]
 
 
-def status_when_slow(phase: Phase) -> int | None:
+def timeout_status(phase: ExchangePhase) -> int | None:
     """Returns the status for a phase that timed out.
 
     408 (RFC 9110 15.5.9) once a request has begun; otherwise None, and the connection is closed without a
     response.
     """
-    return 408 if phase in (Phase.HEAD, Phase.BODY) else None
+    return 408 if phase in (ExchangePhase.READING_HEAD, ExchangePhase.READING_BODY) else None
 
 
-def head_verdict(count: int, size: int, bounds: Bounds) -> int | None:
+def head_error_status(header_count: int, size_bytes: int, limits: ConnectionLimits) -> int | None:
     """Returns 431 (RFC 6585 5) for a request head with too many bytes or header lines, else None."""
-    return 431 if count > bounds.headers or size > bounds.head_bytes else None
+    return 431 if header_count > limits.headers or size_bytes > limits.head_bytes else None
 
 
-def body_verdict(so_far: int, announced: int | None, bounds: Bounds) -> int | None:
+def body_error_status(
+    received_bytes: int, announced_bytes: int | None, limits: ConnectionLimits
+) -> int | None:
     """Returns 413 (RFC 9110 15.5.14) as soon as a body is known to be too large, else None.
 
     The announced length counts before any of the body is read.
     """
-    return 413 if max(so_far, announced or 0) > bounds.body_bytes else None
+    return 413 if max(received_bytes, announced_bytes or 0) > limits.body_bytes else None
 
 
-class Queue:
+class PendingRequests:
     """Requests for playbacks that have no answer yet.
 
     A full queue rejects new requests at once. This guards against a queue in which every request waits until
@@ -165,34 +167,34 @@
     times out. Drawback: a short burst on a slow fleet is rejected although it would have been served.
     """
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, limits: ConnectionLimits) -> None:
         """Starts with no requests."""
-        self.bounds, self.waiting = bounds, dict[int, None]()
+        self.limits, self.pending = limits, dict[int, None]()
 
     def has_room(self) -> bool:
         """Whether one more request may wait."""
-        return len(self.waiting) < self.bounds.waiting
+        return len(self.pending) < self.limits.waiting
 
-    def enter(self, number: int) -> bool:
+    def add(self, number: int) -> bool:
         """Adds a request; False if there is no room for it."""
         if not self.has_room():
             return False
-        self.waiting[number] = None
+        self.pending[number] = None
         return True
 
-    def leave(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Removes a request that has its answer or whose viewer has gone."""
-        self.waiting.pop(number, None)
+        self.pending.pop(number, None)
 
 
-def slow_reader(behind: int, bounds: Bounds) -> bool:
+def is_slow_reader(unread_events: int, limits: ConnectionLimits) -> bool:
     """Whether a reader of an event stream has so many unread events that its stream is closed.
 
     The reader may open a new stream, which begins with the present state, so only the events in between are
     lost.
     """
-    return behind >= bounds.event_backlog
+    return unread_events >= limits.event_backlog
 
 
-SHORTEST_SETUP = 15 * MS
+MIN_SETUP_TIME_NS = 15 * MS
 """Least time left in which a set-up is begun: two round trips and the node's processing."""
--- a/oakcroft/decisions/admission/deadlines.py
+++ b/oakcroft/decisions/admission/deadlines.py
@@ -13,19 +13,19 @@
 
 from oakcroft.interface import MS, SECOND
 
-BEAT = 25 * MS
+HEARTBEAT_INTERVAL_NS = 25 * MS
 """Time between two heartbeats of the event loop."""
 
-STOOD = 4
+PAUSE_HEARTBEATS = 4
 """Missed heartbeats that count as a pause; fewer are scheduling jitter."""
 
-MOST_LAG = 150 * MS
+MAX_LOOP_LAG_NS = 150 * MS
 """Largest lag of the event loop that the margin covers; a larger one is handled as a pause."""
 
-PREFER_WAIT = re.compile(r"^\s*wait\s*=\s*\"?(\d{1,9})\"?\s*(?:;.*)?$", re.IGNORECASE)
+PREFER_WAIT_PATTERN = re.compile(r"^\s*wait\s*=\s*\"?(\d{1,9})\"?\s*(?:;.*)?$", re.IGNORECASE)
 
 
-class Stillness:
+class PauseDetector:
     """Detects pauses of the process, during which its sockets were not read.
 
     This guards against answers that come after the abandon time to requests that arrived during a pause of
@@ -35,18 +35,18 @@
 
     def __init__(self, now: int) -> None:
         """Starts with a heartbeat at `now`, ns."""
-        self.last_beat, self.pauses = now, deque[tuple[int, int]](maxlen=16)
+        self.last_heartbeat_at, self.pauses = now, deque[tuple[int, int]](maxlen=16)
 
-    def beat(self, now: int) -> int:
+    def heartbeat(self, now: int) -> int:
         """Notes a heartbeat; returns the length of the pause before it in ns, 0 if there was none."""
-        gap = now - self.last_beat
-        stood = gap if gap > STOOD * BEAT else 0
+        gap = now - self.last_heartbeat_at
+        stood = gap if gap > PAUSE_HEARTBEATS * HEARTBEAT_INTERVAL_NS else 0
         if stood:
-            self.pauses.append((self.last_beat, now))
-        self.last_beat = max(self.last_beat, now)
+            self.pauses.append((self.last_heartbeat_at, now))
+        self.last_heartbeat_at = max(self.last_heartbeat_at, now)
         return stood
 
-    def written_at(self, read_at: int, idle_before: int) -> int:
+    def earliest_written_at(self, read_at: int, idle_before: int) -> int:
         """Returns the earliest time at which a request read now may have been written. Times in ns.
 
         `idle_before` is the last time at which the connection is known to have been empty: its accept, or the
@@ -54,10 +54,10 @@
         throughout the pause, so its time counts from the start of the pause, but never from before
         `idle_before`.
         """
-        gap = read_at - self.last_beat
+        gap = read_at - self.last_heartbeat_at
         since = read_at
-        if gap > STOOD * BEAT:  # the heartbeat after the pause has not run yet
-            since = self.last_beat
+        if gap > PAUSE_HEARTBEATS * HEARTBEAT_INTERVAL_NS:  # the heartbeat after the pause has not run yet
+            since = self.last_heartbeat_at
         else:
             for start, end in reversed(self.pauses):
                 if read_at - end > SECOND:
@@ -66,7 +66,7 @@
         return max(since, min(idle_before, read_at))
 
 
-def asked_wait(prefer: list[str]) -> int | None:
+def preferred_wait(prefer: list[str]) -> int | None:
     """Returns the wait that a client states in `Prefer: wait=SECONDS` (RFC 7240 4.3), in ns.
 
     The first one counts; None if there is none. Preferences that are not understood are ignored, as section 2
@@ -74,36 +74,36 @@
     """
     for value in prefer:
         for part in value.split(","):
-            if match := PREFER_WAIT.match(part):
+            if match := PREFER_WAIT_PATTERN.match(part):
                 return int(match[1]) * SECOND
     return None
 
 
 @dataclass(frozen=True)
-class Due:
+class Deadline:
     """Deadline of one request's answer, and since when its client waits. Times in ns."""
 
-    written: int
-    abandon: int
+    written_at: int
+    abandon_at: int
 
-    def left(self, now: int) -> int:
+    def time_left(self, now: int) -> int:
         """Time left until the deadline, in ns; never negative."""
-        return max(0, self.abandon - now)
+        return max(0, self.abandon_at - now)
 
 
-def due(written: int, abandon_time: int, prefer: list[str], margin: int) -> Due:
+def request_deadline(written_at: int, abandon_time: int, prefer: list[str], margin: int) -> Deadline:
     """Returns the deadline of a request. Times in ns.
 
     The client waits for as long as it asked for, at most for the plan's abandon time. The margin is time kept
     for the way back: an answer written at the last moment still has to cross the network and the client's own
     queue. It is at most half of the wait, for clients that wait for less than two margins.
     """
-    asked = asked_wait(prefer)
+    asked = preferred_wait(prefer)
     wait = abandon_time if asked is None else min(asked, abandon_time)
-    return Due(written, written + wait - min(margin, wait // 2))
+    return Deadline(written_at, written_at + wait - min(margin, wait // 2))
 
 
-def margin(way_back: int, lag: int) -> int:
+def response_margin(return_time: int, lag: int) -> int:
     """Returns the time that is kept of each wait for the answer's way back, in ns.
 
     That is the configured time plus the recent lag of the front end's event loop, up to `MAX_LOOP_LAG_NS`.
@@ -111,13 +111,13 @@
     core, on any machine that is short of processor time. Drawback: on such a machine set-ups have that much
     less time.
     """
-    return way_back + min(lag, MOST_LAG)
+    return return_time + min(lag, MAX_LOOP_LAG_NS)
 
 
-def hopeless(request: Due, now: int, shortest_setup: int) -> bool:
+def is_too_late(deadline: Deadline, now: int, min_setup_time: int) -> bool:
     """Whether no set-up can end in the time that is left, so that the request is answered at once.
 
     This guards against set-ups, paid ones among them, for viewers that will be gone, such as when a front end
     returns from a pause to a queue of old requests. Drawback: a very fast node is never tried.
     """
-    return request.left(now) < shortest_setup
+    return deadline.time_left(now) < min_setup_time
--- a/oakcroft/decisions/admission/eviction.py
+++ b/oakcroft/decisions/admission/eviction.py
@@ -12,19 +12,19 @@
 
 from oakcroft.interface import MS
 
-FIRST_REQUEST_EXPECTED = 500 * MS
+FIRST_REQUEST_EXPECTED_NS = 500 * MS
 """Time within which a client that connects sends its first request: several round trips between distant regions."""
 
 
-class Evictable(IntEnum):
+class EvictionClass(IntEnum):
     """Why a connection may be closed; the lowest class is closed first."""
 
-    SILENT = 0  # no request since it connected, for longer than a first request takes
+    NO_REQUEST = 0  # no request since it connected, for longer than a first request takes
     ANSWERED = 1  # all its requests are answered, and none of them plays
-    CARRIES_SESSIONS = 2  # sessions set up on it are live, and their ends are sent on it
+    HAS_SESSIONS = 2  # sessions set up on it are live, and their ends are sent on it
     NEW = 3  # its first request may be on its way
-    IN_PART = 4  # part of a request has arrived
-    ANSWER_UNSENT = 5  # part of an answer waits for the peer to read
+    PARTIAL_REQUEST = 4  # part of a request has arrived
+    UNSENT_ANSWER = 5  # part of an answer waits for the peer to read
 
 
 @dataclass(frozen=True)
@@ -37,14 +37,14 @@
     - `has_unsent_answer`: bytes of an answer wait in this process for the peer to read.
     """
 
-    since: int
-    has_asked: bool
-    sessions: int
-    partial: bool
-    unsent: bool
+    idle_since: int
+    has_sent_request: bool
+    session_count: int
+    has_partial_message: bool
+    has_unsent_answer: bool
 
 
-def eviction_order(connection: IdleConnection, now: int) -> tuple[Evictable, int]:
+def eviction_order(connection: IdleConnection, now: int) -> tuple[EvictionClass, int]:
     """Returns the sort key of a connection: the least is closed first. `now`: ns.
 
     The order is by class and, within a class, by idle time, longest first.
@@ -55,19 +55,19 @@
     and among the others the oldest went first, which were those with sessions. Drawback: a client that is
     equally idle has to open another connection for its next request.
     """
-    return _eviction_class(connection, now), connection.since
+    return _eviction_class(connection, now), connection.idle_since
 
 
-def _eviction_class(connection: IdleConnection, now: int) -> Evictable:
+def _eviction_class(connection: IdleConnection, now: int) -> EvictionClass:
     """Returns the class of a connection."""
-    if connection.unsent:
-        return Evictable.ANSWER_UNSENT
-    if connection.partial:
-        return Evictable.IN_PART
-    if connection.sessions:
-        return Evictable.CARRIES_SESSIONS
-    if connection.has_asked:
-        return Evictable.ANSWERED
-    if now - connection.since > FIRST_REQUEST_EXPECTED:
-        return Evictable.SILENT
-    return Evictable.NEW
+    if connection.has_unsent_answer:
+        return EvictionClass.UNSENT_ANSWER
+    if connection.has_partial_message:
+        return EvictionClass.PARTIAL_REQUEST
+    if connection.session_count:
+        return EvictionClass.HAS_SESSIONS
+    if connection.has_sent_request:
+        return EvictionClass.ANSWERED
+    if now - connection.idle_since > FIRST_REQUEST_EXPECTED_NS:
+        return EvictionClass.NO_REQUEST
+    return EvictionClass.NEW
