--- a/oakcroft/decisions/admission/load_shedding.py
+++ b/oakcroft/decisions/admission/load_shedding.py
@@ -20,116 +20,126 @@
 
 from oakcroft.interface import MS, SECOND
 
-LEAST_SHARE = 0.1
-SHORTEST = 4  # requests of a plan that may always wait
-PACE_KEPT = 0.8  # weight of the old estimate at each heartbeat
+MIN_PLAN_SHARE = 0.1
+MIN_QUEUE_LENGTH = 4  # requests of a plan that may always wait
+THROUGHPUT_SMOOTHING = 0.8  # weight of the old estimate at each heartbeat
 
 
 @dataclass
-class Window:
+class ConcurrencyWindow:
     """Number of requests that may be processed at one time, adapted to the lag of the event loop.
 
     Additive increase, multiplicative decrease: 8 more with each heartbeat in time, a fifth less with each
     late one.
     """
 
-    least: int = 16
-    most: int = 512
-    late: int = 12 * MS  # a set-up takes about ten iterations of the event loop
+    min_size: int = 16
+    max_size: int = 512
+    late_after: int = 12 * MS  # a set-up takes about ten iterations of the event loop
     size: float = 512.0
 
-    def beat(self, lag: int) -> None:
+    def adjust(self, lag: int) -> None:
         """Adapts the size after a heartbeat that was `lag` ns late."""
-        self.size = max(self.least, self.size * 0.8) if lag > self.late else min(self.most, self.size + 8)
+        self.size = (
+            max(self.min_size, self.size * 0.8)
+            if lag > self.late_after
+            else min(self.max_size, self.size + 8)
+        )
 
 
 @dataclass(order=True)
-class Waiting:
+class QueuedRequest:
     """One queued request. `abandon_at`: its deadline, ns."""
 
-    abandon: int
+    abandon_at: int
     number: int
     plan: str = field(compare=False)
     client: str = field(compare=False)
 
 
 @dataclass
-class _Plan:
+class _PlanQueue:
     """Queue of one plan: its clients in turn, the requests of each by deadline."""
 
     weight: float
-    served: float = 0.0  # turns taken divided by the weight; the plan with the least goes next
-    waiting: int = 0
-    clients: OrderedDict[str, list[Waiting]] = field(default_factory=OrderedDict)
+    virtual_time: float = 0.0  # turns taken divided by the weight; the plan with the least goes next
+    waiting_count: int = 0
+    requests_by_client: OrderedDict[str, list[QueuedRequest]] = field(default_factory=OrderedDict)
 
 
 @dataclass
-class Line:
+class FairQueue:
     """Weighted fair queue of requests by plan. `min_answer_time`: least time that an answer needs, ns."""
 
     weights: Mapping[str, float]
-    window: Window
-    needs: int
-    most: int = 4096
-    targets: Mapping[str, int] = field(default_factory=dict)  # startup target by plan
-    pace: float = 0.0  # recent turns a second, while requests wait
-    turns: int = 0  # since the last heartbeat
-    at_work: int = 0
-    waiting: dict[int, Waiting] = field(default_factory=dict)
-    plans: dict[str, _Plan] = field(default_factory=dict)
-    clock: float = 0.0
+    window: ConcurrencyWindow
+    min_answer_time: int
+    capacity: int = 4096
+    startup_targets: Mapping[str, int] = field(default_factory=dict)  # startup target by plan
+    throughput: float = 0.0  # recent turns a second, while requests wait
+    turns_since_heartbeat: int = 0  # since the last heartbeat
+    in_progress: int = 0
+    waiting: dict[int, QueuedRequest] = field(default_factory=dict)
+    plans: dict[str, _PlanQueue] = field(default_factory=dict)
+    virtual_clock: float = 0.0
 
     def __post_init__(self) -> None:
         """Makes the queues of the plans."""
-        self.take_version(self.weights, self.targets)
+        self.set_plans(self.weights, self.startup_targets)
 
-    def take_version(self, weights: Mapping[str, float], targets: Mapping[str, int]) -> None:
+    def set_plans(self, weights: Mapping[str, float], startup_targets: Mapping[str, int]) -> None:
         """Sets revenue (`weights`) and startup target (ns) by plan.
 
         Each plan gets its share of turns, none less than the least share. A plan that is gone stays until its
         last request has left.
         """
-        self.weights, self.targets = weights, targets
-        for name in [n for n, p in self.plans.items() if n not in weights and not p.waiting]:
+        self.weights, self.startup_targets = weights, startup_targets
+        for name in [n for n, p in self.plans.items() if n not in weights and not p.waiting_count]:
             del self.plans[name]
         whole = sum(weights.values()) or 1.0
         for name, revenue in weights.items():
-            share = max(LEAST_SHARE, revenue / whole)
+            share = max(MIN_PLAN_SHARE, revenue / whole)
             if name in self.plans:
                 self.plans[name].weight = share
             else:
-                self.plans[name] = _Plan(share, self.clock)
+                self.plans[name] = _PlanQueue(share, self.virtual_clock)
 
-    def enter(self, one: Waiting) -> bool:
+    def submit(self, request: QueuedRequest) -> bool:
         """Adds a request; True if it may be processed at once, False if it waits for `next_request`."""
-        if not self.waiting and self.at_work < self.window.size:
-            self._serve(one.plan)
+        if not self.waiting and self.in_progress < self.window.size:
+            self._start(request.plan)
             return True
-        self.waiting[one.number] = one
-        plan = self.plans.setdefault(one.plan, _Plan(LEAST_SHARE, self.clock))
-        plan.waiting += 1
-        if not plan.clients:
-            plan.served = max(plan.served, self.clock)  # a plan gains no credit while it has no requests
-        heapq.heappush(plan.clients.setdefault(one.client, []), one)
+        self.waiting[request.number] = request
+        plan = self.plans.setdefault(request.plan, _PlanQueue(MIN_PLAN_SHARE, self.virtual_clock))
+        plan.waiting_count += 1
+        if not plan.requests_by_client:
+            plan.virtual_time = max(
+                plan.virtual_time, self.virtual_clock
+            )  # a plan gains no credit while it has no requests
+        heapq.heappush(plan.requests_by_client.setdefault(request.client, []), request)
         return False
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no further request may wait.
 
         A queue several times as long as what is processed at one time cannot be answered in time, and reading
         its requests takes time from those that can be.
         """
-        return len(self.waiting) >= min(self.most, max(64, 4 * self.window.size))
+        return len(self.waiting) >= min(self.capacity, max(64, 4 * self.window.size))
 
-    def beat(self, lag: int, passed: int) -> None:
+    def heartbeat(self, lag: int, elapsed: int) -> None:
         """Adapts the window and the throughput after a heartbeat. `lag`, `elapsed` since the last one: ns."""
-        self.window.beat(lag)
-        now = self.turns * SECOND / max(1, passed)
-        self.pace = now if not self.pace else PACE_KEPT * self.pace + (1 - PACE_KEPT) * now
-        self.turns = 0
-
-    def sheds(self, name: str) -> bool:
+        self.window.adjust(lag)
+        now = self.turns_since_heartbeat * SECOND / max(1, elapsed)
+        self.throughput = (
+            now
+            if not self.throughput
+            else THROUGHPUT_SMOOTHING * self.throughput + (1 - THROUGHPUT_SMOOTHING) * now
+        )
+        self.turns_since_heartbeat = 0
+
+    def should_shed(self, plan_name: str) -> bool:
         """Whether a new request of a plan is to be rejected at once.
 
         It is if the plan's turns, at the recent throughput and against the plans that wait beside it, are
@@ -137,56 +147,61 @@
         time to some, without letting a crowd of one plan shut out the others. Drawback: if the throughput was
         low for lack of demand, a few requests wait for less time than they could have.
         """
-        if self.full:
+        if self.is_full:
             return True
-        plan = self.plans.get(name)
-        if plan is None or plan.waiting < SHORTEST or name not in self.targets:
+        plan = self.plans.get(plan_name)
+        if plan is None or plan.waiting_count < MIN_QUEUE_LENGTH or plan_name not in self.startup_targets:
             return False
-        beside = sum(p.weight for p in self.plans.values() if p.waiting) or plan.weight
-        return plan.waiting >= self.pace * plan.weight / beside * self.targets[name] / (2 * SECOND)
+        beside = sum(p.weight for p in self.plans.values() if p.waiting_count) or plan.weight
+        return plan.waiting_count >= self.throughput * plan.weight / beside * self.startup_targets[
+            plan_name
+        ] / (2 * SECOND)
 
-    def _serve(self, name: str) -> None:
+    def _start(self, plan_name: str) -> None:
         """Counts a turn of a plan and a request in progress."""
-        plan = self.plans.setdefault(name, _Plan(LEAST_SHARE, self.clock))
-        self.clock = max(self.clock, plan.served)
-        plan.served += 1.0 / plan.weight
-        self.at_work += 1
-        self.turns += 1
+        plan = self.plans.setdefault(plan_name, _PlanQueue(MIN_PLAN_SHARE, self.virtual_clock))
+        self.virtual_clock = max(self.virtual_clock, plan.virtual_time)
+        plan.virtual_time += 1.0 / plan.weight
+        self.in_progress += 1
+        self.turns_since_heartbeat += 1
 
-    def hopeless(self, now: int) -> list[Waiting]:
+    def remove_expired(self, now: int) -> list[QueuedRequest]:
         """Removes and returns the requests that can no longer be answered in time. `now`: ns."""
-        gone = [w for w in self.waiting.values() if w.abandon - now < self.needs]
+        gone = [w for w in self.waiting.values() if w.abandon_at - now < self.min_answer_time]
         for w in gone:
-            self.leave(w.number)
+            self.remove(w.number)
         return gone
 
-    def leave(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Removes a request without its turn."""
         one = self.waiting.pop(number, None)
         if one is None:
             return
         plan = self.plans[one.plan]
-        plan.waiting -= 1
-        some = plan.clients[one.client]
+        plan.waiting_count -= 1
+        some = plan.requests_by_client[one.client]
         some.remove(one)
         heapq.heapify(some)
         if not some:
-            del plan.clients[one.client]
+            del plan.requests_by_client[one.client]
 
-    def next(self) -> Waiting | None:
+    def next_request(self) -> QueuedRequest | None:
         """Takes the request whose turn it is; None if none waits or too many are in progress."""
-        if not self.waiting or self.at_work >= self.window.size:
+        if not self.waiting or self.in_progress >= self.window.size:
             return None
-        name = min((n for n, p in self.plans.items() if p.clients), key=lambda n: (self.plans[n].served, n))
+        name = min(
+            (n for n, p in self.plans.items() if p.requests_by_client),
+            key=lambda n: (self.plans[n].virtual_time, n),
+        )
         plan = self.plans[name]
-        client, some = next(iter(plan.clients.items()))
+        client, some = next(iter(plan.requests_by_client.items()))
         one = some[0]
-        self.leave(one.number)
-        if client in plan.clients:
-            plan.clients.move_to_end(client)
-        self._serve(name)
+        self.remove(one.number)
+        if client in plan.requests_by_client:
+            plan.requests_by_client.move_to_end(client)
+        self._start(name)
         return one
 
-    def done(self) -> None:
+    def finish(self) -> None:
         """A request in progress has its answer."""
-        self.at_work -= 1
+        self.in_progress -= 1
--- a/oakcroft/decisions/admission/request_limits.py
+++ b/oakcroft/decisions/admission/request_limits.py
@@ -15,7 +15,7 @@
 from oakcroft.interface import SECOND
 
 
-class Scope(Enum):
+class LimitScope(Enum):
     """What a limit applies to, in the order in which limits are checked."""
 
     TOKEN = "token"
@@ -25,11 +25,11 @@
     ALL = "all"
 
 
-ORDER = list(Scope)
+SCOPE_ORDER = list(LimitScope)
 
 
 @dataclass(frozen=True)
-class Limit:
+class RequestLimit:
     """One limit on new playbacks and on playbacks held at one time.
 
     - `rate`: new playbacks a second, with bursts of `burst`; None for no rate limit.
@@ -40,15 +40,17 @@
     """
 
     name: str
-    scope: Scope
-    on: str
+    scope: LimitScope
+    subject: str
     rate: float | None = None
     burst: float | None = None
-    at_once: int | None = None
-    whole: bool = True
+    max_concurrent: int | None = None
+    is_fleet_wide: bool = True
 
 
-def share_of(limit: Limit, front: int, fronts: int, parts: int = 0) -> Limit:
+def share_of_limit(
+    limit: RequestLimit, front_index: int, front_count: int, rate_shares: int = 0
+) -> RequestLimit:
     """Returns what one front end may use of a limit.
 
     Rates may be divided into fewer shares (`rate_shares`) than there are front ends if some have left for
@@ -57,41 +59,45 @@
     that the shares of all front ends sum to the limit exactly; a front end whose share is 0 admits none. So
     the sum holds without any communication between front ends.
     """
-    if not limit.whole or fronts <= 1:
+    if not limit.is_fleet_wide or front_count <= 1:
         return limit
-    at_once = None if limit.at_once is None else limit.at_once // fronts + (front < limit.at_once % fronts)
-    rate = None if limit.rate is None else limit.rate / (parts or fronts)
-    burst = None if limit.burst is None else limit.burst / (parts or fronts)
-    return Limit(limit.name, limit.scope, limit.on, rate, burst, at_once, False)
+    at_once = (
+        None
+        if limit.max_concurrent is None
+        else limit.max_concurrent // front_count + (front_index < limit.max_concurrent % front_count)
+    )
+    rate = None if limit.rate is None else limit.rate / (rate_shares or front_count)
+    burst = None if limit.burst is None else limit.burst / (rate_shares or front_count)
+    return RequestLimit(limit.name, limit.scope, limit.subject, rate, burst, at_once, False)
 
 
 @dataclass
-class Bucket:
+class TokenBucket:
     """A token bucket: `tokens` at the time `updated_at`, ns."""
 
-    level: float
-    at: int
+    tokens: float
+    updated_at: int
 
-    def read(self, limit: Limit, now: int) -> float:
+    def refill(self, limit: RequestLimit, now: int) -> float:
         """Returns the tokens at a time, ns.
 
         A clock that goes back neither adds nor removes tokens. A clock that jumps ahead, or a pause of the
         process, fills the bucket to its burst at most.
         """
-        if now > self.at and limit.rate is not None:
-            self.level = min(burst_of(limit), self.level + (now - self.at) / SECOND * limit.rate)
-        self.at = max(self.at, now)
-        return self.level
+        if now > self.updated_at and limit.rate is not None:
+            self.tokens = min(burst_size(limit), self.tokens + (now - self.updated_at) / SECOND * limit.rate)
+        self.updated_at = max(self.updated_at, now)
+        return self.tokens
 
 
-def burst_of(limit: Limit) -> float:
+def burst_size(limit: RequestLimit) -> float:
     """Returns the capacity of a bucket: the burst, else one second of the rate, and never less than 1."""
     stated = limit.burst if limit.burst is not None else (limit.rate or 0.0)
     return max(1.0, stated)
 
 
 @dataclass(frozen=True)
-class Party:
+class RequestSubject:
     """The token, route, plan and wing (zone) that a request is charged to."""
 
     token: str
@@ -99,38 +105,38 @@
     plan: str
     wing: str
 
-    def of(self, scope: Scope) -> str:
+    def name_in(self, scope: LimitScope) -> str:
         """Returns the name that the request has in a scope."""
         return {
-            Scope.TOKEN: self.token,
-            Scope.ROUTE: self.route,
-            Scope.PLAN: self.plan,
-            Scope.WING: self.wing,
+            LimitScope.TOKEN: self.token,
+            LimitScope.ROUTE: self.route,
+            LimitScope.PLAN: self.plan,
+            LimitScope.WING: self.wing,
         }.get(scope, "")
 
 
 @dataclass(frozen=True)
-class Over:
+class LimitExceeded:
     """A limit that refuses a request: its name, what of it is used up, and when to try again.
 
     `retry_after_ns`: time until it has room; None if it is not known.
     """
 
     limit: str
-    what: str
-    back_after: int | None
+    detail: str
+    retry_after_ns: int | None
 
 
 @dataclass(eq=False)
-class Ticket:
+class LimitReservation:
     """The places that a request holds until its playback is over."""
 
-    places: tuple[tuple[str, str], ...]
-    returned: bool = False
+    keys: tuple[tuple[str, str], ...]
+    is_released: bool = False
 
 
 @dataclass
-class Ledger:
+class LimitLedger:
     """Usage of every limit, by the limit's name and the subject it counts.
 
     Usage outlives changes of the configuration. It is kept by name, so that a limit that is lowered below
@@ -139,121 +145,133 @@
     information. Drawback: a limit that is renamed starts from zero.
     """
 
-    front: int = 0
-    fronts: int = 1
-    most: int = 100_000
-    limits: dict[str, Limit] = field(default_factory=dict)
-    by_scope: dict[Scope, dict[str, list[Limit]]] = field(default_factory=dict)
-    buckets: dict[tuple[str, str], Bucket] = field(default_factory=dict)
-    held: dict[tuple[str, str], int] = field(default_factory=dict)
-    parts: int = 0  # shares that rates are divided into; 0 for one share per front end
-    stated: list[Limit] = field(default_factory=list)
-
-    def take_parts(self, parts: int) -> bool:
+    front_index: int = 0
+    front_count: int = 1
+    max_buckets: int = 100_000
+    limits: dict[str, RequestLimit] = field(default_factory=dict)
+    by_scope: dict[LimitScope, dict[str, list[RequestLimit]]] = field(default_factory=dict)
+    buckets: dict[tuple[str, str], TokenBucket] = field(default_factory=dict)
+    concurrent: dict[tuple[str, str], int] = field(default_factory=dict)
+    rate_shares: int = 0  # shares that rates are divided into; 0 for one share per front end
+    configured: list[RequestLimit] = field(default_factory=list)
+
+    def set_rate_shares(self, rate_shares: int) -> bool:
         """Divides rates into this many shares from now on; returns whether that is a change."""
-        if parts == (self.parts or self.fronts):
+        if rate_shares == (self.rate_shares or self.front_count):
             return False
-        self.parts = parts
-        self.take_version(self.stated)
+        self.rate_shares = rate_shares
+        self.set_limits(self.configured)
         return True
 
-    def take_version(self, limits: Iterable[Limit]) -> None:
+    def set_limits(self, limits: Iterable[RequestLimit]) -> None:
         """Puts new limits in force."""
-        self.stated = list(limits)
-        self.limits = {x.name: share_of(x, self.front, self.fronts, self.parts) for x in self.stated}
+        self.configured = list(limits)
+        self.limits = {
+            x.name: share_of_limit(x, self.front_index, self.front_count, self.rate_shares)
+            for x in self.configured
+        }
         self.by_scope = {}
         for limit in self.limits.values():
-            self.by_scope.setdefault(limit.scope, {}).setdefault(limit.on, []).append(limit)
+            self.by_scope.setdefault(limit.scope, {}).setdefault(limit.subject, []).append(limit)
         for key, bucket in list(self.buckets.items()):
             if key[0] not in self.limits:
                 del self.buckets[key]
             else:
-                bucket.level = min(bucket.level, burst_of(self.limits[key[0]]))
+                bucket.tokens = min(bucket.tokens, burst_size(self.limits[key[0]]))
 
-    def applying(self, party: Party) -> list[tuple[Limit, str]]:
+    def matching_limits(self, subject: RequestSubject) -> list[tuple[RequestLimit, str]]:
         """Returns the limits that apply to a request, in order, each with the name that it counts."""
         found = []
-        for scope in ORDER:
-            here, who = self.by_scope.get(scope), party.of(scope)
+        for scope in SCOPE_ORDER:
+            here, who = self.by_scope.get(scope), subject.name_in(scope)
             if here is None:
                 continue
-            for limit in here.get(who if scope is not Scope.ALL else "", ()):
+            for limit in here.get(who if scope is not LimitScope.ALL else "", ()):
                 found.append((limit, who))
             if who:
                 for limit in here.get("*", ()):
                     found.append((limit, who))
         return found
 
-    def ask(self, party: Party, now: int) -> Ticket | Over:
+    def acquire(self, subject: RequestSubject, now: int) -> LimitReservation | LimitExceeded:
         """Charges a request to every limit that applies to it, or to none. `now`: ns."""
-        applying = self.applying(party)
+        applying = self.matching_limits(subject)
         for limit, who in applying:
-            if over := self._over(limit, who, now):
+            if over := self._exceeded(limit, who, now):
                 return over
         places = []
         for limit, who in applying:
             if limit.rate is not None:
-                self._bucket(limit, who, now).level -= 1.0
+                self._bucket(limit, who, now).tokens -= 1.0
             key = (limit.name, who)
-            self.held[key] = self.held.get(key, 0) + 1
+            self.concurrent[key] = self.concurrent.get(key, 0) + 1
             places.append(key)
-        return Ticket(tuple(places))
+        return LimitReservation(tuple(places))
 
-    def _over(self, limit: Limit, who: str, now: int) -> Over | None:
+    def _exceeded(self, limit: RequestLimit, subject: str, now: int) -> LimitExceeded | None:
         """Returns the refusal of a limit that has no room, else None."""
-        if limit.at_once is not None and self.held.get((limit.name, who), 0) >= limit.at_once:
-            return Over(limit.name, f"{limit.at_once} at once", None)
+        if (
+            limit.max_concurrent is not None
+            and self.concurrent.get((limit.name, subject), 0) >= limit.max_concurrent
+        ):
+            return LimitExceeded(limit.name, f"{limit.max_concurrent} at once", None)
         if limit.rate is not None:
-            level = self._bucket(limit, who, now).read(limit, now)
+            level = self._bucket(limit, subject, now).refill(limit, now)
             if level < 1.0 - 1e-9:
                 wait = None if limit.rate <= 0 else round((1.0 - level) / limit.rate * SECOND)
-                return Over(limit.name, f"{limit.rate:g} a second", wait)
+                return LimitExceeded(limit.name, f"{limit.rate:g} a second", wait)
         return None
 
-    def _bucket(self, limit: Limit, who: str, now: int) -> Bucket:
+    def _bucket(self, limit: RequestLimit, subject: str, now: int) -> TokenBucket:
         """Returns the bucket of a limit and subject; a new one is full."""
-        key = (limit.name, who)
+        key = (limit.name, subject)
         bucket = self.buckets.get(key)
         if bucket is None:
-            if len(self.buckets) >= self.most:
-                self._tidy(now)
-            bucket = self.buckets[key] = Bucket(burst_of(limit), now)
+            if len(self.buckets) >= self.max_buckets:
+                self._drop_full_buckets(now)
+            bucket = self.buckets[key] = TokenBucket(burst_size(limit), now)
         return bucket
 
-    def _tidy(self, now: int) -> None:
+    def _drop_full_buckets(self, now: int) -> None:
         """Drops buckets that are full or whose limit is gone."""
         for key, bucket in list(self.buckets.items()):
             limit = self.limits.get(key[0])
-            if limit is None or bucket.read(limit, now) >= burst_of(limit):
+            if limit is None or bucket.refill(limit, now) >= burst_size(limit):
                 del self.buckets[key]
 
-    def back(self, ticket: Ticket) -> None:
+    def release(self, reservation: LimitReservation) -> None:
         """Releases the places of a request whose playback is over or never began; idempotent."""
-        if ticket.returned:
+        if reservation.is_released:
             return
-        ticket.returned = True
-        for key in ticket.places:
-            left = self.held[key] - 1
+        reservation.is_released = True
+        for key in reservation.keys:
+            left = self.concurrent[key] - 1
             if left:
-                self.held[key] = left
+                self.concurrent[key] = left
             else:
-                del self.held[key]
+                del self.concurrent[key]
 
 
-def never_binds(limit: Limit, limits: Mapping[str, Limit]) -> str | None:
+def limit_reached_first(limit: RequestLimit, limits: Mapping[str, RequestLimit]) -> str | None:
     """Returns the name of another limit that is always reached before this one, if any.
 
     That is a limit on all requests with equal or lower figures.
     """
     for other in limits.values():
-        if other.name == limit.name or other.scope is not Scope.ALL or limit.whole != other.whole:
+        if (
+            other.name == limit.name
+            or other.scope is not LimitScope.ALL
+            or limit.is_fleet_wide != other.is_fleet_wide
+        ):
             continue
-        if limit.scope is Scope.ALL and other.name > limit.name:
+        if limit.scope is LimitScope.ALL and other.name > limit.name:
             continue
         rate = limit.rate is None or (
-            other.rate is not None and other.rate <= limit.rate and burst_of(other) <= burst_of(limit)
+            other.rate is not None and other.rate <= limit.rate and burst_size(other) <= burst_size(limit)
+        )
+        places = limit.max_concurrent is None or (
+            other.max_concurrent is not None and other.max_concurrent <= limit.max_concurrent
         )
-        places = limit.at_once is None or (other.at_once is not None and other.at_once <= limit.at_once)
         if rate and places:
             return other.name
     return None
--- a/oakcroft/decisions/admission/resume_tokens.py
+++ b/oakcroft/decisions/admission/resume_tokens.py
@@ -17,62 +17,64 @@
 from oakcroft.interface import SECOND
 
 
-class Invalid(Enum):
+class TokenError(Enum):
     """Why a resume token is refused."""
 
-    SHAPE = "it is no pass"
-    KEY = "this front did not give it, or long ago"
-    SEAL = "its seal is broken, or it was given to another client"
+    MALFORMED = "it is no pass"
+    UNKNOWN_KEY = "this front did not give it, or long ago"
+    BAD_SIGNATURE = "its seal is broken, or it was given to another client"
     EXPIRED = "its time is up"
 
 
 @dataclass
-class Passes:
+class ResumeTokens:
     """Issues and verifies resume tokens. Times in ns.
 
     Keys are passed in, since this module draws no random numbers.
     """
 
-    lasts: int
-    rotate: int = 3600 * SECOND
+    lifetime: int
+    rotation_interval: int = 3600 * SECOND
     keys: dict[int, bytes] = field(default_factory=dict)
-    newest: int = -1
-    since: int = 0
+    newest_key_number: int = -1
+    rotated_at: int = 0
 
-    def wants_key(self, now: int) -> bool:
+    def needs_key(self, now: int) -> bool:
         """Whether a new key is due."""
-        return self.newest < 0 or now - self.since >= self.rotate
+        return self.newest_key_number < 0 or now - self.rotated_at >= self.rotation_interval
 
-    def take_key(self, number: int, key: bytes, now: int) -> None:
+    def add_key(self, number: int, key: bytes, now: int) -> None:
         """Adds a signing key under a growing number; only the previous key is kept beside it.
 
         Raises ValueError for a number that does not grow or a key of less than 32 bytes.
         """
-        if number <= self.newest or len(key) < 32:
+        if number <= self.newest_key_number or len(key) < 32:
             raise ValueError("keys have growing numbers and 32 bytes")
-        self.keys = {n: k for n, k in self.keys.items() if n == self.newest} | {number: key}
-        self.newest, self.since = number, now
+        self.keys = {n: k for n, k in self.keys.items() if n == self.newest_key_number} | {number: key}
+        self.newest_key_number, self.rotated_at = number, now
 
-    def give(self, seat: str, client: str, now: int) -> str:
+    def issue(self, seat: str, client: str, now: int) -> str:
         """Issues a token for a client session to a client."""
-        body = f"{self.newest}.{now + self.lasts}.{seat}"
-        return f"{body}.{self._seal(self.keys[self.newest], body, client)}"
+        body = f"{self.newest_key_number}.{now + self.lifetime}.{seat}"
+        return f"{body}.{self._signature(self.keys[self.newest_key_number], body, client)}"
 
-    def open(self, given: str, client: str, now: int) -> str | Invalid:
+    def verify(self, token: str, client: str, now: int) -> str | TokenError:
         """Returns the client session that a token is for, or why the token is refused."""
-        parts = given.split(".")
-        if len(parts) != 4 or len(given) > 300 or not (parts[0].isdecimal() and parts[1].isdecimal()):
-            return Invalid.SHAPE
+        parts = token.split(".")
+        if len(parts) != 4 or len(token) > 300 or not (parts[0].isdecimal() and parts[1].isdecimal()):
+            return TokenError.MALFORMED
         key = self.keys.get(int(parts[0]))
         if key is None:
-            return Invalid.KEY
+            return TokenError.UNKNOWN_KEY
         body = ".".join(parts[:3])
-        if not hmac.compare_digest(self._seal(key, body, client).encode(), parts[3].encode()):
-            return Invalid.SEAL  # forged or issued to another client; the error does not tell which
-        return Invalid.EXPIRED if now > int(parts[1]) else parts[2]
+        if not hmac.compare_digest(self._signature(key, body, client).encode(), parts[3].encode()):
+            return (
+                TokenError.BAD_SIGNATURE
+            )  # forged or issued to another client; the error does not tell which
+        return TokenError.EXPIRED if now > int(parts[1]) else parts[2]
 
     @staticmethod
-    def _seal(key: bytes, body: str, client: str) -> str:
+    def _signature(key: bytes, body: str, client: str) -> str:
         """Returns the signature of a token's body for a client."""
         mac = hmac.new(key, f"{body}\0{client}".encode(), hashlib.sha256).digest()
         return base64.urlsafe_b64encode(mac[:24]).decode()
--- a/oakcroft/decisions/admission/service_levels.py
+++ b/oakcroft/decisions/admission/service_levels.py
@@ -24,7 +24,7 @@
 from oakcroft.interface import SECOND
 
 
-class Sign(Enum):
+class LoadSignal(Enum):
     """A figure that levels are entered and left by; higher is worse. The values are configuration keys."""
 
     X = "x"  # load of all links, as admission control (SA2C) estimates it
@@ -35,16 +35,16 @@
 
 
 @dataclass(frozen=True)
-class Mark:
+class SignalThreshold:
     """Entry and exit threshold of one load signal; the exit threshold is the lower one."""
 
-    sign: Sign
-    enter: float
-    leave: float
+    signal: LoadSignal
+    enter_at: float
+    leave_below: float
 
 
 @dataclass(frozen=True)
-class Acts:
+class LevelEffects:
     """What a level restricts.
 
     - `max_rung`: highest rung of new playbacks, None for no restriction.
@@ -53,23 +53,23 @@
     - `maintenance_allowed`: whether background work goes on.
     """
 
-    top: int | None = None
-    admits: Mapping[str, float] = field(default_factory=dict)
-    moves: bool = True
-    upkeep: bool = True
+    max_rung: int | None = None
+    admitted_shares: Mapping[str, float] = field(default_factory=dict)
+    moves_allowed: bool = True
+    maintenance_allowed: bool = True
 
 
 @dataclass(frozen=True)
-class Level:
+class ServiceLevel:
     """One level of reduced service."""
 
     name: str
-    marks: tuple[Mark, ...]
-    acts: Acts
+    thresholds: tuple[SignalThreshold, ...]
+    effects: LevelEffects
 
 
 @dataclass(frozen=True)
-class Bounds:
+class LevelBounds:
     """Limits on changes of level. Times in ns.
 
     The field names are the keys of the `levels` form of the configuration.
@@ -87,134 +87,137 @@
     strong: float = 1.5
 
 
-SPREAD = 4  # front ends differ in their hold times by up to this many configured hold times
-FULL = Level("full", (), Acts())
+HOLD_SPREAD = 4  # front ends differ in their hold times by up to this many configured hold times
+FULL_SERVICE = ServiceLevel("full", (), LevelEffects())
 
 
 @dataclass(frozen=True)
-class Change:
+class LevelChange:
     """One change of level and its reason. `changed_at`: ns."""
 
-    at: int
-    before: str
-    after: str
-    why: str
+    changed_at: int
+    previous: str
+    current: str
+    reason: str
 
 
 @dataclass
-class Pin:
+class LevelPin:
     """A level set by an operator, in force until a time (ns) whatever the load signals say."""
 
     level: int
     until: int
 
 
-class Levels:
+class LevelController:
     """Decides on the service level of one front end."""
 
-    def __init__(self, levels: Sequence[Level], bounds: Bounds, rng: Random, now: int) -> None:
+    def __init__(self, levels: Sequence[ServiceLevel], bounds: LevelBounds, rng: Random, now: int) -> None:
         """Starts at full service. `now`: ns.
 
         Draws four times from `rng`: the hold times for entering and leaving, the least time in a level, and
         the window.
         """
-        self.levels, self.bounds = [FULL, *levels], bounds
-        self.at, self.since, self.why = 0, now - 2 * bounds.least, "at the start"
-        self.changes = deque[int]()
-        self.history = deque[Change](maxlen=64)
-        self.pin: Pin | None = None
-        self.enter_after = round(bounds.hold * (1 + SPREAD * rng.random()))
-        self.leave_after = round(bounds.hold * (2 + SPREAD * rng.random()))
-        self.least = round(bounds.least * (1 + rng.random()))
+        self.levels, self.bounds = [FULL_SERVICE, *levels], bounds
+        self.current, self.changed_at, self.reason = 0, now - 2 * bounds.least, "at the start"
+        self.change_times = deque[int]()
+        self.history = deque[LevelChange](maxlen=64)
+        self.pin: LevelPin | None = None
+        self.enter_hold = round(bounds.hold * (1 + HOLD_SPREAD * rng.random()))
+        self.leave_hold = round(bounds.hold * (2 + HOLD_SPREAD * rng.random()))
+        self.min_dwell = round(bounds.least * (1 + rng.random()))
         self.window = round(bounds.window * (1 + rng.random() / 2))
-        self.over: dict[int, int] = {}  # by level, since when an entry threshold is exceeded
-        self.under: dict[int, int] = {}  # by level, since when all exits hold
-        self.held_back = 0  # changes that the limits forbade
+        self.entry_met_since: dict[int, int] = {}  # by level, since when an entry threshold is exceeded
+        self.exits_met_since: dict[int, int] = {}  # by level, since when all exits hold
+        self.suppressed_changes = 0  # changes that the limits forbade
 
     @property
-    def level(self) -> Level:
+    def level(self) -> ServiceLevel:
         """The level in force."""
-        return self.levels[self.at]
+        return self.levels[self.current]
 
     # Load signals.
 
-    def look(self, signs: Mapping[Sign, float], now: int) -> Change | None:
+    def update(self, signals: Mapping[LoadSignal, float], now: int) -> LevelChange | None:
         """Takes new load signals and changes the level if a change is due.
 
         Called a few times a second. Returns the change that was made, or None. `now`: ns.
         """
         for n, level in enumerate(self.levels):
-            entered = any(signs.get(m.sign, 0.0) >= m.enter for m in level.marks)
-            left = all(signs.get(m.sign, 0.0) < m.leave for m in level.marks)
-            self._held(self.over, n, n > 0 and entered, now)
-            self._held(self.under, n, n > 0 and left, now)
+            entered = any(signals.get(m.signal, 0.0) >= m.enter_at for m in level.thresholds)
+            left = all(signals.get(m.signal, 0.0) < m.leave_below for m in level.thresholds)
+            self._track_condition(self.entry_met_since, n, n > 0 and entered, now)
+            self._track_condition(self.exits_met_since, n, n > 0 and left, now)
         if self.pin is not None and now < self.pin.until:
-            return self._change(self.pin.level, "pinned by an operator", now, pinned=True)
+            return self._change_level(self.pin.level, "pinned by an operator", now, pinned=True)
         if self.pin is not None:
             self.pin = None
-        up = self._up(signs, now)
-        if up is not None and up > self.at:
-            return self._change(up, self._told(signs, up), now)
-        return self._change(self._down(now), f"under the exits of {self.level.name}", now)
+        up = self._level_to_enter(signals, now)
+        if up is not None and up > self.current:
+            return self._change_level(up, self._entry_reason(signals, up), now)
+        return self._change_level(self._level_to_return_to(now), f"under the exits of {self.level.name}", now)
 
     @staticmethod
-    def _held(since: dict[int, int], level: int, holds: bool, now: int) -> None:
+    def _track_condition(since: dict[int, int], level: int, holds: bool, now: int) -> None:
         """Notes since when a condition of a level holds, or that it does not hold."""
         if not holds:
             since.pop(level, None)
         else:
             since.setdefault(level, now)
 
-    def _up(self, signs: Mapping[Sign, float], now: int) -> int | None:
+    def _level_to_enter(self, signals: Mapping[LoadSignal, float], now: int) -> int | None:
         """Returns the highest level that may be entered, or None.
 
         That is the highest level whose entry threshold has been exceeded for long enough. If any signal
         exceeds its threshold by the factor `strong`, the time is not waited for.
         """
-        held = [n for n, since in self.over.items() if now - since >= self.enter_after]
+        held = [n for n, since in self.entry_met_since.items() if now - since >= self.enter_hold]
         far = any(
-            signs.get(m.sign, 0.0) >= m.enter * self.bounds.strong
-            for n in self.over
-            for m in self.levels[n].marks
+            signals.get(m.signal, 0.0) >= m.enter_at * self.bounds.strong
+            for n in self.entry_met_since
+            for m in self.levels[n].thresholds
         )
-        return max(self.over if far else held, default=None)
+        return max(self.entry_met_since if far else held, default=None)
 
-    def _down(self, now: int) -> int:
+    def _level_to_return_to(self, now: int) -> int:
         """Returns the level to go back to: the lowest one above which all exits have held for long enough."""
-        n = self.at
-        while n > 0 and n in self.under and now - self.under[n] >= self.leave_after:
+        n = self.current
+        while n > 0 and n in self.exits_met_since and now - self.exits_met_since[n] >= self.leave_hold:
             n -= 1
         return n
 
-    def _told(self, signs: Mapping[Sign, float], level: int) -> str:
+    def _entry_reason(self, signals: Mapping[LoadSignal, float], level: int) -> str:
         """Describes the entry thresholds of a level that the signals exceed."""
-        passed = [f"{m.sign.value} {signs.get(m.sign, 0.0):.3g} over {m.enter:.3g}" for m in self.levels[level].marks
-                  if signs.get(m.sign, 0.0) >= m.enter]  # fmt: skip
+        passed = [
+            f"{m.signal.value} {signals.get(m.signal, 0.0):.3g} over {m.enter_at:.3g}"
+            for m in self.levels[level].thresholds
+            if signals.get(m.signal, 0.0) >= m.enter_at
+        ]
         return ", ".join(passed)
 
     # Changes of level.
 
-    def allowed(self, more: bool, now: int) -> bool:
+    def change_allowed(self, reduces: bool, now: int) -> bool:
         """Whether a change may be made now. `reduces`: it is a change to more reduction. `now`: ns."""
-        while self.changes and self.changes[0] <= now - self.window:
-            self.changes.popleft()
-        most = self.bounds.most_changes if more else self.bounds.most_changes - 1
-        return now - self.since >= self.least and len(self.changes) < most
+        while self.change_times and self.change_times[0] <= now - self.window:
+            self.change_times.popleft()
+        most = self.bounds.most_changes if reduces else self.bounds.most_changes - 1
+        return now - self.changed_at >= self.min_dwell and len(self.change_times) < most
 
-    def _change(self, to: int, why: str, now: int, pinned: bool = False) -> Change | None:
+    def _change_level(self, to: int, reason: str, now: int, pinned: bool = False) -> LevelChange | None:
         """Puts a level in force, unless it is in force already or the limits on changes forbid it.
 
         This is the only place where the level changes. A pinned level is not subject to the limits.
         """
-        if to == self.at:
+        if to == self.current:
             return None
-        if not pinned and not self.allowed(to > self.at, now):
-            self.held_back += 1
+        if not pinned and not self.change_allowed(to > self.current, now):
+            self.suppressed_changes += 1
             return None
         if not pinned:
-            self.changes.append(now)
-        change = Change(now, self.level.name, self.levels[to].name, why)
-        self.at, self.since, self.why = to, now, why
+            self.change_times.append(now)
+        change = LevelChange(now, self.level.name, self.levels[to].name, reason)
+        self.current, self.changed_at, self.reason = to, now, reason
         self.history.append(change)
         return change
 
@@ -225,45 +228,47 @@
         names = [x.name for x in self.levels]
         if name not in names:
             return False
-        self.pin = Pin(names.index(name), until)
+        self.pin = LevelPin(names.index(name), until)
         return True
 
     def unpin(self) -> None:
         """Lets the load signals decide again."""
         self.pin = None
 
-    def next(self, signs: Mapping[Sign, float], now: int) -> list[str]:
+    def next_change_conditions(self, signals: Mapping[LoadSignal, float], now: int) -> list[str]:
         """Describes for operators what would change the level. `now`: ns."""
         if self.pin is not None:
             return [
                 f"pinned to {self.levels[self.pin.level].name} for {max(0, self.pin.until - now) // SECOND} s more"
             ]
         out = []
-        for level in self.levels[self.at + 1 : self.at + 2]:
+        for level in self.levels[self.current + 1 : self.current + 2]:
             out += [
-                f"{level.name}: {m.sign.value} {signs.get(m.sign, 0.0):.3g} would have to reach {m.enter:.3g}"
-                for m in level.marks
+                f"{level.name}: {m.signal.value} {signals.get(m.signal, 0.0):.3g} would have to reach {m.enter_at:.3g}"
+                for m in level.thresholds
             ]
-        if self.at:
-            out += [f"back: {m.sign.value} {signs.get(m.sign, 0.0):.3g} would have to stay under {m.leave:.3g}"
-                    for m in self.level.marks]  # fmt: skip
-        if not self.allowed(True, now):
+        if self.current:
+            out += [
+                f"back: {m.signal.value} {signals.get(m.signal, 0.0):.3g} would have to stay under {m.leave_below:.3g}"
+                for m in self.level.thresholds
+            ]
+        if not self.change_allowed(True, now):
             out.append(f"no change before the least time is over, and at most {self.bounds.most_changes} in "
                        f"{self.bounds.window // SECOND} s")  # fmt: skip
         return out
 
 
-class Gate:
+class AdmissionGate:
     """Lets in a fixed share of a plan's requests, evenly spread; a plan is shut out only by a share of 0."""
 
     def __init__(self) -> None:
         """Starts without counts."""
         self.credit: dict[str, float] = {}
-        self.turned: dict[str, int] = {}
+        self.rejected_counts: dict[str, int] = {}
 
-    def admits(self, acts: Acts, plan: str) -> bool:
+    def admit(self, effects: LevelEffects, plan: str) -> bool:
         """Whether to let this request of a plan in."""
-        share = acts.admits.get(plan)
+        share = effects.admitted_shares.get(plan)
         if share is None:
             self.credit.pop(plan, None)
             return True
@@ -272,42 +277,42 @@
             self.credit[plan] = credit - 1.0
             return True
         self.credit[plan] = min(credit, 1.0)
-        self.turned[plan] = self.turned.get(plan, 0) + 1
+        self.rejected_counts[plan] = self.rejected_counts.get(plan, 0) + 1
         return False
 
 
 @dataclass
-class Tally:
+class RecentAnswers:
     """Recent answers, for the load signals based on them: sums that halve every `half_life` ns."""
 
-    half: int = 5 * SECOND
-    at: int = 0
+    half_life: int = 5 * SECOND
+    updated_at: int = 0
     answers: float = 0.0
     rejected: float = 0.0
     revenue: float = 0.0
-    late: float = 0.0
+    late_revenue: float = 0.0
 
-    def _fade(self, now: int) -> None:
+    def _decay(self, now: int) -> None:
         """Decays the sums to a time, ns."""
-        if now > self.at:
-            kept = 0.5 ** ((now - self.at) / self.half)
+        if now > self.updated_at:
+            kept = 0.5 ** ((now - self.updated_at) / self.half_life)
             self.answers, self.rejected = self.answers * kept, self.rejected * kept
-            self.revenue, self.late = self.revenue * kept, self.late * kept
-            self.at = now
+            self.revenue, self.late_revenue = self.revenue * kept, self.late_revenue * kept
+            self.updated_at = now
 
-    def answered(self, rejected: bool, revenue: float, in_time: bool, now: int) -> None:
+    def record_answer(self, rejected: bool, revenue: float, in_time: bool, now: int) -> None:
         """Adds one final answer of admission control. `now`: ns."""
-        self._fade(now)
+        self._decay(now)
         self.answers += 1
         self.rejected += rejected
         self.revenue += revenue
-        self.late += 0.0 if in_time else revenue
+        self.late_revenue += 0.0 if in_time else revenue
 
-    def signs(self, now: int) -> dict[Sign, float]:
+    def signals(self, now: int) -> dict[LoadSignal, float]:
         """Returns the shares as load signals; 0 while there are too few answers to tell. `now`: ns."""
-        self._fade(now)
+        self._decay(now)
         enough = self.answers >= 3
         return {
-            Sign.REFUSED: self.rejected / self.answers if enough else 0.0,
-            Sign.LATE: self.late / self.revenue if enough and self.revenue > 0 else 0.0,
+            LoadSignal.REFUSED: self.rejected / self.answers if enough else 0.0,
+            LoadSignal.LATE: self.late_revenue / self.revenue if enough and self.revenue > 0 else 0.0,
         }
--- a/oakcroft/decisions/fleet/acceptor.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -17,123 +17,164 @@
 from dataclasses import replace
 
 from oakcroft.decisions.fleet.lease import (
-    MOST_NOTE,
-    MOST_NUMBER,
-    Answer,
-    Ask,
-    Learnt,
-    Row,
-    Step,
-    Term,
+    MAX_NOTE_OCTETS,
+    NUMBER_LIMIT,
+    LeaseAnswer,
+    LeaseRequest,
+    AcceptorRecord,
+    LeaseRecord,
+    LeaseMessageKind,
+    LeaseTerm,
     majority,
 )
 
-MOST_DUTIES = 64
+MAX_LEASES = 64
 """Leases that one acceptor has on record."""
 
 
-class Keeper:
+class LeaseAcceptor:
     """One acceptor of the fleet's leases. Times in ns."""
 
-    def __init__(self, me: str, keepers: Iterable[str], length: int, epoch: int, now: int) -> None:
+    def __init__(self, me: str, acceptors: Iterable[str], term_length: int, epoch: int, now: int) -> None:
         """`me` is its name among `acceptors`, `term_length` the longest term that it grants.
 
         `epoch` numbers its record: each new record has a higher epoch than the one before.
         """
-        self.me, self.keepers, self.length = me, tuple(sorted(keepers)), length
-        self.epoch, self.mute_until = epoch, now + length
-        self.rows: dict[str, Row] = {}
-        self.until: dict[str, int] = {}  # end of each running term
-        self.seqs: dict[str, int] = {}  # sequence number of the last proposal for each lease
-        self.epochs: dict[str, int] = {}  # record epochs of the other acceptors
-        self.sound = False
-        self.learnt: dict[str, Learnt] = {}
+        self.me, self.acceptors, self.term_length = me, tuple(sorted(acceptors)), term_length
+        self.epoch, self.silent_until = epoch, now + term_length
+        self.records: dict[str, LeaseRecord] = {}
+        self.running_until: dict[str, int] = {}  # end of each running term
+        self.last_seqs: dict[str, int] = {}  # sequence number of the last proposal for each lease
+        self.peer_epochs: dict[str, int] = {}  # record epochs of the other acceptors
+        self.has_full_record = False
+        self.peer_records: dict[str, AcceptorRecord] = {}
         self.unsaved: set[str] = set()  # leases whose records must be durable first; "" for the peers' epochs
 
-    def take_on(
-        self, epoch: int, epochs: Mapping[str, int], rows: Mapping[str, Row], whole: bool, now: int
+    def load_record(
+        self,
+        epoch: int,
+        peer_epochs: Mapping[str, int],
+        records: Mapping[str, LeaseRecord],
+        is_latest: bool,
+        now: int,
     ) -> None:
         """Loads the stored record at the start.
 
         `is_latest` says that it is the last one written and not an older copy; an older one does not count as complete.
         """
-        self.rows = dict(rows)
-        self.epochs = dict(epochs)
-        for duty, row in self.rows.items():
-            if row.term is not None:
-                self.until[duty] = now + self.length
-        if whole:
-            self.epoch, self.sound, self.mute_until = epoch, True, now
-
-    def speaks(self, now: int) -> bool:
+        self.records = dict(records)
+        self.peer_epochs = dict(peer_epochs)
+        for duty, row in self.records.items():
+            if row.accepted_term is not None:
+                self.running_until[duty] = now + self.term_length
+        if is_latest:
+            self.epoch, self.has_full_record, self.silent_until = epoch, True, now
+
+    def can_answer(self, now: int) -> bool:
         """Returns whether it may answer candidates."""
-        return self.sound and now >= self.mute_until
+        return self.has_full_record and now >= self.silent_until
 
-    def runs(self, duty: str, now: int) -> Term | None:
+    def running_term(self, lease_name: str, now: int) -> LeaseTerm | None:
         """Returns the term that runs, as far as this acceptor knows."""
-        row = self.rows.get(duty)
-        return row.term if row is not None and now < self.until.get(duty, 0) else None
+        row = self.records.get(lease_name)
+        return row.accepted_term if row is not None and now < self.running_until.get(lease_name, 0) else None
 
     # Requests of candidates.
 
-    def asked(self, ask: Ask, now: int) -> Answer | None:
+    def handle_request(self, request: LeaseRequest, now: int) -> LeaseAnswer | None:
         """Returns the answer to a candidate, None where there is none. Save what is `unsaved` before sending it."""
-        if not self.speaks(now) or not 0 < ask.term.number < MOST_NUMBER or len(ask.note.body) > MOST_NOTE:
+        if (
+            not self.can_answer(now)
+            or not 0 < request.term.fencing_token < NUMBER_LIMIT
+            or len(request.note.body) > MAX_NOTE_OCTETS
+        ):
             return None
-        if ask.duty not in self.rows and len(self.rows) >= MOST_DUTIES:
+        if request.lease_name not in self.records and len(self.records) >= MAX_LEASES:
             return None
-        if ask.step is Step.PREPARE:
-            return self._prepare(ask, now)
-        if ask.step is Step.PROPOSE:
-            return self._propose(ask, now)
-        if ask.step is Step.RELEASE and self.runs(ask.duty, now) == ask.term:
-            self.until[ask.duty] = now
+        if request.kind is LeaseMessageKind.PREPARE:
+            return self._prepare(request, now)
+        if request.kind is LeaseMessageKind.PROPOSE:
+            return self._propose(request, now)
+        if (
+            request.kind is LeaseMessageKind.RELEASE
+            and self.running_term(request.lease_name, now) == request.term
+        ):
+            self.running_until[request.lease_name] = now
         return None
 
-    def _mine(self, ask: Ask, step: Step, row: Row, now: int) -> Answer:
-        running = self.runs(ask.duty, now)
-        left = self.until[ask.duty] - now if running is not None else 0
-        return Answer(
-            step, ask.duty, self.me, self.epoch, ask.term.number, ask.seq, row.promised, running, left, row.note,
-            tuple(sorted(self.epochs.items())),
-        )  # fmt: skip
-
-    def _prepare(self, ask: Ask, now: int) -> Answer:
-        row, running = self.rows.get(ask.duty, Row()), self.runs(ask.duty, now)
-        another = running is not None and (running.owner, running.start) != (ask.term.owner, ask.term.start)
-        if another or not self._follows(row, ask.term):
-            return self._mine(ask, Step.REFUSED, row, now)
-        self._save(ask.duty, replace(row, promised=ask.term.number, to=whom(ask.term)))
-        return self._mine(ask, Step.PROMISED, self.rows[ask.duty], now)
-
-    def _propose(self, ask: Ask, now: int) -> Answer:
-        row = self.rows.get(ask.duty, Row())
-        if not self._follows(row, ask.term) or ask.length > self.length:
-            return self._mine(ask, Step.REFUSED, row, now)
-        note = ask.note if ask.note.key > row.note.key else row.note
-        after = Row(ask.term.number, whom(ask.term), ask.term, note)
-        again = row.term == ask.term and ask.seq <= self.seqs.get(ask.duty, 0)
+    def _answer(
+        self, request: LeaseRequest, kind: LeaseMessageKind, record: LeaseRecord, now: int
+    ) -> LeaseAnswer:
+        running = self.running_term(request.lease_name, now)
+        left = self.running_until[request.lease_name] - now if running is not None else 0
+        return LeaseAnswer(
+            kind,
+            request.lease_name,
+            self.me,
+            self.epoch,
+            request.term.fencing_token,
+            request.seq,
+            record.promised_token,
+            running,
+            left,
+            record.note,
+            tuple(sorted(self.peer_epochs.items())),
+        )
+
+    def _prepare(self, request: LeaseRequest, now: int) -> LeaseAnswer:
+        row, running = (
+            self.records.get(request.lease_name, LeaseRecord()),
+            self.running_term(request.lease_name, now),
+        )
+        another = running is not None and (running.holder, running.generation) != (
+            request.term.holder,
+            request.term.generation,
+        )
+        if another or not self._may_accept(row, request.term):
+            return self._answer(request, LeaseMessageKind.REFUSED, row, now)
+        self._store(
+            request.lease_name,
+            replace(row, promised_token=request.term.fencing_token, promised_to=process_key(request.term)),
+        )
+        return self._answer(request, LeaseMessageKind.PROMISED, self.records[request.lease_name], now)
+
+    def _propose(self, request: LeaseRequest, now: int) -> LeaseAnswer:
+        row = self.records.get(request.lease_name, LeaseRecord())
+        if not self._may_accept(row, request.term) or request.term_length > self.term_length:
+            return self._answer(request, LeaseMessageKind.REFUSED, row, now)
+        note = request.note if request.note.version > row.note.version else row.note
+        after = LeaseRecord(request.term.fencing_token, process_key(request.term), request.term, note)
+        again = row.accepted_term == request.term and request.seq <= self.last_seqs.get(request.lease_name, 0)
         if after != row:  # a renewal needs no save: after a restart the term runs its whole length anyway
-            self._save(ask.duty, after)
+            self._store(request.lease_name, after)
         if not again:  # a replayed proposal of an earlier holder must not renew its term
-            self.until[ask.duty], self.seqs[ask.duty] = now + self.length, ask.seq
-        return self._mine(ask, Step.ACCEPTED, after, now)
+            self.running_until[request.lease_name], self.last_seqs[request.lease_name] = (
+                now + self.term_length,
+                request.seq,
+            )
+        return self._answer(request, LeaseMessageKind.ACCEPTED, after, now)
 
     @staticmethod
-    def _follows(row: Row, term: Term) -> bool:
-        return term.number > row.promised or (term.number == row.promised and whom(term) == row.to)
+    def _may_accept(record: LeaseRecord, term: LeaseTerm) -> bool:
+        return term.fencing_token > record.promised_token or (
+            term.fencing_token == record.promised_token and process_key(term) == record.promised_to
+        )
 
-    def _save(self, duty: str, row: Row) -> None:
-        self.rows[duty] = row
-        self.unsaved.add(duty)
+    def _store(self, lease_name: str, record: LeaseRecord) -> None:
+        self.records[lease_name] = record
+        self.unsaved.add(lease_name)
 
     # Records of other acceptors.
 
-    def asks_others(self) -> list[str]:
+    def peers_to_ask(self) -> list[str]:
         """Returns the acceptors that one without its record still has to ask for theirs."""
-        return [] if self.sound else [k for k in self.keepers if k != self.me and k not in self.learnt]
+        return (
+            []
+            if self.has_full_record
+            else [k for k in self.acceptors if k != self.me and k not in self.peer_records]
+        )
 
-    def tells(self, to: str, epoch: int) -> Learnt | None:
+    def record_for_peer(self, peer: str, epoch: int) -> AcceptorRecord | None:
         """Returns its record for an acceptor that lost its own, and notes the epoch of that acceptor's new record.
 
         None where the peer is no acceptor, or where a newer record of it is known. Save what is `unsaved` before sending.
@@ -141,42 +182,52 @@
         This guards against two processes under one acceptor's name: a vote on the older record is not counted together
         with a vote of any acceptor that knows of the newer one.
         """
-        if to not in self.keepers or to == self.me or epoch < self.epochs.get(to, 0):
+        if peer not in self.acceptors or peer == self.me or epoch < self.peer_epochs.get(peer, 0):
             return None
-        if self.epochs.get(to) != epoch:
-            self.epochs[to] = epoch
+        if self.peer_epochs.get(peer) != epoch:
+            self.peer_epochs[peer] = epoch
             self.unsaved.add("")
-        return Learnt(self.me, self.epoch, self.sound, tuple(sorted(self.rows.items())))
+        return AcceptorRecord(self.me, self.epoch, self.has_full_record, tuple(sorted(self.records.items())))
 
-    def hears(self, told: Learnt, now: int) -> bool:
+    def receive_peer_record(self, peer_record: AcceptorRecord, now: int) -> bool:
         """Takes the record of another acceptor.
 
         Returns True where this acceptor's record is complete with it; everything is `unsaved` then.
         """
-        if self.sound or told.keeper not in self.keepers or told.keeper == self.me:
+        if (
+            self.has_full_record
+            or peer_record.acceptor not in self.acceptors
+            or peer_record.acceptor == self.me
+        ):
             return False
-        self.learnt[told.keeper] = told
-        enough = sum(t.sound for t in self.learnt.values()) >= majority(len(self.keepers))
-        if not enough and len(self.learnt) < len(self.keepers) - 1:
+        self.peer_records[peer_record.acceptor] = peer_record
+        enough = sum(t.has_full_record for t in self.peer_records.values()) >= majority(len(self.acceptors))
+        if not enough and len(self.peer_records) < len(self.acceptors) - 1:
             return False
-        for one in self.learnt.values():
-            self.epochs[one.keeper] = max(one.epoch, self.epochs.get(one.keeper, 0))
-            for duty, row in one.rows[:MOST_DUTIES]:
-                self._learn(duty, row, now)
-        self.sound = True
-        self.unsaved |= {"", *self.rows}
+        for one in self.peer_records.values():
+            self.peer_epochs[one.acceptor] = max(one.epoch, self.peer_epochs.get(one.acceptor, 0))
+            for duty, row in one.records[:MAX_LEASES]:
+                self._merge_record(duty, row, now)
+        self.has_full_record = True
+        self.unsaved |= {"", *self.records}
         return True
 
-    def _learn(self, duty: str, row: Row, now: int) -> None:
-        own = self.rows.get(duty, Row())
-        last = max((own, row), key=lambda r: r.term.number if r.term is not None else 0)
-        promised = max((own, row), key=lambda r: r.promised)
-        note = max((own.note, row.note), key=lambda n: n.key)
-        self.rows[duty] = Row(promised.promised, promised.to, last.term, note)
-        if last.term is not None:
-            self.until[duty] = max(self.until.get(duty, 0), now + self.length)
-
-
-def whom(term: Term) -> str:
+    def _merge_record(self, lease_name: str, record: LeaseRecord, now: int) -> None:
+        own = self.records.get(lease_name, LeaseRecord())
+        last = max(
+            (own, record), key=lambda r: r.accepted_term.fencing_token if r.accepted_term is not None else 0
+        )
+        promised = max((own, record), key=lambda r: r.promised_token)
+        note = max((own.note, record.note), key=lambda n: n.version)
+        self.records[lease_name] = LeaseRecord(
+            promised.promised_token, promised.promised_to, last.accepted_term, note
+        )
+        if last.accepted_term is not None:
+            self.running_until[lease_name] = max(
+                self.running_until.get(lease_name, 0), now + self.term_length
+            )
+
+
+def process_key(term: LeaseTerm) -> str:
     """Returns the holder's name and generation as one string."""
-    return f"{term.owner}/{term.start}"
+    return f"{term.holder}/{term.generation}"
--- a/oakcroft/decisions/fleet/backoff.py
+++ b/oakcroft/decisions/fleet/backoff.py
@@ -13,52 +13,52 @@
 
 
 @dataclass(frozen=True)
-class Rhythm:
+class RetryPolicy:
     """How an operation is retried. Times in ns."""
 
-    first: int
+    initial_delay: int
     """Upper bound of the first delay."""
 
-    longest: int
+    max_delay: int
     """Upper bound of any delay."""
 
-    growth: float
+    multiplier: float
     """Factor by which the upper bound grows with each failure."""
 
     give_up_after: int
     """No attempt is made this long after the first failure; 0 retries without end."""
 
 
-LIST = Rhythm(100 * MS, 2 * SECOND, 2.0, 0)
-EVENTS = Rhythm(50 * MS, SECOND, 2.0, 0)
-RUNG = Rhythm(50 * MS, 400 * MS, 2.0, 1500 * MS)
-RENDITION_BOUND = Rhythm(250 * MS, 5 * SECOND, 2.0, 30 * SECOND)
+LIST_RETRY = RetryPolicy(100 * MS, 2 * SECOND, 2.0, 0)
+EVENT_STREAM_RETRY = RetryPolicy(50 * MS, SECOND, 2.0, 0)
+RUNG_CHANGE_RETRY = RetryPolicy(50 * MS, 400 * MS, 2.0, 1500 * MS)
+RENDITION_BOUND_RETRY = RetryPolicy(250 * MS, 5 * SECOND, 2.0, 30 * SECOND)
 """For a node that refused to step a playback down."""
-FAREWELL = Rhythm(200 * MS, 5 * SECOND, 2.0, 30 * SECOND)
+SESSION_END_RETRY = RetryPolicy(200 * MS, 5 * SECOND, 2.0, 30 * SECOND)
 """For telling a node that a session has ended."""
 
 
-class Again:
+class RetryBackoff:
     """Retry state of one operation."""
 
-    def __init__(self, rhythm: Rhythm, rng: Random, now: int) -> None:
+    def __init__(self, policy: RetryPolicy, rng: Random, now: int) -> None:
         """`rng` draws the jitter; `now` in ns."""
-        self.rhythm, self.rng, self.since = rhythm, rng, now
-        self.failures, self.ceiling = 0, float(rhythm.first)
+        self.policy, self.rng, self.failing_since = policy, rng, now
+        self.failures, self.max_next_delay = 0, float(policy.initial_delay)
 
-    def worked(self, now: int) -> None:
+    def record_success(self, now: int) -> None:
         """Resets the delay after an attempt that succeeded. `now` in ns."""
-        self.failures, self.ceiling, self.since = 0, float(self.rhythm.first), now
+        self.failures, self.max_next_delay, self.failing_since = 0, float(self.policy.initial_delay), now
 
-    def failed(self, now: int) -> int | None:
+    def record_failure(self, now: int) -> int | None:
         """Returns the delay in ns before the next attempt, or None to give up. `now` in ns."""
         if not self.failures:
-            self.since = now
+            self.failing_since = now
         # Multiplied step by step: multiplier ** failures overflows a float after 1,024 failures.
-        ceiling = self.ceiling
-        self.ceiling = min(self.rhythm.longest, ceiling * self.rhythm.growth)
+        ceiling = self.max_next_delay
+        self.max_next_delay = min(self.policy.max_delay, ceiling * self.policy.multiplier)
         self.failures += 1
         wait = int(ceiling * (0.5 + 0.5 * self.rng.random()))
-        if self.rhythm.give_up_after and now + wait - self.since > self.rhythm.give_up_after:
+        if self.policy.give_up_after and now + wait - self.failing_since > self.policy.give_up_after:
             return None
         return wait
--- a/oakcroft/decisions/fleet/candidate.py
+++ b/oakcroft/decisions/fleet/candidate.py
@@ -15,156 +15,179 @@
 from random import Random
 
 from oakcroft.decisions.fleet.lease import (
-    MOST_NUMBER,
-    Answer,
-    Ask,
-    Note,
-    Step,
-    Term,
-    belief,
+    NUMBER_LIMIT,
+    LeaseAnswer,
+    LeaseRequest,
+    LeaseNote,
+    LeaseMessageKind,
+    LeaseTerm,
+    safe_term_length,
     majority,
 )
 from oakcroft.interface import MS
 
-WITHIN = 400 * MS
+ROUND_TIMEOUT = 400 * MS
 """Time for the answers to one round, after which its requests are sent again."""
 
-ROUNDS = 4
+MAX_ROUNDS = 4
 """Times that the requests of a round are sent before the candidate backs off."""
 
 
-class Course(Enum):
+class CandidateState(Enum):
     """State of a candidate; operators read the values."""
 
     IDLE = "does not want it"
-    BACK = "waits before it asks"
-    ASKING = "asks for promises"
+    BACKING_OFF = "waits before it asks"
+    PREPARING = "asks for promises"
     PROPOSING = "asks for acceptance"
-    OWNS = "owns it"
+    HOLDING = "owns it"
 
 
 @dataclass(frozen=True)
-class Word:
+class AcceptorMessage:
     """A request addressed to one acceptor."""
 
-    to: str
-    ask: Ask
+    acceptor: str
+    request: LeaseRequest
 
 
-class Candidate:
+class LeaseCandidate:
     """One front's candidacy for one lease. Times in ns."""
 
     def __init__(
-        self, duty: str, me: str, start: int, keepers: Iterable[str], length: int, rng: Random, floor: int, now: int,
-    ) -> None:  # fmt: skip
+        self,
+        lease_name: str,
+        me: str,
+        generation: int,
+        acceptors: Iterable[str],
+        term_length: int,
+        rng: Random,
+        min_token: int,
+        now: int,
+    ) -> None:
         """`term_length` must not exceed that of any acceptor; fencing tokens of this candidate are above `min_token`."""
-        self.duty, self.me, self.start, self.length, self.rng = duty, me, start, length, rng
-        self.keepers = tuple(sorted(keepers))
-        self.course = Course.IDLE
+        self.lease_name, self.me, self.generation, self.term_length, self.rng = (
+            lease_name,
+            me,
+            generation,
+            term_length,
+            rng,
+        )
+        self.acceptors = tuple(sorted(acceptors))
+        self.state = CandidateState.IDLE
         self.rank = 0  # place among the candidates, set by the host: later ones wait longer
-        self.highest = floor  # highest token seen; the next one is above it
-        self.term: Term | None = None
-        self.seq = self.rounds = self.first = 0
-        self.kept = False  # the present round of acceptances has its majority
-        self.asked_at = self.due = now
+        self.highest_token = min_token  # highest token seen; the next one is above it
+        self.term: LeaseTerm | None = None
+        self.seq = self.rounds = self.first_seq = 0
+        self.is_round_accepted = False  # the present round of acceptances has its majority
+        self.requested_at = self.due_at = now
         self.held_until = 0  # until when this front may act as the holder
-        self.note = Note()  # the last one on record, or being put there
-        self.settled = (0, 0)  # version of the last note that a majority has
-        self.answers: dict[str, Answer] = {}
+        self.note = LeaseNote()  # the last one on record, or being put there
+        self.recorded_version = (0, 0)  # version of the last note that a majority has
+        self.answers: dict[str, LeaseAnswer] = {}
         self.refusals: dict[str, int] = {}  # of the present round: time left of the running term, by acceptor
-        self.other: Term | None = None  # term of another holder, as last told
-        self.other_until = 0
-        self.taken = 0  # terms held so far
+        self.other_term: LeaseTerm | None = None  # term of another holder, as last told
+        self.other_term_until = 0
+        self.terms_won = 0  # terms held so far
 
     # Calls of the host.
 
-    def owns(self, now: int) -> Term | None:
+    def held_term(self, now: int) -> LeaseTerm | None:
         """Returns the term while this front may act as the holder.
 
         This is no proof: only the `Fence` at the resource keeps out late work of an earlier holder.
         """
-        return self.term if self.course is Course.OWNS and now < self.held_until else None
+        return self.term if self.state is CandidateState.HOLDING and now < self.held_until else None
 
-    def owner(self, now: int) -> Term | None:
+    def known_term(self, now: int) -> LeaseTerm | None:
         """Returns the term of the holder, as far as this front knows."""
-        return self.owns(now) or (self.other if now < self.other_until else None)
+        return self.held_term(now) or (self.other_term if now < self.other_term_until else None)
 
-    def want(self, wanted: bool, now: int) -> list[Word]:
+    def set_wanted(self, wanted: bool, now: int) -> list[AcceptorMessage]:
         """Sets whether this front wants the lease; a holder that does not want it any more releases it.
 
         Returns the requests to send, as all methods do that return `AcceptorMessage`.
         """
-        if wanted and self.course is Course.IDLE:
-            self._stand_back(now, self.rank * self.length // 4 + self.rng.randrange(self.length // 16 + 1))
+        if wanted and self.state is CandidateState.IDLE:
+            self._back_off(
+                now, self.rank * self.term_length // 4 + self.rng.randrange(self.term_length // 16 + 1)
+            )
             return []
-        if not wanted and self.course is not Course.IDLE:
-            held, term = self.owns(now) is not None, self.term
-            self.course, self.term, self.held_until = Course.IDLE, None, 0
+        if not wanted and self.state is not CandidateState.IDLE:
+            held, term = self.held_term(now) is not None, self.term
+            self.state, self.term, self.held_until = CandidateState.IDLE, None, 0
             if held and term is not None:
-                return [Word(k, Ask(Step.RELEASE, self.duty, term)) for k in self.keepers]
+                return [
+                    AcceptorMessage(k, LeaseRequest(LeaseMessageKind.RELEASE, self.lease_name, term))
+                    for k in self.acceptors
+                ]
         return []
 
-    def record(self, body: bytes, now: int) -> list[Word]:
+    def record_note(self, body: bytes, now: int) -> list[AcceptorMessage]:
         """Puts a note on record; a majority has it once `recorded_version` has reached the note's version."""
-        if self.owns(now) is None or self.term is None:
+        if self.held_term(now) is None or self.term is None:
             return []
-        self.note = Note(
-            self.term.number, self.note.step + 1 if self.note.number == self.term.number else 1, body
+        self.note = LeaseNote(
+            self.term.fencing_token,
+            self.note.step + 1 if self.note.fencing_token == self.term.fencing_token else 1,
+            body,
         )
         return self._propose(now)
 
     # Timers.
 
-    def tick(self, now: int) -> list[Word]:
+    def tick(self, now: int) -> list[AcceptorMessage]:
         """Returns the requests that are due."""
-        if self.course is Course.IDLE:
+        if self.state is CandidateState.IDLE:
             return []
-        if self.course is Course.OWNS and now >= self.held_until:
-            self._lose(now)
+        if self.state is CandidateState.HOLDING and now >= self.held_until:
+            self._lose_term(now)
             return []
-        if now < self.due:
+        if now < self.due_at:
             return []
-        if self.course is Course.BACK:
-            return self._ask(now)
-        if self.course is Course.OWNS:
-            return self._propose(now, again=not self.kept)
+        if self.state is CandidateState.BACKING_OFF:
+            return self._start_round(now)
+        if self.state is CandidateState.HOLDING:
+            return self._propose(now, is_resend=not self.is_round_accepted)
         self.rounds += 1
         if self.refusals:
             # Either an acceptor has promised a higher token, and the next round soon goes above it. Or a term of another
             # process runs there: it may be about to get its majority, and a request now would take away its promises.
             runs = max(self.refusals.values())
-            self._stand_back(now, runs + 20 * MS + self.rng.randrange(self.length // 16 + 1))
+            self._back_off(now, runs + 20 * MS + self.rng.randrange(self.term_length // 16 + 1))
             return []
-        if self.rounds >= ROUNDS:
-            self._stand_back(now, self.length // 16 + self.rng.randrange(self.length // 8 + 1))
+        if self.rounds >= MAX_ROUNDS:
+            self._back_off(now, self.term_length // 16 + self.rng.randrange(self.term_length // 8 + 1))
             return []
-        if self.course is Course.PROPOSING:
-            return self._propose(now, again=True)
+        if self.state is CandidateState.PROPOSING:
+            return self._propose(now, is_resend=True)
         return self._prepare(now)
 
-    def _lose(self, now: int) -> None:
+    def _lose_term(self, now: int) -> None:
         self.term, self.held_until = None, 0
-        self._stand_back(now, self.rng.randrange(self.length // 8 + 1))
+        self._back_off(now, self.rng.randrange(self.term_length // 8 + 1))
 
-    def _stand_back(self, now: int, wait: int) -> None:
-        self.course, self.rounds, self.due = Course.BACK, 0, now + wait
+    def _back_off(self, now: int, wait: int) -> None:
+        self.state, self.rounds, self.due_at = CandidateState.BACKING_OFF, 0, now + wait
         self.answers = {}
 
-    def _ask(self, now: int) -> list[Word]:
-        self.highest = min(MOST_NUMBER - 2, self.highest + 1)
-        self.term = Term(self.highest, self.me, self.start)
-        self.course, self.answers, self.refusals = Course.ASKING, {}, {}
+    def _start_round(self, now: int) -> list[AcceptorMessage]:
+        self.highest_token = min(NUMBER_LIMIT - 2, self.highest_token + 1)
+        self.term = LeaseTerm(self.highest_token, self.me, self.generation)
+        self.state, self.answers, self.refusals = CandidateState.PREPARING, {}, {}
         return self._prepare(now)
 
-    def _prepare(self, now: int) -> list[Word]:
+    def _prepare(self, now: int) -> list[AcceptorMessage]:
         """Requests promises. Repeated requests use the same token, so answers to any of them count together."""
         assert self.term is not None
-        self.asked_at, self.due = now, now + WITHIN
+        self.requested_at, self.due_at = now, now + ROUND_TIMEOUT
         return [
-            Word(k, Ask(Step.PREPARE, self.duty, self.term)) for k in self.keepers if k not in self.answers
+            AcceptorMessage(k, LeaseRequest(LeaseMessageKind.PREPARE, self.lease_name, self.term))
+            for k in self.acceptors
+            if k not in self.answers
         ]
 
-    def _propose(self, now: int, again: bool = False) -> list[Word]:
+    def _propose(self, now: int, is_resend: bool = False) -> list[AcceptorMessage]:
         """Requests acceptance, or renews the term.
 
         With `is_resend` the proposal of the present round is sent once more: answers to any of its requests count
@@ -172,86 +195,101 @@
         fit into a term.
         """
         assert self.term is not None
-        if self.course is Course.ASKING:
-            self.course = Course.PROPOSING
+        if self.state is CandidateState.PREPARING:
+            self.state = CandidateState.PROPOSING
         self.seq += 1
-        if not again:
-            self.first, self.asked_at, self.answers, self.kept, self.refusals = self.seq, now, {}, False, {}
-        self.due = now + WITHIN
-        ask = Ask(Step.PROPOSE, self.duty, self.term, self.seq, self.length, self.note)
-        return [Word(k, ask) for k in self.keepers]
+        if not is_resend:
+            self.first_seq, self.requested_at, self.answers, self.is_round_accepted, self.refusals = (
+                self.seq,
+                now,
+                {},
+                False,
+                {},
+            )
+        self.due_at = now + ROUND_TIMEOUT
+        ask = LeaseRequest(
+            LeaseMessageKind.PROPOSE, self.lease_name, self.term, self.seq, self.term_length, self.note
+        )
+        return [AcceptorMessage(k, ask) for k in self.acceptors]
 
     # Answers of acceptors.
 
-    def heard(self, answer: Answer, now: int) -> list[Word]:
+    def receive_answer(self, answer: LeaseAnswer, now: int) -> list[AcceptorMessage]:
         """Takes an answer; answers to earlier rounds are ignored."""
-        if answer.keeper not in self.keepers:
+        if answer.acceptor not in self.acceptors:
             return []
-        if answer.running is not None and (answer.running.owner, answer.running.start) != (
+        if answer.running_term is not None and (
+            answer.running_term.holder,
+            answer.running_term.generation,
+        ) != (
             self.me,
-            self.start,
+            self.generation,
         ):
-            self.other, self.other_until = answer.running, now + answer.left
-        if self.course is Course.IDLE:
+            self.other_term, self.other_term_until = answer.running_term, now + answer.time_left
+        if self.state is CandidateState.IDLE:
             return []
-        self.highest = max(self.highest, min(answer.highest, MOST_NUMBER - 2))
-        mine = self.term is not None and answer.number == self.term.number
-        if answer.step is Step.REFUSED:
-            return self._refused(answer, mine, now)
-        wanted = {Course.ASKING: Step.PROMISED, Course.PROPOSING: Step.ACCEPTED, Course.OWNS: Step.ACCEPTED}
-        if not mine or answer.step is not wanted.get(self.course):
+        self.highest_token = max(self.highest_token, min(answer.highest_promised, NUMBER_LIMIT - 2))
+        mine = self.term is not None and answer.fencing_token == self.term.fencing_token
+        if answer.kind is LeaseMessageKind.REFUSED:
+            return self._receive_refusal(answer, mine, now)
+        wanted = {
+            CandidateState.PREPARING: LeaseMessageKind.PROMISED,
+            CandidateState.PROPOSING: LeaseMessageKind.ACCEPTED,
+            CandidateState.HOLDING: LeaseMessageKind.ACCEPTED,
+        }
+        if not mine or answer.kind is not wanted.get(self.state):
             return []
-        if answer.step is Step.ACCEPTED and not self.first <= answer.seq <= self.seq:
+        if answer.kind is LeaseMessageKind.ACCEPTED and not self.first_seq <= answer.seq <= self.seq:
             return []
-        self.answers[answer.keeper] = answer
-        if len(self.counted()) < majority(len(self.keepers)):
+        self.answers[answer.acceptor] = answer
+        if len(self.counted_answers()) < majority(len(self.acceptors)):
             return []
-        if self.course is Course.ASKING:
-            last = max((a.note for a in self.answers.values()), key=lambda n: n.key)
+        if self.state is CandidateState.PREPARING:
+            last = max((a.note for a in self.answers.values()), key=lambda n: n.version)
             # The note gets this term's token, so that a note which an earlier holder put on a minority only cannot
             # supersede it later.
-            self.note = Note(self.term.number if self.term is not None else 0, 0, last.body)
+            self.note = LeaseNote(self.term.fencing_token if self.term is not None else 0, 0, last.body)
             return self._propose(now)
-        self._accepted()
+        self._majority_accepted()
         return []
 
-    def counted(self) -> list[Answer]:
+    def counted_answers(self) -> list[LeaseAnswer]:
         """Returns the answers without those on an outdated record.
 
         A record is outdated where another answer of the round knows of a newer record of the same acceptor.
         """
         newest = dict[str, int]()
         for answer in self.answers.values():
-            newest[answer.keeper] = max(newest.get(answer.keeper, 0), answer.epoch)
-            for name, epoch in answer.epochs:
+            newest[answer.acceptor] = max(newest.get(answer.acceptor, 0), answer.epoch)
+            for name, epoch in answer.peer_epochs:
                 newest[name] = max(newest.get(name, 0), epoch)
-        return [a for a in self.answers.values() if a.epoch >= newest[a.keeper]]
-
-    def _accepted(self) -> None:
-        if self.course is Course.PROPOSING:
-            self.course = Course.OWNS
-            self.taken += 1
-        if not self.kept:
-            self.kept, self.due = True, self.asked_at + self.length // 4
-        self.held_until = max(self.held_until, self.asked_at + belief(self.length))
-        self.settled = max(self.settled, self.note.key)
-        self.other = None
-
-    def _refused(self, answer: Answer, mine: bool, now: int) -> list[Word]:
+        return [a for a in self.answers.values() if a.epoch >= newest[a.acceptor]]
+
+    def _majority_accepted(self) -> None:
+        if self.state is CandidateState.PROPOSING:
+            self.state = CandidateState.HOLDING
+            self.terms_won += 1
+        if not self.is_round_accepted:
+            self.is_round_accepted, self.due_at = True, self.requested_at + self.term_length // 4
+        self.held_until = max(self.held_until, self.requested_at + safe_term_length(self.term_length))
+        self.recorded_version = max(self.recorded_version, self.note.version)
+        self.other_term = None
+
+    def _receive_refusal(self, answer: LeaseAnswer, is_own_token: bool, now: int) -> list[AcceptorMessage]:
         """Takes a refusal. The round ends once the refusals leave no majority.
 
         A single refusal must not end it: otherwise a term that only a minority accepted would keep all candidates out
         for its whole length.
         """
-        if not mine or self.course not in (Course.ASKING, Course.PROPOSING):
+        if not is_own_token or self.state not in (CandidateState.PREPARING, CandidateState.PROPOSING):
             return []  # a holder that one acceptor refuses renews at the others, or its term runs out
-        self.refusals[answer.keeper] = answer.left if answer.running is not None else 0
-        self.answers.pop(answer.keeper, None)
-        short = majority(len(self.keepers)) - (len(self.keepers) - len(self.refusals))
+        self.refusals[answer.acceptor] = answer.time_left if answer.running_term is not None else 0
+        self.answers.pop(answer.acceptor, None)
+        short = majority(len(self.acceptors)) - (len(self.acceptors) - len(self.refusals))
         if short <= 0:
             return []
         left = sorted(self.refusals.values())[short - 1]  # until enough acceptors are free again
         self.term = None
-        self._stand_back(now, left + self.rank * self.length // 8 * (left > 0) + 20 * MS
-                         + self.rng.randrange(self.length // 16 + 1))  # fmt: skip
+        self._back_off(now, left + self.rank * self.term_length // 8 * (left > 0) + 20 * MS
+                         + self.rng.randrange(self.term_length // 16 + 1))  # fmt: skip
         return []
--- a/oakcroft/decisions/fleet/lease.py
+++ b/oakcroft/decisions/fleet/lease.py
@@ -13,17 +13,17 @@
 
 from oakcroft.interface import MS
 
-MOST_NUMBER = 1 << 62
+NUMBER_LIMIT = 1 << 62
 """All numbers in messages are below this."""
 
-MOST_NOTE = 500
+MAX_NOTE_OCTETS = 500
 """Octets of a note, so that a message with one fits into a datagram."""
 
-DRIFT = 50
+CLOCK_DRIFT_DIVISOR = 50
 """The clocks of two machines drift apart by less than 1/50 of a term."""
 
 
-class Step(Enum):
+class LeaseMessageKind(Enum):
     """Kind of a message between candidate and acceptor; the values are those on the wire."""
 
     PREPARE = 1  # requests a promise for the next term, under a fencing token
@@ -37,24 +37,24 @@
 
 
 @dataclass(frozen=True)
-class Term:
+class LeaseTerm:
     """One term of a lease."""
 
-    number: int
+    fencing_token: int
     """Grows from term to term, and fences the work done in this one."""
 
-    owner: str
+    holder: str
     """Name of the front."""
 
-    start: int
+    generation: int
     """Generation of the front's process."""
 
 
 @dataclass(frozen=True)
-class Note:
+class LeaseNote:
     """What the holder of a lease put on record for its successor. Of two notes the one with the higher version counts."""
 
-    number: int = 0
+    fencing_token: int = 0
     """Fencing token of the term in which it was written."""
 
     step: int = 0
@@ -63,99 +63,99 @@
     body: bytes = b""
 
     @property
-    def key(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """Fencing token and step."""
-        return self.number, self.step
+        return self.fencing_token, self.step
 
 
 @dataclass(frozen=True)
-class Ask:
+class LeaseRequest:
     """A candidate's message to an acceptor."""
 
-    step: Step
-    duty: str
-    term: Term
+    kind: LeaseMessageKind
+    lease_name: str
+    term: LeaseTerm
     seq: int = 0
     """Sequence number of a proposal, repeated in its answers."""
 
-    length: int = 0
+    term_length: int = 0
     """Length in ns of the term that a proposal requests."""
 
-    note: Note = Note()
+    note: LeaseNote = LeaseNote()
 
 
 @dataclass(frozen=True)
-class Answer:
+class LeaseAnswer:
     """An acceptor's message to a candidate."""
 
-    step: Step
-    duty: str
-    keeper: str
+    kind: LeaseMessageKind
+    lease_name: str
+    acceptor: str
     epoch: int
     """Epoch of the acceptor's record."""
 
-    number: int
+    fencing_token: int
     """Fencing token of the request."""
 
     seq: int = 0
     """Sequence number of the request."""
 
-    highest: int = 0
+    highest_promised: int = 0
     """Highest fencing token that the acceptor has promised."""
 
-    running: Term | None = None
+    running_term: LeaseTerm | None = None
     """The term that runs at the acceptor, None where none does."""
 
-    left: int = 0
+    time_left: int = 0
     """What is left of the running term, in ns."""
 
-    note: Note = Note()
-    epochs: tuple[tuple[str, int], ...] = ()
+    note: LeaseNote = LeaseNote()
+    peer_epochs: tuple[tuple[str, int], ...] = ()
     """Epochs of the other acceptors' records, as far as this one knows."""
 
 
 @dataclass(frozen=True)
-class Row:
+class LeaseRecord:
     """What an acceptor has on record of one lease."""
 
-    promised: int = 0
+    promised_token: int = 0
     """Highest fencing token that was promised."""
 
-    to: str = ""
+    promised_to: str = ""
     """The process that it was promised to, as two may request the same token."""
 
-    term: Term | None = None
+    accepted_term: LeaseTerm | None = None
     """The term that was accepted last, whether or not it still runs."""
 
-    note: Note = Note()
+    note: LeaseNote = LeaseNote()
 
 
 @dataclass(frozen=True)
-class Learnt:
+class AcceptorRecord:
     """The record of an acceptor, for another that lost its own."""
 
-    keeper: str
+    acceptor: str
     epoch: int
     """Epoch of the acceptor's record."""
 
-    sound: bool
+    has_full_record: bool
     """Whether the acceptor knows everything that it ever promised."""
 
-    rows: tuple[tuple[str, Row], ...]
+    records: tuple[tuple[str, LeaseRecord], ...]
     """Records by lease name."""
 
 
-def majority(of: int) -> int:
+def majority(count: int) -> int:
     """Returns the size of a majority of `count` acceptors."""
-    return of // 2 + 1
+    return count // 2 + 1
 
 
-def belief(length: int) -> int:
+def safe_term_length(term_length: int) -> int:
     """Returns for how long a holder may act on a term, counted from its request; `term_length` and the result in ns.
 
     This is less than any acceptor counts for the term, whatever the drift of its clock.
     """
-    return length - length // DRIFT - MS
+    return term_length - term_length // CLOCK_DRIFT_DIVISOR - MS
 
 
 class Fence:
@@ -166,24 +166,24 @@
     has no effect either. A resource that must survive restarts makes `highest_seen` durable before the work takes effect.
     """
 
-    MOST = 64
+    MAX_LEASES = 64
     """Leases that a fence keeps; the program names them, not the peers."""
 
-    def __init__(self, seen: dict[str, tuple[int, int]] | None = None) -> None:
+    def __init__(self, highest_seen: dict[str, tuple[int, int]] | None = None) -> None:
         """`highest_seen` gives the (fencing token, step) by lease name that were durable before a restart."""
-        self.seen = dict(seen or {})
-        self.turned_away = 0
+        self.highest_seen = dict(highest_seen or {})
+        self.rejected_count = 0
 
-    def admits(self, duty: str, number: int, step: int) -> bool:
+    def admits(self, lease_name: str, fencing_token: int, step: int) -> bool:
         """Returns whether work under this token and step may take effect.
 
         A repeated step is admitted, as repeating it changes nothing. Work that is too old is counted as rejected.
         """
-        if (number, step) < self.seen.get(duty, (0, 0)):
-            self.turned_away += 1
+        if (fencing_token, step) < self.highest_seen.get(lease_name, (0, 0)):
+            self.rejected_count += 1
             return False
-        return duty in self.seen or len(self.seen) < self.MOST
+        return lease_name in self.highest_seen or len(self.highest_seen) < self.MAX_LEASES
 
-    def takes(self, duty: str, number: int, step: int) -> None:
+    def record(self, lease_name: str, fencing_token: int, step: int) -> None:
         """Records that work under this token and step takes effect."""
-        self.seen[duty] = max(self.seen.get(duty, (0, 0)), (number, step))
+        self.highest_seen[lease_name] = max(self.highest_seen.get(lease_name, (0, 0)), (fencing_token, step))
--- a/oakcroft/decisions/fleet/load_sharing.py
+++ b/oakcroft/decisions/fleet/load_sharing.py
@@ -22,60 +22,60 @@
 from oakcroft.decisions.membership.rendezvous import rank
 from oakcroft.interface import MS, SECOND
 
-TELL_EVERY = 500 * MS
+GOSSIP_INTERVAL = 500 * MS
 """Time between the gossip messages of one front."""
 
-FANOUT = 2
+GOSSIP_FANOUT = 2
 """Fronts that receive each gossip message."""
 
-MOST_ROWS = 60
+MAX_REPORTS_PER_MESSAGE = 60
 """Reports in one message, as many as fit into 1,400 octets."""
 
-MOST_TIMES = 3
+MAX_GOSSIP_ROUNDS = 3
 """Rounds in which a report is passed on: six copies from each front reach all but one front in four hundred."""
 
-MOST_AGE = 20 * SECOND
+MAX_REPORT_AGE = 20 * SECOND
 """Older reports are ignored."""
 
-MOST_ASKED = 64.0
+MAX_LOAD = 64.0
 """The highest load (demand on a link over its capacity) that is taken for valid."""
 
-FRESHER = 200 * MS
+MIN_FRESHNESS_GAIN = 200 * MS
 """A report replaces the known load only if it is newer by this much."""
 
-A_SECOND = 36
+MAX_FLEET_REPORTS_PER_SECOND = 36
 """Reports that the whole fleet originates each second: at three rounds each, what MAX_REPORTS_PER_MESSAGE can carry."""
 
-AT_ONCE = 8
+MAX_CONCURRENT_PROBES = 8
 """Nodes that one front probes at the same time."""
 
-SECOND_AFTER = 3
+BACKUP_PROBE_INTERVALS = 3
 """Intervals without a report after which the second front probes a node."""
 
-RANKS = 40
+MAX_RANKS_PER_TURN = 40
 """Rendezvous ranks computed in one turn; they take 5 ms at 200 fronts."""
 
-TRANSIT = 5 * MS
+TRANSIT_TIME = 5 * MS
 """Assumed transit time of a report: messages carry no time that two clocks could compare."""
 
-REFUSED_FOR = 60 * SECOND
+UNSUPPORTED_PROBE_PAUSE = 60 * SECOND
 """How long a node that does not know the probe request is not probed."""
 
 
-def mark(node: str, started_at: int) -> bytes:
+def process_id(node: str, started_at: int) -> bytes:
     """Returns the 8-octet name of a node's process on the wire. `started_at` in ns."""
     word = f"{len(node)}:{node}{started_at}".encode()
     return hashlib.blake2b(word, digest_size=8, person=b"oakcroft-load").digest()
 
 
 @dataclass(frozen=True)
-class Row:
+class LoadReport:
     """The load of one node in a message."""
 
-    mark: bytes
+    process_id: bytes
     """Digest of the node's process, see `process_id`."""
 
-    asked: float
+    load: float
     """Demand on the node's link over its capacity."""
 
     age: int
@@ -83,199 +83,207 @@
 
 
 @dataclass
-class Figure:
+class KnownLoad:
     """The last known load of one node."""
 
-    asked: float
+    load: float
     """Demand on the node's link over its capacity."""
 
-    at: int
+    measured_at: int
     """When the node had this load, in ns by this front's clock."""
 
-    rounds: int = 0
+    rounds_left: int = 0
     """Gossip rounds in which it is still to be sent."""
 
 
 @dataclass
-class Place:
+class NodeLoad:
     """One listed node. Times in ns."""
 
     name: str
     started_at: int
-    mark: bytes
+    process_id: bytes
     """Digest of the node's process, see `process_id`."""
 
-    figure: Figure | None = None
+    latest: KnownLoad | None = None
     """The last known load; None where none is known."""
 
-    rank: int | None = None
+    probe_rank: int | None = None
     """This front's place in the node's rendezvous order, 2 for all later places; None until it is computed."""
 
-    ask_at: int = 0
+    next_probe_at: int = 0
     """No probe is due before this time."""
 
-    out: bool = False
+    is_being_probed: bool = False
     """Whether a probe of this front is in flight."""
 
 
-class Figures:
+class LoadSharing:
     """Load sharing of one front: which nodes to probe, and what to send to whom."""
 
-    def __init__(self, me: str, every: int, rng: Random) -> None:
-        """`me` is this front's name, `every` the configured time between two reports of a node in ns."""
-        self.me, self.every, self.rng = me, every, rng
-        self.places: dict[str, Place] = {}
-        self.marks: dict[bytes, Place] = {}
-        self.present: list[str] = [me]
-        self.unranked: list[Place] = []
-        self.tell_at = 0
-        self.asking = 0
-        self.asks = self.refused = self.failed = self.taken = self.strange = 0
+    def __init__(self, me: str, probe_interval: int, rng: Random) -> None:
+        """`me` is this front's name, `probe_interval` the configured time between two reports of a node in ns."""
+        self.me, self.probe_interval, self.rng = me, probe_interval, rng
+        self.nodes: dict[str, NodeLoad] = {}
+        self.by_process_id: dict[bytes, NodeLoad] = {}
+        self.present_fronts: list[str] = [me]
+        self.unranked_nodes: list[NodeLoad] = []
+        self.next_gossip_at = 0
+        self.probes_in_flight = 0
+        self.probes_sent = self.probes_unsupported = self.probes_failed = self.reports_accepted = (
+            self.reports_discarded
+        ) = 0
 
     # Updates.
 
-    def listed(self, nodes: Mapping[str, int]) -> None:
+    def update_nodes(self, nodes: Mapping[str, int]) -> None:
         """Sets the listed nodes and their start times in ns. The loads of earlier processes are dropped."""
-        for name in [n for n, p in self.places.items() if nodes.get(n) != p.started_at]:
-            place = self.places.pop(name)
-            del self.marks[place.mark]
-            self.asking -= place.out
+        for name in [n for n, p in self.nodes.items() if nodes.get(n) != p.started_at]:
+            place = self.nodes.pop(name)
+            del self.by_process_id[place.process_id]
+            self.probes_in_flight -= place.is_being_probed
         for name, started_at in nodes.items():
-            if name not in self.places:
-                self.places[name] = place = Place(name, started_at, mark(name, started_at))
-                self.marks[place.mark] = place
-                self.unranked.append(place)
+            if name not in self.nodes:
+                self.nodes[name] = place = NodeLoad(name, started_at, process_id(name, started_at))
+                self.by_process_id[place.process_id] = place
+                self.unranked_nodes.append(place)
 
-    def sees(self, present: Iterable[str]) -> None:
+    def update_present_fronts(self, present_fronts: Iterable[str]) -> None:
         """Sets the fronts that are alive; this one always counts among them."""
-        some = sorted({*present, self.me})
-        if some != self.present:
-            self.present = some
-            self.unranked = list(self.places.values())
+        some = sorted({*present_fronts, self.me})
+        if some != self.present_fronts:
+            self.present_fronts = some
+            self.unranked_nodes = list(self.nodes.values())
 
-    def interval(self) -> int:
+    def effective_interval(self) -> int:
         """Returns the time between two reports of a node in ns.
 
         It is the configured one, or longer where the fleet would originate more than MAX_FLEET_REPORTS_PER_SECOND.
         """
-        return max(self.every, len(self.places) * SECOND // A_SECOND)
+        return max(self.probe_interval, len(self.nodes) * SECOND // MAX_FLEET_REPORTS_PER_SECOND)
 
-    def own(self, node: str, asked: float, age: int, now: int, for_all: bool = False) -> None:
+    def record_own_load(self, node: str, load: float, age: int, now: int, from_probe: bool = False) -> None:
         """Records a load, `age` ns old, that this front's own traffic or (`from_probe`) its probe has shown."""
-        place = self.places.get(node)
-        if place is None or not sound(asked) or not 0 <= age <= MOST_AGE:
+        place = self.nodes.get(node)
+        if place is None or not is_valid_load(load) or not 0 <= age <= MAX_REPORT_AGE:
             return
-        before, at = place.figure, now - age
-        if before is not None and before.at >= at:
+        before, at = place.latest, now - age
+        if before is not None and before.measured_at >= at:
             return
         # Only the first front of the node's order reports what its traffic shows, once in an interval.
-        tells = for_all or (place.rank == 0 and now >= place.ask_at)
-        place.figure = Figure(asked, at, self._rounds() if tells else before.rounds if before else 0)
+        tells = from_probe or (place.probe_rank == 0 and now >= place.next_probe_at)
+        place.latest = KnownLoad(
+            load, at, self._gossip_rounds() if tells else before.rounds_left if before else 0
+        )
         if tells:
-            place.ask_at = now + self.interval()
+            place.next_probe_at = now + self.effective_interval()
 
-    def heard(self, rows: Iterable[Row], now: int) -> list[tuple[str, float, int]]:
+    def receive_reports(self, reports: Iterable[LoadReport], now: int) -> list[tuple[str, float, int]]:
         """Takes the reports of another front. Returns those that are new here as (node, load, age in ns).
 
         New reports are passed on to other fronts in the next rounds.
         """
         out = []
-        for row in rows:
-            place = self.marks.get(row.mark)
+        for row in reports:
+            place = self.by_process_id.get(row.process_id)
             if place is None:  # a node or a process that this front's list does not have
-                self.strange += 1
+                self.reports_discarded += 1
                 continue
-            age = row.age + TRANSIT
-            if not sound(row.asked) or not 0 <= row.age <= MOST_AGE:
-                self.strange += 1
+            age = row.age + TRANSIT_TIME
+            if not is_valid_load(row.load) or not 0 <= row.age <= MAX_REPORT_AGE:
+                self.reports_discarded += 1
                 continue
-            at, before = now - age, place.figure
-            if before is not None and at < before.at + FRESHER:
+            at, before = now - age, place.latest
+            if before is not None and at < before.measured_at + MIN_FRESHNESS_GAIN:
                 continue
-            place.figure = Figure(row.asked, at, self._rounds())
-            place.ask_at = max(place.ask_at, at + self.interval())
-            self.taken += 1
-            out.append((place.name, row.asked, age))
+            place.latest = KnownLoad(row.load, at, self._gossip_rounds())
+            place.next_probe_at = max(place.next_probe_at, at + self.effective_interval())
+            self.reports_accepted += 1
+            out.append((place.name, row.load, age))
         return out
 
-    def _rounds(self) -> int:
+    def _gossip_rounds(self) -> int:
         return (
-            min(MOST_TIMES, 1 + math.ceil(math.log(len(self.present), 1 + FANOUT)))
-            if len(self.present) > 1
+            min(MAX_GOSSIP_ROUNDS, 1 + math.ceil(math.log(len(self.present_fronts), 1 + GOSSIP_FANOUT)))
+            if len(self.present_fronts) > 1
             else 0
         )
 
     # Due actions.
 
-    def _rank_some(self) -> None:
+    def _compute_ranks(self) -> None:
         """Computes some of the missing ranks. Only the first two places matter, so counting stops at 2."""
-        for _ in range(min(RANKS, len(self.unranked))):
-            place = self.unranked.pop()
-            place.rank = rank(place.name, self.me, self.present, 2)
+        for _ in range(min(MAX_RANKS_PER_TURN, len(self.unranked_nodes))):
+            place = self.unranked_nodes.pop()
+            place.probe_rank = rank(place.name, self.me, self.present_fronts, 2)
 
-    def due(self, now: int) -> list[str]:
+    def due_probes(self, now: int) -> list[str]:
         """Returns the nodes to probe now; `probe_finished` must be called for each."""
-        self._rank_some()
+        self._compute_ranks()
         out = []
-        for place in self.places.values():
-            if self.asking >= AT_ONCE:
+        for place in self.nodes.values():
+            if self.probes_in_flight >= MAX_CONCURRENT_PROBES:
                 break
-            if place.rank not in (0, 1) or place.out:
+            if place.probe_rank not in (0, 1) or place.is_being_probed:
                 continue
-            late = place.rank * (SECOND_AFTER - 1) * self.interval()
-            fresh = place.figure is not None and now - place.figure.at < self.interval() + late
-            if not fresh and now >= place.ask_at + late:
-                place.out = True
-                self.asking += 1
-                self.asks += 1
+            late = place.probe_rank * (BACKUP_PROBE_INTERVALS - 1) * self.effective_interval()
+            fresh = (
+                place.latest is not None and now - place.latest.measured_at < self.effective_interval() + late
+            )
+            if not fresh and now >= place.next_probe_at + late:
+                place.is_being_probed = True
+                self.probes_in_flight += 1
+                self.probes_sent += 1
                 out.append(place.name)
         return out
 
-    def asked(self, node: str, asked: float | None, knows: bool, now: int) -> None:
+    def probe_finished(self, node: str, load: float | None, is_supported: bool, now: int) -> None:
         """Takes the result of a probe: the load, or None where the node did not tell it.
 
         `is_supported` is False where the node did not know the request, True also where it did not answer.
         """
-        place = self.places.get(node)
-        if place is None or not place.out:
+        place = self.nodes.get(node)
+        if place is None or not place.is_being_probed:
             return
-        place.out = False
-        self.asking -= 1
-        if asked is not None:
-            self.own(node, asked, 0, now, for_all=True)
-        elif knows:
-            self.failed += 1
+        place.is_being_probed = False
+        self.probes_in_flight -= 1
+        if load is not None:
+            self.record_own_load(node, load, 0, now, from_probe=True)
+        elif is_supported:
+            self.probes_failed += 1
         else:
-            self.refused += 1
-        place.ask_at = now + (self.interval() if knows else REFUSED_FOR)
+            self.probes_unsupported += 1
+        place.next_probe_at = now + (self.effective_interval() if is_supported else UNSUPPORTED_PROBE_PAUSE)
 
-    def tells(self, now: int) -> list[tuple[str, list[Row]]]:
+    def due_messages(self, now: int) -> list[tuple[str, list[LoadReport]]]:
         """Returns the gossip messages to send now as (front, reports).
 
         Reports with the most rounds left come first, then the newest; what does not fit waits for the next turn.
         """
-        if now < self.tell_at or len(self.present) < 2:
+        if now < self.next_gossip_at or len(self.present_fronts) < 2:
             return []
-        self.tell_at = now + TELL_EVERY
-        news = [p for p in self.places.values() if p.figure is not None and p.figure.rounds > 0]
-        news = [p for p in news if p.figure is not None and now - p.figure.at <= MOST_AGE]
-        news.sort(key=lambda p: (-p.figure.rounds, -p.figure.at) if p.figure is not None else (0, 0))
+        self.next_gossip_at = now + GOSSIP_INTERVAL
+        news = [p for p in self.nodes.values() if p.latest is not None and p.latest.rounds_left > 0]
+        news = [p for p in news if p.latest is not None and now - p.latest.measured_at <= MAX_REPORT_AGE]
+        news.sort(
+            key=lambda p: (-p.latest.rounds_left, -p.latest.measured_at) if p.latest is not None else (0, 0)
+        )
         rows = []
-        for place in news[:MOST_ROWS]:
-            assert place.figure is not None
-            place.figure.rounds -= 1
-            rows.append(Row(place.mark, place.figure.asked, now - place.figure.at))
+        for place in news[:MAX_REPORTS_PER_MESSAGE]:
+            assert place.latest is not None
+            place.latest.rounds_left -= 1
+            rows.append(LoadReport(place.process_id, place.latest.load, now - place.latest.measured_at))
         if not rows:
             return []
-        others = [f for f in self.present if f != self.me]
-        return [(to, rows) for to in self.rng.sample(others, min(FANOUT, len(others)))]
+        others = [f for f in self.present_fronts if f != self.me]
+        return [(to, rows) for to in self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))]
 
-    def ages(self, now: int) -> list[int]:
+    def known_ages(self, now: int) -> list[int]:
         """Returns the ages of the known loads in ns, ascending; loads older than MAX_REPORT_AGE are left out."""
-        some = (now - p.figure.at for p in self.places.values() if p.figure is not None)
-        return sorted(age for age in some if age <= MOST_AGE)
+        some = (now - p.latest.measured_at for p in self.nodes.values() if p.latest is not None)
+        return sorted(age for age in some if age <= MAX_REPORT_AGE)
 
 
-def sound(asked: float) -> bool:
+def is_valid_load(load: float) -> bool:
     """Returns whether a number can be a load."""
-    return math.isfinite(asked) and 0 <= asked <= MOST_ASKED
+    return math.isfinite(load) and 0 <= load <= MAX_LOAD
--- a/oakcroft/decisions/fleet/node_list.py
+++ b/oakcroft/decisions/fleet/node_list.py
@@ -11,16 +11,16 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from oakcroft.interface import SECOND, Entry, Listing, ListKind, Node
+from oakcroft.interface import SECOND, NodeEntry, NodeStatus, NodeListKind, Node
 
-HOST = re.compile(
+HOST_PATTERN = re.compile(
     r"(?=.{1,253}$)(?:[A-Za-z0-9_-]{1,63}\.)*[A-Za-z0-9_-]{1,63}\.?|[0-9A-Fa-f.]*:[0-9A-Fa-f:.]{1,44}"
 )
 """A host name (RFC 1123 2.1, with underscores allowed) or an IP address; nothing else can be resolved."""
 
 
 @dataclass(frozen=True, order=True)
-class Line:
+class ListedNode:
     """One node of a list. The field names are stored in the state file. Times in ns since the epoch."""
 
     name: str
@@ -28,7 +28,7 @@
     port: int
     zone: str
     cell: int
-    listing: Listing
+    listing: NodeStatus
     started_at: int
     link: float
     """Capacity of the node's link in kB a second."""
@@ -41,13 +41,13 @@
 
 
 @dataclass(frozen=True)
-class Refused:
+class ListRejection:
     """Why a list was rejected."""
 
-    why: str
+    reason: str
 
 
-class Roster:
+class NodeList:
     """The list in force, and the checks for a new one.
 
     The checks protect against a list service that has lost its data, answers with a part of it, or goes back to an older
@@ -58,47 +58,52 @@
     or uses another name.
     """
 
-    WITHHELD = 60 * SECOND
+    REMOVED_RETENTION = 60 * SECOND
     """How long removed nodes are kept, in ns."""
 
     def __init__(self) -> None:
         """Begins without a list."""
-        self.lines: dict[str, Line] = {}  # by name
+        self.listed_nodes: dict[str, ListedNode] = {}  # by name
         self.nodes: dict[str, Node] = {}  # by name, removed ones included
-        self.gone_at: dict[str, int] = {}  # when a node was removed, by name
+        self.removed_at: dict[str, int] = {}  # when a node was removed, by name
         self.version, self.service = -1, ""
 
-    def take(
-        self, lines: Sequence[Line], version: int, service: str, now: int, kept: bool = False
-    ) -> tuple[ListKind, list[Entry]] | Refused | None:
+    def apply(
+        self,
+        listed_nodes: Sequence[ListedNode],
+        version: int,
+        service: str,
+        now: int,
+        is_cached: bool = False,
+    ) -> tuple[NodeListKind, list[NodeEntry]] | ListRejection | None:
         """Applies a list of the list service that calls itself `service`.
 
         Returns what it changes for the module, a rejection, or None where nothing changes. `is_cached` marks the list
         that an earlier process cached: it does not count as a version of the service. `now` in ns.
         """
         same_service = service == self.service
-        if not kept and same_service and version == self.version:
+        if not is_cached and same_service and version == self.version:
             return None
-        if wrong := self._wrong(lines, version, same_service):
-            return Refused(wrong)
-        first = not self.lines
-        if not kept:
+        if wrong := self._find_fault(listed_nodes, version, same_service):
+            return ListRejection(wrong)
+        first = not self.listed_nodes
+        if not is_cached:
             self.version, self.service = version, service
-        entries = self._entries(lines, now)
+        entries = self._changed_entries(listed_nodes, now)
         if not entries and not first:
             return None
-        if kept:
-            return ListKind.KEPT, entries
-        return (ListKind.WHOLE if first else ListKind.CHANGES), entries
+        if is_cached:
+            return NodeListKind.KEPT, entries
+        return (NodeListKind.WHOLE if first else NodeListKind.CHANGES), entries
 
-    def _wrong(self, lines: Sequence[Line], version: int, same_service: bool) -> str | None:
-        if not lines:
+    def _find_fault(self, listed_nodes: Sequence[ListedNode], version: int, same_service: bool) -> str | None:
+        if not listed_nodes:
             return "it names no node"
         if same_service and version < self.version:
             return f"its version {version} is older than {self.version}"
         names, places = set[str](), set[tuple[str, int]]()
-        for line in lines:
-            if wrong := line_fault(line):
+        for line in listed_nodes:
+            if wrong := node_fault(line):
                 return f"node {line.name!r}: {wrong}"
             if line.name in names:
                 return f"node {line.name!r} stands in it twice"
@@ -108,47 +113,47 @@
             places.add((line.address, line.port))
         return None
 
-    def _entries(self, lines: Iterable[Line], now: int) -> list[Entry]:
+    def _changed_entries(self, listed_nodes: Iterable[ListedNode], now: int) -> list[NodeEntry]:
         """Sets the list in force and returns entries for the nodes that differ; the module needs no others."""
-        entries, missing = [], dict(self.lines)
-        for line in sorted(lines):
+        entries, missing = [], dict(self.listed_nodes)
+        for line in sorted(listed_nodes):
             missing.pop(line.name, None)
-            if self.lines.get(line.name) != line:
-                self.lines[line.name] = line
-                entries.append(self._entry(line, line.listing))
-            self.gone_at.pop(line.name, None)
+            if self.listed_nodes.get(line.name) != line:
+                self.listed_nodes[line.name] = line
+                entries.append(self._make_entry(line, line.listing))
+            self.removed_at.pop(line.name, None)
         for name, line in missing.items():
-            del self.lines[name]
-            self.gone_at[name] = now
-            entries.append(self._entry(line, Listing.GONE))
-        for name in [n for n, at in self.gone_at.items() if now - at > self.WITHHELD]:
-            del self.gone_at[name]
+            del self.listed_nodes[name]
+            self.removed_at[name] = now
+            entries.append(self._make_entry(line, NodeStatus.GONE))
+        for name in [n for n, at in self.removed_at.items() if now - at > self.REMOVED_RETENTION]:
+            del self.removed_at[name]
             del self.nodes[name]
         return entries
 
-    def _entry(self, line: Line, listing: Listing) -> Entry:
-        node = self.nodes.get(line.name)
+    def _make_entry(self, listed_node: ListedNode, listing: NodeStatus) -> NodeEntry:
+        node = self.nodes.get(listed_node.name)
         if node is None:
-            node = self.nodes[line.name] = Node(line.name)
-        node.zone, node.cell = line.zone, line.cell
-        node.kind, node.tags = line.kind, frozenset(line.tags)
-        return Entry(node, listing, line.started_at, line.link, line.places)
+            node = self.nodes[listed_node.name] = Node(listed_node.name)
+        node.zone, node.cell = listed_node.zone, listed_node.cell
+        node.kind, node.tags = listed_node.kind, frozenset(listed_node.tags)
+        return NodeEntry(node, listing, listed_node.started_at, listed_node.link, listed_node.places)
 
 
-def line_fault(line: Line) -> str | None:
+def node_fault(listed_node: ListedNode) -> str | None:
     """Returns what is impossible about one node, None where nothing is."""
-    if not line.name:
+    if not listed_node.name:
         return "it has no name"
-    if not HOST.fullmatch(line.address):
-        return f"address {line.address[:40]!r} is no host name and no IP address"
-    if not 0 < line.port < 65_536:
-        return f"port {line.port} does not exist"
-    if not (0 < line.link < 1e12):
-        return f"a link of {line.link} kB a second cannot be"
-    if not (0 <= line.places < 1e9):
-        return f"{line.places} places cannot be"
-    if line.cell < 0:
-        return f"cell {line.cell} is under 0"
-    if line.started_at < 0:
+    if not HOST_PATTERN.fullmatch(listed_node.address):
+        return f"address {listed_node.address[:40]!r} is no host name and no IP address"
+    if not 0 < listed_node.port < 65_536:
+        return f"port {listed_node.port} does not exist"
+    if not (0 < listed_node.link < 1e12):
+        return f"a link of {listed_node.link} kB a second cannot be"
+    if not (0 <= listed_node.places < 1e9):
+        return f"{listed_node.places} places cannot be"
+    if listed_node.cell < 0:
+        return f"cell {listed_node.cell} is under 0"
+    if listed_node.started_at < 0:
         return "it started before the epoch"
     return None
--- a/oakcroft/decisions/fleet/rollout.py
+++ b/oakcroft/decisions/fleet/rollout.py
@@ -15,32 +15,32 @@
 
 from oakcroft.interface import SECOND
 
-SHARES = (0.1, 0.5, 1.0)
+ROLLOUT_SHARES = (0.1, 0.5, 1.0)
 """Canary shares of all fronts, one after the other: a fault that shows at a tenth of the fronts affects a tenth."""
 
-HAND_WITHIN = 20 * SECOND
+DISTRIBUTION_TIMEOUT = 20 * SECOND
 """Time for a version's text to reach all present fronts."""
 
-TAKE_WITHIN = 20 * SECOND
+ACTIVATION_TIMEOUT = 20 * SECOND
 """Time for all fronts of the share to activate the version."""
 
-STALE = 10 * SECOND
+MAX_REPORT_AGE = 10 * SECOND
 """An older report is requested again, as the front may have restarted since."""
 
-ENOUGH = 50
+MIN_ANSWERS = 50
 """Answers of the fronts with the new version below which their failures are not judged."""
 
-WORSE = 0.05
+MIN_FAILURE_INCREASE = 0.05
 """Increase of the failure share, over that of the fronts without the new version, that rolls it back."""
 
-ERRORS = 3.0
+MIN_STANDARD_ERRORS = 3.0
 """Standard errors that the increase must exceed as well: chance alone exceeds them once in 700 times."""
 
-MOST_REASON = 120
+MAX_REASON_LENGTH = 120
 """Characters of a reason in a plan."""
 
 
-class Stage(Enum):
+class RolloutStage(Enum):
     """Stage of a rollout. The values are stored in plans; operators and logs show the names in lower case."""
 
     HANDED = 1  # the text is distributed; no front activates it
@@ -50,11 +50,11 @@
     STOPPED = 5  # no front has it in force
 
 
-ENDED = (Stage.DONE, Stage.STOPPED)
+FINAL_STAGES = (RolloutStage.DONE, RolloutStage.STOPPED)
 
 
 @dataclass(frozen=True)
-class Plan:
+class RolloutPlan:
     """A rollout as it is on record."""
 
     number: int
@@ -63,50 +63,50 @@
     digest: str
     """Digest of the new version."""
 
-    base: str
+    base_digest: str
     """Digest of the version before."""
 
-    stage: Stage
+    stage: RolloutStage
     step: int
     """Grows with each change of the plan, also from rollout to rollout."""
 
-    share: int = 0
+    share_index: int = 0
     """Index into `ROLLOUT_SHARES`."""
 
-    watch: int = 10 * SECOND
+    watch_time: int = 10 * SECOND
     """How long a share is watched before the next one, in ns."""
 
     force: bool = False
     """Whether fronts activate the version although it fails their checks."""
 
-    why: str = ""
+    change_reason: str = ""
     """Why the version was made, as the operator says."""
 
-    reason: str = ""
+    end_reason: str = ""
     """Why the rollout was not completed."""
 
     @property
-    def part(self) -> float:
+    def target_share(self) -> float:
         """Share of the fronts that are to have the version in force, 0 to 1."""
-        if self.stage is Stage.DONE:
+        if self.stage is RolloutStage.DONE:
             return 1.0
-        return SHARES[self.share] if self.stage is Stage.TAKEN else 0.0
+        return ROLLOUT_SHARES[self.share_index] if self.stage is RolloutStage.TAKEN else 0.0
 
 
 @dataclass(frozen=True)
-class Report:
+class FrontReport:
     """A front's report on an order."""
 
     step: int
     """Step of the plan that it reports on."""
 
-    holds: bool
+    has_text: bool
     """Whether the front has the text of the version."""
 
-    in_force: str
+    active_digest: str
     """Digest of the version in force there."""
 
-    takes_part: bool = False
+    is_in_share: bool = False
     """Whether the front is one of the share."""
 
     refused: str = ""
@@ -118,44 +118,46 @@
     failures: int = 0
     """Those of the answers that failed."""
 
-    bare: bool = False
+    has_no_catalogue: bool = False
     """Whether the front has no catalogue although there is a version before this one."""
 
 
 class Rollout:
     """The holder's side of a rollout: `next_plan` returns the plan that the host is to put on record, then act on."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: RolloutPlan) -> None:
         """`plan` is the one on record."""
         self.plan = plan
-        self.reports: dict[str, tuple[Report, int]] = {}  # by front, with the time of the report
-        self.all_since: int | None = None  # when all of the share had it in force
-        self.missing_since: int | None = None  # since when not all present fronts are as planned
+        self.reports: dict[str, tuple[FrontReport, int]] = {}  # by front, with the time of the report
+        self.complete_since: int | None = None  # when all of the share had it in force
+        self.incomplete_since: int | None = None  # since when not all present fronts are as planned
 
-    def heard(self, front: str, report: Report, now: int) -> None:
+    def receive_report(self, front: str, report: FrontReport, now: int) -> None:
         """Takes a front's report; reports on earlier steps are ignored."""
         if report.step == self.plan.step:
             self.reports[front] = (report, now)
 
-    def recorded(self, plan: Plan) -> None:
+    def set_recorded_plan(self, plan: RolloutPlan) -> None:
         """Sets the plan that is on record now."""
-        self.plan, self.all_since, self.missing_since = plan, None, None
+        self.plan, self.complete_since, self.incomplete_since = plan, None, None
         self.reports.clear()
 
-    def unconfirmed(self, present: Iterable[str], now: int) -> list[str]:
+    def unconfirmed_fronts(self, present_fronts: Iterable[str], now: int) -> list[str]:
         """Returns the present fronts without a recent report that they are as the plan wants."""
-        return [f for f in present if (told := self.reports.get(f)) is None or now - told[1] > STALE
-                or not self._stands(told[0])]  # fmt: skip
+        return [f for f in present_fronts if (told := self.reports.get(f)) is None or now - told[1] > MAX_REPORT_AGE
+                or not self._matches_plan(told[0])]  # fmt: skip
 
-    def _stands(self, report: Report) -> bool:
+    def _matches_plan(self, report: FrontReport) -> bool:
         plan = self.plan
-        if plan.stage is Stage.HANDED:
-            return report.holds and not report.bare
-        if plan.stage in (Stage.BACK, Stage.STOPPED):
-            return report.in_force != plan.digest and not report.bare
-        return report.in_force == plan.digest or (not report.takes_part and plan.stage is Stage.TAKEN)
+        if plan.stage is RolloutStage.HANDED:
+            return report.has_text and not report.has_no_catalogue
+        if plan.stage in (RolloutStage.BACK, RolloutStage.STOPPED):
+            return report.active_digest != plan.digest and not report.has_no_catalogue
+        return report.active_digest == plan.digest or (
+            not report.is_in_share and plan.stage is RolloutStage.TAKEN
+        )
 
-    def next(self, present: Iterable[str], now: int) -> Plan | None:
+    def next_plan(self, present_fronts: Iterable[str], now: int) -> RolloutPlan | None:
         """Returns the plan to put on record next, None where the present one continues.
 
         `present_fronts` are those that the membership shows as present. Others are not waited for; they get the version
@@ -164,78 +166,98 @@
         The fronts with the new version are compared with those without it, as both answer at the same time under the
         same load. A version that does harm is rolled back.
         """
-        plan, there = self.plan, list(present)
-        if plan.stage in ENDED:
+        plan, there = self.plan, list(present_fronts)
+        if plan.stage in FINAL_STAGES:
             return None
         refused = sorted((f, told.refused) for f, (told, _) in self.reports.items() if told.refused)
-        if refused and plan.stage is not Stage.BACK:
-            return self._turned(f"{refused[0][0]} refused it: {refused[0][1]}")
-        missing = self.unconfirmed(there, now)
+        if refused and plan.stage is not RolloutStage.BACK:
+            return self._reversed_plan(f"{refused[0][0]} refused it: {refused[0][1]}")
+        missing = self.unconfirmed_fronts(there, now)
         if not missing:
-            self.missing_since = None
-        elif self.missing_since is None:
-            self.missing_since = now
-        waited = now - self.missing_since if self.missing_since is not None else 0
-        if plan.stage is Stage.HANDED:
+            self.incomplete_since = None
+        elif self.incomplete_since is None:
+            self.incomplete_since = now
+        waited = now - self.incomplete_since if self.incomplete_since is not None else 0
+        if plan.stage is RolloutStage.HANDED:
             if not missing:
-                return self._step(Stage.TAKEN, 0)
-            return self._turned(f"{missing[0]} did not take it in") if waited > HAND_WITHIN else None
-        if plan.stage is Stage.BACK:
-            return self._step(Stage.STOPPED, plan.share) if not missing else None
-        if worse := self._worse():
-            return self._turned(worse)
+                return self._advanced_plan(RolloutStage.TAKEN, 0)
+            return (
+                self._reversed_plan(f"{missing[0]} did not take it in")
+                if waited > DISTRIBUTION_TIMEOUT
+                else None
+            )
+        if plan.stage is RolloutStage.BACK:
+            return self._advanced_plan(RolloutStage.STOPPED, plan.share_index) if not missing else None
+        if worse := self._failure_increase():
+            return self._reversed_plan(worse)
         if missing:
-            self.all_since = None
-            return self._turned(f"{missing[0]} did not take it") if waited > TAKE_WITHIN else None
-        if self.all_since is None:
-            self.all_since = now
-        if now - self.all_since < plan.watch:
+            self.complete_since = None
+            return (
+                self._reversed_plan(f"{missing[0]} did not take it") if waited > ACTIVATION_TIMEOUT else None
+            )
+        if self.complete_since is None:
+            self.complete_since = now
+        if now - self.complete_since < plan.watch_time:
             return None
-        if plan.share + 1 >= len(SHARES):
-            return self._step(Stage.DONE, plan.share)
-        return self._step(Stage.TAKEN, plan.share + 1)
+        if plan.share_index + 1 >= len(ROLLOUT_SHARES):
+            return self._advanced_plan(RolloutStage.DONE, plan.share_index)
+        return self._advanced_plan(RolloutStage.TAKEN, plan.share_index + 1)
 
-    def _step(self, stage: Stage, share: int, reason: str = "") -> Plan:
+    def _advanced_plan(self, stage: RolloutStage, share_index: int, reason: str = "") -> RolloutPlan:
         return replace(
             self.plan,
             stage=stage,
-            share=share,
+            share_index=share_index,
             step=self.plan.step + 1,
-            reason=(reason or self.plan.reason)[:MOST_REASON],
+            end_reason=(reason or self.plan.end_reason)[:MAX_REASON_LENGTH],
         )
 
-    def _turned(self, reason: str) -> Plan:
+    def _reversed_plan(self, reason: str) -> RolloutPlan:
         """Returns the plan that rolls back where a front may have the version in force, and otherwise stops."""
-        return self._step(
-            Stage.STOPPED if self.plan.stage is Stage.HANDED else Stage.BACK, self.plan.share, reason
+        return self._advanced_plan(
+            RolloutStage.STOPPED if self.plan.stage is RolloutStage.HANDED else RolloutStage.BACK,
+            self.plan.share_index,
+            reason,
         )
 
-    def take_back(self, reason: str) -> Plan | None:
+    def roll_back(self, reason: str) -> RolloutPlan | None:
         """Returns the plan for an operator's rollback, None where the rollout is being rolled back already."""
-        if self.plan.stage in (Stage.BACK, Stage.STOPPED):
+        if self.plan.stage in (RolloutStage.BACK, RolloutStage.STOPPED):
             return None
-        return self._turned(reason)
+        return self._reversed_plan(reason)
 
-    def _worse(self) -> str:
+    def _failure_increase(self) -> str:
         with_it, without = [0, 0], [0, 0]
         for report, _ in self.reports.values():
-            some = with_it if report.in_force == self.plan.digest else without
+            some = with_it if report.active_digest == self.plan.digest else without
             some[0] += report.answers
             some[1] += report.failures
-        if with_it[0] < ENOUGH:
+        if with_it[0] < MIN_ANSWERS:
             return ""
         failing = with_it[1] / with_it[0]
-        usual = without[1] / without[0] if without[0] >= ENOUGH else 0.0
+        usual = without[1] / without[0] if without[0] >= MIN_ANSWERS else 0.0
         both = (with_it[1] + without[1]) / (with_it[0] + without[0])
         error = math.sqrt(both * (1 - both) * (1 / with_it[0] + 1 / max(1, without[0])))
-        if failing - usual <= max(WORSE, ERRORS * error):
+        if failing - usual <= max(MIN_FAILURE_INCREASE, MIN_STANDARD_ERRORS * error):
             return ""
         return f"{failing:.0%} of {with_it[0]} answers failed with it, {usual:.0%} without"
 
 
-def begins(last: Plan | None, digest: str, base: str, watch: int, force: bool, why: str) -> Plan | str:
+def new_plan(
+    last: RolloutPlan | None, digest: str, base_digest: str, watch_time: int, force: bool, change_reason: str
+) -> RolloutPlan | str:
     """Returns the plan of a new rollout, or why there can be none now. `watch_time` in ns."""
-    if last is not None and last.stage not in ENDED:
+    if last is not None and last.stage not in FINAL_STAGES:
         return f"roll-out {last.number} is under way"
     number, step = (last.number + 1, last.step + 1) if last is not None else (1, 1)
-    return Plan(number, digest, base, Stage.HANDED, step, 0, watch, force, why[:MOST_REASON])
+    return RolloutPlan(
+        number,
+        digest,
+        base_digest,
+        RolloutStage.HANDED,
+        step,
+        0,
+        watch_time,
+        force,
+        change_reason[:MAX_REASON_LENGTH],
+    )
--- a/oakcroft/decisions/fleet/session_ownership.py
+++ b/oakcroft/decisions/fleet/session_ownership.py
@@ -16,10 +16,10 @@
 
 from oakcroft.interface import MS, SECOND
 
-MOST_LEASE = 30 * SECOND
+MAX_SESSION_LEASE = 30 * SECOND
 """The longest lease that a node grants: sessions without a front use the node's link for as long."""
 
-HELD_BACK = 1_000 * MS
+RECONNECT_GRACE = 1_000 * MS
 """How long the sessions of a front whose event stream broke are kept for it, as it may open the stream again."""
 
 
@@ -27,44 +27,48 @@
 class Caller:
     """A front as a node knows it."""
 
-    front: str
+    pseudonym: str
     """Its pseudonym."""
 
     member: str = ""
     """Its name in the membership; empty where it takes no part in takeovers."""
 
-    start: int = 0
+    generation: int = 0
     """Generation of its process; 0 where it takes no part in takeovers."""
 
 
-class Word(Enum):
+class TakeoverAnswer(Enum):
     """A node's answer to a front that would take over a session; the values are those on the wire."""
 
-    AWAY = "away"  # the session may be taken over
-    SOON = "soon"  # the holder's event stream broke a moment ago
-    HERE = "here"  # the holder's event stream is open
-    DEAF = "deaf"  # the caller has no event stream open itself, and would lose the session at once
-    OLDER = "older"  # the caller is the holder's process or an earlier one, or no member
+    ALLOWED = "away"  # the session may be taken over
+    RECENTLY_CONNECTED = "soon"  # the holder's event stream broke a moment ago
+    CONNECTED = "here"  # the holder's event stream is open
+    CALLER_NOT_CONNECTED = (
+        "deaf"  # the caller has no event stream open itself, and would lose the session at once
+    )
+    CALLER_NOT_ELIGIBLE = "older"  # the caller is the holder's process or an earlier one, or no member
 
 
-def lease(asked: int, own: int) -> int:
+def effective_lease(requested: int, node_default: int) -> int:
     """Returns how long a node keeps the sessions of a silent front.
 
     `requested` is the lease that the front asked for, 0 for none; `node_default` is the node's own. All in ns.
     """
-    return max(own, min(asked, MOST_LEASE)) if asked > 0 else own
+    return max(node_default, min(requested, MAX_SESSION_LEASE)) if requested > 0 else node_default
 
 
-def may_act(held: Caller, caller: Caller) -> bool:
+def may_control(holder: Caller, caller: Caller) -> bool:
     """Returns whether a caller may change or end a session.
 
     This rejects late requests of a front that was suspended while its sessions were taken over, and requests of the
     earlier of two processes under one pseudonym once the later one has touched the session.
     """
-    return caller.front == held.front and caller.start >= held.start
+    return caller.pseudonym == holder.pseudonym and caller.generation >= holder.generation
 
 
-def may_take(held: Caller, caller: Caller, away: int | None, listens: bool) -> Word:
+def check_takeover(
+    holder: Caller, caller: Caller, disconnected_for: int | None, caller_connected: bool
+) -> TakeoverAnswer:
     """Returns whether a caller may take over a session, or why not.
 
     `disconnected_for` is the time in ns since the holder's event stream broke, None while it is open;
@@ -74,10 +78,12 @@
     failed or was cut off while its request was in flight gets nothing, as its stream is closed by then. An earlier
     process of the holder gets nothing either.
     """
-    if not caller.member or (caller.member == held.member and caller.start <= held.start):
-        return Word.OLDER
-    if not listens:
-        return Word.DEAF
-    if away is None:
-        return Word.HERE
-    return Word.AWAY if away >= HELD_BACK else Word.SOON
+    if not caller.member or (caller.member == holder.member and caller.generation <= holder.generation):
+        return TakeoverAnswer.CALLER_NOT_ELIGIBLE
+    if not caller_connected:
+        return TakeoverAnswer.CALLER_NOT_CONNECTED
+    if disconnected_for is None:
+        return TakeoverAnswer.CONNECTED
+    return (
+        TakeoverAnswer.ALLOWED if disconnected_for >= RECONNECT_GRACE else TakeoverAnswer.RECENTLY_CONNECTED
+    )
--- a/oakcroft/decisions/fleet/session_takeover.py
+++ b/oakcroft/decisions/fleet/session_takeover.py
@@ -17,272 +17,292 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from oakcroft.decisions.fleet.session_ownership import Word
+from oakcroft.decisions.fleet.session_ownership import TakeoverAnswer
 from oakcroft.decisions.membership.rendezvous import line, weight
 from oakcroft.interface import MS, SECOND
 
-IN_LINE = 3
+MAX_ADOPTERS_PER_NODE = 3
 """Fronts that ask one node for the sessions of one failed front."""
 
-STEP = SECOND
+ROUND_INTERVAL = SECOND
 """Time between the two rounds of requests; a successful request takes some tens of ms."""
 
-AGAIN = 400 * MS
+RETRY_DELAY = 400 * MS
 """Delay before a node that could not be reached, or refused for now, is asked again."""
 
-AT_ONCE = 24
+MAX_CONCURRENT_REQUESTS = 24
 """Requests in flight: with 140 of 200 fronts failed, a node then gets about a hundred requests a second."""
 
-MOST_NAMES = 16
+MAX_FRONTS_PER_REQUEST = 16
 """Failed fronts in one request."""
 
-MOST_PAIRS = 65_536
+MAX_TASKS = 65_536
 """Pairs of failed front and node that are queued; the sessions of further pairs end with their lease."""
 
-SCAN = 400
+MAX_TASKS_SCANNED = 400
 """Tasks looked at in one turn."""
 
-KEYS = 12
+MAX_ORDERS_COMPUTED = 12
 """Rendezvous orders computed in one turn; they take 2 ms at 200 fronts."""
 
-SLOTS = 4
+HASH_SLOTS_PER_NODE = 4
 """Rendezvous orders of each node, so that the sessions of many failed fronts on one node go to more than three fronts."""
 
 
 @dataclass(frozen=True)
-class Bounds:
+class TakeoverBounds:
     """Configured bounds of takeovers. Times in ns."""
 
-    after: int
+    delay: int
     """Delay after a front is seen as failed."""
 
-    lease: int
+    session_lease: int
     """Lease that fronts ask nodes for."""
 
-    most: int
+    max_adopted: int
     """Playbacks taken over that one front may hold at a time."""
 
 
-class Why(Enum):
+class TakeoverDecision(Enum):
     """Whether an offered session is taken over, or why not; operators read the values."""
 
-    TAKES = "takes it"
+    ACCEPTED = "takes it"
     UNKNOWN_PLAN = "no such plan here"
-    NO_TITLE = "its title has no place here"
-    NO_SEAT = "its seats are taken"
-    FULL = "this front holds as many as it may"
-    HELD = "it is held here already"
-    UNREADABLE = "its memo can't be read"
+    TITLE_NOT_SERVED = "its title has no place here"
+    NO_SEAT_FREE = "its seats are taken"
+    TOO_MANY_ADOPTED = "this front holds as many as it may"
+    ALREADY_HELD = "it is held here already"
+    UNREADABLE_MEMO = "its memo can't be read"
 
 
 @dataclass
-class Dead:
+class FailedFront:
     """A front whose sessions may be taken over. Times in ns."""
 
     name: str
-    since: int
+    failed_at: int
     """When this front saw it as failed."""
 
-    until: int
+    expires_at: int
     """When nodes have ended its sessions; 0 once the takeover has been reported as finished."""
 
-    slot: int
+    hash_slot: int
     """Which of a node's rendezvous orders applies to it."""
 
-    asking: set[str] = field(default_factory=set)
+    pending_nodes: set[str] = field(default_factory=set)
     """Nodes that are still to be asked, or are being asked."""
 
-    taken: int = 0
+    adopted: int = 0
     """Sessions taken over."""
 
-    left: Counter[str] = field(default_factory=Counter)
+    declined: Counter[str] = field(default_factory=Counter)
     """Sessions not taken over, by the value of the `TakeoverDecision`."""
 
 
 @dataclass
-class Pair:
+class TakeoverTask:
     """Asks one node for the sessions of one failed front.
 
     In the first round this front takes its own share of the sessions, in the second round all that are left.
     """
 
-    dead: Dead
+    front: FailedFront
     node: str
-    at: int
+    due_at: int
     """Earliest time of the request, in ns."""
 
-    second: bool = False
+    is_second_round: bool = False
     rank: int = 0
     """This front's place among those that ask."""
 
-    width: int = 1
+    adopter_count: int = 1
     """Number of fronts that ask, and share the sessions."""
 
-    def shares(self, session: str) -> bool:
+    def is_own(self, session_id: str) -> bool:
         """Returns whether this front takes a session in this round."""
-        return self.second or weight("session", session) % self.width == self.rank
+        return self.is_second_round or weight("session", session_id) % self.adopter_count == self.rank
 
 
 @dataclass(frozen=True)
-class Errand:
+class TakeoverRequest:
     """A request to one node for the sessions of several failed fronts."""
 
     node: str
-    pairs: tuple[Pair, ...]
+    tasks: tuple[TakeoverTask, ...]
 
     @property
-    def names(self) -> list[str]:
+    def front_names(self) -> list[str]:
         """Names of the failed fronts."""
-        return [p.dead.name for p in self.pairs]
+        return [p.front.name for p in self.tasks]
 
-    def shares(self, name: str, session: str) -> bool:
+    def is_own(self, front_name: str, session_id: str) -> bool:
         """Returns whether this front takes a session of a failed front now."""
-        return any(p.dead.name == name and p.shares(session) for p in self.pairs)
+        return any(p.front.name == front_name and p.is_own(session_id) for p in self.tasks)
 
 
-class Adopting:
+class SessionTakeover:
     """The takeovers of one front: which requests are due, and what became of them."""
 
-    def __init__(self, me: str, bounds: Bounds) -> None:
+    def __init__(self, me: str, bounds: TakeoverBounds) -> None:
         """`me` is this front's name in the membership."""
         self.me, self.bounds = me, bounds
-        self.dead: dict[str, Dead] = {}
-        self.nodes: set[str] = set()
-        self.present: frozenset[str] = frozenset()
-        self.known: set[str] = set()
-        self.before: dict[tuple[str, int], tuple[str, ...]] = {}  # by node and slot
-        self.ranks: dict[tuple[str, int], int] = {}  # by node and slot, among the present fronts
-        self.pairs: deque[Pair] = deque()
-        self.busy: dict[str, Errand] = {}  # by node
-        self.passed_over = 0
+        self.failed_fronts: dict[str, FailedFront] = {}
+        self.listed_nodes: set[str] = set()
+        self.present_fronts: frozenset[str] = frozenset()
+        self.known_fronts: set[str] = set()
+        self.preceding_fronts: dict[tuple[str, int], tuple[str, ...]] = {}  # by node and slot
+        self.own_ranks: dict[tuple[str, int], int] = {}  # by node and slot, among the present fronts
+        self.tasks: deque[TakeoverTask] = deque()
+        self.active_requests: dict[str, TakeoverRequest] = {}  # by node
+        self.dropped_tasks = 0
 
     # Updates.
 
-    def sees(self, gone: Collection[str], present: Iterable[str], now: int) -> list[Dead]:
+    def update_fronts(
+        self, failed: Collection[str], present_fronts: Iterable[str], now: int
+    ) -> list[FailedFront]:
         """Takes a change of the membership: names of the failed and of the present fronts.
 
         Returns the takeovers that end with it, as the front is back or forgotten.
         """
-        self.present = frozenset(present)
-        self.ranks.clear()
-        if not self.present <= self.known:
-            self.known |= self.present
-            self.before.clear()
-        over = [d for name, d in self.dead.items() if name not in gone and name != self.me]
+        self.present_fronts = frozenset(present_fronts)
+        self.own_ranks.clear()
+        if not self.present_fronts <= self.known_fronts:
+            self.known_fronts |= self.present_fronts
+            self.preceding_fronts.clear()
+        over = [d for name, d in self.failed_fronts.items() if name not in failed and name != self.me]
         for d in over:
-            del self.dead[d.name]
-        for name in sorted(set(gone) - set(self.dead) - {self.me}):
-            self._die(name, now, self.bounds.after)
-        if len(self.known) > 4 * max(64, len(self.present) + len(gone)):
-            self.known = set(self.present) | set(gone)  # bounds the table where names come and go
-            self.before.clear()
+            del self.failed_fronts[d.name]
+        for name in sorted(set(failed) - set(self.failed_fronts) - {self.me}):
+            self._add_failed_front(name, now, self.bounds.delay)
+        if len(self.known_fronts) > 4 * max(64, len(self.present_fronts) + len(failed)):
+            self.known_fronts = set(self.present_fronts) | set(
+                failed
+            )  # bounds the table where names come and go
+            self.preceding_fronts.clear()
         return over
 
-    def earlier_life(self, now: int) -> None:
+    def add_own_earlier_generation(self, now: int) -> None:
         """Begins the takeover of this front's own earlier sessions, for a front without a record of them."""
-        self._die(self.me, now, 0)
-
-    def _die(self, name: str, now: int, after: int) -> None:
-        slot = weight("slot", name) % SLOTS
-        self.dead[name] = dead = Dead(name, now, now + after + self.bounds.lease + 2 * STEP, slot)
-        for node in sorted(self.nodes):
-            self._pair(dead, node, now + after)
-
-    def _pair(self, dead: Dead, node: str, at: int, second: bool = False) -> None:
-        if len(self.pairs) >= MOST_PAIRS:
-            self.passed_over += 1
-            dead.asking.discard(node)
+        self._add_failed_front(self.me, now, 0)
+
+    def _add_failed_front(self, name: str, now: int, delay: int) -> None:
+        slot = weight("slot", name) % HASH_SLOTS_PER_NODE
+        self.failed_fronts[name] = dead = FailedFront(
+            name, now, now + delay + self.bounds.session_lease + 2 * ROUND_INTERVAL, slot
+        )
+        for node in sorted(self.listed_nodes):
+            self._add_task(dead, node, now + delay)
+
+    def _add_task(self, front: FailedFront, node: str, due_at: int, is_second_round: bool = False) -> None:
+        if len(self.tasks) >= MAX_TASKS:
+            self.dropped_tasks += 1
+            front.pending_nodes.discard(node)
             return
-        dead.asking.add(node)
-        self.pairs.append(Pair(dead, node, at, second))
+        front.pending_nodes.add(node)
+        self.tasks.append(TakeoverTask(front, node, due_at, is_second_round))
 
-    def listed(self, nodes: Iterable[str], now: int) -> None:
+    def update_nodes(self, nodes: Iterable[str], now: int) -> None:
         """Takes a change of the node list."""
         some = set(nodes)
-        for node in sorted(some - self.nodes):
-            for dead in self.dead.values():
+        for node in sorted(some - self.listed_nodes):
+            for dead in self.failed_fronts.values():
                 # The node may have been off the list for a moment only, with its task still queued.
-                if now < dead.until and node not in dead.asking:
-                    self._pair(dead, node, now)
-        self.nodes = some
+                if now < dead.expires_at and node not in dead.pending_nodes:
+                    self._add_task(dead, node, now)
+        self.listed_nodes = some
 
     # Due actions.
 
-    def _rank(self, node: str, slot: int, may: list[int]) -> int | None:
+    def _own_rank(self, node: str, slot: int, budget: list[int]) -> int | None:
         """Returns how many present fronts precede this one; None where the budget of this turn is used up."""
-        rank = self.ranks.get((node, slot))
+        rank = self.own_ranks.get((node, slot))
         if rank is not None:
             return rank
-        before = self.before.get((node, slot))
+        before = self.preceding_fronts.get((node, slot))
         if before is None:
-            if not may[0]:
+            if not budget[0]:
                 return None
-            may[0] -= 1
-            all_ = line(f"{node}/{slot}", self.known | {self.me})
-            before = self.before[node, slot] = tuple(all_[: all_.index(self.me)])
+            budget[0] -= 1
+            all_ = line(f"{node}/{slot}", self.known_fronts | {self.me})
+            before = self.preceding_fronts[node, slot] = tuple(all_[: all_.index(self.me)])
         rank = 0
         for f in before:
-            if f in self.present:
+            if f in self.present_fronts:
                 rank += 1
-                if rank >= IN_LINE:
+                if rank >= MAX_ADOPTERS_PER_NODE:
                     break
-        self.ranks[node, slot] = rank
+        self.own_ranks[node, slot] = rank
         return rank
 
-    def due(self, now: int) -> list[Errand]:
+    def due_requests(self, now: int) -> list[TakeoverRequest]:
         """Returns the requests to begin now. The cost of a turn does not grow with the number of failed fronts."""
-        errands: dict[str, list[Pair]] = {}
-        may, later = [KEYS], list[Pair]()
-        for _ in range(min(SCAN, len(self.pairs))):
-            pair = self.pairs.popleft()
-            dead, node = pair.dead, pair.node
-            if self.dead.get(dead.name) is not dead or node not in self.nodes or now >= dead.until:
-                dead.asking.discard(node)
+        errands: dict[str, list[TakeoverTask]] = {}
+        may, later = [MAX_ORDERS_COMPUTED], list[TakeoverTask]()
+        for _ in range(min(MAX_TASKS_SCANNED, len(self.tasks))):
+            pair = self.tasks.popleft()
+            dead, node = pair.front, pair.node
+            if (
+                self.failed_fronts.get(dead.name) is not dead
+                or node not in self.listed_nodes
+                or now >= dead.expires_at
+            ):
+                dead.pending_nodes.discard(node)
                 continue
-            if now >= pair.at and node not in self.busy and self._turn(pair, now, may):
+            if now >= pair.due_at and node not in self.active_requests and self._is_own_turn(pair, now, may):
                 some = errands.get(node)
-                if some is None and len(self.busy) + len(errands) < AT_ONCE:
+                if some is None and len(self.active_requests) + len(errands) < MAX_CONCURRENT_REQUESTS:
                     errands[node] = [pair]
                     continue
-                if some is not None and len(some) < MOST_NAMES:
+                if some is not None and len(some) < MAX_FRONTS_PER_REQUEST:
                     some.append(pair)
                     continue
             later.append(pair)
-        self.pairs.extend(later)
+        self.tasks.extend(later)
         out = []
         for node, some in errands.items():
-            self.busy[node] = errand = Errand(node, tuple(some))
+            self.active_requests[node] = errand = TakeoverRequest(node, tuple(some))
             out.append(errand)
         return out
 
-    def _turn(self, pair: Pair, now: int, may: list[int]) -> bool:
-        if pair.dead.name == self.me:
+    def _is_own_turn(self, task: TakeoverTask, now: int, budget: list[int]) -> bool:
+        if task.front.name == self.me:
             return True
-        rank = self._rank(pair.node, pair.dead.slot, may)
-        if rank is None or rank >= IN_LINE:
+        rank = self._own_rank(task.node, task.front.hash_slot, budget)
+        if rank is None or rank >= MAX_ADOPTERS_PER_NODE:
             return False
-        pair.rank, pair.width = rank, max(1, min(IN_LINE, len(self.present)))
+        task.rank, task.adopter_count = rank, max(1, min(MAX_ADOPTERS_PER_NODE, len(self.present_fronts)))
         return True
 
-    def asked(self, errand: Errand, told: Mapping[str, Word] | None, now: int) -> None:
+    def request_finished(
+        self, request: TakeoverRequest, answers: Mapping[str, TakeoverAnswer] | None, now: int
+    ) -> None:
         """Takes the result of a request: the node's answer for each front, None where the node could not be asked."""
-        self.busy.pop(errand.node, None)
-        for pair in errand.pairs:
-            dead = pair.dead
-            dead.asking.discard(errand.node)
-            if self.dead.get(dead.name) is not dead or now >= dead.until:
+        self.active_requests.pop(request.node, None)
+        for pair in request.tasks:
+            dead = pair.front
+            dead.pending_nodes.discard(request.node)
+            if self.failed_fronts.get(dead.name) is not dead or now >= dead.expires_at:
                 continue
-            word = told.get(dead.name, Word.OLDER) if told is not None else Word.SOON
-            if word is Word.AWAY:
-                if not pair.second and dead.name != self.me:
-                    self._pair(dead, errand.node, now + STEP, second=True)
-            elif word is not Word.OLDER:
-                self._pair(dead, errand.node, now + AGAIN, pair.second)
-
-    def finished(self, now: int) -> list[Dead]:
+            word = (
+                answers.get(dead.name, TakeoverAnswer.CALLER_NOT_ELIGIBLE)
+                if answers is not None
+                else TakeoverAnswer.RECENTLY_CONNECTED
+            )
+            if word is TakeoverAnswer.ALLOWED:
+                if not pair.is_second_round and dead.name != self.me:
+                    self._add_task(dead, request.node, now + ROUND_INTERVAL, is_second_round=True)
+            elif word is not TakeoverAnswer.CALLER_NOT_ELIGIBLE:
+                self._add_task(dead, request.node, now + RETRY_DELAY, pair.is_second_round)
+
+    def take_finished(self, now: int) -> list[FailedFront]:
         """Returns the takeovers that have finished, each once; they stay known, so that they do not begin again."""
-        known = bool(self.nodes)  # before the first node list no node can have been asked
-        out = [d for d in self.dead.values() if d.until and ((known and not d.asking) or now >= d.until)]
+        known = bool(self.listed_nodes)  # before the first node list no node can have been asked
+        out = [
+            d
+            for d in self.failed_fronts.values()
+            if d.expires_at and ((known and not d.pending_nodes) or now >= d.expires_at)
+        ]
         for d in out:
-            d.until = 0
+            d.expires_at = 0
         return out
--- a/oakcroft/decisions/fleet/shutdown.py
+++ b/oakcroft/decisions/fleet/shutdown.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Course(Enum):
+class FrontState(Enum):
     """Lifecycle state of a front; logs show the values."""
 
     STARTING = "starting"
@@ -16,17 +16,17 @@
     GONE = "gone"
 
 
-FOLLOWS = {
-    Course.STARTING: {Course.SERVING, Course.LEAVING},
-    Course.SERVING: {Course.DRAINING},
-    Course.DRAINING: {Course.LEAVING},
-    Course.LEAVING: {Course.GONE},
-    Course.GONE: set[Course](),
+TRANSITIONS = {
+    FrontState.STARTING: {FrontState.SERVING, FrontState.LEAVING},
+    FrontState.SERVING: {FrontState.DRAINING},
+    FrontState.DRAINING: {FrontState.LEAVING},
+    FrontState.LEAVING: {FrontState.GONE},
+    FrontState.GONE: set[FrontState](),
 }
 
 
 @dataclass
-class Stopping:
+class Shutdown:
     """Lifecycle of one front. Times in ns.
 
     While it drains, requests for playbacks are refused with a time to retry, open requests get their answer, and
@@ -36,63 +36,70 @@
     abandon time.
     """
 
-    drain_within: int
-    leave_within: int
-    longest_abandon: int
+    drain_timeout: int
+    leave_timeout: int
+    longest_abandon_time: int
     """Longest abandon time of all plans."""
 
-    gone_within: int = 0
+    exit_timeout: int = 0
     """Time after the stop signal at which the process is killed, whatever is open; 0 where nobody kills it."""
 
-    course: Course = Course.STARTING
-    since: int = 0
+    state: FrontState = FrontState.STARTING
+    state_since: int = 0
     """When the present state began."""
 
-    stopped_at: int = 0
+    stop_requested_at: int = 0
     """When the stop signal came."""
 
-    def _change(self, course: Course, now: int) -> None:
+    def _set_state(self, state: FrontState, now: int) -> None:
         """Sets the state. ValueError for a transition that is not in `TRANSITIONS`."""
-        if course not in FOLLOWS[self.course]:
-            raise ValueError(f"a front cannot go from {self.course.value} to {course.value}")
-        self.course, self.since = course, now
+        if state not in TRANSITIONS[self.state]:
+            raise ValueError(f"a front cannot go from {self.state.value} to {state.value}")
+        self.state, self.state_since = state, now
 
-    def serve(self, now: int) -> None:
+    def start_serving(self, now: int) -> None:
         """The front listens and has a node list, cached or current. `now` in ns; ValueError after the start."""
-        self._change(Course.SERVING, now)
+        self._set_state(FrontState.SERVING, now)
 
-    def signal(self, now: int) -> bool:
+    def handle_stop_signal(self, now: int) -> bool:
         """Takes a stop signal at `now` in ns and returns whether it changed the state."""
-        if self.course is Course.STARTING:
-            self._change(Course.LEAVING, now)
-            self.stopped_at = now
-        elif self.course is Course.SERVING:
-            self._change(Course.DRAINING, now)
-            self.stopped_at = now
-        elif self.course is Course.DRAINING and now - self.since >= self.longest_abandon:
-            self._change(Course.LEAVING, now)
+        if self.state is FrontState.STARTING:
+            self._set_state(FrontState.LEAVING, now)
+            self.stop_requested_at = now
+        elif self.state is FrontState.SERVING:
+            self._set_state(FrontState.DRAINING, now)
+            self.stop_requested_at = now
+        elif self.state is FrontState.DRAINING and now - self.state_since >= self.longest_abandon_time:
+            self._set_state(FrontState.LEAVING, now)
         else:
             return False
         return True
 
-    def takes_new(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Returns whether a request may become a playback."""
-        return self.course is Course.SERVING
+        return self.state is FrontState.SERVING
 
-    def look(self, unanswered: int, playing: int, farewells: int, now: int) -> Course:
+    def advance(
+        self, unanswered_requests: int, active_playbacks: int, pending_session_ends: int, now: int
+    ) -> FrontState:
         """Moves to the next state if it is due and returns the state.
 
         It goes one state at most, so that the host acts on each. `pending_session_ends` counts the sessions whose end
         has not been confirmed by their node; `now` in ns.
         """
-        if self.course in (Course.DRAINING, Course.LEAVING) and 0 < self.gone_within <= now - self.stopped_at:
-            self._change(Course.LEAVING if self.course is Course.DRAINING else Course.GONE, now)
-        elif self.course is Course.DRAINING:
-            within = max(self.drain_within, self.longest_abandon)
-            if not unanswered and (not playing or now - self.since >= within):
-                self._change(Course.LEAVING, now)
-            elif now - self.since >= within + self.longest_abandon:
-                self._change(Course.LEAVING, now)  # bounds the drain whatever stays open
-        elif self.course is Course.LEAVING and (not farewells or now - self.since >= self.leave_within):
-            self._change(Course.GONE, now)
-        return self.course
+        if (
+            self.state in (FrontState.DRAINING, FrontState.LEAVING)
+            and 0 < self.exit_timeout <= now - self.stop_requested_at
+        ):
+            self._set_state(FrontState.LEAVING if self.state is FrontState.DRAINING else FrontState.GONE, now)
+        elif self.state is FrontState.DRAINING:
+            within = max(self.drain_timeout, self.longest_abandon_time)
+            if not unanswered_requests and (not active_playbacks or now - self.state_since >= within):
+                self._set_state(FrontState.LEAVING, now)
+            elif now - self.state_since >= within + self.longest_abandon_time:
+                self._set_state(FrontState.LEAVING, now)  # bounds the drain whatever stays open
+        elif self.state is FrontState.LEAVING and (
+            not pending_session_ends or now - self.state_since >= self.leave_timeout
+        ):
+            self._set_state(FrontState.GONE, now)
+        return self.state
--- a/oakcroft/decisions/moving/degrading_nodes.py
+++ b/oakcroft/decisions/moving/degrading_nodes.py
@@ -13,20 +13,20 @@
 
 from oakcroft.interface import SECOND
 
-NOTES, SPAN = 4, 12 * SECOND
-FALL = 0.06  # of the delivered share, on average
-WEAK = 0.75  # of the last report; viewers begin to leave at this share
+REPORT_COUNT, REPORT_SPAN_NS = 4, 12 * SECOND
+MIN_FALL_PER_REPORT = 0.06  # of the delivered share, on average
+WEAK_SHARE = 0.75  # of the last report; viewers begin to leave at this share
 
 
 @dataclass
-class Trend:
+class DeliveryTrend:
     """The last delivery reports of one node: time (ns) and delivered share of each."""
 
-    notes: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=NOTES))
+    reports: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=REPORT_COUNT))
 
 
 @dataclass
-class Fadings:
+class DegradingNodes:
     """Which nodes degrade.
 
     A node degrades if its last four reports within twelve seconds fall each time, by at least 0.06 a report
@@ -39,36 +39,40 @@
     another program whose use of the node grows slowly empties a node that would have recovered.
     """
 
-    at_once: int = 1
-    trends: dict[str, Trend] = field(default_factory=dict)
-    leaving: dict[str, int] = field(default_factory=dict)  # nodes being left and since when, ns
+    max_concurrent: int = 1
+    trends: dict[str, DeliveryTrend] = field(default_factory=dict)
+    leaving_since: dict[str, int] = field(default_factory=dict)  # nodes being left and since when, ns
 
-    def note(self, node: str, share: float, usual: float, now: int) -> bool:
+    def report(self, node: str, share: float, fleet_share: float, now: int) -> bool:
         """Takes a report of the share delivered at a node; True if the node is to be left from now on.
 
         `fleet_share` is the share that the other nodes deliver on average. `now`: ns.
         """
-        trend = self.trends.setdefault(node, Trend())
-        trend.notes.append((now, share))
+        trend = self.trends.setdefault(node, DeliveryTrend())
+        trend.reports.append((now, share))
         if share >= 0.98:
             self.forget(node)
             return False
-        if node in self.leaving or len(self.leaving) >= self.at_once or not self._falls(trend, usual, now):
+        if (
+            node in self.leaving_since
+            or len(self.leaving_since) >= self.max_concurrent
+            or not self._is_degrading(trend, fleet_share, now)
+        ):
             return False
-        self.leaving[node] = now
+        self.leaving_since[node] = now
         return True
 
-    def _falls(self, trend: Trend, usual: float, now: int) -> bool:
+    def _is_degrading(self, trend: DeliveryTrend, fleet_share: float, now: int) -> bool:
         """Whether the reports of a node show that it degrades."""
-        notes = list(trend.notes)
-        if len(notes) < NOTES or now - notes[0][0] > SPAN:
+        notes = list(trend.reports)
+        if len(notes) < REPORT_COUNT or now - notes[0][0] > REPORT_SPAN_NS:
             return False
         shares = [share for _, share in notes]
         falling = all(b < a for a, b in pairwise(shares))
-        steep = shares[0] - shares[-1] >= FALL * (NOTES - 1)
-        return falling and steep and shares[-1] < WEAK and shares[-1] < usual * 0.75
+        steep = shares[0] - shares[-1] >= MIN_FALL_PER_REPORT * (REPORT_COUNT - 1)
+        return falling and steep and shares[-1] < WEAK_SHARE and shares[-1] < fleet_share * 0.75
 
     def forget(self, node: str) -> None:
         """Drops a node that delivers again, has failed, or drains by the list."""
         self.trends.pop(node, None)
-        self.leaving.pop(node, None)
+        self.leaving_since.pop(node, None)
--- a/oakcroft/decisions/moving/drain_notice.py
+++ b/oakcroft/decisions/moving/drain_notice.py
@@ -11,9 +11,9 @@
 
 from oakcroft.interface import MS, SECOND
 
-DOWN, UP = 0.5, 0.1
-SHORTEST, LONGEST = 200 * MS, 600 * SECOND
-SAFE = 0.8  # part of the estimate that is relied on, since nodes go early as well as late
+DECREASE_WEIGHT, INCREASE_WEIGHT = 0.5, 0.1
+MIN_NOTICE_NS, MAX_NOTICE_NS = 200 * MS, 600 * SECOND
+SAFETY_FACTOR = 0.8  # part of the estimate that is relied on, since nodes go early as well as late
 
 
 @dataclass
@@ -24,45 +24,49 @@
     """
 
     heard_at: int
-    until: int | None
+    ends_at: int | None
 
 
 @dataclass
-class Notices:
+class DrainNotices:
     """All drains in progress, and the estimate of their duration from earlier ones. Times in ns."""
 
-    usual: int
+    expected_duration: int
     drains: dict[str, Drain] = field(default_factory=dict)
 
-    def begins(self, node: str, now: int, until: int | None) -> bool:
+    def start_drain(self, node: str, now: int, ends_at: int | None) -> bool:
         """A node drains; False if that was known already. A later statement of its end is taken over."""
         known = self.drains.get(node)
         if known is not None:
-            known.until = until if until is not None else known.until
+            known.ends_at = ends_at if ends_at is not None else known.ends_at
             return False
-        self.drains[node] = Drain(now, until)
+        self.drains[node] = Drain(now, ends_at)
         return True
 
-    def taken_back(self, node: str) -> bool:
+    def cancel_drain(self, node: str) -> bool:
         """The node is ready again; returns whether it was draining."""
         return self.drains.pop(node, None) is not None
 
-    def gone(self, node: str, now: int) -> None:
+    def node_gone(self, node: str, now: int) -> None:
         """The node has gone or failed: the duration of its drain updates the estimate.
 
         A drain whose end was stated says nothing about those whose end is not.
         """
         drain = self.drains.pop(node, None)
-        if drain is None or drain.until is not None:
+        if drain is None or drain.ends_at is not None:
             return
-        lasted = min(max(now - drain.heard_at, SHORTEST), LONGEST)
-        part = DOWN if lasted < self.usual else UP
-        self.usual = round(self.usual + part * (lasted - self.usual))
+        lasted = min(max(now - drain.heard_at, MIN_NOTICE_NS), MAX_NOTICE_NS)
+        part = DECREASE_WEIGHT if lasted < self.expected_duration else INCREASE_WEIGHT
+        self.expected_duration = round(self.expected_duration + part * (lasted - self.expected_duration))
 
-    def left(self, node: str, now: int) -> int | None:
+    def time_left(self, node: str, now: int) -> int | None:
         """Returns the time that a draining node still stays, never negative; None if it does not drain."""
         drain = self.drains.get(node)
         if drain is None:
             return None
-        end = drain.until if drain.until is not None else drain.heard_at + round(self.usual * SAFE)
+        end = (
+            drain.ends_at
+            if drain.ends_at is not None
+            else drain.heard_at + round(self.expected_duration * SAFETY_FACTOR)
+        )
         return max(0, end - now)
--- a/oakcroft/decisions/moving/handover.py
+++ b/oakcroft/decisions/moving/handover.py
@@ -16,7 +16,7 @@
 from enum import Enum
 
 
-class Course(Enum):
+class MoveState(Enum):
     """State of a move. The names of the members are written to the log."""
 
     PLANNED = "planned"
@@ -31,91 +31,91 @@
     LOST = "lost"
 
 
-class Happening(Enum):
+class MoveEvent(Enum):
     """An event of a move."""
 
     DUE = "its time has come"
-    OFFER = "the player makes its offer"
-    NO_OFFER = "the player made no offer in time"
-    PLACED = "the target plays"
-    NO_PLACE = "no target was found, or its set-up failed"
+    OFFER_RECEIVED = "the player makes its offer"
+    OFFER_TIMEOUT = "the player made no offer in time"
+    TARGET_PLAYS = "the target plays"
+    TARGET_FAILED = "no target was found, or its set-up failed"
     CONFIRMED = "the player plays from the target"
-    UNCONFIRMED = "the player said nothing in time"
+    CONFIRM_TIMEOUT = "the player said nothing in time"
     SOURCE_ENDED = "the source has ended in order"
-    SOURCE_DIED = "the source is lost"
-    TARGET_DIED = "the target is lost"
-    TAKEN_BACK = "the reason to move is gone"
-    TARGET_DRAINS = "the target begins draining"
+    SOURCE_LOST = "the source is lost"
+    TARGET_LOST = "the target is lost"
+    CANCELLED = "the reason to move is gone"
+    TARGET_DRAINING = "the target begins draining"
     VIEWER_LEFT = "the viewer has left"
 
 
-class Act(Enum):
+class MoveAction(Enum):
     """What the front end does with a step."""
 
-    NOTHING = "nothing"
-    ASK = "tell the player to make an offer"
-    PLACE = "ask the module for a place"
-    REFUSE = "answer the player's offer: stay"
-    GIVE = "answer the player's offer: here is the target"
+    NONE = "nothing"
+    REQUEST_OFFER = "tell the player to make an offer"
+    PLACE_TARGET = "ask the module for a place"
+    REJECT_OFFER = "answer the player's offer: stay"
+    ACCEPT_OFFER = "answer the player's offer: here is the target"
     END_SOURCE = "end the source"
     END_TARGET = "end the target"
-    END_TARGET_AND_REFUSE = "end the target, answer the offer: stay"
+    END_TARGET_AND_REJECT_OFFER = "end the target, answer the offer: stay"
     END_ALL = "end whatever plays"
-    TELL_LOST = "tell the player that its playback ended"
-    SWITCH = "the target is the playback now"
-    GIVE_AS_ONLY = "answer the offer: here is the target; nothing else plays"
+    REPORT_LOST = "tell the player that its playback ended"
+    SWITCH_TO_TARGET = "the target is the playback now"
+    SWITCH_AND_ACCEPT_OFFER = "answer the offer: here is the target; nothing else plays"
 
 
-S, H, A = Course, Happening, Act
-OVER = (S.DONE, S.STAYED, S.LOST)
-TABLE: dict[tuple[Course, Happening], tuple[Course, Act]] = {
+S, E, A = MoveState, MoveEvent, MoveAction
+END_STATES = (S.DONE, S.STAYED, S.LOST)
+TRANSITIONS: dict[tuple[MoveState, MoveEvent], tuple[MoveState, MoveAction]] = {
     # PLANNED: nothing has been done yet, so nothing has to be undone.
-    (S.PLANNED, H.DUE): (S.ASKED, A.ASK),
-    (S.PLANNED, H.SOURCE_DIED): (S.LOST, A.TELL_LOST),
-    (S.PLANNED, H.SOURCE_ENDED): (S.LOST, A.NOTHING),
-    (S.PLANNED, H.TAKEN_BACK): (S.STAYED, A.NOTHING),
-    (S.PLANNED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
+    (S.PLANNED, E.DUE): (S.ASKED, A.REQUEST_OFFER),
+    (S.PLANNED, E.SOURCE_LOST): (S.LOST, A.REPORT_LOST),
+    (S.PLANNED, E.SOURCE_ENDED): (S.LOST, A.NONE),
+    (S.PLANNED, E.CANCELLED): (S.STAYED, A.NONE),
+    (S.PLANNED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
     # ASKED: a player that does not support moves never answers; its playback stays.
-    (S.ASKED, H.OFFER): (S.PLACING, A.PLACE),
-    (S.ASKED, H.NO_OFFER): (S.STAYED, A.NOTHING),
-    (S.ASKED, H.SOURCE_DIED): (S.LOST, A.TELL_LOST),
-    (S.ASKED, H.SOURCE_ENDED): (S.LOST, A.NOTHING),
-    (S.ASKED, H.TAKEN_BACK): (S.STAYED, A.NOTHING),
-    (S.ASKED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
+    (S.ASKED, E.OFFER_RECEIVED): (S.PLACING, A.PLACE_TARGET),
+    (S.ASKED, E.OFFER_TIMEOUT): (S.STAYED, A.NONE),
+    (S.ASKED, E.SOURCE_LOST): (S.LOST, A.REPORT_LOST),
+    (S.ASKED, E.SOURCE_ENDED): (S.LOST, A.NONE),
+    (S.ASKED, E.CANCELLED): (S.STAYED, A.NONE),
+    (S.ASKED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
     # PLACING: a set-up may have been sent, which cannot be undone, only awaited.
-    (S.PLACING, H.PLACED): (S.BESIDE, A.GIVE),
-    (S.PLACING, H.NO_PLACE): (S.STAYED, A.REFUSE),
-    (S.PLACING, H.SOURCE_DIED): (S.ORPHANED, A.NOTHING),
-    (S.PLACING, H.SOURCE_ENDED): (S.ORPHANED, A.NOTHING),
-    (S.PLACING, H.TARGET_DIED): (S.STAYED, A.REFUSE),
-    (S.PLACING, H.TAKEN_BACK): (S.RECALLED, A.NOTHING),
-    (S.PLACING, H.TARGET_DRAINS): (S.RECALLED, A.NOTHING),
-    (S.PLACING, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
+    (S.PLACING, E.TARGET_PLAYS): (S.BESIDE, A.ACCEPT_OFFER),
+    (S.PLACING, E.TARGET_FAILED): (S.STAYED, A.REJECT_OFFER),
+    (S.PLACING, E.SOURCE_LOST): (S.ORPHANED, A.NONE),
+    (S.PLACING, E.SOURCE_ENDED): (S.ORPHANED, A.NONE),
+    (S.PLACING, E.TARGET_LOST): (S.STAYED, A.REJECT_OFFER),
+    (S.PLACING, E.CANCELLED): (S.RECALLED, A.NONE),
+    (S.PLACING, E.TARGET_DRAINING): (S.RECALLED, A.NONE),
+    (S.PLACING, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
     # RECALLED: if the target plays after all, it is ended, and the player stays.
-    (S.RECALLED, H.PLACED): (S.STAYED, A.END_TARGET_AND_REFUSE),
-    (S.RECALLED, H.NO_PLACE): (S.STAYED, A.REFUSE),
-    (S.RECALLED, H.SOURCE_DIED): (S.ORPHANED, A.NOTHING),  # with the source gone, the target is wanted again
-    (S.RECALLED, H.SOURCE_ENDED): (S.ORPHANED, A.NOTHING),
-    (S.RECALLED, H.TARGET_DIED): (S.STAYED, A.REFUSE),
-    (S.RECALLED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
+    (S.RECALLED, E.TARGET_PLAYS): (S.STAYED, A.END_TARGET_AND_REJECT_OFFER),
+    (S.RECALLED, E.TARGET_FAILED): (S.STAYED, A.REJECT_OFFER),
+    (S.RECALLED, E.SOURCE_LOST): (S.ORPHANED, A.NONE),  # with the source gone, the target is wanted again
+    (S.RECALLED, E.SOURCE_ENDED): (S.ORPHANED, A.NONE),
+    (S.RECALLED, E.TARGET_LOST): (S.STAYED, A.REJECT_OFFER),
+    (S.RECALLED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
     # ORPHANED: if the target plays, it becomes the playback; otherwise the playback is lost.
-    (S.ORPHANED, H.PLACED): (S.DONE, A.GIVE_AS_ONLY),
-    (S.ORPHANED, H.NO_PLACE): (S.LOST, A.TELL_LOST),
-    (S.ORPHANED, H.TARGET_DIED): (S.LOST, A.TELL_LOST),
-    (S.ORPHANED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
+    (S.ORPHANED, E.TARGET_PLAYS): (S.DONE, A.SWITCH_AND_ACCEPT_OFFER),
+    (S.ORPHANED, E.TARGET_FAILED): (S.LOST, A.REPORT_LOST),
+    (S.ORPHANED, E.TARGET_LOST): (S.LOST, A.REPORT_LOST),
+    (S.ORPHANED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
     # BESIDE: the player has the target's answer. No confirmation counts as one, or both would play for ever.
-    (S.BESIDE, H.CONFIRMED): (S.SWITCHED, A.END_SOURCE),
-    (S.BESIDE, H.UNCONFIRMED): (S.SWITCHED, A.END_SOURCE),
-    (S.BESIDE, H.SOURCE_DIED): (S.DONE, A.SWITCH),
-    (S.BESIDE, H.SOURCE_ENDED): (S.DONE, A.SWITCH),
-    (S.BESIDE, H.TARGET_DIED): (S.STAYED, A.NOTHING),
-    (S.BESIDE, H.TARGET_DRAINS): (S.STAYED, A.END_TARGET),
-    (S.BESIDE, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
+    (S.BESIDE, E.CONFIRMED): (S.SWITCHED, A.END_SOURCE),
+    (S.BESIDE, E.CONFIRM_TIMEOUT): (S.SWITCHED, A.END_SOURCE),
+    (S.BESIDE, E.SOURCE_LOST): (S.DONE, A.SWITCH_TO_TARGET),
+    (S.BESIDE, E.SOURCE_ENDED): (S.DONE, A.SWITCH_TO_TARGET),
+    (S.BESIDE, E.TARGET_LOST): (S.STAYED, A.NONE),
+    (S.BESIDE, E.TARGET_DRAINING): (S.STAYED, A.END_TARGET),
+    (S.BESIDE, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
     # SWITCHED: the target is the playback, whatever becomes of the source.
-    (S.SWITCHED, H.SOURCE_ENDED): (S.DONE, A.NOTHING),
-    (S.SWITCHED, H.SOURCE_DIED): (S.DONE, A.NOTHING),
-    (S.SWITCHED, H.TARGET_DIED): (S.LOST, A.TELL_LOST),
-    (S.SWITCHED, H.VIEWER_LEFT): (S.LOST, A.END_ALL),
+    (S.SWITCHED, E.SOURCE_ENDED): (S.DONE, A.NONE),
+    (S.SWITCHED, E.SOURCE_LOST): (S.DONE, A.NONE),
+    (S.SWITCHED, E.TARGET_LOST): (S.LOST, A.REPORT_LOST),
+    (S.SWITCHED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
 }
 """Next state and action by state and event.
 
@@ -127,27 +127,29 @@
 class Handover:
     """One move. Only `handle` changes its state."""
 
-    state: Course = Course.PLANNED
-    way: list[Course] = field(default_factory=lambda: [Course.PLANNED])
+    state: MoveState = MoveState.PLANNED
+    history: list[MoveState] = field(default_factory=lambda: [MoveState.PLANNED])
 
-    def happens(self, what: Happening) -> Act:
+    def handle(self, event: MoveEvent) -> MoveAction:
         """Applies an event and returns what the front end has to do; the only place where the state changes."""
-        after = TABLE.get((self.state, what))
+        after = TRANSITIONS.get((self.state, event))
         if after is None:
-            return Act.NOTHING
+            return MoveAction.NONE
         self.state, act = after
-        self.way.append(self.state)
+        self.history.append(self.state)
         return act
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the move has ended."""
-        return self.state in OVER
+        return self.state in END_STATES
 
-    def takes_offer(self) -> bool:
+    def awaits_offer(self) -> bool:
         """Whether the player's offer is wanted now."""
-        return self.state is Course.ASKED
+        return self.state is MoveState.ASKED
 
-    def waits_for(self) -> Happening | None:
+    def pending_timeout(self) -> MoveEvent | None:
         """Returns the event of the timer that runs in this state; None if there is no timer."""
-        return {Course.ASKED: Happening.NO_OFFER, Course.BESIDE: Happening.UNCONFIRMED}.get(self.state)
+        return {MoveState.ASKED: MoveEvent.OFFER_TIMEOUT, MoveState.BESIDE: MoveEvent.CONFIRM_TIMEOUT}.get(
+            self.state
+        )
--- a/oakcroft/decisions/moving/move_rules.py
+++ b/oakcroft/decisions/moving/move_rules.py
@@ -18,59 +18,65 @@
 
 from enum import Enum
 
-from oakcroft.interface import Effect, Group, Node, Plan
+from oakcroft.interface import Effect, KeyScope, Node, Plan
 
 
-class Way(Enum):
+class MoveMethod(Enum):
     """How a playback may move now."""
 
-    MAKE_FIRST = "make before break"
-    BREAK_FIRST = "break before make"
-    WAIT = "wait for a seat"
+    MAKE_BEFORE_BREAK = "make before break"
+    BREAK_BEFORE_MAKE = "break before make"
+    WAIT_FOR_SEAT = "wait for a seat"
     STAY = "stay"
 
 
-class Reason(Enum):
+class StayReason(Enum):
     """Why a playback stays."""
 
     PAID = "it is paid at set-up"
-    KEY = "its key is no longer recognised"
-    PLAYER = "its player cannot be moved"
+    KEY_EXPIRED = "its key is no longer recognised"
+    PLAYER_NOT_MOVABLE = "its player cannot be moved"
 
 
-def stays(plan: Plan, set_up_at: int, now: int, longest_setup: int, movable: bool) -> Reason | None:
+def reason_to_stay(
+    plan: Plan, set_up_at: int, now: int, longest_setup: int, is_movable: bool
+) -> StayReason | None:
     """Returns why a playback must stay where it is; None if it may move. Times in ns.
 
     A keyed playback must be set up again before its key expires.
     """
     if plan.effect is Effect.PAID:
-        return Reason.PAID
-    if plan.effect is Effect.KEYED and now + longest_setup - set_up_at >= plan.key_lasts:
-        return Reason.KEY
-    return None if movable else Reason.PLAYER
+        return StayReason.PAID
+    if plan.effect is Effect.KEYED and now + longest_setup - set_up_at >= plan.key_ttl_ns:
+        return StayReason.KEY_EXPIRED
+    return None if is_movable else StayReason.PLAYER_NOT_MOVABLE
 
 
-def way(plan: Plan, seats_taken: int, notice_left: int, reserve: int) -> Way:
+def move_method(plan: Plan, seats_taken: int, notice_left: int, setup_time: int) -> MoveMethod:
     """Returns how a playback that may move does so now. Times in ns.
 
     `seats_taken`: seats of its title and plan, its own included. `setup_time`: time that a break and a new
     set-up need.
     """
     if not plan.seats or seats_taken < plan.seats:
-        return Way.MAKE_FIRST
-    return Way.WAIT if notice_left > reserve else Way.BREAK_FIRST
+        return MoveMethod.MAKE_BEFORE_BREAK
+    return MoveMethod.WAIT_FOR_SEAT if notice_left > setup_time else MoveMethod.BREAK_BEFORE_MAKE
 
 
-def allowed(plan: Plan, source: Node, node: Node) -> bool:
+def may_target(plan: Plan, source: Node, target: Node) -> bool:
     """Whether a node may be the target as far as the key goes; admission control decides the rest."""
-    if node is source:
+    if target is source:
         return False
     if plan.effect is not Effect.KEYED:
         return plan.effect is Effect.FREE
-    same = {Group.ALL: True, Group.ZONE: node.zone == source.zone, Group.CELL: node.cell == source.cell}
-    return same[plan.group]
+    same = {
+        KeyScope.ALL: True,
+        KeyScope.ZONE: target.zone == source.zone,
+        KeyScope.CELL: target.cell == source.cell,
+    }
+    return same[plan.key_scope]
 
 
-def keeps_to_its_zone(plan: Plan) -> bool:
+def is_confined_to_zone(plan: Plan) -> bool:
     """Whether the key confines a copy to the source's zone or cell, so that no other zone is searched."""
-    return plan.effect is Effect.KEYED and plan.group is not Group.ALL
+    return plan.effect is Effect.KEYED and plan.key_scope is not KeyScope.ALL
--- a/oakcroft/decisions/moving/move_scheduler.py
+++ b/oakcroft/decisions/moving/move_scheduler.py
@@ -13,12 +13,12 @@
 from enum import Enum
 from random import Random
 
-from oakcroft.decisions.moving.move_rules import Way
+from oakcroft.decisions.moving.move_rules import MoveMethod
 from oakcroft.interface import MS, SECOND
 
 
 @dataclass(frozen=True)
-class Pace:
+class MoveLimits:
     """Limits on the moves of one front end. Times in ns.
 
     - `max_concurrent`: moves in progress at one time, and `max_per_target` of them to one target.
@@ -27,44 +27,46 @@
     - `max_attempts`: attempts for one playback, `retry_delay` apart on average.
     """
 
-    at_once: int = 8
-    to_one: int = 2
-    part: float = 0.7
-    needs: int = 1500 * MS
-    tries: int = 3
-    again_after: int = 400 * MS
+    max_concurrent: int = 8
+    max_per_target: int = 2
+    notice_fraction: float = 0.7
+    move_duration: int = 1500 * MS
+    max_attempts: int = 3
+    retry_delay: int = 400 * MS
 
 
-class Why(Enum):
+class MoveReason(Enum):
     """Why a playback is to leave its node."""
 
     DRAIN = "its node drains"
-    FADING = "its node weakens"
+    DEGRADING = "its node weakens"
 
 
 @dataclass
-class Wish:
+class PlannedMove:
     """One playback that is to move: `key` names it, `value` is revenue still to come, `due_at` is in ns."""
 
     key: str
     node: str
-    worth: float
-    why: Why
-    due: int
-    tries: int = 0
-    under_way: bool = False
+    value: float
+    reason: MoveReason
+    due_at: int
+    attempts: int = 0
+    in_progress: bool = False
 
 
 @dataclass
-class Mover:
+class MoveScheduler:
     """All planned moves of one front end. Times in ns."""
 
-    pace: Pace
+    limits: MoveLimits
     rng: Random
-    wishes: dict[str, Wish] = field(default_factory=dict)
+    planned: dict[str, PlannedMove] = field(default_factory=dict)
     targets: dict[str, str] = field(default_factory=dict)  # target of each move in progress, by playback
 
-    def leave(self, node: str, some: list[tuple[str, float]], notice: int, why: Why, now: int) -> int:
+    def plan_node(
+        self, node: str, playbacks: list[tuple[str, float]], notice: int, reason: MoveReason, now: int
+    ) -> int:
         """Plans the moves of a node's playbacks (key and value) over the notice; returns how many are new.
 
         They begin at times drawn evenly over the part of the notice in which a move can still be completed,
@@ -72,80 +74,80 @@
         that all front ends together load the targets evenly. If the notice is shorter than one move needs,
         all begin at once, since a late move is a stall.
         """
-        room = max(0, round(notice * self.pace.part) - self.pace.needs)
-        fresh = [(key, worth) for key, worth in some if key not in self.wishes]
+        room = max(0, round(notice * self.limits.notice_fraction) - self.limits.move_duration)
+        fresh = [(key, worth) for key, worth in playbacks if key not in self.planned]
         times = sorted(round(self.rng.random() * room) for _ in fresh)
         for (key, worth), after in zip(sorted(fresh, key=lambda x: (-x[1], x[0])), times, strict=True):
-            self.wishes[key] = Wish(key, node, worth, why, now + after)
+            self.planned[key] = PlannedMove(key, node, worth, reason, now + after)
         return len(fresh)
 
-    def taken_back(self, node: str) -> list[str]:
+    def cancel_node(self, node: str) -> list[str]:
         """The node need not be left any more: drops its planned moves, returns those in progress."""
-        mine = [w for w in self.wishes.values() if w.node == node]
+        mine = [w for w in self.planned.values() if w.node == node]
         for wish in mine:
-            if not wish.under_way:
-                del self.wishes[wish.key]
-        return [w.key for w in mine if w.under_way]
+            if not wish.in_progress:
+                del self.planned[wish.key]
+        return [w.key for w in mine if w.in_progress]
 
-    def next_due(self, now: int) -> int | None:
+    def next_due_at(self, now: int) -> int | None:
         """Returns when the next move is due; None if none waits."""
-        waiting = [w.due for w in self.wishes.values() if not w.under_way]
+        waiting = [w.due_at for w in self.planned.values() if not w.in_progress]
         return min(waiting, default=None)
 
-    def begin(self, now: int, budget: int) -> list[Wish]:
+    def start_due(self, now: int, tries_left: int) -> list[PlannedMove]:
         """Returns the moves to begin now, those of most value first.
 
         They are due, fewer than `max_concurrent` are in progress, and `tries_left` further tries are left in
         the budget. Moves that are due but find no room are put off for a random time.
         """
-        running = sum(w.under_way for w in self.wishes.values())
-        free = min(self.pace.at_once - running, budget)
-        due = sorted((w for w in self.wishes.values() if not w.under_way and w.due <= now),
-                     key=lambda w: (-w.worth, w.key))  # fmt: skip
+        running = sum(w.in_progress for w in self.planned.values())
+        free = min(self.limits.max_concurrent - running, tries_left)
+        due = sorted((w for w in self.planned.values() if not w.in_progress and w.due_at <= now),
+                     key=lambda w: (-w.value, w.key))  # fmt: skip
         chosen = due[: max(0, free)]
         for wish in chosen:
-            wish.under_way = True
-            wish.tries += 1
+            wish.in_progress = True
+            wish.attempts += 1
         for wish in due[max(0, free) :]:
-            wish.due = now + round(self.pace.again_after * (0.5 + self.rng.random()))
+            wish.due_at = now + round(self.limits.retry_delay * (0.5 + self.rng.random()))
         return chosen
 
-    def may_go_to(self, key: str, node: str) -> bool:
+    def has_room_on(self, key: str, node: str) -> bool:
         """Whether a target takes one more move, among this front end's own."""
-        return sum(t == node for k, t in self.targets.items() if k != key) < self.pace.to_one
+        return sum(t == node for k, t in self.targets.items() if k != key) < self.limits.max_per_target
 
-    def goes_to(self, key: str, node: str) -> None:
+    def set_target(self, key: str, node: str) -> None:
         """Notes the target that admission control has chosen."""
         self.targets[key] = node
 
-    def over(self, key: str, moved: bool, now: int, notice_left: int | None) -> bool:
+    def finish(self, key: str, has_moved: bool, now: int, notice_left: int | None) -> bool:
         """Ends a move; True if the playback is planned again.
 
         It is if it stayed, attempts are left, and its node is still to be left and stays long enough for one
         more move.
         """
         self.targets.pop(key, None)
-        wish = self.wishes.get(key)
+        wish = self.planned.get(key)
         if wish is None:
             return False
-        again = not moved and notice_left is not None and wish.tries < self.pace.tries
-        if not again or (notice_left or 0) < self.pace.needs // 2:
-            del self.wishes[key]
+        again = not has_moved and notice_left is not None and wish.attempts < self.limits.max_attempts
+        if not again or (notice_left or 0) < self.limits.move_duration // 2:
+            del self.planned[key]
             return False
-        wish.under_way = False
-        wish.due = now + round(self.pace.again_after * (0.5 + self.rng.random()))
+        wish.in_progress = False
+        wish.due_at = now + round(self.limits.retry_delay * (0.5 + self.rng.random()))
         return True
 
     def forget(self, key: str) -> None:
         """Drops a playback that has ended."""
-        self.wishes.pop(key, None)
+        self.planned.pop(key, None)
         self.targets.pop(key, None)
 
 
-def waits(way: Way, now: int, rng: Random) -> int:
+def next_attempt_at(method: MoveMethod, now: int, rng: Random) -> int:
     """Returns when a playback that may have to wait for a seat is looked at again, ns."""
-    return now + round(250 * MS * (0.5 + rng.random())) if way is Way.WAIT else now
+    return now + round(250 * MS * (0.5 + rng.random())) if method is MoveMethod.WAIT_FOR_SEAT else now
 
 
-LONGEST_OFFER = 2 * SECOND
-LONGEST_CONFIRM = 1500 * MS
+OFFER_TIMEOUT_NS = 2 * SECOND
+CONFIRM_TIMEOUT_NS = 1500 * MS
