--- a/oakcroft/decisions/routing/catalogue.py
+++ b/oakcroft/decisions/routing/catalogue.py
@@ -14,12 +14,12 @@
 
 from oakcroft.interface import MS
 
-MOST_REASONS = 20
+MAX_REASONS = 20
 """Reasons listed for one rejection."""
 
 
 @dataclass(frozen=True)
-class Item:
+class CatalogueTitle:
     """One title of the catalogue."""
 
     holders: tuple[str, ...] = ()
@@ -34,9 +34,9 @@
     rates: tuple[float, ...] = ()
     """Rate of each of its rungs in kB a second, lowest first; empty for those of the ladder."""
 
-    def top(self, rungs: int) -> int:
+    def top_rung(self, rung_count: int) -> int:
         """Returns its highest rung, on a ladder of `rung_count` rungs."""
-        return (len(self.rates) or rungs) - 1
+        return (len(self.rates) or rung_count) - 1
 
 
 @dataclass(frozen=True)
@@ -47,31 +47,33 @@
     """0 stands for no catalogue: every title is served, by the default placement."""
 
     digest: str = ""
-    titles: Mapping[str, Item] = field(default_factory=dict)
-    others: bool = True
+    titles: Mapping[str, CatalogueTitle] = field(default_factory=dict)
+    serves_unlisted: bool = True
     """Whether titles that it does not name are served too."""
 
     def serves(self, title: str) -> bool:
         """Returns whether the title is served."""
-        return self.others or title in self.titles
+        return self.serves_unlisted or title in self.titles
 
 
-def bound(catalogue: Catalogue, title: str, asked_top: int, floor: int, rungs: int) -> int | None:
+def highest_rung(
+    catalogue: Catalogue, title: str, requested_top: int, floor: int, rung_count: int
+) -> int | None:
     """Returns the highest rung for a request; None where the title is not served, or on no rung from the floor up."""
     if not catalogue.serves(title):
         return None
     item = catalogue.titles.get(title)
-    top = min(asked_top, item.top(rungs) if item is not None else rungs - 1)
+    top = min(requested_top, item.top_rung(rung_count) if item is not None else rung_count - 1)
     return top if top >= floor else None
 
 
-def changed(old: Catalogue, new: Catalogue) -> list[str]:
+def changed_titles(old: Catalogue, new: Catalogue) -> list[str]:
     """Returns the names of the titles in which two versions differ, sorted."""
     names = old.titles.keys() | new.titles.keys()
     return sorted(n for n in names if old.titles.get(n) != new.titles.get(n))
 
 
-class Verdict(Enum):
+class CatalogueVerdict(Enum):
     """Result of an offered change; logs and operators show the names in lower case."""
 
     TAKEN = "taken"
@@ -82,83 +84,93 @@
 
 
 @dataclass(frozen=True)
-class Fleet:
+class FleetSnapshot:
     """What a change is checked against."""
 
-    ready: frozenset[str]
+    ready_nodes: frozenset[str]
     """Names of the ready nodes."""
 
-    listed: frozenset[str]
+    listed_nodes: frozenset[str]
     """Names of all listed nodes."""
 
-    rungs: int
-    cells: int
-    floors: Mapping[str, int]
+    rung_count: int
+    cell_count: int
+    plan_floors: Mapping[str, int]
     """Floor of each plan, by plan name."""
 
 
-def base(node: str) -> str:
+def base_name(node: str) -> str:
     """Returns the name of a node without the suffix that a replacement carries, as in NAME+1."""
     return node.partition("+")[0]
 
 
-def reasons(names: Iterable[str], new: Catalogue, fleet: Fleet, force: bool = False) -> list[str]:
+def rejection_reasons(
+    changed_names: Iterable[str], new: Catalogue, fleet: FleetSnapshot, force: bool = False
+) -> list[str]:
     """Returns why a change cannot be applied, `MAX_REASONS` or a few more; none where it can.
 
     Only titles that differ from the version in force are checked, so a title that has lost its nodes does not block a
     change of another. A title without a ready holder is rejected, as it looks like an outage to its viewers. The cost: a
     title added before its nodes are up is rejected too, unless `force` is set.
     """
-    out, ready, listed = list[str](), {base(n) for n in fleet.ready}, {base(n) for n in fleet.listed}
-    highest_floor = max(fleet.floors.values(), default=0)
-    for name in names:
+    out, ready, listed = (
+        list[str](),
+        {base_name(n) for n in fleet.ready_nodes},
+        {base_name(n) for n in fleet.listed_nodes},
+    )
+    highest_floor = max(fleet.plan_floors.values(), default=0)
+    for name in changed_names:
         item = new.titles.get(name)
         if item is None:
             continue
-        if len(item.rates) > fleet.rungs:
-            out.append(f"title {name} has {len(item.rates)} renditions, the ladder has {fleet.rungs} rungs")
-        if item.home >= fleet.cells:
-            out.append(f"title {name} is at cell {item.home}, there are {fleet.cells}")
-        if item.top(fleet.rungs) < highest_floor and not force:
-            plan = next(p for p, floor in sorted(fleet.floors.items()) if floor > item.top(fleet.rungs))
+        if len(item.rates) > fleet.rung_count:
             out.append(
-                f"title {name} goes up to rung {item.top(fleet.rungs)}, under the floor of plan {plan}"
+                f"title {name} has {len(item.rates)} renditions, the ladder has {fleet.rung_count} rungs"
+            )
+        if item.home >= fleet.cell_count:
+            out.append(f"title {name} is at cell {item.home}, there are {fleet.cell_count}")
+        if item.top_rung(fleet.rung_count) < highest_floor and not force:
+            plan = next(
+                p for p, floor in sorted(fleet.plan_floors.items()) if floor > item.top_rung(fleet.rung_count)
+            )
+            out.append(
+                f"title {name} goes up to rung {item.top_rung(fleet.rung_count)}, under the floor of plan {plan}"
             )
         if item.holders and not force:
-            unknown = [n for n in item.holders if base(n) not in listed]
-            if not ready & {base(n) for n in item.holders}:
+            unknown = [n for n in item.holders if base_name(n) not in listed]
+            if not ready & {base_name(n) for n in item.holders}:
                 out.append(
                     f"title {name} would have no ready holder"
                     + (f"; not listed: {unknown[0]}" if unknown else "")
                 )
-        if len(out) >= MOST_REASONS:
+        if len(out) >= MAX_REASONS:
             return out
     return out
 
 
-def consider(
+def evaluate_change(
     old: Catalogue,
     new: Catalogue,
-    names: Iterable[str],
-    made_from: str | None,
-    fleet: Fleet,
+    changed_names: Iterable[str],
+    base_digest: str | None,
+    fleet: FleetSnapshot,
     force: bool = False,
-) -> tuple[Verdict, list[str]]:
+) -> tuple[CatalogueVerdict, list[str]]:
     """Decides on an offered change.
 
     `changed_names` are the `changed_titles`, which the caller computes off the event loop. `base_digest` is the digest
     of the version that the change was made from, None for any. Of two changes made from one version the first is
     accepted and the second is stale, whatever they change.
     """
-    if made_from is not None and made_from != old.digest:
-        return Verdict.STALE, [f"version {old.number} is in force"]
+    if base_digest is not None and base_digest != old.digest:
+        return CatalogueVerdict.STALE, [f"version {old.number} is in force"]
     if new.digest == old.digest and old.number:
-        return Verdict.SAME, []
-    why = reasons(names, new, fleet, force)
-    return (Verdict.REFUSED, why) if why else (Verdict.TAKEN, [])
+        return CatalogueVerdict.SAME, []
+    why = rejection_reasons(changed_names, new, fleet, force)
+    return (CatalogueVerdict.REFUSED, why) if why else (CatalogueVerdict.TAKEN, [])
 
 
-class Course(Enum):
+class PlaybackEffect(Enum):
     """What a change does to a playback of a changed title; logs show the names in lower case."""
 
     STAYS = "goes on as it is"
@@ -166,26 +178,26 @@
     FINISHES = "plays to its end as it is, on what its node still holds"
 
 
-def course(
-    floor: int, rung: int, item: Item | None, others: bool, rungs: int, node: str
-) -> tuple[Course, int]:
+def effect_on_playback(
+    floor: int, rung: int, title: CatalogueTitle | None, serves_unlisted: bool, rung_count: int, node: str
+) -> tuple[PlaybackEffect, int]:
     """Returns what a change does to a playback, and the highest rung for it from now on.
 
     Playbacks of a removed title, or on a node that does not hold the title any more, finish. So do those whose title has
     no rung left from their floor up.
     """
-    if item is None:
-        return (Course.STAYS, rungs - 1) if others else (Course.FINISHES, rung)
-    if item.holders and base(node) not in {base(n) for n in item.holders}:
-        return Course.FINISHES, rung
-    top = item.top(rungs)
+    if title is None:
+        return (PlaybackEffect.STAYS, rung_count - 1) if serves_unlisted else (PlaybackEffect.FINISHES, rung)
+    if title.holders and base_name(node) not in {base_name(n) for n in title.holders}:
+        return PlaybackEffect.FINISHES, rung
+    top = title.top_rung(rung_count)
     if rung <= top:
-        return Course.STAYS, top
-    return (Course.STEPS_DOWN, top) if top >= floor else (Course.FINISHES, rung)
+        return PlaybackEffect.STAYS, top
+    return (PlaybackEffect.STEPS_DOWN, top) if top >= floor else (PlaybackEffect.FINISHES, rung)
 
 
 @dataclass
-class Steps:
+class StepDownQueue:
     """Playbacks that a change steps down, in batches.
 
     Otherwise a change could send thousands of layer calls to nodes at one moment. The host skips playbacks that have
@@ -193,29 +205,29 @@
     gone.
     """
 
-    at_once: int = 50
-    every: int = 100 * MS
+    batch_size: int = 50
+    interval: int = 100 * MS
     """Time between two batches, in ns."""
 
     waiting: deque[str] = field(default_factory=deque)
     """Ids of sessions."""
 
-    last: int = -(1 << 62)
+    last_batch_at: int = -(1 << 62)
     """When the last batch was due, in ns."""
 
-    def add(self, some: Iterable[str]) -> None:
+    def add(self, session_ids: Iterable[str]) -> None:
         """Adds sessions; each steps down to the highest rung that applies when its turn comes."""
-        self.waiting.extend(some)
+        self.waiting.extend(session_ids)
 
-    def due(self, now: int) -> list[str]:
+    def next_batch(self, now: int) -> list[str]:
         """Returns the sessions to step down now, none before the next batch is due. `now` in ns."""
-        if not self.waiting or now - self.last < self.every:
+        if not self.waiting or now - self.last_batch_at < self.interval:
             return []
-        self.last = now
-        return [self.waiting.popleft() for _ in range(min(self.at_once, len(self.waiting)))]
+        self.last_batch_at = now
+        return [self.waiting.popleft() for _ in range(min(self.batch_size, len(self.waiting)))]
 
 
-def takes_part(front: int, fronts: int, digest: int, share: float) -> bool:
+def is_in_share(front_number: int, front_count: int, digest: int, share: float) -> bool:
     """Returns whether a front activates a version that is rolled out to a share (0 to 1) of all fronts.
 
     The choice is the same each time for one version, and fronts stay in as the share grows. `digest` is that of the
@@ -223,38 +235,38 @@
     """
     if share >= 1:
         return True
-    place = (front + digest) % max(1, fronts)
-    return place < share * fronts
+    place = (front_number + digest) % max(1, front_count)
+    return place < share * front_count
 
 
 @dataclass(frozen=True)
-class Kept:
+class VersionEntry:
     """A version in the history."""
 
     number: int
     digest: str
-    taken: int
+    activated_at: int
     """In ns."""
 
-    why: str
+    reason: str
     """Why the version was made, as the operator says."""
 
 
 @dataclass
-class History:
+class VersionHistory:
     """The last `max_versions` versions that a front activated; a rollback is a new version with an old text."""
 
-    most: int = 50
-    versions: list[Kept] = field(default_factory=list)
+    max_versions: int = 50
+    versions: list[VersionEntry] = field(default_factory=list)
 
-    def take(self, kept: Kept) -> list[int]:
+    def add(self, entry: VersionEntry) -> list[int]:
         """Adds the version in force and returns the numbers of those that are dropped for it."""
-        self.versions.append(kept)
-        gone = self.versions[: -self.most]
-        self.versions = self.versions[-self.most :]
+        self.versions.append(entry)
+        gone = self.versions[: -self.max_versions]
+        self.versions = self.versions[-self.max_versions :]
         return [k.number for k in gone]
 
-    def find(self, number: int) -> Kept | None:
+    def find(self, number: int) -> VersionEntry | None:
         """Returns a version by its number, None where it is not in the history."""
         return next((k for k in self.versions if k.number == number), None)
 
--- a/oakcroft/decisions/routing/configuration_version.py
+++ b/oakcroft/decisions/routing/configuration_version.py
@@ -15,23 +15,23 @@
 T = TypeVar("T")
 
 
-class Verdict(Enum):
+class ConfigurationVerdict(Enum):
     """Result of an offered version; logs and operators show the values."""
 
     TAKEN = "taken"
     SAME = "it means what is in force"
     OLDER = "a later one is in force"
-    BROKEN = "it is not sound"
-    RESTART = "it changes what only a restart can take"
+    INVALID = "it is not sound"
+    NEEDS_RESTART = "it changes what only a restart can take"
 
 
-RESTART_ONLY = ("ladder", "fleet", "front")
+RESTART_ONLY_PARTS = ("ladder", "fleet", "front")
 """Parts of a configuration that only a restart changes, as the module and the sockets are built on them: playbacks refer
 to rungs of the ladder by number, titles are placed by cells and racks, and fronts divide turns and limits among them."""
 
 
 @dataclass(frozen=True)
-class Offer(Generic[T]):
+class ConfigurationVersion(Generic[T]):
     """A version of the configuration that has passed its check."""
 
     number: int
@@ -43,40 +43,40 @@
     compiled: T
 
 
-class InForce(Generic[T]):
+class ActiveConfiguration(Generic[T]):
     """The version in force."""
 
-    def __init__(self, first: Offer[T]) -> None:
+    def __init__(self, first: ConfigurationVersion[T]) -> None:
         """`first` is the version that the front starts with."""
-        self.offer = first
+        self.version = first
 
-    def consider(self, offer: Offer[T] | None) -> tuple[Verdict, list[str]]:
+    def apply(self, version: ConfigurationVersion[T] | None) -> tuple[ConfigurationVerdict, list[str]]:
         """Applies a version, or says why not; None stands for one that did not pass its check.
 
         For `NEEDS_RESTART` the parts that differ are returned too. Of two versions that come close together the one
         that was read later stays, whichever check ended first.
         """
-        if offer is None:
-            return Verdict.BROKEN, []
-        if offer.number <= self.offer.number:
-            return Verdict.OLDER, []
-        fixed = [p for p in RESTART_ONLY if offer.meaning.get(p) != self.offer.meaning.get(p)]
+        if version is None:
+            return ConfigurationVerdict.INVALID, []
+        if version.number <= self.version.number:
+            return ConfigurationVerdict.OLDER, []
+        fixed = [p for p in RESTART_ONLY_PARTS if version.meaning.get(p) != self.version.meaning.get(p)]
         if fixed:
-            return Verdict.RESTART, fixed
-        if offer.meaning == self.offer.meaning:
-            self.offer = Offer(offer.number, self.offer.meaning, self.offer.compiled)
-            return Verdict.SAME, []
-        self.offer = offer
-        return Verdict.TAKEN, []
+            return ConfigurationVerdict.NEEDS_RESTART, fixed
+        if version.meaning == self.version.meaning:
+            self.version = ConfigurationVersion(version.number, self.version.meaning, self.version.compiled)
+            return ConfigurationVerdict.SAME, []
+        self.version = version
+        return ConfigurationVerdict.TAKEN, []
 
 
-def families(plans: Mapping[str, int], names: list[str]) -> dict[str, int]:
+def plan_families(known_families: Mapping[str, int], plan_names: list[str]) -> dict[str, int]:
     """Returns a family number for each plan name.
 
     A number stays the same over all versions that one process applies, so that seats are counted across them.
     `known_families` are the numbers given so far.
     """
-    out = dict(plans)
-    for name in names:
+    out = dict(known_families)
+    for name in plan_names:
         out.setdefault(name, len(out))
     return out
--- a/oakcroft/decisions/routing/ladder.py
+++ b/oakcroft/decisions/routing/ladder.py
@@ -5,19 +5,19 @@
 from collections.abc import Sequence
 
 
-def best_rung(rates: Sequence[float], rate_factor: float, takes: float | None) -> int:
+def best_rung(rates: Sequence[float], rate_factor: float, max_rate: float | None) -> int:
     """Returns the highest rung whose rate is within `max_rate` bytes a second, the lowest rung where none is.
 
     `rates` are those of the ladder in kB a second, to be multiplied by the plan's `rate_factor`. Without a `max_rate`
     every rung is allowed.
     """
-    if takes is None:
+    if max_rate is None:
         return len(rates) - 1
-    fits = [i for i, rate in enumerate(rates) if rate * rate_factor * 1000 <= takes]
+    fits = [i for i, rate in enumerate(rates) if rate * rate_factor * 1000 <= max_rate]
     return fits[-1] if fits else 0
 
 
-def bytes_a_second(application_kbit: int | None, tias_bit: int | None) -> float | None:
+def offered_rate(application_kbit: int | None, tias_bit: int | None) -> float | None:
     """Returns the rate that an offer allows in bytes a second, None where it names none.
 
     `application_kbit` is `b=AS` (RFC 8866 5.8, kbit/s with headers), `tias_bit` is `b=TIAS` (RFC 3890, bit/s without
@@ -28,9 +28,9 @@
     return application_kbit * 1000 / 8 if application_kbit is not None else None
 
 
-def rung_wished(wish: str, floor: int, top: int) -> int | None:
+def requested_rung(requested: str, floor: int, top: int) -> int | None:
     """Returns the rung that a layer selection requests, None where it is no rung from `floor` to `top`."""
-    if not wish.isascii() or not wish.isdigit() or len(wish) > 3:
+    if not requested.isascii() or not requested.isdigit() or len(requested) > 3:
         return None
-    rung = int(wish)
+    rung = int(requested)
     return rung if floor <= rung <= top else None
--- a/oakcroft/decisions/routing/pools.py
+++ b/oakcroft/decisions/routing/pools.py
@@ -16,7 +16,7 @@
     """A pool by name; each of its conditions that is not empty must hold."""
 
     name: str
-    wings: tuple[str, ...] = ()
+    zones: tuple[str, ...] = ()
     racks: tuple[int, ...] = ()
     """A node's rack is its cell modulo the number of racks."""
 
@@ -27,22 +27,22 @@
     nodes: tuple[str, ...] = ()
     """Names of nodes; a name covers the node's replacements NAME+1 too."""
 
-    but: tuple[str, ...] = ()
+    excluded_nodes: tuple[str, ...] = ()
     """Names of nodes that are not admitted."""
 
-    def admits(self, node: Node, racks: int) -> bool:
+    def admits(self, node: Node, rack_count: int) -> bool:
         """Returns whether a node belongs to the pool."""
         return (
-            (not self.wings or node.zone in self.wings)
-            and (not self.racks or node.cell % max(1, racks) in self.racks)
+            (not self.zones or node.zone in self.zones)
+            and (not self.racks or node.cell % max(1, rack_count) in self.racks)
             and (not self.kinds or node.kind in self.kinds)
             and (not self.tags or all(tag in node.tags for tag in self.tags))
             and (not self.nodes or node.name.partition("+")[0] in self.nodes or node.name in self.nodes)
-            and node.name not in self.but
+            and node.name not in self.excluded_nodes
         )
 
-    def empty_by_itself(self) -> str | None:
+    def empty_reason(self) -> str | None:
         """Returns why the pool can admit no node, as far as its own conditions show; None where it may admit some."""
-        if self.nodes and all(node in self.but for node in self.nodes):
+        if self.nodes and all(node in self.excluded_nodes for node in self.nodes):
             return "every node that it names is taken out again"
         return None
--- a/oakcroft/decisions/routing/route_table.py
+++ b/oakcroft/decisions/routing/route_table.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 
-class Side(Enum):
+class ClientRole(Enum):
     """Who a route is for; the values are those of the configuration."""
 
     WATCH = "watch"
@@ -25,14 +25,14 @@
 class Match:
     """The conditions of a route."""
 
-    side: Side
+    role: ClientRole
     prefix: str
     """The path before the title, with its last slash."""
 
-    titles: tuple[str, ...] = ()
+    title_patterns: tuple[str, ...] = ()
     """Exact titles, or title prefixes ending in *; empty for any title."""
 
-    wing: str = ""
+    zone: str = ""
     """Zone that the front must be in; empty for any."""
 
     claims: tuple[tuple[str, str], ...] = ()
@@ -54,86 +54,86 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class RouteRequest:
     """The properties of a request that routes are matched against."""
 
-    side: Side
+    role: ClientRole
     path: str
-    wing: str
+    zone: str
     claims: Mapping[str, str]
 
-    def split(self) -> tuple[str, str]:
+    def split_path(self) -> tuple[str, str]:
         """Returns the path up to and with the last slash, and the title after it."""
         at = self.path.rfind("/") + 1
         return self.path[:at], self.path[at:]
 
 
-class Why(Enum):
+class RouteMismatch(Enum):
     """Why a route does not match a request; operators read the values."""
 
-    SIDE = "it is for the other side"
+    ROLE = "it is for the other side"
     PATH = "its path is another"
     TITLE = "the title is none of its titles"
-    WING = "this front stands in another wing"
+    ZONE = "this front stands in another wing"
     CLAIM = "the token lacks a claim"
 
 
-def refuses(match: Match, asked: Asked) -> Why | None:
+def find_mismatch(match: Match, request: RouteRequest) -> RouteMismatch | None:
     """Returns the first condition that a request does not meet, None where it meets all."""
-    prefix, title = asked.split()
-    if match.side is not asked.side:
-        return Why.SIDE
+    prefix, title = request.split_path()
+    if match.role is not request.role:
+        return RouteMismatch.ROLE
     if match.prefix != prefix or not title:
-        return Why.PATH
-    if match.titles and not any(covers(pattern, title) for pattern in match.titles):
-        return Why.TITLE
-    if match.wing and match.wing != asked.wing:
-        return Why.WING
-    if any(asked.claims.get(name) != value for name, value in match.claims):
-        return Why.CLAIM
+        return RouteMismatch.PATH
+    if match.title_patterns and not any(pattern_matches(pattern, title) for pattern in match.title_patterns):
+        return RouteMismatch.TITLE
+    if match.zone and match.zone != request.zone:
+        return RouteMismatch.ZONE
+    if any(request.claims.get(name) != value for name, value in match.claims):
+        return RouteMismatch.CLAIM
     return None
 
 
-def covers(pattern: str, title: str) -> bool:
+def pattern_matches(pattern: str, title: str) -> bool:
     """Returns whether a title pattern (an exact title, or a prefix ending in *) matches a title."""
     return title.startswith(pattern[:-1]) if pattern.endswith("*") else title == pattern
 
 
-Rank = tuple[int, int, int]
+Specificity = tuple[int, int, int]
 
 
-def rank(pattern: str | None, match: Match) -> Rank:
+def specificity(title_pattern: str | None, match: Match) -> Specificity:
     """Returns how specific a route is where one of its title patterns matched, None for any title; larger goes first."""
-    depth = 0 if pattern is None else len(pattern) if pattern.endswith("*") else 1_000_000
-    return depth, len(match.claims), 1 if match.wing else 0
+    depth = 0 if title_pattern is None else len(title_pattern) if title_pattern.endswith("*") else 1_000_000
+    return depth, len(match.claims), 1 if match.zone else 0
 
 
 @dataclass
-class _Step:
+class _TrieNode:
     """A node of the trie of title prefixes."""
 
     routes: list[Route]
-    after: dict[str, _Step]
+    children: dict[str, _TrieNode]
 
 
-class _Bucket:
+class _PrefixRoutes:
     """All routes of one role and path prefix, indexed by title pattern."""
 
     def __init__(self) -> None:
         """Begins without routes."""
         self.exact: dict[str, list[Route]] = {}
-        self.root = _Step([], {})  # trie of title prefixes; the root holds the routes for any title
+        self.root = _TrieNode([], {})  # trie of title prefixes; the root holds the routes for any title
 
     def add(self, route: Route) -> None:
-        if not route.match.titles:
+        if not route.match.title_patterns:
             self.root.routes.append(route)
-        for pattern in route.match.titles:
+        for pattern in route.match.title_patterns:
             if not pattern.endswith("*"):
                 self.exact.setdefault(pattern, []).append(route)
                 continue
             step = self.root
             for letter in pattern[:-1]:
-                step = step.after.setdefault(letter, _Step([], {}))
+                step = step.children.setdefault(letter, _TrieNode([], {}))
             step.routes.append(route)
 
     def sort(self) -> None:
@@ -141,16 +141,16 @@
         steps = [self.root]
         while steps:
             step = steps.pop()
-            step.routes.sort(key=lambda r: (-len(r.match.claims), not r.match.wing, r.name))
-            steps += step.after.values()
+            step.routes.sort(key=lambda r: (-len(r.match.claims), not r.match.zone, r.name))
+            steps += step.children.values()
         for routes in self.exact.values():
-            routes.sort(key=lambda r: (-len(r.match.claims), not r.match.wing, r.name))
+            routes.sort(key=lambda r: (-len(r.match.claims), not r.match.zone, r.name))
 
     def candidates(self, title: str) -> list[list[Route]]:
         """Returns the lists of routes whose title pattern matches a title, most specific first."""
         found, step = [self.root.routes], self.root
         for letter in title:
-            following = step.after.get(letter)
+            following = step.children.get(letter)
             if following is None:
                 break
             step = following
@@ -172,94 +172,99 @@
     def __init__(self, routes: Iterable[Route]) -> None:
         """`routes` must be free of `ambiguous_routes`."""
         self.routes = {r.name: r for r in routes}
-        self.buckets: dict[tuple[Side, str], _Bucket] = {}
+        self.by_prefix: dict[tuple[ClientRole, str], _PrefixRoutes] = {}
         self.plans: dict[str, set[str]] = {}  # plans of all routes of a path prefix, for both roles
         for route in self.routes.values():
-            key = (route.match.side, route.match.prefix)
-            self.buckets.setdefault(key, _Bucket()).add(route)
+            key = (route.match.role, route.match.prefix)
+            self.by_prefix.setdefault(key, _PrefixRoutes()).add(route)
             self.plans.setdefault(route.match.prefix, set()).add(route.plan)
-        for bucket in self.buckets.values():
+        for bucket in self.by_prefix.values():
             bucket.sort()
 
-    def find(self, asked: Asked) -> Route | None:
+    def find(self, request: RouteRequest) -> Route | None:
         """Returns the route that takes a request, None where no route matches."""
-        prefix, title = asked.split()
-        bucket = self.buckets.get((asked.side, prefix))
+        prefix, title = request.split_path()
+        bucket = self.by_prefix.get((request.role, prefix))
         if bucket is None or not title:
             return None
         for routes in bucket.candidates(title):
             for route in routes:
-                if refuses(route.match, asked) is None:
+                if find_mismatch(route.match, request) is None:
                     return route
         return None
 
-    def sides(self, path: str) -> set[Side]:
+    def roles_served(self, path: str) -> set[ClientRole]:
         """Returns the roles for which a path is served."""
-        prefix, title = Asked(Side.WATCH, path, "", {}).split()
-        return {side for side, p in self.buckets if p == prefix and title}
+        prefix, title = RouteRequest(ClientRole.WATCH, path, "", {}).split_path()
+        return {side for side, p in self.by_prefix if p == prefix and title}
 
-    def ahead_of(self, route: Route, asked: Asked) -> list[tuple[Route, Why]]:
+    def more_specific_routes(self, route: Route, request: RouteRequest) -> list[tuple[Route, RouteMismatch]]:
         """Returns the routes of the same path prefix that would precede `route` if they matched a request.
 
         They come most specific first, each with the reason why it does not match.
         """
         out = []
-        mine = max(ranks(route, asked), default=(0, 0, 0))
-        for other in sorted(self.routes.values(), key=lambda r: (best_rank(r), r.name), reverse=True):
-            why = refuses(other.match, asked)
+        mine = max(matching_specificities(route, request), default=(0, 0, 0))
+        for other in sorted(
+            self.routes.values(), key=lambda r: (highest_specificity(r), r.name), reverse=True
+        ):
+            why = find_mismatch(other.match, request)
             if (
                 other is not route
                 and why is not None
-                and other.match.prefix == asked.split()[0]
-                and best_rank(other) >= mine
+                and other.match.prefix == request.split_path()[0]
+                and highest_specificity(other) >= mine
             ):
                 out.append((other, why))
         return out
 
 
-def ranks(route: Route, asked: Asked) -> list[Rank]:
+def matching_specificities(route: Route, request: RouteRequest) -> list[Specificity]:
     """Returns the specificities of the title patterns by which a route matches a request."""
-    title = asked.split()[1]
-    if not route.match.titles:
-        return [rank(None, route.match)]
-    return [rank(p, route.match) for p in route.match.titles if covers(p, title)]
+    title = request.split_path()[1]
+    if not route.match.title_patterns:
+        return [specificity(None, route.match)]
+    return [specificity(p, route.match) for p in route.match.title_patterns if pattern_matches(p, title)]
 
 
-def best_rank(route: Route) -> Rank:
+def highest_specificity(route: Route) -> Specificity:
     """Returns the highest specificity that a route can have."""
-    return max((rank(p, route.match) for p in route.match.titles), default=rank(None, route.match))
+    return max(
+        (specificity(p, route.match) for p in route.match.title_patterns),
+        default=specificity(None, route.match),
+    )
 
 
-def compatible(a: Match, b: Match) -> bool:
+def can_both_match(a: Match, b: Match) -> bool:
     """Returns whether one request can meet the zone and claims of both."""
-    if a.wing and b.wing and a.wing != b.wing:
+    if a.zone and b.zone and a.zone != b.zone:
         return False
     claims = dict(a.claims)
     return all(claims.get(name, value) == value for name, value in b.claims)
 
 
-def clashes(routes: Sequence[Route]) -> list[tuple[Route, Route, str]]:
+def ambiguous_routes(routes: Sequence[Route]) -> list[tuple[Route, Route, str]]:
     """Returns the pairs of routes that are equally specific for some request, each with an example of a title."""
-    places: dict[tuple[Side, str, str | None], list[Route]] = {}
+    places: dict[tuple[ClientRole, str, str | None], list[Route]] = {}
     for route in routes:
-        patterns: Iterable[str | None] = route.match.titles or (None,)
+        patterns: Iterable[str | None] = route.match.title_patterns or (None,)
         for pattern in patterns:
-            places.setdefault((route.match.side, route.match.prefix, pattern), []).append(route)
+            places.setdefault((route.match.role, route.match.prefix, pattern), []).append(route)
     out = []
     for (_, _, pattern), some in places.items():
-        by_rank: dict[Rank, list[Route]] = {}
+        by_rank: dict[Specificity, list[Route]] = {}
         for route in some:
-            for other in by_rank.get(rank(pattern, route.match), ()):
-                if other.name != route.name and compatible(other.match, route.match):
+            for other in by_rank.get(specificity(pattern, route.match), ()):
+                if other.name != route.name and can_both_match(other.match, route.match):
                     out.append((other, route, (pattern or "any").replace("*", "…")))
-            by_rank.setdefault(rank(pattern, route.match), []).append(route)
+            by_rank.setdefault(specificity(pattern, route.match), []).append(route)
     return out
 
 
-def example(route: Route, wing: str) -> Asked:
+def example_request(route: Route, zone: str) -> RouteRequest:
     """Returns a request that a route takes, unless a more specific route does. `zone` is that of the front."""
-    pattern = route.match.titles[0] if route.match.titles else "example"
+    pattern = route.match.title_patterns[0] if route.match.title_patterns else "example"
     title = pattern[:-1] + "1" if pattern.endswith("*") else pattern
-    return Asked(
-        route.match.side, route.match.prefix + title, route.match.wing or wing, dict(route.match.claims)
+    return RouteRequest(
+        route.match.role, route.match.prefix + title, route.match.zone or zone, dict(route.match.claims)
     )
--- a/oakcroft/decisions/routing/title_cache.py
+++ b/oakcroft/decisions/routing/title_cache.py
@@ -5,11 +5,11 @@
 from collections import OrderedDict
 from collections.abc import Iterable, Mapping
 
-from oakcroft.decisions.routing.catalogue import Item
+from oakcroft.decisions.routing.catalogue import CatalogueTitle
 from oakcroft.interface import Title
 
 
-class Shelf:
+class TitleCache:
     """Titles by name. The module keeps seats and holders on them, so a title in use must stay the same object.
 
     The bound protects against clients that request ever new names. When the cache is full, the title unused for longest
@@ -17,12 +17,25 @@
     rarely used title is computed again.
     """
 
-    def __init__(self, most: int, cells: int, copies: int, stated: Mapping[str, tuple[int, int]]) -> None:
+    def __init__(
+        self,
+        max_titles: int,
+        cell_count: int,
+        default_copies: int,
+        configured_placements: Mapping[str, tuple[int, int]],
+    ) -> None:
         """`configured_placements` gives (home cell, copies) by title; others are in `default_copies` cells."""
-        self.most, self.cells, self.copies, self.stated = most, cells, copies, stated
+        self.max_titles, self.cell_count, self.default_copies, self.configured_placements = (
+            max_titles,
+            cell_count,
+            default_copies,
+            configured_placements,
+        )
         self.titles: OrderedDict[str, Title] = OrderedDict()
-        self.homes: dict[str, tuple[int, int | None]] = {}  # (home cell, copies) as `get` was called
-        self.items: Mapping[str, Item] = {}  # of the catalogue in force
+        self.requested_placements: dict[
+            str, tuple[int, int | None]
+        ] = {}  # (home cell, copies) as `get` was called
+        self.catalogue_titles: Mapping[str, CatalogueTitle] = {}  # of the catalogue in force
 
     def get(self, name: str, home: int, copies: int | None = None) -> Title | None:
         """Returns a title, None where it is new and the cache is full of titles in use.
@@ -32,36 +45,38 @@
         """
         title = self.titles.get(name)
         if title is None:
-            if len(self.titles) >= self.most and not self._make_room():
+            if len(self.titles) >= self.max_titles and not self._evict_unused():
                 return None
             title = self.titles[name] = Title(name, 0, 0)
-            self.homes[name] = home, copies
-            self._place(title)
+            self.requested_placements[name] = home, copies
+            self._update_placement(title)
         self.titles.move_to_end(name)
         return title
 
-    def take_version(self, copies: int, stated: Mapping[str, tuple[int, int]]) -> None:
+    def apply_configuration(
+        self, default_copies: int, configured_placements: Mapping[str, tuple[int, int]]
+    ) -> None:
         """Applies another configuration; cached titles stay the same objects, with their seats."""
-        self.copies, self.stated = copies, stated
+        self.default_copies, self.configured_placements = default_copies, configured_placements
         for title in self.titles.values():
-            self._place(title)
+            self._update_placement(title)
 
-    def take_catalogue(self, items: Mapping[str, Item], changed: Iterable[str]) -> None:
+    def apply_catalogue(self, catalogue_titles: Mapping[str, CatalogueTitle], changed: Iterable[str]) -> None:
         """Applies another catalogue; `changed` names the titles that differ in it."""
-        self.items = items
+        self.catalogue_titles = catalogue_titles
         for name in changed:
             if (title := self.titles.get(name)) is not None:
-                self._place(title)
+                self._update_placement(title)
 
-    def _place(self, title: Title) -> None:
+    def _update_placement(self, title: Title) -> None:
         """Sets where a title is held and its rates: by the catalogue, else the configuration, else the default.
 
         The object stays the same, with its seats.
         """
-        item = self.items.get(title.name)
-        first, asked = self.homes[title.name]
-        usual = first % self.cells, self.copies if asked is None else asked
-        home, copies = self.stated.get(title.name, usual)
+        item = self.catalogue_titles.get(title.name)
+        first, asked = self.requested_placements[title.name]
+        usual = first % self.cell_count, self.default_copies if asked is None else asked
+        home, copies = self.configured_placements.get(title.name, usual)
         if item is not None and item.home >= 0:
             home, copies = item.home, item.copies
         named = (
@@ -69,14 +84,14 @@
             if item is not None and item.holders
             else None
         )
-        if (title.home, title.copies, title.named) != (home, copies, named):
-            title.home, title.copies, title.named, title.known = home, copies, named, -1
-        title.rates = item.rates if item is not None else ()
+        if (title.home_cell, title.copies, title.holder_names) != (home, copies, named):
+            title.home_cell, title.copies, title.holder_names, title.holders_version = home, copies, named, -1
+        title.rung_rates = item.rates if item is not None else ()
 
-    def _make_room(self) -> bool:
+    def _evict_unused(self) -> bool:
         for name, title in self.titles.items():
-            if not any(title.seats.values()):
+            if not any(title.seats_taken.values()):
                 del self.titles[name]
-                del self.homes[name]
+                del self.requested_placements[name]
                 return True
         return False
--- a/oakcroft/decisions/routing/zone_preference.py
+++ b/oakcroft/decisions/routing/zone_preference.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Bounds:
+class ZonePreferenceBounds:
     """Configured bounds; the fields are named as the configuration's fields. Times in ns."""
 
     most: float = 0.6
@@ -88,34 +88,34 @@
 class ZoneHealth:
     """Health of one zone as this front sees it. Times in ns."""
 
-    bounds: Bounds
+    bounds: ZonePreferenceBounds
     state: ZoneState = ZoneState.SOUND
-    since: int = 0
+    state_since: int = 0
     """When the present state began; in SOUND also when a relapse was last taken back."""
 
     relapses: int = 0
     """How often the zone failed again while it returned, less what time in service took back."""
 
-    cold: bool = False
+    was_lost: bool = False
     """Whether the zone was lost, and not only cut off, so that its nodes are cold when it returns."""
 
     pending: tuple[ZoneState, int] | None = None
     """The state that the evidence asks for, and since when; None where it agrees with the present state."""
 
-    def _change(self, state: ZoneState, now: int) -> ZoneState:
+    def _set_state(self, new_state: ZoneState, now: int) -> ZoneState:
         """Sets the state. ValueError for a transition that is not in `TRANSITIONS`."""
-        if state not in TRANSITIONS[self.state]:
-            raise ValueError(f"a zone cannot go from {self.state.value!r} to {state.value!r}")
-        if self.state is ZoneState.RETURNING and state in (ZoneState.CUT, ZoneState.LOST):
+        if new_state not in TRANSITIONS[self.state]:
+            raise ValueError(f"a zone cannot go from {self.state.value!r} to {new_state.value!r}")
+        if self.state is ZoneState.RETURNING and new_state in (ZoneState.CUT, ZoneState.LOST):
             self.relapses += 1
-        if state is ZoneState.LOST:
-            self.cold = True
-        elif state is ZoneState.SOUND:
-            self.cold = False
-        self.state, self.since, self.pending = state, now, None
-        return state
-
-    def evidence(self, nodes: Mapping[NodeEvidence, int]) -> ZoneState:
+        if new_state is ZoneState.LOST:
+            self.was_lost = True
+        elif new_state is ZoneState.SOUND:
+            self.was_lost = False
+        self.state, self.state_since, self.pending = new_state, now, None
+        return new_state
+
+    def assess(self, nodes: Mapping[NodeEvidence, int]) -> ZoneState:
         """Returns the state that the numbers of nodes by evidence ask for: sound, cut or lost.
 
         Draining nodes do not count: otherwise a zone would look sound while most of its nodes drain and answer but its
@@ -128,17 +128,21 @@
             return ZoneState.SOUND
         return ZoneState.LOST if dead >= self.bounds.most * whole else ZoneState.CUT
 
-    def look(self, nodes: Mapping[NodeEvidence, int], now: int) -> ZoneState | None:
+    def update(self, nodes: Mapping[NodeEvidence, int], now: int) -> ZoneState | None:
         """Takes fresh evidence a few times a second and returns the new state where it changes.
 
         Evidence must hold for `hold` ns; that of the node list too, as lists can be wrong.
         """
-        found = self.evidence(nodes)
-        if self.state is ZoneState.RETURNING and now - self.since >= self.ramp and found is ZoneState.SOUND:
-            return self._change(ZoneState.SOUND, now)
-        if self.state is ZoneState.SOUND and self.relapses and now - self.since >= 2 * self.ramp:
+        found = self.assess(nodes)
+        if (
+            self.state is ZoneState.RETURNING
+            and now - self.state_since >= self.ramp_time
+            and found is ZoneState.SOUND
+        ):
+            return self._set_state(ZoneState.SOUND, now)
+        if self.state is ZoneState.SOUND and self.relapses and now - self.state_since >= 2 * self.ramp_time:
             self.relapses -= 1
-            self.since = now
+            self.state_since = now
         target = found
         if found is ZoneState.SOUND:
             target = ZoneState.RETURNING if self.state in (ZoneState.CUT, ZoneState.LOST) else self.state
@@ -149,90 +153,93 @@
             return None
         if self.pending is None or self.pending[0] is not target:
             self.pending = (target, now)
-        return self._change(target, now) if now - self.pending[1] >= self.bounds.hold else None
+        return self._set_state(target, now) if now - self.pending[1] >= self.bounds.hold else None
 
     @property
-    def ramp(self) -> int:
+    def ramp_time(self) -> int:
         """Time in which the zone gets its full share back, in ns.
 
         It is a quarter for a zone that was only cut off, as its nodes are warm, and doubles with each relapse.
         """
-        whole = self.bounds.ramp if self.cold else self.bounds.ramp // 4
+        whole = self.bounds.ramp if self.was_lost else self.bounds.ramp // 4
         return min(self.bounds.longest, whole << min(self.relapses, 10))
 
-    def share(self, now: int) -> float:
+    def traffic_share(self, now: int) -> float:
         """Returns the share of requests that may go to the zone, 0 to 1."""
         if self.state is ZoneState.SOUND:
             return 1.0
         if self.state is not ZoneState.RETURNING:
             return 0.0
-        return min(1.0, max(0.02, (now - self.since) / max(1, self.ramp)) ** 2)
+        return min(1.0, max(0.02, (now - self.state_since) / max(1, self.ramp_time)) ** 2)
 
 
 @dataclass
-class SpillWindow:
+class OverflowWindow:
     """Requests of this front in the present window, and how many of them overflowed to other zones."""
 
-    bounds: Bounds
-    sent: deque[tuple[int, bool]] = field(default_factory=deque)
+    bounds: ZonePreferenceBounds
+    requests: deque[tuple[int, bool]] = field(default_factory=deque)
     """Time in ns, and whether the request went to another zone."""
 
-    spilled: int = 0
+    overflowed: int = 0
     """Requests in the window that went to another zone."""
 
-    def _pass(self, now: int) -> None:
-        while self.sent and self.sent[0][0] <= now - self.bounds.window:
-            self.spilled -= self.sent.popleft()[1]
+    def _expire(self, now: int) -> None:
+        while self.requests and self.requests[0][0] <= now - self.bounds.window:
+            self.overflowed -= self.requests.popleft()[1]
 
-    def may(self, now: int) -> bool:
+    def allows_overflow(self, now: int) -> bool:
         """Returns whether one more request may go to another zone, itself counted in the window."""
-        self._pass(now)
-        return self.spilled + 1 <= self.bounds.spill * (len(self.sent) + 1)
+        self._expire(now)
+        return self.overflowed + 1 <= self.bounds.spill * (len(self.requests) + 1)
 
-    def asked(self, other: bool, now: int) -> None:
+    def record_request(self, is_overflow: bool, now: int) -> None:
         """Records a request and whether it went to another zone."""
-        self._pass(now)
-        self.sent.append((now, other))
-        self.spilled += other
+        self._expire(now)
+        self.requests.append((now, is_overflow))
+        self.overflowed += is_overflow
 
 
 class ZonePreference:
     """The zones of one front: their health, and which of them a request may go to."""
 
-    def __init__(self, tiers: Sequence[str], bounds: Bounds) -> None:
+    def __init__(self, zones: Sequence[str], bounds: ZonePreferenceBounds) -> None:
         """`zones` begins with the front's own, then come the others in order of preference."""
-        self.tiers, self.bounds = tuple(tiers), bounds
-        self.health = {zone: ZoneHealth(bounds) for zone in tiers}
-        self.spill = SpillWindow(bounds)
-        self.turned = 0
+        self.zones, self.bounds = tuple(zones), bounds
+        self.health = {zone: ZoneHealth(bounds) for zone in zones}
+        self.overflow = OverflowWindow(bounds)
+        self.rejected_count = 0
 
-    def look(
+    def update(
         self, nodes: Mapping[str, Mapping[NodeEvidence, int]], now: int
     ) -> list[tuple[str, ZoneState, ZoneState]]:
         """Takes fresh evidence of all zones and returns the changes as (zone, state before, state after)."""
         out = []
         for zone, health in self.health.items():
             before = health.state
-            if (after := health.look(nodes.get(zone, {}), now)) is not None:
+            if (after := health.update(nodes.get(zone, {}), now)) is not None:
                 out.append((zone, before, after))
         return out
 
-    def choose(self, loads: Mapping[str, float], draw: float, now: int) -> frozenset[str]:
+    def choose_zones(self, zone_loads: Mapping[str, float], draw: float, now: int) -> frozenset[str]:
         """Returns the zones that a request may go to, none where it is to be rejected.
 
         `zone_loads` gives the `zone_load` of each zone; `draw` is a random number from 0 to 1.
         """
-        own, *others = self.tiers
-        if draw < self.health[own].share(now) and loads.get(own, 0.0) <= self.bounds.room:
-            self.spill.asked(False, now)
+        own, *others = self.zones
+        if draw < self.health[own].traffic_share(now) and zone_loads.get(own, 0.0) <= self.bounds.room:
+            self.overflow.record_request(False, now)
             return frozenset({own})
-        if self.spill.may(now):
+        if self.overflow.allows_overflow(now):
             for zone in others:
-                if self.health[zone].state is ZoneState.SOUND and loads.get(zone, 0.0) <= self.bounds.room:
-                    self.spill.asked(True, now)
+                if (
+                    self.health[zone].state is ZoneState.SOUND
+                    and zone_loads.get(zone, 0.0) <= self.bounds.room
+                ):
+                    self.overflow.record_request(True, now)
                     return frozenset({zone})
-        self.spill.asked(False, now)
+        self.overflow.record_request(False, now)
         if self.health[own].state is ZoneState.SOUND:
             return frozenset({own})  # the own zone is full but in service, so the module decides
-        self.turned += 1
+        self.rejected_count += 1
         return frozenset()
--- a/oakcroft/decisions/sessions/answers.py
+++ b/oakcroft/decisions/sessions/answers.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from oakcroft.decisions.admission.request_limits import Over
+from oakcroft.decisions.admission.request_limits import LimitExceeded
 from oakcroft.interface import SECOND, Effect
 
 
-class Final(Enum):
+class FinalAnswer(Enum):
     """Result of a request for a playback."""
 
     PLAYS = "plays"
@@ -42,24 +42,24 @@
     """Status, problem type and title (RFC 9457), and the Retry-After in whole seconds if there is one."""
 
     status: int
-    kind: str
+    problem_type: str
     title: str
-    retry_after: int | None = None
-    retry: bool = True
+    retry_after_s: int | None = None
+    may_retry: bool = True
 
 
-def whole_seconds(stay_away: int) -> int | None:
+def retry_after_seconds(wait_ns: int) -> int | None:
     """Rounds a wait (ns) up to the whole seconds of Retry-After (RFC 9110 10.2.3); None for no wait."""
-    return -(-stay_away // SECOND) if stay_away > 0 else None
+    return -(-wait_ns // SECOND) if wait_ns > 0 else None
 
 
-def rejected(stay_away: int) -> Reply:
+def rejected_reply(wait_ns: int) -> Reply:
     """Returns the answer of a rejection by admission control. `wait_ns`: how long the client is to stay away."""
     title = "No room for this playback now"
-    return Reply(503, "urn:oakcroft:problem:rejected", title, whole_seconds(stay_away))
+    return Reply(503, "urn:oakcroft:problem:rejected", title, retry_after_seconds(wait_ns))
 
 
-def aborted(effect: Effect) -> Reply:
+def aborted_reply(effect: Effect) -> Reply:
     """Returns the answer of an abort by admission control."""
     paid = effect is Effect.PAID
     title = "A set-up may have run without an answer"
@@ -68,16 +68,16 @@
     )
 
 
-def over(limit: Over) -> Reply:
+def limit_reply(exceeded: LimitExceeded) -> Reply:
     """Returns the answer of a limit that is reached: 429 (RFC 6585 4).
 
     It has a Retry-After if the limit knows when it will have room.
     """
-    title = f"Limit {limit.limit} is reached: {limit.what}"
-    return Reply(429, "urn:oakcroft:problem:limit", title, whole_seconds(limit.back_after or 0))
+    title = f"Limit {exceeded.limit} is reached: {exceeded.detail}"
+    return Reply(429, "urn:oakcroft:problem:limit", title, retry_after_seconds(exceeded.retry_after_ns or 0))
 
 
-REFUSALS = {
+REFUSAL_REPLIES = {
     Refusal.BUSY: Reply(503, "urn:oakcroft:problem:busy", "Too many requests wait here", 1),
     Refusal.TOO_LATE: Reply(503, "urn:oakcroft:problem:too-late", "No time left to answer in", None),
     Refusal.DRAINING: Reply(503, "urn:oakcroft:problem:stopping", "This front is being stopped", 1),
--- a/oakcroft/decisions/sessions/client_session.py
+++ b/oakcroft/decisions/sessions/client_session.py
@@ -17,7 +17,7 @@
 T = TypeVar("T")
 
 
-class Standing(Enum):
+class ClientSessionState(Enum):
     """State of a client session."""
 
     ATTACHED = "a connection speaks for it"
@@ -27,34 +27,42 @@
     OVERRUN = "it was too far behind"
 
 
-FOLLOWS = {
-    Standing.ATTACHED: {Standing.DETACHED, Standing.LEFT, Standing.OVERRUN},
-    Standing.DETACHED: {Standing.ATTACHED, Standing.EXPIRED, Standing.OVERRUN},
-    Standing.LEFT: set[Standing](),
-    Standing.EXPIRED: set[Standing](),
-    Standing.OVERRUN: set[Standing](),
+NEXT_STATES = {
+    ClientSessionState.ATTACHED: {
+        ClientSessionState.DETACHED,
+        ClientSessionState.LEFT,
+        ClientSessionState.OVERRUN,
+    },
+    ClientSessionState.DETACHED: {
+        ClientSessionState.ATTACHED,
+        ClientSessionState.EXPIRED,
+        ClientSessionState.OVERRUN,
+    },
+    ClientSessionState.LEFT: set[ClientSessionState](),
+    ClientSessionState.EXPIRED: set[ClientSessionState](),
+    ClientSessionState.OVERRUN: set[ClientSessionState](),
 }
-ENDED = (Standing.LEFT, Standing.EXPIRED, Standing.OVERRUN)
+END_STATES = (ClientSessionState.LEFT, ClientSessionState.EXPIRED, ClientSessionState.OVERRUN)
 
 
 @dataclass
 class Outbox(Generic[T]):
     """Numbered messages that are not acknowledged, oldest first."""
 
-    most: int
+    capacity: int
     next_number: int = 1
-    kept: deque[tuple[int, T]] = field(default_factory=deque)
+    unacknowledged: deque[tuple[int, T]] = field(default_factory=deque)
 
-    def put(self, message: T) -> int | None:
+    def append(self, message: T) -> int | None:
         """Keeps a message and returns its number; None if the outbox is full."""
-        if len(self.kept) >= self.most:
+        if len(self.unacknowledged) >= self.capacity:
             return None
         number = self.next_number
         self.next_number += 1
-        self.kept.append((number, message))
+        self.unacknowledged.append((number, message))
         return number
 
-    def acknowledged(self, number: int) -> bool:
+    def acknowledge(self, number: int) -> bool:
         """Drops the messages up to a number, which the client has.
 
         False for a number that was never sent: a client that acknowledges it is faulty, and believing it
@@ -62,21 +70,21 @@
         """
         if number >= self.next_number:
             return False
-        while self.kept and self.kept[0][0] <= number:
-            self.kept.popleft()
+        while self.unacknowledged and self.unacknowledged[0][0] <= number:
+            self.unacknowledged.popleft()
         return True
 
-    def after(self, number: int) -> list[tuple[int, T]] | None:
+    def messages_after(self, number: int) -> list[tuple[int, T]] | None:
         """Returns the messages after a number; None if some of them are no longer kept."""
-        if number >= self.next_number or (self.kept and number + 1 < self.kept[0][0]):
+        if number >= self.next_number or (self.unacknowledged and number + 1 < self.unacknowledged[0][0]):
             return None
-        if not self.kept and number + 1 < self.next_number:
+        if not self.unacknowledged and number + 1 < self.next_number:
             return None
-        return [(n, m) for n, m in self.kept if n > number]
+        return [(n, m) for n, m in self.unacknowledged if n > number]
 
 
 @dataclass
-class Seat(Generic[T]):
+class ClientSession(Generic[T]):
     """One client's session: its outbox, its state and its connection. Times in ns.
 
     This guards against a dead connection that looks alive, which would hold its playbacks for ever, and
@@ -86,95 +94,97 @@
     playbacks though they would have come back.
     """
 
-    keep: int
+    resume_timeout: int
     outbox: Outbox[T]
-    standing: Standing = Standing.ATTACHED
+    state: ClientSessionState = ClientSessionState.ATTACHED
     connection: int = 0
-    since: int = 0
+    changed_at: int = 0
 
-    def _change(self, standing: Standing, now: int) -> None:
+    def _set_state(self, state: ClientSessionState, now: int) -> None:
         """Changes the state; the only place where it changes. Raises ValueError for an invalid step."""
-        if standing not in FOLLOWS[self.standing]:
-            raise ValueError(f"a seat cannot go from {self.standing.value!r} to {standing.value!r}")
-        self.standing, self.since = standing, now
+        if state not in NEXT_STATES[self.state]:
+            raise ValueError(f"a seat cannot go from {self.state.value!r} to {state.value!r}")
+        self.state, self.changed_at = state, now
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether it has ended for good."""
-        return self.standing in ENDED
+        return self.state in END_STATES
 
-    def put(self, message: T, now: int) -> int | None:
+    def enqueue(self, message: T, now: int) -> int | None:
         """Queues a message for the client and returns its number. `now`: ns.
 
         None if the session has ended, or ends because its outbox is full.
         """
-        if self.over:
+        if self.has_ended:
             return None
-        number = self.outbox.put(message)
+        number = self.outbox.append(message)
         if number is None:
-            self._change(Standing.OVERRUN, now)
+            self._set_state(ClientSessionState.OVERRUN, now)
         return number
 
-    def attach(self, connection: int, seen: int, now: int) -> tuple[list[tuple[int, T]], int | None] | None:
+    def attach(
+        self, connection: int, last_seen: int, now: int
+    ) -> tuple[list[tuple[int, T]], int | None] | None:
         """A connection resumes the session and names the last message that the client has. `now`: ns.
 
         Returns the messages that it lacks, and the connection that it replaces, if any; None if the session
         has ended or some of the messages are no longer kept.
         """
-        if self.over:
+        if self.has_ended:
             return None
-        missed = self.outbox.after(seen)
+        missed = self.outbox.messages_after(last_seen)
         if missed is None:
             return None
-        self.outbox.acknowledged(seen)
-        earlier = self.connection if self.standing is Standing.ATTACHED else None
-        if self.standing is Standing.DETACHED:
-            self._change(Standing.ATTACHED, now)
+        self.outbox.acknowledge(last_seen)
+        earlier = self.connection if self.state is ClientSessionState.ATTACHED else None
+        if self.state is ClientSessionState.DETACHED:
+            self._set_state(ClientSessionState.ATTACHED, now)
         self.connection = connection
         return missed, earlier
 
-    def detached(self, connection: int, now: int) -> bool:
+    def detach(self, connection: int, now: int) -> bool:
         """A connection broke; returns whether it was the session's connection. `now`: ns."""
-        if self.standing is not Standing.ATTACHED or connection != self.connection:
+        if self.state is not ClientSessionState.ATTACHED or connection != self.connection:
             return False
-        self._change(Standing.DETACHED, now)
+        self._set_state(ClientSessionState.DETACHED, now)
         return True
 
-    def left(self, connection: int, now: int) -> bool:
+    def leave(self, connection: int, now: int) -> bool:
         """A client said goodbye on a connection; returns whether it was the session's connection. `now`: ns."""
-        if self.standing is not Standing.ATTACHED or connection != self.connection:
+        if self.state is not ClientSessionState.ATTACHED or connection != self.connection:
             return False
-        self._change(Standing.LEFT, now)
+        self._set_state(ClientSessionState.LEFT, now)
         return True
 
-    def look(self, now: int) -> bool:
+    def check_expiry(self, now: int) -> bool:
         """Ends the session if its time to come back is over; True if this call ended it. `now`: ns."""
-        if self.standing is Standing.DETACHED and now - self.since > self.keep:
-            self._change(Standing.EXPIRED, now)
+        if self.state is ClientSessionState.DETACHED and now - self.changed_at > self.resume_timeout:
+            self._set_state(ClientSessionState.EXPIRED, now)
             return True
         return False
 
 
 @dataclass
-class Pulse:
+class KeepaliveProbe:
     """Keepalive of one connection, by pings.
 
     A ping is sent when nothing arrived for `interval` ns. The connection counts as dead when two pings in a
     row stay without an answer.
     """
 
-    every: int = 30 * SECOND
-    asked: int = 0
+    interval: int = 30 * SECOND
+    unanswered_pings: int = 0
 
-    def heard(self) -> None:
+    def message_received(self) -> None:
         """A message arrived."""
-        self.asked = 0
+        self.unanswered_pings = 0
 
-    def quiet(self) -> None:
+    def ping_sent(self) -> None:
         """Nothing arrived for `interval`: a ping is sent."""
-        self.asked += 1
+        self.unanswered_pings += 1
 
     @property
-    def dead(self) -> bool:
+    def is_dead(self) -> bool:
         """Whether the connection counts as dead."""
-        return self.asked > 2
+        return self.unanswered_pings > 2
--- a/oakcroft/decisions/sessions/event_stream_health.py
+++ b/oakcroft/decisions/sessions/event_stream_health.py
@@ -10,26 +10,26 @@
 from enum import Enum
 
 
-class Life(Enum):
+class StreamState(Enum):
     """State of a node's event stream."""
 
-    UNTRIED = "untried"
-    HEARD = "heard"
+    UNOPENED = "untried"
+    ALIVE = "heard"
     SILENT = "silent"
     LOST = "lost"
 
 
-class Break(Enum):
+class StreamBreak(Enum):
     """Why a stream ended or could not be opened."""
 
     REFUSED = "connection refused"
     RESET = "connection reset"
     CLOSED = "ended in order"
-    UNANSWERED = "no answer in time"
-    GONE = "the node knows no session of this front"
+    TIMED_OUT = "no answer in time"
+    SESSIONS_UNKNOWN = "the node knows no session of this front"
 
 
-class Loss(Enum):
+class LossCertainty(Enum):
     """How certain the loss of a node's playbacks is."""
 
     PROVEN = "its process is gone"
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True)
-class Patience:
+class StreamTimeouts:
     """Timeouts of an event stream: how long without a message counts as silent, and as lost. Times in ns."""
 
     silent_after: int
     lost_after: int
 
 
-class Lifeline:
+class EventStreamHealth:
     """Health of the event stream from one node to one front end.
 
     This guards against playbacks that are kept as playing on a node that died, which would hold places, and
@@ -61,68 +61,68 @@
     would have played on.
     """
 
-    def __init__(self, patience: Patience, now: int) -> None:
+    def __init__(self, timeouts: StreamTimeouts, now: int) -> None:
         """Starts with a stream that was never opened. `now`: ns."""
-        self.patience, self.state = patience, Life.UNTRIED
-        self.process, self.last_heard, self.broken_at, self.refusals = "", now, 0, 0
-        self.how: Loss | None = None  # certainty of the loss, until the node is heard again
+        self.timeouts, self.state = timeouts, StreamState.UNOPENED
+        self.process, self.last_heard_at, self.broken_at, self.refusals = "", now, 0, 0
+        self.loss: LossCertainty | None = None  # certainty of the loss, until the node is heard again
 
-    def _change(self, state: Life) -> bool:
+    def _set_state(self, state: StreamState) -> bool:
         """Changes the state; True if it is another. The only place where the state changes."""
         changed, self.state = self.state is not state, state
         return changed
 
-    def wanted(self, now: int) -> None:
+    def start(self, now: int) -> None:
         """Silence counts from now on, not from when the node was first listed. `now`: ns."""
-        if self.state in (Life.UNTRIED, Life.LOST):
-            self._change(Life.UNTRIED)
-            self.last_heard, self.broken_at, self.refusals = now, 0, 0
+        if self.state in (StreamState.UNOPENED, StreamState.LOST):
+            self._set_state(StreamState.UNOPENED)
+            self.last_heard_at, self.broken_at, self.refusals = now, 0, 0
 
-    def opened(self, process: str, now: int) -> Loss | None:
+    def stream_opened(self, process: str, now: int) -> LossCertainty | None:
         """The stream is open and names the node's process; a loss if that is another than before. `now`: ns."""
         another = bool(self.process) and process != self.process
-        self.process, self.last_heard, self.broken_at, self.refusals = process, now, 0, 0
-        self.how = None
-        self._change(Life.HEARD)
-        return Loss.PROVEN if another else None
+        self.process, self.last_heard_at, self.broken_at, self.refusals = process, now, 0, 0
+        self.loss = None
+        self._set_state(StreamState.ALIVE)
+        return LossCertainty.PROVEN if another else None
 
-    def beat(self, now: int) -> None:
+    def message_received(self, now: int) -> None:
         """A message arrived on the stream. `now`: ns."""
-        self.last_heard, self.broken_at = now, 0
-        self._change(Life.HEARD)
+        self.last_heard_at, self.broken_at = now, 0
+        self._set_state(StreamState.ALIVE)
 
-    def broke(self, why: Break, now: int) -> Loss | None:
+    def stream_broken(self, cause: StreamBreak, now: int) -> LossCertainty | None:
         """The stream ended or could not be opened; returns the loss of the playbacks, if it proves one."""
-        if self.state is Life.LOST:
+        if self.state is StreamState.LOST:
             return None
         self.broken_at = self.broken_at or now
-        self.refusals = self.refusals + 1 if why is Break.REFUSED else 0
-        if why is Break.GONE or self.refusals >= 2:
-            return self._lose(Loss.PROVEN)
-        self._change(Life.SILENT)
-        return self.look(now)
+        self.refusals = self.refusals + 1 if cause is StreamBreak.REFUSED else 0
+        if cause is StreamBreak.SESSIONS_UNKNOWN or self.refusals >= 2:
+            return self._mark_lost(LossCertainty.PROVEN)
+        self._set_state(StreamState.SILENT)
+        return self.check(now)
 
-    def stood(self, for_ns: int) -> None:
+    def discount_pause(self, pause_ns: int) -> None:
         """Discounts a pause of the front end, during which the node could not be heard.
 
         This guards against a front end that ends all its playbacks after a pause longer than `lost_after`.
         """
-        self.last_heard += for_ns
+        self.last_heard_at += pause_ns
         if self.broken_at:
-            self.broken_at += for_ns
+            self.broken_at += pause_ns
 
-    def look(self, now: int) -> Loss | None:
+    def check(self, now: int) -> LossCertainty | None:
         """Checks the timeouts; returns the loss of the playbacks, if they have passed. `now`: ns."""
-        if self.state is Life.LOST:
+        if self.state is StreamState.LOST:
             return None
-        if now - self.last_heard > self.patience.silent_after:
-            self._change(Life.SILENT)
-        since = self.broken_at or self.last_heard
-        return self._lose(Loss.PRESUMED) if now - since > self.patience.lost_after else None
+        if now - self.last_heard_at > self.timeouts.silent_after:
+            self._set_state(StreamState.SILENT)
+        since = self.broken_at or self.last_heard_at
+        return self._mark_lost(LossCertainty.PRESUMED) if now - since > self.timeouts.lost_after else None
 
-    def _lose(self, how: Loss) -> Loss | None:
+    def _mark_lost(self, loss: LossCertainty) -> LossCertainty | None:
         """Marks the node as lost; returns the loss unless it was marked before."""
-        if how is Loss.PROVEN:
+        if loss is LossCertainty.PROVEN:
             self.process = ""
-        self.refusals, self.how = 0, how
-        return how if self._change(Life.LOST) else None
+        self.refusals, self.loss = 0, loss
+        return loss if self._set_state(StreamState.LOST) else None
--- a/oakcroft/decisions/sessions/idempotency.py
+++ b/oakcroft/decisions/sessions/idempotency.py
@@ -13,31 +13,31 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from oakcroft.decisions.sessions.answers import Final, Refusal
+from oakcroft.decisions.sessions.answers import FinalAnswer, Refusal
 
 
-class Turn(Enum):
+class KeyDecision(Enum):
     """What to do with a request."""
 
     NEW = "begin"
-    AGAIN = "give the first answer again"
+    REPLAY = "give the first answer again"
     REFUSE = "refuse"
 
 
 @dataclass
-class Known:
+class KeyRecord:
     """What is kept of one key. `updated_at`: ns."""
 
-    about: str  # title, plan and a digest of the offer; a repeat must have the same
-    since: int
-    paid: bool
-    final: Final | None = None
-    playing: bool = False
+    fingerprint: str  # title, plan and a digest of the offer; a repeat must have the same
+    updated_at: int
+    is_paid: bool
+    final: FinalAnswer | None = None
+    is_playing: bool = False
     answer: object = None
-    given: bool = False  # to a later request
+    was_replayed: bool = False  # to a later request
 
 
-class Repeats:
+class IdempotencyStore:
     """The keys of one front end, a bounded number, oldest dropped first.
 
     When the store is full, the oldest key that binds nothing is evicted: it has an answer, no running
@@ -46,113 +46,117 @@
     one must not be begun.
     """
 
-    def __init__(self, most: int, keep: int) -> None:
+    def __init__(self, capacity: int, retention: int) -> None:
         """Starts without keys. `retention`: how long a key is kept, ns."""
-        self.most, self.keep = most, keep
-        self.known: OrderedDict[str, Known] = OrderedDict()
-        self.loose: OrderedDict[str, None] = OrderedDict()  # keys that bind nothing, oldest first
+        self.capacity, self.retention = capacity, retention
+        self.records: OrderedDict[str, KeyRecord] = OrderedDict()
+        self.evictable: OrderedDict[str, None] = OrderedDict()  # keys that bind nothing, oldest first
 
-    def turn(self, key: str, about: str, now: int) -> tuple[Turn, Refusal | None, object]:
+    def decide(self, key: str, fingerprint: str, now: int) -> tuple[KeyDecision, Refusal | None, object]:
         """Decides on a request with a key; returns the refusal or the answer to give with it. `now`: ns."""
-        self._forget(now)
-        known = self.known.get(key)
+        self._expire(now)
+        known = self.records.get(key)
         if known is None:
-            return Turn.NEW, None, None
-        if known.about != about:
-            return Turn.REFUSE, Refusal.KEY_REUSED, None
+            return KeyDecision.NEW, None, None
+        if known.fingerprint != fingerprint:
+            return KeyDecision.REFUSE, Refusal.KEY_REUSED, None
         if known.final is None:
-            return Turn.REFUSE, Refusal.OUTSTANDING, None
-        if self._again(known):
-            known.given = known.given or known.final is Final.ABORTED
-            return Turn.AGAIN, None, known.answer
-        return Turn.NEW, None, None
+            return KeyDecision.REFUSE, Refusal.OUTSTANDING, None
+        if self._must_replay(known):
+            known.was_replayed = known.was_replayed or known.final is FinalAnswer.ABORTED
+            return KeyDecision.REPLAY, None, known.answer
+        return KeyDecision.NEW, None, None
 
-    def answered(self, key: str) -> bool:
+    def has_replay(self, key: str) -> bool:
         """Whether a request with this key gets an answer that is kept."""
-        known = self.known.get(key)
-        return known is not None and self._again(known)
+        known = self.records.get(key)
+        return known is not None and self._must_replay(known)
 
     @staticmethod
-    def _again(known: Known) -> bool:
+    def _must_replay(record: KeyRecord) -> bool:
         """Whether a request must not run again: it plays, or is paid and may have run."""
-        return (known.final is Final.PLAYS and (known.playing or known.paid)) or (
-            known.final is Final.ABORTED and known.paid
+        return (record.final is FinalAnswer.PLAYS and (record.is_playing or record.is_paid)) or (
+            record.final is FinalAnswer.ABORTED and record.is_paid
         )
 
-    def begin(self, key: str, about: str, paid: bool, now: int) -> bool:
+    def begin(self, key: str, fingerprint: str, is_paid: bool, now: int) -> bool:
         """A request with this key has become a playback; False if there is no room for the key. `now`: ns."""
-        self._forget(now)
+        self._expire(now)
         self._drop(key)
-        if len(self.known) >= self.most and not self._make_room():
+        if len(self.records) >= self.capacity and not self._evict_oldest():
             return False
-        self.known[key] = Known(about, now, paid)
+        self.records[key] = KeyRecord(fingerprint, now, is_paid)
         return True
 
-    def settled(self, key: str, final: Final, answer: object, now: int) -> None:
+    def record_answer(self, key: str, final: FinalAnswer, answer: object, now: int) -> None:
         """Keeps the final answer of a request. `now`: ns."""
-        if known := self.known.get(key):
-            known.final, known.answer, known.since = final, answer, now
-            known.playing = final is Final.PLAYS
-            self.known.move_to_end(key)
-            self._loosen(key, known)
+        if known := self.records.get(key):
+            known.final, known.answer, known.updated_at = final, answer, now
+            known.is_playing = final is FinalAnswer.PLAYS
+            self.records.move_to_end(key)
+            self._update_evictable(key, known)
 
-    def ended(self, key: str, answer: object, now: int) -> None:
+    def playback_ended(self, key: str, answer: object, now: int) -> None:
         """The playback of an answer is over. `now`: ns.
 
         A later request with the key of a free playback is a new one. The end of an earlier playback under the
         same key may come late; it does not end the later one.
         """
-        known = self.known.get(key)
-        if known is not None and known.playing and known.answer is answer:
-            known.playing, known.since = False, now
-            self.known.move_to_end(key)
-            self._loosen(key, known)
-
-    def recall(self, key: str, about: str, paid: bool, final: Final, answer: object, now: int) -> None:
+        known = self.records.get(key)
+        if known is not None and known.is_playing and known.answer is answer:
+            known.is_playing, known.updated_at = False, now
+            self.records.move_to_end(key)
+            self._update_evictable(key, known)
+
+    def restore(
+        self, key: str, fingerprint: str, is_paid: bool, final: FinalAnswer, answer: object, now: int
+    ) -> None:
         """Restores an answer that an earlier process of this front end gave. `now`: ns."""
-        if key not in self.known and (len(self.known) < self.most or self._make_room()):
-            known = self.known[key] = Known(about, now, paid, final, final is Final.PLAYS, answer)
-            self._loosen(key, known)
+        if key not in self.records and (len(self.records) < self.capacity or self._evict_oldest()):
+            known = self.records[key] = KeyRecord(
+                fingerprint, now, is_paid, final, final is FinalAnswer.PLAYS, answer
+            )
+            self._update_evictable(key, known)
 
     def forget(self, key: str) -> bool:
         """Drops a key whose set-up provably never ran, so that a request with it is a new one.
 
         False, and nothing changes, if its answer has been given again already.
         """
-        known = self.known.get(key)
-        if known is not None and known.given:
+        known = self.records.get(key)
+        if known is not None and known.was_replayed:
             return False
         self._drop(key)
         return True
 
-    def _forget(self, now: int) -> None:
+    def _expire(self, now: int) -> None:
         """Drops keys past their retention; those in progress or playing stay."""
-        while self.known:
-            key, first = next(iter(self.known.items()))
-            if first.final is None or first.playing:
-                if now - first.since <= self.keep:
+        while self.records:
+            key, first = next(iter(self.records.items()))
+            if first.final is None or first.is_playing:
+                if now - first.updated_at <= self.retention:
                     return
-                first.since = now  # still in progress or playing: moves to the end of the queue
-                self.known.move_to_end(key)
-            elif now - first.since > self.keep:
+                first.updated_at = now  # still in progress or playing: moves to the end of the queue
+                self.records.move_to_end(key)
+            elif now - first.updated_at > self.retention:
                 self._drop(key)
             else:
                 return
 
     def _drop(self, key: str) -> None:
         """Drops a key."""
-        self.known.pop(key, None)
-        self.loose.pop(key, None)
+        self.records.pop(key, None)
+        self.evictable.pop(key, None)
 
-    def _loosen(self, key: str, known: Known) -> None:
+    def _update_evictable(self, key: str, record: KeyRecord) -> None:
         """Updates whether a key may be evicted."""
-        self.loose.pop(key, None)
-        if known.final is not None and not self._again(known):
-            self.loose[key] = None
+        self.evictable.pop(key, None)
+        if record.final is not None and not self._must_replay(record):
+            self.evictable[key] = None
 
-    def _make_room(self) -> bool:
+    def _evict_oldest(self) -> bool:
         """Evicts the oldest key that may be; False if there is none."""
-        if not self.loose:
+        if not self.evictable:
             return False
-        self._drop(next(iter(self.loose)))
+        self._drop(next(iter(self.evictable)))
         return True
--- a/oakcroft/decisions/sessions/node_sessions.py
+++ b/oakcroft/decisions/sessions/node_sessions.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 
-class Claims:
+class NodeSessions:
     """The sessions of this front end on one node, by the path of their resource.
 
     This guards against orphans. A session that the node started for this front end and that no try has
@@ -24,79 +24,79 @@
     buffers, so pauses are not counted (`discount_pause`).
     """
 
-    def __init__(self, claim_within: int, most: int = 4096) -> None:
+    def __init__(self, claim_timeout: int, max_unclaimed: int = 4096) -> None:
         """Starts without sessions. `claim_timeout`: ns."""
-        self.claim_within, self.most = claim_within, most
-        self.mine: dict[str, int] = {}  # claimed sessions and the times of their claims, ns
+        self.claim_timeout, self.max_unclaimed = claim_timeout, max_unclaimed
+        self.claimed: dict[str, int] = {}  # claimed sessions and the times of their claims, ns
         self.unclaimed: OrderedDict[str, int] = OrderedDict()  # sessions that the node reported, and when, ns
-        self.ended_early: OrderedDict[str, None] = OrderedDict()  # ended before they were claimed
+        self.ended_unclaimed: OrderedDict[str, None] = OrderedDict()  # ended before they were claimed
 
     def claim(self, session: str, now: int) -> bool:
         """Claims the session that a try returned; False if the node has reported its end already. `now`: ns."""
         self.unclaimed.pop(session, None)
-        if session in self.ended_early:
-            del self.ended_early[session]
+        if session in self.ended_unclaimed:
+            del self.ended_unclaimed[session]
             return False
-        self.mine[session] = now
+        self.claimed[session] = now
         return True
 
-    def started(self, session: str, now: int) -> None:
+    def session_started(self, session: str, now: int) -> None:
         """The node reports that it started a session for this front end. `now`: ns."""
-        if session not in self.mine and session not in self.ended_early:
+        if session not in self.claimed and session not in self.ended_unclaimed:
             self.unclaimed.setdefault(session, now)
 
-    def ended(self, session: str) -> bool:
+    def session_ended(self, session: str) -> bool:
         """The node reports the end of a session; returns whether it was claimed."""
         self.unclaimed.pop(session, None)
-        if self.mine.pop(session, None) is not None:
+        if self.claimed.pop(session, None) is not None:
             return True
-        self.ended_early[session] = None
-        while len(self.ended_early) > self.most:
-            self.ended_early.popitem(last=False)
+        self.ended_unclaimed[session] = None
+        while len(self.ended_unclaimed) > self.max_unclaimed:
+            self.ended_unclaimed.popitem(last=False)
         return False
 
-    def drop(self, session: str) -> None:
+    def session_released(self, session: str) -> None:
         """This front end ended a session itself."""
-        self.mine.pop(session, None)
+        self.claimed.pop(session, None)
         self.unclaimed.pop(session, None)
 
-    def told(self, sessions: Iterable[str], as_of: int, now: int) -> list[str]:
+    def reconcile(self, sessions: Iterable[str], requested_at: int, now: int) -> list[str]:
         """Takes the node's list of all sessions of this front end; returns the claimed ones that it lacks.
 
         `requested_at`: when the list was requested, ns. A session claimed since then may be missing from the
         list and play all the same, because it began between the node's report and the report's arrival.
         """
         running = set(sessions)
-        lost = [s for s, since in self.mine.items() if s not in running and since < as_of]
+        lost = [s for s, since in self.claimed.items() if s not in running and since < requested_at]
         for session in lost:
-            del self.mine[session]
+            del self.claimed[session]
         for session in sorted(running):
-            self.started(session, now)
+            self.session_started(session, now)
         return lost
 
-    def orphans(self, now: int) -> list[str]:
+    def take_orphans(self, now: int) -> list[str]:
         """Returns the sessions to end now, each of them once. `now`: ns."""
         out = []
         while self.unclaimed:
             session, since = next(iter(self.unclaimed.items()))
-            if now - since <= self.claim_within and len(self.unclaimed) <= self.most:
+            if now - since <= self.claim_timeout and len(self.unclaimed) <= self.max_unclaimed:
                 break
             del self.unclaimed[session]
             out.append(session)
         return out
 
-    def stood(self, for_ns: int) -> None:
+    def discount_pause(self, pause_ns: int) -> None:
         """Discounts a pause of the front end: it counts against no unclaimed session."""
         for session in self.unclaimed:
-            self.unclaimed[session] += for_ns
+            self.unclaimed[session] += pause_ns
 
-    def presumed(self) -> list[str]:
+    def claimed_sessions(self) -> list[str]:
         """Returns the claimed sessions; on a silent node they stay claimed until their end is known."""
-        return list(self.mine)
+        return list(self.claimed)
 
-    def all_lost(self) -> list[str]:
+    def lose_all(self) -> list[str]:
         """The node is lost: forgets all sessions and returns the claimed ones."""
-        lost, self.mine = list(self.mine), {}
+        lost, self.claimed = list(self.claimed), {}
         self.unclaimed.clear()
-        self.ended_early.clear()
+        self.ended_unclaimed.clear()
         return lost
--- a/oakcroft/decisions/sessions/release_delivery.py
+++ b/oakcroft/decisions/sessions/release_delivery.py
@@ -12,7 +12,7 @@
 
 from oakcroft.interface import MS
 
-CONFIRMED_WITHIN = 200 * MS
+CONFIRM_TIMEOUT_NS = 200 * MS
 """Time for a confirmation: a round trip and the viewer's own processing.
 
 With `MAX_ATTEMPTS` the last attempt is sent after 0.6 s, within the second in which an end must be sent.
@@ -31,9 +31,9 @@
     - `session_count`: live sessions whose set-up arrived on it.
     """
 
-    own: bool
+    carried_setup: bool
     has_served: bool
-    sessions: int
+    session_count: int
 
 
 def target_order(target: ReleaseTarget) -> tuple[bool, bool, bool]:
@@ -42,7 +42,7 @@
     This guards against releases that go to clients which are no viewers. On a day with a crowd, none of 231
     releases sent on connections that had never been served was confirmed, and all of 1,813 on others were.
     """
-    return not target.own, not target.has_served, not target.sessions
+    return not target.carried_setup, not target.has_served, not target.session_count
 
 
 @dataclass
@@ -72,7 +72,7 @@
         """Whether a session's release is unconfirmed."""
         return session in self._attempts
 
-    def sent(self, session: str, now: int) -> None:
+    def record_sent(self, session: str, now: int) -> None:
         """Notes that a release was sent, for the first time or again. `now`: ns."""
         attempt = self._attempts.setdefault(session, _Attempt(now, 0))
         attempt.sent_at = now
@@ -80,7 +80,7 @@
         if len(self._attempts) > MAX_UNCONFIRMED:
             self._attempts.popitem(last=False)
 
-    def confirmed(self, session: str) -> None:
+    def confirm(self, session: str) -> None:
         """Notes that a viewer has confirmed a release; unknown ones are ignored."""
         self._attempts.pop(session, None)
 
@@ -88,7 +88,7 @@
         """Returns the releases to send again; drops those without attempts left. `now`: ns."""
         again = []
         for session, attempt in list(self._attempts.items()):
-            if now - attempt.sent_at < CONFIRMED_WITHIN:
+            if now - attempt.sent_at < CONFIRM_TIMEOUT_NS:
                 continue
             if attempt.attempts < MAX_ATTEMPTS:
                 again.append(session)
--- a/oakcroft/decisions/sessions/setup_outcome.py
+++ b/oakcroft/decisions/sessions/setup_outcome.py
@@ -12,69 +12,72 @@
 
 from oakcroft.interface import Outcome
 
-FULL_TYPE = "urn:oakcroft:problem:full"
+PROBLEM_FULL = "urn:oakcroft:problem:full"
 """Problem type (RFC 9457) of a node that rejected a set-up before any work, since it is full."""
 
-DRAINING_TYPE = "urn:oakcroft:problem:draining"
+PROBLEM_DRAINING = "urn:oakcroft:problem:draining"
 """Problem type (RFC 9457) of a node that rejected a set-up before any work, since it is draining."""
 
 
-class Stage(Enum):
+class RequestStage(Enum):
     """How far a request has got."""
 
-    WAITING = "waiting for its turn"
+    QUEUED = "waiting for its turn"
     CONNECTING = "connecting"
-    OPEN = "connected, nothing written"
-    WRITING = "written in part"
+    CONNECTED = "connected, nothing written"
+    PARTLY_WRITTEN = "written in part"
     WRITTEN = "written whole"
-    HEADED = "answer begun"
-    READ = "answer read whole"
+    RESPONSE_STARTED = "answer begun"
+    RESPONSE_READ = "answer read whole"
 
 
-class End(Enum):
+class RequestEnd(Enum):
     """How a request ended."""
 
     ANSWERED = "answered"
     UNREACHED = "no connection"
-    BROKEN = "connection broken"
-    GARBLED = "answer not understood"
-    TIME_UP = "time up"
+    CONNECTION_LOST = "connection broken"
+    INVALID_RESPONSE = "answer not understood"
+    TIMED_OUT = "time up"
     WITHDRAWN = "withdrawn"
 
 
-FOLLOWS = {
-    Stage.WAITING: {Stage.CONNECTING, Stage.OPEN},
-    Stage.CONNECTING: {Stage.OPEN},
-    Stage.OPEN: {Stage.WRITING},
-    Stage.WRITING: {Stage.WRITTEN, Stage.HEADED},  # a node may answer before it has read the whole request
-    Stage.WRITTEN: {Stage.HEADED},
-    Stage.HEADED: {Stage.READ},
-    Stage.READ: set[Stage](),
+NEXT_STAGES = {
+    RequestStage.QUEUED: {RequestStage.CONNECTING, RequestStage.CONNECTED},
+    RequestStage.CONNECTING: {RequestStage.CONNECTED},
+    RequestStage.CONNECTED: {RequestStage.PARTLY_WRITTEN},
+    RequestStage.PARTLY_WRITTEN: {
+        RequestStage.WRITTEN,
+        RequestStage.RESPONSE_STARTED,
+    },  # a node may answer before it has read the whole request
+    RequestStage.WRITTEN: {RequestStage.RESPONSE_STARTED},
+    RequestStage.RESPONSE_STARTED: {RequestStage.RESPONSE_READ},
+    RequestStage.RESPONSE_READ: set[RequestStage](),
 }
-UNTOUCHED = {Stage.WAITING, Stage.CONNECTING, Stage.OPEN}
+UNSENT_STAGES = {RequestStage.QUEUED, RequestStage.CONNECTING, RequestStage.CONNECTED}
 
 
 @dataclass
-class Trail:
+class RequestProgress:
     """Progress of one request: its stage, and the status and problem type of the response once there is one."""
 
-    stage: Stage = Stage.WAITING
+    stage: RequestStage = RequestStage.QUEUED
     status: int = 0
-    problem: str = ""
-    stages: list[Stage] = field(default_factory=lambda: [Stage.WAITING])
+    problem_type: str = ""
+    history: list[RequestStage] = field(default_factory=lambda: [RequestStage.QUEUED])
 
-    def reach(self, stage: Stage) -> None:
+    def advance(self, stage: RequestStage) -> None:
         """Moves to the next stage; the only place where the stage changes.
 
         Raises ValueError for a step that cannot happen on a connection.
         """
-        if stage not in FOLLOWS[self.stage]:
+        if stage not in NEXT_STAGES[self.stage]:
             raise ValueError(f"a try cannot go from {self.stage.value!r} to {stage.value!r}")
         self.stage = stage
-        self.stages.append(stage)
+        self.history.append(stage)
 
 
-def outcome(trail: Trail, end: End) -> Outcome:
+def setup_outcome(progress: RequestProgress, end: RequestEnd) -> Outcome:
     """Returns the outcome of a setup try for admission control.
 
     This guards against a paid playback that is set up twice: only what the connection proves counts as never
@@ -84,30 +87,30 @@
 
     Raises ValueError for an answer that was not read whole.
     """
-    if end is End.ANSWERED:
-        if trail.stage is not Stage.READ:
+    if end is RequestEnd.ANSWERED:
+        if progress.stage is not RequestStage.RESPONSE_READ:
             raise ValueError("an answer is whole only once it is read")
-        return _answered(trail)
-    if end is End.UNREACHED or (end is End.BROKEN and trail.stage in UNTOUCHED):
+        return _answered_outcome(progress)
+    if end is RequestEnd.UNREACHED or (end is RequestEnd.CONNECTION_LOST and progress.stage in UNSENT_STAGES):
         return Outcome.NO_CONNECTION
-    if end is End.TIME_UP:
-        if trail.stage is Stage.CONNECTING:
+    if end is RequestEnd.TIMED_OUT:
+        if progress.stage is RequestStage.CONNECTING:
             return Outcome.NO_CONNECTION
-        return Outcome.NOT_SENT if trail.stage in UNTOUCHED else Outcome.LATE
-    if end is End.WITHDRAWN:
-        return Outcome.NOT_SENT if trail.stage in UNTOUCHED else Outcome.WITHDRAWN
-    return Outcome.ERROR if end is End.GARBLED else Outcome.RESET
+        return Outcome.NOT_SENT if progress.stage in UNSENT_STAGES else Outcome.LATE
+    if end is RequestEnd.WITHDRAWN:
+        return Outcome.NOT_SENT if progress.stage in UNSENT_STAGES else Outcome.WITHDRAWN
+    return Outcome.ERROR if end is RequestEnd.INVALID_RESPONSE else Outcome.RESET
 
 
-def _answered(trail: Trail) -> Outcome:
+def _answered_outcome(progress: RequestProgress) -> Outcome:
     """Returns the outcome of a whole response."""
-    if trail.status == 201:
+    if progress.status == 201:
         return Outcome.DONE
-    if trail.status == 503 and trail.problem in (FULL_TYPE, DRAINING_TYPE):
+    if progress.status == 503 and progress.problem_type in (PROBLEM_FULL, PROBLEM_DRAINING):
         return Outcome.FULL
     return Outcome.ERROR
 
 
-def never_ran(result: Outcome) -> bool:
+def proves_not_run(result: Outcome) -> bool:
     """Whether an outcome proves that nothing ran."""
     return result in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
--- a/oakcroft/decisions/state/promise.py
+++ b/oakcroft/decisions/state/promise.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.sessions.setup_outcome import never_ran
+from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.decisions.sessions.setup_outcome import proves_not_run
 from oakcroft.interface import Effect, Outcome, Plan
 
 
-class Mark(Enum):
+class PromiseState(Enum):
     """State of a promise. Promises are stored with the names of the members."""
 
     INTENT = "may have been sent"
@@ -25,12 +25,12 @@
     GONE = "over, and nothing of it binds"
 
 
-FOLLOWS = {
-    None: {Mark.INTENT, Mark.PLAYS},
-    Mark.INTENT: {Mark.INTENT, Mark.PLAYS, Mark.ABORTED, Mark.GONE},
-    Mark.PLAYS: {Mark.PLAYS, Mark.ABORTED, Mark.GONE},
-    Mark.ABORTED: {Mark.GONE},
-    Mark.GONE: set[Mark](),
+NEXT_STATES = {
+    None: {PromiseState.INTENT, PromiseState.PLAYS},
+    PromiseState.INTENT: {PromiseState.INTENT, PromiseState.PLAYS, PromiseState.ABORTED, PromiseState.GONE},
+    PromiseState.PLAYS: {PromiseState.PLAYS, PromiseState.ABORTED, PromiseState.GONE},
+    PromiseState.ABORTED: {PromiseState.GONE},
+    PromiseState.GONE: set[PromiseState](),
 }
 
 
@@ -55,7 +55,7 @@
     token: str
     written: int
     abandon: int
-    mark: Mark = Mark.INTENT
+    mark: PromiseState = PromiseState.INTENT
     node: str = ""
     process: str = ""  # the node's process, if its event stream had named it
     sent_at: int = 0
@@ -69,25 +69,25 @@
     seated: bool = False  # it belongs to a client session of the session API, and ends with it
 
     @property
-    def binds(self) -> bool:
+    def must_not_repeat(self) -> bool:
         """Whether a second set-up would have an effect of its own, so that none may be made."""
         return self.effect != Effect.FREE.value
 
 
-def step(promise: Promise | None, to: Promise) -> Promise:
+def transition(promise: Promise | None, changed: Promise) -> Promise:
     """Returns a promise after a change of its state; the only place where the state changes.
 
     Raises ValueError for an invalid step.
     """
     mark = promise.mark if promise is not None else None
-    if to.mark not in FOLLOWS[mark]:
+    if changed.mark not in NEXT_STATES[mark]:
         raise ValueError(
-            f"a promise cannot go from {mark.value if mark else 'nothing'!r} to {to.mark.value!r}"
+            f"a promise cannot go from {mark.value if mark else 'nothing'!r} to {changed.mark.value!r}"
         )
-    return to
+    return changed
 
 
-def waits_for_record(plan: Plan) -> bool:
+def needs_durable_intent(plan: Plan) -> bool:
     """Whether a set-up of this plan may be sent only after its intent is durable."""
     return plan.effect is not Effect.FREE or plan.seats > 0
 
@@ -97,22 +97,22 @@
 
     Proof that the try never ran withdraws the intent; any other outcome leaves it in force.
     """
-    if promise.mark is Mark.INTENT and never_ran(outcome):
-        return replace(promise, mark=Mark.GONE, changed=now)
+    if promise.mark is PromiseState.INTENT and proves_not_run(outcome):
+        return replace(promise, mark=PromiseState.GONE, changed=now)
     return promise
 
 
-def after_answer(promise: Promise, final: Final, now: int) -> Promise:
+def after_answer(promise: Promise, final: FinalAnswer, now: int) -> Promise:
     """Returns the promise after its final answer; an abort of a free plan binds nothing. `now`: ns."""
-    if final is Final.PLAYS:
-        return replace(promise, mark=Mark.PLAYS, changed=now)
-    binds = final is Final.ABORTED and promise.binds
-    return replace(promise, mark=Mark.ABORTED if binds else Mark.GONE, changed=now)
+    if final is FinalAnswer.PLAYS:
+        return replace(promise, mark=PromiseState.PLAYS, changed=now)
+    binds = final is FinalAnswer.ABORTED and promise.must_not_repeat
+    return replace(promise, mark=PromiseState.ABORTED if binds else PromiseState.GONE, changed=now)
 
 
-def expired(promise: Promise, keep: int, now: int) -> bool:
+def has_expired(promise: Promise, retention: int, now: int) -> bool:
     """Whether a promise need not be kept any longer. Times in ns.
 
     An abort, or an intent whose outcome is unknown, is kept for as long as a viewer may repeat its key.
     """
-    return promise.mark in (Mark.ABORTED, Mark.INTENT) and now - promise.changed > keep
+    return promise.mark in (PromiseState.ABORTED, PromiseState.INTENT) and now - promise.changed > retention
--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -20,13 +20,13 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from oakcroft.decisions.state.promise import Mark, Promise, expired, step
+from oakcroft.decisions.state.promise import PromiseState, Promise, has_expired, transition
 from oakcroft.interface import SECOND
 
-IN_FLIGHT = 2 * SECOND  # after a try's abandon time its node may still read bytes of it
+MAX_IN_FLIGHT_NS = 2 * SECOND  # after a try's abandon time its node may still read bytes of it
 
 
-class Fate(Enum):
+class RecoveryAction(Enum):
     """What becomes of a promise at the start. The names of the members are keys of a log line."""
 
     ADOPT = "plays on"
@@ -36,7 +36,7 @@
     FORGET = "nothing of it binds any more"
 
 
-class Verdict(Enum):
+class PromiseVerdict(Enum):
     """What a node's report says of a promise. The names of the members are written to the log."""
 
     CONFIRMED = "plays"
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Word:
+class NodeReport:
     """What a node reports of this front end's sessions when asked.
 
     `uptime` and `key_memory`: how long its process has run, and how far back it remembers keys, in ns by the
@@ -56,73 +56,87 @@
     """
 
     process: str
-    running: Mapping[str, str]  # key by session
-    keys: frozenset[str]  # of all set-ups of this front end, as far back as it remembers
-    up: int
-    remembers: int
-    asked: int
-    heard: int
+    running_sessions: Mapping[str, str]  # key by session
+    known_keys: frozenset[str]  # of all set-ups of this front end, as far back as it remembers
+    uptime: int
+    key_memory: int
+    requested_at: int
+    received_at: int
 
 
-def fate(promise: Promise, listed: bool, plan_known: bool, keep: int, now: int) -> Fate:
+def recovery_action(
+    promise: Promise, node_listed: bool, plan_known: bool, retention: int, now: int
+) -> RecoveryAction:
     """Returns what to do with a promise at the start. `node_listed`: its node is on the list in force."""
-    if promise.mark is Mark.GONE or expired(promise, keep, now):
-        return Fate.FORGET
-    if promise.mark is Mark.ABORTED:
-        return Fate.REMEMBER
-    if promise.mark is Mark.PLAYS:
+    if promise.mark is PromiseState.GONE or has_expired(promise, retention, now):
+        return RecoveryAction.FORGET
+    if promise.mark is PromiseState.ABORTED:
+        return RecoveryAction.REMEMBER
+    if promise.mark is PromiseState.PLAYS:
         if not plan_known:
-            return Fate.END
+            return RecoveryAction.END
         # A node that is not listed is taken to have no process any more.
-        return Fate.ADOPT if listed and promise.resource else Fate.REMEMBER if promise.binds else Fate.FORGET
-    if listed and plan_known:
-        return Fate.HOLD
-    return Fate.REMEMBER if promise.binds else Fate.FORGET
-
-
-def judge(promise: Promise, word: Word) -> Verdict:
+        return (
+            RecoveryAction.ADOPT
+            if node_listed and promise.resource
+            else RecoveryAction.REMEMBER
+            if promise.must_not_repeat
+            else RecoveryAction.FORGET
+        )
+    if node_listed and plan_known:
+        return RecoveryAction.HOLD
+    return RecoveryAction.REMEMBER if promise.must_not_repeat else RecoveryAction.FORGET
+
+
+def judge_promise(promise: Promise, report: NodeReport) -> PromiseVerdict:
     """Returns what a node's report says of a promise that was sent to it, or that plays on it."""
-    if promise.mark is Mark.PLAYS:
-        if promise.resource in word.running:
-            return Verdict.CONFIRMED
+    if promise.mark is PromiseState.PLAYS:
+        if promise.resource in report.running_sessions:
+            return PromiseVerdict.CONFIRMED
         # It may have begun between the request and the report; none that was recorded before the start has.
-        return Verdict.OVER if promise.changed < word.asked else Verdict.UNPROVEN
-    if promise.key in word.running.values():
-        return Verdict.RUNNING
-    if promise.key in word.keys:
-        return Verdict.RAN
-    surely_up = word.heard - word.up <= promise.sent_at
-    surely_remembered = word.heard - word.remembers <= promise.sent_at
-    arrived = word.asked >= promise.abandon + IN_FLIGHT
-    return Verdict.NEVER_RAN if surely_up and surely_remembered and arrived else Verdict.UNPROVEN
-
-
-def resolved(promise: Promise, verdict: Verdict, now: int, told: bool = False) -> Promise:
+        return PromiseVerdict.OVER if promise.changed < report.requested_at else PromiseVerdict.UNPROVEN
+    if promise.key in report.running_sessions.values():
+        return PromiseVerdict.RUNNING
+    if promise.key in report.known_keys:
+        return PromiseVerdict.RAN
+    surely_up = report.received_at - report.uptime <= promise.sent_at
+    surely_remembered = report.received_at - report.key_memory <= promise.sent_at
+    arrived = report.requested_at >= promise.abandon + MAX_IN_FLIGHT_NS
+    return (
+        PromiseVerdict.NEVER_RAN if surely_up and surely_remembered and arrived else PromiseVerdict.UNPROVEN
+    )
+
+
+def apply_verdict(
+    promise: Promise, verdict: PromiseVerdict, now: int, abort_replayed: bool = False
+) -> Promise:
     """Returns the promise after a verdict on it. `now`: ns.
 
     `abort_replayed`: its viewer has been told of an abort already, which then stays whatever is proven later,
     since no key is answered in two ways.
     """
-    never = verdict is Verdict.NEVER_RAN and promise.mark is Mark.INTENT
-    if verdict is Verdict.OVER or (never and not told):
-        return step(promise, replace(promise, mark=Mark.GONE, changed=now))
-    if (never or verdict in (Verdict.RAN, Verdict.RUNNING)) and promise.mark is Mark.INTENT:
-        mark = Mark.ABORTED if promise.binds else Mark.GONE
-        return step(promise, replace(promise, mark=mark, changed=now))
+    never = verdict is PromiseVerdict.NEVER_RAN and promise.mark is PromiseState.INTENT
+    if verdict is PromiseVerdict.OVER or (never and not abort_replayed):
+        return transition(promise, replace(promise, mark=PromiseState.GONE, changed=now))
+    if (
+        never or verdict in (PromiseVerdict.RAN, PromiseVerdict.RUNNING)
+    ) and promise.mark is PromiseState.INTENT:
+        mark = PromiseState.ABORTED if promise.must_not_repeat else PromiseState.GONE
+        return transition(promise, replace(promise, mark=mark, changed=now))
     return promise
 
 
-def asks_again_at(promise: Promise) -> int:
+def proof_possible_at(promise: Promise) -> int:
     """Returns the earliest time (ns) at which a node's report can prove that an intent never ran."""
-    return promise.abandon + IN_FLIGHT
+    return promise.abandon + MAX_IN_FLIGHT_NS
 
 
-class Phase(Enum):
+class RecoveryPhase(Enum):
     """Phase of the start of a front end."""
 
     READING = "reading its state"
     SERVING = "serving"
-    FORGETFUL = "serving, but not what must be on record: the state was lost and nodes are asked"
+    STATE_LOST = "serving, but not what must be on record: the state was lost and nodes are asked"
 
 
 @dataclass
@@ -136,81 +150,83 @@
     `retention` at most.
     """
 
-    keep: int
-    began: int
-    phase: Phase = Phase.READING
-    listed: bool = False  # a node list is in force
-    unheard: set[str] = field(default_factory=set)
-    told: set[str] = field(default_factory=set)
-    learnt: set[str] = field(
+    retention: int
+    started_at: int
+    phase: RecoveryPhase = RecoveryPhase.READING
+    has_node_list: bool = False  # a node list is in force
+    unanswered_nodes: set[str] = field(default_factory=set)
+    answered_nodes: set[str] = field(default_factory=set)
+    learned_keys: set[str] = field(
         default_factory=set
     )  # keys that nodes ran for an earlier process whose state is lost
 
-    def read(self, had: bool, nodes: Iterable[str], now: int) -> Phase:
+    def state_read(self, was_found: bool, nodes: Iterable[str], now: int) -> RecoveryPhase:
         """The state has been read, or is lost (`was_found` is false).
 
         A front end that has never run cannot be told from one whose file is lost; its recovery is complete as
         soon as its nodes have answered.
         """
-        self.phase = Phase.SERVING if had else Phase.FORGETFUL
-        self.list_came(nodes)
-        return self.look(now)
+        self.phase = RecoveryPhase.SERVING if was_found else RecoveryPhase.STATE_LOST
+        self.nodes_listed(nodes)
+        return self.check(now)
 
-    def list_came(self, nodes: Iterable[str]) -> None:
+    def nodes_listed(self, nodes: Iterable[str]) -> None:
         """A node list is in force."""
         names = set(nodes)
-        self.listed = self.listed or bool(names)
-        self.unheard = names - self.told if self.phase is Phase.FORGETFUL else set()
+        self.has_node_list = self.has_node_list or bool(names)
+        self.unanswered_nodes = (
+            names - self.answered_nodes if self.phase is RecoveryPhase.STATE_LOST else set()
+        )
 
-    def heard(self, node: str, word: Word | None, now: int) -> Phase:
+    def report_received(self, node: str, report: NodeReport | None, now: int) -> RecoveryPhase:
         """A node has reported, or is known to be gone (None)."""
-        if self.phase is Phase.FORGETFUL:
-            if word is not None:
-                self.learnt |= word.keys
-            self.told.add(node)
-            self.unheard.discard(node)
-        return self.look(now)
-
-    def look(self, now: int) -> Phase:
+        if self.phase is RecoveryPhase.STATE_LOST:
+            if report is not None:
+                self.learned_keys |= report.known_keys
+            self.answered_nodes.add(node)
+            self.unanswered_nodes.discard(node)
+        return self.check(now)
+
+    def check(self, now: int) -> RecoveryPhase:
         """Checks whether the recovery is complete; called regularly. Returns the phase."""
-        all_told = self.listed and not self.unheard
-        if self.phase is Phase.FORGETFUL and (all_told or now - self.began > self.keep):
-            self.phase = Phase.SERVING
+        all_told = self.has_node_list and not self.unanswered_nodes
+        if self.phase is RecoveryPhase.STATE_LOST and (all_told or now - self.started_at > self.retention):
+            self.phase = RecoveryPhase.SERVING
         return self.phase
 
-    def takes_promises(self, key: str) -> bool:
+    def can_record(self, key: str) -> bool:
         """Whether a request that must be recorded may be begun, as far as the recovery goes."""
-        return self.phase is Phase.SERVING and key not in self.learnt
+        return self.phase is RecoveryPhase.SERVING and key not in self.learned_keys
 
 
 @dataclass(frozen=True)
-class Spent:
+class SlotUsage:
     """What an earlier process used of one node's time slot (rule 4). Times in ns."""
 
     node: str
     started_at: int
     slot: int
     used: int
-    at: int
+    recorded_at: int
 
 
 @dataclass(frozen=True)
-class Grudge:
+class NodePenalty:
     """Distrust score of a node at a time, and its last failure, as an earlier process saw them. Times in ns."""
 
     node: str
     score: float
-    at: int
+    recorded_at: int
     failed_at: int
 
 
-def further_tries(last_seen: int, free: float | None, window: int, now: int) -> list[int]:
+def restored_further_tries(last_seen: int, free_tries: float | None, window: int, now: int) -> list[int]:
     """Returns times of further tries (rule 6) to count at the start, all at `last_seen`. Times in ns.
 
     They are as many as the earlier process could have made beyond its share, since their records need not
     have reached the disk. Drawback: after a restart the free part of the budget returns only as the window
     passes.
     """
-    if free is None or now - last_seen > window:
+    if free_tries is None or now - last_seen > window:
         return []
-    return [last_seen] * int(free)
+    return [last_seen] * int(free_tries)
--- a/oakcroft/decisions/state/state_file_health.py
+++ b/oakcroft/decisions/state/state_file_health.py
@@ -13,32 +13,32 @@
 from oakcroft.interface import MS, SECOND
 
 
-class Disk(Enum):
+class FileState(Enum):
     """State of the state file. The values are written to the log."""
 
-    SOUND = "sound"
+    HEALTHY = "sound"
     SLOW = "slow"
     FAILING = "failing"
-    FOREIGN = "written by a newer program"
+    NEWER_FORMAT = "written by a newer program"
 
 
-class Trouble(Enum):
+class FileFault(Enum):
     """How a call on the file failed."""
 
-    FULL = "the disk is full"
-    IO = "input or output error"
+    DISK_FULL = "the disk is full"
+    IO_ERROR = "input or output error"
     READ_ONLY = "read-only"
     CORRUPT = "damaged"
-    FOREIGN = "written by a newer program"
-    BUSY = "another process has it"
+    NEWER_FORMAT = "written by a newer program"
+    LOCKED = "another process has it"
 
 
-FIRST_RETRY, LONGEST_RETRY = 200 * MS, 5 * SECOND
-CALM = 3  # commits in time, one after the other, before a slow file is healthy again
+FIRST_RETRY_NS, MAX_RETRY_NS = 200 * MS, 5 * SECOND
+RECOVERY_COMMITS = 3  # commits in time, one after the other, before a slow file is healthy again
 
 
 @dataclass
-class Health:
+class FileHealth:
     """Health of the state file. Times in ns.
 
     A commit that takes longer than `slow_after` counts as slow, while it lasts and after it. This guards
@@ -48,69 +48,79 @@
     """
 
     slow_after: int = 250 * MS
-    state: Disk = Disk.SOUND
-    since: int = 0
-    trouble: Trouble | None = None
+    state: FileState = FileState.HEALTHY
+    changed_at: int = 0
+    fault: FileFault | None = None
     retry_at: int = 0
-    retry: int = FIRST_RETRY
-    began: int | None = None  # of the commit in progress
-    in_time: int = 0
-    changes: int = 0
+    retry_delay: int = FIRST_RETRY_NS
+    commit_started_at: int | None = None  # of the commit in progress
+    timely_commits: int = 0
+    change_count: int = 0
 
-    def _change(self, state: Disk, now: int) -> bool:
+    def _set_state(self, state: FileState, now: int) -> bool:
         """Changes the state; True if it is another. The only place where the state changes."""
         if state is self.state:
             return False
-        self.state, self.since, self.changes = state, now, self.changes + 1
+        self.state, self.changed_at, self.change_count = state, now, self.change_count + 1
         return True
 
-    def takes_promises(self, now: int) -> bool:
+    def can_record(self, now: int) -> bool:
         """Whether a set-up that must be recorded first may be begun now."""
-        self.look(now)
-        return self.state is Disk.SOUND
+        self.check(now)
+        return self.state is FileState.HEALTHY
 
-    def begins(self, now: int) -> None:
+    def commit_started(self, now: int) -> None:
         """A commit begins."""
-        self.began = now
+        self.commit_started_at = now
 
-    def look(self, now: int) -> bool:
+    def check(self, now: int) -> bool:
         """Notes if the commit in progress takes too long; True if the state changed."""
-        if self.state is Disk.SOUND and self.began is not None and now - self.began > self.slow_after:
-            self.in_time = 0
-            return self._change(Disk.SLOW, now)
+        if (
+            self.state is FileState.HEALTHY
+            and self.commit_started_at is not None
+            and now - self.commit_started_at > self.slow_after
+        ):
+            self.timely_commits = 0
+            return self._set_state(FileState.SLOW, now)
         return False
 
-    def done(self, now: int, whole: bool = False) -> bool:
+    def commit_succeeded(self, now: int, is_full_rewrite: bool = False) -> bool:
         """The commit worked; True if the state changed.
 
         `is_full_rewrite`: it wrote all that is in memory anew.
         """
-        took = now - self.began if self.began is not None else 0
-        self.began = None
-        if self.state in (Disk.FAILING, Disk.FOREIGN):
-            if not whole:
+        took = now - self.commit_started_at if self.commit_started_at is not None else 0
+        self.commit_started_at = None
+        if self.state in (FileState.FAILING, FileState.NEWER_FORMAT):
+            if not is_full_rewrite:
                 return False
-            self.trouble, self.retry = None, FIRST_RETRY
-            return self._change(Disk.SOUND, now)
+            self.fault, self.retry_delay = None, FIRST_RETRY_NS
+            return self._set_state(FileState.HEALTHY, now)
         if took > self.slow_after:
-            self.in_time = 0
-            return self._change(Disk.SLOW, now)
-        self.in_time += 1
-        return self.state is Disk.SLOW and self.in_time >= CALM and self._change(Disk.SOUND, now)
-
-    def failed(self, trouble: Trouble, now: int) -> bool:
+            self.timely_commits = 0
+            return self._set_state(FileState.SLOW, now)
+        self.timely_commits += 1
+        return (
+            self.state is FileState.SLOW
+            and self.timely_commits >= RECOVERY_COMMITS
+            and self._set_state(FileState.HEALTHY, now)
+        )
+
+    def commit_failed(self, fault: FileFault, now: int) -> bool:
         """A commit, or the opening of the file, failed. True if the state changed."""
-        self.began, self.in_time, self.trouble = None, 0, trouble
-        self.retry_at, self.retry = now + self.retry, min(LONGEST_RETRY, self.retry * 2)
-        return self._change(Disk.FOREIGN if trouble is Trouble.FOREIGN else Disk.FAILING, now)
+        self.commit_started_at, self.timely_commits, self.fault = None, 0, fault
+        self.retry_at, self.retry_delay = now + self.retry_delay, min(MAX_RETRY_NS, self.retry_delay * 2)
+        return self._set_state(
+            FileState.NEWER_FORMAT if fault is FileFault.NEWER_FORMAT else FileState.FAILING, now
+        )
 
-    def due(self, now: int) -> bool:
+    def retry_due(self, now: int) -> bool:
         """Whether to try a failed file again now."""
-        return self.state in (Disk.FAILING, Disk.FOREIGN) and now >= self.retry_at
+        return self.state in (FileState.FAILING, FileState.NEWER_FORMAT) and now >= self.retry_at
 
 
 @dataclass
-class Upkeep:
+class FileMaintenance:
     """Pace of the maintenance of the state file. Times in ns.
 
     Expired records and free pages are dropped a few at a time, fewer while the front end is busy, and none
@@ -118,14 +128,14 @@
     that delays intents. Drawback: a file that grew during a long crowd takes minutes to shrink.
     """
 
-    rows: int = 200
-    every: int = SECOND
-    last: int = 0
-    paused: bool = False
+    max_rows: int = 200
+    interval: int = SECOND
+    last_run_at: int = 0
+    is_paused: bool = False
 
-    def allowance(self, health: Health, waiting: int, now: int) -> int:
+    def allowance(self, health: FileHealth, queued_changes: int, now: int) -> int:
         """Returns how many rows and pages the next commit may drop; 0 for none now."""
-        if self.paused or health.state is not Disk.SOUND or now - self.last < self.every:
+        if self.is_paused or health.state is not FileState.HEALTHY or now - self.last_run_at < self.interval:
             return 0
-        self.last = now
-        return max(10, self.rows // (1 + waiting))
+        self.last_run_at = now
+        return max(10, self.max_rows // (1 + queued_changes))
--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -17,26 +17,36 @@
 import structlog
 import trio
 
-from oakcroft.catalogue.text import Unsound, digest as digest_of, read, write
-from oakcroft.decisions.fleet.rollout import ENDED, SHARES, Plan, Report, Rollout, Stage, begins
-from oakcroft.decisions.fleet.lease import MOST_NOTE, Fence, Term
-from oakcroft.decisions.routing.catalogue import Verdict, takes_part
-from oakcroft.decisions.sessions.answers import Final
-from oakcroft.front.catalogue_versions import Catalogues
-from oakcroft.front.session_coordinator import Helm
+from oakcroft.catalogue.text import CatalogueError, text_digest as digest_of, read_catalogue, format_catalogue
+from oakcroft.decisions.fleet.rollout import (
+    FINAL_STAGES,
+    ROLLOUT_SHARES,
+    RolloutPlan,
+    FrontReport,
+    Rollout,
+    RolloutStage,
+    new_plan,
+)
+from oakcroft.decisions.fleet.lease import MAX_NOTE_OCTETS, Fence, LeaseTerm
+from oakcroft.decisions.routing.catalogue import CatalogueVerdict, is_in_share
+from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.front.catalogue_versions import CatalogueVersions
+from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.peerwire.lease_codec import ReceivedLeaseMessage
 from oakcroft.peerwire.lease_wire import Order, OrderReport
-from oakcroft.store.file import Fact
+from oakcroft.store.file import NamedValue
 
-DUTY = "catalogue"
-FENCE = "fence"  # a fact in the state file: number and step of the last order that took effect, by lease name
-ORDER_EVERY = 0.5  # seconds between orders to one front end, until it reports the wanted state
-MOST_TEXTS = 3  # room for the version being rolled out and earlier ones
-SUBMIT_WITHIN = 12.0
+CATALOGUE_LEASE = "catalogue"
+FENCE_FACT = (
+    "fence"  # a fact in the state file: number and step of the last order that took effect, by lease name
+)
+ORDER_INTERVAL_S = 0.5  # seconds between orders to one front end, until it reports the wanted state
+MAX_CACHED_TEXTS = 3  # room for the version being rolled out and earlier ones
+SUBMIT_TIMEOUT_S = 12.0
 
 
-class PlanWord(msgspec.Struct, array_like=True, frozen=True):
+class PlanMessage(msgspec.Struct, array_like=True, frozen=True):
     """A roll-out plan as it is recorded and sent with each order.
 
     Encoded by position; stages are encoded by their numbers, which must not change between releases.
@@ -44,235 +54,298 @@
 
     number: int
     digest: str
-    base: str
-    stage: Stage
+    base_digest: str
+    stage: RolloutStage
     step: int
-    share: int
-    watch: int
+    share_index: int
+    watch_time: int
     force: bool
-    why: str
-    reason: str
+    change_reason: str
+    end_reason: str
 
-    def plan(self) -> Plan:
+    def to_plan(self) -> RolloutPlan:
         """The decoded plan, not yet validated."""
-        return Plan(self.number, self.digest, self.base, self.stage, self.step, self.share, self.watch, self.force,
-                    self.why, self.reason)  # fmt: skip
+        return RolloutPlan(
+            self.number,
+            self.digest,
+            self.base_digest,
+            self.stage,
+            self.step,
+            self.share_index,
+            self.watch_time,
+            self.force,
+            self.change_reason,
+            self.end_reason,
+        )
 
 
-class SubmitWord(msgspec.Struct, array_like=True, frozen=True):
+class RolloutRequest(msgspec.Struct, array_like=True, frozen=True):
     """An operator's request, forwarded to the lease owner. Encoded by position.
 
     Starts a roll-out of the version with this digest; an empty digest rolls the current roll-out back.
     """
 
     digest: str
-    base: str
-    watch: int
+    base_digest: str
+    watch_time: int
     force: bool
-    why: str
+    change_reason: str
 
 
 class ReportBody(msgspec.Struct, array_like=True, frozen=True):
     """What a front end reports to the lease owner after an order. Encoded by position."""
 
     step: int
-    holds: bool
-    in_force: str
-    takes_part: bool
+    has_text: bool
+    active_digest: str
+    is_in_share: bool
     refused: str
     answers: int
     failures: int
-    bare: bool = False
+    has_no_catalogue: bool = False
 
 
 ENCODER = msgspec.msgpack.Encoder()
-DIGEST = re.compile("[0-9a-f]{24}")
-PLAN = msgspec.msgpack.Decoder(PlanWord)
-SUBMIT, REPORT = msgspec.msgpack.Decoder(SubmitWord), msgspec.msgpack.Decoder(ReportBody)
-SEEN = msgspec.msgpack.Decoder(dict[str, tuple[int, int]])
-SUBMITTED, ACCEPTED = "submit", "submitted"
+DIGEST_PATTERN = re.compile("[0-9a-f]{24}")
+PLAN_DECODER = msgspec.msgpack.Decoder(PlanMessage)
+REQUEST_DECODER, REPORT_DECODER = msgspec.msgpack.Decoder(RolloutRequest), msgspec.msgpack.Decoder(ReportBody)
+FENCE_DECODER = msgspec.msgpack.Decoder(dict[str, tuple[int, int]])
+REQUEST_ORDER, REQUEST_REPLY = "submit", "submitted"
 """Lease names on the wire for an operator's request on its way to the owner, and for the owner's reply."""
 
 
-def word_of(plan: Plan) -> bytes:
+def encode_plan(plan: RolloutPlan) -> bytes:
     """Encodes a plan; the free-text reasons are shortened until it fits into a lease note."""
-    why, reason = plan.why, plan.reason
+    why, reason = plan.change_reason, plan.end_reason
     while True:
-        word = ENCODER.encode(PlanWord(plan.number, plan.digest, plan.base, plan.stage, plan.step, plan.share,
-                                       plan.watch, plan.force, why, reason))  # fmt: skip
-        if len(word) <= MOST_NOTE or not (why or reason):
+        word = ENCODER.encode(
+            PlanMessage(
+                plan.number,
+                plan.digest,
+                plan.base_digest,
+                plan.stage,
+                plan.step,
+                plan.share_index,
+                plan.watch_time,
+                plan.force,
+                why,
+                reason,
+            )
+        )
+        if len(word) <= MAX_NOTE_OCTETS or not (why or reason):
             return word
         why, reason = why[: len(why) // 2], reason[: max(0, len(reason) - 10)]
 
 
-def plan_of(body: bytes) -> Plan:
+def decode_plan(body: bytes) -> RolloutPlan:
     """Decodes a recorded or received plan.
 
     Raises ValueError if it cannot be decoded, or if a digest or number in it is invalid.
     """
-    plan = PLAN.decode(body).plan()
-    if not (DIGEST.fullmatch(plan.digest) and DIGEST.fullmatch(plan.base)):
+    plan = PLAN_DECODER.decode(body).to_plan()
+    if not (DIGEST_PATTERN.fullmatch(plan.digest) and DIGEST_PATTERN.fullmatch(plan.base_digest)):
         raise ValueError("a digest is 24 hexadecimal digits")
-    if not 0 <= plan.share < len(SHARES) or plan.step < 1 or plan.watch < 0:
+    if not 0 <= plan.share_index < len(ROLLOUT_SHARES) or plan.step < 1 or plan.watch_time < 0:
         raise ValueError("a figure is out of range")
     return plan
 
 
-def why_not(verdict: Verdict, reasons: list[str]) -> str:
+def rejection_reason(verdict: CatalogueVerdict, reasons: list[str]) -> str:
     """Why a submitted version was not activated; "" if it is active."""
-    return "" if verdict in (Verdict.TAKEN, Verdict.SAME) else f"{verdict.value}: {'; '.join(reasons)}"
+    return (
+        ""
+        if verdict in (CatalogueVerdict.TAKEN, CatalogueVerdict.SAME)
+        else f"{verdict.value}: {'; '.join(reasons)}"
+    )
 
 
-class Rolling:
+class CatalogueRollout:
     """One front end's part in roll-outs: carries out orders, and runs the roll-out while it holds the lease."""
 
     def __init__(
         self,
-        helm: Helm,
-        catalogues: Catalogues,
+        coordinator: SessionCoordinator,
+        catalogues: CatalogueVersions,
         peers: PeerEndpoint,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """Registers the handlers of orders and reports with `peers`, and asks for the catalogue lease."""
         assert peers.duties is not None
-        self.helm, self.catalogues, self.peers, self.duties, self.log = (
-            helm,
+        self.coordinator, self.catalogues, self.peers, self.duties, self.log = (
+            coordinator,
             catalogues,
             peers,
             peers.duties,
             log,
         )
-        held = helm.memory.store.facts.get(FENCE) if helm.memory is not None else None
+        held = (
+            coordinator.durable_state.store.named_values.get(FENCE_FACT)
+            if coordinator.durable_state is not None
+            else None
+        )
         try:
-            self.fence = Fence(SEEN.decode(held) if held else None)
+            self.fence = Fence(FENCE_DECODER.decode(held) if held else None)
         except msgspec.MsgspecError:
             self.fence = Fence()
             log.error("fence unreadable", why="orders wait for what the keepers say")
         # A state file that may lack its last writes cannot reject old orders; the lease acceptors then tell the lowest
         # valid number.
-        self.sure = helm.memory is not None and helm.memory.store.had and held is not None
-        self.texts: dict[str, str] = {}
-        self.turn = trio.Lock()
-        self.plan: Plan | None = None  # from the last order
-        self.base = Counter[Final]()  # counts of final answers when the current step began here
-        self.running: Rollout | None = None  # while this front end holds the lease
-        self.accepted: dict[str, str] = {}  # the owner's replies to forwarded requests, by request key
-        self.waited: set[str] = set()  # keys of requests whose reply is awaited
+        self.is_fence_complete = (
+            coordinator.durable_state is not None
+            and coordinator.durable_state.store.was_complete
+            and held is not None
+        )
+        self.cached_texts: dict[str, str] = {}
+        self.order_lock = trio.Lock()
+        self.ordered_plan: RolloutPlan | None = None  # from the last order
+        self.step_start_answers = Counter[
+            FinalAnswer
+        ]()  # counts of final answers when the current step began here
+        self.rollout: Rollout | None = None  # while this front end holds the lease
+        self.request_replies: dict[str, str] = {}  # the owner's replies to forwarded requests, by request key
+        self.pending_requests: set[str] = set()  # keys of requests whose reply is awaited
         self.wake = trio.Event()
-        self.beginning = trio.Lock()
+        self.plan_lock = trio.Lock()
         duties = self.duties
-        duties.want(DUTY)
-        duties.orders[DUTY] = self._ordered
-        duties.reports[DUTY] = self._reported
-        duties.orders[SUBMITTED] = self._submitted
-        duties.reports[ACCEPTED] = self._answered
-        duties.changed[DUTY] = self._changed
-        duties.texts = self._held
+        duties.want(CATALOGUE_LEASE)
+        duties.orders[CATALOGUE_LEASE] = self._handle_order
+        duties.reports[CATALOGUE_LEASE] = self._handle_report
+        duties.orders[REQUEST_ORDER] = self._handle_request
+        duties.reports[REQUEST_REPLY] = self._handle_reply
+        duties.changed[CATALOGUE_LEASE] = self._owner_changed
+        duties.texts = self._find_text
 
     # Orders.
 
-    async def _ordered(self, got: ReceivedLeaseMessage, word: Order) -> OrderReport | None:
+    async def _handle_order(self, received: ReceivedLeaseMessage, order: Order) -> OrderReport | None:
         """Handles one order: records it, then carries it out and reports.
 
         An order older than the last recorded one is rejected. None, which sends no report, if the order is invalid or
         its number cannot be confirmed yet.
         """
         try:
-            plan = plan_of(word.body)
+            plan = decode_plan(order.body)
         except ValueError:
             return None
-        if plan.step != word.step:
+        if plan.step != order.step:
             return None
-        async with self.turn:
+        async with self.order_lock:
             # Guards against a number that no acceptor has promised, and, if this front end's state file may lack its last
             # writes, against a number that was once the highest: the acceptors tell the highest number. The owner repeats
             # the order.
-            if not self.sure or word.number > self.fence.seen.get(DUTY, (0, 0))[0]:
-                floor = self.duties.floor(DUTY)
-                if floor is None or floor < word.number:
-                    self.duties.look_for_floor(DUTY)
+            if (
+                not self.is_fence_complete
+                or order.number > self.fence.highest_seen.get(CATALOGUE_LEASE, (0, 0))[0]
+            ):
+                floor = self.duties.floor(CATALOGUE_LEASE)
+                if floor is None or floor < order.number:
+                    self.duties.look_for_floor(CATALOGUE_LEASE)
                     return None
-                if not self.sure:
-                    self.fence.takes(DUTY, floor, 0)
-                    self.sure = True
-            if not self.fence.admits(DUTY, word.number, word.step):
-                number, step = self.fence.seen[DUTY]
+                if not self.is_fence_complete:
+                    self.fence.record(CATALOGUE_LEASE, floor, 0)
+                    self.is_fence_complete = True
+            if not self.fence.admits(CATALOGUE_LEASE, order.number, order.step):
+                number, step = self.fence.highest_seen[CATALOGUE_LEASE]
                 self.log.warning(
-                    "late order", sender=got.sender, order=[word.number, word.step], stands=[number, step]
+                    "late order",
+                    sender=received.sender,
+                    order=[order.number, order.step],
+                    stands=[number, step],
                 )
-                return OrderReport(DUTY, number, step, False, b"")
+                return OrderReport(CATALOGUE_LEASE, number, step, False, b"")
             new = False
-            if self.fence.seen.get(DUTY) != (word.number, word.step):
-                if not await self._on_record(word.number, word.step):
-                    return self._report(plan, word, "its state file does not take the order")
-                self.fence.takes(DUTY, word.number, word.step)
-                if self.plan is None or self.plan.step != plan.step:
-                    self.base = Counter(self.helm.finals)
-                self.plan = plan
+            if self.fence.highest_seen.get(CATALOGUE_LEASE) != (order.number, order.step):
+                if not await self._record_fence(order.number, order.step):
+                    return self._make_report(plan, order, "its state file does not take the order")
+                self.fence.record(CATALOGUE_LEASE, order.number, order.step)
+                if self.ordered_plan is None or self.ordered_plan.step != plan.step:
+                    self.step_start_answers = Counter(self.coordinator.answer_counts)
+                self.ordered_plan = plan
                 new = True
-            refused = await self._do(plan, got.sender)
+            refused = await self._apply_plan(plan, received.sender)
             if new:
-                self.log.info("order", duty=DUTY, number=word.number, step=word.step, stage=plan.stage.name.lower(),
-                              in_force=self.in_force, refused=refused, sender=got.sender)  # fmt: skip
-            return self._report(plan, word, refused)
+                self.log.info(
+                    "order",
+                    duty=CATALOGUE_LEASE,
+                    number=order.number,
+                    step=order.step,
+                    stage=plan.stage.name.lower(),
+                    in_force=self.active_digest,
+                    refused=refused,
+                    sender=received.sender,
+                )
+            return self._make_report(plan, order, refused)
 
-    async def _on_record(self, number: int, step: int) -> bool:
-        if self.helm.memory is None:
+    async def _record_fence(self, number: int, step: int) -> bool:
+        if self.coordinator.durable_state is None:
             return False
-        seen = {**self.fence.seen, DUTY: (number, step)}
-        return await self.helm.memory.store.durable(Fact(FENCE, ENCODER.encode(seen)))
+        seen = {**self.fence.highest_seen, CATALOGUE_LEASE: (number, step)}
+        return await self.coordinator.durable_state.store.write_durably(
+            NamedValue(FENCE_FACT, ENCODER.encode(seen))
+        )
 
-    def _report(self, plan: Plan, word: Order, refused: str) -> OrderReport:
-        some = self.helm.finals - self.base
-        failures = some[Final.REJECTED] + some[Final.ABORTED]
-        terms = self.helm.site.terms
+    def _make_report(self, plan: RolloutPlan, order: Order, rejection: str) -> OrderReport:
+        some = self.coordinator.answer_counts - self.step_start_answers
+        failures = some[FinalAnswer.REJECTED] + some[FinalAnswer.ABORTED]
+        terms = self.coordinator.site.terms
         body = ReportBody(
-            plan.step, plan.digest in self.texts or plan.digest == self.in_force, self.in_force,
-            takes_part(terms.front, terms.fronts, int(plan.digest, 16), plan.part), refused[:120],
-            some[Final.PLAYS] + failures, failures, self.in_force == NONE and plan.base != NONE,
-        )  # fmt: skip
-        return OrderReport(DUTY, word.number, word.step, True, ENCODER.encode(body))
+            plan.step,
+            plan.digest in self.cached_texts or plan.digest == self.active_digest,
+            self.active_digest,
+            is_in_share(terms.front_index, terms.front_count, int(plan.digest, 16), plan.target_share),
+            rejection[:120],
+            some[FinalAnswer.PLAYS] + failures,
+            failures,
+            self.active_digest == EMPTY_DIGEST and plan.base_digest != EMPTY_DIGEST,
+        )
+        return OrderReport(CATALOGUE_LEASE, order.number, order.step, True, ENCODER.encode(body))
 
     @property
-    def in_force(self) -> str:
+    def active_digest(self) -> str:
         """The digest of the active catalogue, or of the empty catalogue if there is none."""
-        return self.helm.catalogue.digest or NONE
+        return self.coordinator.catalogue.digest or EMPTY_DIGEST
 
-    def _held(self, digest: str) -> bytes | None:
+    def _find_text(self, digest: str) -> bytes | None:
         """The catalogue text with this digest, from the cache or the kept versions; None if it is in neither."""
-        text = self.texts.get(digest)
+        text = self.cached_texts.get(digest)
         if text is None:
             numbers = [k.number for k in self.catalogues.history.versions if k.digest == digest]
-            text = self.catalogues.texts.get(numbers[-1]) if numbers else None
+            text = self.catalogues.texts_by_version.get(numbers[-1]) if numbers else None
         return None if text is None else text.encode()
 
-    async def _do(self, plan: Plan, sender: str) -> str:
+    async def _apply_plan(self, plan: RolloutPlan, sender: str) -> str:
         """Brings this front end to the state that a plan wants; returns why it cannot, or ""."""
-        if self.in_force == NONE and plan.base != NONE and plan.stage is not Stage.DONE:
+        if (
+            self.active_digest == EMPTY_DIGEST
+            and plan.base_digest != EMPTY_DIGEST
+            and plan.stage is not RolloutStage.DONE
+        ):
             # This front end has lost its catalogue with its state file, or is new: it activates the base version, which
             # all others have.
-            before = replace(plan, digest=plan.base, base=NONE)
-            if why := await self._hold(before, sender) or await self._take(plan.base, before):
+            before = replace(plan, digest=plan.base_digest, base_digest=EMPTY_DIGEST)
+            if why := await self._fetch_text(before, sender) or await self._activate(
+                plan.base_digest, before
+            ):
                 return why
-        if plan.stage is Stage.HANDED:
-            return await self._hold(plan, sender)
-        if plan.stage in (Stage.BACK, Stage.STOPPED):
-            return await self._go_back(plan)
-        if self.in_force == plan.digest:
+        if plan.stage is RolloutStage.HANDED:
+            return await self._fetch_text(plan, sender)
+        if plan.stage in (RolloutStage.BACK, RolloutStage.STOPPED):
+            return await self._roll_back(plan)
+        if self.active_digest == plan.digest:
             return ""
-        terms = self.helm.site.terms
-        if not takes_part(terms.front, terms.fronts, int(plan.digest, 16), plan.part):
+        terms = self.coordinator.site.terms
+        if not is_in_share(terms.front_index, terms.front_count, int(plan.digest, 16), plan.target_share):
             return ""
-        if why := await self._hold(plan, sender):
+        if why := await self._fetch_text(plan, sender):
             return why
-        return await self._take(plan.digest, plan)
+        return await self._activate(plan.digest, plan)
 
-    async def _hold(self, plan: Plan, sender: str) -> str:
+    async def _fetch_text(self, plan: RolloutPlan, sender: str) -> str:
         """Fetches the text of a version from the sender of the order or from two other front ends.
 
         Returns "" whether or not it was found; the report then tells that the text is missing.
         """
-        if plan.digest in self.texts or plan.digest == self.in_force:
+        if plan.digest in self.cached_texts or plan.digest == self.active_digest:
             return ""
         others = [
             n for n in self.peers.membership.present() if n not in (sender, self.peers.membership.me.name)
@@ -283,38 +356,40 @@
                 continue
             try:
                 text = found.decode()
-                said = await trio.to_thread.run_sync(read, text)
-            except (UnicodeDecodeError, Unsound):
+                said = await trio.to_thread.run_sync(read_catalogue, text)
+            except (UnicodeDecodeError, CatalogueError):
                 continue
-            if digest_of(write(said.titles.items(), said.others)) == plan.digest:
-                self.hold(plan.digest, text)
+            if digest_of(format_catalogue(said.titles.items(), said.others)) == plan.digest:
+                self.cache_text(plan.digest, text)
                 return ""
         return ""  # not found: the report says so, and the owner repeats the order
 
-    def hold(self, digest: str, text: str) -> None:
+    def cache_text(self, digest: str, text: str) -> None:
         """Caches a text for other front ends to fetch; evicts the oldest if the cache is full."""
-        self.texts[digest] = text
-        while len(self.texts) > MOST_TEXTS:
-            del self.texts[next(iter(self.texts))]
+        self.cached_texts[digest] = text
+        while len(self.cached_texts) > MAX_CACHED_TEXTS:
+            del self.cached_texts[next(iter(self.cached_texts))]
 
-    async def _take(self, digest: str, plan: Plan) -> str:
-        if digest not in self.texts:
+    async def _activate(self, digest: str, plan: RolloutPlan) -> str:
+        if digest not in self.cached_texts:
             return ""
         # After the roll-out is done, a front end that was absent activates the version whatever its own base is.
-        made_from = None if plan.base == NONE or plan.stage is Stage.DONE else plan.base
-        reason = plan.why or f"roll-out {plan.number}"
-        verdict, why = await self.catalogues.replace(self.texts[digest], made_from, plan.force, reason)
-        return why_not(verdict, why)
+        made_from = (
+            None if plan.base_digest == EMPTY_DIGEST or plan.stage is RolloutStage.DONE else plan.base_digest
+        )
+        reason = plan.change_reason or f"roll-out {plan.number}"
+        verdict, why = await self.catalogues.replace(self.cached_texts[digest], made_from, plan.force, reason)
+        return rejection_reason(verdict, why)
 
-    async def _go_back(self, plan: Plan) -> str:
+    async def _roll_back(self, plan: RolloutPlan) -> str:
         """Activates the base version if this front end has activated the one that is rolled back."""
-        if self.in_force != plan.digest:
+        if self.active_digest != plan.digest:
             return ""
-        if plan.base == NONE:
+        if plan.base_digest == EMPTY_DIGEST:
             said = f"roll-out {plan.number} taken back"
-            verdict, why = await self.catalogues.replace(write((), True), None, True, said)
+            verdict, why = await self.catalogues.replace(format_catalogue((), True), None, True, said)
         else:
-            kept = [k.number for k in self.catalogues.history.versions if k.digest == plan.base]
+            kept = [k.number for k in self.catalogues.history.versions if k.digest == plan.base_digest]
             if not kept:
                 return "it does not keep the version before"
             offer = await self.catalogues.roll_back(kept[-1], None, True)
@@ -322,34 +397,45 @@
                 return "it does not keep the version before"
             verdict, why = offer
         self.log.warning(
-            "catalogue taken back", roll_out=plan.number, verdict=verdict.name.lower(), reason=plan.reason
+            "catalogue taken back", roll_out=plan.number, verdict=verdict.name.lower(), reason=plan.end_reason
         )
-        return why_not(verdict, why)
+        return rejection_reason(verdict, why)
 
     # The owner of the lease.
 
-    def _changed(self, term: Term | None) -> None:
-        self.running = None
+    def _owner_changed(self, new_term: LeaseTerm | None) -> None:
+        self.rollout = None
         self.wake.set()
 
-    def _reported(self, sender: str, word: OrderReport) -> None:
-        term, running = self.duties.term(DUTY), self.running
+    def _handle_report(self, sender: str, report: OrderReport) -> None:
+        term, running = self.duties.term(CATALOGUE_LEASE), self.rollout
         if term is None or running is None:
             return
-        if not word.taken:
-            if (word.number, word.step) > (term.number, running.plan.step):
+        if not report.taken:
+            if (report.number, report.step) > (term.fencing_token, running.plan.step):
                 # The acceptors have promised numbers that this owner never saw: it asks for a term with a higher one.
-                self.duties.outbid(DUTY, word.number)
+                self.duties.outbid(CATALOGUE_LEASE, report.number)
             return
-        if word.number != term.number:
+        if report.number != term.fencing_token:
             return
         try:
-            body = REPORT.decode(word.body)
+            body = REPORT_DECODER.decode(report.body)
         except msgspec.MsgspecError:
             return
-        running.heard(sender, Report(
-            body.step, body.holds, body.in_force, body.takes_part, body.refused, body.answers, body.failures, body.bare
-        ), self.helm.clock.now())  # fmt: skip
+        running.receive_report(
+            sender,
+            FrontReport(
+                body.step,
+                body.has_text,
+                body.active_digest,
+                body.is_in_share,
+                body.refused,
+                body.answers,
+                body.failures,
+                body.has_no_catalogue,
+            ),
+            self.coordinator.clock.now(),
+        )
 
     async def run(self) -> None:
         """Runs the roll-out while this front end holds the lease.
@@ -358,161 +444,207 @@
         """
         while True:
             self.wake = trio.Event()
-            term = self.duties.term(DUTY)
+            term = self.duties.term(CATALOGUE_LEASE)
             if term is not None:
-                await self._own(term)
-            with trio.move_on_after(ORDER_EVERY):
+                await self._advance_rollout(term)
+            with trio.move_on_after(ORDER_INTERVAL_S):
                 await self.wake.wait()
 
-    async def _own(self, term: Term) -> None:
-        self._load(term)
-        if self.running is None:
+    async def _advance_rollout(self, term: LeaseTerm) -> None:
+        self._load_plan(term)
+        if self.rollout is None:
             return  # there has been no roll-out
-        running, present = self.running, self.peers.membership.present()
-        now = self.helm.clock.now()
+        running, present = self.rollout, self.peers.membership.present()
+        now = self.coordinator.clock.now()
         # An operator's request changes the plan too, and each change is a step of its own.
-        async with self.beginning:
-            after = running.next(present, now)
+        async with self.plan_lock:
+            after = running.next_plan(present, now)
             if after is not None:
-                await self._go_on(running, after)
-        if self.duties.term(DUTY) != term or self.running is not running:
+                await self._record_plan(running, after)
+        if self.duties.term(CATALOGUE_LEASE) != term or self.rollout is not running:
             return
-        body = word_of(running.plan)
+        body = encode_plan(running.plan)
         # During the roll-out all front ends report; after its end only those that have not confirmed it, or were absent.
-        some = running.unconfirmed(present, now) if running.plan.stage in ENDED else present
+        some = running.unconfirmed_fronts(present, now) if running.plan.stage in FINAL_STAGES else present
         for name in some:
-            self.duties.order(name, Order(DUTY, term.number, running.plan.step, body))
+            self.duties.order(name, Order(CATALOGUE_LEASE, term.fencing_token, running.plan.step, body))
 
-    def _load(self, term: Term) -> None:
+    def _load_plan(self, term: LeaseTerm) -> None:
         """Continues the roll-out whose plan the previous owner recorded."""
-        note = self.duties.note(DUTY)
-        if self.running is not None or not note:
+        note = self.duties.note(CATALOGUE_LEASE)
+        if self.rollout is not None or not note:
             return
         try:
-            plan = plan_of(note)
+            plan = decode_plan(note)
         except ValueError as fault:
             self.log.error("plan unreadable", why=str(fault))
             return
-        self.running = Rollout(plan)
+        self.rollout = Rollout(plan)
         self.log.info(
-            "roll-out gone on with", roll_out=plan.number, stage=plan.stage.name.lower(), term=term.number
+            "roll-out gone on with",
+            roll_out=plan.number,
+            stage=plan.stage.name.lower(),
+            term=term.fencing_token,
         )
 
-    async def _go_on(self, running: Rollout, after: Plan) -> bool:
-        if not await self.duties.put_on_record(DUTY, word_of(after)):
+    async def _record_plan(self, rollout: Rollout, new_plan: RolloutPlan) -> bool:
+        if not await self.duties.put_on_record(CATALOGUE_LEASE, encode_plan(new_plan)):
             return False
-        running.recorded(after)
-        self.log.info("roll-out", roll_out=after.number, stage=after.stage.name.lower(), part=after.part, step=after.step,
-                      digest=after.digest, reason=after.reason)  # fmt: skip
+        rollout.set_recorded_plan(new_plan)
+        self.log.info(
+            "roll-out",
+            roll_out=new_plan.number,
+            stage=new_plan.stage.name.lower(),
+            part=new_plan.target_share,
+            step=new_plan.step,
+            digest=new_plan.digest,
+            reason=new_plan.end_reason,
+        )
         return True
 
     # Operators' requests.
 
-    async def submit(self, text: str, base: str, watch: int, force: bool, why: str) -> str:
+    async def submit(
+        self, text: str, base_digest: str, watch_time: int, force: bool, change_reason: str
+    ) -> str:
         """Starts a roll-out of a catalogue; returns "" once its plan is recorded, else why not.
 
         `watch_time` in ns. Raises the parser's error if the text is invalid.
         """
-        said = await trio.to_thread.run_sync(read, text)
-        laid_out = write(said.titles.items(), said.others)
+        said = await trio.to_thread.run_sync(read_catalogue, text)
+        laid_out = format_catalogue(said.titles.items(), said.others)
         digest = digest_of(laid_out)
-        self.hold(digest, laid_out)
-        return await self._hand_on(SubmitWord(digest, base or NONE, watch, force, why))
+        self.cache_text(digest, laid_out)
+        return await self._send_request(
+            RolloutRequest(digest, base_digest or EMPTY_DIGEST, watch_time, force, change_reason)
+        )
 
-    async def take_back(self, why: str) -> str:
+    async def roll_back(self, reason: str) -> str:
         """Rolls back the current or last roll-out; returns "" once that is recorded, else why not."""
-        return await self._hand_on(SubmitWord("", "", 0, False, why))
-
-    async def _hand_on(self, wish: SubmitWord) -> str:
-        key = wish.digest or "back"
-        self.accepted.pop(key, None)
-        self.waited.add(key)
-        with trio.move_on_after(SUBMIT_WITHIN):
-            while key not in self.accepted:
-                if self.duties.term(DUTY) is not None:
-                    self.accepted[key] = await self._begin(wish, self.peers.membership.me.name)
+        return await self._send_request(RolloutRequest("", "", 0, False, reason))
+
+    async def _send_request(self, request: RolloutRequest) -> str:
+        key = request.digest or "back"
+        self.request_replies.pop(key, None)
+        self.pending_requests.add(key)
+        with trio.move_on_after(SUBMIT_TIMEOUT_S):
+            while key not in self.request_replies:
+                if self.duties.term(CATALOGUE_LEASE) is not None:
+                    self.request_replies[key] = await self._start_request(
+                        request, self.peers.membership.me.name
+                    )
                     break
-                self.duties.look_for_floor(DUTY)  # the acceptors' answers name the owner
-                if owner := self.duties.owner(DUTY):
-                    self.duties.order(owner.owner, Order(SUBMITTED, owner.number, 0, ENCODER.encode(wish)))
+                self.duties.look_for_floor(CATALOGUE_LEASE)  # the acceptors' answers name the owner
+                if owner := self.duties.owner(CATALOGUE_LEASE):
+                    self.duties.order(
+                        owner.holder, Order(REQUEST_ORDER, owner.fencing_token, 0, ENCODER.encode(request))
+                    )
                 await trio.sleep(0.3)
-        self.waited.discard(key)
-        return self.accepted.pop(key, "nobody owns the duty just now: look at `fleet owners`, and ask again")
+        self.pending_requests.discard(key)
+        return self.request_replies.pop(
+            key, "nobody owns the duty just now: look at `fleet owners`, and ask again"
+        )
 
-    async def _submitted(self, got: ReceivedLeaseMessage, word: Order) -> OrderReport | None:
+    async def _handle_request(self, received: ReceivedLeaseMessage, order: Order) -> OrderReport | None:
         """Handles an operator's request that another front end has forwarded; None if it is invalid or misdirected."""
-        if self.duties.term(DUTY) is None:
+        if self.duties.term(CATALOGUE_LEASE) is None:
             return None
         try:
-            wish = SUBMIT.decode(word.body)
+            wish = REQUEST_DECODER.decode(order.body)
         except msgspec.MsgspecError:
             return None
         if wish.digest and not (
-            DIGEST.fullmatch(wish.digest) and DIGEST.fullmatch(wish.base) and wish.watch >= 0
+            DIGEST_PATTERN.fullmatch(wish.digest)
+            and DIGEST_PATTERN.fullmatch(wish.base_digest)
+            and wish.watch_time >= 0
         ):
             return None
-        said = await self._begin(wish, got.sender)
+        said = await self._start_request(wish, received.sender)
         return OrderReport(
-            ACCEPTED, word.number, 0, not said, f"{wish.digest or 'back'} {said}".encode()[:300]
+            REQUEST_REPLY, order.number, 0, not said, f"{wish.digest or 'back'} {said}".encode()[:300]
         )
 
-    def _answered(self, sender: str, word: OrderReport) -> None:
-        key, _, said = word.body.decode("utf-8", "replace").partition(" ")
-        if key in self.waited:  # the owner may repeat its reply after the operator has been answered
-            self.accepted[key] = said
+    def _handle_reply(self, sender: str, report: OrderReport) -> None:
+        key, _, said = report.body.decode("utf-8", "replace").partition(" ")
+        if (
+            key in self.pending_requests
+        ):  # the owner may repeat its reply after the operator has been answered
+            self.request_replies[key] = said
 
-    async def _begin(self, wish: SubmitWord, by: str) -> str:
+    async def _start_request(self, request: RolloutRequest, sender: str) -> str:
         """Starts a roll-out or rolls one back; returns why not, or "". A repeated request gets the same answer."""
-        if wish.digest:  # outside the lock: the fetch may take long
-            await self._hold(Plan(0, wish.digest, wish.base, Stage.HANDED, 0), by)
-        async with self.beginning:
-            term = self.duties.term(DUTY)
+        if request.digest:  # outside the lock: the fetch may take long
+            await self._fetch_text(
+                RolloutPlan(0, request.digest, request.base_digest, RolloutStage.HANDED, 0), sender
+            )
+        async with self.plan_lock:
+            term = self.duties.term(CATALOGUE_LEASE)
             if term is None:
                 return "the term ended meanwhile: ask again"
-            self._load(term)
-            running = self.running
+            self._load_plan(term)
+            running = self.rollout
             last = running.plan if running is not None else None
-            if not wish.digest:
-                after = running.take_back(wish.why or "by hand") if running is not None else None
+            if not request.digest:
+                after = running.roll_back(request.change_reason or "by hand") if running is not None else None
                 if running is None or after is None:
-                    back = last is not None and last.stage in (Stage.BACK, Stage.STOPPED)
+                    back = last is not None and last.stage in (RolloutStage.BACK, RolloutStage.STOPPED)
                     return "" if back else "there is no roll-out"
-                return "" if await self._go_on(running, after) else "the term ended meanwhile: ask again"
+                return (
+                    "" if await self._record_plan(running, after) else "the term ended meanwhile: ask again"
+                )
             if (
                 last is not None
-                and last.digest == wish.digest
-                and last.stage not in (Stage.BACK, Stage.STOPPED)
+                and last.digest == request.digest
+                and last.stage not in (RolloutStage.BACK, RolloutStage.STOPPED)
             ):
                 return ""
-            plan = begins(last, wish.digest, wish.base, wish.watch, wish.force, wish.why)
+            plan = new_plan(
+                last,
+                request.digest,
+                request.base_digest,
+                request.watch_time,
+                request.force,
+                request.change_reason,
+            )
             if isinstance(plan, str):
                 return plan
-            if wish.digest not in self.texts and wish.digest != self.in_force:
-                return f"its text could not be had from {by}"
+            if request.digest not in self.cached_texts and request.digest != self.active_digest:
+                return f"its text could not be had from {sender}"
             fresh = Rollout(plan)
-            if not await self._go_on(fresh, plan):
+            if not await self._record_plan(fresh, plan):
                 return "the term ended meanwhile: ask again"
-            self.running = fresh
+            self.rollout = fresh
             self.wake.set()
             return ""
 
     def status(self) -> dict[str, object]:
         """The last roll-out as this front end knows it, for operators."""
-        running = self.running
-        plan = running.plan if running is not None else self.plan
-        owner = self.duties.owner(DUTY)
-        told: dict[str, object] = {"owner": owner.owner if owner else None, "number": owner.number if owner else 0,
-                                   "in_force": self.in_force, "turned_away": self.fence.turned_away,
-                                   "fence": list(self.fence.seen.get(DUTY, (0, 0)))}  # fmt: skip
+        running = self.rollout
+        plan = running.plan if running is not None else self.ordered_plan
+        owner = self.duties.owner(CATALOGUE_LEASE)
+        told: dict[str, object] = {
+            "owner": owner.holder if owner else None,
+            "number": owner.fencing_token if owner else 0,
+            "in_force": self.active_digest,
+            "turned_away": self.fence.rejected_count,
+            "fence": list(self.fence.highest_seen.get(CATALOGUE_LEASE, (0, 0))),
+        }
         if plan is not None:
-            told["roll_out"] = {"number": plan.number, "digest": plan.digest, "base": plan.base, "why": plan.why,
-                                "stage": plan.stage.name.lower(), "part": plan.part, "step": plan.step,
-                                "reason": plan.reason}  # fmt: skip
+            told["roll_out"] = {
+                "number": plan.number,
+                "digest": plan.digest,
+                "base": plan.base_digest,
+                "why": plan.change_reason,
+                "stage": plan.stage.name.lower(),
+                "part": plan.target_share,
+                "step": plan.step,
+                "reason": plan.end_reason,
+            }
         if running is not None:
-            told["waits_for"] = running.unconfirmed(self.peers.membership.present(), self.helm.clock.now())[
-                :20
-            ]
+            told["waits_for"] = running.unconfirmed_fronts(
+                self.peers.membership.present(), self.coordinator.clock.now()
+            )[:20]
         return told
 
 
-NONE = digest_of(write((), True))
+EMPTY_DIGEST = digest_of(format_catalogue((), True))
--- a/oakcroft/front/catalogue_versions.py
+++ b/oakcroft/front/catalogue_versions.py
@@ -13,128 +13,158 @@
 import structlog
 import trio
 
-from oakcroft.catalogue.text import Said, apply, digest as digest_of, read, write
+from oakcroft.catalogue.text import (
+    CatalogueContent,
+    apply_change,
+    text_digest as digest_of,
+    read_catalogue,
+    format_catalogue,
+)
 from oakcroft.decisions.routing.catalogue import (
     Catalogue,
-    Course,
-    Fleet,
-    History,
-    Kept,
-    Steps,
-    Verdict,
-    changed,
-    consider,
+    PlaybackEffect,
+    FleetSnapshot,
+    VersionHistory,
+    VersionEntry,
+    StepDownQueue,
+    CatalogueVerdict,
+    changed_titles,
+    evaluate_change,
 )
-from oakcroft.decisions.routing.catalogue import takes_part
-from oakcroft.front.session_coordinator import Helm
-from oakcroft.front.playback_session import Viewing
-from oakcroft.interface import Listing, State
-from oakcroft.store.file import Dropped, Held, Version
+from oakcroft.decisions.routing.catalogue import is_in_share
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.interface import NodeStatus, PlaybackState
+from oakcroft.store.file import DropVersion, StateContents, VersionRecord
 
-KIND = "catalogue"
-T_OFFER = tuple[Verdict, list[str]]
+VERSION_KIND = "catalogue"
+ChangeResult = tuple[CatalogueVerdict, list[str]]
 
 
-class Catalogues:
+class CatalogueVersions:
     """The active catalogue of one front end and its version history."""
 
-    def __init__(self, helm: Helm, log: structlog.typing.FilteringBoundLogger) -> None:
+    def __init__(self, coordinator: SessionCoordinator, log: structlog.typing.FilteringBoundLogger) -> None:
         """Starts with no versions; `restore` loads the stored ones."""
-        self.helm, self.log = helm, log
-        self.history, self.steps = History(), Steps()
-        self.texts: dict[int, str] = {}
-        self.turn = trio.Lock()  # one change is parsed and evaluated at a time
+        self.coordinator, self.log = coordinator, log
+        self.history, self.step_downs = VersionHistory(), StepDownQueue()
+        self.texts_by_version: dict[int, str] = {}
+        self.change_lock = trio.Lock()  # one change is parsed and evaluated at a time
         self.wake = trio.Event()
 
     @property
-    def text(self) -> str:
+    def active_text(self) -> str:
         """The text of the active catalogue."""
-        return self.texts.get(self.helm.catalogue.number, write((), True))
+        return self.texts_by_version.get(self.coordinator.catalogue.number, format_catalogue((), True))
 
     # Startup.
 
-    def begin(self, held: Held | None) -> None:
+    def restore(self, stored: StateContents | None) -> None:
         """Activates the last stored version, before any request is accepted, and drops versions over the limit."""
-        versions = [v for v in held.versions if v.kind == KIND] if held is not None else []
-        for v in versions[-self.history.most :]:
-            self.history.take(Kept(v.number, v.digest, v.taken, v.why))
-            self.texts[v.number] = v.body.decode()
-        if self.helm.memory is not None:
-            for v in versions[: -self.history.most]:
-                self.helm.memory.store.note(Dropped(KIND, v.number))
+        versions = [v for v in stored.versions if v.kind == VERSION_KIND] if stored is not None else []
+        for v in versions[-self.history.max_versions :]:
+            self.history.add(VersionEntry(v.number, v.digest, v.activated_at, v.reason))
+            self.texts_by_version[v.number] = v.body.decode()
+        if self.coordinator.durable_state is not None:
+            for v in versions[: -self.history.max_versions]:
+                self.coordinator.durable_state.store.enqueue(DropVersion(VERSION_KIND, v.number))
         if versions:
             last = versions[-1]
-            said = read(last.body.decode())
+            said = read_catalogue(last.body.decode())
             new = Catalogue(last.number, last.digest, said.titles, said.others)
-            self.helm.titles.take_catalogue(new.titles, changed(self.helm.catalogue, new))
-            self.helm.catalogue = new
+            self.coordinator.title_cache.apply_catalogue(
+                new.titles, changed_titles(self.coordinator.catalogue, new)
+            )
+            self.coordinator.catalogue = new
             self.log.info("catalogue as before", version=last.number, titles=len(said.titles))
 
     # Changes.
 
     async def replace(
-        self, text: str, made_from: str | None, force: bool, why: str, share: float = 1.0
-    ) -> T_OFFER:
+        self, text: str, base_digest: str | None, force: bool, reason: str, share: float = 1.0
+    ) -> ChangeResult:
         """Submits a whole catalogue. Raises the parser's error if the text is invalid.
 
         `base_digest`: the version that the text was made from, None for any; `force` accepts a change that would
         otherwise be refused; `share`: the share of the front ends that activate it.
         """
-        return await self._offer(partial(read, text), made_from, force, why, share)
+        return await self._evaluate(partial(read_catalogue, text), base_digest, force, reason, share)
 
     async def change(
-        self, text: str, made_from: str | None, force: bool, why: str, share: float = 1.0
-    ) -> T_OFFER:
+        self, text: str, base_digest: str | None, force: bool, reason: str, share: float = 1.0
+    ) -> ChangeResult:
         """Submits a change to the active catalogue, with arguments as for `replace`."""
-        base = self.helm.catalogue
-        said = Said(dict(base.titles), base.others)
-        return await self._offer(partial(apply, text, said), made_from or base.digest, force, why, share)
+        base = self.coordinator.catalogue
+        said = CatalogueContent(dict(base.titles), base.serves_unlisted)
+        return await self._evaluate(
+            partial(apply_change, text, said), base_digest or base.digest, force, reason, share
+        )
 
-    async def roll_back(self, number: int, made_from: str | None, force: bool) -> T_OFFER | None:
+    async def roll_back(self, number: int, base_digest: str | None, force: bool) -> ChangeResult | None:
         """Submits an earlier version as a new one; None if that version is no longer kept."""
-        if self.history.find(number) is None or number not in self.texts:
+        if self.history.find(number) is None or number not in self.texts_by_version:
             return None
-        return await self._offer(
-            partial(read, self.texts[number]), made_from, force, f"back to version {number}", 1.0
+        return await self._evaluate(
+            partial(read_catalogue, self.texts_by_version[number]),
+            base_digest,
+            force,
+            f"back to version {number}",
+            1.0,
         )
 
-    async def _offer(
-        self, said: Callable[[], Said], made_from: str | None, force: bool, why: str, share: float
-    ) -> T_OFFER:
-        async with self.turn:
-            base = self.helm.catalogue
+    async def _evaluate(
+        self,
+        parse: Callable[[], CatalogueContent],
+        base_digest: str | None,
+        force: bool,
+        reason: str,
+        share: float,
+    ) -> ChangeResult:
+        async with self.change_lock:
+            base = self.coordinator.catalogue
 
             def prepare() -> tuple[Catalogue, list[str], str]:
-                found = said()
-                text = write(found.titles.items(), found.others)
+                found = parse()
+                text = format_catalogue(found.titles.items(), found.others)
                 new = Catalogue(self.history.next_number, digest_of(text), found.titles, found.others)
-                return new, changed(base, new), text
+                return new, changed_titles(base, new), text
 
             new, names, text = await trio.to_thread.run_sync(prepare)
-            done, out = trio.Event(), list[T_OFFER]()
+            done, out = trio.Event(), list[ChangeResult]()
 
             def take() -> None:
-                out.append(self._take(base, new, names, text, made_from, force, why, share))
+                out.append(self._activate(base, new, names, text, base_digest, force, reason, share))
                 done.set()
 
-            await self.helm.tell(take)
+            await self.coordinator.submit(take)
             await done.wait()
         return out[0]
 
-    def _take(
-        self, base: Catalogue, new: Catalogue, names: list[str], text: str, made_from: str | None, force: bool, why: str,
+    def _activate(
+        self,
+        base: Catalogue,
+        new: Catalogue,
+        changed_names: list[str],
+        text: str,
+        base_digest: str | None,
+        force: bool,
+        reason: str,
         share: float,
-    ) -> T_OFFER:  # fmt: skip
+    ) -> ChangeResult:
         """Evaluates a change and activates it as a whole, or refuses it; runs as one event of the coordinator."""
-        helm, terms = self.helm, self.helm.site.terms
-        lines = helm.roster.lines.values()
-        ready = frozenset(x.name for x in lines if x.listing is Listing.READY)
+        helm, terms = self.coordinator, self.coordinator.site.terms
+        lines = helm.node_list.listed_nodes.values()
+        ready = frozenset(x.name for x in lines if x.listing is NodeStatus.READY)
         floors = {n: p.plan.floor for n, p in helm.site.plans.items()}
-        fleet = Fleet(ready, frozenset(x.name for x in lines), len(terms.rates), terms.cells, floors)
-        verdict, why_not = consider(helm.catalogue, new, names, made_from, fleet, force)
-        if verdict is Verdict.TAKEN and not takes_part(terms.front, terms.fronts, int(new.digest, 16), share):
-            verdict, why_not = Verdict.LATER, [f"rolled out to {share:.0%} of the fronts"]
-        if verdict is not Verdict.TAKEN:
+        fleet = FleetSnapshot(
+            ready, frozenset(x.name for x in lines), len(terms.rung_rates), terms.cell_count, floors
+        )
+        verdict, why_not = evaluate_change(helm.catalogue, new, changed_names, base_digest, fleet, force)
+        if verdict is CatalogueVerdict.TAKEN and not is_in_share(
+            terms.front_index, terms.front_count, int(new.digest, 16), share
+        ):
+            verdict, why_not = CatalogueVerdict.LATER, [f"rolled out to {share:.0%} of the fronts"]
+        if verdict is not CatalogueVerdict.TAKEN:
             self.log.warning(
                 "catalogue not taken",
                 verdict=verdict.name.lower(),
@@ -143,38 +173,48 @@
             )
             return verdict, why_not
         now = helm.clock.now()
-        helm.titles.take_catalogue(new.titles, names)
+        helm.title_cache.apply_catalogue(new.titles, changed_names)
         helm.catalogue = new
-        self.texts[new.number] = text
-        forgotten = self.history.take(Kept(new.number, new.digest, now, why))
+        self.texts_by_version[new.number] = text
+        forgotten = self.history.add(VersionEntry(new.number, new.digest, now, reason))
         for number in forgotten:
-            self.texts.pop(number, None)
-        if helm.memory is not None:
-            helm.memory.store.note(Version(KIND, new.number, new.digest, now, why, text.encode()))
+            self.texts_by_version.pop(number, None)
+        if helm.durable_state is not None:
+            helm.durable_state.store.enqueue(
+                VersionRecord(VERSION_KIND, new.number, new.digest, now, reason, text.encode())
+            )
             for number in forgotten:
-                helm.memory.store.note(Dropped(KIND, number))
-        some = set(names)
-        counts = dict.fromkeys(Course, 0)
-        for v in list(helm.viewings.values()):
-            if v.pb.title.name in some:
-                counts[self._goes_on(v, new)] += 1
-        if self.steps.waiting:
+                helm.durable_state.store.enqueue(DropVersion(VERSION_KIND, number))
+        some = set(changed_names)
+        counts = dict.fromkeys(PlaybackEffect, 0)
+        for v in list(helm.sessions_by_playback.values()):
+            if v.playback.title.name in some:
+                counts[self._apply_to_playback(v, new)] += 1
+        if self.step_downs.waiting:
             self.wake.set()
-        self.log.info("catalogue taken", version=new.number, titles=len(new.titles), changed=len(names), why=why,
-                      **{c.name.lower(): n for c, n in counts.items()})  # fmt: skip
+        self.log.info(
+            "catalogue taken",
+            version=new.number,
+            titles=len(new.titles),
+            changed=len(changed_names),
+            why=reason,
+            **{c.name.lower(): n for c, n in counts.items()},
+        )
         return verdict, []
 
-    def _goes_on(self, v: Viewing, new: Catalogue) -> Course:
+    def _apply_to_playback(self, session: PlaybackSession, new: Catalogue) -> PlaybackEffect:
         """Applies the new version's rung limit to a playback; queues it if it must step down."""
-        rungs, item = len(self.helm.site.terms.rates), new.titles.get(v.pb.title.name)
-        if v.pb.state is not State.PLAYING:  # its next try, if any, uses the new version
+        rungs, item = len(self.coordinator.site.terms.rung_rates), new.titles.get(session.playback.title.name)
+        if session.playback.state is not PlaybackState.PLAYING:  # its next try, if any, uses the new version
             if item is not None:
-                v.pb.top = max(v.pb.plan.floor, min(v.asked_top, item.top(rungs)))
-            return Course.STAYS
-        what, top = self.helm.course(v)
-        v.pb.top = max(v.pb.plan.floor, min(v.asked_top, top))
-        if what is Course.STEPS_DOWN:
-            self.steps.add([v.id])
+                session.playback.top_rung = max(
+                    session.playback.plan.floor, min(session.requested_top, item.top_rung(rungs))
+                )
+            return PlaybackEffect.STAYS
+        what, top = self.coordinator.catalogue_effect(session)
+        session.playback.top_rung = max(session.playback.plan.floor, min(session.requested_top, top))
+        if what is PlaybackEffect.STEPS_DOWN:
+            self.step_downs.add([session.id])
         return what
 
     async def run(self) -> None:
@@ -182,15 +222,15 @@
         while True:
             await self.wake.wait()
             self.wake = trio.Event()
-            while self.steps.waiting:
-                some = self.steps.due(self.helm.clock.now())
+            while self.step_downs.waiting:
+                some = self.step_downs.next_batch(self.coordinator.clock.now())
                 if some:
-                    await self.helm.tell(partial(self._step_down, some))
-                await trio.sleep(self.steps.every / 1e9)
+                    await self.coordinator.submit(partial(self._step_down, some))
+                await trio.sleep(self.step_downs.interval / 1e9)
 
-    def _step_down(self, some: list[str]) -> None:
-        for id_ in some:
-            v = self.helm.sessions.get(id_)
+    def _step_down(self, session_ids: list[str]) -> None:
+        for id_ in session_ids:
+            v = self.coordinator.sessions_by_id.get(id_)
             # Compared with the current limit: a later version may have raised it again.
-            if v is not None and v.pb.rung > v.pb.top:
-                self.helm.bounded(v, v.pb.top)
+            if v is not None and v.playback.rung > v.playback.top_rung:
+                self.coordinator.set_rung_bound(v, v.playback.top_rung)
--- a/oakcroft/front/load_probing.py
+++ b/oakcroft/front/load_probing.py
@@ -13,17 +13,17 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.load_sharing import Figures, Row
-from oakcroft.front.session_coordinator import Helm
+from oakcroft.decisions.fleet.load_sharing import LoadSharing, LoadReport
+from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.interface import MS, SECOND
 
-LOOK = 100 * MS
+CHECK_INTERVAL_NS = 100 * MS
 
 
-class Speaking(Protocol):
+class LoadPeers(Protocol):
     """The fleet's other front ends, as far as loads go."""
 
-    def send_loads(self, to: str, rows: list[Row]) -> None:
+    def send_loads(self, peer: str, reports: list[LoadReport]) -> None:
         """Sends load reports to one front end."""
         ...
 
@@ -32,59 +32,67 @@
         ...
 
 
-class Probing:
+class LoadProbing:
     """One front end's part in sharing nodes' loads."""
 
     def __init__(
-        self, helm: Helm, peers: Speaking, me: str, every: int, seed: int,
+        self, coordinator: SessionCoordinator, peers: LoadPeers, front_name: str, probe_interval: int, seed: int,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:  # fmt: skip
         """`probe_interval` in ns; `seed` spreads the probes."""
-        self.helm, self.peers, self.log = helm, peers, log
-        self.figures = Figures(me, every, Random(seed))
-        helm.heard_load = self.own
+        self.coordinator, self.peers, self.log = coordinator, peers, log
+        self.load_sharing = LoadSharing(front_name, probe_interval, Random(seed))
+        coordinator.on_link_load = self.record_own_load
 
-    def own(self, node: str, asked: float, age: int) -> None:
+    def record_own_load(self, node: str, load: float, age_ns: int) -> None:
         """Records a node's load, reported with this front end's own traffic `age_ns` ago."""
-        self.figures.own(node, asked, age, self.helm.clock.now())
+        self.load_sharing.record_own_load(node, load, age_ns, self.coordinator.clock.now())
 
-    def heard(self, rows: list[Row]) -> None:
+    def receive_reports(self, reports: list[LoadReport]) -> None:
         """Handles load reports from another front end."""
-        now = self.helm.clock.now()
-        for node, asked, age in self.figures.heard(rows, now):
-            self.helm.offer(partial(self.helm.told_load, node, asked, now - age))
+        now = self.coordinator.clock.now()
+        for node, asked, age in self.load_sharing.receive_reports(reports, now):
+            self.coordinator.try_submit(partial(self.coordinator.apply_peer_load, node, asked, now - age))
 
     async def run(self) -> None:
         """Probes nodes and sends load reports as they are due, until cancelled."""
         while True:
-            now = self.helm.clock.now()
-            self.figures.listed({line.name: line.started_at for line in self.helm.roster.lines.values()})
-            self.figures.sees(self.peers.present())
-            for node in self.figures.due(now):
-                self.helm.nursery.start_soon(self._ask, node)
-            for to, rows in self.figures.tells(now):
+            now = self.coordinator.clock.now()
+            self.load_sharing.update_nodes(
+                {line.name: line.started_at for line in self.coordinator.node_list.listed_nodes.values()}
+            )
+            self.load_sharing.update_present_fronts(self.peers.present())
+            for node in self.load_sharing.due_probes(now):
+                self.coordinator.nursery.start_soon(self._probe, node)
+            for to, rows in self.load_sharing.due_messages(now):
                 self.peers.send_loads(to, rows)
-            await trio.sleep(LOOK / SECOND)
+            await trio.sleep(CHECK_INTERVAL_NS / SECOND)
 
-    async def _ask(self, node: str) -> None:
+    async def _probe(self, node: str) -> None:
         asked, knows = None, True
         try:
-            if (leg := self.helm.legs.get(node)) is not None:
-                asked, knows = await leg.load()
+            if (leg := self.coordinator.node_clients.get(node)) is not None:
+                asked, knows = await leg.fetch_load()
         finally:
-            now = self.helm.clock.now()
-            self.figures.asked(node, asked, knows, now)
+            now = self.coordinator.clock.now()
+            self.load_sharing.probe_finished(node, asked, knows, now)
         if asked is not None:
-            await self.helm.tell(partial(self.helm.told_load, node, asked, now))
+            await self.coordinator.submit(partial(self.coordinator.apply_peer_load, node, asked, now))
 
     def status(self) -> dict[str, object]:
         """Probe counts and the ages of known loads, for operators."""
-        figures, now = self.figures, self.helm.clock.now()
-        ages = figures.ages(now)
-        first = sum(p.rank == 0 for p in figures.places.values())
+        figures, now = self.load_sharing, self.coordinator.clock.now()
+        ages = figures.known_ages(now)
+        first = sum(p.probe_rank == 0 for p in figures.nodes.values())
         return {
-            "nodes": len(figures.places), "known": len(ages), "mine_to_ask": first,
+            "nodes": len(figures.nodes),
+            "known": len(ages),
+            "mine_to_ask": first,
             "age_ms": [ages[len(ages) // 2] // MS, ages[-1] // MS] if ages else None,
-            "asks": figures.asks, "failed": figures.failed, "refused": figures.refused, "taken": figures.taken,
-            "strange": figures.strange, "every_ms": figures.interval() // MS,
-        }  # fmt: skip
+            "asks": figures.probes_sent,
+            "failed": figures.probes_failed,
+            "refused": figures.probes_unsupported,
+            "taken": figures.reports_accepted,
+            "strange": figures.reports_discarded,
+            "every_ms": figures.effective_interval() // MS,
+        }
