--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -19,34 +19,45 @@
 import orjson
 import trio
 
-from oakcroft.decisions.fleet.backoff import EVENTS, FAREWELL, RUNG, Again
-from oakcroft.decisions.sessions.node_sessions import Claims
-from oakcroft.decisions.sessions.setup_outcome import End, Trail, outcome
-from oakcroft.decisions.sessions.event_stream_health import Break, Life, Lifeline, Loss, Patience
-from oakcroft.decisions.sessions.session_resource import SDPFRAG
+from oakcroft.decisions.fleet.backoff import (
+    EVENT_STREAM_RETRY,
+    SESSION_END_RETRY,
+    RUNG_CHANGE_RETRY,
+    RetryBackoff,
+)
+from oakcroft.decisions.sessions.node_sessions import NodeSessions
+from oakcroft.decisions.sessions.setup_outcome import RequestEnd, RequestProgress, setup_outcome
+from oakcroft.decisions.sessions.event_stream_health import (
+    StreamBreak,
+    StreamState,
+    EventStreamHealth,
+    LossCertainty,
+    StreamTimeouts,
+)
+from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
 from oakcroft.running.clock import Clock
-from oakcroft.front.playback_session import Upstream, Viewing
+from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
 from oakcroft.httpwire.client import REFUSED, Ended, Peer
 from oakcroft.httpwire.message import Headers, Response
 from oakcroft.interface import SECOND, Outcome
 from oakcroft.signalling import handing, sdp, words
 
-NOTES = ("share", "link", "rung", "ended", "started")
-ERRAND = 2.0
-T = TypeVar("T")
+EVENT_NAMES = ("share", "link", "rung", "ended", "started")
+REQUEST_TIMEOUT_SECONDS = 2.0
+ResponseT = TypeVar("ResponseT")
 
 
 @dataclass(frozen=True)
-class TryEnd:
+class TryResult:
     """Result of one setup try; `upstream` is the session where it succeeded, `cause` a text for the log."""
 
     outcome: Outcome
-    load: words.Load
-    upstream: Upstream | None
+    load_report: words.Load
+    upstream: UpstreamSession | None
     cause: str
 
 
-class Told(msgspec.Struct):
+class NodeEvent(msgspec.Struct):
     """An event of a node's stream of any kind; each field is present only in events that use it."""
 
     process: str = ""
@@ -65,114 +76,129 @@
     why: str = ""
 
 
-class Standing:
+class FrontIdentity:
     """Identity of this front end among its peers, and the lease of its sessions (docs/adopting.md).
 
     `generation` returns the number of this start, which may rise at run time; `lease_ns` is how long sessions
     outlive the front end's silence.
     """
 
-    def __init__(self, member: str, start: Callable[[], int], lease: int) -> None:
+    def __init__(self, front_name: str, generation: Callable[[], int], lease_ns: int) -> None:
         """Creates an identity; the lease is in nanoseconds."""
-        self.member, self.start, self.lease = member, start, lease
+        self.front_name, self.generation, self.lease_ns = front_name, generation, lease_ns
 
     def headers(self) -> Headers:
         """Headers that go with every request to a node."""
         return [
-            (handing.FRONT, handing.front(self.member, self.start())),
-            (handing.LEASE, str(self.lease // SECOND)),
+            (handing.FRONT, handing.front(self.front_name, self.generation())),
+            (handing.LEASE, str(self.lease_ns // SECOND)),
         ]
 
 
-def memo_of(v: Viewing) -> str:
+def takeover_memo(session: PlaybackSession) -> str:
     """Memo that lets another front end take a session over.
 
     Empty where it would be too long, in which case the session cannot be taken over.
     """
-    pb = v.pb
-    return handing.memo(handing.Memo(v.id, v.about, v.path, pb.title.name, v.plan.name, v.ufrag, v.token, pb.top,
-                                     v.due.written, v.due.abandon, v.publishes))  # fmt: skip
+    pb = session.playback
+    return handing.memo(
+        handing.Memo(
+            session.id,
+            session.fingerprint,
+            session.path,
+            pb.title.name,
+            session.plan.name,
+            session.ufrag,
+            session.token_name,
+            pb.top_rung,
+            session.deadline.written_at,
+            session.deadline.abandon_at,
+            session.publishes,
+        )
+    )
 
 
-Hear = Callable[[str, Told], Awaitable[None]]
-Lost = Callable[[Loss, str], Awaitable[None]]
+EventHandler = Callable[[str, NodeEvent], Awaitable[None]]
+LossHandler = Callable[[LossCertainty, str], Awaitable[None]]
 
 
-class NodeLeg:
+class NodeClient:
     """Client of this front end for one playout node."""
 
     def __init__(
-        self, name: str, host: str, port: int, me: str, clock: Clock, rng: Random, connect_within: int,
-        patience: Patience, claim_within: int,
+        self, name: str, host: str, port: int, pseudonym: str, clock: Clock, rng: Random, connect_timeout_ns: int,
+        timeouts: StreamTimeouts, claim_timeout: int,
     ) -> None:  # fmt: skip
         """Creates the client; `watch` has to run before events come. Times are in nanoseconds."""
-        self.name, self.me, self.clock, self.rng = name, me, clock, rng
+        self.name, self.pseudonym, self.clock, self.rng = name, pseudonym, clock, rng
         self.address = (host, port)
-        self.peer = Peer(host, port, connect_within / 1e9)
-        self.lifeline = Lifeline(patience, clock.now())
-        self.claims = Claims(claim_within)
-        self.events = ""
-        self.watched = False
-        self.asked_at = 0  # the hello event of the stream is no older than this
-        self.wake = trio.Event()  # set when the stream is worth opening
-        self.stream: trio.CancelScope | None = None
-        self.renewing = False
-        self.life = trio.CancelScope()  # of the watch task
-        self.awake: Callable[[int], None] = lambda _: None  # called before elapsed time is judged
-        self.standing: Standing | None = None  # where sessions are to outlive this front end end
+        self.peer = Peer(host, port, connect_timeout_ns / 1e9)
+        self.stream_health = EventStreamHealth(timeouts, clock.now())
+        self.node_sessions = NodeSessions(claim_timeout)
+        self.events_path = ""
+        self.is_watched = False
+        self.stream_requested_at = 0  # the hello event of the stream is no older than this
+        self.stream_wanted = trio.Event()  # set when the stream is worth opening
+        self.stream_scope: trio.CancelScope | None = None
+        self.is_reopening = False
+        self.watch_scope = trio.CancelScope()  # of the watch task
+        self.discount_pause: Callable[[int], None] = lambda _: None  # called before elapsed time is judged
+        self.identity: FrontIdentity | None = None  # where sessions are to outlive this front end end
 
     def _headers(self, **more: str) -> Headers:
         """Headers of every request, and further ones whose names have underscores for hyphens."""
-        who = self.standing.headers() if self.standing is not None else []
-        return [("Via", f"1.1 {self.me}"), *who, *((k.replace("_", "-"), v) for k, v in more.items())]
+        who = self.identity.headers() if self.identity is not None else []
+        return [("Via", f"1.1 {self.pseudonym}"), *who, *((k.replace("_", "-"), v) for k, v in more.items())]
 
-    async def set_up(self, v: Viewing, rung: int, until: int) -> TryEnd:
+    async def set_up(self, session: PlaybackSession, rung: int, abandon_at: int) -> TryResult:
         """Runs one setup try, which ends by `abandon_at` at the latest."""
-        trail = Trail()
-        end, cause, response = End.TIME_UP, "", None
-        with trio.CancelScope(deadline=self.clock.deadline(until)):
+        trail = RequestProgress()
+        end, cause, response = RequestEnd.TIMED_OUT, "", None
+        with trio.CancelScope(deadline=self.clock.trio_time(abandon_at)):
             try:
-                headers = self._headers(Content_Type=sdp.MEDIA_TYPE, Idempotency_Key=words.quoted(v.key))
-                if v.catalogue:
-                    headers.append((words.CATALOGUE, str(v.catalogue)))
-                if self.standing is not None and (memo := memo_of(v)):
+                headers = self._headers(
+                    Content_Type=sdp.MEDIA_TYPE, Idempotency_Key=words.quoted(session.key)
+                )
+                if session.catalogue_number:
+                    headers.append((words.CATALOGUE, str(session.catalogue_number)))
+                if self.identity is not None and (memo := takeover_memo(session)):
                     headers.append((handing.MEMO, memo))
                 response = await self.peer.ask(
-                    "POST", f"{v.path}?encodingId={rung}", headers, v.offer.encode(), trail
+                    "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), trail
                 )
-                end = End.ANSWERED
+                end = RequestEnd.ANSWERED
             except Ended as ended:
                 end, cause = ended.end, ended.cause
         load, upstream = words.Load(), None
         if response is not None:
             load = words.read_load(response.header(words.LOAD))
-            trail.problem = words.problem_type(response.body) if response.status != 201 else ""
+            trail.problem_type = words.problem_type(response.body) if response.status != 201 else ""
             if response.status == 201:
-                upstream = self._upstream(v.path, response)
+                upstream = self._parse_upstream(session.path, response)
                 if upstream is None:
-                    end, cause = End.GARBLED, "a 201 without a usable Location or answer"
-        return TryEnd(outcome(trail, end), load, upstream, cause or trail.problem)
+                    end, cause = RequestEnd.INVALID_RESPONSE, "a 201 without a usable Location or answer"
+        return TryResult(setup_outcome(trail, end), load, upstream, cause or trail.problem_type)
 
-    def _upstream(self, path: str, response: Response) -> Upstream | None:
+    def _parse_upstream(self, path: str, response: Response) -> UpstreamSession | None:
         """Session that a 201 response describes; None where a part of it is missing."""
         location = response.header("location")
         if not location or words.media_type(response.header("content-type") or "") != sdp.MEDIA_TYPE:
             return None
         base = f"http://{self.address[0]}:{self.address[1]}{path}"
         found = words.links(response.all("link"))
-        resource = self._here(base, location)
+        resource = self._local_path(base, location)
         if resource is None:
             return None
         events, layer = (
-            self._here(base, found.get(rel, "")) or "" for rel in (words.REL_EVENTS, words.REL_LAYER)
+            self._local_path(base, found.get(rel, "")) or "" for rel in (words.REL_EVENTS, words.REL_LAYER)
         )
         tag = (response.header("etag") or "").strip('"')
-        return Upstream(
+        return UpstreamSession(
             self.name, resource, events if words.REL_EVENTS in found else "", layer if words.REL_LAYER in found else "",
             tag, response.body.decode("utf-8", "replace"),
         )  # fmt: skip
 
-    def _here(self, base: str, reference: str) -> str | None:
+    def _local_path(self, base: str, reference: str) -> str | None:
         """Path of a URL on this node.
 
         None for a URL elsewhere, since a node cannot redirect a front end to other hosts, and for what is no
@@ -186,166 +212,175 @@
         target = parts.path + (f"?{parts.query}" if parts.query else "")
         return target if here and words.is_path(target.replace("?", "")) else None
 
-    async def _errand(
-        self, again: Again, method: str, target: str, headers: Headers, body: bytes, insists: bool = False
+    async def _request_with_retry(
+        self,
+        backoff: RetryBackoff,
+        method: str,
+        target: str,
+        headers: Headers,
+        body: bytes,
+        even_if_lost: bool = False,
     ) -> Response | None:
         """Repeats a request until it is answered with a status below 500; None when it was given up.
 
         Unless `even_if_lost`, it is given up as soon as the node counts as lost.
         """
         while True:
-            response = await self._once(method, target, self._headers() + headers, body)
+            response = await self._request(method, target, self._headers() + headers, body)
             if response is not None and response.status < 500:
                 return response
-            if self.lifeline.state is Life.LOST and not insists:
+            if self.stream_health.state is StreamState.LOST and not even_if_lost:
                 return None
-            wait = again.failed(self.clock.now())
+            wait = backoff.record_failure(self.clock.now())
             if wait is None:
                 return None
             await trio.sleep(wait / 1e9)
 
-    async def farewell(self, resource: str) -> bool:
+    async def end_session(self, resource: str) -> bool:
         """Ends a session; returns whether the node has confirmed it."""
-        again = Again(FAREWELL, self.rng, self.clock.now())
-        response = await self._errand(again, "DELETE", resource, [], b"", insists=True)
+        again = RetryBackoff(SESSION_END_RETRY, self.rng, self.clock.now())
+        response = await self._request_with_retry(again, "DELETE", resource, [], b"", even_if_lost=True)
         return response is not None
 
-    async def set_rung(self, upstream: Upstream, rung: int) -> bool:
+    async def set_rung(self, upstream: UpstreamSession, rung: int) -> bool:
         """Sets the rung of a playing session; returns whether it is in force."""
-        if not upstream.layer:
+        if not upstream.layer_path:
             return False
         body = orjson.dumps({"encodingId": str(rung)})
         headers = [("Content-Type", "application/json")]
-        again = Again(RUNG, self.rng, self.clock.now())
-        response = await self._errand(again, "POST", upstream.layer, headers, body)
+        again = RetryBackoff(RUNG_CHANGE_RETRY, self.rng, self.clock.now())
+        response = await self._request_with_retry(again, "POST", upstream.layer_path, headers, body)
         return response is not None and response.status in (200, 204)
 
-    async def patch(self, upstream: Upstream, if_match: str, body: bytes) -> Response | None:
+    async def patch(self, upstream: UpstreamSession, if_match: str, body: bytes) -> Response | None:
         """Forwards a trickle ICE fragment, once; None when it got no answer."""
-        return await self._once(
-            "PATCH", upstream.resource, self._headers(Content_Type=SDPFRAG, If_Match=if_match), body
+        return await self._request(
+            "PATCH",
+            upstream.resource,
+            self._headers(Content_Type=SDPFRAG_MEDIA_TYPE, If_Match=if_match),
+            body,
         )
 
-    async def offered(self, names: Iterable[str], after: str) -> handing.Listing | None:
+    async def list_sessions_of(self, front_names: Iterable[str], after: str) -> handing.Listing | None:
         """Lists the node's sessions of front ends that no longer listen to it, from a position on.
 
         None where the node gave no usable answer.
         """
-        target = (
-            f"{handing.PATH}?of={','.join(quote(n, safe='') for n in names)}&after={quote(after, safe='')}"
-        )
-        return await self._question("GET", target, b"", handing.LISTING)
+        target = f"{handing.PATH}?of={','.join(quote(n, safe='') for n in front_names)}&after={quote(after, safe='')}"
+        return await self._request_json("GET", target, b"", handing.LISTING)
 
-    async def take(self, sessions: list[str]) -> set[str] | None:
+    async def take_over(self, resources: list[str]) -> set[str] | None:
         """Takes over sessions; returns those that the node has granted, None where no answer came."""
-        body = msgspec.json.encode(handing.Taking(sessions))
-        given = await self._question("POST", handing.PATH, body, handing.TAKING)
+        body = msgspec.json.encode(handing.Taking(resources))
+        given = await self._request_json("POST", handing.PATH, body, handing.TAKING)
         return set(given.sessions) if given is not None else None
 
-    async def load(self) -> tuple[float | None, bool]:
+    async def fetch_load(self) -> tuple[float | None, bool]:
         """Load of the node's link: requested rate over capacity, None where the node did not report it.
 
         The second value is False where the node does not support the question.
         """
-        response = await self._once("GET", words.LOAD_PATH, self._headers(), b"")
+        response = await self._request("GET", words.LOAD_PATH, self._headers(), b"")
         if response is None:
             return None, True
         asked = words.read_load(response.header(words.LOAD)).asked if response.status < 300 else None
-        return (asked, True) if sound(asked) else (None, response.status >= 500)
+        return (asked, True) if is_valid_value(asked) else (None, response.status >= 500)
 
-    async def _question(
-        self, method: str, target: str, body: bytes, decoder: msgspec.json.Decoder[T]
-    ) -> T | None:
+    async def _request_json(
+        self, method: str, target: str, body: bytes, decoder: msgspec.json.Decoder[ResponseT]
+    ) -> ResponseT | None:
         """Decoded JSON response to a request; None where it did not come or cannot be decoded."""
         headers = self._headers(**({"Content_Type": "application/json"} if body else {}))
-        response = await self._once(method, target, headers, body)
+        response = await self._request(method, target, headers, body)
         try:
             return decoder.decode(response.body) if response is not None and response.status == 200 else None
         except (ValueError, msgspec.MsgspecError):
             return None
 
-    async def _once(self, method: str, target: str, headers: Headers, body: bytes) -> Response | None:
+    async def _request(self, method: str, target: str, headers: Headers, body: bytes) -> Response | None:
         """Sends one request; None where no complete response came in time."""
         try:
-            with trio.fail_after(ERRAND):
+            with trio.fail_after(REQUEST_TIMEOUT_SECONDS):
                 return await self.peer.ask(method, target, headers, body)
         except (Ended, trio.TooSlowError):
             return None
 
-    def renew(self) -> None:
+    def reopen_stream(self) -> None:
         """Reopens the event stream, so that the node reports what it runs now."""
-        if self.stream is not None:
-            self.renewing = True
-            self.stream.cancel()
+        if self.stream_scope is not None:
+            self.is_reopening = True
+            self.stream_scope.cancel()
 
     async def close(self) -> None:
         """Ends the watch task and closes the connections."""
-        self.life.cancel()
+        self.watch_scope.cancel()
         await self.peer.close()
 
-    async def watch(self, hear: Hear, lost: Lost) -> None:
+    async def watch(self, on_event: EventHandler, on_lost: LossHandler) -> None:
         """Keeps the event stream open until the client is closed; reports events and the loss of the node."""
-        with self.life:
-            await self._watch(hear, lost)
+        with self.watch_scope:
+            await self._watch_streams(on_event, on_lost)
 
-    async def _watch(self, hear: Hear, lost: Lost) -> None:
+    async def _watch_streams(self, on_event: EventHandler, on_lost: LossHandler) -> None:
         """Opens the event stream again after each break."""
-        again = Again(EVENTS, self.rng, self.clock.now())
+        again = RetryBackoff(EVENT_STREAM_RETRY, self.rng, self.clock.now())
         while True:
-            await self.wake.wait()
-            why = await self._listen(hear, lost, again)
-            self.awake(self.clock.now())
-            loss = self.lifeline.broke(why, self.clock.now())
+            await self.stream_wanted.wait()
+            why = await self._read_stream(on_event, on_lost, again)
+            self.discount_pause(self.clock.now())
+            loss = self.stream_health.stream_broken(why, self.clock.now())
             if loss is not None:
-                await lost(loss, why.value)
-            if self.lifeline.state is Life.LOST:
-                self.wake = trio.Event()  # set again by the next successful set-up
+                await on_lost(loss, why.value)
+            if self.stream_health.state is StreamState.LOST:
+                self.stream_wanted = trio.Event()  # set again by the next successful set-up
                 continue
-            await trio.sleep((again.failed(self.clock.now()) or 0) / 1e9)
+            await trio.sleep((again.record_failure(self.clock.now()) or 0) / 1e9)
 
-    async def _listen(self, hear: Hear, lost: Lost, again: Again) -> Break:
+    async def _read_stream(
+        self, on_event: EventHandler, on_lost: LossHandler, backoff: RetryBackoff
+    ) -> StreamBreak:
         """Reads one event stream to its end; returns how it ended."""
         reader, headers = words.EventReader(), self._headers(Accept=words.EVENTS)
-        self.asked_at = self.clock.now()
+        self.stream_requested_at = self.clock.now()
         try:
             with trio.CancelScope() as silence:
-                self.stream, self.renewing = silence, False
-                silence.deadline = trio.current_time() + self._silence()
-                async with self.peer.stream("GET", self.events, headers) as (head, chunks):
+                self.stream_scope, self.is_reopening = silence, False
+                silence.deadline = trio.current_time() + self._silence_seconds()
+                async with self.peer.stream("GET", self.events_path, headers) as (head, chunks):
                     if head.status in (404, 410):
-                        return Break.GONE
+                        return StreamBreak.SESSIONS_UNKNOWN
                     if head.status != 200:
-                        return Break.CLOSED
+                        return StreamBreak.CLOSED
                     async for chunk in chunks:
-                        silence.deadline = trio.current_time() + self._silence()
-                        self.lifeline.beat(self.clock.now())
+                        silence.deadline = trio.current_time() + self._silence_seconds()
+                        self.stream_health.message_received(self.clock.now())
                         for name, data in reader.feed(chunk):
                             if name == "hello":
-                                again.worked(self.clock.now())
-                                told = msgspec.json.decode(data, type=Told)
-                                loss = self.lifeline.opened(told.process, self.clock.now())
+                                backoff.record_success(self.clock.now())
+                                told = msgspec.json.decode(data, type=NodeEvent)
+                                loss = self.stream_health.stream_opened(told.process, self.clock.now())
                                 told.why = (
                                     loss.value if loss is not None else ""
                                 )  # its own list tells what is lost
-                                await hear(name, told)
-                            elif name in NOTES:
-                                await hear(name, msgspec.json.decode(data, type=Told))
+                                await on_event(name, told)
+                            elif name in EVENT_NAMES:
+                                await on_event(name, msgspec.json.decode(data, type=NodeEvent))
             if silence.cancelled_caught:
-                return Break.CLOSED if self.renewing else Break.UNANSWERED
+                return StreamBreak.CLOSED if self.is_reopening else StreamBreak.TIMED_OUT
         except Ended as ended:
-            return Break.REFUSED if ended.cause == REFUSED else Break.RESET
+            return StreamBreak.REFUSED if ended.cause == REFUSED else StreamBreak.RESET
         except (ValueError, msgspec.DecodeError):
-            return Break.RESET
-        return Break.CLOSED
+            return StreamBreak.RESET
+        return StreamBreak.CLOSED
 
-    def _silence(self) -> float:
+    def _silence_seconds(self) -> float:
         """Seconds without data after which the stream is reopened."""
-        return self.lifeline.patience.silent_after / 1e9
+        return self.stream_health.timeouts.silent_after / 1e9
 
 
-def sound(value: float | None) -> bool:
+def is_valid_value(value: float | None) -> bool:
     """Whether a reported value is present and within bounds."""
     return value is not None and math.isfinite(value) and 0 <= value < 1e6
 
 
-LONGEST_TRY_GRACE = 2 * SECOND
+MAX_TRY_GRACE_NS = 2 * SECOND
--- a/oakcroft/front/node_events.py
+++ b/oakcroft/front/node_events.py
@@ -6,126 +6,163 @@
 
 import structlog
 
-from oakcroft.decisions.sessions.event_stream_health import Loss
-from oakcroft.front.node_client import NodeLeg, Told, sound
-from oakcroft.front.protocols import Moving, Steering
-from oakcroft.interface import Note, Outcome
+from oakcroft.decisions.sessions.event_stream_health import LossCertainty
+from oakcroft.front.node_client import NodeClient, NodeEvent, is_valid_value
+from oakcroft.front.protocols import MoveParticipants, Coordinator
+from oakcroft.interface import PlaybackMetric, Outcome
 
 
-class Hearing:
+class NodeEventHandler:
     """Handler of the node events of one front end."""
 
-    def __init__(self, helm: Steering, moves: Moving, log: structlog.typing.FilteringBoundLogger) -> None:
+    def __init__(
+        self,
+        coordinator: Coordinator,
+        move_executor: MoveParticipants,
+        log: structlog.typing.FilteringBoundLogger,
+    ) -> None:
         """Creates the handler."""
-        self.helm, self.moves, self.log = helm, moves, log
+        self.coordinator, self.move_executor, self.log = coordinator, move_executor, log
 
-    def follow(self, leg: NodeLeg, events: str) -> None:
+    def follow(self, node_client: NodeClient, events_path: str) -> None:
         """Keeps the event stream of a node open from now on; an empty `events_path` is ignored."""
-        if events and leg.events != events:
-            leg.events = events
-        if leg.events:
-            if not leg.wake.is_set():
-                leg.lifeline.wanted(self.helm.clock.now())
-            leg.wake.set()
-            if not leg.watched:
-                leg.watched = True
-                self.helm.nursery.start_soon(leg.watch, partial(self._hear, leg), partial(self._lost, leg))
+        if events_path and node_client.events_path != events_path:
+            node_client.events_path = events_path
+        if node_client.events_path:
+            if not node_client.stream_wanted.is_set():
+                node_client.stream_health.start(self.coordinator.clock.now())
+            node_client.stream_wanted.set()
+            if not node_client.is_watched:
+                node_client.is_watched = True
+                self.coordinator.nursery.start_soon(
+                    node_client.watch,
+                    partial(self._queue_event, node_client),
+                    partial(self._queue_node_lost, node_client),
+                )
 
-    async def _hear(self, leg: NodeLeg, name: str, told: Told) -> None:
+    async def _queue_event(self, node_client: NodeClient, event_name: str, event: NodeEvent) -> None:
         """Submits a node event, with the time at which its stream was requested."""
-        await self.helm.tell(partial(self._heard, leg, name, told, leg.asked_at))
+        await self.coordinator.submit(
+            partial(self._handle_event, node_client, event_name, event, node_client.stream_requested_at)
+        )
 
-    def _heard(self, leg: NodeLeg, name: str, told: Told, asked_at: int) -> None:
+    def _handle_event(
+        self, node_client: NodeClient, event_name: str, event: NodeEvent, requested_at: int
+    ) -> None:
         """Handles a node event in the event task."""
-        now = self.helm.clock.now()
-        node = self.helm.roster.nodes.get(leg.name)
-        if name == "hello":
-            if self.helm.memory is not None:
-                self.helm.memory.word(leg, told, asked_at)
-            missing = leg.claims.told(told.sessions, asked_at, now)
-            passed = set(told.passed).intersection(missing)
+        now = self.coordinator.clock.now()
+        node = self.coordinator.node_list.nodes.get(node_client.name)
+        if event_name == "hello":
+            if self.coordinator.durable_state is not None:
+                self.coordinator.durable_state.node_state_received(node_client, event, requested_at)
+            missing = node_client.node_sessions.reconcile(event.sessions, requested_at, now)
+            passed = set(event.passed).intersection(missing)
             if passed:  # nothing is lost, and it does not count against the node
-                self.log.warning("passed on", node=leg.name, playbacks=len(passed))
-                self.helm.told_passed(len(passed))
+                self.log.warning("passed on", node=node_client.name, playbacks=len(passed))
+                self.coordinator.on_sessions_taken_over(len(passed))
             if len(missing) > len(passed):
                 self.log.warning(
                     "node lost",
-                    node=leg.name,
-                    why=told.why or "sessions ended unheard",
+                    node=node_client.name,
+                    why=event.why or "sessions ended unheard",
                     playbacks=len(missing) - len(passed),
                 )
             for session in missing:
-                v = self.helm.upstreams.get((leg.name, session))
-                away = v is not None and self.helm.memory is not None and self.helm.memory.ended_away(v)
+                v = self.coordinator.sessions_by_upstream.get((node_client.name, session))
+                away = (
+                    v is not None
+                    and self.coordinator.durable_state is not None
+                    and self.coordinator.durable_state.ended_while_away(v)
+                )
                 quiet = away or session in passed
-                self._session_over(leg, session, Outcome.DONE if quiet else Outcome.RESET)
-            for session, rung in zip(told.sessions, told.rungs, strict=False):
-                self._rung_told(leg, session, rung, now)
-        elif name == "started":
-            leg.claims.started(told.session, now)
-        elif name == "ended":
-            if leg.claims.ended(told.session):
-                self._session_over(leg, told.session, Outcome.DONE)
-        elif name == "rung":
-            self._rung_told(leg, told.session, told.rung, now)
+                self._session_ended(node_client, session, Outcome.DONE if quiet else Outcome.RESET)
+            for session, rung in zip(event.sessions, event.rungs, strict=False):
+                self._apply_rung(node_client, session, rung, now)
+        elif event_name == "started":
+            node_client.node_sessions.session_started(event.session, now)
+        elif event_name == "ended":
+            if node_client.node_sessions.session_ended(event.session):
+                self._session_ended(node_client, event.session, Outcome.DONE)
+        elif event_name == "rung":
+            self._apply_rung(node_client, event.session, event.rung, now)
         elif node is not None and node.playbacks:
             pb = next(iter(node.playbacks))
-            if name == "share" and sound(told.share):
-                others = [n.short for n in self.helm.roster.nodes.values() if n is not node and n.playbacks]
+            if event_name == "share" and is_valid_value(event.share):
+                others = [
+                    n.delivered_share
+                    for n in self.coordinator.node_list.nodes.values()
+                    if n is not node and n.playbacks
+                ]
                 usual = sum(others) / len(others) if others else 0.0
-                self.moves.shared(leg.name, min(1.0, told.share), usual, now)
-                self.helm.controller.noted(pb, Note.DELIVERED, min(1.0, told.share), now)
-            elif name == "link":
-                if told.asked is not None and sound(told.asked):
-                    self.helm.controller.noted(pb, Note.LINK_ASKED, told.asked, now)
-                    self.helm.heard_load(leg.name, told.asked, self.helm.site.terms.seen_after)
-                if told.uplink is not None and sound(told.uplink):
-                    self.helm.controller.noted(pb, Note.UPLINK_ASKED, told.uplink, now)
+                self.move_executor.on_delivered_share(node_client.name, min(1.0, event.share), usual, now)
+                self.coordinator.policy.on_metric(
+                    pb, PlaybackMetric.DELIVERED_SHARE, min(1.0, event.share), now
+                )
+            elif event_name == "link":
+                if event.asked is not None and is_valid_value(event.asked):
+                    self.coordinator.policy.on_metric(pb, PlaybackMetric.LINK_LOAD, event.asked, now)
+                    self.coordinator.on_link_load(
+                        node_client.name, event.asked, self.coordinator.site.terms.report_delay_ns
+                    )
+                if event.uplink is not None and is_valid_value(event.uplink):
+                    self.coordinator.policy.on_metric(pb, PlaybackMetric.UPLINK_LOAD, event.uplink, now)
 
-    def _rung_told(self, leg: NodeLeg, session: str, rung: int, now: int) -> None:
+    def _apply_rung(self, node_client: NodeClient, resource: str, rung: int, now: int) -> None:
         """Applies the rung that a node reports for a session."""
-        v = self.helm.upstreams.get((leg.name, session))
-        if v is not None and 0 <= rung < len(self.helm.site.terms.rates) and rung != v.pb.rung:
-            self.helm.controller.noted(v.pb, Note.RUNG, rung, now)
-            if v.pb.rung > v.pb.top:
-                self.helm.above_bound(v)
+        v = self.coordinator.sessions_by_upstream.get((node_client.name, resource))
+        if (
+            v is not None
+            and 0 <= rung < len(self.coordinator.site.terms.rung_rates)
+            and rung != v.playback.rung
+        ):
+            self.coordinator.policy.on_metric(v.playback, PlaybackMetric.RUNG, rung, now)
+            if v.playback.rung > v.playback.top_rung:
+                self.coordinator.rung_bound_exceeded(v)
 
-    async def _lost(self, leg: NodeLeg, loss: Loss, why: str) -> None:
+    async def _queue_node_lost(self, node_client: NodeClient, loss: LossCertainty, reason: str) -> None:
         """Submits the loss of a node."""
-        await self.helm.tell(partial(self.node_lost, leg, loss, why))
+        await self.coordinator.submit(partial(self.node_lost, node_client, loss, reason))
 
-    def node_lost(self, leg: NodeLeg, loss: Loss, why: str) -> None:
+    def node_lost(self, node_client: NodeClient, loss: LossCertainty, reason: str) -> None:
         """Ends what played on a node.
 
         Where the loss is only presumed, the policy is told that nothing is delivered there, the viewers are
         told of the end, and seats stay taken until the node confirms the end or its time has run out.
         """
-        proven = loss is Loss.PROVEN
-        if self.helm.memory is not None:
-            self.helm.memory.node_lost(leg.name, proven)
-        lost = leg.claims.all_lost() if proven else leg.claims.presumed()
+        proven = loss is LossCertainty.PROVEN
+        if self.coordinator.durable_state is not None:
+            self.coordinator.durable_state.node_lost(node_client.name, proven)
+        lost = (
+            node_client.node_sessions.lose_all() if proven else node_client.node_sessions.claimed_sessions()
+        )
         if lost:
-            self.log.warning("node lost", node=leg.name, why=why, how=loss.value, playbacks=len(lost))
+            self.log.warning(
+                "node lost", node=node_client.name, why=reason, how=loss.value, playbacks=len(lost)
+            )
         told = False  # one silence counts once against its node, whatever the number of its playbacks
         for session in lost:
-            v = self.helm.upstreams.get((leg.name, session))
+            v = self.coordinator.sessions_by_upstream.get((node_client.name, session))
             if v is None:
                 continue
             if proven:
-                self.helm.over(v, Outcome.RESET)
+                self.coordinator.playback_ended(v, Outcome.RESET)
                 continue
             if not told:
                 told = True
-                self.helm.controller.noted(v.pb, Note.DELIVERED, 0.0, self.helm.clock.now())
-            if self.moves.of(v) is not None:
-                self.helm.over(self.helm.part(v), Outcome.RESET, presumed=True)
-                if not self.moves.over(v, True):
-                    self.helm.hide(v)
+                self.coordinator.policy.on_metric(
+                    v.playback, PlaybackMetric.DELIVERED_SHARE, 0.0, self.coordinator.clock.now()
+                )
+            if self.move_executor.move_of(v) is not None:
+                self.coordinator.playback_ended(
+                    self.coordinator.detach_playback(v), Outcome.RESET, is_presumed=True
+                )
+                if not self.move_executor.participant_ended(v, True):
+                    self.coordinator.close_viewer_session(v)
                 continue
-            self.helm.hide(v)
-            self.helm.end(v)
+            self.coordinator.close_viewer_session(v)
+            self.coordinator.end_session(v)
 
-    def _session_over(self, leg: NodeLeg, session: str, how: Outcome) -> None:
+    def _session_ended(self, node_client: NodeClient, resource: str, outcome: Outcome) -> None:
         """Ends the playback of a session that has ended on its node."""
-        if v := self.helm.upstreams.get((leg.name, session)):
-            self.helm.over(v, how)
+        if v := self.coordinator.sessions_by_upstream.get((node_client.name, resource)):
+            self.coordinator.playback_ended(v, outcome)
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -13,23 +13,29 @@
 
 import orjson
 
-from oakcroft.catalogue.text import Unsound
-from oakcroft.decisions.routing.catalogue import Verdict
-from oakcroft.front.catalogue_versions import T_OFFER, Catalogues
-from oakcroft.front.session_service import Faulty
-from oakcroft.front.session_coordinator import Helm
-from oakcroft.front.service_levels import Reducing
+from oakcroft.catalogue.text import CatalogueError
+from oakcroft.decisions.routing.catalogue import CatalogueVerdict
+from oakcroft.front.catalogue_versions import ChangeResult, CatalogueVersions
+from oakcroft.front.session_service import RequestError
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.service_levels import ServiceLevelControl
 from oakcroft.front.zone_routing import ZoneRouting
 from oakcroft.interface import SECOND
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling import words
 
-PATH = "/operators/"
-LONGEST_PIN = 86_400  # seconds
-LONGEST_WATCH = 86_400
-TYPE = "application/vnd.oakcroft.catalogue"
-STATUS = {Verdict.TAKEN: 200, Verdict.SAME: 200, Verdict.LATER: 202, Verdict.STALE: 412, Verdict.REFUSED: 409}
-ALLOWED = {
+OPERATORS_PATH = "/operators/"
+MAX_PIN_S = 86_400  # seconds
+MAX_WATCH_S = 86_400
+CATALOGUE_MEDIA_TYPE = "application/vnd.oakcroft.catalogue"
+STATUS_BY_VERDICT = {
+    CatalogueVerdict.TAKEN: 200,
+    CatalogueVerdict.SAME: 200,
+    CatalogueVerdict.LATER: 202,
+    CatalogueVerdict.STALE: 412,
+    CatalogueVerdict.REFUSED: 409,
+}
+METHODS_BY_PATH = {
     "catalogue": "GET, PUT, PATCH",
     "catalogue/versions": "GET",
     "catalogue/roll-back": "POST",
@@ -41,7 +47,7 @@
 }
 
 
-class Duties(Protocol):
+class FleetLeases(Protocol):
     """The fleet's leases, for operators. A protocol, because a front end without peers does not import their modules."""
 
     def status(self) -> dict[str, object]:
@@ -57,23 +63,25 @@
         ...
 
 
-class Rolling(Protocol):
+class RolloutControl(Protocol):
     """Catalogue roll-outs over the fleet, for operators; a protocol for the same reason."""
 
     def status(self) -> dict[str, object]:
         """The last roll-out as this front end knows it."""
         ...
 
-    async def submit(self, text: str, base: str, watch: int, force: bool, why: str) -> str:
+    async def submit(
+        self, text: str, base_digest: str, watch_time: int, force: bool, change_reason: str
+    ) -> str:
         """Starts a roll-out; returns why not, or ""."""
         ...
 
-    async def take_back(self, why: str) -> str:
+    async def roll_back(self, reason: str) -> str:
         """Rolls the last roll-out back; returns why not, or ""."""
         ...
 
 
-class Told(Protocol):
+class StatusSource(Protocol):
     """A part of the front end that has a status for operators; a protocol for the same reason."""
 
     def status(self) -> dict[str, object]:
@@ -81,223 +89,250 @@
         ...
 
 
-class Operators:
+class OperatorsApi:
     """Handles the operators' requests to one front end."""
 
     def __init__(
-        self, helm: Helm, catalogues: Catalogues, reducing: Reducing, zone_routing: ZoneRouting
+        self,
+        coordinator: SessionCoordinator,
+        catalogues: CatalogueVersions,
+        service_levels: ServiceLevelControl,
+        zone_routing: ZoneRouting,
     ) -> None:
-        self.helm, self.catalogues = helm, catalogues
-        self.reducing, self.zone_routing = reducing, zone_routing
+        self.coordinator, self.catalogues = coordinator, catalogues
+        self.service_levels, self.zone_routing = service_levels, zone_routing
         # The fleet as this front end sees it, if it has peers.
-        self.fleet: Callable[[], dict[str, object]] | None = None
-        self.duties: Duties | None = None  # if lease acceptors are configured
-        self.rolling: Rolling | None = None
-        self.adopting: Told | None = None  # if session takeover is configured
-        self.probing: Told | None = None  # if nodes' loads are shared among front ends
+        self.fleet_status: Callable[[], dict[str, object]] | None = None
+        self.leases: FleetLeases | None = None  # if lease acceptors are configured
+        self.rollout: RolloutControl | None = None
+        self.takeover: StatusSource | None = None  # if session takeover is configured
+        self.load_probing: StatusSource | None = None  # if nodes' loads are shared among front ends
 
-    def known(self, authorization: str | None) -> bool:
+    def is_authorized(self, authorization: str | None) -> bool:
         """Whether an Authorization header has the operators' token."""
         scheme, _, given = (authorization or "").partition(" ")
         digest = hashlib.blake2b(given.strip().encode(), digest_size=32).digest()
-        return scheme.lower() == "bearer" and hmac.compare_digest(digest, self.helm.site.operators)
+        return scheme.lower() == "bearer" and hmac.compare_digest(
+            digest, self.coordinator.site.operator_token_digest
+        )
 
-    def roomy(self, target: str, headers: Headers) -> bool:
+    def allows_large_body(self, target: str, headers: Headers) -> bool:
         """Whether a request may have a large body.
 
         Only authorized operators' requests may, so that nobody else can exhaust the front end's memory.
         """
-        if not target.startswith(PATH) or not self.helm.site.operators:
+        if not target.startswith(OPERATORS_PATH) or not self.coordinator.site.operator_token_digest:
             return False
-        return self.known(next((v for n, v in headers if n == "authorization"), None))
+        return self.is_authorized(next((v for n, v in headers if n == "authorization"), None))
 
     async def handle(self, request: Request) -> Response:
         """Answers one request. Raises RequestError if it is invalid or unauthorized."""
-        if not self.helm.site.operators:
-            raise Faulty(404, "no-route", "Nothing is served at this path")
-        if not self.known(request.header("authorization")):
-            raise Faulty(401, "token", "The operators' bearer token is needed")
-        part = request.path.removeprefix(PATH)
-        if part not in ALLOWED:
-            raise Faulty(404, "no-route", "Nothing is served at this path")
-        if request.method not in ALLOWED[part].split(", "):
-            return Response(405, [("Allow", ALLOWED[part])])
+        if not self.coordinator.site.operator_token_digest:
+            raise RequestError(404, "no-route", "Nothing is served at this path")
+        if not self.is_authorized(request.header("authorization")):
+            raise RequestError(401, "token", "The operators' bearer token is needed")
+        part = request.path.removeprefix(OPERATORS_PATH)
+        if part not in METHODS_BY_PATH:
+            raise RequestError(404, "no-route", "Nothing is served at this path")
+        if request.method not in METHODS_BY_PATH[part].split(", "):
+            return Response(405, [("Allow", METHODS_BY_PATH[part])])
         match part, request.method:
             case "catalogue", "GET":
-                return self._get(request)
+                return self._get_catalogue(request)
             case "catalogue", _:
-                return await self._change(request)
+                return await self._change_catalogue(request)
             case "catalogue/versions", _:
-                return self._versions()
+                return self._list_versions()
             case "level", _:
-                return self._level(request)
+                return self._pin_level(request)
             case "status", _:
-                return self._status()
+                return self._get_status()
             case "fleet", _:
-                if self.fleet is None:
-                    raise Faulty(404, "no-peers", "This front has no (peers …) in its configuration")
-                return Response(200, [("Content-Type", "application/json")], orjson.dumps(self.fleet()))
+                if self.fleet_status is None:
+                    raise RequestError(404, "no-peers", "This front has no (peers …) in its configuration")
+                return Response(
+                    200, [("Content-Type", "application/json")], orjson.dumps(self.fleet_status())
+                )
             case "fleet/owners", method:
-                if self.duties is None:
-                    raise Faulty(404, "no-keepers", "This front has no (keepers …) in its configuration")
+                if self.leases is None:
+                    raise RequestError(
+                        404, "no-keepers", "This front has no (keepers …) in its configuration"
+                    )
                 if method == "DELETE":
                     duty = request.query("duty") or ""
-                    if self.duties.term(duty) is None:
-                        raise Faulty(409, "not-mine", "This front has no such duty: ask the one that has")
-                    self.duties.give_back(duty)
+                    if self.leases.term(duty) is None:
+                        raise RequestError(
+                            409, "not-mine", "This front has no such duty: ask the one that has"
+                        )
+                    self.leases.give_back(duty)
                 return Response(
-                    200, [("Content-Type", "application/json")], orjson.dumps(self.duties.status())
+                    200, [("Content-Type", "application/json")], orjson.dumps(self.leases.status())
                 )
             case "fleet/roll-out", _:
-                return await self._roll_out(request)
+                return await self._handle_rollout(request)
         return await self._roll_back(request)
 
-    async def _roll_out(self, request: Request) -> Response:
+    async def _handle_rollout(self, request: Request) -> Response:
         """Starts, shows or rolls back a roll-out over the whole fleet."""
-        rolling = self.rolling
+        rolling = self.rollout
         if rolling is None:
-            raise Faulty(404, "no-keepers", "This front has no (keepers …) in its configuration")
+            raise RequestError(404, "no-keepers", "This front has no (keepers …) in its configuration")
         said = ""
         if request.method == "PUT":
-            made_from, (force, why, _) = self._made_from(request), self._how(request)
+            made_from, (force, why, _) = self._base_digest(request), self._change_options(request)
             watch = request.query("watch") or "10"
-            if not watch.isdigit() or int(watch) > LONGEST_WATCH:
-                raise Faulty(400, "watch", f"watch is whole seconds up to {LONGEST_WATCH}")
-            base = self.helm.catalogue.digest if made_from is None else made_from
+            if not watch.isdigit() or int(watch) > MAX_WATCH_S:
+                raise RequestError(400, "watch", f"watch is whole seconds up to {MAX_WATCH_S}")
+            base = self.coordinator.catalogue.digest if made_from is None else made_from
             try:
                 said = await rolling.submit(
                     request.body.decode("utf-8"), base, int(watch) * SECOND, force, why
                 )
             except UnicodeDecodeError as fault:
-                raise Faulty(400, "catalogue", "The text is not UTF-8", str(fault)) from None
-            except Unsound as fault:
-                faults = "\n".join(f.show() for f in fault.faults)
-                raise Faulty(
+                raise RequestError(400, "catalogue", "The text is not UTF-8", str(fault)) from None
+            except CatalogueError as fault:
+                faults = "\n".join(f.format() for f in fault.faults)
+                raise RequestError(
                     422, "catalogue", f"{len(fault.faults)} faults; nothing is begun", faults
                 ) from None
         elif request.method == "DELETE":
-            said = await rolling.take_back((request.query("why") or "")[:100])
+            said = await rolling.roll_back((request.query("why") or "")[:100])
         if said:
-            raise Faulty(409, "roll-out", said)
+            raise RequestError(409, "roll-out", said)
         status = 200 if request.method == "GET" else 202
         return Response(status, [("Content-Type", "application/json")], orjson.dumps(rolling.status()))
 
-    def _tag(self) -> str:
-        return f'"{self.helm.catalogue.digest or "none"}"'
+    def _etag(self) -> str:
+        return f'"{self.coordinator.catalogue.digest or "none"}"'
 
-    def _get(self, request: Request) -> Response:
+    def _get_catalogue(self, request: Request) -> Response:
         wanted = request.query("version")
-        text = self.catalogues.text
+        text = self.catalogues.active_text
         if wanted:
-            if not wanted.isdigit() or int(wanted) not in self.catalogues.texts:
-                raise Faulty(404, "no-version", "This version is not kept here")
-            text = self.catalogues.texts[int(wanted)]
-        elif request.header("if-none-match") == self._tag():
-            return Response(304, [("ETag", self._tag())])
-        headers = [("Content-Type", TYPE), ("Cache-Control", "no-cache")]
-        return Response(200, headers + ([] if wanted else [("ETag", self._tag())]), text.encode())
-
-    def _made_from(self, request: Request) -> str | None:
+            if not wanted.isdigit() or int(wanted) not in self.catalogues.texts_by_version:
+                raise RequestError(404, "no-version", "This version is not kept here")
+            text = self.catalogues.texts_by_version[int(wanted)]
+        elif request.header("if-none-match") == self._etag():
+            return Response(304, [("ETag", self._etag())])
+        headers = [("Content-Type", CATALOGUE_MEDIA_TYPE), ("Cache-Control", "no-cache")]
+        return Response(200, headers + ([] if wanted else [("ETag", self._etag())]), text.encode())
+
+    def _base_digest(self, request: Request) -> str | None:
         tag = request.header("if-match")
         if tag is None:
-            raise Faulty(428, "if-match", "A change names the version that it was made from: If-Match")
+            raise RequestError(428, "if-match", "A change names the version that it was made from: If-Match")
         return None if tag.strip() == "*" else tag.strip().strip('"').replace("none", "")
 
     @staticmethod
-    def _how(request: Request) -> tuple[bool, str, float]:
+    def _change_options(request: Request) -> tuple[bool, str, float]:
         share = request.query("share") or "1"
         try:
             part = float(share)
         except ValueError:
             part = -1.0
         if not 0 <= part <= 1:
-            raise Faulty(400, "share", "share is a part of the fronts from 0 to 1")
+            raise RequestError(400, "share", "share is a part of the fronts from 0 to 1")
         return request.query("force") == "yes", (request.query("why") or "")[:200], part
 
-    async def _change(self, request: Request) -> Response:
-        made_from, (force, why, share) = self._made_from(request), self._how(request)
+    async def _change_catalogue(self, request: Request) -> Response:
+        made_from, (force, why, share) = self._base_digest(request), self._change_options(request)
         try:
             text = request.body.decode("utf-8")
             make = self.catalogues.replace if request.method == "PUT" else self.catalogues.change
-            return self._told(await make(text, made_from, force, why, share))
+            return self._change_response(await make(text, made_from, force, why, share))
         except UnicodeDecodeError as fault:
-            raise Faulty(400, "catalogue", "The text is not UTF-8", str(fault)) from None
-        except Unsound as fault:
-            raise Faulty(
+            raise RequestError(400, "catalogue", "The text is not UTF-8", str(fault)) from None
+        except CatalogueError as fault:
+            raise RequestError(
                 422,
                 "catalogue",
                 f"{len(fault.faults)} faults; nothing is taken",
-                "\n".join(f.show() for f in fault.faults),
+                "\n".join(f.format() for f in fault.faults),
             ) from None
 
     async def _roll_back(self, request: Request) -> Response:
         number = request.query("to") or ""
-        made_from = self._made_from(request)
+        made_from = self._base_digest(request)
         offer = await self.catalogues.roll_back(
-            int(number) if number.isdigit() else -1, made_from, self._how(request)[0]
+            int(number) if number.isdigit() else -1, made_from, self._change_options(request)[0]
         )
         if offer is None:
-            raise Faulty(404, "no-version", "This version is not kept here")
-        return self._told(offer)
+            raise RequestError(404, "no-version", "This version is not kept here")
+        return self._change_response(offer)
 
-    def _told(self, offer: T_OFFER) -> Response:
-        verdict, why = offer
-        told = {"verdict": verdict.name.lower(), "version": self.helm.catalogue.number, "reasons": why}
-        if STATUS[verdict] >= 400:
+    def _change_response(self, result: ChangeResult) -> Response:
+        verdict, why = result
+        told = {"verdict": verdict.name.lower(), "version": self.coordinator.catalogue.number, "reasons": why}
+        if STATUS_BY_VERDICT[verdict] >= 400:
             body = words.problem(
-                STATUS[verdict], "urn:oakcroft:problem:catalogue", verdict.value, "; ".join(why), **told
+                STATUS_BY_VERDICT[verdict],
+                "urn:oakcroft:problem:catalogue",
+                verdict.value,
+                "; ".join(why),
+                **told,
             )
-            return Response(STATUS[verdict], [("Content-Type", words.PROBLEM), ("ETag", self._tag())], body)
-        headers = [("Content-Type", "application/json"), ("ETag", self._tag())]
-        return Response(STATUS[verdict], headers, orjson.dumps(told))
+            return Response(
+                STATUS_BY_VERDICT[verdict], [("Content-Type", words.PROBLEM), ("ETag", self._etag())], body
+            )
+        headers = [("Content-Type", "application/json"), ("ETag", self._etag())]
+        return Response(STATUS_BY_VERDICT[verdict], headers, orjson.dumps(told))
 
-    def _versions(self) -> Response:
-        now = self.helm.catalogue.number
+    def _list_versions(self) -> Response:
+        now = self.coordinator.catalogue.number
         some = [
             {
                 "version": k.number,
                 "digest": k.digest,
-                "taken_ms": k.taken // 1_000_000,
-                "why": k.why,
+                "taken_ms": k.activated_at // 1_000_000,
+                "why": k.reason,
                 "in_force": k.number == now,
             }
             for k in self.catalogues.history.versions
         ]
         return Response(200, [("Content-Type", "application/json")], orjson.dumps(some))
 
-    def _level(self, request: Request) -> Response:
+    def _pin_level(self, request: Request) -> Response:
         """Pins a service level for a number of seconds; without a name, removes the pin."""
         name, seconds, levels = (
             request.query("name") or "",
             request.query("for") or "600",
-            self.reducing.levels,
+            self.service_levels.controller,
         )
         if not name:
             levels.unpin()
-        elif not seconds.isdigit() or not 0 < int(seconds) <= LONGEST_PIN:
-            raise Faulty(400, "for", f"for is a whole number of seconds up to {LONGEST_PIN}")
-        elif not levels.pin_to(name, self.helm.clock.now() + int(seconds) * SECOND):
-            raise Faulty(404, "no-level", "There is no such level", ", ".join(x.name for x in levels.levels))
-        self.reducing.look()
-        return Response(200, [("Content-Type", "application/json")], orjson.dumps(self.reducing.status()))
-
-    def _status(self) -> Response:
-        helm, memory = self.helm, self.helm.memory
+        elif not seconds.isdigit() or not 0 < int(seconds) <= MAX_PIN_S:
+            raise RequestError(400, "for", f"for is a whole number of seconds up to {MAX_PIN_S}")
+        elif not levels.pin_to(name, self.coordinator.clock.now() + int(seconds) * SECOND):
+            raise RequestError(
+                404, "no-level", "There is no such level", ", ".join(x.name for x in levels.levels)
+            )
+        self.service_levels.update()
+        return Response(
+            200, [("Content-Type", "application/json")], orjson.dumps(self.service_levels.status())
+        )
+
+    def _get_status(self) -> Response:
+        helm, memory = self.coordinator, self.coordinator.durable_state
         told: dict[str, object] = {
-            "front": helm.me, "playing": helm.playing, "unanswered": helm.unanswered, "catalogue": helm.catalogue.number,
-            "configuration": helm.versions.offer.number, "nodes": len(helm.roster.lines),
-            "level": self.reducing.status(), "wings": self.zone_routing.status(),
-            "steps_waiting": len(self.catalogues.steps.waiting),
-        }  # fmt: skip
-        if self.probing is not None:
-            told["probing"] = self.probing.status()
-        if self.adopting is not None:
-            told["adopting"] = self.adopting.status()
+            "front": helm.pseudonym,
+            "playing": helm.playing_count,
+            "unanswered": helm.unanswered_count,
+            "catalogue": helm.catalogue.number,
+            "configuration": helm.active_configuration.version.number,
+            "nodes": len(helm.node_list.listed_nodes),
+            "level": self.service_levels.status(),
+            "wings": self.zone_routing.status(),
+            "steps_waiting": len(self.catalogues.step_downs.waiting),
+        }
+        if self.load_probing is not None:
+            told["probing"] = self.load_probing.status()
+        if self.takeover is not None:
+            told["adopting"] = self.takeover.status()
         if memory is not None:
             health, counts = memory.store.health, memory.store.counts
             told["state"] = {
-                "disk": health.state.value, "trouble": health.trouble.value if health.trouble else None,
-                "phase": memory.recovery.phase.value, "promises": len(memory.promises), "held": len(memory.held),
+                "disk": health.state.value, "trouble": health.fault.value if health.fault else None,
+                "phase": memory.recovery.phase.value, "promises": len(memory.promises), "held": len(memory.uncertain),
                 "commits": counts.commits, "refused": counts.refused, "dropped": counts.dropped,
                 "longest_ms": counts.longest_ns // 1_000_000,
             }  # fmt: skip
--- a/oakcroft/front/protocols.py
+++ b/oakcroft/front/protocols.py
@@ -12,224 +12,235 @@
 
 import trio
 
-from oakcroft.decisions.fleet.node_list import Roster
-from oakcroft.decisions.routing.title_cache import Shelf
-from oakcroft.decisions.sessions.idempotency import Repeats
-from oakcroft.front.node_client import NodeLeg, Told
-from oakcroft.front.playback_session import Viewing
-from oakcroft.config.settings import Site
-from oakcroft.interface import Host, ListKind, Entry, Node, Note, Outcome, Playback, Terms
+from oakcroft.decisions.fleet.node_list import NodeList
+from oakcroft.decisions.routing.title_cache import TitleCache
+from oakcroft.decisions.sessions.idempotency import IdempotencyStore
+from oakcroft.front.node_client import NodeClient, NodeEvent
+from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.config.settings import SharedSettings
+from oakcroft.interface import (
+    Host,
+    NodeListKind,
+    NodeEntry,
+    Node,
+    PlaybackMetric,
+    Outcome,
+    Playback,
+    DeploymentSettings,
+)
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
 
 
-class Decider(Protocol):
+class DecisionPolicy(Protocol):
     """What a front end calls to decide: the controller, or a baseline in its place."""
 
-    def listed(self, kind: ListKind, entries: Iterable[Entry], now: int) -> None:
+    def on_node_list(self, kind: NodeListKind, entries: Iterable[NodeEntry], now: int) -> None:
         """Handles a node list or its changes."""
         ...
 
-    def arrived(self, pb: Playback, now: int) -> None:
+    def on_request(self, playback: Playback, now: int) -> None:
         """Handles a request for a playback."""
         ...
 
-    def resumed(self, pb: Playback, node: Node, now: int) -> None:
+    def on_handed_over(self, playback: Playback, node: Node, now: int) -> None:
         """Takes over a playback that plays on a node already."""
         ...
 
-    def recalled(self, further: Iterable[int], spent: Iterable[Node], now: int) -> None:
+    def on_history_restored(
+        self, retry_times: Iterable[int], nodes_with_spent_slot: Iterable[Node], now: int
+    ) -> None:
         """Restores what an earlier process did: times of retries, and nodes whose cold slot is used up."""
         ...
 
-    def playing(self, pb: Playback, now: int) -> None:
+    def on_playing(self, playback: Playback, now: int) -> None:
         """Handles a set-up that has succeeded."""
         ...
 
-    def noted(self, pb: Playback, kind: Note, value: float, now: int) -> None:
+    def on_metric(self, playback: Playback, metric: PlaybackMetric, value: float, now: int) -> None:
         """Handles a reported value of a playing playback."""
         ...
 
-    def told(self, node: Node, asked: float, age: int, now: int) -> None:
+    def on_peer_load(self, node: Node, link_load: float, report_age_ns: int, now: int) -> None:
         """Handles a node's link load that another front end has reported."""
         ...
 
-    def left(self, pb: Playback, now: int) -> None:
+    def on_viewer_left(self, playback: Playback, now: int) -> None:
         """Handles a viewer that left."""
         ...
 
-    def alarm(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Handles the timer that was set through the host."""
         ...
 
-    def over(self, pb: Playback) -> bool:
+    def is_over(self, playback: Playback) -> bool:
         """Whether nothing more can come for a playback."""
         ...
 
-    def tried(
-        self, pb: Playback, outcome: Outcome, closed: bool,
-        asked: float | None, used: float | None, uplink: float | None, now: int,
+    def on_try_ended(
+        self, playback: Playback, outcome: Outcome, is_closed: bool,
+        link_load: float | None, link_used: float | None, uplink_load: float | None, now: int,
     ) -> None:  # fmt: skip
         """Handles the end of a setup try, or of the playback that it started."""
         ...
 
 
-Decide = Callable[[Terms, int, Host, int], Decider]
+PolicyFactory = Callable[[DeploymentSettings, int, Host, int], DecisionPolicy]
 
 
-class Bell:
+class ChangeNotifier:
     """Wakes tasks that wait for a change of the front end's counts."""
 
     def __init__(self) -> None:
         """Creates a notifier that nobody waits for."""
-        self.event = trio.Event()
+        self.changed = trio.Event()
 
-    def ring(self) -> None:
+    def notify(self) -> None:
         """Wakes all waiting tasks."""
-        self.event.set()
-        self.event = trio.Event()
+        self.changed.set()
+        self.changed = trio.Event()
 
-    async def wait(self, seconds: float) -> None:
+    async def wait_for_change(self, timeout_seconds: float) -> None:
         """Waits for the next change, for `timeout_seconds` at most."""
-        with trio.move_on_after(seconds):
-            await self.event.wait()
+        with trio.move_on_after(timeout_seconds):
+            await self.changed.wait()
 
 
-class Remembering(Protocol):
+class DurableState(Protocol):
     """The stored state, as moves and node events use it."""
 
-    def move_begins(self, v: Viewing, copy: Viewing) -> None:
+    def move_started(self, session: PlaybackSession, copy: PlaybackSession) -> None:
         """Records that a copy of a session may be set up from now on."""
         ...
 
-    def move_over(self, v: Viewing) -> None:
+    def move_ended(self, session: PlaybackSession) -> None:
         """Records that the move of a session has ended."""
         ...
 
-    def moved(self, v: Viewing) -> None:
+    def session_moved(self, session: PlaybackSession) -> None:
         """Records that a session plays on another node."""
         ...
 
-    def word(self, leg: NodeLeg, hello: Told, asked_at: int) -> None:
+    def node_state_received(self, node_client: NodeClient, hello: NodeEvent, requested_at: int) -> None:
         """Handles the first event of a node's stream, which names the sessions that the node runs."""
         ...
 
-    def ended_away(self, v: Viewing) -> bool:
+    def ended_while_away(self, session: PlaybackSession) -> bool:
         """Whether a session ended while this front end was not running.
 
         Such an end says nothing against its node.
         """
         ...
 
-    def node_lost(self, name: str, proven: bool) -> None:
+    def node_lost(self, node_name: str, is_proven: bool) -> None:
         """Handles the loss of a node; `is_proven` says that its process is known to be gone."""
         ...
 
 
-class Moving(Protocol):
+class MoveParticipants(Protocol):
     """The moves, as node events use them."""
 
-    def shared(self, name: str, share: float, usual: float, now: int) -> None:
+    def on_delivered_share(self, node_name: str, share: float, fleet_share: float, now: int) -> None:
         """Handles a reported share of delivery of a node; `fleet_share` is the mean of the other nodes."""
         ...
 
-    def of(self, v: Viewing) -> object | None:
+    def move_of(self, session: PlaybackSession) -> object | None:
         """Move that a session takes part in, or None."""
         ...
 
-    def over(self, part: Viewing, died: bool) -> bool:
+    def participant_ended(self, participant: PlaybackSession, was_lost: bool) -> bool:
         """Handles the end of a session in a move; returns whether the player's playback goes on."""
         ...
 
 
-class Steering(Protocol):
+class Coordinator(Protocol):
     """The session coordinator, as its parts use it: its sessions, and the operations on one."""
 
-    me: str
+    pseudonym: str
     clock: Clock
     nursery: trio.Nursery
-    roster: Roster
-    legs: dict[str, NodeLeg]
-    titles: Shelf
-    viewings: dict[Playback, Viewing]
-    sessions: dict[str, Viewing]
-    upstreams: dict[tuple[str, str], Viewing]
-    repeats: Repeats
-    playing: int
-    told_passed: Callable[[int], None]
-    heard_load: Callable[[str, float, int], None]
+    node_list: NodeList
+    node_clients: dict[str, NodeClient]
+    title_cache: TitleCache
+    sessions_by_playback: dict[Playback, PlaybackSession]
+    sessions_by_id: dict[str, PlaybackSession]
+    sessions_by_upstream: dict[tuple[str, str], PlaybackSession]
+    idempotency_store: IdempotencyStore
+    playing_count: int
+    on_sessions_taken_over: Callable[[int], None]
+    on_link_load: Callable[[str, float, int], None]
 
     @property
-    def site(self) -> Site:
+    def site(self) -> SharedSettings:
         """Deployment-wide part of the configuration version in force."""
         ...
 
     @property
-    def controller(self) -> Decider:
+    def policy(self) -> DecisionPolicy:
         """The decision policy."""
         ...
 
     @property
-    def memory(self) -> Remembering | None:
+    def durable_state(self) -> DurableState | None:
         """The stored state; None where the front end keeps none."""
         ...
 
-    async def tell(self, event: Event) -> None:
+    async def submit(self, event: Event) -> None:
         """Submits an event and waits for room in the channel."""
         ...
 
-    def arrived(self, v: Viewing) -> None:
+    def request_placement(self, session: PlaybackSession) -> None:
         """Asks the policy to place a session."""
         ...
 
-    def release(self, v: Viewing) -> None:
+    def release_unproven(self, session: PlaybackSession) -> None:
         """Releases a playback of an earlier process that may have run and holds nothing any more."""
         ...
 
-    def end(self, v: Viewing) -> None:
+    def end_session(self, session: PlaybackSession) -> None:
         """Ends a playing session."""
         ...
 
-    def end_beside(self, other: Viewing) -> None:
+    def end_counterpart(self, counterpart: PlaybackSession) -> None:
         """Ends the counterpart of a move that is no longer wanted."""
         ...
 
-    def break_off(self, v: Viewing) -> None:
+    def break_before_make(self, session: PlaybackSession) -> None:
         """Ends a session whose viewer has to connect again."""
         ...
 
-    def hide(self, v: Viewing, how: Outcome = Outcome.RESET) -> None:
+    def close_viewer_session(self, session: PlaybackSession, outcome: Outcome = Outcome.RESET) -> None:
         """Closes a session towards its viewer."""
         ...
 
-    def rebind(self, v: Viewing) -> None:
+    def rebind(self, session: PlaybackSession) -> None:
         """Registers a session again after its playback and upstream session were exchanged."""
         ...
 
-    def bounded(self, v: Viewing, top: int) -> None:
+    def set_rung_bound(self, session: PlaybackSession, top_rung: int) -> None:
         """Sets the highest rung of a playing session."""
         ...
 
-    def above_bound(self, v: Viewing) -> None:
+    def rung_bound_exceeded(self, session: PlaybackSession) -> None:
         """Handles a node's report that a rung above the bound is in force."""
         ...
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """Sends a rung to the node of a playing session."""
         ...
 
-    def publish(self, v: Viewing, kind: str, data: dict[str, str]) -> None:
+    def publish_event(self, session: PlaybackSession, kind: str, data: dict[str, str]) -> None:
         """Sends an event to the readers of a session."""
         ...
 
-    def over(self, v: Viewing, how: Outcome, presumed: bool = False) -> None:
+    def playback_ended(self, session: PlaybackSession, outcome: Outcome, is_presumed: bool = False) -> None:
         """Handles the end of a playback."""
         ...
 
-    def part(self, v: Viewing) -> Viewing:
+    def detach_playback(self, session: PlaybackSession) -> PlaybackSession:
         """Moves a session's playback to a separate session."""
         ...
 
-    def follow_events(self, leg: NodeLeg, events: str) -> None:
+    def follow_events(self, node_client: NodeClient, events: str) -> None:
         """Keeps the event stream of a node open from now on."""
         ...
--- a/oakcroft/front/recovered_session.py
+++ b/oakcroft/front/recovered_session.py
@@ -2,43 +2,47 @@
 
 from __future__ import annotations
 
-from oakcroft.choice import digest
-from oakcroft.decisions.admission.deadlines import Due
-from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.sessions.session_resource import Resource
+from oakcroft.choice import stable_hash
+from oakcroft.decisions.admission.deadlines import Deadline
+from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.decisions.sessions.session_resource import SessionResource
 from oakcroft.decisions.state.promise import Promise
-from oakcroft.front.node_client import NodeLeg
-from oakcroft.front.protocols import Steering
-from oakcroft.front.playback_session import Upstream, Viewing
+from oakcroft.front.node_client import NodeClient
+from oakcroft.front.protocols import Coordinator
+from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
 from oakcroft.interface import Node, Playback
 
 
-def viewing(helm: Steering, promise: Promise) -> Viewing | None:
+def session_from_promise(coordinator: Coordinator, promise: Promise) -> PlaybackSession | None:
     """Session of a stored promise; None where its plan or its title is not available here any more."""
-    plan = helm.site.plans.get(promise.plan)
-    title = helm.titles.get(promise.title, digest(promise.title) % helm.site.terms.cells)
+    plan = coordinator.site.plans.get(promise.plan)
+    title = coordinator.title_cache.get(
+        promise.title, stable_hash(promise.title) % coordinator.site.terms.cell_count
+    )
     if plan is None or title is None:
         return None
     pb = Playback(title, plan.plan, promise.top, promise.abandon, False)
-    pb.rung = max(plan.plan.floor, min(promise.rung, plan.plan.top))
-    v = Viewing(promise.id, promise.path, plan, promise.publishes, promise.key, "", promise.ufrag,
-                Due(promise.written, promise.abandon), pb)  # fmt: skip
-    v.token, v.about, v.seated = promise.token, promise.about, promise.seated
-    v.asked_top = pb.top
+    pb.rung = max(plan.plan.floor, min(promise.rung, plan.plan.top_rung))
+    v = PlaybackSession(promise.id, promise.path, plan, promise.publishes, promise.key, "", promise.ufrag,
+                Deadline(promise.written, promise.abandon), pb)  # fmt: skip
+    v.token_name, v.fingerprint, v.in_client_session = promise.token, promise.about, promise.seated
+    v.requested_top = pb.top_rung
     return v
 
 
-def resume(helm: Steering, v: Viewing, node: Node) -> None:
+def resume_playback(coordinator: Coordinator, session: PlaybackSession, node: Node) -> None:
     """Tells the policy that the playback plays on a node: its seat and its load count from now on."""
-    helm.viewings[v.pb] = v
-    helm.controller.resumed(v.pb, node, helm.clock.now())
+    coordinator.sessions_by_playback[session.playback] = session
+    coordinator.policy.on_handed_over(session.playback, node, coordinator.clock.now())
 
 
-def plays_on(helm: Steering, v: Viewing, leg: NodeLeg, upstream: Upstream) -> None:
+def attach_to_node(
+    coordinator: Coordinator, session: PlaybackSession, node_client: NodeClient, upstream: UpstreamSession
+) -> None:
     """Registers a session that plays on a node, for its viewer and for the node's events."""
-    v.final, v.upstream = Final.PLAYS, upstream
-    v.resource = Resource(upstream.tag, v.ufrag)
-    helm.sessions[v.id] = v
-    helm.upstreams[upstream.node, upstream.resource] = v
-    helm.playing += 1
-    leg.claims.claim(upstream.resource, helm.clock.now())
+    session.final_answer, session.upstream = FinalAnswer.PLAYS, upstream
+    session.resource = SessionResource(upstream.etag, session.ufrag)
+    coordinator.sessions_by_id[session.id] = session
+    coordinator.sessions_by_upstream[upstream.node, upstream.resource] = session
+    coordinator.playing_count += 1
+    node_client.node_sessions.claim(upstream.resource, coordinator.clock.now())
--- a/oakcroft/front/rendition_bound.py
+++ b/oakcroft/front/rendition_bound.py
@@ -11,27 +11,29 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.backoff import RENDITION_BOUND, Again
-from oakcroft.front.protocols import Steering
-from oakcroft.front.playback_session import Viewing
-from oakcroft.interface import Note, State
+from oakcroft.decisions.fleet.backoff import RENDITION_BOUND_RETRY, RetryBackoff
+from oakcroft.front.protocols import Coordinator
+from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.interface import PlaybackMetric, PlaybackState
 
 
 class RenditionBound:
     """Enforces the rendition bounds of all sessions of one front end."""
 
-    def __init__(self, helm: Steering, rng: Random, log: structlog.typing.FilteringBoundLogger) -> None:
+    def __init__(
+        self, coordinator: Coordinator, rng: Random, log: structlog.typing.FilteringBoundLogger
+    ) -> None:
         """`coordinator` has the sessions and sends rung changes to nodes; `rng` spreads repeated attempts."""
-        self.helm, self.rng, self.log = helm, rng, log
+        self.coordinator, self.rng, self.log = coordinator, rng, log
 
-    def set(self, v: Viewing, top: int) -> None:
+    def set_bound(self, session: PlaybackSession, top_rung: int) -> None:
         """Sets the highest rung of a session; a session above it steps down at once."""
-        v.pb.top = top
-        v.bound_retry = None  # a new bound starts with all its attempts
-        if v.pb.rung > top:
-            self._step_down(v)
+        session.playback.top_rung = top_rung
+        session.bound_backoff = None  # a new bound starts with all its attempts
+        if session.playback.rung > top_rung:
+            self._step_down(session)
 
-    def exceeded(self, v: Viewing) -> None:
+    def bound_exceeded(self, session: PlaybackSession) -> None:
         """Handles a node's report of a rendition above the bound: asks the node again after a delay.
 
         Guards against a step down that a node refused once and that is never repeated: the viewer would get more than it
@@ -40,41 +42,51 @@
         never changes a rendition is asked about ten times for each bound, and the decision module's estimate of its link
         load changes as often.
         """
-        if v.bound_retry_waits or not self._plays(v):
+        if session.bound_retry_pending or not self._is_playing(session):
             return
-        now = self.helm.clock.now()
-        if v.bound_retry is None:
-            v.bound_retry = Again(RENDITION_BOUND, self.rng, now)
-        wait = v.bound_retry.failed(now)
+        now = self.coordinator.clock.now()
+        if session.bound_backoff is None:
+            session.bound_backoff = RetryBackoff(RENDITION_BOUND_RETRY, self.rng, now)
+        wait = session.bound_backoff.record_failure(now)
         if wait is None:
-            self._give_up(v)
+            self._give_up(session)
             return
-        v.bound_retry_waits = True
-        self.helm.nursery.start_soon(self._ask_again, v, wait)
+        session.bound_retry_pending = True
+        self.coordinator.nursery.start_soon(self._retry_after, session, wait)
 
-    async def _ask_again(self, v: Viewing, wait: int) -> None:
-        await trio.sleep(wait / 1e9)
-        await self.helm.tell(lambda: self._asked_again(v))
+    async def _retry_after(self, session: PlaybackSession, delay_ns: int) -> None:
+        await trio.sleep(delay_ns / 1e9)
+        await self.coordinator.submit(lambda: self._retry_step_down(session))
 
-    def _asked_again(self, v: Viewing) -> None:
-        v.bound_retry_waits = False
-        if self._plays(v) and v.pb.rung > v.pb.top:
-            self._step_down(v)
+    def _retry_step_down(self, session: PlaybackSession) -> None:
+        session.bound_retry_pending = False
+        if self._is_playing(session) and session.playback.rung > session.playback.top_rung:
+            self._step_down(session)
 
-    def _give_up(self, v: Viewing) -> None:
-        node = v.upstream.node if v.upstream is not None else ""
+    def _give_up(self, session: PlaybackSession) -> None:
+        node = session.upstream.node if session.upstream is not None else ""
         self.log.warning(
-            "rendition bound not in force", playback=v.id, node=node, rung=v.pb.rung, top=v.pb.top
+            "rendition bound not in force",
+            playback=session.id,
+            node=node,
+            rung=session.playback.rung,
+            top=session.playback.top_rung,
         )
-        self.helm.publish(v, "layers", {"encodingId": str(v.pb.rung)})
+        self.coordinator.publish_event(session, "layers", {"encodingId": str(session.playback.rung)})
 
-    def _step_down(self, v: Viewing) -> None:
+    def _step_down(self, session: PlaybackSession) -> None:
         """Requests the highest rung within the bound.
 
         The decision module assumes that it is in force until the node reports otherwise.
         """
-        self.helm.controller.noted(v.pb, Note.RUNG, v.pb.top, self.helm.clock.now())
-        self.helm.set_rung(v.pb, v.pb.top)
+        self.coordinator.policy.on_metric(
+            session.playback, PlaybackMetric.RUNG, session.playback.top_rung, self.coordinator.clock.now()
+        )
+        self.coordinator.set_rung(session.playback, session.playback.top_rung)
 
-    def _plays(self, v: Viewing) -> bool:
-        return v.pb in self.helm.viewings and v.pb.state is State.PLAYING and not v.ending
+    def _is_playing(self, session: PlaybackSession) -> bool:
+        return (
+            session.playback in self.coordinator.sessions_by_playback
+            and session.playback.state is PlaybackState.PLAYING
+            and not session.is_ending
+        )
--- a/oakcroft/front/service_levels.py
+++ b/oakcroft/front/service_levels.py
@@ -12,94 +12,107 @@
 import trio
 
 from oakcroft.config.settings import PlanTerms
-from oakcroft.decisions.admission.service_levels import Change, Gate, Levels, Sign, Tally
-from oakcroft.front.session_coordinator import Helm
+from oakcroft.decisions.admission.service_levels import (
+    LevelChange,
+    AdmissionGate,
+    LevelController,
+    LoadSignal,
+    RecentAnswers,
+)
+from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.interface import MS
 
-EVERY = 0.25  # seconds between checks
+CHECK_INTERVAL_S = 0.25  # seconds between checks
 
 
-class Reducing:
+class ServiceLevelControl:
     """The service level of one front end."""
 
-    def __init__(self, helm: Helm, rng: Random, log: structlog.typing.FilteringBoundLogger) -> None:
+    def __init__(
+        self, coordinator: SessionCoordinator, rng: Random, log: structlog.typing.FilteringBoundLogger
+    ) -> None:
         """Starts at full service; `rng` spreads the times of changes among front ends."""
-        self.helm, self.rng, self.log = helm, rng, log
-        self.levels = self._made()
-        self.gate, self.tally, self.lag = Gate(), Tally(), 0
-        helm.told_answer = self.answered
+        self.coordinator, self.rng, self.log = coordinator, rng, log
+        self.controller = self._new_controller()
+        self.gate, self.recent_answers, self.loop_lag_ns = AdmissionGate(), RecentAnswers(), 0
+        coordinator.on_answer = self.record_answer
 
-    def _made(self) -> Levels:
-        site = self.helm.site
-        return Levels(site.levels, site.level_bounds, self.rng, self.helm.clock.now())
+    def _new_controller(self) -> LevelController:
+        site = self.coordinator.site
+        return LevelController(site.levels, site.level_bounds, self.rng, self.coordinator.clock.now())
 
     # Load signals.
 
-    def answered(self, rejected: bool, plan: PlanTerms, took: int) -> None:
+    def record_answer(self, is_rejected: bool, plan: PlanTerms, duration_ns: int) -> None:
         """Records a final answer of the decision module, given `duration_ns` after the request."""
-        in_time = not rejected and took <= plan.plan.startup_target
-        self.tally.answered(rejected, plan.plan.revenue, in_time, self.helm.clock.now())
+        in_time = not is_rejected and duration_ns <= plan.plan.startup_target_ns
+        self.recent_answers.record_answer(
+            is_rejected, plan.plan.revenue, in_time, self.coordinator.clock.now()
+        )
 
-    def lagged(self, lag: int) -> None:
+    def record_loop_lag(self, lag_ns: int) -> None:
         """Records how late the event loop ran a periodic task, in ns."""
-        self.lag = max(lag, round(self.lag * 0.9))
+        self.loop_lag_ns = max(lag_ns, round(self.loop_lag_ns * 0.9))
 
-    def signs(self, now: int) -> dict[Sign, float]:
+    def signals(self, now: int) -> dict[LoadSignal, float]:
         """The current load signals."""
-        decider = self.helm.controller
+        decider = self.coordinator.policy
         own = {
-            Sign.X: getattr(decider, "x", 0.0),
-            Sign.BLIND: getattr(decider, "blind", 0.0),
-            Sign.LAG: float(self.lag),
+            LoadSignal.X: getattr(decider, "x", 0.0),
+            LoadSignal.BLIND: getattr(decider, "unreported_weight", 0.0),
+            LoadSignal.LAG: float(self.loop_lag_ns),
         }
-        return own | self.tally.signs(now)
+        return own | self.recent_answers.signals(now)
 
     async def run(self) -> None:
         """Updates the level until cancelled."""
-        site = self.helm.site
+        site = self.coordinator.site
         while True:
-            await trio.sleep(EVERY)
-            if self.helm.site.levels != site.levels or self.helm.site.level_bounds != site.level_bounds:
-                site = self.helm.site  # a changed configuration starts at full service
-                self.levels = self._made()
-            self.look()
-
-    def look(self) -> None:
+            await trio.sleep(CHECK_INTERVAL_S)
+            if (
+                self.coordinator.site.levels != site.levels
+                or self.coordinator.site.level_bounds != site.level_bounds
+            ):
+                site = self.coordinator.site  # a changed configuration starts at full service
+                self.controller = self._new_controller()
+            self.update()
+
+    def update(self) -> None:
         """Changes the level if that is due, and applies its effects on moves and on upkeep of the state file."""
-        now = self.helm.clock.now()
-        signs = self.signs(now)
-        if (change := self.levels.look(signs, now)) is not None:
-            self._tell(change, signs)
-        acts = self.levels.level.acts
-        self.helm.moves.paused = not acts.moves
-        if self.helm.memory is not None:
-            self.helm.memory.store.upkeep.paused = not acts.upkeep
-
-    def _tell(self, change: Change, signs: dict[Sign, float]) -> None:
-        figures = {s.value: round(v / MS) if s is Sign.LAG else round(v, 3) for s, v in signs.items()}
-        turned, changes = dict(self.gate.turned), len(self.levels.changes)
-        self.log.warning("level", before=change.before, after=change.after, why=change.why, turned_away=turned,
+        now = self.coordinator.clock.now()
+        signs = self.signals(now)
+        if (change := self.controller.update(signs, now)) is not None:
+            self._log_change(change, signs)
+        acts = self.controller.level.effects
+        self.coordinator.move_executor.is_paused = not acts.moves_allowed
+        if self.coordinator.durable_state is not None:
+            self.coordinator.durable_state.store.upkeep.is_paused = not acts.maintenance_allowed
+
+    def _log_change(self, change: LevelChange, signals: dict[LoadSignal, float]) -> None:
+        figures = {s.value: round(v / MS) if s is LoadSignal.LAG else round(v, 3) for s, v in signals.items()}
+        turned, changes = dict(self.gate.rejected_counts), len(self.controller.change_times)
+        self.log.warning("level", before=change.previous, after=change.current, why=change.reason, turned_away=turned,
                          changes=changes, **figures)  # fmt: skip
-        self.gate.turned.clear()
+        self.gate.rejected_counts.clear()
 
     # Effects.
 
-    def admits(self, plan: str) -> bool:
+    def admit(self, plan_name: str) -> bool:
         """Whether a request of this plan is admitted at the current level."""
-        return self.gate.admits(self.levels.level.acts, plan)
+        return self.gate.admit(self.controller.level.effects, plan_name)
 
-    def top(self, asked: int, floor: int) -> int:
+    def limit_top_rung(self, requested_top: int, floor: int) -> int:
         """The highest rung of a new playback at the current level, never below its floor."""
-        top = self.levels.level.acts.top
-        return asked if top is None else max(floor, min(asked, top))
+        top = self.controller.level.effects.max_rung
+        return requested_top if top is None else max(floor, min(requested_top, top))
 
     def status(self) -> dict[str, object]:
         """For operators: the level, since when and why, and what would change it next."""
-        now, levels = self.helm.clock.now(), self.levels
-        signs = self.signs(now)
+        now, levels = self.coordinator.clock.now(), self.controller
+        signs = self.signals(now)
         return {
-            "name": levels.level.name, "since_s": round((now - levels.since) / 1e9, 1), "why": levels.why,
-            "signs": {s.value: round(v, 3) for s, v in signs.items()}, "next": levels.next(signs, now),
-            "changes": [[c.at // MS, c.before, c.after, c.why] for c in list(levels.history)[-10:]],
-            "held_back": levels.held_back, "turned_away": dict(self.gate.turned),
+            "name": levels.level.name, "since_s": round((now - levels.changed_at) / 1e9, 1), "why": levels.reason,
+            "signs": {s.value: round(v, 3) for s, v in signs.items()}, "next": levels.next_change_conditions(signs, now),
+            "changes": [[c.changed_at // MS, c.previous, c.current, c.reason] for c in list(levels.history)[-10:]],
+            "held_back": levels.suppressed_changes, "turned_away": dict(self.gate.rejected_counts),
         }  # fmt: skip
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -19,44 +19,50 @@
 import structlog
 import trio
 
-from oakcroft.choice import Controller, digest
+from oakcroft.choice import Controller, stable_hash
 from oakcroft.decisions.sessions import answers
-from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.routing.catalogue import Catalogue, Course, bound, course
-from oakcroft.decisions.moving.handover import Happening
-from oakcroft.decisions.sessions.event_stream_health import Loss, Patience
-from oakcroft.decisions.admission.request_limits import Ledger
-from oakcroft.decisions.admission.deadlines import BEAT, Due, Stillness
-from oakcroft.decisions.sessions.idempotency import Repeats
-from oakcroft.decisions.sessions.session_resource import Resource
-from oakcroft.decisions.fleet.node_list import Line, Refused, Roster
-from oakcroft.decisions.routing.title_cache import Shelf
-from oakcroft.decisions.routing.configuration_version import InForce, Offer, Verdict
+from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.decisions.routing.catalogue import Catalogue, PlaybackEffect, highest_rung, effect_on_playback
+from oakcroft.decisions.moving.handover import MoveEvent
+from oakcroft.decisions.sessions.event_stream_health import LossCertainty, StreamTimeouts
+from oakcroft.decisions.admission.request_limits import LimitLedger
+from oakcroft.decisions.admission.deadlines import HEARTBEAT_INTERVAL_NS, Deadline, PauseDetector
+from oakcroft.decisions.sessions.idempotency import IdempotencyStore
+from oakcroft.decisions.sessions.session_resource import SessionResource
+from oakcroft.decisions.fleet.node_list import ListedNode, ListRejection, NodeList
+from oakcroft.decisions.routing.title_cache import TitleCache
+from oakcroft.decisions.routing.configuration_version import (
+    ActiveConfiguration,
+    ConfigurationVersion,
+    ConfigurationVerdict,
+)
 from oakcroft.running.clock import Clock
-from oakcroft.running.inbox import Event, handle_all
-from oakcroft.front.node_events import Hearing
-from oakcroft.front.move_executor import Moves
-from oakcroft.front.node_client import LONGEST_TRY_GRACE, NodeLeg, Standing, TryEnd
+from oakcroft.running.inbox import Event, handle_events
+from oakcroft.front.node_events import NodeEventHandler
+from oakcroft.front.move_executor import MoveExecutor
+from oakcroft.front.node_client import MAX_TRY_GRACE_NS, NodeClient, FrontIdentity, TryResult
 from oakcroft.front.rendition_bound import RenditionBound
-from oakcroft.front.protocols import Bell, Decide, Decider
-from oakcroft.front.playback_session import Viewing
-from oakcroft.interface import Node, Note, Outcome, Playback, State
-from oakcroft.config.settings import Deployment, PlanTerms, Site
+from oakcroft.front.protocols import ChangeNotifier, PolicyFactory, DecisionPolicy
+from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.interface import Node, PlaybackMetric, Outcome, Playback, PlaybackState
+from oakcroft.config.settings import Deployment, PlanTerms, SharedSettings
 from oakcroft.signalling import words
 
 
 if TYPE_CHECKING:
-    from oakcroft.front.durable_state import Memory
+    from oakcroft.front.durable_state import FrontEndState
 
 
-NO_LOAD = words.Load()
-MOST_EVENTS = 4_096
-MOST_TITLES = 50_000
-MOST_KEYS = 100_000
-UNHEARD = 10.0  # for which a session is kept whose viewer did not get its answer and may ask again
+EMPTY_LOAD_REPORT = words.Load()
+MAX_QUEUED_EVENTS = 4_096
+MAX_TITLES = 50_000
+MAX_IDEMPOTENCY_KEYS = 100_000
+UNDELIVERED_ANSWER_SECONDS = (
+    10.0  # for which a session is kept whose viewer did not get its answer and may ask again
+)
 
 
-class Helm:
+class SessionCoordinator:
     """The decision policy and its host in one front end.
 
     Methods without a leading underscore that change sessions run in the event task, unless they are
@@ -65,139 +71,162 @@
 
     def __init__(
         self,
-        told: Deployment,
+        configuration: Deployment,
         seed: int,
-        me: str,
+        pseudonym: str,
         clock: Clock,
         nursery: trio.Nursery,
         log: structlog.typing.FilteringBoundLogger,
-        decide: Decide = Controller,
+        policy_factory: PolicyFactory = Controller,
     ) -> None:
         """Creates the coordinator; nothing runs before its tasks are started.
 
         `configuration` is the version in force at the start, `pseudonym` the name of this front end towards
         nodes, and `policy_factory` creates the policy that decides.
         """
-        self.me, self.clock, self.nursery, self.log_ = me, clock, nursery, log
-        self.versions = InForce(Offer(0, told.meaning, told))
-        site = told.site
+        self.pseudonym, self.clock, self.nursery, self.logger = pseudonym, clock, nursery, log
+        self.active_configuration = ActiveConfiguration(
+            ConfigurationVersion(0, configuration.resolved, configuration)
+        )
+        site = configuration.shared
         self.rng = Random(seed + 1)  # for retries of requests to nodes; the policy has its own generator
-        self.events, self.inbox = trio.open_memory_channel[Event](MOST_EVENTS)
-        self.roster = Roster()
-        self.legs: dict[str, NodeLeg] = {}
-        self.titles = Shelf(MOST_TITLES, site.terms.cells, site.copies, stated(site))
-        self.ledger = Ledger(site.terms.front, site.terms.fronts)
-        self.ledger.take_version(site.limits)
-        self.viewings: dict[Playback, Viewing] = {}
-        self.sessions: dict[str, Viewing] = {}  # by the id of the session resource that viewers use
-        self.upstreams: dict[tuple[str, str], Viewing] = {}  # by node name and resource path there
-        self.repeats = Repeats(MOST_KEYS, site.keep_keys)
-        self.stillness = Stillness(clock.now())
-        self.unanswered = self.playing = self.farewells = 0
-        self.bell = Bell()
-        self.longest_abandon = max(p.abandon for p in site.plans.values())
-        self.moves = Moves(self, Random(seed + 3), site.usual_notice, log)
-        self.controller: Decider = decide(site.terms, seed, self, clock.now())
+        self.event_sender, self.event_receiver = trio.open_memory_channel[Event](MAX_QUEUED_EVENTS)
+        self.node_list = NodeList()
+        self.node_clients: dict[str, NodeClient] = {}
+        self.title_cache = TitleCache(
+            MAX_TITLES, site.terms.cell_count, site.copy_count, configured_placements(site)
+        )
+        self.limit_ledger = LimitLedger(site.terms.front_index, site.terms.front_count)
+        self.limit_ledger.set_limits(site.limits)
+        self.sessions_by_playback: dict[Playback, PlaybackSession] = {}
+        self.sessions_by_id: dict[
+            str, PlaybackSession
+        ] = {}  # by the id of the session resource that viewers use
+        self.sessions_by_upstream: dict[
+            tuple[str, str], PlaybackSession
+        ] = {}  # by node name and resource path there
+        self.idempotency_store = IdempotencyStore(MAX_IDEMPOTENCY_KEYS, site.key_retention_ns)
+        self.pause_detector = PauseDetector(clock.now())
+        self.unanswered_count = self.playing_count = self.pending_session_ends = 0
+        self.count_changed = ChangeNotifier()
+        self.longest_abandon_ns = max(p.abandon_ns for p in site.plans.values())
+        self.move_executor = MoveExecutor(self, Random(seed + 3), site.default_drain_notice_ns, log)
+        self.policy: DecisionPolicy = policy_factory(site.terms, seed, self, clock.now())
         self.rendition_bound = RenditionBound(self, self.rng, log)
-        self.hearing = Hearing(self, self.moves, log)
-        self.memory: Memory | None = None
+        self.node_events = NodeEventHandler(self, self.move_executor, log)
+        self.durable_state: FrontEndState | None = None
         self.catalogue = Catalogue()
-        self.finals = Counter[Final]()  # answers given since the start
-        self.told_answer: Callable[[bool, PlanTerms, int], None] | None = None
-        self.told_passed: Callable[[int], None] = lambda _: None
-        self.standing: Standing | None = None
-        self.heard_load: Callable[[str, float, int], None] = lambda node, asked, age: None
+        self.answer_counts = Counter[FinalAnswer]()  # answers given since the start
+        self.on_answer: Callable[[bool, PlanTerms, int], None] | None = None
+        self.on_sessions_taken_over: Callable[[int], None] = lambda _: None
+        self.identity: FrontIdentity | None = None
+        self.on_link_load: Callable[[str, float, int], None] = lambda node, asked, age: None
 
     @property
-    def site(self) -> Site:
+    def site(self) -> SharedSettings:
         """Deployment-wide part of the configuration version in force."""
-        return self.versions.offer.compiled.site
+        return self.active_configuration.version.compiled.shared
 
-    def take_version(self, offer: Offer[Deployment] | None) -> tuple[Verdict, list[str]]:
+    def apply_configuration(
+        self, version: ConfigurationVersion[Deployment] | None
+    ) -> tuple[ConfigurationVerdict, list[str]]:
         """Applies a configuration version between two events, or rejects it as a whole.
 
         `version` is None for a configuration that could not be read. Returns the verdict, and the parts that
         need a restart where that is why it was rejected.
         """
         before = self.site
-        verdict, parts = self.versions.consider(offer)
-        if verdict is Verdict.TAKEN:
+        verdict, parts = self.active_configuration.apply(version)
+        if verdict is ConfigurationVerdict.TAKEN:
             site = self.site
-            self.titles.take_version(site.copies, stated(site))
-            self.ledger.take_version(site.limits)
-            self.longest_abandon = max(self.longest_abandon, *(p.abandon for p in site.plans.values()))
-            self.repeats.keep = site.keep_keys
-            over = [f"{t.name}: {t.seats[p.plan]} of {p.plan.seats}" for t in self.titles.titles.values()
-                    for p in site.plans.values() if p.plan.seats and t.seats.get(p.plan, 0) > p.plan.seats]  # fmt: skip
+            self.title_cache.apply_configuration(site.copy_count, configured_placements(site))
+            self.limit_ledger.set_limits(site.limits)
+            self.longest_abandon_ns = max(
+                self.longest_abandon_ns, *(p.abandon_ns for p in site.plans.values())
+            )
+            self.idempotency_store.retention = site.key_retention_ns
+            over = [
+                f"{t.name}: {t.seats_taken[p.plan]} of {p.plan.seats}"
+                for t in self.title_cache.titles.values()
+                for p in site.plans.values()
+                if p.plan.seats and t.seats_taken.get(p.plan, 0) > p.plan.seats
+            ]
             gone = sorted(set(before.plans) - set(site.plans))
-            self.log_.info("configuration taken", version=self.versions.offer.number, routes=len(site.table.routes),
-                           over_seats=over[:10], plans_gone=gone)  # fmt: skip
+            self.logger.info(
+                "configuration taken",
+                version=self.active_configuration.version.number,
+                routes=len(site.route_table.routes),
+                over_seats=over[:10],
+                plans_gone=gone,
+            )
         else:
-            self.log_.warning("configuration not taken", verdict=verdict.value, parts=parts)
+            self.logger.warning("configuration not taken", verdict=verdict.value, parts=parts)
         return verdict, parts
 
     # Events.
 
     async def run(self) -> None:
         """Handles events until it is cancelled."""
-        await handle_all(self.inbox, lambda event: event())
+        await handle_events(self.event_receiver, lambda event: event())
 
-    def offer(self, event: Event) -> bool:
+    def try_submit(self, event: Event) -> bool:
         """Submits an event without waiting; returns False when the channel is full."""
         try:
-            self.events.send_nowait(event)
+            self.event_sender.send_nowait(event)
         except trio.WouldBlock:
             return False
         return True
 
-    async def tell(self, event: Event) -> None:
+    async def submit(self, event: Event) -> None:
         """Submits an event and waits for room in the channel."""
-        await self.events.send(event)
+        await self.event_sender.send(event)
 
-    def insist(self, event: Event) -> None:
+    def submit_later(self, event: Event) -> None:
         """Submits an event that must not be lost, from code that cannot wait."""
-        if not self.offer(event):
-            self.nursery.start_soon(self.tell, event)
+        if not self.try_submit(event):
+            self.nursery.start_soon(self.submit, event)
 
-    async def beat(self) -> None:
+    async def monitor_pauses(self) -> None:
         """Detects pauses of the process, until it is cancelled."""
         while True:
-            self.awake(self.clock.now())
-            await trio.sleep(BEAT / 1e9)
+            self.discount_pause(self.clock.now())
+            await trio.sleep(HEARTBEAT_INTERVAL_NS / 1e9)
 
-    def awake(self, now: int) -> None:
+    def discount_pause(self, now: int) -> None:
         """Detects a pause of the process that ends now, and excludes its duration from all node timeouts.
 
         Called before any judgement by elapsed time, which would otherwise count the pause.
         """
-        stood = self.stillness.beat(now)
+        stood = self.pause_detector.heartbeat(now)
         if stood:
-            self.log_.warning("stood still", ms=stood // 1_000_000, unanswered=self.unanswered)
-            for leg in self.legs.values():
-                leg.claims.stood(stood)
-                leg.lifeline.stood(stood)
+            self.logger.warning("stood still", ms=stood // 1_000_000, unanswered=self.unanswered_count)
+            for leg in self.node_clients.values():
+                leg.node_sessions.discount_pause(stood)
+                leg.stream_health.discount_pause(stood)
 
-    async def look_after(self) -> None:
+    async def run_maintenance(self) -> None:
         """Checks periodically for silent nodes and for sessions that no setup try has claimed."""
         while True:
             await trio.sleep(0.5)
             now = self.clock.now()
-            self.awake(now)
-            if self.memory is not None:
-                await self.tell(self.memory.look)
-            for leg in list(self.legs.values()):
-                if leg.watched and (loss := leg.lifeline.look(now)) is not None:
-                    await self.tell(partial(self.hearing.node_lost, leg, loss, "silent for too long"))
-                for session in leg.claims.orphans(now):
-                    self.log_.info("orphan ended", node=leg.name)
-                    self.nursery.start_soon(leg.farewell, session)
-                if leg.name not in self.roster.nodes and not leg.claims.mine:
-                    del self.legs[leg.name]
+            self.discount_pause(now)
+            if self.durable_state is not None:
+                await self.submit(self.durable_state.maintain)
+            for leg in list(self.node_clients.values()):
+                if leg.is_watched and (loss := leg.stream_health.check(now)) is not None:
+                    await self.submit(partial(self.node_events.node_lost, leg, loss, "silent for too long"))
+                for session in leg.node_sessions.take_orphans(now):
+                    self.logger.info("orphan ended", node=leg.name)
+                    self.nursery.start_soon(leg.end_session, session)
+                if leg.name not in self.node_list.nodes and not leg.node_sessions.claimed:
+                    del self.node_clients[leg.name]
                     await leg.close()
 
     # Node list.
 
-    async def listed(self, lines: list[Line], version: int, service: str, kept: bool = False) -> bool:
+    async def apply_list(
+        self, listed_nodes: list[ListedNode], version: int, service: str, is_cached: bool = False
+    ) -> bool:
         """Submits a node list and waits until it is applied; returns whether it was accepted.
 
         `version` is the list's version, `service` the name of the list service, and `is_cached` says that the
@@ -207,367 +236,470 @@
         done = trio.Event()
 
         def take() -> None:
-            verdict.append(self._list(lines, version, service, kept))
+            verdict.append(self._apply_list(listed_nodes, version, service, is_cached))
             done.set()
 
-        await self.tell(take)
+        await self.submit(take)
         await done.wait()
         return verdict[0]
 
-    def _list(self, lines: list[Line], version: int, service: str, kept: bool) -> bool:
+    def _apply_list(
+        self, listed_nodes: list[ListedNode], version: int, service: str, is_cached: bool
+    ) -> bool:
         """Applies a node list; returns False when it was rejected."""
         now = self.clock.now()
-        taken = self.roster.take(lines, version, service, now, kept)
-        if isinstance(taken, Refused):
-            self.log_.warning("list refused", why=taken.why, nodes=len(self.roster.lines))
+        taken = self.node_list.apply(listed_nodes, version, service, now, is_cached)
+        if isinstance(taken, ListRejection):
+            self.logger.warning("list refused", why=taken.reason, nodes=len(self.node_list.listed_nodes))
             return False
         if taken is None:
             return True
         kind, entries = taken
-        for line in self.roster.lines.values():
-            leg = self.legs.get(line.name)
+        for line in self.node_list.listed_nodes.values():
+            leg = self.node_clients.get(line.name)
             if leg is None or leg.address != (line.address, line.port):
-                self._new_leg(line)
-        self.controller.listed(kind, entries, now)
-        if self.memory is not None and not kept:
-            self.memory.listed(self.roster.lines.values(), version, service)
-            self.memory.list_came(self.roster.lines.values())
-        self.moves.listed(entries, {x.name: x.drains_until for x in self.roster.lines.values()}, now)
-        changes = ", ".join(f"{e.node.name} {e.listing.value}" for e in entries[:6])
-        self.log_.info("list", kind=kind.value, version=version, nodes=len(self.roster.lines), changes=changes,
-                       changed=len(entries))  # fmt: skip
+                self._add_node_client(line)
+        self.policy.on_node_list(kind, entries, now)
+        if self.durable_state is not None and not is_cached:
+            self.durable_state.node_list_changed(self.node_list.listed_nodes.values(), version, service)
+            self.durable_state.nodes_listed(self.node_list.listed_nodes.values())
+        self.move_executor.on_node_list(
+            entries, {x.name: x.drains_until for x in self.node_list.listed_nodes.values()}, now
+        )
+        changes = ", ".join(f"{e.node.name} {e.status.value}" for e in entries[:6])
+        self.logger.info(
+            "list",
+            kind=kind.value,
+            version=version,
+            nodes=len(self.node_list.listed_nodes),
+            changes=changes,
+            changed=len(entries),
+        )
         return True
 
-    def _new_leg(self, line: Line) -> None:
+    def _add_node_client(self, listed_node: ListedNode) -> None:
         """Creates the client of a listed node, in place of one for another address."""
-        old = self.legs.get(line.name)
+        old = self.node_clients.get(listed_node.name)
         if old is not None:
-            self.hearing.node_lost(old, Loss.PROVEN, "it has another address")
+            self.node_events.node_lost(old, LossCertainty.PROVEN, "it has another address")
             self.nursery.start_soon(old.close)
-        patience = Patience(self.site.silent_after, self.site.lost_after)
-        claim_within = self.longest_abandon + LONGEST_TRY_GRACE
-        self.legs[line.name] = NodeLeg(
-            line.name, line.address, line.port, self.me, self.clock, self.rng, self.site.connect_within, patience,
+        patience = StreamTimeouts(self.site.silence_timeout_ns, self.site.loss_timeout_ns)
+        claim_within = self.longest_abandon_ns + MAX_TRY_GRACE_NS
+        self.node_clients[listed_node.name] = NodeClient(
+            listed_node.name,
+            listed_node.address,
+            listed_node.port,
+            self.pseudonym,
+            self.clock,
+            self.rng,
+            self.site.connect_timeout_ns,
+            patience,
             claim_within,
-        )  # fmt: skip
-        self.legs[line.name].standing = self.standing
-        self.legs[line.name].awake = self.awake
+        )
+        self.node_clients[listed_node.name].identity = self.identity
+        self.node_clients[listed_node.name].discount_pause = self.discount_pause
 
     # Requests.
 
-    def viewing(
-        self, path: str, title_name: str, plan: PlanTerms, publishes: bool, key: str, offer: str, ufrag: str, top: int,
-        due: Due,
-    ) -> Viewing | None:  # fmt: skip
+    def new_session(
+        self,
+        path: str,
+        title_name: str,
+        plan: PlanTerms,
+        publishes: bool,
+        key: str,
+        offer: str,
+        ufrag: str,
+        top_rung: int,
+        deadline: Deadline,
+    ) -> PlaybackSession | None:
         """Creates the session of a request that has not been placed yet.
 
         Returns None where the title cache has no room for its title.
         """
-        title = self.titles.get(title_name, digest(title_name) % self.site.terms.cells)
+        title = self.title_cache.get(title_name, stable_hash(title_name) % self.site.terms.cell_count)
         if title is None:
             return None
-        pb = Playback(title, plan.plan, top, due.abandon, False)
-        return Viewing(secrets.token_urlsafe(15), path, plan, publishes, key, offer, ufrag, due, pb)
+        pb = Playback(title, plan.plan, top_rung, deadline.abandon_at, False)
+        return PlaybackSession(
+            secrets.token_urlsafe(15), path, plan, publishes, key, offer, ufrag, deadline, pb
+        )
 
-    def arrived(self, v: Viewing) -> None:
+    def request_placement(self, session: PlaybackSession) -> None:
         """Asks the policy to place a session, unless its viewer has left already."""
-        if v.final is not None or v.answered.is_set():  # its viewer left while the event was queued
-            if v.settle(Final.REJECTED):
-                self.repeats.settled(v.key, Final.REJECTED, v, self.clock.now())
-            self._free(v)
+        if (
+            session.final_answer is not None or session.answered.is_set()
+        ):  # its viewer left while the event was queued
+            if session.set_answer(FinalAnswer.REJECTED):
+                self.idempotency_store.record_answer(
+                    session.key, FinalAnswer.REJECTED, session, self.clock.now()
+                )
+            self._release_limits(session)
             return
-        self.viewings[v.pb] = v
+        self.sessions_by_playback[session.playback] = session
         # A newer catalogue has come into force since the request was read.
-        if v.catalogue != self.catalogue.number:
-            top = self.title_top(v.pb.title.name, v.asked_top, v.pb.plan.floor)
+        if session.catalogue_number != self.catalogue.number:
+            top = self.title_top_rung(
+                session.playback.title.name, session.requested_top, session.playback.plan.floor
+            )
             if top is None:
-                self._settle(v, Final.REJECTED, answers.REFUSALS[answers.Refusal.NO_TITLE])
-                del self.viewings[v.pb]
-                self._free(v)
+                self._finish_request(
+                    session, FinalAnswer.REJECTED, answers.REFUSAL_REPLIES[answers.Refusal.NO_TITLE]
+                )
+                del self.sessions_by_playback[session.playback]
+                self._release_limits(session)
                 return
-            v.pb.top, v.catalogue = top, self.catalogue.number
-        self.controller.arrived(v.pb, self.clock.now())
-        self._forget(v)
+            session.playback.top_rung, session.catalogue_number = top, self.catalogue.number
+        self.policy.on_request(session.playback, self.clock.now())
+        self._forget_if_over(session)
 
-    def title_top(self, title: str, asked_top: int, floor: int) -> int | None:
+    def title_top_rung(self, title: str, requested_top: int, floor: int) -> int | None:
         """Highest rung for a request under the catalogue in force; None where the title cannot be served.
 
         `requested_top` is the highest rung that the request takes, `floor` the lowest rung of its plan.
         """
-        return bound(self.catalogue, title, asked_top, floor, len(self.site.terms.rates))
+        return highest_rung(self.catalogue, title, requested_top, floor, len(self.site.terms.rung_rates))
 
-    def left(self, v: Viewing) -> None:
+    def viewer_left(self, session: PlaybackSession) -> None:
         """Handles a viewer that left, or whose time was up, before its answer."""
-        if v.pb not in self.viewings:
+        if session.playback not in self.sessions_by_playback:
             return
         # It plays, but its answer has not been stored yet.
-        if v.pb.state is State.PLAYING and v.beside is None:
-            self.end(v)
+        if session.playback.state is PlaybackState.PLAYING and session.copy_of is None:
+            self.end_session(session)
             return
-        self.controller.left(v.pb, self.clock.now())
-        self._forget(v)
+        self.policy.on_viewer_left(session.playback, self.clock.now())
+        self._forget_if_over(session)
 
-    def release(self, v: Viewing) -> None:
+    def release_unproven(self, session: PlaybackSession) -> None:
         """Releases a playback of an earlier process that may have run, once it is known to hold nothing."""
-        if v.pb in self.viewings and not self.controller.over(v.pb):
-            self.controller.tried(v.pb, Outcome.WITHDRAWN, True, None, None, None, self.clock.now())
-            self._forget(v)
+        if session.playback in self.sessions_by_playback and not self.policy.is_over(session.playback):
+            self.policy.on_try_ended(
+                session.playback, Outcome.WITHDRAWN, True, None, None, None, self.clock.now()
+            )
+            self._forget_if_over(session)
 
-    def end(self, v: Viewing) -> None:
+    def end_session(self, session: PlaybackSession) -> None:
         """Ends a playing session, on behalf of its viewer or of this front end."""
-        self.moves.viewer_left(v)
-        if v.ending or v.pb not in self.viewings or v.pb.state is not State.PLAYING:
+        self.move_executor.viewer_left(session)
+        if (
+            session.is_ending
+            or session.playback not in self.sessions_by_playback
+            or session.playback.state is not PlaybackState.PLAYING
+        ):
             return
-        v.ending = True
-        self.controller.left(v.pb, self.clock.now())
-        self._say_farewell(v)
+        session.is_ending = True
+        self.policy.on_viewer_left(session.playback, self.clock.now())
+        self._start_session_end(session)
 
-    def end_beside(self, other: Viewing) -> None:
+    def end_counterpart(self, counterpart: PlaybackSession) -> None:
         """Ends the counterpart of a move that is no longer wanted, whether it plays or is being set up."""
-        if other.pb.state is State.PLAYING:
-            self.end(other)
+        if counterpart.playback.state is PlaybackState.PLAYING:
+            self.end_session(counterpart)
         else:
-            self.left(other)
+            self.viewer_left(counterpart)
 
-    def break_off(self, v: Viewing) -> None:
+    def break_before_make(self, session: PlaybackSession) -> None:
         """Ends a session that can only move by breaking first: its viewer is told and connects again."""
-        self.hide(v)
-        self.end(v)
+        self.close_viewer_session(session)
+        self.end_session(session)
 
-    def rebind(self, v: Viewing) -> None:
+    def rebind(self, session: PlaybackSession) -> None:
         """Registers a session again after its playback and its upstream session were exchanged."""
-        if v.pb in self.viewings:
-            self.viewings[v.pb] = v
-        if v.upstream is not None and (v.upstream.node, v.upstream.resource) in self.upstreams:
-            self.upstreams[v.upstream.node, v.upstream.resource] = v
-
-    def _say_farewell(self, v: Viewing) -> None:
+        if session.playback in self.sessions_by_playback:
+            self.sessions_by_playback[session.playback] = session
+        if (
+            session.upstream is not None
+            and (session.upstream.node, session.upstream.resource) in self.sessions_by_upstream
+        ):
+            self.sessions_by_upstream[session.upstream.node, session.upstream.resource] = session
+
+    def _start_session_end(self, session: PlaybackSession) -> None:
         """Starts ending a session on its node."""
-        self.farewells += 1
-        self.nursery.start_soon(self._farewell, v)
+        self.pending_session_ends += 1
+        self.nursery.start_soon(self._end_on_node, session)
 
-    def wished(self, v: Viewing, rung: int) -> None:
+    def set_requested_top(self, session: PlaybackSession, rung: int) -> None:
         """Limits the rungs that the policy may set to those that the viewer takes, `rung` and below."""
-        if v.pb not in self.viewings or v.pb.state is not State.PLAYING:
+        if (
+            session.playback not in self.sessions_by_playback
+            or session.playback.state is not PlaybackState.PLAYING
+        ):
             return
-        v.asked_top = rung
-        self.bounded(v, max(v.pb.plan.floor, min(rung, self.course(v)[1])))
+        session.requested_top = rung
+        self.set_rung_bound(
+            session, max(session.playback.plan.floor, min(rung, self.catalogue_effect(session)[1]))
+        )
 
-    def course(self, v: Viewing) -> tuple[Course, int]:
+    def catalogue_effect(self, session: PlaybackSession) -> tuple[PlaybackEffect, int]:
         """Effect of the catalogue in force on a playback, and the highest rung that it allows."""
-        node, item = v.pb.node.name if v.pb.node else "", self.catalogue.titles.get(v.pb.title.name)
-        rungs = len(self.site.terms.rates)
-        return course(v.pb.plan.floor, v.pb.rung, item, self.catalogue.others, rungs, node)
-
-    def bounded(self, v: Viewing, top: int) -> None:
+        node, item = (
+            session.playback.node.name if session.playback.node else "",
+            self.catalogue.titles.get(session.playback.title.name),
+        )
+        rungs = len(self.site.terms.rung_rates)
+        return effect_on_playback(
+            session.playback.plan.floor,
+            session.playback.rung,
+            item,
+            self.catalogue.serves_unlisted,
+            rungs,
+            node,
+        )
+
+    def set_rung_bound(self, session: PlaybackSession, top_rung: int) -> None:
         """Sets the highest rung of a playing session.
 
         Where the session plays above it, it steps down at once and the policy is told.
         """
-        self.rendition_bound.set(v, top)
+        self.rendition_bound.set_bound(session, top_rung)
 
-    def above_bound(self, v: Viewing) -> None:
+    def rung_bound_exceeded(self, session: PlaybackSession) -> None:
         """Handles a node's report that a rung above the bound is in force."""
-        self.rendition_bound.exceeded(v)
+        self.rendition_bound.bound_exceeded(session)
 
-    async def _farewell(self, v: Viewing) -> None:
+    async def _end_on_node(self, session: PlaybackSession) -> None:
         """Ends a session on its node and then reports its playback as ended."""
         try:
-            if v.upstream is not None and (leg := self.legs.get(v.upstream.node)):
-                await leg.farewell(v.upstream.resource)
-                leg.claims.drop(v.upstream.resource)
-            await self.tell(partial(self.over, v, Outcome.WITHDRAWN))
+            if session.upstream is not None and (leg := self.node_clients.get(session.upstream.node)):
+                await leg.end_session(session.upstream.resource)
+                leg.node_sessions.session_released(session.upstream.resource)
+            await self.submit(partial(self.playback_ended, session, Outcome.WITHDRAWN))
         finally:
-            self.farewells -= 1
-            self.bell.ring()
+            self.pending_session_ends -= 1
+            self.count_changed.notify()
 
     # Implementation of Host.
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Starts a setup try; implements `Host.send_setup`. `abandon_at` is its deadline."""
-        if self.viewings[pb].beside is not None:
-            self.moves.chosen(self.viewings[pb], node.name)
-        if self.memory is not None:
-            self.memory.sent(node)
-        self.viewings[pb].catalogue = self.catalogue.number
-        self.nursery.start_soon(self._try, self.viewings[pb], self.legs[node.name], pb.rung, abandon_at)
-
-    def reject(self, pb: Playback, stay_away: int) -> None:
+        if self.sessions_by_playback[playback].copy_of is not None:
+            self.move_executor.target_chosen(self.sessions_by_playback[playback], node.name)
+        if self.durable_state is not None:
+            self.durable_state.setup_sent(node)
+        self.sessions_by_playback[playback].catalogue_number = self.catalogue.number
+        self.nursery.start_soon(
+            self._run_try,
+            self.sessions_by_playback[playback],
+            self.node_clients[node.name],
+            playback.rung,
+            abandon_at,
+        )
+
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """Answers a request as rejected; implements `Host.reject`."""
-        self._settle(self.viewings[pb], Final.REJECTED, answers.rejected(stay_away))
+        self._finish_request(
+            self.sessions_by_playback[playback], FinalAnswer.REJECTED, answers.rejected_reply(retry_after_ns)
+        )
 
-    def abort(self, pb: Playback) -> None:
+    def abort(self, playback: Playback) -> None:
         """Answers a request as aborted; implements `Host.abort`."""
-        self._settle(self.viewings[pb], Final.ABORTED, answers.aborted(pb.plan.effect))
+        self._finish_request(
+            self.sessions_by_playback[playback],
+            FinalAnswer.ABORTED,
+            answers.aborted_reply(playback.plan.effect),
+        )
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """Sends a rung to the node of a playing session; implements `Host.set_rung`."""
-        v = self.viewings[pb]
-        if pb.state is not State.PLAYING:
+        v = self.sessions_by_playback[playback]
+        if playback.state is not PlaybackState.PLAYING:
             return  # the set-up itself carries the rung
-        v.rung_wanted = rung
-        if not v.rung_at_work:
-            v.rung_at_work = True
-            self.nursery.start_soon(self._change_rung, v)
+        v.rung_to_send = rung
+        if not v.is_sending_rung:
+            v.is_sending_rung = True
+            self.nursery.start_soon(self._send_rung_changes, v)
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """Calls the policy's `on_timer` at a time; implements `Host.set_timer`."""
-        self.nursery.start_soon(self._alarm, at)
+        self.nursery.start_soon(self._run_timer, at)
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         """Does nothing, as the node list is always followed; implements `Host.subscribe_to_nodes`."""
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         """Logs a change of the policy's mode of operation; implements `Host.log`."""
-        self.log_.info("mode", change=line, playing=self.playing, unanswered=self.unanswered)
+        self.logger.info("mode", change=message, playing=self.playing_count, unanswered=self.unanswered_count)
 
     # Tasks.
 
-    async def _alarm(self, at: int) -> None:
+    async def _run_timer(self, fires_at: int) -> None:
         """Waits for the policy's timer."""
-        await trio.sleep_until(self.clock.deadline(at))
-        await self.tell(lambda: self.controller.alarm(self.clock.now()))
+        await trio.sleep_until(self.clock.trio_time(fires_at))
+        await self.submit(lambda: self.policy.on_timer(self.clock.now()))
 
-    async def _try(self, v: Viewing, leg: NodeLeg, rung: int, until: int) -> None:
+    async def _run_try(
+        self, session: PlaybackSession, node_client: NodeClient, rung: int, abandon_at: int
+    ) -> None:
         """Runs one setup try, once its intent is stored where that is required."""
-        if self.memory is None or await self.memory.before_try(v, leg.name, rung, until):
-            end = await leg.set_up(v, rung, until)
+        if self.durable_state is None or await self.durable_state.record_intent(
+            session, node_client.name, rung, abandon_at
+        ):
+            end = await node_client.set_up(session, rung, abandon_at)
         else:
-            end = TryEnd(Outcome.NOT_SENT, NO_LOAD, None, "not on record in time")
-        await self.tell(partial(self._tried, v, leg, end))
+            end = TryResult(Outcome.NOT_SENT, EMPTY_LOAD_REPORT, None, "not on record in time")
+        await self.submit(partial(self._try_ended, session, node_client, end))
 
-    async def _change_rung(self, v: Viewing) -> None:
+    async def _send_rung_changes(self, session: PlaybackSession) -> None:
         """Sends the rung that was requested last.
 
         While one change is under way, later requests replace each other.
         """
-        rung = v.pb.rung
+        rung = session.playback.rung
         try:
-            while v.rung_wanted is not None and v.upstream is not None and v.pb.state is State.PLAYING:
-                rung, v.rung_wanted = v.rung_wanted, None
-                leg = self.legs.get(v.upstream.node)
+            while (
+                session.rung_to_send is not None
+                and session.upstream is not None
+                and session.playback.state is PlaybackState.PLAYING
+            ):
+                rung, session.rung_to_send = session.rung_to_send, None
+                leg = self.node_clients.get(session.upstream.node)
                 if leg is None:
                     return
-                if not await leg.set_rung(v.upstream, rung):
-                    leg.renew()  # the node's first event on a new stream says which rung is in force
+                if not await leg.set_rung(session.upstream, rung):
+                    leg.reopen_stream()  # the node's first event on a new stream says which rung is in force
                     continue  # with the rung requested since, if any
-                self.publish(v, "layers", {"encodingId": str(rung)})
+                self.publish_event(session, "layers", {"encodingId": str(rung)})
         finally:
-            v.rung_at_work = False
+            session.is_sending_rung = False
 
     # Results from nodes.
 
-    def _tried(self, v: Viewing, leg: NodeLeg, end: TryEnd) -> None:
+    def _try_ended(self, session: PlaybackSession, node_client: NodeClient, result: TryResult) -> None:
         """Handles the end of a setup try."""
-        now, pb = self.clock.now(), v.pb
-        if end.outcome is Outcome.DONE and end.upstream is not None:
-            if self.legs.get(leg.name) is leg:
-                self._set_up(v, leg, end)
+        now, pb = self.clock.now(), session.playback
+        if result.outcome is Outcome.DONE and result.upstream is not None:
+            if self.node_clients.get(node_client.name) is node_client:
+                self._try_succeeded(session, node_client, result)
                 return
             # The list has replaced the node's address meanwhile, so nobody can use what runs at the old one.
-            self.nursery.start_soon(leg.farewell, end.upstream.resource)
-            end = replace(end, outcome=Outcome.RESET, cause="its node has another address")
-        closed = pb.state is not State.SETTING_UP
-        if self.memory is not None:
-            self.memory.tried(v, end.outcome)
-        if closed and v.final is None:
-            self._abort_unheard(v)
-        self.log_.debug("try", playback=v.id, node=leg.name, outcome=end.outcome.value, cause=end.cause)
-        self.controller.tried(pb, end.outcome, closed, end.load.asked, end.load.used, end.load.uplink, now)
-        self._forget(v)
-
-    def told_load(self, name: str, asked: float, at: int) -> None:
+            self.nursery.start_soon(node_client.end_session, result.upstream.resource)
+            result = replace(result, outcome=Outcome.RESET, cause="its node has another address")
+        closed = pb.state is not PlaybackState.SETTING_UP
+        if self.durable_state is not None:
+            self.durable_state.try_ended(session, result.outcome)
+        if closed and session.final_answer is None:
+            self._abort_unanswered(session)
+        self.logger.debug(
+            "try",
+            playback=session.id,
+            node=node_client.name,
+            outcome=result.outcome.value,
+            cause=result.cause,
+        )
+        self.policy.on_try_ended(
+            pb,
+            result.outcome,
+            closed,
+            result.load_report.asked,
+            result.load_report.used,
+            result.load_report.uplink,
+            now,
+        )
+        self._forget_if_over(session)
+
+    def apply_peer_load(self, node_name: str, link_load: float, measured_at: int) -> None:
         """Passes a node's load to the policy that another front end, or a probe of this one, has reported.
 
         `measured_at` is the time of the measurement.
         """
-        node, now = self.roster.nodes.get(name), self.clock.now()
-        if node is not None and name in self.roster.lines:
-            self.controller.told(node, asked, max(0, now - at), now)
+        node, now = self.node_list.nodes.get(node_name), self.clock.now()
+        if node is not None and node_name in self.node_list.listed_nodes:
+            self.policy.on_peer_load(node, link_load, max(0, now - measured_at), now)
 
-    def _set_up(self, v: Viewing, leg: NodeLeg, end: TryEnd) -> None:
+    def _try_succeeded(self, session: PlaybackSession, node_client: NodeClient, result: TryResult) -> None:
         """Handles a setup try that has produced a session on its node."""
-        now, pb = self.clock.now(), v.pb
-        assert end.upstream is not None
-        alive = leg.claims.claim(end.upstream.resource, now)
-        self.follow_events(leg, end.upstream.events)
-        v.upstream = end.upstream
-        if pb.state is not State.SETTING_UP:  # the viewer left during the set-up
-            if v.final is None:
-                self._abort_unheard(v)
-            v.ending = True
-            self._say_farewell(v)
+        now, pb = self.clock.now(), session.playback
+        assert result.upstream is not None
+        alive = node_client.node_sessions.claim(result.upstream.resource, now)
+        self.follow_events(node_client, result.upstream.events_path)
+        session.upstream = result.upstream
+        if pb.state is not PlaybackState.SETTING_UP:  # the viewer left during the set-up
+            if session.final_answer is None:
+                self._abort_unanswered(session)
+            session.is_ending = True
+            self._start_session_end(session)
             return
-        self.upstreams[leg.name, end.upstream.resource] = v
-        self.controller.playing(pb, now)
-        if end.load.asked is not None:
-            self.controller.noted(pb, Note.LINK_ASKED, end.load.asked, now)
-            self.heard_load(leg.name, end.load.asked, 0)
-        if end.load.uplink is not None:
-            self.controller.noted(pb, Note.UPLINK_ASKED, end.load.uplink, now)
-        if v.beside is None:
-            v.resource = Resource(end.upstream.tag, v.ufrag)
-            self.sessions[v.id] = v
-            self._settle(v, Final.PLAYS, None)
-        elif (move := self.moves.of(v)) is not None:
-            self.moves.happens(move, Happening.PLACED)
+        self.sessions_by_upstream[node_client.name, result.upstream.resource] = session
+        self.policy.on_playing(pb, now)
+        if result.load_report.asked is not None:
+            self.policy.on_metric(pb, PlaybackMetric.LINK_LOAD, result.load_report.asked, now)
+            self.on_link_load(node_client.name, result.load_report.asked, 0)
+        if result.load_report.uplink is not None:
+            self.policy.on_metric(pb, PlaybackMetric.UPLINK_LOAD, result.load_report.uplink, now)
+        if session.copy_of is None:
+            session.resource = SessionResource(result.upstream.etag, session.ufrag)
+            self.sessions_by_id[session.id] = session
+            self._finish_request(session, FinalAnswer.PLAYS, None)
+        elif (move := self.move_executor.move_of(session)) is not None:
+            self.move_executor.handle(move, MoveEvent.TARGET_PLAYS)
         else:
-            self.end(v)
+            self.end_session(session)
         if not alive:
-            self.over(v, Outcome.RESET)
+            self.playback_ended(session, Outcome.RESET)
 
-    def _abort_unheard(self, v: Viewing) -> None:
+    def _abort_unanswered(self, session: PlaybackSession) -> None:
         """Answers a set-up that may have run, or has, and whose viewer did not wait for its answer."""
-        v.settle(Final.ABORTED, answers.aborted(v.plan.plan.effect))
-        self.repeats.settled(v.key, Final.ABORTED, v, self.clock.now())
-        if self.memory is not None:
-            self.memory.answered(v, Final.ABORTED)
+        session.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(session.plan.plan.effect))
+        self.idempotency_store.record_answer(session.key, FinalAnswer.ABORTED, session, self.clock.now())
+        if self.durable_state is not None:
+            self.durable_state.answer_given(session, FinalAnswer.ABORTED)
 
-    def follow_events(self, leg: NodeLeg, events: str) -> None:
+    def follow_events(self, node_client: NodeClient, events: str) -> None:
         """Keeps the event stream of a node open from now on; `events` is the path of the stream."""
-        self.hearing.follow(leg, events)
+        self.node_events.follow(node_client, events)
 
-    def part(self, v: Viewing) -> Viewing:
+    def detach_playback(self, session: PlaybackSession) -> PlaybackSession:
         """Moves a session's playback to a separate session, with which the rest of a move goes on."""
-        rest = Viewing(secrets.token_urlsafe(15), v.path, v.plan, v.publishes, v.key, "", "", v.due, v.pb)
-        rest.final, rest.upstream, rest.beside = v.final, v.upstream, v
+        rest = PlaybackSession(
+            secrets.token_urlsafe(15),
+            session.path,
+            session.plan,
+            session.publishes,
+            session.key,
+            "",
+            "",
+            session.deadline,
+            session.playback,
+        )
+        rest.final_answer, rest.upstream, rest.copy_of = session.final_answer, session.upstream, session
         self.rebind(rest)
         return rest
 
-    def over(self, v: Viewing, how: Outcome, presumed: bool = False) -> None:
+    def playback_ended(self, session: PlaybackSession, outcome: Outcome, is_presumed: bool = False) -> None:
         """Handles the end of a playback that played, or whose viewer left while it was set up.
 
         With `is_presumed` the node is silent and the playback may go on: it is ended on its node first.
         """
-        if v.pb not in self.viewings or self.controller.over(v.pb):
+        if session.playback not in self.sessions_by_playback or self.policy.is_over(session.playback):
             return
-        if presumed:  # it may play on: the policy keeps its seat until the node has confirmed the end
-            self.end(v)
+        if is_presumed:  # it may play on: the policy keeps its seat until the node has confirmed the end
+            self.end_session(session)
             return
-        self.controller.tried(v.pb, how, True, None, None, None, self.clock.now())
-        if self.moves.of(v) is not None:
-            rest = self.part(v)
-            if self.moves.over(v, how is Outcome.RESET):
-                self._forget(rest)
+        self.policy.on_try_ended(session.playback, outcome, True, None, None, None, self.clock.now())
+        if self.move_executor.move_of(session) is not None:
+            rest = self.detach_playback(session)
+            if self.move_executor.participant_ended(session, outcome is Outcome.RESET):
+                self._forget_if_over(rest)
                 return
-            v = rest if v.beside is not None else v
-        self.repeats.ended(v.key, v, self.clock.now())
-        self.hide(v, how)
-        self._forget(v)
+            session = rest if session.copy_of is not None else session
+        self.idempotency_store.playback_ended(session.key, session, self.clock.now())
+        self.close_viewer_session(session, outcome)
+        self._forget_if_over(session)
 
-    def hide(self, v: Viewing, how: Outcome = Outcome.RESET) -> None:
+    def close_viewer_session(self, session: PlaybackSession, outcome: Outcome = Outcome.RESET) -> None:
         """Closes a session towards its viewer, whatever the node still holds."""
-        if self.memory is not None:
-            self.memory.over(v)
-        self.publish(v, "inactive", {"why": how.value})
-        if v.resource is not None:
-            v.resource.ended()
-        self.sessions.pop(v.id, None)
-        for reader in v.readers:
+        if self.durable_state is not None:
+            self.durable_state.session_ended(session)
+        self.publish_event(session, "inactive", {"why": outcome.value})
+        if session.resource is not None:
+            session.resource.end()
+        self.sessions_by_id.pop(session.id, None)
+        for reader in session.readers:
             reader.send.close()
-        v.readers.clear()
+        session.readers.clear()
 
-    def unsent(self, v: Viewing) -> None:
+    def answer_undelivered(self, session: PlaybackSession) -> None:
         """Handles an answer that could not be written because the viewer's connection broke.
 
         Nobody then knows the session's name. A viewer that chose its idempotency key may ask again and gets
@@ -575,93 +707,113 @@
         up a second time. The cost: the playback of a viewer that does not come back holds its place for that
         long.
         """
-        if not v.keyed:
-            self.insist(partial(self.end, v))
-        elif not v.unheard:
-            v.unheard = True
-            self.nursery.start_soon(self._unheard, v)
+        if not session.has_client_key:
+            self.submit_later(partial(self.end_session, session))
+        elif not session.answer_undelivered:
+            session.answer_undelivered = True
+            self.nursery.start_soon(self._end_if_undelivered, session)
 
-    async def _unheard(self, v: Viewing) -> None:
+    async def _end_if_undelivered(self, session: PlaybackSession) -> None:
         """Ends a session whose undelivered answer was not asked for again in time."""
-        await trio.sleep(UNHEARD)
-        if v.unheard:
-            await self.tell(partial(self.end, v))
+        await trio.sleep(UNDELIVERED_ANSWER_SECONDS)
+        if session.answer_undelivered:
+            await self.submit(partial(self.end_session, session))
 
     # Answers, event readers and removal.
 
-    def _settle(self, v: Viewing, final: Final, reply: answers.Reply | None) -> None:
+    def _finish_request(
+        self, session: PlaybackSession, final_answer: FinalAnswer, reply: answers.Reply | None
+    ) -> None:
         """Gives a request its final answer, or passes the result to the move that the session is part of."""
-        if v.beside is not None:
-            if (move := self.moves.of(v)) is not None:
-                self.moves.happens(move, Happening.NO_PLACE)
+        if session.copy_of is not None:
+            if (move := self.move_executor.move_of(session)) is not None:
+                self.move_executor.handle(move, MoveEvent.TARGET_FAILED)
             return
-        if final is Final.PLAYS and self.memory is not None and self.memory.waits(v):
-            self.nursery.start_soon(self._settle_on_record, v)
+        if (
+            final_answer is FinalAnswer.PLAYS
+            and self.durable_state is not None
+            and self.durable_state.must_record_answer(session)
+        ):
+            self.nursery.start_soon(self._answer_when_recorded, session)
             return
-        self._give(v, final, reply)
+        self._give_answer(session, final_answer, reply)
 
-    async def _settle_on_record(self, v: Viewing) -> None:
+    async def _answer_when_recorded(self, session: PlaybackSession) -> None:
         """Answers that a session plays, once that is stored or could not be stored in time."""
-        assert self.memory is not None
-        if not await self.memory.record(v):
-            self.log_.warning("answer not on record", playback=v.id, plan=v.plan.name)
-        await self.tell(partial(self._recorded, v))
+        assert self.durable_state is not None
+        if not await self.durable_state.record_playing(session):
+            self.logger.warning("answer not on record", playback=session.id, plan=session.plan.name)
+        await self.submit(partial(self._promise_recorded, session))
 
-    def _recorded(self, v: Viewing) -> None:
+    def _promise_recorded(self, session: PlaybackSession) -> None:
         """Gives the answer of a session whose promise has been stored, if it still plays."""
-        if v.pb.state is State.PLAYING and not v.ending:
-            self._give(v, Final.PLAYS, None)
-        elif v.final is None:  # it was lost, or its viewer left, while it was being stored
-            self._abort_unheard(v)
+        if session.playback.state is PlaybackState.PLAYING and not session.is_ending:
+            self._give_answer(session, FinalAnswer.PLAYS, None)
+        elif session.final_answer is None:  # it was lost, or its viewer left, while it was being stored
+            self._abort_unanswered(session)
 
-    def _give(self, v: Viewing, final: Final, reply: answers.Reply | None) -> None:
+    def _give_answer(
+        self, session: PlaybackSession, final_answer: FinalAnswer, reply: answers.Reply | None
+    ) -> None:
         """Gives a request its final answer, unless it has one."""
-        if not v.settle(final, reply):
+        if not session.set_answer(final_answer, reply):
             return
-        self.finals[final] += 1
-        if final is Final.PLAYS:
-            self.playing += 1
-        if self.memory is not None:
-            self.memory.answered(v, final)
-        self.repeats.settled(v.key, final, v, self.clock.now())
-        if self.told_answer is not None:
-            self.told_answer(final is Final.REJECTED, v.plan, self.clock.now() - v.due.written)
-        took = (self.clock.now() - v.due.written) // 1_000_000
-        node = v.upstream.node if v.upstream else None
-        self.log_.info("answer", playback=v.id, plan=v.plan.name, final=final.value, ms=took, tries=len(v.pb.tries),
-                       node=node, rung=v.pb.rung)  # fmt: skip
-
-    def publish(self, v: Viewing, kind: str, data: dict[str, str]) -> None:
+        self.answer_counts[final_answer] += 1
+        if final_answer is FinalAnswer.PLAYS:
+            self.playing_count += 1
+        if self.durable_state is not None:
+            self.durable_state.answer_given(session, final_answer)
+        self.idempotency_store.record_answer(session.key, final_answer, session, self.clock.now())
+        if self.on_answer is not None:
+            self.on_answer(
+                final_answer is FinalAnswer.REJECTED,
+                session.plan,
+                self.clock.now() - session.deadline.written_at,
+            )
+        took = (self.clock.now() - session.deadline.written_at) // 1_000_000
+        node = session.upstream.node if session.upstream else None
+        self.logger.info(
+            "answer",
+            playback=session.id,
+            plan=session.plan.name,
+            final=final_answer.value,
+            ms=took,
+            tries=len(session.playback.tries),
+            node=node,
+            rung=session.playback.rung,
+        )
+
+    def publish_event(self, session: PlaybackSession, kind: str, data: dict[str, str]) -> None:
         """Sends an event to the readers of a session that take events of its kind."""
-        for reader in list(v.readers):
+        for reader in list(session.readers):
             if kind not in reader.kinds:
                 continue
             try:
                 reader.send.send_nowait((kind, data))
             except trio.WouldBlock:
                 # The reader is too slow: its stream ends, and a new one begins with the present state.
-                v.readers.remove(reader)
+                session.readers.remove(reader)
                 reader.send.close()
 
-    def _free(self, v: Viewing) -> None:
+    def _release_limits(self, session: PlaybackSession) -> None:
         """Releases what a session holds of the request limits."""
-        if v.ticket is not None:
-            self.ledger.back(v.ticket)
+        if session.limit_reservation is not None:
+            self.limit_ledger.release(session.limit_reservation)
 
-    def _forget(self, v: Viewing) -> None:
+    def _forget_if_over(self, session: PlaybackSession) -> None:
         """Forgets a session once the policy expects nothing more for its playback."""
-        if not self.controller.over(v.pb):
+        if not self.policy.is_over(session.playback):
             return
-        if self.viewings.pop(v.pb, None) is None:
+        if self.sessions_by_playback.pop(session.playback, None) is None:
             return
-        self._free(v)
-        if v.final is Final.PLAYS and v.beside is None:
-            self.playing -= 1
-            self.bell.ring()
-        if v.upstream is not None:
-            self.upstreams.pop((v.upstream.node, v.upstream.resource), None)
+        self._release_limits(session)
+        if session.final_answer is FinalAnswer.PLAYS and session.copy_of is None:
+            self.playing_count -= 1
+            self.count_changed.notify()
+        if session.upstream is not None:
+            self.sessions_by_upstream.pop((session.upstream.node, session.upstream.resource), None)
 
 
-def stated(site: Site) -> dict[str, tuple[int, int]]:
+def configured_placements(site: SharedSettings) -> dict[str, tuple[int, int]]:
     """First cell and number of copies of each title whose placement is configured."""
-    return {name: (h.home, h.copies) for name, h in site.titles.items()}
+    return {name: (h.home_cell, h.copy_count) for name, h in site.titles.items()}
