--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -16,41 +16,57 @@
 import structlog
 import trio
 
-from oakcroft.config.settings import Site, Token
+from oakcroft.config.settings import SharedSettings, BearerToken
 from oakcroft.decisions.sessions import answers
 from oakcroft.decisions.routing import ladder
-from oakcroft.decisions.sessions.answers import REFUSALS, Final, Refusal, Reply
-from oakcroft.decisions.admission.connection_limits import SHORTEST_SETUP, Door, Queue, slow_reader
-from oakcroft.decisions.moving.handover import Course, Happening
-from oakcroft.decisions.admission.request_limits import Over, Party
-from oakcroft.decisions.admission.deadlines import BEAT, due, hopeless, margin
-from oakcroft.decisions.sessions.idempotency import Turn
-from oakcroft.decisions.sessions.session_resource import SDPFRAG, Act, Said
-from oakcroft.decisions.routing.route_table import Asked, Route, Side, Why, refuses
-from oakcroft.decisions.admission.load_shedding import Line, Waiting, Window
-from oakcroft.decisions.fleet.shutdown import Stopping
+from oakcroft.decisions.sessions.answers import REFUSAL_REPLIES, FinalAnswer, Refusal, Reply
+from oakcroft.decisions.admission.connection_limits import (
+    MIN_SETUP_TIME_NS,
+    ConnectionTable,
+    PendingRequests,
+    is_slow_reader,
+)
+from oakcroft.decisions.moving.handover import MoveState, MoveEvent
+from oakcroft.decisions.admission.request_limits import LimitExceeded, RequestSubject
+from oakcroft.decisions.admission.deadlines import (
+    HEARTBEAT_INTERVAL_NS,
+    request_deadline,
+    is_too_late,
+    response_margin,
+)
+from oakcroft.decisions.sessions.idempotency import KeyDecision
+from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE, ResourceAction, ResourceError
+from oakcroft.decisions.routing.route_table import (
+    RouteRequest,
+    Route,
+    ClientRole,
+    RouteMismatch,
+    find_mismatch,
+)
+from oakcroft.decisions.admission.load_shedding import FairQueue, QueuedRequest, ConcurrencyWindow
+from oakcroft.decisions.fleet.shutdown import Shutdown
 from oakcroft.running.clock import Clock
-from oakcroft.front.session_coordinator import Helm
-from oakcroft.front.move_executor import STAY, Admits, Move
-from oakcroft.front.service_levels import Reducing
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.move_executor import STAY_REPLY, NodeFilter, Move
+from oakcroft.front.service_levels import ServiceLevelControl
 from oakcroft.front.zone_routing import ZoneRouting
-from oakcroft.front.playback_session import Reader, Viewing
+from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.interface import Outcome
 from oakcroft.signalling import sdp, words
 
-READER_KINDS = ("active", "inactive", "layers", "move")
-MOST_READERS = 4
-MOST_TITLE = 200
-TURN = 0.02  # taken from the margin for the answer's way to the viewer
+EVENT_KINDS = ("active", "inactive", "layers", "move")
+MAX_EVENT_READERS = 4
+MAX_TITLE_LENGTH = 200
+ANSWER_GRACE_SECONDS = 0.02  # taken from the margin for the answer's way to the viewer
 
 
-class Faulty(Exception):
+class RequestError(Exception):
     """A request that is answered with a problem document (RFC 9457)."""
 
     def __init__(self, status: int, kind: str, title: str, detail: str = "") -> None:
         """Creates an error with an HTTP status, the last part of a problem type, a title and a detail."""
         super().__init__(title)
-        self.status, self.kind, self.title, self.detail = (
+        self.status, self.problem_type, self.title, self.detail = (
             status,
             f"urn:oakcroft:problem:{kind}",
             title,
@@ -59,7 +75,7 @@
 
 
 @dataclass
-class Ask:
+class PlaybackRequest:
     """A request for a playback, whichever protocol it came by.
 
     `written_at` is the earliest time at which it may have been written.
@@ -68,474 +84,565 @@
     path: str
     offer: str
     key: str | None
-    written: int
-    token: Token | None = None
+    written_at: int
+    token: BearerToken | None = None
     client: str = ""
-    prefer: list[str] = field(default_factory=list)
-    top: int | None = None
-    seated: bool = False
+    prefer_headers: list[str] = field(default_factory=list)
+    top_rung: int | None = None
+    in_client_session: bool = False
 
 
 @dataclass
-class Patched:
+class PatchResult:
     """Result of a PATCH on a session: empty, or the entity tag and the fragment of a new ICE session."""
 
-    tag: str = ""
+    etag: str = ""
     fragment: bytes = b""
 
 
-class Core:
+class SessionService:
     """The session operations of one front end."""
 
-    def __init__(self, zone: str, helm: Helm, door: Door, stopping: Stopping, clock: Clock,
-                 log: structlog.typing.FilteringBoundLogger) -> None:  # fmt: skip
+    def __init__(
+        self,
+        zone: str,
+        coordinator: SessionCoordinator,
+        connection_table: ConnectionTable,
+        shutdown: Shutdown,
+        clock: Clock,
+        log: structlog.typing.FilteringBoundLogger,
+    ) -> None:
         """Creates the service of a front end in `zone`; `run_queue` has to run beside it."""
-        self.zone, self.helm, self.door, self.stopping, self.clock, self.log = (
+        self.zone, self.coordinator, self.connection_table, self.shutdown, self.clock, self.log = (
             zone,
-            helm,
-            door,
-            stopping,
+            coordinator,
+            connection_table,
+            shutdown,
             clock,
             log,
         )
-        self.queue, self.number = Queue(door.bounds), 0
-        self.publishing: dict[str, Viewing] = {}
-        self.line = Line({}, Window(), SHORTEST_SETUP)
-        self.take_version()
-        self.shed, self.shed_told = 0, 0  # rejected unread; of those, logged
-        self.shedding = False
-        self.reducing: Reducing | None = None
+        self.pending_requests, self.last_request_number = PendingRequests(connection_table.limits), 0
+        self.publishers: dict[str, PlaybackSession] = {}
+        self.fair_queue = FairQueue({}, ConcurrencyWindow(), MIN_SETUP_TIME_NS)
+        self.apply_configuration()
+        self.shed_count, self.shed_logged = 0, 0  # rejected unread; of those, logged
+        self.is_shedding = False
+        self.service_levels: ServiceLevelControl | None = None
         self.zone_routing: ZoneRouting | None = None
-        self.turns: dict[int, trio.Event] = {}
-        self.granted: set[int] = set()
+        self.turn_events: dict[int, trio.Event] = {}
+        self.granted_numbers: set[int] = set()
 
-    def take_version(self) -> None:
+    def apply_configuration(self) -> None:
         """Applies the revenues and startup targets of the plans in force."""
-        plans = {name: p.plan for name, p in self.helm.site.plans.items()}
-        targets = {name: plan.startup_target for name, plan in plans.items()}
-        self.line.take_version({name: plan.revenue for name, plan in plans.items()}, targets)
+        plans = {name: p.plan for name, p in self.coordinator.site.plans.items()}
+        targets = {name: plan.startup_target_ns for name, plan in plans.items()}
+        self.fair_queue.set_plans({name: plan.revenue for name, plan in plans.items()}, targets)
 
     # Queue in front of the policy.
 
-    async def beat(self) -> None:
+    async def run_queue(self) -> None:
         """Measures how late the event loop runs, and lets queued requests go on as their turn comes."""
         while True:
             at = trio.current_time()
-            await trio.sleep(BEAT / 1e9)
+            await trio.sleep(HEARTBEAT_INTERVAL_NS / 1e9)
             passed = round((trio.current_time() - at) * 1e9)
-            self.line.beat(passed - BEAT, passed)
-            if self.reducing is not None:
-                self.reducing.lagged(max(0, passed - BEAT))
-            self._tell_shedding()
-            for one in self.line.hopeless(self.clock.now()):
-                self.turns.pop(one.number).set()
-            self._advance()
-
-    def _advance(self) -> None:
+            self.fair_queue.heartbeat(passed - HEARTBEAT_INTERVAL_NS, passed)
+            if self.service_levels is not None:
+                self.service_levels.record_loop_lag(max(0, passed - HEARTBEAT_INTERVAL_NS))
+            self._log_shedding()
+            for one in self.fair_queue.remove_expired(self.clock.now()):
+                self.turn_events.pop(one.number).set()
+            self._start_next_requests()
+
+    def _start_next_requests(self) -> None:
         """Gives queued requests their turn while there is room."""
-        while (one := self.line.next()) is not None:
-            self.granted.add(one.number)
-            self.turns.pop(one.number).set()
+        while (one := self.fair_queue.next_request()) is not None:
+            self.granted_numbers.add(one.number)
+            self.turn_events.pop(one.number).set()
 
-    def sheds(self, path: str) -> bool:
+    def should_shed(self, path: str) -> bool:
         """Whether to reject a request for this path unread, because its plan's queue is too long."""
-        if not self.line.waiting:
+        if not self.fair_queue.waiting:
             return False
-        plans = self.helm.site.table.plans.get(path[: path.rfind("/") + 1])
-        if not plans or not all(self.line.sheds(p) for p in plans):
+        plans = self.coordinator.site.route_table.plans.get(path[: path.rfind("/") + 1])
+        if not plans or not all(self.fair_queue.should_shed(p) for p in plans):
             return False
-        self.shed += 1
+        self.shed_count += 1
         return True
 
-    def _tell_shedding(self) -> None:
+    def _log_shedding(self) -> None:
         """Logs once when shedding begins and once when it has ended, with its figures."""
-        since, ended = self.shed - self.shed_told, not self.line.waiting
-        begins, ends = since > 0 and not self.shedding, self.shedding and ended
+        since, ended = self.shed_count - self.shed_logged, not self.fair_queue.waiting
+        begins, ends = since > 0 and not self.is_shedding, self.is_shedding and ended
         if begins or ends:
-            self.shed_told, self.shedding = self.shed, begins
-            self.log.warning("shedding" if begins else "shedding over", turned_away=since, pace=round(self.line.pace),
-                             window=round(self.line.window.size), waiting=len(self.line.waiting))  # fmt: skip
-
-    async def _turn(self, one: Waiting) -> bool:
+            self.shed_logged, self.is_shedding = self.shed_count, begins
+            self.log.warning(
+                "shedding" if begins else "shedding over",
+                turned_away=since,
+                pace=round(self.fair_queue.throughput),
+                window=round(self.fair_queue.window.size),
+                waiting=len(self.fair_queue.waiting),
+            )
+
+    async def _wait_for_turn(self, queued_request: QueuedRequest) -> bool:
         """Waits for a request's turn; returns False where it cannot be answered in time, or too many wait."""
-        if self.line.full:
+        if self.fair_queue.is_full:
             return False
-        if self.line.enter(one):
+        if self.fair_queue.submit(queued_request):
             return True
-        event = self.turns[one.number] = trio.Event()
+        event = self.turn_events[queued_request.number] = trio.Event()
         taken = False
         try:
             await event.wait()
-            taken = one.number in self.granted and one.abandon - self.clock.now() >= SHORTEST_SETUP
+            taken = (
+                queued_request.number in self.granted_numbers
+                and queued_request.abandon_at - self.clock.now() >= MIN_SETUP_TIME_NS
+            )
         finally:
             if not event.is_set():
-                self.turns.pop(one.number, None)
-                self.line.leave(one.number)
-            if one.number in self.granted:
-                self.granted.discard(one.number)
+                self.turn_events.pop(queued_request.number, None)
+                self.fair_queue.remove(queued_request.number)
+            if queued_request.number in self.granted_numbers:
+                self.granted_numbers.discard(queued_request.number)
                 if not taken:  # its turn came too late, or its viewer left at that moment
-                    self.line.done()
+                    self.fair_queue.finish()
         return taken
 
     # Requests.
 
-    def token(self, given: str | None) -> Token | None:
+    def authenticate(self, bearer: str | None) -> BearerToken | None:
         """The token of a bearer credential (RFC 6750); None where the configuration has no tokens.
 
         It is looked up by its digest, so that the time of a look-up reveals nothing about it. Raises
         RequestError 401 without a valid one.
         """
-        tokens = self.helm.site.tokens
+        tokens = self.coordinator.site.tokens
         if not tokens:
             return None
-        token = tokens.get(hashlib.blake2b((given or "").strip().encode(), digest_size=32).digest())
+        token = tokens.get(hashlib.blake2b((bearer or "").strip().encode(), digest_size=32).digest())
         if token is None:
-            raise Faulty(401, "token", "A valid bearer token is needed", "invalid_token" if given else "")
+            raise RequestError(
+                401, "token", "A valid bearer token is needed", "invalid_token" if bearer else ""
+            )
         return token
 
-    def served(self, path: str) -> set[Side]:
+    def roles_served(self, path: str) -> set[ClientRole]:
         """The client roles that are served at a path. Raises RequestError 404 where none is."""
         title = unquote(path.rpartition("/")[2], errors="replace")
-        sides = self.helm.site.table.sides(path) if words.is_path(path) else set()
-        if not sides or not title or "/" in title or len(title) > MOST_TITLE or not title.isprintable():
-            raise Faulty(404, "no-route", "Nothing is served at this path")
+        sides = self.coordinator.site.route_table.roles_served(path) if words.is_path(path) else set()
+        if not sides or not title or "/" in title or len(title) > MAX_TITLE_LENGTH or not title.isprintable():
+            raise RequestError(404, "no-route", "Nothing is served at this path")
         return sides
 
     @staticmethod
-    def parse(text: str) -> sdp.Description:
+    def parse_offer(offer_text: str) -> sdp.Description:
         """Parses an offer. Raises RequestError 400."""
         try:
-            return sdp.parse(text)
+            return sdp.parse(offer_text)
         except sdp.SdpFault as fault:
-            raise Faulty(400, "sdp", "The offer is no session description", str(fault)) from None
+            raise RequestError(400, "sdp", "The offer is no session description", str(fault)) from None
 
     @staticmethod
-    def _check(offer: sdp.Description, publishes: bool) -> None:
+    def _check_offer(offer: sdp.Description, publishes: bool) -> None:
         """Checks that an offer can be answered. Raises RequestError 422."""
         try:
             sdp.check_offer(offer, publishes)
         except sdp.SdpFault as fault:
-            raise Faulty(422, "offer", "The offer cannot be answered", str(fault)) from None
+            raise RequestError(422, "offer", "The offer cannot be answered", str(fault)) from None
 
     @staticmethod
     def _check_key(key: str | None) -> None:
         """Checks the form of an idempotency key. Raises RequestError 400."""
         if key is not None and not words.is_key(key):
-            raise Faulty(400, "key", 'A key is 1 to 255 visible characters or spaces but " and \\')
+            raise RequestError(400, "key", 'A key is 1 to 255 visible characters or spaces but " and \\')
 
-    def _route(self, site: Site, ask: Ask, offer: sdp.Description, title: str) -> Route:
+    def _find_route(
+        self, site: SharedSettings, request: PlaybackRequest, offer: sdp.Description, title: str
+    ) -> Route:
         """Route of a request.
 
         Raises RequestError 403 where only a claim is missing, 404 where no route matches.
         """
-        sides = self.served(ask.path)
+        sides = self.roles_served(request.path)
         publishes = any(offer.direction(m) == "sendonly" for m in offer.media)
-        side = next(iter(sides)) if len(sides) == 1 else Side.PUBLISH if publishes else Side.WATCH
-        path = f"{ask.path.rpartition('/')[0]}/{title}"
-        asked = Asked(side, path, self.zone, ask.token.claims if ask.token else {})
-        route = site.table.find(asked)
+        side = next(iter(sides)) if len(sides) == 1 else ClientRole.PUBLISH if publishes else ClientRole.WATCH
+        path = f"{request.path.rpartition('/')[0]}/{title}"
+        asked = RouteRequest(side, path, self.zone, request.token.claims if request.token else {})
+        route = site.route_table.find(asked)
         if route is not None:
             return route
-        if any(refuses(r.match, asked) is Why.CLAIM for r in site.table.routes.values() if r.match.claims):
-            raise Faulty(403, "claim", "This token does not give access to this title")
-        raise Faulty(404, "no-route", "Nothing is served at this path")
-
-    def repeated(self, key: str | None, token: Token | None) -> bool:
+        if any(
+            find_mismatch(r.match, asked) is RouteMismatch.CLAIM
+            for r in site.route_table.routes.values()
+            if r.match.claims
+        ):
+            raise RequestError(403, "claim", "This token does not give access to this title")
+        raise RequestError(404, "no-route", "Nothing is served at this path")
+
+    def has_replay(self, key: str | None, token: BearerToken | None) -> bool:
         """Whether a request with this key of this client has its answer already.
 
         Such a request is exempt from all limits, as it binds nothing any more and gets the same answer again.
         """
-        return key is not None and self.helm.repeats.answered(self._own(key, token))
+        return key is not None and self.coordinator.idempotency_store.has_replay(self._client_key(key, token))
 
     @staticmethod
-    def _own(key: str, token: Token | None) -> str:
+    def _client_key(key: str, token: BearerToken | None) -> str:
         """Key with its client's name, since keys of different clients are unrelated."""
         return f"{token.name}/{key}" if token else key
 
-    async def ask(self, ask: Ask) -> tuple[Viewing | Reply, bool]:
+    async def request_playback(self, request: PlaybackRequest) -> tuple[PlaybackSession | Reply, bool]:
         """Answers a request for a playback.
 
         Returns the session with its final answer, or a reply that rejects the request before it became a
         playback; and whether the answer is given for the first time. Raises RequestError where the request
         itself is wrong. A caller that is cancelled counts as a viewer that left.
         """
-        site = self.helm.site  # the request is decided under this version throughout
-        title = unquote(ask.path.rpartition("/")[2], errors="replace")
+        site = self.coordinator.site  # the request is decided under this version throughout
+        title = unquote(request.path.rpartition("/")[2], errors="replace")
         # Before anything is parsed, since parsing dominates the cost of a rejected request.
-        if not self.repeated(ask.key, ask.token) and self.sheds(ask.path):
-            return REFUSALS[Refusal.BUSY], True
-        self._check_key(ask.key)
-        now, who = self.clock.now(), ask.token.name if ask.token else ""
-        key = self._own(ask.key if ask.key is not None else secrets.token_urlsafe(15), ask.token)
-        about = hashlib.blake2b(f"{ask.path}\0{ask.offer}".encode(), digest_size=16).hexdigest()
-        turn, refusal, earlier = self.helm.repeats.turn(key, about, now)
-        if turn is Turn.REFUSE and refusal is not None:
-            return REFUSALS[refusal], True
-        if turn is Turn.AGAIN and isinstance(earlier, Viewing):
-            if self.helm.memory is not None:
-                self.helm.memory.claimed(earlier)
+        if not self.has_replay(request.key, request.token) and self.should_shed(request.path):
+            return REFUSAL_REPLIES[Refusal.BUSY], True
+        self._check_key(request.key)
+        now, who = self.clock.now(), request.token.name if request.token else ""
+        key = self._client_key(
+            request.key if request.key is not None else secrets.token_urlsafe(15), request.token
+        )
+        about = hashlib.blake2b(f"{request.path}\0{request.offer}".encode(), digest_size=16).hexdigest()
+        turn, refusal, earlier = self.coordinator.idempotency_store.decide(key, about, now)
+        if turn is KeyDecision.REFUSE and refusal is not None:
+            return REFUSAL_REPLIES[refusal], True
+        if turn is KeyDecision.REPLAY and isinstance(earlier, PlaybackSession):
+            if self.coordinator.durable_state is not None:
+                self.coordinator.durable_state.session_claimed(earlier)
             return earlier, False
-        offer = self.parse(ask.offer)
-        route = self._route(site, ask, offer, title)
-        publishes, plan = route.match.side is Side.PUBLISH, site.plans[route.plan]
-        self._check(offer, publishes)
-        if not self.stopping.takes_new():
-            return REFUSALS[Refusal.DRAINING], True
+        offer = self.parse_offer(request.offer)
+        route = self._find_route(site, request, offer, title)
+        publishes, plan = route.match.role is ClientRole.PUBLISH, site.plans[route.plan]
+        self._check_offer(offer, publishes)
+        if not self.shutdown.accepts_requests():
+            return REFUSAL_REPLIES[Refusal.DRAINING], True
         if publishes:  # a session that has ended no longer holds its title
-            some = self.publishing.items()
-            self.publishing = {t: o for t, o in some if o.final is None or o.id in self.helm.sessions}
-        if publishes and title in self.publishing:
-            raise Faulty(409, "published", "This title is being published already")
-        lag = self.reducing.lag if self.reducing is not None else 0
-        wait = due(ask.written, plan.abandon, ask.prefer, margin(site.way_back, lag))
-        if hopeless(wait, now, SHORTEST_SETUP):
-            return REFUSALS[Refusal.TOO_LATE], True
-        takes = ladder.bytes_a_second(*sdp.bandwidth(offer))
-        tops = [ladder.best_rung(site.terms.rates, plan.plan.rate_factor, takes), route.top, ask.top]
+            some = self.publishers.items()
+            self.publishers = {
+                t: o for t, o in some if o.final_answer is None or o.id in self.coordinator.sessions_by_id
+            }
+        if publishes and title in self.publishers:
+            raise RequestError(409, "published", "This title is being published already")
+        lag = self.service_levels.loop_lag_ns if self.service_levels is not None else 0
+        wait = request_deadline(
+            request.written_at,
+            plan.abandon_ns,
+            request.prefer_headers,
+            response_margin(site.answer_margin_ns, lag),
+        )
+        if is_too_late(wait, now, MIN_SETUP_TIME_NS):
+            return REFUSAL_REPLIES[Refusal.TOO_LATE], True
+        takes = ladder.offered_rate(*sdp.bandwidth(offer))
+        tops = [
+            ladder.best_rung(site.terms.rung_rates, plan.plan.rate_factor, takes),
+            route.top,
+            request.top_rung,
+        ]
         asked_top = min(t for t in tops if t is not None)
-        if self.reducing is not None:
-            if not self.reducing.admits(plan.name):
-                return REFUSALS[Refusal.REDUCED], True
-            asked_top = self.reducing.top(asked_top, plan.plan.floor)
-        version = self.helm.catalogue.number
-        top = self.helm.title_top(title, max(asked_top, plan.plan.floor), plan.plan.floor)
+        if self.service_levels is not None:
+            if not self.service_levels.admit(plan.name):
+                return REFUSAL_REPLIES[Refusal.REDUCED], True
+            asked_top = self.service_levels.limit_top_rung(asked_top, plan.plan.floor)
+        version = self.coordinator.catalogue.number
+        top = self.coordinator.title_top_rung(title, max(asked_top, plan.plan.floor), plan.plan.floor)
         if top is None:
-            self.helm.finals[Final.REJECTED] += 1
-            return REFUSALS[Refusal.NO_TITLE], True
-        v = self.helm.viewing(ask.path, title, plan, publishes, key, ask.offer, sdp.ufrag(offer), top, wait)
-        if v is None or not self.queue.has_room():
-            return REFUSALS[Refusal.BUSY], True
-        v.seated, v.keyed = ask.seated, ask.key is not None
-        v.token, v.about, v.asked_top, v.catalogue = who, about, max(asked_top, plan.plan.floor), version
-        if self.helm.memory is not None and (reply := self.helm.memory.refusal(v)) is not None:
+            self.coordinator.answer_counts[FinalAnswer.REJECTED] += 1
+            return REFUSAL_REPLIES[Refusal.NO_TITLE], True
+        v = self.coordinator.new_session(
+            request.path, title, plan, publishes, key, request.offer, sdp.ufrag(offer), top, wait
+        )
+        if v is None or not self.pending_requests.has_room():
+            return REFUSAL_REPLIES[Refusal.BUSY], True
+        v.in_client_session, v.has_client_key = request.in_client_session, request.key is not None
+        v.token_name, v.fingerprint, v.requested_top, v.catalogue_number = (
+            who,
+            about,
+            max(asked_top, plan.plan.floor),
+            version,
+        )
+        if (
+            self.coordinator.durable_state is not None
+            and (reply := self.coordinator.durable_state.rejection(v)) is not None
+        ):
             return reply, True
         v.pool = site.pools[route.pool] if route.pool else None
-        v.pb.admits = self._admits(v)
-        ticket = self.helm.ledger.ask(Party(who, route.name, route.plan, self.zone), now)
-        if isinstance(ticket, Over):
-            return answers.over(ticket), True
-        v.ticket = ticket
-        self.number += 1
-        return await self._answered(v, self.number, about, ask.client or who)
-
-    def _admits(self, v: Viewing, zones_matter: bool = True) -> Admits | None:
+        v.playback.node_filter = self._node_filter(v)
+        ticket = self.coordinator.limit_ledger.acquire(
+            RequestSubject(who, route.name, route.plan, self.zone), now
+        )
+        if isinstance(ticket, LimitExceeded):
+            return answers.limit_reply(ticket), True
+        v.limit_reservation = ticket
+        self.last_request_number += 1
+        return await self._queue_and_answer(v, self.last_request_number, about, request.client or who)
+
+    def _node_filter(self, session: PlaybackSession, applies_zones: bool = True) -> NodeFilter | None:
         """Filter for the nodes that a set-up may go to now; None for all nodes.
 
         These are the nodes of its route's pool, in the zones that may take it at present.
         """
-        zones = self.zone_routing.admits() if self.zone_routing is not None and zones_matter else None
-        pool, racks = v.pool, self.helm.site.terms.racks
+        zones = self.zone_routing.node_filter() if self.zone_routing is not None and applies_zones else None
+        pool, racks = session.pool, self.coordinator.site.terms.rack_count
         if pool is None:
             return zones
         return lambda node: pool.admits(node, racks) and (zones is None or zones(node))
 
-    async def _answered(
-        self, v: Viewing, number: int, about: str, client: str
-    ) -> tuple[Viewing | Reply, bool]:
+    async def _queue_and_answer(
+        self, session: PlaybackSession, number: int, fingerprint: str, client: str
+    ) -> tuple[PlaybackSession | Reply, bool]:
         """Queues a request in front of the policy and waits for its answer."""
-        paid = v.plan.plan.effect.value == "paid"
-        self.queue.enter(number)
-        if not self.helm.repeats.begin(v.key, about, paid, self.clock.now()) and paid:
-            self.queue.leave(number)  # without a record, a repeat would be set up again
-            if v.ticket is not None:
-                self.helm.ledger.back(v.ticket)
-            return REFUSALS[Refusal.BUSY], True
-        if v.publishes:
-            self.publishing[v.pb.title.name] = v
-        self.helm.unanswered += 1
+        paid = session.plan.plan.effect.value == "paid"
+        self.pending_requests.add(number)
+        if (
+            not self.coordinator.idempotency_store.begin(session.key, fingerprint, paid, self.clock.now())
+            and paid
+        ):
+            self.pending_requests.remove(number)  # without a record, a repeat would be set up again
+            if session.limit_reservation is not None:
+                self.coordinator.limit_ledger.release(session.limit_reservation)
+            return REFUSAL_REPLIES[Refusal.BUSY], True
+        if session.publishes:
+            self.publishers[session.playback.title.name] = session
+        self.coordinator.unanswered_count += 1
         at_work = asked = False
         try:
-            at_work = await self._turn(Waiting(v.due.abandon, number, v.plan.name, client))
-            asked = at_work and self.helm.offer(partial(self.helm.arrived, v))
+            at_work = await self._wait_for_turn(
+                QueuedRequest(session.deadline.abandon_at, number, session.plan.name, client)
+            )
+            asked = at_work and self.coordinator.try_submit(
+                partial(self.coordinator.request_placement, session)
+            )
             if not asked:
-                reply = REFUSALS[Refusal.BUSY if at_work or self.line.full else Refusal.TOO_LATE]
-                v.settle(Final.REJECTED, reply)
-                self.helm.repeats.settled(v.key, Final.REJECTED, v, self.clock.now())
+                reply = REFUSAL_REPLIES[
+                    Refusal.BUSY if at_work or self.fair_queue.is_full else Refusal.TOO_LATE
+                ]
+                session.set_answer(FinalAnswer.REJECTED, reply)
+                self.coordinator.idempotency_store.record_answer(
+                    session.key, FinalAnswer.REJECTED, session, self.clock.now()
+                )
                 return reply, True
-            with trio.CancelScope(deadline=self.clock.deadline(v.due.abandon)):
-                await v.answered.wait()
-            if v.final is None:  # both fell due at once, as after a pause: the policy goes first
-                with trio.move_on_after(TURN):
-                    await v.answered.wait()
-            if v.final is None:  # the policy owes the answer; guards against any fault there
-                self.log.error("no answer in time", playback=v.id, plan=v.plan.name)
-                v.settle(Final.ABORTED, answers.aborted(v.plan.plan.effect))
-                self.helm.repeats.settled(v.key, Final.ABORTED, v, self.clock.now())
-                if self.helm.memory is not None:
-                    self.helm.memory.answered(v, Final.ABORTED)
-                self.helm.insist(partial(self.helm.left, v))
-            return v, True
+            with trio.CancelScope(deadline=self.clock.trio_time(session.deadline.abandon_at)):
+                await session.answered.wait()
+            if session.final_answer is None:  # both fell due at once, as after a pause: the policy goes first
+                with trio.move_on_after(ANSWER_GRACE_SECONDS):
+                    await session.answered.wait()
+            if session.final_answer is None:  # the policy owes the answer; guards against any fault there
+                self.log.error("no answer in time", playback=session.id, plan=session.plan.name)
+                session.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(session.plan.plan.effect))
+                self.coordinator.idempotency_store.record_answer(
+                    session.key, FinalAnswer.ABORTED, session, self.clock.now()
+                )
+                if self.coordinator.durable_state is not None:
+                    self.coordinator.durable_state.answer_given(session, FinalAnswer.ABORTED)
+                self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
+            return session, True
         finally:
             if at_work:
-                self.line.done()
-                self._advance()
-            self.helm.unanswered -= 1
-            self.queue.leave(number)
-            if not asked and v.ticket is not None:
-                self.helm.ledger.back(v.ticket)
-            if v.final is None:  # the viewer left; its key stays in use until the set-up's end is known
+                self.fair_queue.finish()
+                self._start_next_requests()
+            self.coordinator.unanswered_count -= 1
+            self.pending_requests.remove(number)
+            if not asked and session.limit_reservation is not None:
+                self.coordinator.limit_ledger.release(session.limit_reservation)
+            if (
+                session.final_answer is None
+            ):  # the viewer left; its key stays in use until the set-up's end is known
                 if asked:
-                    self.helm.insist(partial(self.helm.left, v))
+                    self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
                 else:
-                    v.settle(Final.REJECTED)
-                    self.helm.repeats.settled(v.key, Final.REJECTED, v, self.clock.now())
-                v.answered.set()
-            if v.publishes and v.final is not Final.PLAYS:
-                self.publishing.pop(v.pb.title.name, None)
-            self.helm.bell.ring()
+                    session.set_answer(FinalAnswer.REJECTED)
+                    self.coordinator.idempotency_store.record_answer(
+                        session.key, FinalAnswer.REJECTED, session, self.clock.now()
+                    )
+                session.answered.set()
+            if session.publishes and session.final_answer is not FinalAnswer.PLAYS:
+                self.publishers.pop(session.playback.title.name, None)
+            self.coordinator.count_changed.notify()
 
     # Playing sessions.
 
-    def session(self, name: str, token: Token | None) -> Viewing:
+    def find_session(self, session_id: str, token: BearerToken | None) -> PlaybackSession:
         """Session by its id. Raises RequestError 404, or 403 for a session of another client."""
-        v = self.helm.sessions.get(name)
+        v = self.coordinator.sessions_by_id.get(session_id)
         if v is None or v.resource is None or v.upstream is None:
-            raise Faulty(404, "no-session", "No such session")
-        if token is not None and v.token and token.name != v.token:
-            raise Faulty(403, "claim", "This session is another client's")
-        self._stands(v)
+            raise RequestError(404, "no-session", "No such session")
+        if token is not None and v.token_name and token.name != v.token_name:
+            raise RequestError(403, "claim", "This session is another client's")
+        self._check_active(v)
         return v
 
-    def _stands(self, v: Viewing) -> None:
+    def _check_active(self, session: PlaybackSession) -> None:
         """Raises RequestError 404 for a session that has ended, or is being ended."""
-        if v.resource is None or v.resource.gone() or v.id not in self.helm.sessions:
-            raise Faulty(404, "no-session", "No such session")
+        if (
+            session.resource is None
+            or session.resource.not_found()
+            or session.id not in self.coordinator.sessions_by_id
+        ):
+            raise RequestError(404, "no-session", "No such session")
 
     @staticmethod
-    def _said(said: Said) -> Faulty:
+    def _resource_error(error: ResourceError) -> RequestError:
         """The error of a session resource as RequestError."""
-        return Faulty(said.status, said.kind.rpartition(":")[2], said.title)
+        return RequestError(error.status, error.problem_type.rpartition(":")[2], error.title)
 
-    async def patch(self, v: Viewing, kind: str, tags: list[str] | None, body: bytes) -> Patched:
+    async def patch(
+        self, session: PlaybackSession, content_type: str, etags: list[str] | None, body: bytes
+    ) -> PatchResult:
         """Applies a trickle ICE fragment to a session (RFC 9725 4.3).
 
         Raises RequestError with the status of a request that does not fit the resource, or 502 where the node
         failed.
         """
-        assert v.resource is not None
-        assert v.upstream is not None
+        assert session.resource is not None
+        assert session.upstream is not None
         fragment = sdp.Fragment("", "", [], True)
-        if kind == SDPFRAG:
+        if content_type == SDPFRAG_MEDIA_TYPE:
             try:
                 fragment = sdp.parse_fragment(body.decode("utf-8"))
             except (UnicodeDecodeError, sdp.SdpFault) as fault:
-                raise Faulty(400, "sdp", "This is no trickle fragment", str(fault)) from None
-        act = v.resource.patched(kind, tags, fragment.ufrag, len(fragment.candidates))
-        if isinstance(act, Said):
-            raise self._said(act)
-        upstream, resource = v.upstream, v.resource  # a move may replace both meanwhile
-        leg = self.helm.legs.get(upstream.node)
-        if act is Act.TRICKLE:
-            reply = await leg.patch(upstream, f'"{upstream.tag}"', body) if leg else None
+                raise RequestError(400, "sdp", "This is no trickle fragment", str(fault)) from None
+        act = session.resource.patch(content_type, etags, fragment.ufrag, len(fragment.candidates))
+        if isinstance(act, ResourceError):
+            raise self._resource_error(act)
+        upstream, resource = session.upstream, session.resource  # a move may replace both meanwhile
+        leg = self.coordinator.node_clients.get(upstream.node)
+        if act is ResourceAction.TRICKLE:
+            reply = await leg.patch(upstream, f'"{upstream.etag}"', body) if leg else None
             if reply is None or reply.status not in (200, 204):
-                raise Faulty(502, "node", "The playout node did not take the candidates")
-            return Patched()
+                raise RequestError(502, "node", "The playout node did not take the candidates")
+            return PatchResult()
         done = False
         try:
             reply = await leg.patch(upstream, "*", body) if leg else None
             tag = (reply.header("etag") or "").strip('"') if reply is not None else ""
             if reply is None or reply.status != 200 or not tag:
-                raise Faulty(502, "node", "The playout node did not restart ICE")
-            upstream.tag = tag
-            resource.restarted(tag, fragment.ufrag)
+                raise RequestError(502, "node", "The playout node did not restart ICE")
+            upstream.etag = tag
+            resource.restart_succeeded(tag, fragment.ufrag)
             done = True
-            return Patched(tag, reply.body)
+            return PatchResult(tag, reply.body)
         finally:
             if not done:
                 resource.restart_failed()
 
-    async def end(self, v: Viewing) -> None:
+    async def end_session(self, session: PlaybackSession) -> None:
         """Ends a session for its viewer. Raises RequestError 404 for one that has ended."""
-        assert v.resource is not None
-        act = v.resource.deleted()
-        if isinstance(act, Said):
-            raise self._said(act)
-        if v.publishes:
-            self.publishing.pop(v.pb.title.name, None)
-        await self.helm.tell(partial(self.helm.end, v))
-
-    async def layer(self, v: Viewing, wish: str) -> None:
+        assert session.resource is not None
+        act = session.resource.delete()
+        if isinstance(act, ResourceError):
+            raise self._resource_error(act)
+        if session.publishes:
+            self.publishers.pop(session.playback.title.name, None)
+        await self.coordinator.submit(partial(self.coordinator.end_session, session))
+
+    async def select_layer(self, session: PlaybackSession, requested: str) -> None:
         """Sets the highest rung that the viewer takes; below it the policy goes on choosing.
 
         Raises RequestError 422 for a rung that the plan does not have.
         """
-        self._stands(v)
-        plan = v.pb.plan
-        rung = ladder.rung_wished(wish, plan.floor, plan.top)
+        self._check_active(session)
+        plan = session.playback.plan
+        rung = ladder.requested_rung(requested, plan.floor, plan.top_rung)
         if rung is None:
-            raise Faulty(422, "layer", "No such layer in this plan", f"rungs {plan.floor} to {plan.top}")
+            raise RequestError(
+                422, "layer", "No such layer in this plan", f"rungs {plan.floor} to {plan.top_rung}"
+            )
         # A level of reduced service limits increases only and takes nothing away.
-        if self.reducing is not None and rung > v.pb.top:
-            rung = max(v.pb.top, self.reducing.top(rung, plan.floor))
-        await self.helm.tell(partial(self.helm.wished, v, rung))
+        if self.service_levels is not None and rung > session.playback.top_rung:
+            rung = max(session.playback.top_rung, self.service_levels.limit_top_rung(rung, plan.floor))
+        await self.coordinator.submit(partial(self.coordinator.set_requested_top, session, rung))
 
-    def reader(self, v: Viewing, kinds: frozenset[str], seat: bool = False) -> Reader:
+    def open_reader(
+        self, session: PlaybackSession, kinds: frozenset[str], for_client_session: bool = False
+    ) -> SessionEventReader:
         """Opens a reader of a session's events, which begins with the present state.
 
         The reader of a session that has ended gets just that event. Raises RequestError 409 for one reader
         too many; with `for_client_session` the reader is not counted, since otherwise a repeated request
         could not get its answer.
         """
-        if len(v.readers) >= MOST_READERS and not seat:
-            raise Faulty(409, "events", f"{MOST_READERS} streams of this session are open")
-        send, receive = trio.open_memory_channel[tuple[str, dict[str, str]]](self.door.bounds.event_backlog)
-        reader = Reader(kinds, send, receive)
-        if v.id not in self.helm.sessions:
+        if len(session.readers) >= MAX_EVENT_READERS and not for_client_session:
+            raise RequestError(409, "events", f"{MAX_EVENT_READERS} streams of this session are open")
+        send, receive = trio.open_memory_channel[tuple[str, dict[str, str]]](
+            self.connection_table.limits.event_backlog
+        )
+        reader = SessionEventReader(kinds, send, receive)
+        if session.id not in self.coordinator.sessions_by_id:
             send.send_nowait(("inactive", {"why": Outcome.RESET.value}))
             send.close()
             return reader
-        v.readers.append(reader)
+        session.readers.append(reader)
         if "active" in kinds:
             send.send_nowait(("active", {}))
         if "layers" in kinds:
-            send.send_nowait(("layers", {"encodingId": str(v.pb.rung)}))
-        assert not slow_reader(2, self.door.bounds)
+            send.send_nowait(("layers", {"encodingId": str(session.playback.rung)}))
+        assert not is_slow_reader(2, self.connection_table.limits)
         return reader
 
     @staticmethod
-    def unread(v: Viewing, reader: Reader) -> None:
+    def close_reader(session: PlaybackSession, reader: SessionEventReader) -> None:
         """Closes a reader of a session's events."""
         reader.receive.close()
-        if reader in v.readers:
-            v.readers.remove(reader)
+        if reader in session.readers:
+            session.readers.remove(reader)
 
-    async def move(self, v: Viewing, text: str, key: str, prefer: list[str]) -> tuple[str, str] | Reply:
+    async def accept_move_offer(
+        self, session: PlaybackSession, offer_text: str, key: str, prefer_headers: list[str]
+    ) -> tuple[str, str] | Reply:
         """Handles the new offer of a player that was told to move.
 
         Returns the answer and the entity tag of the target, or a reply by which the player stays. Raises
         RequestError 409 where the session is not being moved.
         """
-        self._stands(v)
+        self._check_active(session)
         self._check_key(key)
-        offer = self.parse(text)
-        self._check(offer, v.publishes)
-        move = self.helm.moves.moves.get(v.id)
-        if move is None or not move.hand.takes_offer():
-            raise Faulty(409, "no-move", "This session is not being moved")
-        wait = due(self.clock.now(), v.plan.abandon, prefer, self.helm.site.way_back)
-        title = v.pb.title.name
-        other = self.helm.viewing(
-            v.path, title, v.plan, v.publishes, key, text, sdp.ufrag(offer), v.pb.top, wait
+        offer = self.parse_offer(offer_text)
+        self._check_offer(offer, session.publishes)
+        move = self.coordinator.move_executor.moves.get(session.id)
+        if move is None or not move.handover.awaits_offer():
+            raise RequestError(409, "no-move", "This session is not being moved")
+        wait = request_deadline(
+            self.clock.now(), session.plan.abandon_ns, prefer_headers, self.coordinator.site.answer_margin_ns
+        )
+        title = session.playback.title.name
+        other = self.coordinator.new_session(
+            session.path,
+            title,
+            session.plan,
+            session.publishes,
+            key,
+            offer_text,
+            sdp.ufrag(offer),
+            session.playback.top_rung,
+            wait,
         )
         if other is None:
-            return REFUSALS[Refusal.BUSY]
-        await self.helm.tell(partial(self._begin_move, move, other))
-        with trio.CancelScope(deadline=self.clock.deadline(wait.abandon)):
+            return REFUSAL_REPLIES[Refusal.BUSY]
+        await self.coordinator.submit(partial(self._start_move, move, other))
+        with trio.CancelScope(deadline=self.clock.trio_time(wait.abandon_at)):
             await other.answered.wait()
-        upstream = other.upstream if move.hand.state is Course.BESIDE else v.upstream
-        if other.final is not Final.PLAYS or upstream is None:
-            return other.reply or STAY
-        return upstream.answer, upstream.tag
+        upstream = other.upstream if move.handover.state is MoveState.BESIDE else session.upstream
+        if other.final_answer is not FinalAnswer.PLAYS or upstream is None:
+            return other.reply or STAY_REPLY
+        return upstream.sdp_answer, upstream.etag
 
-    def _begin_move(self, move: Move, other: Viewing) -> None:
+    def _start_move(self, move: Move, counterpart: PlaybackSession) -> None:
         """Hands an offer to its move."""
-        other.pool = move.v.pool
-        if not self.helm.moves.offered(move, other, self._admits):
-            other.settle(Final.REJECTED, STAY)
+        counterpart.pool = move.session.pool
+        if not self.coordinator.move_executor.offer_received(move, counterpart, self._node_filter):
+            counterpart.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
 
-    async def moved(self, v: Viewing) -> None:
+    async def confirm_move(self, session: PlaybackSession) -> None:
         """Handles the confirmation that the player plays from the target."""
-        self._stands(v)
-        move = self.helm.moves.moves.get(v.id)
+        self._check_active(session)
+        move = self.coordinator.move_executor.moves.get(session.id)
         if move is not None:
-            await self.helm.tell(partial(self.helm.moves.happens, move, Happening.CONFIRMED))
+            await self.coordinator.submit(
+                partial(self.coordinator.move_executor.handle, move, MoveEvent.CONFIRMED)
+            )
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -15,202 +15,272 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.session_takeover import Adopting as Course, Bounds, Errand, Why
-from oakcroft.decisions.fleet.session_ownership import Word
+from oakcroft.decisions.fleet.session_takeover import (
+    SessionTakeover as Course,
+    TakeoverBounds,
+    TakeoverRequest,
+    TakeoverDecision,
+)
+from oakcroft.decisions.fleet.session_ownership import TakeoverAnswer
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.decisions.membership.membership import Membership
-from oakcroft.decisions.sessions.answers import Final
-from oakcroft.decisions.state.promise import Mark, Promise
-from oakcroft.front.session_service import MOST_TITLE
-from oakcroft.front.session_coordinator import Helm
-from oakcroft.front.node_client import NodeLeg
-from oakcroft.front.recovered_session import plays_on, resume, viewing
-from oakcroft.front.playback_session import Upstream, Viewing
-from oakcroft.interface import MS, SECOND, Effect, Outcome, State
+from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.decisions.state.promise import PromiseState, Promise
+from oakcroft.front.session_service import MAX_TITLE_LENGTH
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.node_client import NodeClient
+from oakcroft.front.recovered_session import attach_to_node, resume_playback, session_from_promise
+from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
+from oakcroft.interface import MS, SECOND, Effect, Outcome, PlaybackState
 from oakcroft.signalling import handing, words
 
-LOOK = 50 * MS
-WORDS = {w.value: w for w in Word}
-MOST_PAGES = 64  # of one node's list in one request; the second round asks for the rest
+CHECK_INTERVAL_NS = 50 * MS
+ANSWERS_BY_VALUE = {w.value: w for w in TakeoverAnswer}
+MAX_PAGES_PER_REQUEST = 64  # of one node's list in one request; the second round asks for the rest
 
 
-class Adopting:
+class TakeoverRunner:
     """Runs session takeover on one front end."""
 
     def __init__(
-        self, helm: Helm, view: Membership, bounds: Bounds, published: Callable[[Viewing], None],
-        takes_new: Callable[[], bool], log: structlog.typing.FilteringBoundLogger,
-    ) -> None:  # fmt: skip
+        self,
+        coordinator: SessionCoordinator,
+        membership: Membership,
+        bounds: TakeoverBounds,
+        on_published: Callable[[PlaybackSession], None],
+        accepts_new: Callable[[], bool],
+        log: structlog.typing.FilteringBoundLogger,
+    ) -> None:
         """`on_published` is called with each adopted session that publishes."""
-        self.helm, self.view, self.bounds, self.published, self.log = helm, view, bounds, published, log
-        self.takes_new = takes_new  # a front end that is leaving would at once end what it took over
-        self.course = Course(view.me.name, bounds)
-        self.held: dict[str, Viewing] = {}  # adopted sessions by id
-        self.adopted, self.passed = Counter[str](), 0
-        self.left = Counter[str]()
-        helm.told_passed = self.gave
-
-    def gave(self, playbacks: int) -> None:
+        self.coordinator, self.membership, self.bounds, self.on_published, self.log = (
+            coordinator,
+            membership,
+            bounds,
+            on_published,
+            log,
+        )
+        self.accepts_new = accepts_new  # a front end that is leaving would at once end what it took over
+        self.takeover = Course(membership.me.name, bounds)
+        self.adopted_playbacks: dict[str, PlaybackSession] = {}  # adopted sessions by id
+        self.adopted_counts, self.lost_to_others = Counter[str](), 0
+        self.declined_counts = Counter[str]()
+        coordinator.on_sessions_taken_over = self.playbacks_lost
+
+    def playbacks_lost(self, playback_count: int) -> None:
         """Counts sessions of this front end that nodes report as taken over by others."""
-        self.passed += playbacks
+        self.lost_to_others += playback_count
 
-    def sees(self) -> None:
+    def update_fronts(self) -> None:
         """Applies a change of the fleet's membership."""
-        gone = [n for n, m in self.view.members.items() if m.latest.state is MemberState.FAILED]
-        present = [self.view.me.name] if self.view.displaced else self.view.present()
-        for dead in self.course.sees(() if self.view.displaced else gone, present, self.helm.clock.now()):
-            self.log.info("adoption over", of=dead.name, why="it is back, or forgotten", taken=dead.taken)
+        gone = [n for n, m in self.membership.members.items() if m.latest.state is MemberState.FAILED]
+        present = [self.membership.me.name] if self.membership.displaced else self.membership.present()
+        for dead in self.takeover.update_fronts(
+            () if self.membership.displaced else gone, present, self.coordinator.clock.now()
+        ):
+            self.log.info("adoption over", of=dead.name, why="it is back, or forgotten", taken=dead.adopted)
 
     async def run(self) -> None:
         """Sends due takeover requests until cancelled."""
-        if self.helm.memory is None:  # a front end with a state file restores its own sessions from that
-            self.course.earlier_life(self.helm.clock.now())
+        if (
+            self.coordinator.durable_state is None
+        ):  # a front end with a state file restores its own sessions from that
+            self.takeover.add_own_earlier_generation(self.coordinator.clock.now())
         while True:
-            now = self.helm.clock.now()
-            self.course.listed(self.helm.roster.lines, now)
-            for errand in self.course.due(now) if self.takes_new() else ():
-                self.helm.nursery.start_soon(self._errand, errand)
-            for dead in self.course.finished(now):
-                if dead.taken or dead.left or dead.name != self.view.me.name:
-                    self.log.info("adoption done", of=dead.name, taken=dead.taken, left=dict(dead.left),
-                                  ms=(now - dead.since) // MS)  # fmt: skip
-            await trio.sleep(LOOK / SECOND)
-
-    async def _errand(self, errand: Errand) -> None:
-        told: dict[str, Word] | None = None
+            now = self.coordinator.clock.now()
+            self.takeover.update_nodes(self.coordinator.node_list.listed_nodes, now)
+            for errand in self.takeover.due_requests(now) if self.accepts_new() else ():
+                self.coordinator.nursery.start_soon(self._run_request, errand)
+            for dead in self.takeover.take_finished(now):
+                if dead.adopted or dead.declined or dead.name != self.membership.me.name:
+                    self.log.info("adoption done", of=dead.name, taken=dead.adopted, left=dict(dead.declined),
+                                  ms=(now - dead.failed_at) // MS)  # fmt: skip
+            await trio.sleep(CHECK_INTERVAL_NS / SECOND)
+
+    async def _run_request(self, request: TakeoverRequest) -> None:
+        told: dict[str, TakeoverAnswer] | None = None
         after = ""
         try:
-            leg = self.helm.legs.get(errand.node)
+            leg = self.coordinator.node_clients.get(request.node)
             if leg is not None:
-                await self.helm.tell(partial(self.helm.follow_events, leg, f"/events/{self.helm.me}"))
-                for _ in range(MOST_PAGES):
-                    listing = await leg.offered(errand.names, after)
+                await self.coordinator.submit(
+                    partial(self.coordinator.follow_events, leg, f"/events/{self.coordinator.pseudonym}")
+                )
+                for _ in range(MAX_PAGES_PER_REQUEST):
+                    listing = await leg.list_sessions_of(request.front_names, after)
                     if listing is None:
                         told = None  # the list is incomplete: the node is asked again
                         break
-                    told = {n: WORDS.get(w, Word.SOON) for n, w in listing.fronts.items()}
-                    mine = [s for s in listing.sessions if errand.shares(s.front, s.session)]
+                    told = {
+                        n: ANSWERS_BY_VALUE.get(w, TakeoverAnswer.RECENTLY_CONNECTED)
+                        for n, w in listing.fronts.items()
+                    }
+                    mine = [s for s in listing.sessions if request.is_own(s.front, s.session)]
                     if mine:
-                        await self._take(leg, mine)
+                        await self._adopt(leg, mine)
                     after = listing.next
                     if not after:
                         break
         finally:
-            self.course.asked(errand, told, self.helm.clock.now())
+            self.takeover.request_finished(request, told, self.coordinator.clock.now())
 
-    async def _take(self, leg: NodeLeg, offered: list[handing.Offered]) -> None:
+    async def _adopt(self, node_client: NodeClient, offered: list[handing.Offered]) -> None:
         """Takes over the offered sessions that can be served here."""
-        chosen: dict[str, tuple[handing.Offered, Viewing]] = {}
+        chosen: dict[str, tuple[handing.Offered, PlaybackSession]] = {}
         done = trio.Event()
 
         def choose() -> None:
-            self._prune()
+            self._forget_ended()
             for one in offered:
-                why, v = self._fits(leg, one)
+                why, v = self._restore_offered(node_client, one)
                 if v is not None:
                     chosen[one.session] = one, v
                 else:
-                    self._leaves(one.front, why)
+                    self._count_declined(one.front, why)
             done.set()
 
-        await self.helm.tell(choose)
+        await self.coordinator.submit(choose)
         await done.wait()
         if not chosen:
             return
         given: set[str] | None = None
         try:
-            given = await leg.take(list(chosen))
+            given = await node_client.take_over(list(chosen))
         finally:
             with trio.CancelScope(shield=True):
-                await self.helm.tell(partial(self._given, leg, chosen, given))
+                await self.coordinator.submit(partial(self._finish_adoption, node_client, chosen, given))
 
-    def _prune(self) -> None:
+    def _forget_ended(self) -> None:
         """Drops adopted sessions that have ended."""
-        self.held = {id_: v for id_, v in self.held.items() if v.pb in self.helm.viewings}
+        self.adopted_playbacks = {
+            id_: v
+            for id_, v in self.adopted_playbacks.items()
+            if v.playback in self.coordinator.sessions_by_playback
+        }
 
-    def _leaves(self, of: str, why: Why) -> None:
-        self.left[why.value] += 1
-        if (dead := self.course.dead.get(of)) is not None:
-            dead.left[why.value] += 1
+    def _count_declined(self, front_name: str, decision: TakeoverDecision) -> None:
+        self.declined_counts[decision.value] += 1
+        if (dead := self.takeover.failed_fronts.get(front_name)) is not None:
+            dead.declined[decision.value] += 1
 
-    def _fits(self, leg: NodeLeg, one: handing.Offered) -> tuple[Why, Viewing | None]:
+    def _restore_offered(
+        self, node_client: NodeClient, offered: handing.Offered
+    ) -> tuple[TakeoverDecision, PlaybackSession | None]:
         """Restores an offered session as a playback of the decision module, if it can be served here.
 
         Returns why it is declined otherwise. Its seat is checked before the playback is counted (rule 5).
         """
-        helm, memo = self.helm, handing.read_memo(one.memo)
-        if memo is None or not words.is_path(memo.path) or not words.is_path(one.session):
-            return Why.UNREADABLE, None
+        helm, memo = self.coordinator, handing.read_memo(offered.memo)
+        if memo is None or not words.is_path(memo.path) or not words.is_path(offered.session):
+            return TakeoverDecision.UNREADABLE_MEMO, None
         plan = helm.site.plans.get(memo.plan)
         if plan is None:
-            return Why.UNKNOWN_PLAN, None
-        if memo.id in helm.sessions or (leg.name, one.session) in helm.upstreams:
-            return Why.HELD, None
-        if len(self.held) >= self.bounds.most:
-            return Why.FULL, None
-        node = helm.roster.nodes.get(leg.name)
-        top = helm.title_top(memo.title, max(memo.top, plan.plan.floor), plan.plan.floor)
-        if node is None or top is None or one.rung < plan.plan.floor or len(memo.title) > MOST_TITLE:
-            return Why.NO_TITLE, None
+            return TakeoverDecision.UNKNOWN_PLAN, None
+        if memo.id in helm.sessions_by_id or (node_client.name, offered.session) in helm.sessions_by_upstream:
+            return TakeoverDecision.ALREADY_HELD, None
+        if len(self.adopted_playbacks) >= self.bounds.max_adopted:
+            return TakeoverDecision.TOO_MANY_ADOPTED, None
+        node = helm.node_list.nodes.get(node_client.name)
+        top = helm.title_top_rung(memo.title, max(memo.top, plan.plan.floor), plan.plan.floor)
+        if (
+            node is None
+            or top is None
+            or offered.rung < plan.plan.floor
+            or len(memo.title) > MAX_TITLE_LENGTH
+        ):
+            return TakeoverDecision.TITLE_NOT_SERVED, None
         now = helm.clock.now()
         promise = Promise(
-            memo.id, one.key, memo.about, memo.path, memo.title, memo.plan, plan.plan.effect.value, plan.plan.seats > 0,
-            memo.publishes, memo.ufrag, top, memo.token, memo.written, memo.abandon, Mark.PLAYS, leg.name,
-            leg.lifeline.process, now, rung=one.rung, changed=now,
-        )  # fmt: skip
-        v = viewing(helm, promise)
+            memo.id,
+            offered.key,
+            memo.about,
+            memo.path,
+            memo.title,
+            memo.plan,
+            plan.plan.effect.value,
+            plan.plan.seats > 0,
+            memo.publishes,
+            memo.ufrag,
+            top,
+            memo.token,
+            memo.written,
+            memo.abandon,
+            PromiseState.PLAYS,
+            node_client.name,
+            node_client.stream_health.process,
+            now,
+            rung=offered.rung,
+            changed=now,
+        )
+        v = session_from_promise(helm, promise)
         if v is None:
-            return Why.NO_TITLE, None
-        if plan.plan.seats and v.pb.title.seats.get(plan.plan, 0) >= plan.plan.seats:
-            return Why.NO_SEAT, None
-        resume(helm, v, node)
-        self.held[v.id] = v
-        return Why.TAKES, v
-
-    def _given(
-        self, leg: NodeLeg, chosen: dict[str, tuple[handing.Offered, Viewing]], given: set[str] | None
+            return TakeoverDecision.TITLE_NOT_SERVED, None
+        if plan.plan.seats and v.playback.title.seats_taken.get(plan.plan, 0) >= plan.plan.seats:
+            return TakeoverDecision.NO_SEAT_FREE, None
+        resume_playback(helm, v, node)
+        self.adopted_playbacks[v.id] = v
+        return TakeoverDecision.ACCEPTED, v
+
+    def _finish_adoption(
+        self,
+        node_client: NodeClient,
+        chosen: dict[str, tuple[handing.Offered, PlaybackSession]],
+        given: set[str] | None,
     ) -> None:
         """Keeps the sessions that the node has given and ends the others.
 
         `given` is None if the node's answer was lost; its event stream is then reopened, whose start lists the sessions.
         """
-        helm = self.helm
+        helm = self.coordinator
         for session, (one, v) in chosen.items():
-            if v.pb not in helm.viewings or v.pb.state is not State.PLAYING:
+            if v.playback not in helm.sessions_by_playback or v.playback.state is not PlaybackState.PLAYING:
                 continue
             if given is not None and session not in given:
-                self.held.pop(v.id, None)
-                helm.over(v, Outcome.WITHDRAWN)
+                self.adopted_playbacks.pop(v.id, None)
+                helm.playback_ended(v, Outcome.WITHDRAWN)
                 continue
             layer = f"{one.session}/layer"
-            plays_on(
-                helm, v, leg,
-                Upstream(leg.name, one.session, f"/events/{helm.me}", layer, one.tag, one.answer),
+            attach_to_node(
+                helm, v, node_client,
+                UpstreamSession(node_client.name, one.session, f"/events/{helm.pseudonym}", layer, one.tag, one.answer),
             )  # fmt: skip
             # A key that was aborted because nodes told of it while the state file was lost stays aborted.
-            if helm.memory is None or not helm.memory.learnt(v.key):
+            if helm.durable_state is None or not helm.durable_state.is_learned_key(v.key):
                 paid = v.plan.plan.effect is not Effect.FREE
-                helm.repeats.recall(v.key, v.about, paid, Final.PLAYS, v, helm.clock.now())
-            if helm.memory is not None:
-                helm.memory.answered(v, Final.PLAYS)
+                helm.idempotency_store.restore(
+                    v.key, v.fingerprint, paid, FinalAnswer.PLAYS, v, helm.clock.now()
+                )
+            if helm.durable_state is not None:
+                helm.durable_state.answer_given(v, FinalAnswer.PLAYS)
             if v.publishes:
-                self.published(v)
-            if v.pb.rung > v.pb.top:
-                helm.bounded(v, v.pb.top)
-            self.adopted[one.front] += 1
-            if (dead := self.course.dead.get(one.front)) is not None:
-                dead.taken += 1
+                self.on_published(v)
+            if v.playback.rung > v.playback.top_rung:
+                helm.set_rung_bound(v, v.playback.top_rung)
+            self.adopted_counts[one.front] += 1
+            if (dead := self.takeover.failed_fronts.get(one.front)) is not None:
+                dead.adopted += 1
         if given is None:
-            leg.renew()
+            node_client.reopen_stream()
         else:
-            self.log.info("adopted", node=leg.name, taken=len(given), asked=len(chosen), held=len(self.held))
+            self.log.info(
+                "adopted",
+                node=node_client.name,
+                taken=len(given),
+                asked=len(chosen),
+                held=len(self.adopted_playbacks),
+            )
 
     def status(self) -> dict[str, object]:
         """Counts and failed front ends, for operators."""
-        course = self.course
-        self._prune()
+        course = self.takeover
+        self._forget_ended()
         return {
-            "held": len(self.held), "adopted": sum(self.adopted.values()), "passed_on": self.passed,
-            "left": dict(self.left), "asking": sorted(d.name for d in course.dead.values() if d.until and d.asking),
-            "errands": len(course.busy), "passed_over": course.passed_over,
-        }  # fmt: skip
+            "held": len(self.adopted_playbacks),
+            "adopted": sum(self.adopted_counts.values()),
+            "passed_on": self.lost_to_others,
+            "left": dict(self.declined_counts),
+            "asking": sorted(
+                d.name for d in course.failed_fronts.values() if d.expires_at and d.pending_nodes
+            ),
+            "errands": len(course.active_requests),
+            "passed_over": course.dropped_tasks,
+        }
--- a/oakcroft/front/websocket_api.py
+++ b/oakcroft/front/websocket_api.py
@@ -21,146 +21,153 @@
 from wsproto import events
 from wsproto.frame_protocol import CloseReason
 
-from oakcroft.config.settings import Token
+from oakcroft.config.settings import BearerToken
 from oakcroft.decisions.sessions import answers
-from oakcroft.decisions.sessions.answers import Final, Reply
-from oakcroft.decisions.admission.client_limits import CLOSE, Allowance, Client, Word
-from oakcroft.decisions.admission.resume_tokens import Invalid, Passes
-from oakcroft.decisions.sessions.session_resource import SDPFRAG
-from oakcroft.decisions.sessions.client_session import Outbox, Pulse, Seat, Standing
-from oakcroft.front.session_service import Ask, Core, Faulty
-from oakcroft.front.playback_session import Reader, Viewing
+from oakcroft.decisions.sessions.answers import FinalAnswer, Reply
+from oakcroft.decisions.admission.client_limits import CLOSE_CODES, ClientLimits, ClientUsage, ClientVerdict
+from oakcroft.decisions.admission.resume_tokens import TokenError, ResumeTokens
+from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
+from oakcroft.decisions.sessions.client_session import (
+    Outbox,
+    KeepaliveProbe,
+    ClientSession,
+    ClientSessionState,
+)
+from oakcroft.front.session_service import PlaybackRequest, SessionService, RequestError
+from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
 from oakcroft.signalling import session_api as api
 
-PATH = "/api/v1"
-KEEP = 15 * SECOND
-KINDS = frozenset({"inactive", "layers", "move"})
-HELLO_WITHIN = 5.0
-WRITE_WITHIN = 5.0
-MOST_CALLS = 4096
-Make = Callable[[int], object]
+SESSION_API_PATH = "/api/v1"
+RESUME_TIMEOUT_NS = 15 * SECOND
+FORWARDED_EVENTS = frozenset({"inactive", "layers", "move"})
+HELLO_TIMEOUT_S = 5.0
+WRITE_TIMEOUT_S = 5.0
+MAX_RECENT_CALL_IDS = 4096
+MessageFactory = Callable[[int], object]
 
 
 @dataclass(eq=False)
-class Holder:
+class ApiClient:
     """A client session with the tasks, playbacks and connection that belong to it."""
 
     id: str
-    seat: Seat[object]
-    client: Client
-    token: Token | None
+    client_session: ClientSession[object]
+    usage: ClientUsage
+    token: BearerToken | None
     source: str
-    scopes: set[trio.CancelScope] = field(default_factory=set)  # of its requests and event forwarders
-    playbacks: dict[str, Viewing] = field(default_factory=dict)
-    readers: dict[str, Reader] = field(default_factory=dict)
-    tops: dict[str, int] = field(default_factory=dict)
+    task_scopes: set[trio.CancelScope] = field(default_factory=set)  # of its requests and event forwarders
+    playbacks: dict[str, PlaybackSession] = field(default_factory=dict)
+    event_readers: dict[str, SessionEventReader] = field(default_factory=dict)
+    requested_rungs: dict[str, int] = field(default_factory=dict)
     # Recent call ids, to recognise repeated calls; the values are unused.
-    calls: OrderedDict[int, None] = field(default_factory=OrderedDict)
-    link: Link | None = None
+    recent_call_ids: OrderedDict[int, None] = field(default_factory=OrderedDict)
+    connection: WebSocketConnection | None = None
 
-    def takes(self, call: int) -> bool:
+    def register_call(self, call_id: int) -> bool:
         """Records a call id; False for a repeated call.
 
         After a lost connection a client repeats calls that it does not know to have been received. Calls without an id
         (0) are never repeated calls.
         """
-        if call and call in self.calls:
+        if call_id and call_id in self.recent_call_ids:
             return False
-        if call:
-            self.calls[call] = None
-            while len(self.calls) > MOST_CALLS:
-                self.calls.popitem(last=False)
+        if call_id:
+            self.recent_call_ids[call_id] = None
+            while len(self.recent_call_ids) > MAX_RECENT_CALL_IDS:
+                self.recent_call_ids.popitem(last=False)
         return True
 
     @contextmanager
-    def task(self) -> Iterator[None]:
+    def task_scope(self) -> Iterator[None]:
         """Runs the body in a cancel scope that is cancelled when the client session ends."""
         with trio.CancelScope() as scope:
-            self.scopes.add(scope)
+            self.task_scopes.add(scope)
             try:
                 yield
             finally:
-                self.scopes.discard(scope)
+                self.task_scopes.discard(scope)
 
 
 class SessionApi:
     """The session API of one front end: all its client sessions and their connections."""
 
-    def __init__(self, core: Core, nursery: trio.Nursery, log: structlog.typing.FilteringBoundLogger) -> None:
+    def __init__(
+        self, service: SessionService, nursery: trio.Nursery, log: structlog.typing.FilteringBoundLogger
+    ) -> None:
         """`service` does what clients request; requests and event forwarders run in `nursery`."""
-        self.core, self.nursery, self.log, self.clock = core, nursery, log, core.clock
-        self.allowance = Allowance()
-        self.passes = Passes(KEEP + 60 * SECOND)
-        self.holders: dict[str, Holder] = {}
-        self.callers: dict[str, Client] = {}  # connections by access token or address
-        self.numbers = 0
+        self.service, self.nursery, self.log, self.clock = service, nursery, log, service.clock
+        self.limits = ClientLimits()
+        self.resume_tokens = ResumeTokens(RESUME_TIMEOUT_NS + 60 * SECOND)
+        self.clients: dict[str, ApiClient] = {}
+        self.usage_by_caller: dict[str, ClientUsage] = {}  # connections by access token or address
+        self.connection_count = 0
 
     # Client sessions.
 
-    def _key(self) -> None:
+    def _rotate_key(self) -> None:
         now = self.clock.now()
-        if self.passes.wants_key(now):
-            self.passes.take_key(self.passes.newest + 1, secrets.token_bytes(32), now)
+        if self.resume_tokens.needs_key(now):
+            self.resume_tokens.add_key(self.resume_tokens.newest_key_number + 1, secrets.token_bytes(32), now)
 
-    async def look_after(self) -> None:
+    async def expire_client_sessions(self) -> None:
         """Ends client sessions whose clients have not reconnected in time; drops unused connection counts."""
         while True:
             await trio.sleep(0.5)
             now = self.clock.now()
-            for holder in list(self.holders.values()):
-                if holder.seat.look(now):
+            for holder in list(self.clients.values()):
+                if holder.client_session.check_expiry(now):
                     self.log.info("client gone", seat=holder.id, playbacks=len(holder.playbacks))
-                    await self.end(holder)
-            for name in [n for n, c in self.callers.items() if c.idle]:
-                del self.callers[name]
+                    await self.end_client_session(holder)
+            for name in [n for n, c in self.usage_by_caller.items() if c.is_unused]:
+                del self.usage_by_caller[name]
 
-    async def end(self, holder: Holder) -> None:
+    async def end_client_session(self, api_client: ApiClient) -> None:
         """Ends a client session: cancels its requests and ends its playbacks."""
-        if self.holders.pop(holder.id, None) is None:
+        if self.clients.pop(api_client.id, None) is None:
             return
-        for scope in list(holder.scopes):
+        for scope in list(api_client.task_scopes):
             scope.cancel()
-        for v in list(holder.playbacks.values()):
-            await self._gone(holder, v)
+        for v in list(api_client.playbacks.values()):
+            await self._end_playback(api_client, v)
 
-    async def _gone(self, holder: Holder, v: Viewing) -> None:
-        if not self._let_go(holder, v):
+    async def _end_playback(self, api_client: ApiClient, session: PlaybackSession) -> None:
+        if not self._detach_playback(api_client, session):
             return
-        with suppress(Faulty):  # the playback has already ended
-            await self.core.end(v)
+        with suppress(RequestError):  # the playback has already ended
+            await self.service.end_session(session)
 
-    def _let_go(self, holder: Holder, v: Viewing) -> bool:
+    def _detach_playback(self, api_client: ApiClient, session: PlaybackSession) -> bool:
         """Detaches a playback from its client session; False if it was not attached."""
-        if holder.playbacks.pop(v.id, None) is None:
+        if api_client.playbacks.pop(session.id, None) is None:
             return False
-        holder.client.playbacks -= 1
-        holder.tops.pop(v.id, None)
-        self.core.unread(v, holder.readers.pop(v.id))
+        api_client.usage.playbacks -= 1
+        api_client.requested_rungs.pop(session.id, None)
+        self.service.close_reader(session, api_client.event_readers.pop(session.id))
         return True
 
-    def put(self, holder: Holder, make: Make) -> None:
+    def enqueue(self, api_client: ApiClient, make_message: MessageFactory) -> None:
         """Queues a message until the client acknowledges it, and sends it if the client is connected.
 
         `make_message` makes the message from its number. A client with too many unacknowledged messages loses its
         client session.
         """
-        number = holder.seat.outbox.next_number
-        message = make(number)
-        if holder.seat.put(message, self.clock.now()) is None:
-            if holder.seat.standing is Standing.OVERRUN:
-                self.log.info("client overrun", seat=holder.id, behind=self.allowance.behind)
-                self.nursery.start_soon(self.end, holder)
-                if holder.link is not None:
-                    holder.link.close(1013, "too far behind")
+        number = api_client.client_session.outbox.next_number
+        message = make_message(number)
+        if api_client.client_session.enqueue(message, self.clock.now()) is None:
+            if api_client.client_session.state is ClientSessionState.OVERRUN:
+                self.log.info("client overrun", seat=api_client.id, behind=self.limits.max_unacknowledged)
+                self.nursery.start_soon(self.end_client_session, api_client)
+                if api_client.connection is not None:
+                    api_client.connection.close(1013, "too far behind")
             return
-        if holder.link is not None:
-            holder.link.send(message)
+        if api_client.connection is not None:
+            api_client.connection.send(message)
 
     # Connections.
 
-    def response(self, request: Request) -> Response:
+    def upgrade_response(self, request: Request) -> Response:
         """The HTTP response to a WebSocket opening handshake (RFC 6455 4.2).
 
         Raises RequestError if the handshake is invalid or names no known subprotocol.
@@ -170,7 +177,7 @@
         if (request.header("upgrade") or "").lower() != "websocket" or request.method != "GET":
             return Response(426, [("Upgrade", "websocket"), ("Connection", "Upgrade")], close=True)
         if chosen is None:
-            raise Faulty(
+            raise RequestError(
                 400, "subprotocol", f"One of the subprotocols {', '.join(api.SUBPROTOCOLS)} is spoken here"
             )
         if request.header("sec-websocket-version") != "13":
@@ -180,370 +187,473 @@
         try:  # checked here, where the client can still get an HTTP error response
             ws.initiate_upgrade_connection(fields, request.target)
         except wsproto.utilities.RemoteProtocolError as fault:
-            raise Faulty(400, "handshake", "This is no WebSocket handshake", str(fault)) from None
-        return Response(101, upgrade=partial(self._serve, ws, request.source, chosen))
-
-    async def _serve(
-        self, ws: wsproto.WSConnection, source: str, subprotocol: str, stream: trio.SocketStream, rest: bytes
+            raise RequestError(400, "handshake", "This is no WebSocket handshake", str(fault)) from None
+        return Response(101, upgrade=partial(self._serve_connection, ws, request.source, chosen))
+
+    async def _serve_connection(
+        self,
+        websocket: wsproto.WSConnection,
+        source: str,
+        subprotocol: str,
+        stream: trio.SocketStream,
+        early_data: bytes,
     ) -> None:
-        self.numbers += 1
-        link = Link(stream, ws, subprotocol, self.numbers, self.allowance)
-        await link.open(rest)
+        self.connection_count += 1
+        link = WebSocketConnection(stream, websocket, subprotocol, self.connection_count, self.limits)
+        await link.accept(early_data)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(link.write, nursery.cancel_scope)
-                await self._speak(link, source)
+                nursery.start_soon(link.write_queued, nursery.cancel_scope)
+                await self._read_messages(link, source)
                 nursery.cancel_scope.deadline = trio.current_time() + 1  # for messages still to be written
-                link.finish()
+                link.finish_writing()
         finally:
-            if link.caller is not None:
-                link.caller.connections -= 1
-            holder = link.holder
-            if holder is not None and holder.seat.detached(link.number, self.clock.now()):
-                holder.link = None
+            if link.caller_usage is not None:
+                link.caller_usage.connections -= 1
+            holder = link.api_client
+            if holder is not None and holder.client_session.detach(link.number, self.clock.now()):
+                holder.connection = None
 
-    async def _speak(self, link: Link, source: str) -> None:
+    async def _read_messages(self, connection: WebSocketConnection, source: str) -> None:
         """Reads and handles messages until the connection ends; the first must be a hello."""
-        with trio.move_on_after(HELLO_WITHIN) as hello:
-            first = await link.receive()
+        with trio.move_on_after(HELLO_TIMEOUT_S) as hello:
+            first = await connection.receive()
             if not isinstance(first, api.Hello):
-                link.close(1008, "hello comes first")
+                connection.close(1008, "hello comes first")
                 return
             try:
-                if not self._attach(link, first, source):
+                if not self._attach_client_session(connection, first, source):
                     return
-            except Faulty as fault:
-                link.close(4000 + fault.status, fault.title)
+            except RequestError as fault:
+                connection.close(4000 + fault.status, fault.title)
                 return
         if hello.cancelled_caught:
-            link.close(1008, "hello comes first")
+            connection.close(1008, "hello comes first")
             return
-        holder = link.holder
+        holder = connection.api_client
         assert holder is not None
         while True:
-            message = await link.receive()
-            if message is None or holder.link is not link:
+            message = await connection.receive()
+            if message is None or holder.connection is not connection:
                 return
-            word = holder.client.says(self.clock.now())
-            if word is not Word.PASS:
-                link.close(CLOSE[word], word.value)
+            word = holder.usage.receive_message(self.clock.now())
+            if word is not ClientVerdict.ALLOWED:
+                connection.close(CLOSE_CODES[word], word.value)
                 return
             if isinstance(message, api.Ack):
-                if not holder.seat.outbox.acknowledged(message.n):
-                    link.close(1008, "acknowledges what was never sent")
+                if not holder.client_session.outbox.acknowledge(message.n):
+                    connection.close(1008, "acknowledges what was never sent")
                     return
             elif isinstance(message, api.Bye):
-                holder.seat.left(link.number, self.clock.now())
-                await self.end(holder)
-                link.close(1000, "")
+                holder.client_session.leave(connection.number, self.clock.now())
+                await self.end_client_session(holder)
+                connection.close(1000, "")
                 return
             elif isinstance(message, api.Hello):
-                link.close(1008, "hello comes once")
+                connection.close(1008, "hello comes once")
                 return
-            elif holder.takes(getattr(message, "id", 0)):
-                self.nursery.start_soon(self._call, holder, message, self.clock.now())
+            elif holder.register_call(getattr(message, "id", 0)):
+                self.nursery.start_soon(self._handle_call, holder, message, self.clock.now())
 
-    def _attach(self, link: Link, hello: api.Hello, source: str) -> bool:
+    def _attach_client_session(self, connection: WebSocketConnection, hello: api.Hello, source: str) -> bool:
         """Gives a connection its client session: the one that its resume token names, or a new one.
 
         False if the connection is closed because its caller has too many.
         """
-        self._key()
-        token, now = self.core.token(hello.token or None), self.clock.now()
+        self._rotate_key()
+        token, now = self.service.authenticate(hello.token or None), self.clock.now()
         who = token.name if token else source
-        caller = self.callers.setdefault(who, Client(self.allowance))
-        word = caller.connects()
-        if word is not Word.PASS:
-            link.close(CLOSE[word], word.value)
+        caller = self.usage_by_caller.setdefault(who, ClientUsage(self.limits))
+        word = caller.open_connection()
+        if word is not ClientVerdict.ALLOWED:
+            connection.close(CLOSE_CODES[word], word.value)
             return False
-        link.caller = caller
+        connection.caller_usage = caller
         why = ""
         if hello.resume:
-            opened = self.passes.open(hello.resume, who, now)
-            old = self.holders.get(opened) if isinstance(opened, str) else None
-            claim = old.seat.attach(link.number, hello.seen, now) if old is not None else None
+            opened = self.resume_tokens.verify(hello.resume, who, now)
+            old = self.clients.get(opened) if isinstance(opened, str) else None
+            claim = old.client_session.attach(connection.number, hello.seen, now) if old is not None else None
             if old is not None and claim is not None:
-                self._take_over(link, old, claim[0])
+                self._resume_client_session(connection, old, claim[0])
                 return True
             why = (
                 opened.value
-                if isinstance(opened, Invalid)
+                if isinstance(opened, TokenError)
                 else "the seat is over, or what was missed cannot be told"
             )
-        seat = Seat[object](KEEP, Outbox(self.allowance.behind), connection=link.number, since=now)
-        holder = Holder(secrets.token_urlsafe(12), seat, Client(self.allowance), token, source, link=link)
-        self.holders[holder.id] = holder
-        link.holder = holder
-        remembers = self.core.helm.memory is not None
-        pass_ = self.passes.give(holder.id, who, now)
-        link.send(api.Welcome(pass_, KEEP // 1_000_000, False, why, remembers=remembers))
+        seat = ClientSession[object](
+            RESUME_TIMEOUT_NS,
+            Outbox(self.limits.max_unacknowledged),
+            connection=connection.number,
+            changed_at=now,
+        )
+        holder = ApiClient(
+            secrets.token_urlsafe(12), seat, ClientUsage(self.limits), token, source, connection=connection
+        )
+        self.clients[holder.id] = holder
+        connection.api_client = holder
+        remembers = self.service.coordinator.durable_state is not None
+        pass_ = self.resume_tokens.issue(holder.id, who, now)
+        connection.send(api.Welcome(pass_, RESUME_TIMEOUT_NS // 1_000_000, False, why, remembers=remembers))
         return True
 
-    def _take_over(self, link: Link, holder: Holder, missed: list[tuple[int, object]]) -> None:
-        earlier = holder.link
-        if earlier is not None and earlier is not link:
+    def _resume_client_session(
+        self,
+        connection: WebSocketConnection,
+        api_client: ApiClient,
+        missed_messages: list[tuple[int, object]],
+    ) -> None:
+        earlier = api_client.connection
+        if earlier is not None and earlier is not connection:
             earlier.send(api.Replaced())
             earlier.close(4001, "replaced")
-        holder.link, link.holder = link, holder
-        who = holder.token.name if holder.token else holder.source
-        again = self.passes.give(holder.id, who, self.clock.now())
-        link.send(api.Welcome(again, KEEP // 1_000_000, True, "", list(holder.playbacks)))
-        for _, message in missed:
-            link.send(message)
+        api_client.connection, connection.api_client = connection, api_client
+        who = api_client.token.name if api_client.token else api_client.source
+        again = self.resume_tokens.issue(api_client.id, who, self.clock.now())
+        connection.send(
+            api.Welcome(again, RESUME_TIMEOUT_NS // 1_000_000, True, "", list(api_client.playbacks))
+        )
+        for _, message in missed_messages:
+            connection.send(message)
 
     # Calls.
 
-    async def _call(self, holder: Holder, message: api.FromClient, read_at: int) -> None:
-        with holder.task():
+    async def _handle_call(self, api_client: ApiClient, message: api.FromClient, received_at: int) -> None:
+        with api_client.task_scope():
             if isinstance(message, api.Ask):
-                await self._ask(holder, message, read_at)
+                await self._request_playback(api_client, message, received_at)
                 return
             number = getattr(message, "id", 0)
             try:
-                await self._do(holder, message, number)
-            except Faulty as fault:
-                self.put(holder, partial(_done, number, fault.status, fault.kind, fault.title))
+                await self._execute_call(api_client, message, number)
+            except RequestError as fault:
+                self.enqueue(
+                    api_client, partial(_done_message, number, fault.status, fault.problem_type, fault.title)
+                )
             except Exception as error:  # a failed call must not end the front end
                 self.log.error("call failed", kind=type(message).__name__, error=repr(error))
-                self.put(
-                    holder,
+                self.enqueue(
+                    api_client,
                     partial(
-                        _done, number, 500, "urn:oakcroft:problem:fault", "The front failed on this call"
+                        _done_message,
+                        number,
+                        500,
+                        "urn:oakcroft:problem:fault",
+                        "The front failed on this call",
                     ),
                 )
 
-    async def _ask(self, holder: Holder, m: api.Ask, read_at: int) -> None:
-        word = holder.client.asks_for(self.core.repeated(m.key or None, holder.token))
-        if word is not Word.PASS:
-            self.put(holder, partial(_refused, m.id, 429, "urn:oakcroft:problem:client", word.value))
+    async def _request_playback(self, api_client: ApiClient, request: api.Ask, received_at: int) -> None:
+        word = api_client.usage.request_playback(
+            self.service.has_replay(request.key or None, api_client.token)
+        )
+        if word is not ClientVerdict.ALLOWED:
+            self.enqueue(
+                api_client,
+                partial(_rejected_answer, request.id, 429, "urn:oakcroft:problem:client", word.value),
+            )
             return
         plays = False
         try:
-            written = self.core.helm.stillness.written_at(read_at, 0)
-            prefer = [f"wait={m.wait_s}"] if m.wait_s > 0 else []
-            client = holder.token.name if holder.token else holder.source
-            ask = Ask(m.path, m.offer, m.key or None, written, holder.token, client, prefer, m.top, True)
-            answer, first = await self.core.ask(ask)
+            written = self.service.coordinator.pause_detector.earliest_written_at(received_at, 0)
+            prefer = [f"wait={request.wait_s}"] if request.wait_s > 0 else []
+            client = api_client.token.name if api_client.token else api_client.source
+            ask = PlaybackRequest(
+                request.path,
+                request.offer,
+                request.key or None,
+                written,
+                api_client.token,
+                client,
+                prefer,
+                request.top,
+                True,
+            )
+            answer, first = await self.service.request_playback(ask)
             if isinstance(answer, Reply):
-                self.put(holder, partial(_replied, m.id, answer))
-            elif answer.final is not Final.PLAYS or answer.upstream is None or answer.resource is None:
-                self.put(holder, partial(_replied, m.id, answer.reply or answers.rejected(0)))
+                self.enqueue(api_client, partial(_reply_answer, request.id, answer))
+            elif (
+                answer.final_answer is not FinalAnswer.PLAYS
+                or answer.upstream is None
+                or answer.resource is None
+            ):
+                self.enqueue(
+                    api_client, partial(_reply_answer, request.id, answer.reply or answers.rejected_reply(0))
+                )
             else:
-                plays = self._plays(holder, answer)
-                self.put(holder, partial(_plays, m.id, answer, not first))
-        except Faulty as fault:
-            self.put(holder, partial(_refused, m.id, fault.status, fault.kind, fault.title))
+                plays = self._attach_playback(api_client, answer)
+                self.enqueue(api_client, partial(_playing_answer, request.id, answer, not first))
+        except RequestError as fault:
+            self.enqueue(
+                api_client,
+                partial(_rejected_answer, request.id, fault.status, fault.problem_type, fault.title),
+            )
         finally:
-            holder.client.answered(plays)
+            api_client.usage.finish_request(plays)
 
-    def _plays(self, holder: Holder, v: Viewing) -> bool:
+    def _attach_playback(self, api_client: ApiClient, session: PlaybackSession) -> bool:
         """Attaches a playback to the client session; False if it was attached already."""
-        if v.id in holder.playbacks:
+        if session.id in api_client.playbacks:
             return False
-        v.unheard = False
-        for other in self.holders.values():  # it belongs to the one client session that requested it last
-            if other.playbacks.get(v.id) is v:
-                self._let_go(other, v)
-                self.put(other, partial(_event, v.id, "inactive", {"why": "another seat has asked for it"}))
-        holder.playbacks[v.id] = v
-        holder.tops[v.id] = v.pb.top
-        reader = holder.readers[v.id] = self.core.reader(v, KINDS, seat=True)
-        self.nursery.start_soon(self._forward, holder, v, reader)
+        session.answer_undelivered = False
+        for other in self.clients.values():  # it belongs to the one client session that requested it last
+            if other.playbacks.get(session.id) is session:
+                self._detach_playback(other, session)
+                self.enqueue(
+                    other,
+                    partial(_event_message, session.id, "inactive", {"why": "another seat has asked for it"}),
+                )
+        api_client.playbacks[session.id] = session
+        api_client.requested_rungs[session.id] = session.playback.top_rung
+        reader = api_client.event_readers[session.id] = self.service.open_reader(
+            session, FORWARDED_EVENTS, for_client_session=True
+        )
+        self.nursery.start_soon(self._forward_events, api_client, session, reader)
         return True
 
-    async def _forward(self, holder: Holder, v: Viewing, reader: Reader) -> None:
+    async def _forward_events(
+        self, api_client: ApiClient, session: PlaybackSession, reader: SessionEventReader
+    ) -> None:
         """Sends the events of a playback to the client until the playback ends."""
-        with holder.task(), suppress(trio.ClosedResourceError):  # closed when the client ends the playback
+        with (
+            api_client.task_scope(),
+            suppress(trio.ClosedResourceError),
+        ):  # closed when the client ends the playback
             async for kind, data in reader.receive:
-                self.put(holder, partial(_event, v.id, kind, data))
-        if holder.readers.get(v.id) is reader:
-            self._let_go(holder, v)
+                self.enqueue(api_client, partial(_event_message, session.id, kind, data))
+        if api_client.event_readers.get(session.id) is reader:
+            self._detach_playback(api_client, session)
 
-    async def _do(self, holder: Holder, m: api.FromClient, number: int) -> None:
-        v = self._own(holder, getattr(m, "playback", ""))
-        match m:
+    async def _execute_call(self, api_client: ApiClient, message: api.FromClient, call_id: int) -> None:
+        v = self._client_playback(api_client, getattr(message, "playback", ""))
+        match message:
             case api.End():
-                await self._gone(holder, v)
+                await self._end_playback(api_client, v)
             case api.Layer():
-                holder.tops[v.id] = m.rung
-                await self.core.layer(v, str(m.rung))
+                api_client.requested_rungs[v.id] = message.rung
+                await self.service.select_layer(v, str(message.rung))
             case api.Pause():
-                await self.core.layer(v, str(v.pb.plan.floor))
+                await self.service.select_layer(v, str(v.playback.plan.floor))
             case api.Resume():
-                await self.core.layer(v, str(min(holder.tops.get(v.id, v.pb.plan.top), v.pb.plan.top)))
+                await self.service.select_layer(
+                    v,
+                    str(
+                        min(
+                            api_client.requested_rungs.get(v.id, v.playback.plan.top_rung),
+                            v.playback.plan.top_rung,
+                        )
+                    ),
+                )
             case api.Trickle():
-                tags = ["*"] if m.tag == "*" else [f'"{m.tag}"']
-                patched = await self.core.patch(v, SDPFRAG, tags, m.fragment.encode())
-                self.put(holder, partial(_done, number, 200, "", "", patched.tag, patched.fragment.decode()))
+                tags = ["*"] if message.tag == "*" else [f'"{message.tag}"']
+                patched = await self.service.patch(v, SDPFRAG_MEDIA_TYPE, tags, message.fragment.encode())
+                self.enqueue(
+                    api_client,
+                    partial(_done_message, call_id, 200, "", "", patched.etag, patched.fragment.decode()),
+                )
                 return
             case api.MoveOffer():
-                moved = await self.core.move(v, m.offer, m.key or secrets.token_urlsafe(15), [])
+                moved = await self.service.accept_move_offer(
+                    v, message.offer, message.key or secrets.token_urlsafe(15), []
+                )
                 if isinstance(moved, Reply):
-                    raise Faulty(moved.status, moved.kind.rpartition(":")[2], moved.title)
-                self.put(holder, partial(_moved, number, v.id, *moved))
+                    raise RequestError(moved.status, moved.problem_type.rpartition(":")[2], moved.title)
+                self.enqueue(api_client, partial(_moved_message, call_id, v.id, *moved))
                 return
             case api.MoveDone():
-                await self.core.moved(v)
-        self.put(holder, partial(_done, number, 200, "", ""))
+                await self.service.confirm_move(v)
+        self.enqueue(api_client, partial(_done_message, call_id, 200, "", ""))
 
     @staticmethod
-    def _own(holder: Holder, playback: str) -> Viewing:
-        v = holder.playbacks.get(playback)
+    def _client_playback(api_client: ApiClient, playback_id: str) -> PlaybackSession:
+        v = api_client.playbacks.get(playback_id)
         if v is None:
-            raise Faulty(404, "no-session", "No such playback")
+            raise RequestError(404, "no-session", "No such playback")
         return v
 
 
-def _plays(id_: int, v: Viewing, again: bool, n: int) -> api.Answer:
-    assert v.upstream is not None
-    assert v.resource is not None
-    return api.Answer(n, id_, 201, playback=v.id, answer=v.upstream.answer, tag=v.resource.tag, again=again)
+def _playing_answer(
+    call_id: int, session: PlaybackSession, is_replay: bool, message_number: int
+) -> api.Answer:
+    assert session.upstream is not None
+    assert session.resource is not None
+    return api.Answer(
+        message_number,
+        call_id,
+        201,
+        playback=session.id,
+        answer=session.upstream.sdp_answer,
+        tag=session.resource.etag,
+        again=is_replay,
+    )
 
 
-def _replied(id_: int, r: Reply, n: int) -> api.Answer:
-    return api.Answer(n, id_, r.status, r.kind, r.title, r.retry, r.retry_after)
+def _reply_answer(call_id: int, reply: Reply, message_number: int) -> api.Answer:
+    return api.Answer(
+        message_number,
+        call_id,
+        reply.status,
+        reply.problem_type,
+        reply.title,
+        reply.may_retry,
+        reply.retry_after_s,
+    )
 
 
-def _refused(id_: int, status: int, kind: str, title: str, n: int) -> api.Answer:
-    return api.Answer(n, id_, status, kind, title)
+def _rejected_answer(
+    call_id: int, status: int, problem_type: str, title: str, message_number: int
+) -> api.Answer:
+    return api.Answer(message_number, call_id, status, problem_type, title)
 
 
-def _event(playback: str, kind: str, data: dict[str, str], n: int) -> api.Event:
-    return api.Event(n, playback, kind, data)
+def _event_message(playback_id: str, kind: str, data: dict[str, str], message_number: int) -> api.Event:
+    return api.Event(message_number, playback_id, kind, data)
 
 
-def _done(id_: int, status: int, kind: str, title: str, *rest: object) -> api.Done:
+def _done_message(call_id: int, status: int, problem_type: str, title: str, *rest: object) -> api.Done:
     *more, n = rest
     assert isinstance(n, int)
     tag, fragment = (str(more[0]), str(more[1])) if more else ("", "")
-    return api.Done(n, id_, status, kind, title, tag, fragment)
+    return api.Done(n, call_id, status, problem_type, title, tag, fragment)
 
 
-def _moved(id_: int, playback: str, answer: str, tag: str, n: int) -> api.MovedTo:
-    return api.MovedTo(n, id_, playback, answer, tag)
+def _moved_message(
+    call_id: int, playback_id: str, answer: str, etag: str, message_number: int
+) -> api.MovedTo:
+    return api.MovedTo(message_number, call_id, playback_id, answer, etag)
 
 
-class Link:
+class WebSocketConnection:
     """One WebSocket connection: reads messages from frames, writes messages through a bounded queue."""
 
     def __init__(
-        self, stream: trio.SocketStream, ws: wsproto.WSConnection, subprotocol: str, number: int, allowance: Allowance
-    ) -> None:  # fmt: skip
+        self,
+        stream: trio.SocketStream,
+        websocket: wsproto.WSConnection,
+        subprotocol: str,
+        number: int,
+        limits: ClientLimits,
+    ) -> None:
         """`number` identifies the connection to its client session; later connections have higher numbers."""
-        self.stream, self.subprotocol, self.number, self.allowance = stream, subprotocol, number, allowance
-        self.codec, self.ws = api.Codec(subprotocol), ws
-        self.out, self.queue = trio.open_memory_channel[bytes](allowance.behind + 16)
-        self.holder: Holder | None = None
-        self.caller: Client | None = None
-        self.pulse = Pulse()
-        self.partial = bytearray()
-        self.closing = False
-
-    async def open(self, rest: bytes) -> None:
+        self.stream, self.subprotocol, self.number, self.limits = stream, subprotocol, number, limits
+        self.codec, self.websocket = api.Codec(subprotocol), websocket
+        self.write_queue, self.write_queue_reader = trio.open_memory_channel[bytes](
+            limits.max_unacknowledged + 16
+        )
+        self.api_client: ApiClient | None = None
+        self.caller_usage: ClientUsage | None = None
+        self.keepalive = KeepaliveProbe()
+        self.partial_message = bytearray()
+        self.is_closing = False
+
+    async def accept(self, early_data: bytes) -> None:
         """Sends the upgrade response.
 
         `early_data`: bytes received after the request. Raises trio.BrokenResourceError if the client does not read the
         response in time.
         """
-        for event in self.ws.events():
+        for event in self.websocket.events():
             if isinstance(event, events.Request):
-                with trio.move_on_after(WRITE_WITHIN) as slow:
-                    accept = self.ws.send(events.AcceptConnection(subprotocol=self.subprotocol))
+                with trio.move_on_after(WRITE_TIMEOUT_S) as slow:
+                    accept = self.websocket.send(events.AcceptConnection(subprotocol=self.subprotocol))
                     await self.stream.send_all(accept)
                 if slow.cancelled_caught:
                     raise trio.BrokenResourceError
-        if rest:
-            self.ws.receive_data(rest)
+        if early_data:
+            self.websocket.receive_data(early_data)
 
     def send(self, message: object) -> None:
         """Queues a message for writing.
 
         A full queue ends the connection; the client session still has the message until it is acknowledged.
         """
-        if self.closing:
+        if self.is_closing:
             return
         data = self.codec.write(message)
         frame = (
             events.BytesMessage(data=data) if self.codec.binary else events.TextMessage(data=data.decode())
         )
-        self._queue(self.ws.send(frame))
+        self._enqueue(self.websocket.send(frame))
 
-    def _queue(self, data: bytes) -> None:
+    def _enqueue(self, data: bytes) -> None:
         try:
-            self.out.send_nowait(data)
+            self.write_queue.send_nowait(data)
         except (trio.WouldBlock, trio.ClosedResourceError, trio.BrokenResourceError):
-            self.closing = True
-            self.out.close()
+            self.is_closing = True
+            self.write_queue.close()
 
-    def close(self, code: int, why: str) -> None:
+    def close(self, code: int, reason: str) -> None:
         """Closes the connection with a status code (RFC 6455 7.4) after the queued messages are written."""
-        if not self.closing:
+        if not self.is_closing:
             with suppress(wsproto.utilities.LocalProtocolError):
-                self._queue(self.ws.send(events.CloseConnection(code=code, reason=why[:120])))
-            self.finish()
+                self._enqueue(self.websocket.send(events.CloseConnection(code=code, reason=reason[:120])))
+            self.finish_writing()
 
-    def finish(self) -> None:
+    def finish_writing(self) -> None:
         """Accepts no more messages; those already queued are still written."""
-        self.closing = True
-        self.out.close()
+        self.is_closing = True
+        self.write_queue.close()
 
-    async def write(self, scope: trio.CancelScope) -> None:
+    async def write_queued(self, connection_scope: trio.CancelScope) -> None:
         """Writes queued messages until writing ends, then cancels `connection_scope`.
 
         A client that does not read a message in time loses the connection.
         """
         with trio.CancelScope() as whole:
-            async for data in self.queue:
-                with trio.move_on_after(WRITE_WITHIN) as slow:
+            async for data in self.write_queue_reader:
+                with trio.move_on_after(WRITE_TIMEOUT_S) as slow:
                     try:
                         await self.stream.send_all(data)
                     except (trio.BrokenResourceError, trio.ClosedResourceError):
                         whole.cancel()
                 if slow.cancelled_caught:
                     break
-        scope.cancel()
+        connection_scope.cancel()
 
     async def receive(self) -> api.FromClient | None:
         """The next message; None when either side ends the connection."""
         while True:
             try:
-                for event in self.ws.events():
-                    message = self._event(event)
+                for event in self.websocket.events():
+                    message = self._handle_event(event)
                     if message is not None:
                         return message
-                    if self.closing:
+                    if self.is_closing:
                         return None
                 data = b""
-                with trio.move_on_after(self.pulse.every / 1e9) as quiet:
+                with trio.move_on_after(self.keepalive.interval / 1e9) as quiet:
                     data = await self.stream.receive_some(65_536)
                 if quiet.cancelled_caught:
-                    self.pulse.quiet()
-                    if self.pulse.dead:
+                    self.keepalive.ping_sent()
+                    if self.keepalive.is_dead:
                         return None
-                    self._queue(self.ws.send(events.Ping()))
+                    self._enqueue(self.websocket.send(events.Ping()))
                     continue
-                self.pulse.heard()
+                self.keepalive.message_received()
                 if not data:
                     return None
-                self.ws.receive_data(data)
+                self.websocket.receive_data(data)
             except wsproto.utilities.RemoteProtocolError as fault:
                 if fault.event_hint is not None:
-                    self._queue(self.ws.send(fault.event_hint))
-                self.finish()
+                    self._enqueue(self.websocket.send(fault.event_hint))
+                self.finish_writing()
                 return None
             except (trio.BrokenResourceError, trio.ClosedResourceError, wsproto.utilities.LocalProtocolError):
                 return None
 
-    def _event(self, event: events.Event) -> api.FromClient | None:
+    def _handle_event(self, event: events.Event) -> api.FromClient | None:
         match event:
             case events.TextMessage() | events.BytesMessage():
-                self.partial += event.data.encode() if isinstance(event.data, str) else bytes(event.data)
-                if len(self.partial) > self.allowance.message_bytes:
+                self.partial_message += (
+                    event.data.encode() if isinstance(event.data, str) else bytes(event.data)
+                )
+                if len(self.partial_message) > self.limits.max_message_bytes:
                     self.close(CloseReason.MESSAGE_TOO_BIG, "the message is too large")
                     return None
                 if not event.message_finished:
                     return None
-                data, self.partial = bytes(self.partial), bytearray()
+                data, self.partial_message = bytes(self.partial_message), bytearray()
                 if isinstance(event, events.BytesMessage) is not self.codec.binary:
                     self.close(CloseReason.UNSUPPORTED_DATA, f"{self.subprotocol} has other frames")
                     return None
@@ -552,9 +662,9 @@
                 except ValueError as fault:
                     self.close(CloseReason.INVALID_FRAME_PAYLOAD_DATA, str(fault))
             case events.Ping():
-                self._queue(self.ws.send(event.response()))
+                self._enqueue(self.websocket.send(event.response()))
             case events.CloseConnection():
-                if not self.closing:
-                    self._queue(self.ws.send(event.response()))
-                self.finish()
+                if not self.is_closing:
+                    self._enqueue(self.websocket.send(event.response()))
+                self.finish_writing()
         return None
--- a/oakcroft/front/zone_routing.py
+++ b/oakcroft/front/zone_routing.py
@@ -12,14 +12,14 @@
 import structlog
 import trio
 
-from oakcroft.choice import DISTRUST_HALF, DISTRUSTED
-from oakcroft.decisions.sessions.event_stream_health import Life as NodeLife, Loss
+from oakcroft.choice import FAILURE_SCORE_HALF_LIFE_NS, FAILURE_SCORE_LIMIT
+from oakcroft.decisions.sessions.event_stream_health import StreamState as NodeLife, LossCertainty
 from oakcroft.decisions.routing.zone_preference import NodeEvidence, ZonePreference, ZoneState, zone_load
-from oakcroft.front.session_coordinator import Helm
-from oakcroft.interface import SECOND, Listing, Node
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.interface import SECOND, NodeStatus, Node
 
-EVERY = 0.25  # seconds between checks
-KNOCK = SECOND  # between two attempts to reconnect to one lost node
+CHECK_INTERVAL_S = 0.25  # seconds between checks
+RECONNECT_INTERVAL_NS = SECOND  # between two attempts to reconnect to one lost node
 
 
 class ZoneRouting:
@@ -29,113 +29,137 @@
     """
 
     def __init__(
-        self, helm: Helm, zone: str, rng: Random, log: structlog.typing.FilteringBoundLogger
+        self,
+        coordinator: SessionCoordinator,
+        zone: str,
+        rng: Random,
+        log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """`zone` is this front end's own zone, "" for none; `rng` spreads requests over zones."""
-        self.helm, self.zone, self.rng, self.log = helm, zone, rng, log
-        self.knocked: dict[str, int] = {}
-        self.zones = self._made()
+        self.coordinator, self.zone, self.rng, self.log = coordinator, zone, rng, log
+        self.reconnected_at: dict[str, int] = {}
+        self.preference = self._new_preference()
 
-    def _made(self) -> ZonePreference | None:
-        site = self.helm.site
-        if site.preference is None or not self.zone:
+    def _new_preference(self) -> ZonePreference | None:
+        site = self.coordinator.site
+        if site.zone_preference is None or not self.zone:
             return None
-        others = [w for w in site.then if w != self.zone]
-        return ZonePreference((self.zone, *others), site.preference)
+        others = [w for w in site.preferred_zones if w != self.zone]
+        return ZonePreference((self.zone, *others), site.zone_preference)
 
-    def evidence(self, now: int) -> dict[str, dict[NodeEvidence, int]]:
+    def evidence_by_zone(self, now: int) -> dict[str, dict[NodeEvidence, int]]:
         """The number of nodes in each zone by the evidence on their health."""
         out: dict[str, dict[NodeEvidence, int]] = {}
-        listed = {name.partition("+")[0] for name in self.helm.roster.lines}
-        for name, node in self.helm.roster.nodes.items():
-            if name in self.helm.roster.gone_at and name.partition("+")[0] in listed:
+        listed = {name.partition("+")[0] for name in self.coordinator.node_list.listed_nodes}
+        for name, node in self.coordinator.node_list.nodes.items():
+            if name in self.coordinator.node_list.removed_at and name.partition("+")[0] in listed:
                 continue  # the process that replaces it is counted instead
-            seen = NodeEvidence.GONE if name in self.helm.roster.gone_at else self._seen(node, now)
+            seen = (
+                NodeEvidence.GONE
+                if name in self.coordinator.node_list.removed_at
+                else self._node_evidence(node, now)
+            )
             of_zone = out.setdefault(node.zone, {})
             of_zone[seen] = of_zone.get(seen, 0) + 1
         return out
 
-    def _seen(self, node: Node, now: int) -> NodeEvidence:
-        if node.listing is Listing.DRAINING:
+    def _node_evidence(self, node: Node, now: int) -> NodeEvidence:
+        if node.status is NodeStatus.DRAINING:
             return NodeEvidence.DRAINS
-        leg = self.helm.legs.get(node.name)
-        if leg is not None and leg.lifeline.how is not None:
-            return NodeEvidence.REFUSES if leg.lifeline.how is Loss.PROVEN else NodeEvidence.SILENT
-        if leg is not None and leg.lifeline.state is NodeLife.SILENT:
+        leg = self.coordinator.node_clients.get(node.name)
+        if leg is not None and leg.stream_health.loss is not None:
+            return (
+                NodeEvidence.REFUSES
+                if leg.stream_health.loss is LossCertainty.PROVEN
+                else NodeEvidence.SILENT
+            )
+        if leg is not None and leg.stream_health.state is NodeLife.SILENT:
             return NodeEvidence.SILENT
         return (
             NodeEvidence.SILENT
-            if node.distrust.read(now, DISTRUST_HALF) >= DISTRUSTED
+            if node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS) >= FAILURE_SCORE_LIMIT
             else NodeEvidence.ANSWERS
         )
 
-    def loads(self, zones: Iterable[str]) -> dict[str, float]:
+    def zone_loads(self, zones: Iterable[str]) -> dict[str, float]:
         """The load of each zone, from the link loads that the decision module has estimated."""
         ready: dict[str, list[float]] = {zone: [] for zone in zones}
-        for node in self.helm.roster.nodes.values():
-            if node.listing is Listing.READY and node.zone in ready:
-                ready[node.zone].append(node.level)
+        for node in self.coordinator.node_list.nodes.values():
+            if node.status is NodeStatus.READY and node.zone in ready:
+                ready[node.zone].append(node.estimated_load)
         return {zone: zone_load(levels) for zone, levels in ready.items()}
 
     async def run(self) -> None:
         """Updates the zones' health until cancelled."""
-        made_from = (self.helm.site.preference, self.helm.site.then)
+        made_from = (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones)
         while True:
-            await trio.sleep(EVERY)
-            if (self.helm.site.preference, self.helm.site.then) != made_from:
-                made_from, self.zones = (self.helm.site.preference, self.helm.site.then), self._made()
-            if self.zones is not None:
-                self.look(self.zones)
-
-    def look(self, zones: ZonePreference) -> None:
+            await trio.sleep(CHECK_INTERVAL_S)
+            if (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones) != made_from:
+                made_from, self.preference = (
+                    (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones),
+                    self._new_preference(),
+                )
+            if self.preference is not None:
+                self.update(self.preference)
+
+    def update(self, preference: ZonePreference) -> None:
         """Updates the zones' health from current evidence; logs each change of state."""
-        now = self.helm.clock.now()
-        self._knock(zones, now)
-        self.knocked = {n: at for n, at in self.knocked.items() if n in self.helm.legs}
-        nodes = self.evidence(now)
-        for zone, before, after in zones.look(nodes, now):
-            health = zones.health[zone]
+        now = self.coordinator.clock.now()
+        self._reconnect_lost_nodes(preference, now)
+        self.reconnected_at = {
+            n: at for n, at in self.reconnected_at.items() if n in self.coordinator.node_clients
+        }
+        nodes = self.evidence_by_zone(now)
+        for zone, before, after in preference.update(nodes, now):
+            health = preference.health[zone]
             # Operators' tools match the event name and its fields.
             self.log.warning("wing", wing=zone, before=before.value, after=after.value, falters=health.relapses,
-                             ramp_s=health.ramp // 1_000_000_000, turned_away=zones.turned,
+                             ramp_s=health.ramp_time // 1_000_000_000, turned_away=preference.rejected_count,
                              nodes={s.name.lower(): n for s, n in nodes.get(zone, {}).items()})  # fmt: skip
 
-    def _knock(self, zones: ZonePreference, now: int) -> None:
+    def _reconnect_lost_nodes(self, preference: ZonePreference, now: int) -> None:
         """Periodically opens the event streams of lost nodes in unhealthy zones.
 
         No requests go to such a zone, so nothing else would show that its nodes answer again.
         """
-        for name, leg in self.helm.legs.items():
-            node = self.helm.roster.nodes.get(name)
-            if node is None or leg.lifeline.state is not NodeLife.LOST or node.listing is not Listing.READY:
+        for name, leg in self.coordinator.node_clients.items():
+            node = self.coordinator.node_list.nodes.get(name)
+            if (
+                node is None
+                or leg.stream_health.state is not NodeLife.LOST
+                or node.status is not NodeStatus.READY
+            ):
                 continue
-            health = zones.health.get(node.zone)
+            health = preference.health.get(node.zone)
             if (
                 health is not None
                 and health.state is not ZoneState.SOUND
-                and now - self.knocked.get(name, 0) > KNOCK
+                and now - self.reconnected_at.get(name, 0) > RECONNECT_INTERVAL_NS
             ):
-                self.knocked[name] = now
-                self.helm.follow_events(leg, leg.events)
+                self.reconnected_at[name] = now
+                self.coordinator.follow_events(leg, leg.events_path)
 
-    def admits(self) -> Callable[[Node], bool] | None:
+    def node_filter(self) -> Callable[[Node], bool] | None:
         """The filter of nodes by zone for a new request; None for all nodes."""
-        if self.zones is None:
+        if self.preference is None:
             return None
-        loads = self.loads(self.zones.tiers)
-        chosen = self.zones.choose(loads, self.rng.random(), self.helm.clock.now())
+        loads = self.zone_loads(self.preference.zones)
+        chosen = self.preference.choose_zones(loads, self.rng.random(), self.coordinator.clock.now())
         return lambda node: node.zone in chosen
 
     def status(self) -> dict[str, object]:
         """The zones' health and the overflow between them, for operators."""
-        if self.zones is None:
+        if self.preference is None:
             return {}
-        now = self.helm.clock.now()
+        now = self.coordinator.clock.now()
         out: dict[str, object] = {
-            zone: {"state": health.state.value, "since_s": round((now - health.since) / 1e9, 1),
-                   "share": round(health.share(now), 3), "falters": health.relapses,
-                   "ramp_s": health.ramp // 1_000_000_000}
-            for zone, health in self.zones.health.items()
+            zone: {"state": health.state.value, "since_s": round((now - health.state_since) / 1e9, 1),
+                   "share": round(health.traffic_share(now), 3), "falters": health.relapses,
+                   "ramp_s": health.ramp_time // 1_000_000_000}
+            for zone, health in self.preference.health.items()
         }  # fmt: skip
-        spill = self.zones.spill
-        return out | {"spilled": f"{spill.spilled} of {len(spill.sent)}", "turned_away": self.zones.turned}
+        spill = self.preference.overflow
+        return out | {
+            "spilled": f"{spill.overflowed} of {len(spill.requests)}",
+            "turned_away": self.preference.rejected_count,
+        }
--- a/oakcroft/httpwire/client.py
+++ b/oakcroft/httpwire/client.py
@@ -15,7 +15,7 @@
 import h11
 import trio
 
-from oakcroft.decisions.sessions.setup_outcome import End, Stage, Trail
+from oakcroft.decisions.sessions.setup_outcome import RequestEnd, RequestStage, RequestProgress
 from oakcroft.httpwire.message import Headers, Response
 
 MOST_ANSWER = 262_144
@@ -24,7 +24,7 @@
 class Ended(Exception):
     """An exchange that ended without a whole answer."""
 
-    def __init__(self, end: End, cause: str) -> None:
+    def __init__(self, end: RequestEnd, cause: str) -> None:
         super().__init__(f"{end.value}: {cause}")
         self.end, self.cause = end, cause
 
@@ -66,15 +66,15 @@
         target: str,
         headers: Headers,
         body: bytes,
-        trail: Trail | None = None,
+        trail: RequestProgress | None = None,
         fresh: bool = False,
     ) -> Response:
         """One exchange. Ended says how it failed; a cancelled one leaves its trail where it stood."""
-        trail = trail or Trail()
+        trail = trail or RequestProgress()
         async with self.turns:
-            trail.reach(Stage.CONNECTING)
+            trail.advance(RequestStage.CONNECTING)
             line = await self._line(fresh)
-            trail.reach(Stage.OPEN)
+            trail.advance(RequestStage.CONNECTED)
             done = False
             try:
                 response = await self._exchange(line, method, target, headers, body, trail)
@@ -98,8 +98,8 @@
         """An exchange whose answer is a stream, on a connection of its own."""
         line = await self._line(True)
         try:
-            trail = Trail()
-            trail.reach(Stage.OPEN)
+            trail = RequestProgress()
+            trail.advance(RequestStage.CONNECTED)
             await self._write(line, method, target, headers, body, trail)
             head = await self._head(line, trail)
 
@@ -133,12 +133,12 @@
                 stream = await trio.open_tcp_stream(self.host, self.port)
         except (OSError, trio.TooSlowError) as error:
             raise Ended(
-                End.UNREACHED, REFUSED if was_refused(error) else str(error) or "no connection in time"
+                RequestEnd.UNREACHED, REFUSED if was_refused(error) else str(error) or "no connection in time"
             ) from error
         return Line(stream, h11.Connection(h11.CLIENT, max_incomplete_event_size=32_768), now)
 
     async def _exchange(
-        self, line: Line, method: str, target: str, headers: Headers, body: bytes, trail: Trail
+        self, line: Line, method: str, target: str, headers: Headers, body: bytes, trail: RequestProgress
     ) -> Response:
         await self._write(line, method, target, headers, body, trail)
         response = await self._head(line, trail)
@@ -148,16 +148,16 @@
             if isinstance(event, h11.Data):
                 read += event.data
                 if len(read) > MOST_ANSWER:
-                    raise Ended(End.GARBLED, "the answer is too large")
+                    raise Ended(RequestEnd.INVALID_RESPONSE, "the answer is too large")
             elif isinstance(event, h11.EndOfMessage):
-                trail.reach(Stage.READ)
+                trail.advance(RequestStage.RESPONSE_READ)
                 response.body = bytes(read)
                 return response
             else:
-                raise Ended(End.BROKEN, "the answer broke off")
+                raise Ended(RequestEnd.CONNECTION_LOST, "the answer broke off")
 
     async def _write(
-        self, line: Line, method: str, target: str, headers: Headers, body: bytes, trail: Trail
+        self, line: Line, method: str, target: str, headers: Headers, body: bytes, trail: RequestProgress
     ) -> None:
         fields = [("Host", f"{self.host}:{self.port}"), *headers]
         if body or method in ("POST", "PATCH", "PUT"):
@@ -172,23 +172,23 @@
             h11.LocalProtocolError,
             UnicodeEncodeError,
         ) as error:  # HTTP cannot carry it, and none of it left
-            raise Ended(End.WITHDRAWN, str(error)) from error
-        if trail.stage is Stage.OPEN:
-            trail.reach(Stage.WRITING)  # from here on the kernel may have any part of it
+            raise Ended(RequestEnd.WITHDRAWN, str(error)) from error
+        if trail.stage is RequestStage.CONNECTED:
+            trail.advance(RequestStage.PARTLY_WRITTEN)  # from here on the kernel may have any part of it
         try:
             await line.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise Ended(End.BROKEN, str(error)) from error
-        trail.reach(Stage.WRITTEN)
+            raise Ended(RequestEnd.CONNECTION_LOST, str(error)) from error
+        trail.advance(RequestStage.WRITTEN)
 
-    async def _head(self, line: Line, trail: Trail) -> Response:
+    async def _head(self, line: Line, trail: RequestProgress) -> Response:
         while True:
             event = await self._next(line)
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise Ended(End.BROKEN, "closed without an answer")
-            trail.reach(Stage.HEADED)
+                raise Ended(RequestEnd.CONNECTION_LOST, "closed without an answer")
+            trail.advance(RequestStage.RESPONSE_STARTED)
             trail.status = event.status_code
             headers = [(n.decode("latin-1"), v.decode("latin-1")) for n, v in event.headers]
             return Response(event.status_code, headers)
@@ -201,9 +201,11 @@
                 ended = not data
                 line.http.receive_data(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise Ended(End.BROKEN, str(error)) from error
+            raise Ended(RequestEnd.CONNECTION_LOST, str(error)) from error
         except h11.RemoteProtocolError as error:
-            raise Ended(End.BROKEN if ended else End.GARBLED, str(error)) from error
+            raise Ended(
+                RequestEnd.CONNECTION_LOST if ended else RequestEnd.INVALID_RESPONSE, str(error)
+            ) from error
         return event
 
     @staticmethod
--- a/oakcroft/httpwire/server.py
+++ b/oakcroft/httpwire/server.py
@@ -16,14 +16,14 @@
 import trio
 
 from oakcroft.decisions.admission.connection_limits import (
-    Door,
-    Phase,
-    Verdict,
-    body_verdict,
-    head_verdict,
-    status_when_slow,
+    ConnectionTable,
+    ExchangePhase,
+    ConnectionVerdict,
+    body_error_status,
+    head_error_status,
+    timeout_status,
 )
-from oakcroft.decisions.admission.connection_limits import time_allowed
+from oakcroft.decisions.admission.connection_limits import phase_timeout
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling.words import PROBLEM, problem
 
@@ -75,7 +75,7 @@
     """Serves one listener."""
 
     def __init__(
-        self, handler: Handler, door: Door, clock: Clock, failed: Callable[[Request, BaseException], None],
+        self, handler: Handler, door: ConnectionTable, clock: Clock, failed: Callable[[Request, BaseException], None],
         shed: Shed | None = None, roomy: Roomy | None = None,
     ) -> None:  # fmt: skip
         """`shed`: looks at a whole request unread, and answers it at once or says None. `roomy`: whether a request, by
@@ -97,14 +97,14 @@
         except OSError:
             await trio.aclose_forcefully(stream)
             return
-        verdict, loser = self.door.knock(number, source, now)
+        verdict, loser = self.door.accept(number, source, now)
         if loser is not None and loser in self.scopes:
             self.scopes[loser].cancel()
         with trio.CancelScope() as scope:
             self.scopes[number] = scope
             connection = Connection(self, number, stream, source)
             try:
-                if verdict is Verdict.TURN_AWAY:
+                if verdict is ConnectionVerdict.REJECT:
                     await connection.turn_away()
                 else:
                     await connection.run()
@@ -116,7 +116,7 @@
             ):
                 pass  # the client is gone, or is told already
             finally:
-                self.door.leave(number)
+                self.door.remove(number)
                 del self.scopes[number]
                 await trio.aclose_forcefully(stream)
 
@@ -126,7 +126,7 @@
 
     def __init__(self, server: Server, number: int, stream: trio.SocketStream, source: str) -> None:
         self.server, self.number, self.stream, self.source = server, number, stream, source
-        self.bounds = server.door.bounds
+        self.bounds = server.door.limits
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=self.bounds.head_bytes)
         self.empty_at = server.clock()
         self.ended = False
@@ -135,7 +135,7 @@
         """503 to a newcomer for whom there is no place, once its head is there, or nothing."""
         with trio.move_on_after(0.5):
             try:
-                await self._event(Phase.HEAD)
+                await self._event(ExchangePhase.READING_HEAD)
                 await self._write(fault_response(503))
             except Fault:
                 return
@@ -169,11 +169,11 @@
                 return
             self.http.start_next_cycle()
             self.empty_at = self.server.clock()
-            self.server.door.rests(self.number, self.empty_at)
+            self.server.door.mark_idle(self.number, self.empty_at)
 
-    async def _event(self, phase: Phase) -> object:
+    async def _event(self, phase: ExchangePhase) -> object:
         """The next h11 event, within the phase's time."""
-        allowed = time_allowed(phase, self.bounds)
+        allowed = phase_timeout(phase, self.bounds)
         with trio.move_on_after(allowed / 1e9 if allowed else float("inf")):
             while True:
                 try:
@@ -186,7 +186,7 @@
                     return event
                 data = await self.stream.receive_some(16_384)
                 self.http.receive_data(data)
-        raise Fault(status_when_slow(phase))
+        raise Fault(timeout_status(phase))
 
     async def _read(self) -> Request | None:
         """A whole request; None at the end of the connection."""
@@ -201,22 +201,22 @@
                 break
             await self._send_in_time(said)
             self.empty_at = self.server.clock()
-        self.server.door.busy(self.number)
-        head = await self._event(Phase.HEAD)
+        self.server.door.mark_busy(self.number)
+        head = await self._event(ExchangePhase.READING_HEAD)
         if isinstance(head, h11.ConnectionClosed):
             return None
         if not isinstance(head, h11.Request):
             raise Fault(400)
         read_at = self.server.clock()
         size = sum(len(n) + len(v) + 4 for n, v in head.headers)
-        if status := head_verdict(len(head.headers), size, self.bounds):
+        if status := head_error_status(len(head.headers), size, self.bounds):
             raise Fault(status)
         headers = [(n.decode("latin-1").lower(), v.decode("latin-1")) for n, v in head.headers]
         length = next((int(v) for n, v in headers if n == "content-length"), None)
         bounds = self.bounds
         if self.server.roomy is not None and self.server.roomy(head.target.decode("latin-1"), headers):
             bounds = replace(bounds, body_bytes=ROOMY_BYTES)
-        if status := body_verdict(0, length, bounds):
+        if status := body_error_status(0, length, bounds):
             raise Fault(status)
         if any(n == "expect" for n, _ in headers) and self.http.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
@@ -224,10 +224,10 @@
         body = bytearray()
         with trio.move_on_after(self.bounds.body_within / 1e9):
             while True:
-                event = await self._event(Phase.BODY)
+                event = await self._event(ExchangePhase.READING_BODY)
                 if isinstance(event, h11.Data):
                     body += event.data
-                    if status := body_verdict(len(body), None, bounds):
+                    if status := body_error_status(len(body), None, bounds):
                         raise Fault(status)
                 elif isinstance(event, h11.EndOfMessage):
                     return Request(
--- a/oakcroft/interface.py
+++ b/oakcroft/interface.py
@@ -30,7 +30,7 @@
     PAID = "paid"
 
 
-class Group(Enum):
+class KeyScope(Enum):
     """Nodes that recognise the key of a repeated set-up: all, those of the same zone, or those of the same cell."""
 
     ALL = "all"
@@ -38,7 +38,7 @@
     CELL = "cell"
 
 
-class Listing(Enum):
+class NodeStatus(Enum):
     """Status of a playout node on the node list."""
 
     READY = "ready"
@@ -46,7 +46,7 @@
     GONE = "gone"
 
 
-class ListKind(Enum):
+class NodeListKind(Enum):
     """How a node list came: as changes, whole, as kept from an earlier run, or not at all."""
 
     CHANGES = "changes"
@@ -71,13 +71,13 @@
     NOT_SENT = "not sent"
 
 
-class Note(Enum):
+class PlaybackMetric(Enum):
     """Kind of a value that is reported about a playing playback."""
 
-    DELIVERED = "delivered share"
+    DELIVERED_SHARE = "delivered share"
     RUNG = "rung in force"
-    LINK_ASKED = "asked of the link"
-    UPLINK_ASKED = "asked of the rack's uplink"
+    LINK_LOAD = "asked of the link"
+    UPLINK_LOAD = "asked of the rack's uplink"
 
 
 @dataclass(frozen=True, eq=False)
@@ -88,54 +88,56 @@
     """
 
     effect: Effect
-    group: Group  # which nodes recognise a key
-    key_lasts: int  # how long nodes recognise a key
-    startup_target: int  # time within which a set-up should succeed
+    key_scope: KeyScope  # which nodes recognise a key
+    key_ttl_ns: int  # how long nodes recognise a key
+    startup_target_ns: int  # time within which a set-up should succeed
     revenue: float  # earned by a playback on the highest rung
     floor: int  # lowest rung
-    top: int  # highest rung
+    top_rung: int  # highest rung
     seats: int  # playbacks of the plan on one title at the same time; 0: any number
     rate_factor: float  # factor on the rates of the rungs
     shares_stream: bool  # whether playbacks of one title on one node share a stream
-    family: int = -1  # the same for all versions of a plan; -1: it has only one
+    family_id: int = -1  # the same for all versions of a plan; -1: it has only one
 
     def __eq__(self, other: object) -> bool:
         """Whether both are the same object or versions of one plan."""
-        return self is other or (isinstance(other, Plan) and self.family == other.family >= 0)
+        return self is other or (isinstance(other, Plan) and self.family_id == other.family_id >= 0)
 
     def __hash__(self) -> int:
         """Hash that is equal for all versions of a plan."""
-        return self.family if self.family >= 0 else id(self)
+        return self.family_id if self.family_id >= 0 else id(self)
 
 
 @dataclass(frozen=True, eq=False)
-class Terms:
+class DeploymentSettings:
     """Settings of a deployment, as far as the decision module reads them."""
 
-    fronts: int  # number of front ends
-    front: int  # index of this front end, from 0
-    must_follow: bool  # whether the module has to subscribe to the node list
-    ask_within: int  # time limit for renewing a lost subscription
-    cells: int  # number of cells
-    racks: int  # number of racks; the rack of a node is its cell modulo this
-    rates: tuple[float, ...]  # rates of the ladder's rungs, kB/s, lowest first
-    rung_worth: tuple[float, ...]  # share of a plan's revenue earned at each rung
-    uplink: float  # capacity of a rack's uplink, kB/s; 0: unlimited
-    join_adds: float  # share of its rate that a playback adds when it joins a running stream
-    seen_after: int  # age of a node's reports on arrival
-    reports_every: int  # time between two load reports of a node; 0: it sends none
-    most_tries: int  # setup tries per playback
-    stay_away_most: int  # longest time for which a rejected viewer is asked to stay away
-    cold_share: float  # share of the full setup pace that a node bears at its start
-    cold_for: int  # how long a node is cold after its start
-    fall_multiple: float  # setup rate that overloads a warm node, in its playback capacity per cold duration
-    fall_window: int  # window over which that rate is taken
-    tries_free: float | None  # retries allowed in a window in any case; None: no budget
-    tries_share: float  # retries allowed besides, per request in the window
-    tries_window: int  # window of the retry budget
-
-
-class Fading:
+    front_count: int  # number of front ends
+    front_index: int  # index of this front end, from 0
+    must_subscribe: bool  # whether the module has to subscribe to the node list
+    subscribe_within_ns: int  # time limit for renewing a lost subscription
+    cell_count: int  # number of cells
+    rack_count: int  # number of racks; the rack of a node is its cell modulo this
+    rung_rates: tuple[float, ...]  # rates of the ladder's rungs, kB/s, lowest first
+    rung_revenue_shares: tuple[float, ...]  # share of a plan's revenue earned at each rung
+    uplink_capacity: float  # capacity of a rack's uplink, kB/s; 0: unlimited
+    join_rate_share: float  # share of its rate that a playback adds when it joins a running stream
+    report_delay_ns: int  # age of a node's reports on arrival
+    report_interval_ns: int  # time between two load reports of a node; 0: it sends none
+    max_tries: int  # setup tries per playback
+    max_retry_after_ns: int  # longest time for which a rejected viewer is asked to stay away
+    cold_pace_share: float  # share of the full setup pace that a node bears at its start
+    cold_duration_ns: int  # how long a node is cold after its start
+    overload_multiple: (
+        float  # setup rate that overloads a warm node, in its playback capacity per cold duration
+    )
+    overload_window_ns: int  # window over which that rate is taken
+    retry_budget_base: float | None  # retries allowed in a window in any case; None: no budget
+    retry_budget_share: float  # retries allowed besides, per request in the window
+    retry_budget_window_ns: int  # window of the retry budget
+
+
+class DecayingSum:
     """Sum with exponential decay, updated on access.
 
     All calls on one instance have to pass the same half-life.
@@ -143,32 +145,32 @@
 
     def __init__(self) -> None:
         """Starts at 0."""
-        self.sum, self.at = 0.0, 0
+        self.value, self.updated_at = 0.0, 0
 
-    def read(self, now: int, half: int) -> float:
+    def read(self, now: int, half_life_ns: int) -> float:
         """Returns the sum, decayed up to `now` with a half-life in ns."""
-        if now > self.at:
-            self.sum *= 0.5 ** ((now - self.at) / half)
-            self.at = now
-        return self.sum
+        if now > self.updated_at:
+            self.value *= 0.5 ** ((now - self.updated_at) / half_life_ns)
+            self.updated_at = now
+        return self.value
 
-    def add(self, amount: float, now: int, half: int) -> None:
+    def add(self, amount: float, now: int, half_life_ns: int) -> None:
         """Adds an amount, which may be negative; the sum stays at least 0."""
-        self.sum = max(0.0, self.read(now, half) + amount)
+        self.value = max(0.0, self.read(now, half_life_ns) + amount)
 
     def clear(self) -> None:
         """Sets the sum to 0."""
-        self.sum = 0.0
+        self.value = 0.0
 
 
-class State(Enum):
+class PlaybackState(Enum):
     """State of a playback."""
 
     ARRIVED = "arrived"
     SETTING_UP = "setting up"
-    BETWEEN = "between tries"
+    BETWEEN_TRIES = "between tries"
     PLAYING = "playing"
-    CLOSED = "closed, its try still out"
+    VIEWER_LEFT = "closed, its try still out"
     ENDED = "ended"
     REJECTED = "rejected"
     ABORTED = "aborted"
@@ -180,8 +182,8 @@
     def __init__(self) -> None:
         """An empty rack without load."""
         self.nodes: list[Node] = []
-        self.carried, self.lately = 0.0, [0.0]
-        self.tight, self.logged = 1.0, False
+        self.carried_rate, self.recent_carried_rates = 0.0, [0.0]
+        self.uplink_correction, self.logged_as_overloaded = 1.0, False
 
 
 class Node:
@@ -191,100 +193,112 @@
         """A node that is not listed yet."""
         self.name, self.zone, self.cell = name, "", 0
         self.kind, self.tags = "", frozenset[str]()
-        self.listing, self.started_at = Listing.GONE, 0
-        self.link, self.places = 1.0, 0.0
+        self.status, self.started_at = NodeStatus.GONE, 0
+        self.link_capacity, self.playback_capacity = 1.0, 0.0
         self.rack = Rack()
         self.playbacks: dict[Playback, None] = {}
-        self.waiting: dict[Playback, int] = {}  # set-ups without an answer, by when they were sent
-        self.own: deque[tuple[int, float]] = deque()  # time and kB/s of own changes of its load
-        self.heard, self.reported, self.reported_at = False, 0.0, 0
-        self.told = False  # the last report came from another front end
-        self.reports = False  # its load was reported at some time, not only inferred
-        self.level = 0.0  # load of its link, estimated for now
-        self.short, self.short_at = 1.0, 0  # delivered share as last reported
-        self.samples: list[float] = []  # load at the ends of the last sample intervals
-        self.forecast = 0.0
-        self.distrust, self.out = Fading(), False
+        self.pending_setups: dict[Playback, int] = {}  # set-ups without an answer, by when they were sent
+        self.own_rate_changes: deque[tuple[int, float]] = deque()  # time and kB/s of own changes of its load
+        self.load_known, self.reported_load, self.load_reported_at = False, 0.0, 0
+        self.load_from_peer = False  # the last report came from another front end
+        self.has_reported_load = False  # its load was reported at some time, not only inferred
+        self.estimated_load = 0.0  # load of its link, estimated for now
+        self.delivered_share, self.short_delivery_at = 1.0, 0  # delivered share as last reported
+        self.load_samples: list[float] = []  # load at the ends of the last sample intervals
+        self.load_forecast = 0.0
+        self.failure_score, self.logged_as_unhealthy = DecayingSum(), False
         self.failed_at = 0  # time of the last failure that suggests a restart
-        self.handed_over = False  # a playback handed over to this front end at its start plays here
-        self.slot, self.slot_used = -1, 0  # last time slot of the cold pace, and set-ups sent in it
+        self.has_handed_over_playback = (
+            False  # a playback handed over to this front end at its start plays here
+        )
+        self.cold_slot, self.cold_slot_setups = (
+            -1,
+            0,
+        )  # last time slot of the cold pace, and set-ups sent in it
 
 
 class Title:
     """A title that viewers watch, the cells that hold it, and the seats taken in each plan."""
 
-    def __init__(self, name: str, home: int, copies: int) -> None:
+    def __init__(self, name: str, home_cell: int, copies: int) -> None:
         """A title held by `copies` cells from `home_cell` on; 0 copies: by all cells."""
-        self.name, self.home, self.copies = name, home, copies
-        self.seats: dict[Plan, int] = {}  # seats taken in each plan
-        self.played = False  # on any node; proves that the title exists
+        self.name, self.home_cell, self.copies = name, home_cell, copies
+        self.seats_taken: dict[Plan, int] = {}  # seats taken in each plan
+        self.has_played = False  # on any node; proves that the title exists
         self.holders: list[Node] = []
-        self.known = -1  # version of the node list that `holders` was computed from; -1: none
-        self.named: frozenset[str] | None = None  # names of its holders; None: the nodes in its cells
-        self.rates: tuple[float, ...] = ()  # of its own rungs, kB/s; empty: those of the deployment
+        self.holders_version = -1  # version of the node list that `holders` was computed from; -1: none
+        self.holder_names: frozenset[str] | None = None  # names of its holders; None: the nodes in its cells
+        self.rung_rates: tuple[float, ...] = ()  # of its own rungs, kB/s; empty: those of the deployment
 
 
 class Playback:
     """A viewer's request, and the playback that results from it."""
 
-    def __init__(self, title: Title, plan: Plan, top: int, abandon: int, moved: bool) -> None:
+    def __init__(
+        self, title: Title, plan: Plan, top_rung: int, abandon_at: int, comes_from_move: bool
+    ) -> None:
         """A request that has arrived.
 
         Its highest rung is `top_rung` within the plan's bounds; the viewer gives up at `abandon_at`. A request that
         `comes_from_move` is not rejected in the band.
         """
-        self.title, self.plan, self.abandon, self.moved = title, plan, abandon, moved
-        self.top = max(plan.floor, min(top, plan.top))
-        self.state = State.ARRIVED
+        self.title, self.plan, self.abandon_at, self.comes_from_move = (
+            title,
+            plan,
+            abandon_at,
+            comes_from_move,
+        )
+        self.top_rung = max(plan.floor, min(top_rung, plan.top_rung))
+        self.state = PlaybackState.ARRIVED
         self.rung = plan.floor
         self.node: Node | None = None
         self.tries: list[tuple[Node, int]] = []  # node and send time of each setup try
         self.may_have_run: list[tuple[Node, int]] = []  # the failed tries that may have run all the same
-        self.changed_at = 0  # time of the last change of its rung
-        self.fresh = False  # the next report of its link's load is not delayed
+        self.rung_changed_at = 0  # time of the last change of its rung
+        self.next_link_load_is_current = False  # the next report of its link's load is not delayed
         # The playback that this one, a copy on another node, is to replace; it plays on meanwhile.
-        self.beside: Playback | None = None
-        self.admits: Callable[[Node], bool] | None = None  # the nodes it may use; None: all holders
+        self.copy_of: Playback | None = None
+        self.node_filter: Callable[[Node], bool] | None = None  # the nodes it may use; None: all holders
 
 
 @dataclass(frozen=True)
-class Entry:
+class NodeEntry:
     """Entry of the node list; capacities as in `Node`."""
 
     node: Node
-    listing: Listing
+    status: NodeStatus
     started_at: int
-    link: float
-    places: float
+    link_capacity: float
+    playback_capacity: float
 
 
 class Host(Protocol):
     """What the decision module asks of its host; the calls come while the host is calling the module."""
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Sends a setup try; one that is unanswered at `abandon_at` has to end as LATE."""
         ...
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """Rejects a request; the viewer should not come back for `retry_after_ns`."""
         ...
 
-    def abort(self, pb: Playback) -> None:
+    def abort(self, playback: Playback) -> None:
         """Ends a request whose set-up may have run."""
         ...
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """Changes the rung of a playback, or of the set-up to come."""
         ...
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """Has `Controller.on_timer` called at a time."""
         ...
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         """Subscribes to the node list."""
         ...
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         """Writes a log line."""
         ...
--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -16,8 +16,8 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.acceptor import MOST_DUTIES, Keeper
-from oakcroft.decisions.fleet.lease import Answer, Ask, Learnt
+from oakcroft.decisions.fleet.acceptor import MAX_LEASES, LeaseAcceptor
+from oakcroft.decisions.fleet.lease import LeaseAnswer, LeaseRequest, AcceptorRecord
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.lease_codec import ENCODER, LeaseCodec
@@ -55,7 +55,7 @@
     """
 
     def __init__(
-        self, keeper: Keeper, record: Keeping, codec: LeaseCodec, me: Callable[[], tuple[str, int]],
+        self, keeper: LeaseAcceptor, record: Keeping, codec: LeaseCodec, me: Callable[[], tuple[str, int]],
         send: Callable[[str, bytes], None], dropped: Counter[str], log: structlog.typing.FilteringBoundLogger, now: int,
     ) -> None:  # fmt: skip
         """`record` is the state file; `dropped` counts what could not wait for it."""
@@ -77,16 +77,16 @@
 
     # Messages.
 
-    def receive_ask(self, sender: str, ask: Ask, now: int) -> None:
+    def receive_ask(self, sender: str, ask: LeaseRequest, now: int) -> None:
         """A candidate's message."""
-        if not self.has_begun or ask.term.owner != sender:
+        if not self.has_begun or ask.term.holder != sender:
             return
         self.asks += 1
-        answer = self.keeper.asked(ask, now)
+        answer = self.keeper.handle_request(ask, now)
         if answer is not None:
             self._when_saved(partial(self._send_answer, sender, answer))
 
-    def _send_answer(self, to: str, answer: Answer) -> None:
+    def _send_answer(self, to: str, answer: LeaseAnswer) -> None:
         with suppress(MessageError):  # a name too long to fit: such a candidate gets nothing
             self.send(to, self.codec.answer(*self.me(), answer))
 
@@ -94,15 +94,15 @@
         """Another acceptor, which remembers nothing, asks what this one knows."""
         if not self.has_begun:
             return
-        told = self.keeper.tells(sender, epoch)
+        told = self.keeper.record_for_peer(sender, epoch)
         if told is None:
             return
-        if self.keeper.sound:
+        if self.keeper.has_full_record:
             self._when_saved(partial(self._send_learnt, sender, told))
         else:  # it has no record yet that anything could rest on
             self._send_learnt(sender, told)
 
-    def _send_learnt(self, to: str, told: Learnt) -> None:
+    def _send_learnt(self, to: str, told: AcceptorRecord) -> None:
         with suppress(MessageError):
             for part in self.codec.learnt(*self.me(), told):
                 self.send(to, part)
@@ -110,9 +110,9 @@
     def receive_learnt(self, sender: str, part: RecordPart, now: int) -> None:
         """One part of what another acceptor tells. MessageError where it can't be one."""
         keeper = self.keeper
-        if keeper.sound or sender not in keeper.keepers:
+        if keeper.has_full_record or sender not in keeper.acceptors:
             return
-        if not 0 <= part.part < part.parts <= MOST_DUTIES:
+        if not 0 <= part.part < part.parts <= MAX_LEASES:
             raise MessageError("malformed")
         parts = self.parts.setdefault(sender, {})
         if any((p.epoch, p.sound, p.parts) != (part.epoch, part.sound, part.parts) for p in parts.values()):
@@ -122,9 +122,9 @@
             return
         del self.parts[sender]
         rows = tuple((p.row.duty, row_from_wire(p.row)) for p in parts.values() if p.row is not None)
-        if keeper.hears(Learnt(sender, part.epoch, part.sound, rows), now):
-            mute_ms = max(0, keeper.mute_until - now) // MS
-            self.log.info("keeper learnt", duties=len(keeper.rows), mute_ms=mute_ms)
+        if keeper.receive_peer_record(AcceptorRecord(sender, part.epoch, part.sound, rows), now):
+            mute_ms = max(0, keeper.silent_until - now) // MS
+            self.log.info("keeper learnt", duties=len(keeper.records), mute_ms=mute_ms)
             self._when_saved(lambda: None)
 
     # The record.
@@ -149,13 +149,13 @@
         saved = False
         self.writing += 1
         try:
-            saved = keeper.sound and await self.record.save(RECORD_NAME, value)
+            saved = keeper.has_full_record and await self.record.save(RECORD_NAME, value)
         finally:
             self.waiting_for_record -= 1
             self.writing -= 1
             if not saved:
                 keeper.unsaved |= duties  # until it is, nothing that rests on it leaves
-        if saved is not self.disk_sound and keeper.sound:
+        if saved is not self.disk_sound and keeper.has_full_record:
             self.disk_sound = saved
             why = "on record again" if saved else "its record can't be written"
             self.log.warning("keeper", grants=saved, why=why)
@@ -164,8 +164,8 @@
 
     def _record_value(self) -> bytes:
         keeper = self.keeper
-        rows = [row_to_wire(duty, row) for duty, row in sorted(keeper.rows.items())]
-        return ENCODER.encode((keeper.epoch, sorted(keeper.epochs.items()), rows))
+        rows = [row_to_wire(duty, row) for duty, row in sorted(keeper.records.items())]
+        return ENCODER.encode((keeper.epoch, sorted(keeper.peer_epochs.items()), rows))
 
     def _begin(self, now: int) -> None:
         """Takes the record on once it can be read."""
@@ -177,14 +177,14 @@
         self.has_begun = True
         try:
             epoch, epochs, words = RECORD_DECODER.decode(facts[RECORD_NAME])
-            keeper.take_on(epoch, dict(epochs), {w.duty: row_from_wire(w) for w in words}, whole, now)
+            keeper.load_record(epoch, dict(epochs), {w.duty: row_from_wire(w) for w in words}, whole, now)
         except KeyError:
             pass  # it never was an acceptor, or all of it is lost
         except (msgspec.MsgspecError, MessageError) as error:
             self.log.error("keeper's record unreadable", why=str(error))
-        if not keeper.sound:
-            asks = len(keeper.keepers) - 1
-            self.log.warning("keeper remembers nothing", asks=asks, mute_ms=keeper.length // MS)
+        if not keeper.has_full_record:
+            asks = len(keeper.acceptors) - 1
+            self.log.warning("keeper remembers nothing", asks=asks, mute_ms=keeper.term_length // MS)
 
     # Time.
 
@@ -192,42 +192,42 @@
         """Begins once the record can be read; asks the other acceptors while this one remembers nothing."""
         if not self.has_begun:
             self._begin(now)
-        if self.has_begun and not self.keeper.sound and now >= self.next_learn_at:
+        if self.has_begun and not self.keeper.has_full_record and now >= self.next_learn_at:
             self.next_learn_at = now + LEARN_INTERVAL
             self._ask_others()
 
     def _ask_others(self) -> None:
         keeper = self.keeper
         _, keeper.epoch = self.me()
-        if not keeper.asks_others():
-            keeper.learnt.clear()  # all have told, and it was not enough: anew
-        for other in keeper.asks_others():
+        if not keeper.peers_to_ask():
+            keeper.peer_records.clear()  # all have told, and it was not enough: anew
+        for other in keeper.peers_to_ask():
             self.send(other, self.codec.learn(*self.me(), keeper.epoch))
-        if len(keeper.keepers) == 1:
-            keeper.sound = True  # nobody else to ask
+        if len(keeper.acceptors) == 1:
+            keeper.has_full_record = True  # nobody else to ask
             keeper.unsaved = {EPOCHS}
 
     def promised(self, duty: str) -> int | None:
         """The highest number promised for a lease; None where none was."""
-        row = self.keeper.rows.get(duty)
-        return row.promised if row is not None else None
+        row = self.keeper.records.get(duty)
+        return row.promised_token if row is not None else None
 
     def time_left(self, duty: str, now: int) -> int | None:
         """Milliseconds that the running term of a lease has left here; None where none runs."""
-        if self.keeper.runs(duty, now) is None:
+        if self.keeper.running_term(duty, now) is None:
             return None
-        return (self.keeper.until[duty] - now) // MS
+        return (self.keeper.running_until[duty] - now) // MS
 
     def status(self, now: int) -> dict[str, object]:
         """For operators."""
         keeper = self.keeper
         return {
-            "speaks": self.has_begun and keeper.speaks(now),
-            "sound": keeper.sound,
+            "speaks": self.has_begun and keeper.can_answer(now),
+            "sound": keeper.has_full_record,
             "epoch": keeper.epoch,
             "record": self.disk_sound,
-            "mute_ms": max(0, keeper.mute_until - now) // MS,
+            "mute_ms": max(0, keeper.silent_until - now) // MS,
             "asks": self.asks,
-            "waits_for": keeper.asks_others(),
-            "epochs": dict(keeper.epochs),
+            "waits_for": keeper.peers_to_ask(),
+            "epochs": dict(keeper.peer_epochs),
         }
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -8,9 +8,9 @@
 from collections import Counter
 from typing import Protocol
 
-from oakcroft.config.settings import PeersPlace
-from oakcroft.decisions.fleet.candidate import Candidate
-from oakcroft.decisions.fleet.lease import Term
+from oakcroft.config.settings import PeerSettings
+from oakcroft.decisions.fleet.candidate import LeaseCandidate
+from oakcroft.decisions.fleet.lease import LeaseTerm
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.interface import MS
 from oakcroft.peers.lease_acceptor import AcceptorHost
@@ -19,27 +19,27 @@
 class Leases(Protocol):
     """What is shown of the leases that a front hosts."""
 
-    place: PeersPlace
+    place: PeerSettings
     membership: Membership
     acceptor: AcceptorHost | None
-    candidates: dict[str, Candidate]
+    candidates: dict[str, LeaseCandidate]
     wanted: set[str]
     dropped: Counter[str]
 
-    def owner(self, duty: str) -> Term | None:
+    def owner(self, duty: str) -> LeaseTerm | None:
         """Who has a lease, as far as this front knows."""
 
 
 def lease_status(host: Leases, now: int) -> dict[str, object]:
     """Leases, holders and this front's acceptor."""
     acceptor = host.acceptor
-    known = set(acceptor.keeper.rows) if acceptor is not None else set[str]()
+    known = set(acceptor.keeper.records) if acceptor is not None else set[str]()
     leases = [_one_lease(host, duty, now) for duty in sorted(host.wanted | known)]
     status: dict[str, object] = {
         "name": host.membership.me.name,
         "keepers": list(host.place.keepers),
         "duties": leases,
-        "term_ms": host.place.term // MS,
+        "term_ms": host.place.term_ns // MS,
         "dropped": dict(host.dropped),
     }
     if acceptor is not None:
@@ -51,10 +51,10 @@
     candidate, holder, acceptor = host.candidates.get(duty), host.owner(duty), host.acceptor
     return {
         "duty": duty,
-        "owner": holder.owner if holder is not None else None,
-        "number": holder.number if holder is not None else 0,
-        "mine": candidate is not None and candidate.owns(now) is not None,
-        "course": candidate.course.value if candidate is not None else None,
+        "owner": holder.holder if holder is not None else None,
+        "number": holder.fencing_token if holder is not None else 0,
+        "mine": candidate is not None and candidate.held_term(now) is not None,
+        "course": candidate.state.value if candidate is not None else None,
         "in_line": candidate.rank if candidate is not None else None,
         "promised": acceptor.promised(duty) if acceptor is not None else None,
         "left_ms": acceptor.time_left(duty, now) if acceptor is not None else None,
--- a/oakcroft/peers/leases.py
+++ b/oakcroft/peers/leases.py
@@ -15,11 +15,18 @@
 import structlog
 import trio
 
-from oakcroft.config.settings import PeersPlace
-from oakcroft.decisions.fleet.acceptor import Keeper
-from oakcroft.decisions.fleet.candidate import Candidate, Course, Word
+from oakcroft.config.settings import PeerSettings
+from oakcroft.decisions.fleet.acceptor import LeaseAcceptor
+from oakcroft.decisions.fleet.candidate import LeaseCandidate, CandidateState, AcceptorMessage
 from oakcroft.decisions.membership.rendezvous import rank
-from oakcroft.decisions.fleet.lease import MOST_NUMBER, Answer, Ask, Step, Term, majority
+from oakcroft.decisions.fleet.lease import (
+    NUMBER_LIMIT,
+    LeaseAnswer,
+    LeaseRequest,
+    LeaseMessageKind,
+    LeaseTerm,
+    majority,
+)
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.interface import MS, SECOND
 from oakcroft.peers.lease_acceptor import AcceptorHost, Keeping
@@ -46,7 +53,7 @@
     """All leases of one front, by name ("duty" in the words of operators and of the wire)."""
 
     def __init__(
-        self, place: PeersPlace, ring: KeyRing, membership: Membership, record: Keeping | None, seed: int,
+        self, place: PeerSettings, ring: KeyRing, membership: Membership, record: Keeping | None, seed: int,
         send: Callable[[str, bytes], None], log: structlog.typing.FilteringBoundLogger,
     ) -> None:  # fmt: skip
         """`record` is the state file, which an acceptor needs; `send` takes octets to a front by name."""
@@ -54,19 +61,19 @@
         self.membership = membership
         self.log = log
         self.send = send
-        self.codec = LeaseCodec(place.fleet, ring)
+        self.codec = LeaseCodec(place.fleet_name, ring)
         self.rng = Random(seed)
         self.dropped: Counter[str] = Counter()
         self.acceptor = self._make_acceptor(record)
-        self.candidates: dict[str, Candidate] = {}
+        self.candidates: dict[str, LeaseCandidate] = {}
         self.wanted: set[str] = set()
         self.ranked: list[str] | None = None  # the fronts by which `ranks` were found
         self.ranks: dict[str, int] = {}
-        self.owned: dict[str, Term] = {}  # as the host was last told
+        self.owned: dict[str, LeaseTerm] = {}  # as the host was last told
         self.order_work = OrderWork(self._send_report, log)
         self.orders = self.order_work.by_duty
         self.reports: dict[str, Callable[[str, OrderReport], None]] = {}
-        self.changed: dict[str, Callable[[Term | None], None]] = {}
+        self.changed: dict[str, Callable[[LeaseTerm | None], None]] = {}
         self.floors: dict[str, dict[str, int]] = {}  # by duty and acceptor, the highest number promised
         self.texts: Callable[[str], bytes | None] = lambda _: None  # what this front holds, by digest
         self.nursery: trio.Nursery | None = None
@@ -75,7 +82,7 @@
         place, now = self.place, boot_time()
         if place.name not in place.keepers or record is None:
             return None
-        keeper = Keeper(place.name, place.keepers, place.term, self.membership.me.generation, now)
+        keeper = LeaseAcceptor(place.name, place.keepers, place.term_ns, self.membership.me.generation, now)
         return AcceptorHost(
             keeper, record, self.codec, self._name_and_generation, self._send_to, self.dropped, self.log, now
         )
@@ -87,10 +94,10 @@
         self.wanted.add(duty)
         self.ranked = None
 
-    def term(self, duty: str) -> Term | None:
+    def term(self, duty: str) -> LeaseTerm | None:
         """The term of a lease, while this front may take itself for its holder."""
         candidate = self.candidates.get(duty)
-        return candidate.owns(boot_time()) if candidate is not None else None
+        return candidate.held_term(boot_time()) if candidate is not None else None
 
     def note(self, duty: str) -> bytes:
         """What the holders of a lease have put on record, as this holder found or wrote it."""
@@ -100,31 +107,31 @@
     async def put_on_record(self, duty: str, body: bytes) -> bool:
         """Puts a note on record at a majority; False where the term ended first."""
         candidate = self.candidates.get(duty)
-        if candidate is None or candidate.owns(boot_time()) is None:
+        if candidate is None or candidate.held_term(boot_time()) is None:
             return False
-        self._send_asks(candidate.record(body, boot_time()))
-        key, term = candidate.note.key, candidate.term
-        while candidate.owns(boot_time()) is not None and candidate.term == term:
-            if candidate.settled >= key:
+        self._send_asks(candidate.record_note(body, boot_time()))
+        key, term = candidate.note.version, candidate.term
+        while candidate.held_term(boot_time()) is not None and candidate.term == term:
+            if candidate.recorded_version >= key:
                 return True
             await trio.sleep(RECORD_CHECK_INTERVAL / SECOND)
         return False
 
-    def owner(self, duty: str) -> Term | None:
+    def owner(self, duty: str) -> LeaseTerm | None:
         """Who has a lease, as far as this front knows: by its own term, its acceptor, or what it was told."""
         candidate, now = self.candidates.get(duty), boot_time()
-        seen = self.acceptor.keeper.runs(duty, now) if self.acceptor is not None else None
-        told = candidate.owner(now) if candidate is not None else None
-        return max((t for t in (seen, told) if t is not None), key=lambda t: t.number, default=None)
+        seen = self.acceptor.keeper.running_term(duty, now) if self.acceptor is not None else None
+        told = candidate.known_term(now) if candidate is not None else None
+        return max((t for t in (seen, told) if t is not None), key=lambda t: t.fencing_token, default=None)
 
     def outbid(self, duty: str, number: int) -> None:
         """A resource has seen a higher number than this holder's: it asks for a term over that."""
         candidate = self.candidates.get(duty)
-        if candidate is None or candidate.owns(boot_time()) is None:
+        if candidate is None or candidate.held_term(boot_time()) is None:
             return
-        candidate.highest = max(candidate.highest, min(number, MOST_NUMBER - 2))
-        self._send_asks(candidate.want(False, boot_time()))
-        candidate.want(True, boot_time())
+        candidate.highest_token = max(candidate.highest_token, min(number, NUMBER_LIMIT - 2))
+        self._send_asks(candidate.set_wanted(False, boot_time()))
+        candidate.set_wanted(True, boot_time())
         self._tell_change(duty, candidate, boot_time())
 
     def floor(self, duty: str) -> int | None:
@@ -134,15 +141,15 @@
 
     def look_for_floor(self, duty: str) -> None:
         """Asks the acceptors for it: a number as low as this is refused, with what was promised."""
-        ask = Ask(Step.PREPARE, duty, Term(1, *self.me))
-        self._send_asks([Word(k, ask) for k in self.place.keepers])
+        ask = LeaseRequest(LeaseMessageKind.PREPARE, duty, LeaseTerm(1, *self.me))
+        self._send_asks([AcceptorMessage(k, ask) for k in self.place.keepers])
 
     def give_back(self, duty: str) -> None:
         """An operator has taken the lease from this front: it stands back for a few terms."""
         if (candidate := self.candidates.get(duty)) is not None:
-            self._send_asks(candidate.want(False, boot_time()))
+            self._send_asks(candidate.set_wanted(False, boot_time()))
             candidate.rank = MAX_RANK
-            candidate.want(True, boot_time())
+            candidate.set_wanted(True, boot_time())
 
     # Messages received.
 
@@ -152,7 +159,7 @@
         if self.membership.displaced or self.membership.left:
             return  # another process has this name: it speaks
         sender, message, now = received.sender, received.message, boot_time()
-        if isinstance(message, Answer):
+        if isinstance(message, LeaseAnswer):
             self._receive_answer(message, now)
         elif isinstance(message, Order):
             self.order_work.begin(received, message)
@@ -164,23 +171,23 @@
 
     @staticmethod
     def _pass_to_acceptor(
-        acceptor: AcceptorHost, sender: str, message: Ask | RecordQuestion | RecordPart, now: int
+        acceptor: AcceptorHost, sender: str, message: LeaseRequest | RecordQuestion | RecordPart, now: int
     ) -> None:
-        if isinstance(message, Ask):
+        if isinstance(message, LeaseRequest):
             acceptor.receive_ask(sender, message, now)
         elif isinstance(message, RecordQuestion):
             acceptor.receive_question(sender, message.epoch)
         else:
             acceptor.receive_learnt(sender, message, now)
 
-    def _receive_answer(self, answer: Answer, now: int) -> None:
-        candidate = self.candidates.get(answer.duty)
+    def _receive_answer(self, answer: LeaseAnswer, now: int) -> None:
+        candidate = self.candidates.get(answer.lease_name)
         if candidate is None:
             return
-        if answer.keeper in self.place.keepers:
-            self.floors.setdefault(answer.duty, {})[answer.keeper] = answer.highest
-        self._send_asks(candidate.heard(answer, now))
-        self._tell_change(answer.duty, candidate, now)
+        if answer.acceptor in self.place.keepers:
+            self.floors.setdefault(answer.lease_name, {})[answer.acceptor] = answer.highest_promised
+        self._send_asks(candidate.receive_answer(answer, now))
+        self._tell_change(answer.lease_name, candidate, now)
 
     # Messages sent.
 
@@ -192,10 +199,10 @@
     def _name_and_generation(self) -> tuple[str, int]:
         return self.me
 
-    def _send_asks(self, words: list[Word]) -> None:
+    def _send_asks(self, words: list[AcceptorMessage]) -> None:
         for word in words:
             with suppress(MessageError):
-                self._send_to(word.to, self.codec.ask(*self.me, word.ask))
+                self._send_to(word.acceptor, self.codec.ask(*self.me, word.request))
 
     def order(self, to: str, word: Order) -> None:
         """A holder's order to a front."""
@@ -240,16 +247,16 @@
             self.acceptor.tick(now)
         if self.membership.displaced or self.membership.left:
             for candidate in self.candidates.values():
-                self._send_asks(candidate.want(False, now))
+                self._send_asks(candidate.set_wanted(False, now))
             return
         self._rank()
         for duty in sorted(self.wanted):
             candidate = self._candidate(duty, now)
             rank_now = self.ranks[duty]
-            if candidate.course is Course.IDLE or candidate.rank < MAX_RANK:
+            if candidate.state is CandidateState.IDLE or candidate.rank < MAX_RANK:
                 candidate.rank = rank_now
-            in_line = rank_now < MAX_RANK or candidate.owns(now) is not None
-            self._send_asks(candidate.want(in_line, now))
+            in_line = rank_now < MAX_RANK or candidate.held_term(now) is not None
+            self._send_asks(candidate.set_wanted(in_line, now))
             self._send_asks(candidate.tick(now))
             self._tell_change(duty, candidate, now)
 
@@ -260,28 +267,28 @@
             self.ranked = present
             self.ranks = {duty: rank(duty, self.membership.me.name, present) for duty in self.wanted}
 
-    def _candidate(self, duty: str, now: int) -> Candidate:
+    def _candidate(self, duty: str, now: int) -> LeaseCandidate:
         known = self.candidates.get(duty)
         generation = self.membership.me.generation
-        if known is not None and (known.start == generation or known.owns(now) is not None):
+        if known is not None and (known.generation == generation or known.held_term(now) is not None):
             return known
         place = self.place
-        self.candidates[duty] = candidate = Candidate(
-            duty, self.membership.me.name, generation, place.keepers, place.term, self.rng, generation, now
+        self.candidates[duty] = candidate = LeaseCandidate(
+            duty, self.membership.me.name, generation, place.keepers, place.term_ns, self.rng, generation, now
         )
         return candidate
 
-    def _tell_change(self, duty: str, candidate: Candidate, now: int) -> None:
+    def _tell_change(self, duty: str, candidate: LeaseCandidate, now: int) -> None:
         """Tells of a change of holder, as far as this front is concerned."""
-        term, before = candidate.owns(now), self.owned.get(duty)
+        term, before = candidate.held_term(now), self.owned.get(duty)
         if term == before:
             return
         if term is not None:
             self.owned[duty] = term
-            self.log.info("duty taken", duty=duty, number=term.number, terms=candidate.taken)
+            self.log.info("duty taken", duty=duty, number=term.fencing_token, terms=candidate.terms_won)
         else:
             self.owned.pop(duty, None)
-            self.log.info("duty over", duty=duty, number=before.number if before else 0)
+            self.log.info("duty over", duty=duty, number=before.fencing_token if before else 0)
         if (tell := self.changed.get(duty)) is not None:
             tell(term)
 
@@ -292,4 +299,4 @@
     def leave(self) -> None:
         """The front leaves: its leases pass on at once."""
         for candidate in self.candidates.values():
-            self._send_asks(candidate.want(False, boot_time()))
+            self._send_asks(candidate.set_wanted(False, boot_time()))
--- a/oakcroft/peers/membership_start.py
+++ b/oakcroft/peers/membership_start.py
@@ -8,7 +8,7 @@
 import structlog
 
 from oakcroft import __version__
-from oakcroft.config.settings import PeersPlace
+from oakcroft.config.settings import PeerSettings
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate, commitment
 from oakcroft.decisions.membership.membership import Membership
@@ -22,12 +22,12 @@
 
 
 def begin_membership(
-    place: PeersPlace, zone: str, seed: int, now: int, log: structlog.typing.FilteringBoundLogger
+    place: PeerSettings, zone: str, seed: int, now: int, log: structlog.typing.FilteringBoundLogger
 ) -> HostedMembership:
     """The membership of this start, with a generation over the last one."""
-    generation, trouble = begin_generation(place.starts)
+    generation, trouble = begin_generation(place.start_count_file)
     if trouble:
-        log.warning("start not kept", file=place.starts, why=trouble)
+        log.warning("start not kept", file=place.start_count_file, why=trouble)
     secret = secrets.token_bytes(SECRET_LENGTH)
     me = MemberUpdate(
         place.name, generation, 0, MemberState.ALIVE, *place.advertise, zone, __version__, commitment(secret)
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -13,8 +13,8 @@
 import structlog
 import trio
 
-from oakcroft.config.settings import PeersPlace
-from oakcroft.decisions.fleet.load_sharing import Row
+from oakcroft.config.settings import PeerSettings
+from oakcroft.decisions.fleet.load_sharing import LoadReport
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import Message, MessageKind
@@ -55,7 +55,7 @@
     """One front's part in the fleet's membership. `on_change` is called after each change of it."""
 
     def __init__(
-        self, place: PeersPlace, zone: str, seed: int, clock: Clock, log: structlog.typing.FilteringBoundLogger,
+        self, place: PeerSettings, zone: str, seed: int, clock: Clock, log: structlog.typing.FilteringBoundLogger,
         on_change: Callable[[Membership], None] = lambda _: None, record: Keeping | None = None,
     ) -> None:  # fmt: skip
         """Opens nothing yet. KeyFileError where the key file can't be used; `record` is the state file."""
@@ -67,14 +67,16 @@
         self.received = 0
         self.rate_limit = RateLimit()
         self.key_file = KeyFile(place.key_file, self.now, log)
-        self.codec = MembershipCodec(place.fleet, self.key_file.ring)
-        self.load_codec = LoadCodec(place.fleet, self.key_file.ring)
-        self.on_loads: Callable[[list[Row]], None] | None = None  # who wants other fronts' loads of nodes
+        self.codec = MembershipCodec(place.fleet_name, self.key_file.ring)
+        self.load_codec = LoadCodec(place.fleet_name, self.key_file.ring)
+        self.on_loads: Callable[[list[LoadReport]], None] | None = (
+            None  # who wants other fronts' loads of nodes
+        )
         self.hosted = begin_membership(place, zone, seed, self.now(), log)
         self.membership = own_zone_membership(self.hosted)
         self.zones: ZoneService | None = None
         if isinstance(self.hosted, ZonedMembership):
-            zone_codec = ZoneCodec(place.fleet, self.key_file.ring)
+            zone_codec = ZoneCodec(place.fleet_name, self.key_file.ring)
             self.zones = ZoneService(self.hosted, place.region, zone_codec)
         self.stored_generation = self.membership.me.generation
         self.datagrams = DatagramSocket(place.listen, self.dropped)
@@ -168,8 +170,8 @@
         self.hosted.changes = []
         if membership.me.generation != self.stored_generation:
             self.stored_generation = membership.me.generation
-            if trouble := store_generation(self.place.starts, self.stored_generation):
-                self.log.warning("start not kept", file=self.place.starts, why=trouble)
+            if trouble := store_generation(self.place.start_count_file, self.stored_generation):
+                self.log.warning("start not kept", file=self.place.start_count_file, why=trouble)
         self.on_change(membership)
 
     def _send(self, message: Message | ZoneOut) -> None:
@@ -195,12 +197,12 @@
         if member is not None:
             self.datagrams.send(octets, member.latest.address)
 
-    def send_loads(self, to: str, rows: list[Row]) -> None:
+    def send_loads(self, peer: str, reports: list[LoadReport]) -> None:
         """Loads of nodes, to a member by name."""
         membership = self.membership
         if not membership.displaced and not membership.left:
             me = membership.me
-            self._send_to_member(to, self.load_codec.rows(me.name, me.generation, rows))
+            self._send_to_member(peer, self.load_codec.rows(me.name, me.generation, reports))
 
     # Receiving.
 
@@ -238,7 +240,7 @@
         )
         self._carry_out()
 
-    def _read_loads(self, opened: bytes) -> list[Row]:
+    def _read_loads(self, opened: bytes) -> list[LoadReport]:
         """Loads of nodes: taken of members that this front knows, whatever their generation."""
         sender, rows = self.load_codec.taken(opened)
         if sender not in self.membership.members or self.membership.displaced:
@@ -266,7 +268,7 @@
             self._carry_out()
             self.woken = trio.Event()
             deadline = max(self.hosted.due, self.now() + MS)
-            with trio.move_on_at(self.clock.deadline(deadline)):
+            with trio.move_on_at(self.clock.trio_time(deadline)):
                 await self.woken.wait()
                 await trio.sleep(MS / SECOND)  # what comes together is looked at together
 
--- a/oakcroft/peerwire/lease_codec.py
+++ b/oakcroft/peerwire/lease_codec.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from oakcroft.decisions.fleet.lease import Answer, Ask, Learnt, Step
+from oakcroft.decisions.fleet.lease import LeaseAnswer, LeaseRequest, AcceptorRecord, LeaseMessageKind
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.lease_wire import (
     Order,
@@ -40,7 +40,7 @@
 
 LEASE_FORMAT = 65
 MAX_ACCEPTORS = 7
-STEPS = {step.value: step for step in Step}
+STEPS = {step.value: step for step in LeaseMessageKind}
 ORDER, REPORT, TEXT_QUESTION, TEXT_CHUNK = 32, 33, 34, 35
 """Kinds over those of `Step`: a holder's order to a front, and the front's report; by stream, a text by its digest."""
 
@@ -60,7 +60,7 @@
 TEXT_CHUNK_DECODER = msgspec.msgpack.Decoder(TextChunk)
 
 T = TypeVar("T")
-LeaseMessage = Ask | Answer | RecordQuestion | RecordPart | Order | OrderReport
+LeaseMessage = LeaseRequest | LeaseAnswer | RecordQuestion | RecordPart | Order | OrderReport
 
 
 @dataclass(frozen=True)
@@ -90,33 +90,42 @@
             raise MessageError("too long")
         return octets
 
-    def ask(self, sender: str, start: int, ask: Ask) -> bytes:
+    def ask(self, sender: str, start: int, ask: LeaseRequest) -> bytes:
         """A candidate's message to an acceptor."""
-        wire = WireAsk(ask.duty, term_to_wire(ask.term), ask.seq, ask.length, note_to_wire(ask.note))
-        return self._datagram(sender, start, ask.step.value, wire)
+        wire = WireAsk(
+            ask.lease_name, term_to_wire(ask.term), ask.seq, ask.term_length, note_to_wire(ask.note)
+        )
+        return self._datagram(sender, start, ask.kind.value, wire)
 
-    def answer(self, sender: str, start: int, answer: Answer) -> bytes:
+    def answer(self, sender: str, start: int, answer: LeaseAnswer) -> bytes:
         """An acceptor's message to a candidate."""
-        running = None if answer.running is None else term_to_wire(answer.running)
+        running = None if answer.running_term is None else term_to_wire(answer.running_term)
         wire = WireAnswer(
-            answer.duty, answer.epoch, answer.number, answer.seq, answer.highest, running, answer.left,
-            note_to_wire(answer.note), list(answer.epochs[:MAX_ACCEPTORS]),
-        )  # fmt: skip
-        return self._datagram(sender, start, answer.step.value, wire)
+            answer.lease_name,
+            answer.epoch,
+            answer.fencing_token,
+            answer.seq,
+            answer.highest_promised,
+            running,
+            answer.time_left,
+            note_to_wire(answer.note),
+            list(answer.peer_epochs[:MAX_ACCEPTORS]),
+        )
+        return self._datagram(sender, start, answer.kind.value, wire)
 
     def learn(self, sender: str, start: int, epoch: int) -> bytes:
         """The question of an acceptor that remembers nothing."""
-        return self._datagram(sender, start, Step.LEARN.value, RecordQuestion(epoch))
+        return self._datagram(sender, start, LeaseMessageKind.LEARN.value, RecordQuestion(epoch))
 
-    def learnt(self, sender: str, start: int, told: Learnt) -> list[bytes]:
+    def learnt(self, sender: str, start: int, told: AcceptorRecord) -> list[bytes]:
         """The answer to it, a row a datagram."""
-        parts = max(1, len(told.rows))
+        parts = max(1, len(told.records))
         wire = [
-            RecordPart(told.epoch, told.sound, number, parts, row_to_wire(duty, row))
-            for number, (duty, row) in enumerate(told.rows)
+            RecordPart(told.epoch, told.has_full_record, number, parts, row_to_wire(duty, row))
+            for number, (duty, row) in enumerate(told.records)
         ]
-        wire = wire or [RecordPart(told.epoch, told.sound, 0, 1)]
-        return [self._datagram(sender, start, Step.LEARNT.value, part) for part in wire]
+        wire = wire or [RecordPart(told.epoch, told.has_full_record, 0, 1)]
+        return [self._datagram(sender, start, LeaseMessageKind.LEARNT.value, part) for part in wire]
 
     def order(self, sender: str, start: int, order: Order) -> bytes:
         """A holder's order."""
@@ -194,19 +203,19 @@
     checked_number(message.step)
 
 
-def _read_ask(body: WireBody) -> Ask:
+def _read_ask(body: WireBody) -> LeaseRequest:
     wire = ASK_DECODER.decode(body.payload)
-    return Ask(
+    return LeaseRequest(
         STEPS[body.kind], checked_name(wire.duty), term_from_wire(wire.term), checked_number(wire.seq),
         checked_number(wire.length), note_from_wire(wire.note),
     )  # fmt: skip
 
 
-def _read_answer(body: WireBody) -> Answer:
+def _read_answer(body: WireBody) -> LeaseAnswer:
     wire = ANSWER_DECODER.decode(body.payload)
     epochs = tuple((checked_name(name), checked_number(epoch)) for name, epoch in wire.epochs[:MAX_ACCEPTORS])
     running = None if wire.running is None else term_from_wire(wire.running)
-    return Answer(
+    return LeaseAnswer(
         STEPS[body.kind], checked_name(wire.duty), checked_name(body.sender), checked_number(wire.epoch),
         checked_number(wire.number), checked_number(wire.seq), checked_number(wire.highest), running,
         checked_number(wire.left), note_from_wire(wire.note), epochs,
@@ -214,14 +223,14 @@
 
 
 READERS: dict[int, Callable[[WireBody], LeaseMessage]] = {
-    Step.PREPARE.value: _read_ask,
-    Step.PROPOSE.value: _read_ask,
-    Step.RELEASE.value: _read_ask,
-    Step.PROMISED.value: _read_answer,
-    Step.REFUSED.value: _read_answer,
-    Step.ACCEPTED.value: _read_answer,
-    Step.LEARN.value: lambda body: QUESTION_DECODER.decode(body.payload),
-    Step.LEARNT.value: lambda body: PART_DECODER.decode(body.payload),
+    LeaseMessageKind.PREPARE.value: _read_ask,
+    LeaseMessageKind.PROPOSE.value: _read_ask,
+    LeaseMessageKind.RELEASE.value: _read_ask,
+    LeaseMessageKind.PROMISED.value: _read_answer,
+    LeaseMessageKind.REFUSED.value: _read_answer,
+    LeaseMessageKind.ACCEPTED.value: _read_answer,
+    LeaseMessageKind.LEARN.value: lambda body: QUESTION_DECODER.decode(body.payload),
+    LeaseMessageKind.LEARNT.value: lambda body: PART_DECODER.decode(body.payload),
     ORDER: _read_order,
     REPORT: _read_report,
 }
--- a/oakcroft/peerwire/lease_wire.py
+++ b/oakcroft/peerwire/lease_wire.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from oakcroft.decisions.fleet.lease import MOST_NOTE, MOST_NUMBER, Note, Row, Term
+from oakcroft.decisions.fleet.lease import MAX_NOTE_OCTETS, NUMBER_LIMIT, LeaseNote, LeaseRecord, LeaseTerm
 from oakcroft.peerwire.errors import MessageError
 
 MAX_NAME_LENGTH = 64
@@ -17,7 +17,7 @@
 
 
 class WireTerm(msgspec.Struct, array_like=True):
-    """A `Term` on the wire."""
+    """A `LeaseTerm` on the wire."""
 
     number: int
     owner: str
@@ -25,7 +25,7 @@
 
 
 class WireNote(msgspec.Struct, array_like=True, frozen=True):
-    """A `Note` on the wire."""
+    """A `LeaseNote` on the wire."""
 
     number: int = 0
     step: int = 0
@@ -127,7 +127,7 @@
 
 def checked_number(number: int) -> int:
     """A number that is within bounds. MessageError where it is not."""
-    if not 0 <= number < MOST_NUMBER:
+    if not 0 <= number < NUMBER_LIMIT:
         raise MessageError("malformed")
     return number
 
@@ -139,36 +139,36 @@
     return name
 
 
-def term_to_wire(term: Term) -> WireTerm:
+def term_to_wire(term: LeaseTerm) -> WireTerm:
     """A term for the wire."""
-    return WireTerm(term.number, term.owner, term.start)
+    return WireTerm(term.fencing_token, term.holder, term.generation)
 
 
-def term_from_wire(wire: WireTerm) -> Term:
+def term_from_wire(wire: WireTerm) -> LeaseTerm:
     """A term that has been read. MessageError where it is none."""
-    return Term(checked_number(wire.number), checked_name(wire.owner), checked_number(wire.start))
+    return LeaseTerm(checked_number(wire.number), checked_name(wire.owner), checked_number(wire.start))
 
 
-def note_to_wire(note: Note) -> WireNote:
+def note_to_wire(note: LeaseNote) -> WireNote:
     """A note for the wire."""
-    return WireNote(note.number, note.step, note.body)
+    return WireNote(note.fencing_token, note.step, note.body)
 
 
-def note_from_wire(wire: WireNote) -> Note:
+def note_from_wire(wire: WireNote) -> LeaseNote:
     """A note that has been read. MessageError where it is none."""
-    if len(wire.body) > MOST_NOTE:
+    if len(wire.body) > MAX_NOTE_OCTETS:
         raise MessageError("malformed")
-    return Note(checked_number(wire.number), checked_number(wire.step), wire.body)
+    return LeaseNote(checked_number(wire.number), checked_number(wire.step), wire.body)
 
 
-def row_to_wire(duty: str, row: Row) -> WireRow:
+def row_to_wire(duty: str, row: LeaseRecord) -> WireRow:
     """A row for the wire or the state file."""
-    term = None if row.term is None else term_to_wire(row.term)
-    return WireRow(duty, row.promised, row.to, term, note_to_wire(row.note))
+    term = None if row.accepted_term is None else term_to_wire(row.accepted_term)
+    return WireRow(duty, row.promised_token, row.promised_to, term, note_to_wire(row.note))
 
 
-def row_from_wire(wire: WireRow) -> Row:
+def row_from_wire(wire: WireRow) -> LeaseRecord:
     """A row that has been read. MessageError where it is none."""
     term = None if wire.term is None else term_from_wire(wire.term)
     to = checked_name(wire.to, MAX_PROMISED_TO_LENGTH)
-    return Row(checked_number(wire.promised), to, term, note_from_wire(wire.note))
+    return LeaseRecord(checked_number(wire.promised), to, term, note_from_wire(wire.note))
--- a/oakcroft/peerwire/load_codec.py
+++ b/oakcroft/peerwire/load_codec.py
@@ -13,7 +13,12 @@
 
 import msgspec
 
-from oakcroft.decisions.fleet.load_sharing import MOST_AGE, MOST_ASKED, MOST_ROWS, Row
+from oakcroft.decisions.fleet.load_sharing import (
+    MAX_REPORT_AGE,
+    MAX_LOAD,
+    MAX_REPORTS_PER_MESSAGE,
+    LoadReport,
+)
 from oakcroft.interface import MS
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
@@ -27,8 +32,8 @@
 MARK_LENGTH = 8
 
 Mark = Annotated[bytes, msgspec.Meta(min_length=MARK_LENGTH, max_length=MARK_LENGTH)]
-Load = Annotated[int, msgspec.Meta(ge=0, le=round(MOST_ASKED * THOUSAND))]
-Age = Annotated[int, msgspec.Meta(ge=0, le=MOST_AGE // MS)]
+Load = Annotated[int, msgspec.Meta(ge=0, le=round(MAX_LOAD * THOUSAND))]
+Age = Annotated[int, msgspec.Meta(ge=0, le=MAX_REPORT_AGE // MS)]
 
 
 class WireBody(msgspec.Struct, array_like=True):
@@ -37,7 +42,7 @@
     fleet: str
     sender: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
     start: int
-    rows: Annotated[list[tuple[Mark, Load, Age]], msgspec.Meta(max_length=MOST_ROWS)]
+    rows: Annotated[list[tuple[Mark, Load, Age]], msgspec.Meta(max_length=MAX_REPORTS_PER_MESSAGE)]
 
 
 ENCODER = msgspec.msgpack.Encoder()
@@ -52,9 +57,12 @@
         self.fleet = fleet
         self.ring = ring
 
-    def rows(self, sender: str, start: int, rows: Sequence[Row]) -> bytes:
+    def rows(self, sender: str, start: int, rows: Sequence[LoadReport]) -> bytes:
         """One datagram. Rows that do not fit stay out, the last first."""
-        some = [(r.mark, round(r.asked * THOUSAND), min(r.age, MOST_AGE) // MS) for r in rows[:MOST_ROWS]]
+        some = [
+            (r.process_id, round(r.load * THOUSAND), min(r.age, MAX_REPORT_AGE) // MS)
+            for r in rows[:MAX_REPORTS_PER_MESSAGE]
+        ]
         while True:
             octets = self.ring.seal(
                 bytes((LOAD_FORMAT,)) + ENCODER.encode(WireBody(self.fleet, sender, start, some))
@@ -63,7 +71,7 @@
                 return octets
             some.pop()
 
-    def taken(self, opened: bytes) -> tuple[str, list[Row]]:
+    def taken(self, opened: bytes) -> tuple[str, list[LoadReport]]:
         """Whose figures, and which, of a message that the ring has opened, its form first. MessageError if it is none."""
         try:
             body = DECODER.decode(opened[1:])
@@ -71,4 +79,4 @@
             raise MessageError("malformed") from fault
         if body.fleet != self.fleet:
             raise MessageError("other fleet")
-        return body.sender, [Row(mark, load / THOUSAND, age * MS) for mark, load, age in body.rows]
+        return body.sender, [LoadReport(mark, load / THOUSAND, age * MS) for mark, load, age in body.rows]
