--- a/oakcroft/platform/channel_follower.py
+++ b/oakcroft/platform/channel_follower.py
@@ -10,114 +10,122 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.node_list_freshness import Freshness
-from oakcroft.platform.connection import Link, connect
-from oakcroft.platform.session_coordinator import Owner
+from oakcroft.decisions.fleet.node_list_freshness import NodeListFreshness
+from oakcroft.platform.connection import BufferedConnection, connect
+from oakcroft.platform.session_coordinator import SessionCoordinator
 from oakcroft.platformwire import command_channel
-from oakcroft.platformwire.long_poll import Polling
+from oakcroft.platformwire.long_poll import LongPollConnection
 
-BLOCK = 1_000  # ms that a poll waits for events
-OVERDUE = 0.4  # seconds past that, after which the channel has stopped and is asked again
-CONNECT_WITHIN = 0.5
-FIRST_WAIT, MOST_WAIT = 0.02, 0.2  # between tries, after a break
+POLL_WAIT_MS = 1_000  # ms that a poll waits for events
+POLL_OVERDUE_S = 0.4  # seconds past that, after which the channel has stopped and is asked again
+CONNECT_TIMEOUT_S = 0.5
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.02, 0.2  # between tries, after a break
 
 
-class Follower:
+class ChannelFollower:
     """Asks for events and hands them to the owner."""
 
     def __init__(
-        self, address: tuple[str, int], last: int, owner: Owner, log: structlog.typing.FilteringBoundLogger,
-        start_took: int = 0,
-    ) -> None:  # fmt: skip
-        self.address, self.last, self.owner, self.log = address, last, owner, log
-        self.freshness = Freshness(owner.clock.now(), start_took)
+        self,
+        address: tuple[str, int],
+        last_cursor: int,
+        coordinator: SessionCoordinator,
+        log: structlog.typing.FilteringBoundLogger,
+        start_took_ns: int = 0,
+    ) -> None:
+        self.address, self.last_cursor, self.coordinator, self.log = address, last_cursor, coordinator, log
+        self.freshness = NodeListFreshness(coordinator.clock.now(), start_took_ns)
         self.confirmed = trio.Event()  # the first answer since the start has been handed on
-        self.link: Link | None = None
-        self.polling = Polling(*address)
-        self.until = 0.0  # when the open poll is overdue
-        self.fault = ""  # why the connection is of no further use
-        self.moved = trio.CancelScope()
+        self.connection: BufferedConnection | None = None
+        self.long_poll = LongPollConnection(*address)
+        self.poll_overdue_at = 0.0  # when the open poll is overdue
+        self.failure = ""  # why the connection is of no further use
+        self.connection_scope = trio.CancelScope()
 
-    def turn_to(self, address: tuple[str, int]) -> None:
+    def switch_address(self, address: tuple[str, int]) -> None:
         """Goes on at another address, with the number last heard; the poll at the old one is dropped."""
         if address != self.address:
-            self.log.info("channel moves", after=self.last)
+            self.log.info("channel moves", after=self.last_cursor)
             self.address = address
-            self.freshness.lost()
-            self.moved.cancel()
+            self.freshness.record_loss()
+            self.connection_scope.cancel()
 
     async def run(self) -> None:
         """Follows until it is cancelled."""
-        wait, told = FIRST_WAIT, False
+        wait, told = MIN_RETRY_DELAY_S, False
         while True:
-            with trio.CancelScope() as self.moved:
+            with trio.CancelScope() as self.connection_scope:
                 try:
-                    silent = await self._follow()
-                except (OSError, trio.TooSlowError, command_channel.Unreadable) as fault:
-                    if self.freshness.current or not told:
-                        self.log.warning("channel broken", after=self.last, why=str(fault)[:200])
-                        wait, told = FIRST_WAIT, True
-                    self.freshness.lost()
+                    silent = await self._follow_connection()
+                except (OSError, trio.TooSlowError, command_channel.ChannelError) as fault:
+                    if self.freshness.is_current or not told:
+                        self.log.warning("channel broken", after=self.last_cursor, why=str(fault)[:200])
+                        wait, told = MIN_RETRY_DELAY_S, True
+                    self.freshness.record_loss()
                     await trio.sleep(wait)
-                    wait = min(2 * wait, MOST_WAIT)
+                    wait = min(2 * wait, MAX_RETRY_DELAY_S)
                 else:
                     if silent:
-                        self.log.warning("channel silent", after=self.last)
-                        self.freshness.lost()
+                        self.log.warning("channel silent", after=self.last_cursor)
+                        self.freshness.record_loss()
 
-    async def _follow(self) -> bool:
+    async def _follow_connection(self) -> bool:
         """One connection, until its poll is overdue (True) or the channel has closed it after an answer.
 
         OSError, trio.TooSlowError or channel.Unreadable where it breaks.
         """
         address = self.address
-        sock = await connect(address, CONNECT_WITHIN)
-        self.link, self.polling, self.fault = Link(sock, self.owner.nursery), Polling(*address), ""
+        sock = await connect(address, CONNECT_TIMEOUT_S)
+        self.connection, self.long_poll, self.failure = (
+            BufferedConnection(sock, self.coordinator.nursery),
+            LongPollConnection(*address),
+            "",
+        )
         try:
-            self._ask()
-            while self.link.open and trio.current_time() < self.until:
-                with trio.move_on_at(self.until):
+            self._send_poll()
+            while self.connection.is_open and trio.current_time() < self.poll_overdue_at:
+                with trio.move_on_at(self.poll_overdue_at):
                     await trio.lowlevel.wait_readable(sock)
-                self._take()
+                self._read_answers()
         finally:
-            silent = self.link.open
-            self.link.shut()
-            self.link = None
-        if self.fault:
-            raise command_channel.Unreadable(self.fault)
+            silent = self.connection.is_open
+            self.connection.close()
+            self.connection = None
+        if self.failure:
+            raise command_channel.ChannelError(self.failure)
         return silent
 
-    def _ask(self) -> None:
-        assert self.link is not None
-        block = self.freshness.patience(BLOCK)
-        self.until = trio.current_time() + BLOCK / 1e3 + OVERDUE
-        self.link.write(self.polling.ask(self.last, block))
+    def _send_poll(self) -> None:
+        assert self.connection is not None
+        block = self.freshness.poll_timeout_ms(POLL_WAIT_MS)
+        self.poll_overdue_at = trio.current_time() + POLL_WAIT_MS / 1e3 + POLL_OVERDUE_S
+        self.connection.write(self.long_poll.poll(self.last_cursor, block))
 
-    def _take(self) -> None:
+    def _read_answers(self) -> None:
         """Takes what the channel has said by now, and asks on. Waits for nothing."""
-        while self.link is not None and self.link.open:
+        while self.connection is not None and self.connection.is_open:
             try:
-                data = self.link.sock.recv(65_536)
-                self.polling.receive_data(data)
-                while self.link.open and (answer := self.polling.next_answer()) is not None:
-                    self._heard(*answer)
-                    if self.polling.may_ask:
-                        self._ask()
+                data = self.connection.sock.recv(65_536)
+                self.long_poll.receive_data(data)
+                while self.connection.is_open and (answer := self.long_poll.next_answer()) is not None:
+                    self._apply_answer(*answer)
+                    if self.long_poll.is_ready:
+                        self._send_poll()
                     else:
-                        self.link.shut()  # the channel closes after this answer
+                        self.connection.close()  # the channel closes after this answer
             except BlockingIOError:
                 return
-            except (OSError, command_channel.Unreadable) as fault:
-                self.fault = str(fault) or repr(fault)
-                self.link.shut()
+            except (OSError, command_channel.ChannelError) as fault:
+                self.failure = str(fault) or repr(fault)
+                self.connection.close()
 
-    def _heard(self, last: int, changes: list[command_channel.Change]) -> None:
+    def _apply_answer(self, last_cursor: int, changes: list[command_channel.ListChange]) -> None:
         for number, complete, members in changes:
-            if number > self.last:
-                self.last = number
-                self.owner.listed_at_once(complete, members)
-        self.last = max(self.last, last)
-        if not self.freshness.current and self.freshness.confirmed:
-            self.log.info("channel back", after=self.last)
-        self.freshness.heard()
+            if number > self.last_cursor:
+                self.last_cursor = number
+                self.coordinator.apply_list_immediately(complete, members)
+        self.last_cursor = max(self.last_cursor, last_cursor)
+        if not self.freshness.is_current and self.freshness.is_confirmed:
+            self.log.info("channel back", after=self.last_cursor)
+        self.freshness.record_answer()
         self.confirmed.set()
--- a/oakcroft/platform/connection.py
+++ b/oakcroft/platform/connection.py
@@ -7,65 +7,66 @@
 
 import trio
 
-READ = 16_384
+RECEIVE_BYTES = 16_384
 
 
-class Link:
+class BufferedConnection:
     """A non-blocking socket that is written to at once, from any task and without waiting.
 
     A set-up is written in the same step in which it is decided, so that what has left and what has not is known at
-    every moment: `taken` octets of `queued` are with the kernel. A peer that does not read is cut off when more than
-    `most` octets wait for it: guards memory, and the others' turns, against clients that only ask.
+    every moment: `sent_bytes` octets of `queued_bytes` are with the kernel. A peer that does not read is cut off when
+    more than `max_buffered_bytes` octets wait for it: guards memory, and the others' turns, against clients that only
+    ask.
     """
 
-    def __init__(self, sock: socket.socket, nursery: trio.Nursery, most: int = 65_536) -> None:
-        self.sock, self.nursery, self.most = sock, nursery, most
-        self.out = bytearray()
-        self.queued = self.taken = 0
-        self.open = True
-        self.pumping = False
+    def __init__(self, sock: socket.socket, nursery: trio.Nursery, max_buffered_bytes: int = 65_536) -> None:
+        self.sock, self.nursery, self.max_buffered_bytes = sock, nursery, max_buffered_bytes
+        self.send_buffer = bytearray()
+        self.queued_bytes = self.sent_bytes = 0
+        self.is_open = True
+        self.is_flushing = False
 
     def write(self, data: bytes) -> bool:
         """Writes, or queues what can't be written at once; whether the connection is still of use."""
-        if not self.open:
+        if not self.is_open:
             return False
-        if len(self.out) + len(data) > self.most:
-            self.shut()
+        if len(self.send_buffer) + len(data) > self.max_buffered_bytes:
+            self.close()
             return False
-        self.queued += len(data)
-        self.out += data
+        self.queued_bytes += len(data)
+        self.send_buffer += data
         self._flush()
-        if self.open and self.out and not self.pumping:
-            self.pumping = True
-            self.nursery.start_soon(self._pump)
-        return self.open
+        if self.is_open and self.send_buffer and not self.is_flushing:
+            self.is_flushing = True
+            self.nursery.start_soon(self._flush_when_writable)
+        return self.is_open
 
     def _flush(self) -> None:
         try:
-            while self.out:
-                n = self.sock.send(self.out)
-                del self.out[:n]
-                self.taken += n
+            while self.send_buffer:
+                n = self.sock.send(self.send_buffer)
+                del self.send_buffer[:n]
+                self.sent_bytes += n
         except BlockingIOError:
             pass
         except OSError:
-            self.shut()
+            self.close()
 
-    async def _pump(self) -> None:
+    async def _flush_when_writable(self) -> None:
         try:
-            while self.open and self.out:
+            while self.is_open and self.send_buffer:
                 await trio.lowlevel.wait_writable(self.sock)
                 self._flush()
         except (trio.ClosedResourceError, OSError):
-            self.shut()
+            self.close()
         finally:
-            self.pumping = False
+            self.is_flushing = False
 
     async def read(self) -> bytes:
         """What has come; nothing at its end, however it ended."""
-        while self.open:
+        while self.is_open:
             try:
-                return self.sock.recv(READ)
+                return self.sock.recv(RECEIVE_BYTES)
             except BlockingIOError:
                 pass
             except OSError:
@@ -76,60 +77,60 @@
                 return b""
         return b""
 
-    def ended(self) -> bool:
+    def is_at_end(self) -> bool:
         """Whether the peer has closed or reset a connection on which all that came has been read."""
         try:
-            return self.open and self.sock.recv(1, socket.MSG_PEEK) == b""
+            return self.is_open and self.sock.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
             return False
         except OSError:
             return True
 
-    def unsay(self, said: range) -> bool:
+    def retract(self, queued_range: range) -> bool:
         """Takes back octets that were queued, where none of them is with the kernel; whether that was so."""
-        if not self.open or self.taken > said.start:
+        if not self.is_open or self.sent_bytes > queued_range.start:
             return False
-        at = said.start - self.taken
-        del self.out[at : at + len(said)]
-        self.queued -= len(said)
+        at = queued_range.start - self.sent_bytes
+        del self.send_buffer[at : at + len(queued_range)]
+        self.queued_bytes -= len(queued_range)
         return True
 
-    def closing(self) -> bool:
+    def has_peer_closed(self) -> bool:
         """Whether the peer has closed or reset it, however much of what it sent lies unread."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)  # POLLERR and POLLHUP are told unasked
         return bool(poll.poll(0))
 
-    def finish(self) -> None:
+    def shut_down_writing(self) -> None:
         """Says that nothing more will be written; what the peer has still to say is read."""
-        if self.open:
+        if self.is_open:
             try:
                 self.sock.shutdown(socket.SHUT_WR)
             except OSError:
-                self.shut()
+                self.close()
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Closes it at once; whoever reads it sees its end."""
-        if self.open:
-            self.open = False
+        if self.is_open:
+            self.is_open = False
             trio.lowlevel.notify_closing(self.sock)
             self.sock.close()
-            self.out.clear()
+            self.send_buffer.clear()
 
 
-def prepared(sock: socket.socket) -> socket.socket:
+def configure_socket(sock: socket.socket) -> socket.socket:
     """A socket as links want it: never blocking, small messages sent at once."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-async def connect(address: tuple[str, int], within: float) -> socket.socket:
+async def connect(address: tuple[str, int], timeout_s: float) -> socket.socket:
     """A connection; OSError or trio.TooSlowError where there is none in time. One that is given up is closed."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    sock = prepared(socket.socket(family, socket.SOCK_STREAM))
+    sock = configure_socket(socket.socket(family, socket.SOCK_STREAM))
     try:
-        with trio.fail_after(within):
+        with trio.fail_after(timeout_s):
             try:
                 sock.connect(address)
             except BlockingIOError:
--- a/oakcroft/platform/idle_connections.py
+++ b/oakcroft/platform/idle_connections.py
@@ -7,50 +7,50 @@
 from heapq import nsmallest
 from typing import Generic, Protocol, TypeVar
 
-from oakcroft.decisions.admission.eviction import Evictable, IdleConnection, eviction_order
+from oakcroft.decisions.admission.eviction import EvictionClass, IdleConnection, eviction_order
 from oakcroft.interface import MS
 from oakcroft.running.clock import Clock
 
-CANDIDATES = 16
+MAX_CANDIDATES = 16
 """Found by one look over all connections. In a crowd each newcomer asks for one, and a look at 256 takes 0.3 ms."""
 
-CANDIDATES_KEPT = 50 * MS
+CANDIDATES_VALID_NS = 50 * MS
 
 
-class Connection(Protocol):
+class EvictableConnection(Protocol):
     """What is asked of a connection."""
 
-    open: bool  # this side has not closed it
+    is_open: bool  # this side has not closed it
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is owed on it."""
 
     @property
-    def as_idle(self) -> IdleConnection:
+    def idle_state(self) -> IdleConnection:
         """What its eviction is decided by, where it is idle."""
 
     @property
-    def unread(self) -> int:
+    def unread_count(self) -> int:
         """Whole messages that have not been taken, those in its socket among them."""
 
 
-LinkT = TypeVar("LinkT", bound=Connection)
+ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
 
 
-class IdleConnections(Generic[LinkT]):
+class IdleConnections(Generic[ConnectionT]):
     """The idle ones among the open connections, in the order in which they make room."""
 
-    def __init__(self, connections: Iterable[LinkT], clock: Clock) -> None:
+    def __init__(self, connections: Iterable[ConnectionT], clock: Clock) -> None:
         """`connections`: those that are open, a live view."""
         self._connections, self._clock = connections, clock
-        self._candidates = deque[tuple[LinkT, tuple[Evictable, int]]]()
-        self._found_at = 0
+        self._candidates = deque[tuple[ConnectionT, tuple[EvictionClass, int]]]()
+        self._candidates_found_at = 0
 
-    def first(self) -> LinkT | None:
+    def next_to_evict(self) -> ConnectionT | None:
         """The one that makes room next; None where something is owed on each, or has come on it meanwhile."""
         now = self._clock.now()
-        if now - self._found_at > CANDIDATES_KEPT:
+        if now - self._candidates_found_at > CANDIDATES_VALID_NS:
             self._candidates.clear()
         found = self._next_candidate(now)
         if found is None:
@@ -59,21 +59,23 @@
         return found
 
     def _find_candidates(self, now: int) -> None:
-        idle = [(link, eviction_order(link.as_idle, now)) for link in self._connections if link.idle]
-        self._candidates.extend(nsmallest(CANDIDATES, idle, key=lambda found: found[1]))
-        self._found_at = now
+        idle = [(link, eviction_order(link.idle_state, now)) for link in self._connections if link.is_idle]
+        self._candidates.extend(nsmallest(MAX_CANDIDATES, idle, key=lambda found: found[1]))
+        self._candidates_found_at = now
 
-    def _next_candidate(self, now: int) -> LinkT | None:
+    def _next_candidate(self, now: int) -> ConnectionT | None:
         while self._candidates:
             link, order = self._candidates.popleft()
-            if not self._stands_as_found(link, order, now) or link.unread:
+            if not self._is_unchanged(link, order, now) or link.unread_count:
                 continue
             # Asking for what is unread has read its socket: a part of its request may have come.
-            if self._stands_as_found(link, order, now):
+            if self._is_unchanged(link, order, now):
                 return link
         return None
 
     @staticmethod
-    def _stands_as_found(link: LinkT, order: tuple[Evictable, int], now: int) -> bool:
+    def _is_unchanged(connection: ConnectionT, order: tuple[EvictionClass, int], now: int) -> bool:
         """Guards against closing a connection for what it was when candidates were looked for."""
-        return link.open and link.idle and eviction_order(link.as_idle, now) == order
+        return (
+            connection.is_open and connection.is_idle and eviction_order(connection.idle_state, now) == order
+        )
--- a/oakcroft/platform/node_pool.py
+++ b/oakcroft/platform/node_pool.py
@@ -14,34 +14,43 @@
 
 import trio
 
-from oakcroft.interface import MS, SECOND, Listing, Node, Outcome
-from oakcroft.platform.connection import Link, connect
-from oakcroft.platform.playback_session import NodeEnd, Ticket
+from oakcroft.interface import MS, SECOND, NodeStatus, Node, Outcome
+from oakcroft.platform.connection import BufferedConnection, connect
+from oakcroft.platform.playback_session import NodeEndpoint, PlaybackSession
 from oakcroft.platformwire import json_lines
-from oakcroft.platformwire.framing import Unreadable
+from oakcroft.platformwire.framing import ProtocolError
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
 
-KEPT = 0.6  # of the idle timeout, so that a connection is retired before the node closes it
-GIVEN_UP = 16
-REFUSALS, TIME_OUTS = 2, 5  # consecutive connects that show a node's process to be gone
-OWN_SHORTAGE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # say nothing about the node
-MOST_UNSAID = 512
-READ_OUT = 2 * SECOND  # by then the node has closed a connection that was half-closed here
-AGAIN = 300 * MS  # least time between two connects for maintenance
-
-
-class NodeLink(Link):
+RETIRE_AFTER_IDLE_SHARE = (
+    0.6  # of the idle timeout, so that a connection is retired before the node closes it
+)
+CAUSE_CANCELLED = 16
+REFUSALS_UNTIL_LOST, FAILURES_UNTIL_LOST = 2, 5  # consecutive connects that show a node's process to be gone
+LOCAL_SHORTAGE_ERRNOS = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)  # say nothing about the node
+MAX_UNSENT_MESSAGES = 512
+RETIRED_CLOSE_TIMEOUT_NS = 2 * SECOND  # by then the node has closed a connection that was half-closed here
+CONNECT_INTERVAL_NS = 300 * MS  # least time between two connects for maintenance
+
+
+class NodeConnection(BufferedConnection):
     """A connection to a node, with the set-ups that await an answer on it."""
 
     def __init__(self, sock: socket.socket, nursery: trio.Nursery, now: int) -> None:
         """Wraps a connected socket; `now` counts as its last use."""
         super().__init__(sock, nursery)
-        self.out_here: dict[Ticket, range] = {}  # with the bytes of each, as counted by `queued_bytes`
-        self.used_at = now
+        self.pending_setups: dict[
+            PlaybackSession, range
+        ] = {}  # with the bytes of each, as counted by `queued_bytes`
+        self.last_used_at = now
 
 
-class Pool:
+class NodePool:
     """The connections to one node.
 
     The coordinator's calls take effect at once; what arrives from the node is submitted to the coordinator as
@@ -49,92 +58,128 @@
     """
 
     def __init__(
-        self, node: Node, address: tuple[str, int], most: int, streams: int, idle: int, connect_within: int, silent: int,
-        clock: Clock, nursery: trio.Nursery, tell: Callable[[Event], Awaitable[None]], listener: Listener,
-    ) -> None:  # fmt: skip
+        self,
+        node: Node,
+        address: tuple[str, int],
+        max_connections: int,
+        streams_per_connection: int,
+        idle_timeout_ns: int,
+        connect_timeout_ns: int,
+        silence_timeout_ns: int,
+        clock: Clock,
+        nursery: trio.Nursery,
+        submit: Callable[[Event], Awaitable[None]],
+        listener: NodePoolListener,
+    ) -> None:
         """Creates a pool without connections. Timeouts are in ns."""
-        self.node, self.address, self.most, self.streams = node, address, most, streams
-        self.idle, self.connect_within, self.silent = idle, connect_within, silent
-        self.clock, self.nursery, self.tell, self.listener = clock, nursery, tell, listener
-        self.links: list[NodeLink] = []
-        self.opening = 0
-        self.waiting: dict[Ticket, None] = {}  # set-ups that wait for a connection being opened
-        self.standing: dict[Ticket, None] = {}
-        self.unsaid: deque[bytes] = deque(maxlen=MOST_UNSAID)  # to be sent on the next connection that opens
-        self.refused = self.timed_out = 0
-        self.tried_at = self.heard_at = 0
-        self.retired: dict[NodeLink, int] = {}  # connections that are only read, and since when
-        self.cut = False  # messages may be lost; the node repeats them on the next connection
-        self.gone = False  # removed from the list, or its name has another address
-
-    def set_up(self, t: Ticket) -> None:
+        self.node, self.address, self.max_connections, self.streams_per_connection = (
+            node,
+            address,
+            max_connections,
+            streams_per_connection,
+        )
+        self.idle_timeout_ns, self.connect_timeout_ns, self.silence_timeout_ns = (
+            idle_timeout_ns,
+            connect_timeout_ns,
+            silence_timeout_ns,
+        )
+        self.clock, self.nursery, self.submit, self.listener = clock, nursery, submit, listener
+        self.connections: list[NodeConnection] = []
+        self.opening_count = 0
+        self.waiting_setups: dict[
+            PlaybackSession, None
+        ] = {}  # set-ups that wait for a connection being opened
+        self.playing_sessions: dict[PlaybackSession, None] = {}
+        self.unsent_messages: deque[bytes] = deque(
+            maxlen=MAX_UNSENT_MESSAGES
+        )  # to be sent on the next connection that opens
+        self.consecutive_refusals = self.consecutive_failures = 0
+        self.last_connect_at = self.last_heard_at = 0
+        self.retired_connections: dict[
+            NodeConnection, int
+        ] = {}  # connections that are only read, and since when
+        self.needs_resync = False  # messages may be lost; the node repeats them on the next connection
+        self.is_removed = False  # removed from the list, or its name has another address
+
+    def send_setup(self, session: PlaybackSession) -> None:
         """Sends a set-up: on a connection without one, else on a new connection, else on the least used."""
-        link = self._free()
-        while link is not None and (not link.out_here or len(self.links) + self.opening >= self.most):
-            if self._write(link, t):
+        link = self._least_used_connection()
+        while link is not None and (
+            not link.pending_setups or len(self.connections) + self.opening_count >= self.max_connections
+        ):
+            if self._write_setup(link, session):
                 return
-            link = self._free()
-        self.waiting[t] = None
-        room = len(self.links) + self.opening < self.most
-        if (link is None and not self.opening) or (self.opening < len(self.waiting) and room):
-            self._open()
+            link = self._least_used_connection()
+        self.waiting_setups[session] = None
+        room = len(self.connections) + self.opening_count < self.max_connections
+        if (link is None and not self.opening_count) or (
+            self.opening_count < len(self.waiting_setups) and room
+        ):
+            self._open_connection()
 
-    def _free(self) -> NodeLink | None:
+    def _least_used_connection(self) -> NodeConnection | None:
         """The least used connection that can take a set-up; None if there is none.
 
         A connection that the node has closed is never used: a set-up that may have been read there cannot be
         sent again.
         """
-        usable = list[NodeLink]()
-        for link in list(self.links):
-            if link.ended():
-                if not link.out_here:
-                    self._drop(link)
-            elif link.open and len(link.out_here) < self.streams and not self._retires(link):
+        usable = list[NodeConnection]()
+        for link in list(self.connections):
+            if link.is_at_end():
+                if not link.pending_setups:
+                    self._discard_connection(link)
+            elif (
+                link.is_open
+                and len(link.pending_setups) < self.streams_per_connection
+                and not self._is_due_to_retire(link)
+            ):
                 usable.append(link)
-        return min(usable, key=lambda x: len(x.out_here), default=None)
+        return min(usable, key=lambda x: len(x.pending_setups), default=None)
 
-    def _retires(self, link: NodeLink) -> bool:
+    def _is_due_to_retire(self, connection: NodeConnection) -> bool:
         """Whether the connection has been idle for so long that the node may soon close it."""
-        return self.clock.now() - link.used_at > KEPT * self.idle
+        return self.clock.now() - connection.last_used_at > RETIRE_AFTER_IDLE_SHARE * self.idle_timeout_ns
 
-    def _write(self, link: NodeLink, t: Ticket) -> bool:
+    def _write_setup(self, connection: NodeConnection, session: PlaybackSession) -> bool:
         """Sends a set-up on a connection; returns whether nothing more is to be done for it here.
 
         The viewer is checked immediately before sending.
         """
-        if self.listener.gone(t):
+        if self.listener.cancel_if_viewer_gone(session):
             return True
         now = self.clock.now()
-        left = max(1, (t.until - now) // MS)
+        left = max(1, (session.abandon_at - now) // MS)
         attrs: json_lines.Attributes = {
-            "class": t.plan_name,
+            "class": session.plan_name,
             "left": str(left),
-            "key": t.pb.title.name,
-            "rung": str(t.pb.rung),
+            "key": session.playback.title.name,
+            "rung": str(session.playback.rung),
         }
-        before = link.queued
+        before = connection.queued_bytes
         if (
-            not link.write(json_lines.encode("open", t.id, attrs, None, t.description))
-            and link.taken <= before
+            not connection.write(json_lines.encode("open", session.id, attrs, None, session.description))
+            and connection.sent_bytes <= before
         ):
-            self._drop(link)  # no byte of it was sent, so it can go to another connection
+            self._discard_connection(connection)  # no byte of it was sent, so it can go to another connection
             return False
-        t.link = link
-        link.out_here[t], link.used_at = range(before, link.queued), now
+        session.node_connection = connection
+        connection.pending_setups[session], connection.last_used_at = (
+            range(before, connection.queued_bytes),
+            now,
+        )
         return True
 
-    def give_up(self, t: Ticket) -> bool:
+    def cancel_setup(self, session: PlaybackSession) -> bool:
         """Cancels a set-up that nobody waits for; returns whether the node cannot have received all of it."""
-        link = t.link
-        unsaid = link is None or self._unsaid(link, t)
+        link = session.node_connection
+        unsaid = link is None or self._retract_setup(link, session)
         if link is not None and not unsaid:
-            link.write(json_lines.encode("close", t.id, {}, GIVEN_UP))
-        self.settled(t)
+            link.write(json_lines.encode("close", session.id, {}, CAUSE_CANCELLED))
+        self.setup_finished(session)
         return unsaid
 
     @staticmethod
-    def _unsaid(link: NodeEnd, t: Ticket) -> bool:
+    def _retract_setup(connection: NodeEndpoint, session: PlaybackSession) -> bool:
         """Removes a set-up from the send buffer; returns whether the node cannot have received all of it.
 
         If a part of it has been sent, the connection is closed, unless it is used by other set-ups. So a
@@ -142,226 +187,263 @@
         if the node does not read. The drawback: messages on their way from the node on a closed connection
         arrive later.
         """
-        said = link.out_here[t]
-        if link.unsay(said):
-            for other, where in link.out_here.items():
+        said = connection.pending_setups[session]
+        if connection.retract(said):
+            for other, where in connection.pending_setups.items():
                 if where.start > said.start:
-                    link.out_here[other] = range(where.start - len(said), where.stop - len(said))
+                    connection.pending_setups[other] = range(where.start - len(said), where.stop - len(said))
             return True
-        if link.taken < said.stop and len(link.out_here) == 1:
-            link.shut()
+        if connection.sent_bytes < said.stop and len(connection.pending_setups) == 1:
+            connection.close()
             return True
         return False
 
-    def settled(self, t: Ticket) -> None:
+    def setup_finished(self, session: PlaybackSession) -> None:
         """A set-up is over; its connection takes the next one that waits."""
-        self.waiting.pop(t, None)
-        if t.link is not None:
-            t.link.out_here.pop(t, None)
-            t.link = None
-        while self.waiting and (free := self._free()) is not None and not free.out_here:
-            waits = next(iter(self.waiting))
-            del self.waiting[waits]
-            if not self._write(free, waits):
-                self.set_up(waits)
+        self.waiting_setups.pop(session, None)
+        if session.node_connection is not None:
+            session.node_connection.pending_setups.pop(session, None)
+            session.node_connection = None
+        while (
+            self.waiting_setups
+            and (free := self._least_used_connection()) is not None
+            and not free.pending_setups
+        ):
+            waits = next(iter(self.waiting_setups))
+            del self.waiting_setups[waits]
+            if not self._write_setup(free, waits):
+                self.send_setup(waits)
                 return
 
-    def withdraw(self) -> None:
+    def cancel_unsent_setups(self) -> None:
         """The node takes nothing new: set-ups that wait for a connection or in a send buffer are not sent."""
-        stuck, self.waiting = list(self.waiting), {}
-        stuck += [t for link in self.links for t in list(link.out_here) if self._unsaid(link, t)]
+        stuck, self.waiting_setups = list(self.waiting_setups), {}
+        stuck += [
+            t for link in self.connections for t in list(link.pending_setups) if self._retract_setup(link, t)
+        ]
         for t in stuck:
-            self.settled(t)
-            self.listener.tried(t, Outcome.NOT_SENT, None)
+            self.setup_finished(t)
+            self.listener.try_ended(t, Outcome.NOT_SENT, None)
 
-    def say(self, kind: str, session: str, attrs: json_lines.Attributes, code: int | None = None) -> None:
+    def send_message(
+        self, kind: str, session_id: str, attributes: json_lines.Attributes, code: int | None = None
+    ) -> None:
         """Sends a message about a playback on any open connection, else on the next one that opens."""
-        message = json_lines.encode(kind, session, attrs, code)
-        for link in self.links:
-            if link.open and not link.ended() and link.write(message):
+        message = json_lines.encode(kind, session_id, attributes, code)
+        for link in self.connections:
+            if link.is_open and not link.is_at_end() and link.write(message):
                 return
-        self.unsaid.append(message)
-        self.look(self.clock.now())
+        self.unsent_messages.append(message)
+        self.maintain(self.clock.now())
 
-    def _open(self, spare: int = 0) -> None:
+    def _open_connection(self, min_idle_ns: int = 0) -> None:
         """Starts a connect. If no descriptor is free, another node's connection is closed that was idle for
         `min_idle_ns`.
         """
-        self.opening += 1
-        self.tried_at = self.clock.now()
-        if self.listener.may_open(self, spare):
+        self.opening_count += 1
+        self.last_connect_at = self.clock.now()
+        if self.listener.make_room_for_connection(self, min_idle_ns):
             self.nursery.start_soon(self._connect)
         else:
             none = OSError(errno.EMFILE, "connections to nodes have their part of the descriptors")
-            self.nursery.start_soon(self.tell, partial(self._unreached, none))
+            self.nursery.start_soon(self.submit, partial(self._on_connect_failed, none))
 
     async def _connect(self) -> None:
         """Connects, and then reads the connection until it ends."""
         try:
-            sock = await connect(self.address, self.connect_within / SECOND)
+            sock = await connect(self.address, self.connect_timeout_ns / SECOND)
         except (OSError, trio.TooSlowError) as error:
-            await self.tell(partial(self._unreached, error))
+            await self.submit(partial(self._on_connect_failed, error))
             return
-        link = NodeLink(sock, self.nursery, self.clock.now())
-        await self.tell(partial(self._connected, link))
-        await self._read(link)
+        link = NodeConnection(sock, self.nursery, self.clock.now())
+        await self.submit(partial(self._on_connected, link))
+        await self._read_messages(link)
 
-    def _connected(self, link: NodeLink) -> None:
+    def _on_connected(self, connection: NodeConnection) -> None:
         """Sends what waits for a connection."""
-        self.opening -= 1
-        self.refused = self.timed_out = 0
-        self.heard_at = self.clock.now()
-        if self.gone and not self.standing and not self.waiting:
-            link.shut()
+        self.opening_count -= 1
+        self.consecutive_refusals = self.consecutive_failures = 0
+        self.last_heard_at = self.clock.now()
+        if self.is_removed and not self.playing_sessions and not self.waiting_setups:
+            connection.close()
             return
-        self.links.append(link)
-        while self.unsaid and link.write(self.unsaid[0]):
-            self.unsaid.popleft()
-        for t in list(self.waiting):
-            if link.out_here and self.opening:
+        self.connections.append(connection)
+        while self.unsent_messages and connection.write(self.unsent_messages[0]):
+            self.unsent_messages.popleft()
+        for t in list(self.waiting_setups):
+            if connection.pending_setups and self.opening_count:
                 break  # the other set-ups wait for connections that are being opened
-            del self.waiting[t]
-            if not self._write(link, t):
-                self.set_up(t)
+            del self.waiting_setups[t]
+            if not self._write_setup(connection, t):
+                self.send_setup(t)
                 return
 
-    def _unreached(self, error: Exception) -> None:
+    def _on_connect_failed(self, error: Exception) -> None:
         """A connect failed: set-ups that wait go to a used connection or end, and the node may count as lost."""
-        self.opening -= 1
-        short = isinstance(error, OSError) and error.errno in OWN_SHORTAGE
+        self.opening_count -= 1
+        short = isinstance(error, OSError) and error.errno in LOCAL_SHORTAGE_ERRNOS
         if short:
-            self.listener.unreadable(self, "no descriptor left")
+            self.listener.node_failed(self, "no descriptor left")
         else:
-            self.refused = self.refused + 1 if isinstance(error, ConnectionRefusedError) else 0
-            self.timed_out += 1
-        if not self.opening:
-            stuck, self.waiting = list(self.waiting), {}
+            self.consecutive_refusals = (
+                self.consecutive_refusals + 1 if isinstance(error, ConnectionRefusedError) else 0
+            )
+            self.consecutive_failures += 1
+        if not self.opening_count:
+            stuck, self.waiting_setups = list(self.waiting_setups), {}
             for t in stuck:
-                link = self._free()  # a connection in use is acceptable when no other can be opened
-                if link is None or not self._write(link, t):
-                    self.listener.tried(t, Outcome.NOT_SENT if short else Outcome.NO_CONNECTION, None)
-        alive = any(x.open for x in self.links) and self.clock.now() - self.heard_at <= self.silent
-        if not alive and (self.refused >= REFUSALS or self.timed_out >= TIME_OUTS):
-            self.listener.lost(self, "no connection")
-
-    async def _read(self, link: NodeLink) -> None:
+                link = (
+                    self._least_used_connection()
+                )  # a connection in use is acceptable when no other can be opened
+                if link is None or not self._write_setup(link, t):
+                    self.listener.try_ended(t, Outcome.NOT_SENT if short else Outcome.NO_CONNECTION, None)
+        alive = (
+            any(x.is_open for x in self.connections)
+            and self.clock.now() - self.last_heard_at <= self.silence_timeout_ns
+        )
+        if not alive and (
+            self.consecutive_refusals >= REFUSALS_UNTIL_LOST
+            or self.consecutive_failures >= FAILURES_UNTIL_LOST
+        ):
+            self.listener.node_lost(self, "no connection")
+
+    async def _read_messages(self, connection: NodeConnection) -> None:
         """Submits the messages of a connection until it ends; closes it if the data is unreadable."""
-        heard, why = json_lines.Lines(), ""
+        heard, why = json_lines.LineDecoder(), ""
         try:
-            while data := await link.read():
+            while data := await connection.read():
                 heard.receive_data(data)
                 while (event := heard.next_event()) is not None:
-                    await self.tell(partial(self.listener.said, self, link, *event))
-        except Unreadable as fault:
+                    await self.submit(partial(self.listener.message_received, self, connection, *event))
+        except ProtocolError as fault:
             why = str(fault)
-            link.shut()
-        await self.tell(partial(self._ended, link, why))
+            connection.close()
+        await self.submit(partial(self._on_connection_ended, connection, why))
 
-    def _ended(self, link: NodeLink, why: str) -> None:
+    def _on_connection_ended(self, connection: NodeConnection, reason: str) -> None:
         """A connection ended: its tries end according to how much of them was sent."""
-        if why:
-            self.listener.unreadable(self, why)
-        if self.retired.pop(link, None) is None:
-            self.cut = True
-        self._drop(link)
-        if self.standing:
-            self.look(self.clock.now())
-
-    def _drop(self, link: NodeLink) -> None:
+        if reason:
+            self.listener.node_failed(self, reason)
+        if self.retired_connections.pop(connection, None) is None:
+            self.needs_resync = True
+        self._discard_connection(connection)
+        if self.playing_sessions:
+            self.maintain(self.clock.now())
+
+    def _discard_connection(self, connection: NodeConnection) -> None:
         """Closes a connection and ends its tries: `RESET` if the kernel accepted any of it, else `NOT_SENT`."""
-        if link in self.links:
-            self.links.remove(link)
-        out, link.out_here = link.out_here, {}
-        link.shut()
+        if connection in self.connections:
+            self.connections.remove(connection)
+        out, connection.pending_setups = connection.pending_setups, {}
+        connection.close()
         for t, said in out.items():
-            t.link = None
-            self.listener.tried(t, Outcome.RESET if link.taken > said.start else Outcome.NOT_SENT, None)
+            t.node_connection = None
+            self.listener.try_ended(
+                t, Outcome.RESET if connection.sent_bytes > said.start else Outcome.NOT_SENT, None
+            )
 
-    def look(self, now: int) -> None:
+    def maintain(self, now: int) -> None:
         """Maintains the connections.
 
         Retires connections before the node closes them, keeps a fresh one while sessions play, and opens
         another to a node that has been silent for too long, which shows whether it is still there.
         """
-        for link in list(self.links):
-            if not link.out_here and self._retires(link):
-                self._retire(link, now)
-        for link, since in list(self.retired.items()):
-            if now - since > READ_OUT:
-                link.shut()
-        if self.gone or self.opening or not self.standing or now - self.tried_at < AGAIN:
+        for link in list(self.connections):
+            if not link.pending_setups and self._is_due_to_retire(link):
+                self._retire_connection(link, now)
+        for link, since in list(self.retired_connections.items()):
+            if now - since > RETIRED_CLOSE_TIMEOUT_NS:
+                link.close()
+        if (
+            self.is_removed
+            or self.opening_count
+            or not self.playing_sessions
+            or now - self.last_connect_at < CONNECT_INTERVAL_NS
+        ):
             return
-        if not self.links or self.cut or (self.timed_out or now - self.heard_at > self.silent):
-            spare = [x for x in self.links if not x.out_here]
-            if spare and len(self.links) >= max(2, self.most):
-                self._retire(spare[0], now)
-            self.cut = False
-            self._open(READ_OUT)
-
-    def _retire(self, link: NodeLink, now: int) -> None:
+        if (
+            not self.connections
+            or self.needs_resync
+            or (self.consecutive_failures or now - self.last_heard_at > self.silence_timeout_ns)
+        ):
+            spare = [x for x in self.connections if not x.pending_setups]
+            if spare and len(self.connections) >= max(2, self.max_connections):
+                self._retire_connection(spare[0], now)
+            self.needs_resync = False
+            self._open_connection(RETIRED_CLOSE_TIMEOUT_NS)
+
+    def _retire_connection(self, connection: NodeConnection, now: int) -> None:
         """Half-closes a connection and only reads it from now on, so that the end of a playback on its way
         here is not lost.
         """
-        self.links.remove(link)
-        self.retired[link] = now
-        link.finish()
+        self.connections.remove(connection)
+        self.retired_connections[connection] = now
+        connection.shut_down_writing()
 
     def close(self) -> None:
         """Closes all connections; the node is gone for good."""
-        for link in [*self.links, *self.retired]:
-            self._drop(link)
+        for link in [*self.connections, *self.retired_connections]:
+            self._discard_connection(link)
 
     @property
-    def descriptors(self) -> int:
+    def descriptor_count(self) -> int:
         """Number of descriptors that its connections hold or are about to hold."""
-        return len(self.links) + self.opening + len(self.retired)
+        return len(self.connections) + self.opening_count + len(self.retired_connections)
 
-    def let_go(self, link: NodeLink) -> None:
+    def close_idle_connection(self, connection: NodeConnection) -> None:
         """Closes an idle connection to give its descriptor to another node. The node repeats lost messages on
         the next one.
         """
-        self.cut = True
-        self._drop(link)
+        self.needs_resync = True
+        self._discard_connection(connection)
 
     @property
-    def unused(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether no session, set-up or connection attempt needs the pool."""
         return not (
-            self.standing
-            or self.waiting
-            or self.opening
-            or self.retired
-            or any(x.out_here for x in self.links)
+            self.playing_sessions
+            or self.waiting_setups
+            or self.opening_count
+            or self.retired_connections
+            or any(x.pending_setups for x in self.connections)
         )
 
     @property
-    def listed(self) -> bool:
+    def is_listed(self) -> bool:
         """Whether the node is on the list."""
-        return self.node.listing is not Listing.GONE and not self.gone
+        return self.node.status is not NodeStatus.GONE and not self.is_removed
 
 
-class Listener(Protocol):
+class NodePoolListener(Protocol):
     """What a pool reports to and asks; implemented by the session coordinator."""
 
-    def may_open(self, pool: Pool, spare: int) -> bool:
+    def make_room_for_connection(self, pool: NodePool, min_idle_ns: int) -> bool:
         """Whether a descriptor is free for one more connection, if need be by closing another that was idle
         for `min_idle_ns`.
         """
 
-    def gone(self, t: Ticket) -> bool:
+    def cancel_if_viewer_gone(self, session: PlaybackSession) -> bool:
         """Cancels a set-up that is about to be sent if its viewer has left; returns whether it did."""
 
-    def said(
-        self, pool: Pool, link: NodeLink, kind: str, session: str, attrs: json_lines.Attributes, code: int | None,
+    def message_received(
+        self,
+        pool: NodePool,
+        connection: NodeConnection,
+        kind: str,
+        session_id: str,
+        attributes: json_lines.Attributes,
+        code: int | None,
         text: str | None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A message arrived from the node."""
 
-    def tried(self, t: Ticket, outcome: Outcome, load: dict[str, float] | None) -> None:
+    def try_ended(
+        self, session: PlaybackSession, outcome: Outcome, load_report: dict[str, float] | None
+    ) -> None:
         """A setup try ended without an answer."""
 
-    def lost(self, pool: Pool, why: str) -> None:
+    def node_lost(self, pool: NodePool, reason: str) -> None:
         """The node's process is gone, with all sessions that played there."""
 
-    def unreadable(self, pool: Pool, why: str) -> None:
+    def node_failed(self, pool: NodePool, reason: str) -> None:
         """The node sent unreadable data, or could not be reached for lack of local resources."""
--- a/oakcroft/platform/playback_session.py
+++ b/oakcroft/platform/playback_session.py
@@ -11,107 +11,114 @@
 from oakcroft.platformwire import json_lines
 
 
-class ViewerEnd(Protocol):
+class ViewerEndpoint(Protocol):
     """What a session needs of its viewer's connection."""
 
-    sessions: int  # playing sessions whose set-up came on it
+    session_count: int  # playing sessions whose set-up came on it
     has_served: bool  # a set-up that came on it became a session
 
     @property
-    def open_here(self) -> dict[str, Ticket]:
+    def open_setups(self) -> dict[str, PlaybackSession]:
         """The set-ups open on it, by session id."""
 
     @property
-    def asked(self) -> dict[str, Asked]:
+    def queued_requests(self) -> dict[str, SetupRequest]:
         """The requests from it that wait in the coordinator's inbox, by session id."""
 
     def write(self, data: bytes) -> bool:
         """Sends or buffers data; returns whether the connection is still usable."""
 
-    def ended(self) -> bool:
+    def is_at_end(self) -> bool:
         """Whether the peer has closed it and everything received has been read."""
 
-    def gone(self, session: str) -> bool:
+    def has_viewer_left(self, session_id: str) -> bool:
         """Whether the viewer of a set-up has left or released it, as far as its socket shows now."""
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Closes it at once."""
 
 
-class NodeEnd(Protocol):
+class NodeEndpoint(Protocol):
     """What a setup try needs of the connection it was sent on."""
 
-    taken: int  # bytes accepted by the kernel since the start
+    sent_bytes: int  # bytes accepted by the kernel since the start
 
-    def unsay(self, said: range) -> bool:
+    def retract(self, queued_range: range) -> bool:
         """Removes bytes that were queued, if the kernel has accepted none of them; returns whether it did."""
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Closes it at once."""
 
     @property
-    def out_here(self) -> dict[Ticket, range]:
+    def pending_setups(self) -> dict[PlaybackSession, range]:
         """The set-ups that await an answer on it, with the bytes of each."""
 
     def write(self, data: bytes) -> bool:
         """Sends or buffers data; returns whether the connection is still usable."""
 
 
-class NodeSide(Protocol):
+class SessionNode(Protocol):
     """What a session needs of the node it plays on or is being set up on."""
 
     @property
-    def standing(self) -> dict[Ticket, None]:
+    def playing_sessions(self) -> dict[PlaybackSession, None]:
         """The sessions that play there."""
 
-    def set_up(self, t: Ticket) -> None:
+    def send_setup(self, session: PlaybackSession) -> None:
         """Sends a set-up."""
 
-    def give_up(self, t: Ticket) -> bool:
+    def cancel_setup(self, session: PlaybackSession) -> bool:
         """Cancels a set-up that nobody waits for; returns whether the node cannot have received all of it."""
 
-    def settled(self, t: Ticket) -> None:
+    def setup_finished(self, session: PlaybackSession) -> None:
         """A set-up is over."""
 
-    def say(self, kind: str, session: str, attrs: json_lines.Attributes, code: int | None = None) -> None:
+    def send_message(
+        self, kind: str, session_id: str, attributes: json_lines.Attributes, code: int | None = None
+    ) -> None:
         """Sends a message about a playback."""
 
-    def look(self, now: int) -> None:
+    def maintain(self, now: int) -> None:
         """Keeps a connection open while sessions play there."""
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
+class SetupRequest:
     """A set-up request that has been queued and that the coordinator has not processed yet. Times are in ns."""
 
-    link: ViewerEnd
-    session: str
-    written: int  # the earliest time at which the viewer may have sent it
+    connection: ViewerEndpoint
+    session_id: str
+    written_at: int  # the earliest time at which the viewer may have sent it
     plan_name: str
-    wait: int
-    title: str
-    home: int
+    wait_ns: int
+    title_name: str
+    home_cell: int
     copies: int
-    top: int
+    top_rung: int
     description: str
-    at: str  # the node on which it plays already; "" for a new set-up
+    playing_node: str  # the node on which it plays already; "" for a new set-up
     withdrawn: bool = False  # its viewer has left or released it
 
 
-class Ticket:
+class PlaybackSession:
     """One playback's viewer, node and setup try; its state is in the decision module's `Playback`."""
 
     def __init__(
-        self, session: str, pb: Playback, plan_name: str, description: str, viewer: ViewerEnd | None
+        self,
+        session_id: str,
+        playback: Playback,
+        plan_name: str,
+        description: str,
+        viewer: ViewerEndpoint | None,
     ) -> None:
         """A session that has not been sent to a node yet."""
-        self.id, self.pb, self.plan_name, self.description, self.viewer = (
-            session,
-            pb,
+        self.id, self.playback, self.plan_name, self.description, self.viewer = (
+            session_id,
+            playback,
             plan_name,
             description,
             viewer,
         )
-        self.pool: NodeSide | None = None  # of its current try, or of the node it plays on
-        self.link: NodeEnd | None = None  # while its set-up awaits an answer there
-        self.until = self.timer = self.began_at = 0  # `began_at` is 0 until it plays
+        self.pool: SessionNode | None = None  # of its current try, or of the node it plays on
+        self.node_connection: NodeEndpoint | None = None  # while its set-up awaits an answer there
+        self.abandon_at = self.timer_id = self.began_at = 0  # `began_at` is 0 until it plays
--- a/oakcroft/platform/releases.py
+++ b/oakcroft/platform/releases.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 
 from oakcroft.decisions.sessions.release_delivery import ReleaseTarget, UnconfirmedReleases, target_order
-from oakcroft.platform.playback_session import ViewerEnd
+from oakcroft.platform.playback_session import ViewerEndpoint
 from oakcroft.running.clock import Clock
 
-MAX_OWED = 4_096  # releases that wait for a viewer's connection; beyond it the oldest is dropped
+MAX_UNSENT = 4_096  # releases that wait for a viewer's connection; beyond it the oldest is dropped
 
 
 @dataclass
@@ -18,8 +18,8 @@
     """One release: the message, the connection of its session's set-up, and the connections it was sent on."""
 
     message: bytes
-    own: ViewerEnd | None
-    sent_on: list[ViewerEnd] = field(default_factory=list)
+    own_connection: ViewerEndpoint | None
+    sent_on: list[ViewerEndpoint] = field(default_factory=list)
 
 
 class Releases:
@@ -29,63 +29,63 @@
     the connection breaks.
     """
 
-    def __init__(self, clock: Clock, connections: Iterable[ViewerEnd]) -> None:
+    def __init__(self, clock: Clock, connections: Iterable[ViewerEndpoint]) -> None:
         """`connections` is a live view of the open connections."""
         self.clock, self.connections = clock, connections
-        self.owed = OrderedDict[str, _Release]()  # by session id, for the next connection that opens
+        self.unsent = OrderedDict[str, _Release]()  # by session id, for the next connection that opens
         self.unconfirmed = UnconfirmedReleases()
-        self._under_way: dict[str, _Release] = {}
+        self._awaiting_confirmation: dict[str, _Release] = {}
 
-    def send(self, session: str, message: bytes, own: ViewerEnd | None) -> None:
+    def send(self, session_id: str, message: bytes, own_connection: ViewerEndpoint | None) -> None:
         """Sends a release on the session's own connection, else on another, else on the next one that opens."""
-        release = _Release(message, own)
-        if self._attempt(session, release):
+        release = _Release(message, own_connection)
+        if self._attempt(session_id, release):
             return
-        self.owed[session] = release
-        if len(self.owed) > MAX_OWED:
-            self.owed.popitem(last=False)
+        self.unsent[session_id] = release
+        if len(self.unsent) > MAX_UNSENT:
+            self.unsent.popitem(last=False)
 
-    def opened(self, connection: ViewerEnd) -> None:
+    def connection_opened(self, connection: ViewerEndpoint) -> None:
         """Sends the releases that wait for a connection on one that has just opened."""
-        for session, release in list(self.owed.items()):
+        for session, release in list(self.unsent.items()):
             if not self._send_on(connection, session, release):
                 return
-            del self.owed[session]
+            del self.unsent[session]
 
-    def confirmed(self, session: str) -> None:
+    def confirmed(self, session_id: str) -> None:
         """A viewer's side has received the release."""
-        self.unconfirmed.confirmed(session)
-        self._under_way.pop(session, None)
+        self.unconfirmed.confirm(session_id)
+        self._awaiting_confirmation.pop(session_id, None)
 
-    def look(self) -> None:
+    def resend_overdue(self) -> None:
         """Sends unconfirmed releases again if there is another connection to send them on."""
         for session in self.unconfirmed.overdue(self.clock.now()):
-            if not self._attempt(session, self._under_way[session]):
-                self.unconfirmed.confirmed(session)
-        for session in [s for s in self._under_way if s not in self.unconfirmed]:
-            del self._under_way[session]
+            if not self._attempt(session, self._awaiting_confirmation[session]):
+                self.unconfirmed.confirm(session)
+        for session in [s for s in self._awaiting_confirmation if s not in self.unconfirmed]:
+            del self._awaiting_confirmation[session]
 
-    def _attempt(self, session: str, release: _Release) -> bool:
+    def _attempt(self, session_id: str, release: _Release) -> bool:
         """Sends a release on the best connection that it was not sent on yet; returns whether there was one."""
-        return any(self._send_on(connection, session, release) for connection in self._targets(release))
+        return any(self._send_on(connection, session_id, release) for connection in self._targets(release))
 
-    def _targets(self, release: _Release) -> list[ViewerEnd]:
+    def _targets(self, release: _Release) -> list[ViewerEndpoint]:
         """The connections that the release may be sent on next, the best first."""
-        candidates = dict.fromkeys([release.own, *self.connections])
+        candidates = dict.fromkeys([release.own_connection, *self.connections])
         untried = [c for c in candidates if c is not None and c not in release.sent_on]
 
-        def order(connection: ViewerEnd) -> tuple[bool, bool, bool]:
-            own = connection is release.own
-            return target_order(ReleaseTarget(own, connection.has_served, connection.sessions))
+        def order(connection: ViewerEndpoint) -> tuple[bool, bool, bool]:
+            own = connection is release.own_connection
+            return target_order(ReleaseTarget(own, connection.has_served, connection.session_count))
 
         return sorted(untried, key=order)
 
-    def _send_on(self, connection: ViewerEnd, session: str, release: _Release) -> bool:
+    def _send_on(self, connection: ViewerEndpoint, session_id: str, release: _Release) -> bool:
         """Sends a release on one connection; returns whether the connection was usable."""
-        if connection.ended() or not connection.write(release.message):
+        if connection.is_at_end() or not connection.write(release.message):
             return False
         release.sent_on.append(connection)
-        if connection is not release.own:
-            self._under_way[session] = release
-            self.unconfirmed.sent(session, self.clock.now())
+        if connection is not release.own_connection:
+            self._awaiting_confirmation[session_id] = release
+            self.unconfirmed.record_sent(session_id, self.clock.now())
         return True
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -14,45 +14,53 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.shutdown import Course, Stopping
+from oakcroft.decisions.fleet.shutdown import FrontState, Shutdown
 from oakcroft.interface import MS, SECOND
-from oakcroft.platform.channel_follower import Follower
-from oakcroft.platform.connection import prepared
-from oakcroft.platform.session_coordinator import Owner
-from oakcroft.platform.viewers import BACKLOG, Viewers
-from oakcroft.platformwire.configuration import Configuration, Faulty, decode
+from oakcroft.platform.channel_follower import ChannelFollower
+from oakcroft.platform.connection import configure_socket
+from oakcroft.platform.session_coordinator import SessionCoordinator
+from oakcroft.platform.viewers import LISTEN_BACKLOG, ViewerServer
+from oakcroft.platformwire.configuration import Configuration, ConfigurationError, decode
 from oakcroft.running.clock import Clock
-from oakcroft.running.collections import spare_collections
-from oakcroft.running.logs import set_up
+from oakcroft.running.collections import reduce_gc_frequency
+from oakcroft.running.logs import configure_logging
 
-FAULTY = 2
-MOST_LINES = 50
-LISTENS = 750 * MS  # connections and requests still arrive for a while after the stop signal
-LEAST_DRAIN = 3 * SECOND + 300 * MS  # playbacks continue for so long
+EXIT_CONFIGURATION_ERROR = 2
+MAX_LOG_LINES_PER_SECOND = 50
+ACCEPT_AFTER_STOP_NS = 750 * MS  # connections and requests still arrive for a while after the stop signal
+MIN_DRAIN_NS = 3 * SECOND + 300 * MS  # playbacks continue for so long
 # The platform kills the process a fixed delay after the longest abandon time, which counts as 3 s at least.
-LEAST_LONGEST, KILLED_AFTER = 3 * SECOND, 700 * MS
-BEFORE_KILL, LAST_ANSWER = (
+MIN_LONGEST_ABANDON_NS, KILL_DELAY_NS = 3 * SECOND, 700 * MS
+EXIT_BEFORE_KILL_NS, LAST_ANSWER_BEFORE_KILL_NS = (
     200 * MS,
     350 * MS,
 )  # the process ends, and the last answer is given, so long before
-FAREWELL = 500 * MS  # for answers and releases that wait for a slow reader
+FLUSH_TIMEOUT_NS = 500 * MS  # for answers and releases that wait for a slow reader
 
 
-class Platform:
+class PlatformFrontEnd:
     """A front end on the platform's protocol; `run` serves until it is stopped."""
 
     def __init__(
-        self, told: Configuration, log: structlog.typing.FilteringBoundLogger, file: Path | None = None,
-        start_took: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        configuration: Configuration,
+        log: structlog.typing.FilteringBoundLogger,
+        configuration_file: Path | None = None,
+        start_took_ns: int = 0,
+    ) -> None:
         """`configuration_file` is read again on reload; `start_took_ns` is the time the process has spent
         starting.
         """
-        self.told, self.log, self.file, self.start_took = told, log, file, start_took
+        self.configuration, self.log, self.configuration_file, self.start_took_ns = (
+            configuration,
+            log,
+            configuration_file,
+            start_took_ns,
+        )
         self.serving = trio.Event()
-        self.owner: Owner | None = None
-        self.viewers: Viewers | None = None
-        self.follower: Follower | None = None
+        self.coordinator: SessionCoordinator | None = None
+        self.viewer_server: ViewerServer | None = None
+        self.channel_follower: ChannelFollower | None = None
         self.port = 0
 
     async def run(
@@ -66,133 +74,146 @@
         `ready` receives the port once the front end listens; setting `stop` acts like a stop signal. Raises
         OSError if the address cannot be bound.
         """
-        family = socket.AF_INET6 if ":" in self.told.listen[0] else socket.AF_INET
+        family = socket.AF_INET6 if ":" in self.configuration.listen_address[0] else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        prepared(listener).bind(self.told.listen)
+        configure_socket(listener).bind(self.configuration.listen_address)
         self.port = listener.getsockname()[1]
         clock = Clock()
-        longest = max(LEAST_DRAIN, *self.told.waits.values())
-        self.killed_after = max(LEAST_LONGEST, *self.told.waits.values()) + KILLED_AFTER
-        stopping = Stopping(longest, FAREWELL, longest, self.killed_after - BEFORE_KILL)
+        longest = max(MIN_DRAIN_NS, *self.configuration.abandon_ns_by_plan.values())
+        self.kill_after_ns = (
+            max(MIN_LONGEST_ABANDON_NS, *self.configuration.abandon_ns_by_plan.values()) + KILL_DELAY_NS
+        )
+        stopping = Shutdown(longest, FLUSH_TIMEOUT_NS, longest, self.kill_after_ns - EXIT_BEFORE_KILL_NS)
         async with trio.open_nursery() as nursery:
-            self.owner = owner = Owner(self.told, clock, nursery, self.log)
-            self.viewers = Viewers(listener, self.told.sockets // 2, owner, clock, nursery, self.log)
-            last, changes = self.told.known
-            self.follower = Follower(self.told.channel, last, owner, self.log, self.start_took)
+            self.coordinator = owner = SessionCoordinator(self.configuration, clock, nursery, self.log)
+            self.viewer_server = ViewerServer(
+                listener, self.configuration.max_sockets // 2, owner, clock, nursery, self.log
+            )
+            last, changes = self.configuration.known_events
+            self.channel_follower = ChannelFollower(
+                self.configuration.channel_address, last, owner, self.log, self.start_took_ns
+            )
             if signals:
-                nursery.start_soon(self._signals, stopping, clock)
+                nursery.start_soon(self._handle_signals, stopping, clock)
             if stop is not None:
-                nursery.start_soon(self._stopped, stop, stopping, clock)
-            for task in (owner.run, owner.beat, owner.alarms.run, owner.look_after):
+                nursery.start_soon(self._wait_for_stop, stop, stopping, clock)
+            for task in (owner.run, owner.monitor_lag, owner.timers.run, owner.run_maintenance):
                 nursery.start_soon(task)
             for _, complete, members in changes:
-                owner.listed_at_once(complete, members)
-            nursery.start_soon(self.follower.run)
-            nursery.start_soon(self._open, listener, stopping, clock, nursery, ready)
-            await self._watch(stopping, clock)
-            self.log.info("gone", open=owner.setting_up, playing=len(owner.tickets))
+                owner.apply_list_immediately(complete, members)
+            nursery.start_soon(self.channel_follower.run)
+            nursery.start_soon(self._open_listener, listener, stopping, clock, nursery, ready)
+            await self._run_until_gone(stopping, clock)
+            self.log.info("gone", open=owner.setup_count, playing=len(owner.sessions))
             nursery.cancel_scope.cancel()
 
-    async def _open(
-        self, listener: socket.socket, stopping: Stopping, clock: Clock, nursery: trio.Nursery,
+    async def _open_listener(
+        self, listener: socket.socket, stopping: Shutdown, clock: Clock, nursery: trio.Nursery,
         ready: Callable[[int], Awaitable[None]] | None,
     ) -> None:  # fmt: skip
         """Starts to listen once the node list may be used; until then connections are refused."""
-        assert self.follower is not None
-        assert self.owner is not None
-        freshness = self.follower.freshness
-        with trio.move_on_at(clock.deadline(freshness.opens_by)):
-            await self.follower.confirmed.wait()
-        if not freshness.confirmed:
-            self.log.warning("opened on the kept list", after=self.follower.last)
-        await self.owner.tell(partial(self._serve, listener, stopping, clock, nursery))
+        assert self.channel_follower is not None
+        assert self.coordinator is not None
+        freshness = self.channel_follower.freshness
+        with trio.move_on_at(clock.trio_time(freshness.opens_at_latest)):
+            await self.channel_follower.confirmed.wait()
+        if not freshness.is_confirmed:
+            self.log.warning("opened on the kept list", after=self.channel_follower.last_cursor)
+        await self.coordinator.submit(partial(self._start_serving, listener, stopping, clock, nursery))
         await self.serving.wait()
         if ready is not None:
             await ready(self.port)
 
-    def _serve(
-        self, listener: socket.socket, stopping: Stopping, clock: Clock, nursery: trio.Nursery
+    def _start_serving(
+        self, listener: socket.socket, stopping: Shutdown, clock: Clock, nursery: trio.Nursery
     ) -> None:
         """Starts to listen and to pass the platform's tests; runs after the known list has been applied.
 
         Listening and the change of state happen in one step, so a stop signal finds either a front end that
         nobody can have reached, or one that owes answers.
         """
-        assert self.viewers is not None
-        if stopping.course is not Course.STARTING:
+        assert self.viewer_server is not None
+        if stopping.state is not FrontState.STARTING:
             return
-        listener.listen(BACKLOG)
-        stopping.serve(clock.now())
-        self.viewers.ready = True
-        nursery.start_soon(self.viewers.run)
+        listener.listen(LISTEN_BACKLOG)
+        stopping.start_serving(clock.now())
+        self.viewer_server.is_ready = True
+        nursery.start_soon(self.viewer_server.run)
         self.serving.set()
         self.log.info(
-            "serving", sockets=self.told.sockets, fronts=self.told.terms.fronts, front=self.told.terms.front
+            "serving",
+            sockets=self.configuration.max_sockets,
+            fronts=self.configuration.terms.front_count,
+            front=self.configuration.terms.front_index,
         )
 
-    async def _watch(self, stopping: Stopping, clock: Clock) -> None:
+    async def _run_until_gone(self, stopping: Shutdown, clock: Clock) -> None:
         """Returns when the front end has shut down. The shutdown itself ends no playback."""
-        assert self.owner is not None
-        assert self.viewers is not None
+        assert self.coordinator is not None
+        assert self.viewer_server is not None
         while True:
             await trio.sleep(0.05)
             now = clock.now()
-            if self.viewers.tested and not self.owner.began:
-                self.owner.began = now
-            if stopping.course in (Course.STARTING, Course.SERVING):
+            if self.viewer_server.was_tested and not self.coordinator.first_tested_at:
+                self.coordinator.first_tested_at = now
+            if stopping.state in (FrontState.STARTING, FrontState.SERVING):
                 continue
-            if stopping.course is Course.DRAINING and now - stopping.since < LISTENS:
+            if stopping.state is FrontState.DRAINING and now - stopping.state_since < ACCEPT_AFTER_STOP_NS:
                 continue
-            self.viewers.stop()
-            owed = self.owner.setting_up + self.viewers.unanswered
-            unsaid = self.viewers.unsaid + self.owner.unsaid
-            if stopping.look(owed, self.owner.playing, owed + unsaid, now) is Course.GONE:
+            self.viewer_server.stop()
+            owed = self.coordinator.setup_count + self.viewer_server.unanswered_count
+            unsaid = self.viewer_server.unsent_count + self.coordinator.unsent_count
+            if stopping.advance(owed, self.coordinator.playing_count, owed + unsaid, now) is FrontState.GONE:
                 return
 
-    async def _signals(self, stopping: Stopping, clock: Clock) -> None:
+    async def _handle_signals(self, stopping: Shutdown, clock: Clock) -> None:
         """Reloads on SIGHUP, and stops on SIGTERM and SIGINT."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             async for number in received:
                 if number == signal.SIGHUP:
                     self.reload()
                 else:
-                    self._stop(stopping, clock, signal.Signals(number).name)
+                    self._begin_stop(stopping, clock, signal.Signals(number).name)
 
-    async def _stopped(self, stop: trio.Event, stopping: Stopping, clock: Clock) -> None:
+    async def _wait_for_stop(self, stop: trio.Event, stopping: Shutdown, clock: Clock) -> None:
         """Stops when the event is set."""
         await stop.wait()
-        self._stop(stopping, clock, "none")
+        self._begin_stop(stopping, clock, "none")
 
-    def _stop(self, stopping: Stopping, clock: Clock, name: str) -> None:
+    def _begin_stop(self, stopping: Shutdown, clock: Clock, signal_name: str) -> None:
         """Starts the shutdown. Requests that arrive in time are still served, but must be answered before the
         process ends.
         """
-        assert self.owner is not None
+        assert self.coordinator is not None
         now = clock.now()
-        if stopping.signal(now):
-            self.log.info("stop signal", signal=name, course=stopping.course.value)
-        if stopping.course is Course.DRAINING and stopping.since == now:
-            self.owner.closes_at = now + LISTENS
-            self.owner.ends_at = now + self.killed_after - LAST_ANSWER
+        if stopping.handle_stop_signal(now):
+            self.log.info("stop signal", signal=signal_name, course=stopping.state.value)
+        if stopping.state is FrontState.DRAINING and stopping.state_since == now:
+            self.coordinator.setups_close_at = now + ACCEPT_AFTER_STOP_NS
+            self.coordinator.last_answer_at = now + self.kill_after_ns - LAST_ANSWER_BEFORE_KILL_NS
 
     def reload(self) -> None:
         """Reads the configuration file again. Only the command channel's address may change; a faulty file
         changes nothing.
         """
-        assert self.follower is not None
+        assert self.channel_follower is not None
         try:
-            told = decode(self.file.read_bytes()) if self.file is not None else self.told
-        except (OSError, Faulty) as fault:
+            told = (
+                decode(self.configuration_file.read_bytes())
+                if self.configuration_file is not None
+                else self.configuration
+            )
+        except (OSError, ConfigurationError) as fault:
             self.log.warning("configuration not taken", why=str(fault)[:200])
             return
-        same = told.settings == self.told.settings
+        same = told.settings == self.configuration.settings
         self.log.info(
             "configuration taken",
-            after=self.follower.last,
+            after=self.channel_follower.last_cursor,
             settings="unchanged" if same else "kept till restart",
         )
-        self.follower.turn_to(told.channel)
+        self.channel_follower.switch_address(told.channel_address)
 
 
 def main() -> int:
@@ -201,13 +222,13 @@
     name = os.environ.get("PROXY_CONFIG", "")
     try:
         if not name:
-            raise Faulty("PROXY_CONFIG is not set")
+            raise ConfigurationError("PROXY_CONFIG is not set")
         told = decode(Path(name).read_bytes())
-    except (OSError, Faulty) as fault:
+    except (OSError, ConfigurationError) as fault:
         print(f"oakcroft: configuration: {fault}", file=sys.stderr)
-        return FAULTY
-    log = set_up("json", told.terms.front, sys.stdout, MOST_LINES)
-    spare_collections()
+        return EXIT_CONFIGURATION_ERROR
+    log = configure_logging("json", told.terms.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND)
+    reduce_gc_frequency()
     took = time.process_time_ns() / max(told.cores, 0.01)  # with its share of a core
-    trio.run(Platform(told, log, Path(name), round(took)).run)
+    trio.run(PlatformFrontEnd(told, log, Path(name), round(took)).run)
     return 0
--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -18,539 +18,650 @@
 
 from oakcroft import terms
 from oakcroft.choice import Controller
-from oakcroft.decisions.admission.deadlines import BEAT, Stillness, due, margin
-from oakcroft.decisions.routing.title_cache import Shelf
-from oakcroft.interface import MS, SECOND, Effect, ListKind, Node, Note, Outcome, Playback
-from oakcroft.interface import State
-from oakcroft.platform.timers import Alarms
+from oakcroft.decisions.admission.deadlines import (
+    HEARTBEAT_INTERVAL_NS,
+    PauseDetector,
+    request_deadline,
+    response_margin,
+)
+from oakcroft.decisions.routing.title_cache import TitleCache
+from oakcroft.interface import MS, SECOND, Effect, NodeListKind, Node, PlaybackMetric, Outcome, Playback
+from oakcroft.interface import PlaybackState
+from oakcroft.platform.timers import TimerQueue
 from oakcroft.platform.node_pools import MAX_CONNECTIONS_PER_NODE, NodePools
-from oakcroft.platform.node_pool import GIVEN_UP, NodeLink, Pool
+from oakcroft.platform.node_pool import CAUSE_CANCELLED, NodeConnection, NodePool
 from oakcroft.platform.releases import Releases
-from oakcroft.platform.playback_session import Asked, Ticket, ViewerEnd
-from oakcroft.platform.viewers import FAILED, OVER, REFUSED, ViewerLink, release
+from oakcroft.platform.playback_session import SetupRequest, PlaybackSession, ViewerEndpoint
+from oakcroft.platform.viewers import (
+    CAUSE_FAILED,
+    CAUSE_ENDED,
+    CAUSE_REJECTED,
+    ViewerConnection,
+    encode_release,
+)
 from oakcroft.platformwire import command_channel, framing, json_lines
 from oakcroft.platformwire.configuration import Configuration
-from oakcroft.platformwire.number_parsing import finite
+from oakcroft.platformwire.number_parsing import parse_finite
 from oakcroft.running.clock import Clock
-from oakcroft.running.inbox import Event, handle_all
-
-MOST_EVENTS = 2_048
-MOST_TITLES = 1_024
-MOST_OPEN = 1_024
-MOST_PLAYING = 8_192
-MOST_EARLY = 4_096  # sessions for which nodes send messages before viewers hand them over
-HELD_PART = 8  # an eighth of the memory limit is for descriptions of set-ups that wait for an answer
-WAY_BACK = 15 * MS  # part of a viewer's wait that is reserved for the answer's way back
-HANDED_OVER = 15 * SECOND  # after the platform's first test; viewers hand over older playbacks by then
-MOST_SPENT = 4_096
+from oakcroft.running.inbox import Event, handle_events
+
+MAX_QUEUED_EVENTS = 2_048
+MAX_TITLES = 1_024
+MAX_OPEN_SETUPS = 1_024
+MAX_SESSIONS = 8_192
+MAX_EARLY_SESSIONS = 4_096  # sessions for which nodes send messages before viewers hand them over
+DESCRIPTION_MEMORY_DIVISOR = (
+    8  # an eighth of the memory limit is for descriptions of set-ups that wait for an answer
+)
+ANSWER_MARGIN_NS = 15 * MS  # part of a viewer's wait that is reserved for the answer's way back
+HANDOVER_WINDOW_NS = 15 * SECOND  # after the platform's first test; viewers hand over older playbacks by then
+MAX_SPENT_IDS = 4_096
 NEVER = 1 << 62
 # Leaves time for the connects that show a node to be gone: the ends of its sessions are due within 8 s.
-UNTOLD_SILENCE = 4 * SECOND
-CUT_WITHIN = 2 * SECOND  # for a node to confirm the end of a playback that its viewer ended
+SILENCE_WITHOUT_REPORTS_NS = 4 * SECOND
+CLOSE_CONFIRMATION_TIMEOUT_NS = (
+    2 * SECOND
+)  # for a node to confirm the end of a playback that its viewer ended
 
 
-class Owner:
+class SessionCoordinator:
     """Owns the state of all sessions; the decision module's host on the platform."""
 
     def __init__(
-        self, told: Configuration, clock: Clock, nursery: trio.Nursery, log: structlog.typing.FilteringBoundLogger,
-    ) -> None:  # fmt: skip
+        self,
+        configuration: Configuration,
+        clock: Clock,
+        nursery: trio.Nursery,
+        log: structlog.typing.FilteringBoundLogger,
+    ) -> None:
         """Creates the coordinator and its decision module; `run` starts handling events."""
-        self.told, self.clock, self.nursery, self.logger = told, clock, nursery, log
-        self.events, self.inbox = trio.open_memory_channel[Event](MOST_EVENTS)
-        self.alarms = Alarms(clock, self.tell)
-        self.stillness = Stillness(clock.now())
-        self.lag = 0
-        self.titles = Shelf(MOST_TITLES, told.terms.cells, 0, {})
-        self.tickets: dict[str, Ticket] = {}
-        self.of: dict[Playback, Ticket] = {}
-        self.node_pools = NodePools(told, clock, self, self._make_pool)
-        self.viewers: dict[ViewerLink, None] = {}
-        self.releases = Releases(clock, self.viewers)
-        self.early: dict[str, deque[Event]] = {}  # by session id, for sessions that are not handed over yet
-        self.setting_up = 0
-        self.held = 0  # characters in the descriptions of open and queued set-ups
-        self.most_held = told.memory // HELD_PART
+        self.configuration, self.clock, self.nursery, self.logger = configuration, clock, nursery, log
+        self.event_sender, self.inbox = trio.open_memory_channel[Event](MAX_QUEUED_EVENTS)
+        self.timers = TimerQueue(clock, self.submit)
+        self.stillness = PauseDetector(clock.now())
+        self.lag_ns = 0
+        self.titles = TitleCache(MAX_TITLES, configuration.terms.cell_count, 0, {})
+        self.sessions: dict[str, PlaybackSession] = {}
+        self.sessions_by_playback: dict[Playback, PlaybackSession] = {}
+        self.node_pools = NodePools(configuration, clock, self, self._make_pool)
+        self.viewer_connections: dict[ViewerConnection, None] = {}
+        self.releases = Releases(clock, self.viewer_connections)
+        self.early_messages: dict[
+            str, deque[Event]
+        ] = {}  # by session id, for sessions that are not handed over yet
+        self.setup_count = 0
+        self.held_chars = 0  # characters in the descriptions of open and queued set-ups
+        self.max_held_chars = configuration.memory_bytes // DESCRIPTION_MEMORY_DIVISOR
         self.counts: dict[str, int] = {}
         # Nodes report the link load of each playback at a fixed interval, so one that is silent for longer may be
         # gone. Where nodes do not report unasked, silence says little, and an occasional connect checks the node.
-        every = told.terms.reports_every
-        self.silent = 3 * every // 2 + told.terms.seen_after + SECOND // 4 if every else UNTOLD_SILENCE
-        self.began = 0
-        self.work: deque[Event] = deque()
-        self.coming: dict[str, Asked] = {}  # set-up requests that wait in the inbox
-        self.spent = OrderedDict[str, None]()  # ids whose set-up was sent and must not be repeated
-        self.closes_at = self.ends_at = NEVER  # set when the front end is told to stop
-        self.controller = Controller(told.terms, told.seed, self, clock.now())
+        every = configuration.terms.report_interval_ns
+        self.silence_timeout_ns = (
+            3 * every // 2 + configuration.terms.report_delay_ns + SECOND // 4
+            if every
+            else SILENCE_WITHOUT_REPORTS_NS
+        )
+        self.first_tested_at = 0
+        self.pending_decisions: deque[Event] = deque()
+        self.queued_requests: dict[str, SetupRequest] = {}  # set-up requests that wait in the inbox
+        self.spent_ids = OrderedDict[str, None]()  # ids whose set-up was sent and must not be repeated
+        self.setups_close_at = self.last_answer_at = NEVER  # set when the front end is told to stop
+        self.controller = Controller(configuration.terms, configuration.seed, self, clock.now())
 
     @property
-    def unsaid(self) -> int:
+    def unsent_count(self) -> int:
         """Number of nodes with messages that wait for a connection or for the node to read."""
-        return self.node_pools.unsaid
+        return self.node_pools.unsent_count
 
     @property
-    def pools(self) -> dict[str, Pool]:
+    def pools(self) -> dict[str, NodePool]:
         """The connection pool of each listed node, by the node's name."""
         return self.node_pools.by_name
 
-    def _make_pool(self, node: Node, address: tuple[str, int]) -> Pool:
+    def _make_pool(self, node: Node, address: tuple[str, int]) -> NodePool:
         """Creates the connection pool of a node at an address."""
-        return Pool(
-            node, address, MAX_CONNECTIONS_PER_NODE, self.told.streams, self.told.idle, self.told.connect_within,
-            self.silent, self.clock, self.nursery, self.tell, self,
-        )  # fmt: skip
+        return NodePool(
+            node,
+            address,
+            MAX_CONNECTIONS_PER_NODE,
+            self.configuration.streams_per_connection,
+            self.configuration.idle_timeout_ns,
+            self.configuration.connect_timeout_ns,
+            self.silence_timeout_ns,
+            self.clock,
+            self.nursery,
+            self.submit,
+            self,
+        )
 
     @property
-    def playing(self) -> int:
+    def playing_count(self) -> int:
         """Number of sessions that play."""
-        return len(self.tickets) - self.setting_up
+        return len(self.sessions) - self.setup_count
 
     async def run(self) -> None:
         """Handles events until it is cancelled."""
-        self._carry_out()
-        await handle_all(self.inbox, self._handle)
+        self._run_pending_decisions()
+        await handle_events(self.inbox, self._handle_event)
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         """Handles one event and carries out the decisions that follow from it."""
         try:
             event()
         except Exception as fault:  # no single event may stop the front end and with it all sessions
             self.logger.error("event failed", error=repr(fault), exc_info=fault)
-        self._carry_out()
+        self._run_pending_decisions()
 
-    def _carry_out(self) -> None:
+    def _run_pending_decisions(self) -> None:
         """Carries out queued decisions, including those that are queued meanwhile."""
-        while self.work:
-            work = self.work.popleft()
+        while self.pending_decisions:
+            work = self.pending_decisions.popleft()
             try:
                 work()
             except Exception as fault:
                 self.logger.error("decision not carried out", error=repr(fault), exc_info=fault)
 
-    async def tell(self, event: Event) -> None:
+    async def submit(self, event: Event) -> None:
         """Submits an event; waits while the inbox is full."""
-        await self.events.send(event)
+        await self.event_sender.send(event)
 
-    async def beat(self) -> None:
+    async def monitor_lag(self) -> None:
         """Measures how late this process runs its tasks, and detects pauses of the whole process."""
         while True:
             before = self.clock.now()
-            await trio.sleep(BEAT / SECOND)
+            await trio.sleep(HEARTBEAT_INTERVAL_NS / SECOND)
             now = self.clock.now()
-            late = max(0, now - before - BEAT)
-            self.lag = max(late, self.lag * 7 // 8)
-            if stood := self.stillness.beat(now):
-                self.logger.warning("stood still", ms=stood // MS, open=self.setting_up)
+            late = max(0, now - before - HEARTBEAT_INTERVAL_NS)
+            self.lag_ns = max(late, self.lag_ns * 7 // 8)
+            if stood := self.stillness.heartbeat(now):
+                self.logger.warning("stood still", ms=stood // MS, open=self.setup_count)
 
-    async def look_after(self) -> None:
+    async def run_maintenance(self) -> None:
         """Maintains connections and releases at a fixed interval, and logs the counters now and then."""
         looks = 0
         while True:
             await trio.sleep(0.1)
-            await self.tell(self._look)
+            await self.submit(self._maintain)
             looks += 1
             if looks % 50 == 0:
-                self.logger.info("figures", open=self.setting_up, playing=self.playing,
-                                 viewers=len(self.viewers), node_links=self.node_pools.connections,
+                self.logger.info("figures", open=self.setup_count, playing=self.playing_count,
+                                 viewers=len(self.viewer_connections), node_links=self.node_pools.connection_count,
                                  titles=len(self.titles.titles), nodes=len(self.pools), x=round(self.controller.x, 3),
-                                 lag_ms=self.lag // MS, **self.counts)  # fmt: skip
+                                 lag_ms=self.lag_ns // MS, **self.counts)  # fmt: skip
 
-    def _look(self) -> None:
+    def _maintain(self) -> None:
         """Resends releases, drops early messages once the handover window is over, and maintains the pools."""
         now = self.clock.now()
-        self.releases.look()
-        if self.early and self._handed_over_all(now):
-            self.early.clear()
-        self.node_pools.look(now)
+        self.releases.resend_overdue()
+        if self.early_messages and self._is_handover_window_over(now):
+            self.early_messages.clear()
+        self.node_pools.maintain(now)
 
-    def count(self, what: str, why: str = "") -> None:
+    def count(self, category: str, detail: str = "") -> None:
         """Counts an event of a category by its detail, under at most 64 different names."""
-        name = f"{what}: {why}".replace(" ", "_")[:60]
+        name = f"{category}: {detail}".replace(" ", "_")[:60]
         if name in self.counts or len(self.counts) < 64:
             self.counts[name] = self.counts.get(name, 0) + 1
 
-    def listed_at_once(self, complete: bool, members: list[command_channel.Member]) -> None:
+    def apply_list_immediately(self, complete: bool, members: list[command_channel.NodeMember]) -> None:
         """Applies list changes at once, before the events in the inbox. Never called from within an event.
 
         If list changes waited in the inbox, a front end that was late or had been paused would send set-ups
         to draining nodes for as long as it was behind. The drawback: if a playback's end was received before
         its node was removed and is still queued, the playback counts as cut off.
         """
-        self._handle(partial(self.listed, complete, members))
+        self._handle_event(partial(self.apply_list, complete, members))
 
-    def listed(self, complete: bool, members: list[command_channel.Member]) -> None:
+    def apply_list(self, complete: bool, members: list[command_channel.NodeMember]) -> None:
         """Applies a list or its changes to the pools and the decision module."""
-        entries = self.node_pools.entries(members)
-        kind = ListKind.WHOLE if complete else ListKind.CHANGES
-        self.controller.listed(kind, entries, self.clock.now())
-        self.node_pools.listed()
-        told = ", ".join(f"{e.node.name} {e.listing.value}" for e in entries[:6])
+        entries = self.node_pools.list_entries(members)
+        kind = NodeListKind.WHOLE if complete else NodeListKind.CHANGES
+        self.controller.on_node_list(kind, entries, self.clock.now())
+        self.node_pools.list_applied()
+        told = ", ".join(f"{e.node.name} {e.status.value}" for e in entries[:6])
         self.logger.info("list", whole=complete, changed=len(entries), nodes=len(self.pools), changes=told)
 
-    def restarted(self, pool: Pool, started_at: int) -> None:
+    def node_restarted(self, pool: NodePool, started_at: int) -> None:
         """Another process has the node's name: ends the sessions that played in the previous one."""
-        for t in [t for t in pool.standing if t.began_at < started_at]:
-            self._over(t, Outcome.RESET, FAILED, None)
+        for t in [t for t in pool.playing_sessions if t.began_at < started_at]:
+            self._session_ended(t, Outcome.RESET, CAUSE_FAILED, None)
 
-    def lost(self, pool: Pool, why: str) -> None:
+    def node_lost(self, pool: NodePool, reason: str) -> None:
         """A node's process is gone: ends all sessions that played there."""
-        if pool.standing:
-            self.logger.warning("node lost", node=pool.node.name, why=why, playing=len(pool.standing))
-        for t in list(pool.standing):
-            pool.say("close", t.id, {}, GIVEN_UP)
-            self._over(t, Outcome.RESET, FAILED, None)
-
-    def may_open(self, pool: Pool, spare: int) -> bool:
+        if pool.playing_sessions:
+            self.logger.warning(
+                "node lost", node=pool.node.name, why=reason, playing=len(pool.playing_sessions)
+            )
+        for t in list(pool.playing_sessions):
+            pool.send_message("close", t.id, {}, CAUSE_CANCELLED)
+            self._session_ended(t, Outcome.RESET, CAUSE_FAILED, None)
+
+    def make_room_for_connection(self, pool: NodePool, min_idle_ns: int) -> bool:
         """Whether a descriptor is free for one more connection to a node; see `NodePools`."""
-        return self.node_pools.may_open(pool, spare)
+        return self.node_pools.make_room_for_connection(pool, min_idle_ns)
 
-    def unreadable(self, pool: Pool, why: str) -> None:
+    def node_failed(self, pool: NodePool, reason: str) -> None:
         """Counts a node that sent unreadable data, or that cannot be reached for lack of local resources."""
-        self.count("node", why)
+        self.count("node", reason)
 
-    def opened(self, link: ViewerLink) -> None:
+    def connection_opened(self, connection: ViewerConnection) -> None:
         """A viewer's connection opened: sends the releases that wait for one."""
-        self.viewers[link] = None
-        self.releases.opened(link)
+        self.viewer_connections[connection] = None
+        self.releases.connection_opened(connection)
 
-    def asked(self, a: Asked) -> None:
+    def request_received(self, request: SetupRequest) -> None:
         """Queues a set-up request in the inbox, or rejects it at once if the inbox is full.
 
         It never waits, so that the connection is read on and what arrives on it next, such as a release, is
         known.
         """
-        before = self.coming.get(a.session)
+        before = self.queued_requests.get(request.session_id)
         if before is not None and not before.withdrawn:
-            self._twice(a, before.link)
+            self._reject_duplicate(request, before.connection)
             return
         try:
-            self.events.send_nowait(partial(self._taken, a))
+            self.event_sender.send_nowait(partial(self._process_request, request))
         except trio.WouldBlock:
-            self._no_place(a)
+            self._reject_at_capacity(request)
             return
-        self.coming[a.session] = a
-        a.link.asked[a.session] = a
-        self.held += len(a.description)
+        self.queued_requests[request.session_id] = request
+        request.connection.queued_requests[request.session_id] = request
+        self.held_chars += len(request.description)
 
-    def _no_place(self, a: Asked) -> None:
+    def _reject_at_capacity(self, request: SetupRequest) -> None:
         """Rejects a request because a limit is reached."""
         self.count("turned away", "no place")
-        a.link.write(release(a.session, FAILED if a.at else REFUSED, self.told.terms.stay_away_most))
+        request.connection.write(
+            encode_release(
+                request.session_id,
+                CAUSE_FAILED if request.playing_node else CAUSE_REJECTED,
+                self.configuration.terms.max_retry_after_ns,
+            )
+        )
 
-    def _taken(self, a: Asked) -> None:
+    def _process_request(self, request: SetupRequest) -> None:
         """Processes a request that has reached the head of the inbox."""
-        self.held -= len(a.description)
-        if self.coming.get(a.session) is a:
-            del self.coming[a.session]
-        if a.link.asked.get(a.session) is a:
-            del a.link.asked[a.session]
-        if a.withdrawn and not a.at:
+        self.held_chars -= len(request.description)
+        if self.queued_requests.get(request.session_id) is request:
+            del self.queued_requests[request.session_id]
+        if request.connection.queued_requests.get(request.session_id) is request:
+            del request.connection.queued_requests[request.session_id]
+        if request.withdrawn and not request.playing_node:
             return
         now = self.clock.now()
-        known = self.tickets.get(a.session)
+        known = self.sessions.get(request.session_id)
         if known is not None:
-            if not (a.at and known.began_at):
-                self._twice(a, known.viewer)
+            if not (request.playing_node and known.began_at):
+                self._reject_duplicate(request, known.viewer)
             return
-        title = self.titles.get(a.title, a.home, a.copies)
-        plan = self.told.plans[a.plan_name]
-        if title is None or len(self.tickets) >= min(MOST_PLAYING, self.told.most_open) or (
-            not a.at and (self.setting_up >= MOST_OPEN or a.written > self.closes_at)
-        ):  # fmt: skip
-            self._no_place(a)
+        title = self.titles.get(request.title_name, request.home_cell, request.copies)
+        plan = self.configuration.plans[request.plan_name]
+        if (
+            title is None
+            or len(self.sessions) >= min(MAX_SESSIONS, self.configuration.max_open)
+            or (
+                not request.playing_node
+                and (self.setup_count >= MAX_OPEN_SETUPS or request.written_at > self.setups_close_at)
+            )
+        ):
+            self._reject_at_capacity(request)
             return
-        if a.session in self.spent:  # its set-up has been sent once and must not be repeated
-            self._twice(a, None)
+        if request.session_id in self.spent_ids:  # its set-up has been sent once and must not be repeated
+            self._reject_duplicate(request, None)
             return
-        abandon = min(due(a.written, a.wait, [], margin(WAY_BACK, self.lag)).abandon, self.ends_at)
-        t = Ticket(
-            a.session, Playback(title, plan, a.top, abandon, False), a.plan_name, a.description, a.link
+        abandon = min(
+            request_deadline(
+                request.written_at, request.wait_ns, [], response_margin(ANSWER_MARGIN_NS, self.lag_ns)
+            ).abandon_at,
+            self.last_answer_at,
+        )
+        t = PlaybackSession(
+            request.session_id,
+            Playback(title, plan, request.top_rung, abandon, False),
+            request.plan_name,
+            request.description,
+            request.connection,
         )
-        if a.at:
-            self._handed_over(t, a.link, a.at, now)
-            if a.withdrawn:
-                self._released(a.link, a.session)
+        if request.playing_node:
+            self._accept_handed_over(t, request.connection, request.playing_node, now)
+            if request.withdrawn:
+                self._handle_release(request.connection, request.session_id)
             return
-        self.tickets[a.session] = self.of[t.pb] = t
-        a.link.open_here[a.session] = t
-        self.setting_up += 1
-        self.held += len(a.description)
-        self.controller.arrived(t.pb, now)
+        self.sessions[request.session_id] = self.sessions_by_playback[t.playback] = t
+        request.connection.open_setups[request.session_id] = t
+        self.setup_count += 1
+        self.held_chars += len(request.description)
+        self.controller.on_request(t.playback, now)
 
-    def _twice(self, a: Asked, first: ViewerEnd | None) -> None:
+    def _reject_duplicate(self, request: SetupRequest, first_connection: ViewerEndpoint | None) -> None:
         """Rejects a request whose id is already in use, without affecting the first request."""
         self.count("id used twice")
-        if first is a.link:
-            a.link.shut()  # a release here would be taken for the answer to the first request
+        if first_connection is request.connection:
+            request.connection.close()  # a release here would be taken for the answer to the first request
         else:
-            a.link.write(release(a.session, FAILED))
+            request.connection.write(encode_release(request.session_id, CAUSE_FAILED))
 
-    def _handed_over(self, t: Ticket, link: ViewerEnd, at: str, now: int) -> None:
+    def _accept_handed_over(
+        self, session: PlaybackSession, connection: ViewerEndpoint, node_name: str, now: int
+    ) -> None:
         """Takes over a playback that plays already; no answer is due. If it cannot be taken, its viewer gets
         a release.
         """
-        pool = self.pools.get(at)
-        if pool is None or pool.gone or self._handed_over_all(now):
+        pool = self.pools.get(node_name)
+        if pool is None or pool.is_removed or self._is_handover_window_over(now):
             self.count("handed over in vain")
-            link.write(release(t.id, FAILED))
+            connection.write(encode_release(session.id, CAUSE_FAILED))
             return
-        t.pool, t.began_at = pool, now
-        link.sessions += 1
-        self.tickets[t.id] = self.of[t.pb] = t
-        pool.standing[t] = None
-        self.controller.resumed(t.pb, pool.node, now)
-        for message in self.early.pop(t.id, ()):
+        session.pool, session.began_at = pool, now
+        connection.session_count += 1
+        self.sessions[session.id] = self.sessions_by_playback[session.playback] = session
+        pool.playing_sessions[session] = None
+        self.controller.on_handed_over(session.playback, pool.node, now)
+        for message in self.early_messages.pop(session.id, ()):
             message()
-        pool.look(now)
+        pool.maintain(now)
 
-    def _handed_over_all(self, now: int) -> bool:
+    def _is_handover_window_over(self, now: int) -> bool:
         """Whether the time is over in which viewers hand over playbacks from before the start."""
-        return bool(self.began) and now - self.began > HANDED_OVER
+        return bool(self.first_tested_at) and now - self.first_tested_at > HANDOVER_WINDOW_NS
 
-    def released(self, link: ViewerEnd, session: str) -> None:
+    def release_received(self, connection: ViewerEndpoint, session_id: str) -> None:
         """A viewer cancels a set-up or ends a playback. Takes effect at once; never called from within an
         event.
         """
-        self._handle(partial(self._released, link, session))
+        self._handle_event(partial(self._handle_release, connection, session_id))
 
-    def _released(self, link: ViewerEnd, session: str) -> None:
+    def _handle_release(self, connection: ViewerEndpoint, session_id: str) -> None:
         """Ends the playback, or cancels the set-up or the queued request. Only the connection of a set-up may
         cancel it.
         """
-        t = self.tickets.get(session)
+        t = self.sessions.get(session_id)
         if t is None:
-            coming = self.coming.get(session)
-            if coming is not None and (coming.link is link or coming.at):
+            coming = self.queued_requests.get(session_id)
+            if coming is not None and (coming.connection is connection or coming.playing_node):
                 coming.withdrawn = True
             return
-        if t.pb.state is State.PLAYING:
-            self.controller.left(t.pb, self.clock.now())
+        if t.playback.state is PlaybackState.PLAYING:
+            self.controller.on_viewer_left(t.playback, self.clock.now())
             if t.pool is not None:
-                t.pool.say("close", t.id, {}, GIVEN_UP)
-            self.alarms.at(self.clock.now() + CUT_WITHIN, partial(self._cut, t))
-        elif t.viewer is link:
-            self._given_up(t)
-
-    def release_heard(self, session: str) -> None:
+                t.pool.send_message("close", t.id, {}, CAUSE_CANCELLED)
+            self.timers.schedule(
+                self.clock.now() + CLOSE_CONFIRMATION_TIMEOUT_NS, partial(self._end_unconfirmed_close, t)
+            )
+        elif t.viewer is connection:
+            self._cancel_setup(t)
+
+    def release_confirmed(self, session_id: str) -> None:
         """A viewer's side confirms that it has received a release."""
-        self.releases.confirmed(session)
+        self.releases.confirmed(session_id)
 
-    def _cut(self, t: Ticket) -> None:
+    def _end_unconfirmed_close(self, session: PlaybackSession) -> None:
         """Ends a playback that its viewer has ended if the node has not confirmed the end in time."""
-        if t.pb.state is State.CLOSED:
-            self._over(t, Outcome.WITHDRAWN, 0, None)
+        if session.playback.state is PlaybackState.VIEWER_LEFT:
+            self._session_ended(session, Outcome.WITHDRAWN, 0, None)
 
-    def _given_up(self, t: Ticket) -> None:
+    def _cancel_setup(self, session: PlaybackSession) -> None:
         """Cancels an open set-up whose viewer has left; no answer is due."""
         now = self.clock.now()
-        if t.viewer is not None:
-            t.viewer.open_here.pop(t.id, None)
-        self.controller.left(t.pb, now)
-        if t.pool is not None and t.pb.state is State.CLOSED:
-            t.pool.give_up(t)
-            self.controller.tried(t.pb, Outcome.WITHDRAWN, True, None, None, None, now)
-        self._forget(t)
-
-    def gone(self, t: Ticket) -> bool:
+        if session.viewer is not None:
+            session.viewer.open_setups.pop(session.id, None)
+        self.controller.on_viewer_left(session.playback, now)
+        if session.pool is not None and session.playback.state is PlaybackState.VIEWER_LEFT:
+            session.pool.cancel_setup(session)
+            self.controller.on_try_ended(session.playback, Outcome.WITHDRAWN, True, None, None, None, now)
+        self._forget_session(session)
+
+    def cancel_if_viewer_gone(self, session: PlaybackSession) -> bool:
         """Cancels a set-up if its viewer has left; returns whether it did.
 
         Called immediately before a set-up is sent and when a node answers it. This prevents set-ups and
         playbacks for nobody, above all paid ones, even if the viewer's leaving waits behind other work in
         this process or in the viewer's socket. The cost is a look at the viewer's socket for each try.
         """
-        if t.viewer is None or not t.viewer.gone(t.id):
+        if session.viewer is None or not session.viewer.has_viewer_left(session.id):
             return False
         self.count("try", "viewer gone")
-        self._given_up(t)
+        self._cancel_setup(session)
         return True
 
-    def viewer_gone(self, link: ViewerLink) -> None:
+    def connection_closed(self, connection: ViewerConnection) -> None:
         """A viewer's connection closed: its open set-ups are cancelled, its playbacks play on.
 
         Takes effect at once; never called from within an event.
         """
-        self._handle(partial(self._viewer_gone, link))
+        self._handle_event(partial(self._handle_connection_closed, connection))
 
-    def _viewer_gone(self, link: ViewerLink) -> None:
+    def _handle_connection_closed(self, connection: ViewerConnection) -> None:
         """Cancels the set-ups of a closed connection. A half-closed peer may still read, so it is told at
         once.
         """
-        self.viewers.pop(link, None)
-        for a in link.asked.values():
-            if not a.at:  # a playback that plays already is not tied to a connection
+        self.viewer_connections.pop(connection, None)
+        for a in connection.queued_requests.values():
+            if not a.playing_node:  # a playback that plays already is not tied to a connection
                 a.withdrawn = True
-                link.write(release(a.session, REFUSED, self.told.terms.stay_away_most))
-        for t in list(link.open_here.values()):
-            harmless = not t.pb.tries
-            away = self.told.terms.stay_away_most if harmless else 0
-            link.write(release(t.id, REFUSED if harmless else FAILED, away))
-            self._given_up(t)
-
-    def _forget(self, t: Ticket) -> None:
+                connection.write(
+                    encode_release(a.session_id, CAUSE_REJECTED, self.configuration.terms.max_retry_after_ns)
+                )
+        for t in list(connection.open_setups.values()):
+            harmless = not t.playback.tries
+            away = self.configuration.terms.max_retry_after_ns if harmless else 0
+            connection.write(encode_release(t.id, CAUSE_REJECTED if harmless else CAUSE_FAILED, away))
+            self._cancel_setup(t)
+
+    def _forget_session(self, session: PlaybackSession) -> None:
         """Drops a session once the decision module expects nothing more for it."""
-        if self.controller.over(t.pb) and self.of.pop(t.pb, None) is not None:
-            del self.tickets[t.id]
-            if t.viewer is not None:
-                t.viewer.open_here.pop(t.id, None)
-            if t.pool is not None:
-                t.pool.standing.pop(t, None)
-            if t.began_at == 0:
-                self._settled(t)
-            elif t.viewer is not None:
-                t.viewer.sessions -= 1
-            if t.pb.tries and t.pb.plan.effect is not Effect.FREE:
-                self.spent[t.id] = None
-                if len(self.spent) > MOST_SPENT:
-                    self.spent.popitem(last=False)
-
-    def _settled(self, t: Ticket) -> None:
+        if (
+            self.controller.is_over(session.playback)
+            and self.sessions_by_playback.pop(session.playback, None) is not None
+        ):
+            del self.sessions[session.id]
+            if session.viewer is not None:
+                session.viewer.open_setups.pop(session.id, None)
+            if session.pool is not None:
+                session.pool.playing_sessions.pop(session, None)
+            if session.began_at == 0:
+                self._setup_finished(session)
+            elif session.viewer is not None:
+                session.viewer.session_count -= 1
+            if session.playback.tries and session.playback.plan.effect is not Effect.FREE:
+                self.spent_ids[session.id] = None
+                if len(self.spent_ids) > MAX_SPENT_IDS:
+                    self.spent_ids.popitem(last=False)
+
+    def _setup_finished(self, session: PlaybackSession) -> None:
         """An open set-up became a playback or ended: releases its description and its timer."""
-        self.setting_up -= 1
-        self.held -= len(t.description)
-        t.description = ""
-        self.alarms.drop(t.timer)
-
-    def said(
-        self, pool: Pool, link: NodeLink, kind: str, session: str, attrs: json_lines.Attributes, code: int | None,
+        self.setup_count -= 1
+        self.held_chars -= len(session.description)
+        session.description = ""
+        self.timers.cancel(session.timer_id)
+
+    def message_received(
+        self,
+        pool: NodePool,
+        connection: NodeConnection,
+        kind: str,
+        session_id: str,
+        attributes: json_lines.Attributes,
+        code: int | None,
         text: str | None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Handles a message of a node. Drops it if it is for no session there, repeated, or too late."""
-        pool.heard_at = now = self.clock.now()
-        t = self.tickets.get(session)
+        pool.last_heard_at = now = self.clock.now()
+        t = self.sessions.get(session_id)
         if (
             t is None
             and kind in ("event", "close")
-            and not self._handed_over_all(now)
-            and len(self.early) < MOST_EARLY
+            and not self._is_handover_window_over(now)
+            and len(self.early_messages) < MAX_EARLY_SESSIONS
         ):
             # The node reports on its playbacks as soon as it is connected, possibly before the viewer hands them over.
             # Without these messages the rung would be taken for the lowest and the node for nearly empty.
-            again = partial(self.said, pool, link, kind, session, json_lines.bounded(attrs), code, None)
-            self.early.setdefault(session, deque(maxlen=4)).append(again)
+            again = partial(
+                self.message_received,
+                pool,
+                connection,
+                kind,
+                session_id,
+                json_lines.kept_attributes(attributes),
+                code,
+                None,
+            )
+            self.early_messages.setdefault(session_id, deque(maxlen=4)).append(again)
         if t is None or t.pool is not pool:
             return
-        if t.link is link and t.pb.state is State.SETTING_UP:
-            if kind == "ready" or (kind == "close" and text and terms.ENDS.get(code or -1) is Outcome.DONE):
+        if t.node_connection is connection and t.playback.state is PlaybackState.SETTING_UP:
+            if kind == "ready" or (
+                kind == "close" and text and terms.ENDS_BY_CAUSE.get(code or -1) is Outcome.DONE
+            ):
                 # A close that carries a description is an answer as well: the playback was set up and is already over.
-                self._answered(t, text, now)
+                self._setup_answered(t, text, now)
                 if kind == "close" and t.began_at:
-                    self._over(t, Outcome.DONE, OVER, json_lines.report(attrs))
+                    self._session_ended(t, Outcome.DONE, CAUSE_ENDED, json_lines.load_report(attributes))
             elif kind == "close":
-                pool.settled(t)
-                self.tried(
+                pool.setup_finished(t)
+                self.try_ended(
                     t,
-                    terms.CAUSES.get(code if code is not None else -1, Outcome.RESET),
-                    json_lines.report(attrs),
+                    terms.REFUSALS_BY_CAUSE.get(code if code is not None else -1, Outcome.RESET),
+                    json_lines.load_report(attributes),
                 )
         elif t.began_at and kind == "close":
-            outcome = terms.ENDS.get(code if code is not None else -1, Outcome.RESET)
-            cause = {Outcome.DONE: OVER, Outcome.WITHDRAWN: 0}.get(outcome, FAILED)
-            self._over(t, outcome, cause, json_lines.report(attrs))
+            outcome = terms.ENDS_BY_CAUSE.get(code if code is not None else -1, Outcome.RESET)
+            cause = {Outcome.DONE: CAUSE_ENDED, Outcome.WITHDRAWN: 0}.get(outcome, CAUSE_FAILED)
+            self._session_ended(t, outcome, cause, json_lines.load_report(attributes))
         elif t.began_at and kind == "event":
-            self._noted(t, attrs, now)
+            self._apply_note(t, attributes, now)
 
-    def _answered(self, t: Ticket, text: str | None, now: int) -> None:
+    def _setup_answered(self, session: PlaybackSession, text: str | None, now: int) -> None:
         """A node answered a set-up: passes the answer to the viewer and starts the playback."""
-        pool = t.pool
+        pool = session.pool
         assert pool is not None
-        if self.gone(t):  # otherwise it would play for nobody
+        if self.cancel_if_viewer_gone(session):  # otherwise it would play for nobody
             return
         try:
-            answer = framing.encode(framing.ANSWER, t.id, (framing.TEXT, (text or "").encode()))
+            answer = framing.encode(framing.ANSWER, session.id, (framing.TEXT, (text or "").encode()))
         except ValueError:
             text = None
         if not text:  # unusable for the viewer; the node is told, and the try counts as one that ran
-            pool.give_up(t)
-            self.tried(t, Outcome.ERROR, None)
+            pool.cancel_setup(session)
+            self.try_ended(session, Outcome.ERROR, None)
             return
-        pool.settled(t)
-        t.began_at = now
-        self._settled(t)
-        pool.standing[t] = None
-        if t.viewer is not None:
-            t.viewer.open_here.pop(t.id, None)
-            t.viewer.has_served = True
-            t.viewer.sessions += 1
-            t.viewer.write(answer)
-        self.controller.playing(t.pb, now)
-
-    def _noted(self, t: Ticket, attrs: json_lines.Attributes, now: int) -> None:
+        pool.setup_finished(session)
+        session.began_at = now
+        self._setup_finished(session)
+        pool.playing_sessions[session] = None
+        if session.viewer is not None:
+            session.viewer.open_setups.pop(session.id, None)
+            session.viewer.has_served = True
+            session.viewer.session_count += 1
+            session.viewer.write(answer)
+        self.controller.on_playing(session.playback, now)
+
+    def _apply_note(self, session: PlaybackSession, attributes: json_lines.Attributes, now: int) -> None:
         """Applies a metric that a node reports for a playback; ignores unknown metrics and invalid values."""
-        note, value = terms.NOTE_NAMES.get(str(attrs.get("note"))), finite(attrs.get("value"))
+        note, value = (
+            terms.METRICS_BY_NAME.get(str(attributes.get("note"))),
+            parse_finite(attributes.get("value")),
+        )
         if note is None or value is None or value < 0:
             return
-        if note is Note.RUNG and not (value == math.floor(value) and value < len(self.told.terms.rates)):
+        if note is PlaybackMetric.RUNG and not (
+            value == math.floor(value) and value < len(self.configuration.terms.rung_rates)
+        ):
             return
-        self.controller.noted(t.pb, note, value, now)
+        self.controller.on_metric(session.playback, note, value, now)
 
-    def tried(self, t: Ticket, outcome: Outcome, load: dict[str, float] | None) -> None:
+    def try_ended(
+        self, session: PlaybackSession, outcome: Outcome, load_report: dict[str, float] | None
+    ) -> None:
         """A setup try ended without an answer."""
-        if t.pb.state is not State.SETTING_UP:
+        if session.playback.state is not PlaybackState.SETTING_UP:
             return
         self.count("try", outcome.value)
-        t.link = None
-        self.controller.tried(t.pb, outcome, False, *terms.report_values(load), self.clock.now())
+        session.node_connection = None
+        self.controller.on_try_ended(
+            session.playback, outcome, False, *terms.load_report_values(load_report), self.clock.now()
+        )
 
-    def _late(self, t: Ticket, tries: int) -> None:
+    def _try_timed_out(self, session: PlaybackSession, try_count: int) -> None:
         """Ends a try that has run out of time, unless it has ended already."""
-        if t.pb.state is not State.SETTING_UP or len(t.pb.tries) != tries or t.pool is None:
+        if (
+            session.playback.state is not PlaybackState.SETTING_UP
+            or len(session.playback.tries) != try_count
+            or session.pool is None
+        ):
             return
-        self.tried(t, Outcome.NO_CONNECTION if t.pool.give_up(t) else Outcome.LATE, None)
+        self.try_ended(
+            session, Outcome.NO_CONNECTION if session.pool.cancel_setup(session) else Outcome.LATE, None
+        )
 
-    def _over(self, t: Ticket, outcome: Outcome, cause: int, load: dict[str, float] | None) -> None:
+    def _session_ended(
+        self, session: PlaybackSession, outcome: Outcome, cause: int, load_report: dict[str, float] | None
+    ) -> None:
         """A playback ended; its viewer gets a release unless the viewer ended it."""
         self.count("end", outcome.value)
-        if t.pb.state is State.PLAYING and cause:
-            self._release(t, cause)
-        self.controller.tried(t.pb, outcome, True, *terms.report_values(load), self.clock.now())
-        self._forget(t)
+        if session.playback.state is PlaybackState.PLAYING and cause:
+            self._send_release(session, cause)
+        self.controller.on_try_ended(
+            session.playback, outcome, True, *terms.load_report_values(load_report), self.clock.now()
+        )
+        self._forget_session(session)
 
-    def _release(self, t: Ticket, cause: int) -> None:
+    def _send_release(self, session: PlaybackSession, cause: int) -> None:
         """Sends a release for an ended playback, on the connection of its set-up if possible."""
-        self.releases.send(t.id, release(t.id, cause), t.viewer)
+        self.releases.send(session.id, encode_release(session.id, cause), session.viewer)
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Sends a setup try to a node."""
-        self.work.append(partial(self._send, self.of[pb], node, abandon_at))
+        self.pending_decisions.append(
+            partial(self._send_setup, self.sessions_by_playback[playback], node, abandon_at)
+        )
 
-    def _send(self, t: Ticket, node: Node, abandon_at: int) -> None:
+    def _send_setup(self, session: PlaybackSession, node: Node, abandon_at: int) -> None:
         """Starts the try's timer and passes the set-up to the node's pool."""
-        t.pool, t.until = self.pools[node.name], abandon_at
-        self.alarms.drop(t.timer)
-        t.timer = self.alarms.at(abandon_at, partial(self._late, t, len(t.pb.tries)))
-        t.pool.set_up(t)
+        session.pool, session.abandon_at = self.pools[node.name], abandon_at
+        self.timers.cancel(session.timer_id)
+        session.timer_id = self.timers.schedule(
+            abandon_at, partial(self._try_timed_out, session, len(session.playback.tries))
+        )
+        session.pool.send_setup(session)
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """Answers that the playback is rejected; the viewer is not to ask again for that long."""
-        self.work.append(partial(self._final, self.of[pb], REFUSED, stay_away))
+        self.pending_decisions.append(
+            partial(
+                self._send_final_answer, self.sessions_by_playback[playback], CAUSE_REJECTED, retry_after_ns
+            )
+        )
 
-    def abort(self, pb: Playback) -> None:
+    def abort(self, playback: Playback) -> None:
         """Answers that the playback is aborted."""
-        self.work.append(partial(self._final, self.of[pb], FAILED, 0))
+        self.pending_decisions.append(
+            partial(self._send_final_answer, self.sessions_by_playback[playback], CAUSE_FAILED, 0)
+        )
 
-    def _final(self, t: Ticket, cause: int, stay_away: int) -> None:
+    def _send_final_answer(self, session: PlaybackSession, cause: int, retry_after_ns: int) -> None:
         """Sends the final answer to a set-up that does not become a playback."""
-        if t.viewer is not None:
-            t.viewer.write(release(t.id, cause, stay_away))
-        self._forget(t)
+        if session.viewer is not None:
+            session.viewer.write(encode_release(session.id, cause, retry_after_ns))
+        self._forget_session(session)
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """Changes the rung of a playback."""
-        if pb.state is State.PLAYING:  # before that, the set-up itself carries the rung
-            self.work.append(partial(self._set_rung, self.of[pb], rung))
+        if playback.state is PlaybackState.PLAYING:  # before that, the set-up itself carries the rung
+            self.pending_decisions.append(partial(self._send_rung, self.sessions_by_playback[playback], rung))
 
-    def _set_rung(self, t: Ticket, rung: int) -> None:
+    def _send_rung(self, session: PlaybackSession, rung: int) -> None:
         """Tells the node the new rung, if the playback still plays."""
-        if t.pool is not None and t.pb.state is State.PLAYING:
-            t.pool.say("level", t.id, {"rung": str(rung)})
+        if session.pool is not None and session.playback.state is PlaybackState.PLAYING:
+            session.pool.send_message("level", session.id, {"rung": str(rung)})
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """Calls the decision module's timer at a time."""
-        self.alarms.at(at, lambda: self.controller.alarm(self.clock.now()))
+        self.timers.schedule(at, lambda: self.controller.on_timer(self.clock.now()))
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         """Does nothing: the command channel is always followed."""
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         """Logs a change of the decision module's mode."""
-        self.logger.info("mode", change=line, open=self.setting_up, playing=self.playing)
+        self.logger.info("mode", change=message, open=self.setup_count, playing=self.playing_count)
--- a/oakcroft/platform/timers.py
+++ b/oakcroft/platform/timers.py
@@ -10,31 +10,34 @@
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
 
-SPARE = 32  # entries of dropped events that may stay
+CANCELLED_ENTRIES_ALLOWED = 32  # entries of dropped events that may stay
 
 
-class Alarms:
+class TimerQueue:
     """Events by time. One that is dropped lets go of what it holds at once, and of its place when half are such."""
 
-    def __init__(self, clock: Clock, tell: Callable[[Event], Awaitable[None]]) -> None:
-        self.clock, self.tell = clock, tell
+    def __init__(self, clock: Clock, submit: Callable[[Event], Awaitable[None]]) -> None:
+        self.clock, self.submit = clock, submit
         self.heap: list[tuple[int, int]] = []
         self.events: dict[int, Event] = {}  # by number; of those dropped there is none
-        self.number = 0
-        self.sooner = trio.Event()
+        self.last_id = 0
+        self.earliest_changed = trio.Event()
 
-    def at(self, when: int, event: Event) -> int:
+    def schedule(self, due_at: int, event: Event) -> int:
         """Hands the event in at that time; its number."""
-        self.number += 1
-        self.events[self.number] = event
-        heapq.heappush(self.heap, (when, self.number))
-        if self.heap[0][1] == self.number:
-            self.sooner.set()
-        return self.number
-
-    def drop(self, number: int) -> None:
+        self.last_id += 1
+        self.events[self.last_id] = event
+        heapq.heappush(self.heap, (due_at, self.last_id))
+        if self.heap[0][1] == self.last_id:
+            self.earliest_changed.set()
+        return self.last_id
+
+    def cancel(self, timer_id: int) -> None:
         """The event is not handed in any more. Guards memory against set-ups that are taken back by the thousand."""
-        if self.events.pop(number, None) is not None and len(self.heap) > 2 * len(self.events) + SPARE:
+        if (
+            self.events.pop(timer_id, None) is not None
+            and len(self.heap) > 2 * len(self.events) + CANCELLED_ENTRIES_ALLOWED
+        ):
             self.heap = [entry for entry in self.heap if entry[1] in self.events]
             heapq.heapify(self.heap)
 
@@ -44,8 +47,8 @@
             while self.heap and self.heap[0][0] <= self.clock.now():
                 event = self.events.pop(heapq.heappop(self.heap)[1], None)
                 if event is not None:
-                    await self.tell(event)
-            self.sooner = trio.Event()
-            until = self.clock.deadline(self.heap[0][0]) if self.heap else float("inf")
+                    await self.submit(event)
+            self.earliest_changed = trio.Event()
+            until = self.clock.trio_time(self.heap[0][0]) if self.heap else float("inf")
             with trio.move_on_at(until):
-                await self.sooner.wait()
+                await self.earliest_changed.wait()
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -10,54 +10,54 @@
 import trio
 
 from oakcroft.decisions.admission.eviction import IdleConnection
-from oakcroft.decisions.admission.deadlines import Stillness
+from oakcroft.decisions.admission.deadlines import PauseDetector
 from oakcroft.interface import MS, SECOND
 from oakcroft.platform.idle_connections import IdleConnections
-from oakcroft.platform.connection import READ, Link, prepared
-from oakcroft.platform.playback_session import Asked, Ticket
+from oakcroft.platform.connection import RECEIVE_BYTES, BufferedConnection, configure_socket
+from oakcroft.platform.playback_session import SetupRequest, PlaybackSession
 from oakcroft.platformwire import setup_request, framing
 from oakcroft.platformwire.configuration import Configuration
-from oakcroft.platformwire.framing import Frames, Unreadable
+from oakcroft.platformwire.framing import FrameDecoder, ProtocolError
 from oakcroft.running.clock import Clock
 
-FAILED = 41
-REFUSED = 42
-OVER = 16
-WHOLE_WITHIN = 2 * SECOND  # for the first message and any that has begun; a close is due within 3 s
-MOST_HERE = 256
-TURN = 32  # messages of one connection before other tasks run
-LOOK = 0.1
-BACKLOG = 1_024  # connections that wait in the kernel to be accepted
+CAUSE_FAILED = 41
+CAUSE_REJECTED = 42
+CAUSE_ENDED = 16
+MESSAGE_TIMEOUT_NS = 2 * SECOND  # for the first message and any that has begun; a close is due within 3 s
+MAX_SETUPS_PER_CONNECTION = 256
+MESSAGES_PER_TURN = 32  # messages of one connection before other tasks run
+OVERDUE_CHECK_INTERVAL_S = 0.1
+LISTEN_BACKLOG = 1_024  # connections that wait in the kernel to be accepted
 
 
-class Owner(Protocol):
+class ViewerEvents(Protocol):
     """What the viewers' side needs of the session coordinator. Calls take effect in the same step."""
 
-    told: Configuration
-    stillness: Stillness
-    held: int
-    most_held: int
+    configuration: Configuration
+    stillness: PauseDetector
+    held_chars: int
+    max_held_chars: int
 
-    def opened(self, link: ViewerLink) -> None:
+    def connection_opened(self, connection: ViewerConnection) -> None:
         """A connection opened."""
 
-    def count(self, what: str, why: str = "") -> None:
+    def count(self, category: str, detail: str = "") -> None:
         """Counts a fault of a client."""
 
-    def viewer_gone(self, link: ViewerLink) -> None:
+    def connection_closed(self, connection: ViewerConnection) -> None:
         """A connection closed."""
 
-    def released(self, link: ViewerLink, session: str) -> None:
+    def release_received(self, connection: ViewerConnection, session_id: str) -> None:
         """A viewer cancels a set-up or ends a playback."""
 
-    def release_heard(self, session: str) -> None:
+    def release_confirmed(self, session_id: str) -> None:
         """A viewer's side confirms that it has received a release."""
 
-    def asked(self, a: Asked) -> None:
+    def request_received(self, request: SetupRequest) -> None:
         """Queues a set-up request."""
 
 
-class ViewerLink(Link):
+class ViewerConnection(BufferedConnection):
     """A connection from viewers, with the set-ups open on it.
 
     Its socket is read not only by its own task but by any that needs to know its state: a set-up is sent only
@@ -65,106 +65,121 @@
     """
 
     def __init__(
-        self, sock: socket.socket, nursery: trio.Nursery, clock: Clock, stillness: Stillness
+        self, sock: socket.socket, nursery: trio.Nursery, clock: Clock, stillness: PauseDetector
     ) -> None:
         """Wraps an accepted socket."""
         super().__init__(sock, nursery)
         self.clock, self.stillness = clock, stillness
-        self.frames = Frames()
-        self.open_here: dict[str, Ticket] = {}
-        self.asked: dict[str, Asked] = {}  # queued in the coordinator's inbox
-        self.since = self.empty_at = clock.now()  # last complete message; socket last known to be empty
-        self.written: int | None = None  # earliest time at which the unread data may have been sent
-        self.spoke = False
-        self.sessions = 0  # playing sessions whose set-up came on it
+        self.frames = FrameDecoder()
+        self.open_setups: dict[str, PlaybackSession] = {}
+        self.queued_requests: dict[str, SetupRequest] = {}  # queued in the coordinator's inbox
+        self.idle_since = self.known_empty_at = (
+            clock.now()
+        )  # last complete message; socket last known to be empty
+        self.written_at: int | None = None  # earliest time at which the unread data may have been sent
+        self.has_sent_message = False
+        self.session_count = 0  # playing sessions whose set-up came on it
         self.has_served = False  # a set-up that came on it became a session
-        self.left = False  # the peer has closed or reset it
-        self.waiting = trio.CancelScope()
+        self.has_peer_left = False  # the peer has closed or reset it
+        self.wait_scope = trio.CancelScope()
 
-    def hear(self) -> bool:
+    def receive_available(self) -> bool:
         """Receives what the socket holds, without waiting; returns whether there was anything.
 
         Stops once a maximal message is buffered, so that the buffer holds at most one message and one
         receive.
         """
         heard = False
-        while self.open and not self.left and len(self.frames.buffer) < framing.MOST:
+        while self.is_open and not self.has_peer_left and len(self.frames.buffer) < framing.MAX_MESSAGE_BYTES:
             try:
-                data = self.sock.recv(READ)
+                data = self.sock.recv(RECEIVE_BYTES)
             except BlockingIOError:
                 break
             except OSError:
                 data = b""
             heard, now = True, self.clock.now()
-            self.left = not data
-            if self.written is None:
-                self.written = self.stillness.written_at(now, self.empty_at)
-            if self.spoke and not self.frames.partial:
-                self.since = now
+            self.has_peer_left = not data
+            if self.written_at is None:
+                self.written_at = self.stillness.earliest_written_at(now, self.known_empty_at)
+            if self.has_sent_message and not self.frames.has_partial_message:
+                self.idle_since = now
             self.frames.receive_data(data)
         if heard:
-            self.waiting.cancel()  # wakes its own task, which has not seen this data arrive
+            self.wait_scope.cancel()  # wakes its own task, which has not seen this data arrive
         return heard
 
-    async def wait(self) -> None:
+    async def wait_for_data(self) -> None:
         """Waits until data arrives, or until another task has received it."""
-        with trio.CancelScope() as self.waiting, suppress(trio.ClosedResourceError, OSError):
+        with trio.CancelScope() as self.wait_scope, suppress(trio.ClosedResourceError, OSError):
             await trio.lowlevel.wait_readable(self.sock)
 
-    def gone(self, session: str) -> bool:
+    def has_viewer_left(self, session_id: str) -> bool:
         """Whether the viewer of a set-up has left or released it, as far as the socket shows now.
 
         A half-closed peer counts as having left even if it still reads, because a full close looks the same
         from here (docs/platform.md).
         """
-        self.hear()
-        if not self.open or self.left or self.closing():
+        self.receive_available()
+        if not self.is_open or self.has_peer_left or self.has_peer_closed():
             return True
-        return any(kind == framing.RELEASE and sid == session for kind, sid in self.frames.waiting())
+        return any(
+            kind == framing.RELEASE and sid == session_id for kind, sid in self.frames.pending_messages()
+        )
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no set-up is open or queued on it."""
-        return not (self.open_here or self.asked)
+        return not (self.open_setups or self.queued_requests)
 
     @property
-    def as_idle(self) -> IdleConnection:
+    def idle_state(self) -> IdleConnection:
         """The facts that the eviction order depends on; valid while it is idle."""
-        return IdleConnection(self.since, self.spoke, self.sessions, self.frames.partial, bool(self.out))
+        return IdleConnection(
+            self.idle_since,
+            self.has_sent_message,
+            self.session_count,
+            self.frames.has_partial_message,
+            bool(self.send_buffer),
+        )
 
     @property
-    def unread(self) -> int:
+    def unread_count(self) -> int:
         """Number of complete messages that have not been handled, including those still in the socket."""
-        self.hear()
-        return sum(1 for _ in self.frames.waiting())
+        self.receive_available()
+        return sum(1 for _ in self.frames.pending_messages())
 
 
-class Viewers:
+class ViewerServer:
     """Accepts viewers' connections and passes their messages to the session coordinator."""
 
     def __init__(
-        self, listener: socket.socket, most: int, owner: Owner, clock: Clock, nursery: trio.Nursery,
+        self,
+        listener: socket.socket,
+        max_connections: int,
+        coordinator: ViewerEvents,
+        clock: Clock,
+        nursery: trio.Nursery,
         log: structlog.typing.FilteringBoundLogger,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Takes a bound socket and accepts connections from it once `run` is called."""
-        self.listener, self.most, self.owner, self.clock, self.nursery, self.log = (
+        self.listener, self.max_connections, self.coordinator, self.clock, self.nursery, self.log = (
             listener,
-            most,
-            owner,
+            max_connections,
+            coordinator,
             clock,
             nursery,
             log,
         )
-        self.links: dict[ViewerLink, None] = {}
-        self.idle_connections = IdleConnections(self.links, clock)
-        self.tested = self.ready = False
-        self.accepting = True
-        self.shed = 0
+        self.connections: dict[ViewerConnection, None] = {}
+        self.idle_connections = IdleConnections(self.connections, clock)
+        self.was_tested = self.is_ready = False
+        self.is_accepting = True
+        self.shed_count = 0
 
     async def run(self) -> None:
         """Accepts connections until it is stopped."""
-        self.nursery.start_soon(self._look)
-        while self.accepting:
+        self.nursery.start_soon(self._close_overdue_connections)
+        while self.is_accepting:
             try:
                 self._accept()
             except BlockingIOError:
@@ -181,13 +196,13 @@
     def _accept(self) -> None:
         """Accepts one connection; closes it at once if there is no room and none can be made."""
         sock, _ = self.listener.accept()
-        if len(self.links) >= self.most and not self._make_room():
+        if len(self.connections) >= self.max_connections and not self._make_room():
             sock.close()
-            self.shed += 1
+            self.shed_count += 1
             return
-        link = ViewerLink(prepared(sock), self.nursery, self.clock, self.owner.stillness)
-        self.links[link] = None
-        self.nursery.start_soon(self._serve, link)
+        link = ViewerConnection(configure_socket(sock), self.nursery, self.clock, self.coordinator.stillness)
+        self.connections[link] = None
+        self.nursery.start_soon(self._serve_connection, link)
 
     def stop(self) -> None:
         """Stops accepting and closes the listener.
@@ -195,113 +210,131 @@
         Connections that wait in the kernel are accepted first; closing the listener would reset them, and
         with them any set-ups they have sent.
         """
-        if self.accepting:
-            self.accepting = False
+        if self.is_accepting:
+            self.is_accepting = False
             with suppress(OSError):  # none is left, or the socket never listened
-                for _ in range(BACKLOG):
+                for _ in range(LISTEN_BACKLOG):
                     self._accept()
             trio.lowlevel.notify_closing(self.listener)
             self.listener.close()
 
     @property
-    def unanswered(self) -> int:
+    def unanswered_count(self) -> int:
         """Number of messages and queued requests that the decision module does not know yet, including those
         in sockets.
         """
-        return sum(link.unread + len(link.asked) for link in self.links)
+        return sum(link.unread_count + len(link.queued_requests) for link in self.connections)
 
     @property
-    def unsaid(self) -> int:
+    def unsent_count(self) -> int:
         """Number of connections on which answers or releases wait for the peer to read."""
-        return sum(1 for link in self.links if link.out)
+        return sum(1 for link in self.connections if link.send_buffer)
 
     def _make_room(self) -> bool:
         """Closes an idle connection; returns whether there was one."""
-        link = self.idle_connections.first()
+        link = self.idle_connections.next_to_evict()
         if link is None:
             return False
-        self._drop(link)
+        self._shed_connection(link)
         return True
 
-    def _drop(self, link: ViewerLink) -> None:
+    def _shed_connection(self, connection: ViewerConnection) -> None:
         """Closes a connection for want of room or because a message is overdue."""
-        self.links.pop(link, None)
-        link.shut()
-        self.shed += 1
+        self.connections.pop(connection, None)
+        connection.close()
+        self.shed_count += 1
 
-    async def _look(self) -> None:
+    async def _close_overdue_connections(self) -> None:
         """Closes connections whose first message, or a message that has begun, is overdue."""
         while True:
-            await trio.sleep(LOOK)
+            await trio.sleep(OVERDUE_CHECK_INTERVAL_S)
             now = self.clock.now()
-            for link in list(self.links):
-                overdue = (not link.spoke or link.frames.partial) and now - link.since > WHOLE_WITHIN
+            for link in list(self.connections):
+                overdue = (
+                    not link.has_sent_message or link.frames.has_partial_message
+                ) and now - link.idle_since > MESSAGE_TIMEOUT_NS
                 # If the data has arrived, the delay is this front end's own.
-                if overdue and not link.hear() and not link.unread:
-                    self._drop(link)
+                if overdue and not link.receive_available() and not link.unread_count:
+                    self._shed_connection(link)
 
-    async def _serve(self, link: ViewerLink) -> None:
+    async def _serve_connection(self, connection: ViewerConnection) -> None:
         """Handles the messages of one connection until it ends."""
-        self.owner.opened(link)
+        self.coordinator.connection_opened(connection)
         try:
-            while link.open:
-                link.hear()
+            while connection.is_open:
+                connection.receive_available()
                 turn = 0
-                while link.open and (event := link.frames.next_event()) is not None:
-                    link.spoke, link.since = True, self.clock.now()
-                    self._take(link, *event)
+                while connection.is_open and (event := connection.frames.next_event()) is not None:
+                    connection.has_sent_message, connection.idle_since = True, self.clock.now()
+                    self._handle_message(connection, *event)
                     turn += 1
-                    if turn % TURN == 0:
+                    if turn % MESSAGES_PER_TURN == 0:
                         await trio.lowlevel.checkpoint()
-                link.written, link.empty_at = None, self.clock.now()
-                if link.left:
+                connection.written_at, connection.known_empty_at = None, self.clock.now()
+                if connection.has_peer_left:
                     break
-                await link.wait()
-        except Unreadable as fault:
-            self.owner.count("unreadable viewer", str(fault))
+                await connection.wait_for_data()
+        except ProtocolError as fault:
+            self.coordinator.count("unreadable viewer", str(fault))
         except Exception as fault:  # no single connection may stop the front end and with it all sessions
             self.log.error("connection failed", error=repr(fault), exc_info=fault)
         finally:
-            self.links.pop(link, None)
-            self.owner.viewer_gone(link)
-            link.shut()
+            self.connections.pop(connection, None)
+            self.coordinator.connection_closed(connection)
+            connection.close()
 
-    def _take(self, link: ViewerLink, kind: int, session: str, params: dict[int, bytes]) -> None:
+    def _handle_message(
+        self, connection: ViewerConnection, kind: int, session_id: str, parameters: dict[int, bytes]
+    ) -> None:
         """Handles one message. A test is answered here, without the coordinator."""
-        owner = self.owner
+        owner = self.coordinator
         if kind == framing.TEST:
-            self.tested = self.tested or self.ready
-            link.write(framing.encode(framing.TESTED, session, (framing.CAUSE, bytes((int(self.ready),)))))
+            self.was_tested = self.was_tested or self.is_ready
+            connection.write(
+                framing.encode(framing.TESTED, session_id, (framing.CAUSE, bytes((int(self.is_ready),))))
+            )
         elif kind == framing.RELEASE:
-            owner.released(link, session)
-        elif kind == framing.HEARD:
-            owner.release_heard(session)
+            owner.release_received(connection, session_id)
+        elif kind == framing.RELEASE_CONFIRMED:
+            owner.release_confirmed(session_id)
         elif kind == framing.SET_UP:
             try:
-                asked = setup_request.playback(
-                    session, params, owner.told.waits, owner.told.terms.cells, len(owner.told.terms.rates)
+                asked = setup_request.parse_setup_request(
+                    session_id,
+                    parameters,
+                    owner.configuration.abandon_ns_by_plan,
+                    owner.configuration.terms.cell_count,
+                    len(owner.configuration.terms.rung_rates),
                 )
-            except setup_request.Unusable as fault:
+            except setup_request.SetupRequestError as fault:
                 owner.count("unusable set-up", str(fault))
-                self.turn_away(link, session, FAILED)
+                self.reject_request(connection, session_id, CAUSE_FAILED)
                 return
             at = asked[-1]
             description = "" if at else asked[-2]  # not needed for a playback that is set up already
             # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
-            crowded = len(link.open_here) + len(link.asked) >= MOST_HERE
-            if not at and (crowded or owner.held + len(description) > owner.most_held):
-                self.turn_away(link, session, REFUSED, owner.told.terms.stay_away_most)
+            crowded = (
+                len(connection.open_setups) + len(connection.queued_requests) >= MAX_SETUPS_PER_CONNECTION
+            )
+            if not at and (crowded or owner.held_chars + len(description) > owner.max_held_chars):
+                self.reject_request(
+                    connection, session_id, CAUSE_REJECTED, owner.configuration.terms.max_retry_after_ns
+                )
                 return
-            written = self.clock.now() if link.written is None else link.written
-            owner.asked(Asked(link, session, written, *asked[:-2], description, at))
+            written = self.clock.now() if connection.written_at is None else connection.written_at
+            owner.request_received(
+                SetupRequest(connection, session_id, written, *asked[:-2], description, at)
+            )
 
     @staticmethod
-    def turn_away(link: ViewerLink, session: str, cause: int, away: int = 0) -> None:
+    def reject_request(
+        connection: ViewerConnection, session_id: str, cause: int, retry_after_ns: int = 0
+    ) -> None:
         """Sends the final answer to a request that is not queued."""
-        link.write(release(session, cause, away))
+        connection.write(encode_release(session_id, cause, retry_after_ns))
 
 
-def release(session: str, cause: int, away: int = 0) -> bytes:
+def encode_release(session_id: str, cause: int, retry_after_ns: int = 0) -> bytes:
     """Encodes a release, with the time to stay away if there is one."""
-    stay = [(framing.AWAY, str(away // MS).encode())] if away else []
-    return framing.encode(framing.RELEASE, session, (framing.CAUSE, bytes((cause,))), *stay)
+    stay = [(framing.RETRY_AFTER, str(retry_after_ns // MS).encode())] if retry_after_ns else []
+    return framing.encode(framing.RELEASE, session_id, (framing.CAUSE, bytes((cause,))), *stay)
--- a/oakcroft/platformwire/long_poll.py
+++ b/oakcroft/platformwire/long_poll.py
@@ -10,12 +10,12 @@
 
 from oakcroft.platformwire import command_channel
 
-PATH = "/cmd/next"
-MOST_ANSWER = 262_144
-MOST_HEAD = 32_768
+POLL_PATH = "/cmd/next"
+MAX_ANSWER_BYTES = 262_144
+MAX_HEAD_BYTES = 32_768
 
 
-class Polling:
+class LongPollConnection:
     """Turns polls into bytes and bytes into answers.
 
     A ChannelError means that the connection can no longer be used: the answer is invalid or incomplete.
@@ -24,19 +24,21 @@
     def __init__(self, host: str, port: int) -> None:
         """The connection to an address; nothing has been sent."""
         self.host = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.body = bytearray()
         self.status = 0
 
-    def ask(self, after: int, block: int) -> bytes:
+    def poll(self, after_cursor: int, wait_ms: int) -> bytes:
         """The bytes of a poll for the events after `after_cursor`, which the channel may hold for `wait_ms`.
 
         Raises ChannelError if the previous answer has not been read.
         """
         if self.http.our_state is not h11.IDLE:
-            raise command_channel.Unreadable("the answer before has not been read")
+            raise command_channel.ChannelError("the answer before has not been read")
         request = h11.Request(
-            method="GET", target=f"{PATH}?resume={after}&block={block}", headers=[("Host", self.host)]
+            method="GET",
+            target=f"{POLL_PATH}?resume={after_cursor}&block={wait_ms}",
+            headers=[("Host", self.host)],
         )
         return (self.http.send(request) or b"") + (self.http.send(h11.EndOfMessage()) or b"")
 
@@ -45,9 +47,9 @@
         try:
             self.http.receive_data(data)
         except RuntimeError as fault:  # bytes after the end of the connection
-            raise command_channel.Unreadable(str(fault)) from fault
+            raise command_channel.ChannelError(str(fault)) from fault
 
-    def next_answer(self) -> tuple[int, list[command_channel.Change]] | None:
+    def next_answer(self) -> tuple[int, list[command_channel.ListChange]] | None:
         """The answer to the open poll: the cursor of the last event, and the events. None if it is not
         complete.
 
@@ -62,26 +64,26 @@
                     self.status = event.status_code
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    if len(self.body) > MOST_ANSWER:
-                        raise command_channel.Unreadable("the answer is too large")
+                    if len(self.body) > MAX_ANSWER_BYTES:
+                        raise command_channel.ChannelError("the answer is too large")
                 elif isinstance(event, h11.EndOfMessage):
-                    return self._whole()
+                    return self._complete_answer()
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise command_channel.Unreadable("closed without an answer")
+                    raise command_channel.ChannelError("closed without an answer")
         except h11.RemoteProtocolError as fault:
-            raise command_channel.Unreadable(str(fault)) from fault
+            raise command_channel.ChannelError(str(fault)) from fault
 
-    def _whole(self) -> tuple[int, list[command_channel.Change]]:
+    def _complete_answer(self) -> tuple[int, list[command_channel.ListChange]]:
         """Decodes the complete answer and makes the connection ready for the next poll if it stays open."""
         body, self.body = bytes(self.body), bytearray()
         if self.status != 200:
-            raise command_channel.Unreadable(f"status {self.status}")
-        found = command_channel.document(body)
+            raise command_channel.ChannelError(f"status {self.status}")
+        found = command_channel.decode_events(body)
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         return found
 
     @property
-    def may_ask(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the connection can take another poll."""
         return bool(self.http.our_state is h11.IDLE)
--- a/oakcroft/platformwire/number_parsing.py
+++ b/oakcroft/platformwire/number_parsing.py
@@ -5,12 +5,12 @@
 import math
 
 
-def finite(said: object) -> float | None:
+def parse_finite(raw: object) -> float | None:
     """A finite number, given as a number or as text; None for anything else."""
-    if isinstance(said, bool) or not isinstance(said, str | int | float):
+    if isinstance(raw, bool) or not isinstance(raw, str | int | float):
         return None
     try:
-        value = float(said)
+        value = float(raw)
     except (ValueError, OverflowError):
         return None
     return value if math.isfinite(value) else None
--- a/oakcroft/platformwire/settings.py
+++ b/oakcroft/platformwire/settings.py
@@ -8,96 +8,110 @@
 
 from oakcroft import terms
 
-NONE = -1.0  # below every range
-TINY = 1e-9  # for fields that must be more than 0
-FIGURES: dict[str, tuple[float, float]] = {
-    "balancers": (0, inf), "me": (0, inf), "familyInfo.cells": (0, inf), "familyInfo.groups": (0, inf),
-    "familyInfo.joinAdds": (0, inf), "familyInfo.reportsEveryMs": (0, inf), "familyInfo.seenAfterMs": (0, inf),
-    "familyInfo.uplinkKb": (0, inf), "familyInfo.weightKb": (TINY, inf), "rules.coldMs": (0, inf),
-    "rules.coldShare": (0, 1), "rules.fallMultiple": (TINY, inf), "rules.overloadForMs": (TINY, inf),
-    "permissions.maxAttempts": (1, inf), "permissions.connIdleMs": (TINY, inf),
-    "permissions.dialTimeoutMs": (TINY, inf), "permissions.streamsPerConn": (1, inf), "permissions.maxOpen": (1, inf),
-}  # fmt: skip
-EACH = {  # lists of numbers: the least value of each, and the list that must have the same length
+NOT_A_NUMBER = -1.0  # below every range
+LEAST_POSITIVE = 1e-9  # for fields that must be more than 0
+NUMBER_RANGES: dict[str, tuple[float, float]] = {
+    "balancers": (0, inf),
+    "me": (0, inf),
+    "familyInfo.cells": (0, inf),
+    "familyInfo.groups": (0, inf),
+    "familyInfo.joinAdds": (0, inf),
+    "familyInfo.reportsEveryMs": (0, inf),
+    "familyInfo.seenAfterMs": (0, inf),
+    "familyInfo.uplinkKb": (0, inf),
+    "familyInfo.weightKb": (LEAST_POSITIVE, inf),
+    "rules.coldMs": (0, inf),
+    "rules.coldShare": (0, 1),
+    "rules.fallMultiple": (LEAST_POSITIVE, inf),
+    "rules.overloadForMs": (LEAST_POSITIVE, inf),
+    "permissions.maxAttempts": (1, inf),
+    "permissions.connIdleMs": (LEAST_POSITIVE, inf),
+    "permissions.dialTimeoutMs": (LEAST_POSITIVE, inf),
+    "permissions.streamsPerConn": (1, inf),
+    "permissions.maxOpen": (1, inf),
+}
+NUMBER_LISTS = {  # lists of numbers: the least value of each, and the list that must have the same length
     "familyInfo.classSeats": (0, "classes"), "familyInfo.classTop": (0, "classes"),
-    "familyInfo.floorByClass": (0, "classes"), "familyInfo.rateFactor": (TINY, "classes"),
-    "familyInfo.live": (0, "classes"), "familyInfo.ratesKb": (TINY, "familyInfo.rungWorth"),
+    "familyInfo.floorByClass": (0, "classes"), "familyInfo.rateFactor": (LEAST_POSITIVE, "classes"),
+    "familyInfo.live": (0, "classes"), "familyInfo.ratesKb": (LEAST_POSITIVE, "familyInfo.rungWorth"),
     "familyInfo.rungWorth": (0, "familyInfo.ratesKb"), "familyInfo.kindSlots": (0, "models"),
 }  # fmt: skip
-MAY_LACK = {"rules.extraFree": 0.0, "rules.extraShare": 0.0, "rules.budgetSpanMs": 0.0, "rules.askWithinMs": 0.0,
+OPTIONAL_MINIMUMS = {"rules.extraFree": 0.0, "rules.extraShare": 0.0, "rules.budgetSpanMs": 0.0, "rules.askWithinMs": 0.0,
             "permissions.maxRetryAfterMs": 0.0}  # fmt: skip
-OF_CLASSES = {"objectiveMs": TINY, "deadlineMs": TINY, "worth": 0.0}
+CLASS_MINIMUMS = {"objectiveMs": LEAST_POSITIVE, "deadlineMs": LEAST_POSITIVE, "worth": 0.0}
 
 
-class Unserved(Exception):
+class SettingsError(Exception):
     """Settings that cannot be served; the message names the field and the reason."""
 
 
-def at(settings: Any, path: str) -> Any:
+def field_at(settings: Any, path: str) -> Any:
     """A field by its path; raises SettingsError if it is missing."""
     for name in path.split("."):
         if not isinstance(settings, dict) or name not in settings:
-            raise Unserved(f"settings.{path} is missing")
+            raise SettingsError(f"settings.{path} is missing")
         settings = settings[name]
     return settings
 
 
-def figure(said: object, path: str, least: float, most: float = inf) -> None:
+def check_number(raw: object, path: str, minimum: float, maximum: float = inf) -> None:
     """Raises SettingsError if a field is not a number in a range."""
-    value = float(said) if isinstance(said, int | float) else NONE
-    if not least <= value <= most:
-        shown = "more than 0" if least == TINY else f"{least:g} at least"
-        raise Unserved(f"settings.{path}: {str(said)[:40]!r} where a figure is wanted, {shown}"
-                       + (f" and {most:g} at most" if most < inf else ""))  # fmt: skip
+    value = float(raw) if isinstance(raw, int | float) else NOT_A_NUMBER
+    if not minimum <= value <= maximum:
+        shown = "more than 0" if minimum == LEAST_POSITIVE else f"{minimum:g} at least"
+        raise SettingsError(f"settings.{path}: {str(raw)[:40]!r} where a figure is wanted, {shown}"
+                       + (f" and {maximum:g} at most" if maximum < inf else ""))  # fmt: skip
 
 
-def listed(settings: Any, path: str) -> list[Any]:
+def non_empty_list(settings: Any, path: str) -> list[Any]:
     """A list that is not empty; raises SettingsError otherwise."""
-    found = at(settings, path)
+    found = field_at(settings, path)
     if not isinstance(found, list) or not found:
-        raise Unserved(f"settings.{path}: a list with something in it is wanted")
+        raise SettingsError(f"settings.{path}: a list with something in it is wanted")
     return found
 
 
-def classes(settings: Any) -> Iterator[tuple[str, dict[str, Any]]]:
+def checked_classes(settings: Any) -> Iterator[tuple[str, dict[str, Any]]]:
     """Each class with its path; raises SettingsError if one has no name or the name of another."""
     names = set[str]()
-    for i, one in enumerate(listed(settings, "classes")):
+    for i, one in enumerate(non_empty_list(settings, "classes")):
         path = f"classes[{i}]"
         if not isinstance(one, dict) or not isinstance(one.get("name"), str) or not one["name"]:
-            raise Unserved(f"settings.{path}.name is missing")
+            raise SettingsError(f"settings.{path}.name is missing")
         if one["name"] in names:
-            raise Unserved(f"settings.{path}.name: {one['name']!r} stands twice")
+            raise SettingsError(f"settings.{path}.name: {one['name']!r} stands twice")
         names.add(one["name"])
         yield path, one
 
 
 def check(settings: Any) -> None:
     """Raises SettingsError for the first field that cannot be served."""
-    for path, (least, most) in FIGURES.items():
-        figure(at(settings, path), path, least, most)
-    for path, least in MAY_LACK.items():
+    for path, (least, most) in NUMBER_RANGES.items():
+        check_number(field_at(settings, path), path, least, most)
+    for path, least in OPTIONAL_MINIMUMS.items():
         group, _, name = path.partition(".")
-        if at(settings, group).get(name) is not None:
-            figure(at(settings, path), path, least)
-    for path, one in classes(settings):
-        for name, least in OF_CLASSES.items():
+        if field_at(settings, group).get(name) is not None:
+            check_number(field_at(settings, path), path, least)
+    for path, one in checked_classes(settings):
+        for name, least in CLASS_MINIMUMS.items():
             if name not in one:
-                raise Unserved(f"settings.{path}.{name} is missing")
-            figure(one[name], f"{path}.{name}", least)
-        for name, known in (("effect", terms.EFFECTS), ("group", terms.GROUPS)):
+                raise SettingsError(f"settings.{path}.{name} is missing")
+            check_number(one[name], f"{path}.{name}", least)
+        for name, known in (("effect", terms.EFFECTS_BY_SETTING), ("group", terms.KEY_SCOPES_BY_SETTING)):
             word = one.get(name)
             if (word is not None or name == "effect") and (not isinstance(word, str) or word not in known):
-                raise Unserved(f"settings.{path}.{name}: {str(word)[:40]!r} is none of {', '.join(known)}")
+                raise SettingsError(
+                    f"settings.{path}.{name}: {str(word)[:40]!r} is none of {', '.join(known)}"
+                )
         if one.get("keyTtlMs") is not None:
-            figure(one["keyTtlMs"], f"{path}.keyTtlMs", 0)
-    for path, (least, like) in EACH.items():
-        found = listed(settings, path)
+            check_number(one["keyTtlMs"], f"{path}.keyTtlMs", 0)
+    for path, (least, like) in NUMBER_LISTS.items():
+        found = non_empty_list(settings, path)
         for i, said in enumerate(found):
-            figure(said, f"{path}[{i}]", least)
-        if len(found) != len(listed(settings, like)):
-            raise Unserved(
-                f"settings.{path}: {len(found)} figures where {like} has {len(at(settings, like))}"
+            check_number(said, f"{path}[{i}]", least)
+        if len(found) != len(non_empty_list(settings, like)):
+            raise SettingsError(
+                f"settings.{path}: {len(found)} figures where {like} has {len(field_at(settings, like))}"
             )
     for path in ("permissions.retryAfter", "membershipMode"):
-        at(settings, path)
+        field_at(settings, path)
--- a/oakcroft/rehearsal/baseline.py
+++ b/oakcroft/rehearsal/baseline.py
@@ -9,84 +9,99 @@
 from collections.abc import Iterable
 from random import Random
 
-from oakcroft.interface import Entry, Host, Listing, ListKind, Node, Note, Outcome, Playback, State, Terms
+from oakcroft.interface import (
+    NodeEntry,
+    Host,
+    NodeStatus,
+    NodeListKind,
+    Node,
+    PlaybackMetric,
+    Outcome,
+    Playback,
+    PlaybackState,
+    DeploymentSettings,
+)
 
 
 class Naive:
     """Decides by lot."""
 
-    def __init__(self, terms: Terms, seed: int, host: Host, now: int) -> None:
+    def __init__(self, terms: DeploymentSettings, seed: int, host: Host, now: int) -> None:
         """As the module that it stands in for."""
         self.terms, self.host, self.rng = terms, host, Random(seed)
         self.nodes: dict[Node, None] = {}
 
-    def listed(self, kind: ListKind, entries: Iterable[Entry], now: int) -> None:
+    def on_node_list(self, kind: NodeListKind, entries: Iterable[NodeEntry], now: int) -> None:
         """Takes a list of nodes on; what is gone is dropped."""
         for e in entries:
-            e.node.listing = e.listing
+            e.node.status = e.status
             self.nodes[e.node] = None
-        self.nodes = {n: None for n in self.nodes if n.listing is not Listing.GONE}
+        self.nodes = {n: None for n in self.nodes if n.status is not NodeStatus.GONE}
 
-    def arrived(self, pb: Playback, now: int) -> None:
+    def on_request(self, playback: Playback, now: int) -> None:
         """Sends a request to any ready holder of its title, or rejects it where there is none."""
-        cells = self.terms.cells
-        copies = pb.title.copies if 0 < pb.title.copies < cells else cells
+        cells = self.terms.cell_count
+        copies = playback.title.copies if 0 < playback.title.copies < cells else cells
         ready = [
-            n for n in self.nodes if n.listing is Listing.READY and (n.cell - pb.title.home) % cells < copies
+            n
+            for n in self.nodes
+            if n.status is NodeStatus.READY and (n.cell - playback.title.home_cell) % cells < copies
         ]
         if not ready:
-            pb.state = State.REJECTED
-            self.host.reject(pb, 0)
+            playback.state = PlaybackState.REJECTED
+            self.host.reject(playback, 0)
             return
         node = self.rng.choice(ready)
-        pb.tries.append((node, now))
-        pb.state, pb.node = State.SETTING_UP, node
-        node.playbacks[pb] = None
-        self.host.send(pb, node, pb.abandon - 10_000_000)
+        playback.tries.append((node, now))
+        playback.state, playback.node = PlaybackState.SETTING_UP, node
+        node.playbacks[playback] = None
+        self.host.send_setup(playback, node, playback.abandon_at - 10_000_000)
 
-    def resumed(self, pb: Playback, node: Node, now: int) -> None:
+    def on_handed_over(self, playback: Playback, node: Node, now: int) -> None:
         """A playback that played before a restart plays on."""
-        pb.state, pb.node = State.PLAYING, node
-        node.playbacks[pb] = None
+        playback.state, playback.node = PlaybackState.PLAYING, node
+        node.playbacks[playback] = None
 
-    def recalled(self, further: Iterable[int], spent: Iterable[Node], now: int) -> None:
+    def on_history_restored(
+        self, retry_times: Iterable[int], nodes_with_spent_slot: Iterable[Node], now: int
+    ) -> None:
         """Counts nothing."""
 
-    def playing(self, pb: Playback, now: int) -> None:
+    def on_playing(self, playback: Playback, now: int) -> None:
         """A set-up succeeded."""
-        if pb.state is State.SETTING_UP:
-            pb.state = State.PLAYING
+        if playback.state is PlaybackState.SETTING_UP:
+            playback.state = PlaybackState.PLAYING
 
-    def noted(self, pb: Playback, kind: Note, value: float, now: int) -> None:
+    def on_metric(self, playback: Playback, metric: PlaybackMetric, value: float, now: int) -> None:
         """Heeds no note."""
 
-    def told(self, node: Node, asked: float, age: int, now: int) -> None:
+    def on_peer_load(self, node: Node, link_load: float, report_age_ns: int, now: int) -> None:
         """Heeds no load."""
 
-    def left(self, pb: Playback, now: int) -> None:
+    def on_viewer_left(self, playback: Playback, now: int) -> None:
         """Its viewer went."""
-        if pb.state in (State.SETTING_UP, State.PLAYING):
-            pb.state = State.CLOSED
+        if playback.state in (PlaybackState.SETTING_UP, PlaybackState.PLAYING):
+            playback.state = PlaybackState.VIEWER_LEFT
 
-    def alarm(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Sets no alarm, and so is never woken."""
 
-    def tried(
-        self, pb: Playback, outcome: Outcome, closed: bool,
-        asked: float | None, used: float | None, uplink: float | None, now: int,
+    def on_try_ended(
+        self, playback: Playback, outcome: Outcome, is_closed: bool,
+        link_load: float | None, link_used: float | None, uplink_load: float | None, now: int,
     ) -> None:  # fmt: skip
         """A try ended: there is no other."""
-        if pb.node:
-            pb.node.playbacks.pop(pb, None)
-        if closed or pb.state is not State.SETTING_UP:
-            pb.state = State.ENDED
+        if playback.node:
+            playback.node.playbacks.pop(playback, None)
+        if is_closed or playback.state is not PlaybackState.SETTING_UP:
+            playback.state = PlaybackState.ENDED
         else:
-            pb.state = State.ABORTED
-            self.host.abort(pb)
+            playback.state = PlaybackState.ABORTED
+            self.host.abort(playback)
 
-    def over(self, pb: Playback) -> bool:
+    def is_over(self, playback: Playback) -> bool:
         """Whether nothing more comes of a playback."""
-        return pb.state in (State.ENDED, State.REJECTED, State.ABORTED)
+        return playback.state in (PlaybackState.ENDED, PlaybackState.REJECTED, PlaybackState.ABORTED)
 
 
 if __name__ == "__main__":
--- a/oakcroft/rehearsal/firstcome.py
+++ b/oakcroft/rehearsal/firstcome.py
@@ -9,11 +9,13 @@
 from pathlib import Path
 
 from oakcroft.cli import serve_file
-from oakcroft.decisions.admission.load_shedding import Window
+from oakcroft.decisions.admission.load_shedding import ConcurrencyWindow
 from oakcroft.front import session_service
 
 ENDLESS = 1 << 40
 
 if __name__ == "__main__":
-    session_service.Window = lambda: Window(least=ENDLESS, most=ENDLESS, size=float(ENDLESS))  # type: ignore[assignment, misc, attr-defined]
+    session_service.ConcurrencyWindow = lambda: ConcurrencyWindow(  # type: ignore[assignment, misc, attr-defined]
+        min_size=ENDLESS, max_size=ENDLESS, size=float(ENDLESS)
+    )
     sys.exit(serve_file(Path(sys.argv[1])))
--- a/oakcroft/rehearsal/many_adopters.py
+++ b/oakcroft/rehearsal/many_adopters.py
@@ -14,8 +14,14 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from oakcroft.decisions.fleet.session_takeover import Adopting, Bounds, Errand
-from oakcroft.decisions.fleet.session_ownership import Caller, Word, lease, may_act, may_take
+from oakcroft.decisions.fleet.session_takeover import SessionTakeover, TakeoverBounds, TakeoverRequest
+from oakcroft.decisions.fleet.session_ownership import (
+    Caller,
+    TakeoverAnswer,
+    effective_lease,
+    may_control,
+    check_takeover,
+)
 from oakcroft.interface import MS, SECOND
 
 STEP = 50 * MS
@@ -39,7 +45,7 @@
 
     name: str
     start: int
-    course: Adopting
+    course: SessionTakeover
     room: int
     held: dict[str, int] = field(default_factory=dict)  # session -> node
     gone: dict[str, int] = field(default_factory=dict)  # whom it sees as gone
@@ -73,7 +79,7 @@
 class ManyAdopters:
     """The whole."""
 
-    def __init__(self, fronts: int, nodes: int, each: int, seed: int, bounds: Bounds, net: Net | None = None,
+    def __init__(self, fronts: int, nodes: int, each: int, seed: int, bounds: TakeoverBounds, net: Net | None = None,
                  room: int = 10_000, checks: bool = True) -> None:  # fmt: skip
         """`each`: sessions that a front begins with; `room`: that it takes; `checks`: whether nodes check who asks."""
         self.rng, self.net, self.bounds, self.now, self.checks = Random(seed), net or Net(), bounds, 0, checks
@@ -98,12 +104,12 @@
                 self.fronts[name].held[session] = at
 
     def _begin(self, name: str, start: int, room: int) -> None:
-        course = Adopting(name, self.bounds)
+        course = SessionTakeover(name, self.bounds)
         self.fronts[name] = front = Front(name, start, course, room)
-        course.listed(map(str, range(len(self.nodes))), self.now)
-        course.sees((), self.names, self.now)
+        course.update_nodes(map(str, range(len(self.nodes))), self.now)
+        course.update_fronts((), self.names, self.now)
         for node in self.nodes:
-            node.ears[front.caller.front] = Ear()
+            node.ears[front.caller.pseudonym] = Ear()
 
     # The network.
 
@@ -150,7 +156,7 @@
             for other in self.fronts.values():
                 self._back(other, name)
             for node in self.nodes:
-                node.ears[front.caller.front] = Ear()
+                node.ears[front.caller.pseudonym] = Ear()
             # What it believes to hold it changes now, before any node has told it otherwise.
             for session, at in list(front.held.items()):
                 self._send(lambda s=session, n=at: self._change(front, n, s))  # type: ignore[misc]
@@ -166,7 +172,9 @@
     def _lose_streams(self, front: Front, after: int) -> None:
         def lose() -> None:
             for node in self.nodes:
-                if (ear := node.ears.get(front.caller.front)) is not None and (front.dead or front.asleep):
+                if (ear := node.ears.get(front.caller.pseudonym)) is not None and (
+                    front.dead or front.asleep
+                ):
                     ear.open, ear.away = False, self.now
 
         self.at(self.now + after, lose)
@@ -187,16 +195,16 @@
 
     def _look(self, front: Front) -> None:
         present = [n for n in self.names if n not in front.gone]
-        front.course.sees(front.gone, present, self.now)
+        front.course.update_fronts(front.gone, present, self.now)
 
-    def _errand(self, front: Front, errand: Errand) -> None:
-        told: dict[str, Word] = {}
+    def _errand(self, front: Front, errand: TakeoverRequest) -> None:
+        told: dict[str, TakeoverAnswer] = {}
         answered, told_mine = [False], list[str]()
 
         def failed() -> None:
             if not answered[0]:
                 answered[0] = True
-                front.course.asked(errand, None, self.now)
+                front.course.request_finished(errand, None, self.now)
 
         def node_takes(mine: list[str]) -> None:
             given = self._take(front.caller, at, mine)
@@ -209,19 +217,19 @@
                 front.held.pop(session, None)
             if not answered[0]:
                 answered[0] = True
-                front.course.asked(errand, told, self.now)
+                front.course.request_finished(errand, told, self.now)
 
         def node_tells() -> None:
             second = self.now // SECOND
             self.nodes[at].asked[second] += 1
-            words, some = self._offer(front.caller, at, errand.names)
+            words, some = self._offer(front.caller, at, errand.front_names)
             self._send(lambda: front_chooses(words, some), failed)
 
-        def front_chooses(words: dict[str, Word], some: list[tuple[str, str]]) -> None:
+        def front_chooses(words: dict[str, TakeoverAnswer], some: list[tuple[str, str]]) -> None:
             if front.dead or front.asleep or answered[0]:
                 return
             told.update(words)
-            mine = [s for s, of in some if errand.shares(of, s)][: max(0, front.room - len(front.held))]
+            mine = [s for s, of in some if errand.is_own(of, s)][: max(0, front.room - len(front.held))]
             told_mine.extend(mine)
             front.held.update(dict.fromkeys(mine, at))  # its room is taken before it asks for them
             if mine:
@@ -237,28 +245,28 @@
 
     def _offer(
         self, caller: Caller, at: int, names: Iterable[str]
-    ) -> tuple[dict[str, Word], list[tuple[str, str]]]:
-        node, told = self.nodes[at], dict.fromkeys(names, Word.AWAY)
+    ) -> tuple[dict[str, TakeoverAnswer], list[tuple[str, str]]]:
+        node, told = self.nodes[at], dict.fromkeys(names, TakeoverAnswer.ALLOWED)
         some = list[tuple[str, str]]()
         for session, held in node.holder.items():
             if held.member in told:
                 word = self._word(node, held, caller)
-                if word is Word.AWAY:
+                if word is TakeoverAnswer.ALLOWED:
                     some.append((session, held.member))
                 else:
                     told[held.member] = word
         return told, some
 
-    def _word(self, node: Node, held: Caller, caller: Caller) -> Word:
-        ear, mine = node.ears.get(held.front), node.ears.get(caller.front)
+    def _word(self, node: Node, held: Caller, caller: Caller) -> TakeoverAnswer:
+        ear, mine = node.ears.get(held.pseudonym), node.ears.get(caller.pseudonym)
         away = None if ear is not None and ear.open else self.now - (ear.away if ear is not None else 0)
-        return may_take(held, caller, away, mine is not None and mine.open)
+        return check_takeover(held, caller, away, mine is not None and mine.open)
 
     def _take(self, caller: Caller, at: int, sessions: list[str]) -> list[str]:
         node, given = self.nodes[at], []
         for session in sessions:
             held = node.holder.get(session)
-            if held is None or (self.checks and self._word(node, held, caller) is not Word.AWAY):
+            if held is None or (self.checks and self._word(node, held, caller) is not TakeoverAnswer.ALLOWED):
                 continue
             if self._listens(node, held):
                 self.breaches.append(f"{session} taken from {held.member}, which listens")
@@ -271,7 +279,7 @@
 
     @staticmethod
     def _listens(node: Node, held: Caller) -> bool:
-        ear = node.ears.get(held.front)
+        ear = node.ears.get(held.pseudonym)
         return ear is not None and ear.open
 
     def _change(self, front: Front, at: int, session: str) -> None:
@@ -280,16 +288,16 @@
         held = node.holder.get(session)
         if held is None:
             return
-        if self.checks and not may_act(held, front.caller):
+        if self.checks and not may_control(held, front.caller):
             node.turned_away += 1
         elif held.member != front.name:
             self.breaches.append(f"{session}: {front.name} changed what {held.member} has")
 
     def _leases(self) -> None:
-        keeps = lease(self.bounds.lease, OWN_LEASE)
+        keeps = effective_lease(self.bounds.session_lease, OWN_LEASE)
         for node in self.nodes:
             for session, held in list(node.holder.items()):
-                ear = node.ears.get(held.front)
+                ear = node.ears.get(held.pseudonym)
                 if ear is not None and not ear.open and self.now - ear.away > keeps:
                     del node.holder[session]
                     self.ended += 1
@@ -311,8 +319,8 @@
                 if front.dead or front.asleep:
                     continue
                 began = time.perf_counter()
-                errands = front.course.due(self.now)
-                front.course.finished(self.now)
+                errands = front.course.due_requests(self.now)
+                front.course.take_finished(self.now)
                 self.cost += time.perf_counter() - began
                 for errand in errands:
                     self._errand(front, errand)
--- a/oakcroft/rehearsal/many_owners.py
+++ b/oakcroft/rehearsal/many_owners.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from random import Random
 
-from oakcroft.decisions.fleet.acceptor import Keeper
-from oakcroft.decisions.fleet.candidate import Candidate, Course, Word
+from oakcroft.decisions.fleet.acceptor import LeaseAcceptor
+from oakcroft.decisions.fleet.candidate import LeaseCandidate, CandidateState, AcceptorMessage
 from oakcroft.decisions.membership.rendezvous import line
-from oakcroft.decisions.fleet.lease import Answer, Learnt
+from oakcroft.decisions.fleet.lease import LeaseAnswer, AcceptorRecord
 from oakcroft.interface import MS, SECOND
 
 DUTY = "catalogue"
@@ -31,9 +31,9 @@
         self.rng, self.loss, self.term = Random(seed), loss, term
         self.names = [f"f{i:03}" for i in range(fronts)]
         granting = self.names[:keepers]
-        self.keepers = {k: Keeper(k, granting, term, 1, -term) for k in granting}
+        self.keepers = {k: LeaseAcceptor(k, granting, term, 1, -term) for k in granting}
         for k in self.keepers.values():
-            k.take_on(1, {}, {}, True, 0)
+            k.load_record(1, {}, {}, True, 0)
         self.candidates = {n: self._candidate(n, 1, 0) for n in self.names}
         self.dead, self.known_dead = set[str](), set[str]()
         self.cut: Callable[[str, str], bool] = lambda _a, _b: False
@@ -44,9 +44,11 @@
         for i, name in enumerate(self.names):
             self.later(i * MS % LOOK, lambda n=name: self._look(n))  # type: ignore[misc]
 
-    def _candidate(self, name: str, start: int, floor: int) -> Candidate:
+    def _candidate(self, name: str, start: int, floor: int) -> LeaseCandidate:
         rng = Random(f"{name}/{start}")
-        return Candidate(DUTY, name, start, self.keepers, self.term, rng, floor, self.now if start > 1 else 0)
+        return LeaseCandidate(
+            DUTY, name, start, self.keepers, self.term, rng, floor, self.now if start > 1 else 0
+        )
 
     def later(self, after: int, event: Callable[[], None]) -> None:
         """Does something after a time, ns."""
@@ -79,38 +81,42 @@
             self.in_line = line(DUTY, [n for n in self.names if n not in self.known_dead])[:IN_LINE]
         one = self.candidates[name]
         one.rank = self.in_line.index(name) if name in self.in_line else IN_LINE
-        self._say(name, one.want(one.rank < IN_LINE or one.owns(self.now) is not None, self.now))
+        self._say(name, one.set_wanted(one.rank < IN_LINE or one.held_term(self.now) is not None, self.now))
         self._say(name, one.tick(self.now))
         self._owners(name)
 
-    def _say(self, name: str, words: list[Word]) -> None:
+    def _say(self, name: str, words: list[AcceptorMessage]) -> None:
         for word in words:
-            self._pass(name, word.to, lambda w=word: self._asked(name, w))  # type: ignore[misc]
+            self._pass(name, word.acceptor, lambda w=word: self._asked(name, w))  # type: ignore[misc]
 
-    def _asked(self, name: str, word: Word) -> None:
-        if word.to in self.dead:
+    def _asked(self, name: str, word: AcceptorMessage) -> None:
+        if word.acceptor in self.dead:
             return
-        answer = self.keepers[word.to].asked(word.ask, self.now)
+        answer = self.keepers[word.acceptor].handle_request(word.request, self.now)
         if answer is not None:
-            self._pass(word.to, name, lambda: self._answered(name, answer))
+            self._pass(word.acceptor, name, lambda: self._answered(name, answer))
 
-    def _answered(self, name: str, answer: Answer) -> None:
+    def _answered(self, name: str, answer: LeaseAnswer) -> None:
         if name not in self.dead:
-            self._say(name, self.candidates[name].heard(answer, self.now))
+            self._say(name, self.candidates[name].receive_answer(answer, self.now))
             self._owners(name)
 
     def _owners(self, name: str) -> None:
         """Notes a term that began, and that there is one owner at most, with a number over all before."""
-        term = self.candidates[name].owns(self.now)
-        if term is None or (self.began and self.began[-1][1] == term.number):
+        term = self.candidates[name].held_term(self.now)
+        if term is None or (self.began and self.began[-1][1] == term.fencing_token):
             return
         assert not [n for n in self.candidates if n != name and self._owns(n)], "two owners"
-        assert not self.began or term.number > self.began[-1][1], f"{term} after {self.began[-1]}"
-        self.began.append((self.now, term.number, name))
+        assert not self.began or term.fencing_token > self.began[-1][1], f"{term} after {self.began[-1]}"
+        self.began.append((self.now, term.fencing_token, name))
 
     def _owns(self, name: str) -> bool:
         one = self.candidates[name]
-        return name not in self.dead and one.course is Course.OWNS and one.owns(self.now) is not None
+        return (
+            name not in self.dead
+            and one.state is CandidateState.HOLDING
+            and one.held_term(self.now) is not None
+        )
 
     def owner(self) -> str | None:
         """Whoever takes itself for the owner."""
@@ -137,25 +143,27 @@
         old = self.keepers.get(name)
         if old is None:
             return
-        new = self.keepers[name] = Keeper(name, self.keepers, self.term, 1 + self.lives, self.now)
+        new = self.keepers[name] = LeaseAcceptor(name, self.keepers, self.term, 1 + self.lives, self.now)
         if record:
-            new.take_on(old.epoch, old.epochs, old.rows, True, self.now)
+            new.load_record(old.epoch, old.peer_epochs, old.records, True, self.now)
         else:
             self._learn(name, new)
 
-    def _learn(self, name: str, keeper: Keeper) -> None:
-        if keeper.sound or self.keepers[name] is not keeper or name in self.dead:
+    def _learn(self, name: str, keeper: LeaseAcceptor) -> None:
+        if keeper.has_full_record or self.keepers[name] is not keeper or name in self.dead:
             return
         self.later(LEARN_EVERY, lambda: self._learn(name, keeper))
-        if not keeper.asks_others():
-            keeper.learnt.clear()
-        for other in keeper.asks_others():
+        if not keeper.peers_to_ask():
+            keeper.peer_records.clear()
+        for other in keeper.peers_to_ask():
             self._pass(name, other, lambda o=other: self._told(o, name, keeper))  # type: ignore[misc]
 
-    def _told(self, other: str, name: str, keeper: Keeper) -> None:
-        told: Learnt | None = None if other in self.dead else self.keepers[other].tells(name, keeper.epoch)
+    def _told(self, other: str, name: str, keeper: LeaseAcceptor) -> None:
+        told: AcceptorRecord | None = (
+            None if other in self.dead else self.keepers[other].record_for_peer(name, keeper.epoch)
+        )
         if told is not None:
             self._pass(other, name, lambda: self._hears(keeper, told))
 
-    def _hears(self, keeper: Keeper, told: Learnt) -> None:
-        keeper.hears(told, self.now)
+    def _hears(self, keeper: LeaseAcceptor, told: AcceptorRecord) -> None:
+        keeper.receive_peer_record(told, self.now)
--- a/oakcroft/rehearsal/mixed.py
+++ b/oakcroft/rehearsal/mixed.py
@@ -32,14 +32,14 @@
         rng, plan, name = Random(visit.seed), visit.plan, visit.plan.name
         began, watched, tries, served = trio.current_time(), 0.0, 0, False
         self.tally.asked[name] += 1
-        worth = plan.plan.revenue * self.day.site.terms.rung_worth[visit.top]
+        worth = plan.plan.revenue * self.day.site.terms.rung_revenue_shares[visit.top]
         self.tally.offered[name] = self.tally.offered.get(name, 0.0) + visit.life / 1e9 * worth
         while not self.stopped and trio.current_time() - began < 30 + visit.life / 1e9:
             front, key = self._front(rng, visit.wing), f"v{visit.number}.{tries}"
             tries += 1
             retries = Retries(Random(visit.seed + tries), most=1)
             after, whole = 0.0, False
-            with trio.move_on_after(plan.abandon / 1e9 + 4 + visit.life / 1e9):
+            with trio.move_on_after(plan.abandon_ns / 1e9 + 4 + visit.life / 1e9):
                 url = f"http://127.0.0.1:{self.ports.get(front, 1)}"
                 with trio.move_on_after(1.0) as connecting:
                     async with SessionClient.open(url, retries=retries) as client:
@@ -52,7 +52,7 @@
                                 served = True
                                 self.tally.served[name] += 1
                                 self.tally.in_target[name] += (
-                                    trio.current_time() - began <= plan.plan.startup_target / 1e9
+                                    trio.current_time() - began <= plan.plan.startup_target_ns / 1e9
                                 )
                             if visit.number % BOTH_WAYS_EVERY == BOTH_WAYS_FIRST:
                                 await self._other_way(visit, front, key, answer.playback)
@@ -74,7 +74,7 @@
 
     async def _say(self, client: SessionClient, visit: Visit, front: int, key: str) -> api.Answer | None:
         """One request, recorded."""
-        wait, (prefix, body) = visit.plan.abandon, self._asked(visit)
+        wait, (prefix, body) = visit.plan.abandon_ns, self._asked(visit)
         self.tally.requests += 1
         self.tally.waiting += 1
         sent = trio.current_time()
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -101,7 +101,7 @@
 
     async def _ask_for(self, visit: Visit, front: int, key: str, port: int, path: str) -> Response | None:
         """One POST of an offer, recorded like any."""
-        wait = visit.plan.abandon
+        wait = visit.plan.abandon_ns
         headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key)),
                    ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
         candidate = f"a=candidate:1 1 udp 2130706431 127.0.0.1 {port} typ host\r\n"
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from oakcroft.decisions.routing.route_table import Side
+from oakcroft.decisions.routing.route_table import ClientRole
 from oakcroft.httpwire.client import Ended, Peer, readable
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
@@ -41,7 +41,7 @@
     weights = [1 / (i + 1) ** crowd.zipf for i in range(crowd.titles)]
     titles = list(itertools.accumulate(weights))
     plans, shares = list(crowd.share), list(crowd.share.values())
-    wings, rungs = sorted(set(day.fronts)), len(day.site.terms.rates)
+    wings, rungs = sorted(set(day.fronts)), len(day.site.terms.rung_rates)
     crowds = [f for f in day.faults if f.kind == "crowd"]
     visits, at = list[Visit](), 0.0
     while True:
@@ -79,7 +79,7 @@
         plan,
         f"lesson-{title}",
         life,
-        min(top, plan.plan.top),
+        min(top, plan.plan.top_rung),
         rng.randrange(1 << 30),
     )
 
@@ -140,7 +140,7 @@
                 nursery.start_soon(self._visit, visit)
             await trio.sleep_until(start + self.day.length / 1e9)
             self.stopped = True
-            longest = max(p.abandon for p in self.day.site.plans.values()) / 1e9
+            longest = max(p.abandon_ns for p in self.day.site.plans.values()) / 1e9
             nursery.cancel_scope.deadline = trio.current_time() + longest + 1
 
     def _front(self, rng: Random, wing: str) -> int:
@@ -151,7 +151,7 @@
         rng, plan, name = Random(visit.seed), visit.plan, visit.plan.name
         began, watched, tries = trio.current_time(), 0.0, 0
         self.tally.asked[name] += 1
-        worth = plan.plan.revenue * self.day.site.terms.rung_worth[visit.top]
+        worth = plan.plan.revenue * self.day.site.terms.rung_revenue_shares[visit.top]
         self.tally.offered[name] = self.tally.offered.get(name, 0.0) + visit.life / 1e9 * worth
         served = False
         while not self.stopped:
@@ -176,7 +176,7 @@
             if not served:
                 served = True
                 self.tally.served[name] += 1
-                if trio.current_time() - began <= plan.plan.startup_target / 1e9:
+                if trio.current_time() - began <= plan.plan.startup_target_ns / 1e9:
                     self.tally.in_target[name] += 1
             sat_down = trio.current_time()
             whole = await self._watch(front, sat, left)
@@ -189,14 +189,14 @@
     def _asked(self, visit: Visit) -> tuple[str, str]:
         """Path before the title, and the offer, that a visit asks with."""
         site = self.day.site
-        prefix = next(r.match.prefix for r in site.table.routes.values()
-                      if r.plan == visit.plan.name and r.match.side is Side.WATCH)  # fmt: skip
-        rate = site.terms.rates[visit.top] * visit.plan.plan.rate_factor
+        prefix = next(r.match.prefix for r in site.route_table.routes.values()
+                      if r.plan == visit.plan.name and r.match.role is ClientRole.WATCH)  # fmt: skip
+        rate = site.terms.rung_rates[visit.top] * visit.plan.plan.rate_factor
         return prefix, offer(int(rate * 8 * 1.02) + 1, visit.number)
 
     async def _ask(self, visit: Visit, rng: Random, front: int, key: str) -> Response | None:
         """One request; None where no front took it or it was cut."""
-        wait, (prefix, text) = visit.plan.abandon, self._asked(visit)
+        wait, (prefix, text) = visit.plan.abandon_ns, self._asked(visit)
         headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key)),
                    ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
         peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
--- a/oakcroft/rulecheck/answers.py
+++ b/oakcroft/rulecheck/answers.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from oakcroft.config.settings import Site
+from oakcroft.config.settings import SharedSettings
 from oakcroft.interface import MS, SECOND
 from oakcroft.rulecheck.facts import Fact, Finding
 
@@ -32,7 +32,7 @@
     pauses: Pauses = field(default_factory=dict)
 
 
-def one_answer(facts: list[Fact], site: Site) -> Finding:
+def one_answer(facts: list[Fact], site: SharedSettings) -> Finding:
     """1: each request that a running front took has one final answer before its abandon time.
 
     A front that was made to stand still is not running: where the abandon time falls into such a pause, the answer
@@ -44,7 +44,7 @@
     for fact in facts:
         if fact["kind"] == "ask" and fact["key"] not in record.unreached:
             found.cases += 1
-            until = fact["t"] + min(fact["wait"], site.plans[fact["plan"]].abandon)
+            until = fact["t"] + min(fact["wait"], site.plans[fact["plan"]].abandon_ns)
             _judge_request(fact, until, record, found)
     return found
 
