--- a/oakcroft/rulecheck/cold_nodes.py
+++ b/oakcroft/rulecheck/cold_nodes.py
@@ -4,12 +4,12 @@
 
 from collections import defaultdict
 
-from oakcroft.config.settings import Site
-from oakcroft.interface import MS, Terms
+from oakcroft.config.settings import SharedSettings
+from oakcroft.interface import MS, DeploymentSettings
 from oakcroft.rulecheck.facts import Fact, Finding, SetUp
 
 
-def cold_kept(facts: list[Fact], tries: list[SetUp], site: Site) -> Finding:
+def cold_kept(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """4: no node that has just started gets more than the stated multiple of its pace over the stated time.
 
     Only set-ups of fronts that could know count: told of the start, or connected to the node when it died, or started
@@ -29,7 +29,7 @@
             _judge_start(start, by_node[start["node"]], knowing, places, site.terms, found)
     for fall in facts:
         if fall["kind"] == "fell" and not any(fall["node"] in breach for breach in found.breaches):
-            began = fall["t"] - site.terms.fall_window
+            began = fall["t"] - site.terms.overload_window_ns
             fronts = {one.front for one in by_node[fall["node"]] if began < one.t <= fall["t"]}
             if fronts & set(knew_of[fall["node"]]):
                 found.breach(f"{fall['node']}: fell over")
@@ -56,13 +56,18 @@
 
 
 def _judge_start(
-    start: Fact, tries: list[SetUp], knowing: dict[str, int], places: float, terms: Terms, found: Finding
+    start: Fact,
+    tries: list[SetUp],
+    knowing: dict[str, int],
+    places: float,
+    terms: DeploymentSettings,
+    found: Finding,
 ) -> None:
     """The first window in which a cold node got too much is a breach."""
     node, began = start["node"], start["t"]
-    while_cold = [one for one in tries if began <= one.t < began + terms.cold_for]
+    while_cold = [one for one in tries if began <= one.t < began + terms.cold_duration_ns]
     for index, last in enumerate(while_cold):
-        window = [one for one in while_cold[: index + 1] if one.t > last.t - terms.fall_window]
+        window = [one for one in while_cold[: index + 1] if one.t > last.t - terms.overload_window_ns]
         fair = [one for one in window if one.front not in knowing or knowing[one.front] <= one.t]
         age = last.t - began
         allowed = _allowed(age, places, terms)
@@ -73,11 +78,11 @@
             return
 
 
-def _allowed(age: int, places: float, terms: Terms) -> float:
+def _allowed(age: int, places: float, terms: DeploymentSettings) -> float:
     """Set-ups that a node of an age stands in a window that ends then."""
-    cold_for = max(1, terms.cold_for)
-    share = min(1.0, terms.cold_share + (1 - terms.cold_share) * age / cold_for)
-    return terms.fall_multiple * share * places / cold_for * terms.fall_window + 1
+    cold_for = max(1, terms.cold_duration_ns)
+    share = min(1.0, terms.cold_pace_share + (1 - terms.cold_pace_share) * age / cold_for)
+    return terms.overload_multiple * share * places / cold_for * terms.overload_window_ns + 1
 
 
 def _places(facts: list[Fact], node: str) -> float:
--- a/oakcroft/rulecheck/drains.py
+++ b/oakcroft/rulecheck/drains.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from oakcroft.config.settings import Site
+from oakcroft.config.settings import SharedSettings
 from oakcroft.interface import MS
 from oakcroft.rulecheck.facts import TRANSIT_NS, Fact, Finding, SetUp
 
@@ -22,7 +22,7 @@
     ready: frozenset[str]
 
 
-def drains_kept(facts: list[Fact], tries: list[SetUp], site: Site) -> Finding:
+def drains_kept(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """3: nothing new to a draining or gone node later than the grace after the front was told.
 
     A front has been told when it asks for what comes after that list, which it does once it has taken it in.
@@ -34,7 +34,7 @@
         if not lists:
             continue
         found.cases += 1
-        before = one.t - site.drain_grace - TRANSIT_NS
+        before = one.t - site.drain_grace_ns - TRANSIT_NS
         last_heard = max((index for index, told in enumerate(lists) if told.heard <= before), default=None)
         if last_heard is None:
             continue
--- a/oakcroft/rulecheck/facts.py
+++ b/oakcroft/rulecheck/facts.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakcroft.decisions.sessions.setup_outcome import DRAINING_TYPE, FULL_TYPE
+from oakcroft.decisions.sessions.setup_outcome import PROBLEM_DRAINING, PROBLEM_FULL
 from oakcroft.interface import MS
 
 Fact = dict[str, Any]
 
-PROOFS = (FULL_TYPE, DRAINING_TYPE)
+PROOFS = (PROBLEM_FULL, PROBLEM_DRAINING)
 """Types of problems by which a node proves that it has not run a set-up."""
 
 CREATED, UNAVAILABLE = 201, 503
--- a/oakcroft/rulecheck/plan_terms.py
+++ b/oakcroft/rulecheck/plan_terms.py
@@ -4,14 +4,14 @@
 
 from collections import defaultdict
 
-from oakcroft.config.settings import Site
+from oakcroft.config.settings import SharedSettings
 from oakcroft.rulecheck.facts import CREATED, Fact, Finding, SetUp
 
 Changes = dict[tuple[str, str, str], list[tuple[int, int]]]
 """By front, plan and title: when it held one more, and one less."""
 
 
-def terms_kept(facts: list[Fact], tries: list[SetUp], site: Site) -> Finding:
+def terms_kept(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """5: no rung under a floor; no more than the seats of a title and plan held by one front."""
     found = Finding(5, "terms kept")
     changes: Changes = defaultdict(list)
--- a/oakcroft/rulecheck/repeated_set_ups.py
+++ b/oakcroft/rulecheck/repeated_set_ups.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from itertools import pairwise
 
-from oakcroft.config.settings import Site
+from oakcroft.config.settings import SharedSettings
 from oakcroft.interface import Effect
 from oakcroft.rulecheck.facts import CREATED, TRANSIT_NS, UNAVAILABLE, Fact, Finding, SetUp
 
@@ -15,7 +15,7 @@
 """A playback and the copy that it moves to."""
 
 
-def no_set_up_twice(facts: list[Fact], tries: list[SetUp], site: Site) -> Finding:
+def no_set_up_twice(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """2: no try beside another; none after one that may have run, nor a rejection, where the plan is paid."""
     found = Finding(2, "no set-up twice")
     by_key: dict[str, list[SetUp]] = defaultdict(list)
@@ -34,7 +34,7 @@
     return key.partition("~")[0]
 
 
-def _is_paid(site: Site, plan: str) -> bool:
+def _is_paid(site: SharedSettings, plan: str) -> bool:
     return site.plans[plan].plan.effect is Effect.PAID
 
 
@@ -43,7 +43,7 @@
     return earlier.ended is None or earlier.ended > later.t + TRANSIT_NS
 
 
-def _judge_tries(tries: list[SetUp], site: Site, found: Finding) -> None:
+def _judge_tries(tries: list[SetUp], site: SharedSettings, found: Finding) -> None:
     """All tries under one key."""
     found.cases += 1
     paid = _is_paid(site, tries[0].plan)
@@ -54,7 +54,9 @@
             found.breach(f"{earlier.key}: paid, sent to {later.node} though {earlier.node} may have run it")
 
 
-def _judge_answers(facts: list[Fact], by_key: dict[str, list[SetUp]], site: Site, found: Finding) -> None:
+def _judge_answers(
+    facts: list[Fact], by_key: dict[str, list[SetUp]], site: SharedSettings, found: Finding
+) -> None:
     for fact in facts:
         kind = fact["kind"]
         if kind == "got" and fact["status"] == UNAVAILABLE and fact.get("type") == REJECTED:
@@ -65,7 +67,7 @@
             found.breach(f"{fact['key']}: asked over both ways, it became two playbacks")
 
 
-def _judge_paid_runs(facts: list[Fact], site: Site, found: Finding) -> None:
+def _judge_paid_runs(facts: list[Fact], site: SharedSettings, found: Finding) -> None:
     """What the nodes say that they ran."""
     runs: dict[str, int] = defaultdict(int)
     for fact in facts:
@@ -76,7 +78,7 @@
             found.breach(f"{key}: paid and set up {times} times")
 
 
-def _judge_moves(tries: list[SetUp], site: Site, found: Finding) -> None:
+def _judge_moves(tries: list[SetUp], site: SharedSettings, found: Finding) -> None:
     """The same for a playback and its copies: a paid one has none, no try of one is out beside another's, and never
     more than two play."""
     some: dict[str, list[SetUp]] = defaultdict(list)
--- a/oakcroft/rulecheck/retry_budget.py
+++ b/oakcroft/rulecheck/retry_budget.py
@@ -4,18 +4,18 @@
 
 from collections import defaultdict
 
-from oakcroft.config.settings import Site
+from oakcroft.config.settings import SharedSettings
 from oakcroft.rulecheck.facts import Fact, Finding, SetUp
 
 ROUNDING = 1e-9
 """Of the allowed share of the requests, which is a sum of floating-point figures."""
 
 
-def tries_rationed(facts: list[Fact], tries: list[SetUp], site: Site) -> Finding:
+def tries_rationed(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """6: tries beyond each playback's first, of one front, within the stated budget over any window."""
     found = Finding(6, "further tries within the budget")
     terms = site.terms
-    if terms.tries_free is None:
+    if terms.retry_budget_base is None:
         return found
     taken: dict[str, list[int]] = defaultdict(list)
     for fact in facts:
@@ -25,9 +25,11 @@
         asked = taken.get(front.split("-")[1] if "-" in front else front, [])
         for index, t in enumerate(times):
             found.cases += 1
-            since = t - terms.tries_window
+            since = t - terms.retry_budget_window_ns
             sent = sum(earlier > since for earlier in times[: index + 1])
-            allowed = terms.tries_free + terms.tries_share * sum(since < at <= t for at in asked)
+            allowed = terms.retry_budget_base + terms.retry_budget_share * sum(
+                since < at <= t for at in asked
+            )
             if sent > allowed + ROUNDING:
                 found.breach(f"{front}: {sent} further tries in a window that allows {allowed:.1f}")
     return found
--- a/oakcroft/rulecheck/rules.py
+++ b/oakcroft/rulecheck/rules.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from oakcroft.config.settings import Site
+from oakcroft.config.settings import SharedSettings
 from oakcroft.rulecheck.answers import one_answer
 from oakcroft.rulecheck.cold_nodes import cold_kept
 from oakcroft.rulecheck.drains import drains_kept
@@ -16,7 +16,7 @@
 from oakcroft.rulecheck.retry_budget import tries_rationed
 
 
-def judge(facts: list[Fact], site: Site) -> list[Finding]:
+def judge(facts: list[Fact], site: SharedSettings) -> list[Finding]:
     """All six rules."""
     facts = sorted(facts, key=lambda fact: fact["t"])
     tries = set_ups(facts)
--- a/oakcroft/running/clock.py
+++ b/oakcroft/running/clock.py
@@ -14,14 +14,14 @@
     slots to front ends by this clock; differences between their clocks only use up some of its margin.
     """
 
-    def __init__(self, epoch: int | None = None) -> None:
+    def __init__(self, epoch_ns: int | None = None) -> None:
         """Starts at `epoch_ns`, by default at the wall clock's time."""
-        self.offset = (time.time_ns() if epoch is None else epoch) - round(trio.current_time() * 1e9)
+        self.offset_ns = (time.time_ns() if epoch_ns is None else epoch_ns) - round(trio.current_time() * 1e9)
 
     def now(self) -> int:
         """Returns the time in ns since the epoch."""
-        return round(trio.current_time() * 1e9) + self.offset
+        return round(trio.current_time() * 1e9) + self.offset_ns
 
-    def deadline(self, at: int) -> float:
+    def trio_time(self, at: int) -> float:
         """Converts a time of this clock to trio's clock, in seconds."""
-        return (at - self.offset) / 1e9
+        return (at - self.offset_ns) / 1e9
--- a/oakcroft/running/collections.py
+++ b/oakcroft/running/collections.py
@@ -5,7 +5,7 @@
 import gc
 
 
-def spare_collections() -> None:
+def reduce_gc_frequency() -> None:
     """Makes full garbage collections rare.
 
     A full collection visits every object and stalls the process, by half a second with 10,000 open connections, and
--- a/oakcroft/running/inbox.py
+++ b/oakcroft/running/inbox.py
@@ -8,15 +8,15 @@
 
 Event = Callable[[], None]
 """A queued call, run by the owning task."""
-AT_ONCE = 0.005
+MAX_BATCH_SECONDS = 0.005
 """For so long, events are handled before the other tasks get a turn."""
 
 
-async def handle_all(inbox: trio.MemoryReceiveChannel[Event], handle: Callable[[Event], None]) -> None:
+async def handle_events(inbox: trio.MemoryReceiveChannel[Event], handle: Callable[[Event], None]) -> None:
     """Passes each event to `handle` in order of arrival, until cancelled."""
     async for event in inbox:
         handle(event)
-        until = trio.current_time() + AT_ONCE
+        until = trio.current_time() + MAX_BATCH_SECONDS
         while trio.current_time() < until:
             # An awaited receive lets all other tasks run first; one event per round would be too slow.
             try:
--- a/oakcroft/running/logs.py
+++ b/oakcroft/running/logs.py
@@ -9,27 +9,43 @@
 import orjson
 import structlog
 
-SECRETS = {"token", "tokens", "authorization", "offer", "answer", "sdp", "key", "secret", "pwd", "ufrag"}
-
-
-def mask(_: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
+SECRET_FIELD_WORDS = {
+    "token",
+    "tokens",
+    "authorization",
+    "offer",
+    "answer",
+    "sdp",
+    "key",
+    "secret",
+    "pwd",
+    "ufrag",
+}
+
+
+def mask_secrets(_: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
     """Masks fields whose names indicate a secret, as a safeguard against callers that log one by mistake."""
     for name in event:
-        if SECRETS & set(name.lower().replace("-", "_").split("_")):
+        if SECRET_FIELD_WORDS & set(name.lower().replace("-", "_").split("_")):
             event[name] = "***"
     return event
 
 
-class Rate:
+class LineRateLimiter:
     """Log processor that drops lines over a number per second, and adds the count of dropped lines to the next one.
 
     Keeps an event that repeats quickly, whatever its cause, from spending more on its log lines than on its work.
     Drawback: unrelated lines of the same second are dropped, too.
     """
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_lines_per_second: int) -> None:
         """Passes at most `max_lines_per_second`."""
-        self.most, self.second, self.told, self.dropped = most, 0, 0, 0
+        self.max_lines_per_second, self.current_second, self.passed_lines, self.dropped_lines = (
+            max_lines_per_second,
+            0,
+            0,
+            0,
+        )
 
     def __call__(self, _: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
         """Passes or drops a line.
@@ -37,18 +53,18 @@
         Raises structlog.DropEvent for a line over the limit.
         """
         second = int(time.monotonic())
-        if second != self.second:
-            self.second, self.told = second, 0
-        if self.told >= self.most:
-            self.dropped += 1
+        if second != self.current_second:
+            self.current_second, self.passed_lines = second, 0
+        if self.passed_lines >= self.max_lines_per_second:
+            self.dropped_lines += 1
             raise structlog.DropEvent
-        self.told += 1
-        if self.dropped:
-            event["dropped"], self.dropped = self.dropped, 0
+        self.passed_lines += 1
+        if self.dropped_lines:
+            event["dropped"], self.dropped_lines = self.dropped_lines, 0
         return event
 
 
-class Spared:
+class LossyOutput:
     """Output that drops what can't be written, and counts it for the next line that can.
 
     A full disk under the log, or a pipe without a reader, would otherwise fail the work that logs a line. Drawback: the
@@ -57,16 +73,16 @@
 
     def __init__(self, out: Any) -> None:
         """Writes to `out`."""
-        self.out, self.lost = out, 0
+        self.out, self.lost_writes = out, 0
 
     def write(self, text: Any) -> int:
         """Writes a text; returns 0 and counts it as lost if that fails."""
         try:
             written = int(self.out.write(text) or 0)
         except (OSError, ValueError):
-            self.lost += 1
+            self.lost_writes += 1
             return 0
-        self.lost = 0
+        self.lost_writes = 0
         return written
 
     def flush(self) -> None:
@@ -74,16 +90,18 @@
         try:
             self.out.flush()
         except (OSError, ValueError):
-            self.lost += 1
+            self.lost_writes += 1
 
-    def told(self, _: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
+    def add_lost_count(
+        self, _: Any, __: str, event: structlog.typing.EventDict
+    ) -> structlog.typing.EventDict:
         """Log processor that adds the number of lost writes to a line."""
-        if self.lost:
-            event["unwritten"] = self.lost
+        if self.lost_writes:
+            event["unwritten"] = self.lost_writes
         return event
 
 
-def unbuffered(out: TextIO) -> Any:
+def unbuffered_output(out: TextIO) -> Any:
     """Returns the raw file under a text stream.
 
     A buffered stream would keep what could not be written, and fail again with each later line.
@@ -91,25 +109,25 @@
     return getattr(out.buffer, "raw", out.buffer)
 
 
-def set_up(
-    form: str, front: int, out: TextIO = sys.stderr, most: int = 1_000_000
+def configure_logging(
+    log_format: str, front: int, out: TextIO = sys.stderr, max_lines_per_second: int = 1_000_000
 ) -> structlog.typing.FilteringBoundLogger:
     """Configures structlog and returns the program's logger.
 
     `log_format` is "console", or anything else for JSON. By default it writes to standard error, practically without a
     limit on the lines per second.
     """
-    spared = Spared(out if form == "console" else unbuffered(out))
+    spared = LossyOutput(out if log_format == "console" else unbuffered_output(out))
     shared: list[Any] = [
-        Rate(most),
-        spared.told,
+        LineRateLimiter(max_lines_per_second),
+        spared.add_lost_count,
         structlog.contextvars.merge_contextvars,
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
-        mask,
+        mask_secrets,
         structlog.processors.format_exc_info,
     ]
-    if form == "console":
+    if log_format == "console":
         structlog.configure(
             processors=[*shared, structlog.dev.ConsoleRenderer(colors=out.isatty())],
             wrapper_class=structlog.make_filtering_bound_logger(20),
--- a/oakcroft/standins/day.py
+++ b/oakcroft/standins/day.py
@@ -6,25 +6,30 @@
 from pathlib import Path
 
 from oakcroft.interface import MS, SECOND
-from oakcroft.config.pipeline import check_forms, told
+from oakcroft.config.pipeline import check_forms, build_deployment
 from oakcroft.config.expander import Expander
-from oakcroft.config.format import flat
-from oakcroft.config.diagnostics import Place, Problems, Unsound, or_list
+from oakcroft.config.format import format_on_one_line
+from oakcroft.config.diagnostics import (
+    SourceLocation,
+    Diagnostics,
+    InvalidConfigurationError,
+    join_alternatives,
+)
 from oakcroft.config.form_reader import read_form
 from oakcroft.config.schema import (
-    NAME,
-    NUMBER,
-    PACES,
-    RATES,
-    TIMES,
-    WHOLE,
+    NAME_TYPE,
+    NUMBER_TYPE,
+    PACE_TYPE,
+    RATE_TYPE,
+    TIME_TYPE,
+    INTEGER_TYPE,
     Field,
     Record,
     Schema,
-    choice,
+    choice_type,
 )
-from oakcroft.config.syntax import Form, read, without_comments
-from oakcroft.config.settings import Site
+from oakcroft.config.syntax import Form, parse_text, without_comments
+from oakcroft.config.settings import SharedSettings
 
 NODE_FAULTS = (
     "crash", "vanish", "hang", "slow", "shared-slow", "neighbour", "report-late", "ageing", "answer-lost",
@@ -84,7 +89,7 @@
     name: str
     length: int
     seed: int
-    site: Site
+    site: SharedSettings
     site_text: str
     fronts: tuple[str, ...]  # the wing of each
     nodes: tuple[NodePlace, ...]
@@ -109,64 +114,64 @@
 NODE = Schema(
     "node", "One node of the fleet.",
     (
-        Field("wing", "the wing it stands in", NAME, required=True),
-        Field("cell", "its cell", WHOLE, required=True),
-        Field("link", "its link", RATES, required=True),
-        Field("places", "streams that it runs at most", WHOLE, required=True, at_least=1),
+        Field("wing", "the wing it stands in", NAME_TYPE, required=True),
+        Field("cell", "its cell", INTEGER_TYPE, required=True),
+        Field("link", "its link", RATE_TYPE, required=True),
+        Field("places", "streams that it runs at most", INTEGER_TYPE, required=True, minimum=1),
     ),
-    NAME, "its name", "(node n1 (wing west) (cell 0) (link 24MB/s) (places 60))",
+    NAME_TYPE, "its name", "(node n1 (wing west) (cell 0) (link 24MB/s) (places 60))",
 )  # fmt: skip
 PLAN_SHARE = Schema(
     "plan", "How many ask for a plan and how long they watch.",
     (
-        Field("share", "of new playbacks", NUMBER, required=True),
-        Field("life", "mean time watched", TIMES, required=True, at_least=1),
+        Field("share", "of new playbacks", NUMBER_TYPE, required=True),
+        Field("life", "mean time watched", TIME_TYPE, required=True, minimum=1),
     ),
-    NAME, "the plan's name",
+    NAME_TYPE, "the plan's name",
 )  # fmt: skip
 VIEWERS = Schema(
     "viewers", "How viewers come.",
     (
-        Field("rate", "new viewers a second", PACES, required=True),
-        Field("titles", "how many titles there are", WHOLE, required=True, at_least=1),
-        Field("zipf", "how unevenly they are wanted", NUMBER, 0.8),
-        Field("returns", "share that comes again after a loss or a rejection", NUMBER, 0.9),
-        Field("back-after", "between these times", TIMES, (SECOND, 2 * SECOND), most=2),
-        Field("small-screens", "share that cannot use the upper rungs", NUMBER, 0.2),
-        Field("uneven", "how unevenly fronts are asked", NUMBER, 0.3),
-        Field("plan", PLAN_SHARE.doc, form=PLAN_SHARE, repeats=True, required=True),
+        Field("rate", "new viewers a second", PACE_TYPE, required=True),
+        Field("titles", "how many titles there are", INTEGER_TYPE, required=True, minimum=1),
+        Field("zipf", "how unevenly they are wanted", NUMBER_TYPE, 0.8),
+        Field("returns", "share that comes again after a loss or a rejection", NUMBER_TYPE, 0.9),
+        Field("back-after", "between these times", TIME_TYPE, (SECOND, 2 * SECOND), max_values=2),
+        Field("small-screens", "share that cannot use the upper rungs", NUMBER_TYPE, 0.2),
+        Field("uneven", "how unevenly fronts are asked", NUMBER_TYPE, 0.3),
+        Field("plan", PLAN_SHARE.doc, subform=PLAN_SHARE, is_repeatable=True, required=True),
     ),
 )  # fmt: skip
 FAULT = Schema(
     "fault", "One trouble.",
     (
-        Field("at", "when it begins, from the day's start", TIMES, required=True),
-        Field("for", "how long it lasts", TIMES, 0),
-        Field("on", "nodes, wings or numbers of fronts", NAME, (), most=10_000),
-        Field("size", "its size", NUMBER, 0.0),
-        Field("extra", "its second figure", NUMBER, 0.0),
+        Field("at", "when it begins, from the day's start", TIME_TYPE, required=True),
+        Field("for", "how long it lasts", TIME_TYPE, 0),
+        Field("on", "nodes, wings or numbers of fronts", NAME_TYPE, (), max_values=10_000),
+        Field("size", "its size", NUMBER_TYPE, 0.0),
+        Field("extra", "its second figure", NUMBER_TYPE, 0.0),
     ),
-    choice("trouble", FAULTS), "its kind",
+    choice_type("trouble", FAULTS), "its kind",
 )  # fmt: skip
 DAY = Schema(
     "day", "A day to rehearse.",
     (
-        Field("length", "how long viewers come", TIMES, required=True, at_least=1),
-        Field("seed", "of all chance in it", WHOLE, 1),
-        Field("fronts", "the wing of each front", NAME, required=True, most=10_000),
-        Field("late", "how late the list service is, between", TIMES, (SECOND, 2 * SECOND), most=2),
-        Field("setup", "how long a node takes for a set-up, between", TIMES, (5 * MS, 20 * MS), most=2),
-        Field("uplinks", "of each rack", RATES, (), most=10_000),
-        Field("guard", "a node answers full while so much of its link is asked; 0: never", NUMBER, 0.0),
-        Field("peers", "whether the fronts keep a view of each other", choice("answer", ("yes", "no")), "no"),
-        Field("keepers", "numbers of the fronts that grant terms of duties", WHOLE, (), most=7),
-        Field("term", "the length of a term", TIMES, 2 * SECOND, at_least=SECOND),
-        Field("adopting", "whether they take over from those that are gone", choice("answer", ("yes", "no")), "no"),
-        Field("probing", "whether they share nodes' loads", choice("answer", ("yes", "no")), "no"),
-        Field("stall", "points of worth lost for each point of the rate that is missing", NUMBER, 7.0),
-        Field("node", NODE.doc, form=NODE, repeats=True, required=True),
-        Field("viewers", VIEWERS.doc, form=VIEWERS, required=True),
-        Field("fault", FAULT.doc, form=FAULT, repeats=True),
+        Field("length", "how long viewers come", TIME_TYPE, required=True, minimum=1),
+        Field("seed", "of all chance in it", INTEGER_TYPE, 1),
+        Field("fronts", "the wing of each front", NAME_TYPE, required=True, max_values=10_000),
+        Field("late", "how late the list service is, between", TIME_TYPE, (SECOND, 2 * SECOND), max_values=2),
+        Field("setup", "how long a node takes for a set-up, between", TIME_TYPE, (5 * MS, 20 * MS), max_values=2),
+        Field("uplinks", "of each rack", RATE_TYPE, (), max_values=10_000),
+        Field("guard", "a node answers full while so much of its link is asked; 0: never", NUMBER_TYPE, 0.0),
+        Field("peers", "whether the fronts keep a view of each other", choice_type("answer", ("yes", "no")), "no"),
+        Field("keepers", "numbers of the fronts that grant terms of duties", INTEGER_TYPE, (), max_values=7),
+        Field("term", "the length of a term", TIME_TYPE, 2 * SECOND, minimum=SECOND),
+        Field("adopting", "whether they take over from those that are gone", choice_type("answer", ("yes", "no")), "no"),
+        Field("probing", "whether they share nodes' loads", choice_type("answer", ("yes", "no")), "no"),
+        Field("stall", "points of worth lost for each point of the rate that is missing", NUMBER_TYPE, 7.0),
+        Field("node", NODE.doc, subform=NODE, is_repeatable=True, required=True),
+        Field("viewers", VIEWERS.doc, subform=VIEWERS, required=True),
+        Field("fault", FAULT.doc, subform=FAULT, is_repeatable=True),
     ),
 )  # fmt: skip
 
@@ -178,30 +183,34 @@
 
 def parse(body: str, name: str) -> Day:
     """Reads a day: one (day …) whose (site …) holds forms of the configuration language."""
-    problems = Problems()
-    parts = without_comments(read(body, name, problems))
+    problems = Diagnostics()
+    parts = without_comments(parse_text(body, name, problems))
     day = parts[0] if len(parts) == 1 else None
     if not isinstance(day, Form) or day.name != "day":
-        if not problems.found:
-            problems.error(parts[0].place if parts else Place(name, 1, 1), "the file holds one (day …)")
-        raise Unsound(problems)
+        if not problems.items:
+            problems.error(
+                parts[0].location if parts else SourceLocation(name, 1, 1), "the file holds one (day …)"
+            )
+        raise InvalidConfigurationError(problems)
     sites = [p for p in day.items if isinstance(p, Form) and p.name == "site"]
-    rest = Form(tuple(p for p in day.items if p not in sites), day.place, day.end)
+    rest = Form(tuple(p for p in day.items if p not in sites), day.location, day.end_line)
     record = read_form(DAY, rest, problems)
     if len(sites) != 1:
-        problems.error(day.place, "(day …) lacks one (site …), which holds the configuration", "add (site …)")
-        raise Unsound(problems)
+        problems.error(
+            day.location, "(day …) lacks one (site …), which holds the configuration", "add (site …)"
+        )
+        raise InvalidConfigurationError(problems)
     expander, inside = Expander(_no_files, problems), list[Form]()
     for form in sites[0].items[1:]:
         if isinstance(form, Form):
             expander._expand(form, (), inside)
-    found, _ = check_forms(inside, problems, front=False)
+    found, _ = check_forms(inside, problems, is_front_file=False)
     if found is None or problems.errors:
-        raise Unsound(problems)
-    text = "\n".join(flat(f) or "" for f in inside)
-    out = _day(record, told(found).site, text, name, problems)
+        raise InvalidConfigurationError(problems)
+    text = "\n".join(format_on_one_line(f) or "" for f in inside)
+    out = _day(record, build_deployment(found).shared, text, name, problems)
     if problems.errors:
-        raise Unsound(problems)
+        raise InvalidConfigurationError(problems)
     return out
 
 
@@ -209,10 +218,10 @@
     raise OSError("a day includes no files")
 
 
-def _day(record: Record, site: Site, text: str, name: str, problems: Problems) -> Day:
+def _day(record: Record, site: SharedSettings, text: str, name: str, problems: Diagnostics) -> Day:
     """The day of a record; what contradicts itself in it is noted."""
     fronts, nodes = tuple(record.get("fronts")), tuple(_node(node) for node in record.get("node"))
-    uplinks = tuple(record.get("uplinks")) or (0.0,) * site.terms.racks
+    uplinks = tuple(record.get("uplinks")) or (0.0,) * site.terms.rack_count
     late, setup, peers = record.get("late"), record.get("setup"), _is_yes(record, "peers")
     _check_sizes(record, site, len(fronts), len(uplinks), problems)
     _check_peers(record, len(fronts), problems)
@@ -236,12 +245,16 @@
     return bool(record.get(field) == "yes")
 
 
-def _check_sizes(record: Record, site: Site, fronts: int, uplinks: int, problems: Problems) -> None:
-    if fronts != site.terms.fronts:
-        what = f"{fronts} fronts stand here, the fleet has {site.terms.fronts}"
-        problems.error(record.at("fronts"), what)
-    if uplinks != site.terms.racks:
-        problems.error(record.at("uplinks"), f"{uplinks} uplinks stand for {site.terms.racks} racks")
+def _check_sizes(
+    record: Record, site: SharedSettings, fronts: int, uplinks: int, problems: Diagnostics
+) -> None:
+    if fronts != site.terms.front_count:
+        what = f"{fronts} fronts stand here, the fleet has {site.terms.front_count}"
+        problems.error(record.location_of("fronts"), what)
+    if uplinks != site.terms.rack_count:
+        problems.error(
+            record.location_of("uplinks"), f"{uplinks} uplinks stand for {site.terms.rack_count} racks"
+        )
 
 
 NEEDS_PEERS = {
@@ -250,46 +263,50 @@
 """Fields of a day that work by way of the peers, and how."""
 
 
-def _check_peers(record: Record, fronts: int, problems: Problems) -> None:
+def _check_peers(record: Record, fronts: int, problems: Diagnostics) -> None:
     for field, how in NEEDS_PEERS.items():
         wanted = _is_yes(record, field) or (field == "keepers" and bool(record.get(field)))
         if wanted and not _is_yes(record, "peers"):
-            problems.error(record.at(field), f"{how} among the peers", "add (peers yes)")
+            problems.error(record.location_of(field), f"{how} among the peers", "add (peers yes)")
     for number in record.get("keepers"):
         if number >= fronts:
-            problems.error(record.at("keepers"), f"there is no front {number}; there are {fronts}")
+            problems.error(record.location_of("keepers"), f"there is no front {number}; there are {fronts}")
 
 
-def _crowd(viewers: Record, site: Site, problems: Problems) -> Crowd:
+def _crowd(viewers: Record, site: SharedSettings, problems: Diagnostics) -> Crowd:
     shares: list[Record] = viewers.get("plan") or []
     for share in shares:
-        if share.head not in site.plans:
-            problems.error(share.place, f"there is no plan {share.head}; there is {or_list(site.plans)}")
+        if share.name not in site.plans:
+            problems.error(
+                share.location, f"there is no plan {share.name}; there is {join_alternatives(site.plans)}"
+            )
     back = viewers.get("back-after")
     return Crowd(
         rate=viewers.get("rate"), titles=viewers.get("titles"), zipf=viewers.get("zipf"),
-        share={share.head: share.get("share") for share in shares},
-        life={share.head: share.get("life") for share in shares}, returns=viewers.get("returns"),
+        share={share.name: share.get("share") for share in shares},
+        life={share.name: share.get("life") for share in shares}, returns=viewers.get("returns"),
         back_after=(back[0], back[-1]), small_screens=viewers.get("small-screens"), uneven=viewers.get("uneven"),
     )  # fmt: skip
 
 
 def _node(r: Record) -> NodePlace:
-    return NodePlace(r.head, r.get("wing"), r.get("cell"), r.get("link"), r.get("places"))
+    return NodePlace(r.name, r.get("wing"), r.get("cell"), r.get("link"), r.get("places"))
 
 
-def _fault(r: Record, known: dict[str, set[str]], peers: bool, keepers: bool, problems: Problems) -> Fault:
-    fault = Fault(r.head, r.get("at"), r.get("for"), tuple(r.get("on")), r.get("size"), r.get("extra"))
+def _fault(r: Record, known: dict[str, set[str]], peers: bool, keepers: bool, problems: Diagnostics) -> Fault:
+    fault = Fault(r.name, r.get("at"), r.get("for"), tuple(r.get("on")), r.get("size"), r.get("extra"))
     if fault.kind in ("cut", "lose") and not peers:
         problems.error(
-            r.place,
+            r.location,
             f"{fault.kind} befalls what fronts say to each other, and they have no peers",
             "add (peers yes)",
         )
     if fault.kind in OWNER_FAULTS and not keepers:
-        problems.error(r.place, f"{fault.kind} needs an owner, and nobody grants terms", "add (keepers …)")
+        problems.error(r.location, f"{fault.kind} needs an owner, and nobody grants terms", "add (keepers …)")
     kind = "wing" if fault.kind.startswith("zone") else "front" if fault.kind in FRONT_FAULTS else "node"
     for name in fault.on if fault.kind not in LIST_FAULTS + VIEWER_FAULTS else ():
         if name not in known[kind]:
-            problems.error(r.at("on"), f"there is no {kind} {name}; there is {or_list(known[kind])}")
+            problems.error(
+                r.location_of("on"), f"there is no {kind} {name}; there is {join_alternatives(known[kind])}"
+            )
     return fault
--- a/oakcroft/standins/event_streams.py
+++ b/oakcroft/standins/event_streams.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from oakcroft.decisions.fleet.session_ownership import lease
+from oakcroft.decisions.fleet.session_ownership import effective_lease
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
 from oakcroft.signalling import handing, words
@@ -24,7 +24,7 @@
 def extend_lease(node: NodeState, front: str, request: Request) -> None:
     """Keeps for how long a front asks the node to hold its sessions while it does not listen."""
     asked = handing.read_lease(request.header(handing.LEASE.lower()))
-    node.ear_of(front).lease = lease(asked, round(LEASE_SECONDS * SECOND)) / SECOND
+    node.ear_of(front).lease = effective_lease(asked, round(LEASE_SECONDS * SECOND)) / SECOND
 
 
 def open_stream(node: NodeState, front: str) -> Response:
--- a/oakcroft/standins/faults.py
+++ b/oakcroft/standins/faults.py
@@ -41,7 +41,7 @@
 
 
 async def _inject_on_time(fleet: Fleet, fault: Fault, start: int) -> None:
-    await trio.sleep_until(fleet.clock.deadline(start + fault.at))
+    await trio.sleep_until(fleet.clock.trio_time(start + fault.at))
     fleet.record.note("fault", what=fault.kind, on=list(fault.on), phase="begins")
     await inject(fleet, fault)
     fleet.record.note("fault", what=fault.kind, on=list(fault.on), phase="ends")
--- a/oakcroft/standins/fleet.py
+++ b/oakcroft/standins/fleet.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from oakcroft.decisions.admission.connection_limits import Bounds, Door
+from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import MS, SECOND
 from oakcroft.running.clock import Clock
@@ -73,10 +73,12 @@
     def add(self, place: NodePlace, name: str) -> PlayoutNode:
         """Puts a node on a place, under a name of its own; its process is not started."""
         terms = self.day.site.terms
-        warmth = Warmth(terms.cold_share, terms.cold_for, terms.fall_multiple, terms.fall_window)
+        warmth = Warmth(
+            terms.cold_pace_share, terms.cold_duration_ns, terms.overload_multiple, terms.overload_window_ns
+        )
         link = place.link * self.rng.uniform(*LINK_SPREAD)
         machine = Machine(
-            name, self.racks[place.cell % terms.racks], link, place.places, warmth, self.day.guard
+            name, self.racks[place.cell % terms.rack_count], link, place.places, warmth, self.day.guard
         )
         node = PlayoutNode(name, place.wing, place.cell, machine, self.day.site, self.record,
                            Random(f"{self.day.seed} {name}"), self.day.setup, self.clock.now, self.wing_of)  # fmt: skip
@@ -106,7 +108,10 @@
             for node in list(self.nodes.values()):
                 await self.boot(node)
             service = Server(
-                self.list.handle, Door(Bounds(idle=LIST_IDLE_NS)), self.clock.now, lambda *_: None
+                self.list.handle,
+                ConnectionTable(ConnectionLimits(idle=LIST_IDLE_NS)),
+                self.clock.now,
+                lambda *_: None,
             )
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             self.publish()
@@ -134,7 +139,7 @@
     async def _pass_time(self) -> None:
         """Time passes for the links; what the nodes report of them reaches the front ends late."""
         last, tick = trio.current_time(), 0
-        ticks_between_loads = max(1, round(self.day.site.terms.reports_every / SECOND / TICK_SECONDS))
+        ticks_between_loads = max(1, round(self.day.site.terms.report_interval_ns / SECOND / TICK_SECONDS))
         while True:
             await trio.sleep(TICK_SECONDS)
             now, tick = trio.current_time(), tick + 1
@@ -166,7 +171,7 @@
         self._delay(node, now, "link", load)
 
     def _delay(self, node: PlayoutNode, now: float, name: str, data: object) -> None:
-        at = now + self.day.site.terms.seen_after / SECOND + node.ails.late
+        at = now + self.day.site.terms.report_delay_ns / SECOND + node.ails.late
         self._reports_made += 1
         heapq.heappush(self._reports, DelayedReport(at, self._reports_made, node, node.process, name, data))
 
--- a/oakcroft/standins/list_service.py
+++ b/oakcroft/standins/list_service.py
@@ -8,7 +8,7 @@
 import orjson
 import trio
 
-from oakcroft.front.node_list_client import PATH
+from oakcroft.front.node_list_client import DISCOVERY_PATH
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
 from oakcroft.running.clock import Clock
@@ -86,7 +86,7 @@
     async def handle(self, request: Request) -> Response:
         """Answers one poll: with a list newer than the one named in it, or 304 once it was held for long enough."""
         front = (request.header("via") or "").removeprefix("1.1 ")
-        if request.path != PATH or request.method != "POST":
+        if request.path != DISCOVERY_PATH or request.method != "POST":
             return Response(404)
         known = int(orjson.loads(request.body).get("version_info") or NO_VERSION)
         self.record.note("poll", front=front, version=known)
--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from oakcroft.config.settings import Site
-from oakcroft.decisions.fleet.session_ownership import MOST_LEASE, Caller
-from oakcroft.decisions.routing.route_table import Asked, Side
+from oakcroft.config.settings import SharedSettings
+from oakcroft.decisions.fleet.session_ownership import MAX_SESSION_LEASE, Caller
+from oakcroft.decisions.routing.route_table import RouteRequest, ClientRole
 from oakcroft.httpwire.message import Request
 from oakcroft.interface import SECOND
 from oakcroft.signalling import handing, words
@@ -81,8 +81,19 @@
 class NodeState:
     """The state of one node, and the changes of it that more than one kind of request makes."""
 
-    def __init__(self, name: str, wing: str, cell: int, machine: Machine, site: Site, record: Record, rng: Random,
-                 setup: tuple[int, int], clock: Callable[[], int], wing_of: Callable[[str], str]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        wing: str,
+        cell: int,
+        machine: Machine,
+        site: SharedSettings,
+        record: Record,
+        rng: Random,
+        setup: tuple[int, int],
+        clock: Callable[[], int],
+        wing_of: Callable[[str], str],
+    ) -> None:
         """A node without a process. `setup`: how long a set-up takes, between two times in ns; `clock`: ns now;
         `wing_of`: the wing that a front stands in."""
         self.name, self.wing, self.cell, self.machine = name, wing, cell, machine
@@ -121,14 +132,14 @@
         """The rate of a stream, kB a second."""
         step = (sum(title.encode()) % TITLE_RATE_STEPS) / TITLE_RATE_STEPS
         of_title = TITLE_RATE_LEAST + TITLE_RATE_SPREAD * step
-        return self.site.terms.rates[rung] * self.site.plans[plan].plan.rate_factor * of_title
+        return self.site.terms.rung_rates[rung] * self.site.plans[plan].plan.rate_factor * of_title
 
     def plan_of(self, path: str) -> tuple[str, str]:
         """The plan and title of a path, as the most particular route of either side has it; conditions on the client
         are the front's matter."""
-        prefix, title = Asked(Side.WATCH, unquote(path), "", {}).split()
-        for side in Side:
-            bucket = self.site.table.buckets.get((side, prefix))
+        prefix, title = RouteRequest(ClientRole.WATCH, unquote(path), "", {}).split_path()
+        for side in ClientRole:
+            bucket = self.site.route_table.by_prefix.get((side, prefix))
             for routes in bucket.candidates(title) if bucket else ():
                 for route in routes:
                     return route.plan, title
@@ -149,13 +160,13 @@
         """For how long a front has not listened, ns; None where it does."""
         ear = self.ears.get(front)
         if ear is None:
-            return MOST_LEASE
+            return MAX_SESSION_LEASE
         return None if ear.send is not None else round((trio.current_time() - ear.away_since) * SECOND)
 
     def start_session(self, session: Session, rung: int) -> None:
         """A session begins to play."""
         plan = self.site.plans[session.plan].plan
-        worth = tuple(worth * plan.revenue for worth in self.site.terms.rung_worth)
+        worth = tuple(worth * plan.revenue for worth in self.site.terms.rung_revenue_shares)
         stream = Stream(self.rate(session.plan, session.title, rung), rung, worth, self.clock())
         self.sessions[session.id] = session
         self.keys_ran(session.front).append((trio.current_time(), session.key))
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -11,11 +11,11 @@
 import orjson
 import trio
 
-from oakcroft.config.settings import Site
-from oakcroft.decisions.admission.connection_limits import Bounds, Door
-from oakcroft.decisions.fleet.session_ownership import may_act
-from oakcroft.decisions.sessions.setup_outcome import DRAINING_TYPE, FULL_TYPE
-from oakcroft.decisions.sessions.session_resource import SDPFRAG
+from oakcroft.config.settings import SharedSettings
+from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
+from oakcroft.decisions.fleet.session_ownership import may_control
+from oakcroft.decisions.sessions.setup_outcome import PROBLEM_DRAINING, PROBLEM_FULL
+from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import SECOND
@@ -48,8 +48,19 @@
 class PlayoutNode(NodeState):
     """One node: its port, its process, and its answers to the fronts."""
 
-    def __init__(self, name: str, wing: str, cell: int, machine: Machine, site: Site, record: Record, rng: Random,
-                 setup: tuple[int, int], clock: Callable[[], int], wing_of: Callable[[str], str]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        wing: str,
+        cell: int,
+        machine: Machine,
+        site: SharedSettings,
+        record: Record,
+        rng: Random,
+        setup: tuple[int, int],
+        clock: Callable[[], int],
+        wing_of: Callable[[str], str],
+    ) -> None:
         """A node without a process; `listen` and `live` start one."""
         super().__init__(name, wing, cell, machine, site, record, rng, setup, clock, wing_of)
         self.port = 0
@@ -78,7 +89,9 @@
         self.up_since = trio.current_time()
         self.ails.dead = self.ails.silent = self.ails.hung = False
         self.record.note("start", node=self.name, process=self.process, cold=self.machine.cold)
-        server = Server(self.handle, Door(Bounds(idle=IDLE_NS)), self.clock, self._failed)
+        server = Server(
+            self.handle, ConnectionTable(ConnectionLimits(idle=IDLE_NS)), self.clock, self._failed
+        )
 
         async def serve(stream: trio.SocketStream) -> None:
             self.streams.add(stream)
@@ -167,11 +180,11 @@
         if session is None:
             return Response(404)
         caller = caller_of(request)
-        if not may_act(session.holder, caller) and not self.ails.trusts_all:
+        if not may_control(session.holder, caller) and not self.ails.trusts_all:
             self.record.note("turned away", node=self.name, session=name, front=front, method=request.method)
             problem = words.problem(409, handing.NOT_HELD, "another front has it")
             return Response(409, [("Content-Type", words.PROBLEM)], problem)
-        session.holder = replace(session.holder, start=max(session.holder.start, caller.start))
+        session.holder = replace(session.holder, generation=max(session.holder.generation, caller.generation))
         if request.method == "DELETE":
             self.end_session(name, "deleted", front)
             return Response(200)
@@ -224,9 +237,9 @@
         if not session.plan:
             return Response(404)
         if self.ails.draining:
-            return self._refused(DRAINING_TYPE, "draining")
+            return self._refused(PROBLEM_DRAINING, "draining")
         if not self.machine.has_room():
-            return self._refused(FULL_TYPE, "full")
+            return self._refused(PROBLEM_FULL, "full")
         offer = sdp.parse(request.body.decode())
         await self._work()
         session.media, session.holder = rtp.receiver(offer), caller_of(request)
@@ -272,7 +285,7 @@
     if request.header("if-match") == "*":
         session.tag += 1
         body = f"a=ice-ufrag:new{session.tag:05d}\r\na=ice-pwd:{'C' * 24}\r\n".encode()
-        return Response(200, [("Content-Type", SDPFRAG), ("ETag", f'"{session.tag}"')], body)
+        return Response(200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{session.tag}"')], body)
     if request.header("if-match") != f'"{session.tag}"':
         return Response(PRECONDITION_FAILED)
     return Response(204 if fragment.candidates or fragment.ended else 400)
--- a/oakcroft/standins/takeover.py
+++ b/oakcroft/standins/takeover.py
@@ -7,7 +7,7 @@
 import msgspec
 import trio
 
-from oakcroft.decisions.fleet.session_ownership import Caller, Word, may_take
+from oakcroft.decisions.fleet.session_ownership import Caller, TakeoverAnswer, check_takeover
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.signalling import handing
 from oakcroft.standins.node_state import KEYS_KEPT_SECONDS, NodeState, Session, caller_of
@@ -34,13 +34,13 @@
     caller = caller_of(request)
     asked = [unquote(name) for name in (request.query("of") or "").split(",") if name][: handing.MOST_OF]
     after = int(request.query("after") or 0)
-    states = dict.fromkeys(asked, Word.AWAY.value)
+    states = dict.fromkeys(asked, TakeoverAnswer.ALLOWED.value)
     page, going_on, room, last = list[handing.Offered](), "", MOST_LISTING_OCTETS, 0
     for session in sorted(node.sessions.values(), key=lambda session: session.number):
         if session.holder.member not in states or not session.memo:
             continue
         word = _may_take(node, session, caller)
-        if word is not Word.AWAY:
+        if word is not TakeoverAnswer.ALLOWED:
             states[session.holder.member] = word.value
             continue
         if session.number <= after:
@@ -61,10 +61,10 @@
     return handing.Offered(path, session.key, holder, rung, tag, session.memo, session.answer)
 
 
-def _may_take(node: NodeState, session: Session, caller: Caller) -> Word:
-    ear = node.ears.get(caller.front)
+def _may_take(node: NodeState, session: Session, caller: Caller) -> TakeoverAnswer:
+    ear = node.ears.get(caller.pseudonym)
     listens = ear is not None and ear.send is not None
-    return may_take(session.holder, caller, node.away(session.front), listens)
+    return check_takeover(session.holder, caller, node.away(session.front), listens)
 
 
 def _take(node: NodeState, request: Request) -> Response:
@@ -79,7 +79,7 @@
         session = node.sessions.get(path.removeprefix("/sessions/"))
         if session is None:
             continue
-        if node.ails.trusts_all or _may_take(node, session, caller) is Word.AWAY:
+        if node.ails.trusts_all or _may_take(node, session, caller) is TakeoverAnswer.ALLOWED:
             _pass_on(node, session, path, caller)
             given.append(path)
     return Response(200, [JSON], msgspec.json.encode(handing.Taking(given)))
@@ -91,7 +91,7 @@
     passed.append((trio.current_time(), path))
     while len(passed) > MOST_PASSED or passed[0][0] < trio.current_time() - KEYS_KEPT_SECONDS:
         passed.popleft()
-    session.front, session.holder = caller.front, caller
-    node.keys_ran(caller.front).append((trio.current_time(), session.key))
+    session.front, session.holder = caller.pseudonym, caller
+    node.keys_ran(caller.pseudonym).append((trio.current_time(), session.key))
     node.record.note("passed", node=node.name, session=session.id, key=session.key, plan=session.plan,
-                     title=session.title, before=before, front=caller.front, start=caller.start)  # fmt: skip
+                     title=session.title, before=before, front=caller.pseudonym, start=caller.generation)  # fmt: skip
--- a/oakcroft/store/changes.py
+++ b/oakcroft/store/changes.py
@@ -4,51 +4,51 @@
 
 from dataclasses import dataclass, field
 
-from oakcroft.decisions.fleet.node_list import Line
-from oakcroft.decisions.state.recovery import Grudge, Spent
+from oakcroft.decisions.fleet.node_list import ListedNode
+from oakcroft.decisions.state.recovery import NodePenalty, SlotUsage
 from oakcroft.decisions.state.promise import Promise
 
 
 @dataclass(frozen=True)
-class Put:
+class PutPromise:
     """Writes the current state of a promise. A promise whose mark is GONE is deleted."""
 
     promise: Promise
 
 
 @dataclass(frozen=True)
-class Told:
+class PutNodeList:
     """Replaces the stored node list. `received_at` is in ns."""
 
-    lines: tuple[Line, ...]
+    listed_nodes: tuple[ListedNode, ...]
     version: int
     service: str
-    at: int
+    received_at: int
 
 
 @dataclass(frozen=True)
-class Move:
+class MoveRecord:
     """A move of a playback in progress since `started_at`, in ns. Written with an empty `new_playback` when over."""
 
     playback: str
-    copy: str
-    began: int
+    new_playback: str
+    started_at: int
 
 
 @dataclass(frozen=True)
-class Version:
+class VersionRecord:
     """A version of a document that can change while the front end serves. `activated_at` is in ns."""
 
     kind: str
     number: int
     digest: str
-    taken: int
-    why: str
+    activated_at: int
+    reason: str
     body: bytes
 
 
 @dataclass(frozen=True)
-class Dropped:
+class DropVersion:
     """Deletes a version that has left its history."""
 
     kind: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class Fact:
+class NamedValue:
     """Writes a value under a name."""
 
     name: str
@@ -64,39 +64,50 @@
 
 
 @dataclass(frozen=True)
-class Expire:
+class DeleteExpired:
     """Deletes expired rows and returns as many free pages to the file system.
 
     These are at most `max_promises` promises with the marks ABORTED and INTENT that were last changed before
     `changed_before`, and all node penalties and slot usage recorded before `node_rows_before`. Both times are in ns.
     """
 
-    before: int
-    most: int
-    nodes_before: int = 0
+    changed_before: int
+    max_promises: int
+    node_rows_before: int = 0
 
 
 @dataclass(frozen=True)
-class Whole:
+class ReplaceContents:
     """Replaces the promises, and the node list if one is given, by what is in memory. All else in the file stays."""
 
     promises: tuple[Promise, ...]
-    told: Told | None = None
+    node_list: PutNodeList | None = None
 
 
-Change = Put | Told | Move | Version | Dropped | Fact | Expire | Whole | Grudge | Spent
+StateChange = (
+    PutPromise
+    | PutNodeList
+    | MoveRecord
+    | VersionRecord
+    | DropVersion
+    | NamedValue
+    | DeleteExpired
+    | ReplaceContents
+    | NodePenalty
+    | SlotUsage
+)
 
 
 @dataclass
-class Held:
+class StateContents:
     """The contents of a state file."""
 
     promises: list[Promise] = field(default_factory=list)
-    lines: list[Line] = field(default_factory=list)
+    listed_nodes: list[ListedNode] = field(default_factory=list)
     list_version: int = -1
     service: str = ""
-    grudges: list[Grudge] = field(default_factory=list)
-    spent: list[Spent] = field(default_factory=list)
-    moves: list[Move] = field(default_factory=list)
-    versions: list[Version] = field(default_factory=list)
-    facts: dict[str, bytes] = field(default_factory=dict)
+    node_penalties: list[NodePenalty] = field(default_factory=list)
+    slot_usage: list[SlotUsage] = field(default_factory=list)
+    moves: list[MoveRecord] = field(default_factory=list)
+    versions: list[VersionRecord] = field(default_factory=list)
+    named_values: dict[str, bytes] = field(default_factory=dict)
--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -13,57 +13,77 @@
 import apsw
 import msgspec
 
-from oakcroft.decisions.state.state_file_health import Trouble
-from oakcroft.decisions.state.recovery import Grudge, Spent
+from oakcroft.decisions.state.state_file_health import FileFault
+from oakcroft.decisions.state.recovery import NodePenalty, SlotUsage
 from oakcroft.decisions.state.promise import Promise
-from oakcroft.decisions.fleet.node_list import Line
+from oakcroft.decisions.fleet.node_list import ListedNode
 from oakcroft.store.changes import (
-    Change, Dropped, Expire, Fact, Held, Move, Put, Told, Version, Whole,
-)  # fmt: skip
-from oakcroft.store.schema import STEPS, VERSION
-from oakcroft.store.statements import LIST, write_change
+    StateChange,
+    DropVersion,
+    DeleteExpired,
+    NamedValue,
+    StateContents,
+    MoveRecord,
+    PutPromise,
+    PutNodeList,
+    VersionRecord,
+    ReplaceContents,
+)
+from oakcroft.store.schema import MIGRATIONS, SCHEMA_VERSION
+from oakcroft.store.statements import NODE_LIST_KEY, write_change
 
 __all__ = [
-    "Change", "Dropped", "Expire", "Fact", "Held", "Move", "Put", "StateFile", "Told", "Unusable", "Version", "Whole",
-    "set_aside",
+    "DeleteExpired",
+    "DropVersion",
+    "MoveRecord",
+    "NamedValue",
+    "PutNodeList",
+    "PutPromise",
+    "ReplaceContents",
+    "StateChange",
+    "StateContents",
+    "StateFile",
+    "StateFileError",
+    "VersionRecord",
+    "move_damaged_file",
 ]  # fmt: skip
 
-MAGIC = 0x6F616B63
+OAKCROFT_APPLICATION_ID = 0x6F616B63
 """SQLite's application id of a state file, "oakc" in ASCII."""
 
-HEAD_OCTETS = 100
-HEAD_BEGINS = b"SQLite format 3\0"
-USER_VERSION, APPLICATION_ID = slice(60, 64), slice(68, 72)
+HEADER_LENGTH = 100
+HEADER_MAGIC = b"SQLite format 3\0"
+USER_VERSION_BYTES, APPLICATION_ID_BYTES = slice(60, 64), slice(68, 72)
 """The header of a database and the positions of two numbers in it (SQLite's file format, section 1.3)."""
 
-REPORT_SHOWN = 200
+MAX_REPORT_LENGTH = 200
 """Bound on the text of a failed integrity check in an error message, in characters."""
 
 
-class Unusable(Exception):
+class StateFileError(Exception):
     """Raised when a call on the state file fails. `fault` is the kind of failure."""
 
-    def __init__(self, trouble: Trouble, detail: str) -> None:
+    def __init__(self, fault: FileFault, detail: str) -> None:
         """`detail` is the message of the library or the operating system."""
-        super().__init__(f"{trouble.value}: {detail}")
-        self.trouble = trouble
+        super().__init__(f"{fault.value}: {detail}")
+        self.fault = fault
 
 
 @contextmanager
-def troubles() -> Iterator[None]:
+def translated_errors() -> Iterator[None]:
     """Translates errors of SQLite, of decoding and of the operating system to StateFileError."""
     try:
         yield
     except apsw.FullError as error:
-        raise Unusable(Trouble.FULL, str(error)) from error
+        raise StateFileError(FileFault.DISK_FULL, str(error)) from error
     except apsw.ReadOnlyError as error:
-        raise Unusable(Trouble.READ_ONLY, str(error)) from error
+        raise StateFileError(FileFault.READ_ONLY, str(error)) from error
     except (apsw.CorruptError, apsw.NotADBError, msgspec.DecodeError) as error:
-        raise Unusable(Trouble.CORRUPT, str(error)) from error
+        raise StateFileError(FileFault.CORRUPT, str(error)) from error
     except (apsw.BusyError, apsw.LockedError) as error:
-        raise Unusable(Trouble.BUSY, str(error)) from error
+        raise StateFileError(FileFault.LOCKED, str(error)) from error
     except (apsw.Error, OSError) as error:
-        raise Unusable(Trouble.IO, str(error)) from error
+        raise StateFileError(FileFault.IO_ERROR, str(error)) from error
 
 
 class StateFile:
@@ -72,61 +92,65 @@
     A call that fails raises StateFileError; after that the file must be closed and opened anew.
     """
 
-    def __init__(self, path: str, vfs: str | None = None, sync: bool = True) -> None:
+    def __init__(self, path: str, vfs: str | None = None, is_synced: bool = True) -> None:
         """Opens the file, or creates it, and migrates it to the current schema version.
 
         `vfs` is the name of an SQLite VFS to use in place of the default one. With `is_synced` off, commits don't wait
         for the disk.
         """
-        self.path, self.vfs, self.written = path, vfs, 0
+        self.path, self.vfs, self.written_count = path, vfs, 0
         if vfs is None:
-            self._look(Path(path))
-        with troubles():
+            self._check_header(Path(path))
+        with translated_errors():
             self.db = apsw.Connection(path, vfs=vfs)
         try:
-            with troubles():
-                self._open(sync)
+            with translated_errors():
+                self._prepare(is_synced)
         except BaseException:
             self.close()
             raise
 
     @staticmethod
-    def _look(path: Path) -> None:
+    def _check_header(path: Path) -> None:
         """Checks the file header before SQLite opens the file, so that the file of a newer program stays unchanged."""
         try:
             with path.open("rb") as file:
-                head = file.read(HEAD_OCTETS)
+                head = file.read(HEADER_LENGTH)
         except FileNotFoundError:
             return
         except OSError as error:
-            raise Unusable(Trouble.IO, str(error)) from error
-        if len(head) == HEAD_OCTETS and head.startswith(HEAD_BEGINS):
-            version = int.from_bytes(head[USER_VERSION], "big")
-            magic = int.from_bytes(head[APPLICATION_ID], "big")
-            if magic not in (0, MAGIC) or version > VERSION:
-                raise Unusable(Trouble.FOREIGN, f"{path} has version {version}, this program knows {VERSION}")
-
-    def _open(self, sync: bool) -> None:
+            raise StateFileError(FileFault.IO_ERROR, str(error)) from error
+        if len(head) == HEADER_LENGTH and head.startswith(HEADER_MAGIC):
+            version = int.from_bytes(head[USER_VERSION_BYTES], "big")
+            magic = int.from_bytes(head[APPLICATION_ID_BYTES], "big")
+            if magic not in (0, OAKCROFT_APPLICATION_ID) or version > SCHEMA_VERSION:
+                raise StateFileError(
+                    FileFault.NEWER_FORMAT,
+                    f"{path} has version {version}, this program knows {SCHEMA_VERSION}",
+                )
+
+    def _prepare(self, is_synced: bool) -> None:
         self.db.pragma("locking_mode", "exclusive")
         self.db.pragma("auto_vacuum", "incremental")
         version = int(self.db.pragma("user_version"))
         magic = int(self.db.pragma("application_id"))
-        if magic not in (0, MAGIC):
-            raise Unusable(Trouble.FOREIGN, f"{self.path} is another program's")
-        if version > VERSION:
-            raise Unusable(
-                Trouble.FOREIGN, f"{self.path} has version {version}, this program knows {VERSION}"
+        if magic not in (0, OAKCROFT_APPLICATION_ID):
+            raise StateFileError(FileFault.NEWER_FORMAT, f"{self.path} is another program's")
+        if version > SCHEMA_VERSION:
+            raise StateFileError(
+                FileFault.NEWER_FORMAT,
+                f"{self.path} has version {version}, this program knows {SCHEMA_VERSION}",
             )
         self.db.pragma("journal_mode", "wal")
-        self.db.pragma("synchronous", "full" if sync else "off")
+        self.db.pragma("synchronous", "full" if is_synced else "off")
         if (said := self.db.pragma("quick_check")) != "ok":
-            raise Unusable(Trouble.CORRUPT, str(said)[:REPORT_SHOWN])
-        if version < VERSION:
+            raise StateFileError(FileFault.CORRUPT, str(said)[:MAX_REPORT_LENGTH])
+        if version < SCHEMA_VERSION:
             with self.db:
-                for number in range(version, VERSION):
-                    self.db.execute(STEPS[number])
-                self.db.pragma("application_id", MAGIC)
-                self.db.pragma("user_version", VERSION)
+                for number in range(version, SCHEMA_VERSION):
+                    self.db.execute(MIGRATIONS[number])
+                self.db.pragma("application_id", OAKCROFT_APPLICATION_ID)
+                self.db.pragma("user_version", SCHEMA_VERSION)
 
     def close(self) -> None:
         """Closes the file in any state. Data that the last checkpoint cannot write stays in the WAL."""
@@ -135,61 +159,63 @@
 
     # Writing.
 
-    def commit(self, changes: Iterable[Change]) -> None:
+    def commit(self, changes: Iterable[StateChange]) -> None:
         """Writes the changes in one transaction."""
-        with troubles(), self.db:
+        with translated_errors(), self.db:
             for change in changes:
                 write_change(change, self.db)
-                self.written += 1
+                self.written_count += 1
 
-    def forget_fact(self, name: str) -> None:
+    def delete_named_value(self, name: str) -> None:
         """Deletes a named value."""
-        with troubles():
+        with translated_errors():
             self.db.execute("DELETE FROM facts WHERE name = ?", (name,))
 
     # Reading.
 
-    def read(self) -> Held:
+    def read(self) -> StateContents:
         """Returns all contents of the file."""
-        with troubles():
-            run, held = self.db.execute, Held()
+        with translated_errors():
+            run, held = self.db.execute, StateContents()
             bodies = msgspec.msgpack.Decoder(Promise)
             held.promises = [bodies.decode(b) for (b,) in run("SELECT body FROM promises ORDER BY id")]
-            lines = msgspec.msgpack.Decoder(Line)
-            held.lines = [lines.decode(b) for (b,) in run("SELECT body FROM nodes ORDER BY name")]
-            held.grudges = [Grudge(*row) for row in run("SELECT * FROM grudges ORDER BY node")]
-            held.spent = [Spent(*row) for row in run("SELECT * FROM spent ORDER BY node")]
-            held.moves = [Move(*row) for row in run("SELECT * FROM moves ORDER BY playback")]
-            held.versions = [Version(*row) for row in run("SELECT * FROM versions ORDER BY kind, number")]
-            held.facts = dict(run("SELECT name, value FROM facts ORDER BY name"))
-            if LIST in held.facts:
+            lines = msgspec.msgpack.Decoder(ListedNode)
+            held.listed_nodes = [lines.decode(b) for (b,) in run("SELECT body FROM nodes ORDER BY name")]
+            held.node_penalties = [NodePenalty(*row) for row in run("SELECT * FROM grudges ORDER BY node")]
+            held.slot_usage = [SlotUsage(*row) for row in run("SELECT * FROM spent ORDER BY node")]
+            held.moves = [MoveRecord(*row) for row in run("SELECT * FROM moves ORDER BY playback")]
+            held.versions = [
+                VersionRecord(*row) for row in run("SELECT * FROM versions ORDER BY kind, number")
+            ]
+            held.named_values = dict(run("SELECT name, value FROM facts ORDER BY name"))
+            if NODE_LIST_KEY in held.named_values:
                 held.list_version, held.service = msgspec.msgpack.decode(
-                    held.facts[LIST], type=tuple[int, str]
+                    held.named_values[NODE_LIST_KEY], type=tuple[int, str]
                 )
             return held
 
     def size(self) -> int:
         """Returns the size of the main file in bytes, without the WAL."""
-        with troubles():
+        with translated_errors():
             return int(self.db.pragma("page_count")) * int(self.db.pragma("page_size"))
 
-    def snapshot(self, to: Path) -> None:
+    def snapshot(self, target: Path) -> None:
         """Writes a copy of the committed contents to a file, which appears complete or not at all.
 
         Raises StateFileError if it cannot be written.
         """
-        temporary = to.with_name(to.name + ".new")
+        temporary = target.with_name(target.name + ".new")
         temporary.unlink(missing_ok=True)
-        with troubles():
+        with translated_errors():
             with closing(apsw.Connection(str(temporary))) as copy:
                 copy.pragma("synchronous", "full")
                 with copy.backup("main", self.db, "main") as backup:
                     backup.step()
                 copy.pragma("journal_mode", "delete")
-            temporary.replace(to)
+            temporary.replace(target)
 
 
-def set_aside(path: str) -> str:
+def move_damaged_file(path: str) -> str:
     """Renames a damaged file and its logs, so that they can be examined later. Returns the file's new path."""
     kept = Path(path)
     number = 1
--- a/oakcroft/store/schema.py
+++ b/oakcroft/store/schema.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-STEPS = (
+MIGRATIONS = (
     # 1: promises, and the node list with the time at which it was received.
     """
     CREATE TABLE promises (id TEXT PRIMARY KEY, key TEXT NOT NULL, mark TEXT NOT NULL, node TEXT NOT NULL,
@@ -29,4 +29,4 @@
     CREATE INDEX promises_changed ON promises (mark, changed);
     """,
 )
-VERSION = len(STEPS)
+SCHEMA_VERSION = len(MIGRATIONS)
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -16,30 +16,30 @@
 import structlog
 import trio
 
-from oakcroft.decisions.state.state_file_health import Disk, Health, Trouble, Upkeep
+from oakcroft.decisions.state.state_file_health import FileState, FileHealth, FileFault, FileMaintenance
 from oakcroft.interface import SECOND
-from oakcroft.store.changes import Change, Expire, Held, Whole
-from oakcroft.store.file import StateFile, Unusable, set_aside
+from oakcroft.store.changes import StateChange, DeleteExpired, StateContents, ReplaceContents
+from oakcroft.store.file import StateFile, StateFileError, move_damaged_file
 
-WHOLE = "whole"  # the value's presence says that the file holds all promises
+COMPLETE_KEY = "whole"  # the value's presence says that the file holds all promises
 T = TypeVar("T")
-MOST_WAITING = 16_384
-MOST_TOGETHER = 1_024
-NODES_KEPT = 3600 * SECOND  # longer than any node stays cold or penalized
-BEAT = 0.25  # between checks of health and maintenance while nothing is queued
+MAX_QUEUED = 16_384
+MAX_BATCH = 1_024
+NODE_RETENTION_NS = 3600 * SECOND  # longer than any node stays cold or penalized
+IDLE_POLL_SECONDS = 0.25  # between checks of health and maintenance while nothing is queued
 
 
 @dataclass(eq=False)
-class Waiting:
+class QueuedChange:
     """A queued change. If a caller waits for its commit, `finished` is set once it is committed or has failed."""
 
-    change: Change
-    done: trio.Event | None = None
-    durable: bool = False
+    change: StateChange
+    finished: trio.Event | None = None
+    is_durable: bool = False
 
 
 @dataclass
-class Counts:
+class WriteCounts:
     """Counters of commits and changes: `refused` durable ones, `dropped` others, and the longest commit in ns."""
 
     commits: int = 0
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Store:
+class StateWriter:
     """Writes one state file from a queue of changes.
 
     `clock` returns the time in ns. `retention_ns` is how long promises that are no longer needed are kept.
@@ -61,57 +61,61 @@
     """
 
     path: str
-    sync: bool
-    now: Callable[[], int]
+    is_synced: bool
+    clock: Callable[[], int]
     log: structlog.typing.FilteringBoundLogger
-    keep: int
-    open_: Callable[[], StateFile] | None = None
-    whole: Callable[[], Whole] | None = None
-    found: Callable[[Held], None] | None = None
-    health: Health = field(default_factory=Health)
-    upkeep: Upkeep = field(default_factory=Upkeep)
-    counts: Counts = field(default_factory=Counts)
+    retention_ns: int
+    open_file: Callable[[], StateFile] | None = None
+    snapshot_memory: Callable[[], ReplaceContents] | None = None
+    on_late_read: Callable[[StateContents], None] | None = None
+    health: FileHealth = field(default_factory=FileHealth)
+    upkeep: FileMaintenance = field(default_factory=FileMaintenance)
+    counts: WriteCounts = field(default_factory=WriteCounts)
     file: StateFile | None = None
-    had: bool = False
-    read: bool = False
-    facts: dict[str, bytes] = field(default_factory=dict)
-    stale: bool = False
-    queue: deque[Waiting] = field(default_factory=deque)
-    wake: trio.Event = field(default_factory=trio.Event)
-    threads: trio.CapacityLimiter = field(default_factory=lambda: trio.CapacityLimiter(1))
+    was_complete: bool = False
+    is_read: bool = False
+    named_values: dict[str, bytes] = field(default_factory=dict)
+    needs_full_write: bool = False
+    queue: deque[QueuedChange] = field(default_factory=deque)
+    wakeup: trio.Event = field(default_factory=trio.Event)
+    thread_limiter: trio.CapacityLimiter = field(default_factory=lambda: trio.CapacityLimiter(1))
 
     # Opening.
 
-    async def start(self) -> Held | None:
+    async def start(self) -> StateContents | None:
         """Opens the file and returns its contents, None if it cannot be opened now.
 
         A damaged file is moved aside and replaced by a new one.
         """
-        held: Held | None = None
+        held: StateContents | None = None
         try:
-            held = await self._thread(self._open)
-        except Unusable as fault:
-            if fault.trouble is not Trouble.CORRUPT:
-                self._failed(fault)
+            held = await self._run_in_thread(self._open)
+        except StateFileError as fault:
+            if fault.fault is not FileFault.CORRUPT:
+                self._record_failure(fault)
                 return None
-            held = await self._begin_anew(fault)
+            held = await self._replace_damaged_file(fault)
         if held is not None:
-            self.read, self.facts = True, held.facts
-            self.had = WHOLE in held.facts
+            self.is_read, self.named_values = True, held.named_values
+            self.was_complete = COMPLETE_KEY in held.named_values
         return held
 
-    async def _begin_anew(self, fault: Unusable) -> Held | None:
+    async def _replace_damaged_file(self, error: StateFileError) -> StateContents | None:
         try:
-            aside = await self._thread(partial(set_aside, self.path))
-            self.log.error("state damaged", why=str(fault), kept_as=aside)
-            return await self._thread(self._open)
-        except (Unusable, OSError) as again:
-            self._failed(again if isinstance(again, Unusable) else Unusable(Trouble.IO, str(again)))
+            aside = await self._run_in_thread(partial(move_damaged_file, self.path))
+            self.log.error("state damaged", why=str(error), kept_as=aside)
+            return await self._run_in_thread(self._open)
+        except (StateFileError, OSError) as again:
+            self._record_failure(
+                again if isinstance(again, StateFileError) else StateFileError(FileFault.IO_ERROR, str(again))
+            )
             return None
 
-    def _open(self) -> Held:
+    def _open(self) -> StateContents:
         self._close()
-        self.file = self.open_() if self.open_ is not None else StateFile(self.path, sync=self.sync)
+        self.file = (
+            self.open_file() if self.open_file is not None else StateFile(self.path, is_synced=self.is_synced)
+        )
         return self.file.read()
 
     def _close(self) -> None:
@@ -119,42 +123,42 @@
             self.file.close()
             self.file = None
 
-    async def _thread(self, call: Callable[[], T]) -> T:
-        return await trio.to_thread.run_sync(call, abandon_on_cancel=True, limiter=self.threads)
+    async def _run_in_thread(self, call: Callable[[], T]) -> T:
+        return await trio.to_thread.run_sync(call, abandon_on_cancel=True, limiter=self.thread_limiter)
 
     # Queueing changes.
 
-    def note(self, change: Change) -> None:
+    def enqueue(self, change: StateChange) -> None:
         """Queues a change without waiting for its commit."""
-        if self.health.state in (Disk.FAILING, Disk.FOREIGN):
-            self.stale = True
+        if self.health.state in (FileState.FAILING, FileState.NEWER_FORMAT):
+            self.needs_full_write = True
             return
-        if len(self.queue) >= MOST_WAITING:
+        if len(self.queue) >= MAX_QUEUED:
             self.counts.dropped += 1
-            self.stale = True
+            self.needs_full_write = True
             return
-        self.queue.append(Waiting(change))
-        self.wake.set()
+        self.queue.append(QueuedChange(change))
+        self.wakeup.set()
 
-    async def durable(self, change: Change) -> bool:
+    async def write_durably(self, change: StateChange) -> bool:
         """Writes a change and waits for its commit.
 
         Returns True once it is committed, and synced if commits wait for the disk. After False it may or may not have
         been written, and must be treated as not written.
         """
-        if not self.health.takes_promises(self.now()) or len(self.queue) >= MOST_WAITING:
+        if not self.health.can_record(self.clock()) or len(self.queue) >= MAX_QUEUED:
             self.counts.refused += 1
             return False
-        one = Waiting(change, trio.Event())
-        assert one.done is not None
+        one = QueuedChange(change, trio.Event())
+        assert one.finished is not None
         self.queue.append(one)
-        self.wake.set()
+        self.wakeup.set()
         with trio.move_on_after(self.health.slow_after / 1e9):
-            await one.done.wait()
-        if not one.durable:
+            await one.finished.wait()
+        if not one.is_durable:
             self.counts.refused += 1
-        self._tell(self.health.look(self.now()))
-        return one.durable
+        self._log_health_change(self.health.check(self.clock()))
+        return one.is_durable
 
     # Writing.
 
@@ -162,96 +166,106 @@
         """Writes queued changes until it is cancelled, then those that are left, and closes the file."""
         try:
             while True:
-                if not self.queue and not self.stale:
-                    with trio.move_on_after(BEAT):
-                        await self.wake.wait()
-                self.wake = trio.Event()
-                await self._round()
+                if not self.queue and not self.needs_full_write:
+                    with trio.move_on_after(IDLE_POLL_SECONDS):
+                        await self.wakeup.wait()
+                self.wakeup = trio.Event()
+                await self._write_batch()
         finally:
             # A call may still run in the file's one thread. The last changes are written after it, or lost if that
             # takes more than two seconds.
             with trio.CancelScope(shield=True), trio.move_on_after(2):
-                if self.health.state in (Disk.SOUND, Disk.SLOW):
-                    await self._write(list(self.queue))
-                await self._thread(self._close)
-
-    async def _round(self) -> None:
-        now = self.now()
-        if self.health.state in (Disk.FAILING, Disk.FOREIGN) or self.file is None:
-            self._refuse_all()
-            if self.health.due(now):
-                await self._try_again()
+                if self.health.state in (FileState.HEALTHY, FileState.SLOW):
+                    await self._commit(list(self.queue))
+                await self._run_in_thread(self._close)
+
+    async def _write_batch(self) -> None:
+        now = self.clock()
+        if self.health.state in (FileState.FAILING, FileState.NEWER_FORMAT) or self.file is None:
+            self._fail_queued()
+            if self.health.retry_due(now):
+                await self._reopen()
             else:
-                await trio.sleep(min(BEAT, max(0.0, (self.health.retry_at - now) / 1e9)))
+                await trio.sleep(min(IDLE_POLL_SECONDS, max(0.0, (self.health.retry_at - now) / 1e9)))
             return
-        batch = [self.queue.popleft() for _ in range(min(MOST_TOGETHER, len(self.queue)))]
-        if self.stale and self.whole is not None:
-            self.stale = False
-            batch.insert(0, Waiting(self.whole()))
+        batch = [self.queue.popleft() for _ in range(min(MAX_BATCH, len(self.queue)))]
+        if self.needs_full_write and self.snapshot_memory is not None:
+            self.needs_full_write = False
+            batch.insert(0, QueuedChange(self.snapshot_memory()))
         if rows := self.upkeep.allowance(self.health, len(self.queue), now):
-            batch.append(Waiting(Expire(now - self.keep, rows, now - max(self.keep, NODES_KEPT))))
+            batch.append(
+                QueuedChange(
+                    DeleteExpired(
+                        now - self.retention_ns, rows, now - max(self.retention_ns, NODE_RETENTION_NS)
+                    )
+                )
+            )
         if batch:
-            await self._write(batch)
+            await self._commit(batch)
 
-    async def _write(self, batch: list[Waiting], whole: bool = False) -> None:
+    async def _commit(self, batch: list[QueuedChange], is_full_write: bool = False) -> None:
         if self.file is None:
             return
-        began = self.now()
-        self.health.begins(began)
+        began = self.clock()
+        self.health.commit_started(began)
         try:
-            await self._thread(partial(self.file.commit, [w.change for w in batch]))
-        except Unusable as fault:
-            self.stale = True
-            self._failed(fault)
+            await self._run_in_thread(partial(self.file.commit, [w.change for w in batch]))
+        except StateFileError as fault:
+            self.needs_full_write = True
+            self._record_failure(fault)
             for one in batch:
-                if one.done is not None:
-                    one.done.set()
+                if one.finished is not None:
+                    one.finished.set()
             return
-        now = self.now()
+        now = self.clock()
         self.counts.commits += 1
         self.counts.changes += len(batch)
         self.counts.longest_ns = max(self.counts.longest_ns, now - began)
-        self._tell(self.health.done(now, whole))
+        self._log_health_change(self.health.commit_succeeded(now, is_full_write))
         for one in batch:
-            if one.done is not None:
-                one.durable = True
-                one.done.set()
+            if one.finished is not None:
+                one.is_durable = True
+                one.finished.set()
 
-    def _refuse_all(self) -> None:
+    def _fail_queued(self) -> None:
         """Empties the queue and wakes the callers of durable changes, which were not written."""
-        self.stale = self.stale or bool(self.queue)
+        self.needs_full_write = self.needs_full_write or bool(self.queue)
         while self.queue:
             one = self.queue.popleft()
-            if one.done is not None:
-                one.done.set()
+            if one.finished is not None:
+                one.finished.set()
 
-    async def _try_again(self) -> None:
+    async def _reopen(self) -> None:
         """Reopens the file and writes everything in memory. Contents that were never read are reported first."""
         try:
-            held = await self._thread(self._open)
-        except Unusable as fault:
-            if fault.trouble is not Trouble.CORRUPT:
-                self._failed(fault)
+            held = await self._run_in_thread(self._open)
+        except StateFileError as fault:
+            if fault.fault is not FileFault.CORRUPT:
+                self._record_failure(fault)
                 return
-            held_anew = await self._begin_anew(fault)
+            held_anew = await self._replace_damaged_file(fault)
             if held_anew is None:
                 return
             held = held_anew
-        if not self.read and self.found is not None:
-            self.read, self.facts, self.had = True, held.facts, WHOLE in held.facts
-            self.found(held)
-        if self.whole is not None:
-            self.stale = False
-            await self._write([Waiting(self.whole())], whole=True)
-
-    def _failed(self, fault: Unusable) -> None:
-        now = self.now()
-        changed = self.health.failed(fault.trouble, now)
+        if not self.is_read and self.on_late_read is not None:
+            self.is_read, self.named_values, self.was_complete = (
+                True,
+                held.named_values,
+                COMPLETE_KEY in held.named_values,
+            )
+            self.on_late_read(held)
+        if self.snapshot_memory is not None:
+            self.needs_full_write = False
+            await self._commit([QueuedChange(self.snapshot_memory())], is_full_write=True)
+
+    def _record_failure(self, error: StateFileError) -> None:
+        now = self.clock()
+        changed = self.health.commit_failed(error.fault, now)
         if changed:
-            self.log.error("state not written", why=str(fault), disk=self.health.state.value,
+            self.log.error("state not written", why=str(error), disk=self.health.state.value,
                            retry_ms=(self.health.retry_at - now) // 1_000_000)  # fmt: skip
 
-    def _tell(self, changed: bool) -> None:
-        if changed:
+    def _log_health_change(self, has_changed: bool) -> None:
+        if has_changed:
             self.log.warning("state file", disk=self.health.state.value, longest_ms=self.counts.longest_ns // 1_000_000,
                              commits=self.counts.commits, refused=self.counts.refused)  # fmt: skip
--- a/oakcroft/wirehost/codec.py
+++ b/oakcroft/wirehost/codec.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from oakcroft.interface import Listing, ListKind
+from oakcroft.interface import NodeStatus, NodeListKind
 
-LISTINGS = {0: Listing.GONE, 1: Listing.READY, 2: Listing.DRAINING}
-LIST_KINDS = {0: ListKind.CHANGES, 1: ListKind.WHOLE, 2: ListKind.KEPT, 3: ListKind.FAILED}
+NODE_STATUSES_BY_WIRE_CODE = {0: NodeStatus.GONE, 1: NodeStatus.READY, 2: NodeStatus.DRAINING}
+NODE_LIST_KINDS_BY_WIRE_CODE = {
+    0: NodeListKind.CHANGES,
+    1: NodeListKind.WHOLE,
+    2: NodeListKind.KEPT,
+    3: NodeListKind.FAILED,
+}
--- a/oakcroft/wirehost/instance.py
+++ b/oakcroft/wirehost/instance.py
@@ -5,106 +5,112 @@
 from typing import Any
 
 from oakcroft.choice import Controller
-from oakcroft.interface import Entry, ListKind, Node, Playback, Title
+from oakcroft.interface import NodeEntry, NodeListKind, Node, Playback, Title
 from oakcroft import terms
 from oakcroft.wirehost import codec
 
 Message = dict[str, Any]
 
 
-class Instance:
+class WireFrontEnd:
     """Host of the decision module for one front end; maps the ids on the wire to objects."""
 
-    def __init__(self, who: str, event: Message, now: int, out: list[Message]) -> None:
+    def __init__(self, front_id: str, event: Message, now: int, actions: list[Message]) -> None:
         """Reads the settings from a `powerOn` event.
 
         Raises KeyError where a setting is missing.
         """
         env = event["env"]
-        self.who = who
-        self.out = out
-        self.terms = terms.terms(env)
-        self.plans = terms.plans(env)
-        self.link_per_weight: float = env["familyInfo"]["weightKb"]
-        self.places = dict(zip(env["models"], env["familyInfo"]["kindSlots"], strict=False))
+        self.front_id = front_id
+        self.actions = actions
+        self.settings = terms.read_settings(env)
+        self.plans = terms.read_plans(env)
+        self.link_capacity_per_weight: float = env["familyInfo"]["weightKb"]
+        self.playback_capacity_by_model = dict(
+            zip(env["models"], env["familyInfo"]["kindSlots"], strict=False)
+        )
         self.nodes: dict[str, Node] = {}
         self.titles: dict[str, Title] = {}
         self.playbacks: dict[str, Playback] = {}
-        self.ids: dict[Playback, str] = {}
-        self.controller = Controller(self.terms, event["seed"], self, now)
+        self.request_ids: dict[Playback, str] = {}
+        self.controller = Controller(self.settings, event["seed"], self, now)
 
     # Host protocol.
 
-    def _act(self, op: str, **fields: Any) -> None:
+    def _add_action(self, op: str, **fields: Any) -> None:
         """Adds an action for the simulator; the keywords are its keys on the wire."""
-        self.out.append({"op": op, "who": self.who, **fields})
+        self.actions.append({"op": op, "who": self.front_id, **fields})
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Sends a setup try."""
-        self._act("deliver", rid=self.ids[pb], node=node.name, abandonAtMs=terms.millis(abandon_at))
+        self._add_action(
+            "deliver", rid=self.request_ids[playback], node=node.name, abandonAtMs=terms.ns_to_ms(abandon_at)
+        )
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """Rejects a request."""
-        self._act("pushBack", rid=self.ids[pb], stayAwayMs=terms.millis(stay_away))
+        self._add_action(
+            "pushBack", rid=self.request_ids[playback], stayAwayMs=terms.ns_to_ms(retry_after_ns)
+        )
 
-    def abort(self, pb: Playback) -> None:
+    def abort(self, playback: Playback) -> None:
         """Ends a request whose set-up may have run."""
-        self._act("abort", rid=self.ids[pb])
+        self._add_action("abort", rid=self.request_ids[playback])
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """Changes the rung of a playback."""
-        self._act("setRung", rid=self.ids[pb], grade=rung)
+        self._add_action("setRung", rid=self.request_ids[playback], grade=rung)
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """Sets the timer of the decision module."""
-        self._act("setAlarm", alarmTimeMs=terms.millis(at), label=0)
+        self._add_action("setAlarm", alarmTimeMs=terms.ns_to_ms(at), label=0)
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         """Subscribes to the node list."""
-        self._act("follow", active=True)
+        self._add_action("follow", active=True)
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         """Records a log line."""
-        self._act("record", message=line)
+        self._add_action("record", message=message)
 
     # Events of the simulator.
 
-    def hear(self, event: Message, now: int, lists: dict[int, list[Message]]) -> None:
+    def handle_event(self, event: Message, now: int, lists: dict[int, list[Message]]) -> None:
         """Handles one event; events have to come in order of arrival."""
         pb = self.playbacks.get(event.get("rid", ""))
         if pb and event.get("sendNo") not in (None, len(pb.tries) - 1):
             return  # belongs to an earlier try, whose outcome was handled
         match event["op"]:
             case "accept":
-                pb = self._playback(event, now)
-                self.controller.arrived(pb, now)
+                pb = self._new_playback(event, now)
+                self.controller.on_request(pb, now)
             case "resumed":
-                pb = self._playback(event, now)
-                self.controller.resumed(pb, self._node(event["node"]), now)
+                pb = self._new_playback(event, now)
+                self.controller.on_handed_over(pb, self._node(event["node"]), now)
             case "flowing":
                 if pb:
-                    self.controller.playing(pb, now)
+                    self.controller.on_playing(pb, now)
             case "reply":
                 if pb:
-                    self.controller.tried(
-                        pb, terms.OUTCOMES[event["outcome"]], event["doneFlag"],
-                        *terms.report_values(event.get("report")), now,
+                    self.controller.on_try_ended(
+                        pb, terms.OUTCOMES_BY_WIRE_CODE[event["outcome"]], event["doneFlag"],
+                        *terms.load_report_values(event.get("report")), now,
                     )  # fmt: skip
             case "updateOf":
-                note = terms.NOTES.get(event["kind"])
+                note = terms.METRICS_BY_WIRE_KIND.get(event["kind"])
                 if pb and note:
-                    self.controller.noted(pb, note, event["x"], now)
+                    self.controller.on_metric(pb, note, event["x"], now)
             case "gone":
                 if pb:
-                    self.controller.left(pb, now)
+                    self.controller.on_viewer_left(pb, now)
             case "timeoutFired":
-                self.controller.alarm(now)
+                self.controller.on_timer(now)
             case "registry":
-                kind = codec.LIST_KINDS[event["how"]]
-                lines = lists[event["rosterId"]] if kind is not ListKind.FAILED else []
-                self.controller.listed(kind, [self._entry(e) for e in lines], now)
-        if pb and self.controller.over(pb):
-            del self.ids[self.playbacks.pop(event["rid"])]
+                kind = codec.NODE_LIST_KINDS_BY_WIRE_CODE[event["how"]]
+                lines = lists[event["rosterId"]] if kind is not NodeListKind.FAILED else []
+                self.controller.on_node_list(kind, [self._entry(e) for e in lines], now)
+        if pb and self.controller.is_over(pb):
+            del self.request_ids[self.playbacks.pop(event["rid"])]
 
     def _node(self, name: str) -> Node:
         """Returns the node of a name, a new one at its first use."""
@@ -112,27 +118,27 @@
             self.nodes[name] = Node(name)
         return self.nodes[name]
 
-    def _entry(self, e: Message) -> Entry:
+    def _entry(self, fields: Message) -> NodeEntry:
         """Translates an entry of the node list."""
-        node = self._node(e["node"])
-        node.cell, node.zone = e["cell"], e["zone"]
-        weight = e.get("share")
-        return Entry(
+        node = self._node(fields["node"])
+        node.cell, node.zone = fields["cell"], fields["zone"]
+        weight = fields.get("share")
+        return NodeEntry(
             node,
-            codec.LISTINGS[e["availability"]],
-            terms.nanos(e["startedAtMs"]),
-            self.link_per_weight * (1.0 if weight is None else weight),
-            self.places.get(e["classOfHost"], 0.0),
+            codec.NODE_STATUSES_BY_WIRE_CODE[fields["availability"]],
+            terms.ms_to_ns(fields["startedAtMs"]),
+            self.link_capacity_per_weight * (1.0 if weight is None else weight),
+            self.playback_capacity_by_model.get(fields["classOfHost"], 0.0),
         )
 
-    def _playback(self, e: Message, now: int) -> Playback:
+    def _new_playback(self, event: Message, now: int) -> Playback:
         """Creates the playback of a request."""
-        name = e["programme"]
+        name = event["programme"]
         if name not in self.titles:
-            self.titles[name] = Title(name, e["home"], e["copies"])
+            self.titles[name] = Title(name, event["home"], event["copies"])
         pb = Playback(
-            self.titles[name], self.plans[e["profile"]], e["topRung"],
-            now + terms.nanos(e["budgetMs"]), e["backFromMove"],
+            self.titles[name], self.plans[event["profile"]], event["topRung"],
+            now + terms.ms_to_ns(event["budgetMs"]), event["backFromMove"],
         )  # fmt: skip
-        self.playbacks[e["rid"]], self.ids[pb] = pb, e["rid"]
+        self.playbacks[event["rid"]], self.request_ids[pb] = pb, event["rid"]
         return pb
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,92 +17,105 @@
 import trio
 
 from oakcroft.choice import Controller
-from oakcroft.decisions.sessions.setup_outcome import FULL_TYPE
-from oakcroft.interface import MS, SECOND, Effect, Entry, Group, Listing, ListKind, Node, Plan, Playback
-from oakcroft.interface import Terms, Title
-from oakcroft.platform.session_coordinator import Owner
-from oakcroft.platform.serve import Platform
+from oakcroft.decisions.sessions.setup_outcome import PROBLEM_FULL
+from oakcroft.interface import (
+    MS,
+    SECOND,
+    Effect,
+    NodeEntry,
+    KeyScope,
+    NodeStatus,
+    NodeListKind,
+    Node,
+    Plan,
+    Playback,
+)
+from oakcroft.interface import DeploymentSettings, Title
+from oakcroft.platform.session_coordinator import SessionCoordinator
+from oakcroft.platform.serve import PlatformFrontEnd
 from oakcroft.platformwire import configuration, framing
 
-START = 100 * SECOND
-TERMS = Terms(
-    fronts=2, front=0, must_follow=False, ask_within=10 * SECOND, cells=4, racks=2,
-    rates=(200.0, 400.0, 800.0), rung_worth=(0.3, 0.6, 1.0), uplink=20000.0, join_adds=1.0,
-    seen_after=SECOND, reports_every=3 * SECOND, most_tries=3, stay_away_most=2 * SECOND,
-    cold_share=0.4, cold_for=10 * SECOND, fall_multiple=2.5, fall_window=SECOND,
-    tries_free=None, tries_share=0.0, tries_window=10 * SECOND,
+START_NS = 100 * SECOND
+TERMS = DeploymentSettings(
+    front_count=2, front_index=0, must_subscribe=False, subscribe_within_ns=10 * SECOND, cell_count=4, rack_count=2,
+    rung_rates=(200.0, 400.0, 800.0), rung_revenue_shares=(0.3, 0.6, 1.0), uplink_capacity=20000.0, join_rate_share=1.0,
+    report_delay_ns=SECOND, report_interval_ns=3 * SECOND, max_tries=3, max_retry_after_ns=2 * SECOND,
+    cold_pace_share=0.4, cold_duration_ns=10 * SECOND, overload_multiple=2.5, overload_window_ns=SECOND,
+    retry_budget_base=None, retry_budget_share=0.0, retry_budget_window_ns=10 * SECOND,
 )  # fmt: skip
 FREE = Plan(
-    effect=Effect.FREE, group=Group.ALL, key_lasts=SECOND, startup_target=SECOND, revenue=1.0,
-    floor=0, top=2, seats=0, rate_factor=1.0, shares_stream=False,
+    effect=Effect.FREE, key_scope=KeyScope.ALL, key_ttl_ns=SECOND, startup_target_ns=SECOND, revenue=1.0,
+    floor=0, top_rung=2, seats=0, rate_factor=1.0, shares_stream=False,
 )  # fmt: skip
 PAID = replace(FREE, effect=Effect.PAID)
-KEYED = replace(FREE, effect=Effect.KEYED, group=Group.ZONE)
+KEYED = replace(FREE, effect=Effect.KEYED, key_scope=KeyScope.ZONE)
 
 
-class Fleet:
+class ControllerHarness:
     """A decision module with a few nodes and a host that keeps every call."""
 
-    def __init__(self, nodes: int = 4, terms: Terms = TERMS, warm: bool = True) -> None:
+    def __init__(self, nodes: int = 4, terms: DeploymentSettings = TERMS, warm: bool = True) -> None:
         """Lists the nodes as kept from before; with `warm` they have started long enough ago not to be cold."""
         self.calls: list[tuple[Any, ...]] = []
-        self.now = START
-        self.control = Controller(terms, 7, self, START)
+        self.now = START_NS
+        self.controller = Controller(terms, 7, self, START_NS)
         self.nodes = [Node(f"n{i}") for i in range(nodes)]
         for i, node in enumerate(self.nodes):
             node.cell, node.zone = i, "east" if i % 2 else "west"
-        self.relist(ListKind.KEPT)
+        self.apply_list(NodeListKind.KEPT)
         if warm:
             self.now += 20 * SECOND
 
-    def relist(self, kind: ListKind, started_at: int = 0, listing: Listing = Listing.READY) -> None:
+    def apply_list(
+        self, kind: NodeListKind, started_at: int = 0, listing: NodeStatus = NodeStatus.READY
+    ) -> None:
         """Gives the module the whole list, with every node in one status."""
-        lines = [Entry(n, listing, started_at, 4000.0, 12.0) for n in self.nodes]
-        self.control.listed(kind, lines, self.now)
+        lines = [NodeEntry(n, listing, started_at, 4000.0, 12.0) for n in self.nodes]
+        self.controller.on_node_list(kind, lines, self.now)
 
-    def ask(self, plan: Plan = FREE, title: Title | None = None, wait: int = 4 * SECOND) -> Playback:
+    def request(self, plan: Plan = FREE, title: Title | None = None, wait: int = 4 * SECOND) -> Playback:
         """A viewer's request that waits for so long."""
         pb = Playback(title or Title("t", 0, 0), plan, 2, self.now + wait, False)
-        self.control.arrived(pb, self.now)
+        self.controller.on_request(pb, self.now)
         return pb
 
-    def sends(self) -> list[Node]:
+    def sent_nodes(self) -> list[Node]:
         """The nodes that setup tries were sent to, in order."""
         return [call[2] for call in self.calls if call[0] == "send"]
 
-    def answers(self, pb: Playback) -> list[str]:
+    def final_answers(self, pb: Playback) -> list[str]:
         """The kinds of final answers to a playback."""
         return [c[0] for c in self.calls if c[0] in ("reject", "abort") and c[1] is pb]
 
-    def send(self, pb: Playback, node: Node, abandon_at: int) -> None:
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Records a setup try; its abandon time must not be later than the playback's."""
-        assert START < abandon_at <= pb.abandon + 40 * MS
-        self.calls.append(("send", pb, node, abandon_at))
+        assert START_NS < abandon_at <= playback.abandon_at + 40 * MS
+        self.calls.append(("send", playback, node, abandon_at))
 
-    def reject(self, pb: Playback, stay_away: int) -> None:
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """Records a rejected playback."""
-        self.calls.append(("reject", pb, stay_away))
+        self.calls.append(("reject", playback, retry_after_ns))
 
-    def abort(self, pb: Playback) -> None:
+    def abort(self, playback: Playback) -> None:
         """Records an aborted playback."""
-        self.calls.append(("abort", pb))
+        self.calls.append(("abort", playback))
 
-    def set_rung(self, pb: Playback, rung: int) -> None:
+    def set_rung(self, playback: Playback, rung: int) -> None:
         """Records a rung, which must be within the bounds of the plan and the viewer."""
-        assert pb.plan.floor <= rung <= pb.top
-        self.calls.append(("set_rung", pb, rung))
+        assert playback.plan.floor <= rung <= playback.top_rung
+        self.calls.append(("set_rung", playback, rung))
 
-    def alarm(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """Records a timer."""
         self.calls.append(("alarm", at))
 
-    def follow(self) -> None:
+    def subscribe_to_nodes(self) -> None:
         """Records a subscription to the list."""
         self.calls.append(("follow",))
 
-    def log(self, line: str) -> None:
+    def log(self, message: str) -> None:
         """Records a log line."""
-        self.calls.append(("log", line))
+        self.calls.append(("log", message))
 
 
 # Stubs of the platform's peers: a playout node, the command channel and a viewer.
@@ -125,59 +138,59 @@
 }  # fmt: skip
 
 
-class WireNode:
+class StubNode:
     """A playout node. `script` says how it treats the next set-ups, in order; without an entry it answers."""
 
     def __init__(self, name: str, facts: list[dict[str, Any]]) -> None:
         """A node that records what happens there in `facts`."""
         self.name, self.facts = name, facts
         self.script: list[str | int] = []
-        self.heard: list[dict[str, Any]] = []
-        self.links: list[trio.SocketStream] = []
+        self.received: list[dict[str, Any]] = []
+        self.streams: list[trio.SocketStream] = []
         self.port = 0
-        self.reads = trio.Event()  # set unless the node is held back
-        self.reads.set()
+        self.may_read = trio.Event()  # set unless the node is held back
+        self.may_read.set()
 
-    def note(self, kind: str, **fields: Any) -> None:
+    def record_fact(self, kind: str, **fields: Any) -> None:
         """Adds a fact about this node."""
         self.facts.append({"t": time.time_ns(), "kind": kind, "node": self.name, **fields})
 
     async def serve(self, stream: trio.SocketStream) -> None:
         """Reads the messages of one connection."""
-        self.links.append(stream)
+        self.streams.append(stream)
         rest = b""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             async for data in stream:
-                await self.reads.wait()
+                await self.may_read.wait()
                 *whole, rest = (rest + data).split(b"\n")
                 for line in whole:
-                    self.heard.append(said := orjson.loads(line))
+                    self.received.append(said := orjson.loads(line))
                     if said["msg"] == "open":
-                        await self.set_up(stream, said)
+                        await self.handle_setup(stream, said)
                     elif said["msg"] == "close" and said["code"] == 16:
-                        self.note(
+                        self.record_fact(
                             "answer", id=f"{self.name}.{said['sid']}", key=said["sid"], status=0, problem=""
                         )
-        self.links.remove(stream)
+        self.streams.remove(stream)
         await trio.aclose_forcefully(stream)
 
-    async def set_up(self, stream: trio.SocketStream, said: dict[str, Any]) -> None:
+    async def handle_setup(self, stream: trio.SocketStream, said: dict[str, Any]) -> None:
         """Treats a set-up as the script says."""
         sid, plan = said["sid"], said["attrs"]["class"]
         number = f"{self.name}.{sid}"
-        self.note("setup", id=number, front="front-0-a", key=sid, plan=plan, title=said["attrs"]["key"],
+        self.record_fact("setup", id=number, front="front-0-a", key=sid, plan=plan, title=said["attrs"]["key"],
                   rung=int(said["attrs"]["rung"]))  # fmt: skip
         do = self.script.pop(0) if self.script else "ready"
         if do in ("ready", "more"):
-            self.note("ran", key=sid, plan=plan, front="front-0-a", session=sid)
-            self.note("answer", id=number, key=sid, status=201, problem="")
+            self.record_fact("ran", key=sid, plan=plan, front="front-0-a", session=sid)
+            self.record_fact("answer", id=number, key=sid, status=201, problem="")
             if do == "more":
-                await self.say(stream, msg="ready", sid="ff" * 8, attrs={}, text="of another")
+                await self.send(stream, msg="ready", sid="ff" * 8, attrs={}, text="of another")
             for _ in range(2 if do == "more" else 1):
-                await self.say(stream, msg="ready", sid=sid, attrs={}, text=f"{self.name} é\r\n{sid}")
+                await self.send(stream, msg="ready", sid=sid, attrs={}, text=f"{self.name} é\r\n{sid}")
         elif do == "brief":  # it has played and is already over
-            self.note("answer", id=number, key=sid, status=201, problem="")
-            await self.say(
+            self.record_fact("answer", id=number, key=sid, status=201, problem="")
+            await self.send(
                 stream,
                 msg="close",
                 sid=sid,
@@ -186,37 +199,39 @@
                 text=f"{self.name} é\r\n{sid}",
             )
         elif isinstance(do, int):
-            self.note("answer", id=number, key=sid, status=503, problem=FULL_TYPE if do in (34, 102) else "")
-            await self.say(stream, msg="close", sid=sid, attrs={"load": "x0:0.5;odd"}, code=do)
+            self.record_fact(
+                "answer", id=number, key=sid, status=503, problem=PROBLEM_FULL if do in (34, 102) else ""
+            )
+            await self.send(stream, msg="close", sid=sid, attrs={"load": "x0:0.5;odd"}, code=do)
         elif do == "garble":
-            self.note("broken", id=number, key=sid)
+            self.record_fact("broken", id=number, key=sid)
             await stream.send_all(b'{"msg":"ready","sid":\xff\n')
         elif do == "cut":
-            self.note("broken", id=number, key=sid)
+            self.record_fact("broken", id=number, key=sid)
             await trio.aclose_forcefully(stream)
 
-    async def say(self, stream: trio.SocketStream, **said: Any) -> None:
+    async def send(self, stream: trio.SocketStream, **said: Any) -> None:
         """Sends a message."""
         await stream.send_all(orjson.dumps(said) + b"\n")
 
-    def got(self, msg: str, sid: str = "") -> list[dict[str, Any]]:
+    def received_messages(self, msg: str, sid: str = "") -> list[dict[str, Any]]:
         """The messages of a kind received, of one session or of all."""
-        return [h for h in self.heard if h["msg"] == msg and sid in ("", h["sid"])]
+        return [h for h in self.received if h["msg"] == msg and sid in ("", h["sid"])]
 
 
-class WireChannel:
+class StubChannel:
     """The command channel. A poll is answered once there are later events; while it is silent, none is."""
 
     def __init__(self) -> None:
         """A channel without events."""
         self.cmds: list[dict[str, Any]] = []
         self.polls: list[int] = []
-        self.silent, self.closes, self.garbage, self.port = False, False, 0, 0
-        self.spoils = list[str]()  # how the next answers are damaged: "half", "break", "again", "back"
-        self.spoilt = 0
+        self.is_silent, self.closes_after_answer, self.truncated_answers, self.port = False, False, 0, 0
+        self.corruptions = list[str]()  # how the next answers are damaged: "half", "break", "again", "back"
+        self.corrupted_count = 0
         self.stream: trio.SocketStream | None = None  # connection of the newest poll
 
-    def say_now(self, cursor: int, *members: dict[str, Any]) -> None:
+    def answer_now(self, cursor: int, *members: dict[str, Any]) -> None:
         """Answers the newest poll without a turn of the event loop, so nothing else runs in between."""
         assert self.stream is not None
         cmd = {"cursor": cursor, "nodes": {"complete": False, "members": list(members)}}
@@ -231,39 +246,39 @@
                 self.polls.append(after)
                 self.stream = stream
                 with trio.move_on_after(0.3):
-                    while self.silent or not self.cmds or self.cmds[-1]["cursor"] <= after:
+                    while self.is_silent or not self.cmds or self.cmds[-1]["cursor"] <= after:
                         await trio.sleep(0.01)
-                if self.silent:
+                if self.is_silent:
                     await trio.sleep_forever()
                 later = [c for c in self.cmds if c["cursor"] > after]
                 body = orjson.dumps({"cursor": max([after, *(c["cursor"] for c in later)]), "cmds": later})
-                spoil = self.spoils.pop(0) if self.spoils and later else ""
-                self.spoilt += bool(spoil)
+                spoil = self.corruptions.pop(0) if self.corruptions and later else ""
+                self.corrupted_count += bool(spoil)
                 if spoil in ("again", "back"):  # repeats the first events, which undo the later ones
                     undone = [c | {"cursor": 1 + i} for i, c in enumerate(self.cmds)]
                     body = orjson.dumps({"cursor": after if spoil == "again" else 1, "cmds": undone[:after]})
-                if self.garbage:
-                    self.garbage, body = self.garbage - 1, body[: len(body) // 2]
-                close = b"Connection: close\r\n" if self.closes else b""
+                if self.truncated_answers:
+                    self.truncated_answers, body = self.truncated_answers - 1, body[: len(body) // 2]
+                close = b"Connection: close\r\n" if self.closes_after_answer else b""
                 head = b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n" % (close, len(body))
                 await stream.send_all(
                     (head + body)[: -len(body) // 2] if spoil in ("half", "break") else head + body
                 )
                 if spoil == "half":
                     await trio.sleep_forever()
-                if self.closes or spoil == "break":
+                if self.closes_after_answer or spoil == "break":
                     await trio.aclose_forcefully(stream)
                     return
 
 
-class WireViewer:
+class StubViewer:
     """One connection of viewers."""
 
     def __init__(self, stream: trio.SocketStream, facts: list[dict[str, Any]]) -> None:
         """Records requests and answers in `facts`."""
-        self.stream, self.facts, self.frames = stream, facts, framing.Frames()
+        self.stream, self.facts, self.frames = stream, facts, framing.FrameDecoder()
 
-    def set_up(self, sid: str, plan: str = "free", title: str = "t", wait: str = "1000", at: str = "",
+    def encode_setup(self, sid: str, plan: str = "free", title: str = "t", wait: str = "1000", at: str = "",
                text: bytes = b"offer\r\n", **odd: bytes) -> bytes:  # fmt: skip
         """The bytes of a set-up request; `odd` replaces parameters by their code, as in `p101`."""
         extras = "home:0;copies:0;top:2;viewer:1" + (f";at:{at}" if at else "")
@@ -280,9 +295,9 @@
                                "wait": round(float(wait) * MS)})  # fmt: skip
         return framing.encode(framing.SET_UP, sid, *params.items())
 
-    async def ask(self, sid: str, plan: str = "free", **odd: Any) -> None:
+    async def send_setup(self, sid: str, plan: str = "free", **odd: Any) -> None:
         """Sends a set-up request."""
-        await self.stream.send_all(self.set_up(sid, plan, **odd))
+        await self.stream.send_all(self.encode_setup(sid, plan, **odd))
 
     def leave(self, how: str, sid: str = "") -> None:
         """Leaves without a turn of the event loop: a full close, a reset, a half-close, or the release of a
@@ -298,16 +313,16 @@
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.stream.socket.close()
 
-    def ask_now(self, sid: str, plan: str = "free", **odd: Any) -> None:
+    def send_setup_now(self, sid: str, plan: str = "free", **odd: Any) -> None:
         """Sends a set-up request without a turn of the event loop."""
         raw: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
-        raw.send(self.set_up(sid, plan, **odd))
+        raw.send(self.encode_setup(sid, plan, **odd))
 
-    async def say(self, kind: int, sid: str, cause: int = 16) -> None:
+    async def send(self, kind: int, sid: str, cause: int = 16) -> None:
         """Sends a message with a cause."""
         await self.stream.send_all(framing.encode(kind, sid, (framing.CAUSE, bytes((cause,)))))
 
-    async def hear(self, seconds: float = 4) -> tuple[int, str, int, bytes] | None:
+    async def receive(self, seconds: float = 4) -> tuple[int, str, int, bytes] | None:
         """The next message: its type, session id, cause and description; None at the end of the connection."""
         with trio.fail_after(seconds):
             while (event := self.frames.next_event()) is None:
@@ -336,17 +351,17 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         """Nothing runs before `start`."""
         self.nursery, self.facts = nursery, list[dict[str, Any]]()
-        self.nodes = [WireNode("n0", self.facts), WireNode("n1", self.facts)]
-        self.channel = WireChannel()
+        self.nodes = [StubNode("n0", self.facts), StubNode("n1", self.facts)]
+        self.channel = StubChannel()
         self.stop, self.ended, self.port = trio.Event(), trio.Event(), 0
-        self.platform: Platform
+        self.platform: PlatformFrontEnd
         self.info: dict[str, Any] = dict(SETTINGS["familyInfo"])
 
     @property
-    def owner(self) -> Owner:
+    def owner(self) -> SessionCoordinator:
         """The front end's session coordinator."""
-        assert self.platform.owner is not None
-        return self.platform.owner
+        assert self.platform.coordinator is not None
+        return self.platform.coordinator
 
     async def listen(self, serve: Any) -> int:
         """Serves a stub on a free port; returns the port."""
@@ -354,12 +369,12 @@
         self.nursery.start_soon(trio.serve_listeners, serve, listeners)
         return int(listeners[0].socket.getsockname()[1])
 
-    def member(self, node: WireNode, phase: str = "up", name: str = "") -> dict[str, Any]:
+    def member(self, node: StubNode, phase: str = "up", name: str = "") -> dict[str, Any]:
         """A node as the command channel lists it."""
         return {"id": name or node.name, "host_port": f"127.0.0.1:{node.port}", "locality": "w", "flavor": "k",
                 "cell": int(node.name[1]), "phase": phase, "size": 1, "up_since_ms": 0}  # fmt: skip
 
-    def told(self) -> dict[str, Any]:
+    def configuration(self) -> dict[str, Any]:
         """The front end's configuration, with both nodes on the known list."""
         members = [self.member(n) for n in self.nodes]
         known = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"complete": True, "members": members}}]}
@@ -372,9 +387,9 @@
         self.channel.port = await self.listen(self.channel.serve)
         for i, node in enumerate(self.nodes):
             node.port = 1 if i == dead else await self.listen(node.serve)
-        told = configuration.decode(orjson.dumps(self.told()))
-        told.listen = ("127.0.0.1", 0)
-        self.platform = Platform(told, structlog.wrap_logger(structlog.ReturnLogger()))
+        told = configuration.decode(orjson.dumps(self.configuration()))
+        told.listen_address = ("127.0.0.1", 0)
+        self.platform = PlatformFrontEnd(told, structlog.wrap_logger(structlog.ReturnLogger()))
         up = trio.Event()
 
         async def ready(port: int) -> None:
@@ -388,16 +403,16 @@
         self.nursery.start_soon(run)
         await up.wait()
 
-    async def viewer(self) -> WireViewer:
+    async def viewer(self) -> StubViewer:
         """Opens a viewer's connection."""
-        return WireViewer(await trio.open_tcp_stream("127.0.0.1", self.port), self.facts)
+        return StubViewer(await trio.open_tcp_stream("127.0.0.1", self.port), self.facts)
 
-    def change(self, cursor: int, *members: dict[str, Any]) -> None:
+    def add_list_change(self, cursor: int, *members: dict[str, Any]) -> None:
         """Adds an event with changes of the list to the command channel."""
         self.channel.cmds.append({"cursor": cursor, "nodes": {"complete": False, "members": list(members)}})
 
 
-def on_platform(
+def run_on_platform(
     test: Callable[[PlatformRig], Awaitable[None]], dead: int = -1, started: bool = True, within: float = 30,
     info: dict[str, Any] | None = None,
 ) -> None:  # fmt: skip
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -13,11 +13,11 @@
 import structlog
 import trio
 
-from oakcroft.config.pipeline import check, told
-from oakcroft.decisions.state.recovery import Phase
+from oakcroft.config.pipeline import check_file, build_deployment
+from oakcroft.decisions.state.recovery import RecoveryPhase
 from oakcroft.running.clock import Clock
-from oakcroft.front.session_coordinator import Helm
-from oakcroft.front.front_end import Front
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.front_end import FrontEnd
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
@@ -30,7 +30,7 @@
 from oakcroft.standins.record import read as read_record
 from oakcroft.store.file import StateFile
 
-SITE = """(fleet (fronts 1) (wings west) (cells 2) (seen-after 50ms) (reports-every 500ms) (cold-for 200ms)
+SITE_TEMPLATE = """(fleet (fronts 1) (wings west) (cells 2) (seen-after 50ms) (reports-every 500ms) (cold-for 200ms)
     (fall-multiple 50) (fall-window 1s) (stay-away-most 2s) (drain-grace 250ms))
   (ladder (rates 200kB/s 400kB/s 800kB/s) (worth 0.3 0.6 1))
   (plan course (effect paid) (startup-target 400ms) (abandon 1200ms) (revenue 2))
@@ -40,25 +40,25 @@
   (route seats (path "/whep/seats/") (plan seats)) (route studio (path "/whip/open/") (plan open) (for publish))
   (nodes (silent-after 1200ms) (lost-after 2500ms) (list-within 300ms)) (stopping (drain-within 1s) (leave-within 1s))
   (signalling (ice-servers "stun:127.0.0.1:3478")) EXTRA"""
-DAY = """(day (length 60s) (fronts west) (late 10ms 20ms) (setup 2ms 4ms) (site SITE)
+DAY_TEMPLATE = """(day (length 60s) (fronts west) (late 10ms 20ms) (setup 2ms 4ms) (site SITE)
   (node n1 (wing west) (cell 0) (link 40000kB/s) (places 40)) (node n2 (wing west) (cell 1) (link 40000kB/s) (places 40))
   (viewers (rate 1/s) (titles 3) (plan course (share 1) (life 5s))))"""
 
 
-def run(test: Callable[[], Awaitable[None]], seconds: float = 30) -> None:
+def run_async_test(test: Callable[[], Awaitable[None]], timeout_seconds: float = 30) -> None:
     """Runs an async test with a timeout."""
 
     async def bounded() -> None:
-        with trio.fail_after(seconds):
+        with trio.fail_after(timeout_seconds):
             await test()
 
     trio.run(bounded)
 
 
-async def until(true: Callable[[], object], seconds: float = 6) -> None:
+async def wait_until(condition: Callable[[], object], timeout_seconds: float = 6) -> None:
     """Waits until a condition holds that the test has caused."""
-    with trio.fail_after(seconds):
-        while not true():
+    with trio.fail_after(timeout_seconds):
+        while not condition():
             await trio.sleep(0.01)
 
 
@@ -69,33 +69,35 @@
     port: int
     fleet: Fleet
     record: Record
-    folder: Path
-    log: io.BytesIO
+    directory: Path
+    log_output: io.BytesIO
     stop: trio.Event
-    front_scope: trio.CancelScope
-    site: str
-    front: Front | None = None
-    ended: trio.Event = field(default_factory=trio.Event)
-    up: trio.Event = field(default_factory=trio.Event)  # set when `port` is that of the running front end
+    front_end_scope: trio.CancelScope
+    site_text: str
+    front_end: FrontEnd | None = None
+    exited: trio.Event = field(default_factory=trio.Event)
+    serving: trio.Event = field(
+        default_factory=trio.Event
+    )  # set when `port` is that of the running front end
 
     def node(self, name: str) -> PlayoutNode:
         """Node by name."""
         return self.fleet.nodes[name]
 
-    def playing(self) -> list[PlayoutNode]:
+    def nodes_in_use(self) -> list[PlayoutNode]:
         """Nodes that have sessions."""
         return [n for n in self.fleet.nodes.values() if n.sessions]
 
-    def facts(self, kind: str) -> list[dict[str, Any]]:
+    def recorded(self, kind: str) -> list[dict[str, Any]]:
         """Recorded facts of one kind, in order."""
         self.record.out.flush()
-        return [f for f in read_record(self.folder / "fleet.jsonl") if f["kind"] == kind]
+        return [f for f in read_record(self.directory / "fleet.jsonl") if f["kind"] == kind]
 
-    def logged(self) -> list[dict[str, Any]]:
+    def log_entries(self) -> list[dict[str, Any]]:
         """Log entries of the front end so far."""
-        return [orjson.loads(line) for line in self.log.getvalue().splitlines()]
+        return [orjson.loads(line) for line in self.log_output.getvalue().splitlines()]
 
-    async def ask(self, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
+    async def request(self, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
         """Sends one HTTP request on a connection of its own; header names have underscores for hyphens."""
         peer = Peer("127.0.0.1", self.port)
         fields = [(k.replace("_", "-"), v) for k, v in headers.items()]
@@ -103,12 +105,14 @@
         await peer.close()
         return response
 
-    async def watch(self, path: str = "/whep/open/t", kbit: int = 20_000, **headers: str) -> Response:
+    async def request_playback(
+        self, path: str = "/whep/open/t", kbit: int = 20_000, **headers: str
+    ) -> Response:
         """Requests a playback with an offer of the given bandwidth in kbit/s."""
         headers.setdefault("Content_Type", sdp.MEDIA_TYPE)
-        return await self.ask("POST", path, offer(kbit, 1, path.startswith("/whip")).encode(), **headers)
+        return await self.request("POST", path, offer(kbit, 1, path.startswith("/whip")).encode(), **headers)
 
-    async def viewer(
+    async def recorded_viewer(
         self,
         key: str,
         path: str = "/whep/open/t",
@@ -116,12 +120,12 @@
     ) -> Response | None:
         """Requests a playback with a key of its own, and records the request and its answer, or its leaving."""
         plan = path.split("/")[2]
-        wait = self.fleet.day.site.plans[plan].abandon
+        wait = self.fleet.day.site.plans[plan].abandon_ns
         self.record.note("ask", key=key, plan=plan, front=0, wait=wait)
         task_status.started()
         response = None
         try:
-            response = await self.watch(path, Idempotency_Key=f'"{key}"')
+            response = await self.request_playback(path, Idempotency_Key=f'"{key}"')
             kind = words.problem_type(response.body) if response.status != 201 else ""
             self.record.note("got", key=key, status=response.status, type=kind, extra=False)
         except Ended:
@@ -131,41 +135,43 @@
             raise
         return response
 
-    def breaches(self) -> dict[int, list[str]]:
+    def rule_breaches(self) -> dict[int, list[str]]:
         """Violations of the six rules, by rule, judged from what passed on the sockets."""
         self.record.out.flush()
-        found = judge(read_record(self.folder / "fleet.jsonl"), self.fleet.day.site)
+        found = judge(read_record(self.directory / "fleet.jsonl"), self.fleet.day.site)
         assert [f.rule for f in found] == [1, 2, 3, 4, 5, 6]
         return {f.rule: f.breaches for f in found if f.breaches}
 
-    def judged(self) -> None:
+    def assert_rules_hold(self) -> None:
         """Asserts that all six rules held."""
-        assert self.breaches() == {}
+        assert self.rule_breaches() == {}
 
-    def helm(self) -> Helm:
+    def coordinator(self) -> SessionCoordinator:
         """Session coordinator of the front end that runs."""
-        assert self.front is not None
-        assert self.front.helm is not None
-        return self.front.helm
+        assert self.front_end is not None
+        assert self.front_end.coordinator is not None
+        return self.front_end.coordinator
 
-    async def watch_quietly(self, path: str, headers: dict[str, Any]) -> None:
+    async def request_playback_ignoring_errors(self, path: str, headers: dict[str, Any]) -> None:
         """Requests a playback from a front end that may die meanwhile."""
         with suppress(Ended, OSError):
-            await self.watch(path, **headers)
+            await self.request_playback(path, **headers)
 
 
 @asynccontextmanager
-async def standing(
-    folder: Path, extra: str = "", fleet: str = "", state: bool = False, wings: bool = False
+async def running_front_end(
+    folder: Path, extra: str = "", fleet: str = "", with_state: bool = False, two_zones: bool = False
 ) -> AsyncIterator[Rig]:
     """A front end that serves and two warm nodes that it knows.
 
     `with_state`: it keeps a state file across restarts. `two_zones`: the second node is in another zone than
     the front end.
     """
-    site = SITE.replace("EXTRA", extra).replace("(drain-grace 250ms)", f"(drain-grace 250ms) {fleet}")
-    day = DAY.replace("n2 (wing west)", "n2 (wing east)") if wings else DAY
-    site = site.replace("(wings west)", "(wings west east)") if wings else site
+    site = SITE_TEMPLATE.replace("EXTRA", extra).replace(
+        "(drain-grace 250ms)", f"(drain-grace 250ms) {fleet}"
+    )
+    day = DAY_TEMPLATE.replace("n2 (wing west)", "n2 (wing east)") if two_zones else DAY_TEMPLATE
+    site = site.replace("(wings west)", "(wings west east)") if two_zones else site
     plot = parse(day.replace("SITE", site), "day")
     record, out = Record(folder / "fleet.jsonl"), io.BytesIO()
     async with trio.open_nursery() as nursery:
@@ -173,49 +179,49 @@
         nursery.start_soon(nodes.run, up)
         await up.wait()
         rig = Rig(0, nodes, record, folder, out, trio.Event(), trio.CancelScope(), site)
-        await start_front(nursery, rig, state=state)
-        await until(lambda: any(e["event"] == "list" for e in rig.logged()))
+        await start_front_end(nursery, rig, with_state=with_state)
+        await wait_until(lambda: any(e["event"] == "list" for e in rig.log_entries()))
         yield rig
         nursery.cancel_scope.cancel()
     record.close()
 
 
-async def remembers(rig: Rig) -> None:
+async def wait_until_recovered(rig: Rig) -> None:
     """Waits until the front end has recovered and stores promises."""
-    await until(lambda: rig.front and rig.front.helm and rig.front.helm.memory
-                and rig.front.helm.memory.recovery.phase is Phase.SERVING)  # fmt: skip
+    await wait_until(lambda: rig.front_end and rig.front_end.coordinator and rig.front_end.coordinator.durable_state
+                and rig.front_end.coordinator.durable_state.recovery.phase is RecoveryPhase.SERVING)  # fmt: skip
 
 
-async def start_front(
-    nursery: trio.Nursery, rig: Rig, list_port: int | None = None, port: int = 0, state: bool = False,
-    opens: Callable[[str], StateFile] | None = None,
+async def start_front_end(
+    nursery: trio.Nursery, rig: Rig, list_port: int | None = None, port: int = 0, with_state: bool = False,
+    open_state_file: Callable[[str], StateFile] | None = None,
 ) -> None:  # fmt: skip
     """Starts a front end, for the first time or again."""
     service = rig.fleet.list_port if list_port is None else list_port
-    places = f'(listen "127.0.0.1:{port}") (list-service "127.0.0.1:{service}") (kept "{rig.folder}/kept")'
-    if state:
-        places += f' (state "{rig.folder}/state")'
+    places = f'(listen "127.0.0.1:{port}") (list-service "127.0.0.1:{service}") (kept "{rig.directory}/kept")'
+    if with_state:
+        places += f' (state "{rig.directory}/state")'
     text = f"(front (zone west) {places})"
-    found, problems = check("front", lambda _: f"{text}\n{rig.site}")
-    assert found is not None, [problems.show(p) for p in problems.errors]
+    found, problems = check_file("front", lambda _: f"{text}\n{rig.site_text}")
+    assert found is not None, [problems.format(p) for p in problems.errors]
     log = structlog.wrap_logger(
-        structlog.BytesLogger(rig.log), wrapper_class=structlog.make_filtering_bound_logger(10),
+        structlog.BytesLogger(rig.log_output), wrapper_class=structlog.make_filtering_bound_logger(10),
         processors=[structlog.processors.add_log_level, structlog.processors.JSONRenderer(serializer=orjson.dumps)],
     )  # fmt: skip
-    rig.up, stop, scope = trio.Event(), trio.Event(), trio.CancelScope()
+    rig.serving, stop, scope = trio.Event(), trio.Event(), trio.CancelScope()
 
     async def ready(number: int) -> None:
         rig.port = number
-        rig.up.set()
+        rig.serving.set()
 
-    rig.front = front = Front(told(found), log)
-    front.opens = opens
+    rig.front_end = front = FrontEnd(build_deployment(found), log)
+    front.open_state_file = open_state_file
 
     async def live() -> None:
         with scope:
             await front.run(ready, signals=False, stop=stop)
-        rig.ended.set()
+        rig.exited.set()
 
     nursery.start_soon(live)
-    rig.stop, rig.front_scope, rig.ended = stop, scope, trio.Event()
-    await rig.up.wait()
+    rig.stop, rig.front_end_scope, rig.exited = stop, scope, trio.Event()
+    await rig.serving.wait()
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -14,10 +14,10 @@
 
 import orjson
 import trio
-from rig import run
+from rig import run_async_test
 from test_peers import TOKEN, Fronts, fronts
 
-from oakcroft.decisions.fleet.session_takeover import SLOTS
+from oakcroft.decisions.fleet.session_takeover import HASH_SLOTS_PER_NODE
 from oakcroft.decisions.membership.rendezvous import line, weight
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
@@ -26,25 +26,25 @@
 from oakcroft.rulecheck.rules import judge
 from oakcroft.signalling import handing, sdp
 
-KINDS = ("ran", "passed", "rung", "over", "listens", "death")
+FACT_KINDS = ("ran", "passed", "rung", "over", "listens", "death")
 
 
-class Adopters(Fronts):
+class TakeoverFronts(Fronts):
     """Front ends that take over each other's sessions."""
 
-    form = "(adopting (after 200ms) (lease 10s))"
-    state = False
-    unsound = False  # the test has caused a breach on purpose
+    adopting_form = "(adopting (after 200ms) (lease 10s))"
+    has_state_file = False
+    has_planted_breach = False  # the test has caused a breach on purpose
 
     def file(self, name: str) -> Path:
         path = super().file(name)
         text = path.read_text()
-        if self.state:
+        if self.has_state_file:
             text = text.replace("(zone west)", f'(zone west) (state "{self.folder}/{name}.state")', 1)
-        path.write_text(f"{text}\n{self.form}")
+        path.write_text(f"{text}\n{self.adopting_form}")
         return path
 
-    async def ask(self, name: str, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
+    async def request(self, name: str, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
         peer = Peer("127.0.0.1", self.ports[name], connect_within=0.5)
         try:
             fields = [(k.replace("_", "-"), v) for k, v in headers.items()]
@@ -52,16 +52,16 @@
         finally:
             await peer.close()
 
-    async def watch(self, name: str, path: str, key: str) -> Response:
+    async def request_playback(self, name: str, path: str, key: str) -> Response:
         body = offer(20_000, 1, path.startswith("/whip")).encode()
-        return await self.ask(
+        return await self.request(
             name, "POST", path, body, Content_Type=sdp.MEDIA_TYPE, Idempotency_Key=f'"{key}"'
         )
 
-    async def plays(self, name: str, path: str, key: str) -> Response:
+    async def request_until_playing(self, name: str, path: str, key: str) -> Response:
         """Requests a playback until it plays; a front end that has just started limits set-ups to its nodes."""
         with trio.fail_after(20):
-            while (answer := await self.watch(name, path, key)).status in (429, 503):
+            while (answer := await self.request_playback(name, path, key)).status in (429, 503):
                 await trio.sleep(0.1)
         assert answer.status == 201, answer
         return answer
@@ -69,30 +69,30 @@
     async def status(self, name: str) -> dict[str, Any]:
         try:
             with trio.fail_after(2):
-                said = await self.ask(name, "GET", "/operators/status", Authorization=f"Bearer {TOKEN}")
+                said = await self.request(name, "GET", "/operators/status", Authorization=f"Bearer {TOKEN}")
             return dict(orjson.loads(said.body))
         except (Ended, trio.TooSlowError):
             return {}
 
-    def sessions(self) -> dict[str, str]:
+    def holders_by_key(self) -> dict[str, str]:
         """The front end that holds each session, by idempotency key, as the nodes record it."""
         return {s.key: s.holder.member for n in self.nodes.nodes.values() for s in n.sessions.values()}
 
-    async def fill(self, name: str, many: int, plan: str = "open") -> list[str]:
-        keys = [f"{name}-{plan}-{i}" for i in range(many)]
+    async def start_playbacks(self, name: str, count: int, plan: str = "open") -> list[str]:
+        keys = [f"{name}-{plan}-{i}" for i in range(count)]
         for i, key in enumerate(keys):
-            await self.plays(name, f"/whep/{plan}/t{i % 3}", key)
+            await self.request_until_playing(name, f"/whep/{plan}/t{i % 3}", key)
         return keys
 
-    async def until(self, true: Callable[[], object], within: float = 10) -> None:
-        with trio.fail_after(within):
-            while not true():
+    async def wait_until(self, condition: Callable[[], object], timeout_s: float = 10) -> None:
+        with trio.fail_after(timeout_s):
+            while not condition():
                 await trio.sleep(0.02)
 
-    async def ask_quietly(self, name: str, method: str, path: str) -> None:
+    async def request_ignoring_errors(self, name: str, method: str, path: str) -> None:
         """A call that the front end may never answer."""
         with trio.move_on_after(20), suppress(Ended, OSError):
-            await self.ask(name, method, path)
+            await self.request(name, method, path)
 
     def lose_streams(self, name: str) -> None:
         """Closes a front end's event streams at the nodes, as if its machine had failed."""
@@ -104,78 +104,82 @@
                 if (send := node.ears[front].send) is not None:
                     send.close()
 
-    def judged(self) -> None:
+    def assert_rules_hold(self) -> None:
         """Asserts that each session had one front end at a time and that no front end exceeded its seats."""
-        if self.unsound:
+        if self.has_planted_breach:
             return
-        facts = self.facts(*KINDS, "setup", "answer", "broken")
+        facts = self.facts(*FACT_KINDS, "setup", "answer", "broken")
         found = [*judge_holding(facts), judge(facts, self.nodes.day.site)[4]]
         assert [f.breaches for f in found] == [[]] * 4, found
 
-    async def held_by(self, keys: list[str], among: set[str], within: float = 14) -> Counter[str]:
+    async def wait_until_held_by(
+        self, keys: list[str], among: set[str], timeout_s: float = 14
+    ) -> Counter[str]:
         """Waits until all sessions with these keys are held by front ends in `among`; counts them by front end."""
         some = dict[str, str]()
-        with trio.move_on_after(within):
+        with trio.move_on_after(timeout_s):
             while True:
-                some = self.sessions()
+                some = self.holders_by_key()
                 if all(some.get(k) in among for k in keys):
                     return Counter(some[k] for k in keys)
                 await trio.sleep(0.05)
         raise AssertionError(Counter(some.get(k) for k in keys))
 
 
-def on_adopters(
-    folder: Path, test: Callable[[Adopters], Awaitable[None]], kind: type[Adopters] = Adopters
+def run_on_takeover_fronts(
+    folder: Path,
+    test: Callable[[TakeoverFronts], Awaitable[None]],
+    kind: type[TakeoverFronts] = TakeoverFronts,
 ) -> None:
     async def whole() -> None:
         async with fronts(folder, 5, kind) as rig:
-            assert isinstance(rig, Adopters)
+            assert isinstance(rig, TakeoverFronts)
             await test(rig)
-            rig.judged()
+            rig.assert_rules_hold()
 
-    run(whole, 100)
+    run_async_test(whole, 100)
 
 
 def test_playbacks_outlive_their_front_and_its_adopters_and_their_keys_are_known(tmp_path: Path) -> None:
-    async def test(rig: Adopters) -> None:
-        keys = await rig.fill("f2", 12) + await rig.fill("f2", 6, "course")
-        first = await rig.plays("f2", "/whep/course/t9", "paid")
+    async def test(rig: TakeoverFronts) -> None:
+        keys = await rig.start_playbacks("f2", 12) + await rig.start_playbacks("f2", 6, "course")
+        first = await rig.request_until_playing("f2", "/whep/course/t9", "paid")
         rest = {n for n in rig.names if n != "f2"}
         rig.signal("f2", signal.SIGKILL)
-        spread = await rig.held_by([*keys, "paid"], rest)
+        spread = await rig.wait_until_held_by([*keys, "paid"], rest)
         assert len(spread) >= 3, spread  # the three adopters of each node take a share each
 
         # A paid request repeated at the new holder gets the same answer, without a second set-up.
-        keeper = rig.sessions()["paid"]
-        again = await rig.watch(keeper, "/whep/course/t9", "paid")
+        keeper = rig.holders_by_key()["paid"]
+        again = await rig.request_playback(keeper, "/whep/course/t9", "paid")
         assert (again.status, again.body) == (201, first.body)
         assert len([f for f in rig.facts("ran") if f["key"] == "paid"]) == 1
 
         # Its viewer ends it there, at the location that it was given at first.
         location = str(first.header("location")).split("://", 1)[-1]
-        gone = await rig.ask(keeper, "DELETE", location[location.index("/") :])
+        gone = await rig.request(keeper, "DELETE", location[location.index("/") :])
         assert gone.status == 200
-        await rig.until(lambda: "paid" not in rig.sessions())
+        await rig.wait_until(lambda: "paid" not in rig.holders_by_key())
 
         # The front end that adopted most fails too: its sessions are taken over, including the adopted ones.
         second = spread.most_common(1)[0][0]
         rig.signal(second, signal.SIGKILL)
-        await rig.held_by(keys, rest - {second})
+        await rig.wait_until_held_by(keys, rest - {second})
         # The sessions that the nodes' leases would have ended still play after all requests are done.
         with trio.fail_after(30):
             for name in sorted(rest - {second}):
                 while (await rig.status(name))["adopting"]["asking"]:
                     await trio.sleep(0.1)
-        assert set(keys) <= set(rig.sessions())
+        assert set(keys) <= set(rig.holders_by_key())
         assert not [f for f in rig.facts("over") if f["why"] == "front gone"]
 
-    on_adopters(tmp_path, test)
+    run_on_takeover_fronts(tmp_path, test)
 
 
 def test_a_front_that_sleeps_while_its_playbacks_pass_on_does_nothing_late(tmp_path: Path) -> None:
-    async def test(rig: Adopters) -> None:
-        keys = await rig.fill("f1", 8)
-        first = await rig.plays("f1", "/whep/open/t5", "mine")
+    async def test(rig: TakeoverFronts) -> None:
+        keys = await rig.start_playbacks("f1", 8)
+        first = await rig.request_until_playing("f1", "/whep/open/t5", "mine")
         location = str(first.header("location")).split("://", 1)[-1]
         path, rest = location[location.index("/") :], {n for n in rig.names if n != "f1"}
         rig.signal(f := "f1", signal.SIGSTOP)
@@ -184,30 +188,30 @@
         with trio.fail_after(10):
             while not any([(await rig.status(n))["adopting"]["asking"] for n in sorted(rest)]):
                 await trio.sleep(0.05)
-        assert await rig.held_by([*keys, "mine"], {f})
+        assert await rig.wait_until_held_by([*keys, "mine"], {f})
         # A viewer's call waits for the paused front end; the nodes lose its streams, and others take its sessions over.
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.ask_quietly, f, "DELETE", path)
+            nursery.start_soon(rig.request_ignoring_errors, f, "DELETE", path)
             rig.lose_streams(f)
-            await rig.held_by([*keys, "mine"], rest)
+            await rig.wait_until_held_by([*keys, "mine"], rest)
             rig.signal(f, signal.SIGCONT)
             await rig.see(sorted(rest), {f: "alive"}, 12)
             # The viewer's call may be handled before the nodes' report on the ninth session.
             with trio.fail_after(10):
                 while (await rig.status(f))["adopting"]["passed_on"] < 8:
                     await trio.sleep(0.05)
-        assert set(rig.sessions()) == {*keys, "mine"}
+        assert set(rig.holders_by_key()) == {*keys, "mine"}
         assert (await rig.status(f))["playing"] == 0
         assert len(rig.facts("turned away")) <= 1
         assert b"node lost" not in (tmp_path / "f1.log").read_bytes()
-        await rig.plays(f, "/whep/open/t6", "after")
+        await rig.request_until_playing(f, "/whep/open/t6", "after")
 
-    on_adopters(tmp_path, test)
+    run_on_takeover_fronts(tmp_path, test)
 
 
 def test_a_partition_moves_nothing_and_a_restarted_front_has_its_own_again(tmp_path: Path) -> None:
-    async def test(rig: Adopters) -> None:
-        keys = {n: await rig.fill(n, 4) for n in rig.names}
+    async def test(rig: TakeoverFronts) -> None:
+        keys = {n: await rig.start_playbacks(n, 4) for n in rig.names}
         halves = {"f0", "f1"}, {"f2", "f3", "f4"}
         for one, other in (halves, halves[::-1]):
             rig.between.cut(one, other)
@@ -219,51 +223,51 @@
         rig.between.heal()
         await rig.see(rig.names, dict.fromkeys(rig.names, "alive"), 12)
         assert not rig.facts("passed")
-        assert all([await rig.held_by(keys[n], {n}) for n in rig.names])
+        assert all([await rig.wait_until_held_by(keys[n], {n}) for n in rig.names])
 
         # Killed and restarted at once without a state file: it takes over the sessions of its previous run.
         rig.signal("f3", signal.SIGKILL)
         await rig.processes["f3"].wait()
         await rig.start("f3")
-        await rig.held_by(keys["f3"], set(rig.names))
-        await rig.until(lambda: len(rig.facts("passed")) >= 4)
+        await rig.wait_until_held_by(keys["f3"], set(rig.names))
+        await rig.wait_until(lambda: len(rig.facts("passed")) >= 4)
         moved = {f["front"] for f in rig.facts("passed")}
         assert all(m.startswith("front-3-") for m in moved), moved
-        again = await rig.watch("f3", "/whep/open/t0", keys["f3"][0])
+        again = await rig.request_playback("f3", "/whep/open/t0", keys["f3"][0])
         assert again.status == 201
         assert len([f for f in rig.facts("ran") if f["key"] == keys["f3"][0]]) == 1
 
-    on_adopters(tmp_path, test)
+    run_on_takeover_fronts(tmp_path, test)
 
 
-class Keeping(Adopters):
+class FrontsWithState(TakeoverFronts):
     """Front ends with state files."""
 
-    state = True
+    has_state_file = True
 
 
 def test_with_a_file_a_front_comes_back_to_its_own_and_the_lost_one_is_shared_out(tmp_path: Path) -> None:
-    async def test(rig: Adopters) -> None:
-        keys = await rig.fill("f1", 4) + await rig.fill("f1", 4, "course")
+    async def test(rig: TakeoverFronts) -> None:
+        keys = await rig.start_playbacks("f1", 4) + await rig.start_playbacks("f1", 4, "course")
         rig.signal("f1", signal.SIGKILL)
         await rig.processes["f1"].wait()
         await rig.start("f1")
-        await rig.held_by(keys, {"f1"})
+        await rig.wait_until_held_by(keys, {"f1"})
         assert not rig.facts("passed")  # it restored them from its state file
-        again = await rig.watch("f1", "/whep/course/t0", keys[4])
+        again = await rig.request_playback("f1", "/whep/course/t0", keys[4])
         assert again.status == 201
 
         rest = {n for n in rig.names if n != "f1"}
         rig.signal("f1", signal.SIGKILL)
         await rig.processes["f1"].wait()
-        spread = await rig.held_by(keys, rest)
-        keeper = rig.sessions()[keys[4]]
+        spread = await rig.wait_until_held_by(keys, rest)
+        keeper = rig.holders_by_key()[keys[4]]
         # An adopter records the adopted session: after a restart it knows the key and sets nothing up.
         rig.signal(keeper, signal.SIGKILL)
         await rig.processes[keeper].wait()
         await rig.start(keeper)
-        await rig.held_by([keys[4]], {keeper})
-        again = await rig.watch(keeper, "/whep/course/t0", keys[4])
+        await rig.wait_until_held_by([keys[4]], {keeper})
+        again = await rig.request_playback(keeper, "/whep/course/t0", keys[4])
         assert again.status == 201
         assert len([f for f in rig.facts("ran") if f["key"] == keys[4]]) == 1
 
@@ -272,13 +276,13 @@
         with trio.fail_after(10):
             while (await rig.status("f1"))["adopting"]["passed_on"] < len(keys) - spread.get("f1", 0):
                 await trio.sleep(0.05)
-        assert set(keys) <= set(rig.sessions())
-        assert "f1" not in {rig.sessions()[k] for k in keys}
+        assert set(keys) <= set(rig.holders_by_key())
+        assert "f1" not in {rig.holders_by_key()[k] for k in keys}
 
-    on_adopters(tmp_path, test, Keeping)
+    run_on_takeover_fronts(tmp_path, test, FrontsWithState)
 
 
-class Leaving(Adopters):
+class FrontsWithLongDrain(TakeoverFronts):
     """Front ends that drain for a long time when they stop."""
 
     def file(self, name: str) -> Path:
@@ -291,39 +295,41 @@
 
 
 def test_a_front_that_is_leaving_takes_nothing_over(tmp_path: Path) -> None:
-    async def test(rig: Adopters) -> None:
+    async def test(rig: TakeoverFronts) -> None:
         dead, node = "f4", "n1"
-        order = line(f"{node}/{weight('slot', dead) % SLOTS}", [n for n in rig.names if n != dead])
+        order = line(
+            f"{node}/{weight('slot', dead) % HASH_SLOTS_PER_NODE}", [n for n in rig.names if n != dead]
+        )
         leaving = order[0]  # the first that would send a takeover request
-        keys = await rig.fill(dead, 10)
-        kept = await rig.fill(leaving, 2)
+        keys = await rig.start_playbacks(dead, 10)
+        kept = await rig.start_playbacks(leaving, 2)
         rig.signal(leaving, signal.SIGTERM)
         rig.signal(dead, signal.SIGKILL)
-        await rig.held_by(keys, set(order[1:]))
+        await rig.wait_until_held_by(keys, set(order[1:]))
         number = leaving.removeprefix("f")
         assert not [f for f in rig.facts("passed") if f["front"].startswith(f"front-{number}-")]
-        assert await rig.held_by(kept, {leaving})
+        assert await rig.wait_until_held_by(kept, {leaving})
 
-    on_adopters(tmp_path, test, Leaving)
+    run_on_takeover_fronts(tmp_path, test, FrontsWithLongDrain)
 
 
 def test_what_has_no_seat_is_left_and_no_rule_broken(tmp_path: Path) -> None:
-    async def test(rig: Adopters) -> None:
+    async def test(rig: TakeoverFronts) -> None:
         for name in ("f0", "f1", "f2", "f3"):  # each front end has two seats a title
             for i in range(2):
-                await rig.plays(name, "/whep/seats/t0", f"{name}-seat-{i}")
+                await rig.request_until_playing(name, "/whep/seats/t0", f"{name}-seat-{i}")
         rig.signal("f0", signal.SIGKILL)
-        await rig.held_by(["f0-seat-0", "f0-seat-1"], {"f4"})
+        await rig.wait_until_held_by(["f0-seat-0", "f0-seat-1"], {"f4"})
         # No front end has seats for its two: nodes end them when the lease expires.
         rig.signal("f1", signal.SIGKILL)
         gone = {"f1-seat-0", "f1-seat-1"}
-        await rig.until(lambda: not gone & set(rig.sessions()), 25)
+        await rig.wait_until(lambda: not gone & set(rig.holders_by_key()), 25)
         why = {f["why"] for f in rig.facts("over") if f["key"] in gone}
         assert why == {"front gone"}
         told = [(await rig.status(n))["adopting"]["left"] for n in ("f2", "f3", "f4")]
         assert any("its seats are taken" in t for t in told), told
 
-    on_adopters(tmp_path, test)
+    run_on_takeover_fronts(tmp_path, test)
 
 
 def test_a_node_that_does_not_check_is_found_out() -> None:
@@ -351,14 +357,17 @@
 def test_late_words_of_the_one_that_had_it_are_turned_away_and_a_node_that_trusts_all_is_found(
     tmp_path: Path,
 ) -> None:
-    async def test(rig: Adopters) -> None:
-        await rig.plays("f1", "/whep/open/t5", "mine")
+    async def test(rig: TakeoverFronts) -> None:
+        await rig.request_until_playing("f1", "/whep/open/t5", "mine")
         node = next(n for n in rig.nodes.nodes.values() if n.sessions)
         (session,) = node.sessions.values()
-        late = [("Via", f"1.1 {session.front}"), (handing.FRONT, handing.front("f1", session.holder.start))]
+        late = [
+            ("Via", f"1.1 {session.front}"),
+            (handing.FRONT, handing.front("f1", session.holder.generation)),
+        ]
         path = f"/sessions/{session.id}"
         rig.signal("f1", signal.SIGKILL)
-        await rig.held_by(["mine"], {n for n in rig.names if n != "f1"})
+        await rig.wait_until_held_by(["mine"], {n for n in rig.names if n != "f1"})
         rung = node.machine.streams[session.id].rung
 
         async def word(method: str, target: str, body: bytes = b"") -> int:
@@ -373,15 +382,15 @@
         assert await word("DELETE", path) == 409
         taking = orjson.dumps({"sessions": [path]})
         assert await word("POST", handing.PATH, taking) == 200
-        assert rig.sessions() == {"mine": session.holder.member}
+        assert rig.holders_by_key() == {"mine": session.holder.member}
         assert session.holder.member != "f1"
         assert node.machine.streams[session.id].rung == rung
-        rig.judged()
+        rig.assert_rules_hold()
 
         node.ails.trusts_all = True
         assert await word("DELETE", path) == 200
-        (held, *_) = judge_holding(rig.facts(*KINDS))
+        (held, *_) = judge_holding(rig.facts(*FACT_KINDS))
         assert any("ended by front-1-" in b for b in held.breaches), held
-        rig.unsound = True
+        rig.has_planted_breach = True
 
-    on_adopters(tmp_path, test)
+    run_on_takeover_fronts(tmp_path, test)
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -12,39 +12,49 @@
 import trio
 from click.testing import CliRunner, Result
 from hypothesis import given, strategies as st
-from rig import Rig, run, standing, start_front, until
-
-from oakcroft.catalogue.text import Said, Unsound, apply, digest, read, read_laid_out, write
+from rig import Rig, run_async_test, running_front_end, start_front_end, wait_until
+
+from oakcroft.catalogue.text import (
+    CatalogueContent,
+    CatalogueError,
+    apply_change,
+    text_digest,
+    read_catalogue,
+    read_formatted,
+    format_catalogue,
+)
 from oakcroft.cli import main
 from oakcroft.decisions.routing.catalogue import (
     Catalogue,
-    Course,
-    Fleet,
-    History,
-    Item,
-    Kept,
-    Steps,
-    Verdict,
-    changed,
-    consider,
+    PlaybackEffect,
+    FleetSnapshot,
+    VersionHistory,
+    CatalogueTitle,
+    VersionEntry,
+    StepDownQueue,
+    CatalogueVerdict,
+    changed_titles,
+    evaluate_change,
 )
-from oakcroft.decisions.routing.catalogue import bound, course, takes_part
-from oakcroft.decisions.routing.title_cache import Shelf
+from oakcroft.decisions.routing.catalogue import highest_rung, effect_on_playback, is_in_share
+from oakcroft.decisions.routing.title_cache import TitleCache
 from oakcroft.httpwire.message import Response
 
-FLEET = Fleet(frozenset({"n1", "n2+1"}), frozenset({"n1", "n2+1", "n3"}), 3, 4, {"course": 0})
-OPS = '(operators (secret "operators-secret"))'
-HIGH = """(plan high (effect free) (startup-target 400ms) (abandon 1500ms) (revenue 1) (floor 2))
+SNAPSHOT = FleetSnapshot(frozenset({"n1", "n2+1"}), frozenset({"n1", "n2+1", "n3"}), 3, 4, {"course": 0})
+OPERATORS_FORM = '(operators (secret "operators-secret"))'
+HIGH_PLAN_FORM = """(plan high (effect free) (startup-target 400ms) (abandon 1500ms) (revenue 1) (floor 2))
   (route high (path "/whep/high/") (plan high))"""
 AUTH: dict[str, Any] = {"Authorization": "Bearer operators-secret"}
 
 
-def judged(old: Catalogue, new: Catalogue, made_from: str | None, fleet: Fleet, force: bool = False) -> Any:
-    return consider(old, new, changed(old, new), made_from, fleet, force)
+def evaluate(
+    old: Catalogue, new: Catalogue, made_from: str | None, fleet: FleetSnapshot, force: bool = False
+) -> Any:
+    return evaluate_change(old, new, changed_titles(old, new), made_from, fleet, force)
 
 
-def cat(number: int = 1, others: bool = False, **titles: Item) -> Catalogue:
-    return Catalogue(number, digest(write(titles.items(), others)), titles, others)
+def make_catalogue(number: int = 1, others: bool = False, **titles: CatalogueTitle) -> Catalogue:
+    return Catalogue(number, text_digest(format_catalogue(titles.items(), others)), titles, others)
 
 
 @pytest.mark.parametrize(("text", "line", "says"), [
@@ -70,10 +80,10 @@
     ("((((((((", 1, "six deep"),
 ])  # fmt: skip
 def test_each_fault_of_a_text_is_named_with_its_line(text: str, line: int, says: str) -> None:
-    with pytest.raises(Unsound) as found:
-        read(text)
-    shown = [f for f in found.value.faults if says in f.show()]
-    assert shown, [f.show() for f in found.value.faults]
+    with pytest.raises(CatalogueError) as found:
+        read_catalogue(text)
+    shown = [f for f in found.value.faults if says in f.format()]
+    assert shown, [f.format() for f in found.value.faults]
     assert shown[0].line == line
 
 
@@ -82,96 +92,112 @@
 )
 names = st.text(letters, min_size=1, max_size=9)
 items = st.one_of(
-    st.builds(Item, holders=st.lists(names, min_size=1, max_size=4, unique=True).map(tuple)),
-    st.builds(lambda h, c, r: Item((), h, c, tuple(sorted(r))), st.integers(0, 99), st.integers(0, 9),
+    st.builds(CatalogueTitle, holders=st.lists(names, min_size=1, max_size=4, unique=True).map(tuple)),
+    st.builds(lambda h, c, r: CatalogueTitle((), h, c, tuple(sorted(r))), st.integers(0, 99), st.integers(0, 9),
               st.sets(st.integers(1, 5000).map(float), max_size=5)),
 )  # fmt: skip
 
 
 @given(st.dictionaries(names, items, max_size=6), st.booleans())
-def test_what_is_written_reads_as_the_same(titles: dict[str, Item], others: bool) -> None:
-    text = write(titles.items(), others)
-    assert read(text) == Said(titles, others)
-    assert write(read(text).titles.items(), others) == text
+def test_what_is_written_reads_as_the_same(titles: dict[str, CatalogueTitle], others: bool) -> None:
+    text = format_catalogue(titles.items(), others)
+    assert read_catalogue(text) == CatalogueContent(titles, others)
+    assert format_catalogue(read_catalogue(text).titles.items(), others) == text
 
 
 @given(st.text(max_size=80))
 def test_any_text_reads_or_is_refused_with_a_line(text: str) -> None:
-    for reader in (read, lambda t: apply(t, Said({}))):
+    for reader in (read_catalogue, lambda t: apply_change(t, CatalogueContent({}))):
         faults = []
         try:
             reader(text)
-        except Unsound as fault:
+        except CatalogueError as fault:
             faults = fault.faults
             assert len(faults) > 0
-        assert all(f.line >= 1 and f.what for f in faults)
+        assert all(f.line >= 1 and f.message for f in faults)
 
 
 def test_the_quick_reader_says_the_same_or_nothing() -> None:
-    good = write({"a": Item(("n1",)), "b": Item((), 1, 2, (200.0, 400.0))}.items(), True)
-    assert read_laid_out(good) == read(good.replace("(title", " (title"))
+    good = format_catalogue(
+        {"a": CatalogueTitle(("n1",)), "b": CatalogueTitle((), 1, 2, (200.0, 400.0))}.items(), True
+    )
+    assert read_formatted(good) == read_catalogue(good.replace("(title", " (title"))
     for worse in (
         good.replace("(others yes)", "(others so)"), good.replace("holders n1", "holders n1 n1"), good + "x",
         good.replace("(home 1)", "(home one)"), good.replace("title b", "title a"), good.replace("title a", "title a/b"),
         good.replace("(copies 2)", "(copies 2) (copies 3)"), good.replace("holders", "folders"), good[:-3],
         good.replace("200kB/s 400kB/s", "400kB/s 200kB/s"), good.replace("title a ", "title (a) "),
     ):  # fmt: skip
-        assert read_laid_out(worse) is None, worse
+        assert read_formatted(worse) is None, worse
 
 
 def test_a_change_is_applied_whole_or_not_at_all() -> None:
-    said = read("(catalogue (title a (home 0) (copies 2)) (title b (home 1) (copies 2)))")
-    after = apply("(put (title c (holders n1))) (drop a)", said)
+    said = read_catalogue("(catalogue (title a (home 0) (copies 2)) (title b (home 1) (copies 2)))")
+    after = apply_change("(put (title c (holders n1))) (drop a)", said)
     assert sorted(after.titles) == ["b", "c"]
     assert sorted(said.titles) == ["a", "b"]
-    with pytest.raises(Unsound, match="no title z"):
-        apply("(drop b) (drop z)", said)
+    with pytest.raises(CatalogueError, match="no title z"):
+        apply_change("(drop b) (drop z)", said)
     assert sorted(said.titles) == ["a", "b"]
 
 
 def test_a_request_is_bound_by_the_version_in_force() -> None:
-    some = cat(2, a=Item(rates=(1.0, 2.0)), b=Item())
-    tops = [bound(some, t, top, floor, 4) for t, top, floor in
+    some = make_catalogue(2, a=CatalogueTitle(rates=(1.0, 2.0)), b=CatalogueTitle())
+    tops = [highest_rung(some, t, top, floor, 4) for t, top, floor in
             (("a", 9, 0), ("a", 0, 0), ("a", 9, 2), ("b", 9, 0), ("c", 9, 0))]  # fmt: skip
     assert tops == [1, 0, None, 3, None]
-    assert bound(Catalogue(), "c", 1 << 30, 0, 4) == 3
+    assert highest_rung(Catalogue(), "c", 1 << 30, 0, 4) == 3
 
 
 def test_what_becomes_of_a_change() -> None:
-    old = cat(1, a=Item(("n1",)), gone=Item(("n9",)))
-    assert judged(old, cat(2, a=Item(("n1",)), gone=Item(("n9",))), old.digest, FLEET) == (Verdict.SAME, [])
-    good = cat(2, a=Item(("n1", "n2")), gone=Item(("n9",)), b=Item((), 3, 2))
+    old = make_catalogue(1, a=CatalogueTitle(("n1",)), gone=CatalogueTitle(("n9",)))
+    assert evaluate(
+        old, make_catalogue(2, a=CatalogueTitle(("n1",)), gone=CatalogueTitle(("n9",))), old.digest, SNAPSHOT
+    ) == (CatalogueVerdict.SAME, [])
+    good = make_catalogue(
+        2, a=CatalogueTitle(("n1", "n2")), gone=CatalogueTitle(("n9",)), b=CatalogueTitle((), 3, 2)
+    )
     # A title that had no listed holder before does not block a change.
-    assert judged(old, good, old.digest, FLEET) == (Verdict.TAKEN, [])
-    assert judged(old, good, "other", FLEET)[0] is Verdict.STALE
-    assert judged(old, good, None, FLEET)[0] is Verdict.TAKEN
+    assert evaluate(old, good, old.digest, SNAPSHOT) == (CatalogueVerdict.TAKEN, [])
+    assert evaluate(old, good, "other", SNAPSHOT)[0] is CatalogueVerdict.STALE
+    assert evaluate(old, good, None, SNAPSHOT)[0] is CatalogueVerdict.TAKEN
     for bad, says in (
-        (Item(("n3",)), "no ready holder"), (Item(("n7",)), "not listed: n7"), (Item((), 4, 1), "there are 4"),
-        (Item(rates=(1.0, 2.0, 3.0, 4.0)), "ladder has 3"),
-    ):  # fmt: skip
-        verdict, why = judged(old, cat(2, a=bad), old.digest, FLEET)
-        assert verdict is Verdict.REFUSED
+        (CatalogueTitle(("n3",)), "no ready holder"),
+        (CatalogueTitle(("n7",)), "not listed: n7"),
+        (CatalogueTitle((), 4, 1), "there are 4"),
+        (CatalogueTitle(rates=(1.0, 2.0, 3.0, 4.0)), "ladder has 3"),
+    ):
+        verdict, why = evaluate(old, make_catalogue(2, a=bad), old.digest, SNAPSHOT)
+        assert verdict is CatalogueVerdict.REFUSED
         assert says in why[0]
-    assert judged(old, cat(2, a=Item(("n3",))), None, FLEET, force=True)[0] is Verdict.TAKEN
-    floored = Fleet(FLEET.ready, FLEET.listed, 3, 4, {"course": 2})
+    assert (
+        evaluate(old, make_catalogue(2, a=CatalogueTitle(("n3",))), None, SNAPSHOT, force=True)[0]
+        is CatalogueVerdict.TAKEN
+    )
+    floored = FleetSnapshot(SNAPSHOT.ready_nodes, SNAPSHOT.listed_nodes, 3, 4, {"course": 2})
     assert (
         "under the floor of plan course"
-        in judged(old, cat(2, a=Item(("n1",), rates=(1.0, 2.0))), None, floored)[1][0]
+        in evaluate(old, make_catalogue(2, a=CatalogueTitle(("n1",), rates=(1.0, 2.0))), None, floored)[1][0]
     )
 
 
 def test_what_plays_finishes_or_steps_down_and_never_under_its_floor() -> None:
-    two = Item(rates=(200.0, 400.0))
-    assert course(0, 2, two, False, 3, "n1") == (Course.STEPS_DOWN, 1)
-    assert course(0, 1, two, False, 3, "n1") == (Course.STAYS, 1)
-    assert course(2, 2, two, False, 3, "n1") == (Course.FINISHES, 2)
-    assert course(0, 2, None, False, 3, "n1") == (Course.FINISHES, 2)
-    assert course(0, 1, None, True, 3, "n1") == (Course.STAYS, 2)
-    assert course(0, 2, Item(("n2",)), False, 3, "n1") == (Course.FINISHES, 2)
-    assert course(0, 2, Item(("n2",)), False, 3, "n2+4") == (Course.STAYS, 2)
-    steps = Steps(at_once=2, every=10)
+    two = CatalogueTitle(rates=(200.0, 400.0))
+    assert effect_on_playback(0, 2, two, False, 3, "n1") == (PlaybackEffect.STEPS_DOWN, 1)
+    assert effect_on_playback(0, 1, two, False, 3, "n1") == (PlaybackEffect.STAYS, 1)
+    assert effect_on_playback(2, 2, two, False, 3, "n1") == (PlaybackEffect.FINISHES, 2)
+    assert effect_on_playback(0, 2, None, False, 3, "n1") == (PlaybackEffect.FINISHES, 2)
+    assert effect_on_playback(0, 1, None, True, 3, "n1") == (PlaybackEffect.STAYS, 2)
+    assert effect_on_playback(0, 2, CatalogueTitle(("n2",)), False, 3, "n1") == (PlaybackEffect.FINISHES, 2)
+    assert effect_on_playback(0, 2, CatalogueTitle(("n2",)), False, 3, "n2+4") == (PlaybackEffect.STAYS, 2)
+    steps = StepDownQueue(batch_size=2, interval=10)
     steps.add(["a", "b", "c"])
-    assert [steps.due(0), steps.due(5), steps.due(10), steps.due(30)] == [["a", "b"], [], ["c"], []]
+    assert [steps.next_batch(0), steps.next_batch(5), steps.next_batch(10), steps.next_batch(30)] == [
+        ["a", "b"],
+        [],
+        ["c"],
+        [],
+    ]
 
 
 @given(st.integers(1, 200), st.integers(0, 1 << 60), st.floats(0, 1), st.floats(0, 1))
@@ -179,37 +205,42 @@
     fronts: int, number: int, a: float, b: float
 ) -> None:
     low, high = sorted((a, b))
-    first = {f for f in range(fronts) if takes_part(f, fronts, number, low)}
-    assert first <= {f for f in range(fronts) if takes_part(f, fronts, number, high)}
+    first = {f for f in range(fronts) if is_in_share(f, fronts, number, low)}
+    assert first <= {f for f in range(fronts) if is_in_share(f, fronts, number, high)}
     assert abs(len(first) - low * fronts) <= 1
-    assert all(takes_part(f, fronts, number, 1.0) for f in range(fronts))
+    assert all(is_in_share(f, fronts, number, 1.0) for f in range(fronts))
 
 
 def test_history_forgets_the_oldest_and_the_shelf_looks_only_at_what_changed() -> None:
-    history = History(most=3)
-    gone = [history.take(Kept(n, str(n), n, "")) for n in range(1, 6)]
+    history = VersionHistory(max_versions=3)
+    gone = [history.add(VersionEntry(n, str(n), n, "")) for n in range(1, 6)]
     assert gone == [[], [], [], [1], [2]]
-    assert (history.next_number, history.find(2), history.find(4)) == (6, None, Kept(4, "4", 4, ""))
-    shelf = Shelf(10, 4, 2, {"stated": (3, 1)})
+    assert (history.next_number, history.find(2), history.find(4)) == (6, None, VersionEntry(4, "4", 4, ""))
+    shelf = TitleCache(10, 4, 2, {"stated": (3, 1)})
     plain, stated = shelf.get("plain", 9), shelf.get("stated", 0)
     assert plain
     assert stated
-    old, new = Catalogue(), cat(1, plain=Item(("n1+2",), rates=(1.0,)), other=Item((), 1, 1))
-    shelf.take_catalogue(new.titles, changed(old, new))
-    assert (plain.named, plain.rates, plain.known) == (frozenset({"n1"}), (1.0,), -1)
-    assert (stated.home, stated.copies, stated.named) == (3, 1, None)
-    stated.known = 5
-    shelf.take_catalogue({}, changed(new, Catalogue()))
-    assert (plain.named, plain.rates, plain.home, plain.copies) == (None, (), 1, 2)
-    assert stated.known == 5
-
-
-async def put(rig: Rig, text: str, match: str | None = "*", query: str = "", method: str = "PUT") -> Response:
+    old, new = (
+        Catalogue(),
+        make_catalogue(1, plain=CatalogueTitle(("n1+2",), rates=(1.0,)), other=CatalogueTitle((), 1, 1)),
+    )
+    shelf.apply_catalogue(new.titles, changed_titles(old, new))
+    assert (plain.holder_names, plain.rung_rates, plain.holders_version) == (frozenset({"n1"}), (1.0,), -1)
+    assert (stated.home_cell, stated.copies, stated.holder_names) == (3, 1, None)
+    stated.holders_version = 5
+    shelf.apply_catalogue({}, changed_titles(new, Catalogue()))
+    assert (plain.holder_names, plain.rung_rates, plain.home_cell, plain.copies) == (None, (), 1, 2)
+    assert stated.holders_version == 5
+
+
+async def send_catalogue(
+    rig: Rig, text: str, match: str | None = "*", query: str = "", method: str = "PUT"
+) -> Response:
     headers = AUTH | ({"If_Match": match} if match else {})
-    return await rig.ask(method, f"/operators/catalogue{query}", text.encode(), **headers)
+    return await rig.request(method, f"/operators/catalogue{query}", text.encode(), **headers)
 
 
-def told(sat: Response) -> dict[str, Any]:
+def response_body(sat: Response) -> dict[str, Any]:
     return dict(orjson.loads(sat.body))
 
 
@@ -217,118 +248,133 @@
     one = "(catalogue (title a (holders n1)) (title b (home 0) (copies 2)))"
 
     async def test() -> None:
-        async with trio.open_nursery() as nursery, standing(tmp_path, OPS, state=True) as rig:
-            assert (await rig.ask("GET", "/operators/catalogue")).status == 401
+        async with (
+            trio.open_nursery() as nursery,
+            running_front_end(tmp_path, OPERATORS_FORM, with_state=True) as rig,
+        ):
+            assert (await rig.request("GET", "/operators/catalogue")).status == 401
             # Large bodies only with the operators' token.
-            assert (await rig.ask("PUT", "/operators/catalogue", b"x" * 100_000)).status == 413
-            assert (await rig.ask("GET", "/operators/nothing", **AUTH)).status == 404
-            assert (await rig.ask("DELETE", "/operators/catalogue", **AUTH)).status == 405
-            first = await rig.ask("GET", "/operators/catalogue", **AUTH)
+            assert (await rig.request("PUT", "/operators/catalogue", b"x" * 100_000)).status == 413
+            assert (await rig.request("GET", "/operators/nothing", **AUTH)).status == 404
+            assert (await rig.request("DELETE", "/operators/catalogue", **AUTH)).status == 405
+            first = await rig.request("GET", "/operators/catalogue", **AUTH)
             assert (first.status, first.header("etag")) == (200, '"none"')
-            assert (await put(rig, one, None)).status == 428
-            sat = await put(rig, one, '"none"', "?why=first")
-            assert (sat.status, told(sat)["version"]) == (200, 1)
-            assert (await put(rig, one, '"none"')).status == 412
-            assert told(await put(rig, one))["verdict"] == "same"
+            assert (await send_catalogue(rig, one, None)).status == 428
+            sat = await send_catalogue(rig, one, '"none"', "?why=first")
+            assert (sat.status, response_body(sat)["version"]) == (200, 1)
+            assert (await send_catalogue(rig, one, '"none"')).status == 412
+            assert response_body(await send_catalogue(rig, one))["verdict"] == "same"
             tag = sat.header("etag") or ""
-            same = await rig.ask("GET", "/operators/catalogue", If_None_Match=tag, **AUTH)
+            same = await rig.request("GET", "/operators/catalogue", If_None_Match=tag, **AUTH)
             assert same.status == 304
-            broken = await put(rig, "(catalogue (title a) (title a))", tag)
+            broken = await send_catalogue(rig, "(catalogue (title a) (title a))", tag)
             assert broken.status == 422
             assert "stands twice" in broken.body.decode()
-            refused = await put(rig, "(put (title c (holders n9)))", tag, "", "PATCH")
+            refused = await send_catalogue(rig, "(put (title c (holders n9)))", tag, "", "PATCH")
             assert refused.status == 409
             assert "no ready holder" in refused.body.decode()
             assert (
-                await put(rig, "(put (title c (holders n2))) (drop b)", tag, "?why=lesson", "PATCH")
+                await send_catalogue(
+                    rig, "(put (title c (holders n2))) (drop b)", tag, "?why=lesson", "PATCH"
+                )
             ).status == 200
-            assert (await rig.watch("/whep/open/b")).status == 404
-            assert (await rig.watch("/whep/open/c")).status == 201
-            assert rig.facts("setup")[-1]["node"] == "n2"
-            assert rig.facts("setup")[-1]["catalogue"] == 2
-            assert (await put(rig, "(put (title d (home 0) (copies 1)))", None, "", "PATCH")).status == 428
-            versions = orjson.loads((await rig.ask("GET", "/operators/catalogue/versions", **AUTH)).body)
+            assert (await rig.request_playback("/whep/open/b")).status == 404
+            assert (await rig.request_playback("/whep/open/c")).status == 201
+            assert rig.recorded("setup")[-1]["node"] == "n2"
+            assert rig.recorded("setup")[-1]["catalogue"] == 2
+            assert (
+                await send_catalogue(rig, "(put (title d (home 0) (copies 1)))", None, "", "PATCH")
+            ).status == 428
+            versions = orjson.loads((await rig.request("GET", "/operators/catalogue/versions", **AUTH)).body)
             assert [(v["version"], v["why"], v["in_force"]) for v in versions] == [
                 (1, "first", False),
                 (2, "lesson", True),
             ]
-            await until(lambda: rig.front and rig.front.helm and rig.front.helm.memory
-                        and not rig.front.helm.memory.store.queue)  # fmt: skip
-            rig.front_scope.cancel()
-            await rig.ended.wait()
-            await start_front(nursery, rig, state=True)
+            await wait_until(
+                lambda: (
+                    rig.front_end
+                    and rig.front_end.coordinator
+                    and rig.front_end.coordinator.durable_state
+                    and not rig.front_end.coordinator.durable_state.store.queue
+                )
+            )
+            rig.front_end_scope.cancel()
+            await rig.exited.wait()
+            await start_front_end(nursery, rig, with_state=True)
             # The version is active again after the restart.
-            assert (await rig.watch("/whep/open/b")).status == 404
-            back = await rig.ask("POST", "/operators/catalogue/roll-back?to=1", If_Match="*", **AUTH)
-            assert (back.status, told(back)["version"]) == (200, 3)
-            assert (await rig.watch("/whep/open/b")).status == 201
+            assert (await rig.request_playback("/whep/open/b")).status == 404
+            back = await rig.request("POST", "/operators/catalogue/roll-back?to=1", If_Match="*", **AUTH)
+            assert (back.status, response_body(back)["version"]) == (200, 3)
+            assert (await rig.request_playback("/whep/open/b")).status == 201
             assert (
-                await rig.ask("POST", "/operators/catalogue/roll-back?to=9", If_Match="*", **AUTH)
+                await rig.request("POST", "/operators/catalogue/roll-back?to=9", If_Match="*", **AUTH)
             ).status == 404
-            status = told(await rig.ask("GET", "/operators/status", **AUTH))
+            status = response_body(await rig.request("GET", "/operators/status", **AUTH))
             assert (status["catalogue"], status["state"]["disk"]) == (3, "sound")
-            later = await put(rig, "(drop a)", "*", "?share=0", "PATCH")
-            assert (later.status, told(later)["verdict"]) == (202, "later")
+            later = await send_catalogue(rig, "(drop a)", "*", "?share=0", "PATCH")
+            assert (later.status, response_body(later)["verdict"]) == (202, "later")
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_removed_rendition_a_removed_title_and_a_holder_taken_away_under_what_plays(tmp_path: Path) -> None:
     full = "(title a (home 0) (copies 2) (renditions 200kB/s 400kB/s 800kB/s))"
 
     async def test() -> None:
-        async with standing(tmp_path, OPS + HIGH) as rig:
-            assert (await put(rig, f"(catalogue {full} (title b (holders n1)))")).status == 200
-            high, low = await rig.watch("/whep/high/a"), await rig.watch("/whep/open/a")
-            held = await rig.watch("/whep/open/b")
+        async with running_front_end(tmp_path, OPERATORS_FORM + HIGH_PLAN_FORM) as rig:
+            assert (await send_catalogue(rig, f"(catalogue {full} (title b (holders n1)))")).status == 200
+            high, low = await rig.request_playback("/whep/high/a"), await rig.request_playback("/whep/open/a")
+            held = await rig.request_playback("/whep/open/b")
             assert [high.status, low.status, held.status] == [201, 201, 201]
-            refused = await put(
+            refused = await send_catalogue(
                 rig, "(put (title a (home 0) (copies 2) (renditions 200kB/s)))", "*", "", "PATCH"
             )
             assert refused.status == 409  # the title could not be served under plan high
             less = "(put (title a (home 0) (copies 2) (renditions 200kB/s))) (put (title b (holders n2)))"
-            assert (await put(rig, less, "*", "?force=yes", "PATCH")).status == 200
-            assert (await rig.watch("/whep/high/a")).status == 404
+            assert (await send_catalogue(rig, less, "*", "?force=yes", "PATCH")).status == 200
+            assert (await rig.request_playback("/whep/high/a")).status == 404
             session = (low.header("location") or "").rpartition("/")[2]
-            assert rig.front is not None
-            assert rig.front.helm is not None
-            low_one = rig.front.helm.sessions[session]
-            await until(lambda: low_one.pb.rung == 0)
-            high_one = rig.front.helm.sessions[(high.header("location") or "").rpartition("/")[2]]
-            assert high_one.pb.rung == 2  # no rung from its floor up is left: it finishes at its own
-            assert (await put(rig, "(drop a)", "*", "", "PATCH")).status == 200
-            assert len([n for p in rig.playing() for n in p.sessions]) == 3  # no session was ended
-            assert (await rig.watch("/whep/open/b")).status == 201
-            assert rig.facts("setup")[-1]["node"] == "n2"
-            assert (await rig.ask("DELETE", high.header("location") or "")).status == 200
+            assert rig.front_end is not None
+            assert rig.front_end.coordinator is not None
+            low_one = rig.front_end.coordinator.sessions_by_id[session]
+            await wait_until(lambda: low_one.playback.rung == 0)
+            high_one = rig.front_end.coordinator.sessions_by_id[
+                (high.header("location") or "").rpartition("/")[2]
+            ]
+            assert high_one.playback.rung == 2  # no rung from its floor up is left: it finishes at its own
+            assert (await send_catalogue(rig, "(drop a)", "*", "", "PATCH")).status == 200
+            assert len([n for p in rig.nodes_in_use() for n in p.sessions]) == 3  # no session was ended
+            assert (await rig.request_playback("/whep/open/b")).status == 201
+            assert rig.recorded("setup")[-1]["node"] == "n2"
+            assert (await rig.request("DELETE", high.header("location") or "")).status == 200
 
-    run(test)
+    run_async_test(test)
 
 
 def test_fifty_swaps_under_load_and_every_set_up_is_of_one_version(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, OPS) as rig:
-            rng, versions, answers = Random(4), dict[int, dict[str, Item]](), Counter[int]()
+        async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
+            rng, versions, answers = Random(4), dict[int, dict[str, CatalogueTitle]](), Counter[int]()
             stop, longest = trio.Event(), [0.0]
 
             async def viewers(seed: int) -> None:
                 mine = Random(seed)
                 while not stop.is_set():
                     began = trio.current_time()
-                    sat = await rig.watch(f"/whep/open/t{mine.randrange(4)}")
+                    sat = await rig.request_playback(f"/whep/open/t{mine.randrange(4)}")
                     longest[0] = max(longest[0], trio.current_time() - began)
                     answers[sat.status] += 1
                     if sat.status == 201:
-                        await rig.ask("DELETE", sat.header("location") or "")
+                        await rig.request("DELETE", sat.header("location") or "")
 
             def some() -> str:
                 titles = {}
                 for n in range(4):
                     if rng.random() < 0.8:
                         rates = tuple(float(200 * (1 << r)) for r in range(rng.randrange(1, 4)))
-                        titles[f"t{n}"] = Item((rng.choice(["n1", "n2"]),), rates=rates)
-                return write(titles.items(), False)
+                        titles[f"t{n}"] = CatalogueTitle((rng.choice(["n1", "n2"]),), rates=rates)
+                return format_catalogue(titles.items(), False)
 
             async with trio.open_nursery() as nursery:
                 for seed in range(4):
@@ -340,14 +386,14 @@
                         text = text.replace("(title", "(tilte", 1) + "("
                     if n % 10 == 7:
                         text = text.replace("n1", "n8").replace("n2", "n9")
-                    tag = (await rig.ask("GET", "/operators/catalogue", **AUTH)).header("etag") or ""
-                    sat = [await put(rig, text, tag)]
+                    tag = (await rig.request("GET", "/operators/catalogue", **AUTH)).header("etag") or ""
+                    sat = [await send_catalogue(rig, text, tag)]
                     if n % 10 == 5 and sat[0].status == 200:  # a second change made from the same version
-                        sat.append(await put(rig, some(), tag))
+                        sat.append(await send_catalogue(rig, some(), tag))
                     for one in sat:
                         verdicts[one.status] += 1
-                        if one.status == 200 and told(one)["verdict"] == "taken":
-                            versions[told(one)["version"]] = dict(read(text).titles)
+                        if one.status == 200 and response_body(one)["verdict"] == "taken":
+                            versions[response_body(one)["version"]] = dict(read_catalogue(text).titles)
                     await trio.sleep(0.02)
                 stop.set()
             assert verdicts[422] == 5
@@ -357,7 +403,7 @@
             assert set(answers) <= {201, 404, 503}
             assert answers[201] > 50
             seen = Counter[int]()
-            for f in rig.facts("setup"):
+            for f in rig.recorded("setup"):
                 if f["catalogue"]:
                     # A KeyError would mean that the version has no such title.
                     item = versions[f["catalogue"]][f["title"]]
@@ -367,34 +413,36 @@
             assert len(seen) > 15
             nursery.cancel_scope.cancel()
 
-    run(test, 60)
+    run_async_test(test, 60)
 
 
 def test_a_further_try_after_a_swap_goes_by_the_new_version(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, OPS) as rig:
+        async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
             both = "(catalogue (title a (holders n1 n2)))"
-            assert (await put(rig, both)).status == 200
+            assert (await send_catalogue(rig, both)).status == 200
             for node in rig.fleet.nodes.values():
                 node.ails.silent = True
             first = list[Response]()
 
             async def watch() -> None:
-                first.append(await rig.watch("/whep/open/a"))
+                first.append(await rig.request_playback("/whep/open/a"))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch)
-                await until(lambda: rig.facts("setup"))
-                taken_away = rig.facts("setup")[0]["node"]
+                await wait_until(lambda: rig.recorded("setup"))
+                taken_away = rig.recorded("setup")[0]["node"]
                 other = "n2" if taken_away == "n1" else "n1"
-                assert (await put(rig, f"(put (title a (holders {other})))", "*", "", "PATCH")).status == 200
+                assert (
+                    await send_catalogue(rig, f"(put (title a (holders {other})))", "*", "", "PATCH")
+                ).status == 200
                 rig.node(other).ails.silent = False
                 rig.node(other).stir()
             assert first[0].status == 201
-            tries = [(f["node"], f["catalogue"]) for f in rig.facts("setup")]
+            tries = [(f["node"], f["catalogue"]) for f in rig.recorded("setup")]
             assert tries == [(taken_away, 1), (other, 2)]
 
-    run(test)
+    run_async_test(test)
 
 
 def test_commands_on_a_catalogue_and_on_a_front(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -411,7 +459,7 @@
     monkeypatch.setenv("OAKCROFT_OPERATORS", "operators-secret")
 
     async def test() -> None:
-        async with standing(tmp_path, OPS) as rig:
+        async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
             there = ["--front", f"127.0.0.1:{rig.port}"]
 
             async def command(*words: str) -> Result:
@@ -429,4 +477,4 @@
             status = await trio.to_thread.run_sync(lambda: runner.invoke(main, ["status", *there]))
             assert orjson.loads(status.output)["catalogue"] == 1
 
-    run(test)
+    run_async_test(test)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -9,9 +9,9 @@
 import pytest
 import trio
 import trio.testing
-from rig import run
+from rig import run_async_test
 
-from oakcroft.decisions.sessions.setup_outcome import End, Trail, outcome
+from oakcroft.decisions.sessions.setup_outcome import RequestEnd, RequestProgress, setup_outcome
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.interface import Outcome
 from oakcroft.standins.playout import reset
@@ -86,40 +86,40 @@
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, behaviour, listeners)
             peer = Peer("127.0.0.1", listeners[0].socket.getsockname()[1])
-            trail, end = Trail(), End.TIME_UP
+            trail, end = RequestProgress(), RequestEnd.TIMED_OUT
             with trio.move_on_after(0.4):
                 try:
                     await peer.ask("POST", "/x", [], b"a body to the end", trail)
-                    end = End.ANSWERED
+                    end = RequestEnd.ANSWERED
                 except Ended as ended:
                     end = ended.end
-            assert outcome(trail, end) is wanted
+            assert setup_outcome(trail, end) is wanted
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_nobody_there_is_no_connection_and_no_turn_is_not_sent() -> None:
     async def test() -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            trail = Trail()
+            trail = RequestProgress()
             with pytest.raises(Ended) as ended:
                 await Peer("127.0.0.1", free.getsockname()[1]).ask("POST", "/", [], b"x", trail)
-            assert outcome(trail, ended.value.end) is Outcome.NO_CONNECTION
+            assert setup_outcome(trail, ended.value.end) is Outcome.NO_CONNECTION
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, silence, listeners)
             peer = Peer("127.0.0.1", listeners[0].socket.getsockname()[1], most=1)
             nursery.start_soon(peer.ask, "POST", "/", [], b"x")
             await trio.testing.wait_all_tasks_blocked(0.02)
-            second = Trail()
+            second = RequestProgress()
             with trio.move_on_after(0.1):
                 await peer.ask("POST", "/", [], b"x", second)
-            assert outcome(second, End.TIME_UP) is Outcome.NOT_SENT
+            assert setup_outcome(second, RequestEnd.TIMED_OUT) is Outcome.NOT_SENT
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_connection_that_its_peer_closed_while_idle_is_not_used_again() -> None:
@@ -143,4 +143,4 @@
                 await trio.sleep(0.01)
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
