--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -13,17 +13,31 @@
 import orjson
 import pytest
 import trio
-from helpers import FREE, KEYED, PAID, TERMS, Fleet
-from rig import Rig, run, standing, until
-
-from oakcroft.decisions.moving.degrading_nodes import Fadings
-from oakcroft.decisions.moving.handover import OVER, TABLE, Act, Course, Handover, Happening
-from oakcroft.decisions.moving.move_rules import Reason, Way, allowed, keeps_to_its_zone, stays, way
-from oakcroft.decisions.moving.move_scheduler import Mover, Pace, Why
-from oakcroft.decisions.moving.drain_notice import Notices
+from helpers import FREE, KEYED, PAID, TERMS, ControllerHarness
+from rig import Rig, run_async_test, running_front_end, wait_until
+
+from oakcroft.decisions.moving.degrading_nodes import DegradingNodes
+from oakcroft.decisions.moving.handover import (
+    END_STATES,
+    TRANSITIONS,
+    MoveAction,
+    MoveState,
+    Handover,
+    MoveEvent,
+)
+from oakcroft.decisions.moving.move_rules import (
+    StayReason,
+    MoveMethod,
+    may_target,
+    is_confined_to_zone,
+    reason_to_stay,
+    move_method,
+)
+from oakcroft.decisions.moving.move_scheduler import MoveScheduler, MoveLimits, MoveReason
+from oakcroft.decisions.moving.drain_notice import DrainNotices
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
-from oakcroft.interface import MS, SECOND, Group, Listing, Node, Outcome, Playback
+from oakcroft.interface import MS, SECOND, KeyScope, NodeStatus, Node, Outcome, Playback
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import sdp, words
 from oakcroft.standins import rtp
@@ -36,7 +50,7 @@
 class World:
     """Model of one playback, its copy and what the front end owes; simpler than the front end."""
 
-    state: Course
+    state: MoveState
     source: str  # plays, ending, gone
     target: str  # none, out, plays, ending, gone
     viewer: bool  # whether it is connected
@@ -45,76 +59,76 @@
     doomed: str = ""  # a copy whose set-up is in progress is to be ended once it plays
 
 
-START = World(Course.PLANNED, "plays", "none", True, "none", "source")
+START = World(MoveState.PLANNED, "plays", "none", True, "none", "source")
 
 
-def possible(w: World) -> list[Happening]:
+def possible(w: World) -> list[MoveEvent]:
     """Returns the events that can happen next."""
     out = []
-    if w.state is Course.PLANNED:
-        out.append(Happening.DUE)
+    if w.state is MoveState.PLANNED:
+        out.append(MoveEvent.DUE)
     if w.source == "plays":
-        out += [Happening.SOURCE_DIED, Happening.SOURCE_ENDED]
+        out += [MoveEvent.SOURCE_LOST, MoveEvent.SOURCE_ENDED]
     if w.source == "ending":
-        out += [Happening.SOURCE_ENDED, Happening.SOURCE_DIED]
+        out += [MoveEvent.SOURCE_ENDED, MoveEvent.SOURCE_LOST]
     if w.target == "out":
-        out += [Happening.PLACED, Happening.NO_PLACE]
+        out += [MoveEvent.TARGET_PLAYS, MoveEvent.TARGET_FAILED]
     if w.target == "plays":
-        out += [Happening.TARGET_DIED, Happening.TARGET_DRAINS]
+        out += [MoveEvent.TARGET_LOST, MoveEvent.TARGET_DRAINING]
     if w.viewer:
-        out.append(Happening.VIEWER_LEFT)
-        if w.offer == "none" and w.state is Course.ASKED:
-            out.append(Happening.OFFER)
+        out.append(MoveEvent.VIEWER_LEFT)
+        if w.offer == "none" and w.state is MoveState.ASKED:
+            out.append(MoveEvent.OFFER_RECEIVED)
         if w.offer == "answered" and w.target == "plays":
-            out.append(Happening.CONFIRMED)
+            out.append(MoveEvent.CONFIRMED)
     move = Handover(w.state)
-    if (timer := move.waits_for()) is not None:
+    if (timer := move.pending_timeout()) is not None:
         out.append(timer)
     if w.source == "plays":
-        out.append(Happening.TAKEN_BACK)
+        out.append(MoveEvent.CANCELLED)
     return out
 
 
-def after(w: World, what: Happening) -> World:
+def after(w: World, what: MoveEvent) -> World:
     """Returns the model after an event: its direct effect first, then what the state machine has the front
     end do.
     """
     source, target, viewer, asked, held, doomed = w.source, w.target, w.viewer, w.offer, w.held, w.doomed
-    if what in (Happening.SOURCE_DIED, Happening.SOURCE_ENDED):
+    if what in (MoveEvent.SOURCE_LOST, MoveEvent.SOURCE_ENDED):
         source, held = "gone", "nothing" if held == "source" else held
-    elif what is Happening.TARGET_DIED:
+    elif what is MoveEvent.TARGET_LOST:
         target, held = "gone", "nothing" if held == "target" else held
-    elif what is Happening.PLACED:
+    elif what is MoveEvent.TARGET_PLAYS:
         target = "ending" if doomed else "plays"
-    elif what is Happening.NO_PLACE:
+    elif what is MoveEvent.TARGET_FAILED:
         target = "gone"
-    elif what is Happening.VIEWER_LEFT:
+    elif what is MoveEvent.VIEWER_LEFT:
         viewer, held = False, "nothing"
-    elif what is Happening.OFFER:
+    elif what is MoveEvent.OFFER_RECEIVED:
         asked = "waits"
-    elif what is Happening.CONFIRMED:
+    elif what is MoveEvent.CONFIRMED:
         held = "target"
     move = Handover(w.state)
-    act = move.happens(what)
-    if act is Act.PLACE:
+    act = move.handle(what)
+    if act is MoveAction.PLACE_TARGET:
         target = "out"
-    elif act in (Act.GIVE, Act.GIVE_AS_ONLY):
-        asked, held = "answered", "target" if act is Act.GIVE_AS_ONLY else held
-    elif act is Act.REFUSE:
+    elif act in (MoveAction.ACCEPT_OFFER, MoveAction.SWITCH_AND_ACCEPT_OFFER):
+        asked, held = "answered", "target" if act is MoveAction.SWITCH_AND_ACCEPT_OFFER else held
+    elif act is MoveAction.REJECT_OFFER:
         asked = "answered"
-    elif act is Act.SWITCH:
+    elif act is MoveAction.SWITCH_TO_TARGET:
         held = "target"
-    elif act is Act.END_SOURCE:
+    elif act is MoveAction.END_SOURCE:
         held = "target" if viewer and target == "plays" else held
         source = "ending" if source == "plays" else source
-    elif act in (Act.END_TARGET, Act.END_TARGET_AND_REFUSE):
+    elif act in (MoveAction.END_TARGET, MoveAction.END_TARGET_AND_REJECT_OFFER):
         target, asked = "ending" if target == "plays" else target, "answered"
         held = "source" if held == "target" and source == "plays" else held
-    elif act is Act.END_ALL:
+    elif act is MoveAction.END_ALL:
         source = "ending" if source == "plays" else source
         target, doomed = ("ending" if target == "plays" else target), "yes" if target == "out" else ""
         asked = "answered" if asked == "waits" else asked
-    elif act is Act.TELL_LOST:
+    elif act is MoveAction.REPORT_LOST:
         asked, held = ("answered" if asked == "waits" else asked), "nothing"
     return World(move.state, source, target, viewer, asked, held, doomed)
 
@@ -134,39 +148,41 @@
                 seen.add(n)
                 edge.append(n)
     states = Counter(w.state for w in seen)
-    assert set(states) == set(Course)
+    assert set(states) == set(MoveState)
     assert len(seen) == 38, len(seen)  # written in docs/moving.md
     for w in seen:
-        if w.state not in OVER:
+        if w.state not in END_STATES:
             assert any(after(w, what).state is not w.state for what in possible(w)), w  # it has a way out
         else:
             assert w.offer != "waits", w  # every offer has its answer
             if w.viewer and w.source == "plays":
                 assert w.held == "source", w  # it plays on, whatever failed
-            assert not (w.viewer and w.state is Course.DONE and w.held != "target" and w.target == "plays"), w
-        assert not (w.source == "plays" and w.target == "plays" and w.state in OVER), (
+            assert not (
+                w.viewer and w.state is MoveState.DONE and w.held != "target" and w.target == "plays"
+            ), w
+        assert not (w.source == "plays" and w.target == "plays" and w.state in END_STATES), (
             w
         )  # no copy is left over
-        if w.state is Course.STAYED and w.viewer:
+        if w.state is MoveState.STAYED and w.viewer:
             assert w.source != "ending", w
 
 
 def test_the_table_leads_only_forward_and_an_end_is_an_end() -> None:
     """No transition leaves an end state or keeps its state; a move that has ended ignores all events."""
-    for (state, _), (to, _) in TABLE.items():
-        assert state not in OVER
+    for (state, _), (to, _) in TRANSITIONS.items():
+        assert state not in END_STATES
         assert to is not state
     move = Handover()
     for what in (
-        Happening.DUE,
-        Happening.OFFER,
-        Happening.PLACED,
-        Happening.CONFIRMED,
-        Happening.SOURCE_ENDED,
+        MoveEvent.DUE,
+        MoveEvent.OFFER_RECEIVED,
+        MoveEvent.TARGET_PLAYS,
+        MoveEvent.CONFIRMED,
+        MoveEvent.SOURCE_ENDED,
     ):
-        move.happens(what)
-    assert move.over
-    assert [move.happens(what) for what in Happening] == [Act.NOTHING] * len(Happening)
+        move.handle(what)
+    assert move.has_ended
+    assert [move.handle(what) for what in MoveEvent] == [MoveAction.NONE] * len(MoveEvent)
 
 
 # The decisions around it: rules, notices, degrading nodes and the schedule.
@@ -178,43 +194,49 @@
     """
     a, b = Node("a"), Node("b")
     a.zone, b.zone = "west", "east"
-    assert stays(PAID, 0, 1, 0, True) is Reason.PAID
-    assert stays(KEYED, 0, KEYED.key_lasts, 0, True) is Reason.KEY
-    assert stays(KEYED, 0, 1, MS, True) is None
-    assert stays(FREE, 0, 10**15, 0, False) is Reason.PLAYER
-    assert not allowed(PAID, a, b)
-    assert not allowed(FREE, a, a)
-    assert allowed(FREE, a, b)
-    assert KEYED.group is Group.ZONE
-    assert not allowed(KEYED, a, b)
-    confined = [KEYED, replace(KEYED, group=Group.CELL), replace(KEYED, group=Group.ALL), FREE, PAID]
-    assert [keeps_to_its_zone(plan) for plan in confined] == [True, True, False, False, False]
+    assert reason_to_stay(PAID, 0, 1, 0, True) is StayReason.PAID
+    assert reason_to_stay(KEYED, 0, KEYED.key_ttl_ns, 0, True) is StayReason.KEY_EXPIRED
+    assert reason_to_stay(KEYED, 0, 1, MS, True) is None
+    assert reason_to_stay(FREE, 0, 10**15, 0, False) is StayReason.PLAYER_NOT_MOVABLE
+    assert not may_target(PAID, a, b)
+    assert not may_target(FREE, a, a)
+    assert may_target(FREE, a, b)
+    assert KEYED.key_scope is KeyScope.ZONE
+    assert not may_target(KEYED, a, b)
+    confined = [
+        KEYED,
+        replace(KEYED, key_scope=KeyScope.CELL),
+        replace(KEYED, key_scope=KeyScope.ALL),
+        FREE,
+        PAID,
+    ]
+    assert [is_confined_to_zone(plan) for plan in confined] == [True, True, False, False, False]
     b.zone = "west"
-    assert allowed(KEYED, a, b)
+    assert may_target(KEYED, a, b)
     seated = FREE.__class__(**{**FREE.__dict__, "seats": 2})
-    assert way(seated, 1, 9 * SECOND, SECOND) is Way.MAKE_FIRST
-    assert way(seated, 2, 9 * SECOND, SECOND) is Way.WAIT
-    assert way(seated, 2, SECOND, SECOND) is Way.BREAK_FIRST
+    assert move_method(seated, 1, 9 * SECOND, SECOND) is MoveMethod.MAKE_BEFORE_BREAK
+    assert move_method(seated, 2, 9 * SECOND, SECOND) is MoveMethod.WAIT_FOR_SEAT
+    assert move_method(seated, 2, SECOND, SECOND) is MoveMethod.BREAK_BEFORE_MAKE
 
 
 def test_notices_are_told_or_learnt() -> None:
     """The notice is the stated one or the estimate, which follows quickly downwards and slowly upwards."""
-    n = Notices(10 * SECOND)
-    assert n.begins("a", 0, None)
-    assert not n.begins("a", SECOND, None)
-    assert n.left("a", 2 * SECOND) == 6 * SECOND
-    n.gone("a", 4 * SECOND)
-    assert n.usual == 7 * SECOND  # follows quickly downwards
-    n.begins("b", 0, None)
-    n.gone("b", 17 * SECOND)
-    assert n.usual == 8 * SECOND  # follows slowly upwards
-    n.begins("c", 0, 30 * SECOND)
-    assert n.left("c", 10 * SECOND) == 20 * SECOND
-    n.gone("c", SECOND)
-    assert n.usual == 8 * SECOND
-    n.begins("d", 0, None)
-    assert n.taken_back("d")
-    assert n.left("d", 1) is None
+    n = DrainNotices(10 * SECOND)
+    assert n.start_drain("a", 0, None)
+    assert not n.start_drain("a", SECOND, None)
+    assert n.time_left("a", 2 * SECOND) == 6 * SECOND
+    n.node_gone("a", 4 * SECOND)
+    assert n.expected_duration == 7 * SECOND  # follows quickly downwards
+    n.start_drain("b", 0, None)
+    n.node_gone("b", 17 * SECOND)
+    assert n.expected_duration == 8 * SECOND  # follows slowly upwards
+    n.start_drain("c", 0, 30 * SECOND)
+    assert n.time_left("c", 10 * SECOND) == 20 * SECOND
+    n.node_gone("c", SECOND)
+    assert n.expected_duration == 8 * SECOND
+    n.start_drain("d", 0, None)
+    assert n.cancel_drain("d")
+    assert n.time_left("d", 1) is None
 
 
 def test_a_node_fades_by_falling_notes_and_never_in_a_squeeze_of_all() -> None:
@@ -223,25 +245,32 @@
     A node degrades only by falling reports while the others deliver more, and one node at a time.
     """
     falling = [0.95, 0.85, 0.78, 0.7]
-    alone, shared, swinging = Fadings(), Fadings(), Fadings()
-    assert [alone.note("n", s, 1.0, i * SECOND) for i, s in enumerate(falling)] == [False, False, False, True]
-    assert not any(shared.note("n", s, 0.7, i * SECOND) for i, s in enumerate(falling))
-    assert not any(swinging.note("n", s, 1.0, i * SECOND) for i, s in enumerate([0.6, 0.9, 0.5, 0.6]))
-    assert not any(alone.note("m", s, 1.0, i * SECOND) for i, s in enumerate(falling))  # one node at a time
-    alone.note("n", 1.0, 1.0, 9 * SECOND)
-    assert "n" not in alone.leaving
+    alone, shared, swinging = DegradingNodes(), DegradingNodes(), DegradingNodes()
+    assert [alone.report("n", s, 1.0, i * SECOND) for i, s in enumerate(falling)] == [
+        False,
+        False,
+        False,
+        True,
+    ]
+    assert not any(shared.report("n", s, 0.7, i * SECOND) for i, s in enumerate(falling))
+    assert not any(swinging.report("n", s, 1.0, i * SECOND) for i, s in enumerate([0.6, 0.9, 0.5, 0.6]))
+    assert not any(alone.report("m", s, 1.0, i * SECOND) for i, s in enumerate(falling))  # one node at a time
+    alone.report("n", 1.0, 1.0, 9 * SECOND)
+    assert "n" not in alone.leaving_since
 
 
 def test_two_hundred_fronts_spread_a_drain_and_keep_few_moves_at_once() -> None:
     """The moves of many front ends spread over the notice, without a burst in any second."""
     begun, notice, step = list[int](), 20 * SECOND, 50 * MS
     for front in range(200):
-        mover = Mover(Pace(), Random(front))
-        assert mover.leave("n", [(f"{front}.{i}", 1.0) for i in range(3)], notice, Why.DRAIN, 0) == 3
+        mover = MoveScheduler(MoveLimits(), Random(front))
+        assert (
+            mover.plan_node("n", [(f"{front}.{i}", 1.0) for i in range(3)], notice, MoveReason.DRAIN, 0) == 3
+        )
         for now in range(0, notice, step):
-            for wish in mover.begin(now, 99):
+            for wish in mover.start_due(now, 99):
                 begun.append(now)
-                assert mover.over(wish.key, True, now + 100 * MS, notice - now) is False
+                assert mover.finish(wish.key, True, now + 100 * MS, notice - now) is False
     assert len(begun) == 600
     assert max(begun) <= notice * 0.7
     seconds = Counter(t // SECOND for t in begun)
@@ -250,21 +279,21 @@
 
 def test_the_mover_begins_the_dearest_first_within_its_bounds_and_tries_again() -> None:
     """Moves of most value begin first, within the limits, and are tried again while there is time."""
-    mover = Mover(Pace(at_once=2, to_one=1), Random(1))
-    mover.leave("n", [("a", 1.0), ("b", 3.0), ("c", 2.0)], 0, Why.DRAIN, 0)
-    assert [w.key for w in mover.begin(0, 9)] == ["b", "c"]
-    assert mover.begin(10 * SECOND, 9) == []
-    mover.goes_to("b", "t")
-    assert not mover.may_go_to("c", "t")
-    assert mover.may_go_to("b", "t")
-    assert mover.over("b", False, 0, 5 * SECOND)  # it stayed, and there is time for another attempt
-    assert not mover.over("c", True, 0, 5 * SECOND)
-    assert mover.begin(SECOND, 0) == []  # no further tries are left
-    assert {w.key for w in mover.begin(20 * SECOND, 9)} == {"a", "b"}
-    assert not mover.over("b", False, 0, 100 * MS)  # too late for another attempt
-    assert mover.taken_back("n") == ["a"]
-    assert mover.leave("n", [("a", 1.0)], 0, Why.DRAIN, 0) == 0  # in progress already
-    assert mover.next_due(0) is None
+    mover = MoveScheduler(MoveLimits(max_concurrent=2, max_per_target=1), Random(1))
+    mover.plan_node("n", [("a", 1.0), ("b", 3.0), ("c", 2.0)], 0, MoveReason.DRAIN, 0)
+    assert [w.key for w in mover.start_due(0, 9)] == ["b", "c"]
+    assert mover.start_due(10 * SECOND, 9) == []
+    mover.set_target("b", "t")
+    assert not mover.has_room_on("c", "t")
+    assert mover.has_room_on("b", "t")
+    assert mover.finish("b", False, 0, 5 * SECOND)  # it stayed, and there is time for another attempt
+    assert not mover.finish("c", True, 0, 5 * SECOND)
+    assert mover.start_due(SECOND, 0) == []  # no further tries are left
+    assert {w.key for w in mover.start_due(20 * SECOND, 9)} == {"a", "b"}
+    assert not mover.finish("b", False, 0, 100 * MS)  # too late for another attempt
+    assert mover.cancel_node("n") == ["a"]
+    assert mover.plan_node("n", [("a", 1.0)], 0, MoveReason.DRAIN, 0) == 0  # in progress already
+    assert mover.next_due_at(0) is None
 
 
 def test_a_copy_is_a_further_try_in_the_module_and_never_refused_at_the_door() -> None:
@@ -272,20 +301,25 @@
     request.
     """
     terms = TERMS.__class__(
-        **{**TERMS.__dict__, "tries_free": 1.0, "tries_share": 0.0, "tries_window": 10 * SECOND}
+        **{
+            **TERMS.__dict__,
+            "retry_budget_base": 1.0,
+            "retry_budget_share": 0.0,
+            "retry_budget_window_ns": 10 * SECOND,
+        }
     )
-    fleet = Fleet(terms=terms)
-    fleet.control.x = 9.0  # all new requests are rejected
-    first = Playback(fleet.ask().title, FREE, 2, fleet.now + SECOND, False)
+    fleet = ControllerHarness(terms=terms)
+    fleet.controller.x = 9.0  # all new requests are rejected
+    first = Playback(fleet.request().title, FREE, 2, fleet.now + SECOND, False)
     answers = []
     for _ in range(2):
         copy = Playback(first.title, FREE, 2, fleet.now + SECOND, True)
-        copy.beside = first
-        fleet.control.arrived(copy, fleet.now)
-        answers.append(fleet.answers(copy))
+        copy.copy_of = first
+        fleet.controller.on_request(copy, fleet.now)
+        answers.append(fleet.final_answers(copy))
     assert answers == [[], ["reject"]]
-    assert len(fleet.sends()) == 1
-    fleet.control.tried(first, Outcome.DONE, True, None, None, None, fleet.now)
+    assert len(fleet.sent_nodes()) == 1
+    fleet.controller.on_try_ended(first, Outcome.DONE, True, None, None, None, fleet.now)
 
 
 # Whole moves on sockets, with a front end and playout nodes.
@@ -317,31 +351,31 @@
 
     async def offer(self) -> Response:
         """Makes its offer for the move."""
-        return await self.rig.ask(
+        return await self.rig.request(
             "POST", f"{self.here}/move", offer(9_000, 2).encode(), Content_Type=sdp.MEDIA_TYPE
         )
 
     async def done(self) -> None:
         """Confirms that it plays from the target."""
-        assert (await self.rig.ask("POST", f"{self.here}/move/done")).status == 204
+        assert (await self.rig.request("POST", f"{self.here}/move/done")).status == 204
 
 
 async def playing(rig: Rig, nursery: trio.Nursery, path: str = "/whep/open/t") -> Player:
     """Starts a playback and its event stream."""
-    sat = await rig.watch(path)
+    sat = await rig.request_playback(path)
     assert sat.status == 201
     player = Player(rig, sat, sat.header("location") or "", trio.Event(), trio.Event())
     nursery.start_soon(player.listen)
-    helm = rig.front.helm if rig.front else None
+    helm = rig.front_end.coordinator if rig.front_end else None
     assert helm is not None
-    v = helm.sessions[player.here.rpartition("/")[2]]
-    await until(lambda: v.readers and all(n.ears for n in rig.playing()))
+    v = helm.sessions_by_id[player.here.rpartition("/")[2]]
+    await wait_until(lambda: v.readers and all(n.ears for n in rig.nodes_in_use()))
     return player
 
 
 def drain(rig: Rig) -> tuple[PlayoutNode, PlayoutNode]:
     """Begins to drain the node that plays; returns it and the other one."""
-    source = rig.playing()[0]
+    source = rig.nodes_in_use()[0]
     other = next(n for n in rig.fleet.nodes.values() if n is not source)
     source.ails.draining = True
     rig.fleet.publish()
@@ -350,14 +384,14 @@
 
 def ends(rig: Rig) -> list[str]:
     """Returns the end states of all moves so far, from the log."""
-    return [e["end"] for e in rig.logged() if e["event"] == "moved"]
+    return [e["end"] for e in rig.log_entries() if e["event"] == "moved"]
 
 
 def test_a_playback_leaves_a_draining_node_and_its_player_keeps_its_session(tmp_path: Path) -> None:
     """A move off a draining node keeps the session: the copy plays before the source ends."""
 
     async def test() -> None:
-        async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
+        async with running_front_end(tmp_path) as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery)
             source, target = drain(rig)
             await player.told.wait()
@@ -367,33 +401,39 @@
             assert source.sessions
             assert target.sessions  # make before break
             await player.done()
-            await until(lambda: not source.sessions and target.sessions)
-            await until(lambda: ends(rig) == ["done"])
-            assert (await rig.ask("POST", f"{player.here}/layer", b'{"encodingId": "1"}')).status == 200
+            await wait_until(lambda: not source.sessions and target.sessions)
+            await wait_until(lambda: ends(rig) == ["done"])
+            assert (await rig.request("POST", f"{player.here}/layer", b'{"encodingId": "1"}')).status == 200
             assert not player.ended.is_set()
-            assert (await rig.ask("DELETE", player.here)).status == 200
-            await until(lambda: not rig.playing())
-            helm = rig.front.helm if rig.front else None
+            assert (await rig.request("DELETE", player.here)).status == 200
+            await wait_until(lambda: not rig.nodes_in_use())
+            helm = rig.front_end.coordinator if rig.front_end else None
             assert helm is not None
-            await until(lambda: not helm.viewings and helm.playing == 0 and not helm.upstreams)
+            await wait_until(
+                lambda: (
+                    not helm.sessions_by_playback
+                    and helm.playing_count == 0
+                    and not helm.sessions_by_upstream
+                )
+            )
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 async def moved_away(rig: Rig, player: Player) -> PlayoutNode:
     """Drains the node that plays until its playback plays on the other one; returns the node that it left."""
-    helm, before = rig.helm(), len(ends(rig))
+    helm, before = rig.coordinator(), len(ends(rig))
     player.told = trio.Event()
     source, _ = drain(rig)
     await player.told.wait()
     assert (await player.offer()).status == 201
     await player.done()
-    await until(lambda: len(ends(rig)) > before and not source.sessions)
+    await wait_until(lambda: len(ends(rig)) > before and not source.sessions)
     assert ends(rig)[-1] == "done"
     source.ails.draining = False
     rig.fleet.publish()
-    await until(lambda: helm.roster.lines[source.name].listing is Listing.READY)
+    await wait_until(lambda: helm.node_list.listed_nodes[source.name].listing is NodeStatus.READY)
     return source
 
 
@@ -401,15 +441,15 @@
     """A node that was left and is ready again can be the target of a later move."""
 
     async def test() -> None:
-        async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
+        async with running_front_end(tmp_path) as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery)
             first = await moved_away(rig, player)
             second = await moved_away(rig, player)
             assert second is not first
-            assert rig.playing() == [first]
+            assert rig.nodes_in_use() == [first]
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_copy_keeps_to_the_pool_of_its_route(tmp_path: Path) -> None:
@@ -417,34 +457,34 @@
     form = """(pool first (nodes n1)) (route first (path "/whep/first/") (plan open) (pool first))"""
 
     async def test() -> None:
-        async with standing(tmp_path, form) as rig, trio.open_nursery() as nursery:
+        async with running_front_end(tmp_path, form) as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery, "/whep/first/t")
-            assert [n.name for n in rig.playing()] == ["n1"]
+            assert [n.name for n in rig.nodes_in_use()] == ["n1"]
             drain(rig)
             await player.told.wait()
             assert (await player.offer()).status == 503
-            assert [n.name for n in rig.playing()] == ["n1"]
+            assert [n.name for n in rig.nodes_in_use()] == ["n1"]
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_paid_playbacks_and_plain_players_stay(tmp_path: Path) -> None:
     """A paid playback on a draining node stays there, and its player is not asked."""
 
     async def test() -> None:
-        async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
+        async with running_front_end(tmp_path) as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery, "/whep/course/t")
             drain(rig)
-            await until(lambda: any(e["event"] == "leaving node" for e in rig.logged()))
-            said = next(e for e in rig.logged() if e["event"] == "leaving node")
+            await wait_until(lambda: any(e["event"] == "leaving node" for e in rig.log_entries()))
+            said = next(e for e in rig.log_entries() if e["event"] == "leaving node")
             assert (said["moves"], said["stay"]) == (0, 1)
             assert (await player.offer()).status == 409
             assert not player.told.is_set()
-            assert len(rig.facts("ran")) == 1
+            assert len(rig.recorded("ran")) == 1
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 @pytest.mark.parametrize(
@@ -456,7 +496,7 @@
     """Each failure during a move leads to its defined end state, on real sockets."""
 
     async def test() -> None:
-        async with standing(tmp_path, fleet="(most-tries 1)") as rig, trio.open_nursery() as nursery:
+        async with running_front_end(tmp_path, fleet="(most-tries 1)") as rig, trio.open_nursery() as nursery:
             player = await playing(rig, nursery)
             source, target = drain(rig)
             await player.told.wait()
@@ -467,7 +507,7 @@
 
             match fault:
                 case "silent player":
-                    await until(lambda: ends(rig))
+                    await wait_until(lambda: ends(rig))
                     assert ends(rig)[0] == "stayed"
                     assert source.sessions
                 case "target refuses":
@@ -478,7 +518,7 @@
                 case "target dies beside":
                     assert (await player.offer()).status == 201
                     target.kill()
-                    await until(lambda: ends(rig) == ["stayed"])
+                    await wait_until(lambda: ends(rig) == ["stayed"])
                     assert source.sessions
                 case "source dies asked":
                     source.kill()
@@ -487,46 +527,50 @@
                 case "source dies placing":
                     target.ails.hung = True
                     nursery.start_soon(offer_)
-                    await until(lambda: target.sessions)
+                    await wait_until(lambda: target.sessions)
                     source.kill()
-                    await until(lambda: any(e.get("state") == Course.ORPHANED.value for e in rig.logged()))
+                    await wait_until(
+                        lambda: any(e.get("state") == MoveState.ORPHANED.value for e in rig.log_entries())
+                    )
                     target.ails.hung = False
                     target.stir()
-                    await until(lambda: answers)
+                    await wait_until(lambda: answers)
                     assert answers[0].status == 201  # the copy has become the playback
                     assert not player.ended.is_set()
-                    assert (await rig.ask("DELETE", player.here)).status == 200
+                    assert (await rig.request("DELETE", player.here)).status == 200
                 case "viewer leaves beside":
                     assert (await player.offer()).status == 201
-                    assert (await rig.ask("DELETE", player.here)).status == 200
-                    await until(lambda: not rig.playing())
+                    assert (await rig.request("DELETE", player.here)).status == 200
+                    await wait_until(lambda: not rig.nodes_in_use())
                 case "taken back":
                     source.ails.draining = False
                     rig.fleet.publish()
-                    await until(lambda: ends(rig) == ["stayed"])
+                    await wait_until(lambda: ends(rig) == ["stayed"])
                     assert (await player.offer()).status == 409
                 case "taken back placing":
                     target.ails.hung = True
                     nursery.start_soon(offer_)
-                    await until(lambda: target.sessions)
+                    await wait_until(lambda: target.sessions)
                     source.ails.draining = False
                     rig.fleet.publish()
-                    await until(lambda: any(e.get("state") == Course.RECALLED.value for e in rig.logged()))
+                    await wait_until(
+                        lambda: any(e.get("state") == MoveState.RECALLED.value for e in rig.log_entries())
+                    )
                     target.ails.hung = False
                     target.stir()
-                    await until(lambda: answers and not target.sessions)
+                    await wait_until(lambda: answers and not target.sessions)
                     assert answers[0].status == 503
                     assert source.sessions
                 case "source dies beside":
                     assert (await player.offer()).status == 201
                     source.kill()
-                    await until(lambda: ends(rig) == ["done"])
+                    await wait_until(lambda: ends(rig) == ["done"])
                     assert not player.ended.is_set()
-                    assert (await rig.ask("DELETE", player.here)).status == 200
-                    await until(lambda: not rig.playing())
+                    assert (await rig.request("DELETE", player.here)).status == 200
+                    await wait_until(lambda: not rig.nodes_in_use())
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_rtp_is_read_as_it_is_sent_and_a_screen_plays_an_overlap_once() -> None:
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -8,18 +8,18 @@
 import pytest
 import trio
 import trio.testing
-from rig import Rig, run, standing, until
-from test_catalogue import AUTH, OPS
+from rig import Rig, run_async_test, running_front_end, wait_until
+from test_catalogue import AUTH, OPERATORS_FORM
 from test_moves import drain, playing
 
-from oakcroft.decisions.routing.catalogue import Verdict
-from oakcroft.decisions.admission.service_levels import Acts, Level
-from oakcroft.front.catalogue_versions import Catalogues
+from oakcroft.decisions.routing.catalogue import CatalogueVerdict
+from oakcroft.decisions.admission.service_levels import LevelEffects, ServiceLevel
+from oakcroft.front.catalogue_versions import CatalogueVersions
 from oakcroft.front import rendition_bound
-from oakcroft.front.playback_session import Viewing
-from oakcroft.decisions.fleet.backoff import Rhythm
-from oakcroft.decisions.sessions.event_stream_health import Life
-from oakcroft.decisions.routing.configuration_version import Verdict as Taken
+from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.decisions.fleet.backoff import RetryPolicy
+from oakcroft.decisions.sessions.event_stream_health import StreamState
+from oakcroft.decisions.routing.configuration_version import ConfigurationVerdict as Taken
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import MS
 from oakcroft.standins.playout import PlayoutNode
@@ -35,142 +35,147 @@
 )
 
 
-def catalogues(rig: Rig) -> Catalogues:
-    assert rig.front is not None
-    assert rig.front.catalogues is not None
-    return rig.front.catalogues
+def catalogues(rig: Rig) -> CatalogueVersions:
+    assert rig.front_end is not None
+    assert rig.front_end.catalogues is not None
+    return rig.front_end.catalogues
 
 
-async def taken(rig: Rig, text: str) -> None:
+async def replace_catalogue(rig: Rig, text: str) -> None:
     verdict, why = await catalogues(rig).replace(text, None, False, "")
-    assert verdict is Verdict.TAKEN, why
+    assert verdict is CatalogueVerdict.TAKEN, why
 
 
-async def watched(rig: Rig) -> tuple[Response, Viewing]:
-    sat = await rig.watch()
+async def start_playback(rig: Rig) -> tuple[Response, PlaybackSession]:
+    sat = await rig.request_playback()
     assert sat.status == 201
-    return sat, rig.helm().sessions[(sat.header("location") or "").rpartition("/")[2]]
+    return sat, rig.coordinator().sessions_by_id[(sat.header("location") or "").rpartition("/")[2]]
 
 
-async def layer(rig: Rig, sat: Response, rung: int) -> int:
-    here = f"{sat.header('location')}/layer"
+async def set_rung(rig: Rig, answer: Response, rung: int) -> int:
+    here = f"{answer.header('location')}/layer"
     return (
-        await rig.ask("POST", here, b'{"encodingId": "%d"}' % rung, Content_Type="application/json")
+        await rig.request("POST", here, b'{"encodingId": "%d"}' % rung, Content_Type="application/json")
     ).status
 
 
 def test_a_viewers_wish_stays_within_the_catalogue_and_outlives_its_changes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, OPS) as rig:
-            await taken(rig, TWO)
-            sat, v = await watched(rig)
-            assert await layer(rig, sat, 2) == 200  # a rung that exists, but not for this title
-            await until(lambda: v.asked_top == 2)
-            assert v.pb.top == 1
-            assert await layer(rig, sat, 0) == 200
-            await until(lambda: v.pb.top == 0)
-            await taken(rig, THREE)
-            assert v.pb.top == 0
-            assert await layer(rig, sat, 2) == 200
-            await until(lambda: v.pb.top == 2)
-            rig.judged()
-
-    run(test)
+        async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
+            await replace_catalogue(rig, TWO)
+            sat, v = await start_playback(rig)
+            assert await set_rung(rig, sat, 2) == 200  # a rung that exists, but not for this title
+            await wait_until(lambda: v.requested_top == 2)
+            assert v.playback.top_rung == 1
+            assert await set_rung(rig, sat, 0) == 200
+            await wait_until(lambda: v.playback.top_rung == 0)
+            await replace_catalogue(rig, THREE)
+            assert v.playback.top_rung == 0
+            assert await set_rung(rig, sat, 2) == 200
+            await wait_until(lambda: v.playback.top_rung == 2)
+            rig.assert_rules_hold()
+
+    run_async_test(test)
 
 
 def test_a_step_down_that_a_later_catalogue_takes_back_is_not_carried_out(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, OPS) as rig:
-            _, v = await watched(rig)
-            v.pb.rung = 2
-            catalogues(rig).steps.last = rig.helm().clock.now() + 10**12  # no batch is due yet
-            await taken(rig, ONE)
-            assert len(catalogues(rig).steps.waiting) == 1
-            await taken(rig, THREE)
-            catalogues(rig).steps.last = 0
-            await until(lambda: not catalogues(rig).steps.waiting)
-            assert (await rig.ask("GET", "/operators/status", **AUTH)).status == 200
-            assert v.pb.top == 2
-            assert not any(f["rung"] == 0 for f in rig.facts("rung"))
-
-    run(test)
+        async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
+            _, v = await start_playback(rig)
+            v.playback.rung = 2
+            catalogues(rig).step_downs.last_batch_at = (
+                rig.coordinator().clock.now() + 10**12
+            )  # no batch is due yet
+            await replace_catalogue(rig, ONE)
+            assert len(catalogues(rig).step_downs.waiting) == 1
+            await replace_catalogue(rig, THREE)
+            catalogues(rig).step_downs.last_batch_at = 0
+            await wait_until(lambda: not catalogues(rig).step_downs.waiting)
+            assert (await rig.request("GET", "/operators/status", **AUTH)).status == 200
+            assert v.playback.top_rung == 2
+            assert not any(f["rung"] == 0 for f in rig.recorded("rung"))
+
+    run_async_test(test)
 
 
 def test_a_level_bounds_no_playback_that_plays_and_no_wish_beyond_what_it_is(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig:
-            core = rig.front.core if rig.front else None
+        async with running_front_end(tmp_path) as rig:
+            core = rig.front_end.service if rig.front_end else None
             assert core is not None
-            assert core.reducing is not None
-            earlier, before = await watched(rig)
-            core.reducing.levels.levels[0] = Level("careful", (), Acts(top=1))
-            later, after = await watched(rig)
-            assert (before.pb.top, after.pb.top) == (2, 1)
+            assert core.service_levels is not None
+            earlier, before = await start_playback(rig)
+            core.service_levels.controller.levels[0] = ServiceLevel("careful", (), LevelEffects(max_rung=1))
+            later, after = await start_playback(rig)
+            assert (before.playback.top_rung, after.playback.top_rung) == (2, 1)
             for sat in (earlier, later):
-                assert await layer(rig, sat, 2) == 200
+                assert await set_rung(rig, sat, 2) == 200
             await trio.testing.wait_all_tasks_blocked()
-            assert (before.pb.top, after.pb.top) == (2, 1)
+            assert (before.playback.top_rung, after.playback.top_rung) == (2, 1)
 
-    run(test)
+    run_async_test(test)
 
 
 def test_the_loss_of_a_node_speaks_once_against_it_however_many_play_there(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig:
+        async with running_front_end(tmp_path) as rig:
             node, *_ = rig.fleet.nodes.values()
             rig.node("n2").ails.draining = True
             rig.fleet.publish()
-            await until(lambda: rig.helm().roster.lines["n2"].listing.value == "draining")
+            await wait_until(
+                lambda: rig.coordinator().node_list.listed_nodes["n2"].listing.value == "draining"
+            )
             for n in range(6):
-                assert (await rig.watch(f"/whep/open/t{n}")).status == 201
+                assert (await rig.request_playback(f"/whep/open/t{n}")).status == 201
             node.ails.silent = True
-            known = rig.helm().roster.nodes["n1"]
-            await until(lambda: any(e["event"] == "node lost" for e in rig.logged()))
-            assert 0 < known.distrust.sum <= 1.5
+            known = rig.coordinator().node_list.nodes["n1"]
+            await wait_until(lambda: any(e["event"] == "node lost" for e in rig.log_entries()))
+            assert 0 < known.failure_score.value <= 1.5
             node.ails.silent = False
             node.stir()
-            await until(lambda: not rig.helm().viewings)
-            rig.judged()
+            await wait_until(lambda: not rig.coordinator().sessions_by_playback)
+            rig.assert_rules_hold()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_new_configuration_weighs_plans_in_the_line_too(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig:
-            core = rig.front.core if rig.front else None
+        async with running_front_end(tmp_path) as rig:
+            core = rig.front_end.service if rig.front_end else None
             assert core is not None
-            assert core.line.plans["course"].weight == 0.5
-            site = rig.helm().site
+            assert core.fair_queue.plans["course"].weight == 0.5
+            site = rig.coordinator().site
             plan = site.plans["course"]
-            dear = replace(plan, plan=replace(plan.plan, revenue=8.0, startup_target=5))
+            dear = replace(plan, plan=replace(plan.plan, revenue=8.0, startup_target_ns=5))
             found = replace(
-                rig.helm().versions.offer.compiled, site=replace(site, plans=site.plans | {"course": dear})
+                rig.coordinator().active_configuration.version.compiled,
+                shared=replace(site, plans=site.plans | {"course": dear}),
             )
-            meaning = dict(found.meaning) | {"plan": {"course": {"revenue": 8.0}}}
-            assert rig.front is not None
-            assert await rig.front.offer(1, replace(found, meaning=meaning)) is Taken.TAKEN
-            assert core.line.plans["course"].weight == 0.8
-            assert core.line.targets["course"] == 5
+            meaning = dict(found.resolved) | {"plan": {"course": {"revenue": 8.0}}}
+            assert rig.front_end is not None
+            assert await rig.front_end.apply_configuration(1, replace(found, resolved=meaning)) is Taken.TAKEN
+            assert core.fair_queue.plans["course"].weight == 0.8
+            assert core.fair_queue.startup_targets["course"] == 5
 
-    run(test)
+    run_async_test(test)
 
 
 @dataclass
-class Refused:
+class RejectedCalls:
     """The paths of rejected calls, and whether calls are being rejected."""
 
-    asked: list[str] = field(default_factory=list)
-    now: bool = True
+    paths: list[str] = field(default_factory=list)
+    is_active: bool = True
 
 
-def refusing(monkeypatch: pytest.MonkeyPatch, status: int) -> Refused:
+def reject_rung_changes(monkeypatch: pytest.MonkeyPatch, status: int) -> RejectedCalls:
     """Makes all nodes answer each rung change with `status`."""
-    refused, handle = Refused(), PlayoutNode.handle
+    refused, handle = RejectedCalls(), PlayoutNode.handle
 
     async def answer(node: PlayoutNode, request: Request) -> Response:
-        if refused.now and request.path.endswith("/layer"):
-            refused.asked.append(request.path)
+        if refused.is_active and request.path.endswith("/layer"):
+            refused.paths.append(request.path)
             return Response(status)
         return await handle(node, request)
 
@@ -181,88 +186,110 @@
 def test_the_module_learns_what_is_in_force_where_a_step_down_found_no_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refused = refusing(monkeypatch, 503)
+    refused = reject_rung_changes(monkeypatch, 503)
 
     async def test() -> None:
-        async with standing(tmp_path) as rig:
-            sat, v = await watched(rig)
-            before = v.pb.rung
+        async with running_front_end(tmp_path) as rig:
+            sat, v = await start_playback(rig)
+            before = v.playback.rung
             assert before > 0
-            await until(lambda: rig.helm().legs[rig.playing()[0].name].lifeline.state is Life.HEARD)
-            assert await layer(rig, sat, 0) == 200
-            await until(lambda: len(refused.asked) > 1)
-            await until(lambda: v.pb.rung == before)
-            assert not rig.facts("rung")
+            await wait_until(
+                lambda: (
+                    rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
+                    is StreamState.ALIVE
+                )
+            )
+            assert await set_rung(rig, sat, 0) == 200
+            await wait_until(lambda: len(refused.paths) > 1)
+            await wait_until(lambda: v.playback.rung == before)
+            assert not rig.recorded("rung")
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_request_goes_to_another_wing_while_its_own_drains(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, PREFERENCE, wings=True) as rig:
+        async with running_front_end(tmp_path, PREFERENCE, two_zones=True) as rig:
             rig.node("n1").ails.draining = True
             rig.fleet.publish()
-            await until(lambda: rig.helm().roster.lines["n1"].listing.value == "draining")
-            answers = [(await rig.watch(f"/whep/open/u{n}")).status for n in range(8)]
+            await wait_until(
+                lambda: rig.coordinator().node_list.listed_nodes["n1"].listing.value == "draining"
+            )
+            answers = [(await rig.request_playback(f"/whep/open/u{n}")).status for n in range(8)]
             assert 201 in answers
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_wish_that_its_node_refused_is_carried_out_once_the_node_takes_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refused = refusing(monkeypatch, 409)
+    refused = reject_rung_changes(monkeypatch, 409)
 
     async def test() -> None:
-        async with standing(tmp_path) as rig:
-            sat, v = await watched(rig)
-            before = v.pb.rung
-            await until(lambda: rig.helm().legs[rig.playing()[0].name].lifeline.state is Life.HEARD)
-            assert await layer(rig, sat, 0) == 200
+        async with running_front_end(tmp_path) as rig:
+            sat, v = await start_playback(rig)
+            before = v.playback.rung
+            await wait_until(
+                lambda: (
+                    rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
+                    is StreamState.ALIVE
+                )
+            )
+            assert await set_rung(rig, sat, 0) == 200
             # The node's event has told the rung in force.
-            await until(lambda: v.pb.top == 0 and v.pb.rung == before)
-            refused.now = False
-            for leg in rig.helm().legs.values():
-                leg.renew()
-            await until(lambda: rig.facts("rung"), 2)
+            await wait_until(lambda: v.playback.top_rung == 0 and v.playback.rung == before)
+            refused.is_active = False
+            for leg in rig.coordinator().node_clients.values():
+                leg.reopen_stream()
+            await wait_until(lambda: rig.recorded("rung"), 2)
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_node_that_refuses_every_step_down_is_asked_a_bounded_number_of_times(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refused = refusing(monkeypatch, 409)
-    monkeypatch.setattr(rendition_bound, "RENDITION_BOUND", Rhythm(20 * MS, 40 * MS, 2.0, 200 * MS))
+    refused = reject_rung_changes(monkeypatch, 409)
+    monkeypatch.setattr(rendition_bound, "RENDITION_BOUND", RetryPolicy(20 * MS, 40 * MS, 2.0, 200 * MS))
 
     async def test() -> None:
-        async with standing(tmp_path) as rig:
-            sat, v = await watched(rig)
-            before = v.pb.rung
-            await until(lambda: rig.helm().legs[rig.playing()[0].name].lifeline.state is Life.HEARD)
-            assert await layer(rig, sat, 0) == 200
-            await until(lambda: [e for e in rig.logged() if e["event"] == "rendition bound not in force"])
-            assert 3 <= len(refused.asked) <= 12
+        async with running_front_end(tmp_path) as rig:
+            sat, v = await start_playback(rig)
+            before = v.playback.rung
+            await wait_until(
+                lambda: (
+                    rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
+                    is StreamState.ALIVE
+                )
+            )
+            assert await set_rung(rig, sat, 0) == 200
+            await wait_until(
+                lambda: [e for e in rig.log_entries() if e["event"] == "rendition bound not in force"]
+            )
+            assert 3 <= len(refused.paths) <= 12
             # It plays on, and the decision module knows the rung in force.
-            assert (v.pb.rung, v.pb.top) == (before, 0)
-            leg = rig.helm().legs[rig.playing()[0].name]
-            refused.now, asked_at = False, leg.asked_at
-            leg.renew()
-            await until(lambda: leg.lifeline.last_heard > leg.asked_at > asked_at)
+            assert (v.playback.rung, v.playback.top_rung) == (before, 0)
+            leg = rig.coordinator().node_clients[rig.nodes_in_use()[0].name]
+            refused.is_active, asked_at = False, leg.stream_requested_at
+            leg.reopen_stream()
+            await wait_until(lambda: leg.stream_health.last_heard_at > leg.stream_requested_at > asked_at)
             await trio.testing.wait_all_tasks_blocked()
-            assert not v.bound_retry_waits  # the node's event alone does not restart the attempts
-            assert not rig.facts("rung")
-            assert await layer(rig, sat, 0) == 200  # a new request does
-            await until(lambda: rig.facts("rung"))
-            rig.judged()
+            assert not v.bound_retry_pending  # the node's event alone does not restart the attempts
+            assert not rig.recorded("rung")
+            assert await set_rung(rig, sat, 0) == 200  # a new request does
+            await wait_until(lambda: rig.recorded("rung"))
+            rig.assert_rules_hold()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_playback_moves_to_another_wing_when_its_own_drains(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path, PREFERENCE, wings=True) as rig, trio.open_nursery() as nursery:
+        async with (
+            running_front_end(tmp_path, PREFERENCE, two_zones=True) as rig,
+            trio.open_nursery() as nursery,
+        ):
             player = await playing(rig, nursery)
             drain(rig)
             await player.told.wait()
@@ -270,4 +297,4 @@
             nursery.cancel_scope.cancel()
         assert answer.status == 201
 
-    run(test)
+    run_async_test(test)
--- a/tests/test_owners_judged.py
+++ b/tests/test_owners_judged.py
@@ -22,7 +22,7 @@
 class Unchecked(Fence):
     """A fence that admits everything."""
 
-    def admits(self, duty: str, number: int, step: int) -> bool:
+    def admits(self, lease_name: str, fencing_token: int, step: int) -> bool:
         return True
 
 
@@ -49,14 +49,14 @@
     fences, place = {f: fence() for f in NAMES}, 0
     for t, front, number, step in sorted(arriving):
         if fences[front].admits(DUTY, number, step):
-            fences[front].takes(DUTY, number, step)
+            fences[front].record(DUTY, number, step)
             facts.append(
                 {"t": t, "kind": "effect", "front": front, "place": place, "number": number, "step": step}
             )
             place += 1
     last = max(f["t"] for f in facts)
     for front in NAMES:
-        seen = list(fences[front].seen[DUTY])
+        seen = list(fences[front].highest_seen[DUTY])
         facts.append(
             {"t": last, "kind": "stands", "front": front, "fence": seen, "in_force": "x", "stage": "done"}
         )
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,11 +25,11 @@
 import pytest
 import structlog
 import trio
-from rig import DAY, SITE, run, standing, until
+from rig import DAY_TEMPLATE, SITE_TEMPLATE, run_async_test, running_front_end, wait_until
 
 from oakcroft import __version__
-from oakcroft.config.pipeline import check, told
-from oakcroft.config.settings import OtherZone, PeersPlace
+from oakcroft.config.pipeline import check_file, build_deployment
+from oakcroft.config.settings import OtherZone, PeerSettings
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import (
@@ -90,7 +90,7 @@
         number, path = self.names.index(name), self.folder / f"{name}.oak"
         (host, port), (relay, _) = self.between.fronts[name], self.between.relays[name]
         seeds = " ".join(f'"{h}:{p}"' for h, p in list(self.between.relays.values())[:2])
-        site = SITE.replace("(fronts 1)", f"(fronts {len(self.names)})")
+        site = SITE_TEMPLATE.replace("(fronts 1)", f"(fronts {len(self.names)})")
         site = site.replace("EXTRA", f'(operators (secret "{TOKEN}")) (limit all (on all) (rate 50/s))')
         path.write_text(f"""(front (number {number}) (seed {number + 1}) (zone west) (listen "127.0.0.1:0")
             (list-service "127.0.0.1:{self.nodes.list_port}"))
@@ -160,8 +160,8 @@
 
 @asynccontextmanager
 async def fronts(folder: Path, many: int = 5, kind: type[Fronts] = Fronts) -> AsyncIterator[Fronts]:
-    site = SITE.replace("EXTRA", "").replace("(fronts 1)", f"(fronts {many})")
-    plan = DAY.replace("(fronts west)", f"(fronts{' west' * many})").replace("SITE", site)
+    site = SITE_TEMPLATE.replace("EXTRA", "").replace("(fronts 1)", f"(fronts {many})")
+    plan = DAY_TEMPLATE.replace("(fronts west)", f"(fronts{' west' * many})").replace("SITE", site)
     day = parse(plan, "day")
     record = Record(folder / "fleet.jsonl")
     async with trio.open_nursery() as nursery:
@@ -191,7 +191,7 @@
         async with fronts(folder) as rig:
             await test(rig)
 
-    run(whole, 90)
+    run_async_test(whole, 90)
 
 
 def test_one_is_killed_and_one_stands_still(tmp_path: Path) -> None:
@@ -287,11 +287,11 @@
 def test_peers_that_could_not_be_reached_are_found_by_the_check() -> None:
     def errors(peers: str) -> list[str]:
         text = (
-            SITE.replace("EXTRA", "")
+            SITE_TEMPLATE.replace("EXTRA", "")
             + f'(front (zone west) (listen "127.0.0.1:80") (list-service "127.0.0.1:1")) (peers {peers})'
         )
-        _, problems = check("front", lambda _: text)
-        return [p.what for p in problems.errors]
+        _, problems = check_file("front", lambda _: text)
+        return [p.message for p in problems.errors]
 
     good = '(name a) (listen "127.0.0.1:7946") (seeds "127.0.0.1:7947") (key-file "k")'
     assert errors(good) == []
@@ -312,16 +312,18 @@
 
 def zoned(zones: str = ZONES, more: str = "", own: str = "north", peers: bool = True) -> str:
     """A front's text in a fleet of zones."""
-    text = SITE.replace("EXTRA", "").replace("(wings west)", "(wings north south west)") + zones + more
+    text = (
+        SITE_TEMPLATE.replace("EXTRA", "").replace("(wings west)", "(wings north south west)") + zones + more
+    )
     text += f'(front (zone {own}) (listen "127.0.0.1:80") (list-service "127.0.0.1:1"))'
     return text + ('(peers (name a) (listen "127.0.0.1:7946") (key-file "k"))' if peers else "")
 
 
 def test_a_front_in_a_zone_knows_its_seeds_and_the_other_zones() -> None:
-    found, problems = check("front", lambda _: zoned())
-    assert problems.found == []
+    found, problems = check_file("front", lambda _: zoned())
+    assert problems.items == []
     assert found is not None
-    place = told(found).stand.peers
+    place = build_deployment(found).front.peers
     assert place is not None
     assert place.region == "europe"
     assert place.seeds == (("127.0.0.1", 7946), ("127.0.0.1", 7947))
@@ -329,9 +331,9 @@
 
 
 def test_without_zones_the_membership_stays_flat() -> None:
-    found, _ = check("front", lambda _: zoned(zones=""))
+    found, _ = check_file("front", lambda _: zoned(zones=""))
     assert found is not None
-    place = told(found).stand.peers
+    place = build_deployment(found).front.peers
     assert place is not None
     assert (place.region, place.other_zones) == ("", ())
 
@@ -353,12 +355,12 @@
     ],
 )
 def test_zones_that_could_not_work_are_refused(text: str, error: str) -> None:
-    _, problems = check("front", lambda _: text)
-    assert any(error in problem.what for problem in problems.errors), [p.what for p in problems.errors]
+    _, problems = check_file("front", lambda _: text)
+    assert any(error in problem.message for problem in problems.errors), [p.message for p in problems.errors]
 
 
 def test_sharing_loads_and_taking_over_go_on_within_a_zone() -> None:
-    _, problems = check("front", lambda _: zoned(more="(probing) (adopting)"))
+    _, problems = check_file("front", lambda _: zoned(more="(probing) (adopting)"))
     assert problems.errors == []
 
 
@@ -410,7 +412,7 @@
             await rig.see_zones({"f0": (1, 1), "f2": (1, 1)})
             assert await rig.standings("f0") == {"f0": "alive", "f2": "alive"}
 
-    run(test, 120)
+    run_async_test(test, 120)
 
 
 def test_keys_and_seals() -> None:
@@ -507,7 +509,9 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.73.1", 0))
         port = probe.getsockname()[1]
-    place = PeersPlace("a", ("127.0.73.1", port), ("127.0.73.1", port), (), str(tmp_path / "key"), "one", "")
+    place = PeerSettings(
+        "a", ("127.0.73.1", port), ("127.0.73.1", port), (), str(tmp_path / "key"), "one", ""
+    )
     log, codec = io.BytesIO(), MembershipCodec("one", KeyRing(parse_keys(KEY)))
 
     async def test() -> None:
@@ -537,7 +541,7 @@
             assert view.standing("b") is ALIVE
             nursery.cancel_scope.cancel()
 
-    run(test, 20)
+    run_async_test(test, 20)
     assert b"planted" in log.getvalue()
 
 
@@ -551,7 +555,7 @@
     codec, rng = MembershipCodec("oakcroft", KeyRing(parse_keys(KEY))), Random(1)
 
     async def test() -> None:
-        async with standing(tmp_path, extra=extra) as rig, trio.open_nursery() as nursery:
+        async with running_front_end(tmp_path, extra=extra) as rig, trio.open_nursery() as nursery:
             said = [0]
 
             async def lie() -> None:
@@ -588,15 +592,15 @@
             nursery.start_soon(lie)
             for i in range(60):
                 answer = await nursery.start(
-                    rig.viewer, f"k{i}", ("/whep/course/t", "/whep/open/t", "/whep/seats/t")[i % 3]
+                    rig.recorded_viewer, f"k{i}", ("/whep/course/t", "/whep/open/t", "/whep/seats/t")[i % 3]
                 )
                 assert answer is None
                 await trio.sleep(0.01)
-            asked = {f["key"] for f in rig.facts("ask")}
-            await until(lambda: {f["key"] for f in rig.facts("got")} == asked)
+            asked = {f["key"] for f in rig.recorded("ask")}
+            await wait_until(lambda: {f["key"] for f in rig.recorded("got")} == asked)
             assert said[0] > 100
-            assert [f for f in rig.facts("got") if f["status"] == 201]
-            assert rig.breaches() == {}, rig.breaches()
+            assert [f for f in rig.recorded("got") if f["status"] == 201]
+            assert rig.rule_breaches() == {}, rig.rule_breaches()
             nursery.cancel_scope.cancel()
 
-    run(test, 40)
+    run_async_test(test, 40)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,18 +14,18 @@
 import pytest
 import structlog
 import trio
-from helpers import PlatformRig, on_platform
-from rig import until
+from helpers import PlatformRig, run_on_platform
+from rig import wait_until
 
 from oakcroft.config import pipeline as compiling
 from oakcroft.decisions.fleet import node_list_freshness
-from oakcroft.interface import MS, SECOND, Listing, State
+from oakcroft.interface import MS, SECOND, NodeStatus, PlaybackState
 from oakcroft.platform import session_coordinator as limits
-from oakcroft.platform.node_pool import Pool
-from oakcroft.platform.playback_session import Asked
+from oakcroft.platform.node_pool import NodePool
+from oakcroft.platform.playback_session import SetupRequest
 from oakcroft.platformwire import framing
 from oakcroft.rulecheck.rules import judge
-from oakcroft.running.logs import Rate
+from oakcroft.running.logs import LineRateLimiter
 
 A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
 FAILED, REFUSED, OVER = 41, 42, 16
@@ -33,7 +33,7 @@
 
 def site() -> Any:
     """The rules that the recorded facts are judged by."""
-    found, _problems = compiling.check(
+    found, _problems = compiling.check_file(
         "s",
         lambda _: (
             """(fleet (fronts 1) (cells 2) (drain-grace 250ms) (cold-share 0.5) (cold-for 200ms)
@@ -42,10 +42,10 @@
   (plan free (effect free) (startup-target 400ms) (abandon 1500ms) (revenue 1))
   (route p (path "/p/") (plan paid)) (route f (path "/f/") (plan free))"""
         ),
-        front=False,
+        is_front_file=False,
     )
     assert found is not None
-    return compiling.told(found).site
+    return compiling.build_deployment(found).shared
 
 
 def broken(rig: PlatformRig) -> list[str]:
@@ -58,28 +58,32 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await viewer.say(framing.TEST, C, 0)
-        assert await viewer.hear() == (framing.TESTED, C, 1, b"")
-        await viewer.ask(A, "paid", text='é\u2028"\r\n'.encode())
-        answer = await viewer.hear()
-        node = next(n for n in rig.nodes if n.got("open"))
+        await viewer.send(framing.TEST, C, 0)
+        assert await viewer.receive() == (framing.TESTED, C, 1, b"")
+        await viewer.send_setup(A, "paid", text='é\u2028"\r\n'.encode())
+        answer = await viewer.receive()
+        node = next(n for n in rig.nodes if n.received_messages("open"))
         assert answer == (framing.ANSWER, A, 255, f"{node.name} é\r\n{A}".encode())
-        said = node.got("open")[0]
+        said = node.received_messages("open")[0]
         assert said["text"] == 'é\u2028"\r\n'
         assert said["attrs"]["class"] == "paid"
         assert 0 < int(said["attrs"]["left"]) <= 1000
-        ticket = rig.owner.tickets[A]
-        assert ticket.pb.node is not None
-        await node.say(node.links[0], msg="event", sid=A, attrs={"note": "local", "value": "0.75"})
-        await until(lambda: ticket.pb.node is not None and ticket.pb.node.reported == 0.75)
-        await node.say(node.links[0], msg="event", sid=A, attrs={"note": "local", "value": "nan"})
-        await node.say(node.links[0], msg="close", sid=A, attrs={"load": "x0:0.5"}, code=16)
-        assert await viewer.hear() == (framing.RELEASE, A, OVER, b"")
-        assert ticket.pb.node.reported == 0.75  # the load report in the close is older than the note
-        assert not rig.owner.tickets
+        ticket = rig.owner.sessions[A]
+        assert ticket.playback.node is not None
+        await node.send(node.streams[0], msg="event", sid=A, attrs={"note": "local", "value": "0.75"})
+        await wait_until(
+            lambda: ticket.playback.node is not None and ticket.playback.node.reported_load == 0.75
+        )
+        await node.send(node.streams[0], msg="event", sid=A, attrs={"note": "local", "value": "nan"})
+        await node.send(node.streams[0], msg="close", sid=A, attrs={"load": "x0:0.5"}, code=16)
+        assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
+        assert (
+            ticket.playback.node.reported_load == 0.75
+        )  # the load report in the close is older than the note
+        assert not rig.owner.sessions
         assert broken(rig) == []
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 @pytest.mark.parametrize(
@@ -101,17 +105,17 @@
     async def test(rig: PlatformRig) -> None:
         rig.nodes[0].script = rig.nodes[1].script = [does]  # applies to whichever node is tried first
         first = await rig.viewer()
-        await first.ask(A, plan, wait="700")
-        heard = await first.hear()
+        await first.send_setup(A, plan, wait="700")
+        heard = await first.receive()
         assert heard is not None
         assert heard[:3] == (framing.ANSWER if cause == 255 else framing.RELEASE, A, cause)
-        assert sum(len(n.got("open", A)) for n in rig.nodes) == tries
+        assert sum(len(n.received_messages("open", A)) for n in rig.nodes) == tries
         if does == "silence":
-            await until(lambda: any(n.got("close", A) for n in rig.nodes))
-        assert rig.owner.setting_up == 0
+            await wait_until(lambda: any(n.received_messages("close", A) for n in rig.nodes))
+        assert rig.owner.setup_count == 0
         assert broken(rig) == []
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 @pytest.mark.parametrize("plan", ["paid", "free"])
@@ -121,16 +125,16 @@
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         rig.nodes[0].script = rig.nodes[1].script = ["brief"]
-        await viewer.ask(A, plan)
-        answer = await viewer.hear()
-        node = next(n for n in rig.nodes if n.got("open"))
+        await viewer.send_setup(A, plan)
+        answer = await viewer.receive()
+        node = next(n for n in rig.nodes if n.received_messages("open"))
         assert answer == (framing.ANSWER, A, 255, f"{node.name} é\r\n{A}".encode())
-        assert await viewer.hear() == (framing.RELEASE, A, OVER, b"")
-        assert sum(len(n.got("open")) for n in rig.nodes) == 1
-        assert not rig.owner.tickets
+        assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
+        assert sum(len(n.received_messages("open")) for n in rig.nodes) == 1
+        assert not rig.owner.sessions
         assert broken(rig) == []
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_planted_second_try_of_a_paid_playback_is_found() -> None:
@@ -138,15 +142,15 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await viewer.ask(A, "paid", wait="900")
-        await until(lambda: any(n.got("open") for n in rig.nodes))
-        node, other = sorted(rig.nodes, key=lambda n: -len(n.heard))
-        said = node.got("open")[0]
+        await viewer.send_setup(A, "paid", wait="900")
+        await wait_until(lambda: any(n.received_messages("open") for n in rig.nodes))
+        node, other = sorted(rig.nodes, key=lambda n: -len(n.received))
+        said = node.received_messages("open")[0]
         async with await trio.open_tcp_stream("127.0.0.1", other.port) as stream:
-            await other.set_up(trio.SocketStream(stream.socket), said)
+            await other.handle_setup(trio.SocketStream(stream.socket), said)
         assert any("paid" in b for b in broken(rig))
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_node_that_refuses_connections_costs_no_paid_playback() -> None:
@@ -155,13 +159,13 @@
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for i in range(8):
-            await viewer.ask(f"{i + 1:016x}", "paid", title=f"t{i}")
-            heard = await viewer.hear()
+            await viewer.send_setup(f"{i + 1:016x}", "paid", title=f"t{i}")
+            heard = await viewer.receive()
             assert heard is not None
             assert heard[0] == framing.ANSWER
-        assert len(rig.nodes[1].got("open")) == 8
+        assert len(rig.nodes[1].received_messages("open")) == 8
 
-    on_platform(test, dead=0)
+    run_on_platform(test, dead=0)
 
 
 def test_what_is_told_of_a_playback_before_it_is_handed_over_is_believed() -> None:
@@ -169,22 +173,22 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer, (node, _) = await rig.viewer(), rig.nodes
-        await viewer.ask(A, at="n0", wait="0")
-        await until(lambda: A in rig.owner.tickets and node.links)
-        link = node.links[0]
-        await node.say(link, msg="event", sid=B, attrs={"note": "grade", "value": "2"})
-        await node.say(link, msg="close", sid=C, attrs={}, code=16)
-        await until(lambda: len(rig.owner.early) == 2)
-        await viewer.ask(B, at="n0", wait="0")
-        await viewer.ask(C, at="n0", wait="0")
-        assert await viewer.hear() == (framing.RELEASE, C, OVER, b"")
-        assert rig.owner.tickets[B].pb.rung == 2
-        await viewer.ask(A, at="n0", wait="0")  # handed over already
-        await viewer.ask("0" * 15 + "d", at="nowhere", wait="0")
-        assert await viewer.hear() == (framing.RELEASE, "0" * 15 + "d", FAILED, b"")
-        assert len(rig.owner.tickets) == 2
-
-    on_platform(test)
+        await viewer.send_setup(A, at="n0", wait="0")
+        await wait_until(lambda: A in rig.owner.sessions and node.streams)
+        link = node.streams[0]
+        await node.send(link, msg="event", sid=B, attrs={"note": "grade", "value": "2"})
+        await node.send(link, msg="close", sid=C, attrs={}, code=16)
+        await wait_until(lambda: len(rig.owner.early_messages) == 2)
+        await viewer.send_setup(B, at="n0", wait="0")
+        await viewer.send_setup(C, at="n0", wait="0")
+        assert await viewer.receive() == (framing.RELEASE, C, OVER, b"")
+        assert rig.owner.sessions[B].playback.rung == 2
+        await viewer.send_setup(A, at="n0", wait="0")  # handed over already
+        await viewer.send_setup("0" * 15 + "d", at="nowhere", wait="0")
+        assert await viewer.receive() == (framing.RELEASE, "0" * 15 + "d", FAILED, b"")
+        assert len(rig.owner.sessions) == 2
+
+    run_on_platform(test)
 
 
 def test_an_id_that_is_known_is_turned_away_alone() -> None:
@@ -194,20 +198,20 @@
         one, other = await rig.viewer(), await rig.viewer()
         for node in rig.nodes:
             node.script = ["silence"]
-        await one.ask(A, "paid")
-        await until(lambda: any(n.got("open") for n in rig.nodes))
-        await other.ask(A, "paid", p115=b"another")
-        assert await other.hear() == (framing.RELEASE, A, FAILED, b"")
-        await other.say(framing.RELEASE, A)  # another connection's set-up, which it may not cancel
-        await other.ask(B)
-        assert (await other.hear() or (0,))[0] == framing.ANSWER
-        assert rig.owner.tickets[A].pb.state is State.SETTING_UP
-        await one.ask(A, "paid", p115=b"another")
-        assert await one.hear() is None
-        await until(lambda: A not in rig.owner.tickets)
-        assert sum(len(n.got("open", A)) for n in rig.nodes) == 1
-
-    on_platform(test)
+        await one.send_setup(A, "paid")
+        await wait_until(lambda: any(n.received_messages("open") for n in rig.nodes))
+        await other.send_setup(A, "paid", p115=b"another")
+        assert await other.receive() == (framing.RELEASE, A, FAILED, b"")
+        await other.send(framing.RELEASE, A)  # another connection's set-up, which it may not cancel
+        await other.send_setup(B)
+        assert (await other.receive() or (0,))[0] == framing.ANSWER
+        assert rig.owner.sessions[A].playback.state is PlaybackState.SETTING_UP
+        await one.send_setup(A, "paid", p115=b"another")
+        assert await one.receive() is None
+        await wait_until(lambda: A not in rig.owner.sessions)
+        assert sum(len(n.received_messages("open", A)) for n in rig.nodes) == 1
+
+    run_on_platform(test)
 
 
 @pytest.mark.parametrize("closes", [True, False])
@@ -218,17 +222,17 @@
         viewer = await rig.viewer()
         for node in rig.nodes:
             node.script = ["silence"]
-        await viewer.ask(A)
-        await until(lambda: any(n.got("open") for n in rig.nodes))
+        await viewer.send_setup(A)
+        await wait_until(lambda: any(n.received_messages("open") for n in rig.nodes))
         if closes:
             await viewer.stream.aclose()
         else:
-            await viewer.say(framing.RELEASE, A)
-        await until(lambda: any(n.got("close", A) for n in rig.nodes))
-        assert not rig.owner.tickets
-        assert rig.owner.setting_up == 0
+            await viewer.send(framing.RELEASE, A)
+        await wait_until(lambda: any(n.received_messages("close", A) for n in rig.nodes))
+        assert not rig.owner.sessions
+        assert rig.owner.setup_count == 0
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_an_end_goes_on_its_own_connection_else_another_else_the_next() -> None:
@@ -237,20 +241,20 @@
     async def test(rig: PlatformRig) -> None:
         one, other = await rig.viewer(), await rig.viewer()
         for sid in (A, B):
-            await one.ask(sid)
-            await one.hear()
-        places = {sid: next(n for n in rig.nodes if n.got("open", sid)) for sid in (A, B)}
+            await one.send_setup(sid)
+            await one.receive()
+        places = {sid: next(n for n in rig.nodes if n.received_messages("open", sid)) for sid in (A, B)}
         await one.stream.aclose()
-        await until(lambda: len(rig.owner.viewers) == 1)
-        await places[A].say(places[A].links[0], msg="close", sid=A, attrs={}, code=41)
-        assert await other.hear() == (framing.RELEASE, A, FAILED, b"")
+        await wait_until(lambda: len(rig.owner.viewer_connections) == 1)
+        await places[A].send(places[A].streams[0], msg="close", sid=A, attrs={}, code=41)
+        assert await other.receive() == (framing.RELEASE, A, FAILED, b"")
         await other.stream.aclose()
-        await until(lambda: not rig.owner.viewers)
-        await places[B].say(places[B].links[0], msg="close", sid=B, attrs={}, code=16)
-        await until(lambda: rig.owner.releases.owed)
-        assert await (await rig.viewer()).hear() == (framing.RELEASE, B, OVER, b"")
+        await wait_until(lambda: not rig.owner.viewer_connections)
+        await places[B].send(places[B].streams[0], msg="close", sid=B, attrs={}, code=16)
+        await wait_until(lambda: rig.owner.releases.unsent)
+        assert await (await rig.viewer()).receive() == (framing.RELEASE, B, OVER, b"")
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_viewer_that_ends_its_playback_ends_it_at_the_node_too_and_hears_nothing() -> None:
@@ -258,19 +262,19 @@
 
     async def test(rig: PlatformRig) -> None:
         one, other = await rig.viewer(), await rig.viewer()
-        await one.ask(A)
-        await one.hear()
-        node = next(n for n in rig.nodes if n.got("open"))
-        await trio.aclose_forcefully(node.links[0])  # the node's connection breaks meanwhile
-        await until(lambda: not rig.owner.pools[node.name].links)
-        await other.say(framing.RELEASE, A)
-        await until(lambda: node.got("close", A))
-        await node.say(node.links[-1], msg="close", sid=A, attrs={}, code=31)
-        await until(lambda: not rig.owner.tickets)
-        await one.say(framing.TEST, C, 0)
-        assert (await one.hear() or (0,))[0] == framing.TESTED
+        await one.send_setup(A)
+        await one.receive()
+        node = next(n for n in rig.nodes if n.received_messages("open"))
+        await trio.aclose_forcefully(node.streams[0])  # the node's connection breaks meanwhile
+        await wait_until(lambda: not rig.owner.pools[node.name].connections)
+        await other.send(framing.RELEASE, A)
+        await wait_until(lambda: node.received_messages("close", A))
+        await node.send(node.streams[-1], msg="close", sid=A, attrs={}, code=31)
+        await wait_until(lambda: not rig.owner.sessions)
+        await one.send(framing.TEST, C, 0)
+        assert (await one.receive() or (0,))[0] == framing.TESTED
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_bad_clients_are_turned_away_and_nothing_of_theirs_reaches_a_node() -> None:
@@ -279,10 +283,10 @@
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for i, odd in enumerate((b"nan", b"-5", b"1e99", b"")):
-            await viewer.ask(f"{i + 1:016x}", p101=odd)
-            assert await viewer.hear() == (framing.RELEASE, f"{i + 1:016x}", FAILED, b"")
-        await viewer.ask("0" * 16, p115=b"x")
-        assert (await viewer.hear() or (0, 0, 0))[2] == FAILED
+            await viewer.send_setup(f"{i + 1:016x}", p101=odd)
+            assert await viewer.receive() == (framing.RELEASE, f"{i + 1:016x}", FAILED, b"")
+        await viewer.send_setup("0" * 16, p115=b"x")
+        assert (await viewer.receive() or (0, 0, 0))[2] == FAILED
         silent, half = await rig.viewer(), await rig.viewer()
         await half.stream.send_all(b"\x00\x20\x01")
         for data in (
@@ -293,28 +297,30 @@
         ):
             bad = await rig.viewer()
             await bad.stream.send_all(data)
-            assert await bad.hear() is None
-        assert await silent.hear() is None
-        assert await half.hear() is None
-        assert not any(n.heard for n in rig.nodes)
-        assert not rig.owner.tickets
+            assert await bad.receive() is None
+        assert await silent.receive() is None
+        assert await half.receive() is None
+        assert not any(n.received for n in rig.nodes)
+        assert not rig.owner.sessions
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_connections_are_bounded_and_the_silent_ones_make_room() -> None:
     """Past the limit idle connections are closed, and the newest is served."""
 
     async def test(rig: PlatformRig) -> None:
-        assert rig.platform.viewers is not None
-        most = rig.platform.viewers.most
+        assert rig.platform.viewer_server is not None
+        most = rig.platform.viewer_server.max_connections
         some = [await rig.viewer() for _ in range(most + 10)]
-        await until(lambda: rig.platform.viewers is not None and rig.platform.viewers.shed == 10)
-        await some[-1].ask(A)
-        assert (await some[-1].hear() or (0,))[0] == framing.ANSWER
-        assert len(rig.platform.viewers.links) <= most
+        await wait_until(
+            lambda: rig.platform.viewer_server is not None and rig.platform.viewer_server.shed_count == 10
+        )
+        await some[-1].send_setup(A)
+        assert (await some[-1].receive() or (0,))[0] == framing.ANSWER
+        assert len(rig.platform.viewer_server.connections) <= most
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_client_that_does_not_read_is_cut_off_and_delays_nobody() -> None:
@@ -334,10 +340,10 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(cut_off)
-            await viewer.ask(A)
-            assert (await viewer.hear() or (0,))[0] == framing.ANSWER
+            await viewer.send_setup(A)
+            assert (await viewer.receive() or (0,))[0] == framing.ANSWER
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_the_list_changes_while_serving_and_a_new_node_may_take_an_address() -> None:
@@ -349,47 +355,49 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer, (gone, stays) = await rig.viewer(), rig.nodes
-        await viewer.ask(A, at="n0", wait="0")
-        await until(lambda: A in rig.owner.tickets and rig.owner.pools["n0"].links)
-        rig.channel.garbage = 1
-        rig.change(2, rig.member(gone, "removed"), rig.member(gone, "up", "n0b"))
-        assert await viewer.hear() == (framing.RELEASE, A, FAILED, b"")
-        await until(lambda: set(rig.owner.pools) == {"n0b", "n1"})
-        rig.channel.silent = True
-        await until(lambda: rig.channel.polls.count(2) >= 2)
-        rig.channel.silent = False
-        rig.change(3, rig.member(stays, "draining"))
-        await until(lambda: rig.channel.polls[-1] == 3)
-        await viewer.ask(B)
-        assert (await viewer.hear() or (0,))[0] == framing.ANSWER
-        assert not stays.got("open")
-        assert rig.owner.pools["n0b"].standing
-        rig.change(4, rig.member(stays, "removed"), rig.member(gone, "up", "n0b") | {"up_since_ms": 10**13})
-        assert await viewer.hear() == (framing.RELEASE, B, FAILED, b"")  # its node was restarted
-        await until(lambda: set(rig.owner.pools) == {"n0b"})
-
-    on_platform(test)
+        await viewer.send_setup(A, at="n0", wait="0")
+        await wait_until(lambda: A in rig.owner.sessions and rig.owner.pools["n0"].connections)
+        rig.channel.truncated_answers = 1
+        rig.add_list_change(2, rig.member(gone, "removed"), rig.member(gone, "up", "n0b"))
+        assert await viewer.receive() == (framing.RELEASE, A, FAILED, b"")
+        await wait_until(lambda: set(rig.owner.pools) == {"n0b", "n1"})
+        rig.channel.is_silent = True
+        await wait_until(lambda: rig.channel.polls.count(2) >= 2)
+        rig.channel.is_silent = False
+        rig.add_list_change(3, rig.member(stays, "draining"))
+        await wait_until(lambda: rig.channel.polls[-1] == 3)
+        await viewer.send_setup(B)
+        assert (await viewer.receive() or (0,))[0] == framing.ANSWER
+        assert not stays.received_messages("open")
+        assert rig.owner.pools["n0b"].playing_sessions
+        rig.add_list_change(
+            4, rig.member(stays, "removed"), rig.member(gone, "up", "n0b") | {"up_since_ms": 10**13}
+        )
+        assert await viewer.receive() == (framing.RELEASE, B, FAILED, b"")  # its node was restarted
+        await wait_until(lambda: set(rig.owner.pools) == {"n0b"})
+
+    run_on_platform(test)
 
 
 def test_a_reload_moves_the_channel_and_a_broken_file_changes_nothing(tmp_path: Path) -> None:
     """A reload applies the channel's new address; a file that is not valid JSON has no effect."""
 
     async def test(rig: PlatformRig) -> None:
-        rig.platform.file = tmp_path / "config.json"
-        rig.platform.file.write_bytes(b"{")
+        rig.platform.configuration_file = tmp_path / "config.json"
+        rig.platform.configuration_file.write_bytes(b"{")
         rig.platform.reload()
-        told = rig.told()
+        told = rig.configuration()
         rig.channel.polls.clear()
-        await until(lambda: rig.channel.polls)
+        await wait_until(lambda: rig.channel.polls)
         old, rig.channel.port = rig.channel, await rig.listen(rig.channel.serve)
-        rig.platform.file.write_bytes(orjson.dumps(told | {"channel": f"127.0.0.1:{old.port}"}))
+        rig.platform.configuration_file.write_bytes(orjson.dumps(told | {"channel": f"127.0.0.1:{old.port}"}))
         rig.platform.reload()
-        assert rig.platform.follower is not None
-        assert rig.platform.follower.address[1] == old.port
-        rig.change(2, rig.member(rig.nodes[0], "removed"))
-        await until(lambda: set(rig.owner.pools) == {"n1"})
+        assert rig.platform.channel_follower is not None
+        assert rig.platform.channel_follower.address[1] == old.port
+        rig.add_list_change(2, rig.member(rig.nodes[0], "removed"))
+        await wait_until(lambda: set(rig.owner.pools) == {"n1"})
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_after_the_stop_signal_what_comes_is_answered_and_nothing_standing_is_cut() -> None:
@@ -397,16 +405,16 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await viewer.ask(A)
-        await viewer.hear()
+        await viewer.send_setup(A)
+        await viewer.receive()
         rig.stop.set()
         late = await rig.viewer()
-        await late.ask(B)
-        assert (await late.hear() or (0,))[0] == framing.ANSWER
+        await late.send_setup(B)
+        assert (await late.receive() or (0,))[0] == framing.ANSWER
         await rig.ended.wait()
-        assert not any(n.got("close") for n in rig.nodes)
+        assert not any(n.received_messages("close") for n in rig.nodes)
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_node_that_is_gone_ends_what_stood_there() -> None:
@@ -414,14 +422,14 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer, node = await rig.viewer(), rig.nodes[0]
-        await viewer.ask(A, at="n0", wait="0")
-        await until(lambda: node.links)
+        await viewer.send_setup(A, at="n0", wait="0")
+        await wait_until(lambda: node.streams)
         rig.owner.pools["n0"].address = ("127.0.0.1", 1)
-        await trio.aclose_forcefully(node.links[0])
-        assert await viewer.hear() == (framing.RELEASE, A, FAILED, b"")
-        assert not rig.owner.tickets
+        await trio.aclose_forcefully(node.streams[0])
+        assert await viewer.receive() == (framing.RELEASE, A, FAILED, b"")
+        assert not rig.owner.sessions
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_thousands_of_ids_titles_and_connections_leave_nothing_behind() -> None:
@@ -433,31 +441,31 @@
             viewer = await rig.viewer()
             for i in range(batch * 100, batch * 100 + 100):
                 sid = f"{i + 1:016x}"
-                await viewer.ask(sid, "free" if i % 3 else "paid", title=f"title {i}")
-                heard = await viewer.hear()
+                await viewer.send_setup(sid, "free" if i % 3 else "paid", title=f"title {i}")
+                heard = await viewer.receive()
                 assert heard is not None
                 if heard[0] == framing.ANSWER:
-                    node = next(n for n in rig.nodes if n.got("open", sid))
-                    await node.say(node.links[0], msg="close", sid=sid, attrs={"load": "x0:0.1"}, code=16)
-                    assert await viewer.hear() == (framing.RELEASE, sid, OVER, b"")
-                    node.heard.clear()
+                    node = next(n for n in rig.nodes if n.received_messages("open", sid))
+                    await node.send(node.streams[0], msg="close", sid=sid, attrs={"load": "x0:0.1"}, code=16)
+                    assert await viewer.receive() == (framing.RELEASE, sid, OVER, b"")
+                    node.received.clear()
             await viewer.stream.aclose()
-        await until(lambda: not owner.viewers)
-        assert not owner.tickets
-        assert not owner.of
-        assert owner.setting_up == 0
-        assert len(owner.titles.titles) <= limits.MOST_TITLES
-        assert not owner.releases.owed
-        assert not owner.work
+        await wait_until(lambda: not owner.viewer_connections)
+        assert not owner.sessions
+        assert not owner.sessions_by_playback
+        assert owner.setup_count == 0
+        assert len(owner.titles.titles) <= limits.MAX_TITLES
+        assert not owner.releases.unsent
+        assert not owner.pending_decisions
         for pool in owner.pools.values():
-            assert not pool.standing
-            assert not pool.waiting
-            assert len(pool.links) <= pool.most
+            assert not pool.playing_sessions
+            assert not pool.waiting_setups
+            assert len(pool.connections) <= pool.max_connections
             assert not pool.node.playbacks
         # What is left are the decision module's timer and that of the last set-up.
-        await until(lambda: len(owner.alarms.heap) <= 2, 4)
+        await wait_until(lambda: len(owner.timers.heap) <= 2, 4)
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_start_without_a_sound_configuration_says_why_in_one_line(tmp_path: Path) -> None:
@@ -502,45 +510,45 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer, node = await rig.viewer(), rig.nodes[0]
-        await viewer.ask(A, at="n0", wait="0")
-        await until(lambda: node.links and rig.owner.pools["n0"].links)
-        pool, stream = rig.owner.pools["n0"], node.links[0]
-        pool.links[0].used_at = 0
-        pool.look(rig.owner.clock.now())
-        assert not pool.links
+        await viewer.send_setup(A, at="n0", wait="0")
+        await wait_until(lambda: node.streams and rig.owner.pools["n0"].connections)
+        pool, stream = rig.owner.pools["n0"], node.streams[0]
+        pool.connections[0].last_used_at = 0
+        pool.maintain(rig.owner.clock.now())
+        assert not pool.connections
         # The node sends this before it has seen the half-close.
-        await node.say(stream, msg="close", sid=A, attrs={}, code=16)
-        assert await viewer.hear() == (framing.RELEASE, A, OVER, b"")
-        await until(lambda: not pool.retired)
+        await node.send(stream, msg="close", sid=A, attrs={}, code=16)
+        assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
+        await wait_until(lambda: not pool.retired_connections)
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_what_waits_for_a_connection_is_not_sent_to_a_node_that_drains(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Set-ups that wait for a connection are rejected when their nodes begin to drain."""
-    monkeypatch.setattr(Pool, "_open", lambda self: None)
+    monkeypatch.setattr(NodePool, "_open_connection", lambda self: None)
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await viewer.ask(A, "paid")
-        await until(lambda: any(pool.waiting for pool in rig.owner.pools.values()))
-        rig.change(2, *(rig.member(node, "draining") for node in rig.nodes))
-        await until(lambda: all(p.node.listing is Listing.DRAINING for p in rig.owner.pools.values()))
-        assert not any(pool.waiting for pool in rig.owner.pools.values())
-        assert (await viewer.hear() or ())[:3] == (framing.RELEASE, A, REFUSED)
-        assert not any(node.heard for node in rig.nodes)
+        await viewer.send_setup(A, "paid")
+        await wait_until(lambda: any(pool.waiting_setups for pool in rig.owner.pools.values()))
+        rig.add_list_change(2, *(rig.member(node, "draining") for node in rig.nodes))
+        await wait_until(lambda: all(p.node.status is NodeStatus.DRAINING for p in rig.owner.pools.values()))
+        assert not any(pool.waiting_setups for pool in rig.owner.pools.values())
+        assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)
+        assert not any(node.received for node in rig.nodes)
         assert broken(rig) == []
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_log_that_would_flood_says_how_much_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     """Lines past the rate are dropped, and the next line tells how many."""
     now = [100.0]
     monkeypatch.setattr("oakcroft.running.logs.time.monotonic", lambda: now[0])
-    rate = Rate(2)
+    rate = LineRateLimiter(2)
     for _ in range(2):
         assert rate(None, "info", {}) == {}
     for _ in range(3):
@@ -558,16 +566,16 @@
         for node in rig.nodes:
             node.script = ["silence"] * 400
         for i in range(400):
-            await viewer.ask(f"{i + 1:016x}", text=b"o" * 8_000)
-            await viewer.say(framing.RELEASE, f"{i + 1:016x}")
-        await viewer.say(framing.TEST, C, 0)
-        while (await viewer.hear() or (0,))[0] != framing.TESTED:
+            await viewer.send_setup(f"{i + 1:016x}", text=b"o" * 8_000)
+            await viewer.send(framing.RELEASE, f"{i + 1:016x}")
+        await viewer.send(framing.TEST, C, 0)
+        while (await viewer.receive() or (0,))[0] != framing.TESTED:
             pass  # some were rejected
-        await until(lambda: not owner.tickets)
-        assert owner.held == 0
-        assert len(owner.alarms.heap) < 100
+        await wait_until(lambda: not owner.sessions)
+        assert owner.held_chars == 0
+        assert len(owner.timers.heap) < 100
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_descriptions_are_bounded_together_and_what_is_over_is_refused_at_once() -> None:
@@ -575,27 +583,27 @@
 
     async def test(rig: PlatformRig) -> None:
         owner, viewer = rig.owner, await rig.viewer()
-        owner.most_held = 50_000
+        owner.max_held_chars = 50_000
         for node in rig.nodes:
             node.script = ["silence"] * 10
         for i in range(3):
-            await viewer.ask(f"{i + 1:016x}", text=b"o" * 15_000)
-        await until(lambda: owner.setting_up == 3)
-        assert owner.held == 45_000
-        await viewer.ask(A, text=b"o" * 15_000)
-        assert await viewer.hear() == (framing.RELEASE, A, REFUSED, b"")
-        assert len(owner.tickets) == 3
+            await viewer.send_setup(f"{i + 1:016x}", text=b"o" * 15_000)
+        await wait_until(lambda: owner.setup_count == 3)
+        assert owner.held_chars == 45_000
+        await viewer.send_setup(A, text=b"o" * 15_000)
+        assert await viewer.receive() == (framing.RELEASE, A, REFUSED, b"")
+        assert len(owner.sessions) == 3
         await viewer.stream.aclose()
-        await until(lambda: not owner.tickets)
-        assert owner.held == 0
+        await wait_until(lambda: not owner.sessions)
+        assert owner.held_chars == 0
         for node in rig.nodes:
             node.script.clear()
         other = await rig.viewer()
-        await other.ask(B, text=b"o" * 15_000)
-        assert (await other.hear() or (0,))[0] == framing.ANSWER
-        assert owner.held == 0
+        await other.send_setup(B, text=b"o" * 15_000)
+        assert (await other.receive() or (0,))[0] == framing.ANSWER
+        assert owner.held_chars == 0
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_front_that_starts_sends_nothing_to_a_node_that_began_to_drain_meanwhile() -> None:
@@ -605,44 +613,44 @@
     """
 
     async def test(rig: PlatformRig) -> None:
-        rig.channel.silent = True  # the command channel is slow to answer
+        rig.channel.is_silent = True  # the command channel is slow to answer
         rig.nursery.start_soon(rig.start)
-        await until(lambda: rig.channel.polls == [1])
+        await wait_until(lambda: rig.channel.polls == [1])
         with pytest.raises(OSError, match=r"."):
             await trio.open_tcp_stream("127.0.0.1", rig.platform.port)  # not listening yet
         drains = rig.member(rig.nodes[0], "draining")
         rig.channel.cmds.append({"cursor": 2, "nodes": {"complete": False, "members": [drains]}})
-        rig.channel.silent = False
-        await until(lambda: rig.port)
+        rig.channel.is_silent = False
+        await wait_until(lambda: rig.port)
         viewer = await rig.viewer()
         heard = list[int]()
         for i in range(8):
-            await viewer.ask(f"{i:016x}", "free", title=f"t{i}")
-            heard.append((await viewer.hear() or (0,))[0])
+            await viewer.send_setup(f"{i:016x}", "free", title=f"t{i}")
+            heard.append((await viewer.receive() or (0,))[0])
         assert framing.ANSWER in heard
-        assert not rig.nodes[0].got("open")
+        assert not rig.nodes[0].received_messages("open")
         assert broken(rig) == []
 
-    on_platform(test, started=False)
+    run_on_platform(test, started=False)
 
 
 def test_a_front_that_starts_without_its_list_service_opens_on_the_kept_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """If the command channel does not answer, the front end serves on the known list after a time."""
-    monkeypatch.setattr(node_list_freshness, "UNTOLD", 300 * MS)
+    monkeypatch.setattr(node_list_freshness, "MAX_LIST_WAIT", 300 * MS)
 
     async def test(rig: PlatformRig) -> None:
-        rig.channel.silent = True
+        rig.channel.is_silent = True
         await rig.start()
-        assert not rig.platform.follower.freshness.confirmed  # type: ignore[union-attr]
+        assert not rig.platform.channel_follower.freshness.is_confirmed  # type: ignore[union-attr]
         viewer = await rig.viewer()
-        await viewer.ask(A, "free")
-        heard = await viewer.hear()
+        await viewer.send_setup(A, "free")
+        heard = await viewer.receive()
         assert heard is not None
         assert heard[0] == framing.ANSWER
 
-    on_platform(test, started=False)
+    run_on_platform(test, started=False)
 
 
 def test_news_goes_before_set_ups_that_wait_in_a_front_that_is_behind() -> None:
@@ -650,41 +658,43 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await until(lambda: rig.owner.viewers)
-        link, owner = next(iter(rig.owner.viewers)), rig.owner
+        await wait_until(lambda: rig.owner.viewer_connections)
+        link, owner = next(iter(rig.owner.viewer_connections)), rig.owner
         for i in range(100, 124):
-            await viewer.ask(f"{i:016x}", title=f"t{i}")
-            await viewer.hear()
-        before = [len(n.got("open")) for n in rig.nodes]
+            await viewer.send_setup(f"{i:016x}", title=f"t{i}")
+            await viewer.receive()
+        before = [len(n.received_messages("open")) for n in rig.nodes]
         assert all(before)  # an open connection to each node, so that a set-up is sent at once
         for pool in owner.pools.values():
-            pool.most = 1
-        rig.channel.silent = True
+            pool.max_connections = 1
+        rig.channel.is_silent = True
         rig.channel.polls.clear()
-        await until(lambda: rig.channel.polls)
+        await wait_until(lambda: rig.channel.polls)
         now = owner.clock.now()
         for i in range(24):  # half a second of work, and the requests that arrive meanwhile
-            owner.events.send_nowait(partial(time.sleep, 0.02))
-            owner.asked(Asked(link, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", ""))
-        rig.channel.say_now(2, rig.member(rig.nodes[0], "draining"))
+            owner.event_sender.send_nowait(partial(time.sleep, 0.02))
+            owner.request_received(
+                SetupRequest(link, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", "")
+            )
+        rig.channel.answer_now(2, rig.member(rig.nodes[0], "draining"))
         for _ in range(24):
-            await viewer.hear()
-        assert len(rig.nodes[1].got("open")) > before[1]
-        assert len(rig.nodes[0].got("open")) <= before[0] + 2  # those of one turn of the loop
+            await viewer.receive()
+        assert len(rig.nodes[1].received_messages("open")) > before[1]
+        assert len(rig.nodes[0].received_messages("open")) <= before[0] + 2  # those of one turn of the loop
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_channel_that_closes_after_each_answer_is_followed_without_a_break() -> None:
     """Connections that the channel closes after an answer do not count as failures."""
 
     async def test(rig: PlatformRig) -> None:
-        rig.channel.closes = True
+        rig.channel.closes_after_answer = True
         for cursor in (2, 3, 4):
-            rig.change(cursor, rig.member(rig.nodes[0], "draining" if cursor % 2 == 0 else "up"))
-            await until(lambda c=cursor: rig.platform.follower.last == c)  # type: ignore[misc,union-attr]
-        assert rig.owner.pools["n0"].node.listing is Listing.DRAINING
-        assert rig.platform.follower is not None
-        assert rig.platform.follower.freshness.current
+            rig.add_list_change(cursor, rig.member(rig.nodes[0], "draining" if cursor % 2 == 0 else "up"))
+            await wait_until(lambda c=cursor: rig.platform.channel_follower.last_cursor == c)  # type: ignore[misc,union-attr]
+        assert rig.owner.pools["n0"].node.status is NodeStatus.DRAINING
+        assert rig.platform.channel_follower is not None
+        assert rig.platform.channel_follower.freshness.is_current
 
-    on_platform(test)
+    run_on_platform(test)
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -11,10 +11,10 @@
 import orjson
 import pytest
 import trio
-from helpers import PlatformRig, WireViewer, on_platform
-from rig import until
+from helpers import PlatformRig, StubViewer, run_on_platform
+from rig import wait_until
 
-from oakcroft.interface import Listing
+from oakcroft.interface import NodeStatus
 from oakcroft.platformwire import framing
 
 A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
@@ -23,21 +23,21 @@
 SET_UPS = [f"{number:016x}" for number in range(100, 100 + SESSIONS)]
 
 
-async def asks_all(rig: PlatformRig, viewer: WireViewer) -> None:
+async def asks_all(rig: PlatformRig, viewer: StubViewer) -> None:
     """Sets up several titles, so that every node that may be chosen is chosen."""
     for sid in SET_UPS:
-        await viewer.ask(sid, title=f"title {sid}")
-        assert (await viewer.hear() or (0,))[0] == framing.ANSWER
+        await viewer.send_setup(sid, title=f"title {sid}")
+        assert (await viewer.receive() or (0,))[0] == framing.ANSWER
 
 
-def listed(rig: PlatformRig, name: str) -> Listing:
+def listed(rig: PlatformRig, name: str) -> NodeStatus:
     """The status of a node as the front end knows it."""
-    return rig.owner.pools[name].node.listing
+    return rig.owner.pools[name].node.status
 
 
 def opens(rig: PlatformRig, node: int) -> int:
     """Number of set-ups that have reached a node."""
-    return len(rig.nodes[node].got("open"))
+    return len(rig.nodes[node].received_messages("open"))
 
 
 @pytest.mark.parametrize("how", ["told on the new channel", "told on the old one as it ends"])
@@ -45,24 +45,24 @@
     """The command channel moves at the moment a node begins to drain."""
 
     async def test(rig: PlatformRig) -> None:
-        rig.platform.file = tmp_path / "config.json"
-        viewer, old, told = await rig.viewer(), rig.channel, rig.told()
+        rig.platform.configuration_file = tmp_path / "config.json"
+        viewer, old, told = await rig.viewer(), rig.channel, rig.configuration()
         if how == "told on the old one as it ends":
-            rig.change(2, rig.member(rig.nodes[0], "draining"))
-            await until(lambda: listed(rig, "n0") is Listing.DRAINING)
+            rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
+            await wait_until(lambda: listed(rig, "n0") is NodeStatus.DRAINING)
         new_port = await rig.listen(type(old).serve.__get__(rig.channel))
-        rig.platform.file.write_bytes(orjson.dumps(told | {"channel": f"127.0.0.1:{new_port}"}))
+        rig.platform.configuration_file.write_bytes(orjson.dumps(told | {"channel": f"127.0.0.1:{new_port}"}))
         rig.platform.reload()
         if how == "told on the new channel":
-            rig.change(2, rig.member(rig.nodes[0], "draining"))
-            await until(lambda: listed(rig, "n0") is Listing.DRAINING)
+            rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
+            await wait_until(lambda: listed(rig, "n0") is NodeStatus.DRAINING)
         before = opens(rig, 0)
         await asks_all(rig, viewer)
         assert opens(rig, 0) == before
-        assert rig.platform.follower is not None
-        assert rig.platform.follower.address[1] == new_port
+        assert rig.platform.channel_follower is not None
+        assert rig.platform.channel_follower.address[1] == new_port
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_whole_list_in_the_middle_removes_what_it_does_not_name() -> None:
@@ -70,23 +70,23 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await viewer.ask(A)
-        await viewer.hear()
-        node = next(n for n in rig.nodes if n.got("open", A))
+        await viewer.send_setup(A)
+        await viewer.receive()
+        node = next(n for n in rig.nodes if n.received_messages("open", A))
         other = next(n for n in rig.nodes if n is not node)
         whole = {"complete": True, "members": [rig.member(other)]}
         rig.channel.cmds.append({"cursor": 2, "nodes": whole})
-        assert (await viewer.hear() or ())[:3] == (framing.RELEASE, A, FAILED)
-        before = len(node.got("open"))
+        assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, FAILED)
+        before = len(node.received_messages("open"))
         await asks_all(rig, viewer)
-        assert len(node.got("open")) == before
+        assert len(node.received_messages("open")) == before
         again = {"complete": True, "members": [rig.member(n) for n in rig.nodes]}
         rig.channel.cmds.append({"cursor": 3, "nodes": again})
-        await until(
-            lambda: len(rig.owner.pools) == len(rig.nodes) and listed(rig, node.name) is Listing.READY
+        await wait_until(
+            lambda: len(rig.owner.pools) == len(rig.nodes) and listed(rig, node.name) is NodeStatus.READY
         )
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def reset(stream: trio.SocketStream) -> None:
@@ -107,26 +107,30 @@
     async def test(rig: PlatformRig) -> None:
         killed: list[int] = []
         for node in rig.nodes:
-            node.reads = trio.Event()
+            node.may_read = trio.Event()
         viewer = await rig.viewer()
-        await viewer.ask(A, plan)
-        await until(lambda: any(pool.links and pool.links[0].out_here for pool in rig.owner.pools.values()))
+        await viewer.send_setup(A, plan)
+        await wait_until(
+            lambda: any(
+                pool.connections and pool.connections[0].pending_setups for pool in rig.owner.pools.values()
+            )
+        )
         for number, node in enumerate(rig.nodes):
-            if node.links:
+            if node.streams:
                 killed.append(number)
-                reset(node.links[0])
+                reset(node.streams[0])
         for number, node in enumerate(rig.nodes):
             if number not in killed:  # a dead node reads nothing
-                node.reads.set()
-        heard = await viewer.hear()
+                node.may_read.set()
+        heard = await viewer.receive()
         assert heard is not None
         assert (heard[2] if heard[0] == framing.RELEASE else heard[0],) == answers
         assert len(killed) == 1
         assert sum(opens(rig, number) for number in range(2)) == (plan == "free")
-        await viewer.ask(C)
-        assert (await viewer.hear() or (0, ""))[1] == C  # no second answer for the first id
+        await viewer.send_setup(C)
+        assert (await viewer.receive() or (0, ""))[1] == C  # no second answer for the first id
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_request_in_pieces_is_answered_also_while_places_are_short() -> None:
@@ -136,21 +140,21 @@
     """
 
     async def test(rig: PlatformRig) -> None:
-        viewers = rig.platform.viewers
+        viewers = rig.platform.viewer_server
         assert viewers is not None
         viewer = await rig.viewer()
-        request = viewer.set_up(A, "paid")
-        crowd = list[WireViewer]()
+        request = viewer.encode_setup(A, "paid")
+        crowd = list[StubViewer]()
         for octet in request:
             await viewer.stream.send_all(bytes((octet,)))
-            if len(crowd) < viewers.most + SESSIONS:
+            if len(crowd) < viewers.max_connections + SESSIONS:
                 crowd.append(one := await rig.viewer())
-                await one.say(framing.TEST, C, 0)
-                await one.hear()
-        assert len(crowd) == viewers.most + SESSIONS
-        assert (await viewer.hear() or ())[:2] == (framing.ANSWER, A)
+                await one.send(framing.TEST, C, 0)
+                await one.receive()
+        assert len(crowd) == viewers.max_connections + SESSIONS
+        assert (await viewer.receive() or ())[:2] == (framing.ANSWER, A)
 
-    on_platform(test)
+    run_on_platform(test)
 
 
 def test_a_request_whose_last_piece_brings_its_release_is_set_up_nowhere() -> None:
@@ -158,14 +162,16 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        request = viewer.set_up(A, "paid")
+        request = viewer.encode_setup(A, "paid")
         await viewer.stream.send_all(request[:-1])
-        await until(lambda: any(link.frames.partial for link in rig.owner.viewers))
+        await wait_until(
+            lambda: any(link.frames.has_partial_message for link in rig.owner.viewer_connections)
+        )
         await viewer.stream.send_all(
             request[-1:] + framing.encode(framing.RELEASE, A, (framing.CAUSE, b"\x10"))
         )
-        await viewer.ask(B)
-        assert (await viewer.hear() or ())[:2] == (framing.ANSWER, B)
-        assert not any(node.got("open", A) for node in rig.nodes)
+        await viewer.send_setup(B)
+        assert (await viewer.receive() or ())[:2] == (framing.ANSWER, B)
+        assert not any(node.received_messages("open", A) for node in rig.nodes)
 
-    on_platform(test)
+    run_on_platform(test)
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -10,12 +10,12 @@
 from helpers import SETTINGS
 from hypothesis import given, strategies as st
 
-from oakcroft.interface import MS, Listing
+from oakcroft.interface import MS, NodeStatus
 from oakcroft.platformwire import setup_request, command_channel, configuration, framing, json_lines
 
 SIDS = st.binary(min_size=8, max_size=8).map(bytes.hex)
 PARAMS = st.dictionaries(st.integers(0, 255), st.binary(max_size=300), max_size=6)
-FRAMES = st.lists(st.tuples(st.sampled_from(sorted(framing.TYPES)), SIDS, PARAMS), max_size=6)
+FRAMES = st.lists(st.tuples(st.sampled_from(sorted(framing.MESSAGE_TYPES)), SIDS, PARAMS), max_size=6)
 CUTS = st.lists(st.integers(1, 40), min_size=1, max_size=12)
 
 
@@ -42,9 +42,9 @@
 ) -> None:
     """Messages survive a round trip however the bytes are split."""
     data = b"".join(framing.encode(kind, sid, *params.items()) for kind, sid, params in some)
-    frames = framing.Frames()
+    frames = framing.FrameDecoder()
     assert fed(frames, data, cuts) == some
-    assert not frames.partial
+    assert not frames.has_partial_message
 
 
 @given(st.binary(max_size=600), CUTS)
@@ -54,24 +54,24 @@
     """Random bytes are decoded or refused, the same at any split, and the buffer stays bounded."""
 
     def read(cuts: list[int]) -> tuple[list[Any], bool]:
-        frames, events = framing.Frames(), []
+        frames, events = framing.FrameDecoder(), []
         try:
             for event in (fed(frames, data[i : i + cuts[0]], cuts) for i in range(0, len(data), cuts[0])):
                 events += event
-        except framing.Unreadable:
+        except framing.ProtocolError:
             return events, True
-        assert len(frames.buffer) <= framing.MOST
+        assert len(frames.buffer) <= framing.MAX_MESSAGE_BYTES
         return events, False
 
     assert read([1])[1] == read([cuts[0]])[1]
 
 
-@pytest.mark.parametrize("length", [0, 1, 8, framing.MOST - 1, 65_535])
+@pytest.mark.parametrize("length", [0, 1, 8, framing.MAX_MESSAGE_BYTES - 1, 65_535])
 def test_a_length_that_no_message_has_is_unreadable_before_the_rest_comes(length: int) -> None:
     """An impossible length is refused at once, without waiting for the message."""
-    frames = framing.Frames()
+    frames = framing.FrameDecoder()
     frames.receive_data(length.to_bytes(2, "big"))
-    with pytest.raises(framing.Unreadable):
+    with pytest.raises(framing.ProtocolError):
         frames.next_event()
 
 
@@ -82,35 +82,38 @@
 def test_lines_come_back_at_any_split(some: list[tuple[str, str, int]], cuts: list[int]) -> None:
     """JSON lines survive a round trip however the bytes are split."""
     data = b"".join(json_lines.encode("open", sid, {"key": text}, code, text) for sid, text, code in some)
-    assert fed(json_lines.Lines(), data, cuts) == [("open", s, {"key": t}, c, t) for s, t, c in some]
+    assert fed(json_lines.LineDecoder(), data, cuts) == [("open", s, {"key": t}, c, t) for s, t, c in some]
 
 
 @given(st.binary(max_size=200))
 def test_any_line_is_a_message_or_unreadable(data: bytes) -> None:
     """A random line is decoded or refused."""
-    heard = json_lines.Lines()
+    heard = json_lines.LineDecoder()
     try:
         for _, sid, attrs, _, _ in fed(heard, data + b"\n", [7]):
-            assert sid == "" or json_lines.ID.fullmatch(sid)
-            json_lines.report(attrs)
-    except framing.Unreadable:
+            assert sid == "" or json_lines.SESSION_ID_PATTERN.fullmatch(sid)
+            json_lines.load_report(attrs)
+    except framing.ProtocolError:
         pass
 
 
 def test_a_line_without_an_end_is_unreadable_at_the_bound() -> None:
     """A line without an end is refused when it reaches the maximum length."""
-    heard = json_lines.Lines()
-    heard.receive_data(b"x" * (framing.MOST - 1))
+    heard = json_lines.LineDecoder()
+    heard.receive_data(b"x" * (framing.MAX_MESSAGE_BYTES - 1))
     assert heard.next_event() is None
     heard.receive_data(b"x")
-    with pytest.raises(framing.Unreadable):
+    with pytest.raises(framing.ProtocolError):
         heard.next_event()
 
 
 def test_a_report_keeps_what_can_be_read() -> None:
     """Unreadable parts of a load report are left out."""
-    assert json_lines.report({"load": "x0:1.5;x1:nan;queue:-1;odd;:3;b:inf;c:2"}) == {"x0": 1.5, "c": 2.0}
-    assert json_lines.report({"load": 3}) is None
+    assert json_lines.load_report({"load": "x0:1.5;x1:nan;queue:-1;odd;:3;b:inf;c:2"}) == {
+        "x0": 1.5,
+        "c": 2.0,
+    }
+    assert json_lines.load_report({"load": 3}) is None
 
 
 GOOD = {100: b"paid", 101: b"1500", 104: b"7f3a", 105: b"home:1;copies:2;top:2;viewer:00", 115: b"c=IN"}
@@ -127,7 +130,7 @@
 def test_a_set_up_is_read_and_what_can_not_be_served_is_not() -> None:
     """Valid parameters are parsed; each invalid one is refused."""
     plans = {"paid": 1000 * MS}
-    assert setup_request.playback("0" * 15 + "1", GOOD, plans, 2, 3) == (
+    assert setup_request.parse_setup_request("0" * 15 + "1", GOOD, plans, 2, 3) == (
         "paid",
         1500 * MS,
         "7f3a",
@@ -138,20 +141,20 @@
         "",
     )
     held = GOOD | {101: b"0", 105: b"home:1;copies:2;top:2;at:s-1"}
-    assert setup_request.playback("0" * 15 + "1", held, plans, 2, 3)[-1] == "s-1"
+    assert setup_request.parse_setup_request("0" * 15 + "1", held, plans, 2, 3)[-1] == "s-1"
     for bad in BAD:
-        with pytest.raises(setup_request.Unusable):
-            setup_request.playback("0" * 15 + "1", GOOD | bad, plans, 2, 3)
-    with pytest.raises(setup_request.Unusable):
-        setup_request.playback(setup_request.NO_ID, GOOD, plans, 2, 3)
+        with pytest.raises(setup_request.SetupRequestError):
+            setup_request.parse_setup_request("0" * 15 + "1", GOOD | bad, plans, 2, 3)
+    with pytest.raises(setup_request.SetupRequestError):
+        setup_request.parse_setup_request(setup_request.NULL_SESSION_ID, GOOD, plans, 2, 3)
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=6000))
 def test_what_is_taken_fits_a_line_with_its_escapes(text: str) -> None:
     """A description that is accepted fits a node's line even if JSON escapes lengthen it."""
-    if json_lines.carries("paid", "t" * 100, text):
+    if json_lines.fits_line("paid", "t" * 100, text):
         attrs: json_lines.Attributes = {"class": "paid", "left": "99999", "key": "t" * 100, "rung": "63"}
-        assert len(json_lines.encode("open", "0" * 16, attrs, None, text)) <= framing.MOST
+        assert len(json_lines.encode("open", "0" * 16, attrs, None, text)) <= framing.MAX_MESSAGE_BYTES
 
 
 MEMBER = {"id": "s", "host_port": "10.1.0.9:5070", "locality": "e", "flavor": "k", "cell": 2, "phase": "up", "size": 4,
@@ -165,19 +168,19 @@
         nodes = {"complete": True, "members": [MEMBER | odd]}
         return orjson.dumps({"cursor": 4, "cmds": [{"cursor": 4, "nodes": nodes}]})
 
-    member = ("s", ("10.1.0.9", 5070), "e", "k", 2, Listing.READY, 4.0, 7 * MS)
-    assert command_channel.document(body()) == (4, [(4, True, [member])])
-    assert command_channel.document(b'{"cursor":4,"cmds":[]}') == (4, [])
+    member = ("s", ("10.1.0.9", 5070), "e", "k", 2, NodeStatus.READY, 4.0, 7 * MS)
+    assert command_channel.decode_events(body()) == (4, [(4, True, [member])])
+    assert command_channel.decode_events(b'{"cursor":4,"cmds":[]}') == (4, [])
     odd: list[dict[str, Any]] = [
         {"id": ""}, {"id": 3}, {"phase": "new"}, {"host_port": "name:5070"}, {"host_port": "10.1.0.9:0"}, {"size": -1},
         {"cell": -1}, {"cell": "1"}, {"up_since_ms": -4}, {"locality": 3},
     ]  # fmt: skip
     for one in odd:
-        with pytest.raises(command_channel.Unreadable):
-            command_channel.document(body(**one))
+        with pytest.raises(command_channel.ChannelError):
+            command_channel.decode_events(body(**one))
     for cut in range(len(body())):
-        with pytest.raises(command_channel.Unreadable):
-            command_channel.document(body()[:cut])
+        with pytest.raises(command_channel.ChannelError):
+            command_channel.decode_events(body()[:cut])
 
 
 TOLD = {"name": "n0", "listen": "127.0.0.1:5070", "seed": "8c1f", "limits": {"sockets": 256, "memory_mb": 32},
@@ -187,7 +190,7 @@
 
 def test_a_faulty_configuration_says_which_field() -> None:
     """The error names the field that is missing or invalid."""
-    assert configuration.decode(orjson.dumps(TOLD)).sockets == 256
+    assert configuration.decode(orjson.dumps(TOLD)).max_sockets == 256
     faults: list[tuple[list[Any], Any, str]] = [
         (["listen"], None, "listen"), (["channel"], "here:1", "channel"), (["seed"], "zz", "seed"),
         (["limits", "sockets"], "many", "limits.sockets"), (["limits", "sockets"], 3, "limits.sockets"),
@@ -218,15 +221,15 @@
             del place[path[-1]]
         else:
             place[path[-1]] = value
-        with pytest.raises(configuration.Faulty, match=named):
+        with pytest.raises(configuration.ConfigurationError, match=named):
             configuration.decode(orjson.dumps(told))
     for broken in (b"", b"[]", b"{"):
-        with pytest.raises(configuration.Faulty):
+        with pytest.raises(configuration.ConfigurationError):
             configuration.decode(broken)
 
 
 def test_what_is_kept_of_a_message_is_what_is_read() -> None:
     """Of a stored message only the attributes that are read are kept, and no long ones."""
     said: json_lines.Attributes = {"note": "fill", "value": 1.5, "load": "x" * 5_000, "other": "o" * 9_000}
-    assert json_lines.bounded(said) == {"note": "fill", "value": 1.5}
-    assert json_lines.bounded({"load": "x0:1"}) == {"load": "x0:1"}
+    assert json_lines.kept_attributes(said) == {"note": "fill", "value": 1.5}
+    assert json_lines.kept_attributes({"load": "x0:1"}) == {"load": "x0:1"}
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,9 +12,27 @@
 from hypothesis import strategies as st
 
 from oakcroft.decisions.membership.rendezvous import line, rank
-from oakcroft.decisions.fleet.rollout import ENDED, SHARES, Plan, Report, Rollout, Stage, begins
-from oakcroft.decisions.fleet.lease import MOST_NOTE, Answer, Ask, Fence, Learnt, Note, Row, Step, Term
-from oakcroft.front.catalogue_rollout import PLAN, plan_of, word_of
+from oakcroft.decisions.fleet.rollout import (
+    FINAL_STAGES,
+    ROLLOUT_SHARES,
+    RolloutPlan,
+    FrontReport,
+    Rollout,
+    RolloutStage,
+    new_plan,
+)
+from oakcroft.decisions.fleet.lease import (
+    MAX_NOTE_OCTETS,
+    LeaseAnswer,
+    LeaseRequest,
+    Fence,
+    AcceptorRecord,
+    LeaseNote,
+    LeaseRecord,
+    LeaseMessageKind,
+    LeaseTerm,
+)
+from oakcroft.front.catalogue_rollout import PLAN_DECODER, decode_plan, encode_plan
 from oakcroft.interface import SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, row_from_wire
@@ -27,59 +45,59 @@
 
 
 def begun(watch: int = 10 * SECOND) -> Rollout:
-    plan = begins(None, NEW, OLD, watch, False, "why")
-    assert isinstance(plan, Plan)
+    plan = new_plan(None, NEW, OLD, watch, False, "why")
+    assert isinstance(plan, RolloutPlan)
     return Rollout(plan)
 
 
 def say(one: Rollout, now: int, some: list[str] = FRONTS, **more: object) -> None:
     """The fronts report as the plan wants: those of the share have the new version in force, the others the old."""
-    share = round(one.plan.part * len(FRONTS))
+    share = round(one.plan.target_share * len(FRONTS))
     for front in some:
         part = FRONTS.index(front) < share
-        report = Report(one.plan.step, True, NEW if part else OLD, part)
-        one.heard(front, replace(report, **more), now)  # type: ignore[arg-type]
+        report = FrontReport(one.plan.step, True, NEW if part else OLD, part)
+        one.receive_report(front, replace(report, **more), now)  # type: ignore[arg-type]
 
 
 def test_a_version_goes_round_share_by_share() -> None:
     one, now, seen = begun(), 0, []
-    while one.plan.stage is not Stage.DONE:
-        assert one.next(FRONTS, now) is None  # no front has reported
+    while one.plan.stage is not RolloutStage.DONE:
+        assert one.next_plan(FRONTS, now) is None  # no front has reported
         say(one, now)
-        after = one.next(FRONTS, now)
-        if one.plan.stage is Stage.TAKEN:
+        after = one.next_plan(FRONTS, now)
+        if one.plan.stage is RolloutStage.TAKEN:
             assert after is None
-            assert one.next(FRONTS, now + one.plan.watch - 1) is None
-            now += one.plan.watch
+            assert one.next_plan(FRONTS, now + one.plan.watch_time - 1) is None
+            now += one.plan.watch_time
             say(one, now)
-            after = one.next(FRONTS, now)
+            after = one.next_plan(FRONTS, now)
         assert after is not None
         assert after.step == one.plan.step + 1
-        seen.append((after.stage, after.part))
-        one.recorded(after)
-    assert seen == [(Stage.TAKEN, s) for s in SHARES] + [(Stage.DONE, 1.0)]
-    assert one.next(FRONTS, now + 100 * SECOND) is None
+        seen.append((after.stage, after.target_share))
+        one.set_recorded_plan(after)
+    assert seen == [(RolloutStage.TAKEN, s) for s in ROLLOUT_SHARES] + [(RolloutStage.DONE, 1.0)]
+    assert one.next_plan(FRONTS, now + 100 * SECOND) is None
 
 
-@pytest.mark.parametrize("stage", [Stage.HANDED, Stage.TAKEN])
-def test_one_refusal_stops_it(stage: Stage) -> None:
+@pytest.mark.parametrize("stage", [RolloutStage.HANDED, RolloutStage.TAKEN])
+def test_one_refusal_stops_it(stage: RolloutStage) -> None:
     one = begun()
-    if stage is Stage.TAKEN:
+    if stage is RolloutStage.TAKEN:
         say(one, 0)
-        after = one.next(FRONTS, 0)
+        after = one.next_plan(FRONTS, 0)
         assert after is not None
-        one.recorded(after)
+        one.set_recorded_plan(after)
     say(one, 1, ["f3"], refused="no ready holder")
-    after = one.next(FRONTS, 1)
+    after = one.next_plan(FRONTS, 1)
     assert after is not None
     # In the first stage no front has the version in force; later some may.
-    assert after.stage is (Stage.STOPPED if stage is Stage.HANDED else Stage.BACK)
-    assert "f3 refused it: no ready holder" in after.reason
+    assert after.stage is (RolloutStage.STOPPED if stage is RolloutStage.HANDED else RolloutStage.BACK)
+    assert "f3 refused it: no ready holder" in after.end_reason
 
 
 def taken(share: int = 0) -> Rollout:
     one = begun()
-    one.recorded(replace(one.plan, stage=Stage.TAKEN, share=share, step=7))
+    one.set_recorded_plan(replace(one.plan, stage=RolloutStage.TAKEN, share_index=share, step=7))
     return one
 
 
@@ -87,75 +105,75 @@
     one = taken(1)
     say(one, 1, FRONTS[:5], answers=100, failures=20)
     say(one, 1, FRONTS[5:], answers=100, failures=18)
-    assert one.next(FRONTS, 1) is None  # failures rise on all fronts alike
+    assert one.next_plan(FRONTS, 1) is None  # failures rise on all fronts alike
     say(one, 2, FRONTS[5:], answers=100, failures=2)
-    after = one.next(FRONTS, 2)
+    after = one.next_plan(FRONTS, 2)
     assert after is not None
-    assert after.stage is Stage.BACK
-    assert "20% of 500 answers failed with it, 2% without" in after.reason
+    assert after.stage is RolloutStage.BACK
+    assert "20% of 500 answers failed with it, 2% without" in after.end_reason
     few = taken()
     say(few, 1, FRONTS[:1], answers=10, failures=10)
-    assert few.next(FRONTS[:1], 1) is None  # too few answers to judge
+    assert few.next_plan(FRONTS[:1], 1) is None  # too few answers to judge
     # 7 of 60 failures against 3 of 60 is over MIN_FAILURE_INCREASE but within MIN_STANDARD_ERRORS.
     chance = taken()
     say(chance, 1, FRONTS[:1], answers=60, failures=7)
     say(chance, 1, FRONTS[1:2], answers=60, failures=3)
-    assert chance.next(FRONTS[:2], 1) is None
+    assert chance.next_plan(FRONTS[:2], 1) is None
 
 
 def test_a_front_that_has_no_catalogue_is_brought_to_what_stands() -> None:
     one = begun()
     say(one, 0)
-    one.heard("f4", Report(one.plan.step, True, "none", bare=True), 0)
-    assert one.next(FRONTS, 0) is None
-    assert one.unconfirmed(FRONTS, 0) == ["f4"]
-    one.recorded(replace(one.plan, stage=Stage.STOPPED, step=2))
+    one.receive_report("f4", FrontReport(one.plan.step, True, "none", has_no_catalogue=True), 0)
+    assert one.next_plan(FRONTS, 0) is None
+    assert one.unconfirmed_fronts(FRONTS, 0) == ["f4"]
+    one.set_recorded_plan(replace(one.plan, stage=RolloutStage.STOPPED, step=2))
     say(one, 0)
-    one.heard("f4", Report(2, True, "none", bare=True), 0)
-    assert one.unconfirmed(FRONTS, 0) == ["f4"]
-    assert one.unconfirmed(FRONTS, 11 * SECOND) == FRONTS  # any front may have restarted since
+    one.receive_report("f4", FrontReport(2, True, "none", has_no_catalogue=True), 0)
+    assert one.unconfirmed_fronts(FRONTS, 0) == ["f4"]
+    assert one.unconfirmed_fronts(FRONTS, 11 * SECOND) == FRONTS  # any front may have restarted since
 
 
 def test_whoever_is_not_there_is_not_waited_for_and_whoever_is_stops_it_in_time() -> None:
     one = taken()
     say(one, 1, FRONTS[:9])
-    assert one.unconfirmed(FRONTS, 1) == ["f9"]
-    assert one.next(FRONTS[:9], 1) is None
-    assert one.all_since == 1
+    assert one.unconfirmed_fronts(FRONTS, 1) == ["f9"]
+    assert one.next_plan(FRONTS[:9], 1) is None
+    assert one.complete_since == 1
     say(one, 5 * SECOND, FRONTS[:9])
-    assert one.next(FRONTS, 5 * SECOND) is None  # f9 is back and sends no report
+    assert one.next_plan(FRONTS, 5 * SECOND) is None  # f9 is back and sends no report
     say(one, 20 * SECOND, FRONTS[:9])
-    assert one.next(FRONTS, 25 * SECOND) is None
-    after = one.next(FRONTS, 25 * SECOND + 1)
+    assert one.next_plan(FRONTS, 25 * SECOND) is None
+    after = one.next_plan(FRONTS, 25 * SECOND + 1)
     assert after is not None
-    assert after.stage is Stage.BACK
-    assert "f9 did not take it" in after.reason
+    assert after.stage is RolloutStage.BACK
+    assert "f9 did not take it" in after.end_reason
 
 
 def test_back_is_over_when_nobody_has_it() -> None:
     one = taken(1)
-    back = one.take_back("by hand")
+    back = one.roll_back("by hand")
     assert back is not None
-    one.recorded(back)
-    assert one.take_back("again") is None
+    one.set_recorded_plan(back)
+    assert one.roll_back("again") is None
     say(one, 2, FRONTS[:9])
-    one.heard("f9", Report(back.step, True, NEW), 2)
-    assert one.next(FRONTS, 2) is None
-    one.heard("f9", Report(back.step - 1, True, OLD), 3)  # on the step before
-    assert one.next(FRONTS, 3) is None
-    one.heard("f9", Report(back.step, True, OLD), 3)
-    after = one.next(FRONTS, 3)
+    one.receive_report("f9", FrontReport(back.step, True, NEW), 2)
+    assert one.next_plan(FRONTS, 2) is None
+    one.receive_report("f9", FrontReport(back.step - 1, True, OLD), 3)  # on the step before
+    assert one.next_plan(FRONTS, 3) is None
+    one.receive_report("f9", FrontReport(back.step, True, OLD), 3)
+    after = one.next_plan(FRONTS, 3)
     assert after is not None
-    assert after.stage is Stage.STOPPED
-    assert after.reason == "by hand"
+    assert after.stage is RolloutStage.STOPPED
+    assert after.end_reason == "by hand"
 
 
 def test_one_at_a_time_with_numbers_that_grow() -> None:
-    assert begins(begun().plan, "x", OLD, 0, False, "") == "roll-out 1 is under way"
-    for stage in ENDED:
-        after = begins(replace(begun().plan, stage=stage, step=9), "x", NEW, 0, False, "")
-        assert isinstance(after, Plan)
-        assert (after.number, after.step, after.stage) == (2, 10, Stage.HANDED)
+    assert new_plan(begun().plan, "x", OLD, 0, False, "") == "roll-out 1 is under way"
+    for stage in FINAL_STAGES:
+        after = new_plan(replace(begun().plan, stage=stage, step=9), "x", NEW, 0, False, "")
+        assert isinstance(after, RolloutPlan)
+        assert (after.number, after.step, after.stage) == (2, 10, RolloutStage.HANDED)
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 4)), max_size=30))
@@ -163,10 +181,10 @@
     fence, effects = Fence(), list[tuple[int, int]]()
     for number, step in orders:
         if fence.admits("d", number, step):
-            fence.takes("d", number, step)
+            fence.record("d", number, step)
             effects.append((number, step))
     assert effects == sorted(effects)
-    assert fence.turned_away == len(orders) - len(effects)
+    assert fence.rejected_count == len(orders) - len(effects)
 
 
 @given(st.sets(st.text(min_size=1, max_size=8), min_size=2, max_size=30), st.text(max_size=8), st.data())
@@ -185,8 +203,8 @@
 # Messages.
 
 KEY = bytes(range(32))
-TERM = Term(1 << 50, "f1", 99)
-NOTE = Note(7, 2, b"plan")
+TERM = LeaseTerm(1 << 50, "f1", 99)
+NOTE = LeaseNote(7, 2, b"plan")
 
 
 def codec(fleet: str = "oakcroft", key: bytes = KEY) -> LeaseCodec:
@@ -201,66 +219,78 @@
 
 def test_words_come_back_as_they_left() -> None:
     one = codec()
-    ask = Ask(Step.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
-    answer = Answer(Step.REFUSED, "catalogue", "f1", 5, 6, 7, 8, TERM, 9, NOTE, (("f2", 3),))
+    ask = LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
+    answer = LeaseAnswer(LeaseMessageKind.REFUSED, "catalogue", "f1", 5, 6, 7, 8, TERM, 9, NOTE, (("f2", 3),))
     got = one.taken(opened(one.ask("f1", 99, ask)))
     assert (got.sender, got.start, got.message) == ("f1", 99, ask)
     assert one.taken(opened(one.answer("f1", 99, answer))).message == answer
     order, report = Order("catalogue", 5, 2, b"x" * 900), OrderReport("catalogue", 5, 2, True, b"y")
     assert one.taken(opened(one.order("f1", 1, order))).message == order
     assert one.taken(opened(one.report("f1", 1, report))).message == report
-    rows = tuple((f"d{i}", Row(i + 1, "f1/9", TERM, NOTE)) for i in range(64))
-    parts = [one.taken(opened(p)).message for p in one.learnt("f1", 1, Learnt("f1", 4, True, rows))]
+    rows = tuple((f"d{i}", LeaseRecord(i + 1, "f1/9", TERM, NOTE)) for i in range(64))
+    parts = [one.taken(opened(p)).message for p in one.learnt("f1", 1, AcceptorRecord("f1", 4, True, rows))]
     assert len(parts) == 64
     assert (
         tuple((p.row.duty, row_from_wire(p.row)) for p in parts if isinstance(p, RecordPart) and p.row)
         == rows
     )
-    assert len(one.learnt("f1", 1, Learnt("f1", 4, False, ()))) == 1
+    assert len(one.learnt("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
 
 
 def test_the_largest_words_fit_a_datagram() -> None:
     name = "n" * 64
-    big = Note((1 << 62) - 1, (1 << 62) - 1, b"x" * MOST_NOTE)
-    row = Term((1 << 62) - 1, name, (1 << 62) - 1)
+    big = LeaseNote((1 << 62) - 1, (1 << 62) - 1, b"x" * MAX_NOTE_OCTETS)
+    row = LeaseTerm((1 << 62) - 1, name, (1 << 62) - 1)
     epochs = tuple((f"{i:02}" + "e" * 62, 1 << 60) for i in range(7))
     words = [
-        codec().ask(name, 1 << 60, Ask(Step.PROPOSE, name, row, 1 << 60, 1 << 60, big)),
-        codec().answer(name, 1 << 60, Answer(Step.REFUSED, name, name, 1, 1, 1, 1, row, 1, big, epochs)),
+        codec().ask(name, 1 << 60, LeaseRequest(LeaseMessageKind.PROPOSE, name, row, 1 << 60, 1 << 60, big)),
+        codec().answer(
+            name, 1 << 60, LeaseAnswer(LeaseMessageKind.REFUSED, name, name, 1, 1, 1, 1, row, 1, big, epochs)
+        ),
     ]
     assert all(len(w) <= MAX_DATAGRAM for w in words), [len(w) for w in words]
 
 
 def test_a_plan_fits_its_record_whatever_was_written_into_it() -> None:
     plan = replace(
-        begun().plan, digest="d" * 64, base="b" * 64, why="\u20ac" * 120, reason="\U0001f600" * 120
+        begun().plan,
+        digest="d" * 64,
+        base_digest="b" * 64,
+        change_reason="\u20ac" * 120,
+        end_reason="\U0001f600" * 120,
     )
-    word = word_of(plan)
-    assert len(word) <= MOST_NOTE
-    again = PLAN.decode(word).plan()
-    assert (again.digest, again.base, again.step, again.stage) == (
+    word = encode_plan(plan)
+    assert len(word) <= MAX_NOTE_OCTETS
+    again = PLAN_DECODER.decode(word).to_plan()
+    assert (again.digest, again.base_digest, again.step, again.stage) == (
         plan.digest,
-        plan.base,
+        plan.base_digest,
         plan.step,
         plan.stage,
     )
-    small = replace(plan, why="why", reason="reason")
-    assert PLAN.decode(word_of(small)).plan() == small
+    small = replace(plan, change_reason="why", end_reason="reason")
+    assert PLAN_DECODER.decode(encode_plan(small)).to_plan() == small
 
 
 WRONG: list[dict[str, Any]] = [
-    {"digest": "zz"}, {"base": "A" * 24}, {"digest": "a" * 25}, {"share": 3}, {"share": -1}, {"step": 0}, {"watch": -1}
-]  # fmt: skip
+    {"digest": "zz"},
+    {"base_digest": "A" * 24},
+    {"digest": "a" * 25},
+    {"share_index": 3},
+    {"share_index": -1},
+    {"step": 0},
+    {"watch_time": -1},
+]
 
 
 @pytest.mark.parametrize("wrong", WRONG)
 def test_a_plan_that_nothing_can_be_done_with_is_none(wrong: dict[str, Any]) -> None:
-    sound = replace(begun().plan, digest="ab" * 12, base="01" * 12)
-    assert plan_of(word_of(sound)) == sound
+    sound = replace(begun().plan, digest="ab" * 12, base_digest="01" * 12)
+    assert decode_plan(encode_plan(sound)) == sound
     with pytest.raises(ValueError, match=r"digest|range"):
-        plan_of(word_of(replace(sound, **wrong)))
+        decode_plan(encode_plan(replace(sound, **wrong)))
     with pytest.raises(ValueError, match=r"."):
-        plan_of(b"no plan")
+        decode_plan(b"no plan")
 
 
 def test_texts_go_in_parts() -> None:
@@ -287,12 +317,16 @@
 @given(st.integers(0, 2_000), st.integers(0, 255))
 def test_a_changed_octet_or_value_is_no_fault_of_the_program(at: int, value: int) -> None:
     octets = bytearray(
-        opened(codec().ask("f1", 99, Ask(Step.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)))
+        opened(
+            codec().ask(
+                "f1", 99, LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
+            )
+        )
     )
     octets[at % len(octets)] = value
     with suppress(MessageError):
         codec().taken(bytes(octets))
-    other = codec("other").ask("f1", 99, Ask(Step.PREPARE, "d", TERM))
+    other = codec("other").ask("f1", 99, LeaseRequest(LeaseMessageKind.PREPARE, "d", TERM))
     with pytest.raises(MessageError):
         codec().taken(opened(other))
 
@@ -309,7 +343,7 @@
         self.in_force = dict.fromkeys(FRONTS, OLD)
         self.held = dict.fromkeys(FRONTS, False)
         self.changes: dict[str, list[str]] = {f: [] for f in FRONTS}
-        self.under_way: list[tuple[str, int, Plan]] = []
+        self.under_way: list[tuple[str, int, RolloutPlan]] = []
         self.refuses, self.number, self.now = refuses, 0, 0
         self.one = Rollout(self.record)
 
@@ -318,14 +352,14 @@
         self.number += 1
         self.one = Rollout(self.record)
 
-    def order(self, front: str, number: int, plan: Plan) -> None:
+    def order(self, front: str, number: int, plan: RolloutPlan) -> None:
         if not self.fences[front].admits("d", number, plan.step):
             return
-        self.fences[front].takes("d", number, plan.step)
-        share, was, refused = round(plan.part * len(FRONTS)), self.in_force[front], ""
-        if plan.stage is Stage.HANDED:
+        self.fences[front].record("d", number, plan.step)
+        share, was, refused = round(plan.target_share * len(FRONTS)), self.in_force[front], ""
+        if plan.stage is RolloutStage.HANDED:
             self.held[front] = True
-        elif plan.stage in (Stage.BACK, Stage.STOPPED):
+        elif plan.stage in (RolloutStage.BACK, RolloutStage.STOPPED):
             self.in_force[front] = OLD
         elif FRONTS.index(front) < share:
             refused = "broken" if front == self.refuses else ""
@@ -334,20 +368,20 @@
             self.changes[front].append(self.in_force[front])
         if number == self.number:
             part = FRONTS.index(front) < share
-            report = Report(plan.step, self.held[front], self.in_force[front], part, refused)
-            self.one.heard(front, report, self.now)
+            report = FrontReport(plan.step, self.held[front], self.in_force[front], part, refused)
+            self.one.receive_report(front, report, self.now)
 
     def round(self, dies: str = "") -> bool:
         """Runs one round of the holder; returns True where it failed at the point `dies`."""
         self.now += SECOND
-        after = self.one.next(FRONTS, self.now)
+        after = self.one.next_plan(FRONTS, self.now)
         if after is not None:
             if dies == "before the record":
                 return True
             self.record = after
             if dies == "after the record":
                 return True
-            self.one.recorded(after)
+            self.one.set_recorded_plan(after)
         for i, front in enumerate(FRONTS):
             if dies == "between orders" and after is not None and i >= 5:
                 self.under_way.append((front, self.number, self.one.plan))
@@ -373,7 +407,7 @@
             changes += played.record.step > before
         for front, number, plan in played.under_way:  # late orders of the failed holder arrive
             played.order(front, number, plan)
-        ends, stage = (OLD, Stage.STOPPED) if refuses else (NEW, Stage.DONE)
+        ends, stage = (OLD, RolloutStage.STOPPED) if refuses else (NEW, RolloutStage.DONE)
         assert played.record.stage is stage
         assert set(played.in_force.values()) == {ends}
         assert all(seen in ([], [NEW], [NEW, OLD]) for seen in played.changes.values()), played.changes
--- a/tests/test_rulecheck.py
+++ b/tests/test_rulecheck.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from oakcroft.config import pipeline as compiling
-from oakcroft.decisions.sessions.setup_outcome import FULL_TYPE
+from oakcroft.decisions.sessions.setup_outcome import PROBLEM_FULL
 from oakcroft.interface import MS, SECOND
 from oakcroft.rulecheck.rules import judge
 
-FOUND, PROBLEMS = compiling.check(
+FOUND, PROBLEMS = compiling.check_file(
     "s",
     lambda _: (
         """(fleet (fronts 2) (cells 2) (drain-grace 250ms) (cold-share 0.5) (cold-for 10s)
@@ -19,10 +19,10 @@
   (plan free (effect free) (startup-target 1s) (abandon 4s) (revenue 1) (floor 1) (seats 2))
   (route p (path "/p/") (plan paid)) (route f (path "/f/") (plan free))"""
     ),
-    front=False,
+    is_front_file=False,
 )
 assert FOUND is not None
-SITE = compiling.told(FOUND).site
+SITE = compiling.build_deployment(FOUND).shared
 T0 = 1000 * SECOND
 
 
@@ -58,7 +58,7 @@
 
 CLEAN = [
     at(0, "place", node="n", places=20), at(0, "place", node="m", places=20), *told(0, 0, ["n", "m"]),
-    asked(10, "a", "paid"), *a_try(12, "a", "n", "paid", 503, problem=FULL_TYPE), *a_try(30, "a", "m", "paid", 201),
+    asked(10, "a", "paid"), *a_try(12, "a", "n", "paid", 503, problem=PROBLEM_FULL), *a_try(30, "a", "m", "paid", 201),
     got(45, "a", 201),
     asked(100, "b", "paid"), *a_try(101, "b", "n", "paid", None, 4800),
     got(4950, "b", 504, "urn:oakcroft:problem:aborted"),
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -13,18 +13,23 @@
 import wsproto
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import Rig, remembers, run, standing, start_front, until
+from rig import Rig, wait_until_recovered, run_async_test, running_front_end, start_front_end, wait_until
 from wsproto import events
 
 from oakcroft.client import Refused, Retries, SessionClient, Unsure, WhepClient
 from oakcroft.client.blocking import BlockingWhepClient
 from oakcroft.client.retry import Next
-from oakcroft.decisions.admission.client_limits import Allowance, Client, Word
-from oakcroft.decisions.admission.resume_tokens import Invalid, Passes
-from oakcroft.decisions.sessions.client_session import Outbox, Pulse, Seat, Standing
-from oakcroft.decisions.admission.load_shedding import Line, Waiting, Window
+from oakcroft.decisions.admission.client_limits import ClientLimits, ClientUsage, ClientVerdict
+from oakcroft.decisions.admission.resume_tokens import TokenError, ResumeTokens
+from oakcroft.decisions.sessions.client_session import (
+    Outbox,
+    KeepaliveProbe,
+    ClientSession,
+    ClientSessionState,
+)
+from oakcroft.decisions.admission.load_shedding import FairQueue, QueuedRequest, ConcurrencyWindow
 from oakcroft.httpwire.server import whole_post
-from oakcroft.front.session_coordinator import Helm
+from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.websocket_api import SessionApi
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.viewers import offer
@@ -40,124 +45,147 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(st.tuples(st.sampled_from("pacb"), st.integers(0, 6)), max_size=60))
 def test_a_client_hears_each_message_once_and_in_order_over_any_breaks(steps: list[tuple[str, int]]) -> None:
-    seat, now, conn = Seat[int](10 * SECOND, Outbox(16), connection=1), 0, 1
+    seat, now, conn = ClientSession[int](10 * SECOND, Outbox(16), connection=1), 0, 1
     heard, sent, wire = list[int](), 0, list[tuple[int, int]]()
     for what, k in steps:
         now += MS
-        if what == "p" and not seat.over:
-            number = seat.put(sent, now)
+        if what == "p" and not seat.has_ended:
+            number = seat.enqueue(sent, now)
             if number is not None:
                 sent += 1
-                if seat.standing is Standing.ATTACHED:
+                if seat.state is ClientSessionState.ATTACHED:
                     wire.append((number, sent - 1))
         elif what == "a":  # the connection delivers some messages, the client acknowledges them
             for number, message in wire[:k]:
                 if number == len(heard) + 1:
                     heard.append(message)
             del wire[:k]
-            assert seat.outbox.acknowledged(len(heard))
+            assert seat.outbox.acknowledge(len(heard))
         elif what == "c":  # the connection is lost and the client reconnects: messages in transit are lost
-            seat.detached(conn, now)
+            seat.detach(conn, now)
             wire.clear()
             conn += 1
             claim = seat.attach(conn, len(heard), now)
             if claim is not None:
                 wire += claim[0]
         elif what == "b":
-            seat.detached(conn, now)
+            seat.detach(conn, now)
             wire.clear()
     claim = seat.attach(conn + 1, len(heard), now)
     if claim is None:
-        assert seat.standing is Standing.OVERRUN
+        assert seat.state is ClientSessionState.OVERRUN
         return
     assert heard + [m for _, m in claim[0]] == list(range(sent))
 
 
 def test_the_later_connection_wins_and_a_seat_ends_in_time() -> None:
-    seat = Seat[str](SECOND, Outbox(4), connection=1)
-    assert seat.put("a", 0) == 1
+    seat = ClientSession[str](SECOND, Outbox(4), connection=1)
+    assert seat.enqueue("a", 0) == 1
     assert seat.attach(2, 0, 1) == ([(1, "a")], 1)
-    assert not seat.detached(1, 2)  # the earlier connection no longer acts for the client session
-    assert not seat.left(1, 2)
-    assert seat.detached(2, 3)
-    assert not seat.look(SECOND)
-    assert seat.look(2 * SECOND)
+    assert not seat.detach(1, 2)  # the earlier connection no longer acts for the client session
+    assert not seat.leave(1, 2)
+    assert seat.detach(2, 3)
+    assert not seat.check_expiry(SECOND)
+    assert seat.check_expiry(2 * SECOND)
     assert seat.attach(3, 0, 2 * SECOND) is None
-    liar = Seat[str](SECOND, Outbox(4), connection=1)
-    assert not liar.outbox.acknowledged(1)
+    liar = ClientSession[str](SECOND, Outbox(4), connection=1)
+    assert not liar.outbox.acknowledge(1)
     assert liar.attach(2, 5, 0) is None  # it acknowledges a message that was never sent
-    pulse = Pulse(SECOND)
+    pulse = KeepaliveProbe(SECOND)
     for asked in range(3):
-        assert not pulse.dead, asked
-        pulse.quiet()
-    assert pulse.dead
-    pulse.heard()
-    assert not pulse.dead
+        assert not pulse.is_dead, asked
+        pulse.ping_sent()
+    assert pulse.is_dead
+    pulse.message_received()
+    assert not pulse.is_dead
 
 
 def test_passes_are_sealed_bound_expiring_and_rotate() -> None:
-    passes = Passes(10 * SECOND, SECOND)
-    passes.take_key(0, b"k" * 32, 0)
-    given_ = passes.give("seat-1", "alice", 0)
-    assert passes.open(given_, "alice", 1) == "seat-1"
-    assert passes.open(given_, "bob", 1) is Invalid.SEAL
-    assert passes.open(given_.replace("seat-1", "seat-2"), "alice", 1) is Invalid.SEAL
-    assert passes.open(given_, "alice", 11 * SECOND) is Invalid.EXPIRED
-    assert passes.open("no pass", "alice", 1) is Invalid.SHAPE
-    assert passes.wants_key(2 * SECOND)
-    passes.take_key(1, b"l" * 32, 2 * SECOND)
-    assert passes.open(given_, "alice", 3 * SECOND) == "seat-1"
-    passes.take_key(2, b"m" * 32, 4 * SECOND)
-    assert passes.open(given_, "alice", 5 * SECOND) is Invalid.KEY
-    restarted = Passes(10 * SECOND)
-    restarted.take_key(9, b"z" * 32, 0)
-    assert restarted.open(given_, "alice", 1) is Invalid.KEY
+    passes = ResumeTokens(10 * SECOND, SECOND)
+    passes.add_key(0, b"k" * 32, 0)
+    given_ = passes.issue("seat-1", "alice", 0)
+    assert passes.verify(given_, "alice", 1) == "seat-1"
+    assert passes.verify(given_, "bob", 1) is TokenError.BAD_SIGNATURE
+    assert passes.verify(given_.replace("seat-1", "seat-2"), "alice", 1) is TokenError.BAD_SIGNATURE
+    assert passes.verify(given_, "alice", 11 * SECOND) is TokenError.EXPIRED
+    assert passes.verify("no pass", "alice", 1) is TokenError.MALFORMED
+    assert passes.needs_key(2 * SECOND)
+    passes.add_key(1, b"l" * 32, 2 * SECOND)
+    assert passes.verify(given_, "alice", 3 * SECOND) == "seat-1"
+    passes.add_key(2, b"m" * 32, 4 * SECOND)
+    assert passes.verify(given_, "alice", 5 * SECOND) is TokenError.UNKNOWN_KEY
+    restarted = ResumeTokens(10 * SECOND)
+    restarted.add_key(9, b"z" * 32, 0)
+    assert restarted.verify(given_, "alice", 1) is TokenError.UNKNOWN_KEY
 
 
 def test_a_client_holds_what_it_may() -> None:
-    client = Client(Allowance(connections=1, asks=2, playbacks=3, messages=1.0, burst=2.0))
-    assert [client.connects(), client.connects()] == [Word.PASS, Word.TOO_MANY_CONNECTIONS]
-    assert [client.asks_for() for _ in range(3)] == [Word.PASS, Word.PASS, Word.TOO_MANY_ASKS]
-    client.answered(True)
-    client.answered(True)
-    assert client.asks_for() is Word.PASS
-    client.answered(True)
-    assert client.asks_for() is Word.TOO_MANY_PLAYBACKS
-    assert [client.says(0), client.says(0), client.says(0), client.says(SECOND)] == [
-        Word.PASS, Word.PASS, Word.TOO_FAST, Word.PASS,
-    ]  # fmt: skip
-    assert not client.idle
+    client = ClientUsage(
+        ClientLimits(
+            connections=1, pending_requests=2, playbacks=3, messages_per_second=1.0, message_burst=2.0
+        )
+    )
+    assert [client.open_connection(), client.open_connection()] == [
+        ClientVerdict.ALLOWED,
+        ClientVerdict.TOO_MANY_CONNECTIONS,
+    ]
+    assert [client.request_playback() for _ in range(3)] == [
+        ClientVerdict.ALLOWED,
+        ClientVerdict.ALLOWED,
+        ClientVerdict.TOO_MANY_REQUESTS,
+    ]
+    client.finish_request(True)
+    client.finish_request(True)
+    assert client.request_playback() is ClientVerdict.ALLOWED
+    client.finish_request(True)
+    assert client.request_playback() is ClientVerdict.TOO_MANY_PLAYBACKS
+    assert [
+        client.receive_message(0),
+        client.receive_message(0),
+        client.receive_message(0),
+        client.receive_message(SECOND),
+    ] == [
+        ClientVerdict.ALLOWED,
+        ClientVerdict.ALLOWED,
+        ClientVerdict.MESSAGE_RATE_EXCEEDED,
+        ClientVerdict.ALLOWED,
+    ]
+    assert not client.is_unused
 
 
 def test_the_line_answers_in_time_or_at_once_and_starves_no_plan() -> None:
     served: dict[str, dict[str, int]] = {}
     for order in ("line", "first come"):
-        line = Line({"dear": 9.0, "cheap": 1.0}, Window(least=1, most=1, size=1.0), 50 * MS)
+        line = FairQueue(
+            {"dear": 9.0, "cheap": 1.0}, ConcurrencyWindow(min_size=1, max_size=1, size=1.0), 50 * MS
+        )
         rng, now, number, in_time = Random(3), 0, 0, {"dear": 0, "cheap": 0}
-        queue = list[Waiting]()
+        queue = list[QueuedRequest]()
         finishes: list[int] = []
         for now in range(0, 20 * SECOND, 10 * MS):
             # 100 requests a second at 50 ms each: five times the capacity
             for _ in range(rng.choice([0, 1, 1, 2])):
                 number += 1
-                one = Waiting(now + 500 * MS, number, rng.choice(["dear", "cheap"]), f"c{rng.randrange(5)}")
+                one = QueuedRequest(
+                    now + 500 * MS, number, rng.choice(["dear", "cheap"]), f"c{rng.randrange(5)}"
+                )
                 if order == "first come":
                     queue.append(one)
-                elif line.enter(one):
+                elif line.submit(one):
                     in_time[one.plan] += 1
                     finishes.append(now + 50 * MS)
             for at in [f for f in finishes if f <= now]:
                 finishes.remove(at)
-                line.done() if order == "line" else None
+                line.finish() if order == "line" else None
             if order == "line":
-                line.hopeless(now)
-                while (turn := line.next()) is not None:
+                line.remove_expired(now)
+                while (turn := line.next_request()) is not None:
                     in_time[turn.plan] += 1
                     finishes.append(now + 50 * MS)
             elif queue and not finishes:
                 one = queue.pop(0)
                 finishes.append(now + 50 * MS)
-                in_time[one.plan] += one.abandon >= now + 50 * MS
+                in_time[one.plan] += one.abandon_at >= now + 50 * MS
         served[order] = in_time
     revenue = {order: 9 * s["dear"] + s["cheap"] for order, s in served.items()}
     assert revenue["line"] > 5 * revenue["first come"]
@@ -166,28 +194,30 @@
 
 
 def test_the_window_gives_way_to_a_late_loop_and_comes_back() -> None:
-    window = Window(least=4, most=100, size=100.0)
+    window = ConcurrencyWindow(min_size=4, max_size=100, size=100.0)
     for _ in range(30):
-        window.beat(80 * MS)
+        window.adjust(80 * MS)
     assert window.size == 4
     for _ in range(30):
-        window.beat(0)
+        window.adjust(0)
     assert window.size == 100
 
 
 def test_a_plan_that_cannot_be_served_in_time_is_turned_away_and_no_other() -> None:
-    line = Line({"dear": 9.0, "cheap": 1.0}, Window(least=1, most=1, size=1.0), 50 * MS,
-                targets={"dear": SECOND, "cheap": SECOND})  # fmt: skip
-    line.enter(Waiting(5 * SECOND, 0, "cheap", ""))
-    line.turns, line.pace = 0, 100.0
+    line = FairQueue({"dear": 9.0, "cheap": 1.0}, ConcurrencyWindow(min_size=1, max_size=1, size=1.0), 50 * MS,
+                startup_targets={"dear": SECOND, "cheap": SECOND})  # fmt: skip
+    line.submit(QueuedRequest(5 * SECOND, 0, "cheap", ""))
+    line.turns_since_heartbeat, line.throughput = 0, 100.0
     for number in range(1, 20):
-        assert not line.sheds("dear")
-        if not line.sheds("cheap"):
-            line.enter(Waiting(5 * SECOND, number, "cheap", ""))
-    assert line.plans["cheap"].waiting == 19  # alone it gets all the turns: 50 in half its startup target
-    line.enter(Waiting(5 * SECOND, 20, "dear", ""))
-    assert line.sheds("cheap")  # now it gets a tenth of them
-    assert not line.sheds("dear")
+        assert not line.should_shed("dear")
+        if not line.should_shed("cheap"):
+            line.submit(QueuedRequest(5 * SECOND, number, "cheap", ""))
+    assert (
+        line.plans["cheap"].waiting_count == 19
+    )  # alone it gets all the turns: 50 in half its startup target
+    line.submit(QueuedRequest(5 * SECOND, 20, "dear", ""))
+    assert line.should_shed("cheap")  # now it gets a tenth of them
+    assert not line.should_shed("dear")
 
 
 def test_only_a_whole_plain_post_is_answered_unread() -> None:
@@ -239,70 +269,70 @@
 # Whole sessions.
 
 
-def parts(rig: Rig) -> tuple[Helm, SessionApi]:
-    assert rig.front is not None
-    assert rig.front.helm is not None
-    assert rig.front.sessions is not None
-    return rig.front.helm, rig.front.sessions
+def coordinator_and_api(rig: Rig) -> tuple[SessionCoordinator, SessionApi]:
+    assert rig.front_end is not None
+    assert rig.front_end.coordinator is not None
+    assert rig.front_end.session_api is not None
+    return rig.front_end.coordinator, rig.front_end.session_api
 
 
-class Raw:
+class RawClient:
     """A WebSocket client whose every step is under the test's control."""
 
-    def __init__(self, stream: trio.SocketStream, ws: wsproto.WSConnection) -> None:
-        self.stream, self.ws = stream, ws
+    def __init__(self, stream: trio.SocketStream, websocket: wsproto.WSConnection) -> None:
+        self.stream, self.websocket = stream, websocket
 
-    async def say(self, message: object) -> None:
+    async def send(self, message: object) -> None:
         await self.stream.send_all(
-            self.ws.send(events.TextMessage(data=api.Codec(api.JSON).write(message).decode()))
+            self.websocket.send(events.TextMessage(data=api.Codec(api.JSON).write(message).decode()))
         )
 
-    async def event(self) -> events.Event:
+    async def next_event(self) -> events.Event:
         while True:
-            for event in self.ws.events():
+            for event in self.websocket.events():
                 return event
-            self.ws.receive_data(await self.stream.receive_some(65_536) or None)
+            self.websocket.receive_data(await self.stream.receive_some(65_536) or None)
 
-    async def hear(self) -> api.ToClient:
+    async def receive(self) -> api.ToClient:
         while True:
-            event = await self.event()
+            event = await self.next_event()
             if isinstance(event, events.TextMessage):
                 return api.Codec(api.JSON).read_server(event.data.encode())
             assert not isinstance(event, events.CloseConnection), (event.code, event.reason)
 
-    async def code(self) -> int:
-        while not isinstance(event := await self.event(), events.CloseConnection):
+    async def close_code(self) -> int:
+        while not isinstance(event := await self.next_event(), events.CloseConnection):
             pass
         return event.code
 
-    async def cut(self) -> None:
+    async def abort(self) -> None:
         await trio.aclose_forcefully(self.stream)
 
 
-async def dial(rig: Rig) -> Raw:
+async def open_raw_client(rig: Rig) -> RawClient:
     stream = await trio.open_tcp_stream("127.0.0.1", rig.port)
     ws = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
     await stream.send_all(ws.send(events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])))
-    one = Raw(stream, ws)
-    assert isinstance(await one.event(), events.AcceptConnection)
+    one = RawClient(stream, ws)
+    assert isinstance(await one.next_event(), events.AcceptConnection)
     return one
 
 
 @asynccontextmanager
-async def raw(rig: Rig, hello: api.Hello | None = None) -> AsyncIterator[Raw]:
-    one = await dial(rig)
+async def raw_client(rig: Rig, hello: api.Hello | None = None) -> AsyncIterator[RawClient]:
+    one = await open_raw_client(rig)
     try:
         if hello is not None:
-            await one.say(hello)
+            await one.send(hello)
         yield one
     finally:
-        await one.cut()
+        await one.abort()
 
 
 def test_a_playback_over_websocket_and_the_client_library(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig:
-            helm, sessions = parts(rig)
+        async with running_front_end(tmp_path) as rig:
+            helm, sessions = coordinator_and_api(rig)
             for subprotocol in api.SUBPROTOCOLS:
                 async with SessionClient.open(
                     f"http://127.0.0.1:{rig.port}", subprotocol=subprotocol
@@ -313,46 +343,46 @@
                     assert await client.layer(playback, 9) == 422
                     with pytest.raises(Refused, match="404"):
                         await client.play("/nowhere/t", OFFER)
-                    rig.playing()[0].kill()
+                    rig.nodes_in_use()[0].kill()
                     with trio.fail_after(5):
                         heard = [e.kind async for e in playback.events]
                     assert heard[-1] == "inactive"
                     second = await client.play("/whep/course/t", OFFER)
-                    assert rig.playing()
+                    assert rig.nodes_in_use()
                     await client.end(second)
-                    await until(lambda: not rig.playing())
+                    await wait_until(lambda: not rig.nodes_in_use())
                     third = await client.play("/whep/course/u", OFFER)
-                    assert third.id in helm.sessions
+                    assert third.id in helm.sessions_by_id
                 # Closing the client ended its playbacks.
-                await until(lambda: not rig.playing() and not helm.viewings)
-                await until(lambda: not sessions.holders)
+                await wait_until(lambda: not rig.nodes_in_use() and not helm.sessions_by_playback)
+                await wait_until(lambda: not sessions.clients)
                 for node in rig.fleet.nodes.values():
                     if node.ails.dead:
                         node.machine.restart(0)
                         await rig.fleet.boot(node)
 
-    run(test, 40)
+    run_async_test(test, 40)
 
 
 def test_one_key_over_both_ways_is_one_playback(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig, raw(rig, api.Hello()) as one:
-            assert isinstance(await one.hear(), api.Welcome)
-            sat = await rig.ask(
+        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as one:
+            assert isinstance(await one.receive(), api.Welcome)
+            sat = await rig.request(
                 "POST",
                 "/whep/course/t",
                 OFFER.encode(),
                 Content_Type="application/sdp",
                 Idempotency_Key='"k"',
             )
-            await one.say(api.Ask(1, "/whep/course/t", OFFER, "k"))
-            answer = await one.hear()
+            await one.send(api.Ask(1, "/whep/course/t", OFFER, "k"))
+            answer = await one.receive()
             assert isinstance(answer, api.Answer)
             assert (answer.status, answer.again) == (201, True)
             assert f"/session/{answer.playback}" == sat.header("location")
-            assert len(rig.facts("ran")) == 1
+            assert len(rig.recorded("ran")) == 1
 
-    run(test)
+    run_async_test(test)
 
 
 SCRIPT: list[object] = [
@@ -369,15 +399,15 @@
     """
 
     async def test() -> None:
-        async with standing(tmp_path) as rig:
-            helm, sessions = parts(rig)
+        async with running_front_end(tmp_path) as rig:
+            helm, sessions = coordinator_and_api(rig)
             heard, numbers, playing, pass_ = list[object](), list[int](), dict[int, str](), ""
 
-            async def connect() -> Raw:
+            async def connect() -> RawClient:
                 nonlocal pass_
-                one = await dial(rig)
-                await one.say(api.Hello(pass_, numbers[-1] if numbers else 0))
-                welcome = await one.hear()
+                one = await open_raw_client(rig)
+                await one.send(api.Hello(pass_, numbers[-1] if numbers else 0))
+                welcome = await one.receive()
                 assert isinstance(welcome, api.Welcome)
                 assert welcome.back is bool(pass_)
                 pass_ = welcome.resume
@@ -386,41 +416,43 @@
             one = await connect()
             for i, message in enumerate(SCRIPT):
                 if cut == 2 * i:  # before the message is sent
-                    await one.cut()
+                    await one.abort()
                     one = await connect()
                 if isinstance(message, api.Layer):
                     message = api.Layer(playing[1], message.rung, message.id)
                 elif isinstance(message, api.End):
                     message = api.End(playing[1], message.id)
-                await one.say(message)
+                await one.send(message)
                 if cut == 2 * i + 1:  # sent, but its answer is not received
                     await trio.sleep(0.05)
-                    await one.cut()
+                    await one.abort()
                     one = await connect()
                 await collect(one, heard, numbers, playing, i + 1)
             if cut == 2 * len(SCRIPT):
-                await one.cut()
+                await one.abort()
                 one = await connect()
             answers = [m.id for m in heard if isinstance(m, api.Answer | api.Done)]
             assert answers == [1, 2, 3, 4]
             assert numbers == list(range(1, len(numbers) + 1))  # each message once, in order
-            assert len(rig.facts("ran")) == 2
-            await one.say(api.Bye())
-            assert await one.code() == 1000
-            await one.cut()
-            await until(lambda: not helm.viewings and not sessions.holders and not rig.playing())
-            await until(lambda: not sessions.callers and helm.unanswered == 0)
+            assert len(rig.recorded("ran")) == 2
+            await one.send(api.Bye())
+            assert await one.close_code() == 1000
+            await one.abort()
+            await wait_until(
+                lambda: not helm.sessions_by_playback and not sessions.clients and not rig.nodes_in_use()
+            )
+            await wait_until(lambda: not sessions.usage_by_caller and helm.unanswered_count == 0)
 
-    run(test)
+    run_async_test(test)
 
 
 async def collect(
-    one: Raw, heard: list[object], numbers: list[int], playing: dict[int, str], wanted: int
+    one: RawClient, heard: list[object], numbers: list[int], playing: dict[int, str], wanted: int
 ) -> None:
     """Receives messages until the answers to the first `wanted` calls have arrived."""
     with trio.fail_after(5):
         while len([m for m in heard if isinstance(m, api.Answer | api.Done)]) < wanted:
-            message = await one.hear()
+            message = await one.receive()
             heard.append(message)
             numbers.append(getattr(message, "n", 0))
             if isinstance(message, api.Answer):
@@ -429,21 +461,21 @@
 
 def test_the_later_connection_replaces_and_a_lost_seat_is_told(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig, raw(rig, api.Hello()) as one:
-            welcome = await one.hear()
+        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as one:
+            welcome = await one.receive()
             assert isinstance(welcome, api.Welcome)
-            async with raw(rig, api.Hello(welcome.resume, 0)) as two:
-                again = await two.hear()
+            async with raw_client(rig, api.Hello(welcome.resume, 0)) as two:
+                again = await two.receive()
                 assert isinstance(again, api.Welcome)
                 assert again.back
-                assert isinstance(await one.hear(), api.Replaced)
-                assert await one.code() == 4001
-            async with raw(rig, api.Hello("1.2.x.y", 0)) as three:
-                fresh = await three.hear()
+                assert isinstance(await one.receive(), api.Replaced)
+                assert await one.close_code() == 4001
+            async with raw_client(rig, api.Hello("1.2.x.y", 0)) as three:
+                fresh = await three.receive()
                 assert isinstance(fresh, api.Welcome)
-                assert (fresh.back, fresh.why) == (False, Invalid.KEY.value)
+                assert (fresh.back, fresh.why) == (False, TokenError.UNKNOWN_KEY.value)
 
-    run(test)
+    run_async_test(test)
 
 
 @pytest.mark.parametrize(
@@ -464,49 +496,53 @@
 )
 def test_frames_that_the_rfc_forbids_close_with_its_code(tmp_path: Path, data: bytes, code: int) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig, raw(rig) as one:
+        async with running_front_end(tmp_path) as rig, raw_client(rig) as one:
             await one.stream.send_all(data)
             with trio.fail_after(3):
-                assert await one.code() == code
-            assert (await rig.watch()).status == 201
+                assert await one.close_code() == code
+            assert (await rig.request_playback()).status == 201
 
-    run(test)
+    run_async_test(test)
 
 
 def test_pieces_pings_and_silence(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig, raw(rig) as one:
+        async with running_front_end(tmp_path) as rig, raw_client(rig) as one:
             text = api.Codec(api.JSON).write(api.Hello()).decode()
-            await one.stream.send_all(one.ws.send(events.TextMessage(data=text[:5], message_finished=False)))
+            await one.stream.send_all(
+                one.websocket.send(events.TextMessage(data=text[:5], message_finished=False))
+            )
             # A control frame between fragments (5.4).
-            await one.stream.send_all(one.ws.send(events.Ping(payload=b"p")))
-            assert isinstance(await one.event(), events.Pong)
-            await one.stream.send_all(one.ws.send(events.TextMessage(data=text[5:], message_finished=True)))
-            assert isinstance(await one.hear(), api.Welcome)
-            await one.say(api.Ack(7))
-            assert await one.code() == 1008
-            huge = await rig.ask("GET", "/api/v1")
+            await one.stream.send_all(one.websocket.send(events.Ping(payload=b"p")))
+            assert isinstance(await one.next_event(), events.Pong)
+            await one.stream.send_all(
+                one.websocket.send(events.TextMessage(data=text[5:], message_finished=True))
+            )
+            assert isinstance(await one.receive(), api.Welcome)
+            await one.send(api.Ack(7))
+            assert await one.close_code() == 1008
+            huge = await rig.request("GET", "/api/v1")
             assert huge.status == 426
 
-    run(test)
+    run_async_test(test)
 
 
 def test_random_bytes_after_the_upgrade_hurt_nobody(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig:
+        async with running_front_end(tmp_path) as rig:
             rng = Random(5)
             for _ in range(25):
-                async with raw(rig) as one:
+                async with raw_client(rig) as one:
                     await one.stream.send_all(rng.randbytes(rng.randrange(1, 200)))
-            assert (await rig.watch()).status == 201
-            assert not any(e["event"] == "request failed" for e in rig.logged())
+            assert (await rig.request_playback()).status == 201
+            assert not any(e["event"] == "request failed" for e in rig.log_entries())
 
-    run(test)
+    run_async_test(test)
 
 
 def test_the_http_client_repeats_safely(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig:
+        async with running_front_end(tmp_path) as rig:
             client = WhepClient(f"http://127.0.0.1:{rig.port}", retries=Retries(Random(1), first_wait=0.01))
             playing = await client.ask("/whep/open/t", OFFER)
             await client.end(playing)
@@ -514,7 +550,7 @@
                 node.ails.hung = True
             with pytest.raises(Unsure):
                 await client.ask("/whep/course/t", OFFER)
-            assert len([f for f in rig.facts("setup") if f["plan"] == "course"]) == 1
+            assert len([f for f in rig.recorded("setup") if f["plan"] == "course"]) == 1
             for node in rig.fleet.nodes.values():
                 node.ails.hung = False
                 node.stir()
@@ -525,15 +561,15 @@
                     blocking.end(sat)
                     return len(sat.answer)
 
-            await until(lambda: not rig.playing(), 10)
+            await wait_until(lambda: not rig.nodes_in_use(), 10)
             assert await trio.to_thread.run_sync(plain) > 100
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_request_caught_in_a_restart_is_not_said_again(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig, trio.open_nursery() as nursery:
+        async with running_front_end(tmp_path) as rig, trio.open_nursery() as nursery:
             for node in rig.fleet.nodes.values():
                 node.ails.hung = True
             async with SessionClient.open(
@@ -547,20 +583,20 @@
                     unsure.append(caught.value)
 
                 nursery.start_soon(ask)
-                await until(lambda: rig.facts("setup"))
-                rig.front_scope.cancel()
-                await start_front(nursery, rig, port=rig.port)
-                await until(lambda: unsure)
+                await wait_until(lambda: rig.recorded("setup"))
+                rig.front_end_scope.cancel()
+                await start_front_end(nursery, rig, port=rig.port)
+                await wait_until(lambda: unsure)
                 assert unsure[0].kind.endswith(":front-lost")
-                assert len(rig.facts("setup")) == 1
+                assert len(rig.recorded("setup")) == 1
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_call_that_a_break_swallowed_is_said_again_and_taken_once(tmp_path: Path) -> None:
     async def test() -> None:
-        async with standing(tmp_path) as rig:
+        async with running_front_end(tmp_path) as rig:
             async with SessionClient.open(
                 f"http://127.0.0.1:{rig.port}", retries=Retries(Random(1))
             ) as client:
@@ -576,9 +612,9 @@
                         async def cut(
                             stream: trio.SocketStream = stream, so_far: int = i, cuts: int = cuts
                         ) -> None:
-                            await until(lambda: len(rig.facts("setup")) > so_far)
+                            await wait_until(lambda: len(rig.recorded("setup")) > so_far)
                             await trio.aclose_forcefully(stream)
-                            await until(lambda: client.resumed > cuts)
+                            await wait_until(lambda: client.resumed > cuts)
                             for node in rig.fleet.nodes.values():
                                 node.ails.hung = False
                                 node.stir()
@@ -588,17 +624,17 @@
                             nursery.start_soon(cut)
                         playback = await client.play(f"/whep/course/t{i}", OFFER)
                     assert playback.answer
-                    await until(lambda cuts=cuts: client.resumed > cuts)  # type: ignore[misc]
+                    await wait_until(lambda cuts=cuts: client.resumed > cuts)  # type: ignore[misc]
                 assert client.lost == 0
-            assert len(rig.facts("ran")) == 4
+            assert len(rig.recorded("ran")) == 4
 
-    run(test)
+    run_async_test(test)
 
 
 def test_a_client_of_a_front_that_remembers_goes_on_over_its_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
-            await remembers(rig)
+        async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
+            await wait_until_recovered(rig)
             async with SessionClient.open(
                 f"http://127.0.0.1:{rig.port}", retries=Retries(Random(1))
             ) as client:
@@ -613,55 +649,61 @@
                     answers.append(await client.call(ask))
 
                 nursery.start_soon(third)
-                await until(lambda: len(rig.facts("setup")) == 3)
-                await until(lambda: rig.front and rig.front.helm and rig.front.helm.memory
-                            and not rig.front.helm.memory.store.queue)  # fmt: skip
+                await wait_until(lambda: len(rig.recorded("setup")) == 3)
+                await wait_until(
+                    lambda: (
+                        rig.front_end
+                        and rig.front_end.coordinator
+                        and rig.front_end.coordinator.durable_state
+                        and not rig.front_end.coordinator.durable_state.store.queue
+                    )
+                )
                 port = rig.port
-                rig.front_scope.cancel()
-                await rig.ended.wait()
+                rig.front_end_scope.cancel()
+                await rig.exited.wait()
                 for node in rig.fleet.nodes.values():
                     node.ails.silent = False
                     node.stir()
-                await start_front(nursery, rig, state=True, port=port)
-                assert rig.front is not None
-                await until(lambda: answers)
+                await start_front_end(nursery, rig, with_state=True, port=port)
+                assert rig.front_end is not None
+                await wait_until(lambda: answers)
                 third_answer = answers[0]
                 assert isinstance(third_answer, api.Answer)
                 assert (third_answer.status, third_answer.kind) == (504, "urn:oakcroft:problem:aborted")
                 assert (client.lost, sorted(client.playbacks)) == (0, sorted([paid.id, free.id]))
                 assert await client.layer(paid, 1) == 200
-                assert rig.front.helm.memory.unclaimed == {}  # type: ignore[union-attr]
+                assert rig.front_end.coordinator.durable_state.unclaimed_until == {}  # type: ignore[union-attr]
                 await client.end(free)
-                await until(
+                await wait_until(
                     lambda: len(
-                        {f["key"] for f in rig.facts("over")} & {free.asked.key if free.asked else ""}
+                        {f["key"] for f in rig.recorded("over")} & {free.asked.key if free.asked else ""}
                     )
                 )
-            assert Counter(f["plan"] for f in rig.facts("ran"))["course"] <= 2
+            assert Counter(f["plan"] for f in rig.recorded("ran"))["course"] <= 2
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
 
 
 def test_playbacks_of_a_seat_that_no_client_takes_again_end(tmp_path: Path) -> None:
     async def test() -> None:
-        async with trio.open_nursery() as nursery, standing(tmp_path, state=True) as rig:
-            await remembers(rig)
+        async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
+            await wait_until_recovered(rig)
             async with SessionClient.open(
                 f"http://127.0.0.1:{rig.port}", retries=Retries(Random(1))
             ) as client:
                 await client.play("/whep/course/a", offer(900, 1))
-                rig.front_scope.cancel()
-                await rig.ended.wait()
+                rig.front_end_scope.cancel()
+                await rig.exited.wait()
                 client.closing = True  # it does not reconnect
-            await start_front(nursery, rig, state=True)
-            assert rig.front is not None
-            assert rig.front.helm is not None
-            memory = rig.front.helm.memory
+            await start_front_end(nursery, rig, with_state=True)
+            assert rig.front_end is not None
+            assert rig.front_end.coordinator is not None
+            memory = rig.front_end.coordinator.durable_state
             assert memory is not None
-            assert len(memory.unclaimed) == 1
-            memory.unclaimed = dict.fromkeys(memory.unclaimed, 0)
-            await until(lambda: len(rig.facts("over")) == 1)
+            assert len(memory.unclaimed_until) == 1
+            memory.unclaimed_until = dict.fromkeys(memory.unclaimed_until, 0)
+            await wait_until(lambda: len(rig.recorded("over")) == 1)
             nursery.cancel_scope.cancel()
 
-    run(test)
+    run_async_test(test)
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakcroft.config.diagnostics import Problems
-from oakcroft.config.syntax import read
-from oakcroft.front.node_list_client import BadList, parse
+from oakcroft.config.diagnostics import Diagnostics
+from oakcroft.config.syntax import parse_text
+from oakcroft.front.node_list_client import NodeListError, parse_response
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import sdp, words
 
@@ -138,9 +138,9 @@
     words.problem_type(raw)
     with contextlib.suppress(ValueError):
         list(words.EventReader().feed(raw))
-    with contextlib.suppress(BadList):
-        parse(raw)
-    read(text, "f", Problems())
+    with contextlib.suppress(NodeListError):
+        parse_response(raw)
+    parse_text(text, "f", Diagnostics())
 
 
 LIST = {
@@ -155,7 +155,7 @@
 
 def test_a_discovery_response_is_read_or_refused_with_its_place() -> None:
     """A discovery response is parsed, or rejected with the place of the error."""
-    lines, version, service = parse(orjson.dumps(LIST))
+    lines, version, service = parse_response(orjson.dumps(LIST))
     assert (lines[0].name, lines[0].zone, lines[0].listing.value, version, service) == (
         "n",
         "w",
@@ -167,5 +167,5 @@
     for old, new, why in (
         (b'"cell":0', b'"cell":"x"', "cell"), (b"DRAINING", b"LIMPING", "LIMPING"), (b'"3"', b'"-3"', "whole number"),
     ):  # fmt: skip
-        with pytest.raises(BadList, match=why):
-            parse(raw.replace(old, new))
+        with pytest.raises(NodeListError, match=why):
+            parse_response(raw.replace(old, new))
