--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -17,9 +17,16 @@
 
 from oakcroft.decisions.fleet import acceptor, lease
 from oakcroft.decisions.fleet import candidate as candidate_module
-from oakcroft.decisions.fleet.acceptor import MOST_DUTIES, Keeper
-from oakcroft.decisions.fleet.candidate import Candidate, Course, Word
-from oakcroft.decisions.fleet.lease import Ask, Fence, Note, Step, Term, belief
+from oakcroft.decisions.fleet.acceptor import MAX_LEASES, LeaseAcceptor
+from oakcroft.decisions.fleet.candidate import LeaseCandidate, CandidateState, AcceptorMessage
+from oakcroft.decisions.fleet.lease import (
+    LeaseRequest,
+    Fence,
+    LeaseNote,
+    LeaseMessageKind,
+    LeaseTerm,
+    safe_term_length,
+)
 from oakcroft.interface import MS, SECOND
 
 LENGTH = 4 * SECOND
@@ -57,18 +64,20 @@
     An acceptor that restarts with its record has everything that was saved before an answer was sent.
     """
 
-    keepers: dict[str, Keeper]
-    candidates: dict[str, Candidate]
+    keepers: dict[str, LeaseAcceptor]
+    candidates: dict[str, LeaseCandidate]
     words: list[int] = field(default_factory=list)  # requests in flight, by message number
     answers: list[int] = field(default_factory=list)  # answers in flight, by message number
     now: int = 0
     epoch: int = 1
     owned: list[tuple[int, str]] = field(default_factory=list)  # terms in the order in which they began
-    settled: Note = field(default_factory=Note)  # the last note that its holder knew to be on record
+    settled: LeaseNote = field(
+        default_factory=LeaseNote
+    )  # the last note that its holder knew to be on record
     begun: set[int] = field(default_factory=set)
     spent: tuple[int, ...] = (0, 0, 0, 0)  # used up of the budgets of a walk
 
-    def said(self, name: str, words: list[Word]) -> None:
+    def said(self, name: str, words: list[AcceptorMessage]) -> None:
         self.words += [LETTERS.number((name, w)) for w in words]
         self.look()
 
@@ -79,70 +88,99 @@
     def deliver(self, which: int) -> int | None:
         """Delivers a request to its acceptor and returns the number of the answer, which is not sent yet."""
         name, word = LETTERS.letters[which]
-        answer = self.keepers[word.to].asked(word.ask, self.now)
+        answer = self.keepers[word.acceptor].handle_request(word.request, self.now)
         return None if answer is None else LETTERS.number((name, answer))
 
     def answer(self, which: int) -> None:
         name, answer = LETTERS.letters[which]
-        self.said(name, self.candidates[name].heard(answer, self.now))
+        self.said(name, self.candidates[name].receive_answer(answer, self.now))
 
     def restart(self, name: str, record: bool) -> None:
         """Restarts an acceptor. Without its record it asks all others, which answer at once."""
         old, self.epoch = self.keepers[name], self.epoch + 1
-        new = Keeper(name, self.keepers, LENGTH, self.epoch, self.now)
+        new = LeaseAcceptor(name, self.keepers, LENGTH, self.epoch, self.now)
         if record:
-            new.take_on(old.epoch, old.epochs, old.rows, True, self.now)
+            new.load_record(old.epoch, old.peer_epochs, old.records, True, self.now)
         self.keepers[name] = new
-        for other in new.asks_others():
-            told = self.keepers[other].tells(name, new.epoch)
+        for other in new.peers_to_ask():
+            told = self.keepers[other].record_for_peer(name, new.epoch)
             if told is not None:
-                new.hears(told, self.now)
+                new.receive_peer_record(told, self.now)
 
     def times(self) -> list[int]:
         """Returns the future times at which something ends or is due."""
-        some = {c.due for c in self.candidates.values() if c.course is not Course.IDLE}
+        some = {c.due_at for c in self.candidates.values() if c.state is not CandidateState.IDLE}
         some |= {c.held_until for c in self.candidates.values()}
         for keeper in self.keepers.values():
-            some |= {keeper.mute_until, *keeper.until.values()}
+            some |= {keeper.silent_until, *keeper.running_until.values()}
         return sorted(t for t in some if t > self.now)
 
     def look(self) -> None:
         """Checks the invariants: one holder, growing fencing tokens, no lost note."""
-        owners = [c for c in self.candidates.values() if c.owns(self.now) is not None]
+        owners = [c for c in self.candidates.values() if c.held_term(self.now) is not None]
         assert len(owners) <= 1, f"owned by {[c.me for c in owners]}"
         for one in owners:
             assert one.term is not None
-            if one.term.number not in self.begun:
-                self.begun.add(one.term.number)
-                assert not self.owned or one.term.number > self.owned[-1][0], f"{one.term} after {self.owned}"
+            if one.term.fencing_token not in self.begun:
+                self.begun.add(one.term.fencing_token)
+                assert not self.owned or one.term.fencing_token > self.owned[-1][0], (
+                    f"{one.term} after {self.owned}"
+                )
                 assert one.note.body == self.settled.body or one.note.body > self.settled.body, (
                     "a note on record is lost"
                 )
-                self.owned.append((one.term.number, one.me))
-            if one.note.key == one.settled and one.note.body >= self.settled.body:
+                self.owned.append((one.term.fencing_token, one.me))
+            if one.note.version == one.recorded_version and one.note.body >= self.settled.body:
                 self.settled = one.note
 
     def key(self) -> Any:
         """Returns a key that is the same for equal worlds."""
         return (
-            self.now, self.spent, self.settled.body, tuple(sorted(self.words)), tuple(sorted(self.answers)),
-            *[(k.epoch, k.sound, k.mute_until, k.until.get(DUTY, 0), *k.epochs.values(),
-               LETTERS.number(("", k.rows.get(DUTY)))) for k in self.keepers.values()],
-            *[(c.course, c.highest, c.seq, c.first, c.kept, c.rounds, c.due, c.held_until, c.settled, c.note.key,
-               *[(n, a.seq) for n, a in sorted(c.answers.items())], *sorted(c.refusals.items()))
-              for c in self.candidates.values()],
-        )  # fmt: skip
+            self.now,
+            self.spent,
+            self.settled.body,
+            tuple(sorted(self.words)),
+            tuple(sorted(self.answers)),
+            *[
+                (
+                    k.epoch,
+                    k.has_full_record,
+                    k.silent_until,
+                    k.running_until.get(DUTY, 0),
+                    *k.peer_epochs.values(),
+                    LETTERS.number(("", k.records.get(DUTY))),
+                )
+                for k in self.keepers.values()
+            ],
+            *[
+                (
+                    c.state,
+                    c.highest_token,
+                    c.seq,
+                    c.first_seq,
+                    c.is_round_accepted,
+                    c.rounds,
+                    c.due_at,
+                    c.held_until,
+                    c.recorded_version,
+                    c.note.version,
+                    *[(n, a.seq) for n, a in sorted(c.answers.items())],
+                    *sorted(c.refusals.items()),
+                )
+                for c in self.candidates.values()
+            ],
+        )
 
 
 def world(many: int, candidates: int, rng: Callable[[int], Random] = lambda _: Zero()) -> World:
     names = [f"k{i}" for i in range(many)]
-    keepers = {n: Keeper(n, names, LENGTH, 1, -LENGTH) for n in names}
+    keepers = {n: LeaseAcceptor(n, names, LENGTH, 1, -LENGTH) for n in names}
     for keeper in keepers.values():
-        keeper.take_on(1, {}, {}, True, 0)
-    own = {f"c{i}": Candidate(DUTY, f"c{i}", 1, names, LENGTH, rng(i), 0, 0) for i in range(candidates)}
+        keeper.load_record(1, {}, {}, True, 0)
+    own = {f"c{i}": LeaseCandidate(DUTY, f"c{i}", 1, names, LENGTH, rng(i), 0, 0) for i in range(candidates)}
     start = World(keepers, own)
     for name, candidate in own.items():
-        start.said(name, candidate.want(True, 0))
+        start.said(name, candidate.set_wanted(True, 0))
     start.tick()
     return start
 
@@ -152,8 +190,8 @@
     new = copy(at)
     new.keepers = {n: copy(k) for n, k in at.keepers.items()}
     for k in new.keepers.values():
-        k.rows, k.until, k.epochs, k.learnt, k.unsaved = (
-            dict(k.rows), dict(k.until), dict(k.epochs), dict(k.learnt), set[str]())  # fmt: skip
+        k.records, k.running_until, k.peer_epochs, k.peer_records, k.unsaved = (
+            dict(k.records), dict(k.running_until), dict(k.peer_epochs), dict(k.peer_records), set[str]())  # fmt: skip
     new.candidates = {n: copy(c) for n, c in at.candidates.items()}
     for c in new.candidates.values():
         c.answers, c.refusals = dict(c.answers), dict(c.refusals)
@@ -239,17 +277,17 @@
     start.words = [n for n in start.words if LETTERS.letters[n][0] == "c0"]
     for _ in range(2):
         for keeper in ("k0", "k1"):
-            which = next(n for n in start.words if LETTERS.letters[n][1].to == keeper)
+            which = next(n for n in start.words if LETTERS.letters[n][1].acceptor == keeper)
             start = after(start, ("answered", which))
-    assert start.candidates["c0"].owns(start.now)
+    assert start.candidates["c0"].held_term(start.now)
     return start
 
 
 def over_and_asked_by_another() -> World:
     """The same later: c0 has received nothing more and its term has ended, and c1 may request one."""
     start = owned_by_two_of_three()
-    until = max(start.keepers["k0"].until.values())
-    late = next(n for n in start.words if LETTERS.letters[n][1].ask.step is Step.PROPOSE)
+    until = max(start.keepers["k0"].running_until.values())
+    late = next(n for n in start.words if LETTERS.letters[n][1].request.kind is LeaseMessageKind.PROPOSE)
     while start.now < until:
         start = after(start, ("time", start.times()[0]))
     start.words = [late, *[n for n in start.words if LETTERS.letters[n][0] == "c1"][-3:]]
@@ -306,13 +344,13 @@
                 if rng.random() < 0.03:
                     asleep[name] = at.now + rng.randrange(3 * LENGTH)
             for name, candidate in at.candidates.items():
-                if candidate.owns(at.now) is not None and rng.random() < 0.3:
+                if candidate.held_term(at.now) is not None and rng.random() < 0.3:
                     body = f"{len(at.begun):05}-{rng.randrange(100_000):05}".encode()
-                    at.said(name, candidate.record(max(body, candidate.note.body + b"+"), at.now))
+                    at.said(name, candidate.record_note(max(body, candidate.note.body + b"+"), at.now))
         elif dice < 1 - 0.03 / many:
             at.restart(rng.choice(sorted(at.keepers)), True)
         elif wipes:
-            mute = {n for n, t in wiped_until.items() if t > at.now or not at.keepers[n].sound}
+            mute = {n for n, t in wiped_until.items() if t > at.now or not at.keepers[n].has_full_record}
             name = rng.choice(sorted(at.keepers))
             if len(mute | {name}) <= wipes:
                 at.restart(name, False)
@@ -329,14 +367,14 @@
     assert terms_begun > 100, terms_begun  # otherwise the walks test nothing
 
 
-def forgets(self: Keeper, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
+def forgets(self: LeaseAcceptor, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
     """An acceptor that takes part right after a restart, without what it had promised."""
-    self.sound, self.mute_until = True, now
+    self.has_full_record, self.silent_until = True, now
 
 
-def lets_go(self: Keeper, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
+def lets_go(self: LeaseAcceptor, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
     """An acceptor that restarts with its record and lets the term on it end at once."""
-    self.rows, self.epochs, self.epoch, self.sound, self.mute_until = (
+    self.records, self.peer_epochs, self.epoch, self.has_full_record, self.silent_until = (
         dict(rows),
         dict(epochs),
         epoch,
@@ -345,16 +383,16 @@
     )
 
 
-def follows_all(row: Any, term: Term) -> bool:
+def follows_all(row: Any, term: LeaseTerm) -> bool:
     return True
 
 
 WEAKER: dict[str, list[tuple[Any, str, Any]]] = {
-    "a promise binds": [(Keeper, "_follows", staticmethod(follows_all))],
-    "nothing is promised while a term runs": [(Keeper, "runs", lambda self, duty, now: None)],
-    "a keeper remembers": [(Keeper, "take_on", forgets)],
-    "a term on record runs anew": [(Keeper, "take_on", lets_go)],
-    "a term counts from the asking": [(candidate_module, "belief", lambda length: 2 * length)],
+    "a promise binds": [(LeaseAcceptor, "_may_accept", staticmethod(follows_all))],
+    "nothing is promised while a term runs": [(LeaseAcceptor, "running_term", lambda self, duty, now: None)],
+    "a keeper remembers": [(LeaseAcceptor, "load_record", forgets)],
+    "a term on record runs anew": [(LeaseAcceptor, "load_record", lets_go)],
+    "a term counts from the asking": [(candidate_module, "safe_term_length", lambda length: 2 * length)],
     "it takes a majority": [(candidate_module, "majority", lambda of: 1)],
     "one that forgot learns from a majority": [(acceptor, "majority", lambda of: 0)],
 }
@@ -377,107 +415,114 @@
 # Single rules.
 
 
-def term(number: int, owner: str = "c0") -> Term:
-    return Term(number, owner, 1)
+def term(number: int, owner: str = "c0") -> LeaseTerm:
+    return LeaseTerm(number, owner, 1)
 
 
-def keeper(name: str = "k0", many: int = 3) -> Keeper:
-    one = Keeper(name, [f"k{i}" for i in range(many)], LENGTH, 1, -LENGTH)
-    one.take_on(1, {}, {}, True, 0)
+def keeper(name: str = "k0", many: int = 3) -> LeaseAcceptor:
+    one = LeaseAcceptor(name, [f"k{i}" for i in range(many)], LENGTH, 1, -LENGTH)
+    one.load_record(1, {}, {}, True, 0)
     return one
 
 
 def test_a_proposal_that_comes_again_does_not_keep_a_term() -> None:
-    one, ask = keeper(), Ask(Step.PROPOSE, DUTY, term(5), 1, LENGTH)
-    assert one.asked(ask, 0) is not None
-    again = one.asked(ask, LENGTH - 1)
+    one, ask = keeper(), LeaseRequest(LeaseMessageKind.PROPOSE, DUTY, term(5), 1, LENGTH)
+    assert one.handle_request(ask, 0) is not None
+    again = one.handle_request(ask, LENGTH - 1)
     assert again is not None
-    assert again.step is Step.ACCEPTED  # the first answer may have been lost
-    assert one.runs(DUTY, LENGTH - 1)
-    assert one.runs(DUTY, LENGTH) is None
-    assert one.asked(replace(ask, seq=2), LENGTH) is not None
-    assert one.runs(DUTY, LENGTH) == term(5)
+    assert again.kind is LeaseMessageKind.ACCEPTED  # the first answer may have been lost
+    assert one.running_term(DUTY, LENGTH - 1)
+    assert one.running_term(DUTY, LENGTH) is None
+    assert one.handle_request(replace(ask, seq=2), LENGTH) is not None
+    assert one.running_term(DUTY, LENGTH) == term(5)
 
 
 def test_a_keeper_that_can_not_save_says_so_by_what_is_unsaved() -> None:
     one = keeper()
-    one.asked(Ask(Step.PREPARE, DUTY, term(1)), 0)
+    one.handle_request(LeaseRequest(LeaseMessageKind.PREPARE, DUTY, term(1)), 0)
     assert one.unsaved == {DUTY}
     one.unsaved.clear()
-    one.asked(Ask(Step.PROPOSE, DUTY, term(1), 1, LENGTH), 0)
+    one.handle_request(LeaseRequest(LeaseMessageKind.PROPOSE, DUTY, term(1), 1, LENGTH), 0)
     assert one.unsaved == {DUTY}
     one.unsaved.clear()
-    one.asked(Ask(Step.PROPOSE, DUTY, term(1), 2, LENGTH), 0)
+    one.handle_request(LeaseRequest(LeaseMessageKind.PROPOSE, DUTY, term(1), 2, LENGTH), 0)
     assert not one.unsaved  # a renewal needs no save
 
 
 def test_tables_of_a_keeper_are_bounded_and_figures_are_sound() -> None:
     one = keeper()
-    for i in range(MOST_DUTIES + 5):
-        one.asked(Ask(Step.PREPARE, f"d{i}", term(1)), 0)
-    assert len(one.rows) == MOST_DUTIES
+    for i in range(MAX_LEASES + 5):
+        one.handle_request(LeaseRequest(LeaseMessageKind.PREPARE, f"d{i}", term(1)), 0)
+    assert len(one.records) == MAX_LEASES
     assert (
-        one.asked(Ask(Step.PREPARE, "d0", term(lease.MOST_NUMBER)), 0) is None
+        one.handle_request(LeaseRequest(LeaseMessageKind.PREPARE, "d0", term(lease.NUMBER_LIMIT)), 0) is None
     )  # no higher token is possible
-    assert one.asked(Ask(Step.PROPOSE, "d0", term(2), 1, LENGTH, Note(2, 1, b"x" * 5_000)), 0) is None
-    refused = one.asked(Ask(Step.PROPOSE, "d0", term(2), 1, LENGTH + 1), 0)
+    assert (
+        one.handle_request(
+            LeaseRequest(LeaseMessageKind.PROPOSE, "d0", term(2), 1, LENGTH, LeaseNote(2, 1, b"x" * 5_000)), 0
+        )
+        is None
+    )
+    refused = one.handle_request(LeaseRequest(LeaseMessageKind.PROPOSE, "d0", term(2), 1, LENGTH + 1), 0)
     assert refused is not None
-    assert refused.step is Step.REFUSED  # a longer term than the acceptor grants
+    assert refused.kind is LeaseMessageKind.REFUSED  # a longer term than the acceptor grants
 
 
 def test_of_two_processes_under_one_keepers_name_the_older_record_does_not_count() -> None:
     old, names = keeper("k2"), ["k0", "k1", "k2"]
     others = [keeper("k0"), keeper("k1")]
-    new = Keeper("k2", names, LENGTH, 7, 0)
-    assert new.asks_others() == ["k0", "k1"]
-    assert new.asked(Ask(Step.PREPARE, DUTY, term(9)), 2 * LENGTH) is None  # it has no record yet
+    new = LeaseAcceptor("k2", names, LENGTH, 7, 0)
+    assert new.peers_to_ask() == ["k0", "k1"]
+    assert (
+        new.handle_request(LeaseRequest(LeaseMessageKind.PREPARE, DUTY, term(9)), 2 * LENGTH) is None
+    )  # it has no record yet
     for one in others:
-        told = one.tells("k2", new.epoch)
+        told = one.record_for_peer("k2", new.epoch)
         assert told is not None
-        new.hears(told, 0)
-    assert new.sound
-    assert not new.speaks(LENGTH - 1)  # it waits for the longest term to end
-    assert new.speaks(LENGTH)
-    candidate = Candidate(DUTY, "c0", 1, names, LENGTH, Zero(), 0, 0)
-    candidate.want(True, 0)
+        new.receive_peer_record(told, 0)
+    assert new.has_full_record
+    assert not new.can_answer(LENGTH - 1)  # it waits for the longest term to end
+    assert new.can_answer(LENGTH)
+    candidate = LeaseCandidate(DUTY, "c0", 1, names, LENGTH, Zero(), 0, 0)
+    candidate.set_wanted(True, 0)
     words = candidate.tick(0)
     for at in (old, others[0]):
-        answer = at.asked(next(w for w in words if w.to == at.me).ask, 0)
+        answer = at.handle_request(next(w for w in words if w.acceptor == at.me).request, 0)
         assert answer is not None
-        candidate.heard(answer, 0)
-    assert candidate.course is Course.ASKING
-    assert [a.keeper for a in candidate.counted()] == ["k0"]
-    assert others[0].tells("k2", 1) is None  # the older record gets no answer either
+        candidate.receive_answer(answer, 0)
+    assert candidate.state is CandidateState.PREPARING
+    assert [a.acceptor for a in candidate.counted_answers()] == ["k0"]
+    assert others[0].record_for_peer("k2", 1) is None  # the older record gets no answer either
 
 
 def test_a_new_fleet_begins_where_no_keeper_has_a_record() -> None:
     names = ["k0", "k1", "k2"]
-    some = {n: Keeper(n, names, LENGTH, 5, 0) for n in names}
-    told = some["k1"].tells("k0", 5)
+    some = {n: LeaseAcceptor(n, names, LENGTH, 5, 0) for n in names}
+    told = some["k1"].record_for_peer("k0", 5)
     assert told is not None
-    assert not some["k0"].hears(told, 0)  # one of two others, which has no record either
-    told = some["k2"].tells("k0", 5)
+    assert not some["k0"].receive_peer_record(told, 0)  # one of two others, which has no record either
+    told = some["k2"].record_for_peer("k0", 5)
     assert told is not None
-    assert some["k0"].hears(told, 0)
-    assert not some["k0"].speaks(LENGTH - 1)
+    assert some["k0"].receive_peer_record(told, 0)
+    assert not some["k0"].can_answer(LENGTH - 1)
 
 
 def test_a_fence_takes_no_older_number_nor_step() -> None:
     fence = Fence()
     for number, step in ((3, 1), (3, 1), (3, 2), (5, 1)):
         assert fence.admits(DUTY, number, step)
-        fence.takes(DUTY, number, step)
+        fence.record(DUTY, number, step)
     assert not fence.admits(DUTY, 3, 9)
     assert not fence.admits(DUTY, 5, 0)
-    assert fence.turned_away == 2
-    assert Fence(fence.seen).admits(DUTY, 5, 1)
-    assert not Fence(fence.seen).admits(DUTY, 4, 1)
+    assert fence.rejected_count == 2
+    assert Fence(fence.highest_seen).admits(DUTY, 5, 1)
+    assert not Fence(fence.highest_seen).admits(DUTY, 4, 1)
 
 
 def test_an_owner_believes_in_its_term_for_less_long_than_any_keeper() -> None:
     for length in (SECOND, LENGTH, 60 * SECOND):
-        assert belief(length) < length - length // 100
+        assert safe_term_length(length) < length - length // 100
     at = owned_by_two_of_three()
     held = at.candidates["c0"].held_until
-    assert held <= at.now + belief(LENGTH)
-    assert all(t >= held + MS for k, t in ((k, at.keepers[k].until[DUTY]) for k in ("k0", "k1")))
+    assert held <= at.now + safe_term_length(LENGTH)
+    assert all(t >= held + MS for k, t in ((k, at.keepers[k].running_until[DUTY]) for k in ("k0", "k1")))
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -16,7 +16,7 @@
 import structlog
 from hypothesis import given, strategies as st
 
-from oakcroft.decisions.admission.request_limits import Ledger, Limit, Scope
+from oakcroft.decisions.admission.request_limits import LimitLedger, RequestLimit, LimitScope
 from oakcroft.decisions.membership import suspicion
 from oakcroft.decisions.membership.member import (
     MAX_INCARNATION,
@@ -33,7 +33,7 @@
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.many_views import Net, fleet
 from oakcroft.rulecheck.fleet import judge_view
-from oakcroft.running.logs import Spared
+from oakcroft.running.logs import LossyOutput
 
 ALIVE, SUSPECTED, FAILED, LEFT = MemberState
 SECRET = b"s" * 16
@@ -418,14 +418,14 @@
     """A partition, with one that left on one side and comes back there unheard by the other: both sides' rates summed."""
     fronts, rate = 10, 100.0
     net = fleet(fronts, 16)
-    limit = Limit("all", Scope.ALL, "", rate=rate)
+    limit = RequestLimit("all", LimitScope.ALL, "", rate=rate)
 
     def total() -> float:
         whole = 0.0
         for process in net.living():
-            ledger = Ledger(int(process.name[1:]), fronts)
-            ledger.take_version([limit])
-            ledger.take_parts(rate_divisor(fronts, process.view.left_count()))
+            ledger = LimitLedger(int(process.name[1:]), fronts)
+            ledger.set_limits([limit])
+            ledger.set_rate_shares(rate_divisor(fronts, process.view.left_count()))
             whole += ledger.limits["all"].rate or 0.0
         return whole
 
@@ -544,8 +544,11 @@
             return super().write(text)
 
     out = Full()
-    spared = Spared(out)
-    processors: list[Any] = [spared.told, structlog.processors.JSONRenderer(serializer=orjson.dumps)]
+    spared = LossyOutput(out)
+    processors: list[Any] = [
+        spared.add_lost_count,
+        structlog.processors.JSONRenderer(serializer=orjson.dumps),
+    ]
     log = structlog.wrap_logger(structlog.BytesLogger(cast(BinaryIO, spared)), processors=processors)
     log.info("first")
     log.info("second")
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -18,10 +18,10 @@
 import orjson
 import structlog
 import trio
-from rig import run, until
+from rig import run_async_test, wait_until
 
-from oakcroft.commands.fleet import member_lines
-from oakcroft.config.settings import OtherZone, PeersPlace
+from oakcroft.commands.fleet import describe_members
+from oakcroft.config.settings import OtherZone, PeerSettings
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate, commitment
 from oakcroft.decisions.membership.messages import Message, MessageKind
@@ -59,11 +59,11 @@
 
     def now(self) -> int:
         """Now."""
-        return self.offset + round(trio.current_time() * SPEED * 1e9)
+        return self.offset_ns + round(trio.current_time() * SPEED * 1e9)
 
-    def deadline(self, at: int) -> float:
+    def trio_time(self, at: int) -> float:
         """A time of this clock as trio's."""
-        return (at - self.offset) / SPEED / 1e9
+        return (at - self.offset_ns) / SPEED / 1e9
 
 
 @dataclass
@@ -79,19 +79,19 @@
     ended: dict[str, trio.Event] = field(default_factory=dict)
     logs: dict[str, io.BytesIO] = field(default_factory=dict)
 
-    def place(self, name: str) -> PeersPlace:
+    def place(self, name: str) -> PeerSettings:
         """Where a front stands: two seeds of its zone, two addresses of the other."""
         zone = name.split("-")[0]
         other = next(z for z in REGIONS if z != zone)
         relays = self.between.relays
         seeds = tuple(relays[f"{zone}-{i}"] for i in (0, 1))
         others = (OtherZone(other, REGIONS[other], tuple(relays[f"{other}-{i}"] for i in (0, 1))),)
-        return PeersPlace(
+        return PeerSettings(
             name, self.between.fronts[name], relays[name], seeds, str(self.folder / "key"), FLEET, "",
             region=REGIONS[zone], other_zones=others,
         )  # fmt: skip
 
-    async def start(self, name: str, place: PeersPlace | None = None) -> None:
+    async def start(self, name: str, place: PeerSettings | None = None) -> None:
         """Starts a front, again or for the first time."""
         self.logs[name] = io.BytesIO()
         log = structlog.wrap_logger(
@@ -168,7 +168,7 @@
         await nursery.start(rig.between.run)
         for name in NAMES:
             await rig.start(name)
-        await until(rig.know_each_other, START_SECONDS)
+        await wait_until(rig.know_each_other, START_SECONDS)
         yield rig
         nursery.cancel_scope.cancel()
 
@@ -180,7 +180,7 @@
         async with zones(folder) as rig:
             await test(rig)
 
-    run(whole, 120)
+    run_async_test(whole, 120)
 
 
 def test_a_crash_is_known_in_its_zone_and_in_the_other_and_nobody_else_failed(tmp_path: Path) -> None:
@@ -188,19 +188,19 @@
 
     async def test(rig: Zones) -> None:
         await rig.kill("south-1")
-        await until(
+        await wait_until(
             lambda: all(rig.zoned(n).standing("south-1") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
             FAILED_IN_ZONE_SECONDS,
         )
-        await until(
+        await wait_until(
             lambda: rig.remote_states(NORTH, "south-1") == {RemoteState.FAILED}, FAILED_EVERYWHERE_SECONDS
         )
         assert rig.called_failed() == {"south-1"}
         await rig.start("south-1")
-        await until(
+        await wait_until(
             lambda: rig.remote_states(NORTH, "south-1") == {RemoteState.ALIVE}, FAILED_EVERYWHERE_SECONDS
         )
-        await until(rig.know_each_other, START_SECONDS)
+        await wait_until(rig.know_each_other, START_SECONDS)
 
     on_zones(tmp_path, test)
 
@@ -212,13 +212,15 @@
         now = rig.clock.now()
         first = next(n for n in rig.in_zone(SOUTH) if rig.zoned(n).rank(now) == 0)
         await rig.kill(first)
-        await until(
+        await wait_until(
             lambda: rig.remote_states(NORTH, first) == {RemoteState.FAILED}, FAILED_EVERYWHERE_SECONDS
         )
         leaver = rig.in_zone(SOUTH)[0]
         await rig.endpoints[leaver].leave()
         await rig.kill(leaver)
-        await until(lambda: rig.remote_states(NORTH, leaver) == {RemoteState.LEFT}, FAILED_EVERYWHERE_SECONDS)
+        await wait_until(
+            lambda: rig.remote_states(NORTH, leaver) == {RemoteState.LEFT}, FAILED_EVERYWHERE_SECONDS
+        )
         assert rig.called_failed() == {first}
         for name in rig.in_zone(NORTH):
             assert [line["now"] for line in rig.lines(name, "zone")] == ["reachable"]
@@ -232,20 +234,20 @@
     async def test(rig: Zones) -> None:
         rig.between.cut(NORTH, SOUTH)
         rig.between.cut(SOUTH, NORTH)
-        await until(
+        await wait_until(
             lambda: all(not zone.is_reachable for n in rig.endpoints for zone in rig.zoned(n).zones()),
             UNREACHABLE_SECONDS,
         )
         assert rig.remote_states(NORTH, "south-0") == {RemoteState.UNKNOWN}
         assert rig.called_failed() == set()
         await rig.kill("south-2")
-        await until(
+        await wait_until(
             lambda: all(rig.zoned(n).standing("south-2") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
             FAILED_IN_ZONE_SECONDS,
         )
         rig.between.heal()
-        await until(rig.know_each_other, HEAL_SECONDS)
-        await until(
+        await wait_until(rig.know_each_other, HEAL_SECONDS)
+        await wait_until(
             lambda: rig.remote_states(NORTH, "south-2") == {RemoteState.FAILED}, FAILED_EVERYWHERE_SECONDS
         )
         assert rig.called_failed() == {"south-2"}
@@ -279,9 +281,9 @@
             for one in octets:
                 sock.sendto(one, endpoint.place.listen)
         unsealed = {forged, octets[-1]}
-        await until(lambda: endpoint.dropped["not sealed"] >= len(unsealed))
-        await until(lambda: endpoint.dropped["other fleet"] >= 1 and endpoint.dropped["malformed"] >= 1)
-        await until(lambda: rig.zoned("north-0").pool.counts.other_zone >= 1)
+        await wait_until(lambda: endpoint.dropped["not sealed"] >= len(unsealed))
+        await wait_until(lambda: endpoint.dropped["other fleet"] >= 1 and endpoint.dropped["malformed"] >= 1)
+        await wait_until(lambda: rig.zoned("north-0").pool.counts.other_zone >= 1)
         assert rig.zoned("north-0").standing("south-9") is None
         assert rig.know_each_other()
 
@@ -296,11 +298,11 @@
         flat = replace(rig.place("north-2"), region="", other_zones=())
         await rig.start("north-2", flat)
         seen = rig.endpoints["north-2"].membership
-        await until(lambda: set(seen.present()) >= NORTH, START_SECONDS)
-        await until(
+        await wait_until(lambda: set(seen.present()) >= NORTH, START_SECONDS)
+        await wait_until(
             lambda: all(set(rig.zoned(n).present()) == NORTH for n in ("north-0", "north-1")), START_SECONDS
         )
-        await until(lambda: rig.endpoints["north-2"].dropped["other form"] >= 1, START_SECONDS)
+        await wait_until(lambda: rig.endpoints["north-2"].dropped["other form"] >= 1, START_SECONDS)
         assert all(zone.is_reachable for n in rig.in_zone(SOUTH) for zone in rig.zoned(n).zones())
 
     on_zones(tmp_path, test)
@@ -317,7 +319,7 @@
         assert (south["zone"], south["region"], south["reachable"]) == ("south", "africa", True)
         assert (south["present"], south["failed"], south["left"]) == (len(SOUTH), 0, 0)
         assert orjson.loads(orjson.dumps(status)) == status
-        (line,) = [line for line in member_lines(status) if line.startswith("  zone ")]
+        (line,) = [line for line in describe_members(status) if line.startswith("  zone ")]
         assert line.startswith("  zone south of africa: reachable, 3 present, 0 gone, 0 left, heard ")
 
     on_zones(tmp_path, test)
