--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -49,48 +49,124 @@
 from oakcroft.interface import Outcome, Playback, Rack, PlaybackState, DeploymentSettings, Title
 
 # Parameters that the paper leaves open.
-SAMPLE_INTERVAL_NS = SECOND  # between two load samples
-FORECAST_SAMPLES = 5  # samples in the linear fit
-ALPHA = 0.95  # the paper's alpha: weight of the mean in the cluster load, against the variance
-# Thresholds on x. Requests are rejected from T1 on, all of them past T2; rungs are stepped down past T3. T2 and T3 are
-# start values, which move towards T1 under overload. FULL is the paper's C, the cap of a sampled load.
-T1, T2, T3, MAX_SAMPLED_LOAD = 0.92, 1.30, 1.02, 1.50
-LINK_LOAD_LIMIT = 0.90  # set-ups keep a link's load under it
-# The same for starts in the upper half of the ladder and for steps up; well below T3, so that they are not undone.
+
+SAMPLE_INTERVAL_NS = SECOND
+"""Time between two load samples."""
+FORECAST_SAMPLES = 5
+"""Number of samples in the linear fit."""
+ALPHA = 0.95
+"""The paper's alpha: weight of the mean in the cluster load, against the variance."""
+T1 = 0.92
+"""Load x from which requests are rejected; T1 to T2 is the band in which only some are."""
+T2 = 1.30
+"""Load x from which all requests are rejected; start value of a threshold that moves towards T1 under overload."""
+T3 = 1.02
+"""Load from which rungs are stepped down; start value, moves like T2."""
+MAX_SAMPLED_LOAD = 1.50
+"""The paper's C: cap of a sampled load."""
+MAX_THRESHOLD_MOVE = 0.10
+"""Largest move of T2 or T3 per interval, as a share of its distance to T1."""
+LINK_LOAD_LIMIT = 0.90
+"""Set-ups keep a link's load under it."""
 UPPER_RUNG_LOAD_LIMIT = 0.70
-STEP_UP_DELAY_NS = 8 * SECOND  # from a playback's change of rung to its next step up
-MAX_THRESHOLD_MOVE = 0.10  # largest move of T2 or T3 per interval, as a share of its distance to T1
-# Largest share of the playbacks concerned that are stepped up, or down, per interval.
-MAX_STEP_UP_SHARE, MAX_STEP_DOWN_SHARE = 0.15, 0.25
-
-# Half-life of a node's failure score, and the score from which the node gets no set-ups.
-FAILURE_SCORE_HALF_LIFE_NS, FAILURE_SCORE_LIMIT = 4 * SECOND, 0.7
-MAX_ANSWER_DELAY_NS = 600 * MS  # a set-up unanswered for longer counts against its node
-RETRYABLE_TRY_SHARE = 0.4  # of the startup target: time limit of a try that another may follow
-# Set-ups in a cold slot from which random ones are allowed besides, and how unevenly nodes are asked for.
-MIN_CHANCE_SETUPS, DEMAND_SKEW = 4, 3
-COLD_SLOT_BUDGET_SHARE = 0.45  # share of the overload budget per time slot: a window may overlap two slots
-TRY_REPORT_AGE_NS = 300 * MS  # age of a load report that comes with the outcome of a try
-SHORT_DELIVERY_VALID_NS = 2 * SECOND  # for which a report of short delivery is valid
-# A rack's uplink correction: its decay per interval, its bounds, and the value past which it is logged.
-UPLINK_CORRECTION_DECAY, MAX_UPLINK_CORRECTION, MIN_UPLINK_CORRECTION, LOGGED_UPLINK_CORRECTION = (
-    0.94,
-    2.0,
-    0.5,
-    1.1,
-)
-MAX_CARRIED_LOAD = 1.2  # a link loaded above this has lost capacity: it loads its rack's uplink with no more
-# A delivered share under the first is short; under the second, the node has stopped delivering.
-SHORT_DELIVERY_SHARE, STALLED_DELIVERY_SHARE = 0.98, 0.2
-UPTIME_UNKNOWN_NS = 6 * SECOND  # after its start, for which a front end can't know which nodes are warm
-REPORT_TOLERANCE_NS = 2 * SECOND  # by which a load report may be late before it is stale
-# Number of front ends at which the assumed load weighs as much as what a front end extrapolates from its own playbacks.
+"""The same for starts in the upper half of the ladder and for steps up; well below T3, so that they are not undone."""
+STEP_UP_DELAY_NS = 8 * SECOND
+"""Least time from a playback's change of rung to its next step up."""
+MAX_STEP_UP_SHARE = 0.15
+"""Largest share of a node's playbacks that is stepped up per interval."""
+MAX_STEP_DOWN_SHARE = 0.25
+"""Largest share of a node's playbacks that is stepped down per interval."""
+STEP_UP_RUNG_MARGIN = 0.5
+"""A playback steps up only if its rung is at most this much above the mean rung."""
+
+# Failure score.
+
+FAILURE_SCORE_HALF_LIFE_NS = 4 * SECOND
+"""Half-life of a node's failure score."""
+FAILURE_SCORE_LIMIT = 0.7
+"""Score from which a node gets no set-ups."""
+FAILED_TRY_SCORE = 1.0
+"""Added for a try that failed or got no answer, and for a node that stopped delivering."""
+ERROR_SCORE = 0.4
+"""Added for a try that was answered with an error."""
+RESTART_SUSPECT_SCORE = 1
+"""Score past which an unanswered try counts as a sign that the node has restarted."""
+MAX_ANSWER_DELAY_NS = 600 * MS
+"""A set-up that is unanswered for longer counts against its node."""
+
+# Tries.
+
+RETRYABLE_TRY_SHARE = 0.4
+"""Time limit of a try that another may follow, as a share of the startup target."""
+TRY_END_MARGIN_NS = 10 * MS
+"""A try ends so long before its viewer gives up."""
+RETRY_MARGIN_NS = 20 * MS
+"""No retry starts in so short a time before its viewer gives up."""
+HOLDERS_COMPARED = 2
+"""Number of holders with room of which the less loaded one is chosen."""
+MIN_PLAYBACKS_FOR_MEAN_RUNG = 3
+"""Fewer playbacks on a node say nothing of its usual rung."""
+
+# Cold pace.
+
+UPTIME_UNKNOWN_NS = 6 * SECOND
+"""Time after its start in which a front end can't know which nodes are warm."""
+COLD_SLOT_BUDGET_SHARE = 0.45
+"""Share of the overload budget that a time slot gets: a window may overlap two slots."""
+MIN_SETUP_PACE = 1e-15
+"""Set-ups per ns: lower bound that avoids a division by zero."""
+MIN_CHANCE_SETUPS = 4
+"""Set-ups in a slot from which random ones are allowed besides."""
+DEMAND_SKEW = 3
+"""How much more a node may be asked for than the mean node."""
+SLOT_USED_UP = 1 << 30
+"""Recorded as the number of set-ups in a slot that is used up."""
+
+# Load reports.
+
+TRY_REPORT_AGE_NS = 300 * MS
+"""Age of a load report that comes with the outcome of a try."""
+REPORT_TOLERANCE_NS = 2 * SECOND
+"""A load report may be late by so much before it is stale."""
+CAPPED_LOAD_TOLERANCE = 0.99
+"""A load that is reported capped at 1 may stand for any higher load from here on."""
+DEFAULT_ASSUMED_LOAD = 0.7
+"""Load assumed for a link while no link has reported its load."""
 MEAN_LOAD_WEIGHT_FRONTS = 4
-SLOT_USED_UP = 1 << 30  # recorded as the set-ups of a time slot that is used up
-DEFAULT_ASSUMED_LOAD = 0.7  # load assumed for a link while no link has reported its load
+"""Number of front ends at which the assumed load weighs as much as one front end's extrapolation."""
+OWN_CHANGES_KEPT_NS = 8 * SECOND
+"""Own changes of a node's load are kept for so long; older than any report in use."""
+HELD_RATE_HISTORY_LENGTH = 12
+"""Number of interval ends for which the rate of own playbacks is kept."""
+
+# Short delivery.
+
+SHORT_DELIVERY_SHARE = 0.98
+"""Delivered shares under it are short."""
+STALLED_DELIVERY_SHARE = 0.2
+"""Under it, the node has stopped delivering."""
+SHORT_DELIVERY_VALID_NS = 2 * SECOND
+"""A report of short delivery is valid for so long."""
+INFERRED_LOAD_MARGIN = 0.05
+"""A load inferred from short delivery counts if it exceeds the known one by this."""
+EXPLAINED_LOAD_MARGIN = 0.1
+"""A link's load explains short delivery if it is at most this much too low."""
+MIN_NODES_TO_COMPARE = 2
+"""Nodes of a rack that have to play before their shares are compared."""
+RECENT_SAMPLES = 3
+"""Interval ends before the present that a late report of short delivery may describe."""
+MAX_CARRIED_LOAD = 1.2
+"""A link loaded above it has lost capacity: it loads its rack's uplink with no more."""
+MAX_UPLINK_CORRECTION = 2.0
+"""Upper bound of a rack's uplink correction."""
+MIN_UPLINK_CORRECTION = 0.5
+"""Lower bound of a rack's uplink correction."""
+LOGGED_UPLINK_CORRECTION = 1.1
+"""An uplink correction above it is logged."""
+UPLINK_CORRECTION_DECAY = 0.94
+"""Factor per interval on the correction of a loaded uplink without short delivery."""
 
 
-# Allowed transitions of a playback's state; states without an entry are final.
 STATE_TRANSITIONS = {
     PlaybackState.ARRIVED: {
         PlaybackState.SETTING_UP,
@@ -109,8 +185,9 @@
     PlaybackState.PLAYING: {PlaybackState.VIEWER_LEFT, PlaybackState.ENDED},
     PlaybackState.VIEWER_LEFT: {PlaybackState.ENDED},
 }
-# States in which a playback holds a seat and adds to its node's load.
+"""Allowed transitions of a playback's state; states without an entry are final."""
 SEAT_HOLDING_STATES = {PlaybackState.SETTING_UP, PlaybackState.PLAYING, PlaybackState.VIEWER_LEFT}
+"""States in which a playback holds a seat and adds to its node's load."""
 
 
 class Controller:
@@ -118,25 +195,37 @@
 
     def __init__(self, settings: DeploymentSettings, seed: int, host: Host, now: int) -> None:
         """Starts at `now`: subscribes to the node list where the settings require it, and sets the first timer."""
-        self.settings, self.host, self.rng = settings, host, Random(seed)
-        self.started_at, self.racks = now, [Rack() for _ in range(settings.rack_count)]
+        self.settings = settings
+        self.host = host
+        self.rng = Random(seed)
+        self.started_at = now
+        self.interval_ends_at = now + SAMPLE_INTERVAL_NS
+        # Node list.
+        self.racks = [Rack() for _ in range(settings.rack_count)]
         self.nodes: dict[Node, None] = {}
-        self.list_version, self.subscribed_at, self.is_subscribed = 0, now, False
-        self.interval_ends_at = now + SAMPLE_INTERVAL_NS  # end of the running sample interval
-        self.t2, self.t3, self.x, self.prediction_error, self.predicted_load = T2, T3, 0.0, 1.0, 0.0
-        self.assumed_load = DEFAULT_ASSUMED_LOAD  # for a link without reports: the mean of those with reports
-        self.assumed_load_is_measured = False  # `assumed_load` is such a mean, no longer a default
-        self.max_report_age_ns = (
-            settings.report_interval_ns + settings.report_delay_ns + REPORT_TOLERANCE_NS
-        )  # age up to which a report is fresh
-        self.unreported_weight, self.mean_rung = (
-            0.0,
-            self._middle_rung(),
-        )  # weight of missing reports, 0 to 1; own playbacks
-        self.held_rate, self.total_link_capacity = 0.0, 1.0  # kB/s: of own playbacks, of all links
-        self.held_rate_history = deque([(now, 0.0)], maxlen=12)  # at the ends of the last intervals
-        self.mode, self.recent_requests = "open", DecayingSum()  # and recent requests
-        self.request_times, self.retry_times = deque[int](), deque[int]()
+        self.list_version = 0  # counts the lists and changes taken over
+        self.subscribed_at = now  # time of the last request to subscribe
+        self.is_subscribed = False
+        self.total_link_capacity = 1.0
+        # Cluster load and thresholds.
+        self.t2 = T2
+        self.t3 = T3
+        self.x = 0.0
+        self.prediction_error = 1.0
+        self.predicted_load = 0.0
+        self.mode = "open"
+        # Load of links without reports.
+        self.assumed_load = DEFAULT_ASSUMED_LOAD  # the mean of the links with reports, once there are any
+        self.assumed_load_is_measured = False
+        self.max_report_age_ns = settings.report_interval_ns + settings.report_delay_ns + REPORT_TOLERANCE_NS
+        self.unreported_weight = 0.0  # near 0 if most nodes report their load, near 1 if most do not
+        # Own playbacks and requests.
+        self.mean_rung = self._middle_rung()
+        self.held_rate = 0.0
+        self.held_rate_history = deque([(now, 0.0)], maxlen=HELD_RATE_HISTORY_LENGTH)
+        self.recent_requests = DecayingSum()
+        self.request_times = deque[int]()
+        self.retry_times = deque[int]()
         if settings.must_subscribe:
             host.subscribe_to_nodes()
         host.set_timer(self.interval_ends_at)
@@ -149,32 +238,14 @@
         if kind is NodeListKind.FAILED:
             return  # `on_timer` subscribes again
         missing = dict(self.nodes) if kind is not NodeListKind.CHANGES else {}
-        for e in entries:
-            node = e.node
-            missing.pop(node, None)
-            # The start time never goes back, so that a late list can't make a node warm, and is never in the
-            # future, so that a clock ahead of ours can't keep it cold for ever.
-            started_at = min(e.started_at, now)
-            if started_at > node.started_at:  # a new process: what is known of the old one is void
-                node.failure_score.clear()
-                # It is empty. Where most nodes report nothing, all front ends would choose it for that, so only
-                # some of them take its load as known.
-                node.load_known, node.reported_load, node.load_reported_at = (
-                    self.rng.random() >= self.unreported_weight,
-                    0.0,
-                    now,
-                )
-                node.has_handed_over_playback = False
-            node.status, node.started_at = e.status, max(node.started_at, started_at)
-            node.link_capacity, node.playback_capacity = max(1.0, e.link_capacity), e.playback_capacity
-            node.estimated_load = self._estimate_link_load(node)
-            node.rack = self.racks[node.cell % self.settings.rack_count]
-            self.nodes[node] = None
+        for entry in entries:
+            missing.pop(entry.node, None)
+            self._apply_entry(entry, now)
         for node in missing:
             node.status = NodeStatus.GONE
         self.nodes = {n: None for n in self.nodes if n.status is not NodeStatus.GONE}
-        for i, rack in enumerate(self.racks):
-            rack.nodes = [n for n in self.nodes if n.cell % self.settings.rack_count == i]
+        for index, rack in enumerate(self.racks):
+            rack.nodes = [n for n in self.nodes if n.cell % self.settings.rack_count == index]
         self.list_version += 1
         self.total_link_capacity = max(1.0, sum(n.link_capacity for n in self.nodes))
         if not self.assumed_load_is_measured:
@@ -183,16 +254,39 @@
                 node.estimated_load = self._estimate_link_load(node)
         self._update_carried_rates()
 
+    def _apply_entry(self, entry: NodeEntry, now: int) -> None:
+        """Takes over one entry of the node list."""
+        node = entry.node
+        # The start time never goes back, so that a late list can't make a node warm, and is never in the future, so
+        # that a clock ahead of ours can't keep it cold for ever.
+        started_at = min(entry.started_at, now)
+        if started_at > node.started_at:  # a new process: what is known of the old one is void
+            node.failure_score.clear()
+            # It is empty. Where most nodes report nothing, all front ends would choose it for that, so only some of
+            # them take its load as known.
+            node.load_known = self.rng.random() >= self.unreported_weight
+            node.reported_load = 0.0
+            node.load_reported_at = now
+            node.has_handed_over_playback = False
+        node.status = entry.status
+        node.started_at = max(node.started_at, started_at)
+        node.link_capacity = max(1.0, entry.link_capacity)
+        node.playback_capacity = entry.playback_capacity
+        node.estimated_load = self._estimate_link_load(node)
+        node.rack = self.racks[node.cell % self.settings.rack_count]
+        self.nodes[node] = None
+
     def _holders(self, title: Title) -> list[Node]:
         """Nodes that hold a title, in a hash order that is the same on all front ends."""
         if title.holders_version != self.list_version:
             cells = self.settings.cell_count
             copies = title.copies if 0 < title.copies < cells else cells
-            held = [n for n in self.nodes if (n.cell - title.home_cell) % cells < copies]
-            if (named := title.holder_names) is not None:
-                held = [n for n in self.nodes if n.name.partition("+")[0] in named]
-            held.sort(key=lambda n: stable_hash(f"{title.name}\0{n.name}"))
-            title.holders, title.holders_version = held, self.list_version
+            holders = [n for n in self.nodes if (n.cell - title.home_cell) % cells < copies]
+            if (names := title.holder_names) is not None:
+                holders = [n for n in self.nodes if n.name.partition("+")[0] in names]
+            holders.sort(key=lambda n: stable_hash(f"{title.name}\0{n.name}"))
+            title.holders = holders
+            title.holders_version = self.list_version
         return title.holders
 
     # Load.
@@ -204,20 +298,21 @@
 
     def _added_rate(self, playback: Playback, node: Node, rung: int) -> float:
         """Rate that a set-up would add to a node, in kB/s; smaller where it joins a running stream."""
-        same = ((other.title, other.plan, other.rung) for other in node.playbacks)
-        joins = playback.plan.shares_stream and (playback.title, playback.plan, rung) in same
+        running = ((other.title, other.plan, other.rung) for other in node.playbacks)
+        joins = playback.plan.shares_stream and (playback.title, playback.plan, rung) in running
         return self._playback_rate(playback, rung) * (self.settings.join_rate_share if joins else 1.0)
 
     def _estimate_link_load(self, node: Node) -> float:
         """Demand on the link over its capacity, from the last report and own changes since then."""
         if not node.load_known:
-            own = sum(self._playback_rate(pb, pb.rung) for pb in node.playbacks)
-            # Own playbacks times the number of front ends is a poor estimate where there are many front ends:
-            # the more there are, the more the assumed load counts.
-            over = own * self.settings.front_count / node.link_capacity - self.assumed_load
-            return self.assumed_load + over / (1 + self.settings.front_count / MEAN_LOAD_WEIGHT_FRONTS)
-        since = sum(kb for at, kb in node.own_rate_changes if at > node.load_reported_at) / node.link_capacity
-        return max(0.0, node.reported_load + since + self._unreported_load_of_peers(node.load_reported_at))
+            own_rate = sum(self._playback_rate(playback, playback.rung) for playback in node.playbacks)
+            # Own playbacks times the number of front ends is a poor estimate where there are many front ends: the more
+            # there are, the more the assumed load counts.
+            excess = own_rate * self.settings.front_count / node.link_capacity - self.assumed_load
+            return self.assumed_load + excess / (1 + self.settings.front_count / MEAN_LOAD_WEIGHT_FRONTS)
+        reported_at = node.load_reported_at
+        own_change = sum(rate for at, rate in node.own_rate_changes if at > reported_at) / node.link_capacity
+        return max(0.0, node.reported_load + own_change + self._unreported_load_of_peers(reported_at))
 
     def _initial_assumed_load(self) -> float:
         """Load to assume for links while none has reported.
@@ -225,12 +320,12 @@
         Where the links of a rack exceed its uplink, the default load is taken for the uplink; otherwise racks would
         look full on an assumption alone. Drawback: a full fleet shows only by reports of short delivery.
         """
-        through = (
-            self.settings.uplink_capacity * self.settings.rack_count / self.total_link_capacity
-            if self.settings.uplink_capacity > 0
-            else 1.0
-        )
-        return DEFAULT_ASSUMED_LOAD * min(1.0, through)
+        if self.settings.uplink_capacity > 0:
+            uplink_capacity = self.settings.uplink_capacity * self.settings.rack_count
+            usable_share = uplink_capacity / self.total_link_capacity
+        else:
+            usable_share = 1.0
+        return DEFAULT_ASSUMED_LOAD * min(1.0, usable_share)
 
     def _unreported_load_of_peers(self, since: int) -> float:
         """Link load that the other front ends have added since `since`, extrapolated from this one's own change.
@@ -239,12 +334,12 @@
         still says full: any change that all front ends see alike. Drawback: viewers that move from one front end to
         another count as new.
         """
-        then = next(
-            (kb for t, kb in reversed(self.held_rate_history) if t <= since), self.held_rate_history[0][1]
-        )
-        net, unit = self.held_rate - then, self.settings.rung_rates[len(self.settings.rung_rates) // 2]
-        sure = abs(net) / (abs(net) + unit)  # weight: a single playback may be chance
-        return sure * net * (self.settings.front_count - 1) / self.total_link_capacity
+        history = self.held_rate_history
+        earlier_rate = next((rate for at, rate in reversed(history) if at <= since), history[0][1])
+        change = self.held_rate - earlier_rate
+        typical_rate = self.settings.rung_rates[len(self.settings.rung_rates) // 2]
+        confidence = abs(change) / (abs(change) + typical_rate)  # a single playback may be chance
+        return confidence * change * (self.settings.front_count - 1) / self.total_link_capacity
 
     def _update_carried_rates(self) -> None:
         """Recomputes the rate that the links of each rack carry."""
@@ -255,22 +350,17 @@
 
     def _effective_load(self, node: Node, now: int, added_rate: float = 0.0) -> float:
         """Load that affects a playback on this node, link or uplink, with `added_rate` kB/s on top."""
-        crowd = self._unreported_load_of_peers(self.held_rate_history[-1][0])
-        load = node.estimated_load + added_rate / node.link_capacity + crowd
+        peer_load = self._unreported_load_of_peers(self.held_rate_history[-1][0])
+        load = node.estimated_load + added_rate / node.link_capacity + peer_load
         if self.settings.uplink_capacity > 0:
-            load = max(
-                load,
-                (node.rack.carried_rate + added_rate)
-                * node.rack.uplink_correction
-                / self.settings.uplink_capacity
-                + crowd,
-            )
+            uplink_rate = (node.rack.carried_rate + added_rate) * node.rack.uplink_correction
+            load = max(load, uplink_rate / self.settings.uplink_capacity + peer_load)
         return load
 
     def _add_own_rate_change(self, node: Node, rate_change: float, now: int) -> None:
         """Records a change of what a node carries, in kB/s, that no report covers yet."""
         node.own_rate_changes.append((now, rate_change))
-        while node.own_rate_changes[0][0] < now - 8 * SECOND:
+        while node.own_rate_changes[0][0] < now - OWN_CHANGES_KEPT_NS:
             node.own_rate_changes.popleft()
         node.estimated_load = max(0.0, node.estimated_load + rate_change / node.link_capacity)
         node.rack.carried_rate += rate_change
@@ -284,18 +374,15 @@
         """
         if now - report_age_ns < node.load_reported_at and not node.load_from_peer:
             return
-        old = node.estimated_load
-        node.load_known, node.reported_load, node.load_reported_at, node.load_from_peer = (
-            True,
-            link_load,
-            now - report_age_ns,
-            False,
-        )
+        earlier_load = node.estimated_load
+        node.load_known = True
+        node.reported_load = link_load
+        node.load_reported_at = now - report_age_ns
+        node.load_from_peer = False
         node.has_reported_load |= not is_inferred
         node.estimated_load = self._estimate_link_load(node)
-        node.rack.carried_rate += (
-            min(node.estimated_load, MAX_CARRIED_LOAD) - min(old, MAX_CARRIED_LOAD)
-        ) * node.link_capacity
+        change = min(node.estimated_load, MAX_CARRIED_LOAD) - min(earlier_load, MAX_CARRIED_LOAD)
+        node.rack.carried_rate += change * node.link_capacity
 
     def on_peer_load(self, node: Node, link_load: float, report_age_ns: int, now: int) -> None:
         """Takes over the load of a link that another front end heard `report_age_ns` ago.
@@ -303,22 +390,19 @@
         It counts only where this front end's own traffic brings no reports of the link any more, and the next own
         report replaces it.
         """
-        own = (
-            node.load_known
-            and not node.load_from_peer
-            and now - node.load_reported_at <= self.settings.report_interval_ns + REPORT_TOLERANCE_NS
+        max_age_ns = self.settings.report_interval_ns + REPORT_TOLERANCE_NS
+        has_own_report = (
+            node.load_known and not node.load_from_peer and now - node.load_reported_at <= max_age_ns
         )
-        if not own and now - report_age_ns > (node.load_reported_at if node.load_known else 0):
+        if not has_own_report and now - report_age_ns > (node.load_reported_at if node.load_known else 0):
             self._record_link_load(node, link_load, report_age_ns, now)
             node.load_from_peer = True
 
     def _record_uplink_load(self, rack: Rack, uplink_load: float) -> None:
         """Sets the uplink correction so that the estimated load of the uplink equals the reported one."""
         if rack.carried_rate > 0 and self.settings.uplink_capacity > 0:
-            rack.uplink_correction = min(
-                MAX_UPLINK_CORRECTION,
-                max(MIN_UPLINK_CORRECTION, uplink_load * self.settings.uplink_capacity / rack.carried_rate),
-            )
+            correction = uplink_load * self.settings.uplink_capacity / rack.carried_rate
+            rack.uplink_correction = min(MAX_UPLINK_CORRECTION, max(MIN_UPLINK_CORRECTION, correction))
 
     def on_metric(self, playback: Playback, metric: PlaybackMetric, value: float, now: int) -> None:
         """Takes over a reported value about one playback, most of which describe its node.
@@ -329,33 +413,31 @@
         if node is None or playback.state not in SEAT_HOLDING_STATES:
             return
         if metric is PlaybackMetric.RUNG:
-            self._add_own_rate_change(
-                node,
-                self._playback_rate(playback, int(value)) - self._playback_rate(playback, playback.rung),
-                now,
-            )
+            new_rate = self._playback_rate(playback, int(value))
+            self._add_own_rate_change(node, new_rate - self._playback_rate(playback, playback.rung), now)
             playback.rung = int(value)
         elif metric is PlaybackMetric.LINK_LOAD:
-            self._record_link_load(
-                node, value, 0 if playback.next_link_load_is_current else self.settings.report_delay_ns, now
-            )
+            report_age_ns = 0 if playback.next_link_load_is_current else self.settings.report_delay_ns
+            self._record_link_load(node, value, report_age_ns, now)
             playback.next_link_load_is_current = False
         elif metric is PlaybackMetric.UPLINK_LOAD:
             self._record_uplink_load(node.rack, value)
         elif metric is PlaybackMetric.DELIVERED_SHARE:
-            if value < STALLED_DELIVERY_SHARE:
-                # A full link still delivers some of it; this node has stopped.
-                node.failure_score.add(1.0, now, FAILURE_SCORE_HALF_LIFE_NS)
-                return
-            node.delivered_share, node.short_delivery_at = (
-                value,
-                now if value < SHORT_DELIVERY_SHARE else node.short_delivery_at - SHORT_DELIVERY_VALID_NS,
-            )
-            alone = self._is_short_by_own_link(node, now)
-            if value < SHORT_DELIVERY_SHARE and alone and 1 / max(value, 0.2) > node.estimated_load + 0.05:
-                self._record_link_load(
-                    node, 1 / max(value, 0.2), self.settings.report_delay_ns, now, is_inferred=True
-                )
+            self._record_delivered_share(node, value, now)
+
+    def _record_delivered_share(self, node: Node, share: float, now: int) -> None:
+        """Records what share of its playbacks' streams a node delivers, and the loads that follow from it."""
+        if share < STALLED_DELIVERY_SHARE:
+            # A full link still delivers some of it; this node has stopped.
+            node.failure_score.add(FAILED_TRY_SCORE, now, FAILURE_SCORE_HALF_LIFE_NS)
+            return
+        is_short = share < SHORT_DELIVERY_SHARE
+        node.delivered_share = share
+        node.short_delivery_at = now if is_short else node.short_delivery_at - SHORT_DELIVERY_VALID_NS
+        is_short_by_link = self._is_short_by_own_link(node, now)
+        inferred_load = 1 / max(share, STALLED_DELIVERY_SHARE)
+        if is_short and is_short_by_link and inferred_load > node.estimated_load + INFERRED_LOAD_MARGIN:
+            self._record_link_load(node, inferred_load, self.settings.report_delay_ns, now, is_inferred=True)
 
     def _is_short_by_own_link(self, node: Node, now: int) -> bool:
         """Whether the node's own link causes its short delivery; if not, raises the rack's uplink correction.
@@ -372,23 +454,18 @@
             for n in rack.nodes
             if n.playbacks
         ]
-        carried = max(
-            rack.carried_rate, *rack.recent_carried_rates
-        )  # the report is late and describes an earlier moment
-        explained = (
-            len(shares) < 2 and 1 / max(shares) < max([node.estimated_load, *node.load_samples[-3:]]) + 0.1
+        best_share = max(shares)
+        # The report is late and describes an earlier moment.
+        carried_rate = max(rack.carried_rate, *rack.recent_carried_rates)
+        link_load = max([node.estimated_load, *node.load_samples[-RECENT_SAMPLES:]])
+        is_explained = (
+            len(shares) < MIN_NODES_TO_COMPARE and 1 / best_share < link_load + EXPLAINED_LOAD_MARGIN
         )
-        if (
-            explained
-            or max(shares) >= SHORT_DELIVERY_SHARE
-            or carried <= 0
-            or self.settings.uplink_capacity <= 0
-        ):
+        has_uplink_load = carried_rate > 0 and self.settings.uplink_capacity > 0
+        if is_explained or best_share >= SHORT_DELIVERY_SHARE or not has_uplink_load:
             return True
-        rack.uplink_correction = min(
-            MAX_UPLINK_CORRECTION,
-            max(rack.uplink_correction, self.settings.uplink_capacity / max(shares) / carried),
-        )
+        correction = self.settings.uplink_capacity / best_share / carried_rate
+        rack.uplink_correction = min(MAX_UPLINK_CORRECTION, max(rack.uplink_correction, correction))
         return False
 
     # Sample interval.
@@ -402,92 +479,109 @@
             return
         self.interval_ends_at = now + SAMPLE_INTERVAL_NS
         self._end_interval(now)
-        due = now - self.subscribed_at >= self.settings.subscribe_within_ns // 2
-        if self.settings.must_subscribe and due and not self.is_subscribed:
+        is_due = now - self.subscribed_at >= self.settings.subscribe_within_ns // 2
+        if self.settings.must_subscribe and is_due and not self.is_subscribed:
             self.subscribed_at = now
             self.host.subscribe_to_nodes()
         self.host.set_timer(self.interval_ends_at)
 
     def _end_interval(self, now: int) -> None:
         """Samples the loads, updates x and the thresholds, and steps rungs."""
-        listed = [n for n in self.nodes if n.status is NodeStatus.READY]
-        if not listed:
+        ready = [n for n in self.nodes if n.status is NodeStatus.READY]
+        if not ready:
             return
         # A node that does not answer carries no load. Counted as full, it would cause rejections of requests that the
         # other nodes have room for.
-        ready = [n for n in listed if self._is_healthy(n, now)] or listed
-        self._log_health(listed, now)
-        fresh = [n for n in ready if n.load_known and now - n.load_reported_at <= self.max_report_age_ns]
+        healthy = [n for n in ready if self._is_healthy(n, now)] or ready
+        self._log_health(ready, now)
+        reporting = self._reporting_nodes(healthy, now)
+        self._update_assumed_load(reporting, healthy)
+        self._refresh_estimates(now)
+        sampled = reporting or healthy
+        self._sample_loads(sampled, now)
+        self._relax_uplink_corrections(now)
+        self._update_x(sampled, has_reports=bool(reporting))
+        self._move_thresholds()
+        self._adjust_rungs(healthy, now)
+
+    def _reporting_nodes(self, nodes: list[Node], now: int) -> list[Node]:
+        """Nodes with a fresh load report, or none where all known loads are inferred."""
+        fresh = [n for n in nodes if n.load_known and now - n.load_reported_at <= self.max_report_age_ns]
         # Where no node reports its load, the only known loads are those of links found full, which must not stand
         # for all others. Drawback: that the whole fleet is full is learnt there node by node.
-        if not any(n.has_reported_load for n in fresh):
-            fresh = []
-        silent = 1 - len(fresh) / len(ready)  # the weight below stays near 0 for few such nodes
-        self.unreported_weight = silent**3 / (silent**3 + (1 - silent) ** 3)
-        if fresh:
-            self.assumed_load, self.assumed_load_is_measured = (
-                sum(n.estimated_load for n in fresh) / len(fresh),
-                True,
-            )
+        return fresh if any(n.has_reported_load for n in fresh) else []
+
+    def _update_assumed_load(self, reporting: list[Node], nodes: list[Node]) -> None:
+        """Updates the weight of missing reports, and the load assumed for links without one."""
+        silent_share = 1 - len(reporting) / len(nodes)
+        # Near 0 if few nodes are without reports, near 1 if many are.
+        self.unreported_weight = silent_share**3 / (silent_share**3 + (1 - silent_share) ** 3)
+        if reporting:
+            self.assumed_load = sum(n.estimated_load for n in reporting) / len(reporting)
+            self.assumed_load_is_measured = True
+
+    def _refresh_estimates(self, now: int) -> None:
+        """Records the rate of own playbacks and estimates the loads of all nodes and racks anew."""
         if now - self.started_at <= UPTIME_UNKNOWN_NS:
             self.held_rate_history.clear()
         self.held_rate_history.append((now, self.held_rate))
         for node in self.nodes:
             if now - node.load_reported_at > self.max_report_age_ns:  # its reports have stopped
-                node.load_known, node.load_samples = False, []
+                node.load_known = False
+                node.load_samples = []
             node.estimated_load = self._estimate_link_load(node)
         self._update_carried_rates()
-        telling = fresh or ready
-        for node in telling:
-            node.load_samples = [
-                *node.load_samples[1 - FORECAST_SAMPLES :],
-                min(MAX_SAMPLED_LOAD, self._effective_load(node, now)),
-            ]
+
+    def _sample_loads(self, nodes: list[Node], now: int) -> None:
+        """Adds a load sample to each node and forecasts its load at the end of the next interval."""
+        for node in nodes:
+            sample = min(MAX_SAMPLED_LOAD, self._effective_load(node, now))
+            node.load_samples = [*node.load_samples[1 - FORECAST_SAMPLES :], sample]
             node.load_forecast = forecast(node.load_samples)
+
+    def _relax_uplink_corrections(self, now: int) -> None:
+        """Lowers the correction of uplinks that look loaded although no node of the rack delivers too little."""
         for rack in self.racks:
-            rack.recent_carried_rates = [*rack.recent_carried_rates[-2:], rack.carried_rate]
-            uplink = (
-                rack.carried_rate * rack.uplink_correction / self.settings.uplink_capacity
-                if self.settings.uplink_capacity > 0
-                else 0.0
-            )
-            if uplink > T1 and all(
-                now - n.short_delivery_at > SHORT_DELIVERY_VALID_NS + SAMPLE_INTERVAL_NS for n in rack.nodes
-            ):
-                rack.uplink_correction = max(
-                    MIN_UPLINK_CORRECTION,
-                    rack.uplink_correction * (UPLINK_CORRECTION_DECAY if uplink < 1 else 1 / uplink),
-                )
-        measured = cluster_load([n.load_samples[-1] for n in telling])
-        self.prediction_error = (
-            min(1.0, abs(self.predicted_load / measured - 1)) if fresh and measured > 0 else 1.0
-        )
-        self.predicted_load = cluster_load([n.load_forecast for n in telling])
-        self.x = blend_loads(self.prediction_error, self.predicted_load, measured)
-        self._move_thresholds()
-        self._adjust_rungs(ready, now)
+            rack.recent_carried_rates = [*rack.recent_carried_rates[1 - RECENT_SAMPLES :], rack.carried_rate]
+            uplink_load = 0.0
+            if self.settings.uplink_capacity > 0:
+                uplink_load = rack.carried_rate * rack.uplink_correction / self.settings.uplink_capacity
+            quiet_ns = SHORT_DELIVERY_VALID_NS + SAMPLE_INTERVAL_NS
+            if uplink_load > T1 and all(now - n.short_delivery_at > quiet_ns for n in rack.nodes):
+                factor = UPLINK_CORRECTION_DECAY if uplink_load < 1 else 1 / uplink_load
+                rack.uplink_correction = max(MIN_UPLINK_CORRECTION, rack.uplink_correction * factor)
+
+    def _update_x(self, sampled: list[Node], has_reports: bool) -> None:
+        """Blends measured and predicted cluster load into x and predicts the next cluster load."""
+        measured_load = cluster_load([n.load_samples[-1] for n in sampled])
+        if has_reports and measured_load > 0:
+            self.prediction_error = min(1.0, abs(self.predicted_load / measured_load - 1))
+        else:
+            self.prediction_error = 1.0
+        self.predicted_load = cluster_load([n.load_forecast for n in sampled])
+        self.x = blend_loads(self.prediction_error, self.predicted_load, measured_load)
 
-    def _log_health(self, listed: list[Node], now: int) -> None:
+    def _log_health(self, nodes: list[Node], now: int) -> None:
         """Logs nodes that became healthy or unhealthy, and racks whose uplink correction became high or normal."""
-        for node in listed:
+        for node in nodes:
             if node.logged_as_unhealthy == self._is_healthy(node, now):
                 node.logged_as_unhealthy = not node.logged_as_unhealthy
-                why = (
-                    f"distrust {node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS):.1f}, "
-                    f"{len(node.pending_setups)} unanswered"
-                )
-                self.host.log(f"node {node.name} {'out' if node.logged_as_unhealthy else 'back'}: {why}")
-        for i, rack in enumerate(self.racks):
+                status = "out" if node.logged_as_unhealthy else "back"
+                score = node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS)
+                reason = f"distrust {score:.1f}, {len(node.pending_setups)} unanswered"
+                self.host.log(f"node {node.name} {status}: {reason}")
+        for index, rack in enumerate(self.racks):
             if rack.logged_as_overloaded != (rack.uplink_correction > LOGGED_UPLINK_CORRECTION):
                 rack.logged_as_overloaded = not rack.logged_as_overloaded
-                self.host.log(
-                    f"rack {i} {'tight' if rack.logged_as_overloaded else 'eased'}: {rack.uplink_correction:.2f}"
-                )
+                status = "tight" if rack.logged_as_overloaded else "eased"
+                self.host.log(f"rack {index} {status}: {rack.uplink_correction:.2f}")
 
     def _move_thresholds(self) -> None:
         """Moves T2 and T3 towards T1 while x exceeds them, resets them under T1, and logs a change of mode."""
-        if (x := self.x) < T1:
-            self.t2, self.t3 = T2, T3
+        x = self.x
+        if x < T1:
+            self.t2 = T2
+            self.t3 = T3
         if x > self.t2:
             self.t2 -= min(x - self.t2, MAX_THRESHOLD_MOVE * (self.t2 - T1))
         if x > self.t3:
@@ -496,31 +590,32 @@
         mode += ", stepping down" if x > self.t3 else ""
         if mode != self.mode:
             self.mode = mode
-            self.host.log(
-                f"mode {mode}: x={x:.2f} err={self.prediction_error:.2f} T2={self.t2:.2f} T3={self.t3:.2f}"
-            )
+            thresholds = f"T2={self.t2:.2f} T3={self.t3:.2f}"
+            self.host.log(f"mode {mode}: x={x:.2f} err={self.prediction_error:.2f} {thresholds}")
 
-    def _adjust_rungs(self, ready: list[Node], now: int) -> None:
+    def _adjust_rungs(self, nodes: list[Node], now: int) -> None:
         """Steps the rungs of playing playbacks down past T3 and up under T1, a bounded share of them per interval."""
-        rungs = [pb.rung for node in ready for pb in node.playbacks]
+        rungs = [playback.rung for node in nodes for playback in node.playbacks]
         self.mean_rung = sum(rungs) / len(rungs) if rungs else self._middle_rung()
-        for node in [n for n in ready if n.playbacks]:
-            playing = [pb for pb in node.playbacks if pb.state is PlaybackState.PLAYING]
+        for node in [n for n in nodes if n.playbacks]:
+            playing = [p for p in node.playbacks if p.state is PlaybackState.PLAYING]
             load = self._effective_load(node, now)
-            mark = (
-                T1 if now - node.short_delivery_at < SHORT_DELIVERY_VALID_NS else self.t3
-            )  # short delivery is reported without noise
-            if load > mark:
-                p = step_down_probability(max(self.x, load), self.t3)
-                down = [pb for pb in playing if pb.rung > pb.plan.floor]
-                down.sort(key=lambda pb: self._revenue_per_kb(pb, pb.rung - 1))
-                self._step_rungs(node, down, -1, (load - mark) * node.link_capacity, p, now)
+            # Short delivery is reported without noise, so a lower load is enough.
+            is_short = now - node.short_delivery_at < SHORT_DELIVERY_VALID_NS
+            limit = T1 if is_short else self.t3
+            if load > limit:
+                probability = step_down_probability(max(self.x, load), self.t3)
+                candidates = [p for p in playing if p.rung > p.plan.floor]
+                candidates.sort(key=lambda p: self._revenue_per_kb(p, p.rung - 1))
+                rate_gap = (load - limit) * node.link_capacity
+                self._step_rungs(node, candidates, -1, rate_gap, probability, now)
             elif self.x < T1 and load < UPPER_RUNG_LOAD_LIMIT:
-                even = self.mean_rung + 0.5
-                rested = [pb for pb in playing if now - pb.rung_changed_at > STEP_UP_DELAY_NS]
-                up = [pb for pb in rested if pb.rung < pb.top_rung and pb.rung <= even]
-                up.sort(key=lambda pb: -self._revenue_per_kb(pb, pb.rung))
-                self._step_rungs(node, up, 1, (UPPER_RUNG_LOAD_LIMIT - load) * node.link_capacity, 1.0, now)
+                max_rung = self.mean_rung + STEP_UP_RUNG_MARGIN
+                rested = [p for p in playing if now - p.rung_changed_at > STEP_UP_DELAY_NS]
+                candidates = [p for p in rested if p.rung < p.top_rung and p.rung <= max_rung]
+                candidates.sort(key=lambda p: -self._revenue_per_kb(p, p.rung))
+                rate_gap = (UPPER_RUNG_LOAD_LIMIT - load) * node.link_capacity
+                self._step_rungs(node, candidates, 1, rate_gap, 1.0, now)
 
     def _step_rungs(
         self,
@@ -537,31 +632,36 @@
         with one playback each would overshoot together. Works for any number of front ends. Drawback: a front end
         that is alone on a link may take longer.
         """
-        own = sum(self._playback_rate(pb, pb.rung) for pb in node.playbacks)
-        many = min(
-            max(1.0, node.estimated_load * node.link_capacity / max(own, 1.0)), self.settings.front_count
-        )
-        pace = (MAX_STEP_UP_SHARE if direction > 0 else MAX_STEP_DOWN_SHARE) * len(node.playbacks)
-        for pb in candidates:
-            kb = abs(self._playback_rate(pb, pb.rung + direction) - self._playback_rate(pb, pb.rung))
-            part = min(1.0, pace, rate_gap / max(1.0, kb * many))
-            if part <= 0:
+        own_rate = sum(self._playback_rate(playback, playback.rung) for playback in node.playbacks)
+        # Front ends that have playbacks on the node, as estimated from its load.
+        fronts = max(1.0, node.estimated_load * node.link_capacity / max(own_rate, 1.0))
+        fronts = min(fronts, self.settings.front_count)
+        max_share = MAX_STEP_UP_SHARE if direction > 0 else MAX_STEP_DOWN_SHARE
+        steps_left = max_share * len(node.playbacks)
+        for playback in candidates:
+            new_rung = playback.rung + direction
+            step_rate = abs(
+                self._playback_rate(playback, new_rung) - self._playback_rate(playback, playback.rung)
+            )
+            step_share = min(1.0, steps_left, rate_gap / max(1.0, step_rate * fronts))
+            if step_share <= 0:
                 break
-            rate_gap, pace = rate_gap - part * kb * many, pace - part
-            self._add_own_rate_change(node, direction * kb * (many - 1) * part * probability, now)
-            if self.rng.random() < part * probability:
-                self._add_own_rate_change(node, direction * kb, now)
-                pb.rung, pb.rung_changed_at = pb.rung + direction, now
-                self.host.set_rung(pb, pb.rung)
+            rate_gap -= step_share * step_rate * fronts
+            steps_left -= step_share
+            peer_change = direction * step_rate * (fronts - 1) * step_share * probability
+            self._add_own_rate_change(node, peer_change, now)
+            if self.rng.random() < step_share * probability:
+                self._add_own_rate_change(node, direction * step_rate, now)
+                playback.rung = new_rung
+                playback.rung_changed_at = now
+                self.host.set_rung(playback, playback.rung)
 
     def _revenue_per_kb(self, playback: Playback, lower_rung: int) -> float:
         """Revenue gained by the step from a rung to the next, per kB/s."""
-        worth = playback.plan.revenue * (
-            self.settings.rung_revenue_shares[lower_rung + 1] - self.settings.rung_revenue_shares[lower_rung]
-        )
-        return worth / max(
-            1.0, self._playback_rate(playback, lower_rung + 1) - self._playback_rate(playback, lower_rung)
-        )
+        shares = self.settings.rung_revenue_shares
+        revenue = playback.plan.revenue * (shares[lower_rung + 1] - shares[lower_rung])
+        higher_rate = self._playback_rate(playback, lower_rung + 1)
+        return revenue / max(1.0, higher_rate - self._playback_rate(playback, lower_rung))
 
     # Requests.
 
@@ -578,8 +678,9 @@
         if playback.copy_of is not None and not self._may_retry(playback, now):
             self._give_up(playback, now)
             return
+        is_copy = playback.copy_of is not None
         self._record_time(
-            self.request_times if playback.copy_of is None else self.retry_times, now
+            self.retry_times if is_copy else self.request_times, now
         )  # a copy counts as a retry
         self.recent_requests.add(1.0, now, self.settings.overload_window_ns)
         if not playback.comes_from_move and self.rng.random() < refusal_probability(self.x, self.t2):
@@ -590,30 +691,37 @@
     def _place(self, playback: Playback, now: int) -> None:
         """Sends a try to the less loaded of the first two holders with room, or gives the playback up."""
         plan = playback.plan
-        two, unsure = list[Node](), list[Node]()
+        candidates = list[Node]()
+        last_candidates = list[Node]()
         if not plan.seats or playback.title.seats_taken.get(plan, 0) < plan.seats:
             for node in self._holders(playback.title):
-                low = self._added_rate(playback, node, plan.floor)
-                if (
-                    self._may_try(playback, node, now)
-                    and self._effective_load(node, now, low) <= LINK_LOAD_LIMIT
-                ):
-                    # Without load reports, all front ends would fill a title's first holders without noticing. So a
-                    # holder comes last at random, with the weight of missing reports as probability (near 0 with few
-                    # front ends), unless its known load is under the assumed one. Drawback: a title spreads over more
-                    # holders than it needs.
-                    fresh = node.load_known and self._effective_load(node, now) < self.assumed_load
-                    (two if fresh or self.rng.random() >= self.unreported_weight else unsure).append(node)
-                    if len(two) == 2:
-                        break
-        self.rng.shuffle(unsure)
-        two = [*two, *unsure][:2]
-        if two:
-            node = min(two, key=lambda n: (self._effective_load(n, now), self.rng.random()))
+                if not self._has_room(playback, node, now):
+                    continue
+                # Without load reports, all front ends would fill a title's first holders without noticing. So a holder
+                # comes last at random, with the weight of missing reports as probability (near 0 with few front ends),
+                # unless its known load is under the assumed one. Drawback: a title spreads over more holders than it
+                # needs.
+                is_lightly_loaded = node.load_known and self._effective_load(node, now) < self.assumed_load
+                comes_first = is_lightly_loaded or self.rng.random() >= self.unreported_weight
+                (candidates if comes_first else last_candidates).append(node)
+                if len(candidates) == HOLDERS_COMPARED:
+                    break
+        self.rng.shuffle(last_candidates)
+        candidates = [*candidates, *last_candidates][:HOLDERS_COMPARED]
+        if candidates:
+            node = min(candidates, key=lambda n: (self._effective_load(n, now), self.rng.random()))
             self._send_try(playback, node, self._start_rung(playback, node, now), now)
         else:
             self._give_up(playback, now)
 
+    def _has_room(self, playback: Playback, node: Node, now: int) -> bool:
+        """Whether a try on a node is allowed, and its load stays under the limit at the playback's floor."""
+        floor_rate = self._added_rate(playback, node, playback.plan.floor)
+        return (
+            self._may_try(playback, node, now)
+            and self._effective_load(node, now, floor_rate) <= LINK_LOAD_LIMIT
+        )
+
     def _middle_rung(self) -> float:
         """Mean rung assumed by a front end that plays nothing.
 
@@ -629,13 +737,14 @@
         otherwise the first viewers would take what later ones lack. Also protects front ends that know no load yet.
         Drawback: a lone viewer starts low.
         """
-        playing = [other.rung for other in node.playbacks]
-        mean = sum(playing) / len(playing) if len(playing) > 2 else self.mean_rung
-        most = max(playback.plan.floor, min(playback.top_rung, round(mean) + 1))
+        rungs = [other.rung for other in node.playbacks]
+        mean_rung = sum(rungs) / len(rungs) if len(rungs) >= MIN_PLAYBACKS_FOR_MEAN_RUNG else self.mean_rung
+        max_rung = max(playback.plan.floor, min(playback.top_rung, round(mean_rung) + 1))
         rung = playback.plan.floor
-        while rung < most:
-            mark = LINK_LOAD_LIMIT if rung < len(self.settings.rung_rates) // 2 else UPPER_RUNG_LOAD_LIMIT
-            if self._effective_load(node, now, self._added_rate(playback, node, rung + 1)) > mark:
+        while rung < max_rung:
+            is_lower_half = rung < len(self.settings.rung_rates) // 2
+            limit = LINK_LOAD_LIMIT if is_lower_half else UPPER_RUNG_LOAD_LIMIT
+            if self._effective_load(node, now, self._added_rate(playback, node, rung + 1)) > limit:
                 break
             rung += 1
         return rung
@@ -649,14 +758,16 @@
             self._record_time(self.retry_times, now)
         slot = self._cold_slot(node, now)[0]
         if slot != node.cold_slot:
-            node.cold_slot, node.cold_slot_setups = slot, 0
+            node.cold_slot = slot
+            node.cold_slot_setups = 0
         node.cold_slot_setups += 1
-        until = playback.abandon_at - 10 * MS
+        try_ends_at = playback.abandon_at - TRY_END_MARGIN_NS
         if playback.plan.effect is not Effect.PAID and len(playback.tries) + 1 < self.settings.max_tries:
-            until = min(until, now + int(playback.plan.startup_target_ns * RETRYABLE_TRY_SHARE))
+            time_limit_ns = int(playback.plan.startup_target_ns * RETRYABLE_TRY_SHARE)
+            try_ends_at = min(try_ends_at, now + time_limit_ns)
         playback.tries.append((node, now))
         self._set_state(playback, PlaybackState.SETTING_UP, now, node)
-        self.host.send_setup(playback, node, until)
+        self.host.send_setup(playback, node, try_ends_at)
 
     def _may_try(self, playback: Playback, node: Node, now: int) -> bool:
         """Whether the rules, the failure score and the cold pace allow a try on this node now."""
@@ -664,7 +775,10 @@
             return False
         if playback.node_filter is not None and not playback.node_filter(node):
             return False
-        if not all(self._repeats_safely(playback, ran, at, node, now) for ran, at in playback.may_have_run):
+        if not all(
+            self._repeats_safely(playback, earlier_node, sent_at, node, now)
+            for earlier_node, sent_at in playback.may_have_run
+        ):
             return False
         return self._is_trusted(playback, node, now) and self._warm_enough(playback, node, now)
 
@@ -678,12 +792,16 @@
         """
         if self._is_healthy(node, now):
             return True
-        faint = node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS) < 2 * FAILURE_SCORE_LIMIT
-        return faint and not node.pending_setups and playback.plan.effect is Effect.FREE
+        score = node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS)
+        return (
+            score < 2 * FAILURE_SCORE_LIMIT
+            and not node.pending_setups
+            and playback.plan.effect is Effect.FREE
+        )
 
     def _is_healthy(self, node: Node, now: int) -> bool:
         """Whether a node answers in time and its failure score is under the limit."""
-        answers = all(now - at <= MAX_ANSWER_DELAY_NS for at in node.pending_setups.values())
+        answers = all(now - sent_at <= MAX_ANSWER_DELAY_NS for sent_at in node.pending_setups.values())
         return answers and node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS) < FAILURE_SCORE_LIMIT
 
     def _known_uptime_ns(self, node: Node, now: int) -> int:
@@ -697,19 +815,17 @@
 
     def _cold_slot(self, node: Node, now: int) -> tuple[int, int]:
         """Number of the running time slot, and the set-ups that all front ends together may send a cold node in it."""
-        terms = self.settings
-        age = min(self._known_uptime_ns(node, now), terms.cold_duration_ns)
-        share = (
-            terms.cold_pace_share + (1 - terms.cold_pace_share) * (age / max(1, terms.cold_duration_ns)) ** 2
-        )
-        pace = (
-            terms.overload_multiple * share * node.playback_capacity / max(1, terms.cold_duration_ns)
-        )  # set-ups per ns
-        allowed = int(COLD_SLOT_BUDGET_SHARE * pace * terms.overload_window_ns)
+        settings = self.settings
+        cold_duration_ns = max(1, settings.cold_duration_ns)
+        uptime_ns = min(self._known_uptime_ns(node, now), settings.cold_duration_ns)
+        warmth = (uptime_ns / cold_duration_ns) ** 2
+        pace_share = settings.cold_pace_share + (1 - settings.cold_pace_share) * warmth
+        setups_per_ns = settings.overload_multiple * pace_share * node.playback_capacity / cold_duration_ns
+        allowed = int(COLD_SLOT_BUDGET_SHARE * setups_per_ns * settings.overload_window_ns)
         if allowed >= 1:
-            return now // terms.overload_window_ns, allowed
-        length = int(2 * max(terms.overload_window_ns, 1 / max(pace, 1e-15)))
-        return now // length, 1 if now % length < length // 2 else 0
+            return now // settings.overload_window_ns, allowed
+        slot_ns = int(2 * max(settings.overload_window_ns, 1 / max(setups_per_ns, MIN_SETUP_PACE)))
+        return now // slot_ns, 1 if now % slot_ns < slot_ns // 2 else 0
 
     def _warm_enough(self, playback: Playback, node: Node, now: int) -> bool:
         """Whether a node is warm, or the cold pace allows a try on it now.
@@ -723,25 +839,23 @@
         if self._known_uptime_ns(node, now) >= self.settings.cold_duration_ns:
             return True
         slot, allowed = self._cold_slot(node, now)
-        turns = (
-            -(-self.settings.front_count // allowed) if allowed else 0
-        )  # one slot in so many is this front end's
-        if turns and not (slot + self.settings.front_index + stable_hash(node.name)) % turns:
-            return (node.cold_slot_setups if slot == node.cold_slot else 0) < max(
-                1, allowed // self.settings.front_count
-            )
+        settings = self.settings
+        # One time slot in so many is this front end's.
+        slots_per_turn = -(-settings.front_count // allowed) if allowed else 0
+        if slots_per_turn and not (slot + settings.front_index + stable_hash(node.name)) % slots_per_turn:
+            setups = node.cold_slot_setups if slot == node.cold_slot else 0
+            return setups < max(1, allowed // settings.front_count)
         # The front end whose slot it is seldom has a request. Where the budget is large enough for random set-ups to stay
         # under it, the others may send as well, at a probability with which all of them, if as busy as this one and
         # asked for this title, use half the slot's budget.
         # Shortly after its start a front end has counted only part of its usual requests. The count is scaled up for
         # that; a single first request is not yet a rate.
-        seen = 1 - 0.5 ** max(1.0, (now - self.started_at) / self.settings.overload_window_ns)
-        busy = self.recent_requests.read(now, self.settings.overload_window_ns) / seen
-        each = DEMAND_SKEW * busy / len(self._holders(playback.title))
-        return (
-            allowed >= MIN_CHANCE_SETUPS
-            and self.rng.random() * each * self.settings.front_count < allowed / 2
-        )
+        counted_share = 1 - 0.5 ** max(1.0, (now - self.started_at) / settings.overload_window_ns)
+        requests = self.recent_requests.read(now, settings.overload_window_ns) / counted_share
+        requests_per_holder = DEMAND_SKEW * requests / len(self._holders(playback.title))
+        if allowed < MIN_CHANCE_SETUPS:
+            return False
+        return self.rng.random() * requests_per_holder * settings.front_count < allowed / 2
 
     def _repeats_safely(
         self, playback: Playback, earlier_node: Node, earlier_sent_at: int, node: Node, now: int
@@ -752,27 +866,27 @@
             return True
         if plan.effect is Effect.PAID or now - earlier_sent_at >= plan.key_ttl_ns:
             return False
-        same = {
+        recognises_key = {
             KeyScope.ALL: True,
             KeyScope.ZONE: node.zone == earlier_node.zone,
             KeyScope.CELL: node.cell == earlier_node.cell,
         }
-        return same[plan.key_scope]
+        return recognises_key[plan.key_scope]
 
     def _may_retry(self, playback: Playback, now: int) -> bool:
         """Whether the number of tries, the viewer's abandon time and the retry budget allow another try."""
-        terms = self.settings
-        if len(playback.tries) >= terms.max_tries or now >= playback.abandon_at - 20 * MS:
+        settings = self.settings
+        if len(playback.tries) >= settings.max_tries or now >= playback.abandon_at - RETRY_MARGIN_NS:
             return False
-        if terms.retry_budget_base is None:
+        if settings.retry_budget_base is None:
             return True
-        while self.request_times and self.request_times[0] <= now - terms.retry_budget_window_ns:
+        window_start = now - settings.retry_budget_window_ns
+        while self.request_times and self.request_times[0] <= window_start:
             self.request_times.popleft()
-        while self.retry_times and self.retry_times[0] < now - terms.retry_budget_window_ns:
+        while self.retry_times and self.retry_times[0] < window_start:
             self.retry_times.popleft()
-        return len(self.retry_times) + 1 <= terms.retry_budget_base + terms.retry_budget_share * len(
-            self.request_times
-        )
+        allowed = settings.retry_budget_base + settings.retry_budget_share * len(self.request_times)
+        return len(self.retry_times) + 1 <= allowed
 
     def _record_time(self, times: deque[int], now: int) -> None:
         """Adds a time to the window of the retry budget, where there is a budget.
@@ -785,10 +899,12 @@
                 times.popleft()
 
     def _give_up(self, playback: Playback, now: int) -> None:
-        """Gives the final answer: a rejection, or an abort where a paid or keyed set-up may have run."""
+        """Gives the final answer: a rejection, or an abort where a set-up may have run that must not be repeated."""
         plan = playback.plan
-        harmless = plan.effect is Effect.KEYED and plan.key_scope is KeyScope.ALL
-        if playback.may_have_run and plan.effect is not Effect.FREE and not harmless:
+        may_come_again = plan.effect is Effect.FREE or (
+            plan.effect is Effect.KEYED and plan.key_scope is KeyScope.ALL
+        )
+        if playback.may_have_run and not may_come_again:
             self._set_state(playback, PlaybackState.ABORTED, now)
             self.host.abort(playback)
         else:
@@ -815,7 +931,8 @@
         """
         self.retry_times.extend(retry_times)
         for node in nodes_with_spent_slot:
-            node.cold_slot, node.cold_slot_setups = self._cold_slot(node, now)[0], SLOT_USED_UP
+            node.cold_slot = self._cold_slot(node, now)[0]
+            node.cold_slot_setups = SLOT_USED_UP
 
     def on_playing(self, playback: Playback, now: int) -> None:
         """Handles a successful set-up; ignored when repeated, or after the playback has ended."""
@@ -833,34 +950,22 @@
         `link_used` the same capped at 1, `uplink_load` that of the rack's uplink. Ignored where no try is out and
         nothing plays: the event is a duplicate or late.
         """
-        node, state = playback.node, playback.state
+        node = playback.node
+        state = playback.state
         if node is None or state not in SEAT_HOLDING_STATES:
             return
         if link_load is not None:
             self._record_link_load(node, link_load, TRY_REPORT_AGE_NS, now)
-        elif link_used is not None and (link_used < 0.99 or node.estimated_load < 1):
-            self._record_link_load(
-                node, link_used, TRY_REPORT_AGE_NS, now
-            )  # capped at 1; a higher known load stands
+        elif link_used is not None and (link_used < CAPPED_LOAD_TOLERANCE or node.estimated_load < 1):
+            # Capped at 1, so it does not replace a higher known load.
+            self._record_link_load(node, link_used, TRY_REPORT_AGE_NS, now)
         if uplink_load is not None:
             self._record_uplink_load(node.rack, uplink_load)
-        proven = outcome in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
-        if outcome in (Outcome.NO_CONNECTION, Outcome.RESET, Outcome.LATE):
-            if outcome is not Outcome.LATE or node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS) > 1:
-                node.failed_at = now
-            node.failure_score.add(1.0, now, FAILURE_SCORE_HALF_LIFE_NS)
-        elif outcome is Outcome.ERROR and playback.title.has_played:
-            # Only for titles that have played: requests for titles that don't exist would otherwise raise the score
-            # of good nodes. Drawback: a node that answers everything with errors is found only once it is asked for a
-            # title that has played.
-            node.failure_score.add(0.4, now, FAILURE_SCORE_HALF_LIFE_NS)
-        elif outcome is Outcome.FULL:
-            # It holds as many playbacks as it can, even if its link has room.
-            self._record_link_load(node, max(node.estimated_load, T1), 0, now, is_inferred=True)
+        self._record_outcome(playback, node, outcome, now)
         if is_closed or state is not PlaybackState.SETTING_UP:
             self._set_state(playback, PlaybackState.ENDED, now)
             return
-        if not proven:
+        if outcome not in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT):
             playback.may_have_run.append(playback.tries[-1])
         self._set_state(playback, PlaybackState.BETWEEN_TRIES, now)
         if self._may_retry(playback, now):
@@ -868,6 +973,25 @@
         else:
             self._give_up(playback, now)
 
+    def _record_outcome(self, playback: Playback, node: Node, outcome: Outcome, now: int) -> None:
+        """Updates what is known of a node by the outcome of a try or playback on it."""
+        score = node.failure_score
+        if outcome in (Outcome.NO_CONNECTION, Outcome.RESET, Outcome.LATE):
+            if (
+                outcome is not Outcome.LATE
+                or score.read(now, FAILURE_SCORE_HALF_LIFE_NS) > RESTART_SUSPECT_SCORE
+            ):
+                node.failed_at = now
+            score.add(FAILED_TRY_SCORE, now, FAILURE_SCORE_HALF_LIFE_NS)
+        elif outcome is Outcome.ERROR and playback.title.has_played:
+            # Only for titles that have played: requests for titles that don't exist would otherwise raise the score
+            # of good nodes. Drawback: a node that answers everything with errors is found only once it is asked for a
+            # title that has played.
+            score.add(ERROR_SCORE, now, FAILURE_SCORE_HALF_LIFE_NS)
+        elif outcome is Outcome.FULL:
+            # It holds as many playbacks as it can, even if its link has room.
+            self._record_link_load(node, max(node.estimated_load, T1), 0, now, is_inferred=True)
+
     def on_viewer_left(self, playback: Playback, now: int) -> None:
         """Handles the leaving of a viewer; the end of a try that is out is still reported."""
         if playback.state in (PlaybackState.SETTING_UP, PlaybackState.PLAYING):
@@ -888,27 +1012,30 @@
         """
         if state not in STATE_TRANSITIONS.get(playback.state, ()):
             raise ValueError(f"a playback cannot go from {playback.state.value} to {state.value}")
-        held, playback.state = playback.state in SEAT_HOLDING_STATES, state
+        held_seat = playback.state in SEAT_HOLDING_STATES
+        playback.state = state
         if node:
             playback.node = node
-        at = playback.node
-        if at is None:
+        current_node = playback.node
+        if current_node is None:
             return
         playback.title.has_played |= state is PlaybackState.PLAYING
         if state is PlaybackState.SETTING_UP:
-            at.pending_setups[playback] = now
+            current_node.pending_setups[playback] = now
+        else:
+            current_node.pending_setups.pop(playback, None)
+        if held_seat == (state in SEAT_HOLDING_STATES):
+            return
+        sign = -1 if held_seat else 1
+        seats_taken = playback.title.seats_taken
+        seats_taken[playback.plan] = seats_taken.get(playback.plan, 0) + sign
+        if held_seat:
+            del current_node.playbacks[playback]
         else:
-            at.pending_setups.pop(playback, None)
-        if held != (state in SEAT_HOLDING_STATES):
-            sign = -1 if held else 1
-            seats = playback.title.seats_taken
-            seats[playback.plan] = seats.get(playback.plan, 0) + sign
-            if held:
-                del at.playbacks[playback]
-            else:
-                at.playbacks[playback] = None
-            self.held_rate += sign * self._playback_rate(playback, playback.rung)
-            self._add_own_rate_change(at, sign * self._playback_rate(playback, playback.rung), now)
+            current_node.playbacks[playback] = None
+        rate_change = sign * self._playback_rate(playback, playback.rung)
+        self.held_rate += rate_change
+        self._add_own_rate_change(current_node, rate_change, now)
 
 
 # The paper's formulas.
@@ -921,19 +1048,21 @@
 
 def forecast(samples: Sequence[float]) -> float:
     """Next value on the line fitted to equally spaced samples by least squares, at least 0."""
-    n = len(samples)
-    mean = sum(samples) / n
-    if n < 2:
+    count = len(samples)
+    mean = sum(samples) / count
+    if count == 1:
         return mean
-    mid = (n - 1) / 2
-    slope = sum((i - mid) * s for i, s in enumerate(samples)) / sum((i - mid) ** 2 for i in range(n))
-    return max(0.0, mean + slope * (n - mid))
+    middle = (count - 1) / 2
+    covariance = sum((i - middle) * sample for i, sample in enumerate(samples))
+    variance = sum((i - middle) ** 2 for i in range(count))
+    slope = covariance / variance
+    return max(0.0, mean + slope * (count - middle))
 
 
 def cluster_load(loads: list[float]) -> float:
     """The paper's l_c: alpha times the mean plus 1 - alpha times the variance."""
     mean = sum(loads) / len(loads)
-    return ALPHA * mean + (1 - ALPHA) * sum((v - mean) ** 2 for v in loads) / len(loads)
+    return ALPHA * mean + (1 - ALPHA) * sum((load - mean) ** 2 for load in loads) / len(loads)
 
 
 def blend_loads(prediction_error: float, predicted: float, measured: float) -> float:
--- a/oakcroft/interface.py
+++ b/oakcroft/interface.py
@@ -145,7 +145,8 @@
 
     def __init__(self) -> None:
         """Starts at 0."""
-        self.value, self.updated_at = 0.0, 0
+        self.value = 0.0
+        self.updated_at = 0
 
     def read(self, now: int, half_life_ns: int) -> float:
         """Returns the sum, decayed up to `now` with a half-life in ns."""
@@ -177,13 +178,15 @@
 
 
 class Rack:
-    """Nodes behind one uplink, the rate that they carry in kB/s, and how far the uplink's load is underestimated."""
+    """Nodes behind one uplink, the rate that they carry, and how far the uplink's load is underestimated."""
 
     def __init__(self) -> None:
         """An empty rack without load."""
         self.nodes: list[Node] = []
-        self.carried_rate, self.recent_carried_rates = 0.0, [0.0]
-        self.uplink_correction, self.logged_as_overloaded = 1.0, False
+        self.carried_rate = 0.0  # estimated rate that the links of its nodes carry, kB/s
+        self.recent_carried_rates = [0.0]  # the same at the ends of the last sample intervals
+        self.uplink_correction = 1.0  # factor on the estimated load of the uplink
+        self.logged_as_overloaded = False  # whether the log last called its uplink overloaded
 
 
 class Node:
@@ -191,30 +194,42 @@
 
     def __init__(self, name: str) -> None:
         """A node that is not listed yet."""
-        self.name, self.zone, self.cell = name, "", 0
-        self.kind, self.tags = "", frozenset[str]()
-        self.status, self.started_at = NodeStatus.GONE, 0
-        self.link_capacity, self.playback_capacity = 1.0, 0.0
+        # From the node list.
+        self.name = name
+        self.zone = ""
+        self.cell = 0
+        self.kind = ""
+        self.tags = frozenset[str]()
+        self.status = NodeStatus.GONE
+        self.started_at = 0
+        self.link_capacity = 1.0  # kB/s
+        self.playback_capacity = 0.0  # playbacks that it can hold
         self.rack = Rack()
+        # Own playbacks.
         self.playbacks: dict[Playback, None] = {}
         self.pending_setups: dict[Playback, int] = {}  # set-ups without an answer, by when they were sent
         self.own_rate_changes: deque[tuple[int, float]] = deque()  # time and kB/s of own changes of its load
-        self.load_known, self.reported_load, self.load_reported_at = False, 0.0, 0
+        self.has_handed_over_playback = (
+            False  # a playback handed over to this front end at its start plays here
+        )
+        # Load of its link: demand over capacity.
+        self.load_known = False  # whether a report of it is fresh
+        self.reported_load = 0.0
+        self.load_reported_at = 0
         self.load_from_peer = False  # the last report came from another front end
         self.has_reported_load = False  # its load was reported at some time, not only inferred
-        self.estimated_load = 0.0  # load of its link, estimated for now
-        self.delivered_share, self.short_delivery_at = 1.0, 0  # delivered share as last reported
+        self.estimated_load = 0.0  # for now
         self.load_samples: list[float] = []  # load at the ends of the last sample intervals
-        self.load_forecast = 0.0
-        self.failure_score, self.logged_as_unhealthy = DecayingSum(), False
+        self.load_forecast = 0.0  # for the end of the next one
+        # Delivery.
+        self.delivered_share = 1.0  # as last reported
+        self.short_delivery_at = 0  # time of the last report of short delivery
+        # Failures and the cold pace.
+        self.failure_score = DecayingSum()
         self.failed_at = 0  # time of the last failure that suggests a restart
-        self.has_handed_over_playback = (
-            False  # a playback handed over to this front end at its start plays here
-        )
-        self.cold_slot, self.cold_slot_setups = (
-            -1,
-            0,
-        )  # last time slot of the cold pace, and set-ups sent in it
+        self.logged_as_unhealthy = False  # whether the log last called it out
+        self.cold_slot = -1  # last time slot of the cold pace with set-ups
+        self.cold_slot_setups = 0  # set-ups sent in it
 
 
 class Title:
@@ -222,7 +237,9 @@
 
     def __init__(self, name: str, home_cell: int, copies: int) -> None:
         """A title held by `copies` cells from `home_cell` on; 0 copies: by all cells."""
-        self.name, self.home_cell, self.copies = name, home_cell, copies
+        self.name = name
+        self.home_cell = home_cell
+        self.copies = copies
         self.seats_taken: dict[Plan, int] = {}  # seats taken in each plan
         self.has_played = False  # on any node; proves that the title exists
         self.holders: list[Node] = []
@@ -242,12 +259,10 @@
         Its highest rung is `top_rung` within the plan's bounds; the viewer gives up at `abandon_at`. A request that
         `comes_from_move` is not rejected in the band.
         """
-        self.title, self.plan, self.abandon_at, self.comes_from_move = (
-            title,
-            plan,
-            abandon_at,
-            comes_from_move,
-        )
+        self.title = title
+        self.plan = plan
+        self.abandon_at = abandon_at
+        self.comes_from_move = comes_from_move
         self.top_rung = max(plan.floor, min(top_rung, plan.top_rung))
         self.state = PlaybackState.ARRIVED
         self.rung = plan.floor
