--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -850,7 +850,7 @@
         # asked for this title, use half the slot's budget.
         # Shortly after its start a front end has counted only part of its usual requests. The count is scaled up for
         # that; a single first request is not yet a rate.
-        counted_share = 1 - 0.5 ** max(1.0, (now - self.started_at) / settings.overload_window_ns)
+        counted_share: float = 1 - 0.5 ** max(1.0, (now - self.started_at) / settings.overload_window_ns)
         requests = self.recent_requests.read(now, settings.overload_window_ns) / counted_share
         requests_per_holder = DEMAND_SKEW * requests / len(self._holders(playback.title))
         if allowed < MIN_CHANCE_SETUPS:
--- a/oakcroft/running/inbox.py
+++ b/oakcroft/running/inbox.py
@@ -16,8 +16,8 @@
     """Passes each event to `handle` in order of arrival, until cancelled."""
     async for event in inbox:
         handle(event)
-        until = trio.current_time() + MAX_BATCH_SECONDS
-        while trio.current_time() < until:
+        batch_ends_at = trio.current_time() + MAX_BATCH_SECONDS
+        while trio.current_time() < batch_ends_at:
             # An awaited receive lets all other tasks run first; one event per round would be too slow.
             try:
                 event = inbox.receive_nowait()
--- a/oakcroft/running/logs.py
+++ b/oakcroft/running/logs.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import logging
 import sys
 import time
 from typing import Any, BinaryIO, TextIO, cast
@@ -40,12 +41,10 @@
 
     def __init__(self, max_lines_per_second: int) -> None:
         """Passes at most `max_lines_per_second`."""
-        self.max_lines_per_second, self.current_second, self.passed_lines, self.dropped_lines = (
-            max_lines_per_second,
-            0,
-            0,
-            0,
-        )
+        self.max_lines_per_second = max_lines_per_second
+        self.current_second = 0
+        self.passed_lines = 0  # in the current second
+        self.dropped_lines = 0  # since the last line that passed
 
     def __call__(self, _: Any, __: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
         """Passes or drops a line.
@@ -54,13 +53,15 @@
         """
         second = int(time.monotonic())
         if second != self.current_second:
-            self.current_second, self.passed_lines = second, 0
+            self.current_second = second
+            self.passed_lines = 0
         if self.passed_lines >= self.max_lines_per_second:
             self.dropped_lines += 1
             raise structlog.DropEvent
         self.passed_lines += 1
         if self.dropped_lines:
-            event["dropped"], self.dropped_lines = self.dropped_lines, 0
+            event["dropped"] = self.dropped_lines
+            self.dropped_lines = 0
         return event
 
 
@@ -73,7 +74,8 @@
 
     def __init__(self, out: Any) -> None:
         """Writes to `out`."""
-        self.out, self.lost_writes = out, 0
+        self.out = out
+        self.lost_writes = 0
 
     def write(self, text: Any) -> int:
         """Writes a text; returns 0 and counts it as lost if that fails."""
@@ -117,10 +119,10 @@
     `log_format` is "console", or anything else for JSON. By default it writes to standard error, practically without a
     limit on the lines per second.
     """
-    spared = LossyOutput(out if log_format == "console" else unbuffered_output(out))
-    shared: list[Any] = [
+    output = LossyOutput(out if log_format == "console" else unbuffered_output(out))
+    processors: list[Any] = [
         LineRateLimiter(max_lines_per_second),
-        spared.add_lost_count,
+        output.add_lost_count,
         structlog.contextvars.merge_contextvars,
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -129,16 +131,16 @@
     ]
     if log_format == "console":
         structlog.configure(
-            processors=[*shared, structlog.dev.ConsoleRenderer(colors=out.isatty())],
-            wrapper_class=structlog.make_filtering_bound_logger(20),
-            logger_factory=structlog.PrintLoggerFactory(cast(TextIO, spared)),
+            processors=[*processors, structlog.dev.ConsoleRenderer(colors=out.isatty())],
+            wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
+            logger_factory=structlog.PrintLoggerFactory(cast(TextIO, output)),
             cache_logger_on_first_use=True,
         )
     else:
         structlog.configure(
-            processors=[*shared, structlog.processors.JSONRenderer(serializer=orjson.dumps)],
-            wrapper_class=structlog.make_filtering_bound_logger(20),
-            logger_factory=structlog.BytesLoggerFactory(cast(BinaryIO, spared)),
+            processors=[*processors, structlog.processors.JSONRenderer(serializer=orjson.dumps)],
+            wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
+            logger_factory=structlog.BytesLoggerFactory(cast(BinaryIO, output)),
             cache_logger_on_first_use=True,
         )
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger().bind(front=front)
--- a/oakcroft/terms.py
+++ b/oakcroft/terms.py
@@ -31,11 +31,12 @@
 ENDS_BY_CAUSE = {16: Outcome.DONE, 31: Outcome.WITHDRAWN}
 """Outcomes of a playback's end by its cause; any other cause means that it was cut off."""
 METRICS_BY_NAME = {
-    "fill": METRICS_BY_WIRE_KIND[1],
-    "grade": METRICS_BY_WIRE_KIND[2],
-    "local": METRICS_BY_WIRE_KIND[3],
-    "upstream": METRICS_BY_WIRE_KIND[4],
+    "fill": PlaybackMetric.DELIVERED_SHARE,
+    "grade": PlaybackMetric.RUNG,
+    "local": PlaybackMetric.LINK_LOAD,
+    "upstream": PlaybackMetric.UPLINK_LOAD,
 }
+"""Metrics by their names on the platform's protocol."""
 
 
 def ms_to_ns(ms: float | None) -> int:
@@ -60,24 +61,24 @@
 
     Raises KeyError where a setting is missing or has an unknown word.
     """
-    info = settings["familyInfo"]
-    rungs = len(info["ratesKb"])
-    out = {}
-    for i, c in enumerate(settings["classes"]):
-        floor = min(info["floorByClass"][i], rungs - 1)
-        out[c["name"]] = Plan(
-            effect=EFFECTS_BY_SETTING[c["effect"]],
-            key_scope=KEY_SCOPES_BY_SETTING.get(c.get("group") or "all", KeyScope.CELL),
-            key_ttl_ns=ms_to_ns(c.get("keyTtlMs")),
-            startup_target_ns=ms_to_ns(c["objectiveMs"]),
-            revenue=c["worth"],
+    family = settings["familyInfo"]
+    highest_rung = len(family["ratesKb"]) - 1
+    plans = {}
+    for index, plan in enumerate(settings["classes"]):
+        floor = min(family["floorByClass"][index], highest_rung)
+        plans[plan["name"]] = Plan(
+            effect=EFFECTS_BY_SETTING[plan["effect"]],
+            key_scope=KEY_SCOPES_BY_SETTING.get(plan.get("group") or "all", KeyScope.CELL),
+            key_ttl_ns=ms_to_ns(plan.get("keyTtlMs")),
+            startup_target_ns=ms_to_ns(plan["objectiveMs"]),
+            revenue=plan["worth"],
             floor=floor,
-            top_rung=max(floor, min(info["classTop"][i], rungs - 1)),
-            seats=info["classSeats"][i],
-            rate_factor=info["rateFactor"][i],
-            shares_stream=info["live"][i],
+            top_rung=max(floor, min(family["classTop"][index], highest_rung)),
+            seats=family["classSeats"][index],
+            rate_factor=family["rateFactor"][index],
+            shares_stream=family["live"][index],
         )
-    return out
+    return plans
 
 
 def read_settings(settings: dict[str, Any]) -> DeploymentSettings:
@@ -85,22 +86,24 @@
 
     Raises KeyError where a setting is missing.
     """
-    info, rules, may = settings["familyInfo"], settings["rules"], settings["permissions"]
+    family = settings["familyInfo"]
+    rules = settings["rules"]
+    permissions = settings["permissions"]
     return DeploymentSettings(
         front_count=max(1, settings["balancers"]),
         front_index=settings["me"],
         must_subscribe=settings["membershipMode"] == "subscribe",
         subscribe_within_ns=ms_to_ns(rules.get("askWithinMs")),
-        cell_count=max(1, info["cells"]),
-        rack_count=max(1, info["groups"]),
-        rung_rates=tuple(info["ratesKb"]),
-        rung_revenue_shares=tuple(info["rungWorth"]),
-        uplink_capacity=info["uplinkKb"],
-        join_rate_share=info["joinAdds"],
-        report_delay_ns=ms_to_ns(info["seenAfterMs"]),
-        report_interval_ns=ms_to_ns(info["reportsEveryMs"]),
-        max_tries=may["maxAttempts"],
-        max_retry_after_ns=ms_to_ns(may["maxRetryAfterMs"]) if may["retryAfter"] else 0,
+        cell_count=max(1, family["cells"]),
+        rack_count=max(1, family["groups"]),
+        rung_rates=tuple(family["ratesKb"]),
+        rung_revenue_shares=tuple(family["rungWorth"]),
+        uplink_capacity=family["uplinkKb"],
+        join_rate_share=family["joinAdds"],
+        report_delay_ns=ms_to_ns(family["seenAfterMs"]),
+        report_interval_ns=ms_to_ns(family["reportsEveryMs"]),
+        max_tries=permissions["maxAttempts"],
+        max_retry_after_ns=ms_to_ns(permissions["maxRetryAfterMs"]) if permissions["retryAfter"] else 0,
         cold_pace_share=rules["coldShare"],
         cold_duration_ns=ms_to_ns(rules["coldMs"]),
         overload_multiple=rules["fallMultiple"],
--- a/oakcroft/wirehost/instance.py
+++ b/oakcroft/wirehost/instance.py
@@ -20,14 +20,14 @@
 
         Raises KeyError where a setting is missing.
         """
-        env = event["env"]
+        settings = event["env"]
         self.front_id = front_id
         self.actions = actions
-        self.settings = terms.read_settings(env)
-        self.plans = terms.read_plans(env)
-        self.link_capacity_per_weight: float = env["familyInfo"]["weightKb"]
+        self.settings = terms.read_settings(settings)
+        self.plans = terms.read_plans(settings)
+        self.link_capacity_per_weight: float = settings["familyInfo"]["weightKb"]
         self.playback_capacity_by_model = dict(
-            zip(env["models"], env["familyInfo"]["kindSlots"], strict=False)
+            zip(settings["models"], settings["familyInfo"]["kindSlots"], strict=False)
         )
         self.nodes: dict[str, Node] = {}
         self.titles: dict[str, Title] = {}
@@ -77,39 +77,39 @@
 
     def handle_event(self, event: Message, now: int, lists: dict[int, list[Message]]) -> None:
         """Handles one event; events have to come in order of arrival."""
-        pb = self.playbacks.get(event.get("rid", ""))
-        if pb and event.get("sendNo") not in (None, len(pb.tries) - 1):
+        playback = self.playbacks.get(event.get("rid", ""))
+        if playback and event.get("sendNo") not in (None, len(playback.tries) - 1):
             return  # belongs to an earlier try, whose outcome was handled
         match event["op"]:
             case "accept":
-                pb = self._new_playback(event, now)
-                self.controller.on_request(pb, now)
+                playback = self._new_playback(event, now)
+                self.controller.on_request(playback, now)
             case "resumed":
-                pb = self._new_playback(event, now)
-                self.controller.on_handed_over(pb, self._node(event["node"]), now)
+                playback = self._new_playback(event, now)
+                self.controller.on_handed_over(playback, self._node(event["node"]), now)
             case "flowing":
-                if pb:
-                    self.controller.on_playing(pb, now)
+                if playback:
+                    self.controller.on_playing(playback, now)
             case "reply":
-                if pb:
+                if playback:
                     self.controller.on_try_ended(
-                        pb, terms.OUTCOMES_BY_WIRE_CODE[event["outcome"]], event["doneFlag"],
+                        playback, terms.OUTCOMES_BY_WIRE_CODE[event["outcome"]], event["doneFlag"],
                         *terms.load_report_values(event.get("report")), now,
                     )  # fmt: skip
             case "updateOf":
-                note = terms.METRICS_BY_WIRE_KIND.get(event["kind"])
-                if pb and note:
-                    self.controller.on_metric(pb, note, event["x"], now)
+                metric = terms.METRICS_BY_WIRE_KIND.get(event["kind"])
+                if playback and metric:
+                    self.controller.on_metric(playback, metric, event["x"], now)
             case "gone":
-                if pb:
-                    self.controller.on_viewer_left(pb, now)
+                if playback:
+                    self.controller.on_viewer_left(playback, now)
             case "timeoutFired":
                 self.controller.on_timer(now)
             case "registry":
                 kind = codec.NODE_LIST_KINDS_BY_WIRE_CODE[event["how"]]
-                lines = lists[event["rosterId"]] if kind is not NodeListKind.FAILED else []
-                self.controller.on_node_list(kind, [self._entry(e) for e in lines], now)
-        if pb and self.controller.is_over(pb):
+                entries = lists[event["rosterId"]] if kind is not NodeListKind.FAILED else []
+                self.controller.on_node_list(kind, [self._entry(entry) for entry in entries], now)
+        if playback and self.controller.is_over(playback):
             del self.request_ids[self.playbacks.pop(event["rid"])]
 
     def _node(self, name: str) -> Node:
@@ -121,7 +121,8 @@
     def _entry(self, fields: Message) -> NodeEntry:
         """Translates an entry of the node list."""
         node = self._node(fields["node"])
-        node.cell, node.zone = fields["cell"], fields["zone"]
+        node.cell = fields["cell"]
+        node.zone = fields["zone"]
         weight = fields.get("share")
         return NodeEntry(
             node,
@@ -136,9 +137,10 @@
         name = event["programme"]
         if name not in self.titles:
             self.titles[name] = Title(name, event["home"], event["copies"])
-        pb = Playback(
+        playback = Playback(
             self.titles[name], self.plans[event["profile"]], event["topRung"],
             now + terms.ms_to_ns(event["budgetMs"]), event["backFromMove"],
         )  # fmt: skip
-        self.playbacks[event["rid"]], self.request_ids[pb] = pb, event["rid"]
-        return pb
+        self.playbacks[event["rid"]] = playback
+        self.request_ids[playback] = event["rid"]
+        return playback
--- a/oakcroft/wirehost/loop.py
+++ b/oakcroft/wirehost/loop.py
@@ -24,20 +24,20 @@
         A fault in one event is reported as an action and ends the batch.
         """
         now = terms.ms_to_ns(batch["momentMs"])
-        out: list[Message] = []
+        actions: list[Message] = []
         for event in batch["news"]:
             op = event["op"]
             if op == "page":
                 self.node_lists[event["rosterId"]] = event["nodesList"]
                 continue
-            who = event["who"]
+            front_id = event["who"]
             try:
-                self._handle_event(op, who, event, now, out)
+                self._handle_event(op, front_id, event, now, actions)
             except Exception as fault:  # the protocol has an action for it
                 cause = f"{type(fault).__name__}: {fault} on {op}"
-                out.append({"op": "giveIn", "who": who, "message": cause})
+                actions.append({"op": "giveIn", "who": front_id, "message": cause})
                 break
-        return out
+        return actions
 
     def _handle_event(self, op: str, front_id: str, event: Message, now: int, actions: list[Message]) -> None:
         """Handles one event of a front end; events of front ends that do not run are ignored."""
@@ -46,22 +46,22 @@
         elif op == "powerOn":
             self.front_ends[front_id] = WireFrontEnd(front_id, event, now, actions)
         elif front_id in self.front_ends:
-            instance = self.front_ends[front_id]
-            instance.actions = actions
-            instance.handle_event(event, now, self.node_lists)
+            front_end = self.front_ends[front_id]
+            front_end.actions = actions
+            front_end.handle_event(event, now, self.node_lists)
 
 
 def serve(lines: BinaryIO, replies: BinaryIO, errors: TextIO) -> int:
     """Answers each line; returns the exit status: 0 at the end of input, 1 on a line that is not a batch."""
-    batches = BatchProcessor()
+    processor = BatchProcessor()
     for line in lines:
         try:
             batch = orjson.loads(line)
             if not isinstance(batch["news"], list) or not isinstance(batch["momentMs"], int | float):
-                raise TypeError("news and momentMs do not make a batch")
+                raise TypeError("news must be a list and momentMs a number")
         except (orjson.JSONDecodeError, KeyError, TypeError) as fault:
-            print(f"oakcroft: input line is no batch: {fault}", file=errors)
+            print(f"oakcroft: input line is not a batch: {fault}", file=errors)
             return 1
-        replies.write(orjson.dumps({"do": batches.process(batch)}) + b"\n")
+        replies.write(orjson.dumps({"do": processor.process(batch)}) + b"\n")
         replies.flush()
     return 0
