--- a/tests/test_formulas.py
+++ b/tests/test_formulas.py
@@ -26,7 +26,7 @@
     assert choice.blend_loads(0.0, 0.2, 0.8) == 0.2
 
 
-def test_refusals_rise_between_the_marks() -> None:
+def test_refusals_rise_between_the_thresholds() -> None:
     """The probability of a rejection rises from T1 to T2."""
     t1, t2 = choice.T1, choice.T2
     assert choice.refusal_probability(t1, t2) == 0.0
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -24,24 +24,32 @@
 )
 
 BUDGETED = replace(TERMS, retry_budget_base=2.0, retry_budget_share=0.1, retry_budget_window_ns=3 * SECOND)
-LATE: dict[str, Callable[[ControllerHarness, Playback], None]] = {
-    "arrived": lambda f, pb: f.controller.on_request(pb, f.now),
-    "resumed": lambda f, pb: f.controller.on_handed_over(pb, f.nodes[1], f.now),
-    "playing": lambda f, pb: f.controller.on_playing(pb, f.now),
-    "noted rung": lambda f, pb: f.controller.on_metric(pb, PlaybackMetric.RUNG, 2, f.now),
-    "noted link": lambda f, pb: f.controller.on_metric(pb, PlaybackMetric.LINK_LOAD, 1.4, f.now),
-    "noted share": lambda f, pb: f.controller.on_metric(pb, PlaybackMetric.DELIVERED_SHARE, 0.1, f.now),
-    "done": lambda f, pb: f.controller.on_try_ended(pb, Outcome.DONE, True, 1.3, None, None, f.now),
-    "reset": lambda f, pb: f.controller.on_try_ended(pb, Outcome.RESET, False, None, None, None, f.now),
-    "never ran": lambda f, pb: f.controller.on_try_ended(pb, Outcome.NOT_SENT, False, None, 1.0, None, f.now),
-    "left": lambda f, pb: f.controller.on_viewer_left(pb, f.now),
+EVENTS: dict[str, Callable[[ControllerHarness, Playback], None]] = {
+    "request": lambda h, playback: h.controller.on_request(playback, h.now),
+    "handed over": lambda h, playback: h.controller.on_handed_over(playback, h.nodes[1], h.now),
+    "playing": lambda h, playback: h.controller.on_playing(playback, h.now),
+    "rung metric": lambda h, playback: h.controller.on_metric(playback, PlaybackMetric.RUNG, 2, h.now),
+    "link load": lambda h, playback: h.controller.on_metric(playback, PlaybackMetric.LINK_LOAD, 1.4, h.now),
+    "delivered share": lambda h, playback: h.controller.on_metric(
+        playback, PlaybackMetric.DELIVERED_SHARE, 0.1, h.now
+    ),
+    "done": lambda h, playback: h.controller.on_try_ended(
+        playback, Outcome.DONE, True, 1.3, None, None, h.now
+    ),
+    "reset": lambda h, playback: h.controller.on_try_ended(
+        playback, Outcome.RESET, False, None, None, None, h.now
+    ),
+    "never ran": lambda h, playback: h.controller.on_try_ended(
+        playback, Outcome.NOT_SENT, False, None, 1.0, None, h.now
+    ),
+    "viewer left": lambda h, playback: h.controller.on_viewer_left(playback, h.now),
 }
 
 
-def standing_of(fleet: ControllerHarness) -> list[Any]:
+def decision_state(harness: ControllerHarness) -> list[Any]:
     """All state that later decisions depend on."""
-    c, nodes = fleet.controller, fleet.nodes
-    held = [
+    controller, nodes = harness.controller, harness.nodes
+    node_states = [
         (
             len(n.playbacks),
             len(n.pending_setups),
@@ -54,139 +62,139 @@
         for n in nodes
     ]
     return [
-        held,
-        c.held_rate,
-        c.x,
-        list(c.request_times),
-        list(c.retry_times),
-        c.recent_requests.value,
-        c.rng.getstate(),
-        len(fleet.calls),
+        node_states,
+        controller.held_rate,
+        controller.x,
+        list(controller.request_times),
+        list(controller.retry_times),
+        controller.recent_requests.value,
+        controller.rng.getstate(),
+        len(harness.calls),
     ]
 
 
-def ended(fleet: ControllerHarness, how: str) -> Playback:
+def ended_playback(harness: ControllerHarness, final_state: str) -> Playback:
     """Returns a playback that has ended in the given state."""
-    pb = fleet.request(PAID)
-    if how == "rejected":
-        fleet.controller.on_try_ended(pb, Outcome.NOT_SENT, False, None, None, None, pb.abandon_at)
-    elif how == "aborted":
-        fleet.controller.on_try_ended(pb, Outcome.LATE, False, None, None, None, fleet.now)
+    playback = harness.request(PAID)
+    if final_state == "rejected":
+        harness.controller.on_try_ended(
+            playback, Outcome.NOT_SENT, False, None, None, None, playback.abandon_at
+        )
+    elif final_state == "aborted":
+        harness.controller.on_try_ended(playback, Outcome.LATE, False, None, None, None, harness.now)
     else:
-        fleet.controller.on_playing(pb, fleet.now)
-        fleet.controller.on_try_ended(pb, Outcome.DONE, True, None, None, None, fleet.now)
-    assert fleet.controller.is_over(pb)
-    assert pb.state.value == how
-    return pb
+        harness.controller.on_playing(playback, harness.now)
+        harness.controller.on_try_ended(playback, Outcome.DONE, True, None, None, None, harness.now)
+    assert harness.controller.is_over(playback)
+    assert playback.state.value == final_state
+    return playback
 
 
-@pytest.mark.parametrize("how", ["rejected", "aborted", "ended"])
-@pytest.mark.parametrize("what", LATE)
-def test_an_event_on_a_playback_that_has_ended_changes_nothing(what: str, how: str) -> None:
+@pytest.mark.parametrize("final_state", ["rejected", "aborted", "ended"])
+@pytest.mark.parametrize("event", EVENTS)
+def test_an_event_on_a_playback_that_has_ended_changes_nothing(event: str, final_state: str) -> None:
     """Late events must not change seats, loads or scores."""
-    fleet = ControllerHarness(terms=BUDGETED)
-    pb = ended(fleet, how)
-    before = standing_of(fleet)
-    LATE[what](fleet, pb)
-    assert standing_of(fleet) == before
-    assert pb.state.value == how
+    harness = ControllerHarness(terms=BUDGETED)
+    playback = ended_playback(harness, final_state)
+    before = decision_state(harness)
+    EVENTS[event](harness, playback)
+    assert decision_state(harness) == before
+    assert playback.state.value == final_state
 
 
-def test_an_event_that_comes_twice_counts_once() -> None:
+def test_a_duplicate_event_counts_once() -> None:
     """Duplicates of an event are ignored."""
-    fleet = ControllerHarness(terms=BUDGETED)
-    pb = fleet.request()
-    assert pb.node is not None
-    pb.node.failure_score.add(2.0, fleet.now, SECOND)
-    fleet.controller.on_playing(pb, fleet.now)
-    assert pb.node.failure_score.value == 2.0
-    before = standing_of(fleet)
-    for what in ("playing", "arrived", "resumed", "playing"):
-        LATE[what](fleet, pb)
-    assert standing_of(fleet) == before
-
-
-def test_an_alarm_that_comes_twice_runs_one_interval() -> None:
+    harness = ControllerHarness(terms=BUDGETED)
+    playback = harness.request()
+    assert playback.node is not None
+    playback.node.failure_score.add(2.0, harness.now, SECOND)
+    harness.controller.on_playing(playback, harness.now)
+    assert playback.node.failure_score.value == 2.0
+    before = decision_state(harness)
+    for event in ("playing", "request", "handed over", "playing"):
+        EVENTS[event](harness, playback)
+    assert decision_state(harness) == before
+
+
+def test_a_duplicate_timer_runs_one_interval() -> None:
     """A duplicate timer must not start a second chain of intervals."""
-    fleet = ControllerHarness()
+    harness = ControllerHarness()
     for _ in range(5):
-        fleet.now += SECOND
+        harness.now += SECOND
         for _ in range(3):
-            fleet.controller.on_timer(fleet.now)
-    asked = [call[1] for call in fleet.calls if call[0] == "alarm"]
-    assert len(asked) == 6
-    assert asked == sorted(set(asked))
+            harness.controller.on_timer(harness.now)
+    timers = [call[1] for call in harness.calls if call[0] == "alarm"]
+    assert len(timers) == 6
+    assert timers == sorted(set(timers))
 
 
-def test_a_list_that_is_behind_warms_no_node_up_and_one_ahead_keeps_none_cold() -> None:
+def test_a_late_list_makes_no_node_warm_and_a_clock_ahead_keeps_none_cold() -> None:
     """A node's start time neither goes back nor lies in the future."""
-    for told in (0, 50):
-        fleet = ControllerHarness(nodes=1, terms=replace(TERMS, front_count=1))
-        started = fleet.now
-        fleet.apply_list(NodeListKind.CHANGES, started_at=started)
+    for listed_start_s in (0, 50):
+        harness = ControllerHarness(nodes=1, terms=replace(TERMS, front_count=1))
+        started = harness.now
+        harness.apply_list(NodeListKind.CHANGES, started_at=started)
         # From a list service that does not know of the restart.
-        fleet.apply_list(NodeListKind.CHANGES, started_at=told * SECOND)
-        assert fleet.nodes[0].started_at == started
-    fleet.apply_list(NodeListKind.CHANGES, started_at=fleet.now + 10**18)
-    fleet.now += TERMS.cold_duration_ns
-    assert fleet.controller._known_uptime_ns(fleet.nodes[0], fleet.now) >= TERMS.cold_duration_ns
+        harness.apply_list(NodeListKind.CHANGES, started_at=listed_start_s * SECOND)
+        assert harness.nodes[0].started_at == started
+    harness.apply_list(NodeListKind.CHANGES, started_at=harness.now + 10**18)
+    harness.now += TERMS.cold_duration_ns
+    assert harness.controller._known_uptime_ns(harness.nodes[0], harness.now) >= TERMS.cold_duration_ns
 
 
-def test_nothing_is_set_up_for_a_viewer_whose_time_is_up() -> None:
+def test_no_setup_is_sent_after_the_abandon_time() -> None:
     """A request past its abandon time is rejected without a try."""
-    fleet = ControllerHarness()
-    pb = Playback(Title("t", 0, 0), PAID, 2, fleet.now, False)
-    fleet.controller.on_request(pb, fleet.now)
-    assert fleet.final_answers(pb) == ["reject"]
-    assert not fleet.sent_nodes()
+    harness = ControllerHarness()
+    playback = Playback(Title("t", 0, 0), PAID, 2, harness.now, False)
+    harness.controller.on_request(playback, harness.now)
+    assert harness.final_answers(playback) == ["reject"]
+    assert not harness.sent_nodes()
 
 
 @pytest.mark.parametrize("terms", [TERMS, BUDGETED])
-def test_a_front_keeps_no_more_times_of_requests_and_tries_than_its_window_holds(terms: Any) -> None:
+def test_request_and_retry_times_are_bounded_by_the_budget_window(terms: Any) -> None:
     """The history of the retry budget must not grow without bound."""
-    fleet = ControllerHarness(terms=replace(terms, uplink_capacity=0.0))
+    harness = ControllerHarness(terms=replace(terms, uplink_capacity=0.0))
     for _ in range(2_000):  # each needs a retry, as while one node is full
-        pb = fleet.request()
-        fleet.controller.on_try_ended(pb, Outcome.NOT_SENT, False, None, None, None, fleet.now)
-        fleet.controller.on_try_ended(pb, Outcome.WITHDRAWN, True, None, None, None, fleet.now)
-        fleet.now += 100 * MS
-    assert len(fleet.controller.request_times) <= 31
-    assert len(fleet.controller.retry_times) <= 31
+        playback = harness.request()
+        harness.controller.on_try_ended(playback, Outcome.NOT_SENT, False, None, None, None, harness.now)
+        harness.controller.on_try_ended(playback, Outcome.WITHDRAWN, True, None, None, None, harness.now)
+        harness.now += 100 * MS
+    assert len(harness.controller.request_times) <= 31
+    assert len(harness.controller.retry_times) <= 31
 
 
-STEP = st.tuples(st.sampled_from(["ask", "wait", "list", *LATE, *LATE]), st.integers(0, 30))
+STEP = st.tuples(st.sampled_from(["ask", "wait", "list", *EVENTS, *EVENTS]), st.integers(0, 30))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(STEP, min_size=10, max_size=80), st.booleans())
-def test_any_calls_in_any_order_raise_nothing_and_leave_nothing(
-    steps: list[tuple[str, int]], budget: bool
-) -> None:
+def test_events_in_any_order_neither_raise_nor_leak(steps: list[tuple[str, int]], budget: bool) -> None:
     """After any sequence of events, no seat, playback or load is left over."""
-    fleet, all_ = ControllerHarness(terms=BUDGETED if budget else TERMS), list[Playback]()
+    harness, playbacks = ControllerHarness(terms=BUDGETED if budget else TERMS), list[Playback]()
     title, plans = Title("t", 0, 0), [FREE, PAID, KEYED, replace(FREE, floor=1, seats=2)]
-    for what, k in steps:
-        if what == "ask":
-            all_.append(fleet.request(plans[k % 4], title))
-        elif what == "wait":
-            fleet.now += k * 100 * MS
-            fleet.controller.on_timer(fleet.now)
-        elif what == "list":
-            listing = [NodeStatus.READY, NodeStatus.DRAINING, NodeStatus.GONE][k % 3]
-            entry = NodeEntry(fleet.nodes[k % 4], listing, (k % 5) * 50 * SECOND, 4000.0, 12.0)
-            fleet.controller.on_node_list(NodeListKind.CHANGES, [entry], fleet.now)
-        elif all_:
-            LATE[what](fleet, all_[k % len(all_)])
-        sends = [call[1] for call in fleet.calls if call[0] == "send"]
-        for pb in all_:
-            assert len(fleet.final_answers(pb)) <= 1
-            assert pb.plan.effect is not PAID.effect or len(pb.may_have_run) <= 1
-            assert sends.count(pb) <= TERMS.max_tries
+    for event, number in steps:
+        if event == "ask":
+            playbacks.append(harness.request(plans[number % 4], title))
+        elif event == "wait":
+            harness.now += number * 100 * MS
+            harness.controller.on_timer(harness.now)
+        elif event == "list":
+            status = [NodeStatus.READY, NodeStatus.DRAINING, NodeStatus.GONE][number % 3]
+            entry = NodeEntry(harness.nodes[number % 4], status, (number % 5) * 50 * SECOND, 4000.0, 12.0)
+            harness.controller.on_node_list(NodeListKind.CHANGES, [entry], harness.now)
+        elif playbacks:
+            EVENTS[event](harness, playbacks[number % len(playbacks)])
+        sent = [call[1] for call in harness.calls if call[0] == "send"]
+        for playback in playbacks:
+            assert len(harness.final_answers(playback)) <= 1
+            assert playback.plan.effect is not PAID.effect or len(playback.may_have_run) <= 1
+            assert sent.count(playback) <= TERMS.max_tries
         assert all(0 <= n <= (p.seats or 1 << 30) for p, n in title.seats_taken.items())
-    for pb in all_:
-        fleet.controller.on_viewer_left(pb, fleet.now)
-        fleet.controller.on_try_ended(pb, Outcome.WITHDRAWN, True, None, None, None, fleet.now)
-        assert fleet.controller.is_over(pb)
+    for playback in playbacks:
+        harness.controller.on_viewer_left(playback, harness.now)
+        harness.controller.on_try_ended(playback, Outcome.WITHDRAWN, True, None, None, None, harness.now)
+        assert harness.controller.is_over(playback)
     assert not any(title.seats_taken.values())
-    assert not any(n.playbacks or n.pending_setups for n in fleet.nodes)
-    assert abs(fleet.controller.held_rate) < 1e6
+    assert not any(n.playbacks or n.pending_setups for n in harness.nodes)
+    assert abs(harness.controller.held_rate) < 1e6
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,7 +7,7 @@
 import sys
 from typing import Any
 
-ENV: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "balancers": 1, "me": 0, "membershipMode": "automatic", "models": ["k"],
     "classes": [{"deadlineMs": 4000.0, "effect": "free", "name": "p", "objectiveMs": 800.0, "worth": 1.0}],
     "familyInfo": {
@@ -22,17 +22,21 @@
 }  # fmt: skip
 NODE = {"classOfHost": "k", "share": 1, "startedAtMs": None, "node": "n", "cell": 0, "zone": "z",
         "availability": 1}  # fmt: skip
-ASK = {"op": "accept", "who": "e", "rid": "r", "programme": "t", "partitionKey": "k", "budgetMs": 4000.0,
+REQUEST = {"op": "accept", "who": "e", "rid": "r", "programme": "t", "partitionKey": "k", "budgetMs": 4000.0,
        "profile": "p", "backFromMove": False, "home": 0, "copies": 1, "topRung": 2, "extra": 1}  # fmt: skip
 
 
-def exchange(*lines: str) -> tuple[list[Any], int, str]:
+def run_adapter(*lines: str) -> tuple[list[Any], int, str]:
     """Runs the adapter on some lines; returns its actions by line, its exit status and its error output."""
     text = "".join(line + "\n" for line in lines)
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "oakcroft.wirehost"], input=text, capture_output=True, text=True, check=False
     )
-    return [json.loads(line)["do"] for line in done.stdout.splitlines()], done.returncode, done.stderr
+    return (
+        [json.loads(line)["do"] for line in process.stdout.splitlines()],
+        process.returncode,
+        process.stderr,
+    )
 
 
 def batch(ms: float, *news: dict[str, Any]) -> str:
@@ -44,21 +48,23 @@
     """A request is sent to a node, and its end needs no further action."""
     start = batch(
         1.0,
-        {"op": "powerOn", "who": "e", "seed": 3, "env": ENV},
+        {"op": "powerOn", "who": "e", "seed": 3, "env": SETTINGS},
         {"op": "page", "rosterId": 0, "nodesList": [NODE]},
         {"op": "registry", "who": "e", "how": 2, "index": 1, "rosterId": 0},
     )
     end = {"op": "reply", "who": "e", "rid": "r", "doneFlag": True, "delaySeenMs": 9.0, "outcome": "GOOD",
            "node": "n", "sendNo": 0, "report": {"x0": 0.2, "new": 1.0}}  # fmt: skip
     gone = {"op": "gone", "who": "e", "rid": "r"}
-    replies, code, _ = exchange(start, batch(9001.0, ASK), batch(9900.0, end, gone), batch(9901.0, gone))
-    sent = [a["node"] for a in replies[1] if a["op"] == "deliver"]
+    replies, code, _ = run_adapter(
+        start, batch(9001.0, REQUEST), batch(9900.0, end, gone), batch(9901.0, gone)
+    )
+    sent = [action["node"] for action in replies[1] if action["op"] == "deliver"]
     assert sent == ["n"]
     assert replies[2:] == [[], []]
     assert code == 0
 
 
-def test_the_outcome_of_a_try_that_comes_twice_is_not_that_of_the_next() -> None:
+def test_a_duplicate_outcome_does_not_end_the_next_try() -> None:
     """A duplicate outcome must not end the try that followed."""
 
     def reply(number: int) -> dict[str, Any]:
@@ -68,14 +74,14 @@
     nodes = [NODE, NODE | {"node": "m"}, NODE | {"node": "o"}]
     start = batch(
         1.0,
-        {"op": "powerOn", "who": "e", "seed": 3, "env": ENV},
+        {"op": "powerOn", "who": "e", "seed": 3, "env": SETTINGS},
         {"op": "page", "rosterId": 0, "nodesList": nodes},
         {"op": "registry", "who": "e", "how": 2, "index": 1, "rosterId": 0},
     )
-    replies, code, _ = exchange(
-        start, batch(9001.0, ASK), batch(9002.0, reply(0)), batch(9003.0, reply(0)), batch(9004.0)
+    replies, code, _ = run_adapter(
+        start, batch(9001.0, REQUEST), batch(9002.0, reply(0)), batch(9003.0, reply(0)), batch(9004.0)
     )
-    assert [[a["op"] for a in some if a["op"] == "deliver"] for some in replies[1:]] == [
+    assert [[action["op"] for action in actions if action["op"] == "deliver"] for actions in replies[1:]] == [
         ["deliver"],
         ["deliver"],
         [],
@@ -84,18 +90,18 @@
     assert code == 0
 
 
-def test_a_fault_inside_goes_out_with_its_cause() -> None:
+def test_an_exception_is_reported_with_its_cause() -> None:
     """An exception becomes an action that names it."""
-    replies, code, _ = exchange(batch(1.0, {"op": "powerOn", "who": "e", "seed": 3, "env": {}}))
+    replies, code, _ = run_adapter(batch(1.0, {"op": "powerOn", "who": "e", "seed": 3, "env": {}}))
     assert replies[0][-1]["op"] == "giveIn"
     assert "KeyError" in replies[0][-1]["message"]
     assert code == 0
 
 
-def test_a_line_that_is_no_batch_ends_the_adapter_plainly() -> None:
+def test_malformed_input_ends_the_adapter_with_one_error_line() -> None:
     """Malformed input ends the process with one line of error."""
     for line in ("nonsense", "[]", '{"momentMs": 1}'):
-        replies, code, errors = exchange(line)
+        replies, code, errors = run_adapter(line)
         assert replies == []
         assert code != 0
         assert len(errors.splitlines()) == 1
