--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -306,8 +306,7 @@
         """Demand on the link over its capacity, from the last report and own changes since then."""
         if not node.load_known:
             own_rate = sum(self._playback_rate(playback, playback.rung) for playback in node.playbacks)
-            # Own playbacks times the number of front ends is a poor estimate where there are many front ends: the more
-            # there are, the more the assumed load counts.
+            # One front end of many sees too little of a node: the more there are, the more the assumed load counts.
             excess = own_rate * self.settings.front_count / node.link_capacity - self.assumed_load
             return self.assumed_load + excess / (1 + self.settings.front_count / MEAN_LOAD_WEIGHT_FRONTS)
         reported_at = node.load_reported_at
@@ -490,8 +489,7 @@
         ready = [n for n in self.nodes if n.status is NodeStatus.READY]
         if not ready:
             return
-        # A node that does not answer carries no load. Counted as full, it would cause rejections of requests that the
-        # other nodes have room for.
+        # A node that does not answer carries no load; counted as full, it would cause rejections elsewhere.
         healthy = [n for n in ready if self._is_healthy(n, now)] or ready
         self._log_health(ready, now)
         reporting = self._reporting_nodes(healthy, now)
--- a/oakcroft/interface.py
+++ b/oakcroft/interface.py
@@ -209,9 +209,7 @@
         self.playbacks: dict[Playback, None] = {}
         self.pending_setups: dict[Playback, int] = {}  # set-ups without an answer, by when they were sent
         self.own_rate_changes: deque[tuple[int, float]] = deque()  # time and kB/s of own changes of its load
-        self.has_handed_over_playback = (
-            False  # a playback handed over to this front end at its start plays here
-        )
+        self.has_handed_over_playback = False  # whether one handed over at the front end's start plays here
         # Load of its link: demand over capacity.
         self.load_known = False  # whether a report of it is fresh
         self.reported_load = 0.0
--- a/oakcroft/wirehost/instance.py
+++ b/oakcroft/wirehost/instance.py
@@ -87,31 +87,35 @@
             case "resumed":
                 playback = self._new_playback(event, now)
                 self.controller.on_handed_over(playback, self._node(event["node"]), now)
-            case "flowing":
-                if playback:
-                    self.controller.on_playing(playback, now)
-            case "reply":
-                if playback:
-                    self.controller.on_try_ended(
-                        playback, terms.OUTCOMES_BY_WIRE_CODE[event["outcome"]], event["doneFlag"],
-                        *terms.load_report_values(event.get("report")), now,
-                    )  # fmt: skip
-            case "updateOf":
-                metric = terms.METRICS_BY_WIRE_KIND.get(event["kind"])
-                if playback and metric:
-                    self.controller.on_metric(playback, metric, event["x"], now)
-            case "gone":
-                if playback:
-                    self.controller.on_viewer_left(playback, now)
             case "timeoutFired":
                 self.controller.on_timer(now)
             case "registry":
                 kind = codec.NODE_LIST_KINDS_BY_WIRE_CODE[event["how"]]
                 entries = lists[event["rosterId"]] if kind is not NodeListKind.FAILED else []
                 self.controller.on_node_list(kind, [self._entry(entry) for entry in entries], now)
+            case _:
+                if playback:
+                    self._handle_playback_event(playback, event, now)
         if playback and self.controller.is_over(playback):
             del self.request_ids[self.playbacks.pop(event["rid"])]
 
+    def _handle_playback_event(self, playback: Playback, event: Message, now: int) -> None:
+        """Handles an event of a known playback; unknown events are ignored."""
+        match event["op"]:
+            case "flowing":
+                self.controller.on_playing(playback, now)
+            case "reply":
+                self.controller.on_try_ended(
+                    playback, terms.OUTCOMES_BY_WIRE_CODE[event["outcome"]], event["doneFlag"],
+                    *terms.load_report_values(event.get("report")), now,
+                )  # fmt: skip
+            case "updateOf":
+                metric = terms.METRICS_BY_WIRE_KIND.get(event["kind"])
+                if metric:
+                    self.controller.on_metric(playback, metric, event["x"], now)
+            case "gone":
+                self.controller.on_viewer_left(playback, now)
+
     def _node(self, name: str) -> Node:
         """Returns the node of a name, a new one at its first use."""
         if name not in self.nodes:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -104,12 +104,10 @@
     harness.now += 20 * SECOND  # until then the cold pace applies, as after any failure
     for node in harness.nodes:
         node.failure_score.add(1.0, harness.now, SECOND)
-    first, paid, second, third = (
-        harness.request(),
-        harness.request(PAID),
-        harness.request(),
-        harness.request(),
-    )
+    first = harness.request()
+    paid = harness.request(PAID)
+    second = harness.request()
+    third = harness.request()
     assert {first.node, second.node} == set(harness.nodes)
     assert [harness.final_answers(playback) for playback in (first, paid, second, third)] == [
         [],
@@ -202,9 +200,11 @@
     Seen in a simulation of a mass restart: each of them began at the bottom of the ladder.
     """
     harness = ControllerHarness(nodes=1)
-    harness.nodes[0].load_known, harness.nodes[0].reported_load = True, 0.1
-    harness.nodes[0].load_reported_at = harness.now
-    harness.nodes[0].estimated_load = 0.1
+    node = harness.nodes[0]
+    node.load_known = True
+    node.reported_load = 0.1
+    node.load_reported_at = harness.now
+    node.estimated_load = 0.1
     assert harness.request().rung == 2
 
 
@@ -292,7 +292,8 @@
     harness = ControllerHarness()
     harness.apply_list(NodeListKind.CHANGES, listing=NodeStatus.DRAINING)
     assert harness.final_answers(harness.request()) == ["reject"]
-    harness.nodes, harness.calls = harness.nodes[:1], []
+    harness.nodes = harness.nodes[:1]
+    harness.calls = []
     harness.apply_list(NodeListKind.WHOLE)
     playback = harness.request()
     assert harness.sent_nodes() == [playback.node] == harness.nodes
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -48,7 +48,7 @@
 
 def decision_state(harness: ControllerHarness) -> list[Any]:
     """All state that later decisions depend on."""
-    controller, nodes = harness.controller, harness.nodes
+    controller = harness.controller
     node_states = [
         (
             len(n.playbacks),
@@ -59,7 +59,7 @@
             n.delivered_share,
             n.cold_slot_setups,
         )
-        for n in nodes
+        for n in harness.nodes
     ]
     return [
         node_states,
@@ -171,8 +171,10 @@
 @given(st.lists(STEP, min_size=10, max_size=80), st.booleans())
 def test_events_in_any_order_neither_raise_nor_leak(steps: list[tuple[str, int]], budget: bool) -> None:
     """After any sequence of events, no seat, playback or load is left over."""
-    harness, playbacks = ControllerHarness(terms=BUDGETED if budget else TERMS), list[Playback]()
-    title, plans = Title("t", 0, 0), [FREE, PAID, KEYED, replace(FREE, floor=1, seats=2)]
+    harness = ControllerHarness(terms=BUDGETED if budget else TERMS)
+    playbacks = list[Playback]()
+    title = Title("t", 0, 0)
+    plans = [FREE, PAID, KEYED, replace(FREE, floor=1, seats=2)]
     for event, number in steps:
         if event == "ask":
             playbacks.append(harness.request(plans[number % 4], title))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,7 +25,9 @@
 
     def __init__(self, harness: ControllerHarness, has_budget: bool) -> None:
         """Watches the calls that the fleet records."""
-        self.harness, self.has_budget, self.calls_checked = harness, has_budget, 0
+        self.harness = harness
+        self.has_budget = has_budget
+        self.calls_checked = 0
         self.request_times: list[int] = []
         self.retry_times: list[int] = []
         self.tries: dict[Playback, list[tuple[Node, int]]] = {}
@@ -101,7 +103,8 @@
             harness.controller.on_timer(harness.now)
         elif step in ("drain", "back"):
             node = harness.nodes[number % len(harness.nodes)]
-            all_nodes, harness.nodes = harness.nodes, [node]
+            all_nodes = harness.nodes
+            harness.nodes = [node]
             status = NodeStatus.DRAINING if step == "drain" else NodeStatus.READY
             harness.apply_list(NodeListKind.CHANGES, 0 if step == "drain" else harness.now, status)
             harness.nodes = all_nodes
@@ -151,7 +154,8 @@
 
 def test_an_error_on_a_title_that_never_played_raises_no_failure_score() -> None:
     """Requests for titles that don't exist must not raise the failure score of a good node."""
-    harness, title = ControllerHarness(), Title("unknown", 0, 0)
+    harness = ControllerHarness()
+    title = Title("unknown", 0, 0)
 
     def score_after_error() -> float:
         playback = harness.request(title=title)
--- a/tests/test_untold_loads.py
+++ b/tests/test_untold_loads.py
@@ -10,7 +10,8 @@
 from oakcroft.choice import T1, DEFAULT_ASSUMED_LOAD
 from oakcroft.interface import SECOND, NodeListKind, Node, PlaybackMetric, Outcome, Playback, Title
 
-NODES, LINK_CAPACITY = 8, 4000.0  # the nodes of `ControllerHarness`, and the capacity of their links in kB/s
+NODES = 8
+LINK_CAPACITY = 4000.0  # kB/s of each node's link, as listed by `ControllerHarness`
 NO_REPORTS = replace(
     TERMS,
     front_count=40,
