--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -301,6 +301,21 @@
     assert TERMS.max_tries * MS > 0
 
 
+def test_short_delivery_of_a_node_that_left_the_list_is_taken_in() -> None:
+    """A report of short delivery must not raise when the node has left the list and no listed node of its rack plays.
+
+    The rack then has no delivered shares to compare; the playback just plays on.
+    """
+    harness = ControllerHarness()
+    playback = hand_over(harness, 0)
+    left = harness.nodes.pop(0)
+    harness.apply_list(NodeListKind.WHOLE)
+    harness.controller.on_metric(playback, PlaybackMetric.DELIVERED_SHARE, 0.7, harness.now)
+    assert playback.state.value == "playing"
+    assert playback.node is left
+    assert harness.final_answers(playback) == []
+
+
 def test_subscription_is_renewed_only_after_a_failure() -> None:
     """A working subscription is not renewed."""
     harness = ControllerHarness(terms=replace(TERMS, must_subscribe=True), warm=False)
