--- a/oakcroft/decisions/fleet/acceptor.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -40,8 +40,11 @@
 
         `epoch` numbers its record: each new record has a higher epoch than the one before.
         """
-        self.me, self.acceptors, self.term_length = me, tuple(sorted(acceptors)), term_length
-        self.epoch, self.silent_until = epoch, now + term_length
+        self.me = me
+        self.acceptors = tuple(sorted(acceptors))
+        self.term_length = term_length
+        self.epoch = epoch
+        self.silent_until = now + term_length
         self.records: dict[str, LeaseRecord] = {}
         self.running_until: dict[str, int] = {}  # end of each running term
         self.last_seqs: dict[str, int] = {}  # sequence number of the last proposal for each lease
@@ -64,11 +67,13 @@
         """
         self.records = dict(records)
         self.peer_epochs = dict(peer_epochs)
-        for duty, row in self.records.items():
-            if row.accepted_term is not None:
-                self.running_until[duty] = now + self.term_length
+        for lease_name, record in self.records.items():
+            if record.accepted_term is not None:
+                self.running_until[lease_name] = now + self.term_length
         if is_latest:
-            self.epoch, self.has_full_record, self.silent_until = epoch, True, now
+            self.epoch = epoch
+            self.has_full_record = True
+            self.silent_until = now
 
     def can_answer(self, now: int) -> bool:
         """Returns whether it may answer candidates."""
@@ -76,8 +81,10 @@
 
     def running_term(self, lease_name: str, now: int) -> LeaseTerm | None:
         """Returns the term that runs, as far as this acceptor knows."""
-        row = self.records.get(lease_name)
-        return row.accepted_term if row is not None and now < self.running_until.get(lease_name, 0) else None
+        record = self.records.get(lease_name)
+        if record is None or now >= self.running_until.get(lease_name, 0):
+            return None
+        return record.accepted_term
 
     # Requests of candidates.
 
@@ -105,8 +112,8 @@
     def _answer(
         self, request: LeaseRequest, kind: LeaseMessageKind, record: LeaseRecord, now: int
     ) -> LeaseAnswer:
-        running = self.running_term(request.lease_name, now)
-        left = self.running_until[request.lease_name] - now if running is not None else 0
+        running_term = self.running_term(request.lease_name, now)
+        time_left = self.running_until[request.lease_name] - now if running_term is not None else 0
         return LeaseAnswer(
             kind,
             request.lease_name,
@@ -115,44 +122,44 @@
             request.term.fencing_token,
             request.seq,
             record.promised_token,
-            running,
-            left,
+            running_term,
+            time_left,
             record.note,
             tuple(sorted(self.peer_epochs.items())),
         )
 
     def _prepare(self, request: LeaseRequest, now: int) -> LeaseAnswer:
-        row, running = (
-            self.records.get(request.lease_name, LeaseRecord()),
-            self.running_term(request.lease_name, now),
-        )
-        another = running is not None and (running.holder, running.generation) != (
+        record = self.records.get(request.lease_name, LeaseRecord())
+        running_term = self.running_term(request.lease_name, now)
+        is_other_process = running_term is not None and (running_term.holder, running_term.generation) != (
             request.term.holder,
             request.term.generation,
         )
-        if another or not self._may_accept(row, request.term):
-            return self._answer(request, LeaseMessageKind.REFUSED, row, now)
+        if is_other_process or not self._may_accept(record, request.term):
+            return self._answer(request, LeaseMessageKind.REFUSED, record, now)
         self._store(
             request.lease_name,
-            replace(row, promised_token=request.term.fencing_token, promised_to=process_key(request.term)),
+            replace(record, promised_token=request.term.fencing_token, promised_to=process_key(request.term)),
         )
         return self._answer(request, LeaseMessageKind.PROMISED, self.records[request.lease_name], now)
 
     def _propose(self, request: LeaseRequest, now: int) -> LeaseAnswer:
-        row = self.records.get(request.lease_name, LeaseRecord())
-        if not self._may_accept(row, request.term) or request.term_length > self.term_length:
-            return self._answer(request, LeaseMessageKind.REFUSED, row, now)
-        note = request.note if request.note.version > row.note.version else row.note
-        after = LeaseRecord(request.term.fencing_token, process_key(request.term), request.term, note)
-        again = row.accepted_term == request.term and request.seq <= self.last_seqs.get(request.lease_name, 0)
-        if after != row:  # a renewal needs no save: after a restart the term runs its whole length anyway
-            self._store(request.lease_name, after)
-        if not again:  # a replayed proposal of an earlier holder must not renew its term
-            self.running_until[request.lease_name], self.last_seqs[request.lease_name] = (
-                now + self.term_length,
-                request.seq,
-            )
-        return self._answer(request, LeaseMessageKind.ACCEPTED, after, now)
+        record = self.records.get(request.lease_name, LeaseRecord())
+        if not self._may_accept(record, request.term) or request.term_length > self.term_length:
+            return self._answer(request, LeaseMessageKind.REFUSED, record, now)
+        note = request.note if request.note.version > record.note.version else record.note
+        updated = LeaseRecord(request.term.fencing_token, process_key(request.term), request.term, note)
+        is_repeated = record.accepted_term == request.term and request.seq <= self.last_seqs.get(
+            request.lease_name, 0
+        )
+        # A renewal needs no save: after a restart the term runs its whole length anyway.
+        if updated != record:
+            self._store(request.lease_name, updated)
+        # A replayed proposal of an earlier holder must not renew its term.
+        if not is_repeated:
+            self.running_until[request.lease_name] = now + self.term_length
+            self.last_seqs[request.lease_name] = request.seq
+        return self._answer(request, LeaseMessageKind.ACCEPTED, updated, now)
 
     @staticmethod
     def _may_accept(record: LeaseRecord, term: LeaseTerm) -> bool:
@@ -201,28 +208,30 @@
         ):
             return False
         self.peer_records[peer_record.acceptor] = peer_record
-        enough = sum(t.has_full_record for t in self.peer_records.values()) >= majority(len(self.acceptors))
-        if not enough and len(self.peer_records) < len(self.acceptors) - 1:
+        has_majority = sum(t.has_full_record for t in self.peer_records.values()) >= majority(
+            len(self.acceptors)
+        )
+        if not has_majority and len(self.peer_records) < len(self.acceptors) - 1:
             return False
-        for one in self.peer_records.values():
-            self.peer_epochs[one.acceptor] = max(one.epoch, self.peer_epochs.get(one.acceptor, 0))
-            for duty, row in one.records[:MAX_LEASES]:
-                self._merge_record(duty, row, now)
+        for peer in self.peer_records.values():
+            self.peer_epochs[peer.acceptor] = max(peer.epoch, self.peer_epochs.get(peer.acceptor, 0))
+            for lease_name, record in peer.records[:MAX_LEASES]:
+                self._merge_record(lease_name, record, now)
         self.has_full_record = True
         self.unsaved |= {"", *self.records}
         return True
 
     def _merge_record(self, lease_name: str, record: LeaseRecord, now: int) -> None:
         own = self.records.get(lease_name, LeaseRecord())
-        last = max(
+        latest = max(
             (own, record), key=lambda r: r.accepted_term.fencing_token if r.accepted_term is not None else 0
         )
         promised = max((own, record), key=lambda r: r.promised_token)
         note = max((own.note, record.note), key=lambda n: n.version)
         self.records[lease_name] = LeaseRecord(
-            promised.promised_token, promised.promised_to, last.accepted_term, note
+            promised.promised_token, promised.promised_to, latest.accepted_term, note
         )
-        if last.accepted_term is not None:
+        if latest.accepted_term is not None:
             self.running_until[lease_name] = max(
                 self.running_until.get(lease_name, 0), now + self.term_length
             )
--- a/oakcroft/decisions/fleet/backoff.py
+++ b/oakcroft/decisions/fleet/backoff.py
@@ -43,22 +43,27 @@
 
     def __init__(self, policy: RetryPolicy, rng: Random, now: int) -> None:
         """`rng` draws the jitter; `now` in ns."""
-        self.policy, self.rng, self.failing_since = policy, rng, now
-        self.failures, self.max_next_delay = 0, float(policy.initial_delay)
+        self.policy = policy
+        self.rng = rng
+        self.failing_since = now
+        self.failures = 0
+        self.max_next_delay = float(policy.initial_delay)
 
     def record_success(self, now: int) -> None:
         """Resets the delay after an attempt that succeeded. `now` in ns."""
-        self.failures, self.max_next_delay, self.failing_since = 0, float(self.policy.initial_delay), now
+        self.failures = 0
+        self.max_next_delay = float(self.policy.initial_delay)
+        self.failing_since = now
 
     def record_failure(self, now: int) -> int | None:
         """Returns the delay in ns before the next attempt, or None to give up. `now` in ns."""
         if not self.failures:
             self.failing_since = now
         # Multiplied step by step: multiplier ** failures overflows a float after 1,024 failures.
-        ceiling = self.max_next_delay
-        self.max_next_delay = min(self.policy.max_delay, ceiling * self.policy.multiplier)
+        max_delay = self.max_next_delay
+        self.max_next_delay = min(self.policy.max_delay, max_delay * self.policy.multiplier)
         self.failures += 1
-        wait = int(ceiling * (0.5 + 0.5 * self.rng.random()))
-        if self.policy.give_up_after and now + wait - self.failing_since > self.policy.give_up_after:
+        delay = int(max_delay * (0.5 + 0.5 * self.rng.random()))
+        if self.policy.give_up_after and now + delay - self.failing_since > self.policy.give_up_after:
             return None
-        return wait
+        return delay
--- a/oakcroft/decisions/fleet/candidate.py
+++ b/oakcroft/decisions/fleet/candidate.py
@@ -43,6 +43,14 @@
     HOLDING = "owns it"
 
 
+EXPECTED_KIND = {
+    CandidateState.PREPARING: LeaseMessageKind.PROMISED,
+    CandidateState.PROPOSING: LeaseMessageKind.ACCEPTED,
+    CandidateState.HOLDING: LeaseMessageKind.ACCEPTED,
+}
+"""Kind of the answers that count in a state; refusals are handled apart."""
+
+
 @dataclass(frozen=True)
 class AcceptorMessage:
     """A request addressed to one acceptor."""
@@ -66,21 +74,22 @@
         now: int,
     ) -> None:
         """`term_length` must not exceed that of any acceptor; fencing tokens of this candidate are above `min_token`."""
-        self.lease_name, self.me, self.generation, self.term_length, self.rng = (
-            lease_name,
-            me,
-            generation,
-            term_length,
-            rng,
-        )
+        self.lease_name = lease_name
+        self.me = me
+        self.generation = generation
+        self.term_length = term_length
+        self.rng = rng
         self.acceptors = tuple(sorted(acceptors))
         self.state = CandidateState.IDLE
         self.rank = 0  # place among the candidates, set by the host: later ones wait longer
         self.highest_token = min_token  # highest token seen; the next one is above it
         self.term: LeaseTerm | None = None
-        self.seq = self.rounds = self.first_seq = 0
+        self.seq = 0
+        self.rounds = 0
+        self.first_seq = 0
         self.is_round_accepted = False  # the present round of acceptances has its majority
-        self.requested_at = self.due_at = now
+        self.requested_at = now
+        self.due_at = now
         self.held_until = 0  # until when this front may act as the holder
         self.note = LeaseNote()  # the last one on record, or being put there
         self.recorded_version = (0, 0)  # version of the last note that a majority has
@@ -114,9 +123,12 @@
             )
             return []
         if not wanted and self.state is not CandidateState.IDLE:
-            held, term = self.held_term(now) is not None, self.term
-            self.state, self.term, self.held_until = CandidateState.IDLE, None, 0
-            if held and term is not None:
+            was_holder = self.held_term(now) is not None
+            term = self.term
+            self.state = CandidateState.IDLE
+            self.term = None
+            self.held_until = 0
+            if was_holder and term is not None:
                 return [
                     AcceptorMessage(k, LeaseRequest(LeaseMessageKind.RELEASE, self.lease_name, term))
                     for k in self.acceptors
@@ -153,8 +165,8 @@
         if self.refusals:
             # Either an acceptor has promised a higher token, and the next round soon goes above it. Or a term of another
             # process runs there: it may be about to get its majority, and a request now would take away its promises.
-            runs = max(self.refusals.values())
-            self._back_off(now, runs + 20 * MS + self.rng.randrange(self.term_length // 16 + 1))
+            longest_wait = max(self.refusals.values())
+            self._back_off(now, longest_wait + 20 * MS + self.rng.randrange(self.term_length // 16 + 1))
             return []
         if self.rounds >= MAX_ROUNDS:
             self._back_off(now, self.term_length // 16 + self.rng.randrange(self.term_length // 8 + 1))
@@ -164,23 +176,29 @@
         return self._prepare(now)
 
     def _lose_term(self, now: int) -> None:
-        self.term, self.held_until = None, 0
+        self.term = None
+        self.held_until = 0
         self._back_off(now, self.rng.randrange(self.term_length // 8 + 1))
 
     def _back_off(self, now: int, wait: int) -> None:
-        self.state, self.rounds, self.due_at = CandidateState.BACKING_OFF, 0, now + wait
+        self.state = CandidateState.BACKING_OFF
+        self.rounds = 0
+        self.due_at = now + wait
         self.answers = {}
 
     def _start_round(self, now: int) -> list[AcceptorMessage]:
         self.highest_token = min(NUMBER_LIMIT - 2, self.highest_token + 1)
         self.term = LeaseTerm(self.highest_token, self.me, self.generation)
-        self.state, self.answers, self.refusals = CandidateState.PREPARING, {}, {}
+        self.state = CandidateState.PREPARING
+        self.answers = {}
+        self.refusals = {}
         return self._prepare(now)
 
     def _prepare(self, now: int) -> list[AcceptorMessage]:
         """Requests promises. Repeated requests use the same token, so answers to any of them count together."""
         assert self.term is not None
-        self.requested_at, self.due_at = now, now + ROUND_TIMEOUT
+        self.requested_at = now
+        self.due_at = now + ROUND_TIMEOUT
         return [
             AcceptorMessage(k, LeaseRequest(LeaseMessageKind.PREPARE, self.lease_name, self.term))
             for k in self.acceptors
@@ -199,18 +217,16 @@
             self.state = CandidateState.PROPOSING
         self.seq += 1
         if not is_resend:
-            self.first_seq, self.requested_at, self.answers, self.is_round_accepted, self.refusals = (
-                self.seq,
-                now,
-                {},
-                False,
-                {},
-            )
+            self.first_seq = self.seq
+            self.requested_at = now
+            self.answers = {}
+            self.is_round_accepted = False
+            self.refusals = {}
         self.due_at = now + ROUND_TIMEOUT
-        ask = LeaseRequest(
+        request = LeaseRequest(
             LeaseMessageKind.PROPOSE, self.lease_name, self.term, self.seq, self.term_length, self.note
         )
-        return [AcceptorMessage(k, ask) for k in self.acceptors]
+        return [AcceptorMessage(k, request) for k in self.acceptors]
 
     # Answers of acceptors.
 
@@ -218,26 +234,17 @@
         """Takes an answer; answers to earlier rounds are ignored."""
         if answer.acceptor not in self.acceptors:
             return []
-        if answer.running_term is not None and (
-            answer.running_term.holder,
-            answer.running_term.generation,
-        ) != (
-            self.me,
-            self.generation,
-        ):
-            self.other_term, self.other_term_until = answer.running_term, now + answer.time_left
+        running = answer.running_term
+        if running is not None and (running.holder, running.generation) != (self.me, self.generation):
+            self.other_term = running
+            self.other_term_until = now + answer.time_left
         if self.state is CandidateState.IDLE:
             return []
         self.highest_token = max(self.highest_token, min(answer.highest_promised, NUMBER_LIMIT - 2))
-        mine = self.term is not None and answer.fencing_token == self.term.fencing_token
+        is_own_token = self.term is not None and answer.fencing_token == self.term.fencing_token
         if answer.kind is LeaseMessageKind.REFUSED:
-            return self._receive_refusal(answer, mine, now)
-        wanted = {
-            CandidateState.PREPARING: LeaseMessageKind.PROMISED,
-            CandidateState.PROPOSING: LeaseMessageKind.ACCEPTED,
-            CandidateState.HOLDING: LeaseMessageKind.ACCEPTED,
-        }
-        if not mine or answer.kind is not wanted.get(self.state):
+            return self._receive_refusal(answer, is_own_token, now)
+        if not is_own_token or answer.kind is not EXPECTED_KIND.get(self.state):
             return []
         if answer.kind is LeaseMessageKind.ACCEPTED and not self.first_seq <= answer.seq <= self.seq:
             return []
@@ -245,10 +252,12 @@
         if len(self.counted_answers()) < majority(len(self.acceptors)):
             return []
         if self.state is CandidateState.PREPARING:
-            last = max((a.note for a in self.answers.values()), key=lambda n: n.version)
+            latest_note = max((a.note for a in self.answers.values()), key=lambda n: n.version)
             # The note gets this term's token, so that a note which an earlier holder put on a minority only cannot
             # supersede it later.
-            self.note = LeaseNote(self.term.fencing_token if self.term is not None else 0, 0, last.body)
+            self.note = LeaseNote(
+                self.term.fencing_token if self.term is not None else 0, 0, latest_note.body
+            )
             return self._propose(now)
         self._majority_accepted()
         return []
@@ -258,19 +267,20 @@
 
         A record is outdated where another answer of the round knows of a newer record of the same acceptor.
         """
-        newest = dict[str, int]()
+        latest_epochs = dict[str, int]()
         for answer in self.answers.values():
-            newest[answer.acceptor] = max(newest.get(answer.acceptor, 0), answer.epoch)
+            latest_epochs[answer.acceptor] = max(latest_epochs.get(answer.acceptor, 0), answer.epoch)
             for name, epoch in answer.peer_epochs:
-                newest[name] = max(newest.get(name, 0), epoch)
-        return [a for a in self.answers.values() if a.epoch >= newest[a.acceptor]]
+                latest_epochs[name] = max(latest_epochs.get(name, 0), epoch)
+        return [a for a in self.answers.values() if a.epoch >= latest_epochs[a.acceptor]]
 
     def _majority_accepted(self) -> None:
         if self.state is CandidateState.PROPOSING:
             self.state = CandidateState.HOLDING
             self.terms_won += 1
         if not self.is_round_accepted:
-            self.is_round_accepted, self.due_at = True, self.requested_at + self.term_length // 4
+            self.is_round_accepted = True
+            self.due_at = self.requested_at + self.term_length // 4
         self.held_until = max(self.held_until, self.requested_at + safe_term_length(self.term_length))
         self.recorded_version = max(self.recorded_version, self.note.version)
         self.other_term = None
@@ -285,11 +295,11 @@
             return []  # a holder that one acceptor refuses renews at the others, or its term runs out
         self.refusals[answer.acceptor] = answer.time_left if answer.running_term is not None else 0
         self.answers.pop(answer.acceptor, None)
-        short = majority(len(self.acceptors)) - (len(self.acceptors) - len(self.refusals))
-        if short <= 0:
+        needed = majority(len(self.acceptors)) - (len(self.acceptors) - len(self.refusals))
+        if needed <= 0:
             return []
-        left = sorted(self.refusals.values())[short - 1]  # until enough acceptors are free again
+        wait = sorted(self.refusals.values())[needed - 1]  # until enough acceptors are free again
         self.term = None
-        self._back_off(now, left + self.rank * self.term_length // 8 * (left > 0) + 20 * MS
+        self._back_off(now, wait + self.rank * self.term_length // 8 * (wait > 0) + 20 * MS
                          + self.rng.randrange(self.term_length // 16 + 1))  # fmt: skip
         return []
--- a/oakcroft/decisions/fleet/load_sharing.py
+++ b/oakcroft/decisions/fleet/load_sharing.py
@@ -64,8 +64,8 @@
 
 def process_id(node: str, started_at: int) -> bytes:
     """Returns the 8-octet name of a node's process on the wire. `started_at` in ns."""
-    word = f"{len(node)}:{node}{started_at}".encode()
-    return hashlib.blake2b(word, digest_size=8, person=b"oakcroft-load").digest()
+    text = f"{len(node)}:{node}{started_at}".encode()
+    return hashlib.blake2b(text, digest_size=8, person=b"oakcroft-load").digest()
 
 
 @dataclass(frozen=True)
@@ -123,36 +123,40 @@
 
     def __init__(self, me: str, probe_interval: int, rng: Random) -> None:
         """`me` is this front's name, `probe_interval` the configured time between two reports of a node in ns."""
-        self.me, self.probe_interval, self.rng = me, probe_interval, rng
+        self.me = me
+        self.probe_interval = probe_interval
+        self.rng = rng
         self.nodes: dict[str, NodeLoad] = {}
         self.by_process_id: dict[bytes, NodeLoad] = {}
         self.present_fronts: list[str] = [me]
         self.unranked_nodes: list[NodeLoad] = []
         self.next_gossip_at = 0
         self.probes_in_flight = 0
-        self.probes_sent = self.probes_unsupported = self.probes_failed = self.reports_accepted = (
-            self.reports_discarded
-        ) = 0
+        self.probes_sent = 0
+        self.probes_unsupported = 0
+        self.probes_failed = 0
+        self.reports_accepted = 0
+        self.reports_discarded = 0
 
     # Updates.
 
     def update_nodes(self, nodes: Mapping[str, int]) -> None:
         """Sets the listed nodes and their start times in ns. The loads of earlier processes are dropped."""
         for name in [n for n, p in self.nodes.items() if nodes.get(n) != p.started_at]:
-            place = self.nodes.pop(name)
-            del self.by_process_id[place.process_id]
-            self.probes_in_flight -= place.is_being_probed
+            node = self.nodes.pop(name)
+            del self.by_process_id[node.process_id]
+            self.probes_in_flight -= node.is_being_probed
         for name, started_at in nodes.items():
             if name not in self.nodes:
-                self.nodes[name] = place = NodeLoad(name, started_at, process_id(name, started_at))
-                self.by_process_id[place.process_id] = place
-                self.unranked_nodes.append(place)
+                self.nodes[name] = node = NodeLoad(name, started_at, process_id(name, started_at))
+                self.by_process_id[node.process_id] = node
+                self.unranked_nodes.append(node)
 
     def update_present_fronts(self, present_fronts: Iterable[str]) -> None:
         """Sets the fronts that are alive; this one always counts among them."""
-        some = sorted({*present_fronts, self.me})
-        if some != self.present_fronts:
-            self.present_fronts = some
+        present = sorted({*present_fronts, self.me})
+        if present != self.present_fronts:
+            self.present_fronts = present
             self.unranked_nodes = list(self.nodes.values())
 
     def effective_interval(self) -> int:
@@ -164,43 +168,47 @@
 
     def record_own_load(self, node: str, load: float, age: int, now: int, from_probe: bool = False) -> None:
         """Records a load, `age` ns old, that this front's own traffic or (`from_probe`) its probe has shown."""
-        place = self.nodes.get(node)
-        if place is None or not is_valid_load(load) or not 0 <= age <= MAX_REPORT_AGE:
+        known_node = self.nodes.get(node)
+        if known_node is None or not is_valid_load(load) or not 0 <= age <= MAX_REPORT_AGE:
             return
-        before, at = place.latest, now - age
-        if before is not None and before.measured_at >= at:
+        previous = known_node.latest
+        measured_at = now - age
+        if previous is not None and previous.measured_at >= measured_at:
             return
         # Only the first front of the node's order reports what its traffic shows, once in an interval.
-        tells = from_probe or (place.probe_rank == 0 and now >= place.next_probe_at)
-        place.latest = KnownLoad(
-            load, at, self._gossip_rounds() if tells else before.rounds_left if before else 0
+        is_reported = from_probe or (known_node.probe_rank == 0 and now >= known_node.next_probe_at)
+        known_node.latest = KnownLoad(
+            load,
+            measured_at,
+            self._gossip_rounds() if is_reported else previous.rounds_left if previous else 0,
         )
-        if tells:
-            place.next_probe_at = now + self.effective_interval()
+        if is_reported:
+            known_node.next_probe_at = now + self.effective_interval()
 
     def receive_reports(self, reports: Iterable[LoadReport], now: int) -> list[tuple[str, float, int]]:
         """Takes the reports of another front. Returns those that are new here as (node, load, age in ns).
 
         New reports are passed on to other fronts in the next rounds.
         """
-        out = []
-        for row in reports:
-            place = self.by_process_id.get(row.process_id)
-            if place is None:  # a node or a process that this front's list does not have
+        news = []
+        for report in reports:
+            node = self.by_process_id.get(report.process_id)
+            if node is None:  # a node or a process that this front's list does not have
                 self.reports_discarded += 1
                 continue
-            age = row.age + TRANSIT_TIME
-            if not is_valid_load(row.load) or not 0 <= row.age <= MAX_REPORT_AGE:
+            age = report.age + TRANSIT_TIME
+            if not is_valid_load(report.load) or not 0 <= report.age <= MAX_REPORT_AGE:
                 self.reports_discarded += 1
                 continue
-            at, before = now - age, place.latest
-            if before is not None and at < before.measured_at + MIN_FRESHNESS_GAIN:
+            measured_at = now - age
+            previous = node.latest
+            if previous is not None and measured_at < previous.measured_at + MIN_FRESHNESS_GAIN:
                 continue
-            place.latest = KnownLoad(row.load, at, self._gossip_rounds())
-            place.next_probe_at = max(place.next_probe_at, at + self.effective_interval())
+            node.latest = KnownLoad(report.load, measured_at, self._gossip_rounds())
+            node.next_probe_at = max(node.next_probe_at, measured_at + self.effective_interval())
             self.reports_accepted += 1
-            out.append((place.name, row.load, age))
-        return out
+            news.append((node.name, report.load, age))
+        return news
 
     def _gossip_rounds(self) -> int:
         return (
@@ -214,38 +222,39 @@
     def _compute_ranks(self) -> None:
         """Computes some of the missing ranks. Only the first two places matter, so counting stops at 2."""
         for _ in range(min(MAX_RANKS_PER_TURN, len(self.unranked_nodes))):
-            place = self.unranked_nodes.pop()
-            place.probe_rank = rank(place.name, self.me, self.present_fronts, 2)
+            node = self.unranked_nodes.pop()
+            node.probe_rank = rank(node.name, self.me, self.present_fronts, 2)
 
     def due_probes(self, now: int) -> list[str]:
         """Returns the nodes to probe now; `probe_finished` must be called for each."""
         self._compute_ranks()
-        out = []
-        for place in self.nodes.values():
+        due = []
+        for node in self.nodes.values():
             if self.probes_in_flight >= MAX_CONCURRENT_PROBES:
                 break
-            if place.probe_rank not in (0, 1) or place.is_being_probed:
+            if node.probe_rank not in (0, 1) or node.is_being_probed:
                 continue
-            late = place.probe_rank * (BACKUP_PROBE_INTERVALS - 1) * self.effective_interval()
-            fresh = (
-                place.latest is not None and now - place.latest.measured_at < self.effective_interval() + late
+            backup_delay = node.probe_rank * (BACKUP_PROBE_INTERVALS - 1) * self.effective_interval()
+            is_fresh = (
+                node.latest is not None
+                and now - node.latest.measured_at < self.effective_interval() + backup_delay
             )
-            if not fresh and now >= place.next_probe_at + late:
-                place.is_being_probed = True
+            if not is_fresh and now >= node.next_probe_at + backup_delay:
+                node.is_being_probed = True
                 self.probes_in_flight += 1
                 self.probes_sent += 1
-                out.append(place.name)
-        return out
+                due.append(node.name)
+        return due
 
     def probe_finished(self, node: str, load: float | None, is_supported: bool, now: int) -> None:
         """Takes the result of a probe: the load, or None where the node did not tell it.
 
         `is_supported` is False where the node did not know the request, True also where it did not answer.
         """
-        place = self.nodes.get(node)
-        if place is None or not place.is_being_probed:
+        known_node = self.nodes.get(node)
+        if known_node is None or not known_node.is_being_probed:
             return
-        place.is_being_probed = False
+        known_node.is_being_probed = False
         self.probes_in_flight -= 1
         if load is not None:
             self.record_own_load(node, load, 0, now, from_probe=True)
@@ -253,7 +262,9 @@
             self.probes_failed += 1
         else:
             self.probes_unsupported += 1
-        place.next_probe_at = now + (self.effective_interval() if is_supported else UNSUPPORTED_PROBE_PAUSE)
+        known_node.next_probe_at = now + (
+            self.effective_interval() if is_supported else UNSUPPORTED_PROBE_PAUSE
+        )
 
     def due_messages(self, now: int) -> list[tuple[str, list[LoadReport]]]:
         """Returns the gossip messages to send now as (front, reports).
@@ -263,25 +274,27 @@
         if now < self.next_gossip_at or len(self.present_fronts) < 2:
             return []
         self.next_gossip_at = now + GOSSIP_INTERVAL
-        news = [p for p in self.nodes.values() if p.latest is not None and p.latest.rounds_left > 0]
-        news = [p for p in news if p.latest is not None and now - p.latest.measured_at <= MAX_REPORT_AGE]
-        news.sort(
+        pending = [p for p in self.nodes.values() if p.latest is not None and p.latest.rounds_left > 0]
+        pending = [
+            p for p in pending if p.latest is not None and now - p.latest.measured_at <= MAX_REPORT_AGE
+        ]
+        pending.sort(
             key=lambda p: (-p.latest.rounds_left, -p.latest.measured_at) if p.latest is not None else (0, 0)
         )
-        rows = []
-        for place in news[:MAX_REPORTS_PER_MESSAGE]:
-            assert place.latest is not None
-            place.latest.rounds_left -= 1
-            rows.append(LoadReport(place.process_id, place.latest.load, now - place.latest.measured_at))
-        if not rows:
+        reports = []
+        for node in pending[:MAX_REPORTS_PER_MESSAGE]:
+            assert node.latest is not None
+            node.latest.rounds_left -= 1
+            reports.append(LoadReport(node.process_id, node.latest.load, now - node.latest.measured_at))
+        if not reports:
             return []
         others = [f for f in self.present_fronts if f != self.me]
-        return [(to, rows) for to in self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))]
+        return [(to, reports) for to in self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))]
 
     def known_ages(self, now: int) -> list[int]:
         """Returns the ages of the known loads in ns, ascending; loads older than MAX_REPORT_AGE are left out."""
-        some = (now - p.latest.measured_at for p in self.nodes.values() if p.latest is not None)
-        return sorted(age for age in some if age <= MAX_REPORT_AGE)
+        ages = (now - p.latest.measured_at for p in self.nodes.values() if p.latest is not None)
+        return sorted(age for age in ages if age <= MAX_REPORT_AGE)
 
 
 def is_valid_load(load: float) -> bool:
--- a/oakcroft/decisions/fleet/node_list.py
+++ b/oakcroft/decisions/fleet/node_list.py
@@ -66,7 +66,8 @@
         self.listed_nodes: dict[str, ListedNode] = {}  # by name
         self.nodes: dict[str, Node] = {}  # by name, removed ones included
         self.removed_at: dict[str, int] = {}  # when a node was removed, by name
-        self.version, self.service = -1, ""
+        self.version = -1
+        self.service = ""
 
     def apply(
         self,
@@ -84,48 +85,51 @@
         same_service = service == self.service
         if not is_cached and same_service and version == self.version:
             return None
-        if wrong := self._find_fault(listed_nodes, version, same_service):
-            return ListRejection(wrong)
-        first = not self.listed_nodes
+        if fault := self._find_fault(listed_nodes, version, same_service):
+            return ListRejection(fault)
+        is_first = not self.listed_nodes
         if not is_cached:
-            self.version, self.service = version, service
+            self.version = version
+            self.service = service
         entries = self._changed_entries(listed_nodes, now)
-        if not entries and not first:
+        if not entries and not is_first:
             return None
         if is_cached:
             return NodeListKind.KEPT, entries
-        return (NodeListKind.WHOLE if first else NodeListKind.CHANGES), entries
+        return (NodeListKind.WHOLE if is_first else NodeListKind.CHANGES), entries
 
     def _find_fault(self, listed_nodes: Sequence[ListedNode], version: int, same_service: bool) -> str | None:
         if not listed_nodes:
             return "it names no node"
         if same_service and version < self.version:
             return f"its version {version} is older than {self.version}"
-        names, places = set[str](), set[tuple[str, int]]()
-        for line in listed_nodes:
-            if wrong := node_fault(line):
-                return f"node {line.name!r}: {wrong}"
-            if line.name in names:
-                return f"node {line.name!r} stands in it twice"
-            if (line.address, line.port) in places:
-                return f"node {line.name!r} has the address of another"
-            names.add(line.name)
-            places.add((line.address, line.port))
+        names = set[str]()
+        addresses = set[tuple[str, int]]()
+        for node in listed_nodes:
+            if fault := node_fault(node):
+                return f"node {node.name!r}: {fault}"
+            if node.name in names:
+                return f"node {node.name!r} stands in it twice"
+            if (node.address, node.port) in addresses:
+                return f"node {node.name!r} has the address of another"
+            names.add(node.name)
+            addresses.add((node.address, node.port))
         return None
 
     def _changed_entries(self, listed_nodes: Iterable[ListedNode], now: int) -> list[NodeEntry]:
         """Sets the list in force and returns entries for the nodes that differ; the module needs no others."""
-        entries, missing = [], dict(self.listed_nodes)
-        for line in sorted(listed_nodes):
-            missing.pop(line.name, None)
-            if self.listed_nodes.get(line.name) != line:
-                self.listed_nodes[line.name] = line
-                entries.append(self._make_entry(line, line.listing))
-            self.removed_at.pop(line.name, None)
-        for name, line in missing.items():
+        entries = []
+        missing = dict(self.listed_nodes)
+        for node in sorted(listed_nodes):
+            missing.pop(node.name, None)
+            if self.listed_nodes.get(node.name) != node:
+                self.listed_nodes[node.name] = node
+                entries.append(self._make_entry(node, node.listing))
+            self.removed_at.pop(node.name, None)
+        for name, node in missing.items():
             del self.listed_nodes[name]
             self.removed_at[name] = now
-            entries.append(self._make_entry(line, NodeStatus.GONE))
+            entries.append(self._make_entry(node, NodeStatus.GONE))
         for name in [n for n, at in self.removed_at.items() if now - at > self.REMOVED_RETENTION]:
             del self.removed_at[name]
             del self.nodes[name]
@@ -135,8 +139,10 @@
         node = self.nodes.get(listed_node.name)
         if node is None:
             node = self.nodes[listed_node.name] = Node(listed_node.name)
-        node.zone, node.cell = listed_node.zone, listed_node.cell
-        node.kind, node.tags = listed_node.kind, frozenset(listed_node.tags)
+        node.zone = listed_node.zone
+        node.cell = listed_node.cell
+        node.kind = listed_node.kind
+        node.tags = frozenset(listed_node.tags)
         return NodeEntry(node, listing, listed_node.started_at, listed_node.link, listed_node.places)
 
 
--- a/oakcroft/decisions/fleet/node_list_freshness.py
+++ b/oakcroft/decisions/fleet/node_list_freshness.py
@@ -49,7 +49,8 @@
 
     def record_answer(self) -> None:
         """Records that a complete answer has been processed."""
-        self.is_confirmed = self.is_current = True
+        self.is_confirmed = True
+        self.is_current = True
 
     def record_loss(self) -> None:
         """Records that the list service cannot be reached, or was replaced by another."""
--- a/oakcroft/decisions/fleet/rollout.py
+++ b/oakcroft/decisions/fleet/rollout.py
@@ -139,7 +139,9 @@
 
     def set_recorded_plan(self, plan: RolloutPlan) -> None:
         """Sets the plan that is on record now."""
-        self.plan, self.complete_since, self.incomplete_since = plan, None, None
+        self.plan = plan
+        self.complete_since = None
+        self.incomplete_since = None
         self.reports.clear()
 
     def unconfirmed_fronts(self, present_fronts: Iterable[str], now: int) -> list[str]:
@@ -166,13 +168,14 @@
         The fronts with the new version are compared with those without it, as both answer at the same time under the
         same load. A version that does harm is rolled back.
         """
-        plan, there = self.plan, list(present_fronts)
+        plan = self.plan
+        present = list(present_fronts)
         if plan.stage in FINAL_STAGES:
             return None
-        refused = sorted((f, told.refused) for f, (told, _) in self.reports.items() if told.refused)
-        if refused and plan.stage is not RolloutStage.BACK:
-            return self._reversed_plan(f"{refused[0][0]} refused it: {refused[0][1]}")
-        missing = self.unconfirmed_fronts(there, now)
+        refusals = sorted((f, told.refused) for f, (told, _) in self.reports.items() if told.refused)
+        if refusals and plan.stage is not RolloutStage.BACK:
+            return self._reversed_plan(f"{refusals[0][0]} refused it: {refusals[0][1]}")
+        missing = self.unconfirmed_fronts(present, now)
         if not missing:
             self.incomplete_since = None
         elif self.incomplete_since is None:
@@ -188,8 +191,8 @@
             )
         if plan.stage is RolloutStage.BACK:
             return self._advanced_plan(RolloutStage.STOPPED, plan.share_index) if not missing else None
-        if worse := self._failure_increase():
-            return self._reversed_plan(worse)
+        if increase := self._failure_increase():
+            return self._reversed_plan(increase)
         if missing:
             self.complete_since = None
             return (
@@ -227,20 +230,23 @@
         return self._reversed_plan(reason)
 
     def _failure_increase(self) -> str:
-        with_it, without = [0, 0], [0, 0]
+        new_version = [0, 0]
+        old_version = [0, 0]
         for report, _ in self.reports.values():
-            some = with_it if report.active_digest == self.plan.digest else without
-            some[0] += report.answers
-            some[1] += report.failures
-        if with_it[0] < MIN_ANSWERS:
+            counts = new_version if report.active_digest == self.plan.digest else old_version
+            counts[0] += report.answers
+            counts[1] += report.failures
+        if new_version[0] < MIN_ANSWERS:
             return ""
-        failing = with_it[1] / with_it[0]
-        usual = without[1] / without[0] if without[0] >= MIN_ANSWERS else 0.0
-        both = (with_it[1] + without[1]) / (with_it[0] + without[0])
-        error = math.sqrt(both * (1 - both) * (1 / with_it[0] + 1 / max(1, without[0])))
-        if failing - usual <= max(MIN_FAILURE_INCREASE, MIN_STANDARD_ERRORS * error):
+        failure_share = new_version[1] / new_version[0]
+        baseline_share = old_version[1] / old_version[0] if old_version[0] >= MIN_ANSWERS else 0.0
+        pooled_share = (new_version[1] + old_version[1]) / (new_version[0] + old_version[0])
+        standard_error = math.sqrt(
+            pooled_share * (1 - pooled_share) * (1 / new_version[0] + 1 / max(1, old_version[0]))
+        )
+        if failure_share - baseline_share <= max(MIN_FAILURE_INCREASE, MIN_STANDARD_ERRORS * standard_error):
             return ""
-        return f"{failing:.0%} of {with_it[0]} answers failed with it, {usual:.0%} without"
+        return f"{failure_share:.0%} of {new_version[0]} answers failed with it, {baseline_share:.0%} without"
 
 
 def new_plan(
--- a/oakcroft/decisions/fleet/session_takeover.py
+++ b/oakcroft/decisions/fleet/session_takeover.py
@@ -145,7 +145,8 @@
 
     def __init__(self, me: str, bounds: TakeoverBounds) -> None:
         """`me` is this front's name in the membership."""
-        self.me, self.bounds = me, bounds
+        self.me = me
+        self.bounds = bounds
         self.failed_fronts: dict[str, FailedFront] = {}
         self.listed_nodes: set[str] = set()
         self.present_fronts: frozenset[str] = frozenset()
@@ -170,9 +171,11 @@
         if not self.present_fronts <= self.known_fronts:
             self.known_fronts |= self.present_fronts
             self.preceding_fronts.clear()
-        over = [d for name, d in self.failed_fronts.items() if name not in failed and name != self.me]
-        for d in over:
-            del self.failed_fronts[d.name]
+        ended = [
+            front for name, front in self.failed_fronts.items() if name not in failed and name != self.me
+        ]
+        for front in ended:
+            del self.failed_fronts[front.name]
         for name in sorted(set(failed) - set(self.failed_fronts) - {self.me}):
             self._add_failed_front(name, now, self.bounds.delay)
         if len(self.known_fronts) > 4 * max(64, len(self.present_fronts) + len(failed)):
@@ -180,7 +183,7 @@
                 failed
             )  # bounds the table where names come and go
             self.preceding_fronts.clear()
-        return over
+        return ended
 
     def add_own_earlier_generation(self, now: int) -> None:
         """Begins the takeover of this front's own earlier sessions, for a front without a record of them."""
@@ -188,11 +191,11 @@
 
     def _add_failed_front(self, name: str, now: int, delay: int) -> None:
         slot = weight("slot", name) % HASH_SLOTS_PER_NODE
-        self.failed_fronts[name] = dead = FailedFront(
+        self.failed_fronts[name] = front = FailedFront(
             name, now, now + delay + self.bounds.session_lease + 2 * ROUND_INTERVAL, slot
         )
         for node in sorted(self.listed_nodes):
-            self._add_task(dead, node, now + delay)
+            self._add_task(front, node, now + delay)
 
     def _add_task(self, front: FailedFront, node: str, due_at: int, is_second_round: bool = False) -> None:
         if len(self.tasks) >= MAX_TASKS:
@@ -204,13 +207,13 @@
 
     def update_nodes(self, nodes: Iterable[str], now: int) -> None:
         """Takes a change of the node list."""
-        some = set(nodes)
-        for node in sorted(some - self.listed_nodes):
-            for dead in self.failed_fronts.values():
+        listed = set(nodes)
+        for node in sorted(listed - self.listed_nodes):
+            for front in self.failed_fronts.values():
                 # The node may have been off the list for a moment only, with its task still queued.
-                if now < dead.expires_at and node not in dead.pending_nodes:
-                    self._add_task(dead, node, now)
-        self.listed_nodes = some
+                if now < front.expires_at and node not in front.pending_nodes:
+                    self._add_task(front, node, now)
+        self.listed_nodes = listed
 
     # Due actions.
 
@@ -219,16 +222,16 @@
         rank = self.own_ranks.get((node, slot))
         if rank is not None:
             return rank
-        before = self.preceding_fronts.get((node, slot))
-        if before is None:
+        preceding = self.preceding_fronts.get((node, slot))
+        if preceding is None:
             if not budget[0]:
                 return None
             budget[0] -= 1
-            all_ = line(f"{node}/{slot}", self.known_fronts | {self.me})
-            before = self.preceding_fronts[node, slot] = tuple(all_[: all_.index(self.me)])
+            order = line(f"{node}/{slot}", self.known_fronts | {self.me})
+            preceding = self.preceding_fronts[node, slot] = tuple(order[: order.index(self.me)])
         rank = 0
-        for f in before:
-            if f in self.present_fronts:
+        for front in preceding:
+            if front in self.present_fronts:
                 rank += 1
                 if rank >= MAX_ADOPTERS_PER_NODE:
                     break
@@ -237,33 +240,39 @@
 
     def due_requests(self, now: int) -> list[TakeoverRequest]:
         """Returns the requests to begin now. The cost of a turn does not grow with the number of failed fronts."""
-        errands: dict[str, list[TakeoverTask]] = {}
-        may, later = [MAX_ORDERS_COMPUTED], list[TakeoverTask]()
+        tasks_by_node: dict[str, list[TakeoverTask]] = {}
+        budget = [MAX_ORDERS_COMPUTED]
+        remaining = list[TakeoverTask]()
         for _ in range(min(MAX_TASKS_SCANNED, len(self.tasks))):
-            pair = self.tasks.popleft()
-            dead, node = pair.front, pair.node
+            task = self.tasks.popleft()
+            front = task.front
+            node = task.node
             if (
-                self.failed_fronts.get(dead.name) is not dead
+                self.failed_fronts.get(front.name) is not front
                 or node not in self.listed_nodes
-                or now >= dead.expires_at
+                or now >= front.expires_at
             ):
-                dead.pending_nodes.discard(node)
+                front.pending_nodes.discard(node)
                 continue
-            if now >= pair.due_at and node not in self.active_requests and self._is_own_turn(pair, now, may):
-                some = errands.get(node)
-                if some is None and len(self.active_requests) + len(errands) < MAX_CONCURRENT_REQUESTS:
-                    errands[node] = [pair]
+            if (
+                now >= task.due_at
+                and node not in self.active_requests
+                and self._is_own_turn(task, now, budget)
+            ):
+                batch = tasks_by_node.get(node)
+                if batch is None and len(self.active_requests) + len(tasks_by_node) < MAX_CONCURRENT_REQUESTS:
+                    tasks_by_node[node] = [task]
                     continue
-                if some is not None and len(some) < MAX_FRONTS_PER_REQUEST:
-                    some.append(pair)
+                if batch is not None and len(batch) < MAX_FRONTS_PER_REQUEST:
+                    batch.append(task)
                     continue
-            later.append(pair)
-        self.tasks.extend(later)
-        out = []
-        for node, some in errands.items():
-            self.active_requests[node] = errand = TakeoverRequest(node, tuple(some))
-            out.append(errand)
-        return out
+            remaining.append(task)
+        self.tasks.extend(remaining)
+        requests = []
+        for node, batch in tasks_by_node.items():
+            self.active_requests[node] = request = TakeoverRequest(node, tuple(batch))
+            requests.append(request)
+        return requests
 
     def _is_own_turn(self, task: TakeoverTask, now: int, budget: list[int]) -> bool:
         if task.front.name == self.me:
@@ -271,7 +280,8 @@
         rank = self._own_rank(task.node, task.front.hash_slot, budget)
         if rank is None or rank >= MAX_ADOPTERS_PER_NODE:
             return False
-        task.rank, task.adopter_count = rank, max(1, min(MAX_ADOPTERS_PER_NODE, len(self.present_fronts)))
+        task.rank = rank
+        task.adopter_count = max(1, min(MAX_ADOPTERS_PER_NODE, len(self.present_fronts)))
         return True
 
     def request_finished(
@@ -279,30 +289,30 @@
     ) -> None:
         """Takes the result of a request: the node's answer for each front, None where the node could not be asked."""
         self.active_requests.pop(request.node, None)
-        for pair in request.tasks:
-            dead = pair.front
-            dead.pending_nodes.discard(request.node)
-            if self.failed_fronts.get(dead.name) is not dead or now >= dead.expires_at:
+        for task in request.tasks:
+            front = task.front
+            front.pending_nodes.discard(request.node)
+            if self.failed_fronts.get(front.name) is not front or now >= front.expires_at:
                 continue
-            word = (
-                answers.get(dead.name, TakeoverAnswer.CALLER_NOT_ELIGIBLE)
+            answer = (
+                answers.get(front.name, TakeoverAnswer.CALLER_NOT_ELIGIBLE)
                 if answers is not None
                 else TakeoverAnswer.RECENTLY_CONNECTED
             )
-            if word is TakeoverAnswer.ALLOWED:
-                if not pair.is_second_round and dead.name != self.me:
-                    self._add_task(dead, request.node, now + ROUND_INTERVAL, is_second_round=True)
-            elif word is not TakeoverAnswer.CALLER_NOT_ELIGIBLE:
-                self._add_task(dead, request.node, now + RETRY_DELAY, pair.is_second_round)
+            if answer is TakeoverAnswer.ALLOWED:
+                if not task.is_second_round and front.name != self.me:
+                    self._add_task(front, request.node, now + ROUND_INTERVAL, is_second_round=True)
+            elif answer is not TakeoverAnswer.CALLER_NOT_ELIGIBLE:
+                self._add_task(front, request.node, now + RETRY_DELAY, task.is_second_round)
 
     def take_finished(self, now: int) -> list[FailedFront]:
         """Returns the takeovers that have finished, each once; they stay known, so that they do not begin again."""
-        known = bool(self.listed_nodes)  # before the first node list no node can have been asked
-        out = [
-            d
-            for d in self.failed_fronts.values()
-            if d.expires_at and ((known and not d.pending_nodes) or now >= d.expires_at)
+        has_nodes = bool(self.listed_nodes)  # before the first node list no node can have been asked
+        finished = [
+            front
+            for front in self.failed_fronts.values()
+            if front.expires_at and ((has_nodes and not front.pending_nodes) or now >= front.expires_at)
         ]
-        for d in out:
-            d.expires_at = 0
-        return out
+        for front in finished:
+            front.expires_at = 0
+        return finished
--- a/oakcroft/decisions/fleet/shutdown.py
+++ b/oakcroft/decisions/fleet/shutdown.py
@@ -55,7 +55,8 @@
         """Sets the state. ValueError for a transition that is not in `TRANSITIONS`."""
         if state not in TRANSITIONS[self.state]:
             raise ValueError(f"a front cannot go from {self.state.value} to {state.value}")
-        self.state, self.state_since = state, now
+        self.state = state
+        self.state_since = now
 
     def start_serving(self, now: int) -> None:
         """The front listens and has a node list, cached or current. `now` in ns; ValueError after the start."""
@@ -93,10 +94,10 @@
         ):
             self._set_state(FrontState.LEAVING if self.state is FrontState.DRAINING else FrontState.GONE, now)
         elif self.state is FrontState.DRAINING:
-            within = max(self.drain_timeout, self.longest_abandon_time)
-            if not unanswered_requests and (not active_playbacks or now - self.state_since >= within):
+            drain_limit = max(self.drain_timeout, self.longest_abandon_time)
+            if not unanswered_requests and (not active_playbacks or now - self.state_since >= drain_limit):
                 self._set_state(FrontState.LEAVING, now)
-            elif now - self.state_since >= within + self.longest_abandon_time:
+            elif now - self.state_since >= drain_limit + self.longest_abandon_time:
                 self._set_state(FrontState.LEAVING, now)  # bounds the drain whatever stays open
         elif self.state is FrontState.LEAVING and (
             not pending_session_ends or now - self.state_since >= self.leave_timeout
--- a/oakcroft/decisions/routing/catalogue.py
+++ b/oakcroft/decisions/routing/catalogue.py
@@ -62,9 +62,11 @@
     """Returns the highest rung for a request; None where the title is not served, or on no rung from the floor up."""
     if not catalogue.serves(title):
         return None
-    item = catalogue.titles.get(title)
-    top = min(requested_top, item.top_rung(rung_count) if item is not None else rung_count - 1)
-    return top if top >= floor else None
+    catalogue_title = catalogue.titles.get(title)
+    rung = min(
+        requested_top, catalogue_title.top_rung(rung_count) if catalogue_title is not None else rung_count - 1
+    )
+    return rung if rung >= floor else None
 
 
 def changed_titles(old: Catalogue, new: Catalogue) -> list[str]:
@@ -113,39 +115,39 @@
     change of another. A title without a ready holder is rejected, as it looks like an outage to its viewers. The cost: a
     title added before its nodes are up is rejected too, unless `force` is set.
     """
-    out, ready, listed = (
-        list[str](),
-        {base_name(n) for n in fleet.ready_nodes},
-        {base_name(n) for n in fleet.listed_nodes},
-    )
+    reasons = list[str]()
+    ready_names = {base_name(n) for n in fleet.ready_nodes}
+    listed_names = {base_name(n) for n in fleet.listed_nodes}
     highest_floor = max(fleet.plan_floors.values(), default=0)
     for name in changed_names:
-        item = new.titles.get(name)
-        if item is None:
+        title = new.titles.get(name)
+        if title is None:
             continue
-        if len(item.rates) > fleet.rung_count:
-            out.append(
-                f"title {name} has {len(item.rates)} renditions, the ladder has {fleet.rung_count} rungs"
+        if len(title.rates) > fleet.rung_count:
+            reasons.append(
+                f"title {name} has {len(title.rates)} renditions, the ladder has {fleet.rung_count} rungs"
             )
-        if item.home >= fleet.cell_count:
-            out.append(f"title {name} is at cell {item.home}, there are {fleet.cell_count}")
-        if item.top_rung(fleet.rung_count) < highest_floor and not force:
+        if title.home >= fleet.cell_count:
+            reasons.append(f"title {name} is at cell {title.home}, there are {fleet.cell_count}")
+        if title.top_rung(fleet.rung_count) < highest_floor and not force:
             plan = next(
-                p for p, floor in sorted(fleet.plan_floors.items()) if floor > item.top_rung(fleet.rung_count)
+                p
+                for p, floor in sorted(fleet.plan_floors.items())
+                if floor > title.top_rung(fleet.rung_count)
             )
-            out.append(
-                f"title {name} goes up to rung {item.top_rung(fleet.rung_count)}, under the floor of plan {plan}"
+            reasons.append(
+                f"title {name} goes up to rung {title.top_rung(fleet.rung_count)}, under the floor of plan {plan}"
             )
-        if item.holders and not force:
-            unknown = [n for n in item.holders if base_name(n) not in listed]
-            if not ready & {base_name(n) for n in item.holders}:
-                out.append(
+        if title.holders and not force:
+            unknown = [n for n in title.holders if base_name(n) not in listed_names]
+            if not ready_names & {base_name(n) for n in title.holders}:
+                reasons.append(
                     f"title {name} would have no ready holder"
                     + (f"; not listed: {unknown[0]}" if unknown else "")
                 )
-        if len(out) >= MAX_REASONS:
-            return out
-    return out
+        if len(reasons) >= MAX_REASONS:
+            return reasons
+    return reasons
 
 
 def evaluate_change(
@@ -166,8 +168,8 @@
         return CatalogueVerdict.STALE, [f"version {old.number} is in force"]
     if new.digest == old.digest and old.number:
         return CatalogueVerdict.SAME, []
-    why = rejection_reasons(changed_names, new, fleet, force)
-    return (CatalogueVerdict.REFUSED, why) if why else (CatalogueVerdict.TAKEN, [])
+    reasons = rejection_reasons(changed_names, new, fleet, force)
+    return (CatalogueVerdict.REFUSED, reasons) if reasons else (CatalogueVerdict.TAKEN, [])
 
 
 class PlaybackEffect(Enum):
@@ -235,8 +237,8 @@
     """
     if share >= 1:
         return True
-    place = (front_number + digest) % max(1, front_count)
-    return place < share * front_count
+    position = (front_number + digest) % max(1, front_count)
+    return position < share * front_count
 
 
 @dataclass(frozen=True)
@@ -262,9 +264,9 @@
     def add(self, entry: VersionEntry) -> list[int]:
         """Adds the version in force and returns the numbers of those that are dropped for it."""
         self.versions.append(entry)
-        gone = self.versions[: -self.max_versions]
+        dropped = self.versions[: -self.max_versions]
         self.versions = self.versions[-self.max_versions :]
-        return [k.number for k in gone]
+        return [k.number for k in dropped]
 
     def find(self, number: int) -> VersionEntry | None:
         """Returns a version by its number, None where it is not in the history."""
--- a/oakcroft/decisions/routing/configuration_version.py
+++ b/oakcroft/decisions/routing/configuration_version.py
@@ -60,9 +60,11 @@
             return ConfigurationVerdict.INVALID, []
         if version.number <= self.version.number:
             return ConfigurationVerdict.OLDER, []
-        fixed = [p for p in RESTART_ONLY_PARTS if version.meaning.get(p) != self.version.meaning.get(p)]
-        if fixed:
-            return ConfigurationVerdict.NEEDS_RESTART, fixed
+        restart_parts = [
+            p for p in RESTART_ONLY_PARTS if version.meaning.get(p) != self.version.meaning.get(p)
+        ]
+        if restart_parts:
+            return ConfigurationVerdict.NEEDS_RESTART, restart_parts
         if version.meaning == self.version.meaning:
             self.version = ConfigurationVersion(version.number, self.version.meaning, self.version.compiled)
             return ConfigurationVerdict.SAME, []
@@ -76,7 +78,7 @@
     A number stays the same over all versions that one process applies, so that seats are counted across them.
     `known_families` are the numbers given so far.
     """
-    out = dict(known_families)
+    families = dict(known_families)
     for name in plan_names:
-        out.setdefault(name, len(out))
-    return out
+        families.setdefault(name, len(families))
+    return families
--- a/oakcroft/decisions/routing/route_table.py
+++ b/oakcroft/decisions/routing/route_table.py
@@ -131,35 +131,36 @@
             if not pattern.endswith("*"):
                 self.exact.setdefault(pattern, []).append(route)
                 continue
-            step = self.root
-            for letter in pattern[:-1]:
-                step = step.children.setdefault(letter, _TrieNode([], {}))
-            step.routes.append(route)
+            node = self.root
+            for character in pattern[:-1]:
+                node = node.children.setdefault(character, _TrieNode([], {}))
+            node.routes.append(route)
 
     def sort(self) -> None:
         """Sorts the routes under each title pattern, most specific first."""
-        steps = [self.root]
-        while steps:
-            step = steps.pop()
-            step.routes.sort(key=lambda r: (-len(r.match.claims), not r.match.zone, r.name))
-            steps += step.children.values()
+        nodes = [self.root]
+        while nodes:
+            node = nodes.pop()
+            node.routes.sort(key=lambda r: (-len(r.match.claims), not r.match.zone, r.name))
+            nodes += node.children.values()
         for routes in self.exact.values():
             routes.sort(key=lambda r: (-len(r.match.claims), not r.match.zone, r.name))
 
     def candidates(self, title: str) -> list[list[Route]]:
         """Returns the lists of routes whose title pattern matches a title, most specific first."""
-        found, step = [self.root.routes], self.root
-        for letter in title:
-            following = step.children.get(letter)
-            if following is None:
+        matches = [self.root.routes]
+        node = self.root
+        for character in title:
+            child = node.children.get(character)
+            if child is None:
                 break
-            step = following
-            if step.routes:
-                found.append(step.routes)
+            node = child
+            if node.routes:
+                matches.append(node.routes)
         if title in self.exact:
-            found.append(self.exact[title])
-        found.reverse()
-        return found
+            matches.append(self.exact[title])
+        matches.reverse()
+        return matches
 
 
 class RouteTable:
@@ -203,20 +204,20 @@
 
         They come most specific first, each with the reason why it does not match.
         """
-        out = []
-        mine = max(matching_specificities(route, request), default=(0, 0, 0))
+        preceding = []
+        own_specificity = max(matching_specificities(route, request), default=(0, 0, 0))
         for other in sorted(
             self.routes.values(), key=lambda r: (highest_specificity(r), r.name), reverse=True
         ):
-            why = find_mismatch(other.match, request)
+            mismatch = find_mismatch(other.match, request)
             if (
                 other is not route
-                and why is not None
+                and mismatch is not None
                 and other.match.prefix == request.split_path()[0]
-                and highest_specificity(other) >= mine
+                and highest_specificity(other) >= own_specificity
             ):
-                out.append((other, why))
-        return out
+                preceding.append((other, mismatch))
+        return preceding
 
 
 def matching_specificities(route: Route, request: RouteRequest) -> list[Specificity]:
@@ -245,20 +246,20 @@
 
 def ambiguous_routes(routes: Sequence[Route]) -> list[tuple[Route, Route, str]]:
     """Returns the pairs of routes that are equally specific for some request, each with an example of a title."""
-    places: dict[tuple[ClientRole, str, str | None], list[Route]] = {}
+    by_pattern: dict[tuple[ClientRole, str, str | None], list[Route]] = {}
     for route in routes:
         patterns: Iterable[str | None] = route.match.title_patterns or (None,)
         for pattern in patterns:
-            places.setdefault((route.match.role, route.match.prefix, pattern), []).append(route)
-    out = []
-    for (_, _, pattern), some in places.items():
-        by_rank: dict[Specificity, list[Route]] = {}
-        for route in some:
-            for other in by_rank.get(specificity(pattern, route.match), ()):
+            by_pattern.setdefault((route.match.role, route.match.prefix, pattern), []).append(route)
+    pairs = []
+    for (_, _, pattern), same_pattern in by_pattern.items():
+        by_specificity: dict[Specificity, list[Route]] = {}
+        for route in same_pattern:
+            for other in by_specificity.get(specificity(pattern, route.match), ()):
                 if other.name != route.name and can_both_match(other.match, route.match):
-                    out.append((other, route, (pattern or "any").replace("*", "…")))
-            by_rank.setdefault(specificity(pattern, route.match), []).append(route)
-    return out
+                    pairs.append((other, route, (pattern or "any").replace("*", "…")))
+            by_specificity.setdefault(specificity(pattern, route.match), []).append(route)
+    return pairs
 
 
 def example_request(route: Route, zone: str) -> RouteRequest:
--- a/oakcroft/decisions/routing/title_cache.py
+++ b/oakcroft/decisions/routing/title_cache.py
@@ -25,12 +25,10 @@
         configured_placements: Mapping[str, tuple[int, int]],
     ) -> None:
         """`configured_placements` gives (home cell, copies) by title; others are in `default_copies` cells."""
-        self.max_titles, self.cell_count, self.default_copies, self.configured_placements = (
-            max_titles,
-            cell_count,
-            default_copies,
-            configured_placements,
-        )
+        self.max_titles = max_titles
+        self.cell_count = cell_count
+        self.default_copies = default_copies
+        self.configured_placements = configured_placements
         self.titles: OrderedDict[str, Title] = OrderedDict()
         self.requested_placements: dict[
             str, tuple[int, int | None]
@@ -57,7 +55,8 @@
         self, default_copies: int, configured_placements: Mapping[str, tuple[int, int]]
     ) -> None:
         """Applies another configuration; cached titles stay the same objects, with their seats."""
-        self.default_copies, self.configured_placements = default_copies, configured_placements
+        self.default_copies = default_copies
+        self.configured_placements = configured_placements
         for title in self.titles.values():
             self._update_placement(title)
 
@@ -73,20 +72,24 @@
 
         The object stays the same, with its seats.
         """
-        item = self.catalogue_titles.get(title.name)
+        catalogue_title = self.catalogue_titles.get(title.name)
         first, asked = self.requested_placements[title.name]
         usual = first % self.cell_count, self.default_copies if asked is None else asked
         home, copies = self.configured_placements.get(title.name, usual)
-        if item is not None and item.home >= 0:
-            home, copies = item.home, item.copies
+        if catalogue_title is not None and catalogue_title.home >= 0:
+            home = catalogue_title.home
+            copies = catalogue_title.copies
         named = (
-            frozenset(h.partition("+")[0] for h in item.holders)
-            if item is not None and item.holders
+            frozenset(h.partition("+")[0] for h in catalogue_title.holders)
+            if catalogue_title is not None and catalogue_title.holders
             else None
         )
         if (title.home_cell, title.copies, title.holder_names) != (home, copies, named):
-            title.home_cell, title.copies, title.holder_names, title.holders_version = home, copies, named, -1
-        title.rung_rates = item.rates if item is not None else ()
+            title.home_cell = home
+            title.copies = copies
+            title.holder_names = named
+            title.holders_version = -1
+        title.rung_rates = catalogue_title.rates if catalogue_title is not None else ()
 
     def _evict_unused(self) -> bool:
         for name, title in self.titles.items():
--- a/oakcroft/decisions/routing/zone_preference.py
+++ b/oakcroft/decisions/routing/zone_preference.py
@@ -112,7 +112,9 @@
             self.was_lost = True
         elif new_state is ZoneState.SOUND:
             self.was_lost = False
-        self.state, self.state_since, self.pending = new_state, now, None
+        self.state = new_state
+        self.state_since = now
+        self.pending = None
         return new_state
 
     def assess(self, nodes: Mapping[NodeEvidence, int]) -> ZoneState:
@@ -121,30 +123,30 @@
         Draining nodes do not count: otherwise a zone would look sound while most of its nodes drain and answer but its
         ready nodes are out. The cost: a zone whose few ready nodes are out while the rest drain returns by its ramp.
         """
-        whole = sum(nodes.values()) - nodes.get(NodeEvidence.DRAINS, 0)
-        dead = nodes.get(NodeEvidence.REFUSES, 0) + nodes.get(NodeEvidence.GONE, 0)
-        out = dead + nodes.get(NodeEvidence.SILENT, 0)
-        if whole == 0 or out < self.bounds.most * whole:
+        node_count = sum(nodes.values()) - nodes.get(NodeEvidence.DRAINS, 0)
+        ended = nodes.get(NodeEvidence.REFUSES, 0) + nodes.get(NodeEvidence.GONE, 0)
+        unavailable = ended + nodes.get(NodeEvidence.SILENT, 0)
+        if node_count == 0 or unavailable < self.bounds.most * node_count:
             return ZoneState.SOUND
-        return ZoneState.LOST if dead >= self.bounds.most * whole else ZoneState.CUT
+        return ZoneState.LOST if ended >= self.bounds.most * node_count else ZoneState.CUT
 
     def update(self, nodes: Mapping[NodeEvidence, int], now: int) -> ZoneState | None:
         """Takes fresh evidence a few times a second and returns the new state where it changes.
 
         Evidence must hold for `hold` ns; that of the node list too, as lists can be wrong.
         """
-        found = self.assess(nodes)
+        assessed = self.assess(nodes)
         if (
             self.state is ZoneState.RETURNING
             and now - self.state_since >= self.ramp_time
-            and found is ZoneState.SOUND
+            and assessed is ZoneState.SOUND
         ):
             return self._set_state(ZoneState.SOUND, now)
         if self.state is ZoneState.SOUND and self.relapses and now - self.state_since >= 2 * self.ramp_time:
             self.relapses -= 1
             self.state_since = now
-        target = found
-        if found is ZoneState.SOUND:
+        target = assessed
+        if assessed is ZoneState.SOUND:
             target = ZoneState.RETURNING if self.state in (ZoneState.CUT, ZoneState.LOST) else self.state
         elif self.state is ZoneState.LOST:
             target = self.state
@@ -161,8 +163,8 @@
 
         It is a quarter for a zone that was only cut off, as its nodes are warm, and doubles with each relapse.
         """
-        whole = self.bounds.ramp if self.was_lost else self.bounds.ramp // 4
-        return min(self.bounds.longest, whole << min(self.relapses, 10))
+        full_time = self.bounds.ramp if self.was_lost else self.bounds.ramp // 4
+        return min(self.bounds.longest, full_time << min(self.relapses, 10))
 
     def traffic_share(self, now: int) -> float:
         """Returns the share of requests that may go to the zone, 0 to 1."""
@@ -205,7 +207,8 @@
 
     def __init__(self, zones: Sequence[str], bounds: ZonePreferenceBounds) -> None:
         """`zones` begins with the front's own, then come the others in order of preference."""
-        self.zones, self.bounds = tuple(zones), bounds
+        self.zones = tuple(zones)
+        self.bounds = bounds
         self.health = {zone: ZoneHealth(bounds) for zone in zones}
         self.overflow = OverflowWindow(bounds)
         self.rejected_count = 0
@@ -214,12 +217,12 @@
         self, nodes: Mapping[str, Mapping[NodeEvidence, int]], now: int
     ) -> list[tuple[str, ZoneState, ZoneState]]:
         """Takes fresh evidence of all zones and returns the changes as (zone, state before, state after)."""
-        out = []
+        changes = []
         for zone, health in self.health.items():
             before = health.state
             if (after := health.update(nodes.get(zone, {}), now)) is not None:
-                out.append((zone, before, after))
-        return out
+                changes.append((zone, before, after))
+        return changes
 
     def choose_zones(self, zone_loads: Mapping[str, float], draw: float, now: int) -> frozenset[str]:
         """Returns the zones that a request may go to, none where it is to be rejected.
