--- a/oakcroft/decisions/fleet/load_sharing.py
+++ b/oakcroft/decisions/fleet/load_sharing.py
@@ -142,7 +142,7 @@
 
     def update_nodes(self, nodes: Mapping[str, int]) -> None:
         """Sets the listed nodes and their start times in ns. The loads of earlier processes are dropped."""
-        for name in [n for n, p in self.nodes.items() if nodes.get(n) != p.started_at]:
+        for name in [n for n, known_node in self.nodes.items() if nodes.get(n) != known_node.started_at]:
             node = self.nodes.pop(name)
             del self.by_process_id[node.process_id]
             self.probes_in_flight -= node.is_being_probed
@@ -211,11 +211,10 @@
         return news
 
     def _gossip_rounds(self) -> int:
-        return (
-            min(MAX_GOSSIP_ROUNDS, 1 + math.ceil(math.log(len(self.present_fronts), 1 + GOSSIP_FANOUT)))
-            if len(self.present_fronts) > 1
-            else 0
-        )
+        fronts = len(self.present_fronts)
+        if fronts < 2:
+            return 0
+        return min(MAX_GOSSIP_ROUNDS, 1 + math.ceil(math.log(fronts, 1 + GOSSIP_FANOUT)))
 
     # Due actions.
 
@@ -274,12 +273,22 @@
         if now < self.next_gossip_at or len(self.present_fronts) < 2:
             return []
         self.next_gossip_at = now + GOSSIP_INTERVAL
-        pending = [p for p in self.nodes.values() if p.latest is not None and p.latest.rounds_left > 0]
         pending = [
-            p for p in pending if p.latest is not None and now - p.latest.measured_at <= MAX_REPORT_AGE
+            known_node
+            for known_node in self.nodes.values()
+            if known_node.latest is not None and known_node.latest.rounds_left > 0
+        ]
+        pending = [
+            known_node
+            for known_node in pending
+            if known_node.latest is not None and now - known_node.latest.measured_at <= MAX_REPORT_AGE
         ]
         pending.sort(
-            key=lambda p: (-p.latest.rounds_left, -p.latest.measured_at) if p.latest is not None else (0, 0)
+            key=lambda known_node: (
+                (-known_node.latest.rounds_left, -known_node.latest.measured_at)
+                if known_node.latest is not None
+                else (0, 0)
+            )
         )
         reports = []
         for node in pending[:MAX_REPORTS_PER_MESSAGE]:
@@ -288,12 +297,12 @@
             reports.append(LoadReport(node.process_id, node.latest.load, now - node.latest.measured_at))
         if not reports:
             return []
-        others = [f for f in self.present_fronts if f != self.me]
+        others = [front for front in self.present_fronts if front != self.me]
         return [(to, reports) for to in self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))]
 
     def known_ages(self, now: int) -> list[int]:
         """Returns the ages of the known loads in ns, ascending; loads older than MAX_REPORT_AGE are left out."""
-        ages = (now - p.latest.measured_at for p in self.nodes.values() if p.latest is not None)
+        ages = (now - node.latest.measured_at for node in self.nodes.values() if node.latest is not None)
         return sorted(age for age in ages if age <= MAX_REPORT_AGE)
 
 
--- a/oakcroft/decisions/fleet/rollout.py
+++ b/oakcroft/decisions/fleet/rollout.py
@@ -184,20 +184,18 @@
         if plan.stage is RolloutStage.HANDED:
             if not missing:
                 return self._advanced_plan(RolloutStage.TAKEN, 0)
-            return (
-                self._reversed_plan(f"{missing[0]} did not take it in")
-                if waited > DISTRIBUTION_TIMEOUT
-                else None
-            )
+            if waited <= DISTRIBUTION_TIMEOUT:
+                return None
+            return self._reversed_plan(f"{missing[0]} did not take it in")
         if plan.stage is RolloutStage.BACK:
             return self._advanced_plan(RolloutStage.STOPPED, plan.share_index) if not missing else None
         if increase := self._failure_increase():
             return self._reversed_plan(increase)
         if missing:
             self.complete_since = None
-            return (
-                self._reversed_plan(f"{missing[0]} did not take it") if waited > ACTIVATION_TIMEOUT else None
-            )
+            if waited <= ACTIVATION_TIMEOUT:
+                return None
+            return self._reversed_plan(f"{missing[0]} did not take it")
         if self.complete_since is None:
             self.complete_since = now
         if now - self.complete_since < plan.watch_time:
@@ -255,7 +253,8 @@
     """Returns the plan of a new rollout, or why there can be none now. `watch_time` in ns."""
     if last is not None and last.stage not in FINAL_STAGES:
         return f"roll-out {last.number} is under way"
-    number, step = (last.number + 1, last.step + 1) if last is not None else (1, 1)
+    number = last.number + 1 if last is not None else 1
+    step = last.step + 1 if last is not None else 1
     return RolloutPlan(
         number,
         digest,
--- a/oakcroft/decisions/fleet/session_takeover.py
+++ b/oakcroft/decisions/fleet/session_takeover.py
@@ -179,9 +179,8 @@
         for name in sorted(set(failed) - set(self.failed_fronts) - {self.me}):
             self._add_failed_front(name, now, self.bounds.delay)
         if len(self.known_fronts) > 4 * max(64, len(self.present_fronts) + len(failed)):
-            self.known_fronts = set(self.present_fronts) | set(
-                failed
-            )  # bounds the table where names come and go
+            # Bounds the table where names come and go.
+            self.known_fronts = set(self.present_fronts) | set(failed)
             self.preceding_fronts.clear()
         return ended
 
--- a/oakcroft/decisions/routing/route_table.py
+++ b/oakcroft/decisions/routing/route_table.py
@@ -197,7 +197,7 @@
     def roles_served(self, path: str) -> set[ClientRole]:
         """Returns the roles for which a path is served."""
         prefix, title = RouteRequest(ClientRole.WATCH, path, "", {}).split_path()
-        return {side for side, p in self.by_prefix if p == prefix and title}
+        return {role for role, path_prefix in self.by_prefix if path_prefix == prefix and title}
 
     def more_specific_routes(self, route: Route, request: RouteRequest) -> list[tuple[Route, RouteMismatch]]:
         """Returns the routes of the same path prefix that would precede `route` if they matched a request.
--- a/oakcroft/decisions/routing/title_cache.py
+++ b/oakcroft/decisions/routing/title_cache.py
@@ -30,9 +30,8 @@
         self.default_copies = default_copies
         self.configured_placements = configured_placements
         self.titles: OrderedDict[str, Title] = OrderedDict()
-        self.requested_placements: dict[
-            str, tuple[int, int | None]
-        ] = {}  # (home cell, copies) as `get` was called
+        # (home cell, copies) by title, as `get` was called.
+        self.requested_placements: dict[str, tuple[int, int | None]] = {}
         self.catalogue_titles: Mapping[str, CatalogueTitle] = {}  # of the catalogue in force
 
     def get(self, name: str, home: int, copies: int | None = None) -> Title | None:
@@ -73,21 +72,24 @@
         The object stays the same, with its seats.
         """
         catalogue_title = self.catalogue_titles.get(title.name)
-        first, asked = self.requested_placements[title.name]
-        usual = first % self.cell_count, self.default_copies if asked is None else asked
-        home, copies = self.configured_placements.get(title.name, usual)
+        requested_home, requested_copies = self.requested_placements[title.name]
+        default_placement = (
+            requested_home % self.cell_count,
+            self.default_copies if requested_copies is None else requested_copies,
+        )
+        home, copies = self.configured_placements.get(title.name, default_placement)
         if catalogue_title is not None and catalogue_title.home >= 0:
             home = catalogue_title.home
             copies = catalogue_title.copies
-        named = (
+        holder_names = (
             frozenset(h.partition("+")[0] for h in catalogue_title.holders)
             if catalogue_title is not None and catalogue_title.holders
             else None
         )
-        if (title.home_cell, title.copies, title.holder_names) != (home, copies, named):
+        if (title.home_cell, title.copies, title.holder_names) != (home, copies, holder_names):
             title.home_cell = home
             title.copies = copies
-            title.holder_names = named
+            title.holder_names = holder_names
             title.holders_version = -1
         title.rung_rates = catalogue_title.rates if catalogue_title is not None else ()
 
