--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -106,7 +106,7 @@
     run_async_test(whole, 100)
 
 
-def test_a_roll_out_survives_its_owners_death_and_a_late_owner_changes_nothing(tmp_path: Path) -> None:
+def test_a_rollout_survives_its_holder_and_a_late_holder_changes_nothing(tmp_path: Path) -> None:
     async def test(rig: Owners) -> None:
         first, number = await rig.owner(rig.names)
         assert (await rig.roll_out(next(n for n in rig.names if n != first), ONE, watch=2))["status"] == 202
@@ -152,7 +152,7 @@
     on_owners(tmp_path, test)
 
 
-def test_a_minority_owns_nothing_and_keepers_without_a_record_sit_out(tmp_path: Path) -> None:
+def test_a_minority_holds_no_lease_and_acceptors_without_a_record_wait(tmp_path: Path) -> None:
     async def test(rig: Owners) -> None:
         first, number = await rig.owner(rig.names)
         rest = {n for n in rig.names if n != first}
@@ -188,7 +188,7 @@
     on_owners(tmp_path, test)
 
 
-def test_what_a_front_refuses_goes_nowhere_and_full_disks_grant_nothing(tmp_path: Path) -> None:
+def test_a_refused_version_is_not_activated_and_full_disks_grant_no_lease(tmp_path: Path) -> None:
     async def test(rig: Owners) -> None:
         await rig.owner(rig.names)
         assert (await rig.roll_out("f4", BROKEN))["status"] == 202
@@ -217,7 +217,7 @@
     on_owners(tmp_path, test)
 
 
-def test_keepers_that_could_not_do_their_work_are_found_by_the_check() -> None:
+def test_the_check_finds_keepers_that_cannot_work() -> None:
     def said(forms: str, peers: bool = True, state: bool = True) -> list[str]:
         place = '(state "f.state")' if state else ""
         text = SITE_TEMPLATE.replace("EXTRA", "") + (
@@ -240,7 +240,7 @@
     assert "2 keepers bear no more losses than 1" in said("(keepers (names f0 f1))")[0]
 
 
-def test_what_operators_read_of_owners() -> None:
+def test_operators_read_the_leases() -> None:
     keeper = {"speaks": False, "sound": False, "record": True, "mute_ms": 1500, "waits_for": ["f1"]}
     duty = {
         "duty": "catalogue",
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -57,7 +57,7 @@
     return asked
 
 
-def test_each_node_is_asked_by_one_and_few_pass_on_where_one_goes() -> None:
+def test_each_node_is_probed_by_one_front_and_few_move_when_one_goes() -> None:
     first = {n: due(front(n), SECOND) for n in NAMES}
     assert set().union(*first.values()) == set(NODES)
     assert sum(len(s) for s in first.values()) == len(NODES)
@@ -67,13 +67,13 @@
     assert all(first[n] <= then[n] for n in rest)  # only the nodes of f4 have moved to other fronts
 
 
-def test_the_second_in_line_asks_where_the_first_has_long_been_silent() -> None:
+def test_the_second_front_probes_when_reports_are_missing() -> None:
     late = 1 + BACKUP_PROBE_INTERVALS * EVERY
     asked = [due(front(n), late) for n in NAMES]
     assert sum(len(s) for s in asked) == 2 * len(NODES)
 
 
-def test_what_traffic_tells_is_not_asked_for_and_told_at_the_interval() -> None:
+def test_loads_seen_in_traffic_need_no_probe_and_are_reported_at_the_interval() -> None:
     figures = front(present=["f0", "f1"])
     (one, *_) = sorted(due(figures, 0))
     figures = front(present=["f0", "f1"])
@@ -90,7 +90,7 @@
     assert figures.due_messages(20 * SECOND)[0][1][0].load == 0.7
 
 
-def test_news_goes_on_a_few_times_grows_older_and_ends() -> None:
+def test_a_report_is_passed_on_a_few_times_and_ages() -> None:
     figures = front("f3")
     (node,) = list(NODES)[:1]
     assert figures.receive_reports(
@@ -110,7 +110,7 @@
     assert ages == [305 * MS + i * SECOND for i in range(rounds)]
 
 
-def test_nothing_of_an_earlier_process_or_of_no_sound_figure_comes_to_life() -> None:
+def test_loads_of_earlier_processes_and_invalid_loads_are_ignored() -> None:
     figures, node = front(), "n5"
     old = process_id(node, NODES[node])
     figures.record_own_load(node, 0.9, 0, SECOND)
@@ -126,7 +126,7 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 1 << 30), st.integers(1, 80))
-def test_asks_rows_and_tables_are_bounded(seed: int, nodes: int) -> None:
+def test_probes_reports_and_tables_are_bounded(seed: int, nodes: int) -> None:
     rng = Random(seed)
     list_ = {f"n{i}": i for i in range(nodes)}
     figures, now, out = front(nodes=list_), 0, set[str]()
@@ -160,7 +160,7 @@
         assert len(figures.by_process_id) == len(figures.nodes)
 
 
-def test_words_between_fronts() -> None:
+def test_load_reports_survive_encoding_and_decoding() -> None:
     codec = LoadCodec("oakcroft", KeyRing((bytes.fromhex(KEY),)))
     rows = [LoadReport(process_id(f"n{i}", i), i / 8, i * 100 * MS) for i in range(MAX_REPORTS_PER_MESSAGE)]
     octets = codec.rows("f" * 64, 1 << 55, rows)
@@ -174,7 +174,7 @@
             codec.taken(opened)
 
 
-def test_the_module_takes_others_words_only_where_its_own_traffic_is_silent() -> None:
+def test_the_module_uses_reports_only_without_recent_own_traffic() -> None:
     fleet = ControllerHarness()
     module, node, now = fleet.controller, fleet.nodes[0], fleet.now
     usual = node.estimated_load
@@ -213,7 +213,7 @@
         raise AssertionError(said)
 
 
-def test_processes_know_all_nodes_loads_by_one_asker_each(tmp_path: Path) -> None:
+def test_processes_know_all_loads_with_one_prober_a_node(tmp_path: Path) -> None:
     async def whole() -> None:
         async with fronts(tmp_path, 5, Probers) as rig:
             assert isinstance(rig, Probers)
--- a/tests/test_handing.py
+++ b/tests/test_handing.py
@@ -39,7 +39,7 @@
 TEXT = st.text(max_size=60)
 
 
-def test_who_may_act_and_who_may_take_in_every_case() -> None:
+def test_control_and_takeover_in_every_case() -> None:
     """All combinations of two fronts, three generations, event streams that are open, just broken and long gone, and
     callers with and without an event stream."""
     for held_by, held_start, by, start in product("ab", (1, 2), ("a", "b", ""), (1, 2, 3)):
@@ -71,29 +71,29 @@
     assert effective_lease(3600 * SECOND, 3 * SECOND) == MAX_SESSION_LEASE
 
 
-def test_each_node_is_asked_by_three_in_line_who_share_and_then_take_the_rest() -> None:
+def test_three_fronts_ask_each_node_share_its_sessions_and_then_take_the_rest() -> None:
     names = [f"f{i}" for i in range(9)]
     living = [n for n in names if n != "f4"]
     asked: dict[str, list[tuple[str, set[str]]]] = {}
     sessions = {f"s{i}" for i in range(60)}
     for name in living:
-        course = SessionTakeover(name, BOUNDS)
-        course.update_nodes(["n1", "n2", "n3"], 0)
-        course.update_fronts([], names, 0)
-        assert course.due_requests(10 * SECOND) == []
-        course.update_fronts(["f4"], living, 10 * SECOND)
-        assert course.due_requests(10 * SECOND + 100 * MS) == []  # the delay is not over
-        for errand in course.due_requests(10 * SECOND + 300 * MS):
-            assert errand.front_names == ["f4"]
-            mine = {s for s in sessions if errand.is_own("f4", s)}
-            assert not errand.is_own("f5", "s1")
-            asked.setdefault(errand.node, []).append((name, mine))
-            course.request_finished(errand, {"f4": TakeoverAnswer.ALLOWED}, 11 * SECOND)
-            assert all(e.node != errand.node for e in course.due_requests(11 * SECOND + 500 * MS))
-            (again,) = [e for e in course.due_requests(12 * SECOND + 100 * MS) if e.node == errand.node]
+        takeover = SessionTakeover(name, BOUNDS)
+        takeover.update_nodes(["n1", "n2", "n3"], 0)
+        takeover.update_fronts([], names, 0)
+        assert takeover.due_requests(10 * SECOND) == []
+        takeover.update_fronts(["f4"], living, 10 * SECOND)
+        assert takeover.due_requests(10 * SECOND + 100 * MS) == []  # the delay is not over
+        for request in takeover.due_requests(10 * SECOND + 300 * MS):
+            assert request.front_names == ["f4"]
+            mine = {s for s in sessions if request.is_own("f4", s)}
+            assert not request.is_own("f5", "s1")
+            asked.setdefault(request.node, []).append((name, mine))
+            takeover.request_finished(request, {"f4": TakeoverAnswer.ALLOWED}, 11 * SECOND)
+            assert all(e.node != request.node for e in takeover.due_requests(11 * SECOND + 500 * MS))
+            (again,) = [e for e in takeover.due_requests(12 * SECOND + 100 * MS) if e.node == request.node]
             assert all(again.is_own("f4", s) for s in sessions)
-            course.request_finished(again, {"f4": TakeoverAnswer.ALLOWED}, 12 * SECOND + 200 * MS)
-            assert not [e for e in course.due_requests(20 * SECOND) if e.node == errand.node]
+            takeover.request_finished(again, {"f4": TakeoverAnswer.ALLOWED}, 12 * SECOND + 200 * MS)
+            assert not [e for e in takeover.due_requests(20 * SECOND) if e.node == request.node]
     assert set(asked) == {"n1", "n2", "n3"}
     for some in asked.values():
         assert len(some) == 3
@@ -101,105 +101,107 @@
         assert sum(len(mine) for _, mine in some) == len(sessions)  # each belongs to one front
 
 
-def test_one_that_is_back_is_left_alone_and_what_a_node_could_not_say_is_asked_again() -> None:
-    course = SessionTakeover("f0", BOUNDS)
-    course.update_nodes(["n1"], 0)
-    course.update_fronts([], ["f0", "f1"], 0)
-    course.update_fronts(["f1"], ["f0"], SECOND)
-    (errand,) = course.due_requests(2 * SECOND)
-    course.request_finished(errand, None, 2 * SECOND)
-    assert course.due_requests(2 * SECOND + 100 * MS) == []
-    (errand,) = course.due_requests(3 * SECOND)
-    course.request_finished(
-        errand, {"f1": TakeoverAnswer.CONNECTED}, 3 * SECOND
+def test_a_front_that_is_back_keeps_its_sessions_and_failed_requests_are_repeated() -> None:
+    takeover = SessionTakeover("f0", BOUNDS)
+    takeover.update_nodes(["n1"], 0)
+    takeover.update_fronts([], ["f0", "f1"], 0)
+    takeover.update_fronts(["f1"], ["f0"], SECOND)
+    (request,) = takeover.due_requests(2 * SECOND)
+    takeover.request_finished(request, None, 2 * SECOND)
+    assert takeover.due_requests(2 * SECOND + 100 * MS) == []
+    (request,) = takeover.due_requests(3 * SECOND)
+    takeover.request_finished(
+        request, {"f1": TakeoverAnswer.CONNECTED}, 3 * SECOND
     )  # its event stream at the node is open
-    (errand,) = course.due_requests(4 * SECOND)
-    (over,) = course.update_fronts([], ["f0", "f1"], 4 * SECOND)
+    (request,) = takeover.due_requests(4 * SECOND)
+    (over,) = takeover.update_fronts([], ["f0", "f1"], 4 * SECOND)
     assert over.name == "f1"
-    course.request_finished(errand, {"f1": TakeoverAnswer.CONNECTED}, 4 * SECOND)
-    assert course.due_requests(9 * SECOND) == []
-    assert not course.tasks
-    course.update_fronts(["f1"], ["f0"], 20 * SECOND)
-    assert course.due_requests(21 * SECOND)  # it failed again
-    course.update_fronts([], ["f0"], 22 * SECOND)
-    course.update_fronts(["f1"], ["f0"], 23 * SECOND)
+    takeover.request_finished(request, {"f1": TakeoverAnswer.CONNECTED}, 4 * SECOND)
+    assert takeover.due_requests(9 * SECOND) == []
+    assert not takeover.tasks
+    takeover.update_fronts(["f1"], ["f0"], 20 * SECOND)
+    assert takeover.due_requests(21 * SECOND)  # it failed again
+    takeover.update_fronts([], ["f0"], 22 * SECOND)
+    takeover.update_fronts(["f1"], ["f0"], 23 * SECOND)
     assert (
-        course.due_requests(23 * SECOND + BOUNDS.session_lease + 10 * SECOND) == []
+        takeover.due_requests(23 * SECOND + BOUNDS.session_lease + 10 * SECOND) == []
     )  # nodes have ended its sessions
-    assert [d.name for d in course.take_finished(60 * SECOND)] == ["f1"]
-    assert course.take_finished(61 * SECOND) == []
+    assert [d.name for d in takeover.take_finished(60 * SECOND)] == ["f1"]
+    assert takeover.take_finished(61 * SECOND) == []
 
 
-def test_an_earlier_life_is_asked_for_whole_at_all_nodes_also_before_they_are_known() -> None:
-    course = SessionTakeover("f0", BOUNDS)
-    course.add_own_earlier_generation(SECOND)
-    assert course.take_finished(SECOND) == []
-    course.update_fronts([], ["f0", "f1", "f2", "f3"], SECOND)
-    course.update_nodes([f"n{i}" for i in range(MAX_CONCURRENT_REQUESTS + 4)], 2 * SECOND)
-    first = course.due_requests(2 * SECOND)
+def test_own_earlier_sessions_are_requested_at_all_nodes_once_these_are_listed() -> None:
+    takeover = SessionTakeover("f0", BOUNDS)
+    takeover.add_own_earlier_generation(SECOND)
+    assert takeover.take_finished(SECOND) == []
+    takeover.update_fronts([], ["f0", "f1", "f2", "f3"], SECOND)
+    takeover.update_nodes([f"n{i}" for i in range(MAX_CONCURRENT_REQUESTS + 4)], 2 * SECOND)
+    first = takeover.due_requests(2 * SECOND)
     assert len(first) == MAX_CONCURRENT_REQUESTS
     assert all(e.is_own("f0", f"s{i}") for e in first for i in range(20))
-    for errand in first:
-        course.request_finished(errand, {"f0": TakeoverAnswer.ALLOWED}, 3 * SECOND)
-    for errand in (rest := course.due_requests(3 * SECOND)):
-        course.request_finished(errand, {"f0": TakeoverAnswer.CALLER_NOT_ELIGIBLE}, 3 * SECOND)
-    assert {e.node for e in first + rest} == course.listed_nodes
-    assert [d.name for d in course.take_finished(4 * SECOND)] == ["f0"]
+    for request in first:
+        takeover.request_finished(request, {"f0": TakeoverAnswer.ALLOWED}, 3 * SECOND)
+    for request in (rest := takeover.due_requests(3 * SECOND)):
+        takeover.request_finished(request, {"f0": TakeoverAnswer.CALLER_NOT_ELIGIBLE}, 3 * SECOND)
+    assert {e.node for e in first + rest} == takeover.listed_nodes
+    assert [d.name for d in takeover.take_finished(4 * SECOND)] == ["f0"]
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 40), st.integers(1, 12), st.integers(0, 1 << 30))
-def test_errands_and_tables_stay_within_their_bounds(fronts: int, nodes: int, seed: int) -> None:
+def test_requests_and_tables_are_bounded(fronts: int, nodes: int, seed: int) -> None:
     rng = Random(seed)
     names = [f"f{i}" for i in range(fronts)]
-    course, now = SessionTakeover("f0", BOUNDS), 0
+    takeover, now = SessionTakeover("f0", BOUNDS), 0
     out: list[session_takeover.TakeoverRequest] = []
     for _ in range(60):
         now += rng.randrange(400 * MS)
         gone = {n for n in names[1:] if rng.random() < 0.4}
-        course.update_fronts(gone, [n for n in names if n not in gone], now)
+        takeover.update_fronts(gone, [n for n in names if n not in gone], now)
         if rng.random() < 0.3:
-            course.update_nodes([f"n{i}" for i in range(rng.randrange(nodes + 1))], now)
-        out += course.due_requests(now)
+            takeover.update_nodes([f"n{i}" for i in range(rng.randrange(nodes + 1))], now)
+        out += takeover.due_requests(now)
         assert (
-            len({e.node for e in out}) == len(out) == len(course.active_requests) <= MAX_CONCURRENT_REQUESTS
+            len({e.node for e in out}) == len(out) == len(takeover.active_requests) <= MAX_CONCURRENT_REQUESTS
         )
         assert all(0 < len(e.front_names) <= MAX_FRONTS_PER_REQUEST for e in out)
         while out and rng.random() < 0.6:
-            errand = out.pop(rng.randrange(len(out)))
-            told = rng.choice([None, dict.fromkeys(errand.front_names, rng.choice(list(TakeoverAnswer)))])
-            course.request_finished(errand, told, now)
-        course.take_finished(now)
+            request = out.pop(rng.randrange(len(out)))
+            told = rng.choice([None, dict.fromkeys(request.front_names, rng.choice(list(TakeoverAnswer)))])
+            takeover.request_finished(request, told, now)
+        takeover.take_finished(now)
         # Each task of a current takeover is there once: waiting, or in a request.
         stands = [
-            (p.front.name, p.node) for p in course.tasks if course.failed_fronts.get(p.front.name) is p.front
+            (p.front.name, p.node)
+            for p in takeover.tasks
+            if takeover.failed_fronts.get(p.front.name) is p.front
         ]
         stands += [
             (p.front.name, p.node)
             for e in out
             for p in e.tasks
-            if course.failed_fronts.get(p.front.name) is p.front
+            if takeover.failed_fronts.get(p.front.name) is p.front
         ]
         assert len(stands) == len(set(stands))
-        assert set(stands) == {(d.name, n) for d in course.failed_fronts.values() for n in d.pending_nodes}
+        assert set(stands) == {(d.name, n) for d in takeover.failed_fronts.values() for n in d.pending_nodes}
 
 
-def test_pairs_past_the_bound_are_left_to_their_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tasks_past_the_bound_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(session_takeover, "MAX_TASKS", 10)
-    course = SessionTakeover("f0", BOUNDS)
-    course.update_nodes([f"n{i}" for i in range(4)], 0)
-    course.update_fronts([f"f{i}" for i in range(1, 6)], ["f0"], 0)
-    assert (len(course.tasks), course.dropped_tasks) == (10, 10)
+    takeover = SessionTakeover("f0", BOUNDS)
+    takeover.update_nodes([f"n{i}" for i in range(4)], 0)
+    takeover.update_fronts([f"f{i}" for i in range(1, 6)], ["f0"], 0)
+    assert (len(takeover.tasks), takeover.dropped_tasks) == (10, 10)
 
 
 @given(TEXT, TEXT, st.integers(0, 1 << 40), st.booleans())
-def test_a_memo_comes_back_as_it_went(id_: str, title: str, when: int, publishes: bool) -> None:
+def test_a_memo_survives_encoding_and_decoding(id_: str, title: str, when: int, publishes: bool) -> None:
     memo = handing.Memo(id_, "a", "/whep/open/t", title, "open", "u", "", 3, when, when + 1, publishes)
     assert handing.read_memo(handing.memo(memo)) == memo
 
 
 @given(st.text(max_size=80) | st.binary(max_size=80).map(lambda b: b.decode("latin-1")))
-def test_what_is_no_memo_front_or_lease_says_nothing(text: str) -> None:
+def test_invalid_memos_fronts_and_leases_are_ignored(text: str) -> None:
     assert handing.read_memo(text) is None or handing.memo(handing.read_memo(text))  # type: ignore[arg-type]
     name, start = handing.read_front(text)
     assert (name == "") == (start == 0) or start == 0
@@ -207,7 +209,7 @@
 
 
 @given(st.text(min_size=1, max_size=64), st.integers(1, (1 << 56) - 1))
-def test_any_members_name_can_stand_in_a_field(name: str, start: int) -> None:
+def test_a_field_can_hold_any_member_name(name: str, start: int) -> None:
     try:
         name.encode()
     except UnicodeEncodeError:
@@ -215,13 +217,13 @@
     assert handing.read_front(handing.front(name, start)) == (name, start)
 
 
-def test_a_memo_that_would_not_fit_its_field_is_none() -> None:
+def test_a_memo_that_does_not_fit_its_field_is_empty() -> None:
     memo = handing.Memo("i", "a", "/" + "x" * 5_000, "t", "open", "u", "", 3, 0, 1, False)
     assert handing.memo(memo) == ""
     assert handing.read_memo("A" * 100) is None
 
 
-def test_nothing_passes_on_and_nothing_is_asked_without_the_forms() -> None:
+def test_without_the_forms_there_are_no_takeovers_and_no_probes() -> None:
     def place(more: str) -> PeerSettings:
         peers = '(peers (name f0) (listen "127.0.0.1:7946") (seeds "127.0.0.1:7947") (key-file "k"))'
         front = '(front (zone west) (listen "127.0.0.1:0") (list-service "127.0.0.1:1"))'
@@ -242,7 +244,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_playbacks_of_the_dead_are_taken_over_by_the_living(seed: int) -> None:
+def test_sessions_of_failed_fronts_are_taken_over(seed: int) -> None:
     fleet = ManyAdopters(12, 6, 20, seed, BOUNDS)
     fleet.play(1)
     fleet.kill([f"f{i}" for i in range(1 + 3 * (seed % 3))], heard_after=seed * 100 * MS)
@@ -253,7 +255,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_word_however_late_or_often_breaks_who_holds_what(seed: int) -> None:
+def test_late_and_duplicated_messages_do_not_break_ownership(seed: int) -> None:
     rng, net = Random(seed), Net(lose=0.1, double=0.2, much_later=0.2)
     fleet = ManyAdopters(8, 4, 10, seed, BOUNDS, net)
     for _ in range(6):
@@ -272,7 +274,7 @@
     assert not [h for n in fleet.nodes for h in n.holder.values() if h.member in dead]
 
 
-def test_nodes_that_do_not_check_are_found_by_the_same_walks() -> None:
+def test_the_same_simulation_finds_nodes_that_do_not_check() -> None:
     found = 0
     for seed in range(20):
         rng = Random(seed)
@@ -285,7 +287,7 @@
     assert found >= 18
 
 
-def test_what_nobody_has_room_for_ends_with_its_lease() -> None:
+def test_sessions_that_no_front_has_room_for_end_with_their_lease() -> None:
     fleet = ManyAdopters(4, 2, 10, 1, BOUNDS, room=12)
     fleet.kill(["f0"])
     fleet.play(25)
--- a/tests/test_owners_judged.py
+++ b/tests/test_owners_judged.py
@@ -19,14 +19,14 @@
 DUTY = "catalogue"
 
 
-class Unchecked(Fence):
+class AdmitsAll(Fence):
     """A fence that admits everything."""
 
     def admits(self, lease_name: str, fencing_token: int, step: int) -> bool:
         return True
 
 
-def played(
+def model_records(
     fence: Callable[[], Fence] = Fence, early: int = 0, forgets: bool = False, away: int = 0
 ) -> list[Fact]:
     """Returns the records of four holders in turn, ten seconds each, whose orders reach five fronts, some of them late.
@@ -68,24 +68,24 @@
     return {f.rule: f.breaches for f in judge_owners(facts, NAMES, KEEPERS, TERM) if f.breaches}
 
 
-def test_a_sound_fleet_is_found_sound() -> None:
-    assert breaches(played()) == {}
-    assert all(f.cases for f in judge_owners(played(), NAMES, KEEPERS, TERM))
+def test_a_correct_fleet_has_no_breaches() -> None:
+    assert breaches(model_records()) == {}
+    assert all(f.cases for f in judge_owners(model_records(), NAMES, KEEPERS, TERM))
 
 
 @pytest.mark.parametrize(
     ("fault", "rule", "says"),
-    [({"fence": Unchecked}, 22, "took effect after"), ({"early": 3 * SECOND}, 21, "while [0] still had 100"),
+    [({"fence": AdmitsAll}, 22, "took effect after"), ({"early": 3 * SECOND}, 21, "while [0] still had 100"),
      ({"forgets": True}, 21, "is owned by fronts [0, 2]"), ({"away": 30 * SECOND}, 23, "nobody owned it for 30")],
 )  # fmt: skip
-def test_a_planted_fault_is_found(fault: dict[str, Any], rule: int, says: str) -> None:
-    found = breaches(played(**fault))
+def test_an_injected_fault_is_found(fault: dict[str, Any], rule: int, says: str) -> None:
+    found = breaches(model_records(**fault))
     assert rule in found
     assert says in found[rule][0]
 
 
 def test_a_time_without_a_majority_of_keepers_is_no_gap() -> None:
-    facts = played(away=30 * SECOND)
+    facts = model_records(away=30 * SECOND)
     for front in (0, 1):
         facts += [{"t": 9 * SECOND, "kind": "front killed", "front": front},
                   {"t": 150 * SECOND, "kind": "front started", "front": front}]  # fmt: skip
@@ -94,8 +94,8 @@
     assert 23 in breaches(one_only)
 
 
-def test_a_fence_that_went_back_and_fronts_that_differ_are_found() -> None:
-    facts = played()
+def test_fences_that_went_back_and_differing_fronts_are_found() -> None:
+    facts = model_records()
     last = facts[-1]["t"]
     back = {
         "t": last + SECOND,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -44,13 +44,13 @@
 NEW, OLD = "new", "old"
 
 
-def begun(watch: int = 10 * SECOND) -> Rollout:
+def begun_rollout(watch: int = 10 * SECOND) -> Rollout:
     plan = new_plan(None, NEW, OLD, watch, False, "why")
     assert isinstance(plan, RolloutPlan)
     return Rollout(plan)
 
 
-def say(one: Rollout, now: int, some: list[str] = FRONTS, **more: object) -> None:
+def report_as_planned(one: Rollout, now: int, some: list[str] = FRONTS, **more: object) -> None:
     """The fronts report as the plan wants: those of the share have the new version in force, the others the old."""
     share = round(one.plan.target_share * len(FRONTS))
     for front in some:
@@ -59,17 +59,17 @@
         one.receive_report(front, replace(report, **more), now)  # type: ignore[arg-type]
 
 
-def test_a_version_goes_round_share_by_share() -> None:
-    one, now, seen = begun(), 0, []
+def test_a_version_is_rolled_out_share_by_share() -> None:
+    one, now, seen = begun_rollout(), 0, []
     while one.plan.stage is not RolloutStage.DONE:
         assert one.next_plan(FRONTS, now) is None  # no front has reported
-        say(one, now)
+        report_as_planned(one, now)
         after = one.next_plan(FRONTS, now)
         if one.plan.stage is RolloutStage.TAKEN:
             assert after is None
             assert one.next_plan(FRONTS, now + one.plan.watch_time - 1) is None
             now += one.plan.watch_time
-            say(one, now)
+            report_as_planned(one, now)
             after = one.next_plan(FRONTS, now)
         assert after is not None
         assert after.step == one.plan.step + 1
@@ -80,14 +80,14 @@
 
 
 @pytest.mark.parametrize("stage", [RolloutStage.HANDED, RolloutStage.TAKEN])
-def test_one_refusal_stops_it(stage: RolloutStage) -> None:
-    one = begun()
+def test_one_refusal_stops_a_rollout(stage: RolloutStage) -> None:
+    one = begun_rollout()
     if stage is RolloutStage.TAKEN:
-        say(one, 0)
+        report_as_planned(one, 0)
         after = one.next_plan(FRONTS, 0)
         assert after is not None
         one.set_recorded_plan(after)
-    say(one, 1, ["f3"], refused="no ready holder")
+    report_as_planned(one, 1, ["f3"], refused="no ready holder")
     after = one.next_plan(FRONTS, 1)
     assert after is not None
     # In the first stage no front has the version in force; later some may.
@@ -95,54 +95,54 @@
     assert "f3 refused it: no ready holder" in after.end_reason
 
 
-def taken(share: int = 0) -> Rollout:
-    one = begun()
+def activated_rollout(share: int = 0) -> Rollout:
+    one = begun_rollout()
     one.set_recorded_plan(replace(one.plan, stage=RolloutStage.TAKEN, share_index=share, step=7))
     return one
 
 
-def test_failures_are_held_against_those_without_it() -> None:
-    one = taken(1)
-    say(one, 1, FRONTS[:5], answers=100, failures=20)
-    say(one, 1, FRONTS[5:], answers=100, failures=18)
+def test_failures_are_compared_with_fronts_without_the_version() -> None:
+    one = activated_rollout(1)
+    report_as_planned(one, 1, FRONTS[:5], answers=100, failures=20)
+    report_as_planned(one, 1, FRONTS[5:], answers=100, failures=18)
     assert one.next_plan(FRONTS, 1) is None  # failures rise on all fronts alike
-    say(one, 2, FRONTS[5:], answers=100, failures=2)
+    report_as_planned(one, 2, FRONTS[5:], answers=100, failures=2)
     after = one.next_plan(FRONTS, 2)
     assert after is not None
     assert after.stage is RolloutStage.BACK
     assert "20% of 500 answers failed with it, 2% without" in after.end_reason
-    few = taken()
-    say(few, 1, FRONTS[:1], answers=10, failures=10)
+    few = activated_rollout()
+    report_as_planned(few, 1, FRONTS[:1], answers=10, failures=10)
     assert few.next_plan(FRONTS[:1], 1) is None  # too few answers to judge
     # 7 of 60 failures against 3 of 60 is over MIN_FAILURE_INCREASE but within MIN_STANDARD_ERRORS.
-    chance = taken()
-    say(chance, 1, FRONTS[:1], answers=60, failures=7)
-    say(chance, 1, FRONTS[1:2], answers=60, failures=3)
+    chance = activated_rollout()
+    report_as_planned(chance, 1, FRONTS[:1], answers=60, failures=7)
+    report_as_planned(chance, 1, FRONTS[1:2], answers=60, failures=3)
     assert chance.next_plan(FRONTS[:2], 1) is None
 
 
-def test_a_front_that_has_no_catalogue_is_brought_to_what_stands() -> None:
-    one = begun()
-    say(one, 0)
+def test_a_front_without_a_catalogue_is_waited_for() -> None:
+    one = begun_rollout()
+    report_as_planned(one, 0)
     one.receive_report("f4", FrontReport(one.plan.step, True, "none", has_no_catalogue=True), 0)
     assert one.next_plan(FRONTS, 0) is None
     assert one.unconfirmed_fronts(FRONTS, 0) == ["f4"]
     one.set_recorded_plan(replace(one.plan, stage=RolloutStage.STOPPED, step=2))
-    say(one, 0)
+    report_as_planned(one, 0)
     one.receive_report("f4", FrontReport(2, True, "none", has_no_catalogue=True), 0)
     assert one.unconfirmed_fronts(FRONTS, 0) == ["f4"]
     assert one.unconfirmed_fronts(FRONTS, 11 * SECOND) == FRONTS  # any front may have restarted since
 
 
-def test_whoever_is_not_there_is_not_waited_for_and_whoever_is_stops_it_in_time() -> None:
-    one = taken()
-    say(one, 1, FRONTS[:9])
+def test_absent_fronts_are_not_waited_for_and_silent_present_ones_roll_back() -> None:
+    one = activated_rollout()
+    report_as_planned(one, 1, FRONTS[:9])
     assert one.unconfirmed_fronts(FRONTS, 1) == ["f9"]
     assert one.next_plan(FRONTS[:9], 1) is None
     assert one.complete_since == 1
-    say(one, 5 * SECOND, FRONTS[:9])
+    report_as_planned(one, 5 * SECOND, FRONTS[:9])
     assert one.next_plan(FRONTS, 5 * SECOND) is None  # f9 is back and sends no report
-    say(one, 20 * SECOND, FRONTS[:9])
+    report_as_planned(one, 20 * SECOND, FRONTS[:9])
     assert one.next_plan(FRONTS, 25 * SECOND) is None
     after = one.next_plan(FRONTS, 25 * SECOND + 1)
     assert after is not None
@@ -150,13 +150,13 @@
     assert "f9 did not take it" in after.end_reason
 
 
-def test_back_is_over_when_nobody_has_it() -> None:
-    one = taken(1)
+def test_a_rollback_ends_when_no_front_has_the_version() -> None:
+    one = activated_rollout(1)
     back = one.roll_back("by hand")
     assert back is not None
     one.set_recorded_plan(back)
     assert one.roll_back("again") is None
-    say(one, 2, FRONTS[:9])
+    report_as_planned(one, 2, FRONTS[:9])
     one.receive_report("f9", FrontReport(back.step, True, NEW), 2)
     assert one.next_plan(FRONTS, 2) is None
     one.receive_report("f9", FrontReport(back.step - 1, True, OLD), 3)  # on the step before
@@ -168,16 +168,16 @@
     assert after.end_reason == "by hand"
 
 
-def test_one_at_a_time_with_numbers_that_grow() -> None:
-    assert new_plan(begun().plan, "x", OLD, 0, False, "") == "roll-out 1 is under way"
+def test_one_rollout_at_a_time_with_growing_numbers() -> None:
+    assert new_plan(begun_rollout().plan, "x", OLD, 0, False, "") == "roll-out 1 is under way"
     for stage in FINAL_STAGES:
-        after = new_plan(replace(begun().plan, stage=stage, step=9), "x", NEW, 0, False, "")
+        after = new_plan(replace(begun_rollout().plan, stage=stage, step=9), "x", NEW, 0, False, "")
         assert isinstance(after, RolloutPlan)
         assert (after.number, after.step, after.stage) == (2, 10, RolloutStage.HANDED)
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 4)), max_size=30))
-def test_what_takes_effect_behind_a_fence_never_goes_back(orders: list[tuple[int, int]]) -> None:
+def test_work_behind_a_fence_never_goes_back(orders: list[tuple[int, int]]) -> None:
     fence, effects = Fence(), list[tuple[int, int]]()
     for number, step in orders:
         if fence.admits("d", number, step):
@@ -188,14 +188,16 @@
 
 
 @given(st.sets(st.text(min_size=1, max_size=8), min_size=2, max_size=30), st.text(max_size=8), st.data())
-def test_where_one_goes_only_its_work_passes_on(names: set[str], work: str, data: st.DataObject) -> None:
+def test_only_the_work_of_a_front_that_goes_passes_on(
+    names: set[str], work: str, data: st.DataObject
+) -> None:
     order = line(work, names)
     gone = data.draw(st.sampled_from(order))
     assert line(work, names - {gone}) == [n for n in order if n != gone]
     assert [rank(work, n, names) for n in order] == list(range(len(order)))
 
 
-def test_duties_are_spread_over_the_fronts() -> None:
+def test_leases_are_spread_over_the_fronts() -> None:
     firsts = [line(f"duty-{i}", FRONTS)[0] for i in range(1_000)]
     assert all(60 < firsts.count(n) < 140 for n in FRONTS)
 
@@ -217,7 +219,7 @@
     return found
 
 
-def test_words_come_back_as_they_left() -> None:
+def test_messages_survive_encoding_and_decoding() -> None:
     one = codec()
     ask = LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
     answer = LeaseAnswer(LeaseMessageKind.REFUSED, "catalogue", "f1", 5, 6, 7, 8, TERM, 9, NOTE, (("f2", 3),))
@@ -237,7 +239,7 @@
     assert len(one.learnt("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
 
 
-def test_the_largest_words_fit_a_datagram() -> None:
+def test_the_largest_messages_fit_a_datagram() -> None:
     name = "n" * 64
     big = LeaseNote((1 << 62) - 1, (1 << 62) - 1, b"x" * MAX_NOTE_OCTETS)
     row = LeaseTerm((1 << 62) - 1, name, (1 << 62) - 1)
@@ -253,7 +255,7 @@
 
 def test_a_plan_fits_its_record_whatever_was_written_into_it() -> None:
     plan = replace(
-        begun().plan,
+        begun_rollout().plan,
         digest="d" * 64,
         base_digest="b" * 64,
         change_reason="\u20ac" * 120,
@@ -272,7 +274,7 @@
     assert PLAN_DECODER.decode(encode_plan(small)).to_plan() == small
 
 
-WRONG: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"digest": "zz"},
     {"base_digest": "A" * 24},
     {"digest": "a" * 25},
@@ -283,9 +285,9 @@
 ]
 
 
-@pytest.mark.parametrize("wrong", WRONG)
-def test_a_plan_that_nothing_can_be_done_with_is_none(wrong: dict[str, Any]) -> None:
-    sound = replace(begun().plan, digest="ab" * 12, base_digest="01" * 12)
+@pytest.mark.parametrize("wrong", INVALID_FIELDS)
+def test_an_invalid_plan_is_rejected(wrong: dict[str, Any]) -> None:
+    sound = replace(begun_rollout().plan, digest="ab" * 12, base_digest="01" * 12)
     assert decode_plan(encode_plan(sound)) == sound
     with pytest.raises(ValueError, match=r"digest|range"):
         decode_plan(encode_plan(replace(sound, **wrong)))
@@ -293,7 +295,7 @@
         decode_plan(b"no plan")
 
 
-def test_texts_go_in_parts() -> None:
+def test_texts_are_sent_in_chunks() -> None:
     one, text = codec(), Random(1).randbytes(50_000)
     stream, parts = b"".join(one.chunks("f1", 1, text)), list[TextChunk]()
     while stream:
@@ -309,13 +311,13 @@
 
 
 @given(st.binary(max_size=200))
-def test_what_is_no_word_is_dropped(octets: bytes) -> None:
+def test_an_undecodable_message_is_rejected(octets: bytes) -> None:
     with pytest.raises(MessageError):
         codec().taken(bytes((65,)) + octets)
 
 
 @given(st.integers(0, 2_000), st.integers(0, 255))
-def test_a_changed_octet_or_value_is_no_fault_of_the_program(at: int, value: int) -> None:
+def test_a_changed_octet_raises_no_other_error(at: int, value: int) -> None:
     octets = bytearray(
         opened(
             codec().ask(
@@ -334,11 +336,11 @@
 # A holder that fails in the middle of each step.
 
 
-class Played:
+class SimulatedRollout:
     """Ten fronts with their fences, the plan on record, and lease holders that fail at a chosen point."""
 
     def __init__(self, refuses: str = "") -> None:
-        self.record = begun(0).plan
+        self.record = begun_rollout(0).plan
         self.fences = {f: Fence() for f in FRONTS}
         self.in_force = dict.fromkeys(FRONTS, OLD)
         self.held = dict.fromkeys(FRONTS, False)
@@ -371,38 +373,38 @@
             report = FrontReport(plan.step, self.held[front], self.in_force[front], part, refused)
             self.one.receive_report(front, report, self.now)
 
-    def round(self, dies: str = "") -> bool:
-        """Runs one round of the holder; returns True where it failed at the point `dies`."""
+    def round(self, fails_at: str = "") -> bool:
+        """Runs one round of the holder; returns True where it failed at the point `fails_at`."""
         self.now += SECOND
         after = self.one.next_plan(FRONTS, self.now)
         if after is not None:
-            if dies == "before the record":
+            if fails_at == "before the record":
                 return True
             self.record = after
-            if dies == "after the record":
+            if fails_at == "after the record":
                 return True
             self.one.set_recorded_plan(after)
         for i, front in enumerate(FRONTS):
-            if dies == "between orders" and after is not None and i >= 5:
+            if fails_at == "between orders" and after is not None and i >= 5:
                 self.under_way.append((front, self.number, self.one.plan))
             else:
                 self.order(front, self.number, self.one.plan)
-        return dies == "between orders" and after is not None
+        return fails_at == "between orders" and after is not None
 
 
 @pytest.mark.parametrize("refuses", ["", "f4"])
 @pytest.mark.parametrize("point", ["before the record", "after the record", "between orders"])
-def test_an_owner_dies_in_the_middle_of_each_step(point: str, refuses: str) -> None:
-    deaths = 0
+def test_a_holder_fails_in_the_middle_of_each_step(point: str, refuses: str) -> None:
+    failures = 0
     for at in range(1, 8):  # at which change of the plan the holder fails
-        played, changes, died = Played(refuses), 0, False
+        played, changes, failed = SimulatedRollout(refuses), 0, False
         played.owner()
         for _ in range(60):
             before = played.record.step
-            soon = not died and changes + 1 == at
+            soon = not failed and changes + 1 == at
             if played.round(point if soon else ""):
-                died = True
-                deaths += 1
+                failed = True
+                failures += 1
                 played.owner()
             changes += played.record.step > before
         for front, number, plan in played.under_way:  # late orders of the failed holder arrive
@@ -411,4 +413,4 @@
         assert played.record.stage is stage
         assert set(played.in_force.values()) == {ends}
         assert all(seen in ([], [NEW], [NEW, OLD]) for seen in played.changes.values()), played.changes
-    assert deaths >= 4  # once at each step that a rollout has
+    assert failures >= 4  # once at each step that a rollout has
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -49,11 +49,11 @@
 
 
 async def viewer(rig: Rig, number: int, answers: Counter[int]) -> None:
-    sat = await rig.request_playback(f"/whep/open/t{number % 5}", Idempotency_Key=f'"k{number}"')
-    answers[sat.status] += 1
-    if sat.status == 201:
+    answer = await rig.request_playback(f"/whep/open/t{number % 5}", Idempotency_Key=f'"k{number}"')
+    answers[answer.status] += 1
+    if answer.status == 201:
         await trio.sleep(0.1)
-        assert (await rig.request("DELETE", sat.header("location") or "")).status == 200
+        assert (await rig.request("DELETE", answer.header("location") or "")).status == 200
 
 
 def test_fifty_changes_under_load(tmp_path: Path) -> None:
@@ -101,7 +101,7 @@
     assert answers[201] > 70
 
 
-def test_a_reload_takes_what_is_sound_and_says_what_needs_a_restart(tmp_path: Path) -> None:
+def test_a_reload_applies_valid_versions_and_names_what_needs_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             front = rig.front_end
@@ -126,15 +126,17 @@
     run_async_test(test)
 
 
-def test_what_plays_keeps_its_terms_and_seats_count_across_a_change(tmp_path: Path) -> None:
+def test_playbacks_keep_their_terms_and_seats_count_across_a_change(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             front = rig.front_end
             assert front is not None
             helm = front.coordinator
             assert helm is not None
-            sat = [await rig.request_playback("/whep/course/t", Idempotency_Key=f'"s{i}"') for i in range(3)]
-            assert [s.status for s in sat] == [201] * 3
+            answers = [
+                await rig.request_playback("/whep/course/t", Idempotency_Key=f'"s{i}"') for i in range(3)
+            ]
+            assert [s.status for s in answers] == [201] * 3
             site = rig.site_text.replace("(revenue 2)", "(revenue 2) (seats 2)")
             found, _ = check_file("f", lambda _: f"{own(rig)}\n{site}")
             assert found is not None
@@ -146,7 +148,7 @@
             taken = next(e for e in rig.log_entries() if e["event"] == "configuration taken")
             assert taken["over_seats"] == ["t: 3 of 2"]
             assert (await rig.request_playback("/whep/course/t")).status == 503
-            for s in sat[:2]:
+            for s in answers[:2]:
                 assert (await rig.request("DELETE", s.header("location") or "")).status == 200
             await wait_until(lambda: len(helm.sessions_by_id) == 1)
             assert (await rig.request_playback("/whep/course/t")).status == 201
--- a/tests/test_wings.py
+++ b/tests/test_wings.py
@@ -30,58 +30,60 @@
 SOME = {NodeEvidence.ANSWERS: 6, NodeEvidence.REFUSES: 4}
 
 
-def through(life: ZoneHealth, seconds: int, nodes: dict[NodeEvidence, int], now: int = 0) -> list[ZoneState]:
+def states_over(
+    health: ZoneHealth, seconds: int, nodes: dict[NodeEvidence, int], now: int = 0
+) -> list[ZoneState]:
     out = []
     for n in range(seconds * 2):
-        if (state := life.update(nodes, now * SECOND + n * SECOND // 2)) is not None:
+        if (state := health.update(nodes, now * SECOND + n * SECOND // 2)) is not None:
             out.append(state)
     return out
 
 
-def test_a_cut_is_told_from_a_loss_and_both_from_a_few_dead_nodes() -> None:
-    life = ZoneHealth(ZonePreferenceBounds())
-    assert through(life, 10, SOME) == []
-    assert through(life, 1, SILENT, 10) == []  # the evidence did not hold for long enough
-    assert through(life, 10, ALL, 11) == []
-    assert through(life, 5, SILENT, 30) == [ZoneState.CUT]
-    assert through(life, 5, DEAD, 40) == [ZoneState.LOST]
-    assert through(life, 5, SILENT, 50) == []  # silence does not turn a lost zone into a cut one
-    assert through(life, 60, ALL, 60) == [ZoneState.RETURNING, ZoneState.SOUND]
-    assert through(life, 5, {}, 130) == []
+def test_a_cut_differs_from_a_loss_and_both_from_a_few_failed_nodes() -> None:
+    health = ZoneHealth(ZonePreferenceBounds())
+    assert states_over(health, 10, SOME) == []
+    assert states_over(health, 1, SILENT, 10) == []  # the evidence did not hold for long enough
+    assert states_over(health, 10, ALL, 11) == []
+    assert states_over(health, 5, SILENT, 30) == [ZoneState.CUT]
+    assert states_over(health, 5, DEAD, 40) == [ZoneState.LOST]
+    assert states_over(health, 5, SILENT, 50) == []  # silence does not turn a lost zone into a cut one
+    assert states_over(health, 60, ALL, 60) == [ZoneState.RETURNING, ZoneState.SOUND]
+    assert states_over(health, 5, {}, 130) == []
 
 
-def test_the_way_back_rises_and_takes_longer_with_each_falter() -> None:
-    life, ramps, now = ZoneHealth(ZonePreferenceBounds()), list[int](), 0
+def test_the_ramp_rises_and_takes_longer_with_each_relapse() -> None:
+    health, ramps, now = ZoneHealth(ZonePreferenceBounds()), list[int](), 0
     for _ in range(6):
-        through(life, 5, DEAD, now)
-        through(life, 3, ALL, now + 5)
-        assert life.state is ZoneState.RETURNING
-        ramps.append(life.ramp_time // SECOND)
-        shares = [life.traffic_share(life.state_since + t * SECOND) for t in range(400)]
+        states_over(health, 5, DEAD, now)
+        states_over(health, 3, ALL, now + 5)
+        assert health.state is ZoneState.RETURNING
+        ramps.append(health.ramp_time // SECOND)
+        shares = [health.traffic_share(health.state_since + t * SECOND) for t in range(400)]
         assert all(b >= a for a, b in pairwise(shares))
         assert shares[0] < 0.01
         assert shares[-1] == 1.0
         now += 8
     assert ramps == [30, 60, 120, 240, 300, 300]
-    through(life, 2000, ALL, now)
-    assert (life.state, life.relapses) == (ZoneState.SOUND, 0)
+    states_over(health, 2000, ALL, now)
+    assert (health.state, health.relapses) == (ZoneState.SOUND, 0)
     cut = ZoneHealth(ZonePreferenceBounds())
-    through(cut, 5, SILENT)
-    through(cut, 4, ALL, 5)
+    states_over(cut, 5, SILENT)
+    states_over(cut, 4, ALL, 5)
     assert cut.ramp_time == 30 * SECOND // 4  # the nodes of a cut zone are warm
 
 
-def test_every_small_history_goes_only_where_it_can_and_comes_back() -> None:
+def test_every_short_history_makes_allowed_transitions_and_recovers() -> None:
     for what in product((ALL, SILENT, DEAD, SOME), repeat=6):
-        life = ZoneHealth(ZonePreferenceBounds(hold=1, ramp=4, longest=16))
-        states = [life.state]
+        health = ZoneHealth(ZonePreferenceBounds(hold=1, ramp=4, longest=16))
+        states = [health.state]
         for n, nodes in enumerate(what):
-            life.update(nodes, n * 2)
-            life.update(nodes, n * 2 + 1)
-            states.append(life.state)
+            health.update(nodes, n * 2)
+            health.update(nodes, n * 2 + 1)
+            states.append(health.state)
         for n in range(12, 200):
-            life.update(ALL, n)
-            states.append(life.state)
+            health.update(ALL, n)
+            states.append(health.state)
         assert states[-1] is ZoneState.SOUND
         assert all(
             a is b or b in TRANSITIONS[a] or any(b in TRANSITIONS[m] for m in TRANSITIONS[a])
@@ -90,7 +92,7 @@
 
 
 @given(st.integers(0, 1 << 30), st.floats(0, 1), st.lists(st.integers(0, 3_000), max_size=150))
-def test_never_more_spills_than_stated(seed: int, part: float, gaps: list[int]) -> None:
+def test_overflow_stays_within_its_bound(seed: int, part: float, gaps: list[int]) -> None:
     bounds, rng = ZonePreferenceBounds(spill=part), Random(seed)
     wings, now, let = ZonePreference(("west", "east"), bounds), 0, list[tuple[int, bool]]()
     for gap in gaps:
@@ -99,11 +101,11 @@
         wings.update({"west": out, "east": ALL}, now)
         chosen = wings.choose_zones({"west": rng.random(), "east": rng.random() * 1.2}, rng.random(), now)
         let.append((now, chosen == {"east"}))
-        window = [spilt for t, spilt in let if t > now - bounds.window]
+        window = [overflowed for t, overflowed in let if t > now - bounds.window]
         assert sum(window) <= part * len(window) + 1e-9 or not window[-1]
 
 
-def test_own_wing_first_others_within_the_bound_and_the_rest_turned_away() -> None:
+def test_own_zone_first_others_within_the_bound_and_the_rest_rejected() -> None:
     wings = ZonePreference(("west", "east"), ZonePreferenceBounds(spill=0.5))
     assert wings.choose_zones({}, 0.99, 0) == {"west"}
     for n in range(8):
@@ -129,7 +131,7 @@
     assert zones.choose_zones(nowhere, 0.5, 0) == {"west"}  # the module decides
 
 
-def test_while_a_zone_drains_its_requests_spill_within_the_bound_and_all_come_back_at_once_after() -> None:
+def test_requests_of_a_draining_zone_overflow_within_the_bound_and_return_at_once() -> None:
     zones, drained = (
         ZonePreference(("west", "east"), ZonePreferenceBounds(spill=0.5)),
         {NodeEvidence.DRAINS: 10},
@@ -144,29 +146,29 @@
     assert zones.choose_zones({"west": 0.5, "east": 0.5}, 0.99, 10 * SECOND) == {"west"}
 
 
-def test_draining_nodes_are_no_evidence_for_or_against_their_zone() -> None:
-    assert through(ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 10}) == []
+def test_draining_nodes_do_not_count_as_evidence() -> None:
+    assert states_over(ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 10}) == []
     assert (
-        through(ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 8, NodeEvidence.ANSWERS: 2})
+        states_over(ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 8, NodeEvidence.ANSWERS: 2})
         == []
     )
     assert (
-        through(
+        states_over(
             ZoneHealth(ZonePreferenceBounds()),
             10,
             {NodeEvidence.DRAINS: 8, NodeEvidence.ANSWERS: 1, NodeEvidence.SILENT: 1},
         )
         == []
     )
-    assert through(
+    assert states_over(
         ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 8, NodeEvidence.SILENT: 2}
     ) == [ZoneState.CUT]
-    assert through(
+    assert states_over(
         ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 5, NodeEvidence.REFUSES: 5}
     ) == [ZoneState.LOST]
 
 
-def test_a_returning_wing_gets_its_share_over_two_hundred_fronts_by_and_by() -> None:
+def test_a_returning_zone_gets_its_share_of_two_hundred_fronts_gradually() -> None:
     fronts = [ZonePreference(("west", "east"), ZonePreferenceBounds(spill=1.0)) for _ in range(200)]
     rng, got = Random(5), list[int]()
     for second in range(60):
@@ -182,7 +184,7 @@
     assert got[-1] == 400
 
 
-def test_a_spill_window_passes() -> None:
+def test_the_overflow_window_expires() -> None:
     spill = OverflowWindow(ZonePreferenceBounds(spill=0.5, window=10))
     assert not spill.allows_overflow(0)
     spill.record_request(False, 0)
@@ -192,7 +194,7 @@
     assert not spill.allows_overflow(11)  # the window is empty, so one request alone would be all of it
 
 
-def test_a_front_keeps_to_its_wing_spills_within_its_bound_and_goes_back_by_and_by(tmp_path: Path) -> None:
+def test_a_front_prefers_its_zone_overflows_within_the_bound_and_returns(tmp_path: Path) -> None:
     form = """(operators (secret "operators-secret"))
       (preference (spill 50%) (window 60s) (hold 300ms) (ramp 2s) (room 2))"""
 
@@ -206,9 +208,9 @@
                 lambda: any(e["event"] == "wing" and e["after"] == "lost" for e in rig.log_entries())
             )
             answers = [(await rig.request_playback(f"/whep/open/u{n}")).status for n in range(20)]
-            spilt = [f for f in rig.recorded("setup") if f["node"] == "n2"]
+            overflowed = [f for f in rig.recorded("setup") if f["node"] == "n2"]
             asked = len(rig.recorded("setup")) + answers.count(503)
-            assert 5 <= len(spilt) <= asked / 2 + 1  # within the bound; the rest is rejected at once
+            assert 5 <= len(overflowed) <= asked / 2 + 1  # within the bound; the rest is rejected at once
             assert answers.count(503) >= 5
             rig.node("n1").machine.restart(rig.fleet.clock.now())
             await rig.fleet.boot(rig.node("n1"))
