--- a/oakcroft/decisions/fleet/rollout.py
+++ b/oakcroft/decisions/fleet/rollout.py
@@ -176,11 +176,7 @@
         if refusals and plan.stage is not RolloutStage.BACK:
             return self._reversed_plan(f"{refusals[0][0]} refused it: {refusals[0][1]}")
         missing = self.unconfirmed_fronts(present, now)
-        if not missing:
-            self.incomplete_since = None
-        elif self.incomplete_since is None:
-            self.incomplete_since = now
-        waited = now - self.incomplete_since if self.incomplete_since is not None else 0
+        waited = self._time_incomplete(bool(missing), now)
         if plan.stage is RolloutStage.HANDED:
             if not missing:
                 return self._advanced_plan(RolloutStage.TAKEN, 0)
@@ -204,6 +200,15 @@
             return self._advanced_plan(RolloutStage.DONE, plan.share_index)
         return self._advanced_plan(RolloutStage.TAKEN, plan.share_index + 1)
 
+    def _time_incomplete(self, is_incomplete: bool, now: int) -> int:
+        """Returns for how long reports that match the plan have been missing, in ns."""
+        if not is_incomplete:
+            self.incomplete_since = None
+            return 0
+        if self.incomplete_since is None:
+            self.incomplete_since = now
+        return now - self.incomplete_since
+
     def _advanced_plan(self, stage: RolloutStage, share_index: int, reason: str = "") -> RolloutPlan:
         return replace(
             self.plan,
