--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -38,10 +38,9 @@
 from oakcroft.store.file import NamedValue
 
 CATALOGUE_LEASE = "catalogue"
-FENCE_FACT = (
-    "fence"  # a fact in the state file: number and step of the last order that took effect, by lease name
-)
-ORDER_INTERVAL_S = 0.5  # seconds between orders to one front end, until it reports the wanted state
+# A named value in the state file: number and step of the last order that took effect, by lease name.
+FENCE_FACT = "fence"
+ORDER_INTERVAL_S = 0.5  # between orders to one front end, until it reports the wanted state
 MAX_CACHED_TEXTS = 3  # room for the version being rolled out and earlier ones
 SUBMIT_TIMEOUT_S = 12.0
 
@@ -108,17 +107,20 @@
 ENCODER = msgspec.msgpack.Encoder()
 DIGEST_PATTERN = re.compile("[0-9a-f]{24}")
 PLAN_DECODER = msgspec.msgpack.Decoder(PlanMessage)
-REQUEST_DECODER, REPORT_DECODER = msgspec.msgpack.Decoder(RolloutRequest), msgspec.msgpack.Decoder(ReportBody)
+REQUEST_DECODER = msgspec.msgpack.Decoder(RolloutRequest)
+REPORT_DECODER = msgspec.msgpack.Decoder(ReportBody)
 FENCE_DECODER = msgspec.msgpack.Decoder(dict[str, tuple[int, int]])
-REQUEST_ORDER, REQUEST_REPLY = "submit", "submitted"
-"""Lease names on the wire for an operator's request on its way to the owner, and for the owner's reply."""
+# Lease names on the wire: an operator's request on its way to the owner, and the owner's reply.
+REQUEST_ORDER = "submit"
+REQUEST_REPLY = "submitted"
 
 
 def encode_plan(plan: RolloutPlan) -> bytes:
     """Encodes a plan; the free-text reasons are shortened until it fits into a lease note."""
-    why, reason = plan.change_reason, plan.end_reason
+    change_reason = plan.change_reason
+    end_reason = plan.end_reason
     while True:
-        word = ENCODER.encode(
+        encoded = ENCODER.encode(
             PlanMessage(
                 plan.number,
                 plan.digest,
@@ -128,13 +130,14 @@
                 plan.share_index,
                 plan.watch_time,
                 plan.force,
-                why,
-                reason,
+                change_reason,
+                end_reason,
             )
         )
-        if len(word) <= MAX_NOTE_OCTETS or not (why or reason):
-            return word
-        why, reason = why[: len(why) // 2], reason[: max(0, len(reason) - 10)]
+        if len(encoded) <= MAX_NOTE_OCTETS or not (change_reason or end_reason):
+            return encoded
+        change_reason = change_reason[: len(change_reason) // 2]
+        end_reason = end_reason[: max(0, len(end_reason) - 10)]
 
 
 def decode_plan(body: bytes) -> RolloutPlan:
@@ -171,20 +174,18 @@
     ) -> None:
         """Registers the handlers of orders and reports with `peers`, and asks for the catalogue lease."""
         assert peers.duties is not None
-        self.coordinator, self.catalogues, self.peers, self.duties, self.log = (
-            coordinator,
-            catalogues,
-            peers,
-            peers.duties,
-            log,
-        )
-        held = (
+        self.coordinator = coordinator
+        self.catalogues = catalogues
+        self.peers = peers
+        self.duties = peers.duties
+        self.log = log
+        stored_fence = (
             coordinator.durable_state.store.named_values.get(FENCE_FACT)
             if coordinator.durable_state is not None
             else None
         )
         try:
-            self.fence = Fence(FENCE_DECODER.decode(held) if held else None)
+            self.fence = Fence(FENCE_DECODER.decode(stored_fence) if stored_fence else None)
         except msgspec.MsgspecError:
             self.fence = Fence()
             log.error("fence unreadable", why="orders wait for what the keepers say")
@@ -193,27 +194,26 @@
         self.is_fence_complete = (
             coordinator.durable_state is not None
             and coordinator.durable_state.store.was_complete
-            and held is not None
+            and stored_fence is not None
         )
         self.cached_texts: dict[str, str] = {}
         self.order_lock = trio.Lock()
         self.ordered_plan: RolloutPlan | None = None  # from the last order
-        self.step_start_answers = Counter[
-            FinalAnswer
-        ]()  # counts of final answers when the current step began here
+        # Counts of final answers when the current step began here.
+        self.step_start_answers = Counter[FinalAnswer]()
         self.rollout: Rollout | None = None  # while this front end holds the lease
         self.request_replies: dict[str, str] = {}  # the owner's replies to forwarded requests, by request key
         self.pending_requests: set[str] = set()  # keys of requests whose reply is awaited
         self.wake = trio.Event()
         self.plan_lock = trio.Lock()
-        duties = self.duties
-        duties.want(CATALOGUE_LEASE)
-        duties.orders[CATALOGUE_LEASE] = self._handle_order
-        duties.reports[CATALOGUE_LEASE] = self._handle_report
-        duties.orders[REQUEST_ORDER] = self._handle_request
-        duties.reports[REQUEST_REPLY] = self._handle_reply
-        duties.changed[CATALOGUE_LEASE] = self._owner_changed
-        duties.texts = self._find_text
+        leases = self.duties
+        leases.want(CATALOGUE_LEASE)
+        leases.orders[CATALOGUE_LEASE] = self._handle_order
+        leases.reports[CATALOGUE_LEASE] = self._handle_report
+        leases.orders[REQUEST_ORDER] = self._handle_request
+        leases.reports[REQUEST_REPLY] = self._handle_reply
+        leases.changed[CATALOGUE_LEASE] = self._owner_changed
+        leases.texts = self._find_text
 
     # Orders.
 
@@ -237,12 +237,12 @@
                 not self.is_fence_complete
                 or order.number > self.fence.highest_seen.get(CATALOGUE_LEASE, (0, 0))[0]
             ):
-                floor = self.duties.floor(CATALOGUE_LEASE)
-                if floor is None or floor < order.number:
+                promised_number = self.duties.floor(CATALOGUE_LEASE)
+                if promised_number is None or promised_number < order.number:
                     self.duties.look_for_floor(CATALOGUE_LEASE)
                     return None
                 if not self.is_fence_complete:
-                    self.fence.record(CATALOGUE_LEASE, floor, 0)
+                    self.fence.record(CATALOGUE_LEASE, promised_number, 0)
                     self.is_fence_complete = True
             if not self.fence.admits(CATALOGUE_LEASE, order.number, order.step):
                 number, step = self.fence.highest_seen[CATALOGUE_LEASE]
@@ -253,7 +253,7 @@
                     stands=[number, step],
                 )
                 return OrderReport(CATALOGUE_LEASE, number, step, False, b"")
-            new = False
+            is_new = False
             if self.fence.highest_seen.get(CATALOGUE_LEASE) != (order.number, order.step):
                 if not await self._record_fence(order.number, order.step):
                     return self._make_report(plan, order, "its state file does not take the order")
@@ -261,9 +261,9 @@
                 if self.ordered_plan is None or self.ordered_plan.step != plan.step:
                     self.step_start_answers = Counter(self.coordinator.answer_counts)
                 self.ordered_plan = plan
-                new = True
-            refused = await self._apply_plan(plan, received.sender)
-            if new:
+                is_new = True
+            rejection = await self._apply_plan(plan, received.sender)
+            if is_new:
                 self.log.info(
                     "order",
                     duty=CATALOGUE_LEASE,
@@ -271,22 +271,22 @@
                     step=order.step,
                     stage=plan.stage.name.lower(),
                     in_force=self.active_digest,
-                    refused=refused,
+                    refused=rejection,
                     sender=received.sender,
                 )
-            return self._make_report(plan, order, refused)
+            return self._make_report(plan, order, rejection)
 
     async def _record_fence(self, number: int, step: int) -> bool:
         if self.coordinator.durable_state is None:
             return False
-        seen = {**self.fence.highest_seen, CATALOGUE_LEASE: (number, step)}
+        highest_seen = {**self.fence.highest_seen, CATALOGUE_LEASE: (number, step)}
         return await self.coordinator.durable_state.store.write_durably(
-            NamedValue(FENCE_FACT, ENCODER.encode(seen))
+            NamedValue(FENCE_FACT, ENCODER.encode(highest_seen))
         )
 
     def _make_report(self, plan: RolloutPlan, order: Order, rejection: str) -> OrderReport:
-        some = self.coordinator.answer_counts - self.step_start_answers
-        failures = some[FinalAnswer.REJECTED] + some[FinalAnswer.ABORTED]
+        answer_counts = self.coordinator.answer_counts - self.step_start_answers
+        failures = answer_counts[FinalAnswer.REJECTED] + answer_counts[FinalAnswer.ABORTED]
         terms = self.coordinator.site.terms
         body = ReportBody(
             plan.step,
@@ -294,7 +294,7 @@
             self.active_digest,
             is_in_share(terms.front_index, terms.front_count, int(plan.digest, 16), plan.target_share),
             rejection[:120],
-            some[FinalAnswer.PLAYS] + failures,
+            answer_counts[FinalAnswer.PLAYS] + failures,
             failures,
             self.active_digest == EMPTY_DIGEST and plan.base_digest != EMPTY_DIGEST,
         )
@@ -309,7 +309,9 @@
         """The catalogue text with this digest, from the cache or the kept versions; None if it is in neither."""
         text = self.cached_texts.get(digest)
         if text is None:
-            numbers = [k.number for k in self.catalogues.history.versions if k.digest == digest]
+            numbers = [
+                version.number for version in self.catalogues.history.versions if version.digest == digest
+            ]
             text = self.catalogues.texts_by_version.get(numbers[-1]) if numbers else None
         return None if text is None else text.encode()
 
@@ -322,11 +324,11 @@
         ):
             # This front end has lost its catalogue with its state file, or is new: it activates the base version, which
             # all others have.
-            before = replace(plan, digest=plan.base_digest, base_digest=EMPTY_DIGEST)
-            if why := await self._fetch_text(before, sender) or await self._activate(
-                plan.base_digest, before
+            base_plan = replace(plan, digest=plan.base_digest, base_digest=EMPTY_DIGEST)
+            if rejection := await self._fetch_text(base_plan, sender) or await self._activate(
+                plan.base_digest, base_plan
             ):
-                return why
+                return rejection
         if plan.stage is RolloutStage.HANDED:
             return await self._fetch_text(plan, sender)
         if plan.stage in (RolloutStage.BACK, RolloutStage.STOPPED):
@@ -336,8 +338,8 @@
         terms = self.coordinator.site.terms
         if not is_in_share(terms.front_index, terms.front_count, int(plan.digest, 16), plan.target_share):
             return ""
-        if why := await self._fetch_text(plan, sender):
-            return why
+        if rejection := await self._fetch_text(plan, sender):
+            return rejection
         return await self._activate(plan.digest, plan)
 
     async def _fetch_text(self, plan: RolloutPlan, sender: str) -> str:
@@ -348,18 +350,20 @@
         if plan.digest in self.cached_texts or plan.digest == self.active_digest:
             return ""
         others = [
-            n for n in self.peers.membership.present() if n not in (sender, self.peers.membership.me.name)
+            front_name
+            for front_name in self.peers.membership.present()
+            if front_name not in (sender, self.peers.membership.me.name)
         ]
         for name in (sender, *others[:2]):
-            found = await self.peers.fetch(name, plan.digest)
-            if found is None:
+            encoded_text = await self.peers.fetch(name, plan.digest)
+            if encoded_text is None:
                 continue
             try:
-                text = found.decode()
-                said = await trio.to_thread.run_sync(read_catalogue, text)
+                text = encoded_text.decode()
+                content = await trio.to_thread.run_sync(read_catalogue, text)
             except (UnicodeDecodeError, CatalogueError):
                 continue
-            if digest_of(format_catalogue(said.titles.items(), said.others)) == plan.digest:
+            if digest_of(format_catalogue(content.titles.items(), content.others)) == plan.digest:
                 self.cache_text(plan.digest, text)
                 return ""
         return ""  # not found: the report says so, and the owner repeats the order
@@ -374,32 +378,38 @@
         if digest not in self.cached_texts:
             return ""
         # After the roll-out is done, a front end that was absent activates the version whatever its own base is.
-        made_from = (
+        base_digest = (
             None if plan.base_digest == EMPTY_DIGEST or plan.stage is RolloutStage.DONE else plan.base_digest
         )
         reason = plan.change_reason or f"roll-out {plan.number}"
-        verdict, why = await self.catalogues.replace(self.cached_texts[digest], made_from, plan.force, reason)
-        return rejection_reason(verdict, why)
+        verdict, reasons = await self.catalogues.replace(
+            self.cached_texts[digest], base_digest, plan.force, reason
+        )
+        return rejection_reason(verdict, reasons)
 
     async def _roll_back(self, plan: RolloutPlan) -> str:
         """Activates the base version if this front end has activated the one that is rolled back."""
         if self.active_digest != plan.digest:
             return ""
         if plan.base_digest == EMPTY_DIGEST:
-            said = f"roll-out {plan.number} taken back"
-            verdict, why = await self.catalogues.replace(format_catalogue((), True), None, True, said)
+            reason = f"roll-out {plan.number} taken back"
+            verdict, reasons = await self.catalogues.replace(format_catalogue((), True), None, True, reason)
         else:
-            kept = [k.number for k in self.catalogues.history.versions if k.digest == plan.base_digest]
-            if not kept:
+            version_numbers = [
+                version.number
+                for version in self.catalogues.history.versions
+                if version.digest == plan.base_digest
+            ]
+            if not version_numbers:
                 return "it does not keep the version before"
-            offer = await self.catalogues.roll_back(kept[-1], None, True)
-            if offer is None:
+            result = await self.catalogues.roll_back(version_numbers[-1], None, True)
+            if result is None:
                 return "it does not keep the version before"
-            verdict, why = offer
+            verdict, reasons = result
         self.log.warning(
             "catalogue taken back", roll_out=plan.number, verdict=verdict.name.lower(), reason=plan.end_reason
         )
-        return rejection_reason(verdict, why)
+        return rejection_reason(verdict, reasons)
 
     # The owner of the lease.
 
@@ -408,11 +418,12 @@
         self.wake.set()
 
     def _handle_report(self, sender: str, report: OrderReport) -> None:
-        term, running = self.duties.term(CATALOGUE_LEASE), self.rollout
-        if term is None or running is None:
+        term = self.duties.term(CATALOGUE_LEASE)
+        rollout = self.rollout
+        if term is None or rollout is None:
             return
         if not report.taken:
-            if (report.number, report.step) > (term.fencing_token, running.plan.step):
+            if (report.number, report.step) > (term.fencing_token, rollout.plan.step):
                 # The acceptors have promised numbers that this owner never saw: it asks for a term with a higher one.
                 self.duties.outbid(CATALOGUE_LEASE, report.number)
             return
@@ -422,7 +433,7 @@
             body = REPORT_DECODER.decode(report.body)
         except msgspec.MsgspecError:
             return
-        running.receive_report(
+        rollout.receive_report(
             sender,
             FrontReport(
                 body.step,
@@ -454,28 +465,31 @@
         self._load_plan(term)
         if self.rollout is None:
             return  # there has been no roll-out
-        running, present = self.rollout, self.peers.membership.present()
+        rollout = self.rollout
+        present = self.peers.membership.present()
         now = self.coordinator.clock.now()
         # An operator's request changes the plan too, and each change is a step of its own.
         async with self.plan_lock:
-            after = running.next_plan(present, now)
-            if after is not None:
-                await self._record_plan(running, after)
-        if self.duties.term(CATALOGUE_LEASE) != term or self.rollout is not running:
+            next_plan = rollout.next_plan(present, now)
+            if next_plan is not None:
+                await self._record_plan(rollout, next_plan)
+        if self.duties.term(CATALOGUE_LEASE) != term or self.rollout is not rollout:
             return
-        body = encode_plan(running.plan)
+        body = encode_plan(rollout.plan)
         # During the roll-out all front ends report; after its end only those that have not confirmed it, or were absent.
-        some = running.unconfirmed_fronts(present, now) if running.plan.stage in FINAL_STAGES else present
-        for name in some:
-            self.duties.order(name, Order(CATALOGUE_LEASE, term.fencing_token, running.plan.step, body))
+        fronts_to_order = (
+            rollout.unconfirmed_fronts(present, now) if rollout.plan.stage in FINAL_STAGES else present
+        )
+        for name in fronts_to_order:
+            self.duties.order(name, Order(CATALOGUE_LEASE, term.fencing_token, rollout.plan.step, body))
 
     def _load_plan(self, term: LeaseTerm) -> None:
         """Continues the roll-out whose plan the previous owner recorded."""
-        note = self.duties.note(CATALOGUE_LEASE)
-        if self.rollout is not None or not note:
+        recorded_plan = self.duties.note(CATALOGUE_LEASE)
+        if self.rollout is not None or not recorded_plan:
             return
         try:
-            plan = decode_plan(note)
+            plan = decode_plan(recorded_plan)
         except ValueError as fault:
             self.log.error("plan unreadable", why=str(fault))
             return
@@ -511,10 +525,10 @@
 
         `watch_time` in ns. Raises the parser's error if the text is invalid.
         """
-        said = await trio.to_thread.run_sync(read_catalogue, text)
-        laid_out = format_catalogue(said.titles.items(), said.others)
-        digest = digest_of(laid_out)
-        self.cache_text(digest, laid_out)
+        content = await trio.to_thread.run_sync(read_catalogue, text)
+        formatted_text = format_catalogue(content.titles.items(), content.others)
+        digest = digest_of(formatted_text)
+        self.cache_text(digest, formatted_text)
         return await self._send_request(
             RolloutRequest(digest, base_digest or EMPTY_DIGEST, watch_time, force, change_reason)
         )
@@ -550,26 +564,29 @@
         if self.duties.term(CATALOGUE_LEASE) is None:
             return None
         try:
-            wish = REQUEST_DECODER.decode(order.body)
+            request = REQUEST_DECODER.decode(order.body)
         except msgspec.MsgspecError:
             return None
-        if wish.digest and not (
-            DIGEST_PATTERN.fullmatch(wish.digest)
-            and DIGEST_PATTERN.fullmatch(wish.base_digest)
-            and wish.watch_time >= 0
+        if request.digest and not (
+            DIGEST_PATTERN.fullmatch(request.digest)
+            and DIGEST_PATTERN.fullmatch(request.base_digest)
+            and request.watch_time >= 0
         ):
             return None
-        said = await self._start_request(wish, received.sender)
+        rejection = await self._start_request(request, received.sender)
         return OrderReport(
-            REQUEST_REPLY, order.number, 0, not said, f"{wish.digest or 'back'} {said}".encode()[:300]
+            REQUEST_REPLY,
+            order.number,
+            0,
+            not rejection,
+            f"{request.digest or 'back'} {rejection}".encode()[:300],
         )
 
     def _handle_reply(self, sender: str, report: OrderReport) -> None:
-        key, _, said = report.body.decode("utf-8", "replace").partition(" ")
-        if (
-            key in self.pending_requests
-        ):  # the owner may repeat its reply after the operator has been answered
-            self.request_replies[key] = said
+        key, _, rejection = report.body.decode("utf-8", "replace").partition(" ")
+        # The owner may repeat its reply after the operator has been answered.
+        if key in self.pending_requests:
+            self.request_replies[key] = rejection
 
     async def _start_request(self, request: RolloutRequest, sender: str) -> str:
         """Starts a roll-out or rolls one back; returns why not, or "". A repeated request gets the same answer."""
@@ -582,24 +599,31 @@
             if term is None:
                 return "the term ended meanwhile: ask again"
             self._load_plan(term)
-            running = self.rollout
-            last = running.plan if running is not None else None
+            rollout = self.rollout
+            last_plan = rollout.plan if rollout is not None else None
             if not request.digest:
-                after = running.roll_back(request.change_reason or "by hand") if running is not None else None
-                if running is None or after is None:
-                    back = last is not None and last.stage in (RolloutStage.BACK, RolloutStage.STOPPED)
-                    return "" if back else "there is no roll-out"
+                rolled_back_plan = (
+                    rollout.roll_back(request.change_reason or "by hand") if rollout is not None else None
+                )
+                if rollout is None or rolled_back_plan is None:
+                    was_rolled_back = last_plan is not None and last_plan.stage in (
+                        RolloutStage.BACK,
+                        RolloutStage.STOPPED,
+                    )
+                    return "" if was_rolled_back else "there is no roll-out"
                 return (
-                    "" if await self._record_plan(running, after) else "the term ended meanwhile: ask again"
+                    ""
+                    if await self._record_plan(rollout, rolled_back_plan)
+                    else "the term ended meanwhile: ask again"
                 )
             if (
-                last is not None
-                and last.digest == request.digest
-                and last.stage not in (RolloutStage.BACK, RolloutStage.STOPPED)
+                last_plan is not None
+                and last_plan.digest == request.digest
+                and last_plan.stage not in (RolloutStage.BACK, RolloutStage.STOPPED)
             ):
                 return ""
             plan = new_plan(
-                last,
+                last_plan,
                 request.digest,
                 request.base_digest,
                 request.watch_time,
@@ -610,17 +634,17 @@
                 return plan
             if request.digest not in self.cached_texts and request.digest != self.active_digest:
                 return f"its text could not be had from {sender}"
-            fresh = Rollout(plan)
-            if not await self._record_plan(fresh, plan):
+            new_rollout = Rollout(plan)
+            if not await self._record_plan(new_rollout, plan):
                 return "the term ended meanwhile: ask again"
-            self.rollout = fresh
+            self.rollout = new_rollout
             self.wake.set()
             return ""
 
     def status(self) -> dict[str, object]:
         """The last roll-out as this front end knows it, for operators."""
-        running = self.rollout
-        plan = running.plan if running is not None else self.ordered_plan
+        rollout = self.rollout
+        plan = rollout.plan if rollout is not None else self.ordered_plan
         owner = self.duties.owner(CATALOGUE_LEASE)
         told: dict[str, object] = {
             "owner": owner.holder if owner else None,
@@ -640,8 +664,8 @@
                 "step": plan.step,
                 "reason": plan.end_reason,
             }
-        if running is not None:
-            told["waits_for"] = running.unconfirmed_fronts(
+        if rollout is not None:
+            told["waits_for"] = rollout.unconfirmed_fronts(
                 self.peers.membership.present(), self.coordinator.clock.now()
             )[:20]
         return told
--- a/oakcroft/front/catalogue_versions.py
+++ b/oakcroft/front/catalogue_versions.py
@@ -46,8 +46,10 @@
 
     def __init__(self, coordinator: SessionCoordinator, log: structlog.typing.FilteringBoundLogger) -> None:
         """Starts with no versions; `restore` loads the stored ones."""
-        self.coordinator, self.log = coordinator, log
-        self.history, self.step_downs = VersionHistory(), StepDownQueue()
+        self.coordinator = coordinator
+        self.log = log
+        self.history = VersionHistory()
+        self.step_downs = StepDownQueue()
         self.texts_by_version: dict[int, str] = {}
         self.change_lock = trio.Lock()  # one change is parsed and evaluated at a time
         self.wake = trio.Event()
@@ -61,22 +63,28 @@
 
     def restore(self, stored: StateContents | None) -> None:
         """Activates the last stored version, before any request is accepted, and drops versions over the limit."""
-        versions = [v for v in stored.versions if v.kind == VERSION_KIND] if stored is not None else []
-        for v in versions[-self.history.max_versions :]:
-            self.history.add(VersionEntry(v.number, v.digest, v.activated_at, v.reason))
-            self.texts_by_version[v.number] = v.body.decode()
+        versions = (
+            [version for version in stored.versions if version.kind == VERSION_KIND]
+            if stored is not None
+            else []
+        )
+        for version in versions[-self.history.max_versions :]:
+            self.history.add(
+                VersionEntry(version.number, version.digest, version.activated_at, version.reason)
+            )
+            self.texts_by_version[version.number] = version.body.decode()
         if self.coordinator.durable_state is not None:
-            for v in versions[: -self.history.max_versions]:
-                self.coordinator.durable_state.store.enqueue(DropVersion(VERSION_KIND, v.number))
+            for version in versions[: -self.history.max_versions]:
+                self.coordinator.durable_state.store.enqueue(DropVersion(VERSION_KIND, version.number))
         if versions:
             last = versions[-1]
-            said = read_catalogue(last.body.decode())
-            new = Catalogue(last.number, last.digest, said.titles, said.others)
+            content = read_catalogue(last.body.decode())
+            catalogue = Catalogue(last.number, last.digest, content.titles, content.others)
             self.coordinator.title_cache.apply_catalogue(
-                new.titles, changed_titles(self.coordinator.catalogue, new)
+                catalogue.titles, changed_titles(self.coordinator.catalogue, catalogue)
             )
-            self.coordinator.catalogue = new
-            self.log.info("catalogue as before", version=last.number, titles=len(said.titles))
+            self.coordinator.catalogue = catalogue
+            self.log.info("catalogue as before", version=last.number, titles=len(content.titles))
 
     # Changes.
 
@@ -95,9 +103,9 @@
     ) -> ChangeResult:
         """Submits a change to the active catalogue, with arguments as for `replace`."""
         base = self.coordinator.catalogue
-        said = CatalogueContent(dict(base.titles), base.serves_unlisted)
+        content = CatalogueContent(dict(base.titles), base.serves_unlisted)
         return await self._evaluate(
-            partial(apply_change, text, said), base_digest or base.digest, force, reason, share
+            partial(apply_change, text, content), base_digest or base.digest, force, reason, share
         )
 
     async def roll_back(self, number: int, base_digest: str | None, force: bool) -> ChangeResult | None:
@@ -124,21 +132,24 @@
             base = self.coordinator.catalogue
 
             def prepare() -> tuple[Catalogue, list[str], str]:
-                found = parse()
-                text = format_catalogue(found.titles.items(), found.others)
-                new = Catalogue(self.history.next_number, digest_of(text), found.titles, found.others)
+                content = parse()
+                text = format_catalogue(content.titles.items(), content.others)
+                new = Catalogue(self.history.next_number, digest_of(text), content.titles, content.others)
                 return new, changed_titles(base, new), text
 
-            new, names, text = await trio.to_thread.run_sync(prepare)
-            done, out = trio.Event(), list[ChangeResult]()
+            new, changed_names, text = await trio.to_thread.run_sync(prepare)
+            done = trio.Event()
+            results = list[ChangeResult]()
 
             def take() -> None:
-                out.append(self._activate(base, new, names, text, base_digest, force, reason, share))
+                results.append(
+                    self._activate(base, new, changed_names, text, base_digest, force, reason, share)
+                )
                 done.set()
 
             await self.coordinator.submit(take)
             await done.wait()
-        return out[0]
+        return results[0]
 
     def _activate(
         self,
@@ -152,44 +163,54 @@
         share: float,
     ) -> ChangeResult:
         """Evaluates a change and activates it as a whole, or refuses it; runs as one event of the coordinator."""
-        helm, terms = self.coordinator, self.coordinator.site.terms
-        lines = helm.node_list.listed_nodes.values()
-        ready = frozenset(x.name for x in lines if x.listing is NodeStatus.READY)
-        floors = {n: p.plan.floor for n, p in helm.site.plans.items()}
+        coordinator = self.coordinator
+        terms = self.coordinator.site.terms
+        listed_nodes = coordinator.node_list.listed_nodes.values()
+        ready = frozenset(
+            listed_node.name for listed_node in listed_nodes if listed_node.listing is NodeStatus.READY
+        )
+        floors = {name: plan_terms.plan.floor for name, plan_terms in coordinator.site.plans.items()}
         fleet = FleetSnapshot(
-            ready, frozenset(x.name for x in lines), len(terms.rung_rates), terms.cell_count, floors
+            ready,
+            frozenset(listed_node.name for listed_node in listed_nodes),
+            len(terms.rung_rates),
+            terms.cell_count,
+            floors,
+        )
+        verdict, reasons = evaluate_change(
+            coordinator.catalogue, new, changed_names, base_digest, fleet, force
         )
-        verdict, why_not = evaluate_change(helm.catalogue, new, changed_names, base_digest, fleet, force)
         if verdict is CatalogueVerdict.TAKEN and not is_in_share(
             terms.front_index, terms.front_count, int(new.digest, 16), share
         ):
-            verdict, why_not = CatalogueVerdict.LATER, [f"rolled out to {share:.0%} of the fronts"]
+            verdict = CatalogueVerdict.LATER
+            reasons = [f"rolled out to {share:.0%} of the fronts"]
         if verdict is not CatalogueVerdict.TAKEN:
             self.log.warning(
                 "catalogue not taken",
                 verdict=verdict.name.lower(),
-                reasons=why_not[:5],
+                reasons=reasons[:5],
                 titles=len(new.titles),
             )
-            return verdict, why_not
-        now = helm.clock.now()
-        helm.title_cache.apply_catalogue(new.titles, changed_names)
-        helm.catalogue = new
+            return verdict, reasons
+        now = coordinator.clock.now()
+        coordinator.title_cache.apply_catalogue(new.titles, changed_names)
+        coordinator.catalogue = new
         self.texts_by_version[new.number] = text
-        forgotten = self.history.add(VersionEntry(new.number, new.digest, now, reason))
-        for number in forgotten:
+        dropped_numbers = self.history.add(VersionEntry(new.number, new.digest, now, reason))
+        for number in dropped_numbers:
             self.texts_by_version.pop(number, None)
-        if helm.durable_state is not None:
-            helm.durable_state.store.enqueue(
+        if coordinator.durable_state is not None:
+            coordinator.durable_state.store.enqueue(
                 VersionRecord(VERSION_KIND, new.number, new.digest, now, reason, text.encode())
             )
-            for number in forgotten:
-                helm.durable_state.store.enqueue(DropVersion(VERSION_KIND, number))
-        some = set(changed_names)
+            for number in dropped_numbers:
+                coordinator.durable_state.store.enqueue(DropVersion(VERSION_KIND, number))
+        changed = set(changed_names)
         counts = dict.fromkeys(PlaybackEffect, 0)
-        for v in list(helm.sessions_by_playback.values()):
-            if v.playback.title.name in some:
-                counts[self._apply_to_playback(v, new)] += 1
+        for session in list(coordinator.sessions_by_playback.values()):
+            if session.playback.title.name in changed:
+                counts[self._apply_to_playback(session, new)] += 1
         if self.step_downs.waiting:
             self.wake.set()
         self.log.info(
@@ -198,24 +219,25 @@
             titles=len(new.titles),
             changed=len(changed_names),
             why=reason,
-            **{c.name.lower(): n for c, n in counts.items()},
+            **{effect.name.lower(): name for effect, name in counts.items()},
         )
         return verdict, []
 
     def _apply_to_playback(self, session: PlaybackSession, new: Catalogue) -> PlaybackEffect:
         """Applies the new version's rung limit to a playback; queues it if it must step down."""
-        rungs, item = len(self.coordinator.site.terms.rung_rates), new.titles.get(session.playback.title.name)
+        rung_count = len(self.coordinator.site.terms.rung_rates)
+        title = new.titles.get(session.playback.title.name)
         if session.playback.state is not PlaybackState.PLAYING:  # its next try, if any, uses the new version
-            if item is not None:
+            if title is not None:
                 session.playback.top_rung = max(
-                    session.playback.plan.floor, min(session.requested_top, item.top_rung(rungs))
+                    session.playback.plan.floor, min(session.requested_top, title.top_rung(rung_count))
                 )
             return PlaybackEffect.STAYS
-        what, top = self.coordinator.catalogue_effect(session)
-        session.playback.top_rung = max(session.playback.plan.floor, min(session.requested_top, top))
-        if what is PlaybackEffect.STEPS_DOWN:
+        effect, top_rung = self.coordinator.catalogue_effect(session)
+        session.playback.top_rung = max(session.playback.plan.floor, min(session.requested_top, top_rung))
+        if effect is PlaybackEffect.STEPS_DOWN:
             self.step_downs.add([session.id])
-        return what
+        return effect
 
     async def run(self) -> None:
         """Steps queued playbacks down in batches until cancelled."""
@@ -223,14 +245,14 @@
             await self.wake.wait()
             self.wake = trio.Event()
             while self.step_downs.waiting:
-                some = self.step_downs.next_batch(self.coordinator.clock.now())
-                if some:
-                    await self.coordinator.submit(partial(self._step_down, some))
+                session_ids = self.step_downs.next_batch(self.coordinator.clock.now())
+                if session_ids:
+                    await self.coordinator.submit(partial(self._step_down, session_ids))
                 await trio.sleep(self.step_downs.interval / 1e9)
 
     def _step_down(self, session_ids: list[str]) -> None:
-        for id_ in session_ids:
-            v = self.coordinator.sessions_by_id.get(id_)
+        for session_id in session_ids:
+            session = self.coordinator.sessions_by_id.get(session_id)
             # Compared with the current limit: a later version may have raised it again.
-            if v is not None and v.playback.rung > v.playback.top_rung:
-                self.coordinator.set_rung_bound(v, v.playback.top_rung)
+            if session is not None and session.playback.rung > session.playback.top_rung:
+                self.coordinator.set_rung_bound(session, session.playback.top_rung)
--- a/oakcroft/front/durable_state.py
+++ b/oakcroft/front/durable_state.py
@@ -66,12 +66,13 @@
         self, store: StateWriter, coordinator: Coordinator, log: structlog.typing.FilteringBoundLogger
     ) -> None:
         """Connects to the store of the state file; `restore` loads what the file holds."""
-        self.store, self.coordinator, self.log = store, coordinator, log
+        self.store = store
+        self.coordinator = coordinator
+        self.log = log
         self.promises: dict[str, Promise] = {}  # by the session's id
         self.unconfirmed: set[str] = set()  # ids of restored sessions that no node has confirmed yet
-        self.uncertain: dict[
-            str, PlaybackSession
-        ] = {}  # restored intents of unknown outcome, by the session's id
+        # Restored intents of unknown outcome, by the session's id.
+        self.uncertain: dict[str, PlaybackSession] = {}
         self.claim_timeout = CLAIM_TIMEOUT_NS
         # Ids of restored sessions of API clients, with the time until which a client may claim them.
         self.unclaimed_until: dict[str, int] = {}
@@ -98,10 +99,10 @@
         # answered "aborted" now and "plays" later.
         if session.key in self.recovery.learned_keys and self.store.is_read:
             return answers.aborted_reply(session.playback.plan.effect)
-        sound = self.store.health.can_record(self.coordinator.clock.now())
+        can_write = self.store.health.can_record(self.coordinator.clock.now())
         return (
             None
-            if sound and self.recovery.can_record(session.key)
+            if can_write and self.recovery.can_record(session.key)
             else answers.REFUSAL_REPLIES[answers.Refusal.UNRECORDED]
         )
 
@@ -115,8 +116,9 @@
             return True
         if session.final_answer is not None:  # its abandon time has just passed: no set-up is sent any more
             return False
-        before, promise = self.promises.get(session.id), self._intent_promise(session, node, rung)
-        self.promises[session.id] = transition(before, promise)
+        earlier = self.promises.get(session.id)
+        promise = self._intent_promise(session, node, rung)
+        self.promises[session.id] = transition(earlier, promise)
         with trio.move_on_at(self.coordinator.clock.trio_time(deadline)):
             if await self.store.write_durably(PutPromise(promise)):
                 return True
@@ -125,12 +127,12 @@
 
     def update_promise(self, promise: Promise) -> None:
         """Stores a changed promise without waiting for the write."""
-        before = self.promises.get(promise.id)
-        if before is None and promise.mark is PromiseState.GONE:
+        earlier = self.promises.get(promise.id)
+        if earlier is None and promise.mark is PromiseState.GONE:
             return
-        if before is not None and before.mark is PromiseState.GONE:
+        if earlier is not None and earlier.mark is PromiseState.GONE:
             return
-        transition(before, promise)
+        transition(earlier, promise)
         if promise.mark is PromiseState.GONE:
             self.promises.pop(promise.id, None)
         else:
@@ -140,32 +142,31 @@
     def try_ended(self, session: PlaybackSession, outcome: Outcome) -> None:
         """A setup try of a session has ended without success."""
         if (promise := self.promises.get(session.id)) is not None:
-            after = after_try(promise, outcome, self.coordinator.clock.now())
-            if after is not promise:
-                self.update_promise(after)
+            updated = after_try(promise, outcome, self.coordinator.clock.now())
+            if updated is not promise:
+                self.update_promise(updated)
 
     def playing_promise(self, session: PlaybackSession) -> Promise | None:
         """The promise to record for a playing session, whether newly set up or moved to another node."""
         if session.upstream is None or session.playback.node is None:
             return None
-        u, promise = (
-            session.upstream,
-            self._intent_promise(session, session.upstream.node, session.playback.rung),
-        )
+        upstream = session.upstream
+        promise = self._intent_promise(session, session.upstream.node, session.playback.rung)
         return replace(
             promise,
             mark=PromiseState.PLAYS,
             sent_at=session.playback.tries[-1][1] if session.playback.tries else promise.changed,
-            resource=u.resource,
-            events=u.events_path,
-            layer=u.layer_path,
-            tag=session.resource.etag if session.resource else u.etag,
-            answer=u.sdp_answer,
+            resource=upstream.resource,
+            events=upstream.events_path,
+            layer=upstream.layer_path,
+            tag=session.resource.etag if session.resource else upstream.etag,
+            answer=upstream.sdp_answer,
         )
 
     def _intent_promise(self, session: PlaybackSession, node: str, rung: int) -> Promise:
         """The promise for an intent to set a session up on a node, now."""
-        now, leg = self.coordinator.clock.now(), self.coordinator.node_clients.get(node)
+        now = self.coordinator.clock.now()
+        node_client = self.coordinator.node_clients.get(node)
         return Promise(
             session.id,
             session.key,
@@ -183,7 +184,7 @@
             session.deadline.abandon_at,
             PromiseState.INTENT,
             node,
-            leg.stream_health.process if leg else "",
+            node_client.stream_health.process if node_client else "",
             now,
             rung=rung,
             changed=now,
@@ -200,9 +201,8 @@
     async def record_playing(self, session: PlaybackSession) -> bool:
         """Records that a session plays; False if that did not succeed in time."""
         promise = self.playing_promise(session)
-        if (
-            promise is None or session.final_answer is not None
-        ):  # already answered "may have run", which is final
+        # Already answered "may have run", which is final.
+        if promise is None or session.final_answer is not None:
             return False
         self.promises[session.id] = transition(self.promises.get(session.id), promise)
         return await self.store.write_durably(PutPromise(promise))
@@ -217,8 +217,8 @@
                 session.id not in self.promises or self.promises[session.id].mark is not PromiseState.PLAYS
             ):
                 self.update_promise(promise)
-        elif (before := self.promises.get(session.id)) is not None:
-            self.update_promise(after_answer(before, final, self.coordinator.clock.now()))
+        elif (earlier := self.promises.get(session.id)) is not None:
+            self.update_promise(after_answer(earlier, final, self.coordinator.clock.now()))
 
     def session_moved(self, session: PlaybackSession) -> None:
         """Records that a session plays on another node than before."""
@@ -273,39 +273,39 @@
             self.alive_recorded_at = now
             self.store.enqueue(NamedValue("alive", str(now).encode()))
             self.stored_penalties = {
-                name: grudge
-                for name, grudge in self.stored_penalties.items()
+                name: penalty
+                for name, penalty in self.stored_penalties.items()
                 if name in self.coordinator.node_list.nodes
             }
             for node in self.coordinator.node_list.nodes.values():
                 score = node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS)
-                grudge = NodePenalty(node.name, round(score, 2), now, node.failed_at)
-                old = self.stored_penalties.get(node.name)
-                worth = score > MIN_STORED_PENALTY or now - node.failed_at < RECENT_FAILURE_NS
-                if (worth or old is not None) and (
-                    old is None or (old.score, old.failed_at) != (grudge.score, node.failed_at)
+                penalty = NodePenalty(node.name, round(score, 2), now, node.failed_at)
+                stored = self.stored_penalties.get(node.name)
+                is_significant = score > MIN_STORED_PENALTY or now - node.failed_at < RECENT_FAILURE_NS
+                if (is_significant or stored is not None) and (
+                    stored is None or (stored.score, stored.failed_at) != (penalty.score, node.failed_at)
                 ):
-                    self.stored_penalties[node.name] = grudge
-                    self.store.enqueue(grudge)
-                    if not worth:
+                    self.stored_penalties[node.name] = penalty
+                    self.store.enqueue(penalty)
+                    if not is_significant:
                         del self.stored_penalties[node.name]
-            for id_ in [
-                i
-                for i, p in self.promises.items()
-                if p.mark is PromiseState.ABORTED and now - p.changed > self.store.retention_ns
+            for expired_id in [
+                session_id
+                for session_id, promise in self.promises.items()
+                if promise.mark is PromiseState.ABORTED and now - promise.changed > self.store.retention_ns
             ]:
-                del self.promises[id_]  # the store expires its copy on its own
-        for id_, at in list(self.proof_due_at.items()):
-            if now >= at and id_ in self.uncertain:
-                del self.proof_due_at[id_]
-                if leg := self.coordinator.node_clients.get(self.promises[id_].node):
-                    leg.reopen_stream()
-        for id_ in [i for i, until in self.unclaimed_until.items() if now > until]:
-            del self.unclaimed_until[id_]
-            if (gone := self.coordinator.sessions_by_id.get(id_)) is not None:
-                self.log.info("seat not taken again", playback=id_)
-                self.coordinator.close_viewer_session(gone)
-                self.coordinator.end_session(gone)
+                del self.promises[expired_id]  # the store expires its copy on its own
+        for expired_id, due_at in list(self.proof_due_at.items()):
+            if now >= due_at and expired_id in self.uncertain:
+                del self.proof_due_at[expired_id]
+                if node_client := self.coordinator.node_clients.get(self.promises[expired_id].node):
+                    node_client.reopen_stream()
+        for expired_id in [session_id for session_id, until in self.unclaimed_until.items() if now > until]:
+            del self.unclaimed_until[expired_id]
+            if (unclaimed := self.coordinator.sessions_by_id.get(expired_id)) is not None:
+                self.log.info("seat not taken again", playback=expired_id)
+                self.coordinator.close_viewer_session(unclaimed)
+                self.coordinator.end_session(unclaimed)
         if (
             self.recovery.phase is RecoveryPhase.STATE_LOST
             and self.recovery.check(now) is RecoveryPhase.SERVING
@@ -319,12 +319,12 @@
         now = self.coordinator.clock.now()
         if stored is not None:
             self._restore_promises(stored)
-        had = stored is not None and self.store.was_complete
+        was_found = stored is not None and self.store.was_complete
         if stored is not None and "learnt" in stored.named_values:
             at, keys = msgspec.msgpack.decode(stored.named_values["learnt"], type=tuple[int, list[str]])
             if now - at <= self.store.retention_ns:
                 self.recovery.learned_keys |= set(keys)
-        phase = self.recovery.state_read(had, self.coordinator.node_list.listed_nodes, now)
+        phase = self.recovery.state_read(was_found, self.coordinator.node_list.listed_nodes, now)
         if phase is RecoveryPhase.STATE_LOST:
             self.log.warning(
                 "state lost",
@@ -335,13 +335,13 @@
 
     def _ask_unanswered_nodes(self) -> None:
         for name in sorted(self.recovery.unanswered_nodes):
-            if leg := self.coordinator.node_clients.get(name):
-                self.coordinator.follow_events(leg, f"/events/{self.coordinator.pseudonym}")
+            if node_client := self.coordinator.node_clients.get(name):
+                self.coordinator.follow_events(node_client, f"/events/{self.coordinator.pseudonym}")
 
     def nodes_listed(self, listed_nodes: Iterable[ListedNode]) -> None:
         """Asks the nodes that the first node list after startup adds, if the state file was lost."""
         if self.recovery.phase is RecoveryPhase.STATE_LOST or not self.recovery.has_node_list:
-            self.recovery.nodes_listed([x.name for x in listed_nodes])
+            self.recovery.nodes_listed([node.name for node in listed_nodes])
             if self.recovery.phase is RecoveryPhase.STATE_LOST:
                 self._ask_unanswered_nodes()
 
@@ -350,27 +350,34 @@
 
         `late`: the file became readable during service; promises whose keys are known by then are skipped.
         """
-        helm, now = self.coordinator, self.coordinator.clock.now()
+        coordinator = self.coordinator
+        now = self.coordinator.clock.now()
         counts: dict[str, int] = {}
-        copies = {m.new_playback for m in stored.moves}
-        known = {p.key for p in self.promises.values()}
+        copies = {record.new_playback for record in stored.moves}
+        known_keys = {kept_promise.key for kept_promise in self.promises.values()}
         for promise in stored.promises:
-            if late and promise.key in known:
+            if late and promise.key in known_keys:
                 continue
-            plan = helm.site.plans.get(promise.plan)
-            what = recovery_action(
-                promise, promise.node in helm.node_list.nodes, plan is not None, self.store.retention_ns, now
+            plan = coordinator.site.plans.get(promise.plan)
+            action = recovery_action(
+                promise,
+                promise.node in coordinator.node_list.nodes,
+                plan is not None,
+                self.store.retention_ns,
+                now,
             )
-            if what in (RecoveryAction.ADOPT, RecoveryAction.HOLD) and not self._restore_playback(
-                promise, what, now
+            if action in (RecoveryAction.ADOPT, RecoveryAction.HOLD) and not self._restore_playback(
+                promise, action, now
             ):
-                what = RecoveryAction.END if promise.mark is PromiseState.PLAYS else RecoveryAction.REMEMBER
-            counts[what.name.lower()] = counts.get(what.name.lower(), 0) + 1
-            if what is RecoveryAction.END:
+                action = RecoveryAction.END if promise.mark is PromiseState.PLAYS else RecoveryAction.REMEMBER
+            counts[action.name.lower()] = counts.get(action.name.lower(), 0) + 1
+            if action is RecoveryAction.END:
                 self._end_session(promise)
-            if what is RecoveryAction.FORGET or (what is RecoveryAction.END and not promise.must_not_repeat):
+            if action is RecoveryAction.FORGET or (
+                action is RecoveryAction.END and not promise.must_not_repeat
+            ):
                 self.store.enqueue(PutPromise(replace(promise, mark=PromiseState.GONE)))
-            elif what in (RecoveryAction.REMEMBER, RecoveryAction.END):
+            elif action in (RecoveryAction.REMEMBER, RecoveryAction.END):
                 aborted = replace(
                     promise,
                     mark=PromiseState.ABORTED,
@@ -379,77 +386,85 @@
                 self.promises[promise.id] = aborted
                 self.store.enqueue(PutPromise(aborted))
                 self._restore_aborted_key(aborted, now)
-        for grudge in stored.node_penalties:
-            if (node := helm.node_list.nodes.get(grudge.node)) is not None:
-                node.failure_score.add(grudge.score, grudge.recorded_at, FAILURE_SCORE_HALF_LIFE_NS)
-                node.failed_at = max(node.failed_at, grudge.failed_at)
-        lately = now - 2 * helm.site.terms.overload_window_ns
-        spent = [
-            helm.node_list.nodes[s.node]
-            for s in stored.slot_usage
-            if s.node in helm.node_list.nodes and s.recorded_at >= lately
+        for penalty in stored.node_penalties:
+            if (node := coordinator.node_list.nodes.get(penalty.node)) is not None:
+                node.failure_score.add(penalty.score, penalty.recorded_at, FAILURE_SCORE_HALF_LIFE_NS)
+                node.failed_at = max(node.failed_at, penalty.failed_at)
+        oldest_counted = now - 2 * coordinator.site.terms.overload_window_ns
+        nodes_with_used_slot = [
+            coordinator.node_list.nodes[usage.node]
+            for usage in stored.slot_usage
+            if usage.node in coordinator.node_list.nodes and usage.recorded_at >= oldest_counted
         ]
-        alive = int(stored.named_values.get("alive", b"0"))
-        terms = helm.site.terms
-        helm.policy.on_history_restored(
-            restored_further_tries(alive, terms.retry_budget_base, terms.retry_budget_window_ns, now),
-            spent,
+        alive_at = int(stored.named_values.get("alive", b"0"))
+        terms = coordinator.site.terms
+        coordinator.policy.on_history_restored(
+            restored_further_tries(alive_at, terms.retry_budget_base, terms.retry_budget_window_ns, now),
+            nodes_with_used_slot,
             now,
         )
         for move in stored.moves:
             self.store.enqueue(MoveRecord(move.playback, "", 0))
-        self.log.info("state taken on", promises=len(stored.promises), moves=len(copies), away_ms=(now - alive) // MS,
-                      late=late, spent=len(spent), **counts)  # fmt: skip
+        self.log.info(
+            "state taken on",
+            promises=len(stored.promises),
+            moves=len(copies),
+            away_ms=(now - alive_at) // MS,
+            late=late,
+            spent=len(nodes_with_used_slot),
+            **counts,
+        )
 
     def _restore_playback(self, promise: Promise, action: RecoveryAction, now: int) -> bool:
         """Restores a promise as a playback of the decision module, which then counts its seat and load.
 
         False if its node is gone or its title or plan is not served.
         """
-        helm = self.coordinator
-        node, leg, v = (
-            helm.node_list.nodes.get(promise.node),
-            helm.node_clients.get(promise.node),
-            session_from_promise(helm, promise),
-        )
-        if node is None or leg is None or v is None:
+        coordinator = self.coordinator
+        node = coordinator.node_list.nodes.get(promise.node)
+        node_client = coordinator.node_clients.get(promise.node)
+        session = session_from_promise(coordinator, promise)
+        if node is None or node_client is None or session is None:
             return False
         self.promises[promise.id] = promise
-        resume_playback(helm, v, node)
+        resume_playback(coordinator, session, node)
         if action is RecoveryAction.HOLD:
-            v.final_answer, v.is_ending = FinalAnswer.ABORTED, True
-            helm.policy.on_viewer_left(v.playback, now)
-            self.uncertain[v.id] = v
-            self.proof_due_at[v.id] = proof_possible_at(promise)
+            session.final_answer = FinalAnswer.ABORTED
+            session.is_ending = True
+            coordinator.policy.on_viewer_left(session.playback, now)
+            self.uncertain[session.id] = session
+            self.proof_due_at[session.id] = proof_possible_at(promise)
             if promise.must_not_repeat:
                 self._restore_aborted_key(promise, now)
         else:
-            u = UpstreamSession(
+            upstream = UpstreamSession(
                 promise.node, promise.resource, promise.events, promise.layer, promise.tag, promise.answer
             )
-            attach_to_node(helm, v, leg, u)
-            self.unconfirmed.add(v.id)
+            attach_to_node(coordinator, session, node_client, upstream)
+            self.unconfirmed.add(session.id)
             if promise.seated:
-                self.unclaimed_until[v.id] = now + self.claim_timeout
-            helm.idempotency_store.restore(
-                v.key, v.fingerprint, promise.must_not_repeat, FinalAnswer.PLAYS, v, now
+                self.unclaimed_until[session.id] = now + self.claim_timeout
+            coordinator.idempotency_store.restore(
+                session.key, session.fingerprint, promise.must_not_repeat, FinalAnswer.PLAYS, session, now
             )
-        helm.follow_events(leg, promise.events or f"/events/{helm.pseudonym}")
+        coordinator.follow_events(node_client, promise.events or f"/events/{coordinator.pseudonym}")
         return True
 
     def _restore_aborted_key(self, promise: Promise, now: int) -> None:
         """Makes repeated requests with the key of a promise that may have run abort."""
-        v = session_from_promise(self.coordinator, promise)
+        session = session_from_promise(self.coordinator, promise)
         plan = self.coordinator.site.plans.get(promise.plan)
-        if v is None or plan is None:
+        if session is None or plan is None:
             return
-        v.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(plan.plan.effect))
-        self.coordinator.idempotency_store.restore(v.key, v.fingerprint, True, FinalAnswer.ABORTED, v, now)
+        session.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(plan.plan.effect))
+        self.coordinator.idempotency_store.restore(
+            session.key, session.fingerprint, True, FinalAnswer.ABORTED, session, now
+        )
 
     def _end_session(self, promise: Promise) -> None:
-        leg = self.coordinator.node_clients.get(promise.node)
-        if leg is not None and promise.resource:
-            self.coordinator.nursery.start_soon(leg.end_session, promise.resource)
+        node_client = self.coordinator.node_clients.get(promise.node)
+        if node_client is not None and promise.resource:
+            self.coordinator.nursery.start_soon(node_client.end_session, promise.resource)
 
     # Reports from nodes.
 
@@ -457,10 +472,10 @@
         """Handles a node's report of this front end's sessions that it runs and the keys that it has run."""
         now = self.coordinator.clock.now()
         running = dict(zip(hello.sessions, hello.keys, strict=False))
-        for playing in hello.sessions:
-            if v := self.coordinator.sessions_by_upstream.get((node_client.name, playing)):
-                self.unconfirmed.discard(v.id)
-        word = NodeReport(
+        for resource in hello.sessions:
+            if held_session := self.coordinator.sessions_by_upstream.get((node_client.name, resource)):
+                self.unconfirmed.discard(held_session.id)
+        report = NodeReport(
             hello.process,
             running,
             frozenset(hello.ran),
@@ -469,32 +484,37 @@
             requested_at,
             now,
         )
-        for id_, v in list(self.uncertain.items()):
-            promise = self.promises[id_]
+        for session_id, held_session in list(self.uncertain.items()):
+            promise = self.promises[session_id]
             if promise.node != node_client.name:
                 continue
-            verdict = judge_promise(promise, word)
+            verdict = judge_promise(promise, report)
             if verdict is PromiseVerdict.UNPROVEN:
                 continue
-            session = next((s for s, key in running.items() if key == promise.key), None)
+            running_resource = next(
+                (running_path for running_path, key in running.items() if key == promise.key), None
+            )
             self.log.info(
-                "promise resolved", playback=id_, node=node_client.name, verdict=verdict.name.lower()
+                "promise resolved", playback=session_id, node=node_client.name, verdict=verdict.name.lower()
             )
-            told = verdict is PromiseVerdict.NEVER_RAN and not self.coordinator.idempotency_store.forget(
-                v.key
+            abort_replayed = (
+                verdict is PromiseVerdict.NEVER_RAN
+                and not self.coordinator.idempotency_store.forget(held_session.key)
             )
-            after = apply_verdict(promise, verdict, now, told)
-            self.uncertain.pop(id_)
-            self.proof_due_at.pop(id_, None)
-            if verdict is PromiseVerdict.RUNNING and session is not None:
-                self.coordinator.nursery.start_soon(self._end_and_release, node_client, session, v)
+            updated = apply_verdict(promise, verdict, now, abort_replayed)
+            self.uncertain.pop(session_id)
+            self.proof_due_at.pop(session_id, None)
+            if verdict is PromiseVerdict.RUNNING and running_resource is not None:
+                self.coordinator.nursery.start_soon(
+                    self._end_and_release, node_client, running_resource, held_session
+                )
             else:
-                self.coordinator.release_unproven(v)
-            if after is not promise:
-                self.update_promise(after)
+                self.coordinator.release_unproven(held_session)
+            if updated is not promise:
+                self.update_promise(updated)
         if (
             self.recovery.phase is RecoveryPhase.STATE_LOST
-            and self.recovery.report_received(node_client.name, word, now) is RecoveryPhase.SERVING
+            and self.recovery.report_received(node_client.name, report, now) is RecoveryPhase.SERVING
         ):
             self._record_complete_state()
 
@@ -515,8 +535,8 @@
 
     def _record_complete_state(self) -> None:
         """Records that the state file is complete again, together with the keys learned from nodes."""
-        learnt = msgspec.msgpack.encode((self.coordinator.clock.now(), sorted(self.recovery.learned_keys)))
-        self.store.enqueue(NamedValue("learnt", learnt))
+        learned = msgspec.msgpack.encode((self.coordinator.clock.now(), sorted(self.recovery.learned_keys)))
+        self.store.enqueue(NamedValue("learnt", learned))
         self.store.enqueue(NamedValue(COMPLETE_KEY, b"1"))
         self.log.warning("state whole again", learnt=len(self.recovery.learned_keys))
 
@@ -530,12 +550,12 @@
         """Handles a lost node: if the loss is proven, resolves its uncertain intents as having run."""
         if not is_proven:
             return
-        for id_, v in list(self.uncertain.items()):
-            promise = self.promises[id_]
+        for session_id, held_session in list(self.uncertain.items()):
+            promise = self.promises[session_id]
             if promise.node == node_name:
-                self.uncertain.pop(id_)
-                self.proof_due_at.pop(id_, None)
-                self.coordinator.release_unproven(v)
+                self.uncertain.pop(session_id)
+                self.proof_due_at.pop(session_id, None)
+                self.coordinator.release_unproven(held_session)
                 self.update_promise(apply_verdict(promise, PromiseVerdict.RAN, self.coordinator.clock.now()))
         if self.recovery.phase is RecoveryPhase.STATE_LOST:
             self.recovery.report_received(node_name, None, self.coordinator.clock.now())
--- a/oakcroft/front/load_probing.py
+++ b/oakcroft/front/load_probing.py
@@ -36,11 +36,18 @@
     """One front end's part in sharing nodes' loads."""
 
     def __init__(
-        self, coordinator: SessionCoordinator, peers: LoadPeers, front_name: str, probe_interval: int, seed: int,
+        self,
+        coordinator: SessionCoordinator,
+        peers: LoadPeers,
+        front_name: str,
+        probe_interval: int,
+        seed: int,
         log: structlog.typing.FilteringBoundLogger,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`probe_interval` in ns; `seed` spreads the probes."""
-        self.coordinator, self.peers, self.log = coordinator, peers, log
+        self.coordinator = coordinator
+        self.peers = peers
+        self.log = log
         self.load_sharing = LoadSharing(front_name, probe_interval, Random(seed))
         coordinator.on_link_load = self.record_own_load
 
@@ -51,8 +58,8 @@
     def receive_reports(self, reports: list[LoadReport]) -> None:
         """Handles load reports from another front end."""
         now = self.coordinator.clock.now()
-        for node, asked, age in self.load_sharing.receive_reports(reports, now):
-            self.coordinator.try_submit(partial(self.coordinator.apply_peer_load, node, asked, now - age))
+        for node, load, age_ns in self.load_sharing.receive_reports(reports, now):
+            self.coordinator.try_submit(partial(self.coordinator.apply_peer_load, node, load, now - age_ns))
 
     async def run(self) -> None:
         """Probes nodes and sends load reports as they are due, until cancelled."""
@@ -64,35 +71,37 @@
             self.load_sharing.update_present_fronts(self.peers.present())
             for node in self.load_sharing.due_probes(now):
                 self.coordinator.nursery.start_soon(self._probe, node)
-            for to, rows in self.load_sharing.due_messages(now):
-                self.peers.send_loads(to, rows)
+            for peer, reports in self.load_sharing.due_messages(now):
+                self.peers.send_loads(peer, reports)
             await trio.sleep(CHECK_INTERVAL_NS / SECOND)
 
     async def _probe(self, node: str) -> None:
-        asked, knows = None, True
+        load = None
+        is_supported = True
         try:
-            if (leg := self.coordinator.node_clients.get(node)) is not None:
-                asked, knows = await leg.fetch_load()
+            if (node_client := self.coordinator.node_clients.get(node)) is not None:
+                load, is_supported = await node_client.fetch_load()
         finally:
             now = self.coordinator.clock.now()
-            self.load_sharing.probe_finished(node, asked, knows, now)
-        if asked is not None:
-            await self.coordinator.submit(partial(self.coordinator.apply_peer_load, node, asked, now))
+            self.load_sharing.probe_finished(node, load, is_supported, now)
+        if load is not None:
+            await self.coordinator.submit(partial(self.coordinator.apply_peer_load, node, load, now))
 
     def status(self) -> dict[str, object]:
         """Probe counts and the ages of known loads, for operators."""
-        figures, now = self.load_sharing, self.coordinator.clock.now()
-        ages = figures.known_ages(now)
-        first = sum(p.probe_rank == 0 for p in figures.nodes.values())
+        load_sharing = self.load_sharing
+        now = self.coordinator.clock.now()
+        ages = load_sharing.known_ages(now)
+        first_ranked = sum(node.probe_rank == 0 for node in load_sharing.nodes.values())
         return {
-            "nodes": len(figures.nodes),
+            "nodes": len(load_sharing.nodes),
             "known": len(ages),
-            "mine_to_ask": first,
+            "mine_to_ask": first_ranked,
             "age_ms": [ages[len(ages) // 2] // MS, ages[-1] // MS] if ages else None,
-            "asks": figures.probes_sent,
-            "failed": figures.probes_failed,
-            "refused": figures.probes_unsupported,
-            "taken": figures.reports_accepted,
-            "strange": figures.reports_discarded,
-            "every_ms": figures.effective_interval() // MS,
+            "asks": load_sharing.probes_sent,
+            "failed": load_sharing.probes_failed,
+            "refused": load_sharing.probes_unsupported,
+            "taken": load_sharing.reports_accepted,
+            "strange": load_sharing.reports_discarded,
+            "every_ms": load_sharing.effective_interval() // MS,
         }
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -99,8 +99,10 @@
         service_levels: ServiceLevelControl,
         zone_routing: ZoneRouting,
     ) -> None:
-        self.coordinator, self.catalogues = coordinator, catalogues
-        self.service_levels, self.zone_routing = service_levels, zone_routing
+        self.coordinator = coordinator
+        self.catalogues = catalogues
+        self.service_levels = service_levels
+        self.zone_routing = zone_routing
         # The fleet as this front end sees it, if it has peers.
         self.fleet_status: Callable[[], dict[str, object]] | None = None
         self.leases: FleetLeases | None = None  # if lease acceptors are configured
@@ -110,8 +112,8 @@
 
     def is_authorized(self, authorization: str | None) -> bool:
         """Whether an Authorization header has the operators' token."""
-        scheme, _, given = (authorization or "").partition(" ")
-        digest = hashlib.blake2b(given.strip().encode(), digest_size=32).digest()
+        scheme, _, token = (authorization or "").partition(" ")
+        digest = hashlib.blake2b(token.strip().encode(), digest_size=32).digest()
         return scheme.lower() == "bearer" and hmac.compare_digest(
             digest, self.coordinator.site.operator_token_digest
         )
@@ -123,7 +125,7 @@
         """
         if not target.startswith(OPERATORS_PATH) or not self.coordinator.site.operator_token_digest:
             return False
-        return self.is_authorized(next((v for n, v in headers if n == "authorization"), None))
+        return self.is_authorized(next((value for name, value in headers if name == "authorization"), None))
 
     async def handle(self, request: Request) -> Response:
         """Answers one request. Raises RequestError if it is invalid or unauthorized."""
@@ -131,12 +133,12 @@
             raise RequestError(404, "no-route", "Nothing is served at this path")
         if not self.is_authorized(request.header("authorization")):
             raise RequestError(401, "token", "The operators' bearer token is needed")
-        part = request.path.removeprefix(OPERATORS_PATH)
-        if part not in METHODS_BY_PATH:
+        path = request.path.removeprefix(OPERATORS_PATH)
+        if path not in METHODS_BY_PATH:
             raise RequestError(404, "no-route", "Nothing is served at this path")
-        if request.method not in METHODS_BY_PATH[part].split(", "):
-            return Response(405, [("Allow", METHODS_BY_PATH[part])])
-        match part, request.method:
+        if request.method not in METHODS_BY_PATH[path].split(", "):
+            return Response(405, [("Allow", METHODS_BY_PATH[path])])
+        match path, request.method:
             case "catalogue", "GET":
                 return self._get_catalogue(request)
             case "catalogue", _:
@@ -159,12 +161,12 @@
                         404, "no-keepers", "This front has no (keepers …) in its configuration"
                     )
                 if method == "DELETE":
-                    duty = request.query("duty") or ""
-                    if self.leases.term(duty) is None:
+                    lease_name = request.query("duty") or ""
+                    if self.leases.term(lease_name) is None:
                         raise RequestError(
                             409, "not-mine", "This front has no such duty: ask the one that has"
                         )
-                    self.leases.give_back(duty)
+                    self.leases.give_back(lease_name)
                 return Response(
                     200, [("Content-Type", "application/json")], orjson.dumps(self.leases.status())
                 )
@@ -174,72 +176,74 @@
 
     async def _handle_rollout(self, request: Request) -> Response:
         """Starts, shows or rolls back a roll-out over the whole fleet."""
-        rolling = self.rollout
-        if rolling is None:
+        rollout = self.rollout
+        if rollout is None:
             raise RequestError(404, "no-keepers", "This front has no (keepers …) in its configuration")
-        said = ""
+        rejection = ""
         if request.method == "PUT":
-            made_from, (force, why, _) = self._base_digest(request), self._change_options(request)
-            watch = request.query("watch") or "10"
-            if not watch.isdigit() or int(watch) > MAX_WATCH_S:
+            named_base = self._base_digest(request)
+            (force, reason, _) = self._change_options(request)
+            watch_s = request.query("watch") or "10"
+            if not watch_s.isdigit() or int(watch_s) > MAX_WATCH_S:
                 raise RequestError(400, "watch", f"watch is whole seconds up to {MAX_WATCH_S}")
-            base = self.coordinator.catalogue.digest if made_from is None else made_from
+            base_digest = self.coordinator.catalogue.digest if named_base is None else named_base
             try:
-                said = await rolling.submit(
-                    request.body.decode("utf-8"), base, int(watch) * SECOND, force, why
+                rejection = await rollout.submit(
+                    request.body.decode("utf-8"), base_digest, int(watch_s) * SECOND, force, reason
                 )
             except UnicodeDecodeError as fault:
                 raise RequestError(400, "catalogue", "The text is not UTF-8", str(fault)) from None
             except CatalogueError as fault:
-                faults = "\n".join(f.format() for f in fault.faults)
+                faults = "\n".join(item.format() for item in fault.faults)
                 raise RequestError(
                     422, "catalogue", f"{len(fault.faults)} faults; nothing is begun", faults
                 ) from None
         elif request.method == "DELETE":
-            said = await rolling.roll_back((request.query("why") or "")[:100])
-        if said:
-            raise RequestError(409, "roll-out", said)
+            rejection = await rollout.roll_back((request.query("why") or "")[:100])
+        if rejection:
+            raise RequestError(409, "roll-out", rejection)
         status = 200 if request.method == "GET" else 202
-        return Response(status, [("Content-Type", "application/json")], orjson.dumps(rolling.status()))
+        return Response(status, [("Content-Type", "application/json")], orjson.dumps(rollout.status()))
 
     def _etag(self) -> str:
         return f'"{self.coordinator.catalogue.digest or "none"}"'
 
     def _get_catalogue(self, request: Request) -> Response:
-        wanted = request.query("version")
+        version = request.query("version")
         text = self.catalogues.active_text
-        if wanted:
-            if not wanted.isdigit() or int(wanted) not in self.catalogues.texts_by_version:
+        if version:
+            if not version.isdigit() or int(version) not in self.catalogues.texts_by_version:
                 raise RequestError(404, "no-version", "This version is not kept here")
-            text = self.catalogues.texts_by_version[int(wanted)]
+            text = self.catalogues.texts_by_version[int(version)]
         elif request.header("if-none-match") == self._etag():
             return Response(304, [("ETag", self._etag())])
         headers = [("Content-Type", CATALOGUE_MEDIA_TYPE), ("Cache-Control", "no-cache")]
-        return Response(200, headers + ([] if wanted else [("ETag", self._etag())]), text.encode())
+        return Response(200, headers + ([] if version else [("ETag", self._etag())]), text.encode())
 
     def _base_digest(self, request: Request) -> str | None:
-        tag = request.header("if-match")
-        if tag is None:
+        etag = request.header("if-match")
+        if etag is None:
             raise RequestError(428, "if-match", "A change names the version that it was made from: If-Match")
-        return None if tag.strip() == "*" else tag.strip().strip('"').replace("none", "")
+        return None if etag.strip() == "*" else etag.strip().strip('"').replace("none", "")
 
     @staticmethod
     def _change_options(request: Request) -> tuple[bool, str, float]:
-        share = request.query("share") or "1"
+        written_share = request.query("share") or "1"
         try:
-            part = float(share)
+            share = float(written_share)
         except ValueError:
-            part = -1.0
-        if not 0 <= part <= 1:
+            share = -1.0
+        if not 0 <= share <= 1:
             raise RequestError(400, "share", "share is a part of the fronts from 0 to 1")
-        return request.query("force") == "yes", (request.query("why") or "")[:200], part
+        return request.query("force") == "yes", (request.query("why") or "")[:200], share
 
     async def _change_catalogue(self, request: Request) -> Response:
-        made_from, (force, why, share) = self._base_digest(request), self._change_options(request)
+        base_digest = self._base_digest(request)
+        (force, reason, share) = self._change_options(request)
         try:
             text = request.body.decode("utf-8")
-            make = self.catalogues.replace if request.method == "PUT" else self.catalogues.change
-            return self._change_response(await make(text, made_from, force, why, share))
+            submit_change = self.catalogues.replace if request.method == "PUT" else self.catalogues.change
+            return self._change_response(await submit_change(text, base_digest, force, reason, share))
         except UnicodeDecodeError as fault:
             raise RequestError(400, "catalogue", "The text is not UTF-8", str(fault)) from None
         except CatalogueError as fault:
@@ -247,64 +251,69 @@
                 422,
                 "catalogue",
                 f"{len(fault.faults)} faults; nothing is taken",
-                "\n".join(f.format() for f in fault.faults),
+                "\n".join(item.format() for item in fault.faults),
             ) from None
 
     async def _roll_back(self, request: Request) -> Response:
         number = request.query("to") or ""
-        made_from = self._base_digest(request)
-        offer = await self.catalogues.roll_back(
-            int(number) if number.isdigit() else -1, made_from, self._change_options(request)[0]
+        base_digest = self._base_digest(request)
+        result = await self.catalogues.roll_back(
+            int(number) if number.isdigit() else -1, base_digest, self._change_options(request)[0]
         )
-        if offer is None:
+        if result is None:
             raise RequestError(404, "no-version", "This version is not kept here")
-        return self._change_response(offer)
+        return self._change_response(result)
 
     def _change_response(self, result: ChangeResult) -> Response:
-        verdict, why = result
-        told = {"verdict": verdict.name.lower(), "version": self.coordinator.catalogue.number, "reasons": why}
+        verdict, reasons = result
+        body_fields = {
+            "verdict": verdict.name.lower(),
+            "version": self.coordinator.catalogue.number,
+            "reasons": reasons,
+        }
         if STATUS_BY_VERDICT[verdict] >= 400:
             body = words.problem(
                 STATUS_BY_VERDICT[verdict],
                 "urn:oakcroft:problem:catalogue",
                 verdict.value,
-                "; ".join(why),
-                **told,
+                "; ".join(reasons),
+                **body_fields,
             )
             return Response(
                 STATUS_BY_VERDICT[verdict], [("Content-Type", words.PROBLEM), ("ETag", self._etag())], body
             )
         headers = [("Content-Type", "application/json"), ("ETag", self._etag())]
-        return Response(STATUS_BY_VERDICT[verdict], headers, orjson.dumps(told))
+        return Response(STATUS_BY_VERDICT[verdict], headers, orjson.dumps(body_fields))
 
     def _list_versions(self) -> Response:
-        now = self.coordinator.catalogue.number
-        some = [
+        active_number = self.coordinator.catalogue.number
+        versions = [
             {
-                "version": k.number,
-                "digest": k.digest,
-                "taken_ms": k.activated_at // 1_000_000,
-                "why": k.reason,
-                "in_force": k.number == now,
+                "version": version.number,
+                "digest": version.digest,
+                "taken_ms": version.activated_at // 1_000_000,
+                "why": version.reason,
+                "in_force": version.number == active_number,
             }
-            for k in self.catalogues.history.versions
+            for version in self.catalogues.history.versions
         ]
-        return Response(200, [("Content-Type", "application/json")], orjson.dumps(some))
+        return Response(200, [("Content-Type", "application/json")], orjson.dumps(versions))
 
     def _pin_level(self, request: Request) -> Response:
         """Pins a service level for a number of seconds; without a name, removes the pin."""
-        name, seconds, levels = (
-            request.query("name") or "",
-            request.query("for") or "600",
-            self.service_levels.controller,
-        )
+        name = request.query("name") or ""
+        seconds = request.query("for") or "600"
+        controller = self.service_levels.controller
         if not name:
-            levels.unpin()
+            controller.unpin()
         elif not seconds.isdigit() or not 0 < int(seconds) <= MAX_PIN_S:
             raise RequestError(400, "for", f"for is a whole number of seconds up to {MAX_PIN_S}")
-        elif not levels.pin_to(name, self.coordinator.clock.now() + int(seconds) * SECOND):
+        elif not controller.pin_to(name, self.coordinator.clock.now() + int(seconds) * SECOND):
             raise RequestError(
-                404, "no-level", "There is no such level", ", ".join(x.name for x in levels.levels)
+                404,
+                "no-level",
+                "There is no such level",
+                ", ".join(level.name for level in controller.levels),
             )
         self.service_levels.update()
         return Response(
@@ -312,28 +321,35 @@
         )
 
     def _get_status(self) -> Response:
-        helm, memory = self.coordinator, self.coordinator.durable_state
-        told: dict[str, object] = {
-            "front": helm.pseudonym,
-            "playing": helm.playing_count,
-            "unanswered": helm.unanswered_count,
-            "catalogue": helm.catalogue.number,
-            "configuration": helm.active_configuration.version.number,
-            "nodes": len(helm.node_list.listed_nodes),
+        coordinator = self.coordinator
+        durable_state = self.coordinator.durable_state
+        status: dict[str, object] = {
+            "front": coordinator.pseudonym,
+            "playing": coordinator.playing_count,
+            "unanswered": coordinator.unanswered_count,
+            "catalogue": coordinator.catalogue.number,
+            "configuration": coordinator.active_configuration.version.number,
+            "nodes": len(coordinator.node_list.listed_nodes),
             "level": self.service_levels.status(),
             "wings": self.zone_routing.status(),
             "steps_waiting": len(self.catalogues.step_downs.waiting),
         }
         if self.load_probing is not None:
-            told["probing"] = self.load_probing.status()
+            status["probing"] = self.load_probing.status()
         if self.takeover is not None:
-            told["adopting"] = self.takeover.status()
-        if memory is not None:
-            health, counts = memory.store.health, memory.store.counts
-            told["state"] = {
-                "disk": health.state.value, "trouble": health.fault.value if health.fault else None,
-                "phase": memory.recovery.phase.value, "promises": len(memory.promises), "held": len(memory.uncertain),
-                "commits": counts.commits, "refused": counts.refused, "dropped": counts.dropped,
+            status["adopting"] = self.takeover.status()
+        if durable_state is not None:
+            health = durable_state.store.health
+            counts = durable_state.store.counts
+            status["state"] = {
+                "disk": health.state.value,
+                "trouble": health.fault.value if health.fault else None,
+                "phase": durable_state.recovery.phase.value,
+                "promises": len(durable_state.promises),
+                "held": len(durable_state.uncertain),
+                "commits": counts.commits,
+                "refused": counts.refused,
+                "dropped": counts.dropped,
                 "longest_ms": counts.longest_ns // 1_000_000,
-            }  # fmt: skip
-        return Response(200, [("Content-Type", "application/json")], orjson.dumps(told))
+            }
+        return Response(200, [("Content-Type", "application/json")], orjson.dumps(status))
--- a/oakcroft/front/rendition_bound.py
+++ b/oakcroft/front/rendition_bound.py
@@ -24,7 +24,9 @@
         self, coordinator: Coordinator, rng: Random, log: structlog.typing.FilteringBoundLogger
     ) -> None:
         """`coordinator` has the sessions and sends rung changes to nodes; `rng` spreads repeated attempts."""
-        self.coordinator, self.rng, self.log = coordinator, rng, log
+        self.coordinator = coordinator
+        self.rng = rng
+        self.log = log
 
     def set_bound(self, session: PlaybackSession, top_rung: int) -> None:
         """Sets the highest rung of a session; a session above it steps down at once."""
@@ -47,12 +49,12 @@
         now = self.coordinator.clock.now()
         if session.bound_backoff is None:
             session.bound_backoff = RetryBackoff(RENDITION_BOUND_RETRY, self.rng, now)
-        wait = session.bound_backoff.record_failure(now)
-        if wait is None:
+        delay_ns = session.bound_backoff.record_failure(now)
+        if delay_ns is None:
             self._give_up(session)
             return
         session.bound_retry_pending = True
-        self.coordinator.nursery.start_soon(self._retry_after, session, wait)
+        self.coordinator.nursery.start_soon(self._retry_after, session, delay_ns)
 
     async def _retry_after(self, session: PlaybackSession, delay_ns: int) -> None:
         await trio.sleep(delay_ns / 1e9)
--- a/oakcroft/front/service_levels.py
+++ b/oakcroft/front/service_levels.py
@@ -32,9 +32,13 @@
         self, coordinator: SessionCoordinator, rng: Random, log: structlog.typing.FilteringBoundLogger
     ) -> None:
         """Starts at full service; `rng` spreads the times of changes among front ends."""
-        self.coordinator, self.rng, self.log = coordinator, rng, log
+        self.coordinator = coordinator
+        self.rng = rng
+        self.log = log
         self.controller = self._new_controller()
-        self.gate, self.recent_answers, self.loop_lag_ns = AdmissionGate(), RecentAnswers(), 0
+        self.gate = AdmissionGate()
+        self.recent_answers = RecentAnswers()
+        self.loop_lag_ns = 0
         coordinator.on_answer = self.record_answer
 
     def _new_controller(self) -> LevelController:
@@ -56,13 +60,13 @@
 
     def signals(self, now: int) -> dict[LoadSignal, float]:
         """The current load signals."""
-        decider = self.coordinator.policy
-        own = {
-            LoadSignal.X: getattr(decider, "x", 0.0),
-            LoadSignal.BLIND: getattr(decider, "unreported_weight", 0.0),
+        policy = self.coordinator.policy
+        own_signals = {
+            LoadSignal.X: getattr(policy, "x", 0.0),
+            LoadSignal.BLIND: getattr(policy, "unreported_weight", 0.0),
             LoadSignal.LAG: float(self.loop_lag_ns),
         }
-        return own | self.recent_answers.signals(now)
+        return own_signals | self.recent_answers.signals(now)
 
     async def run(self) -> None:
         """Updates the level until cancelled."""
@@ -80,19 +84,30 @@
     def update(self) -> None:
         """Changes the level if that is due, and applies its effects on moves and on upkeep of the state file."""
         now = self.coordinator.clock.now()
-        signs = self.signals(now)
-        if (change := self.controller.update(signs, now)) is not None:
-            self._log_change(change, signs)
-        acts = self.controller.level.effects
-        self.coordinator.move_executor.is_paused = not acts.moves_allowed
+        signals = self.signals(now)
+        if (change := self.controller.update(signals, now)) is not None:
+            self._log_change(change, signals)
+        effects = self.controller.level.effects
+        self.coordinator.move_executor.is_paused = not effects.moves_allowed
         if self.coordinator.durable_state is not None:
-            self.coordinator.durable_state.store.upkeep.is_paused = not acts.maintenance_allowed
+            self.coordinator.durable_state.store.upkeep.is_paused = not effects.maintenance_allowed
 
     def _log_change(self, change: LevelChange, signals: dict[LoadSignal, float]) -> None:
-        figures = {s.value: round(v / MS) if s is LoadSignal.LAG else round(v, 3) for s, v in signals.items()}
-        turned, changes = dict(self.gate.rejected_counts), len(self.controller.change_times)
-        self.log.warning("level", before=change.previous, after=change.current, why=change.reason, turned_away=turned,
-                         changes=changes, **figures)  # fmt: skip
+        signal_values = {
+            signal.value: round(value / MS) if signal is LoadSignal.LAG else round(value, 3)
+            for signal, value in signals.items()
+        }
+        rejected_counts = dict(self.gate.rejected_counts)
+        change_count = len(self.controller.change_times)
+        self.log.warning(
+            "level",
+            before=change.previous,
+            after=change.current,
+            why=change.reason,
+            turned_away=rejected_counts,
+            changes=change_count,
+            **signal_values,
+        )
         self.gate.rejected_counts.clear()
 
     # Effects.
@@ -103,16 +118,24 @@
 
     def limit_top_rung(self, requested_top: int, floor: int) -> int:
         """The highest rung of a new playback at the current level, never below its floor."""
-        top = self.controller.level.effects.max_rung
-        return requested_top if top is None else max(floor, min(requested_top, top))
+        max_rung = self.controller.level.effects.max_rung
+        return requested_top if max_rung is None else max(floor, min(requested_top, max_rung))
 
     def status(self) -> dict[str, object]:
         """For operators: the level, since when and why, and what would change it next."""
-        now, levels = self.coordinator.clock.now(), self.controller
-        signs = self.signals(now)
+        now = self.coordinator.clock.now()
+        controller = self.controller
+        signals = self.signals(now)
         return {
-            "name": levels.level.name, "since_s": round((now - levels.changed_at) / 1e9, 1), "why": levels.reason,
-            "signs": {s.value: round(v, 3) for s, v in signs.items()}, "next": levels.next_change_conditions(signs, now),
-            "changes": [[c.changed_at // MS, c.previous, c.current, c.reason] for c in list(levels.history)[-10:]],
-            "held_back": levels.suppressed_changes, "turned_away": dict(self.gate.rejected_counts),
-        }  # fmt: skip
+            "name": controller.level.name,
+            "since_s": round((now - controller.changed_at) / 1e9, 1),
+            "why": controller.reason,
+            "signs": {signal.value: round(value, 3) for signal, value in signals.items()},
+            "next": controller.next_change_conditions(signals, now),
+            "changes": [
+                [change.changed_at // MS, change.previous, change.current, change.reason]
+                for change in list(controller.history)[-10:]
+            ],
+            "held_back": controller.suppressed_changes,
+            "turned_away": dict(self.gate.rejected_counts),
+        }
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -52,17 +52,16 @@
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """`on_published` is called with each adopted session that publishes."""
-        self.coordinator, self.membership, self.bounds, self.on_published, self.log = (
-            coordinator,
-            membership,
-            bounds,
-            on_published,
-            log,
-        )
+        self.coordinator = coordinator
+        self.membership = membership
+        self.bounds = bounds
+        self.on_published = on_published
+        self.log = log
         self.accepts_new = accepts_new  # a front end that is leaving would at once end what it took over
         self.takeover = Course(membership.me.name, bounds)
         self.adopted_playbacks: dict[str, PlaybackSession] = {}  # adopted sessions by id
-        self.adopted_counts, self.lost_to_others = Counter[str](), 0
+        self.adopted_counts = Counter[str]()
+        self.lost_to_others = 0
         self.declined_counts = Counter[str]()
         coordinator.on_sessions_taken_over = self.playbacks_lost
 
@@ -72,56 +71,79 @@
 
     def update_fronts(self) -> None:
         """Applies a change of the fleet's membership."""
-        gone = [n for n, m in self.membership.members.items() if m.latest.state is MemberState.FAILED]
-        present = [self.membership.me.name] if self.membership.displaced else self.membership.present()
-        for dead in self.takeover.update_fronts(
-            () if self.membership.displaced else gone, present, self.coordinator.clock.now()
+        failed_fronts = [
+            name
+            for name, member in self.membership.members.items()
+            if member.latest.state is MemberState.FAILED
+        ]
+        present_fronts = [self.membership.me.name] if self.membership.displaced else self.membership.present()
+        for returned_front in self.takeover.update_fronts(
+            () if self.membership.displaced else failed_fronts, present_fronts, self.coordinator.clock.now()
         ):
-            self.log.info("adoption over", of=dead.name, why="it is back, or forgotten", taken=dead.adopted)
+            self.log.info(
+                "adoption over",
+                of=returned_front.name,
+                why="it is back, or forgotten",
+                taken=returned_front.adopted,
+            )
 
     async def run(self) -> None:
         """Sends due takeover requests until cancelled."""
-        if (
-            self.coordinator.durable_state is None
-        ):  # a front end with a state file restores its own sessions from that
+        # A front end with a state file restores its own sessions from that.
+        if self.coordinator.durable_state is None:
             self.takeover.add_own_earlier_generation(self.coordinator.clock.now())
         while True:
             now = self.coordinator.clock.now()
             self.takeover.update_nodes(self.coordinator.node_list.listed_nodes, now)
-            for errand in self.takeover.due_requests(now) if self.accepts_new() else ():
-                self.coordinator.nursery.start_soon(self._run_request, errand)
-            for dead in self.takeover.take_finished(now):
-                if dead.adopted or dead.declined or dead.name != self.membership.me.name:
-                    self.log.info("adoption done", of=dead.name, taken=dead.adopted, left=dict(dead.declined),
-                                  ms=(now - dead.failed_at) // MS)  # fmt: skip
+            for request in self.takeover.due_requests(now) if self.accepts_new() else ():
+                self.coordinator.nursery.start_soon(self._run_request, request)
+            for failed_front in self.takeover.take_finished(now):
+                if (
+                    failed_front.adopted
+                    or failed_front.declined
+                    or failed_front.name != self.membership.me.name
+                ):
+                    self.log.info(
+                        "adoption done",
+                        of=failed_front.name,
+                        taken=failed_front.adopted,
+                        left=dict(failed_front.declined),
+                        ms=(now - failed_front.failed_at) // MS,
+                    )
             await trio.sleep(CHECK_INTERVAL_NS / SECOND)
 
     async def _run_request(self, request: TakeoverRequest) -> None:
-        told: dict[str, TakeoverAnswer] | None = None
-        after = ""
+        answers: dict[str, TakeoverAnswer] | None = None
+        next_page = ""
         try:
-            leg = self.coordinator.node_clients.get(request.node)
-            if leg is not None:
+            node_client = self.coordinator.node_clients.get(request.node)
+            if node_client is not None:
                 await self.coordinator.submit(
-                    partial(self.coordinator.follow_events, leg, f"/events/{self.coordinator.pseudonym}")
+                    partial(
+                        self.coordinator.follow_events, node_client, f"/events/{self.coordinator.pseudonym}"
+                    )
                 )
                 for _ in range(MAX_PAGES_PER_REQUEST):
-                    listing = await leg.list_sessions_of(request.front_names, after)
+                    listing = await node_client.list_sessions_of(request.front_names, next_page)
                     if listing is None:
-                        told = None  # the list is incomplete: the node is asked again
+                        answers = None  # the list is incomplete: the node is asked again
                         break
-                    told = {
-                        n: ANSWERS_BY_VALUE.get(w, TakeoverAnswer.RECENTLY_CONNECTED)
-                        for n, w in listing.fronts.items()
+                    answers = {
+                        name: ANSWERS_BY_VALUE.get(value, TakeoverAnswer.RECENTLY_CONNECTED)
+                        for name, value in listing.fronts.items()
                     }
-                    mine = [s for s in listing.sessions if request.is_own(s.front, s.session)]
-                    if mine:
-                        await self._adopt(leg, mine)
-                    after = listing.next
-                    if not after:
+                    own_sessions = [
+                        offered
+                        for offered in listing.sessions
+                        if request.is_own(offered.front, offered.session)
+                    ]
+                    if own_sessions:
+                        await self._adopt(node_client, own_sessions)
+                    next_page = listing.next
+                    if not next_page:
                         break
         finally:
-            self.takeover.request_finished(request, told, self.coordinator.clock.now())
+            self.takeover.request_finished(request, answers, self.coordinator.clock.now())
 
     async def _adopt(self, node_client: NodeClient, offered: list[handing.Offered]) -> None:
         """Takes over the offered sessions that can be served here."""
@@ -130,12 +152,12 @@
 
         def choose() -> None:
             self._forget_ended()
-            for one in offered:
-                why, v = self._restore_offered(node_client, one)
-                if v is not None:
-                    chosen[one.session] = one, v
+            for offered_session in offered:
+                decision, session = self._restore_offered(node_client, offered_session)
+                if session is not None:
+                    chosen[offered_session.session] = offered_session, session
                 else:
-                    self._count_declined(one.front, why)
+                    self._count_declined(offered_session.front, decision)
             done.set()
 
         await self.coordinator.submit(choose)
@@ -152,15 +174,15 @@
     def _forget_ended(self) -> None:
         """Drops adopted sessions that have ended."""
         self.adopted_playbacks = {
-            id_: v
-            for id_, v in self.adopted_playbacks.items()
-            if v.playback in self.coordinator.sessions_by_playback
+            session_id: session
+            for session_id, session in self.adopted_playbacks.items()
+            if session.playback in self.coordinator.sessions_by_playback
         }
 
     def _count_declined(self, front_name: str, decision: TakeoverDecision) -> None:
         self.declined_counts[decision.value] += 1
-        if (dead := self.takeover.failed_fronts.get(front_name)) is not None:
-            dead.declined[decision.value] += 1
+        if (failed_front := self.takeover.failed_fronts.get(front_name)) is not None:
+            failed_front.declined[decision.value] += 1
 
     def _restore_offered(
         self, node_client: NodeClient, offered: handing.Offered
@@ -169,26 +191,30 @@
 
         Returns why it is declined otherwise. Its seat is checked before the playback is counted (rule 5).
         """
-        helm, memo = self.coordinator, handing.read_memo(offered.memo)
+        coordinator = self.coordinator
+        memo = handing.read_memo(offered.memo)
         if memo is None or not words.is_path(memo.path) or not words.is_path(offered.session):
             return TakeoverDecision.UNREADABLE_MEMO, None
-        plan = helm.site.plans.get(memo.plan)
+        plan = coordinator.site.plans.get(memo.plan)
         if plan is None:
             return TakeoverDecision.UNKNOWN_PLAN, None
-        if memo.id in helm.sessions_by_id or (node_client.name, offered.session) in helm.sessions_by_upstream:
+        if (
+            memo.id in coordinator.sessions_by_id
+            or (node_client.name, offered.session) in coordinator.sessions_by_upstream
+        ):
             return TakeoverDecision.ALREADY_HELD, None
         if len(self.adopted_playbacks) >= self.bounds.max_adopted:
             return TakeoverDecision.TOO_MANY_ADOPTED, None
-        node = helm.node_list.nodes.get(node_client.name)
-        top = helm.title_top_rung(memo.title, max(memo.top, plan.plan.floor), plan.plan.floor)
+        node = coordinator.node_list.nodes.get(node_client.name)
+        top_rung = coordinator.title_top_rung(memo.title, max(memo.top, plan.plan.floor), plan.plan.floor)
         if (
             node is None
-            or top is None
+            or top_rung is None
             or offered.rung < plan.plan.floor
             or len(memo.title) > MAX_TITLE_LENGTH
         ):
             return TakeoverDecision.TITLE_NOT_SERVED, None
-        now = helm.clock.now()
+        now = coordinator.clock.now()
         promise = Promise(
             memo.id,
             offered.key,
@@ -200,7 +226,7 @@
             plan.plan.seats > 0,
             memo.publishes,
             memo.ufrag,
-            top,
+            top_rung,
             memo.token,
             memo.written,
             memo.abandon,
@@ -211,14 +237,14 @@
             rung=offered.rung,
             changed=now,
         )
-        v = session_from_promise(helm, promise)
-        if v is None:
+        session = session_from_promise(coordinator, promise)
+        if session is None:
             return TakeoverDecision.TITLE_NOT_SERVED, None
-        if plan.plan.seats and v.playback.title.seats_taken.get(plan.plan, 0) >= plan.plan.seats:
+        if plan.plan.seats and session.playback.title.seats_taken.get(plan.plan, 0) >= plan.plan.seats:
             return TakeoverDecision.NO_SEAT_FREE, None
-        resume_playback(helm, v, node)
-        self.adopted_playbacks[v.id] = v
-        return TakeoverDecision.ACCEPTED, v
+        resume_playback(coordinator, session, node)
+        self.adopted_playbacks[session.id] = session
+        return TakeoverDecision.ACCEPTED, session
 
     def _finish_adoption(
         self,
@@ -230,34 +256,51 @@
 
         `given` is None if the node's answer was lost; its event stream is then reopened, whose start lists the sessions.
         """
-        helm = self.coordinator
-        for session, (one, v) in chosen.items():
-            if v.playback not in helm.sessions_by_playback or v.playback.state is not PlaybackState.PLAYING:
+        coordinator = self.coordinator
+        for resource, (offered, session) in chosen.items():
+            if (
+                session.playback not in coordinator.sessions_by_playback
+                or session.playback.state is not PlaybackState.PLAYING
+            ):
                 continue
-            if given is not None and session not in given:
-                self.adopted_playbacks.pop(v.id, None)
-                helm.playback_ended(v, Outcome.WITHDRAWN)
+            if given is not None and resource not in given:
+                self.adopted_playbacks.pop(session.id, None)
+                coordinator.playback_ended(session, Outcome.WITHDRAWN)
                 continue
-            layer = f"{one.session}/layer"
+            layer_path = f"{offered.session}/layer"
             attach_to_node(
-                helm, v, node_client,
-                UpstreamSession(node_client.name, one.session, f"/events/{helm.pseudonym}", layer, one.tag, one.answer),
-            )  # fmt: skip
+                coordinator,
+                session,
+                node_client,
+                UpstreamSession(
+                    node_client.name,
+                    offered.session,
+                    f"/events/{coordinator.pseudonym}",
+                    layer_path,
+                    offered.tag,
+                    offered.answer,
+                ),
+            )
             # A key that was aborted because nodes told of it while the state file was lost stays aborted.
-            if helm.durable_state is None or not helm.durable_state.is_learned_key(v.key):
-                paid = v.plan.plan.effect is not Effect.FREE
-                helm.idempotency_store.restore(
-                    v.key, v.fingerprint, paid, FinalAnswer.PLAYS, v, helm.clock.now()
+            if coordinator.durable_state is None or not coordinator.durable_state.is_learned_key(session.key):
+                is_paid = session.plan.plan.effect is not Effect.FREE
+                coordinator.idempotency_store.restore(
+                    session.key,
+                    session.fingerprint,
+                    is_paid,
+                    FinalAnswer.PLAYS,
+                    session,
+                    coordinator.clock.now(),
                 )
-            if helm.durable_state is not None:
-                helm.durable_state.answer_given(v, FinalAnswer.PLAYS)
-            if v.publishes:
-                self.on_published(v)
-            if v.playback.rung > v.playback.top_rung:
-                helm.set_rung_bound(v, v.playback.top_rung)
-            self.adopted_counts[one.front] += 1
-            if (dead := self.takeover.failed_fronts.get(one.front)) is not None:
-                dead.adopted += 1
+            if coordinator.durable_state is not None:
+                coordinator.durable_state.answer_given(session, FinalAnswer.PLAYS)
+            if session.publishes:
+                self.on_published(session)
+            if session.playback.rung > session.playback.top_rung:
+                coordinator.set_rung_bound(session, session.playback.top_rung)
+            self.adopted_counts[offered.front] += 1
+            if (failed_front := self.takeover.failed_fronts.get(offered.front)) is not None:
+                failed_front.adopted += 1
         if given is None:
             node_client.reopen_stream()
         else:
@@ -271,7 +314,7 @@
 
     def status(self) -> dict[str, object]:
         """Counts and failed front ends, for operators."""
-        course = self.takeover
+        takeover = self.takeover
         self._forget_ended()
         return {
             "held": len(self.adopted_playbacks),
@@ -279,8 +322,10 @@
             "passed_on": self.lost_to_others,
             "left": dict(self.declined_counts),
             "asking": sorted(
-                d.name for d in course.failed_fronts.values() if d.expires_at and d.pending_nodes
+                front.name
+                for front in takeover.failed_fronts.values()
+                if front.expires_at and front.pending_nodes
             ),
-            "errands": len(course.active_requests),
-            "passed_over": course.dropped_tasks,
+            "errands": len(takeover.active_requests),
+            "passed_over": takeover.dropped_tasks,
         }
--- a/oakcroft/front/websocket_api.py
+++ b/oakcroft/front/websocket_api.py
@@ -97,7 +97,10 @@
         self, service: SessionService, nursery: trio.Nursery, log: structlog.typing.FilteringBoundLogger
     ) -> None:
         """`service` does what clients request; requests and event forwarders run in `nursery`."""
-        self.service, self.nursery, self.log, self.clock = service, nursery, log, service.clock
+        self.service = service
+        self.nursery = nursery
+        self.log = log
+        self.clock = service.clock
         self.limits = ClientLimits()
         self.resume_tokens = ResumeTokens(RESUME_TIMEOUT_NS + 60 * SECOND)
         self.clients: dict[str, ApiClient] = {}
@@ -116,11 +119,13 @@
         while True:
             await trio.sleep(0.5)
             now = self.clock.now()
-            for holder in list(self.clients.values()):
-                if holder.client_session.check_expiry(now):
-                    self.log.info("client gone", seat=holder.id, playbacks=len(holder.playbacks))
-                    await self.end_client_session(holder)
-            for name in [n for n, c in self.usage_by_caller.items() if c.is_unused]:
+            for api_client in list(self.clients.values()):
+                if api_client.client_session.check_expiry(now):
+                    self.log.info("client gone", seat=api_client.id, playbacks=len(api_client.playbacks))
+                    await self.end_client_session(api_client)
+            for name in [
+                caller_name for caller_name, usage in self.usage_by_caller.items() if usage.is_unused
+            ]:
                 del self.usage_by_caller[name]
 
     async def end_client_session(self, api_client: ApiClient) -> None:
@@ -129,8 +134,8 @@
             return
         for scope in list(api_client.task_scopes):
             scope.cancel()
-        for v in list(api_client.playbacks.values()):
-            await self._end_playback(api_client, v)
+        for session in list(api_client.playbacks.values()):
+            await self._end_playback(api_client, session)
 
     async def _end_playback(self, api_client: ApiClient, session: PlaybackSession) -> None:
         if not self._detach_playback(api_client, session):
@@ -172,8 +177,12 @@
 
         Raises RequestError if the handshake is invalid or names no known subprotocol.
         """
-        offered = [p.strip() for value in request.all("sec-websocket-protocol") for p in value.split(",")]
-        chosen = next((p for p in api.SUBPROTOCOLS if p in offered), None)
+        offered = [
+            protocol.strip()
+            for value in request.all("sec-websocket-protocol")
+            for protocol in value.split(",")
+        ]
+        chosen = next((protocol for protocol in api.SUBPROTOCOLS if protocol in offered), None)
         if (request.header("upgrade") or "").lower() != "websocket" or request.method != "GET":
             return Response(426, [("Upgrade", "websocket"), ("Connection", "Upgrade")], close=True)
         if chosen is None:
@@ -182,13 +191,16 @@
             )
         if request.header("sec-websocket-version") != "13":
             return Response(426, [("Upgrade", "websocket"), ("Sec-WebSocket-Version", "13")], close=True)
-        ws = wsproto.WSConnection(wsproto.ConnectionType.SERVER)
-        fields = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in request.headers]
+        websocket = wsproto.WSConnection(wsproto.ConnectionType.SERVER)
+        fields = [
+            (header_name.encode("latin-1"), header_value.encode("latin-1"))
+            for header_name, header_value in request.headers
+        ]
         try:  # checked here, where the client can still get an HTTP error response
-            ws.initiate_upgrade_connection(fields, request.target)
+            websocket.initiate_upgrade_connection(fields, request.target)
         except wsproto.utilities.RemoteProtocolError as fault:
             raise RequestError(400, "handshake", "This is no WebSocket handshake", str(fault)) from None
-        return Response(101, upgrade=partial(self._serve_connection, ws, request.source, chosen))
+        return Response(101, upgrade=partial(self._serve_connection, websocket, request.source, chosen))
 
     async def _serve_connection(
         self,
@@ -199,24 +211,26 @@
         early_data: bytes,
     ) -> None:
         self.connection_count += 1
-        link = WebSocketConnection(stream, websocket, subprotocol, self.connection_count, self.limits)
-        await link.accept(early_data)
+        connection = WebSocketConnection(stream, websocket, subprotocol, self.connection_count, self.limits)
+        await connection.accept(early_data)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(link.write_queued, nursery.cancel_scope)
-                await self._read_messages(link, source)
+                nursery.start_soon(connection.write_queued, nursery.cancel_scope)
+                await self._read_messages(connection, source)
                 nursery.cancel_scope.deadline = trio.current_time() + 1  # for messages still to be written
-                link.finish_writing()
+                connection.finish_writing()
         finally:
-            if link.caller_usage is not None:
-                link.caller_usage.connections -= 1
-            holder = link.api_client
-            if holder is not None and holder.client_session.detach(link.number, self.clock.now()):
-                holder.connection = None
+            if connection.caller_usage is not None:
+                connection.caller_usage.connections -= 1
+            api_client = connection.api_client
+            if api_client is not None and api_client.client_session.detach(
+                connection.number, self.clock.now()
+            ):
+                api_client.connection = None
 
     async def _read_messages(self, connection: WebSocketConnection, source: str) -> None:
         """Reads and handles messages until the connection ends; the first must be a hello."""
-        with trio.move_on_after(HELLO_TIMEOUT_S) as hello:
+        with trio.move_on_after(HELLO_TIMEOUT_S) as hello_timeout:
             first = await connection.receive()
             if not isinstance(first, api.Hello):
                 connection.close(1008, "hello comes first")
@@ -227,33 +241,33 @@
             except RequestError as fault:
                 connection.close(4000 + fault.status, fault.title)
                 return
-        if hello.cancelled_caught:
+        if hello_timeout.cancelled_caught:
             connection.close(1008, "hello comes first")
             return
-        holder = connection.api_client
-        assert holder is not None
+        api_client = connection.api_client
+        assert api_client is not None
         while True:
             message = await connection.receive()
-            if message is None or holder.connection is not connection:
+            if message is None or api_client.connection is not connection:
                 return
-            word = holder.usage.receive_message(self.clock.now())
-            if word is not ClientVerdict.ALLOWED:
-                connection.close(CLOSE_CODES[word], word.value)
+            verdict = api_client.usage.receive_message(self.clock.now())
+            if verdict is not ClientVerdict.ALLOWED:
+                connection.close(CLOSE_CODES[verdict], verdict.value)
                 return
             if isinstance(message, api.Ack):
-                if not holder.client_session.outbox.acknowledge(message.n):
+                if not api_client.client_session.outbox.acknowledge(message.n):
                     connection.close(1008, "acknowledges what was never sent")
                     return
             elif isinstance(message, api.Bye):
-                holder.client_session.leave(connection.number, self.clock.now())
-                await self.end_client_session(holder)
+                api_client.client_session.leave(connection.number, self.clock.now())
+                await self.end_client_session(api_client)
                 connection.close(1000, "")
                 return
             elif isinstance(message, api.Hello):
                 connection.close(1008, "hello comes once")
                 return
-            elif holder.register_call(getattr(message, "id", 0)):
-                self.nursery.start_soon(self._handle_call, holder, message, self.clock.now())
+            elif api_client.register_call(getattr(message, "id", 0)):
+                self.nursery.start_soon(self._handle_call, api_client, message, self.clock.now())
 
     def _attach_client_session(self, connection: WebSocketConnection, hello: api.Hello, source: str) -> bool:
         """Gives a connection its client session: the one that its resume token names, or a new one.
@@ -261,41 +275,55 @@
         False if the connection is closed because its caller has too many.
         """
         self._rotate_key()
-        token, now = self.service.authenticate(hello.token or None), self.clock.now()
-        who = token.name if token else source
-        caller = self.usage_by_caller.setdefault(who, ClientUsage(self.limits))
-        word = caller.open_connection()
-        if word is not ClientVerdict.ALLOWED:
-            connection.close(CLOSE_CODES[word], word.value)
+        token = self.service.authenticate(hello.token or None)
+        now = self.clock.now()
+        caller_name = token.name if token else source
+        caller_usage = self.usage_by_caller.setdefault(caller_name, ClientUsage(self.limits))
+        verdict = caller_usage.open_connection()
+        if verdict is not ClientVerdict.ALLOWED:
+            connection.close(CLOSE_CODES[verdict], verdict.value)
             return False
-        connection.caller_usage = caller
-        why = ""
+        connection.caller_usage = caller_usage
+        resume_failure = ""
         if hello.resume:
-            opened = self.resume_tokens.verify(hello.resume, who, now)
-            old = self.clients.get(opened) if isinstance(opened, str) else None
-            claim = old.client_session.attach(connection.number, hello.seen, now) if old is not None else None
-            if old is not None and claim is not None:
-                self._resume_client_session(connection, old, claim[0])
+            verified_id = self.resume_tokens.verify(hello.resume, caller_name, now)
+            earlier_client = self.clients.get(verified_id) if isinstance(verified_id, str) else None
+            attachment = (
+                earlier_client.client_session.attach(connection.number, hello.seen, now)
+                if earlier_client is not None
+                else None
+            )
+            if earlier_client is not None and attachment is not None:
+                self._resume_client_session(connection, earlier_client, attachment[0])
                 return True
-            why = (
-                opened.value
-                if isinstance(opened, TokenError)
+            resume_failure = (
+                verified_id.value
+                if isinstance(verified_id, TokenError)
                 else "the seat is over, or what was missed cannot be told"
             )
-        seat = ClientSession[object](
+        client_session = ClientSession[object](
             RESUME_TIMEOUT_NS,
             Outbox(self.limits.max_unacknowledged),
             connection=connection.number,
             changed_at=now,
         )
-        holder = ApiClient(
-            secrets.token_urlsafe(12), seat, ClientUsage(self.limits), token, source, connection=connection
+        api_client = ApiClient(
+            secrets.token_urlsafe(12),
+            client_session,
+            ClientUsage(self.limits),
+            token,
+            source,
+            connection=connection,
+        )
+        self.clients[api_client.id] = api_client
+        connection.api_client = api_client
+        has_state_file = self.service.coordinator.durable_state is not None
+        resume_token = self.resume_tokens.issue(api_client.id, caller_name, now)
+        connection.send(
+            api.Welcome(
+                resume_token, RESUME_TIMEOUT_NS // 1_000_000, False, resume_failure, remembers=has_state_file
+            )
         )
-        self.clients[holder.id] = holder
-        connection.api_client = holder
-        remembers = self.service.coordinator.durable_state is not None
-        pass_ = self.resume_tokens.issue(holder.id, who, now)
-        connection.send(api.Welcome(pass_, RESUME_TIMEOUT_NS // 1_000_000, False, why, remembers=remembers))
         return True
 
     def _resume_client_session(
@@ -304,15 +332,16 @@
         api_client: ApiClient,
         missed_messages: list[tuple[int, object]],
     ) -> None:
-        earlier = api_client.connection
-        if earlier is not None and earlier is not connection:
-            earlier.send(api.Replaced())
-            earlier.close(4001, "replaced")
-        api_client.connection, connection.api_client = connection, api_client
-        who = api_client.token.name if api_client.token else api_client.source
-        again = self.resume_tokens.issue(api_client.id, who, self.clock.now())
+        earlier_connection = api_client.connection
+        if earlier_connection is not None and earlier_connection is not connection:
+            earlier_connection.send(api.Replaced())
+            earlier_connection.close(4001, "replaced")
+        api_client.connection = connection
+        connection.api_client = api_client
+        caller_name = api_client.token.name if api_client.token else api_client.source
+        resume_token = self.resume_tokens.issue(api_client.id, caller_name, self.clock.now())
         connection.send(
-            api.Welcome(again, RESUME_TIMEOUT_NS // 1_000_000, True, "", list(api_client.playbacks))
+            api.Welcome(resume_token, RESUME_TIMEOUT_NS // 1_000_000, True, "", list(api_client.playbacks))
         )
         for _, message in missed_messages:
             connection.send(message)
@@ -324,12 +353,12 @@
             if isinstance(message, api.Ask):
                 await self._request_playback(api_client, message, received_at)
                 return
-            number = getattr(message, "id", 0)
+            call_id = getattr(message, "id", 0)
             try:
-                await self._execute_call(api_client, message, number)
+                await self._execute_call(api_client, message, call_id)
             except RequestError as fault:
                 self.enqueue(
-                    api_client, partial(_done_message, number, fault.status, fault.problem_type, fault.title)
+                    api_client, partial(_done_message, call_id, fault.status, fault.problem_type, fault.title)
                 )
             except Exception as error:  # a failed call must not end the front end
                 self.log.error("call failed", kind=type(message).__name__, error=repr(error))
@@ -337,7 +366,7 @@
                     api_client,
                     partial(
                         _done_message,
-                        number,
+                        call_id,
                         500,
                         "urn:oakcroft:problem:fault",
                         "The front failed on this call",
@@ -345,32 +374,32 @@
                 )
 
     async def _request_playback(self, api_client: ApiClient, request: api.Ask, received_at: int) -> None:
-        word = api_client.usage.request_playback(
+        verdict = api_client.usage.request_playback(
             self.service.has_replay(request.key or None, api_client.token)
         )
-        if word is not ClientVerdict.ALLOWED:
+        if verdict is not ClientVerdict.ALLOWED:
             self.enqueue(
                 api_client,
-                partial(_rejected_answer, request.id, 429, "urn:oakcroft:problem:client", word.value),
+                partial(_rejected_answer, request.id, 429, "urn:oakcroft:problem:client", verdict.value),
             )
             return
-        plays = False
+        is_newly_attached = False
         try:
-            written = self.service.coordinator.pause_detector.earliest_written_at(received_at, 0)
-            prefer = [f"wait={request.wait_s}"] if request.wait_s > 0 else []
-            client = api_client.token.name if api_client.token else api_client.source
-            ask = PlaybackRequest(
+            written_at = self.service.coordinator.pause_detector.earliest_written_at(received_at, 0)
+            prefer_headers = [f"wait={request.wait_s}"] if request.wait_s > 0 else []
+            client_name = api_client.token.name if api_client.token else api_client.source
+            playback_request = PlaybackRequest(
                 request.path,
                 request.offer,
                 request.key or None,
-                written,
+                written_at,
                 api_client.token,
-                client,
-                prefer,
+                client_name,
+                prefer_headers,
                 request.top,
                 True,
             )
-            answer, first = await self.service.request_playback(ask)
+            answer, is_first = await self.service.request_playback(playback_request)
             if isinstance(answer, Reply):
                 self.enqueue(api_client, partial(_reply_answer, request.id, answer))
             elif (
@@ -382,15 +411,15 @@
                     api_client, partial(_reply_answer, request.id, answer.reply or answers.rejected_reply(0))
                 )
             else:
-                plays = self._attach_playback(api_client, answer)
-                self.enqueue(api_client, partial(_playing_answer, request.id, answer, not first))
+                is_newly_attached = self._attach_playback(api_client, answer)
+                self.enqueue(api_client, partial(_playing_answer, request.id, answer, not is_first))
         except RequestError as fault:
             self.enqueue(
                 api_client,
                 partial(_rejected_answer, request.id, fault.status, fault.problem_type, fault.title),
             )
         finally:
-            api_client.usage.finish_request(plays)
+            api_client.usage.finish_request(is_newly_attached)
 
     def _attach_playback(self, api_client: ApiClient, session: PlaybackSession) -> bool:
         """Attaches a playback to the client session; False if it was attached already."""
@@ -416,38 +445,38 @@
         self, api_client: ApiClient, session: PlaybackSession, reader: SessionEventReader
     ) -> None:
         """Sends the events of a playback to the client until the playback ends."""
-        with (
-            api_client.task_scope(),
-            suppress(trio.ClosedResourceError),
-        ):  # closed when the client ends the playback
+        # Closed when the client ends the playback.
+        with api_client.task_scope(), suppress(trio.ClosedResourceError):
             async for kind, data in reader.receive:
                 self.enqueue(api_client, partial(_event_message, session.id, kind, data))
         if api_client.event_readers.get(session.id) is reader:
             self._detach_playback(api_client, session)
 
     async def _execute_call(self, api_client: ApiClient, message: api.FromClient, call_id: int) -> None:
-        v = self._client_playback(api_client, getattr(message, "playback", ""))
+        session = self._client_playback(api_client, getattr(message, "playback", ""))
         match message:
             case api.End():
-                await self._end_playback(api_client, v)
+                await self._end_playback(api_client, session)
             case api.Layer():
-                api_client.requested_rungs[v.id] = message.rung
-                await self.service.select_layer(v, str(message.rung))
+                api_client.requested_rungs[session.id] = message.rung
+                await self.service.select_layer(session, str(message.rung))
             case api.Pause():
-                await self.service.select_layer(v, str(v.playback.plan.floor))
+                await self.service.select_layer(session, str(session.playback.plan.floor))
             case api.Resume():
                 await self.service.select_layer(
-                    v,
+                    session,
                     str(
                         min(
-                            api_client.requested_rungs.get(v.id, v.playback.plan.top_rung),
-                            v.playback.plan.top_rung,
+                            api_client.requested_rungs.get(session.id, session.playback.plan.top_rung),
+                            session.playback.plan.top_rung,
                         )
                     ),
                 )
             case api.Trickle():
-                tags = ["*"] if message.tag == "*" else [f'"{message.tag}"']
-                patched = await self.service.patch(v, SDPFRAG_MEDIA_TYPE, tags, message.fragment.encode())
+                etags = ["*"] if message.tag == "*" else [f'"{message.tag}"']
+                patched = await self.service.patch(
+                    session, SDPFRAG_MEDIA_TYPE, etags, message.fragment.encode()
+                )
                 self.enqueue(
                     api_client,
                     partial(_done_message, call_id, 200, "", "", patched.etag, patched.fragment.decode()),
@@ -455,22 +484,22 @@
                 return
             case api.MoveOffer():
                 moved = await self.service.accept_move_offer(
-                    v, message.offer, message.key or secrets.token_urlsafe(15), []
+                    session, message.offer, message.key or secrets.token_urlsafe(15), []
                 )
                 if isinstance(moved, Reply):
                     raise RequestError(moved.status, moved.problem_type.rpartition(":")[2], moved.title)
-                self.enqueue(api_client, partial(_moved_message, call_id, v.id, *moved))
+                self.enqueue(api_client, partial(_moved_message, call_id, session.id, *moved))
                 return
             case api.MoveDone():
-                await self.service.confirm_move(v)
+                await self.service.confirm_move(session)
         self.enqueue(api_client, partial(_done_message, call_id, 200, "", ""))
 
     @staticmethod
     def _client_playback(api_client: ApiClient, playback_id: str) -> PlaybackSession:
-        v = api_client.playbacks.get(playback_id)
-        if v is None:
+        session = api_client.playbacks.get(playback_id)
+        if session is None:
             raise RequestError(404, "no-session", "No such playback")
-        return v
+        return session
 
 
 def _playing_answer(
@@ -512,10 +541,10 @@
 
 
 def _done_message(call_id: int, status: int, problem_type: str, title: str, *rest: object) -> api.Done:
-    *more, n = rest
-    assert isinstance(n, int)
-    tag, fragment = (str(more[0]), str(more[1])) if more else ("", "")
-    return api.Done(n, call_id, status, problem_type, title, tag, fragment)
+    *patch_result, message_number = rest
+    assert isinstance(message_number, int)
+    etag, fragment = (str(patch_result[0]), str(patch_result[1])) if patch_result else ("", "")
+    return api.Done(message_number, call_id, status, problem_type, title, etag, fragment)
 
 
 def _moved_message(
@@ -536,8 +565,12 @@
         limits: ClientLimits,
     ) -> None:
         """`number` identifies the connection to its client session; later connections have higher numbers."""
-        self.stream, self.subprotocol, self.number, self.limits = stream, subprotocol, number, limits
-        self.codec, self.websocket = api.Codec(subprotocol), websocket
+        self.stream = stream
+        self.subprotocol = subprotocol
+        self.number = number
+        self.limits = limits
+        self.codec = api.Codec(subprotocol)
+        self.websocket = websocket
         self.write_queue, self.write_queue_reader = trio.open_memory_channel[bytes](
             limits.max_unacknowledged + 16
         )
@@ -555,10 +588,10 @@
         """
         for event in self.websocket.events():
             if isinstance(event, events.Request):
-                with trio.move_on_after(WRITE_TIMEOUT_S) as slow:
+                with trio.move_on_after(WRITE_TIMEOUT_S) as write_timeout:
                     accept = self.websocket.send(events.AcceptConnection(subprotocol=self.subprotocol))
                     await self.stream.send_all(accept)
-                if slow.cancelled_caught:
+                if write_timeout.cancelled_caught:
                     raise trio.BrokenResourceError
         if early_data:
             self.websocket.receive_data(early_data)
@@ -600,14 +633,14 @@
 
         A client that does not read a message in time loses the connection.
         """
-        with trio.CancelScope() as whole:
+        with trio.CancelScope() as writing_scope:
             async for data in self.write_queue_reader:
-                with trio.move_on_after(WRITE_TIMEOUT_S) as slow:
+                with trio.move_on_after(WRITE_TIMEOUT_S) as write_timeout:
                     try:
                         await self.stream.send_all(data)
                     except (trio.BrokenResourceError, trio.ClosedResourceError):
-                        whole.cancel()
-                if slow.cancelled_caught:
+                        writing_scope.cancel()
+                if write_timeout.cancelled_caught:
                     break
         connection_scope.cancel()
 
@@ -622,9 +655,9 @@
                     if self.is_closing:
                         return None
                 data = b""
-                with trio.move_on_after(self.keepalive.interval / 1e9) as quiet:
+                with trio.move_on_after(self.keepalive.interval / 1e9) as read_timeout:
                     data = await self.stream.receive_some(65_536)
-                if quiet.cancelled_caught:
+                if read_timeout.cancelled_caught:
                     self.keepalive.ping_sent()
                     if self.keepalive.is_dead:
                         return None
@@ -653,7 +686,8 @@
                     return None
                 if not event.message_finished:
                     return None
-                data, self.partial_message = bytes(self.partial_message), bytearray()
+                data = bytes(self.partial_message)
+                self.partial_message = bytearray()
                 if isinstance(event, events.BytesMessage) is not self.codec.binary:
                     self.close(CloseReason.UNSUPPORTED_DATA, f"{self.subprotocol} has other frames")
                     return None
--- a/oakcroft/front/zone_routing.py
+++ b/oakcroft/front/zone_routing.py
@@ -36,7 +36,10 @@
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """`zone` is this front end's own zone, "" for none; `rng` spreads requests over zones."""
-        self.coordinator, self.zone, self.rng, self.log = coordinator, zone, rng, log
+        self.coordinator = coordinator
+        self.zone = zone
+        self.rng = rng
+        self.log = log
         self.reconnected_at: dict[str, int] = {}
         self.preference = self._new_preference()
 
@@ -44,36 +47,36 @@
         site = self.coordinator.site
         if site.zone_preference is None or not self.zone:
             return None
-        others = [w for w in site.preferred_zones if w != self.zone]
-        return ZonePreference((self.zone, *others), site.zone_preference)
+        other_zones = [zone for zone in site.preferred_zones if zone != self.zone]
+        return ZonePreference((self.zone, *other_zones), site.zone_preference)
 
     def evidence_by_zone(self, now: int) -> dict[str, dict[NodeEvidence, int]]:
         """The number of nodes in each zone by the evidence on their health."""
-        out: dict[str, dict[NodeEvidence, int]] = {}
+        counts_by_zone: dict[str, dict[NodeEvidence, int]] = {}
         listed = {name.partition("+")[0] for name in self.coordinator.node_list.listed_nodes}
         for name, node in self.coordinator.node_list.nodes.items():
             if name in self.coordinator.node_list.removed_at and name.partition("+")[0] in listed:
                 continue  # the process that replaces it is counted instead
-            seen = (
+            evidence = (
                 NodeEvidence.GONE
                 if name in self.coordinator.node_list.removed_at
                 else self._node_evidence(node, now)
             )
-            of_zone = out.setdefault(node.zone, {})
-            of_zone[seen] = of_zone.get(seen, 0) + 1
-        return out
+            zone_counts = counts_by_zone.setdefault(node.zone, {})
+            zone_counts[evidence] = zone_counts.get(evidence, 0) + 1
+        return counts_by_zone
 
     def _node_evidence(self, node: Node, now: int) -> NodeEvidence:
         if node.status is NodeStatus.DRAINING:
             return NodeEvidence.DRAINS
-        leg = self.coordinator.node_clients.get(node.name)
-        if leg is not None and leg.stream_health.loss is not None:
+        node_client = self.coordinator.node_clients.get(node.name)
+        if node_client is not None and node_client.stream_health.loss is not None:
             return (
                 NodeEvidence.REFUSES
-                if leg.stream_health.loss is LossCertainty.PROVEN
+                if node_client.stream_health.loss is LossCertainty.PROVEN
                 else NodeEvidence.SILENT
             )
-        if leg is not None and leg.stream_health.state is NodeLife.SILENT:
+        if node_client is not None and node_client.stream_health.state is NodeLife.SILENT:
             return NodeEvidence.SILENT
         return (
             NodeEvidence.SILENT
@@ -83,22 +86,26 @@
 
     def zone_loads(self, zones: Iterable[str]) -> dict[str, float]:
         """The load of each zone, from the link loads that the decision module has estimated."""
-        ready: dict[str, list[float]] = {zone: [] for zone in zones}
+        loads_by_zone: dict[str, list[float]] = {zone: [] for zone in zones}
         for node in self.coordinator.node_list.nodes.values():
-            if node.status is NodeStatus.READY and node.zone in ready:
-                ready[node.zone].append(node.estimated_load)
-        return {zone: zone_load(levels) for zone, levels in ready.items()}
+            if node.status is NodeStatus.READY and node.zone in loads_by_zone:
+                loads_by_zone[node.zone].append(node.estimated_load)
+        return {zone: zone_load(loads) for zone, loads in loads_by_zone.items()}
 
     async def run(self) -> None:
         """Updates the zones' health until cancelled."""
-        made_from = (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones)
+        applied_settings = (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones)
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
-            if (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones) != made_from:
-                made_from, self.preference = (
-                    (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones),
-                    self._new_preference(),
+            if (
+                self.coordinator.site.zone_preference,
+                self.coordinator.site.preferred_zones,
+            ) != applied_settings:
+                applied_settings = (
+                    self.coordinator.site.zone_preference,
+                    self.coordinator.site.preferred_zones,
                 )
+                self.preference = self._new_preference()
             if self.preference is not None:
                 self.update(self.preference)
 
@@ -107,26 +114,37 @@
         now = self.coordinator.clock.now()
         self._reconnect_lost_nodes(preference, now)
         self.reconnected_at = {
-            n: at for n, at in self.reconnected_at.items() if n in self.coordinator.node_clients
+            name: reconnected_at
+            for name, reconnected_at in self.reconnected_at.items()
+            if name in self.coordinator.node_clients
         }
-        nodes = self.evidence_by_zone(now)
-        for zone, before, after in preference.update(nodes, now):
+        evidence_by_zone = self.evidence_by_zone(now)
+        for zone, before, after in preference.update(evidence_by_zone, now):
             health = preference.health[zone]
             # Operators' tools match the event name and its fields.
-            self.log.warning("wing", wing=zone, before=before.value, after=after.value, falters=health.relapses,
-                             ramp_s=health.ramp_time // 1_000_000_000, turned_away=preference.rejected_count,
-                             nodes={s.name.lower(): n for s, n in nodes.get(zone, {}).items()})  # fmt: skip
+            self.log.warning(
+                "wing",
+                wing=zone,
+                before=before.value,
+                after=after.value,
+                falters=health.relapses,
+                ramp_s=health.ramp_time // 1_000_000_000,
+                turned_away=preference.rejected_count,
+                nodes={
+                    evidence.name.lower(): count for evidence, count in evidence_by_zone.get(zone, {}).items()
+                },
+            )
 
     def _reconnect_lost_nodes(self, preference: ZonePreference, now: int) -> None:
         """Periodically opens the event streams of lost nodes in unhealthy zones.
 
         No requests go to such a zone, so nothing else would show that its nodes answer again.
         """
-        for name, leg in self.coordinator.node_clients.items():
+        for name, node_client in self.coordinator.node_clients.items():
             node = self.coordinator.node_list.nodes.get(name)
             if (
                 node is None
-                or leg.stream_health.state is not NodeLife.LOST
+                or node_client.stream_health.state is not NodeLife.LOST
                 or node.status is not NodeStatus.READY
             ):
                 continue
@@ -137,15 +155,15 @@
                 and now - self.reconnected_at.get(name, 0) > RECONNECT_INTERVAL_NS
             ):
                 self.reconnected_at[name] = now
-                self.coordinator.follow_events(leg, leg.events_path)
+                self.coordinator.follow_events(node_client, node_client.events_path)
 
     def node_filter(self) -> Callable[[Node], bool] | None:
         """The filter of nodes by zone for a new request; None for all nodes."""
         if self.preference is None:
             return None
         loads = self.zone_loads(self.preference.zones)
-        chosen = self.preference.choose_zones(loads, self.rng.random(), self.coordinator.clock.now())
-        return lambda node: node.zone in chosen
+        chosen_zones = self.preference.choose_zones(loads, self.rng.random(), self.coordinator.clock.now())
+        return lambda node: node.zone in chosen_zones
 
     def status(self) -> dict[str, object]:
         """The zones' health and the overflow between them, for operators."""
@@ -153,13 +171,17 @@
             return {}
         now = self.coordinator.clock.now()
         out: dict[str, object] = {
-            zone: {"state": health.state.value, "since_s": round((now - health.state_since) / 1e9, 1),
-                   "share": round(health.traffic_share(now), 3), "falters": health.relapses,
-                   "ramp_s": health.ramp_time // 1_000_000_000}
+            zone: {
+                "state": health.state.value,
+                "since_s": round((now - health.state_since) / 1e9, 1),
+                "share": round(health.traffic_share(now), 3),
+                "falters": health.relapses,
+                "ramp_s": health.ramp_time // 1_000_000_000,
+            }
             for zone, health in self.preference.health.items()
-        }  # fmt: skip
-        spill = self.preference.overflow
+        }
+        overflow = self.preference.overflow
         return out | {
-            "spilled": f"{spill.overflowed} of {len(spill.requests)}",
+            "spilled": f"{overflow.overflowed} of {len(overflow.requests)}",
             "turned_away": self.preference.rejected_count,
         }
