--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -17,7 +17,7 @@
 import structlog
 import trio
 
-from oakcroft.catalogue.text import CatalogueError, text_digest as digest_of, read_catalogue, format_catalogue
+from oakcroft.catalogue.text import CatalogueError, text_digest, read_catalogue, format_catalogue
 from oakcroft.decisions.fleet.rollout import (
     FINAL_STAGES,
     ROLLOUT_SHARES,
@@ -363,7 +363,7 @@
                 content = await trio.to_thread.run_sync(read_catalogue, text)
             except (UnicodeDecodeError, CatalogueError):
                 continue
-            if digest_of(format_catalogue(content.titles.items(), content.others)) == plan.digest:
+            if text_digest(format_catalogue(content.titles.items(), content.others)) == plan.digest:
                 self.cache_text(plan.digest, text)
                 return ""
         return ""  # not found: the report says so, and the owner repeats the order
@@ -527,7 +527,7 @@
         """
         content = await trio.to_thread.run_sync(read_catalogue, text)
         formatted_text = format_catalogue(content.titles.items(), content.others)
-        digest = digest_of(formatted_text)
+        digest = text_digest(formatted_text)
         self.cache_text(digest, formatted_text)
         return await self._send_request(
             RolloutRequest(digest, base_digest or EMPTY_DIGEST, watch_time, force, change_reason)
@@ -671,4 +671,4 @@
         return told
 
 
-EMPTY_DIGEST = digest_of(format_catalogue((), True))
+EMPTY_DIGEST = text_digest(format_catalogue((), True))
--- a/oakcroft/front/catalogue_versions.py
+++ b/oakcroft/front/catalogue_versions.py
@@ -16,7 +16,7 @@
 from oakcroft.catalogue.text import (
     CatalogueContent,
     apply_change,
-    text_digest as digest_of,
+    text_digest,
     read_catalogue,
     format_catalogue,
 )
@@ -30,8 +30,8 @@
     CatalogueVerdict,
     changed_titles,
     evaluate_change,
+    is_in_share,
 )
-from oakcroft.decisions.routing.catalogue import is_in_share
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.playback_session import PlaybackSession
 from oakcroft.interface import NodeStatus, PlaybackState
@@ -134,7 +134,7 @@
             def prepare() -> tuple[Catalogue, list[str], str]:
                 content = parse()
                 text = format_catalogue(content.titles.items(), content.others)
-                new = Catalogue(self.history.next_number, digest_of(text), content.titles, content.others)
+                new = Catalogue(self.history.next_number, text_digest(text), content.titles, content.others)
                 return new, changed_titles(base, new), text
 
             new, changed_names, text = await trio.to_thread.run_sync(prepare)
--- a/oakcroft/front/durable_state.py
+++ b/oakcroft/front/durable_state.py
@@ -27,8 +27,10 @@
     NodeReport,
     proof_possible_at,
     recovery_action,
+    restored_further_tries,
+    judge_promise,
+    apply_verdict,
 )
-from oakcroft.decisions.state.recovery import restored_further_tries, judge_promise, apply_verdict
 from oakcroft.decisions.state.promise import (
     PromiseState,
     Promise,
@@ -38,7 +40,7 @@
     needs_durable_intent,
 )
 from oakcroft.decisions.fleet.node_list import ListedNode
-from oakcroft.front.node_client import NodeClient, NodeEvent as Hello
+from oakcroft.front.node_client import NodeClient, NodeEvent
 from oakcroft.front.recovered_session import attach_to_node, resume_playback, session_from_promise
 from oakcroft.front.protocols import Coordinator
 from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
@@ -468,7 +470,7 @@
 
     # Reports from nodes.
 
-    def node_state_received(self, node_client: NodeClient, hello: Hello, requested_at: int) -> None:
+    def node_state_received(self, node_client: NodeClient, hello: NodeEvent, requested_at: int) -> None:
         """Handles a node's report of this front end's sessions that it runs and the keys that it has run."""
         now = self.coordinator.clock.now()
         running = dict(zip(hello.sessions, hello.keys, strict=False))
--- a/oakcroft/front/load_probing.py
+++ b/oakcroft/front/load_probing.py
@@ -25,11 +25,9 @@
 
     def send_loads(self, peer: str, reports: list[LoadReport]) -> None:
         """Sends load reports to one front end."""
-        ...
 
     def present(self) -> list[str]:
         """The names of the present front ends."""
-        ...
 
 
 class LoadProbing:
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -52,15 +52,12 @@
 
     def status(self) -> dict[str, object]:
         """The leases as this front end knows them."""
-        ...
 
     def term(self, duty: str) -> object | None:
         """The running term of a lease, if this front end holds it."""
-        ...
 
     def give_back(self, duty: str) -> None:
         """Releases a lease before its term ends."""
-        ...
 
 
 class RolloutControl(Protocol):
@@ -68,17 +65,14 @@
 
     def status(self) -> dict[str, object]:
         """The last roll-out as this front end knows it."""
-        ...
 
     async def submit(
         self, text: str, base_digest: str, watch_time: int, force: bool, change_reason: str
     ) -> str:
         """Starts a roll-out; returns why not, or ""."""
-        ...
 
     async def roll_back(self, reason: str) -> str:
         """Rolls the last roll-out back; returns why not, or ""."""
-        ...
 
 
 class StatusSource(Protocol):
@@ -86,7 +80,6 @@
 
     def status(self) -> dict[str, object]:
         """The status, as a JSON object."""
-        ...
 
 
 class OperatorsApi:
@@ -99,6 +92,7 @@
         service_levels: ServiceLevelControl,
         zone_routing: ZoneRouting,
     ) -> None:
+        """Parts that a front end may lack (fleet, leases, roll-out, takeover, load probing) are set after creation."""
         self.coordinator = coordinator
         self.catalogues = catalogues
         self.service_levels = service_levels
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -16,7 +16,7 @@
 import trio
 
 from oakcroft.decisions.fleet.session_takeover import (
-    SessionTakeover as Course,
+    SessionTakeover,
     TakeoverBounds,
     TakeoverRequest,
     TakeoverDecision,
@@ -58,7 +58,7 @@
         self.on_published = on_published
         self.log = log
         self.accepts_new = accepts_new  # a front end that is leaving would at once end what it took over
-        self.takeover = Course(membership.me.name, bounds)
+        self.takeover = SessionTakeover(membership.me.name, bounds)
         self.adopted_playbacks: dict[str, PlaybackSession] = {}  # adopted sessions by id
         self.adopted_counts = Counter[str]()
         self.lost_to_others = 0
--- a/oakcroft/front/zone_routing.py
+++ b/oakcroft/front/zone_routing.py
@@ -13,7 +13,7 @@
 import trio
 
 from oakcroft.choice import FAILURE_SCORE_HALF_LIFE_NS, FAILURE_SCORE_LIMIT
-from oakcroft.decisions.sessions.event_stream_health import StreamState as NodeLife, LossCertainty
+from oakcroft.decisions.sessions.event_stream_health import StreamState, LossCertainty
 from oakcroft.decisions.routing.zone_preference import NodeEvidence, ZonePreference, ZoneState, zone_load
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.interface import SECOND, NodeStatus, Node
@@ -76,7 +76,7 @@
                 if node_client.stream_health.loss is LossCertainty.PROVEN
                 else NodeEvidence.SILENT
             )
-        if node_client is not None and node_client.stream_health.state is NodeLife.SILENT:
+        if node_client is not None and node_client.stream_health.state is StreamState.SILENT:
             return NodeEvidence.SILENT
         return (
             NodeEvidence.SILENT
@@ -144,7 +144,7 @@
             node = self.coordinator.node_list.nodes.get(name)
             if (
                 node is None
-                or node_client.stream_health.state is not NodeLife.LOST
+                or node_client.stream_health.state is not StreamState.LOST
                 or node.status is not NodeStatus.READY
             ):
                 continue
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -69,8 +69,10 @@
     async def status(self, name: str) -> dict[str, Any]:
         try:
             with trio.fail_after(2):
-                said = await self.request(name, "GET", "/operators/status", Authorization=f"Bearer {TOKEN}")
-            return dict(orjson.loads(said.body))
+                response = await self.request(
+                    name, "GET", "/operators/status", Authorization=f"Bearer {TOKEN}"
+                )
+            return dict(orjson.loads(response.body))
         except (Ended, trio.TooSlowError):
             return {}
 
@@ -110,20 +112,20 @@
             return
         facts = self.facts(*FACT_KINDS, "setup", "answer", "broken")
         found = [*judge_holding(facts), judge(facts, self.nodes.day.site)[4]]
-        assert [f.breaches for f in found] == [[]] * 4, found
+        assert [rule.breaches for rule in found] == [[]] * 4, found
 
     async def wait_until_held_by(
         self, keys: list[str], among: set[str], timeout_s: float = 14
     ) -> Counter[str]:
         """Waits until all sessions with these keys are held by front ends in `among`; counts them by front end."""
-        some = dict[str, str]()
+        holders = dict[str, str]()
         with trio.move_on_after(timeout_s):
             while True:
-                some = self.holders_by_key()
-                if all(some.get(k) in among for k in keys):
-                    return Counter(some[k] for k in keys)
+                holders = self.holders_by_key()
+                if all(holders.get(key) in among for key in keys):
+                    return Counter(holders[key] for key in keys)
                 await trio.sleep(0.05)
-        raise AssertionError(Counter(some.get(k) for k in keys))
+        raise AssertionError(Counter(holders.get(key) for key in keys))
 
 
 def run_on_takeover_fronts(
@@ -144,34 +146,34 @@
     async def test(rig: TakeoverFronts) -> None:
         keys = await rig.start_playbacks("f2", 12) + await rig.start_playbacks("f2", 6, "course")
         first = await rig.request_until_playing("f2", "/whep/course/t9", "paid")
-        rest = {n for n in rig.names if n != "f2"}
+        other_fronts = {n for n in rig.names if n != "f2"}
         rig.signal("f2", signal.SIGKILL)
-        spread = await rig.wait_until_held_by([*keys, "paid"], rest)
+        spread = await rig.wait_until_held_by([*keys, "paid"], other_fronts)
         assert len(spread) >= 3, spread  # the three adopters of each node take a share each
 
         # A paid request repeated at the new holder gets the same answer, without a second set-up.
-        keeper = rig.holders_by_key()["paid"]
-        again = await rig.request_playback(keeper, "/whep/course/t9", "paid")
-        assert (again.status, again.body) == (201, first.body)
-        assert len([f for f in rig.facts("ran") if f["key"] == "paid"]) == 1
+        holder = rig.holders_by_key()["paid"]
+        repeated = await rig.request_playback(holder, "/whep/course/t9", "paid")
+        assert (repeated.status, repeated.body) == (201, first.body)
+        assert len([fact for fact in rig.facts("ran") if fact["key"] == "paid"]) == 1
 
         # Its viewer ends it there, at the location that it was given at first.
         location = str(first.header("location")).split("://", 1)[-1]
-        gone = await rig.request(keeper, "DELETE", location[location.index("/") :])
-        assert gone.status == 200
+        ended = await rig.request(holder, "DELETE", location[location.index("/") :])
+        assert ended.status == 200
         await rig.wait_until(lambda: "paid" not in rig.holders_by_key())
 
         # The front end that adopted most fails too: its sessions are taken over, including the adopted ones.
         second = spread.most_common(1)[0][0]
         rig.signal(second, signal.SIGKILL)
-        await rig.wait_until_held_by(keys, rest - {second})
+        await rig.wait_until_held_by(keys, other_fronts - {second})
         # The sessions that the nodes' leases would have ended still play after all requests are done.
         with trio.fail_after(30):
-            for name in sorted(rest - {second}):
+            for name in sorted(other_fronts - {second}):
                 while (await rig.status(name))["adopting"]["asking"]:
                     await trio.sleep(0.1)
         assert set(keys) <= set(rig.holders_by_key())
-        assert not [f for f in rig.facts("over") if f["why"] == "front gone"]
+        assert not [fact for fact in rig.facts("over") if fact["why"] == "front gone"]
 
     run_on_takeover_fronts(tmp_path, test)
 
@@ -181,30 +183,30 @@
         keys = await rig.start_playbacks("f1", 8)
         first = await rig.request_until_playing("f1", "/whep/open/t5", "mine")
         location = str(first.header("location")).split("://", 1)[-1]
-        path, rest = location[location.index("/") :], {n for n in rig.names if n != "f1"}
-        rig.signal(f := "f1", signal.SIGSTOP)
+        path, other_fronts = location[location.index("/") :], {n for n in rig.names if n != "f1"}
+        rig.signal(front_name := "f1", signal.SIGSTOP)
         # While nodes have its event stream, none of its sessions is taken over, whatever the other front ends see.
-        await rig.see(sorted(rest), {f: "gone"}, 12)
+        await rig.see(sorted(other_fronts), {front_name: "gone"}, 12)
         with trio.fail_after(10):
-            while not any([(await rig.status(n))["adopting"]["asking"] for n in sorted(rest)]):
+            while not any([(await rig.status(n))["adopting"]["asking"] for n in sorted(other_fronts)]):
                 await trio.sleep(0.05)
-        assert await rig.wait_until_held_by([*keys, "mine"], {f})
+        assert await rig.wait_until_held_by([*keys, "mine"], {front_name})
         # A viewer's call waits for the paused front end; the nodes lose its streams, and others take its sessions over.
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.request_ignoring_errors, f, "DELETE", path)
-            rig.lose_streams(f)
-            await rig.wait_until_held_by([*keys, "mine"], rest)
-            rig.signal(f, signal.SIGCONT)
-            await rig.see(sorted(rest), {f: "alive"}, 12)
+            nursery.start_soon(rig.request_ignoring_errors, front_name, "DELETE", path)
+            rig.lose_streams(front_name)
+            await rig.wait_until_held_by([*keys, "mine"], other_fronts)
+            rig.signal(front_name, signal.SIGCONT)
+            await rig.see(sorted(other_fronts), {front_name: "alive"}, 12)
             # The viewer's call may be handled before the nodes' report on the ninth session.
             with trio.fail_after(10):
-                while (await rig.status(f))["adopting"]["passed_on"] < 8:
+                while (await rig.status(front_name))["adopting"]["passed_on"] < 8:
                     await trio.sleep(0.05)
         assert set(rig.holders_by_key()) == {*keys, "mine"}
-        assert (await rig.status(f))["playing"] == 0
+        assert (await rig.status(front_name))["playing"] == 0
         assert len(rig.facts("turned away")) <= 1
         assert b"node lost" not in (tmp_path / "f1.log").read_bytes()
-        await rig.request_until_playing(f, "/whep/open/t6", "after")
+        await rig.request_until_playing(front_name, "/whep/open/t6", "after")
 
     run_on_takeover_fronts(tmp_path, test)
 
@@ -231,11 +233,11 @@
         await rig.start("f3")
         await rig.wait_until_held_by(keys["f3"], set(rig.names))
         await rig.wait_until(lambda: len(rig.facts("passed")) >= 4)
-        moved = {f["front"] for f in rig.facts("passed")}
+        moved = {fact["front"] for fact in rig.facts("passed")}
         assert all(m.startswith("front-3-") for m in moved), moved
-        again = await rig.request_playback("f3", "/whep/open/t0", keys["f3"][0])
-        assert again.status == 201
-        assert len([f for f in rig.facts("ran") if f["key"] == keys["f3"][0]]) == 1
+        repeated = await rig.request_playback("f3", "/whep/open/t0", keys["f3"][0])
+        assert repeated.status == 201
+        assert len([fact for fact in rig.facts("ran") if fact["key"] == keys["f3"][0]]) == 1
 
     run_on_takeover_fronts(tmp_path, test)
 
@@ -254,22 +256,22 @@
         await rig.start("f1")
         await rig.wait_until_held_by(keys, {"f1"})
         assert not rig.facts("passed")  # it restored them from its state file
-        again = await rig.request_playback("f1", "/whep/course/t0", keys[4])
-        assert again.status == 201
+        repeated = await rig.request_playback("f1", "/whep/course/t0", keys[4])
+        assert repeated.status == 201
 
-        rest = {n for n in rig.names if n != "f1"}
+        other_fronts = {n for n in rig.names if n != "f1"}
         rig.signal("f1", signal.SIGKILL)
         await rig.processes["f1"].wait()
-        spread = await rig.wait_until_held_by(keys, rest)
-        keeper = rig.holders_by_key()[keys[4]]
+        spread = await rig.wait_until_held_by(keys, other_fronts)
+        holder = rig.holders_by_key()[keys[4]]
         # An adopter records the adopted session: after a restart it knows the key and sets nothing up.
-        rig.signal(keeper, signal.SIGKILL)
-        await rig.processes[keeper].wait()
-        await rig.start(keeper)
-        await rig.wait_until_held_by([keys[4]], {keeper})
-        again = await rig.request_playback(keeper, "/whep/course/t0", keys[4])
-        assert again.status == 201
-        assert len([f for f in rig.facts("ran") if f["key"] == keys[4]]) == 1
+        rig.signal(holder, signal.SIGKILL)
+        await rig.processes[holder].wait()
+        await rig.start(holder)
+        await rig.wait_until_held_by([keys[4]], {holder})
+        repeated = await rig.request_playback(holder, "/whep/course/t0", keys[4])
+        assert repeated.status == 201
+        assert len([fact for fact in rig.facts("ran") if fact["key"] == keys[4]]) == 1
 
         # The failed front end restarts late with its state file: it ends no session that others hold.
         await rig.start("f1")
@@ -307,7 +309,7 @@
         rig.signal(dead, signal.SIGKILL)
         await rig.wait_until_held_by(keys, set(order[1:]))
         number = leaving.removeprefix("f")
-        assert not [f for f in rig.facts("passed") if f["front"].startswith(f"front-{number}-")]
+        assert not [fact for fact in rig.facts("passed") if fact["front"].startswith(f"front-{number}-")]
         assert await rig.wait_until_held_by(kept, {leaving})
 
     run_on_takeover_fronts(tmp_path, test, FrontsWithLongDrain)
@@ -322,12 +324,12 @@
         await rig.wait_until_held_by(["f0-seat-0", "f0-seat-1"], {"f4"})
         # No front end has seats for its two: nodes end them when the lease expires.
         rig.signal("f1", signal.SIGKILL)
-        gone = {"f1-seat-0", "f1-seat-1"}
-        await rig.wait_until(lambda: not gone & set(rig.holders_by_key()), 25)
-        why = {f["why"] for f in rig.facts("over") if f["key"] in gone}
+        ended = {"f1-seat-0", "f1-seat-1"}
+        await rig.wait_until(lambda: not ended & set(rig.holders_by_key()), 25)
+        why = {fact["why"] for fact in rig.facts("over") if fact["key"] in ended}
         assert why == {"front gone"}
-        told = [(await rig.status(n))["adopting"]["left"] for n in ("f2", "f3", "f4")]
-        assert any("its seats are taken" in t for t in told), told
+        declined = [(await rig.status(n))["adopting"]["left"] for n in ("f2", "f3", "f4")]
+        assert any("its seats are taken" in t for t in declined), declined
 
     run_on_takeover_fronts(tmp_path, test)
 
@@ -342,16 +344,16 @@
         fact(9, "passed", session="s", before="a", front="b"),
         fact(10, "over", session="s", front="b", why="deleted", by="b"),
     ]  # fmt: skip
-    assert [f.breaches for f in judge_holding(sound)] == [[], [], []]
+    assert [rule.breaches for rule in judge_holding(sound)] == [[], [], []]
     assert outlived(sound) == (1, 0)
     late = [*sound[:5], fact(10, "rung", session="s", front="a", rung=0)]
-    assert [len(f.breaches) for f in judge_holding(late)] == [1, 0, 0]
+    assert [len(rule.breaches) for rule in judge_holding(late)] == [1, 0, 0]
     ended = [*sound[:5], fact(10, "over", session="s", front="b", why="deleted", by="a")]
-    assert [len(f.breaches) for f in judge_holding(ended)] == [1, 0, 0]
-    robbed = [f for f in sound if not (f["kind"] == "listens" and not f["open"])]
-    assert [len(f.breaches) for f in judge_holding(robbed)] == [0, 1, 0]
+    assert [len(rule.breaches) for rule in judge_holding(ended)] == [1, 0, 0]
+    robbed = [fact for fact in sound if not (fact["kind"] == "listens" and not fact["open"])]
+    assert [len(rule.breaches) for rule in judge_holding(robbed)] == [0, 1, 0]
     twice = [*sound[:5], fact(10, "passed", session="s", before="a", front="c")]
-    assert [len(f.breaches) for f in judge_holding(twice)] == [1, 0, 1]
+    assert [len(rule.breaches) for rule in judge_holding(twice)] == [1, 0, 1]
 
 
 def test_late_words_of_the_one_that_had_it_are_turned_away_and_a_node_that_trusts_all_is_found(
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -142,8 +142,8 @@
 
 
 def test_a_request_is_bound_by_the_version_in_force() -> None:
-    some = make_catalogue(2, a=CatalogueTitle(rates=(1.0, 2.0)), b=CatalogueTitle())
-    tops = [highest_rung(some, t, top, floor, 4) for t, top, floor in
+    catalogue = make_catalogue(2, a=CatalogueTitle(rates=(1.0, 2.0)), b=CatalogueTitle())
+    tops = [highest_rung(catalogue, t, top, floor, 4) for t, top, floor in
             (("a", 9, 0), ("a", 0, 0), ("a", 9, 2), ("b", 9, 0), ("c", 9, 0))]  # fmt: skip
     assert tops == [1, 0, None, 3, None]
     assert highest_rung(Catalogue(), "c", 1 << 30, 0, 4) == 3
@@ -167,9 +167,9 @@
         (CatalogueTitle((), 4, 1), "there are 4"),
         (CatalogueTitle(rates=(1.0, 2.0, 3.0, 4.0)), "ladder has 3"),
     ):
-        verdict, why = evaluate(old, make_catalogue(2, a=bad), old.digest, SNAPSHOT)
+        verdict, reasons = evaluate(old, make_catalogue(2, a=bad), old.digest, SNAPSHOT)
         assert verdict is CatalogueVerdict.REFUSED
-        assert says in why[0]
+        assert says in reasons[0]
     assert (
         evaluate(old, make_catalogue(2, a=CatalogueTitle(("n3",))), None, SNAPSHOT, force=True)[0]
         is CatalogueVerdict.TAKEN
@@ -260,11 +260,11 @@
             first = await rig.request("GET", "/operators/catalogue", **AUTH)
             assert (first.status, first.header("etag")) == (200, '"none"')
             assert (await send_catalogue(rig, one, None)).status == 428
-            sat = await send_catalogue(rig, one, '"none"', "?why=first")
-            assert (sat.status, response_body(sat)["version"]) == (200, 1)
+            answer = await send_catalogue(rig, one, '"none"', "?why=first")
+            assert (answer.status, response_body(answer)["version"]) == (200, 1)
             assert (await send_catalogue(rig, one, '"none"')).status == 412
             assert response_body(await send_catalogue(rig, one))["verdict"] == "same"
-            tag = sat.header("etag") or ""
+            tag = answer.header("etag") or ""
             same = await rig.request("GET", "/operators/catalogue", If_None_Match=tag, **AUTH)
             assert same.status == 304
             broken = await send_catalogue(rig, "(catalogue (title a) (title a))", tag)
@@ -362,11 +362,11 @@
                 mine = Random(seed)
                 while not stop.is_set():
                     began = trio.current_time()
-                    sat = await rig.request_playback(f"/whep/open/t{mine.randrange(4)}")
+                    answer = await rig.request_playback(f"/whep/open/t{mine.randrange(4)}")
                     longest[0] = max(longest[0], trio.current_time() - began)
-                    answers[sat.status] += 1
-                    if sat.status == 201:
-                        await rig.request("DELETE", sat.header("location") or "")
+                    answers[answer.status] += 1
+                    if answer.status == 201:
+                        await rig.request("DELETE", answer.header("location") or "")
 
             def some() -> str:
                 titles = {}
@@ -387,10 +387,12 @@
                     if n % 10 == 7:
                         text = text.replace("n1", "n8").replace("n2", "n9")
                     tag = (await rig.request("GET", "/operators/catalogue", **AUTH)).header("etag") or ""
-                    sat = [await send_catalogue(rig, text, tag)]
-                    if n % 10 == 5 and sat[0].status == 200:  # a second change made from the same version
-                        sat.append(await send_catalogue(rig, some(), tag))
-                    for one in sat:
+                    received = [await send_catalogue(rig, text, tag)]
+                    if (
+                        n % 10 == 5 and received[0].status == 200
+                    ):  # a second change made from the same version
+                        received.append(await send_catalogue(rig, some(), tag))
+                    for one in received:
                         verdicts[one.status] += 1
                         if one.status == 200 and response_body(one)["verdict"] == "taken":
                             versions[response_body(one)["version"]] = dict(read_catalogue(text).titles)
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -132,10 +132,10 @@
 ) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            async with raw_client(rig, api.Hello()) as one:
-                await one.receive()
-                await one.send(api.Ask(1, path, offer(20_000, 1), key))
-                answer = await one.receive()
+            async with raw_client(rig, api.Hello()) as client_connection:
+                await client_connection.receive()
+                await client_connection.send(api.Ask(1, path, offer(20_000, 1), key))
+                answer = await client_connection.receive()
                 assert isinstance(answer, api.Answer)
                 assert answer.status == status
             assert (await rig.request_playback()).status == 201
@@ -164,21 +164,23 @@
 ) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            answered, odd = PlayoutNode.set_up, [True]
+            answered, is_next_odd = PlayoutNode.set_up, [True]
 
             async def oddly(node: PlayoutNode, request: Request, front: str) -> Response:
                 response = await answered(node, request, front)
-                if odd and response.status == 201:
-                    odd.clear()
-                    response.headers = [(n, value if n == field else v) for n, v in response.headers]
+                if is_next_odd and response.status == 201:
+                    is_next_odd.clear()
+                    response.headers = [
+                        (name, value if name == field else old) for name, old in response.headers
+                    ]
                 return response
 
             monkeypatch.setattr(PlayoutNode, "set_up", oddly)
             first = await rig.request_playback("/whep/course/t")
             assert first.status == status
             if status == 201:
-                gone = await rig.request("DELETE", first.header("location") or "")
-                assert gone.status == 200
+                end_answer = await rig.request("DELETE", first.header("location") or "")
+                assert end_answer.status == 200
             assert (await rig.request_playback("/whep/course/t")).status == 201
 
     run_async_test(test)
@@ -191,17 +193,17 @@
 def test_a_list_with_an_impossible_time_or_address_is_refused_whole(wrong: dict[str, object]) -> None:
     particulars = {"name": "n", "cell": 0, "link_kb": 1.0, "places": 1.0} | wrong
     place = {"address": particulars.pop("address", "127.0.0.1"), "port_value": 1}
-    line = {
+    listed_node = {
         "endpoint": {"address": {"socket_address": place}},
         "metadata": {"filter_metadata": {"oakcroft": particulars}},
     }
-    resources = [{"cluster_name": "c", "endpoints": [{"lb_endpoints": [line]}]}]
+    resources = [{"cluster_name": "c", "endpoints": [{"lb_endpoints": [listed_node]}]}]
     body = orjson.dumps({"version_info": "1", "resources": resources})
     try:
-        lines, version, service = node_list_client.parse_response(body)
+        listed_nodes, version, service = node_list_client.parse_response(body)
     except node_list_client.NodeListError:
         return
-    assert isinstance(NodeList().apply(lines, version, service, 0), ListRejection)
+    assert isinstance(NodeList().apply(listed_nodes, version, service, 0), ListRejection)
 
 
 # Repeated idempotency keys, in each state of their request.
@@ -210,9 +212,8 @@
 def test_the_end_of_an_earlier_playback_ends_nothing_of_a_later_one_under_its_key() -> None:
     repeats, first, later = IdempotencyStore(10, 60 * SECOND), object(), object()
     repeats.begin("k", "a", False, 0)
-    repeats.record_answer(
-        "k", FinalAnswer.ABORTED, first, 1
-    )  # its abandon time was reached; its set-up succeeds later
+    # Its abandon time was reached; its set-up succeeds later.
+    repeats.record_answer("k", FinalAnswer.ABORTED, first, 1)
     repeats.begin("k", "a", False, 2)
     repeats.record_answer("k", FinalAnswer.PLAYS, later, 3)
     repeats.playback_ended("k", first, 4)
@@ -242,12 +243,12 @@
             await wait_until_recovered(rig)
             first = await rig.recorded_viewer("k", "/whep/course/t")
             assert first is not None
-            here = first.header("location") or ""
-            assert (await rig.request("DELETE", here)).status == 200
+            location = first.header("location") or ""
+            assert (await rig.request("DELETE", location)).status == 200
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
             again = await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')
-            assert (again.status, again.header("location"), again.body) == (201, here, first.body)
-            assert (await rig.request("DELETE", here)).status == 404
+            assert (again.status, again.header("location"), again.body) == (201, location, first.body)
+            assert (await rig.request("DELETE", location)).status == 404
             rig.stop.set()
             await rig.exited.wait()
             async with trio.open_nursery() as nursery:
@@ -289,17 +290,18 @@
 ) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            helm, path = rig.coordinator(), f"/whep/{plan}/t"
+            coordinator, path = rig.coordinator(), f"/whep/{plan}/t"
             first = await rig.request_playback(path, Idempotency_Key='"k"')
-            v = helm.sessions_by_id[(first.header("location") or "").rpartition("/")[2]]
-            helm.answer_undelivered(v)  # as if the connection was lost while the answer was written
+            session = coordinator.sessions_by_id[(first.header("location") or "").rpartition("/")[2]]
+            # As if the connection was lost while the answer was written.
+            coordinator.answer_undelivered(session)
             assert (await rig.request_playback(path, Idempotency_Key='"k"')).header(
                 "location"
             ) == first.header("location")
-            assert not v.answer_undelivered
+            assert not session.answer_undelivered
             monkeypatch.setattr("oakcroft.front.session_coordinator.UNDELIVERED_ANSWER_SECONDS", 0.05)
-            helm.answer_undelivered(v)
-            await wait_until(lambda: not helm.sessions_by_playback)
+            coordinator.answer_undelivered(session)
+            await wait_until(lambda: not coordinator.sessions_by_playback)
             assert len(rig.recorded("ran")) == 1
             rig.assert_rules_hold()
 
@@ -309,17 +311,17 @@
 def test_nothing_is_set_up_for_a_viewer_that_left_before_the_module_was_asked(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            helm = rig.coordinator()
-            offered, waits = helm.try_submit, list[Callable[[], None]]()
-            helm.try_submit = lambda event: not waits.append(event)  # type: ignore[method-assign,func-returns-value]
+            coordinator = rig.coordinator()
+            offered, waits = coordinator.try_submit, list[Callable[[], None]]()
+            coordinator.try_submit = lambda event: not waits.append(event)  # type: ignore[method-assign,func-returns-value]
             async with trio.open_nursery() as nursery:
                 await nursery.start(rig.recorded_viewer, "k", "/whep/course/t")
                 await wait_until(lambda: waits)
                 nursery.cancel_scope.cancel()
             await wait_until(lambda: len(waits) > 1)
-            helm.try_submit = offered  # type: ignore[method-assign]
+            coordinator.try_submit = offered  # type: ignore[method-assign]
             for event in waits:
-                await helm.submit(event)
+                await coordinator.submit(event)
             assert (await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')).status == 201
             assert len(rig.recorded("setup")) == 1
             rig.assert_rules_hold()
@@ -340,26 +342,28 @@
 def test_a_playback_belongs_to_the_seat_that_asked_for_it_last(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, AsyncExitStack() as stack:
-            _, seats = coordinator_and_api(rig)
+            _, session_api = coordinator_and_api(rig)
             first = None
             # Each a new client session, as of a client without its resume token.
             for _ in range(MAX_EVENT_READERS + 2):
-                one = await stack.enter_async_context(raw_client(rig, api.Hello()))
-                await one.receive()
-                answer = await request_playback(one, "k")
+                client_connection = await stack.enter_async_context(raw_client(rig, api.Hello()))
+                await client_connection.receive()
+                answer = await request_playback(client_connection, "k")
                 assert answer.status == 201
                 first = first or answer.playback
                 assert answer.playback == first
-            *earlier, last = seats.clients.values()
+            *earlier, last = session_api.clients.values()
             assert [len(h.playbacks) + len(h.event_readers) + len(h.requested_rungs) for h in earlier] == [
                 0
             ] * (MAX_EVENT_READERS + 1)
-            assert [h.usage.playbacks for h in seats.clients.values()] == [0] * (MAX_EVENT_READERS + 1) + [1]
-            for holder in earlier:
-                await seats.end_client_session(holder)
-            again = await request_playback(one, "k", 2)
+            assert [h.usage.playbacks for h in session_api.clients.values()] == [0] * (
+                MAX_EVENT_READERS + 1
+            ) + [1]
+            for api_client in earlier:
+                await session_api.end_client_session(api_client)
+            again = await request_playback(client_connection, "k", 2)
             assert (again.playback, again.answer, again.again) == (first, answer.answer, True)
-            await one.send(api.End(first or "", 3))
+            await client_connection.send(api.End(first or "", 3))
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
             assert [
                 len(last.playbacks),
@@ -376,24 +380,24 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as one:
-            _, seats = coordinator_and_api(rig)
-            await one.receive()
+        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
+            _, session_api = coordinator_and_api(rig)
+            await client_connection.receive()
             # The node's report of the end arrived first.
             monkeypatch.setattr(NodeSessions, "claim", lambda *_: False)
-            answer = await request_playback(one, "k")
+            answer = await request_playback(client_connection, "k")
             assert answer.status == 201
-            event = await one.receive()
+            event = await client_connection.receive()
             assert isinstance(event, api.Event)
             assert (event.playback, event.kind) == (answer.playback, "inactive")
-            (holder,) = seats.clients.values()
+            (api_client,) = session_api.clients.values()
             await wait_until(
                 lambda: (
                     not (
-                        holder.playbacks
-                        or holder.event_readers
-                        or holder.requested_rungs
-                        or holder.usage.playbacks
+                        api_client.playbacks
+                        or api_client.event_readers
+                        or api_client.requested_rungs
+                        or api_client.usage.playbacks
                     )
                 )
             )
@@ -403,19 +407,19 @@
 
 def test_a_repeat_of_an_answered_request_is_let_in_at_every_door(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as one:
-            core = rig.front_end.service if rig.front_end else None
-            assert core is not None
-            await one.receive()
-            over_seat = await request_playback(one, "seat")
+        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
+            service = rig.front_end.service if rig.front_end else None
+            assert service is not None
+            await client_connection.receive()
+            over_seat = await request_playback(client_connection, "seat")
             paid = await rig.request_playback("/whep/course/t", Idempotency_Key='"paid"')
-            core.should_shed = lambda path: True  # type: ignore[method-assign]
-            for holder in coordinator_and_api(rig)[1].clients.values():
-                holder.usage.pending_requests = holder.usage.limits.pending_requests
-            core.coordinator.site.route_table.plans.clear()
+            service.should_shed = lambda path: True  # type: ignore[method-assign]
+            for api_client in coordinator_and_api(rig)[1].clients.values():
+                api_client.usage.pending_requests = api_client.usage.limits.pending_requests
+            service.coordinator.site.route_table.plans.clear()
             assert (await rig.request_playback()).status == 503
-            assert (await request_playback(one, "other", 2)).status == 429
-            assert (await request_playback(one, "seat", 3)).playback == over_seat.playback
+            assert (await request_playback(client_connection, "other", 2)).status == 429
+            assert (await request_playback(client_connection, "seat", 3)).playback == over_seat.playback
             again = await rig.request_playback("/whep/course/t", Idempotency_Key='"paid"')
             assert (again.status, again.header("location")) == (201, paid.header("location"))
 
@@ -435,25 +439,25 @@
 @pytest.mark.parametrize("ended", ["ending", "ended"])
 def test_every_call_on_a_session_that_has_ended_gets_404(tmp_path: Path, ended: str) -> None:
     async def test() -> None:
-        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as one:
-            await one.receive()
-            seat = await request_playback(one, "k")
-            here = (await rig.request_playback()).header("location") or ""
+        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
+            await client_connection.receive()
+            seat = await request_playback(client_connection, "k")
+            location = (await rig.request_playback()).header("location") or ""
             for node in rig.nodes_in_use():
                 node.ails.silent = ended == "ending"  # the end of the session at the node is not answered yet
-            for name in (here, f"/session/{seat.playback}"):
+            for name in (location, f"/session/{seat.playback}"):
                 assert (await rig.request("DELETE", name)).status == 200
             if ended == "ended":
                 await wait_until(lambda: not rig.coordinator().sessions_by_playback)
             for method, part in LATE_CALLS:
                 body = offer(20_000, 1).encode() if part == "/move" else b'{"encodingId": "0"}'
                 kind = {"": SDPFRAG_MEDIA_TYPE, "/move": sdp.MEDIA_TYPE}.get(part, "application/json")
-                late = await rig.request(method, here + part, body, Content_Type=kind, If_Match="*")
+                late = await rig.request(method, location + part, body, Content_Type=kind, If_Match="*")
                 assert late.status == 404, (method, part)
             for n, call in enumerate([api.Layer(seat.playback, 0, 7), api.Pause(seat.playback, 8),
                                       api.MoveDone(seat.playback, 9), api.End(seat.playback, 10)]):  # fmt: skip
-                await one.send(call)
-                while not isinstance(done := await one.receive(), api.Done):
+                await client_connection.send(call)
+                while not isinstance(done := await client_connection.receive(), api.Done):
                     pass
                 assert (done.id, done.status) == (7 + n, 200 if done.id == 10 and ended == "ending" else 404)
             for node in rig.fleet.nodes.values():
@@ -467,11 +471,15 @@
 # Nodes that are added and removed.
 
 
-async def replace_node_list(rig: Rig, *lines: ListedNode) -> None:
+async def replace_node_list(rig: Rig, *listed_nodes: ListedNode) -> None:
     """Applies a new node list: these nodes, and those of the current list that they do not replace."""
-    helm = rig.coordinator()
-    kept = {x.name: x for x in helm.node_list.listed_nodes.values()} | {x.name: x for x in lines}
-    assert await helm.apply_list(list(kept.values()), helm.node_list.version + 100, helm.node_list.service)
+    coordinator = rig.coordinator()
+    kept = {x.name: x for x in coordinator.node_list.listed_nodes.values()} | {
+        x.name: x for x in listed_nodes
+    }
+    assert await coordinator.apply_list(
+        list(kept.values()), coordinator.node_list.version + 100, coordinator.node_list.service
+    )
 
 
 def test_nodes_that_come_and_go_leave_no_leg_no_task_and_no_entry(
@@ -479,20 +487,22 @@
 ) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            helm = rig.coordinator()
+            coordinator = rig.coordinator()
             monkeypatch.setattr(NodeList, "REMOVED_RETENTION", -1)
-            n1 = helm.node_list.listed_nodes["n1"]
-            before = len(helm.nursery.child_tasks)
+            n1 = coordinator.node_list.listed_nodes["n1"]
+            before = len(coordinator.nursery.child_tasks)
             for n in range(20):  # a replaced machine has a new name, a moved one a new address
-                line = replace(n1, name=f"n{n + 10}", port=1 + n, address="127.0.0.1")
-                await replace_node_list(rig, line)
-                leg = helm.node_clients[line.name]
-                helm.follow_events(leg, "/events/x")
-                await replace_node_list(rig, replace(line, port=101 + n))
-                helm.follow_events(helm.node_clients[line.name], "/events/x")
-                del helm.node_list.listed_nodes[line.name]
-                del helm.node_list.nodes[line.name]
-            await wait_until(lambda: len(helm.node_clients) == 2 and len(helm.nursery.child_tasks) == before)
+                listed_node = replace(n1, name=f"n{n + 10}", port=1 + n, address="127.0.0.1")
+                await replace_node_list(rig, listed_node)
+                node_client = coordinator.node_clients[listed_node.name]
+                coordinator.follow_events(node_client, "/events/x")
+                await replace_node_list(rig, replace(listed_node, port=101 + n))
+                coordinator.follow_events(coordinator.node_clients[listed_node.name], "/events/x")
+                del coordinator.node_list.listed_nodes[listed_node.name]
+                del coordinator.node_list.nodes[listed_node.name]
+            await wait_until(
+                lambda: len(coordinator.node_clients) == 2 and len(coordinator.nursery.child_tasks) == before
+            )
             assert (await rig.request_playback()).status == 201
 
     run_async_test(test)
@@ -531,17 +541,17 @@
 def test_publishers_that_ended_by_themselves_leave_no_entry(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            core = rig.front_end.service if rig.front_end else None
-            assert core is not None
+            service = rig.front_end.service if rig.front_end else None
+            assert service is not None
             for n in range(4):
                 assert (await rig.request_playback(f"/whip/open/live{n}")).status == 201
                 (node,) = rig.nodes_in_use()
-                leg = rig.coordinator().node_clients[node.name]
-                await wait_until(lambda leg=leg: leg.stream_health.state is StreamState.ALIVE)  # type: ignore[misc]
+                node_client = rig.coordinator().node_clients[node.name]
+                await wait_until(lambda c=node_client: c.stream_health.state is StreamState.ALIVE)  # type: ignore[misc]
                 for session in list(node.sessions):
                     node.end_session(session, "the publisher has gone")
                 await wait_until(lambda: not rig.coordinator().sessions_by_playback)
-            assert len(core.publishers) == 1
+            assert len(service.publishers) == 1
 
     run_async_test(test)
 
@@ -560,7 +570,7 @@
 
     run_async_test(test)
     file = StateFile(str(tmp_path / "state"))
-    assert [v.number for v in file.read().versions] == [6, 7, 8]
+    assert [version.number for version in file.read().versions] == [6, 7, 8]
     file.commit(
         [
             NodePenalty("old", 1.0, 5, 5),
@@ -579,19 +589,21 @@
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
-            sat = await rig.request_playback("/whep/course/t")
-            helm, memory = rig.coordinator(), rig.coordinator().durable_state
-            assert memory is not None
-            v = helm.sessions_by_id[(sat.header("location") or "").rpartition("/")[2]]
+            answer = await rig.request_playback("/whep/course/t")
+            coordinator, durable_state = rig.coordinator(), rig.coordinator().durable_state
+            assert durable_state is not None
+            session = coordinator.sessions_by_id[(answer.header("location") or "").rpartition("/")[2]]
             # As if its abandon time was reached meanwhile.
-            memory.update_promise(replace(memory.promises[v.id], mark=PromiseState.ABORTED))
-            v.final_answer = FinalAnswer.ABORTED
-            assert not await memory.record_playing(v)
-            assert not await memory.record_intent(v, "n1", 0, helm.clock.now() + SECOND)
-            assert memory.promises[v.id].mark is PromiseState.ABORTED
-            v.final_answer = FinalAnswer.PLAYS
-            helm.submit_later(lambda: helm.end_session(v))
-            await wait_until(lambda: not helm.sessions_by_playback)
+            durable_state.update_promise(
+                replace(durable_state.promises[session.id], mark=PromiseState.ABORTED)
+            )
+            session.final_answer = FinalAnswer.ABORTED
+            assert not await durable_state.record_playing(session)
+            assert not await durable_state.record_intent(session, "n1", 0, coordinator.clock.now() + SECOND)
+            assert durable_state.promises[session.id].mark is PromiseState.ABORTED
+            session.final_answer = FinalAnswer.PLAYS
+            coordinator.submit_later(lambda: coordinator.end_session(session))
+            await wait_until(lambda: not coordinator.sessions_by_playback)
 
     run_async_test(test)
 
@@ -630,29 +642,30 @@
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, AsyncExitStack() as stack:
-            helm, seats = coordinator_and_api(rig)
-            door = rig.front_end.connection_table if rig.front_end else None
-            assert door is not None
-            door.limits = replace(door.limits, idle=200 * MS, write_within=200 * MS)
-            sat = await rig.request_playback()
-            here = sat.header("location") or ""
-            v = helm.sessions_by_id[here.rpartition("/")[2]]
+            coordinator, session_api = coordinator_and_api(rig)
+            connection_table = rig.front_end.connection_table if rig.front_end else None
+            assert connection_table is not None
+            connection_table.limits = replace(connection_table.limits, idle=200 * MS, write_within=200 * MS)
+            answer = await rig.request_playback()
+            location = answer.header("location") or ""
+            session = coordinator.sessions_by_id[location.rpartition("/")[2]]
             idle, reader = [await trio.open_tcp_stream("127.0.0.1", rig.port) for _ in range(2)]
-            await reader.send_all(f"GET {here}/events HTTP/1.1\r\nHost: a\r\n\r\n".encode())
-            one = await stack.enter_async_context(raw_client(rig, api.Hello()))
-            await one.receive()
-            assert (await request_playback(one, "k")).status == 201
-            (holder,) = seats.clients.values()
-            await wait_until(lambda: v.readers)
+            await reader.send_all(f"GET {location}/events HTTP/1.1\r\nHost: a\r\n\r\n".encode())
+            client_connection = await stack.enter_async_context(raw_client(rig, api.Hello()))
+            await client_connection.receive()
+            assert (await request_playback(client_connection, "k")).status == 201
+            (api_client,) = session_api.clients.values()
+            await wait_until(lambda: session.readers)
             for _ in range(100):  # far more than the socket buffers hold
-                helm.publish_event(v, "layers", {"encodingId": "x" * 200_000})
-                for w in list(holder.playbacks.values()):
-                    helm.publish_event(w, "layers", {"encodingId": "x" * 200_000})
+                coordinator.publish_event(session, "layers", {"encodingId": "x" * 200_000})
+                for attached in list(api_client.playbacks.values()):
+                    coordinator.publish_event(attached, "layers", {"encodingId": "x" * 200_000})
                 await trio.sleep(0)
-            await wait_until(lambda: not v.readers and holder.connection is None)
+            await wait_until(lambda: not session.readers and api_client.connection is None)
             assert await idle.receive_some(1) == b""
-            await wait_until(lambda: not door.connections)
-            assert len(helm.sessions_by_id) == 2  # playbacks continue: the client may resume its session
+            await wait_until(lambda: not connection_table.connections)
+            # Playbacks continue: the client may resume its session.
+            assert len(coordinator.sessions_by_id) == 2
             assert (await rig.request_playback()).status == 201
 
     run_async_test(test)
@@ -663,22 +676,22 @@
 ) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            sat = await rig.request_playback()
-            here, patch = sat.header("location") or "", NodeClient.patch
-            v = rig.coordinator().sessions_by_id[here.rpartition("/")[2]]
+            answer = await rig.request_playback()
+            location, patch = answer.header("location") or "", NodeClient.patch
+            session = rig.coordinator().sessions_by_id[location.rpartition("/")[2]]
             target = UpstreamSession("n9", "/sessions/9", "", "", "target", "")
 
             async def overtaken(
-                leg: NodeClient, upstream: UpstreamSession, if_match: str, body: bytes
+                node_client: NodeClient, upstream: UpstreamSession, if_match: str, body: bytes
             ) -> Response | None:
-                reply = await patch(leg, upstream, if_match, body)
-                v.upstream = target  # the move switched to its target while the node answered
+                reply = await patch(node_client, upstream, if_match, body)
+                session.upstream = target  # the move switched to its target while the node answered
                 return reply
 
             monkeypatch.setattr(NodeClient, "patch", overtaken)
             fragment = b"a=ice-ufrag:fresh001\r\na=ice-pwd:" + b"q" * 24 + b"\r\n"
             assert (
-                await rig.request("PATCH", here, fragment, Content_Type=SDPFRAG_MEDIA_TYPE, If_Match="*")
+                await rig.request("PATCH", location, fragment, Content_Type=SDPFRAG_MEDIA_TYPE, If_Match="*")
             ).status == 200
             assert target.etag == "target"
 
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -42,20 +42,20 @@
 
 
 async def replace_catalogue(rig: Rig, text: str) -> None:
-    verdict, why = await catalogues(rig).replace(text, None, False, "")
-    assert verdict is CatalogueVerdict.TAKEN, why
+    verdict, reasons = await catalogues(rig).replace(text, None, False, "")
+    assert verdict is CatalogueVerdict.TAKEN, reasons
 
 
 async def start_playback(rig: Rig) -> tuple[Response, PlaybackSession]:
-    sat = await rig.request_playback()
-    assert sat.status == 201
-    return sat, rig.coordinator().sessions_by_id[(sat.header("location") or "").rpartition("/")[2]]
+    answer = await rig.request_playback()
+    assert answer.status == 201
+    return answer, rig.coordinator().sessions_by_id[(answer.header("location") or "").rpartition("/")[2]]
 
 
 async def set_rung(rig: Rig, answer: Response, rung: int) -> int:
-    here = f"{answer.header('location')}/layer"
+    layer_path = f"{answer.header('location')}/layer"
     return (
-        await rig.request("POST", here, b'{"encodingId": "%d"}' % rung, Content_Type="application/json")
+        await rig.request("POST", layer_path, b'{"encodingId": "%d"}' % rung, Content_Type="application/json")
     ).status
 
 
@@ -63,16 +63,16 @@
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
             await replace_catalogue(rig, TWO)
-            sat, v = await start_playback(rig)
-            assert await set_rung(rig, sat, 2) == 200  # a rung that exists, but not for this title
-            await wait_until(lambda: v.requested_top == 2)
-            assert v.playback.top_rung == 1
-            assert await set_rung(rig, sat, 0) == 200
-            await wait_until(lambda: v.playback.top_rung == 0)
+            answer, session = await start_playback(rig)
+            assert await set_rung(rig, answer, 2) == 200  # a rung that exists, but not for this title
+            await wait_until(lambda: session.requested_top == 2)
+            assert session.playback.top_rung == 1
+            assert await set_rung(rig, answer, 0) == 200
+            await wait_until(lambda: session.playback.top_rung == 0)
             await replace_catalogue(rig, THREE)
-            assert v.playback.top_rung == 0
-            assert await set_rung(rig, sat, 2) == 200
-            await wait_until(lambda: v.playback.top_rung == 2)
+            assert session.playback.top_rung == 0
+            assert await set_rung(rig, answer, 2) == 200
+            await wait_until(lambda: session.playback.top_rung == 2)
             rig.assert_rules_hold()
 
     run_async_test(test)
@@ -81,18 +81,17 @@
 def test_a_step_down_that_a_later_catalogue_takes_back_is_not_carried_out(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
-            _, v = await start_playback(rig)
-            v.playback.rung = 2
-            catalogues(rig).step_downs.last_batch_at = (
-                rig.coordinator().clock.now() + 10**12
-            )  # no batch is due yet
+            _, session = await start_playback(rig)
+            session.playback.rung = 2
+            # No batch is due yet.
+            catalogues(rig).step_downs.last_batch_at = rig.coordinator().clock.now() + 10**12
             await replace_catalogue(rig, ONE)
             assert len(catalogues(rig).step_downs.waiting) == 1
             await replace_catalogue(rig, THREE)
             catalogues(rig).step_downs.last_batch_at = 0
             await wait_until(lambda: not catalogues(rig).step_downs.waiting)
             assert (await rig.request("GET", "/operators/status", **AUTH)).status == 200
-            assert v.playback.top_rung == 2
+            assert session.playback.top_rung == 2
             assert not any(f["rung"] == 0 for f in rig.recorded("rung"))
 
     run_async_test(test)
@@ -108,8 +107,8 @@
             core.service_levels.controller.levels[0] = ServiceLevel("careful", (), LevelEffects(max_rung=1))
             later, after = await start_playback(rig)
             assert (before.playback.top_rung, after.playback.top_rung) == (2, 1)
-            for sat in (earlier, later):
-                assert await set_rung(rig, sat, 2) == 200
+            for answer in (earlier, later):
+                assert await set_rung(rig, answer, 2) == 200
             await trio.testing.wait_all_tasks_blocked()
             assert (before.playback.top_rung, after.playback.top_rung) == (2, 1)
 
@@ -147,10 +146,10 @@
             assert core.fair_queue.plans["course"].weight == 0.5
             site = rig.coordinator().site
             plan = site.plans["course"]
-            dear = replace(plan, plan=replace(plan.plan, revenue=8.0, startup_target_ns=5))
+            costly_plan = replace(plan, plan=replace(plan.plan, revenue=8.0, startup_target_ns=5))
             found = replace(
                 rig.coordinator().active_configuration.version.compiled,
-                shared=replace(site, plans=site.plans | {"course": dear}),
+                shared=replace(site, plans=site.plans | {"course": costly_plan}),
             )
             meaning = dict(found.resolved) | {"plan": {"course": {"revenue": 8.0}}}
             assert rig.front_end is not None
@@ -171,27 +170,27 @@
 
 def reject_rung_changes(monkeypatch: pytest.MonkeyPatch, status: int) -> RejectedCalls:
     """Makes all nodes answer each rung change with `status`."""
-    refused, handle = RejectedCalls(), PlayoutNode.handle
+    rejected_calls, handle = RejectedCalls(), PlayoutNode.handle
 
     async def answer(node: PlayoutNode, request: Request) -> Response:
-        if refused.is_active and request.path.endswith("/layer"):
-            refused.paths.append(request.path)
+        if rejected_calls.is_active and request.path.endswith("/layer"):
+            rejected_calls.paths.append(request.path)
             return Response(status)
         return await handle(node, request)
 
     monkeypatch.setattr(PlayoutNode, "handle", answer)
-    return refused
+    return rejected_calls
 
 
 def test_the_module_learns_what_is_in_force_where_a_step_down_found_no_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refused = reject_rung_changes(monkeypatch, 503)
+    rejected_calls = reject_rung_changes(monkeypatch, 503)
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            sat, v = await start_playback(rig)
-            before = v.playback.rung
+            answer, session = await start_playback(rig)
+            before = session.playback.rung
             assert before > 0
             await wait_until(
                 lambda: (
@@ -199,9 +198,9 @@
                     is StreamState.ALIVE
                 )
             )
-            assert await set_rung(rig, sat, 0) == 200
-            await wait_until(lambda: len(refused.paths) > 1)
-            await wait_until(lambda: v.playback.rung == before)
+            assert await set_rung(rig, answer, 0) == 200
+            await wait_until(lambda: len(rejected_calls.paths) > 1)
+            await wait_until(lambda: session.playback.rung == before)
             assert not rig.recorded("rung")
 
     run_async_test(test)
@@ -224,24 +223,24 @@
 def test_a_wish_that_its_node_refused_is_carried_out_once_the_node_takes_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refused = reject_rung_changes(monkeypatch, 409)
+    rejected_calls = reject_rung_changes(monkeypatch, 409)
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            sat, v = await start_playback(rig)
-            before = v.playback.rung
+            answer, session = await start_playback(rig)
+            before = session.playback.rung
             await wait_until(
                 lambda: (
                     rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
                     is StreamState.ALIVE
                 )
             )
-            assert await set_rung(rig, sat, 0) == 200
+            assert await set_rung(rig, answer, 0) == 200
             # The node's event has told the rung in force.
-            await wait_until(lambda: v.playback.top_rung == 0 and v.playback.rung == before)
-            refused.is_active = False
-            for leg in rig.coordinator().node_clients.values():
-                leg.reopen_stream()
+            await wait_until(lambda: session.playback.top_rung == 0 and session.playback.rung == before)
+            rejected_calls.is_active = False
+            for node_client in rig.coordinator().node_clients.values():
+                node_client.reopen_stream()
             await wait_until(lambda: rig.recorded("rung"), 2)
 
     run_async_test(test)
@@ -250,36 +249,38 @@
 def test_a_node_that_refuses_every_step_down_is_asked_a_bounded_number_of_times(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    refused = reject_rung_changes(monkeypatch, 409)
+    rejected_calls = reject_rung_changes(monkeypatch, 409)
     monkeypatch.setattr(
         rendition_bound, "RENDITION_BOUND_RETRY", RetryPolicy(20 * MS, 40 * MS, 2.0, 200 * MS)
     )
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            sat, v = await start_playback(rig)
-            before = v.playback.rung
+            answer, session = await start_playback(rig)
+            before = session.playback.rung
             await wait_until(
                 lambda: (
                     rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
                     is StreamState.ALIVE
                 )
             )
-            assert await set_rung(rig, sat, 0) == 200
+            assert await set_rung(rig, answer, 0) == 200
             await wait_until(
                 lambda: [e for e in rig.log_entries() if e["event"] == "rendition bound not in force"]
             )
-            assert 3 <= len(refused.paths) <= 12
+            assert 3 <= len(rejected_calls.paths) <= 12
             # It plays on, and the decision module knows the rung in force.
-            assert (v.playback.rung, v.playback.top_rung) == (before, 0)
-            leg = rig.coordinator().node_clients[rig.nodes_in_use()[0].name]
-            refused.is_active, asked_at = False, leg.stream_requested_at
-            leg.reopen_stream()
-            await wait_until(lambda: leg.stream_health.last_heard_at > leg.stream_requested_at > asked_at)
+            assert (session.playback.rung, session.playback.top_rung) == (before, 0)
+            node_client = rig.coordinator().node_clients[rig.nodes_in_use()[0].name]
+            rejected_calls.is_active, asked_at = False, node_client.stream_requested_at
+            node_client.reopen_stream()
+            await wait_until(
+                lambda: node_client.stream_health.last_heard_at > node_client.stream_requested_at > asked_at
+            )
             await trio.testing.wait_all_tasks_blocked()
-            assert not v.bound_retry_pending  # the node's event alone does not restart the attempts
+            assert not session.bound_retry_pending  # the node's event alone does not restart the attempts
             assert not rig.recorded("rung")
-            assert await set_rung(rig, sat, 0) == 200  # a new request does
+            assert await set_rung(rig, answer, 0) == 200  # a new request does
             await wait_until(lambda: rig.recorded("rung"))
             rig.assert_rules_hold()
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -45,52 +45,52 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(st.tuples(st.sampled_from("pacb"), st.integers(0, 6)), max_size=60))
 def test_a_client_hears_each_message_once_and_in_order_over_any_breaks(steps: list[tuple[str, int]]) -> None:
-    seat, now, conn = ClientSession[int](10 * SECOND, Outbox(16), connection=1), 0, 1
-    heard, sent, wire = list[int](), 0, list[tuple[int, int]]()
+    client_session, now, connection_number = ClientSession[int](10 * SECOND, Outbox(16), connection=1), 0, 1
+    received, sent, wire = list[int](), 0, list[tuple[int, int]]()
     for what, k in steps:
         now += MS
-        if what == "p" and not seat.has_ended:
-            number = seat.enqueue(sent, now)
+        if what == "p" and not client_session.has_ended:
+            number = client_session.enqueue(sent, now)
             if number is not None:
                 sent += 1
-                if seat.state is ClientSessionState.ATTACHED:
+                if client_session.state is ClientSessionState.ATTACHED:
                     wire.append((number, sent - 1))
         elif what == "a":  # the connection delivers some messages, the client acknowledges them
             for number, message in wire[:k]:
-                if number == len(heard) + 1:
-                    heard.append(message)
+                if number == len(received) + 1:
+                    received.append(message)
             del wire[:k]
-            assert seat.outbox.acknowledge(len(heard))
+            assert client_session.outbox.acknowledge(len(received))
         elif what == "c":  # the connection is lost and the client reconnects: messages in transit are lost
-            seat.detach(conn, now)
+            client_session.detach(connection_number, now)
             wire.clear()
-            conn += 1
-            claim = seat.attach(conn, len(heard), now)
-            if claim is not None:
-                wire += claim[0]
+            connection_number += 1
+            attachment = client_session.attach(connection_number, len(received), now)
+            if attachment is not None:
+                wire += attachment[0]
         elif what == "b":
-            seat.detach(conn, now)
+            client_session.detach(connection_number, now)
             wire.clear()
-    claim = seat.attach(conn + 1, len(heard), now)
-    if claim is None:
-        assert seat.state is ClientSessionState.OVERRUN
+    attachment = client_session.attach(connection_number + 1, len(received), now)
+    if attachment is None:
+        assert client_session.state is ClientSessionState.OVERRUN
         return
-    assert heard + [m for _, m in claim[0]] == list(range(sent))
+    assert received + [m for _, m in attachment[0]] == list(range(sent))
 
 
 def test_the_later_connection_wins_and_a_seat_ends_in_time() -> None:
-    seat = ClientSession[str](SECOND, Outbox(4), connection=1)
-    assert seat.enqueue("a", 0) == 1
-    assert seat.attach(2, 0, 1) == ([(1, "a")], 1)
-    assert not seat.detach(1, 2)  # the earlier connection no longer acts for the client session
-    assert not seat.leave(1, 2)
-    assert seat.detach(2, 3)
-    assert not seat.check_expiry(SECOND)
-    assert seat.check_expiry(2 * SECOND)
-    assert seat.attach(3, 0, 2 * SECOND) is None
-    liar = ClientSession[str](SECOND, Outbox(4), connection=1)
-    assert not liar.outbox.acknowledge(1)
-    assert liar.attach(2, 5, 0) is None  # it acknowledges a message that was never sent
+    client_session = ClientSession[str](SECOND, Outbox(4), connection=1)
+    assert client_session.enqueue("a", 0) == 1
+    assert client_session.attach(2, 0, 1) == ([(1, "a")], 1)
+    assert not client_session.detach(1, 2)  # the earlier connection no longer acts for the client session
+    assert not client_session.leave(1, 2)
+    assert client_session.detach(2, 3)
+    assert not client_session.check_expiry(SECOND)
+    assert client_session.check_expiry(2 * SECOND)
+    assert client_session.attach(3, 0, 2 * SECOND) is None
+    misbehaving = ClientSession[str](SECOND, Outbox(4), connection=1)
+    assert not misbehaving.outbox.acknowledge(1)
+    assert misbehaving.attach(2, 5, 0) is None  # it acknowledges a message that was never sent
     pulse = KeepaliveProbe(SECOND)
     for asked in range(3):
         assert not pulse.is_dead, asked
@@ -166,13 +166,13 @@
             # 100 requests a second at 50 ms each: five times the capacity
             for _ in range(rng.choice([0, 1, 1, 2])):
                 number += 1
-                one = QueuedRequest(
+                queued = QueuedRequest(
                     now + 500 * MS, number, rng.choice(["dear", "cheap"]), f"c{rng.randrange(5)}"
                 )
                 if order == "first come":
-                    queue.append(one)
-                elif line.submit(one):
-                    in_time[one.plan] += 1
+                    queue.append(queued)
+                elif line.submit(queued):
+                    in_time[queued.plan] += 1
                     finishes.append(now + 50 * MS)
             for at in [f for f in finishes if f <= now]:
                 finishes.remove(at)
@@ -183,9 +183,9 @@
                     in_time[turn.plan] += 1
                     finishes.append(now + 50 * MS)
             elif queue and not finishes:
-                one = queue.pop(0)
+                queued = queue.pop(0)
                 finishes.append(now + 50 * MS)
-                in_time[one.plan] += one.abandon_at >= now + 50 * MS
+                in_time[queued.plan] += queued.abandon_at >= now + 50 * MS
         served[order] = in_time
     revenue = {order: 9 * s["dear"] + s["cheap"] for order, s in served.items()}
     assert revenue["line"] > 5 * revenue["first come"]
@@ -212,9 +212,8 @@
         assert not line.should_shed("dear")
         if not line.should_shed("cheap"):
             line.submit(QueuedRequest(5 * SECOND, number, "cheap", ""))
-    assert (
-        line.plans["cheap"].waiting_count == 19
-    )  # alone it gets all the turns: 50 in half its startup target
+    # Alone it gets all the turns: 50 in half its startup target.
+    assert line.plans["cheap"].waiting_count == 19
     line.submit(QueuedRequest(5 * SECOND, 20, "dear", ""))
     assert line.should_shed("cheap")  # now it gets a tenth of them
     assert not line.should_shed("dear")
@@ -240,8 +239,8 @@
     assert retries.after(1, None, "", True, None, sent=True)[0] is Next.GIVE_UP
     assert Retries(Random(1), repeatable=True).after(1, None, "", True, None)[0] is Next.SAME_KEY
     assert retries.after(1, 409, "urn:oakcroft:problem:outstanding", True, 1.0)[0] is Next.SAME_KEY
-    how, wait = retries.after(1, 503, "", True, 2.0)
-    assert how is Next.NEW_KEY
+    next_action, wait = retries.after(1, 503, "", True, 2.0)
+    assert next_action is Next.NEW_KEY
     assert 2.0 <= wait <= 2.5
     assert retries.after(1, 504, "", False, None)[0] is Next.GIVE_UP
     assert retries.after(3, 503, "", True, None)[0] is Next.GIVE_UP
@@ -313,20 +312,20 @@
     stream = await trio.open_tcp_stream("127.0.0.1", rig.port)
     ws = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
     await stream.send_all(ws.send(events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])))
-    one = RawClient(stream, ws)
-    assert isinstance(await one.next_event(), events.AcceptConnection)
-    return one
+    client_connection = RawClient(stream, ws)
+    assert isinstance(await client_connection.next_event(), events.AcceptConnection)
+    return client_connection
 
 
 @asynccontextmanager
 async def raw_client(rig: Rig, hello: api.Hello | None = None) -> AsyncIterator[RawClient]:
-    one = await open_raw_client(rig)
+    client_connection = await open_raw_client(rig)
     try:
         if hello is not None:
-            await one.send(hello)
-        yield one
+            await client_connection.send(hello)
+        yield client_connection
     finally:
-        await one.abort()
+        await client_connection.abort()
 
 
 def test_a_playback_over_websocket_and_the_client_library(tmp_path: Path) -> None:
@@ -345,8 +344,8 @@
                         await client.play("/nowhere/t", OFFER)
                     rig.nodes_in_use()[0].kill()
                     with trio.fail_after(5):
-                        heard = [e.kind async for e in playback.events]
-                    assert heard[-1] == "inactive"
+                        received = [e.kind async for e in playback.events]
+                    assert received[-1] == "inactive"
                     second = await client.play("/whep/course/t", OFFER)
                     assert rig.nodes_in_use()
                     await client.end(second)
@@ -366,8 +365,8 @@
 
 def test_one_key_over_both_ways_is_one_playback(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as one:
-            assert isinstance(await one.receive(), api.Welcome)
+        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
+            assert isinstance(await client_connection.receive(), api.Welcome)
             sat = await rig.request(
                 "POST",
                 "/whep/course/t",
@@ -375,8 +374,8 @@
                 Content_Type="application/sdp",
                 Idempotency_Key='"k"',
             )
-            await one.send(api.Ask(1, "/whep/course/t", OFFER, "k"))
-            answer = await one.receive()
+            await client_connection.send(api.Ask(1, "/whep/course/t", OFFER, "k"))
+            answer = await client_connection.receive()
             assert isinstance(answer, api.Answer)
             assert (answer.status, answer.again) == (201, True)
             assert f"/session/{answer.playback}" == sat.header("location")
@@ -401,43 +400,43 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             helm, sessions = coordinator_and_api(rig)
-            heard, numbers, playing, pass_ = list[object](), list[int](), dict[int, str](), ""
+            received, numbers, playing, pass_ = list[object](), list[int](), dict[int, str](), ""
 
             async def connect() -> RawClient:
                 nonlocal pass_
-                one = await open_raw_client(rig)
-                await one.send(api.Hello(pass_, numbers[-1] if numbers else 0))
-                welcome = await one.receive()
+                client_connection = await open_raw_client(rig)
+                await client_connection.send(api.Hello(pass_, numbers[-1] if numbers else 0))
+                welcome = await client_connection.receive()
                 assert isinstance(welcome, api.Welcome)
                 assert welcome.back is bool(pass_)
                 pass_ = welcome.resume
-                return one
+                return client_connection
 
-            one = await connect()
+            client_connection = await connect()
             for i, message in enumerate(SCRIPT):
                 if cut == 2 * i:  # before the message is sent
-                    await one.abort()
-                    one = await connect()
+                    await client_connection.abort()
+                    client_connection = await connect()
                 if isinstance(message, api.Layer):
                     message = api.Layer(playing[1], message.rung, message.id)
                 elif isinstance(message, api.End):
                     message = api.End(playing[1], message.id)
-                await one.send(message)
+                await client_connection.send(message)
                 if cut == 2 * i + 1:  # sent, but its answer is not received
                     await trio.sleep(0.05)
-                    await one.abort()
-                    one = await connect()
-                await collect(one, heard, numbers, playing, i + 1)
+                    await client_connection.abort()
+                    client_connection = await connect()
+                await collect(client_connection, received, numbers, playing, i + 1)
             if cut == 2 * len(SCRIPT):
-                await one.abort()
-                one = await connect()
-            answers = [m.id for m in heard if isinstance(m, api.Answer | api.Done)]
+                await client_connection.abort()
+                client_connection = await connect()
+            answers = [m.id for m in received if isinstance(m, api.Answer | api.Done)]
             assert answers == [1, 2, 3, 4]
             assert numbers == list(range(1, len(numbers) + 1))  # each message once, in order
             assert len(rig.recorded("ran")) == 2
-            await one.send(api.Bye())
-            assert await one.close_code() == 1000
-            await one.abort()
+            await client_connection.send(api.Bye())
+            assert await client_connection.close_code() == 1000
+            await client_connection.abort()
             await wait_until(
                 lambda: not helm.sessions_by_playback and not sessions.clients and not rig.nodes_in_use()
             )
@@ -461,15 +460,15 @@
 
 def test_the_later_connection_replaces_and_a_lost_seat_is_told(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as one:
-            welcome = await one.receive()
+        async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
+            welcome = await client_connection.receive()
             assert isinstance(welcome, api.Welcome)
             async with raw_client(rig, api.Hello(welcome.resume, 0)) as two:
                 again = await two.receive()
                 assert isinstance(again, api.Welcome)
                 assert again.back
-                assert isinstance(await one.receive(), api.Replaced)
-                assert await one.close_code() == 4001
+                assert isinstance(await client_connection.receive(), api.Replaced)
+                assert await client_connection.close_code() == 4001
             async with raw_client(rig, api.Hello("1.2.x.y", 0)) as three:
                 fresh = await three.receive()
                 assert isinstance(fresh, api.Welcome)
@@ -496,10 +495,10 @@
 )
 def test_frames_that_the_rfc_forbids_close_with_its_code(tmp_path: Path, data: bytes, code: int) -> None:
     async def test() -> None:
-        async with running_front_end(tmp_path) as rig, raw_client(rig) as one:
-            await one.stream.send_all(data)
+        async with running_front_end(tmp_path) as rig, raw_client(rig) as client_connection:
+            await client_connection.stream.send_all(data)
             with trio.fail_after(3):
-                assert await one.close_code() == code
+                assert await client_connection.close_code() == code
             assert (await rig.request_playback()).status == 201
 
     run_async_test(test)
@@ -507,20 +506,22 @@
 
 def test_pieces_pings_and_silence(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running_front_end(tmp_path) as rig, raw_client(rig) as one:
+        async with running_front_end(tmp_path) as rig, raw_client(rig) as client_connection:
             text = api.Codec(api.JSON).write(api.Hello()).decode()
-            await one.stream.send_all(
-                one.websocket.send(events.TextMessage(data=text[:5], message_finished=False))
+            await client_connection.stream.send_all(
+                client_connection.websocket.send(events.TextMessage(data=text[:5], message_finished=False))
             )
             # A control frame between fragments (5.4).
-            await one.stream.send_all(one.websocket.send(events.Ping(payload=b"p")))
-            assert isinstance(await one.next_event(), events.Pong)
-            await one.stream.send_all(
-                one.websocket.send(events.TextMessage(data=text[5:], message_finished=True))
+            await client_connection.stream.send_all(
+                client_connection.websocket.send(events.Ping(payload=b"p"))
             )
-            assert isinstance(await one.receive(), api.Welcome)
-            await one.send(api.Ack(7))
-            assert await one.close_code() == 1008
+            assert isinstance(await client_connection.next_event(), events.Pong)
+            await client_connection.stream.send_all(
+                client_connection.websocket.send(events.TextMessage(data=text[5:], message_finished=True))
+            )
+            assert isinstance(await client_connection.receive(), api.Welcome)
+            await client_connection.send(api.Ack(7))
+            assert await client_connection.close_code() == 1008
             huge = await rig.request("GET", "/api/v1")
             assert huge.status == 426
 
@@ -532,8 +533,8 @@
         async with running_front_end(tmp_path) as rig:
             rng = Random(5)
             for _ in range(25):
-                async with raw_client(rig) as one:
-                    await one.stream.send_all(rng.randbytes(rng.randrange(1, 200)))
+                async with raw_client(rig) as client_connection:
+                    await client_connection.stream.send_all(rng.randbytes(rng.randrange(1, 200)))
             assert (await rig.request_playback()).status == 201
             assert not any(e["event"] == "request failed" for e in rig.log_entries())
 
@@ -557,9 +558,9 @@
 
             def plain() -> int:
                 with BlockingWhepClient(f"http://127.0.0.1:{rig.port}") as blocking:
-                    sat = blocking.ask("/whep/open/t", OFFER)
-                    blocking.end(sat)
-                    return len(sat.answer)
+                    answer = blocking.ask("/whep/open/t", OFFER)
+                    blocking.end(answer)
+                    return len(answer.answer)
 
             await wait_until(lambda: not rig.nodes_in_use(), 10)
             assert await trio.to_thread.run_sync(plain) > 100
