--- a/oakcroft/decisions/admission/connection_limits.py
+++ b/oakcroft/decisions/admission/connection_limits.py
@@ -77,41 +77,44 @@
         """
         if self.connections_by_source.get(source, 0) >= self.limits.connections_from_one:
             return ConnectionVerdict.REJECT, None
-        loser: int | None = None
+        evicted: int | None = None
         if len(self.connections) >= self.limits.connections:
-            loser = next(iter(self.idle_numbers), None)
-            if loser is None or now - self.connections[loser].idle_since < self.MIN_IDLE_NS:
+            evicted = next(iter(self.idle_numbers), None)
+            if evicted is None or now - self.connections[evicted].idle_since < self.MIN_IDLE_NS:
                 return ConnectionVerdict.REJECT, None
-            self.remove(loser)
+            self.remove(evicted)
         self.connections[number] = Connection(source, now, idle_since=now)
         self.idle_numbers[number] = None
         self.connections_by_source[source] = self.connections_by_source.get(source, 0) + 1
-        return (ConnectionVerdict.ACCEPT, None) if loser is None else (ConnectionVerdict.EVICT_IDLE, loser)
+        if evicted is None:
+            return ConnectionVerdict.ACCEPT, None
+        return ConnectionVerdict.EVICT_IDLE, evicted
 
     def mark_busy(self, number: int) -> None:
         """Notes that a request has begun to arrive on a connection."""
-        if guest := self.connections.get(number):
-            guest.is_busy = True
+        if connection := self.connections.get(number):
+            connection.is_busy = True
             self.idle_numbers.pop(number, None)
 
     def mark_idle(self, number: int, now: int) -> None:
         """Notes that the response is written and the connection waits for its next request. `now`: ns."""
-        if guest := self.connections.get(number):
-            guest.is_busy, guest.idle_since = False, now
+        if connection := self.connections.get(number):
+            connection.is_busy = False
+            connection.idle_since = now
             self.idle_numbers.pop(number, None)
             self.idle_numbers[number] = None
 
     def remove(self, number: int) -> None:
         """Removes a closed connection; one that was evicted before is ignored."""
-        guest = self.connections.pop(number, None)
+        connection = self.connections.pop(number, None)
         self.idle_numbers.pop(number, None)
-        if guest is None:
+        if connection is None:
             return
-        left = self.connections_by_source[guest.source] - 1
-        if left:
-            self.connections_by_source[guest.source] = left
+        remaining = self.connections_by_source[connection.source] - 1
+        if remaining:
+            self.connections_by_source[connection.source] = remaining
         else:
-            del self.connections_by_source[guest.source]
+            del self.connections_by_source[connection.source]
 
 
 class ExchangePhase(Enum):
@@ -169,7 +172,8 @@
 
     def __init__(self, limits: ConnectionLimits) -> None:
         """Starts with no requests."""
-        self.limits, self.pending = limits, dict[int, None]()
+        self.limits = limits
+        self.pending: dict[int, None] = {}
 
     def has_room(self) -> bool:
         """Whether one more request may wait."""
--- a/oakcroft/decisions/admission/deadlines.py
+++ b/oakcroft/decisions/admission/deadlines.py
@@ -19,6 +19,12 @@
 PAUSE_HEARTBEATS = 4
 """Missed heartbeats that count as a pause; fewer are scheduling jitter."""
 
+PAUSE_COUNTS_FOR_NS = SECOND
+"""Time after a pause in which a request read may have been in the buffer throughout the pause."""
+
+MAX_PAUSES = 16
+"""Number of recent pauses that are kept."""
+
 MAX_LOOP_LAG_NS = 150 * MS
 """Largest lag of the event loop that the margin covers; a larger one is handled as a pause."""
 
@@ -35,16 +41,17 @@
 
     def __init__(self, now: int) -> None:
         """Starts with a heartbeat at `now`, ns."""
-        self.last_heartbeat_at, self.pauses = now, deque[tuple[int, int]](maxlen=16)
+        self.last_heartbeat_at = now
+        self.pauses = deque[tuple[int, int]](maxlen=MAX_PAUSES)  # start and end of each, ns
 
     def heartbeat(self, now: int) -> int:
         """Notes a heartbeat; returns the length of the pause before it in ns, 0 if there was none."""
         gap = now - self.last_heartbeat_at
-        stood = gap if gap > PAUSE_HEARTBEATS * HEARTBEAT_INTERVAL_NS else 0
-        if stood:
+        pause = gap if gap > PAUSE_HEARTBEATS * HEARTBEAT_INTERVAL_NS else 0
+        if pause:
             self.pauses.append((self.last_heartbeat_at, now))
         self.last_heartbeat_at = max(self.last_heartbeat_at, now)
-        return stood
+        return pause
 
     def earliest_written_at(self, read_at: int, idle_before: int) -> int:
         """Returns the earliest time at which a request read now may have been written. Times in ns.
@@ -60,7 +67,7 @@
             since = self.last_heartbeat_at
         else:
             for start, end in reversed(self.pauses):
-                if read_at - end > SECOND:
+                if read_at - end > PAUSE_COUNTS_FOR_NS:
                     break
                 since = min(since, start)
         return max(since, min(idle_before, read_at))
@@ -98,8 +105,8 @@
     for the way back: an answer written at the last moment still has to cross the network and the client's own
     queue. It is at most half of the wait, for clients that wait for less than two margins.
     """
-    asked = preferred_wait(prefer)
-    wait = abandon_time if asked is None else min(asked, abandon_time)
+    preferred = preferred_wait(prefer)
+    wait = abandon_time if preferred is None else min(preferred, abandon_time)
     return Deadline(written_at, written_at + wait - min(margin, wait // 2))
 
 
--- a/oakcroft/decisions/admission/load_shedding.py
+++ b/oakcroft/decisions/admission/load_shedding.py
@@ -23,6 +23,10 @@
 MIN_PLAN_SHARE = 0.1
 MIN_QUEUE_LENGTH = 4  # requests of a plan that may always wait
 THROUGHPUT_SMOOTHING = 0.8  # weight of the old estimate at each heartbeat
+MIN_FULL_QUEUE = 64  # waiting requests under which the queue is never full
+QUEUE_PER_WINDOW = 4  # waiting requests for each one that may be in progress, when the queue is full
+WINDOW_INCREASE = 8  # requests, at each heartbeat in time
+WINDOW_DECREASE = 0.8  # factor, at each late heartbeat
 
 
 @dataclass
@@ -40,11 +44,10 @@
 
     def adjust(self, lag: int) -> None:
         """Adapts the size after a heartbeat that was `lag` ns late."""
-        self.size = (
-            max(self.min_size, self.size * 0.8)
-            if lag > self.late_after
-            else min(self.max_size, self.size + 8)
-        )
+        if lag > self.late_after:
+            self.size = max(self.min_size, self.size * WINDOW_DECREASE)
+        else:
+            self.size = min(self.max_size, self.size + WINDOW_INCREASE)
 
 
 @dataclass(order=True)
@@ -75,9 +78,9 @@
     window: ConcurrencyWindow
     min_answer_time: int
     capacity: int = 4096
-    startup_targets: Mapping[str, int] = field(default_factory=dict)  # startup target by plan
+    startup_targets: Mapping[str, int] = field(default_factory=dict)  # by plan, ns
     throughput: float = 0.0  # recent turns a second, while requests wait
-    turns_since_heartbeat: int = 0  # since the last heartbeat
+    turns_since_heartbeat: int = 0
     in_progress: int = 0
     waiting: dict[int, QueuedRequest] = field(default_factory=dict)
     plans: dict[str, _PlanQueue] = field(default_factory=dict)
@@ -93,12 +96,14 @@
         Each plan gets its share of turns, none less than the least share. A plan that is gone stays until its
         last request has left.
         """
-        self.weights, self.startup_targets = weights, startup_targets
-        for name in [n for n, p in self.plans.items() if n not in weights and not p.waiting_count]:
-            del self.plans[name]
-        whole = sum(weights.values()) or 1.0
+        self.weights = weights
+        self.startup_targets = startup_targets
+        for name, plan in list(self.plans.items()):
+            if name not in weights and not plan.waiting_count:
+                del self.plans[name]
+        total = sum(weights.values()) or 1.0
         for name, revenue in weights.items():
-            share = max(MIN_PLAN_SHARE, revenue / whole)
+            share = max(MIN_PLAN_SHARE, revenue / total)
             if name in self.plans:
                 self.plans[name].weight = share
             else:
@@ -113,9 +118,8 @@
         plan = self.plans.setdefault(request.plan, _PlanQueue(MIN_PLAN_SHARE, self.virtual_clock))
         plan.waiting_count += 1
         if not plan.requests_by_client:
-            plan.virtual_time = max(
-                plan.virtual_time, self.virtual_clock
-            )  # a plan gains no credit while it has no requests
+            # A plan gains no credit while it has no requests.
+            plan.virtual_time = max(plan.virtual_time, self.virtual_clock)
         heapq.heappush(plan.requests_by_client.setdefault(request.client, []), request)
         return False
 
@@ -126,17 +130,17 @@
         A queue several times as long as what is processed at one time cannot be answered in time, and reading
         its requests takes time from those that can be.
         """
-        return len(self.waiting) >= min(self.capacity, max(64, 4 * self.window.size))
+        limit = max(MIN_FULL_QUEUE, QUEUE_PER_WINDOW * self.window.size)
+        return len(self.waiting) >= min(self.capacity, limit)
 
     def heartbeat(self, lag: int, elapsed: int) -> None:
         """Adapts the window and the throughput after a heartbeat. `lag`, `elapsed` since the last one: ns."""
         self.window.adjust(lag)
-        now = self.turns_since_heartbeat * SECOND / max(1, elapsed)
-        self.throughput = (
-            now
-            if not self.throughput
-            else THROUGHPUT_SMOOTHING * self.throughput + (1 - THROUGHPUT_SMOOTHING) * now
-        )
+        measured = self.turns_since_heartbeat * SECOND / max(1, elapsed)
+        if not self.throughput:
+            self.throughput = measured
+        else:
+            self.throughput = THROUGHPUT_SMOOTHING * self.throughput + (1 - THROUGHPUT_SMOOTHING) * measured
         self.turns_since_heartbeat = 0
 
     def should_shed(self, plan_name: str) -> bool:
@@ -152,10 +156,12 @@
         plan = self.plans.get(plan_name)
         if plan is None or plan.waiting_count < MIN_QUEUE_LENGTH or plan_name not in self.startup_targets:
             return False
-        beside = sum(p.weight for p in self.plans.values() if p.waiting_count) or plan.weight
-        return plan.waiting_count >= self.throughput * plan.weight / beside * self.startup_targets[
-            plan_name
-        ] / (2 * SECOND)
+        waiting_weight = sum(queue.weight for queue in self.plans.values() if queue.waiting_count)
+        startup_target = self.startup_targets[plan_name]
+        turns = (
+            self.throughput * plan.weight / (waiting_weight or plan.weight) * startup_target / (2 * SECOND)
+        )
+        return plan.waiting_count >= turns
 
     def _start(self, plan_name: str) -> None:
         """Counts a turn of a plan and a request in progress."""
@@ -167,40 +173,42 @@
 
     def remove_expired(self, now: int) -> list[QueuedRequest]:
         """Removes and returns the requests that can no longer be answered in time. `now`: ns."""
-        gone = [w for w in self.waiting.values() if w.abandon_at - now < self.min_answer_time]
-        for w in gone:
-            self.remove(w.number)
-        return gone
+        expired = [
+            request for request in self.waiting.values() if request.abandon_at - now < self.min_answer_time
+        ]
+        for request in expired:
+            self.remove(request.number)
+        return expired
 
     def remove(self, number: int) -> None:
         """Removes a request without its turn."""
-        one = self.waiting.pop(number, None)
-        if one is None:
+        request = self.waiting.pop(number, None)
+        if request is None:
             return
-        plan = self.plans[one.plan]
+        plan = self.plans[request.plan]
         plan.waiting_count -= 1
-        some = plan.requests_by_client[one.client]
-        some.remove(one)
-        heapq.heapify(some)
-        if not some:
-            del plan.requests_by_client[one.client]
+        requests = plan.requests_by_client[request.client]
+        requests.remove(request)
+        heapq.heapify(requests)
+        if not requests:
+            del plan.requests_by_client[request.client]
 
     def next_request(self) -> QueuedRequest | None:
         """Takes the request whose turn it is; None if none waits or too many are in progress."""
         if not self.waiting or self.in_progress >= self.window.size:
             return None
-        name = min(
-            (n for n, p in self.plans.items() if p.requests_by_client),
-            key=lambda n: (self.plans[n].virtual_time, n),
+        plan_name = min(
+            (name for name, plan in self.plans.items() if plan.requests_by_client),
+            key=lambda name: (self.plans[name].virtual_time, name),
         )
-        plan = self.plans[name]
-        client, some = next(iter(plan.requests_by_client.items()))
-        one = some[0]
-        self.remove(one.number)
+        plan = self.plans[plan_name]
+        client, requests = next(iter(plan.requests_by_client.items()))
+        request = requests[0]
+        self.remove(request.number)
         if client in plan.requests_by_client:
             plan.requests_by_client.move_to_end(client)
-        self._start(name)
-        return one
+        self._start(plan_name)
+        return request
 
     def finish(self) -> None:
         """A request in progress has its answer."""
--- a/oakcroft/decisions/admission/request_limits.py
+++ b/oakcroft/decisions/admission/request_limits.py
@@ -26,6 +26,7 @@
 
 
 SCOPE_ORDER = list(LimitScope)
+ROUNDING_TOLERANCE = 1e-9  # part of a token that floating-point rounding may take
 
 
 @dataclass(frozen=True)
@@ -61,14 +62,14 @@
     """
     if not limit.is_fleet_wide or front_count <= 1:
         return limit
-    at_once = (
-        None
-        if limit.max_concurrent is None
-        else limit.max_concurrent // front_count + (front_index < limit.max_concurrent % front_count)
-    )
-    rate = None if limit.rate is None else limit.rate / (rate_shares or front_count)
-    burst = None if limit.burst is None else limit.burst / (rate_shares or front_count)
-    return RequestLimit(limit.name, limit.scope, limit.subject, rate, burst, at_once, False)
+    divisor = rate_shares or front_count
+    rate = None if limit.rate is None else limit.rate / divisor
+    burst = None if limit.burst is None else limit.burst / divisor
+    max_concurrent = None
+    if limit.max_concurrent is not None:
+        places, remainder = divmod(limit.max_concurrent, front_count)
+        max_concurrent = places + (front_index < remainder)
+    return RequestLimit(limit.name, limit.scope, limit.subject, rate, burst, max_concurrent, False)
 
 
 @dataclass
@@ -92,8 +93,8 @@
 
 def burst_size(limit: RequestLimit) -> float:
     """Returns the capacity of a bucket: the burst, else one second of the rate, and never less than 1."""
-    stated = limit.burst if limit.burst is not None else (limit.rate or 0.0)
-    return max(1.0, stated)
+    configured = limit.burst if limit.burst is not None else (limit.rate or 0.0)
+    return max(1.0, configured)
 
 
 @dataclass(frozen=True)
@@ -167,8 +168,8 @@
         """Puts new limits in force."""
         self.configured = list(limits)
         self.limits = {
-            x.name: share_of_limit(x, self.front_index, self.front_count, self.rate_shares)
-            for x in self.configured
+            limit.name: share_of_limit(limit, self.front_index, self.front_count, self.rate_shares)
+            for limit in self.configured
         }
         self.by_scope = {}
         for limit in self.limits.values():
@@ -181,32 +182,33 @@
 
     def matching_limits(self, subject: RequestSubject) -> list[tuple[RequestLimit, str]]:
         """Returns the limits that apply to a request, in order, each with the name that it counts."""
-        found = []
+        matching = []
         for scope in SCOPE_ORDER:
-            here, who = self.by_scope.get(scope), subject.name_in(scope)
-            if here is None:
+            limits = self.by_scope.get(scope)
+            name = subject.name_in(scope)
+            if limits is None:
                 continue
-            for limit in here.get(who if scope is not LimitScope.ALL else "", ()):
-                found.append((limit, who))
-            if who:
-                for limit in here.get("*", ()):
-                    found.append((limit, who))
-        return found
+            for limit in limits.get(name if scope is not LimitScope.ALL else "", ()):
+                matching.append((limit, name))
+            if name:
+                for limit in limits.get("*", ()):
+                    matching.append((limit, name))
+        return matching
 
     def acquire(self, subject: RequestSubject, now: int) -> LimitReservation | LimitExceeded:
         """Charges a request to every limit that applies to it, or to none. `now`: ns."""
-        applying = self.matching_limits(subject)
-        for limit, who in applying:
-            if over := self._exceeded(limit, who, now):
-                return over
-        places = []
-        for limit, who in applying:
+        matching = self.matching_limits(subject)
+        for limit, name in matching:
+            if exceeded := self._exceeded(limit, name, now):
+                return exceeded
+        keys = []
+        for limit, name in matching:
             if limit.rate is not None:
-                self._bucket(limit, who, now).tokens -= 1.0
-            key = (limit.name, who)
+                self._bucket(limit, name, now).tokens -= 1.0
+            key = (limit.name, name)
             self.concurrent[key] = self.concurrent.get(key, 0) + 1
-            places.append(key)
-        return LimitReservation(tuple(places))
+            keys.append(key)
+        return LimitReservation(tuple(keys))
 
     def _exceeded(self, limit: RequestLimit, subject: str, now: int) -> LimitExceeded | None:
         """Returns the refusal of a limit that has no room, else None."""
@@ -216,9 +218,9 @@
         ):
             return LimitExceeded(limit.name, f"{limit.max_concurrent} at once", None)
         if limit.rate is not None:
-            level = self._bucket(limit, subject, now).refill(limit, now)
-            if level < 1.0 - 1e-9:
-                wait = None if limit.rate <= 0 else round((1.0 - level) / limit.rate * SECOND)
+            tokens = self._bucket(limit, subject, now).refill(limit, now)
+            if tokens < 1.0 - ROUNDING_TOLERANCE:
+                wait = None if limit.rate <= 0 else round((1.0 - tokens) / limit.rate * SECOND)
                 return LimitExceeded(limit.name, f"{limit.rate:g} a second", wait)
         return None
 
@@ -245,9 +247,9 @@
             return
         reservation.is_released = True
         for key in reservation.keys:
-            left = self.concurrent[key] - 1
-            if left:
-                self.concurrent[key] = left
+            remaining = self.concurrent[key] - 1
+            if remaining:
+                self.concurrent[key] = remaining
             else:
                 del self.concurrent[key]
 
@@ -266,12 +268,12 @@
             continue
         if limit.scope is LimitScope.ALL and other.name > limit.name:
             continue
-        rate = limit.rate is None or (
+        rate_reached = limit.rate is None or (
             other.rate is not None and other.rate <= limit.rate and burst_size(other) <= burst_size(limit)
         )
-        places = limit.max_concurrent is None or (
+        concurrency_reached = limit.max_concurrent is None or (
             other.max_concurrent is not None and other.max_concurrent <= limit.max_concurrent
         )
-        if rate and places:
+        if rate_reached and concurrency_reached:
             return other.name
     return None
--- a/oakcroft/decisions/admission/resume_tokens.py
+++ b/oakcroft/decisions/admission/resume_tokens.py
@@ -17,6 +17,12 @@
 from oakcroft.interface import SECOND
 
 
+MIN_KEY_BYTES = 32
+MAX_TOKEN_LENGTH = 300
+TOKEN_PARTS = 4  # key number, expiry, client session and signature
+SIGNATURE_BYTES = 24  # of the HMAC
+
+
 class TokenError(Enum):
     """Why a resume token is refused."""
 
@@ -48,33 +54,37 @@
 
         Raises ValueError for a number that does not grow or a key of less than 32 bytes.
         """
-        if number <= self.newest_key_number or len(key) < 32:
-            raise ValueError("keys have growing numbers and 32 bytes")
-        self.keys = {n: k for n, k in self.keys.items() if n == self.newest_key_number} | {number: key}
-        self.newest_key_number, self.rotated_at = number, now
-
-    def issue(self, seat: str, client: str, now: int) -> str:
+        if number <= self.newest_key_number or len(key) < MIN_KEY_BYTES:
+            raise ValueError("a signing key needs a number above the last one and at least 32 bytes")
+        previous = {n: k for n, k in self.keys.items() if n == self.newest_key_number}
+        self.keys = previous | {number: key}
+        self.newest_key_number = number
+        self.rotated_at = now
+
+    def issue(self, session_id: str, client: str, now: int) -> str:
         """Issues a token for a client session to a client."""
-        body = f"{self.newest_key_number}.{now + self.lifetime}.{seat}"
+        body = f"{self.newest_key_number}.{now + self.lifetime}.{session_id}"
         return f"{body}.{self._signature(self.keys[self.newest_key_number], body, client)}"
 
     def verify(self, token: str, client: str, now: int) -> str | TokenError:
         """Returns the client session that a token is for, or why the token is refused."""
         parts = token.split(".")
-        if len(parts) != 4 or len(token) > 300 or not (parts[0].isdecimal() and parts[1].isdecimal()):
+        if len(parts) != TOKEN_PARTS or len(token) > MAX_TOKEN_LENGTH:
+            return TokenError.MALFORMED
+        key_number, expires_at, session_id, signature = parts
+        if not (key_number.isdecimal() and expires_at.isdecimal()):
             return TokenError.MALFORMED
-        key = self.keys.get(int(parts[0]))
+        key = self.keys.get(int(key_number))
         if key is None:
             return TokenError.UNKNOWN_KEY
-        body = ".".join(parts[:3])
-        if not hmac.compare_digest(self._signature(key, body, client).encode(), parts[3].encode()):
-            return (
-                TokenError.BAD_SIGNATURE
-            )  # forged or issued to another client; the error does not tell which
-        return TokenError.EXPIRED if now > int(parts[1]) else parts[2]
+        body = f"{key_number}.{expires_at}.{session_id}"
+        if not hmac.compare_digest(self._signature(key, body, client).encode(), signature.encode()):
+            # Forged or issued to another client; the error does not tell which.
+            return TokenError.BAD_SIGNATURE
+        return TokenError.EXPIRED if now > int(expires_at) else session_id
 
     @staticmethod
     def _signature(key: bytes, body: str, client: str) -> str:
         """Returns the signature of a token's body for a client."""
         mac = hmac.new(key, f"{body}\0{client}".encode(), hashlib.sha256).digest()
-        return base64.urlsafe_b64encode(mac[:24]).decode()
+        return base64.urlsafe_b64encode(mac[:SIGNATURE_BYTES]).decode()
--- a/oakcroft/decisions/admission/service_levels.py
+++ b/oakcroft/decisions/admission/service_levels.py
@@ -87,6 +87,7 @@
     strong: float = 1.5
 
 
+MIN_ANSWERS = 3  # recent answers that the shares of answers are based on at least
 HOLD_SPREAD = 4  # front ends differ in their hold times by up to this many configured hold times
 FULL_SERVICE = ServiceLevel("full", (), LevelEffects())
 
@@ -118,8 +119,11 @@
         Draws four times from `rng`: the hold times for entering and leaving, the least time in a level, and
         the window.
         """
-        self.levels, self.bounds = [FULL_SERVICE, *levels], bounds
-        self.current, self.changed_at, self.reason = 0, now - 2 * bounds.least, "at the start"
+        self.levels = [FULL_SERVICE, *levels]
+        self.bounds = bounds
+        self.current = 0
+        self.changed_at = now - 2 * bounds.least
+        self.reason = "at the start"
         self.change_times = deque[int]()
         self.history = deque[LevelChange](maxlen=64)
         self.pin: LevelPin | None = None
@@ -143,18 +147,22 @@
 
         Called a few times a second. Returns the change that was made, or None. `now`: ns.
         """
-        for n, level in enumerate(self.levels):
-            entered = any(signals.get(m.signal, 0.0) >= m.enter_at for m in level.thresholds)
-            left = all(signals.get(m.signal, 0.0) < m.leave_below for m in level.thresholds)
-            self._track_condition(self.entry_met_since, n, n > 0 and entered, now)
-            self._track_condition(self.exits_met_since, n, n > 0 and left, now)
+        for number, level in enumerate(self.levels):
+            entry_met = any(
+                signals.get(threshold.signal, 0.0) >= threshold.enter_at for threshold in level.thresholds
+            )
+            exits_met = all(
+                signals.get(threshold.signal, 0.0) < threshold.leave_below for threshold in level.thresholds
+            )
+            self._track_condition(self.entry_met_since, number, number > 0 and entry_met, now)
+            self._track_condition(self.exits_met_since, number, number > 0 and exits_met, now)
         if self.pin is not None and now < self.pin.until:
             return self._change_level(self.pin.level, "pinned by an operator", now, pinned=True)
         if self.pin is not None:
             self.pin = None
-        up = self._level_to_enter(signals, now)
-        if up is not None and up > self.current:
-            return self._change_level(up, self._entry_reason(signals, up), now)
+        higher = self._level_to_enter(signals, now)
+        if higher is not None and higher > self.current:
+            return self._change_level(higher, self._entry_reason(signals, higher), now)
         return self._change_level(self._level_to_return_to(now), f"under the exits of {self.level.name}", now)
 
     @staticmethod
@@ -171,29 +179,33 @@
         That is the highest level whose entry threshold has been exceeded for long enough. If any signal
         exceeds its threshold by the factor `strong`, the time is not waited for.
         """
-        held = [n for n, since in self.entry_met_since.items() if now - since >= self.enter_hold]
-        far = any(
-            signals.get(m.signal, 0.0) >= m.enter_at * self.bounds.strong
-            for n in self.entry_met_since
-            for m in self.levels[n].thresholds
+        held = [level for level, since in self.entry_met_since.items() if now - since >= self.enter_hold]
+        is_far_over = any(
+            signals.get(threshold.signal, 0.0) >= threshold.enter_at * self.bounds.strong
+            for level in self.entry_met_since
+            for threshold in self.levels[level].thresholds
         )
-        return max(self.entry_met_since if far else held, default=None)
+        return max(self.entry_met_since if is_far_over else held, default=None)
 
     def _level_to_return_to(self, now: int) -> int:
         """Returns the level to go back to: the lowest one above which all exits have held for long enough."""
-        n = self.current
-        while n > 0 and n in self.exits_met_since and now - self.exits_met_since[n] >= self.leave_hold:
-            n -= 1
-        return n
+        level = self.current
+        while (
+            level > 0
+            and level in self.exits_met_since
+            and now - self.exits_met_since[level] >= self.leave_hold
+        ):
+            level -= 1
+        return level
 
     def _entry_reason(self, signals: Mapping[LoadSignal, float], level: int) -> str:
         """Describes the entry thresholds of a level that the signals exceed."""
-        passed = [
-            f"{m.signal.value} {signals.get(m.signal, 0.0):.3g} over {m.enter_at:.3g}"
-            for m in self.levels[level].thresholds
-            if signals.get(m.signal, 0.0) >= m.enter_at
+        exceeded = [
+            f"{threshold.signal.value} {signals.get(threshold.signal, 0.0):.3g} over {threshold.enter_at:.3g}"
+            for threshold in self.levels[level].thresholds
+            if signals.get(threshold.signal, 0.0) >= threshold.enter_at
         ]
-        return ", ".join(passed)
+        return ", ".join(exceeded)
 
     # Changes of level.
 
@@ -217,7 +229,9 @@
         if not pinned:
             self.change_times.append(now)
         change = LevelChange(now, self.level.name, self.levels[to].name, reason)
-        self.current, self.changed_at, self.reason = to, now, reason
+        self.current = to
+        self.changed_at = now
+        self.reason = reason
         self.history.append(change)
         return change
 
@@ -225,7 +239,7 @@
 
     def pin_to(self, name: str, until: int) -> bool:
         """Pins a level until a time (ns); False if there is no level of this name."""
-        names = [x.name for x in self.levels]
+        names = [level.name for level in self.levels]
         if name not in names:
             return False
         self.pin = LevelPin(names.index(name), until)
@@ -241,21 +255,25 @@
             return [
                 f"pinned to {self.levels[self.pin.level].name} for {max(0, self.pin.until - now) // SECOND} s more"
             ]
-        out = []
+        conditions = []
         for level in self.levels[self.current + 1 : self.current + 2]:
-            out += [
-                f"{level.name}: {m.signal.value} {signals.get(m.signal, 0.0):.3g} would have to reach {m.enter_at:.3g}"
-                for m in level.thresholds
+            conditions += [
+                f"{level.name}: {threshold.signal.value} {signals.get(threshold.signal, 0.0):.3g} "
+                f"would have to reach {threshold.enter_at:.3g}"
+                for threshold in level.thresholds
             ]
         if self.current:
-            out += [
-                f"back: {m.signal.value} {signals.get(m.signal, 0.0):.3g} would have to stay under {m.leave_below:.3g}"
-                for m in self.level.thresholds
+            conditions += [
+                f"back: {threshold.signal.value} {signals.get(threshold.signal, 0.0):.3g} "
+                f"would have to stay under {threshold.leave_below:.3g}"
+                for threshold in self.level.thresholds
             ]
         if not self.change_allowed(True, now):
-            out.append(f"no change before the least time is over, and at most {self.bounds.most_changes} in "
-                       f"{self.bounds.window // SECOND} s")  # fmt: skip
-        return out
+            conditions.append(
+                f"no change before the least time is over, and at most {self.bounds.most_changes} in "
+                f"{self.bounds.window // SECOND} s"
+            )
+        return conditions
 
 
 class AdmissionGate:
@@ -295,9 +313,11 @@
     def _decay(self, now: int) -> None:
         """Decays the sums to a time, ns."""
         if now > self.updated_at:
-            kept = 0.5 ** ((now - self.updated_at) / self.half_life)
-            self.answers, self.rejected = self.answers * kept, self.rejected * kept
-            self.revenue, self.late_revenue = self.revenue * kept, self.late_revenue * kept
+            factor = 0.5 ** ((now - self.updated_at) / self.half_life)
+            self.answers *= factor
+            self.rejected *= factor
+            self.revenue *= factor
+            self.late_revenue *= factor
             self.updated_at = now
 
     def record_answer(self, rejected: bool, revenue: float, in_time: bool, now: int) -> None:
@@ -311,8 +331,8 @@
     def signals(self, now: int) -> dict[LoadSignal, float]:
         """Returns the shares as load signals; 0 while there are too few answers to tell. `now`: ns."""
         self._decay(now)
-        enough = self.answers >= 3
+        has_enough = self.answers >= MIN_ANSWERS
         return {
-            LoadSignal.REFUSED: self.rejected / self.answers if enough else 0.0,
-            LoadSignal.LATE: self.late_revenue / self.revenue if enough and self.revenue > 0 else 0.0,
+            LoadSignal.REFUSED: self.rejected / self.answers if has_enough else 0.0,
+            LoadSignal.LATE: self.late_revenue / self.revenue if has_enough and self.revenue > 0 else 0.0,
         }
--- a/oakcroft/decisions/moving/degrading_nodes.py
+++ b/oakcroft/decisions/moving/degrading_nodes.py
@@ -13,8 +13,11 @@
 
 from oakcroft.interface import SECOND
 
-REPORT_COUNT, REPORT_SPAN_NS = 4, 12 * SECOND
+REPORT_COUNT = 4
+REPORT_SPAN_NS = 12 * SECOND
 MIN_FALL_PER_REPORT = 0.06  # of the delivered share, on average
+RECOVERED_SHARE = 0.98  # delivered share from which a node counts as sound again
+MAX_SHARE_OF_FLEET = 0.75  # of what the other nodes deliver
 WEAK_SHARE = 0.75  # of the last report; viewers begin to leave at this share
 
 
@@ -50,7 +53,7 @@
         """
         trend = self.trends.setdefault(node, DeliveryTrend())
         trend.reports.append((now, share))
-        if share >= 0.98:
+        if share >= RECOVERED_SHARE:
             self.forget(node)
             return False
         if (
@@ -64,13 +67,14 @@
 
     def _is_degrading(self, trend: DeliveryTrend, fleet_share: float, now: int) -> bool:
         """Whether the reports of a node show that it degrades."""
-        notes = list(trend.reports)
-        if len(notes) < REPORT_COUNT or now - notes[0][0] > REPORT_SPAN_NS:
+        reports = list(trend.reports)
+        if len(reports) < REPORT_COUNT or now - reports[0][0] > REPORT_SPAN_NS:
             return False
-        shares = [share for _, share in notes]
-        falling = all(b < a for a, b in pairwise(shares))
-        steep = shares[0] - shares[-1] >= MIN_FALL_PER_REPORT * (REPORT_COUNT - 1)
-        return falling and steep and shares[-1] < WEAK_SHARE and shares[-1] < fleet_share * 0.75
+        shares = [share for _, share in reports]
+        is_falling = all(later < earlier for earlier, later in pairwise(shares))
+        is_steep = shares[0] - shares[-1] >= MIN_FALL_PER_REPORT * (REPORT_COUNT - 1)
+        is_weak = shares[-1] < WEAK_SHARE and shares[-1] < fleet_share * MAX_SHARE_OF_FLEET
+        return is_falling and is_steep and is_weak
 
     def forget(self, node: str) -> None:
         """Drops a node that delivers again, has failed, or drains by the list."""
--- a/oakcroft/decisions/moving/drain_notice.py
+++ b/oakcroft/decisions/moving/drain_notice.py
@@ -11,8 +11,10 @@
 
 from oakcroft.interface import MS, SECOND
 
-DECREASE_WEIGHT, INCREASE_WEIGHT = 0.5, 0.1
-MIN_NOTICE_NS, MAX_NOTICE_NS = 200 * MS, 600 * SECOND
+DECREASE_WEIGHT = 0.5  # of a drain shorter than the estimate
+INCREASE_WEIGHT = 0.1  # of a drain longer than the estimate
+MIN_NOTICE_NS = 200 * MS
+MAX_NOTICE_NS = 600 * SECOND
 SAFETY_FACTOR = 0.8  # part of the estimate that is relied on, since nodes go early as well as late
 
 
@@ -36,9 +38,9 @@
 
     def start_drain(self, node: str, now: int, ends_at: int | None) -> bool:
         """A node drains; False if that was known already. A later statement of its end is taken over."""
-        known = self.drains.get(node)
-        if known is not None:
-            known.ends_at = ends_at if ends_at is not None else known.ends_at
+        drain = self.drains.get(node)
+        if drain is not None:
+            drain.ends_at = ends_at if ends_at is not None else drain.ends_at
             return False
         self.drains[node] = Drain(now, ends_at)
         return True
@@ -55,18 +57,17 @@
         drain = self.drains.pop(node, None)
         if drain is None or drain.ends_at is not None:
             return
-        lasted = min(max(now - drain.heard_at, MIN_NOTICE_NS), MAX_NOTICE_NS)
-        part = DECREASE_WEIGHT if lasted < self.expected_duration else INCREASE_WEIGHT
-        self.expected_duration = round(self.expected_duration + part * (lasted - self.expected_duration))
+        duration = min(max(now - drain.heard_at, MIN_NOTICE_NS), MAX_NOTICE_NS)
+        weight = DECREASE_WEIGHT if duration < self.expected_duration else INCREASE_WEIGHT
+        change = weight * (duration - self.expected_duration)
+        self.expected_duration = round(self.expected_duration + change)
 
     def time_left(self, node: str, now: int) -> int | None:
         """Returns the time that a draining node still stays, never negative; None if it does not drain."""
         drain = self.drains.get(node)
         if drain is None:
             return None
-        end = (
-            drain.ends_at
-            if drain.ends_at is not None
-            else drain.heard_at + round(self.expected_duration * SAFETY_FACTOR)
-        )
-        return max(0, end - now)
+        ends_at = drain.ends_at
+        if ends_at is None:
+            ends_at = drain.heard_at + round(self.expected_duration * SAFETY_FACTOR)
+        return max(0, ends_at - now)
--- a/oakcroft/decisions/moving/handover.py
+++ b/oakcroft/decisions/moving/handover.py
@@ -66,7 +66,10 @@
     SWITCH_AND_ACCEPT_OFFER = "answer the offer: here is the target; nothing else plays"
 
 
-S, E, A = MoveState, MoveEvent, MoveAction
+# Short names for the table of transitions.
+S = MoveState
+E = MoveEvent
+A = MoveAction
 END_STATES = (S.DONE, S.STAYED, S.LOST)
 TRANSITIONS: dict[tuple[MoveState, MoveEvent], tuple[MoveState, MoveAction]] = {
     # PLANNED: nothing has been done yet, so nothing has to be undone.
@@ -122,6 +125,12 @@
 Other pairs change nothing: late timers, second offers, drains of a node that was left already.
 """
 
+TIMEOUTS = {
+    MoveState.ASKED: MoveEvent.OFFER_TIMEOUT,
+    MoveState.BESIDE: MoveEvent.CONFIRM_TIMEOUT,
+}
+"""Event of the timer that runs in a state."""
+
 
 @dataclass
 class Handover:
@@ -132,12 +141,12 @@
 
     def handle(self, event: MoveEvent) -> MoveAction:
         """Applies an event and returns what the front end has to do; the only place where the state changes."""
-        after = TRANSITIONS.get((self.state, event))
-        if after is None:
+        transition = TRANSITIONS.get((self.state, event))
+        if transition is None:
             return MoveAction.NONE
-        self.state, act = after
+        self.state, action = transition
         self.history.append(self.state)
-        return act
+        return action
 
     @property
     def has_ended(self) -> bool:
@@ -150,6 +159,4 @@
 
     def pending_timeout(self) -> MoveEvent | None:
         """Returns the event of the timer that runs in this state; None if there is no timer."""
-        return {MoveState.ASKED: MoveEvent.OFFER_TIMEOUT, MoveState.BESIDE: MoveEvent.CONFIRM_TIMEOUT}.get(
-            self.state
-        )
+        return TIMEOUTS.get(self.state)
--- a/oakcroft/decisions/moving/move_rules.py
+++ b/oakcroft/decisions/moving/move_rules.py
@@ -69,12 +69,12 @@
         return False
     if plan.effect is not Effect.KEYED:
         return plan.effect is Effect.FREE
-    same = {
+    is_in_scope = {
         KeyScope.ALL: True,
         KeyScope.ZONE: target.zone == source.zone,
         KeyScope.CELL: target.cell == source.cell,
     }
-    return same[plan.key_scope]
+    return is_in_scope[plan.key_scope]
 
 
 def is_confined_to_zone(plan: Plan) -> bool:
--- a/oakcroft/decisions/moving/move_scheduler.py
+++ b/oakcroft/decisions/moving/move_scheduler.py
@@ -74,24 +74,25 @@
         that all front ends together load the targets evenly. If the notice is shorter than one move needs,
         all begin at once, since a late move is a stall.
         """
-        room = max(0, round(notice * self.limits.notice_fraction) - self.limits.move_duration)
-        fresh = [(key, worth) for key, worth in playbacks if key not in self.planned]
-        times = sorted(round(self.rng.random() * room) for _ in fresh)
-        for (key, worth), after in zip(sorted(fresh, key=lambda x: (-x[1], x[0])), times, strict=True):
-            self.planned[key] = PlannedMove(key, node, worth, reason, now + after)
-        return len(fresh)
+        span = max(0, round(notice * self.limits.notice_fraction) - self.limits.move_duration)
+        new = [(key, value) for key, value in playbacks if key not in self.planned]
+        delays = sorted(round(self.rng.random() * span) for _ in new)
+        by_value = sorted(new, key=lambda playback: (-playback[1], playback[0]))
+        for (key, value), delay in zip(by_value, delays, strict=True):
+            self.planned[key] = PlannedMove(key, node, value, reason, now + delay)
+        return len(new)
 
     def cancel_node(self, node: str) -> list[str]:
         """The node need not be left any more: drops its planned moves, returns those in progress."""
-        mine = [w for w in self.planned.values() if w.node == node]
-        for wish in mine:
-            if not wish.in_progress:
-                del self.planned[wish.key]
-        return [w.key for w in mine if w.in_progress]
+        moves = [move for move in self.planned.values() if move.node == node]
+        for move in moves:
+            if not move.in_progress:
+                del self.planned[move.key]
+        return [move.key for move in moves if move.in_progress]
 
     def next_due_at(self, now: int) -> int | None:
         """Returns when the next move is due; None if none waits."""
-        waiting = [w.due_at for w in self.planned.values() if not w.in_progress]
+        waiting = [move.due_at for move in self.planned.values() if not move.in_progress]
         return min(waiting, default=None)
 
     def start_due(self, now: int, tries_left: int) -> list[PlannedMove]:
@@ -100,21 +101,24 @@
         They are due, fewer than `max_concurrent` are in progress, and `tries_left` further tries are left in
         the budget. Moves that are due but find no room are put off for a random time.
         """
-        running = sum(w.in_progress for w in self.planned.values())
-        free = min(self.limits.max_concurrent - running, tries_left)
-        due = sorted((w for w in self.planned.values() if not w.in_progress and w.due_at <= now),
-                     key=lambda w: (-w.value, w.key))  # fmt: skip
-        chosen = due[: max(0, free)]
-        for wish in chosen:
-            wish.in_progress = True
-            wish.attempts += 1
-        for wish in due[max(0, free) :]:
-            wish.due_at = now + round(self.limits.retry_delay * (0.5 + self.rng.random()))
+        running = sum(move.in_progress for move in self.planned.values())
+        room = max(0, min(self.limits.max_concurrent - running, tries_left))
+        due = sorted(
+            (move for move in self.planned.values() if not move.in_progress and move.due_at <= now),
+            key=lambda move: (-move.value, move.key),
+        )
+        chosen = due[:room]
+        for move in chosen:
+            move.in_progress = True
+            move.attempts += 1
+        for move in due[room:]:
+            move.due_at = now + round(self.limits.retry_delay * (0.5 + self.rng.random()))
         return chosen
 
     def has_room_on(self, key: str, node: str) -> bool:
         """Whether a target takes one more move, among this front end's own."""
-        return sum(t == node for k, t in self.targets.items() if k != key) < self.limits.max_per_target
+        moves = sum(target == node for other, target in self.targets.items() if other != key)
+        return moves < self.limits.max_per_target
 
     def set_target(self, key: str, node: str) -> None:
         """Notes the target that admission control has chosen."""
@@ -127,15 +131,15 @@
         more move.
         """
         self.targets.pop(key, None)
-        wish = self.planned.get(key)
-        if wish is None:
+        move = self.planned.get(key)
+        if move is None:
             return False
-        again = not has_moved and notice_left is not None and wish.attempts < self.limits.max_attempts
-        if not again or (notice_left or 0) < self.limits.move_duration // 2:
+        may_retry = not has_moved and notice_left is not None and move.attempts < self.limits.max_attempts
+        if not may_retry or (notice_left or 0) < self.limits.move_duration // 2:
             del self.planned[key]
             return False
-        wish.in_progress = False
-        wish.due_at = now + round(self.limits.retry_delay * (0.5 + self.rng.random()))
+        move.in_progress = False
+        move.due_at = now + round(self.limits.retry_delay * (0.5 + self.rng.random()))
         return True
 
     def forget(self, key: str) -> None:
--- a/oakcroft/decisions/sessions/answers.py
+++ b/oakcroft/decisions/sessions/answers.py
@@ -61,11 +61,11 @@
 
 def aborted_reply(effect: Effect) -> Reply:
     """Returns the answer of an abort by admission control."""
-    paid = effect is Effect.PAID
+    is_paid = effect is Effect.PAID
     title = "A set-up may have run without an answer"
-    return Reply(
-        504, "urn:oakcroft:problem:aborted", title + ("; do not ask again" if paid else ""), None, not paid
-    )
+    if is_paid:
+        title += "; do not ask again"
+    return Reply(504, "urn:oakcroft:problem:aborted", title, None, not is_paid)
 
 
 def limit_reply(exceeded: LimitExceeded) -> Reply:
--- a/oakcroft/decisions/sessions/client_session.py
+++ b/oakcroft/decisions/sessions/client_session.py
@@ -16,6 +16,9 @@
 
 T = TypeVar("T")
 
+MAX_UNANSWERED_PINGS = 2
+"""Pings in a row without an answer after which a connection counts as dead."""
+
 
 class ClientSessionState(Enum):
     """State of a client session."""
@@ -80,7 +83,7 @@
             return None
         if not self.unacknowledged and number + 1 < self.next_number:
             return None
-        return [(n, m) for n, m in self.unacknowledged if n > number]
+        return [(kept, message) for kept, message in self.unacknowledged if kept > number]
 
 
 @dataclass
@@ -103,8 +106,9 @@
     def _set_state(self, state: ClientSessionState, now: int) -> None:
         """Changes the state; the only place where it changes. Raises ValueError for an invalid step."""
         if state not in NEXT_STATES[self.state]:
-            raise ValueError(f"a seat cannot go from {self.state.value!r} to {state.value!r}")
-        self.state, self.changed_at = state, now
+            raise ValueError(f"a client session cannot go from {self.state.value!r} to {state.value!r}")
+        self.state = state
+        self.changed_at = now
 
     @property
     def has_ended(self) -> bool:
@@ -187,4 +191,4 @@
     @property
     def is_dead(self) -> bool:
         """Whether the connection counts as dead."""
-        return self.unanswered_pings > 2
+        return self.unanswered_pings > MAX_UNANSWERED_PINGS
--- a/oakcroft/decisions/sessions/event_stream_health.py
+++ b/oakcroft/decisions/sessions/event_stream_health.py
@@ -10,6 +10,10 @@
 from enum import Enum
 
 
+MAX_REFUSALS = 2
+"""Refused connections in a row that prove that the node's process is gone."""
+
+
 class StreamState(Enum):
     """State of a node's event stream."""
 
@@ -63,32 +67,43 @@
 
     def __init__(self, timeouts: StreamTimeouts, now: int) -> None:
         """Starts with a stream that was never opened. `now`: ns."""
-        self.timeouts, self.state = timeouts, StreamState.UNOPENED
-        self.process, self.last_heard_at, self.broken_at, self.refusals = "", now, 0, 0
+        self.timeouts = timeouts
+        self.state = StreamState.UNOPENED
+        self.process = ""
+        self.last_heard_at = now
+        self.broken_at = 0
+        self.refusals = 0
         self.loss: LossCertainty | None = None  # certainty of the loss, until the node is heard again
 
     def _set_state(self, state: StreamState) -> bool:
         """Changes the state; True if it is another. The only place where the state changes."""
-        changed, self.state = self.state is not state, state
-        return changed
+        has_changed = self.state is not state
+        self.state = state
+        return has_changed
 
     def start(self, now: int) -> None:
         """Silence counts from now on, not from when the node was first listed. `now`: ns."""
         if self.state in (StreamState.UNOPENED, StreamState.LOST):
             self._set_state(StreamState.UNOPENED)
-            self.last_heard_at, self.broken_at, self.refusals = now, 0, 0
+            self.last_heard_at = now
+            self.broken_at = 0
+            self.refusals = 0
 
     def stream_opened(self, process: str, now: int) -> LossCertainty | None:
         """The stream is open and names the node's process; a loss if that is another than before. `now`: ns."""
-        another = bool(self.process) and process != self.process
-        self.process, self.last_heard_at, self.broken_at, self.refusals = process, now, 0, 0
+        is_another = bool(self.process) and process != self.process
+        self.process = process
+        self.last_heard_at = now
+        self.broken_at = 0
+        self.refusals = 0
         self.loss = None
         self._set_state(StreamState.ALIVE)
-        return LossCertainty.PROVEN if another else None
+        return LossCertainty.PROVEN if is_another else None
 
     def message_received(self, now: int) -> None:
         """A message arrived on the stream. `now`: ns."""
-        self.last_heard_at, self.broken_at = now, 0
+        self.last_heard_at = now
+        self.broken_at = 0
         self._set_state(StreamState.ALIVE)
 
     def stream_broken(self, cause: StreamBreak, now: int) -> LossCertainty | None:
@@ -97,7 +112,7 @@
             return None
         self.broken_at = self.broken_at or now
         self.refusals = self.refusals + 1 if cause is StreamBreak.REFUSED else 0
-        if cause is StreamBreak.SESSIONS_UNKNOWN or self.refusals >= 2:
+        if cause is StreamBreak.SESSIONS_UNKNOWN or self.refusals >= MAX_REFUSALS:
             return self._mark_lost(LossCertainty.PROVEN)
         self._set_state(StreamState.SILENT)
         return self.check(now)
@@ -124,5 +139,6 @@
         """Marks the node as lost; returns the loss unless it was marked before."""
         if loss is LossCertainty.PROVEN:
             self.process = ""
-        self.refusals, self.loss = 0, loss
+        self.refusals = 0
+        self.loss = loss
         return loss if self._set_state(StreamState.LOST) else None
--- a/oakcroft/decisions/sessions/idempotency.py
+++ b/oakcroft/decisions/sessions/idempotency.py
@@ -48,29 +48,30 @@
 
     def __init__(self, capacity: int, retention: int) -> None:
         """Starts without keys. `retention`: how long a key is kept, ns."""
-        self.capacity, self.retention = capacity, retention
+        self.capacity = capacity
+        self.retention = retention
         self.records: OrderedDict[str, KeyRecord] = OrderedDict()
         self.evictable: OrderedDict[str, None] = OrderedDict()  # keys that bind nothing, oldest first
 
     def decide(self, key: str, fingerprint: str, now: int) -> tuple[KeyDecision, Refusal | None, object]:
         """Decides on a request with a key; returns the refusal or the answer to give with it. `now`: ns."""
         self._expire(now)
-        known = self.records.get(key)
-        if known is None:
+        record = self.records.get(key)
+        if record is None:
             return KeyDecision.NEW, None, None
-        if known.fingerprint != fingerprint:
+        if record.fingerprint != fingerprint:
             return KeyDecision.REFUSE, Refusal.KEY_REUSED, None
-        if known.final is None:
+        if record.final is None:
             return KeyDecision.REFUSE, Refusal.OUTSTANDING, None
-        if self._must_replay(known):
-            known.was_replayed = known.was_replayed or known.final is FinalAnswer.ABORTED
-            return KeyDecision.REPLAY, None, known.answer
+        if self._must_replay(record):
+            record.was_replayed = record.was_replayed or record.final is FinalAnswer.ABORTED
+            return KeyDecision.REPLAY, None, record.answer
         return KeyDecision.NEW, None, None
 
     def has_replay(self, key: str) -> bool:
         """Whether a request with this key gets an answer that is kept."""
-        known = self.records.get(key)
-        return known is not None and self._must_replay(known)
+        record = self.records.get(key)
+        return record is not None and self._must_replay(record)
 
     @staticmethod
     def _must_replay(record: KeyRecord) -> bool:
@@ -90,11 +91,13 @@
 
     def record_answer(self, key: str, final: FinalAnswer, answer: object, now: int) -> None:
         """Keeps the final answer of a request. `now`: ns."""
-        if known := self.records.get(key):
-            known.final, known.answer, known.updated_at = final, answer, now
-            known.is_playing = final is FinalAnswer.PLAYS
+        if record := self.records.get(key):
+            record.final = final
+            record.answer = answer
+            record.updated_at = now
+            record.is_playing = final is FinalAnswer.PLAYS
             self.records.move_to_end(key)
-            self._update_evictable(key, known)
+            self._update_evictable(key, record)
 
     def playback_ended(self, key: str, answer: object, now: int) -> None:
         """The playback of an answer is over. `now`: ns.
@@ -102,29 +105,30 @@
         A later request with the key of a free playback is a new one. The end of an earlier playback under the
         same key may come late; it does not end the later one.
         """
-        known = self.records.get(key)
-        if known is not None and known.is_playing and known.answer is answer:
-            known.is_playing, known.updated_at = False, now
+        record = self.records.get(key)
+        if record is not None and record.is_playing and record.answer is answer:
+            record.is_playing = False
+            record.updated_at = now
             self.records.move_to_end(key)
-            self._update_evictable(key, known)
+            self._update_evictable(key, record)
 
     def restore(
         self, key: str, fingerprint: str, is_paid: bool, final: FinalAnswer, answer: object, now: int
     ) -> None:
         """Restores an answer that an earlier process of this front end gave. `now`: ns."""
         if key not in self.records and (len(self.records) < self.capacity or self._evict_oldest()):
-            known = self.records[key] = KeyRecord(
+            record = self.records[key] = KeyRecord(
                 fingerprint, now, is_paid, final, final is FinalAnswer.PLAYS, answer
             )
-            self._update_evictable(key, known)
+            self._update_evictable(key, record)
 
     def forget(self, key: str) -> bool:
         """Drops a key whose set-up provably never ran, so that a request with it is a new one.
 
         False, and nothing changes, if its answer has been given again already.
         """
-        known = self.records.get(key)
-        if known is not None and known.was_replayed:
+        record = self.records.get(key)
+        if record is not None and record.was_replayed:
             return False
         self._drop(key)
         return True
@@ -132,13 +136,13 @@
     def _expire(self, now: int) -> None:
         """Drops keys past their retention; those in progress or playing stay."""
         while self.records:
-            key, first = next(iter(self.records.items()))
-            if first.final is None or first.is_playing:
-                if now - first.updated_at <= self.retention:
+            key, oldest = next(iter(self.records.items()))
+            if oldest.final is None or oldest.is_playing:
+                if now - oldest.updated_at <= self.retention:
                     return
-                first.updated_at = now  # still in progress or playing: moves to the end of the queue
+                oldest.updated_at = now  # still in progress or playing: moves to the end of the queue
                 self.records.move_to_end(key)
-            elif now - first.updated_at > self.retention:
+            elif now - oldest.updated_at > self.retention:
                 self._drop(key)
             else:
                 return
--- a/oakcroft/decisions/sessions/node_sessions.py
+++ b/oakcroft/decisions/sessions/node_sessions.py
@@ -26,7 +26,8 @@
 
     def __init__(self, claim_timeout: int, max_unclaimed: int = 4096) -> None:
         """Starts without sessions. `claim_timeout`: ns."""
-        self.claim_timeout, self.max_unclaimed = claim_timeout, max_unclaimed
+        self.claim_timeout = claim_timeout
+        self.max_unclaimed = max_unclaimed
         self.claimed: dict[str, int] = {}  # claimed sessions and the times of their claims, ns
         self.unclaimed: OrderedDict[str, int] = OrderedDict()  # sessions that the node reported, and when, ns
         self.ended_unclaimed: OrderedDict[str, None] = OrderedDict()  # ended before they were claimed
@@ -67,7 +68,11 @@
         list and play all the same, because it began between the node's report and the report's arrival.
         """
         running = set(sessions)
-        lost = [s for s, since in self.claimed.items() if s not in running and since < requested_at]
+        lost = [
+            session
+            for session, claimed_at in self.claimed.items()
+            if session not in running and claimed_at < requested_at
+        ]
         for session in lost:
             del self.claimed[session]
         for session in sorted(running):
@@ -76,14 +81,14 @@
 
     def take_orphans(self, now: int) -> list[str]:
         """Returns the sessions to end now, each of them once. `now`: ns."""
-        out = []
+        orphans = []
         while self.unclaimed:
             session, since = next(iter(self.unclaimed.items()))
             if now - since <= self.claim_timeout and len(self.unclaimed) <= self.max_unclaimed:
                 break
             del self.unclaimed[session]
-            out.append(session)
-        return out
+            orphans.append(session)
+        return orphans
 
     def discount_pause(self, pause_ns: int) -> None:
         """Discounts a pause of the front end: it counts against no unclaimed session."""
@@ -96,7 +101,8 @@
 
     def lose_all(self) -> list[str]:
         """The node is lost: forgets all sessions and returns the claimed ones."""
-        lost, self.claimed = list(self.claimed), {}
+        lost = list(self.claimed)
+        self.claimed = {}
         self.unclaimed.clear()
         self.ended_unclaimed.clear()
         return lost
--- a/oakcroft/decisions/sessions/session_resource.py
+++ b/oakcroft/decisions/sessions/session_resource.py
@@ -85,8 +85,8 @@
             return ResourceError(
                 415, "urn:oakcroft:problem:media-type", f"A PATCH carries {SDPFRAG_MEDIA_TYPE}"
             )
-        if said := self.not_found():
-            return said
+        if error := self.not_found():
+            return error
         if not if_match:
             return ResourceError(428, "urn:oakcroft:problem:if-match", "A PATCH needs If-Match")
         any_tag = "*" in if_match
@@ -123,8 +123,8 @@
 
     def delete(self) -> ResourceAction | ResourceError:
         """Checks a DELETE; a second one gets 404."""
-        if said := self.not_found():
-            return said
+        if error := self.not_found():
+            return error
         self._set_phase(ResourcePhase.ENDING)
         return ResourceAction.END
 
--- a/oakcroft/decisions/sessions/setup_outcome.py
+++ b/oakcroft/decisions/sessions/setup_outcome.py
@@ -9,6 +9,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
+from http import HTTPStatus
 
 from oakcroft.interface import Outcome
 
@@ -89,7 +90,7 @@
     """
     if end is RequestEnd.ANSWERED:
         if progress.stage is not RequestStage.RESPONSE_READ:
-            raise ValueError("an answer is whole only once it is read")
+            raise ValueError("the outcome of an answer is known only once it has been read whole")
         return _answered_outcome(progress)
     if end is RequestEnd.UNREACHED or (end is RequestEnd.CONNECTION_LOST and progress.stage in UNSENT_STAGES):
         return Outcome.NO_CONNECTION
@@ -104,9 +105,12 @@
 
 def _answered_outcome(progress: RequestProgress) -> Outcome:
     """Returns the outcome of a whole response."""
-    if progress.status == 201:
+    if progress.status == HTTPStatus.CREATED:
         return Outcome.DONE
-    if progress.status == 503 and progress.problem_type in (PROBLEM_FULL, PROBLEM_DRAINING):
+    if progress.status == HTTPStatus.SERVICE_UNAVAILABLE and progress.problem_type in (
+        PROBLEM_FULL,
+        PROBLEM_DRAINING,
+    ):
         return Outcome.FULL
     return Outcome.ERROR
 
--- a/oakcroft/decisions/state/promise.py
+++ b/oakcroft/decisions/state/promise.py
@@ -106,8 +106,9 @@
     """Returns the promise after its final answer; an abort of a free plan binds nothing. `now`: ns."""
     if final is FinalAnswer.PLAYS:
         return replace(promise, mark=PromiseState.PLAYS, changed=now)
-    binds = final is FinalAnswer.ABORTED and promise.must_not_repeat
-    return replace(promise, mark=PromiseState.ABORTED if binds else PromiseState.GONE, changed=now)
+    is_binding = final is FinalAnswer.ABORTED and promise.must_not_repeat
+    mark = PromiseState.ABORTED if is_binding else PromiseState.GONE
+    return replace(promise, mark=mark, changed=now)
 
 
 def has_expired(promise: Promise, retention: int, now: int) -> bool:
--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -76,14 +76,9 @@
         if not plan_known:
             return RecoveryAction.END
         # A node that is not listed is taken to have no process any more.
-        return (
-            RecoveryAction.ADOPT
-            if node_listed and promise.resource
-            else RecoveryAction.REMEMBER
-            if promise.must_not_repeat
-            else RecoveryAction.FORGET
-        )
-    if node_listed and plan_known:
+        if node_listed and promise.resource:
+            return RecoveryAction.ADOPT
+    elif node_listed and plan_known:
         return RecoveryAction.HOLD
     return RecoveryAction.REMEMBER if promise.must_not_repeat else RecoveryAction.FORGET
 
@@ -99,12 +94,12 @@
         return PromiseVerdict.RUNNING
     if promise.key in report.known_keys:
         return PromiseVerdict.RAN
-    surely_up = report.received_at - report.uptime <= promise.sent_at
-    surely_remembered = report.received_at - report.key_memory <= promise.sent_at
-    arrived = report.requested_at >= promise.abandon + MAX_IN_FLIGHT_NS
-    return (
-        PromiseVerdict.NEVER_RAN if surely_up and surely_remembered and arrived else PromiseVerdict.UNPROVEN
-    )
+    ran_already = report.received_at - report.uptime <= promise.sent_at
+    remembers_that_far = report.received_at - report.key_memory <= promise.sent_at
+    has_arrived = report.requested_at >= promise.abandon + MAX_IN_FLIGHT_NS
+    if ran_already and remembers_that_far and has_arrived:
+        return PromiseVerdict.NEVER_RAN
+    return PromiseVerdict.UNPROVEN
 
 
 def apply_verdict(
@@ -115,12 +110,12 @@
     `abort_replayed`: its viewer has been told of an abort already, which then stays whatever is proven later,
     since no key is answered in two ways.
     """
-    never = verdict is PromiseVerdict.NEVER_RAN and promise.mark is PromiseState.INTENT
-    if verdict is PromiseVerdict.OVER or (never and not abort_replayed):
+    is_intent = promise.mark is PromiseState.INTENT
+    never_ran = verdict is PromiseVerdict.NEVER_RAN and is_intent
+    if verdict is PromiseVerdict.OVER or (never_ran and not abort_replayed):
         return transition(promise, replace(promise, mark=PromiseState.GONE, changed=now))
-    if (
-        never or verdict in (PromiseVerdict.RAN, PromiseVerdict.RUNNING)
-    ) and promise.mark is PromiseState.INTENT:
+    has_run = verdict in (PromiseVerdict.RAN, PromiseVerdict.RUNNING)
+    if is_intent and (never_ran or has_run):
         mark = PromiseState.ABORTED if promise.must_not_repeat else PromiseState.GONE
         return transition(promise, replace(promise, mark=mark, changed=now))
     return promise
@@ -156,9 +151,7 @@
     has_node_list: bool = False  # a node list is in force
     unanswered_nodes: set[str] = field(default_factory=set)
     answered_nodes: set[str] = field(default_factory=set)
-    learned_keys: set[str] = field(
-        default_factory=set
-    )  # keys that nodes ran for an earlier process whose state is lost
+    learned_keys: set[str] = field(default_factory=set)  # keys that ran for a process whose state is lost
 
     def state_read(self, was_found: bool, nodes: Iterable[str], now: int) -> RecoveryPhase:
         """The state has been read, or is lost (`was_found` is false).
@@ -189,8 +182,9 @@
 
     def check(self, now: int) -> RecoveryPhase:
         """Checks whether the recovery is complete; called regularly. Returns the phase."""
-        all_told = self.has_node_list and not self.unanswered_nodes
-        if self.phase is RecoveryPhase.STATE_LOST and (all_told or now - self.started_at > self.retention):
+        all_answered = self.has_node_list and not self.unanswered_nodes
+        is_over = all_answered or now - self.started_at > self.retention
+        if self.phase is RecoveryPhase.STATE_LOST and is_over:
             self.phase = RecoveryPhase.SERVING
         return self.phase
 
--- a/oakcroft/decisions/state/state_file_health.py
+++ b/oakcroft/decisions/state/state_file_health.py
@@ -33,7 +33,9 @@
     LOCKED = "another process has it"
 
 
-FIRST_RETRY_NS, MAX_RETRY_NS = 200 * MS, 5 * SECOND
+FIRST_RETRY_NS = 200 * MS
+MAX_RETRY_NS = 5 * SECOND
+MIN_ROWS = 10  # dropped in one commit, however many changes wait
 RECOVERY_COMMITS = 3  # commits in time, one after the other, before a slow file is healthy again
 
 
@@ -53,7 +55,7 @@
     fault: FileFault | None = None
     retry_at: int = 0
     retry_delay: int = FIRST_RETRY_NS
-    commit_started_at: int | None = None  # of the commit in progress
+    commit_started_at: int | None = None
     timely_commits: int = 0
     change_count: int = 0
 
@@ -61,7 +63,9 @@
         """Changes the state; True if it is another. The only place where the state changes."""
         if state is self.state:
             return False
-        self.state, self.changed_at, self.change_count = state, now, self.change_count + 1
+        self.state = state
+        self.changed_at = now
+        self.change_count += 1
         return True
 
     def can_record(self, now: int) -> bool:
@@ -89,14 +93,15 @@
 
         `is_full_rewrite`: it wrote all that is in memory anew.
         """
-        took = now - self.commit_started_at if self.commit_started_at is not None else 0
+        duration = now - self.commit_started_at if self.commit_started_at is not None else 0
         self.commit_started_at = None
         if self.state in (FileState.FAILING, FileState.NEWER_FORMAT):
             if not is_full_rewrite:
                 return False
-            self.fault, self.retry_delay = None, FIRST_RETRY_NS
+            self.fault = None
+            self.retry_delay = FIRST_RETRY_NS
             return self._set_state(FileState.HEALTHY, now)
-        if took > self.slow_after:
+        if duration > self.slow_after:
             self.timely_commits = 0
             return self._set_state(FileState.SLOW, now)
         self.timely_commits += 1
@@ -108,11 +113,13 @@
 
     def commit_failed(self, fault: FileFault, now: int) -> bool:
         """A commit, or the opening of the file, failed. True if the state changed."""
-        self.commit_started_at, self.timely_commits, self.fault = None, 0, fault
-        self.retry_at, self.retry_delay = now + self.retry_delay, min(MAX_RETRY_NS, self.retry_delay * 2)
-        return self._set_state(
-            FileState.NEWER_FORMAT if fault is FileFault.NEWER_FORMAT else FileState.FAILING, now
-        )
+        self.commit_started_at = None
+        self.timely_commits = 0
+        self.fault = fault
+        self.retry_at = now + self.retry_delay
+        self.retry_delay = min(MAX_RETRY_NS, self.retry_delay * 2)
+        state = FileState.NEWER_FORMAT if fault is FileFault.NEWER_FORMAT else FileState.FAILING
+        return self._set_state(state, now)
 
     def retry_due(self, now: int) -> bool:
         """Whether to try a failed file again now."""
@@ -138,4 +145,4 @@
         if self.is_paused or health.state is not FileState.HEALTHY or now - self.last_run_at < self.interval:
             return 0
         self.last_run_at = now
-        return max(10, self.max_rows // (1 + queued_changes))
+        return max(MIN_ROWS, self.max_rows // (1 + queued_changes))
