--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -29,7 +29,7 @@
     return IdleConnection(since, has_asked, sessions, partial, unsent)
 
 
-def test_the_silent_go_first_then_whoever_plays_nothing_and_newcomers_late() -> None:
+def test_eviction_classes_are_in_order() -> None:
     """The classes are closed in their order: connections without a request first, new ones late."""
     connections = [
         connection(since=NOW - FIRST_REQUEST_EXPECTED_NS - 1, has_asked=False),
@@ -43,7 +43,7 @@
     assert classes == list(EvictionClass)
 
 
-def test_of_one_class_the_one_idle_for_longest_goes_first() -> None:
+def test_within_a_class_the_longest_idle_is_evicted_first() -> None:
     """Within a class the connection that was idle for longest is closed first, in whatever order they came."""
     older, newer = connection(since=NOW - 2), connection(since=NOW - 1)
     assert min((newer, older), key=lambda one: eviction_order(one, NOW)) is older
@@ -78,41 +78,41 @@
     return found
 
 
-def test_connections_make_room_in_order_though_found_several_at_once() -> None:
+def test_eviction_order_holds_beyond_one_search() -> None:
     """The order of eviction holds beyond the candidates that one search finds."""
-    links = [FakeConnection(since) for since in range(3 * MAX_CANDIDATES)]
-    idle = IdleConnections(links, HeldClock())  # type: ignore[arg-type]
-    evicted = [evict(idle) for _ in links]
-    assert evicted == links
+    connections = [FakeConnection(since) for since in range(3 * MAX_CANDIDATES)]
+    idle = IdleConnections(connections, HeldClock())  # type: ignore[arg-type]
+    evicted = [evict(idle) for _ in connections]
+    assert evicted == connections
 
 
-def test_a_connection_that_came_to_use_since_it_was_found_stays() -> None:
+def test_a_candidate_that_is_in_use_by_now_is_kept() -> None:
     """A candidate that is in use by now is not closed.
 
     It has a request in progress, an unread message, a partial message or a session, or it is closed already.
     """
-    links = [FakeConnection(since) for since in range(7)]
-    idle = IdleConnections(links, HeldClock())  # type: ignore[arg-type]
-    assert evict(idle) is links[0]
-    links[1].is_idle = False
-    links[2].unread_count = 1
-    links[3].idle_state = connection(since=3, partial=True)
-    links[4].idle_state = connection(since=4, sessions=1)
-    links[5].is_open = False
-    assert evict(idle) is links[6]
-
-
-def test_what_was_found_is_looked_for_anew_after_a_while() -> None:
+    connections = [FakeConnection(since) for since in range(7)]
+    idle = IdleConnections(connections, HeldClock())  # type: ignore[arg-type]
+    assert evict(idle) is connections[0]
+    connections[1].is_idle = False
+    connections[2].unread_count = 1
+    connections[3].idle_state = connection(since=3, partial=True)
+    connections[4].idle_state = connection(since=4, sessions=1)
+    connections[5].is_open = False
+    assert evict(idle) is connections[6]
+
+
+def test_old_candidates_are_searched_again() -> None:
     """Old candidates are searched again, so that one that was idle for longer is found."""
-    links, clock = [FakeConnection(since) for since in range(10, 20)], HeldClock()
-    idle = IdleConnections(links, clock)  # type: ignore[arg-type]
-    assert evict(idle) is links[0]
-    links.append(FakeConnection(since=5))
+    connections, clock = [FakeConnection(since) for since in range(10, 20)], HeldClock()
+    idle = IdleConnections(connections, clock)  # type: ignore[arg-type]
+    assert evict(idle) is connections[0]
+    connections.append(FakeConnection(since=5))
     clock.at += CANDIDATES_VALID_NS + 1
-    assert evict(idle) is links[-1]
+    assert evict(idle) is connections[-1]
 
 
-def test_an_end_is_sent_on_its_own_connection_then_on_those_that_were_served() -> None:
+def test_a_release_is_sent_on_its_own_connection_then_on_served_ones() -> None:
     """A connection that was never served is the last choice."""
     targets = [
         ReleaseTarget(carried_setup=True, has_served=False, session_count=0),
@@ -125,7 +125,7 @@
     assert sorted(shuffled, key=target_order) == targets
 
 
-def test_an_end_is_sent_again_until_it_is_confirmed_and_so_often_at_most() -> None:
+def test_a_release_is_repeated_until_confirmed_or_out_of_attempts() -> None:
     """Each attempt has its timeout; a release that is confirmed is not sent again."""
     releases, now = UnconfirmedReleases(), NOW
     for session in ("heard", "never heard"):
@@ -140,7 +140,7 @@
     assert len(releases) == 0
 
 
-def test_ends_without_confirmation_are_bounded() -> None:
+def test_unconfirmed_releases_are_bounded() -> None:
     """Past the limit the oldest release counts as confirmed."""
     releases = UnconfirmedReleases()
     for i in range(MAX_UNCONFIRMED + 2):
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,4 @@
-"""Service levels: the state machine, its bound on changes under any load, and a front end whose level
+"""Service levels: the controller, its bound on changes under any load, and a front end whose level
 changes.
 """
 
@@ -46,124 +46,129 @@
 BOUNDS = LevelBounds(least=10 * SECOND, most_changes=4, window=60 * SECOND, hold=SECOND)
 
 
-def machine(seed: int = 1, bounds: LevelBounds = BOUNDS) -> LevelController:
+def level_controller(seed: int = 1, bounds: LevelBounds = BOUNDS) -> LevelController:
     """Makes a level controller."""
     return LevelController(LEVELS, bounds, Random(seed), 0)
 
 
-def play(m: LevelController, loads: list[float], step: int = 500 * MS) -> list[tuple[int, str]]:
+def feed(controller: LevelController, loads: list[float], step: int = 500 * MS) -> list[tuple[int, str]]:
     """Feeds a series of link loads, `step` ns apart; returns the times and names of the levels entered."""
-    out = []
-    for n, x in enumerate(loads):
-        if change := m.update({LoadSignal.X: x}, n * step):
-            out.append((n * step, change.current))
-    return out
+    changes = []
+    for step_number, load in enumerate(loads):
+        if change := controller.update({LoadSignal.X: load}, step_number * step):
+            changes.append((step_number * step, change.current))
+    return changes
 
 
-def test_it_enters_by_what_holds_leaves_one_by_one_and_jumps_on_strong_evidence() -> None:
+def test_levels_are_entered_and_left_by_signals_that_hold_or_far_exceed_a_threshold() -> None:
     """A level is entered once a signal holds, or at once if it is far over the threshold; levels are left
     when exits hold.
     """
-    m = machine()
-    assert play(m, [1.1, 0.5] * 20) == []  # the signal never holds for long enough
-    m = machine()
-    names = [name for _, name in play(m, [1.1] * 60 + [0.95] * 60 + [0.2] * 100)]
+    controller = level_controller()
+    assert feed(controller, [1.1, 0.5] * 20) == []  # the signal never holds for long enough
+    controller = level_controller()
+    names = [name for _, name in feed(controller, [1.1] * 60 + [0.95] * 60 + [0.2] * 100)]
     assert names == ["tight", "full"]  # 0.95 is between the thresholds
-    m = machine()
-    changes = play(m, [2.4] + [0.2] * 200)
+    controller = level_controller()
+    changes = feed(controller, [2.4] + [0.2] * 200)
     assert [name for _, name in changes] == ["core", "full"]
     assert changes[0][0] == 0
     assert all(b - a >= BOUNDS.least for (a, _), (b, _) in pairwise(changes))
-    m = machine()
-    assert [name for _, name in play(m, [2.4] + [0.95] * 100 + [0.2] * 100)] == ["core", "tight", "full"]
-    m = machine()
-    m.update({LoadSignal.X: 0.1, LoadSignal.LAG: 60.0}, 0)
-    change = m.update({LoadSignal.X: 0.1, LoadSignal.LAG: 60.0}, 6 * SECOND)
+    controller = level_controller()
+    assert [name for _, name in feed(controller, [2.4] + [0.95] * 100 + [0.2] * 100)] == [
+        "core",
+        "tight",
+        "full",
+    ]
+    controller = level_controller()
+    controller.update({LoadSignal.X: 0.1, LoadSignal.LAG: 60.0}, 0)
+    change = controller.update({LoadSignal.X: 0.1, LoadSignal.LAG: 60.0}, 6 * SECOND)
     assert change is not None
     assert (change.current, change.reason) == ("low", "lag 60 over 50")
 
 
 @given(st.integers(0, 1 << 30), st.lists(st.floats(0, 3), max_size=200), st.integers(100, 8000))
-def test_no_load_brings_more_changes_than_stated_and_calm_brings_full_service_back(
+def test_changes_stay_within_the_limit_and_low_load_restores_full_service(
     seed: int, loads: list[float], step_ms: int
 ) -> None:
     """Guards against flapping and against service that stays reduced for ever.
 
     No load causes more changes than the limit in any window, and low load always brings full service back.
     """
-    m = machine(seed)
-    at = [t for t, _ in play(m, loads, step_ms * MS)]
-    for i, first in enumerate(at):
-        assert sum(first <= t < first + BOUNDS.window for t in at[i:]) <= BOUNDS.most_changes
-    assert all(b - a >= BOUNDS.least for a, b in pairwise(at))
+    controller = level_controller(seed)
+    times = [t for t, _ in feed(controller, loads, step_ms * MS)]
+    for i, first in enumerate(times):
+        assert sum(first <= t < first + BOUNDS.window for t in times[i:]) <= BOUNDS.most_changes
+    assert all(b - a >= BOUNDS.least for a, b in pairwise(times))
     now = len(loads) * step_ms * MS
     for n in range(900):
-        m.update({LoadSignal.X: 0.1}, now + n * 500 * MS)
-    assert m.level.name == "full"
+        controller.update({LoadSignal.X: 0.1}, now + n * 500 * MS)
+    assert controller.level.name == "full"
 
 
-def test_every_small_history_keeps_the_bound() -> None:
+def test_all_short_load_sequences_keep_the_limit_on_changes() -> None:
     """All sequences of six loads keep the limit on changes and return to full service."""
     bounds, seen = LevelBounds(least=2, most_changes=3, window=9, hold=1), Counter[str]()
     for loads in product((0.2, 1.1, 1.3, 2.4), repeat=6):
-        m = LevelController(LEVELS, bounds, Random(1), 0)
-        at = []
-        for n, x in enumerate(loads):
-            if m.update({LoadSignal.X: x}, n * 2):
-                at.append(n * 2)
-            seen[m.level.name] += 1
-        for i, first in enumerate(at):
-            assert sum(t < first + 9 for t in at[i:]) <= 3
+        controller = LevelController(LEVELS, bounds, Random(1), 0)
+        times = []
+        for n, load in enumerate(loads):
+            if controller.update({LoadSignal.X: load}, n * 2):
+                times.append(n * 2)
+            seen[controller.level.name] += 1
+        for i, first in enumerate(times):
+            assert sum(t < first + 9 for t in times[i:]) <= 3
         for n in range(6, 60):
-            m.update({LoadSignal.X: 0.2}, n * 2)
-        assert m.current == 0, loads
+            controller.update({LoadSignal.X: 0.2}, n * 2)
+        assert controller.current == 0, loads
     assert set(seen) == {"full", "tight", "low", "core"}
 
 
-def test_two_hundred_fronts_on_an_edge_do_not_swing_in_step() -> None:
+def test_two_hundred_front_ends_do_not_change_level_in_step() -> None:
     """Guards against hundreds of front ends that change level in step when the load swings around a
     threshold.
     """
-    fronts, rng = [machine(seed) for seed in range(200)], Random(9)
-    at, load = list[int](), 1.0
+    controllers, rng = [level_controller(seed) for seed in range(200)], Random(9)
+    change_times, load = list[int](), 1.0
     for n in range(1200):  # ten minutes
         load = 1.02 + 0.15 * (1 if n // 30 % 2 else -1) + rng.uniform(-0.02, 0.02)
-        for m in fronts:
-            if m.update({LoadSignal.X: load + rng.gauss(0, 0.04)}, n * 500 * MS):
-                at.append(n * 500 * MS)
-    assert max(sum(t <= u < t + SECOND for u in at) for t in set(at)) <= 120
-    assert max(len(m.history) for m in fronts) <= BOUNDS.most_changes * 10
-    plain = 0
+        for controller in controllers:
+            if controller.update({LoadSignal.X: load + rng.gauss(0, 0.04)}, n * 500 * MS):
+                change_times.append(n * 500 * MS)
+    assert max(sum(t <= u < t + SECOND for u in change_times) for t in set(change_times)) <= 120
+    assert max(len(controller.history) for controller in controllers) <= BOUNDS.most_changes * 10
+    swings = 0
     for n in range(1, 1200):
-        plain += (1 if n // 30 % 2 else -1) != (1 if (n - 1) // 30 % 2 else -1)
-    assert sum(len(m.history) for m in fronts) / 200 < plain  # a plain threshold would follow each swing
+        swings += (1 if n // 30 % 2 else -1) != (1 if (n - 1) // 30 % 2 else -1)
+    # A plain threshold would follow each swing.
+    assert sum(len(controller.history) for controller in controllers) / 200 < swings
 
 
-def test_a_pin_holds_and_runs_out_and_a_gate_lets_in_what_is_stated() -> None:
+def test_a_pin_expires_and_the_gate_admits_the_configured_share() -> None:
     """A pinned level holds until its time; the admission gate lets the configured share in."""
-    m = machine()
-    assert not m.pin_to("nothing", 9)
-    assert m.pin_to("low", 20 * SECOND)
-    assert m.update({LoadSignal.X: 0.1}, 0) is not None
-    assert m.update({LoadSignal.X: 2.9}, SECOND) is None
-    assert "pinned to low for 19 s" in m.next_change_conditions({}, SECOND)[0]
-    assert m.update({LoadSignal.X: 0.1}, 21 * SECOND) is None
-    assert m.update({LoadSignal.X: 0.1}, 50 * SECOND) is not None
+    controller = level_controller()
+    assert not controller.pin_to("nothing", 9)
+    assert controller.pin_to("low", 20 * SECOND)
+    assert controller.update({LoadSignal.X: 0.1}, 0) is not None
+    assert controller.update({LoadSignal.X: 2.9}, SECOND) is None
+    assert "pinned to low for 19 s" in controller.next_change_conditions({}, SECOND)[0]
+    assert controller.update({LoadSignal.X: 0.1}, 21 * SECOND) is None
+    assert controller.update({LoadSignal.X: 0.1}, 50 * SECOND) is not None
     gate = AdmissionGate()
-    let_in = [gate.admit(LEVELS[1].effects, "open") for _ in range(100)]
-    assert sum(let_in) in (50, 51)
+    admitted = [gate.admit(LEVELS[1].effects, "open") for _ in range(100)]
+    assert sum(admitted) in (50, 51)
     assert not any(gate.admit(LEVELS[2].effects, "open") for _ in range(50))
     assert all(gate.admit(LEVELS[2].effects, "course") for _ in range(50))
 
 
-def test_the_tally_tells_shares_of_late() -> None:
+def test_recent_answers_yield_their_shares() -> None:
     """The shares of recent answers are those of the sums, and 0 once too few answers are left."""
-    t = RecentAnswers()
-    assert t.signals(0)[LoadSignal.REFUSED] == 0.0
+    answers = RecentAnswers()
+    assert answers.signals(0)[LoadSignal.REFUSED] == 0.0
     for n in range(10):
-        t.record_answer(n % 2 == 0, 2.0, n >= 5, 0)
-    assert t.signals(0) == {LoadSignal.REFUSED: 0.5, LoadSignal.LATE: 0.5}
-    assert t.signals(60 * SECOND)[LoadSignal.REFUSED] == 0.0  # too few recent answers
+        answers.record_answer(n % 2 == 0, 2.0, n >= 5, 0)
+    assert answers.signals(0) == {LoadSignal.REFUSED: 0.5, LoadSignal.LATE: 0.5}
+    assert answers.signals(60 * SECOND)[LoadSignal.REFUSED] == 0.0  # too few recent answers
 
 
 SITE = """(operators (secret "operators-secret"))
@@ -172,7 +177,7 @@
   (level courses-only (rank 2) (refused 90% 10%) (top 0) (admits open 0) (moves no))"""
 
 
-@pytest.mark.parametrize(("form", "says"), [
+@pytest.mark.parametrize(("form", "message"), [
     ("(level a (rank 1) (x 1 0.9)) (level b (rank 1) (x 2 1))", "have the same rank"),
     ("(level a (rank 1))", "is never entered"),
     ("(level a (rank 1) (x 0.9 1))", "is left at x 1 and entered at 0.9"),
@@ -182,19 +187,19 @@
     ("(level a (rank 1) (lag 40 10ms))", "has no unit"),
     ("(levels (most-changes 1))", "most-changes"),
 ])  # fmt: skip
-def test_a_faulty_level_is_told(form: str, says: str) -> None:
+def test_a_faulty_level_is_reported(form: str, message: str) -> None:
     """A faulty level in the configuration is reported."""
     text = """(fleet (cells 2)) (ladder (rates 200kB/s 400kB/s) (worth 0.5 1))
       (plan open (effect free) (startup-target 1s) (abandon 5s) (revenue 1))
       (route open (path "/whep/open/") (plan open))"""
     found, problems = check_file("site", lambda _: text + form, False)
     assert found is None
-    assert any(says in problems.format(p) for p in problems.errors), [
+    assert any(message in problems.format(p) for p in problems.errors), [
         problems.format(p) for p in problems.errors
     ]
 
 
-def test_a_front_reduces_by_its_level_and_tells_so(tmp_path: Path) -> None:
+def test_a_front_end_reduces_service_by_its_level_and_reports_it(tmp_path: Path) -> None:
     """A front end rejects and lowers by its level, and its status reports the level and the reason."""
     auth: dict[str, Any] = {"Authorization": "Bearer operators-secret"}
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -59,150 +59,162 @@
     doomed: str = ""  # a copy whose set-up is in progress is to be ended once it plays
 
 
-START = World(MoveState.PLANNED, "plays", "none", True, "none", "source")
+INITIAL = World(MoveState.PLANNED, "plays", "none", True, "none", "source")
 
 
-def possible(w: World) -> list[MoveEvent]:
+def possible_events(world: World) -> list[MoveEvent]:
     """Returns the events that can happen next."""
-    out = []
-    if w.state is MoveState.PLANNED:
-        out.append(MoveEvent.DUE)
-    if w.source == "plays":
-        out += [MoveEvent.SOURCE_LOST, MoveEvent.SOURCE_ENDED]
-    if w.source == "ending":
-        out += [MoveEvent.SOURCE_ENDED, MoveEvent.SOURCE_LOST]
-    if w.target == "out":
-        out += [MoveEvent.TARGET_PLAYS, MoveEvent.TARGET_FAILED]
-    if w.target == "plays":
-        out += [MoveEvent.TARGET_LOST, MoveEvent.TARGET_DRAINING]
-    if w.viewer:
-        out.append(MoveEvent.VIEWER_LEFT)
-        if w.offer == "none" and w.state is MoveState.ASKED:
-            out.append(MoveEvent.OFFER_RECEIVED)
-        if w.offer == "answered" and w.target == "plays":
-            out.append(MoveEvent.CONFIRMED)
-    move = Handover(w.state)
+    events = []
+    if world.state is MoveState.PLANNED:
+        events.append(MoveEvent.DUE)
+    if world.source == "plays":
+        events += [MoveEvent.SOURCE_LOST, MoveEvent.SOURCE_ENDED]
+    if world.source == "ending":
+        events += [MoveEvent.SOURCE_ENDED, MoveEvent.SOURCE_LOST]
+    if world.target == "out":
+        events += [MoveEvent.TARGET_PLAYS, MoveEvent.TARGET_FAILED]
+    if world.target == "plays":
+        events += [MoveEvent.TARGET_LOST, MoveEvent.TARGET_DRAINING]
+    if world.viewer:
+        events.append(MoveEvent.VIEWER_LEFT)
+        if world.offer == "none" and world.state is MoveState.ASKED:
+            events.append(MoveEvent.OFFER_RECEIVED)
+        if world.offer == "answered" and world.target == "plays":
+            events.append(MoveEvent.CONFIRMED)
+    move = Handover(world.state)
     if (timer := move.pending_timeout()) is not None:
-        out.append(timer)
-    if w.source == "plays":
-        out.append(MoveEvent.CANCELLED)
-    return out
+        events.append(timer)
+    if world.source == "plays":
+        events.append(MoveEvent.CANCELLED)
+    return events
 
 
-def after(w: World, what: MoveEvent) -> World:
+def after(world: World, event: MoveEvent) -> World:
     """Returns the model after an event: its direct effect first, then what the state machine has the front
     end do.
     """
-    source, target, viewer, asked, held, doomed = w.source, w.target, w.viewer, w.offer, w.held, w.doomed
-    if what in (MoveEvent.SOURCE_LOST, MoveEvent.SOURCE_ENDED):
+    source, target, viewer, offer, held, doomed = (
+        world.source,
+        world.target,
+        world.viewer,
+        world.offer,
+        world.held,
+        world.doomed,
+    )
+    if event in (MoveEvent.SOURCE_LOST, MoveEvent.SOURCE_ENDED):
         source, held = "gone", "nothing" if held == "source" else held
-    elif what is MoveEvent.TARGET_LOST:
+    elif event is MoveEvent.TARGET_LOST:
         target, held = "gone", "nothing" if held == "target" else held
-    elif what is MoveEvent.TARGET_PLAYS:
+    elif event is MoveEvent.TARGET_PLAYS:
         target = "ending" if doomed else "plays"
-    elif what is MoveEvent.TARGET_FAILED:
+    elif event is MoveEvent.TARGET_FAILED:
         target = "gone"
-    elif what is MoveEvent.VIEWER_LEFT:
+    elif event is MoveEvent.VIEWER_LEFT:
         viewer, held = False, "nothing"
-    elif what is MoveEvent.OFFER_RECEIVED:
-        asked = "waits"
-    elif what is MoveEvent.CONFIRMED:
+    elif event is MoveEvent.OFFER_RECEIVED:
+        offer = "waits"
+    elif event is MoveEvent.CONFIRMED:
         held = "target"
-    move = Handover(w.state)
-    act = move.handle(what)
-    if act is MoveAction.PLACE_TARGET:
+    move = Handover(world.state)
+    action = move.handle(event)
+    if action is MoveAction.PLACE_TARGET:
         target = "out"
-    elif act in (MoveAction.ACCEPT_OFFER, MoveAction.SWITCH_AND_ACCEPT_OFFER):
-        asked, held = "answered", "target" if act is MoveAction.SWITCH_AND_ACCEPT_OFFER else held
-    elif act is MoveAction.REJECT_OFFER:
-        asked = "answered"
-    elif act is MoveAction.SWITCH_TO_TARGET:
+    elif action in (MoveAction.ACCEPT_OFFER, MoveAction.SWITCH_AND_ACCEPT_OFFER):
+        offer, held = "answered", "target" if action is MoveAction.SWITCH_AND_ACCEPT_OFFER else held
+    elif action is MoveAction.REJECT_OFFER:
+        offer = "answered"
+    elif action is MoveAction.SWITCH_TO_TARGET:
         held = "target"
-    elif act is MoveAction.END_SOURCE:
+    elif action is MoveAction.END_SOURCE:
         held = "target" if viewer and target == "plays" else held
         source = "ending" if source == "plays" else source
-    elif act in (MoveAction.END_TARGET, MoveAction.END_TARGET_AND_REJECT_OFFER):
-        target, asked = "ending" if target == "plays" else target, "answered"
+    elif action in (MoveAction.END_TARGET, MoveAction.END_TARGET_AND_REJECT_OFFER):
+        target, offer = "ending" if target == "plays" else target, "answered"
         held = "source" if held == "target" and source == "plays" else held
-    elif act is MoveAction.END_ALL:
+    elif action is MoveAction.END_ALL:
         source = "ending" if source == "plays" else source
         target, doomed = ("ending" if target == "plays" else target), "yes" if target == "out" else ""
-        asked = "answered" if asked == "waits" else asked
-    elif act is MoveAction.REPORT_LOST:
-        asked, held = ("answered" if asked == "waits" else asked), "nothing"
-    return World(move.state, source, target, viewer, asked, held, doomed)
+        offer = "answered" if offer == "waits" else offer
+    elif action is MoveAction.REPORT_LOST:
+        offer, held = ("answered" if offer == "waits" else offer), "nothing"
+    return World(move.state, source, target, viewer, offer, held, doomed)
 
 
-def test_every_reachable_state_has_a_way_out_and_keeps_the_promises() -> None:
+def test_every_reachable_state_has_a_way_out_and_keeps_the_rules() -> None:
     """Checks every reachable state of the model with all faults.
 
     Each state has a way out, every offer gets its answer, a playback whose source plays on is never lost, and
     no copy is left over.
     """
-    seen, edge = {START}, [START]
-    while edge:
-        w = edge.pop()
-        for what in possible(w):
-            n = after(w, what)
-            if n not in seen:
-                seen.add(n)
-                edge.append(n)
-    states = Counter(w.state for w in seen)
+    seen, frontier = {INITIAL}, [INITIAL]
+    while frontier:
+        world = frontier.pop()
+        for event in possible_events(world):
+            following = after(world, event)
+            if following not in seen:
+                seen.add(following)
+                frontier.append(following)
+    states = Counter(world.state for world in seen)
     assert set(states) == set(MoveState)
     assert len(seen) == 38, len(seen)  # written in docs/moving.md
-    for w in seen:
-        if w.state not in END_STATES:
-            assert any(after(w, what).state is not w.state for what in possible(w)), w  # it has a way out
+    for world in seen:
+        if world.state not in END_STATES:
+            assert any(after(world, event).state is not world.state for event in possible_events(world)), (
+                world
+            )  # it has a way out
         else:
-            assert w.offer != "waits", w  # every offer has its answer
-            if w.viewer and w.source == "plays":
-                assert w.held == "source", w  # it plays on, whatever failed
+            assert world.offer != "waits", world  # every offer has its answer
+            if world.viewer and world.source == "plays":
+                assert world.held == "source", world  # it plays on, whatever failed
             assert not (
-                w.viewer and w.state is MoveState.DONE and w.held != "target" and w.target == "plays"
-            ), w
-        assert not (w.source == "plays" and w.target == "plays" and w.state in END_STATES), (
-            w
+                world.viewer
+                and world.state is MoveState.DONE
+                and world.held != "target"
+                and world.target == "plays"
+            ), world
+        assert not (world.source == "plays" and world.target == "plays" and world.state in END_STATES), (
+            world
         )  # no copy is left over
-        if w.state is MoveState.STAYED and w.viewer:
-            assert w.source != "ending", w
+        if world.state is MoveState.STAYED and world.viewer:
+            assert world.source != "ending", world
 
 
-def test_the_table_leads_only_forward_and_an_end_is_an_end() -> None:
+def test_no_transition_leaves_an_end_state() -> None:
     """No transition leaves an end state or keeps its state; a move that has ended ignores all events."""
-    for (state, _), (to, _) in TRANSITIONS.items():
+    for (state, _), (next_state, _) in TRANSITIONS.items():
         assert state not in END_STATES
-        assert to is not state
+        assert next_state is not state
     move = Handover()
-    for what in (
+    for event in (
         MoveEvent.DUE,
         MoveEvent.OFFER_RECEIVED,
         MoveEvent.TARGET_PLAYS,
         MoveEvent.CONFIRMED,
         MoveEvent.SOURCE_ENDED,
     ):
-        move.handle(what)
+        move.handle(event)
     assert move.has_ended
-    assert [move.handle(what) for what in MoveEvent] == [MoveAction.NONE] * len(MoveEvent)
+    assert [move.handle(event) for event in MoveEvent] == [MoveAction.NONE] * len(MoveEvent)
 
 
 # The decisions around it: rules, notices, degrading nodes and the schedule.
 
 
-def test_what_may_move_follows_from_the_rules() -> None:
+def test_move_rules() -> None:
     """Paid playbacks and unmovable players stay, keyed ones move within their group, and seats decide the
     order.
     """
-    a, b = Node("a"), Node("b")
-    a.zone, b.zone = "west", "east"
+    source, target = Node("a"), Node("b")
+    source.zone, target.zone = "west", "east"
     assert reason_to_stay(PAID, 0, 1, 0, True) is StayReason.PAID
     assert reason_to_stay(KEYED, 0, KEYED.key_ttl_ns, 0, True) is StayReason.KEY_EXPIRED
     assert reason_to_stay(KEYED, 0, 1, MS, True) is None
     assert reason_to_stay(FREE, 0, 10**15, 0, False) is StayReason.PLAYER_NOT_MOVABLE
-    assert not may_target(PAID, a, b)
-    assert not may_target(FREE, a, a)
-    assert may_target(FREE, a, b)
+    assert not may_target(PAID, source, target)
+    assert not may_target(FREE, source, source)
+    assert may_target(FREE, source, target)
     assert KEYED.key_scope is KeyScope.ZONE
-    assert not may_target(KEYED, a, b)
+    assert not may_target(KEYED, source, target)
     confined = [
         KEYED,
         replace(KEYED, key_scope=KeyScope.CELL),
@@ -211,92 +223,97 @@
         PAID,
     ]
     assert [is_confined_to_zone(plan) for plan in confined] == [True, True, False, False, False]
-    b.zone = "west"
-    assert may_target(KEYED, a, b)
+    target.zone = "west"
+    assert may_target(KEYED, source, target)
     seated = FREE.__class__(**{**FREE.__dict__, "seats": 2})
     assert move_method(seated, 1, 9 * SECOND, SECOND) is MoveMethod.MAKE_BEFORE_BREAK
     assert move_method(seated, 2, 9 * SECOND, SECOND) is MoveMethod.WAIT_FOR_SEAT
     assert move_method(seated, 2, SECOND, SECOND) is MoveMethod.BREAK_BEFORE_MAKE
 
 
-def test_notices_are_told_or_learnt() -> None:
+def test_drain_notices_are_stated_or_estimated() -> None:
     """The notice is the stated one or the estimate, which follows quickly downwards and slowly upwards."""
-    n = DrainNotices(10 * SECOND)
-    assert n.start_drain("a", 0, None)
-    assert not n.start_drain("a", SECOND, None)
-    assert n.time_left("a", 2 * SECOND) == 6 * SECOND
-    n.node_gone("a", 4 * SECOND)
-    assert n.expected_duration == 7 * SECOND  # follows quickly downwards
-    n.start_drain("b", 0, None)
-    n.node_gone("b", 17 * SECOND)
-    assert n.expected_duration == 8 * SECOND  # follows slowly upwards
-    n.start_drain("c", 0, 30 * SECOND)
-    assert n.time_left("c", 10 * SECOND) == 20 * SECOND
-    n.node_gone("c", SECOND)
-    assert n.expected_duration == 8 * SECOND
-    n.start_drain("d", 0, None)
-    assert n.cancel_drain("d")
-    assert n.time_left("d", 1) is None
-
-
-def test_a_node_fades_by_falling_notes_and_never_in_a_squeeze_of_all() -> None:
+    notices = DrainNotices(10 * SECOND)
+    assert notices.start_drain("a", 0, None)
+    assert not notices.start_drain("a", SECOND, None)
+    assert notices.time_left("a", 2 * SECOND) == 6 * SECOND
+    notices.node_gone("a", 4 * SECOND)
+    assert notices.expected_duration == 7 * SECOND  # follows quickly downwards
+    notices.start_drain("b", 0, None)
+    notices.node_gone("b", 17 * SECOND)
+    assert notices.expected_duration == 8 * SECOND  # follows slowly upwards
+    notices.start_drain("c", 0, 30 * SECOND)
+    assert notices.time_left("c", 10 * SECOND) == 20 * SECOND
+    notices.node_gone("c", SECOND)
+    assert notices.expected_duration == 8 * SECOND
+    notices.start_drain("d", 0, None)
+    assert notices.cancel_drain("d")
+    assert notices.time_left("d", 1) is None
+
+
+def test_a_node_degrades_by_falling_reports_and_never_during_shared_congestion() -> None:
     """Guards against false alarms that empty a good node.
 
     A node degrades only by falling reports while the others deliver more, and one node at a time.
     """
     falling = [0.95, 0.85, 0.78, 0.7]
-    alone, shared, swinging = DegradingNodes(), DegradingNodes(), DegradingNodes()
-    assert [alone.report("n", s, 1.0, i * SECOND) for i, s in enumerate(falling)] == [
+    degrading, shared, swinging = DegradingNodes(), DegradingNodes(), DegradingNodes()
+    assert [degrading.report("n", share, 1.0, i * SECOND) for i, share in enumerate(falling)] == [
         False,
         False,
         False,
         True,
     ]
-    assert not any(shared.report("n", s, 0.7, i * SECOND) for i, s in enumerate(falling))
-    assert not any(swinging.report("n", s, 1.0, i * SECOND) for i, s in enumerate([0.6, 0.9, 0.5, 0.6]))
-    assert not any(alone.report("m", s, 1.0, i * SECOND) for i, s in enumerate(falling))  # one node at a time
-    alone.report("n", 1.0, 1.0, 9 * SECOND)
-    assert "n" not in alone.leaving_since
+    assert not any(shared.report("n", share, 0.7, i * SECOND) for i, share in enumerate(falling))
+    assert not any(
+        swinging.report("n", share, 1.0, i * SECOND) for i, share in enumerate([0.6, 0.9, 0.5, 0.6])
+    )
+    assert not any(
+        degrading.report("m", share, 1.0, i * SECOND) for i, share in enumerate(falling)
+    )  # one node at a time
+    degrading.report("n", 1.0, 1.0, 9 * SECOND)
+    assert "n" not in degrading.leaving_since
 
 
-def test_two_hundred_fronts_spread_a_drain_and_keep_few_moves_at_once() -> None:
+def test_two_hundred_front_ends_spread_the_moves_of_a_drain() -> None:
     """The moves of many front ends spread over the notice, without a burst in any second."""
     begun, notice, step = list[int](), 20 * SECOND, 50 * MS
     for front in range(200):
-        mover = MoveScheduler(MoveLimits(), Random(front))
+        scheduler = MoveScheduler(MoveLimits(), Random(front))
         assert (
-            mover.plan_node("n", [(f"{front}.{i}", 1.0) for i in range(3)], notice, MoveReason.DRAIN, 0) == 3
+            scheduler.plan_node("n", [(f"{front}.{i}", 1.0) for i in range(3)], notice, MoveReason.DRAIN, 0)
+            == 3
         )
         for now in range(0, notice, step):
-            for wish in mover.start_due(now, 99):
+            for move in scheduler.start_due(now, 99):
                 begun.append(now)
-                assert mover.finish(wish.key, True, now + 100 * MS, notice - now) is False
+                assert scheduler.finish(move.key, True, now + 100 * MS, notice - now) is False
     assert len(begun) == 600
     assert max(begun) <= notice * 0.7
     seconds = Counter(t // SECOND for t in begun)
     assert max(seconds.values()) < 2 * 600 / (20 * 0.7 - 1.5)  # no burst in any second
 
 
-def test_the_mover_begins_the_dearest_first_within_its_bounds_and_tries_again() -> None:
+def test_moves_start_by_value_within_the_limits_and_are_retried() -> None:
     """Moves of most value begin first, within the limits, and are tried again while there is time."""
-    mover = MoveScheduler(MoveLimits(max_concurrent=2, max_per_target=1), Random(1))
-    mover.plan_node("n", [("a", 1.0), ("b", 3.0), ("c", 2.0)], 0, MoveReason.DRAIN, 0)
-    assert [w.key for w in mover.start_due(0, 9)] == ["b", "c"]
-    assert mover.start_due(10 * SECOND, 9) == []
-    mover.set_target("b", "t")
-    assert not mover.has_room_on("c", "t")
-    assert mover.has_room_on("b", "t")
-    assert mover.finish("b", False, 0, 5 * SECOND)  # it stayed, and there is time for another attempt
-    assert not mover.finish("c", True, 0, 5 * SECOND)
-    assert mover.start_due(SECOND, 0) == []  # no further tries are left
-    assert {w.key for w in mover.start_due(20 * SECOND, 9)} == {"a", "b"}
-    assert not mover.finish("b", False, 0, 100 * MS)  # too late for another attempt
-    assert mover.cancel_node("n") == ["a"]
-    assert mover.plan_node("n", [("a", 1.0)], 0, MoveReason.DRAIN, 0) == 0  # in progress already
-    assert mover.next_due_at(0) is None
-
-
-def test_a_copy_is_a_further_try_in_the_module_and_never_refused_at_the_door() -> None:
+    scheduler = MoveScheduler(MoveLimits(max_concurrent=2, max_per_target=1), Random(1))
+    scheduler.plan_node("n", [("a", 1.0), ("b", 3.0), ("c", 2.0)], 0, MoveReason.DRAIN, 0)
+    assert [move.key for move in scheduler.start_due(0, 9)] == ["b", "c"]
+    assert scheduler.start_due(10 * SECOND, 9) == []
+    scheduler.set_target("b", "t")
+    assert not scheduler.has_room_on("c", "t")
+    assert scheduler.has_room_on("b", "t")
+    assert scheduler.finish("b", False, 0, 5 * SECOND)  # it stayed, and there is time for another attempt
+    assert not scheduler.finish("c", True, 0, 5 * SECOND)
+    assert scheduler.start_due(SECOND, 0) == []  # no further tries are left
+    assert {move.key for move in scheduler.start_due(20 * SECOND, 9)} == {"a", "b"}
+    assert not scheduler.finish("b", False, 0, 100 * MS)  # too late for another attempt
+    assert scheduler.cancel_node("n") == ["a"]
+    assert scheduler.plan_node("n", [("a", 1.0)], 0, MoveReason.DRAIN, 0) == 0  # in progress already
+    assert scheduler.next_due_at(0) is None
+
+
+def test_a_copy_counts_as_a_further_try_and_is_not_rejected_as_a_new_request() -> None:
     """The copy of a playback counts as a further try, and is not rejected by admission control as a new
     request.
     """
@@ -469,7 +486,7 @@
     run_async_test(test)
 
 
-def test_paid_playbacks_and_plain_players_stay(tmp_path: Path) -> None:
+def test_paid_playbacks_stay_on_a_draining_node(tmp_path: Path) -> None:
     """A paid playback on a draining node stays there, and its player is not asked."""
 
     async def test() -> None:
@@ -492,7 +509,7 @@
     ["silent player", "target refuses", "target dies beside", "source dies asked", "source dies placing",
      "viewer leaves beside", "taken back", "taken back placing", "source dies beside"],
 )  # fmt: skip
-def test_whatever_fails_in_a_move_has_its_stated_end(tmp_path: Path, fault: str) -> None:
+def test_each_failure_during_a_move_leads_to_its_end_state(tmp_path: Path, fault: str) -> None:
     """Each failure during a move leads to its defined end state, on real sockets."""
 
     async def test() -> None:
@@ -573,7 +590,7 @@
     run_async_test(test)
 
 
-def test_rtp_is_read_as_it_is_sent_and_a_screen_plays_an_overlap_once() -> None:
+def test_rtp_is_parsed_as_sent_and_overlapping_streams_play_once() -> None:
     """RTP packets are parsed as sent, and a player plays overlapping streams once."""
     for i in range(5):
         sent = rtp.packet(65_535 + i, 1000 + i, 7, 123, 2)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -141,13 +141,11 @@
     """
     p = promise()
     assert judge_promise(p, word()) is PromiseVerdict.NEVER_RAN
-    assert (
-        judge_promise(p, word(uptime=6 * SECOND)) is PromiseVerdict.UNPROVEN
-    )  # the process may be younger than the set-up
+    # The process may be younger than the set-up.
+    assert judge_promise(p, word(uptime=6 * SECOND)) is PromiseVerdict.UNPROVEN
     assert judge_promise(p, word(key_memory=6 * SECOND)) is PromiseVerdict.UNPROVEN
-    assert (
-        judge_promise(p, word(requested_at=5 * SECOND + MAX_IN_FLIGHT_NS - 1)) is PromiseVerdict.UNPROVEN
-    )  # the set-up may still arrive
+    # The set-up may still arrive.
+    assert judge_promise(p, word(requested_at=5 * SECOND + MAX_IN_FLIGHT_NS - 1)) is PromiseVerdict.UNPROVEN
     assert judge_promise(p, word(known_keys=frozenset({p.key}))) is PromiseVerdict.RAN
     assert (
         judge_promise(p, word(running_sessions={"/s/1": p.key}, known_keys=frozenset({p.key})))
