--- a/oakcroft/decisions/admission/service_levels.py
+++ b/oakcroft/decisions/admission/service_levels.py
@@ -88,7 +88,7 @@
 
 
 MIN_ANSWERS = 3  # recent answers that the shares of answers are based on at least
-HOLD_SPREAD = 4  # front ends differ in their hold times by up to this many configured hold times
+HOLD_SPREAD = 4  # range of the hold times of front ends, in configured hold times
 FULL_SERVICE = ServiceLevel("full", (), LevelEffects())
 
 
--- a/oakcroft/decisions/sessions/event_stream_health.py
+++ b/oakcroft/decisions/sessions/event_stream_health.py
@@ -73,7 +73,7 @@
         self.last_heard_at = now
         self.broken_at = 0
         self.refusals = 0
-        self.loss: LossCertainty | None = None  # certainty of the loss, until the node is heard again
+        self.loss: LossCertainty | None = None  # until the node is heard again
 
     def _set_state(self, state: StreamState) -> bool:
         """Changes the state; True if it is another. The only place where the state changes."""
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -347,7 +347,7 @@
     """A viewer that can be moved."""
 
     rig: Rig
-    sat: Response
+    response: Response
     here: str
     told: trio.Event
     ended: trio.Event
@@ -379,9 +379,9 @@
 
 async def playing(rig: Rig, nursery: trio.Nursery, path: str = "/whep/open/t") -> Player:
     """Starts a playback and its event stream."""
-    sat = await rig.request_playback(path)
-    assert sat.status == 201
-    player = Player(rig, sat, sat.header("location") or "", trio.Event(), trio.Event())
+    response = await rig.request_playback(path)
+    assert response.status == 201
+    player = Player(rig, response, response.header("location") or "", trio.Event(), trio.Event())
     nursery.start_soon(player.listen)
     helm = rig.front_end.coordinator if rig.front_end else None
     assert helm is not None
@@ -414,7 +414,7 @@
             await player.told.wait()
             moved = await player.offer()
             assert (moved.status, moved.header("location")) == (201, player.here)
-            assert moved.header("etag") != player.sat.header("etag") or target.name != source.name
+            assert moved.header("etag") != player.response.header("etag") or target.name != source.name
             assert source.sessions
             assert target.sessions  # make before break
             await player.done()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -595,19 +595,19 @@
 # The writer of the state file.
 
 
-def make_writer(d: Disk, whole: Callable[[], ReplaceContents] | None = None) -> StateWriter:
+def make_writer(disk: Disk, whole: Callable[[], ReplaceContents] | None = None) -> StateWriter:
     """Makes a store on a disk."""
     log = structlog.wrap_logger(structlog.PrintLogger(io.StringIO()))
-    made = StateWriter(
+    writer = StateWriter(
         "state",
         True,
         lambda: round(trio.current_time() * 1e9),
         log,
         RETENTION,
-        lambda: StateFile("state", vfs=d.name),
+        lambda: StateFile("state", vfs=disk.name),
     )
-    made.snapshot_memory = whole or (lambda: ReplaceContents(()))
-    return made
+    writer.snapshot_memory = whole or (lambda: ReplaceContents(()))
+    return writer
 
 
 @pytest.mark.parametrize("kind", ["full", "io-write", "io-sync", "read-only"])
@@ -681,9 +681,9 @@
     return {"Idempotency_Key": words.quoted(name)}
 
 
-def problem_name(sat: Response) -> str:
+def problem_name(response: Response) -> str:
     """Returns the last part of a response's problem type."""
-    return words.problem_type(sat.body).rpartition(":")[2]
+    return words.problem_type(response.body).rpartition(":")[2]
 
 
 def check_rules_2_and_5(rig: Rig) -> None:
@@ -796,8 +796,8 @@
             await restart_front_end(rig, nursery)
             for node in rig.fleet.nodes.values():
                 node.ails.lost_share = 0.0
-            sat = await rig.request_playback("/whep/course/a", **key_header("k1"))
-            assert (sat.status, problem_name(sat)) == (504, "aborted")
+            response = await rig.request_playback("/whep/course/a", **key_header("k1"))
+            assert (response.status, problem_name(response)) == (504, "aborted")
             await wait_until(lambda: len(rig.recorded("over")) == 1)  # no viewer can use it, so it is ended
             await restart_front_end(rig, nursery)
             assert (await rig.request_playback("/whep/course/a", **key_header("k1"))).status == 504
@@ -831,8 +831,8 @@
             rig.node("n1").up_since -= 60
             await start_front_end(nursery, rig, with_state=True)
             assert (await rig.request_playback("/whep/course/t", **key_header("key-z"))).status == 504
-            sat = [(await rig.request_playback("/whep/seats/s")).status for _ in range(2)]
-            assert sat == [201, 503]  # the intent holds the other seat
+            response = [(await rig.request_playback("/whep/seats/s")).status for _ in range(2)]
+            assert response == [201, 503]  # the intent holds the other seat
             await wait_until(lambda: any(e.get("verdict") == "never_ran" for e in rig.log_entries()))
             await wait_until(
                 lambda: (
@@ -890,9 +890,9 @@
             assert (await rig.request_playback("/whep/course/a", **key_header("k1"))).status == 201
             disk.fail(kind, 0, lasting=True, only=only)
             before = len(rig.recorded("setup"))
-            sat = [await rig.request_playback("/whep/course/a", **key_header(f"f{n}")) for n in range(3)]
-            assert {s.status for s in sat} == {503}
-            assert all(s.header("retry-after") for s in sat[1:])
+            response = [await rig.request_playback("/whep/course/a", **key_header(f"f{n}")) for n in range(3)]
+            assert {s.status for s in response} == {503}
+            assert all(s.header("retry-after") for s in response[1:])
             assert len(rig.recorded("setup")) == before  # none of them was sent
             assert (await rig.request_playback("/whep/open/a", **key_header("k3"))).status == 201
             assert (
@@ -931,11 +931,11 @@
 
             async def ask(path: str, name: str) -> None:
                 try:
-                    sat = await rig.request_playback(path, **key_header(name))
+                    response = await rig.request_playback(path, **key_header(name))
                 except (Ended, OSError):
                     heard.setdefault(name, []).append("cut")
                     return
-                heard.setdefault(name, []).append(sat.header("location") or str(sat.status))
+                heard.setdefault(name, []).append(response.header("location") or str(response.status))
 
             for point in range(0, 64, 2):
                 token = trio.lowlevel.current_trio_token()
@@ -963,9 +963,9 @@
                 await wait_until_recovered(rig)
                 for path, name in paths:
                     await ask(path, name)
-            sat = Counter(answers[0][:1] for answers in heard.values())
-            assert sat["c"]  # some were cut off
-            assert sat["/"]  # and some were answered before the kill
+            response = Counter(answers[0][:1] for answers in heard.values())
+            assert response["c"]  # some were cut off
+            assert response["/"]  # and some were answered before the kill
             for name, (first, second) in heard.items():
                 if first.startswith("/") or first == "504":
                     assert second == first, f"{name}: {first} and then {second}"
