--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -76,12 +76,10 @@
         source: ConfigurationSource | None = None,
     ) -> None:
         """Creates a front end; `source` reads the configuration again, without which it cannot be reloaded."""
-        self.configuration, self.log, self.policy_factory, self.source = (
-            configuration,
-            log,
-            policy_factory,
-            source,
-        )
+        self.configuration = configuration
+        self.log = log
+        self.policy_factory = policy_factory
+        self.source = source
         self.coordinator: SessionCoordinator | None = None
         self.service: SessionService | None = None
         self.connection_table: ConnectionTable | None = None
@@ -103,59 +101,73 @@
 
         `ready` is called with the port; `stop` works like a stop signal where there are none.
         """
-        site, stand = self.configuration.shared, self.configuration.front
+        site, front_settings = self.configuration.shared, self.configuration.front
         clock = Clock()
-        longest = max(p.abandon_ns for p in site.plans.values())
-        stopping = Shutdown(site.drain_timeout_ns, site.leave_timeout_ns, longest)
+        longest_abandon_ns = max(plan_terms.abandon_ns for plan_terms in site.plans.values())
+        shutdown = Shutdown(site.drain_timeout_ns, site.leave_timeout_ns, longest_abandon_ns)
         # A front end with stored state keeps its pseudonym across restarts.
-        me = f"front-{site.terms.front_index}-" + (
-            "0" if stand.state_file else f"{clock.now() // 1_000_000:x}"
+        pseudonym = f"front-{site.terms.front_index}-" + (
+            "0" if front_settings.state_file else f"{clock.now() // 1_000_000:x}"
         )
         async with trio.open_nursery() as nursery:
-            helm = SessionCoordinator(
-                self.configuration, stand.seed, me, clock, nursery, self.log, self.policy_factory
+            coordinator = SessionCoordinator(
+                self.configuration,
+                front_settings.seed,
+                pseudonym,
+                clock,
+                nursery,
+                self.log,
+                self.policy_factory,
+            )
+            connection_table = ConnectionTable(site.connection_limits)
+            self.coordinator, self.connection_table = coordinator, connection_table
+            self.service = service = SessionService(
+                front_settings.zone, coordinator, connection_table, shutdown, clock, self.log
+            )
+            session_api = SessionApi(service, nursery, self.log)
+            self.catalogues = catalogues = CatalogueVersions(coordinator, self.log)
+            service.service_levels = service_levels = ServiceLevelControl(
+                coordinator, Random(front_settings.seed + 4), self.log
+            )
+            nursery.start_soon(service_levels.run)
+            service.zone_routing = zone_routing = ZoneRouting(
+                coordinator, front_settings.zone, Random(front_settings.seed + 5), self.log
             )
-            door = ConnectionTable(site.connection_limits)
-            self.coordinator, self.connection_table = helm, door
-            self.service = core = SessionService(stand.zone, helm, door, stopping, clock, self.log)
-            sessions = SessionApi(core, nursery, self.log)
-            self.catalogues = catalogues = CatalogueVersions(helm, self.log)
-            core.service_levels = reducing = ServiceLevelControl(helm, Random(stand.seed + 4), self.log)
-            nursery.start_soon(reducing.run)
-            core.zone_routing = zone_routing = ZoneRouting(helm, stand.zone, Random(stand.seed + 5), self.log)
             nursery.start_soon(zone_routing.run)
-            operators = OperatorsApi(helm, catalogues, reducing, zone_routing)
-            viewers = WhipWhepApi(
-                core, (SESSION_API_PATH, sessions.upgrade_response), (OPERATORS, operators.handle)
+            operators_api = OperatorsApi(coordinator, catalogues, service_levels, zone_routing)
+            whip_whep_api = WhipWhepApi(
+                service, (SESSION_API_PATH, session_api.upgrade_response), (OPERATORS, operators_api.handle)
             )
-            nursery.start_soon(sessions.expire_client_sessions)
-            self.session_api = sessions
+            nursery.start_soon(session_api.expire_client_sessions)
+            self.session_api = session_api
             server = Server(
-                viewers.handle,
-                door,
+                whip_whep_api.handle,
+                connection_table,
                 clock.now,
                 self._log_request_failure,
-                viewers.shed_response,
-                operators.allows_large_body,
+                whip_whep_api.shed_response,
+                operators_api.allows_large_body,
             )
-            self.pending_requests = core.pending_requests
-            store = await self._open_store(helm, clock)
-            peers = self._create_peers(helm, clock)
+            self.pending_requests = service.pending_requests
+            store = await self._open_store(coordinator, clock)
+            peers = self._create_peers(coordinator, clock)
             catalogues.restore(self.restored_state)
             nursery.start_soon(catalogues.run)
-            nursery.start_soon(core.run_queue)
-            nursery.start_soon(helm.run)
-            nursery.start_soon(helm.monitor_pauses)
-            nursery.start_soon(helm.run_maintenance)
-            nursery.start_soon(helm.move_executor.run)
-            await self._load_cached_list(helm)
-            if helm.durable_state is not None and store is not None:
-                await self._restore_state(helm, core, store, nursery)
-            peer = Peer(stand.list_service_host, stand.list_service_port)
-            rng = Random(stand.seed + 2)
-            follower = NodeListFollower(peer, clock, rng, stand.node_list_file, me, helm.apply_list, self.log)
+            nursery.start_soon(service.run_queue)
+            nursery.start_soon(coordinator.run)
+            nursery.start_soon(coordinator.monitor_pauses)
+            nursery.start_soon(coordinator.run_maintenance)
+            nursery.start_soon(coordinator.move_executor.run)
+            await self._load_cached_list(coordinator)
+            if coordinator.durable_state is not None and store is not None:
+                await self._restore_state(coordinator, service, store, nursery)
+            peer = Peer(front_settings.list_service_host, front_settings.list_service_port)
+            rng = Random(front_settings.seed + 2)
+            follower = NodeListFollower(
+                peer, clock, rng, front_settings.node_list_file, pseudonym, coordinator.apply_list, self.log
+            )
             nursery.start_soon(follower.run)
-            leave = await self._join_fleet(peers, core, operators, catalogues, nursery)
+            leave = await self._join_fleet(peers, service, operators_api, catalogues, nursery)
             # Guards against set-ups to nodes that began to drain, or went away, while this front end was down: until the
             # list service answers it only has the cached list. The cost: no service for that long while it is down.
             with trio.move_on_after(site.list_timeout_ns / 1e9):
@@ -163,25 +175,33 @@
             if not follower.list_confirmed.is_set():
                 self.log.warning(
                     "opened on the kept list",
-                    nodes=len(helm.node_list.listed_nodes),
+                    nodes=len(coordinator.node_list.listed_nodes),
                     waited_ms=site.list_timeout_ns // MS,
                 )
-            listeners = await trio.open_tcp_listeners(stand.port, host=stand.host, backlog=4096)
+            listeners = await trio.open_tcp_listeners(
+                front_settings.port, host=front_settings.host, backlog=4096
+            )
             port = listeners[0].socket.getsockname()[1]
-            stopping.start_serving(clock.now())
-            self.log.info("serving", host=stand.host, port=port, pseudonym=me, fronts=site.terms.front_count)
+            shutdown.start_serving(clock.now())
+            self.log.info(
+                "serving",
+                host=front_settings.host,
+                port=port,
+                pseudonym=pseudonym,
+                fronts=site.terms.front_count,
+            )
             nursery.start_soon(server.run, listeners)
             if ready is not None:
                 await ready(port)
             if signals:
                 nursery.start_soon(self._handle_reload_signals)
-                nursery.start_soon(self._handle_stop_signals, stopping, clock, helm.count_changed)
+                nursery.start_soon(self._handle_stop_signals, shutdown, clock, coordinator.count_changed)
             if stop is not None:
-                nursery.start_soon(self._wait_for_stop, stop, stopping, clock, helm.count_changed)
-            await self._wait_for_shutdown(stopping, helm, clock)
+                nursery.start_soon(self._wait_for_stop, stop, shutdown, clock, coordinator.count_changed)
+            await self._wait_for_shutdown(shutdown, coordinator, clock)
             if leave is not None:
                 await leave()
-            self.log.info("gone", unanswered=helm.unanswered_count, playing=helm.playing_count)
+            self.log.info("gone", unanswered=coordinator.unanswered_count, playing=coordinator.playing_count)
             nursery.cancel_scope.cancel()
 
     def _create_peers(self, coordinator: SessionCoordinator, clock: Clock) -> PeerEndpoint | None:
@@ -189,19 +209,19 @@
 
         It sends nothing yet. Raises OSError for a key file that cannot be used.
         """
-        stand = self.configuration.front
-        if stand.peers is None:
+        front_settings = self.configuration.front
+        if front_settings.peers is None:
             return None
         from oakcroft.decisions.membership.shares import rate_divisor
         from oakcroft.peers.peer_endpoint import PeerEndpoint
         from oakcroft.peerwire.sealing import KeyFileError
 
-        def changed(view: Membership) -> None:
-            into = rate_divisor(coordinator.site.terms.front_count, view.left_count())
-            if coordinator.limit_ledger.set_rate_shares(into):
+        def membership_changed(view: Membership) -> None:
+            rate_shares = rate_divisor(coordinator.site.terms.front_count, view.left_count())
+            if coordinator.limit_ledger.set_rate_shares(rate_shares):
                 self.log.info(
                     "shares of rates",
-                    parts=into,
+                    parts=rate_shares,
                     fronts=coordinator.site.terms.front_count,
                     left=view.left_count(),
                 )
@@ -214,13 +234,23 @@
                 if coordinator.durable_state is not None
                 else None
             )
-            peers = PeerEndpoint(stand.peers, stand.zone, stand.seed + 6, clock, self.log, changed, record)
-        except KeyFileError as fault:
-            raise OSError(f"key file {stand.peers.key_file}: {fault}") from fault
-        if stand.peers.takeover_bounds is not None:
+            peers = PeerEndpoint(
+                front_settings.peers,
+                front_settings.zone,
+                front_settings.seed + 6,
+                clock,
+                self.log,
+                membership_changed,
+                record,
+            )
+        except KeyFileError as error:
+            raise OSError(f"key file {front_settings.peers.key_file}: {error}") from error
+        if front_settings.peers.takeover_bounds is not None:
             view = peers.membership
             coordinator.identity = FrontIdentity(
-                stand.peers.name, lambda: view.me.generation, stand.peers.takeover_bounds.session_lease
+                front_settings.peers.name,
+                lambda: view.me.generation,
+                front_settings.peers.takeover_bounds.session_lease,
             )
         return peers
 
@@ -233,8 +263,8 @@
         nursery: trio.Nursery,
     ) -> Callable[[], Awaitable[None]] | None:
         """Joins the membership of the fleet; returns the function by which to leave it in order."""
-        helm, place = service.coordinator, self.configuration.front.peers
-        if peers is None or place is None:
+        coordinator, peer_settings = service.coordinator, self.configuration.front.peers
+        if peers is None or peer_settings is None:
             return None
         operators.fleet_status = peers.status
         if peers.duties is not None:
@@ -242,29 +272,29 @@
 
             operators.leases, operators.rollout = (
                 peers.duties,
-                (rolling := CatalogueRollout(helm, catalogues, peers, self.log)),
+                (rollout := CatalogueRollout(coordinator, catalogues, peers, self.log)),
             )
-            nursery.start_soon(rolling.run)
-        if place.probe_interval_ns:
+            nursery.start_soon(rollout.run)
+        if peer_settings.probe_interval_ns:
             from oakcroft.front.load_probing import LoadProbing
 
             seed = self.configuration.front.seed + 8
-            operators.load_probing = probing = LoadProbing(
-                helm, peers, place.name, place.probe_interval_ns, seed, self.log
+            operators.load_probing = load_probing = LoadProbing(
+                coordinator, peers, peer_settings.name, peer_settings.probe_interval_ns, seed, self.log
             )
-            peers.on_loads = probing.receive_reports
-            nursery.start_soon(probing.run)
-        if place.takeover_bounds is not None:
+            peers.on_loads = load_probing.receive_reports
+            nursery.start_soon(load_probing.run)
+        if peer_settings.takeover_bounds is not None:
             from oakcroft.front.session_takeover import TakeoverRunner
 
-            def published(v: PlaybackSession) -> None:
-                service.publishers[v.playback.title.name] = v
+            def register_publisher(session: PlaybackSession) -> None:
+                service.publishers[session.playback.title.name] = session
 
             self.adopting = TakeoverRunner(
-                helm,
+                coordinator,
                 peers.membership,
-                place.takeover_bounds,
-                published,
+                peer_settings.takeover_bounds,
+                register_publisher,
                 service.shutdown.accepts_requests,
                 self.log,
             )
@@ -275,17 +305,19 @@
 
     async def _open_store(self, coordinator: SessionCoordinator, clock: Clock) -> StateWriter | None:
         """Opens and reads the state file; None where none is configured."""
-        stand = self.configuration.front
-        if not stand.state_file:
+        front_settings = self.configuration.front
+        if not front_settings.state_file:
             return None
-        opens = None if self.open_state_file is None else partial(self.open_state_file, stand.state_file)
+        open_file = (
+            None if self.open_state_file is None else partial(self.open_state_file, front_settings.state_file)
+        )
         store = StateWriter(
-            stand.state_file,
-            stand.is_state_synced,
+            front_settings.state_file,
+            front_settings.is_state_synced,
             clock.now,
             self.log,
             coordinator.site.key_retention_ns,
-            opens,
+            open_file,
         )
         self.restored_state = await store.start()
         coordinator.durable_state = FrontEndState(store, coordinator, self.log)
@@ -313,15 +345,19 @@
             )
         done = trio.Event()
 
-        def begin() -> None:
+        def restore() -> None:
             assert coordinator.durable_state is not None
             coordinator.durable_state.restore(self.restored_state)
             done.set()
 
-        await coordinator.submit(begin)
+        await coordinator.submit(restore)
         await done.wait()
         service.publishers.update(
-            {v.playback.title.name: v for v in coordinator.sessions_by_id.values() if v.publishes}
+            {
+                session.playback.title.name: session
+                for session in coordinator.sessions_by_id.values()
+                if session.publishes
+            }
         )
         nursery.start_soon(store.run)
 
@@ -332,32 +368,32 @@
         try:
             body = load_list(Path(self.configuration.front.node_list_file))
             if body is not None:
-                lines, version, service = parse_response(body)
-                await coordinator.apply_list(lines, version, service, is_cached=True)
-        except (NodeListError, OSError) as fault:
-            self.log.warning("kept list unusable", why=str(fault))
+                listed_nodes, version, service = parse_response(body)
+                await coordinator.apply_list(listed_nodes, version, service, is_cached=True)
+        except (NodeListError, OSError) as error:
+            self.log.warning("kept list unusable", why=str(error))
 
     async def _wait_for_shutdown(
         self, shutdown: Shutdown, coordinator: SessionCoordinator, clock: Clock
     ) -> None:
         """Waits until the shutdown has completed, and ends all sessions when it begins to leave."""
-        leaving = False
+        is_leaving = False
         while True:
             await coordinator.count_changed.wait_for_change(
                 0.5 if shutdown.state in (FrontState.DRAINING, FrontState.LEAVING) else float("inf")
             )
-            course = shutdown.advance(
+            state = shutdown.advance(
                 coordinator.unanswered_count,
                 coordinator.playing_count,
                 coordinator.pending_session_ends,
                 clock.now(),
             )
-            if course is FrontState.LEAVING and not leaving:
-                leaving = True
+            if state is FrontState.LEAVING and not is_leaving:
+                is_leaving = True
                 self.log.info("leaving", playing=coordinator.playing_count)
-                for v in list(coordinator.sessions_by_playback.values()):
-                    coordinator.end_session(v)
-            elif course is FrontState.GONE:
+                for session in list(coordinator.sessions_by_playback.values()):
+                    coordinator.end_session(session)
+            elif state is FrontState.GONE:
                 return
 
     async def _handle_reload_signals(self) -> None:
@@ -371,33 +407,36 @@
         if self.source is None or self.coordinator is None:
             return None
         self.read_count += 1
-        number, source, known = (
+        version_number, source, known_families = (
             self.read_count,
             self.source,
-            {n: p.plan.family_id for n, p in self.coordinator.site.plans.items()},
+            {name: plan_terms.plan.family_id for name, plan_terms in self.coordinator.site.plans.items()},
+        )
+        return await self.apply_configuration(
+            version_number, await trio.to_thread.run_sync(source, known_families)
         )
-        return await self.apply_configuration(number, await trio.to_thread.run_sync(source, known))
 
     async def apply_configuration(
         self, version_number: int, result: Deployment | list[str]
     ) -> ConfigurationVerdict:
-        """Applies the configuration of the given read, by count: a deployment, or the errors that make it
-        invalid.
+        """Applies a configuration that was read, and returns the verdict.
 
-        Returns the verdict.
+        `version_number` counts the reads; `result` is the deployment, or the errors that make it invalid.
         """
         assert self.coordinator is not None
-        helm, door = self.coordinator, self.connection_table
+        coordinator, connection_table = self.coordinator, self.connection_table
         if isinstance(result, list):
             self.log.warning(
                 "configuration broken", errors=len(result), first=result[0].split("\n")[0] if result else ""
             )
-            return helm.apply_configuration(None)[0]
-        verdict, _ = helm.apply_configuration(ConfigurationVersion(version_number, result.resolved, result))
-        if verdict is ConfigurationVerdict.TAKEN and door is not None:
-            door.limits = helm.site.connection_limits
+            return coordinator.apply_configuration(None)[0]
+        verdict, _ = coordinator.apply_configuration(
+            ConfigurationVersion(version_number, result.resolved, result)
+        )
+        if verdict is ConfigurationVerdict.TAKEN and connection_table is not None:
+            connection_table.limits = coordinator.site.connection_limits
             if self.pending_requests is not None:
-                self.pending_requests.limits = door.limits
+                self.pending_requests.limits = connection_table.limits
             if self.service is not None:
                 self.service.apply_configuration()
         return verdict
@@ -407,11 +446,11 @@
     ) -> None:
         """Starts the shutdown on SIGTERM and SIGINT, and speeds it up on a second one."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
-            async for number in received:
+            async for signal_number in received:
                 if shutdown.handle_stop_signal(clock.now()):
                     count_changed.notify()
                     self.log.info(
-                        "stop signal", signal=signal.Signals(number).name, course=shutdown.state.value
+                        "stop signal", signal=signal.Signals(signal_number).name, course=shutdown.state.value
                     )
 
     async def _wait_for_stop(
--- a/oakcroft/front/move_executor.py
+++ b/oakcroft/front/move_executor.py
@@ -75,7 +75,8 @@
         """Creates the executor; `expected_notice_ns` is assumed for drains that state no end."""
         self.coordinator, self.rng, self.log = coordinator, rng, log
         self.scheduler = MoveScheduler(MoveLimits(), rng)
-        self.drain_notices, self.degrading_nodes = DrainNotices(expected_notice_ns), DegradingNodes()
+        self.drain_notices = DrainNotices(expected_notice_ns)
+        self.degrading_nodes = DegradingNodes()
         self.moves: dict[str, Move] = {}  # by session id
         self.moves_by_participant: dict[PlaybackSession, Move] = {}
         self.schedule_changed = trio.Event()
@@ -85,15 +86,17 @@
 
     def on_node_list(self, entries: list[NodeEntry], drain_ends: dict[str, int | None], now: int) -> None:
         """Handles changes of the node list; `drain_ends` has the stated end of each drain by node."""
-        for e in entries:
-            name = e.node.name
-            if e.status is NodeStatus.DRAINING:
+        for entry in entries:
+            name = entry.node.name
+            if entry.status is NodeStatus.DRAINING:
                 if self.drain_notices.start_drain(name, now, drain_ends.get(name)):
                     self.degrading_nodes.forget(name)
                     self._plan_moves_from(name, MoveReason.DRAIN, now)
-                for move in [m for m in self.moves.values() if self._target_name(m) == name]:
+                for move in [
+                    candidate for candidate in self.moves.values() if self._target_name(candidate) == name
+                ]:
                     self.handle(move, MoveEvent.TARGET_DRAINING)
-            elif e.status is NodeStatus.READY:
+            elif entry.status is NodeStatus.READY:
                 if self.drain_notices.cancel_drain(name):
                     self._cancel_moves_from(name)
             else:
@@ -104,14 +107,14 @@
         """Handles a node's reported share of delivery; `fleet_share` is the mean of the other nodes."""
         if node_name in self.coordinator.node_list.removed_at:
             return  # its reports no longer count
-        was = node_name in self.degrading_nodes.leaving_since
+        was_leaving = node_name in self.degrading_nodes.leaving_since
         if self.degrading_nodes.report(node_name, share, fleet_share, now):
             self.log.info(
                 "mode", change=f"node {node_name} fades: {share:.2f} delivered, {fleet_share:.2f} elsewhere"
             )
             self._plan_moves_from(node_name, MoveReason.DEGRADING, now)
         elif (
-            was
+            was_leaving
             and node_name not in self.degrading_nodes.leaving_since
             and node_name not in self.drain_notices.drains
         ):
@@ -122,50 +125,57 @@
         node = self.coordinator.node_list.nodes.get(node_name)
         playing = (
             [
-                self.coordinator.sessions_by_playback[pb]
-                for pb in node.playbacks
-                if pb in self.coordinator.sessions_by_playback
+                self.coordinator.sessions_by_playback[playback]
+                for playback in node.playbacks
+                if playback in self.coordinator.sessions_by_playback
             ]
             if node
             else []
         )
-        some, rest = [], 0
-        for v in playing:
-            if v.copy_of is not None or v.is_ending or v.id not in self.coordinator.sessions_by_id:
+        movable, staying_count = [], 0
+        for session in playing:
+            if (
+                session.copy_of is not None
+                or session.is_ending
+                or session.id not in self.coordinator.sessions_by_id
+            ):
                 continue
             if (
                 reason_to_stay(
-                    v.playback.plan,
-                    v.playback.tries[0][1],
+                    session.playback.plan,
+                    session.playback.tries[0][1],
                     now,
                     TIMEOUTS_NS[MoveEvent.OFFER_TIMEOUT],
-                    is_movable(v),
+                    is_movable(session),
                 )
                 is not None
             ):
-                rest += 1
+                staying_count += 1
                 continue
-            worth = v.playback.plan.revenue * self.coordinator.site.terms.rung_revenue_shares[v.playback.rung]
-            some.append((v.id, worth))
+            value = (
+                session.playback.plan.revenue
+                * self.coordinator.site.terms.rung_revenue_shares[session.playback.rung]
+            )
+            movable.append((session.id, value))
         notice = self.drain_notices.time_left(node_name, now)
         planned = self.scheduler.plan_node(
-            node_name, some, 5 * SECOND if notice is None else notice, reason, now
+            node_name, movable, 5 * SECOND if notice is None else notice, reason, now
         )
-        self.log.info("leaving node", node=node_name, why=reason.value, moves=planned, stay=rest,
+        self.log.info("leaving node", node=node_name, why=reason.value, moves=planned, stay=staying_count,
                       notice_ms=None if notice is None else notice // 1_000_000)  # fmt: skip
         self._wake_scheduler()
 
     def _cancel_moves_from(self, node_name: str) -> None:
         """Cancels the moves away from a node that is usable again."""
-        for key in self.scheduler.cancel_node(node_name):
-            if key in self.moves:
-                self.handle(self.moves[key], MoveEvent.CANCELLED)
+        for session_id in self.scheduler.cancel_node(node_name):
+            if session_id in self.moves:
+                self.handle(self.moves[session_id], MoveEvent.CANCELLED)
 
     @staticmethod
     def _target_name(move: Move) -> str:
         """Name of the node that a move goes to, empty before it is chosen."""
-        at = move.session if move.handover.state is MoveState.SWITCHED else move.counterpart
-        node = at.playback.node if at is not None else None
+        target = move.session if move.handover.state is MoveState.SWITCHED else move.counterpart
+        node = target.playback.node if target is not None else None
         return node.name if node is not None else ""
 
     # Start of moves.
@@ -179,54 +189,58 @@
         """Starts moves as they fall due, until it is cancelled."""
         while True:
             now = self.coordinator.clock.now()
-            due = self.scheduler.next_due_at(now)
+            due_at = self.scheduler.next_due_at(now)
             if self.is_paused:  # moves wait at this level of service
                 await trio.sleep(0.25)
                 continue
-            if due is not None and due <= now:
+            if due_at is not None and due_at <= now:
                 await self.coordinator.submit(self._start_due_moves)
                 await trio.sleep(0.02)
                 continue
-            wake = self.schedule_changed
-            with trio.move_on_after(3600 if due is None else (due - now) / 1e9):
-                await wake.wait()
+            schedule_changed = self.schedule_changed
+            with trio.move_on_after(3600 if due_at is None else (due_at - now) / 1e9):
+                await schedule_changed.wait()
 
     def _start_due_moves(self) -> None:
         """Starts the moves that are due now."""
         now = self.coordinator.clock.now()
-        for wish in self.scheduler.start_due(now, self.scheduler.limits.max_concurrent):
-            v = self.coordinator.sessions_by_id.get(wish.key)
-            left = self.drain_notices.time_left(wish.node, now)
-            if v is None or v.is_ending or v.playback.state is not PlaybackState.PLAYING:
-                self.scheduler.forget(wish.key)
+        for planned_move in self.scheduler.start_due(now, self.scheduler.limits.max_concurrent):
+            session = self.coordinator.sessions_by_id.get(planned_move.key)
+            time_left = self.drain_notices.time_left(planned_move.node, now)
+            if session is None or session.is_ending or session.playback.state is not PlaybackState.PLAYING:
+                self.scheduler.forget(planned_move.key)
                 continue
             if (
-                reason_to_stay(v.playback.plan, v.playback.tries[0][1], now, OFFER_TIMEOUT_NS, is_movable(v))
+                reason_to_stay(
+                    session.playback.plan,
+                    session.playback.tries[0][1],
+                    now,
+                    OFFER_TIMEOUT_NS,
+                    is_movable(session),
+                )
                 is not None
             ):
-                self.scheduler.forget(wish.key)
+                self.scheduler.forget(planned_move.key)
                 continue
-            taken = v.playback.title.seats_taken.get(v.playback.plan, 0)
-            how = move_method(
-                v.playback.plan,
-                taken,
-                60 * SECOND if left is None else left,
+            seats_taken = session.playback.title.seats_taken.get(session.playback.plan, 0)
+            method = move_method(
+                session.playback.plan,
+                seats_taken,
+                60 * SECOND if time_left is None else time_left,
                 self.scheduler.limits.move_duration,
             )
-            if how is MoveMethod.MAKE_BEFORE_BREAK:
-                move = Move(v, Handover(), wish.node, started_at=now)
-                self.moves[v.id] = self.moves_by_participant[v] = move
+            if method is MoveMethod.MAKE_BEFORE_BREAK:
+                move = Move(session, Handover(), planned_move.node, started_at=now)
+                self.moves[session.id] = self.moves_by_participant[session] = move
                 self.handle(move, MoveEvent.DUE)
-            elif how is MoveMethod.WAIT_FOR_SEAT:
-                wish.in_progress, wish.attempts, wish.due_at = (
-                    False,
-                    wish.attempts - 1,
-                    next_attempt_at(how, now, self.rng),
-                )
+            elif method is MoveMethod.WAIT_FOR_SEAT:
+                planned_move.in_progress = False
+                planned_move.attempts -= 1
+                planned_move.due_at = next_attempt_at(method, now, self.rng)
             else:
-                self.log.info("move breaks first", playback=v.id, node=wish.node)
-                self.scheduler.forget(wish.key)
-                self.coordinator.break_before_make(v)
+                self.log.info("move breaks first", playback=session.id, node=planned_move.node)
+                self.scheduler.forget(planned_move.key)
+                self.coordinator.break_before_make(session)
 
     # One move.
 
@@ -252,12 +266,12 @@
             self.coordinator.durable_state.move_started(move.session, counterpart)
         self.moves_by_participant[counterpart] = move
         counterpart.playback.copy_of, counterpart.playback.comes_from_move = move.session.playback, True
-        source, plan, key = move.session.playback.node, move.session.playback.plan, move.session.id
-        chosen = node_filter(counterpart, not is_confined_to_zone(plan))
-        counterpart.playback.node_filter = lambda n: (
-            may_target(plan, source, n)
-            and self.scheduler.has_room_on(key, n.name)
-            and (chosen is None or chosen(n))
+        source, plan, session_id = move.session.playback.node, move.session.playback.plan, move.session.id
+        zone_filter = node_filter(counterpart, not is_confined_to_zone(plan))
+        counterpart.playback.node_filter = lambda node: (
+            may_target(plan, source, node)
+            and self.scheduler.has_room_on(session_id, node.name)
+            and (zone_filter is None or zone_filter(node))
         )
         self.handle(move, MoveEvent.OFFER_RECEIVED)
         return True
@@ -269,14 +283,14 @@
 
     def handle(self, move: Move, event: MoveEvent) -> None:
         """Applies an event to a move and carries out the resulting action."""
-        before = move.handover.state
-        act = move.handover.handle(event)
-        if move.handover.state is before and act is MoveAction.NONE:
+        previous_state = move.handover.state
+        action = move.handover.handle(event)
+        if move.handover.state is previous_state and action is MoveAction.NONE:
             return
         self.log.debug("move", playback=move.session.id, what=event.value, state=move.handover.state.value)
-        self._perform(move, act)
+        self._perform(move, action)
         timer = move.handover.pending_timeout()
-        if timer is not None and move.handover.state is not before:
+        if timer is not None and move.handover.state is not previous_state:
             self.coordinator.nursery.start_soon(self._run_timer, move, timer, move.handover.state)
         if move.handover.has_ended:
             self._close_move(move)
@@ -290,55 +304,58 @@
 
     def _perform(self, move: Move, action: MoveAction) -> None:
         """Carries out an action of the state machine."""
-        v, other, helm = move.session, move.counterpart, self.coordinator
+        session, counterpart, coordinator = move.session, move.counterpart, self.coordinator
         match action:
             case MoveAction.REQUEST_OFFER:
-                helm.publish_event(v, "move", {"offer": f"/session/{v.id}/move"})
-            case MoveAction.PLACE_TARGET if other is not None:
-                helm.request_placement(other)
-            case MoveAction.REJECT_OFFER if other is not None:
-                other.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
-            case MoveAction.ACCEPT_OFFER if other is not None:
-                other.set_answer(FinalAnswer.PLAYS)
-            case MoveAction.SWITCH_TO_TARGET if other is not None:
+                coordinator.publish_event(session, "move", {"offer": f"/session/{session.id}/move"})
+            case MoveAction.PLACE_TARGET if counterpart is not None:
+                coordinator.request_placement(counterpart)
+            case MoveAction.REJECT_OFFER if counterpart is not None:
+                counterpart.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
+            case MoveAction.ACCEPT_OFFER if counterpart is not None:
+                counterpart.set_answer(FinalAnswer.PLAYS)
+            case MoveAction.SWITCH_TO_TARGET if counterpart is not None:
                 self._switch_to_target(move)
-            case MoveAction.SWITCH_AND_ACCEPT_OFFER if other is not None:
+            case MoveAction.SWITCH_AND_ACCEPT_OFFER if counterpart is not None:
                 self._switch_to_target(move)
-                other.set_answer(FinalAnswer.PLAYS)
-            case MoveAction.END_SOURCE if other is not None:
+                counterpart.set_answer(FinalAnswer.PLAYS)
+            case MoveAction.END_SOURCE if counterpart is not None:
                 self._switch_to_target(move)
-                helm.end_session(other)
-            case MoveAction.END_TARGET if other is not None:
-                helm.end_session(other)
-            case MoveAction.END_TARGET_AND_REJECT_OFFER if other is not None:
-                other.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
-                helm.end_session(other)
+                coordinator.end_session(counterpart)
+            case MoveAction.END_TARGET if counterpart is not None:
+                coordinator.end_session(counterpart)
+            case MoveAction.END_TARGET_AND_REJECT_OFFER if counterpart is not None:
+                counterpart.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
+                coordinator.end_session(counterpart)
             case MoveAction.END_ALL:
-                if other is not None:
-                    other.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
-                    helm.end_counterpart(other)
+                if counterpart is not None:
+                    counterpart.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
+                    coordinator.end_counterpart(counterpart)
             case MoveAction.REPORT_LOST:
-                if other is not None:
-                    other.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
-                helm.close_viewer_session(v)
+                if counterpart is not None:
+                    counterpart.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
+                coordinator.close_viewer_session(session)
 
     def _switch_to_target(self, move: Move) -> None:
         """Gives the player's session the target; the counterpart takes over what is left of the source."""
-        v, other = move.session, move.counterpart
-        assert other is not None
-        assert other.upstream is not None
-        v.playback, other.playback = other.playback, v.playback
-        v.upstream, other.upstream = other.upstream, v.upstream
-        v.resource = SessionResource(v.upstream.etag if v.upstream else "", other.ufrag)
-        v.ufrag, v.rung_to_send = other.ufrag, None
-        self.coordinator.rebind(v)
-        self.coordinator.rebind(other)
+        session, counterpart = move.session, move.counterpart
+        assert counterpart is not None
+        assert counterpart.upstream is not None
+        session.playback, counterpart.playback = counterpart.playback, session.playback
+        session.upstream, counterpart.upstream = counterpart.upstream, session.upstream
+        session.resource = SessionResource(
+            session.upstream.etag if session.upstream else "", counterpart.ufrag
+        )
+        session.ufrag, session.rung_to_send = counterpart.ufrag, None
+        self.coordinator.rebind(session)
+        self.coordinator.rebind(counterpart)
         self.coordinator.set_rung_bound(
-            v, max(v.playback.plan.floor, min(v.playback.top_rung, other.playback.top_rung))
+            session,
+            max(session.playback.plan.floor, min(session.playback.top_rung, counterpart.playback.top_rung)),
         )  # its viewer may have requested a lower rung meanwhile
         if self.coordinator.durable_state is not None:
-            self.coordinator.durable_state.session_moved(v)
-        self.coordinator.publish_event(v, "layers", {"encodingId": str(v.playback.rung)})
+            self.coordinator.durable_state.session_moved(session)
+        self.coordinator.publish_event(session, "layers", {"encodingId": str(session.playback.rung)})
 
     def _close_move(self, move: Move) -> None:
         """Handles the end of a move, once."""
@@ -349,16 +366,16 @@
         if self.coordinator.durable_state is not None and move.counterpart is not None:
             self.coordinator.durable_state.move_ended(move.session)
         self.moves.pop(move.session.id, None)
-        for part in (move.session, move.counterpart):
-            if part is not None:
-                self.moves_by_participant.pop(part, None)
-        left = self.drain_notices.time_left(move.source_node, now)
-        if left is None and move.source_node in self.degrading_nodes.leaving_since:
-            left = 5 * SECOND
-        again = self.scheduler.finish(move.session.id, state is not MoveState.STAYED, now, left)
-        if again:
+        for participant in (move.session, move.counterpart):
+            if participant is not None:
+                self.moves_by_participant.pop(participant, None)
+        time_left = self.drain_notices.time_left(move.source_node, now)
+        if time_left is None and move.source_node in self.degrading_nodes.leaving_since:
+            time_left = 5 * SECOND
+        is_retried = self.scheduler.finish(move.session.id, state is not MoveState.STAYED, now, time_left)
+        if is_retried:
             self._wake_scheduler()
-        target = (
+        target_node = (
             move.session.playback.node.name
             if state is MoveState.DONE and move.session.playback.node
             else None
@@ -367,18 +384,17 @@
             "moved",
             playback=move.session.id,
             source=move.source_node,
-            target=target,
+            target=target_node,
             end=state.value,
-            again=again,
+            again=is_retried,
             ms=(now - move.started_at) // 1_000_000,
-            way=[c.name for c in move.handover.history],
+            way=[visited.name for visited in move.handover.history],
         )
 
     # Ends of participants.
 
     def participant_ended(self, participant: PlaybackSession, was_lost: bool) -> bool:
-        """Handles the end of a session in a move; returns True when the player's playback goes on all the
-        same.
+        """Handles the end of a session in a move; returns whether the player's playback goes on.
 
         `was_lost` says that its node was lost, rather than that the session ended in order.
         """
--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -100,17 +100,17 @@
 
     Empty where it would be too long, in which case the session cannot be taken over.
     """
-    pb = session.playback
+    playback = session.playback
     return handing.memo(
         handing.Memo(
             session.id,
             session.fingerprint,
             session.path,
-            pb.title.name,
+            playback.title.name,
             session.plan.name,
             session.ufrag,
             session.token_name,
-            pb.top_rung,
+            playback.top_rung,
             session.deadline.written_at,
             session.deadline.abandon_at,
             session.publishes,
@@ -143,16 +143,20 @@
         self.is_reopening = False
         self.watch_scope = trio.CancelScope()  # of the watch task
         self.discount_pause: Callable[[int], None] = lambda _: None  # called before elapsed time is judged
-        self.identity: FrontIdentity | None = None  # where sessions are to outlive this front end end
+        self.identity: FrontIdentity | None = None  # where sessions are to outlive this front end
 
     def _headers(self, **more: str) -> Headers:
         """Headers of every request, and further ones whose names have underscores for hyphens."""
-        who = self.identity.headers() if self.identity is not None else []
-        return [("Via", f"1.1 {self.pseudonym}"), *who, *((k.replace("_", "-"), v) for k, v in more.items())]
+        identity_headers = self.identity.headers() if self.identity is not None else []
+        return [
+            ("Via", f"1.1 {self.pseudonym}"),
+            *identity_headers,
+            *((name.replace("_", "-"), value) for name, value in more.items()),
+        ]
 
     async def set_up(self, session: PlaybackSession, rung: int, abandon_at: int) -> TryResult:
         """Runs one setup try, which ends by `abandon_at` at the latest."""
-        trail = RequestProgress()
+        progress = RequestProgress()
         end, cause, response = RequestEnd.TIMED_OUT, "", None
         with trio.CancelScope(deadline=self.clock.trio_time(abandon_at)):
             try:
@@ -164,20 +168,20 @@
                 if self.identity is not None and (memo := takeover_memo(session)):
                     headers.append((handing.MEMO, memo))
                 response = await self.peer.ask(
-                    "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), trail
+                    "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), progress
                 )
                 end = RequestEnd.ANSWERED
             except Ended as ended:
                 end, cause = ended.end, ended.cause
-        load, upstream = words.Load(), None
+        load_report, upstream = words.Load(), None
         if response is not None:
-            load = words.read_load(response.header(words.LOAD))
-            trail.problem_type = words.problem_type(response.body) if response.status != 201 else ""
+            load_report = words.read_load(response.header(words.LOAD))
+            progress.problem_type = words.problem_type(response.body) if response.status != 201 else ""
             if response.status == 201:
                 upstream = self._parse_upstream(session.path, response)
                 if upstream is None:
                     end, cause = RequestEnd.INVALID_RESPONSE, "a 201 without a usable Location or answer"
-        return TryResult(setup_outcome(trail, end), load, upstream, cause or trail.problem_type)
+        return TryResult(setup_outcome(progress, end), load_report, upstream, cause or progress.problem_type)
 
     def _parse_upstream(self, path: str, response: Response) -> UpstreamSession | None:
         """Session that a 201 response describes; None where a part of it is missing."""
@@ -185,18 +189,22 @@
         if not location or words.media_type(response.header("content-type") or "") != sdp.MEDIA_TYPE:
             return None
         base = f"http://{self.address[0]}:{self.address[1]}{path}"
-        found = words.links(response.all("link"))
+        links = words.links(response.all("link"))
         resource = self._local_path(base, location)
         if resource is None:
             return None
-        events, layer = (
-            self._local_path(base, found.get(rel, "")) or "" for rel in (words.REL_EVENTS, words.REL_LAYER)
+        events_path, layer_path = (
+            self._local_path(base, links.get(rel, "")) or "" for rel in (words.REL_EVENTS, words.REL_LAYER)
         )
-        tag = (response.header("etag") or "").strip('"')
+        etag = (response.header("etag") or "").strip('"')
         return UpstreamSession(
-            self.name, resource, events if words.REL_EVENTS in found else "", layer if words.REL_LAYER in found else "",
-            tag, response.body.decode("utf-8", "replace"),
-        )  # fmt: skip
+            self.name,
+            resource,
+            events_path if words.REL_EVENTS in links else "",
+            layer_path if words.REL_LAYER in links else "",
+            etag,
+            response.body.decode("utf-8", "replace"),
+        )
 
     def _local_path(self, base: str, reference: str) -> str | None:
         """Path of a URL on this node.
@@ -206,11 +214,11 @@
         """
         try:
             parts = urlsplit(urljoin(base, reference))
-            here = (parts.hostname, parts.port) == self.address and parts.scheme == "http"
+            is_local = (parts.hostname, parts.port) == self.address and parts.scheme == "http"
         except ValueError:
             return None
         target = parts.path + (f"?{parts.query}" if parts.query else "")
-        return target if here and words.is_path(target.replace("?", "")) else None
+        return target if is_local and words.is_path(target.replace("?", "")) else None
 
     async def _request_with_retry(
         self,
@@ -238,8 +246,8 @@
 
     async def end_session(self, resource: str) -> bool:
         """Ends a session; returns whether the node has confirmed it."""
-        again = RetryBackoff(SESSION_END_RETRY, self.rng, self.clock.now())
-        response = await self._request_with_retry(again, "DELETE", resource, [], b"", even_if_lost=True)
+        backoff = RetryBackoff(SESSION_END_RETRY, self.rng, self.clock.now())
+        response = await self._request_with_retry(backoff, "DELETE", resource, [], b"", even_if_lost=True)
         return response is not None
 
     async def set_rung(self, upstream: UpstreamSession, rung: int) -> bool:
@@ -248,8 +256,8 @@
             return False
         body = orjson.dumps({"encodingId": str(rung)})
         headers = [("Content-Type", "application/json")]
-        again = RetryBackoff(RUNG_CHANGE_RETRY, self.rng, self.clock.now())
-        response = await self._request_with_retry(again, "POST", upstream.layer_path, headers, body)
+        backoff = RetryBackoff(RUNG_CHANGE_RETRY, self.rng, self.clock.now())
+        response = await self._request_with_retry(backoff, "POST", upstream.layer_path, headers, body)
         return response is not None and response.status in (200, 204)
 
     async def patch(self, upstream: UpstreamSession, if_match: str, body: bytes) -> Response | None:
@@ -266,14 +274,15 @@
 
         None where the node gave no usable answer.
         """
-        target = f"{handing.PATH}?of={','.join(quote(n, safe='') for n in front_names)}&after={quote(after, safe='')}"
+        fronts = ",".join(quote(name, safe="") for name in front_names)
+        target = f"{handing.PATH}?of={fronts}&after={quote(after, safe='')}"
         return await self._request_json("GET", target, b"", handing.LISTING)
 
     async def take_over(self, resources: list[str]) -> set[str] | None:
         """Takes over sessions; returns those that the node has granted, None where no answer came."""
         body = msgspec.json.encode(handing.Taking(resources))
-        given = await self._request_json("POST", handing.PATH, body, handing.TAKING)
-        return set(given.sessions) if given is not None else None
+        granted = await self._request_json("POST", handing.PATH, body, handing.TAKING)
+        return set(granted.sessions) if granted is not None else None
 
     async def fetch_load(self) -> tuple[float | None, bool]:
         """Load of the node's link: requested rate over capacity, None where the node did not report it.
@@ -283,8 +292,8 @@
         response = await self._request("GET", words.LOAD_PATH, self._headers(), b"")
         if response is None:
             return None, True
-        asked = words.read_load(response.header(words.LOAD)).asked if response.status < 300 else None
-        return (asked, True) if is_valid_value(asked) else (None, response.status >= 500)
+        link_load = words.read_load(response.header(words.LOAD)).asked if response.status < 300 else None
+        return (link_load, True) if is_valid_value(link_load) else (None, response.status >= 500)
 
     async def _request_json(
         self, method: str, target: str, body: bytes, decoder: msgspec.json.Decoder[ResponseT]
@@ -323,18 +332,18 @@
 
     async def _watch_streams(self, on_event: EventHandler, on_lost: LossHandler) -> None:
         """Opens the event stream again after each break."""
-        again = RetryBackoff(EVENT_STREAM_RETRY, self.rng, self.clock.now())
+        backoff = RetryBackoff(EVENT_STREAM_RETRY, self.rng, self.clock.now())
         while True:
             await self.stream_wanted.wait()
-            why = await self._read_stream(on_event, on_lost, again)
+            cause = await self._read_stream(on_event, on_lost, backoff)
             self.discount_pause(self.clock.now())
-            loss = self.stream_health.stream_broken(why, self.clock.now())
+            loss = self.stream_health.stream_broken(cause, self.clock.now())
             if loss is not None:
-                await on_lost(loss, why.value)
+                await on_lost(loss, cause.value)
             if self.stream_health.state is StreamState.LOST:
                 self.stream_wanted = trio.Event()  # set again by the next successful set-up
                 continue
-            await trio.sleep((again.record_failure(self.clock.now()) or 0) / 1e9)
+            await trio.sleep((backoff.record_failure(self.clock.now()) or 0) / 1e9)
 
     async def _read_stream(
         self, on_event: EventHandler, on_lost: LossHandler, backoff: RetryBackoff
@@ -357,12 +366,11 @@
                         for name, data in reader.feed(chunk):
                             if name == "hello":
                                 backoff.record_success(self.clock.now())
-                                told = msgspec.json.decode(data, type=NodeEvent)
-                                loss = self.stream_health.stream_opened(told.process, self.clock.now())
-                                told.why = (
-                                    loss.value if loss is not None else ""
-                                )  # its own list tells what is lost
-                                await on_event(name, told)
+                                event = msgspec.json.decode(data, type=NodeEvent)
+                                loss = self.stream_health.stream_opened(event.process, self.clock.now())
+                                # The event's own list of sessions tells what is lost.
+                                event.why = loss.value if loss is not None else ""
+                                await on_event(name, event)
                             elif name in EVENT_NAMES:
                                 await on_event(name, msgspec.json.decode(data, type=NodeEvent))
             if silence.cancelled_caught:
--- a/oakcroft/front/node_events.py
+++ b/oakcroft/front/node_events.py
@@ -56,28 +56,28 @@
             if self.coordinator.durable_state is not None:
                 self.coordinator.durable_state.node_state_received(node_client, event, requested_at)
             missing = node_client.node_sessions.reconcile(event.sessions, requested_at, now)
-            passed = set(event.passed).intersection(missing)
-            if passed:  # nothing is lost, and it does not count against the node
-                self.log.warning("passed on", node=node_client.name, playbacks=len(passed))
-                self.coordinator.on_sessions_taken_over(len(passed))
-            if len(missing) > len(passed):
+            taken_over = set(event.passed).intersection(missing)
+            if taken_over:  # nothing is lost, and it does not count against the node
+                self.log.warning("passed on", node=node_client.name, playbacks=len(taken_over))
+                self.coordinator.on_sessions_taken_over(len(taken_over))
+            if len(missing) > len(taken_over):
                 self.log.warning(
                     "node lost",
                     node=node_client.name,
                     why=event.why or "sessions ended unheard",
-                    playbacks=len(missing) - len(passed),
+                    playbacks=len(missing) - len(taken_over),
                 )
-            for session in missing:
-                v = self.coordinator.sessions_by_upstream.get((node_client.name, session))
-                away = (
-                    v is not None
+            for resource in missing:
+                session = self.coordinator.sessions_by_upstream.get((node_client.name, resource))
+                is_ended_while_away = (
+                    session is not None
                     and self.coordinator.durable_state is not None
-                    and self.coordinator.durable_state.ended_while_away(v)
+                    and self.coordinator.durable_state.ended_while_away(session)
                 )
-                quiet = away or session in passed
-                self._session_ended(node_client, session, Outcome.DONE if quiet else Outcome.RESET)
-            for session, rung in zip(event.sessions, event.rungs, strict=False):
-                self._apply_rung(node_client, session, rung, now)
+                is_expected = is_ended_while_away or resource in taken_over
+                self._session_ended(node_client, resource, Outcome.DONE if is_expected else Outcome.RESET)
+            for resource, rung in zip(event.sessions, event.rungs, strict=False):
+                self._apply_rung(node_client, resource, rung, now)
         elif event_name == "started":
             node_client.node_sessions.session_started(event.session, now)
         elif event_name == "ended":
@@ -86,38 +86,40 @@
         elif event_name == "rung":
             self._apply_rung(node_client, event.session, event.rung, now)
         elif node is not None and node.playbacks:
-            pb = next(iter(node.playbacks))
+            playback = next(iter(node.playbacks))
             if event_name == "share" and is_valid_value(event.share):
-                others = [
-                    n.delivered_share
-                    for n in self.coordinator.node_list.nodes.values()
-                    if n is not node and n.playbacks
+                other_shares = [
+                    other_node.delivered_share
+                    for other_node in self.coordinator.node_list.nodes.values()
+                    if other_node is not node and other_node.playbacks
                 ]
-                usual = sum(others) / len(others) if others else 0.0
-                self.move_executor.on_delivered_share(node_client.name, min(1.0, event.share), usual, now)
+                fleet_share = sum(other_shares) / len(other_shares) if other_shares else 0.0
+                self.move_executor.on_delivered_share(
+                    node_client.name, min(1.0, event.share), fleet_share, now
+                )
                 self.coordinator.policy.on_metric(
-                    pb, PlaybackMetric.DELIVERED_SHARE, min(1.0, event.share), now
+                    playback, PlaybackMetric.DELIVERED_SHARE, min(1.0, event.share), now
                 )
             elif event_name == "link":
                 if event.asked is not None and is_valid_value(event.asked):
-                    self.coordinator.policy.on_metric(pb, PlaybackMetric.LINK_LOAD, event.asked, now)
+                    self.coordinator.policy.on_metric(playback, PlaybackMetric.LINK_LOAD, event.asked, now)
                     self.coordinator.on_link_load(
                         node_client.name, event.asked, self.coordinator.site.terms.report_delay_ns
                     )
                 if event.uplink is not None and is_valid_value(event.uplink):
-                    self.coordinator.policy.on_metric(pb, PlaybackMetric.UPLINK_LOAD, event.uplink, now)
+                    self.coordinator.policy.on_metric(playback, PlaybackMetric.UPLINK_LOAD, event.uplink, now)
 
     def _apply_rung(self, node_client: NodeClient, resource: str, rung: int, now: int) -> None:
         """Applies the rung that a node reports for a session."""
-        v = self.coordinator.sessions_by_upstream.get((node_client.name, resource))
+        session = self.coordinator.sessions_by_upstream.get((node_client.name, resource))
         if (
-            v is not None
+            session is not None
             and 0 <= rung < len(self.coordinator.site.terms.rung_rates)
-            and rung != v.playback.rung
+            and rung != session.playback.rung
         ):
-            self.coordinator.policy.on_metric(v.playback, PlaybackMetric.RUNG, rung, now)
-            if v.playback.rung > v.playback.top_rung:
-                self.coordinator.rung_bound_exceeded(v)
+            self.coordinator.policy.on_metric(session.playback, PlaybackMetric.RUNG, rung, now)
+            if session.playback.rung > session.playback.top_rung:
+                self.coordinator.rung_bound_exceeded(session)
 
     async def _queue_node_lost(self, node_client: NodeClient, loss: LossCertainty, reason: str) -> None:
         """Submits the loss of a node."""
@@ -129,40 +131,42 @@
         Where the loss is only presumed, the policy is told that nothing is delivered there, the viewers are
         told of the end, and seats stay taken until the node confirms the end or its time has run out.
         """
-        proven = loss is LossCertainty.PROVEN
+        is_proven = loss is LossCertainty.PROVEN
         if self.coordinator.durable_state is not None:
-            self.coordinator.durable_state.node_lost(node_client.name, proven)
-        lost = (
-            node_client.node_sessions.lose_all() if proven else node_client.node_sessions.claimed_sessions()
+            self.coordinator.durable_state.node_lost(node_client.name, is_proven)
+        lost_resources = (
+            node_client.node_sessions.lose_all()
+            if is_proven
+            else node_client.node_sessions.claimed_sessions()
         )
-        if lost:
+        if lost_resources:
             self.log.warning(
-                "node lost", node=node_client.name, why=reason, how=loss.value, playbacks=len(lost)
+                "node lost", node=node_client.name, why=reason, how=loss.value, playbacks=len(lost_resources)
             )
-        told = False  # one silence counts once against its node, whatever the number of its playbacks
-        for session in lost:
-            v = self.coordinator.sessions_by_upstream.get((node_client.name, session))
-            if v is None:
+        is_reported = False  # one silence counts once against its node, whatever the number of its playbacks
+        for resource in lost_resources:
+            session = self.coordinator.sessions_by_upstream.get((node_client.name, resource))
+            if session is None:
                 continue
-            if proven:
-                self.coordinator.playback_ended(v, Outcome.RESET)
+            if is_proven:
+                self.coordinator.playback_ended(session, Outcome.RESET)
                 continue
-            if not told:
-                told = True
+            if not is_reported:
+                is_reported = True
                 self.coordinator.policy.on_metric(
-                    v.playback, PlaybackMetric.DELIVERED_SHARE, 0.0, self.coordinator.clock.now()
+                    session.playback, PlaybackMetric.DELIVERED_SHARE, 0.0, self.coordinator.clock.now()
                 )
-            if self.move_executor.move_of(v) is not None:
+            if self.move_executor.move_of(session) is not None:
                 self.coordinator.playback_ended(
-                    self.coordinator.detach_playback(v), Outcome.RESET, is_presumed=True
+                    self.coordinator.detach_playback(session), Outcome.RESET, is_presumed=True
                 )
-                if not self.move_executor.participant_ended(v, True):
-                    self.coordinator.close_viewer_session(v)
+                if not self.move_executor.participant_ended(session, True):
+                    self.coordinator.close_viewer_session(session)
                 continue
-            self.coordinator.close_viewer_session(v)
-            self.coordinator.end_session(v)
+            self.coordinator.close_viewer_session(session)
+            self.coordinator.end_session(session)
 
     def _session_ended(self, node_client: NodeClient, resource: str, outcome: Outcome) -> None:
         """Ends the playback of a session that has ended on its node."""
-        if v := self.coordinator.sessions_by_upstream.get((node_client.name, resource)):
-            self.coordinator.playback_ended(v, outcome)
+        if session := self.coordinator.sessions_by_upstream.get((node_client.name, resource)):
+            self.coordinator.playback_ended(session, outcome)
--- a/oakcroft/front/node_list_client.py
+++ b/oakcroft/front/node_list_client.py
@@ -130,23 +130,37 @@
     """Nodes, version and name of the service in a discovery response. Raises NodeListError."""
     try:
         response = msgspec.json.decode(body, type=Discovery)
-    except msgspec.DecodeError as fault:
-        raise NodeListError(str(fault)) from None
+    except msgspec.DecodeError as error:
+        raise NodeListError(str(error)) from None
     version = response.version_info
     if not (version.isascii() and version.isdigit() and len(version) < 18):
         raise NodeListError(f"version_info is a whole number here, not {version[:40]!r}")
-    lines = []
-    for locality in (part for cluster in response.resources for part in cluster.endpoints):
-        for e in locality.lb_endpoints:
-            if e.health_status not in STATUSES_BY_HEALTH:
-                raise NodeListError(f"health_status {e.health_status[:40]!r} is unknown")
-            more, address = e.metadata.filter_metadata.oakcroft, e.endpoint.address.socket_address
-            lines.append(ListedNode(
-                more.name, address.address, address.port_value, locality.locality.zone, more.cell,
-                STATUSES_BY_HEALTH[e.health_status], _ms_to_ns(more.started_at_ms), more.link_kb, more.places, more.kind,
-                tuple(more.tags), None if more.drains_until_ms is None else _ms_to_ns(more.drains_until_ms),
-            ))  # fmt: skip
-    return lines, int(version), response.control_plane.identifier
+    listed_nodes = []
+    for locality in (group for cluster in response.resources for group in cluster.endpoints):
+        for endpoint in locality.lb_endpoints:
+            if endpoint.health_status not in STATUSES_BY_HEALTH:
+                raise NodeListError(f"health_status {endpoint.health_status[:40]!r} is unknown")
+            metadata, address = (
+                endpoint.metadata.filter_metadata.oakcroft,
+                endpoint.endpoint.address.socket_address,
+            )
+            listed_nodes.append(
+                ListedNode(
+                    metadata.name,
+                    address.address,
+                    address.port_value,
+                    locality.locality.zone,
+                    metadata.cell,
+                    STATUSES_BY_HEALTH[endpoint.health_status],
+                    _ms_to_ns(metadata.started_at_ms),
+                    metadata.link_kb,
+                    metadata.places,
+                    metadata.kind,
+                    tuple(metadata.tags),
+                    None if metadata.drains_until_ms is None else _ms_to_ns(metadata.drains_until_ms),
+                )
+            )
+    return listed_nodes, int(version), response.control_plane.identifier
 
 
 def _ms_to_ns(ms: float) -> int:
@@ -167,10 +181,10 @@
 def save_list(path: Path, body: bytes) -> None:
     """Writes the cached list so that a crash leaves either the old or the new one complete."""
     temporary = path.with_name(path.name + ".new")
-    with temporary.open("wb") as out:
-        out.write(hashlib.sha256(body).hexdigest().encode() + b"\n" + body)
-        out.flush()
-        os.fsync(out.fileno())
+    with temporary.open("wb") as file:
+        file.write(hashlib.sha256(body).hexdigest().encode() + b"\n" + body)
+        file.flush()
+        os.fsync(file.fileno())
     temporary.replace(path)
 
 
@@ -194,33 +208,32 @@
     def __init__(self, peer: Peer, clock: Clock, rng: Random, cache_path: str, pseudonym: str, apply_list: ListHandler,
                  log: structlog.typing.FilteringBoundLogger) -> None:  # fmt: skip
         """Creates a follower; an empty `cache_path` turns the cache off."""
-        self.peer, self.clock, self.pseudonym, self.apply_list, self.log = (
-            peer,
-            clock,
-            pseudonym,
-            apply_list,
-            log,
-        )
+        self.peer = peer
+        self.clock = clock
+        self.pseudonym = pseudonym
+        self.apply_list = apply_list
+        self.log = log
         self.cache_path = Path(cache_path) if cache_path else None
         self.backoff = RetryBackoff(LIST_RETRY, rng, clock.now())
-        self.list_version, self.is_failing = -1, False
+        self.list_version = -1
+        self.is_failing = False
         self.list_confirmed = trio.Event()  # the service has confirmed or sent the current list
 
     async def run(self) -> None:
         """Polls until it is cancelled, after a delay where a poll failed."""
         while True:
-            why = await self._poll()
-            if why is None:
+            failure = await self._poll()
+            if failure is None:
                 if self.is_failing:
                     self.log.info("list service back", version=self.list_version)
                 self.is_failing = False
                 self.backoff.record_success(self.clock.now())
                 continue
-            wait = self.backoff.record_failure(self.clock.now())
+            delay_ns = self.backoff.record_failure(self.clock.now())
             if not self.is_failing:
                 self.is_failing = True
-                self.log.warning("list service failing", why=why, version=self.list_version)
-            await trio.sleep((wait or 0) / 1e9)
+                self.log.warning("list service failing", why=failure, version=self.list_version)
+            await trio.sleep((delay_ns or 0) / 1e9)
 
     async def _poll(self) -> str | None:
         """Runs one poll; returns why it failed, or None."""
@@ -229,23 +242,23 @@
         try:
             with trio.fail_after(MAX_POLL_SECONDS + 5):
                 response = await self.peer.ask("POST", DISCOVERY_PATH, headers, body)
-        except (Ended, trio.TooSlowError) as fault:
-            return str(fault) or "no answer"
+        except (Ended, trio.TooSlowError) as error:
+            return str(error) or "no answer"
         if response.status == 304:
             return None
         if response.status != 200:
             return f"status {response.status}"
         try:
-            lines, version, service = parse_response(response.body)
-        except NodeListError as fault:
-            return f"bad list: {fault}"
-        if not await self.apply_list(lines, version, service):
+            listed_nodes, version, service = parse_response(response.body)
+        except NodeListError as error:
+            return f"bad list: {error}"
+        if not await self.apply_list(listed_nodes, version, service):
             return "list refused"
         self.list_version = version
         self.list_confirmed.set()
         if self.cache_path is not None:
             try:
                 await trio.to_thread.run_sync(save_list, self.cache_path, response.body)
-            except OSError as fault:
-                self.log.error("list not kept", why=str(fault))
+            except OSError as error:
+                self.log.error("list not kept", why=str(error))
         return None
--- a/oakcroft/front/recovered_session.py
+++ b/oakcroft/front/recovered_session.py
@@ -21,13 +21,17 @@
     )
     if plan is None or title is None:
         return None
-    pb = Playback(title, plan.plan, promise.top, promise.abandon, False)
-    pb.rung = max(plan.plan.floor, min(promise.rung, plan.plan.top_rung))
-    v = PlaybackSession(promise.id, promise.path, plan, promise.publishes, promise.key, "", promise.ufrag,
-                Deadline(promise.written, promise.abandon), pb)  # fmt: skip
-    v.token_name, v.fingerprint, v.in_client_session = promise.token, promise.about, promise.seated
-    v.requested_top = pb.top_rung
-    return v
+    playback = Playback(title, plan.plan, promise.top, promise.abandon, False)
+    playback.rung = max(plan.plan.floor, min(promise.rung, plan.plan.top_rung))
+    session = PlaybackSession(promise.id, promise.path, plan, promise.publishes, promise.key, "", promise.ufrag,
+                Deadline(promise.written, promise.abandon), playback)  # fmt: skip
+    session.token_name, session.fingerprint, session.in_client_session = (
+        promise.token,
+        promise.about,
+        promise.seated,
+    )
+    session.requested_top = playback.top_rung
+    return session
 
 
 def resume_playback(coordinator: Coordinator, session: PlaybackSession, node: Node) -> None:
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -57,9 +57,8 @@
 MAX_QUEUED_EVENTS = 4_096
 MAX_TITLES = 50_000
 MAX_IDEMPOTENCY_KEYS = 100_000
-UNDELIVERED_ANSWER_SECONDS = (
-    10.0  # for which a session is kept whose viewer did not get its answer and may ask again
-)
+# A session whose answer was not delivered is kept for this long, in which its viewer may ask again.
+UNDELIVERED_ANSWER_SECONDS = 10.0
 
 
 class SessionCoordinator:
@@ -84,7 +83,10 @@
         `configuration` is the version in force at the start, `pseudonym` the name of this front end towards
         nodes, and `policy_factory` creates the policy that decides.
         """
-        self.pseudonym, self.clock, self.nursery, self.logger = pseudonym, clock, nursery, log
+        self.pseudonym = pseudonym
+        self.clock = clock
+        self.nursery = nursery
+        self.logger = log
         self.active_configuration = ActiveConfiguration(
             ConfigurationVersion(0, configuration.resolved, configuration)
         )
@@ -99,17 +101,17 @@
         self.limit_ledger = LimitLedger(site.terms.front_index, site.terms.front_count)
         self.limit_ledger.set_limits(site.limits)
         self.sessions_by_playback: dict[Playback, PlaybackSession] = {}
-        self.sessions_by_id: dict[
-            str, PlaybackSession
-        ] = {}  # by the id of the session resource that viewers use
-        self.sessions_by_upstream: dict[
-            tuple[str, str], PlaybackSession
-        ] = {}  # by node name and resource path there
+        # By the id of the session resource that viewers use.
+        self.sessions_by_id: dict[str, PlaybackSession] = {}
+        # By node name and path of the resource there.
+        self.sessions_by_upstream: dict[tuple[str, str], PlaybackSession] = {}
         self.idempotency_store = IdempotencyStore(MAX_IDEMPOTENCY_KEYS, site.key_retention_ns)
         self.pause_detector = PauseDetector(clock.now())
-        self.unanswered_count = self.playing_count = self.pending_session_ends = 0
+        self.unanswered_count = 0
+        self.playing_count = 0
+        self.pending_session_ends = 0
         self.count_changed = ChangeNotifier()
-        self.longest_abandon_ns = max(p.abandon_ns for p in site.plans.values())
+        self.longest_abandon_ns = max(plan_terms.abandon_ns for plan_terms in site.plans.values())
         self.move_executor = MoveExecutor(self, Random(seed + 3), site.default_drain_notice_ns, log)
         self.policy: DecisionPolicy = policy_factory(site.terms, seed, self, clock.now())
         self.rendition_bound = RenditionBound(self, self.rng, log)
@@ -120,7 +122,7 @@
         self.on_answer: Callable[[bool, PlanTerms, int], None] | None = None
         self.on_sessions_taken_over: Callable[[int], None] = lambda _: None
         self.identity: FrontIdentity | None = None
-        self.on_link_load: Callable[[str, float, int], None] = lambda node, asked, age: None
+        self.on_link_load: Callable[[str, float, int], None] = lambda node, load, age: None
 
     @property
     def site(self) -> SharedSettings:
@@ -142,22 +144,22 @@
             self.title_cache.apply_configuration(site.copy_count, configured_placements(site))
             self.limit_ledger.set_limits(site.limits)
             self.longest_abandon_ns = max(
-                self.longest_abandon_ns, *(p.abandon_ns for p in site.plans.values())
+                self.longest_abandon_ns, *(plan_terms.abandon_ns for plan_terms in site.plans.values())
             )
             self.idempotency_store.retention = site.key_retention_ns
-            over = [
-                f"{t.name}: {t.seats_taken[p.plan]} of {p.plan.seats}"
-                for t in self.title_cache.titles.values()
-                for p in site.plans.values()
-                if p.plan.seats and t.seats_taken.get(p.plan, 0) > p.plan.seats
+            over_seats = [
+                f"{title.name}: {title.seats_taken[plan_terms.plan]} of {plan_terms.plan.seats}"
+                for title in self.title_cache.titles.values()
+                for plan_terms in site.plans.values()
+                if plan_terms.plan.seats and title.seats_taken.get(plan_terms.plan, 0) > plan_terms.plan.seats
             ]
-            gone = sorted(set(before.plans) - set(site.plans))
+            removed_plans = sorted(set(before.plans) - set(site.plans))
             self.logger.info(
                 "configuration taken",
                 version=self.active_configuration.version.number,
                 routes=len(site.route_table.routes),
-                over_seats=over[:10],
-                plans_gone=gone,
+                over_seats=over_seats[:10],
+                plans_gone=removed_plans,
             )
         else:
             self.logger.warning("configuration not taken", verdict=verdict.value, parts=parts)
@@ -197,12 +199,12 @@
 
         Called before any judgement by elapsed time, which would otherwise count the pause.
         """
-        stood = self.pause_detector.heartbeat(now)
-        if stood:
-            self.logger.warning("stood still", ms=stood // 1_000_000, unanswered=self.unanswered_count)
-            for leg in self.node_clients.values():
-                leg.node_sessions.discount_pause(stood)
-                leg.stream_health.discount_pause(stood)
+        pause_ns = self.pause_detector.heartbeat(now)
+        if pause_ns:
+            self.logger.warning("stood still", ms=pause_ns // 1_000_000, unanswered=self.unanswered_count)
+            for node_client in self.node_clients.values():
+                node_client.node_sessions.discount_pause(pause_ns)
+                node_client.stream_health.discount_pause(pause_ns)
 
     async def run_maintenance(self) -> None:
         """Checks periodically for silent nodes and for sessions that no setup try has claimed."""
@@ -212,15 +214,17 @@
             self.discount_pause(now)
             if self.durable_state is not None:
                 await self.submit(self.durable_state.maintain)
-            for leg in list(self.node_clients.values()):
-                if leg.is_watched and (loss := leg.stream_health.check(now)) is not None:
-                    await self.submit(partial(self.node_events.node_lost, leg, loss, "silent for too long"))
-                for session in leg.node_sessions.take_orphans(now):
-                    self.logger.info("orphan ended", node=leg.name)
-                    self.nursery.start_soon(leg.end_session, session)
-                if leg.name not in self.node_list.nodes and not leg.node_sessions.claimed:
-                    del self.node_clients[leg.name]
-                    await leg.close()
+            for node_client in list(self.node_clients.values()):
+                if node_client.is_watched and (loss := node_client.stream_health.check(now)) is not None:
+                    await self.submit(
+                        partial(self.node_events.node_lost, node_client, loss, "silent for too long")
+                    )
+                for resource in node_client.node_sessions.take_orphans(now):
+                    self.logger.info("orphan ended", node=node_client.name)
+                    self.nursery.start_soon(node_client.end_session, resource)
+                if node_client.name not in self.node_list.nodes and not node_client.node_sessions.claimed:
+                    del self.node_clients[node_client.name]
+                    await node_client.close()
 
     # Node list.
 
@@ -235,11 +239,11 @@
         verdict: list[bool] = []
         done = trio.Event()
 
-        def take() -> None:
+        def apply() -> None:
             verdict.append(self._apply_list(listed_nodes, version, service, is_cached))
             done.set()
 
-        await self.submit(take)
+        await self.submit(apply)
         await done.wait()
         return verdict[0]
 
@@ -248,25 +252,25 @@
     ) -> bool:
         """Applies a node list; returns False when it was rejected."""
         now = self.clock.now()
-        taken = self.node_list.apply(listed_nodes, version, service, now, is_cached)
-        if isinstance(taken, ListRejection):
-            self.logger.warning("list refused", why=taken.reason, nodes=len(self.node_list.listed_nodes))
+        applied = self.node_list.apply(listed_nodes, version, service, now, is_cached)
+        if isinstance(applied, ListRejection):
+            self.logger.warning("list refused", why=applied.reason, nodes=len(self.node_list.listed_nodes))
             return False
-        if taken is None:
+        if applied is None:
             return True
-        kind, entries = taken
-        for line in self.node_list.listed_nodes.values():
-            leg = self.node_clients.get(line.name)
-            if leg is None or leg.address != (line.address, line.port):
-                self._add_node_client(line)
+        kind, entries = applied
+        for listed_node in self.node_list.listed_nodes.values():
+            node_client = self.node_clients.get(listed_node.name)
+            if node_client is None or node_client.address != (listed_node.address, listed_node.port):
+                self._add_node_client(listed_node)
         self.policy.on_node_list(kind, entries, now)
         if self.durable_state is not None and not is_cached:
             self.durable_state.node_list_changed(self.node_list.listed_nodes.values(), version, service)
             self.durable_state.nodes_listed(self.node_list.listed_nodes.values())
         self.move_executor.on_node_list(
-            entries, {x.name: x.drains_until for x in self.node_list.listed_nodes.values()}, now
+            entries, {node.name: node.drains_until for node in self.node_list.listed_nodes.values()}, now
         )
-        changes = ", ".join(f"{e.node.name} {e.status.value}" for e in entries[:6])
+        changes = ", ".join(f"{entry.node.name} {entry.status.value}" for entry in entries[:6])
         self.logger.info(
             "list",
             kind=kind.value,
@@ -279,12 +283,12 @@
 
     def _add_node_client(self, listed_node: ListedNode) -> None:
         """Creates the client of a listed node, in place of one for another address."""
-        old = self.node_clients.get(listed_node.name)
-        if old is not None:
-            self.node_events.node_lost(old, LossCertainty.PROVEN, "it has another address")
-            self.nursery.start_soon(old.close)
-        patience = StreamTimeouts(self.site.silence_timeout_ns, self.site.loss_timeout_ns)
-        claim_within = self.longest_abandon_ns + MAX_TRY_GRACE_NS
+        previous = self.node_clients.get(listed_node.name)
+        if previous is not None:
+            self.node_events.node_lost(previous, LossCertainty.PROVEN, "it has another address")
+            self.nursery.start_soon(previous.close)
+        timeouts = StreamTimeouts(self.site.silence_timeout_ns, self.site.loss_timeout_ns)
+        claim_timeout_ns = self.longest_abandon_ns + MAX_TRY_GRACE_NS
         self.node_clients[listed_node.name] = NodeClient(
             listed_node.name,
             listed_node.address,
@@ -293,8 +297,8 @@
             self.clock,
             self.rng,
             self.site.connect_timeout_ns,
-            patience,
-            claim_within,
+            timeouts,
+            claim_timeout_ns,
         )
         self.node_clients[listed_node.name].identity = self.identity
         self.node_clients[listed_node.name].discount_pause = self.discount_pause
@@ -320,16 +324,15 @@
         title = self.title_cache.get(title_name, stable_hash(title_name) % self.site.terms.cell_count)
         if title is None:
             return None
-        pb = Playback(title, plan.plan, top_rung, deadline.abandon_at, False)
+        playback = Playback(title, plan.plan, top_rung, deadline.abandon_at, False)
         return PlaybackSession(
-            secrets.token_urlsafe(15), path, plan, publishes, key, offer, ufrag, deadline, pb
+            secrets.token_urlsafe(15), path, plan, publishes, key, offer, ufrag, deadline, playback
         )
 
     def request_placement(self, session: PlaybackSession) -> None:
         """Asks the policy to place a session, unless its viewer has left already."""
-        if (
-            session.final_answer is not None or session.answered.is_set()
-        ):  # its viewer left while the event was queued
+        # Its viewer left while the event was queued.
+        if session.final_answer is not None or session.answered.is_set():
             if session.set_answer(FinalAnswer.REJECTED):
                 self.idempotency_store.record_answer(
                     session.key, FinalAnswer.REJECTED, session, self.clock.now()
@@ -339,17 +342,18 @@
         self.sessions_by_playback[session.playback] = session
         # A newer catalogue has come into force since the request was read.
         if session.catalogue_number != self.catalogue.number:
-            top = self.title_top_rung(
+            top_rung = self.title_top_rung(
                 session.playback.title.name, session.requested_top, session.playback.plan.floor
             )
-            if top is None:
+            if top_rung is None:
                 self._finish_request(
                     session, FinalAnswer.REJECTED, answers.REFUSAL_REPLIES[answers.Refusal.NO_TITLE]
                 )
                 del self.sessions_by_playback[session.playback]
                 self._release_limits(session)
                 return
-            session.playback.top_rung, session.catalogue_number = top, self.catalogue.number
+            session.playback.top_rung = top_rung
+            session.catalogue_number = self.catalogue.number
         self.policy.on_request(session.playback, self.clock.now())
         self._forget_if_over(session)
 
@@ -433,18 +437,18 @@
 
     def catalogue_effect(self, session: PlaybackSession) -> tuple[PlaybackEffect, int]:
         """Effect of the catalogue in force on a playback, and the highest rung that it allows."""
-        node, item = (
+        node_name, catalogue_title = (
             session.playback.node.name if session.playback.node else "",
             self.catalogue.titles.get(session.playback.title.name),
         )
-        rungs = len(self.site.terms.rung_rates)
+        rung_count = len(self.site.terms.rung_rates)
         return effect_on_playback(
             session.playback.plan.floor,
             session.playback.rung,
-            item,
+            catalogue_title,
             self.catalogue.serves_unlisted,
-            rungs,
-            node,
+            rung_count,
+            node_name,
         )
 
     def set_rung_bound(self, session: PlaybackSession, top_rung: int) -> None:
@@ -461,9 +465,9 @@
     async def _end_on_node(self, session: PlaybackSession) -> None:
         """Ends a session on its node and then reports its playback as ended."""
         try:
-            if session.upstream is not None and (leg := self.node_clients.get(session.upstream.node)):
-                await leg.end_session(session.upstream.resource)
-                leg.node_sessions.session_released(session.upstream.resource)
+            if session.upstream is not None and (node_client := self.node_clients.get(session.upstream.node)):
+                await node_client.end_session(session.upstream.resource)
+                node_client.node_sessions.session_released(session.upstream.resource)
             await self.submit(partial(self.playback_ended, session, Outcome.WITHDRAWN))
         finally:
             self.pending_session_ends -= 1
@@ -535,10 +539,10 @@
         if self.durable_state is None or await self.durable_state.record_intent(
             session, node_client.name, rung, abandon_at
         ):
-            end = await node_client.set_up(session, rung, abandon_at)
+            result = await node_client.set_up(session, rung, abandon_at)
         else:
-            end = TryResult(Outcome.NOT_SENT, EMPTY_LOAD_REPORT, None, "not on record in time")
-        await self.submit(partial(self._try_ended, session, node_client, end))
+            result = TryResult(Outcome.NOT_SENT, EMPTY_LOAD_REPORT, None, "not on record in time")
+        await self.submit(partial(self._try_ended, session, node_client, result))
 
     async def _send_rung_changes(self, session: PlaybackSession) -> None:
         """Sends the rung that was requested last.
@@ -553,11 +557,11 @@
                 and session.playback.state is PlaybackState.PLAYING
             ):
                 rung, session.rung_to_send = session.rung_to_send, None
-                leg = self.node_clients.get(session.upstream.node)
-                if leg is None:
+                node_client = self.node_clients.get(session.upstream.node)
+                if node_client is None:
                     return
-                if not await leg.set_rung(session.upstream, rung):
-                    leg.reopen_stream()  # the node's first event on a new stream says which rung is in force
+                if not await node_client.set_rung(session.upstream, rung):
+                    node_client.reopen_stream()  # the node's first event on a new stream says which rung is in force
                     continue  # with the rung requested since, if any
                 self.publish_event(session, "layers", {"encodingId": str(rung)})
         finally:
@@ -567,7 +571,7 @@
 
     def _try_ended(self, session: PlaybackSession, node_client: NodeClient, result: TryResult) -> None:
         """Handles the end of a setup try."""
-        now, pb = self.clock.now(), session.playback
+        now, playback = self.clock.now(), session.playback
         if result.outcome is Outcome.DONE and result.upstream is not None:
             if self.node_clients.get(node_client.name) is node_client:
                 self._try_succeeded(session, node_client, result)
@@ -575,10 +579,10 @@
             # The list has replaced the node's address meanwhile, so nobody can use what runs at the old one.
             self.nursery.start_soon(node_client.end_session, result.upstream.resource)
             result = replace(result, outcome=Outcome.RESET, cause="its node has another address")
-        closed = pb.state is not PlaybackState.SETTING_UP
+        is_closed = playback.state is not PlaybackState.SETTING_UP
         if self.durable_state is not None:
             self.durable_state.try_ended(session, result.outcome)
-        if closed and session.final_answer is None:
+        if is_closed and session.final_answer is None:
             self._abort_unanswered(session)
         self.logger.debug(
             "try",
@@ -588,9 +592,9 @@
             cause=result.cause,
         )
         self.policy.on_try_ended(
-            pb,
+            playback,
             result.outcome,
-            closed,
+            is_closed,
             result.load_report.asked,
             result.load_report.used,
             result.load_report.uplink,
@@ -609,24 +613,24 @@
 
     def _try_succeeded(self, session: PlaybackSession, node_client: NodeClient, result: TryResult) -> None:
         """Handles a setup try that has produced a session on its node."""
-        now, pb = self.clock.now(), session.playback
+        now, playback = self.clock.now(), session.playback
         assert result.upstream is not None
-        alive = node_client.node_sessions.claim(result.upstream.resource, now)
+        still_runs = node_client.node_sessions.claim(result.upstream.resource, now)
         self.follow_events(node_client, result.upstream.events_path)
         session.upstream = result.upstream
-        if pb.state is not PlaybackState.SETTING_UP:  # the viewer left during the set-up
+        if playback.state is not PlaybackState.SETTING_UP:  # the viewer left during the set-up
             if session.final_answer is None:
                 self._abort_unanswered(session)
             session.is_ending = True
             self._start_session_end(session)
             return
         self.sessions_by_upstream[node_client.name, result.upstream.resource] = session
-        self.policy.on_playing(pb, now)
+        self.policy.on_playing(playback, now)
         if result.load_report.asked is not None:
-            self.policy.on_metric(pb, PlaybackMetric.LINK_LOAD, result.load_report.asked, now)
+            self.policy.on_metric(playback, PlaybackMetric.LINK_LOAD, result.load_report.asked, now)
             self.on_link_load(node_client.name, result.load_report.asked, 0)
         if result.load_report.uplink is not None:
-            self.policy.on_metric(pb, PlaybackMetric.UPLINK_LOAD, result.load_report.uplink, now)
+            self.policy.on_metric(playback, PlaybackMetric.UPLINK_LOAD, result.load_report.uplink, now)
         if session.copy_of is None:
             session.resource = SessionResource(result.upstream.etag, session.ufrag)
             self.sessions_by_id[session.id] = session
@@ -635,7 +639,7 @@
             self.move_executor.handle(move, MoveEvent.TARGET_PLAYS)
         else:
             self.end_session(session)
-        if not alive:
+        if not still_runs:
             self.playback_ended(session, Outcome.RESET)
 
     def _abort_unanswered(self, session: PlaybackSession) -> None:
@@ -651,7 +655,7 @@
 
     def detach_playback(self, session: PlaybackSession) -> PlaybackSession:
         """Moves a session's playback to a separate session, with which the rest of a move goes on."""
-        rest = PlaybackSession(
+        detached = PlaybackSession(
             secrets.token_urlsafe(15),
             session.path,
             session.plan,
@@ -662,9 +666,13 @@
             session.deadline,
             session.playback,
         )
-        rest.final_answer, rest.upstream, rest.copy_of = session.final_answer, session.upstream, session
-        self.rebind(rest)
-        return rest
+        detached.final_answer, detached.upstream, detached.copy_of = (
+            session.final_answer,
+            session.upstream,
+            session,
+        )
+        self.rebind(detached)
+        return detached
 
     def playback_ended(self, session: PlaybackSession, outcome: Outcome, is_presumed: bool = False) -> None:
         """Handles the end of a playback that played, or whose viewer left while it was set up.
@@ -678,11 +686,11 @@
             return
         self.policy.on_try_ended(session.playback, outcome, True, None, None, None, self.clock.now())
         if self.move_executor.move_of(session) is not None:
-            rest = self.detach_playback(session)
+            detached = self.detach_playback(session)
             if self.move_executor.participant_ended(session, outcome is Outcome.RESET):
-                self._forget_if_over(rest)
+                self._forget_if_over(detached)
                 return
-            session = rest if session.copy_of is not None else session
+            session = detached if session.copy_of is not None else session
         self.idempotency_store.playback_ended(session.key, session, self.clock.now())
         self.close_viewer_session(session, outcome)
         self._forget_if_over(session)
@@ -770,14 +778,14 @@
                 session.plan,
                 self.clock.now() - session.deadline.written_at,
             )
-        took = (self.clock.now() - session.deadline.written_at) // 1_000_000
+        elapsed_ms = (self.clock.now() - session.deadline.written_at) // 1_000_000
         node = session.upstream.node if session.upstream else None
         self.logger.info(
             "answer",
             playback=session.id,
             plan=session.plan.name,
             final=final_answer.value,
-            ms=took,
+            ms=elapsed_ms,
             tries=len(session.playback.tries),
             node=node,
             rung=session.playback.rung,
@@ -816,4 +824,4 @@
 
 def configured_placements(site: SharedSettings) -> dict[str, tuple[int, int]]:
     """First cell and number of copies of each title whose placement is configured."""
-    return {name: (h.home_cell, h.copy_count) for name, h in site.titles.items()}
+    return {name: (placement.home_cell, placement.copy_count) for name, placement in site.titles.items()}
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -66,12 +66,10 @@
     def __init__(self, status: int, kind: str, title: str, detail: str = "") -> None:
         """Creates an error with an HTTP status, the last part of a problem type, a title and a detail."""
         super().__init__(title)
-        self.status, self.problem_type, self.title, self.detail = (
-            status,
-            f"urn:oakcroft:problem:{kind}",
-            title,
-            detail,
-        )
+        self.status = status
+        self.problem_type = f"urn:oakcroft:problem:{kind}"
+        self.title = title
+        self.detail = detail
 
 
 @dataclass
@@ -113,19 +111,19 @@
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """Creates the service of a front end in `zone`; `run_queue` has to run beside it."""
-        self.zone, self.coordinator, self.connection_table, self.shutdown, self.clock, self.log = (
-            zone,
-            coordinator,
-            connection_table,
-            shutdown,
-            clock,
-            log,
-        )
-        self.pending_requests, self.last_request_number = PendingRequests(connection_table.limits), 0
+        self.zone = zone
+        self.coordinator = coordinator
+        self.connection_table = connection_table
+        self.shutdown = shutdown
+        self.clock = clock
+        self.log = log
+        self.pending_requests = PendingRequests(connection_table.limits)
+        self.last_request_number = 0
         self.publishers: dict[str, PlaybackSession] = {}
         self.fair_queue = FairQueue({}, ConcurrencyWindow(), MIN_SETUP_TIME_NS)
         self.apply_configuration()
-        self.shed_count, self.shed_logged = 0, 0  # rejected unread; of those, logged
+        self.shed_count = 0  # requests rejected unread
+        self.shed_logged = 0  # of those, the ones that the log has reported
         self.is_shedding = False
         self.service_levels: ServiceLevelControl | None = None
         self.zone_routing: ZoneRouting | None = None
@@ -134,7 +132,7 @@
 
     def apply_configuration(self) -> None:
         """Applies the revenues and startup targets of the plans in force."""
-        plans = {name: p.plan for name, p in self.coordinator.site.plans.items()}
+        plans = {name: plan_terms.plan for name, plan_terms in self.coordinator.site.plans.items()}
         targets = {name: plan.startup_target_ns for name, plan in plans.items()}
         self.fair_queue.set_plans({name: plan.revenue for name, plan in plans.items()}, targets)
 
@@ -143,42 +141,42 @@
     async def run_queue(self) -> None:
         """Measures how late the event loop runs, and lets queued requests go on as their turn comes."""
         while True:
-            at = trio.current_time()
+            slept_at = trio.current_time()
             await trio.sleep(HEARTBEAT_INTERVAL_NS / 1e9)
-            passed = round((trio.current_time() - at) * 1e9)
-            self.fair_queue.heartbeat(passed - HEARTBEAT_INTERVAL_NS, passed)
+            elapsed_ns = round((trio.current_time() - slept_at) * 1e9)
+            self.fair_queue.heartbeat(elapsed_ns - HEARTBEAT_INTERVAL_NS, elapsed_ns)
             if self.service_levels is not None:
-                self.service_levels.record_loop_lag(max(0, passed - HEARTBEAT_INTERVAL_NS))
+                self.service_levels.record_loop_lag(max(0, elapsed_ns - HEARTBEAT_INTERVAL_NS))
             self._log_shedding()
-            for one in self.fair_queue.remove_expired(self.clock.now()):
-                self.turn_events.pop(one.number).set()
+            for request in self.fair_queue.remove_expired(self.clock.now()):
+                self.turn_events.pop(request.number).set()
             self._start_next_requests()
 
     def _start_next_requests(self) -> None:
         """Gives queued requests their turn while there is room."""
-        while (one := self.fair_queue.next_request()) is not None:
-            self.granted_numbers.add(one.number)
-            self.turn_events.pop(one.number).set()
+        while (request := self.fair_queue.next_request()) is not None:
+            self.granted_numbers.add(request.number)
+            self.turn_events.pop(request.number).set()
 
     def should_shed(self, path: str) -> bool:
         """Whether to reject a request for this path unread, because its plan's queue is too long."""
         if not self.fair_queue.waiting:
             return False
         plans = self.coordinator.site.route_table.plans.get(path[: path.rfind("/") + 1])
-        if not plans or not all(self.fair_queue.should_shed(p) for p in plans):
+        if not plans or not all(self.fair_queue.should_shed(plan) for plan in plans):
             return False
         self.shed_count += 1
         return True
 
     def _log_shedding(self) -> None:
         """Logs once when shedding begins and once when it has ended, with its figures."""
-        since, ended = self.shed_count - self.shed_logged, not self.fair_queue.waiting
-        begins, ends = since > 0 and not self.is_shedding, self.is_shedding and ended
+        newly_shed, ended = self.shed_count - self.shed_logged, not self.fair_queue.waiting
+        begins, ends = newly_shed > 0 and not self.is_shedding, self.is_shedding and ended
         if begins or ends:
             self.shed_logged, self.is_shedding = self.shed_count, begins
             self.log.warning(
                 "shedding" if begins else "shedding over",
-                turned_away=since,
+                turned_away=newly_shed,
                 pace=round(self.fair_queue.throughput),
                 window=round(self.fair_queue.window.size),
                 waiting=len(self.fair_queue.waiting),
@@ -190,23 +188,23 @@
             return False
         if self.fair_queue.submit(queued_request):
             return True
-        event = self.turn_events[queued_request.number] = trio.Event()
-        taken = False
+        turn_event = self.turn_events[queued_request.number] = trio.Event()
+        has_turn = False
         try:
-            await event.wait()
-            taken = (
+            await turn_event.wait()
+            has_turn = (
                 queued_request.number in self.granted_numbers
                 and queued_request.abandon_at - self.clock.now() >= MIN_SETUP_TIME_NS
             )
         finally:
-            if not event.is_set():
+            if not turn_event.is_set():
                 self.turn_events.pop(queued_request.number, None)
                 self.fair_queue.remove(queued_request.number)
             if queued_request.number in self.granted_numbers:
                 self.granted_numbers.discard(queued_request.number)
-                if not taken:  # its turn came too late, or its viewer left at that moment
+                if not has_turn:  # its turn came too late, or its viewer left at that moment
                     self.fair_queue.finish()
-        return taken
+        return has_turn
 
     # Requests.
 
@@ -229,10 +227,10 @@
     def roles_served(self, path: str) -> set[ClientRole]:
         """The client roles that are served at a path. Raises RequestError 404 where none is."""
         title = unquote(path.rpartition("/")[2], errors="replace")
-        sides = self.coordinator.site.route_table.roles_served(path) if words.is_path(path) else set()
-        if not sides or not title or "/" in title or len(title) > MAX_TITLE_LENGTH or not title.isprintable():
+        roles = self.coordinator.site.route_table.roles_served(path) if words.is_path(path) else set()
+        if not roles or not title or "/" in title or len(title) > MAX_TITLE_LENGTH or not title.isprintable():
             raise RequestError(404, "no-route", "Nothing is served at this path")
-        return sides
+        return roles
 
     @staticmethod
     def parse_offer(offer_text: str) -> sdp.Description:
@@ -263,18 +261,18 @@
 
         Raises RequestError 403 where only a claim is missing, 404 where no route matches.
         """
-        sides = self.roles_served(request.path)
-        publishes = any(offer.direction(m) == "sendonly" for m in offer.media)
-        side = next(iter(sides)) if len(sides) == 1 else ClientRole.PUBLISH if publishes else ClientRole.WATCH
+        roles = self.roles_served(request.path)
+        publishes = any(offer.direction(media) == "sendonly" for media in offer.media)
+        role = next(iter(roles)) if len(roles) == 1 else ClientRole.PUBLISH if publishes else ClientRole.WATCH
         path = f"{request.path.rpartition('/')[0]}/{title}"
-        asked = RouteRequest(side, path, self.zone, request.token.claims if request.token else {})
-        route = site.route_table.find(asked)
+        route_request = RouteRequest(role, path, self.zone, request.token.claims if request.token else {})
+        route = site.route_table.find(route_request)
         if route is not None:
             return route
         if any(
-            find_mismatch(r.match, asked) is RouteMismatch.CLAIM
-            for r in site.route_table.routes.values()
-            if r.match.claims
+            find_mismatch(candidate.match, route_request) is RouteMismatch.CLAIM
+            for candidate in site.route_table.routes.values()
+            if candidate.match.claims
         ):
             raise RequestError(403, "claim", "This token does not give access to this title")
         raise RequestError(404, "no-route", "Nothing is served at this path")
@@ -304,18 +302,18 @@
         if not self.has_replay(request.key, request.token) and self.should_shed(request.path):
             return REFUSAL_REPLIES[Refusal.BUSY], True
         self._check_key(request.key)
-        now, who = self.clock.now(), request.token.name if request.token else ""
+        now, client_name = self.clock.now(), request.token.name if request.token else ""
         key = self._client_key(
             request.key if request.key is not None else secrets.token_urlsafe(15), request.token
         )
-        about = hashlib.blake2b(f"{request.path}\0{request.offer}".encode(), digest_size=16).hexdigest()
-        turn, refusal, earlier = self.coordinator.idempotency_store.decide(key, about, now)
-        if turn is KeyDecision.REFUSE and refusal is not None:
+        fingerprint = hashlib.blake2b(f"{request.path}\0{request.offer}".encode(), digest_size=16).hexdigest()
+        decision, refusal, earlier_session = self.coordinator.idempotency_store.decide(key, fingerprint, now)
+        if decision is KeyDecision.REFUSE and refusal is not None:
             return REFUSAL_REPLIES[refusal], True
-        if turn is KeyDecision.REPLAY and isinstance(earlier, PlaybackSession):
+        if decision is KeyDecision.REPLAY and isinstance(earlier_session, PlaybackSession):
             if self.coordinator.durable_state is not None:
-                self.coordinator.durable_state.session_claimed(earlier)
-            return earlier, False
+                self.coordinator.durable_state.session_claimed(earlier_session)
+            return earlier_session, False
         offer = self.parse_offer(request.offer)
         route = self._find_route(site, request, offer, title)
         publishes, plan = route.match.role is ClientRole.PUBLISH, site.plans[route.plan]
@@ -325,83 +323,89 @@
         if publishes:  # a session that has ended no longer holds its title
             some = self.publishers.items()
             self.publishers = {
-                t: o for t, o in some if o.final_answer is None or o.id in self.coordinator.sessions_by_id
+                published_title: publisher
+                for published_title, publisher in some
+                if publisher.final_answer is None or publisher.id in self.coordinator.sessions_by_id
             }
         if publishes and title in self.publishers:
             raise RequestError(409, "published", "This title is being published already")
-        lag = self.service_levels.loop_lag_ns if self.service_levels is not None else 0
-        wait = request_deadline(
+        lag_ns = self.service_levels.loop_lag_ns if self.service_levels is not None else 0
+        deadline = request_deadline(
             request.written_at,
             plan.abandon_ns,
             request.prefer_headers,
-            response_margin(site.answer_margin_ns, lag),
+            response_margin(site.answer_margin_ns, lag_ns),
         )
-        if is_too_late(wait, now, MIN_SETUP_TIME_NS):
+        if is_too_late(deadline, now, MIN_SETUP_TIME_NS):
             return REFUSAL_REPLIES[Refusal.TOO_LATE], True
-        takes = ladder.offered_rate(*sdp.bandwidth(offer))
-        tops = [
-            ladder.best_rung(site.terms.rung_rates, plan.plan.rate_factor, takes),
+        max_rate = ladder.offered_rate(*sdp.bandwidth(offer))
+        rung_limits = [
+            ladder.best_rung(site.terms.rung_rates, plan.plan.rate_factor, max_rate),
             route.top,
             request.top_rung,
         ]
-        asked_top = min(t for t in tops if t is not None)
+        requested_top = min(published_title for published_title in rung_limits if published_title is not None)
         if self.service_levels is not None:
             if not self.service_levels.admit(plan.name):
                 return REFUSAL_REPLIES[Refusal.REDUCED], True
-            asked_top = self.service_levels.limit_top_rung(asked_top, plan.plan.floor)
-        version = self.coordinator.catalogue.number
-        top = self.coordinator.title_top_rung(title, max(asked_top, plan.plan.floor), plan.plan.floor)
+            requested_top = self.service_levels.limit_top_rung(requested_top, plan.plan.floor)
+        catalogue_number = self.coordinator.catalogue.number
+        top = self.coordinator.title_top_rung(title, max(requested_top, plan.plan.floor), plan.plan.floor)
         if top is None:
             self.coordinator.answer_counts[FinalAnswer.REJECTED] += 1
             return REFUSAL_REPLIES[Refusal.NO_TITLE], True
-        v = self.coordinator.new_session(
-            request.path, title, plan, publishes, key, request.offer, sdp.ufrag(offer), top, wait
+        session = self.coordinator.new_session(
+            request.path, title, plan, publishes, key, request.offer, sdp.ufrag(offer), top, deadline
         )
-        if v is None or not self.pending_requests.has_room():
+        if session is None or not self.pending_requests.has_room():
             return REFUSAL_REPLIES[Refusal.BUSY], True
-        v.in_client_session, v.has_client_key = request.in_client_session, request.key is not None
-        v.token_name, v.fingerprint, v.requested_top, v.catalogue_number = (
-            who,
-            about,
-            max(asked_top, plan.plan.floor),
-            version,
+        session.in_client_session, session.has_client_key = request.in_client_session, request.key is not None
+        session.token_name, session.fingerprint, session.requested_top, session.catalogue_number = (
+            client_name,
+            fingerprint,
+            max(requested_top, plan.plan.floor),
+            catalogue_number,
         )
         if (
             self.coordinator.durable_state is not None
-            and (reply := self.coordinator.durable_state.rejection(v)) is not None
+            and (reply := self.coordinator.durable_state.rejection(session)) is not None
         ):
             return reply, True
-        v.pool = site.pools[route.pool] if route.pool else None
-        v.playback.node_filter = self._node_filter(v)
-        ticket = self.coordinator.limit_ledger.acquire(
-            RequestSubject(who, route.name, route.plan, self.zone), now
+        session.pool = site.pools[route.pool] if route.pool else None
+        session.playback.node_filter = self._node_filter(session)
+        reservation = self.coordinator.limit_ledger.acquire(
+            RequestSubject(client_name, route.name, route.plan, self.zone), now
         )
-        if isinstance(ticket, LimitExceeded):
-            return answers.limit_reply(ticket), True
-        v.limit_reservation = ticket
+        if isinstance(reservation, LimitExceeded):
+            return answers.limit_reply(reservation), True
+        session.limit_reservation = reservation
         self.last_request_number += 1
-        return await self._queue_and_answer(v, self.last_request_number, about, request.client or who)
+        return await self._queue_and_answer(
+            session, self.last_request_number, fingerprint, request.client or client_name
+        )
 
     def _node_filter(self, session: PlaybackSession, applies_zones: bool = True) -> NodeFilter | None:
         """Filter for the nodes that a set-up may go to now; None for all nodes.
 
         These are the nodes of its route's pool, in the zones that may take it at present.
         """
-        zones = self.zone_routing.node_filter() if self.zone_routing is not None and applies_zones else None
-        pool, racks = session.pool, self.coordinator.site.terms.rack_count
+        zone_filter = (
+            self.zone_routing.node_filter() if self.zone_routing is not None and applies_zones else None
+        )
+        pool, rack_count = session.pool, self.coordinator.site.terms.rack_count
         if pool is None:
-            return zones
-        return lambda node: pool.admits(node, racks) and (zones is None or zones(node))
+            return zone_filter
+        return lambda node: pool.admits(node, rack_count) and (zone_filter is None or zone_filter(node))
 
     async def _queue_and_answer(
         self, session: PlaybackSession, number: int, fingerprint: str, client: str
     ) -> tuple[PlaybackSession | Reply, bool]:
         """Queues a request in front of the policy and waits for its answer."""
-        paid = session.plan.plan.effect.value == "paid"
+        is_paid = session.plan.plan.effect.value == "paid"
         self.pending_requests.add(number)
         if (
-            not self.coordinator.idempotency_store.begin(session.key, fingerprint, paid, self.clock.now())
-            and paid
+            not self.coordinator.idempotency_store.begin(session.key, fingerprint, is_paid, self.clock.now())
+            and is_paid
         ):
             self.pending_requests.remove(number)  # without a record, a repeat would be set up again
             if session.limit_reservation is not None:
@@ -410,17 +414,17 @@
         if session.publishes:
             self.publishers[session.playback.title.name] = session
         self.coordinator.unanswered_count += 1
-        at_work = asked = False
+        has_turn = is_submitted = False
         try:
-            at_work = await self._wait_for_turn(
+            has_turn = await self._wait_for_turn(
                 QueuedRequest(session.deadline.abandon_at, number, session.plan.name, client)
             )
-            asked = at_work and self.coordinator.try_submit(
+            is_submitted = has_turn and self.coordinator.try_submit(
                 partial(self.coordinator.request_placement, session)
             )
-            if not asked:
+            if not is_submitted:
                 reply = REFUSAL_REPLIES[
-                    Refusal.BUSY if at_work or self.fair_queue.is_full else Refusal.TOO_LATE
+                    Refusal.BUSY if has_turn or self.fair_queue.is_full else Refusal.TOO_LATE
                 ]
                 session.set_answer(FinalAnswer.REJECTED, reply)
                 self.coordinator.idempotency_store.record_answer(
@@ -443,17 +447,16 @@
                 self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
             return session, True
         finally:
-            if at_work:
+            if has_turn:
                 self.fair_queue.finish()
                 self._start_next_requests()
             self.coordinator.unanswered_count -= 1
             self.pending_requests.remove(number)
-            if not asked and session.limit_reservation is not None:
+            if not is_submitted and session.limit_reservation is not None:
                 self.coordinator.limit_ledger.release(session.limit_reservation)
-            if (
-                session.final_answer is None
-            ):  # the viewer left; its key stays in use until the set-up's end is known
-                if asked:
+            # The viewer left; its key stays in use until the end of the set-up is known.
+            if session.final_answer is None:
+                if is_submitted:
                     self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
                 else:
                     session.set_answer(FinalAnswer.REJECTED)
@@ -469,13 +472,13 @@
 
     def find_session(self, session_id: str, token: BearerToken | None) -> PlaybackSession:
         """Session by its id. Raises RequestError 404, or 403 for a session of another client."""
-        v = self.coordinator.sessions_by_id.get(session_id)
-        if v is None or v.resource is None or v.upstream is None:
+        session = self.coordinator.sessions_by_id.get(session_id)
+        if session is None or session.resource is None or session.upstream is None:
             raise RequestError(404, "no-session", "No such session")
-        if token is not None and v.token_name and token.name != v.token_name:
+        if token is not None and session.token_name and token.name != session.token_name:
             raise RequestError(403, "claim", "This session is another client's")
-        self._check_active(v)
-        return v
+        self._check_active(session)
+        return session
 
     def _check_active(self, session: PlaybackSession) -> None:
         """Raises RequestError 404 for a session that has ended, or is being ended."""
@@ -505,38 +508,38 @@
         if content_type == SDPFRAG_MEDIA_TYPE:
             try:
                 fragment = sdp.parse_fragment(body.decode("utf-8"))
-            except (UnicodeDecodeError, sdp.SdpFault) as fault:
-                raise RequestError(400, "sdp", "This is no trickle fragment", str(fault)) from None
-        act = session.resource.patch(content_type, etags, fragment.ufrag, len(fragment.candidates))
-        if isinstance(act, ResourceError):
-            raise self._resource_error(act)
+            except (UnicodeDecodeError, sdp.SdpFault) as error:
+                raise RequestError(400, "sdp", "This is no trickle fragment", str(error)) from None
+        action = session.resource.patch(content_type, etags, fragment.ufrag, len(fragment.candidates))
+        if isinstance(action, ResourceError):
+            raise self._resource_error(action)
         upstream, resource = session.upstream, session.resource  # a move may replace both meanwhile
-        leg = self.coordinator.node_clients.get(upstream.node)
-        if act is ResourceAction.TRICKLE:
-            reply = await leg.patch(upstream, f'"{upstream.etag}"', body) if leg else None
+        node_client = self.coordinator.node_clients.get(upstream.node)
+        if action is ResourceAction.TRICKLE:
+            reply = await node_client.patch(upstream, f'"{upstream.etag}"', body) if node_client else None
             if reply is None or reply.status not in (200, 204):
                 raise RequestError(502, "node", "The playout node did not take the candidates")
             return PatchResult()
-        done = False
+        is_restarted = False
         try:
-            reply = await leg.patch(upstream, "*", body) if leg else None
-            tag = (reply.header("etag") or "").strip('"') if reply is not None else ""
-            if reply is None or reply.status != 200 or not tag:
+            reply = await node_client.patch(upstream, "*", body) if node_client else None
+            etag = (reply.header("etag") or "").strip('"') if reply is not None else ""
+            if reply is None or reply.status != 200 or not etag:
                 raise RequestError(502, "node", "The playout node did not restart ICE")
-            upstream.etag = tag
-            resource.restart_succeeded(tag, fragment.ufrag)
-            done = True
-            return PatchResult(tag, reply.body)
+            upstream.etag = etag
+            resource.restart_succeeded(etag, fragment.ufrag)
+            is_restarted = True
+            return PatchResult(etag, reply.body)
         finally:
-            if not done:
+            if not is_restarted:
                 resource.restart_failed()
 
     async def end_session(self, session: PlaybackSession) -> None:
         """Ends a session for its viewer. Raises RequestError 404 for one that has ended."""
         assert session.resource is not None
-        act = session.resource.delete()
-        if isinstance(act, ResourceError):
-            raise self._resource_error(act)
+        action = session.resource.delete()
+        if isinstance(action, ResourceError):
+            raise self._resource_error(action)
         if session.publishes:
             self.publishers.pop(session.playback.title.name, None)
         await self.coordinator.submit(partial(self.coordinator.end_session, session))
@@ -607,11 +610,11 @@
         move = self.coordinator.move_executor.moves.get(session.id)
         if move is None or not move.handover.awaits_offer():
             raise RequestError(409, "no-move", "This session is not being moved")
-        wait = request_deadline(
+        deadline = request_deadline(
             self.clock.now(), session.plan.abandon_ns, prefer_headers, self.coordinator.site.answer_margin_ns
         )
         title = session.playback.title.name
-        other = self.coordinator.new_session(
+        counterpart = self.coordinator.new_session(
             session.path,
             title,
             session.plan,
@@ -620,16 +623,16 @@
             offer_text,
             sdp.ufrag(offer),
             session.playback.top_rung,
-            wait,
+            deadline,
         )
-        if other is None:
+        if counterpart is None:
             return REFUSAL_REPLIES[Refusal.BUSY]
-        await self.coordinator.submit(partial(self._start_move, move, other))
-        with trio.CancelScope(deadline=self.clock.trio_time(wait.abandon_at)):
-            await other.answered.wait()
-        upstream = other.upstream if move.handover.state is MoveState.BESIDE else session.upstream
-        if other.final_answer is not FinalAnswer.PLAYS or upstream is None:
-            return other.reply or STAY_REPLY
+        await self.coordinator.submit(partial(self._start_move, move, counterpart))
+        with trio.CancelScope(deadline=self.clock.trio_time(deadline.abandon_at)):
+            await counterpart.answered.wait()
+        upstream = counterpart.upstream if move.handover.state is MoveState.BESIDE else session.upstream
+        if counterpart.final_answer is not FinalAnswer.PLAYS or upstream is None:
+            return counterpart.reply or STAY_REPLY
         return upstream.sdp_answer, upstream.etag
 
     def _start_move(self, move: Move, counterpart: PlaybackSession) -> None:
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -84,11 +84,11 @@
     def _raw_request_has_replay(self, raw_request: bytes) -> bool:
         """Whether a complete unparsed request has a key that already has its answer; False in any doubt."""
         head = raw_request[: raw_request.find(b"\r\n\r\n") + 2]
-        key, bearer_ = KEY_HEADER_PATTERN.search(head), BEARER_HEADER_PATTERN.search(head)
+        key, bearer = KEY_HEADER_PATTERN.search(head), BEARER_HEADER_PATTERN.search(head)
         if key is None:
             return False
         try:
-            token = self.service.authenticate(bearer_[1].decode("latin-1") if bearer_ else None)
+            token = self.service.authenticate(bearer[1].decode("latin-1") if bearer else None)
         except RequestError:
             return False
         return self.service.has_replay(words.idempotency_key(key[1].decode("latin-1")), token)
@@ -97,16 +97,16 @@
         """Response to one request; errors become problem documents."""
         try:
             response = await self._route_request(request)
-        except RequestError as fault:
+        except RequestError as error:
             headers = [
                 ("Content-Type", words.PROBLEM),
-                *(fault.headers if isinstance(fault, HttpRequestError) else []),
+                *(error.headers if isinstance(error, HttpRequestError) else []),
             ]
-            if fault.status == 401:
-                challenge = 'Bearer realm="oakcroft"' + (f', error="{fault.detail}"' if fault.detail else "")
+            if error.status == 401:
+                challenge = 'Bearer realm="oakcroft"' + (f', error="{error.detail}"' if error.detail else "")
                 headers.append(("WWW-Authenticate", challenge))
-            body = words.problem(fault.status, fault.problem_type, fault.title, fault.detail)
-            response = Response(fault.status, headers, body)
+            body = words.problem(error.status, error.problem_type, error.title, error.detail)
+            response = Response(error.status, headers, body)
         response.headers += [
             ("Access-Control-Allow-Origin", "*"),
             ("Access-Control-Expose-Headers", EXPOSED_HEADERS),
@@ -157,8 +157,8 @@
             raise RequestError(406, "accept", f"The answer comes as {sdp.MEDIA_TYPE}")
         try:
             return request.body.decode("utf-8")
-        except UnicodeDecodeError as fault:
-            raise RequestError(400, "sdp", "The offer is no session description", str(fault)) from None
+        except UnicodeDecodeError as error:
+            raise RequestError(400, "sdp", "The offer is no session description", str(error)) from None
 
     @staticmethod
     def _read_key(request: Request) -> str | None:
@@ -179,21 +179,21 @@
     async def _create_session(self, request: Request) -> Response:
         """Handles the POST of an offer."""
         token = self.service.authenticate(bearer_token(request))
-        written = self.coordinator.pause_detector.earliest_written_at(request.read_at, request.idle_before)
-        ask = PlaybackRequest(
+        written_at = self.coordinator.pause_detector.earliest_written_at(request.read_at, request.idle_before)
+        playback_request = PlaybackRequest(
             request.path,
             self._read_offer(request),
             self._read_key(request),
-            written,
+            written_at,
             token,
             request.source,
             request.all("prefer"),
         )
-        answer, first = await self.service.request_playback(ask)
+        answer, is_first = await self.service.request_playback(playback_request)
         return (
             self._problem_response(answer)
             if isinstance(answer, Reply)
-            else self._answer_response(answer, first)
+            else self._answer_response(answer, is_first)
         )
 
     @staticmethod
@@ -216,87 +216,89 @@
             or session.resource is None
         ):
             return self._problem_response(session.reply or answers.rejected_reply(0))
-        here = f"/session/{session.id}"
+        location = f"/session/{session.id}"
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE),
-            ("Location", here),
+            ("Location", location),
             ("ETag", f'"{session.resource.etag}"'),
         ]
         headers += [
             ("Link", words.link(server, words.REL_ICE)) for server in self.coordinator.site.ice_servers
         ]
         if not session.publishes:
-            events = words.link(f"{here}/events", words.REL_EVENTS, events=",".join(EVENT_KINDS))
-            headers += [("Link", events), ("Link", words.link(f"{here}/layer", words.REL_LAYER))]
+            events = words.link(f"{location}/events", words.REL_EVENTS, events=",".join(EVENT_KINDS))
+            headers += [("Link", events), ("Link", words.link(f"{location}/layer", words.REL_LAYER))]
         headers.append(("Accept-Patch", SDPFRAG_MEDIA_TYPE))
-        lost = (
+        on_unsent = (
             partial(self.coordinator.answer_undelivered, session)
             if is_first or session.answer_undelivered
             else None
         )
         session.answer_undelivered = False
-        return Response(201, headers, session.upstream.sdp_answer.encode(), unsent=lost)
+        return Response(201, headers, session.upstream.sdp_answer.encode(), unsent=on_unsent)
 
     async def _handle_session(self, request: Request) -> Response:
         """Handles a request on a session resource or one of its sub-resources."""
         _, _, rest = request.path.partition("/session/")
-        name, _, part = rest.partition("/")
-        if part not in SESSION_METHODS:
+        session_id, _, subresource = rest.partition("/")
+        if subresource not in SESSION_METHODS:
             raise RequestError(404, "no-route", "Nothing is served at this path")
-        methods = SESSION_METHODS[part]
+        methods = SESSION_METHODS[subresource]
         if request.method == "OPTIONS":
-            return self._options_response(methods, [("Accept-Patch", SDPFRAG_MEDIA_TYPE)] if not part else [])
+            return self._options_response(
+                methods, [("Accept-Patch", SDPFRAG_MEDIA_TYPE)] if not subresource else []
+            )
         if request.method not in methods:
             raise self._method_not_allowed(methods)
-        v = self.service.find_session(name, self.service.authenticate(bearer_token(request)))
-        match part:
+        session = self.service.find_session(session_id, self.service.authenticate(bearer_token(request)))
+        match subresource:
             case "layer":
-                return await self._select_layer(request, v)
+                return await self._select_layer(request, session)
             case "events":
-                return self._handle_events(request, v)
+                return self._handle_events(request, session)
             case "move":
-                return await self._accept_move_offer(request, v)
+                return await self._accept_move_offer(request, session)
             case "move/done":
-                await self.service.confirm_move(v)
+                await self.service.confirm_move(session)
                 return Response(204)
         if request.method == "DELETE":
-            await self.service.end_session(v)
+            await self.service.end_session(session)
             return Response(200)
-        raw = request.header("if-match")
-        tags = words.entity_tags(raw) if raw is not None else None
-        kind = words.media_type(request.header("content-type") or "")
-        patched = await self.service.patch(v, kind, tags, request.body)
-        if not patched.etag:
+        if_match = request.header("if-match")
+        etags = words.entity_tags(if_match) if if_match is not None else None
+        content_type = words.media_type(request.header("content-type") or "")
+        result = await self.service.patch(session, content_type, etags, request.body)
+        if not result.etag:
             return Response(204)
         return Response(
-            200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{patched.etag}"')], patched.fragment
+            200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{result.etag}"')], result.fragment
         )
 
     async def _select_layer(self, request: Request, session: PlaybackSession) -> Response:
         """Handles the choice of the highest rung."""
         try:
             body = orjson.loads(request.body)
-            wish = body.get("encodingId") if isinstance(body, dict) else None
+            requested = body.get("encodingId") if isinstance(body, dict) else None
         except orjson.JSONDecodeError:
-            wish = None
-        if not isinstance(wish, str):
+            requested = None
+        if not isinstance(requested, str):
             raise RequestError(400, "layer", 'A layer is named as {"encodingId": "2"}')
-        await self.service.select_layer(session, wish)
+        await self.service.select_layer(session, requested)
         return Response(200)
 
     async def _accept_move_offer(self, request: Request, session: PlaybackSession) -> Response:
         """Handles the offer of a player that is being moved."""
         key = self._read_key(request) or secrets.token_urlsafe(15)
-        moved = await self.service.accept_move_offer(
+        result = await self.service.accept_move_offer(
             session, self._read_offer(request), key, request.all("prefer")
         )
-        if isinstance(moved, Reply):
-            return self._problem_response(moved)
-        answer, tag = moved
+        if isinstance(result, Reply):
+            return self._problem_response(result)
+        answer, etag = result
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE),
             ("Location", f"/session/{session.id}"),
-            ("ETag", f'"{tag}"'),
+            ("ETag", f'"{etag}"'),
         ]
         return Response(201, headers, answer.encode())
 
@@ -305,21 +307,21 @@
 
         POST names the kinds of events and returns the location of the stream; GET opens the stream.
         """
-        here = f"/session/{session.id}/events"
+        location = f"/session/{session.id}/events"
         if request.method == "POST":
             try:
                 kinds = orjson.loads(request.body)
             except orjson.JSONDecodeError:
                 kinds = None
-            if not isinstance(kinds, list) or not all(isinstance(k, str) for k in kinds):
+            if not isinstance(kinds, list) or not all(isinstance(kind, str) for kind in kinds):
                 raise RequestError(400, "events", 'Events are named as ["active", "inactive"]')
-            wanted = [k for k in EVENT_KINDS if k in kinds]
-            return Response(201, [("Location", f"{here}?kinds={'.'.join(wanted)}")])
+            wanted = [kind for kind in EVENT_KINDS if kind in kinds]
+            return Response(201, [("Location", f"{location}?kinds={'.'.join(wanted)}")])
         if not words.accepts(request.header("accept"), words.EVENTS):
             raise RequestError(406, "accept", f"Events come as {words.EVENTS}")
-        named = request.query("kinds")
+        requested_kinds = request.query("kinds")
         reader = self.service.open_reader(
-            session, frozenset(EVENT_KINDS if named is None else named.split("."))
+            session, frozenset(EVENT_KINDS if requested_kinds is None else requested_kinds.split("."))
         )
         headers = [("Content-Type", words.EVENTS), ("Cache-Control", "no-store")]
         return Response(200, headers, stream=self._event_stream(session, reader))
