--- a/oakcroft/front/node_events.py
+++ b/oakcroft/front/node_events.py
@@ -9,7 +9,7 @@
 from oakcroft.decisions.sessions.event_stream_health import LossCertainty
 from oakcroft.front.node_client import NodeClient, NodeEvent, is_valid_value
 from oakcroft.front.protocols import MoveParticipants, Coordinator
-from oakcroft.interface import PlaybackMetric, Outcome
+from oakcroft.interface import Node, Outcome, PlaybackMetric
 
 
 class NodeEventHandler:
@@ -55,31 +55,7 @@
         now = self.coordinator.clock.now()
         node = self.coordinator.node_list.nodes.get(node_client.name)
         if event_name == "hello":
-            if self.coordinator.durable_state is not None:
-                self.coordinator.durable_state.node_state_received(node_client, event, requested_at)
-            missing = node_client.node_sessions.reconcile(event.sessions, requested_at, now)
-            taken_over = set(event.passed).intersection(missing)
-            if taken_over:  # nothing is lost, and it does not count against the node
-                self.log.warning("passed on", node=node_client.name, playbacks=len(taken_over))
-                self.coordinator.on_sessions_taken_over(len(taken_over))
-            if len(missing) > len(taken_over):
-                self.log.warning(
-                    "node lost",
-                    node=node_client.name,
-                    why=event.why or "sessions ended unheard",
-                    playbacks=len(missing) - len(taken_over),
-                )
-            for resource in missing:
-                session = self.coordinator.sessions_by_upstream.get((node_client.name, resource))
-                is_ended_while_away = (
-                    session is not None
-                    and self.coordinator.durable_state is not None
-                    and self.coordinator.durable_state.ended_while_away(session)
-                )
-                is_expected = is_ended_while_away or resource in taken_over
-                self._session_ended(node_client, resource, Outcome.DONE if is_expected else Outcome.RESET)
-            for resource, rung in zip(event.sessions, event.rungs, strict=False):
-                self._apply_rung(node_client, resource, rung, now)
+            self._handle_hello(node_client, event, requested_at, now)
         elif event_name == "started":
             node_client.node_sessions.session_started(event.session, now)
         elif event_name == "ended":
@@ -88,28 +64,61 @@
         elif event_name == "rung":
             self._apply_rung(node_client, event.session, event.rung, now)
         elif node is not None and node.playbacks:
-            playback = next(iter(node.playbacks))
             if event_name == "share" and is_valid_value(event.share):
-                other_shares = [
-                    other_node.delivered_share
-                    for other_node in self.coordinator.node_list.nodes.values()
-                    if other_node is not node and other_node.playbacks
-                ]
-                fleet_share = sum(other_shares) / len(other_shares) if other_shares else 0.0
-                self.move_executor.on_delivered_share(
-                    node_client.name, min(1.0, event.share), fleet_share, now
-                )
-                self.coordinator.policy.on_metric(
-                    playback, PlaybackMetric.DELIVERED_SHARE, min(1.0, event.share), now
-                )
+                self._handle_share(node, min(1.0, event.share), now)
             elif event_name == "link":
-                if event.asked is not None and is_valid_value(event.asked):
-                    self.coordinator.policy.on_metric(playback, PlaybackMetric.LINK_LOAD, event.asked, now)
-                    self.coordinator.on_link_load(
-                        node_client.name, event.asked, self.coordinator.site.terms.report_delay_ns
-                    )
-                if event.uplink is not None and is_valid_value(event.uplink):
-                    self.coordinator.policy.on_metric(playback, PlaybackMetric.UPLINK_LOAD, event.uplink, now)
+                self._handle_link(node, event, now)
+
+    def _handle_hello(self, node_client: NodeClient, event: NodeEvent, requested_at: int, now: int) -> None:
+        """Reconciles the sessions here with those that the node names at the start of its stream."""
+        if self.coordinator.durable_state is not None:
+            self.coordinator.durable_state.node_state_received(node_client, event, requested_at)
+        missing = node_client.node_sessions.reconcile(event.sessions, requested_at, now)
+        taken_over = set(event.passed).intersection(missing)
+        if taken_over:  # nothing is lost, and it does not count against the node
+            self.log.warning("passed on", node=node_client.name, playbacks=len(taken_over))
+            self.coordinator.on_sessions_taken_over(len(taken_over))
+        if len(missing) > len(taken_over):
+            self.log.warning(
+                "node lost",
+                node=node_client.name,
+                why=event.why or "sessions ended unheard",
+                playbacks=len(missing) - len(taken_over),
+            )
+        for resource in missing:
+            session = self.coordinator.sessions_by_upstream.get((node_client.name, resource))
+            is_ended_while_away = (
+                session is not None
+                and self.coordinator.durable_state is not None
+                and self.coordinator.durable_state.ended_while_away(session)
+            )
+            is_expected = is_ended_while_away or resource in taken_over
+            self._session_ended(node_client, resource, Outcome.DONE if is_expected else Outcome.RESET)
+        for resource, rung in zip(event.sessions, event.rungs, strict=False):
+            self._apply_rung(node_client, resource, rung, now)
+
+    def _handle_share(self, node: Node, share: float, now: int) -> None:
+        """Passes a node's reported share of delivery on to the moves and the policy."""
+        playback = next(iter(node.playbacks))
+        other_shares = [
+            other_node.delivered_share
+            for other_node in self.coordinator.node_list.nodes.values()
+            if other_node is not node and other_node.playbacks
+        ]
+        fleet_share = sum(other_shares) / len(other_shares) if other_shares else 0.0
+        self.move_executor.on_delivered_share(node.name, share, fleet_share, now)
+        self.coordinator.policy.on_metric(playback, PlaybackMetric.DELIVERED_SHARE, share, now)
+
+    def _handle_link(self, node: Node, event: NodeEvent, now: int) -> None:
+        """Passes a node's reported loads of its link and of its rack's uplink on to the policy."""
+        playback = next(iter(node.playbacks))
+        policy = self.coordinator.policy
+        if event.asked is not None and is_valid_value(event.asked):
+            policy.on_metric(playback, PlaybackMetric.LINK_LOAD, event.asked, now)
+            report_delay_ns = self.coordinator.site.terms.report_delay_ns
+            self.coordinator.on_link_load(node.name, event.asked, report_delay_ns)
+        if event.uplink is not None and is_valid_value(event.uplink):
+            policy.on_metric(playback, PlaybackMetric.UPLINK_LOAD, event.uplink, now)
 
     def _apply_rung(self, node_client: NodeClient, resource: str, rung: int, now: int) -> None:
         """Applies the rung that a node reports for a session."""
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -326,10 +326,9 @@
         if not self.shutdown.accepts_requests():
             return REFUSAL_REPLIES[Refusal.DRAINING], True
         if publishes:  # a session that has ended no longer holds its title
-            some = self.publishers.items()
             self.publishers = {
                 published_title: publisher
-                for published_title, publisher in some
+                for published_title, publisher in self.publishers.items()
                 if publisher.final_answer is None or publisher.id in self.coordinator.sessions_by_id
             }
         if publishes and title in self.publishers:
@@ -349,7 +348,7 @@
             route.top,
             request.top_rung,
         ]
-        requested_top = min(published_title for published_title in rung_limits if published_title is not None)
+        requested_top = min(rung for rung in rung_limits if rung is not None)
         if self.service_levels is not None:
             if not self.service_levels.admit(plan.name):
                 return REFUSAL_REPLIES[Refusal.REDUCED], True
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -76,9 +76,8 @@
     site_text: str
     front_end: FrontEnd | None = None
     exited: trio.Event = field(default_factory=trio.Event)
-    serving: trio.Event = field(
-        default_factory=trio.Event
-    )  # set when `port` is that of the running front end
+    # Set when `port` is that of the running front end.
+    serving: trio.Event = field(default_factory=trio.Event)
 
     def node(self, name: str) -> PlayoutNode:
         """Node by name."""
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -588,9 +588,8 @@
             headers = [("Content-Type", sdp.MEDIA_TYPE)]
             body = offer(900, 1).encode()
             assert (await peer.ask("POST", "/whep/open/t", headers, body)).status == 201
-            fair_queue.window.size = fair_queue.window.max_size = (
-                0  # nothing is started: four requests of a plan wait, and no more
-            )
+            # Nothing is started: four requests of a plan wait, and no more.
+            fair_queue.window.size = fair_queue.window.max_size = 0
             async with trio.open_nursery() as nursery:
                 for _ in range(4):
                     nursery.start_soon(rig.request_playback)
@@ -600,9 +599,9 @@
                 assert (rejection.status, rejection.header("retry-after")) == (503, "1")
                 assert words.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
                 assert rig.front_end.service.shed_count == 1
-                assert (
-                    await peer.ask("OPTIONS", "/whep/open/t", [], b"")
-                ).status == 204  # the same connection
+                # The same connection.
+                options = await peer.ask("OPTIONS", "/whep/open/t", [], b"")
+                assert options.status == 204
                 fair_queue.window.size = fair_queue.window.max_size = 512
             assert (await peer.ask("POST", "/whep/open/t", headers, body)).status == 201
             await wait_until(lambda: any(e["event"] == "shedding over" for e in rig.log_entries()))
@@ -611,9 +610,7 @@
 
 
 def test_events_that_wait_are_handled_together_not_one_a_round(tmp_path: Path) -> None:
-    """Guards against handling one queued event per round of the event loop, which would fall behind under
-    load.
-    """
+    """Guards against handling one queued event per round of the event loop."""
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
