--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -170,16 +170,7 @@
             )
             nursery.start_soon(follower.run)
             leave = await self._join_fleet(peers, service, operators_api, catalogues, nursery)
-            # Guards against set-ups to nodes that began to drain, or went away, while this front end was down: until the
-            # list service answers it only has the cached list. The cost: no service for that long while it is down.
-            with trio.move_on_after(site.list_timeout_ns / 1e9):
-                await follower.list_confirmed.wait()
-            if not follower.list_confirmed.is_set():
-                self.log.warning(
-                    "opened on the kept list",
-                    nodes=len(coordinator.node_list.listed_nodes),
-                    waited_ms=site.list_timeout_ns // MS,
-                )
+            await self._wait_for_node_list(follower, coordinator)
             listeners = await trio.open_tcp_listeners(
                 front_settings.port, host=front_settings.host, backlog=4096
             )
@@ -206,6 +197,22 @@
             self.log.info("gone", unanswered=coordinator.unanswered_count, playing=coordinator.playing_count)
             nursery.cancel_scope.cancel()
 
+    async def _wait_for_node_list(self, follower: NodeListFollower, coordinator: SessionCoordinator) -> None:
+        """Waits until the list service has answered, or its time is up.
+
+        Guards against set-ups to nodes that began to drain, or went away, while this front end was down: until the
+        list service answers it only has the cached list. The cost: no service for that long while it is down.
+        """
+        timeout_ns = self.configuration.shared.list_timeout_ns
+        with trio.move_on_after(timeout_ns / 1e9):
+            await follower.list_confirmed.wait()
+        if not follower.list_confirmed.is_set():
+            self.log.warning(
+                "opened on the kept list",
+                nodes=len(coordinator.node_list.listed_nodes),
+                waited_ms=timeout_ns // MS,
+            )
+
     def _create_peers(self, coordinator: SessionCoordinator, clock: Clock) -> PeerEndpoint | None:
         """Creates this front end's endpoint for membership, where the configuration has peers.
 
--- a/oakcroft/front/node_list_client.py
+++ b/oakcroft/front/node_list_client.py
@@ -164,7 +164,7 @@
 def _ms_to_ns(ms: float) -> int:
     """Nanoseconds of a time in milliseconds. Raises NodeListError for a time out of range."""
     if not abs(ms) < 1e15:  # some 30,000 years
-        raise NodeListError(f"a time of {ms:g} ms cannot be")
+        raise NodeListError(f"a time of {ms:g} ms is out of range")
     return round(ms * MS)
 
 
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -325,12 +325,8 @@
         self._check_offer(offer, publishes)
         if not self.shutdown.accepts_requests():
             return REFUSAL_REPLIES[Refusal.DRAINING], True
-        if publishes:  # a session that has ended no longer holds its title
-            self.publishers = {
-                published_title: publisher
-                for published_title, publisher in self.publishers.items()
-                if publisher.final_answer is None or publisher.id in self.coordinator.sessions_by_id
-            }
+        if publishes:
+            self._forget_ended_publishers()
         if publishes and title in self.publishers:
             raise RequestError(409, "published", "This title is being published already")
         lag_ns = self.service_levels.loop_lag_ns if self.service_levels is not None else 0
@@ -342,13 +338,7 @@
         )
         if is_too_late(deadline, now, MIN_SETUP_TIME_NS):
             return REFUSAL_REPLIES[Refusal.TOO_LATE], True
-        max_rate = ladder.offered_rate(*sdp.bandwidth(offer))
-        rung_limits = [
-            ladder.best_rung(site.terms.rung_rates, plan.plan.rate_factor, max_rate),
-            route.top,
-            request.top_rung,
-        ]
-        requested_top = min(rung for rung in rung_limits if rung is not None)
+        requested_top = self._highest_requested_rung(site, request, offer, route)
         if self.service_levels is not None:
             if not self.service_levels.admit(plan.name):
                 return REFUSAL_REPLIES[Refusal.REDUCED], True
@@ -387,6 +377,27 @@
             session, self.last_request_number, fingerprint, request.client or client_name
         )
 
+    def _forget_ended_publishers(self) -> None:
+        """Drops publishing sessions that have ended, which no longer hold their titles."""
+        self.publishers = {
+            title: publisher
+            for title, publisher in self.publishers.items()
+            if publisher.final_answer is None or publisher.id in self.coordinator.sessions_by_id
+        }
+
+    @staticmethod
+    def _highest_requested_rung(
+        site: SharedSettings, request: PlaybackRequest, offer: sdp.Description, route: Route
+    ) -> int:
+        """Highest rung that the offer's bandwidth, the route and the request allow."""
+        max_rate = ladder.offered_rate(*sdp.bandwidth(offer))
+        rung_limits = [
+            ladder.best_rung(site.terms.rung_rates, site.plans[route.plan].plan.rate_factor, max_rate),
+            route.top,
+            request.top_rung,
+        ]
+        return min(rung for rung in rung_limits if rung is not None)
+
     def _node_filter(self, session: PlaybackSession, applies_zones: bool = True) -> NodeFilter | None:
         """Filter for the nodes that a set-up may go to now; None for all nodes.
 
