--- a/oakcroft/front/protocols.py
+++ b/oakcroft/front/protocols.py
@@ -204,5 +204,5 @@
     def detach_playback(self, session: PlaybackSession) -> PlaybackSession:
         """Moves a session's playback to a separate session."""
 
-    def follow_events(self, node_client: NodeClient, events: str) -> None:
+    def follow_events(self, node_client: NodeClient, events_path: str) -> None:
         """Keeps the event stream of a node open from now on."""
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -651,9 +651,9 @@
         if self.durable_state is not None:
             self.durable_state.answer_given(session, FinalAnswer.ABORTED)
 
-    def follow_events(self, node_client: NodeClient, events: str) -> None:
-        """Keeps the event stream of a node open from now on; `events` is the path of the stream."""
-        self.node_events.follow(node_client, events)
+    def follow_events(self, node_client: NodeClient, events_path: str) -> None:
+        """Keeps the event stream of a node open from now on; `events_path` is the path of the stream."""
+        self.node_events.follow(node_client, events_path)
 
     def detach_playback(self, session: PlaybackSession) -> PlaybackSession:
         """Moves a session's playback to a separate session, with which the rest of a move goes on."""
