--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -560,7 +560,8 @@
                 if node_client is None:
                     return
                 if not await node_client.set_rung(session.upstream, rung):
-                    node_client.reopen_stream()  # the node's first event on a new stream says which rung is in force
+                    # The node's first event on a new stream says which rung is in force.
+                    node_client.reopen_stream()
                     continue  # with the rung requested since, if any
                 self.publish_event(session, "layers", {"encodingId": str(rung)})
         finally:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -134,9 +134,8 @@
             again = await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')
             assert again.status == 504
             assert len(rig.recorded("setup")) == 1
-            await wait_until(
-                lambda: not rig.nodes_in_use(), 8
-            )  # the set-up that ran is found as an orphan and ended
+            # The set-up that ran is found as an orphan and ended.
+            await wait_until(lambda: not rig.nodes_in_use(), 8)
 
     run_async_test(test)
 
