--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -251,7 +251,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     refused = reject_rung_changes(monkeypatch, 409)
-    monkeypatch.setattr(rendition_bound, "RENDITION_BOUND", RetryPolicy(20 * MS, 40 * MS, 2.0, 200 * MS))
+    monkeypatch.setattr(rendition_bound, "RENDITION_BOUND_RETRY", RetryPolicy(20 * MS, 40 * MS, 2.0, 200 * MS))
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
