--- a/oakcroft/catalogue/text.py
+++ b/oakcroft/catalogue/text.py
@@ -75,25 +75,35 @@
 
 def parse_forms(text: str) -> list[Form]:
     """Parses a text into forms. Raises CatalogueError at the first syntax error."""
-    out, stack, line, at, size = list[Form](), list[Form](), 1, 0, len(text)
+    forms = list[Form]()
+    stack = list[Form]()
+    line = 1
+    position = 0
+    size = len(text)
     match = TOKEN_PATTERN.match
-    while at < size:
-        found = match(text, at)
-        if found is None:
+    while position < size:
+        token = match(text, position)
+        if token is None:
             raise CatalogueError(
-                [Fault(line, f"{text[at : at + 12]!r} cannot be read", 'a string ends with " on its line')]
+                [
+                    Fault(
+                        line,
+                        f"{text[position : position + 12]!r} cannot be read",
+                        'a string ends with " on its line',
+                    )
+                ]
             )
-        at = found.end()
-        kind = found.lastgroup
+        position = token.end()
+        kind = token.lastgroup
         if kind == "word" or kind == "text":
             if not stack:
                 raise CatalogueError(
-                    [Fault(line, f"{found[0]} stands outside every form", "write (catalogue …)")]
+                    [Fault(line, f"{token[0]} stands outside every form", "write (catalogue …)")]
                 )
-            stack[-1].items.append(found[kind] if kind == "word" else re.sub(r"\\(.)", r"\1", found[kind]))
+            stack[-1].items.append(token[kind] if kind == "word" else re.sub(r"\\(.)", r"\1", token[kind]))
         elif kind == "open":
             form = Form(line)
-            (stack[-1].items if stack else out).append(form)
+            (stack[-1].items if stack else forms).append(form)
             stack.append(form)
             if len(stack) > 6:
                 raise CatalogueError([Fault(line, "forms stand more than six deep")])
@@ -102,10 +112,10 @@
                 raise CatalogueError([Fault(line, "a bracket closes what was never opened", "take it out")])
             stack.pop()
         else:
-            line += found[0].count("\n")
+            line += token[0].count("\n")
     if stack:
         raise CatalogueError([Fault(stack[-1].line, f"({stack[-1].name} …) is never closed", "add )")])
-    return out
+    return forms
 
 
 class TitleReader:
@@ -113,9 +123,7 @@
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
-        self.rate_cache: dict[
-            str, float
-        ] = {}  # parsed rates by their text; a catalogue has few different ones
+        self.rate_cache: dict[str, float] = {}  # by their text; a catalogue has few different rates
 
     def add_fault(self, line: int, message: str, fix: str = "") -> None:
         """Records an error, up to a bound."""
@@ -135,7 +143,7 @@
                 "take out / and what is unprintable",
             )
             return None
-        seen: dict[str, list[str]] = {}
+        field_values: dict[str, list[str]] = {}
         for part in form.items[2:]:
             if isinstance(part, str) or not part.name:
                 self.add_fault(
@@ -151,22 +159,20 @@
                     f"write {guess[0] if guess else ' or '.join(TITLE_FIELDS)}",
                 )
                 continue
-            if part.name in seen:
+            if part.name in field_values:
                 self.add_fault(part.line, f"title {name} has {part.name} twice", "join them")
-            values = [v for v in part.items[1:] if isinstance(v, str)]
+            values = [value for value in part.items[1:] if isinstance(value, str)]
             if len(values) != len(part.items) - 1 or not values:
                 self.add_fault(part.line, f"({part.name} …) of title {name} holds plain values, one at least")
-            seen[part.name] = values
-        return self.build_title(form, name, seen)
+            field_values[part.name] = values
+        return self.build_title(form, name, field_values)
 
     def build_title(
         self, form: Form, title_name: str, field_values: Mapping[str, list[str]]
     ) -> tuple[str, CatalogueTitle]:
         """Builds a title from the values of its fields and records what is wrong with them."""
-        holders, rates = (
-            field_values.get("holders", []),
-            [self._parse_rate(form, title_name, r) for r in field_values.get("renditions", [])],
-        )
+        holders = field_values.get("holders", [])
+        rates = [self._parse_rate(form, title_name, text) for text in field_values.get("renditions", [])]
         home = self._parse_integer(form, title_name, "home", field_values.get("home", ["-1"]))
         copies = self._parse_integer(form, title_name, "copies", field_values.get("copies", ["0"]))
         if holders and ("home" in field_values or "copies" in field_values):
@@ -177,7 +183,7 @@
             )
         if len(set(holders)) != len(holders):
             self.add_fault(form.line, f"title {title_name} names a holder twice", "take one out")
-        if any(a >= b for a, b in pairwise(rates)):
+        if any(lower >= higher for lower, higher in pairwise(rates)):
             self.add_fault(
                 form.line,
                 f"the renditions of title {title_name} do not rise",
@@ -196,17 +202,17 @@
     def _parse_rate(self, form: Form, title_name: str, text: str) -> float:
         if text in self.rate_cache:
             return self.rate_cache[text]
-        found = NUMBER_WITH_UNIT.match(text)
-        unit = (found[2] or "") if found else ""
-        if found is None or unit not in RATE_UNITS or float(found[1]) <= 0:
+        match = NUMBER_WITH_UNIT.match(text)
+        unit = (match[2] or "") if match else ""
+        if match is None or unit not in RATE_UNITS or float(match[1]) <= 0:
             fix = (
-                f"write {found[1]}kB/s, if so meant"
-                if found and not unit
+                f"write {match[1]}kB/s, if so meant"
+                if match and not unit
                 else f"write a rate, as 400kB/s; units: {', '.join(RATE_UNITS)}"
             )
             self.add_fault(form.line, f"{text} is no rate for a rendition of title {title_name}", fix)
             return 0.0
-        self.rate_cache[text] = rate = float(found[1]) * RATE_UNITS[unit]
+        self.rate_cache[text] = rate = float(match[1]) * RATE_UNITS[unit]
         return rate
 
 
@@ -220,25 +226,26 @@
         return None
     if lines[1] not in ("  (others yes)", "  (others no)"):
         return None
-    reader, titles = TitleReader(), dict[str, CatalogueTitle]()
-    for number, line in enumerate(lines[2:-2], 3):
-        found = FORMATTED_TITLE_LINE.fullmatch(line)
+    reader = TitleReader()
+    titles = dict[str, CatalogueTitle]()
+    for line_number, line in enumerate(lines[2:-2], 3):
+        match = FORMATTED_TITLE_LINE.fullmatch(line)
         if (
-            found is None
-            or found[1] in titles
-            or len(found[1]) > 200
-            or "/" in found[1]
-            or not found[1].isprintable()
+            match is None
+            or match[1] in titles
+            or len(match[1]) > 200
+            or "/" in match[1]
+            or not match[1].isprintable()
         ):
             return None
-        seen: dict[str, list[str]] = {}
-        for part in found[2][2:-1].split(") (") if found[2] else ():
+        field_values: dict[str, list[str]] = {}
+        for part in match[2][2:-1].split(") (") if match[2] else ():
             field_name, *values = part.split(" ")
-            if field_name not in TITLE_FIELDS or field_name in seen:
+            if field_name not in TITLE_FIELDS or field_name in field_values:
                 return None
-            seen[field_name] = values
-        name, item = reader.build_title(Form(number), found[1], seen)
-        titles[name] = item
+            field_values[field_name] = values
+        name, title = reader.build_title(Form(line_number), match[1], field_values)
+        titles[name] = title
     if reader.faults or len(titles) > MAX_TITLES:
         return None
     return CatalogueContent(titles, lines[1] == "  (others yes)")
@@ -246,9 +253,11 @@
 
 def read_catalogue(text: str) -> CatalogueContent:
     """Reads a whole catalogue. Raises CatalogueError with all errors found."""
-    if (quickly := read_formatted(text)) is not None:
-        return quickly
-    reader, said, where = TitleReader(), CatalogueContent({}), dict[str, int]()
+    if (formatted := read_formatted(text)) is not None:
+        return formatted
+    reader = TitleReader()
+    content = CatalogueContent({})
+    first_lines = dict[str, int]()
     forms = parse_forms(text)
     if len(forms) != 1 or forms[0].name != "catalogue":
         line = forms[1].line if len(forms) > 1 else forms[0].line if forms else 1
@@ -263,57 +272,61 @@
         elif form.name == "others":
             if form.items[1:] not in (["yes"], ["no"]):
                 reader.add_fault(form.line, "(others …) is yes or no")
-            said.others = form.items[1:] == ["yes"]
+            content.others = form.items[1:] == ["yes"]
         elif form.name == "title":
-            if (found := reader.read_title(form)) is not None:
-                name, item = found
-                if name in said.titles:
+            if (title_entry := reader.read_title(form)) is not None:
+                name, title = title_entry
+                if name in content.titles:
                     reader.add_fault(
-                        form.line, f"title {name} stands twice; first at line {where[name]}", "take one out"
+                        form.line,
+                        f"title {name} stands twice; first at line {first_lines[name]}",
+                        "take one out",
                     )
-                said.titles[name], where[name] = item, form.line
+                content.titles[name] = title
+                first_lines[name] = form.line
         else:
             reader.add_fault(
                 form.line,
                 f"there is no form {form.name or 'without a name'} here",
                 "write (title …) or (others yes)",
             )
-    if len(said.titles) > MAX_TITLES:
-        reader.add_fault(1, f"{len(said.titles)} titles are more than {MAX_TITLES}")
+    if len(content.titles) > MAX_TITLES:
+        reader.add_fault(1, f"{len(content.titles)} titles are more than {MAX_TITLES}")
     if reader.faults:
         raise CatalogueError(reader.faults)
-    return said
+    return content
 
 
 def apply_change(text: str, catalogue: CatalogueContent) -> CatalogueContent:
     """Returns a copy of a catalogue with a change applied. Raises CatalogueError with all errors found."""
-    reader, out = TitleReader(), CatalogueContent(dict(catalogue.titles), catalogue.others)
+    reader = TitleReader()
+    changed = CatalogueContent(dict(catalogue.titles), catalogue.others)
     for form in parse_forms(text):
         if form.name == "put":
             for part in form.items[1:]:
                 if isinstance(part, str) or part.name != "title":
                     reader.add_fault(form.line, "(put …) holds (title …) forms")
-                elif (found := reader.read_title(part)) is not None:
-                    out.titles[found[0]] = found[1]
+                elif (title_entry := reader.read_title(part)) is not None:
+                    changed.titles[title_entry[0]] = title_entry[1]
         elif form.name == "drop":
             for name in form.items[1:]:
-                if not isinstance(name, str) or name not in out.titles:
+                if not isinstance(name, str) or name not in changed.titles:
                     reader.add_fault(
                         form.line, f"there is no title {name if isinstance(name, str) else '(…)'} to drop"
                     )
                 else:
-                    del out.titles[name]
+                    del changed.titles[name]
         else:
             reader.add_fault(
                 form.line,
                 f"there is no change {form.name or 'without a name'}",
                 "write (put (title …)) or (drop NAME)",
             )
-    if len(out.titles) > MAX_TITLES:
-        reader.add_fault(1, f"{len(out.titles)} titles are more than {MAX_TITLES}")
+    if len(changed.titles) > MAX_TITLES:
+        reader.add_fault(1, f"{len(changed.titles)} titles are more than {MAX_TITLES}")
     if reader.faults:
         raise CatalogueError(reader.faults)
-    return out
+    return changed
 
 
 def _format_word(text: str) -> str:
@@ -323,16 +336,16 @@
 def _format_title_parts(name: str, title: CatalogueTitle) -> Iterator[str]:
     yield f"(title {_format_word(name)}"
     if title.holders:
-        yield f"(holders {' '.join(_format_word(h) for h in title.holders)})"
+        yield f"(holders {' '.join(_format_word(holder) for holder in title.holders)})"
     if title.home >= 0:
         yield f"(home {title.home}) (copies {title.copies})"
     if title.rates:
-        yield f"(renditions {' '.join(f'{r:.10g}kB/s' for r in title.rates)})"
+        yield f"(renditions {' '.join(f'{rate:.10g}kB/s' for rate in title.rates)})"
 
 
 def format_catalogue(titles: Iterable[tuple[str, CatalogueTitle]], others: bool) -> str:
     """Formats a catalogue in its canonical layout: titles by name, one a line."""
-    lines = [f"  {' '.join(_format_title_parts(name, item))})\n" for name, item in sorted(titles)]
+    lines = [f"  {' '.join(_format_title_parts(name, title))})\n" for name, title in sorted(titles)]
     return f"(catalogue\n  (others {'yes' if others else 'no'})\n{''.join(lines)})\n"
 
 
--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -46,37 +46,37 @@
     """
     try:
         return build_deployment(load_resolved(file), known_families)
-    except InvalidConfigurationError as fault:
-        return [fault.diagnostics.format(p) for p in fault.diagnostics.errors]
-    except OSError as fault:
-        return [f"{file}: {fault}"]
+    except InvalidConfigurationError as error:
+        return [error.diagnostics.format(problem) for problem in error.diagnostics.errors]
+    except OSError as error:
+        return [f"{file}: {error}"]
 
 
 def read_deployment_in_subprocess(file: Path, known_families: dict[str, int]) -> Deployment | list[str]:
     """Like `read_deployment`, but checks the file in a subprocess: a large check would delay the serving process."""
     command = [sys.executable, "-m", "oakcroft", "config", "meaning", str(file)]
-    done = subprocess.run(command, capture_output=True, timeout=CHECK_TIMEOUT_SECONDS, check=False)
-    if done.returncode == 0:
-        return build_deployment(pickle.loads(done.stdout), known_families)
-    said = done.stderr.decode("utf-8", "replace").strip()
-    return [said or f"the check ended with {done.returncode}"]
+    finished = subprocess.run(command, capture_output=True, timeout=CHECK_TIMEOUT_SECONDS, check=False)
+    if finished.returncode == 0:
+        return build_deployment(pickle.loads(finished.stdout), known_families)
+    error_text = finished.stderr.decode("utf-8", "replace").strip()
+    return [error_text or f"the check ended with {finished.returncode}"]
 
 
 def serve_file(file: Path, decide: PolicyFactory = Controller) -> int:
     """Serves with a front end's file until a stop signal. Returns the exit code."""
-    found = read_deployment(file, {})
-    if isinstance(found, list):
-        click.echo("\n".join(found), err=True)
+    deployment = read_deployment(file, {})
+    if isinstance(deployment, list):
+        click.echo("\n".join(deployment), err=True)
         return EXIT_INVALID_INPUT
-    stand = found.front
+    front = deployment.front
 
     async def ready(port: int) -> None:
-        print(f"serving on {stand.host}:{port}", flush=True)
+        print(f"serving on {front.host}:{port}", flush=True)
 
-    log, code = configure_logging(stand.log_format, found.shared.terms.front_index), 0
+    log, code = configure_logging(front.log_format, deployment.shared.terms.front_index), 0
     reduce_gc_frequency()
     try:
-        trio.run(FrontEnd(found, log, decide, partial(read_deployment_in_subprocess, file)).run, ready)
+        trio.run(FrontEnd(deployment, log, decide, partial(read_deployment_in_subprocess, file)).run, ready)
     except* OSError as group:
         code = EXIT_FAILURE
         for error in group.exceptions:
--- a/oakcroft/commands/catalogue.py
+++ b/oakcroft/commands/catalogue.py
@@ -29,15 +29,15 @@
 def formatted_catalogue(file: Path) -> str:
     """Returns a catalogue file's text in the canonical layout. Ends the command if the file has errors."""
     try:
-        said = read_catalogue(file.read_text(encoding="utf-8"))
-    except CatalogueError as fault:
-        for one in fault.faults:
+        content = read_catalogue(file.read_text(encoding="utf-8"))
+    except CatalogueError as error:
+        for one in error.faults:
             click.echo(one.format(str(file)), err=True)
         sys.exit(EXIT_INVALID_INPUT)
-    except UnicodeDecodeError as fault:
-        click.echo(f"{file}: not UTF-8: {fault}", err=True)
+    except UnicodeDecodeError as error:
+        click.echo(f"{file}: not UTF-8: {error}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
-    return format_catalogue(said.titles.items(), said.others)
+    return format_catalogue(content.titles.items(), content.others)
 
 
 @catalogue.command("check")
--- a/oakcroft/commands/configuration.py
+++ b/oakcroft/commands/configuration.py
@@ -30,12 +30,12 @@
 
 def load_or_exit(file: Path, is_front_file: bool) -> ResolvedConfig:
     """Returns the resolved configuration of a file. Ends the command if the file has errors."""
-    found, problems = check_in_folder(file, is_front_file)
-    if found is None:
-        for problem in problems.errors:
-            click.echo(problems.format(problem), err=True)
+    resolved, diagnostics = check_in_folder(file, is_front_file)
+    if resolved is None:
+        for error in diagnostics.errors:
+            click.echo(diagnostics.format(error), err=True)
         sys.exit(EXIT_INVALID_INPUT)
-    return found
+    return resolved
 
 
 SHARED_OPTION = click.option(
@@ -50,22 +50,22 @@
 @SHARED_OPTION
 def config_check(files: tuple[Path, ...], as_json: bool, strict: bool, shared: bool) -> None:
     """Show every error and warning of FILES and of what they include."""
-    bad = False
+    has_failed = False
     for file in files:
-        _, problems = check_in_folder(file, not shared)
-        found = problems.sorted()
-        bad = bad or bool(problems.errors) or (strict and bool(found))
+        _, diagnostics = check_in_folder(file, not shared)
+        items = diagnostics.sorted()
+        has_failed = has_failed or bool(diagnostics.errors) or (strict and bool(items))
         if as_json:
-            plain = [problems.to_dict(p) for p in found]
+            plain = [diagnostics.to_dict(item) for item in items]
             click.echo(
-                orjson.dumps({"file": str(file), "sound": not problems.errors, "problems": plain}).decode()
+                orjson.dumps({"file": str(file), "sound": not diagnostics.errors, "problems": plain}).decode()
             )
             continue
-        for problem in found:
-            click.echo(problems.format(problem))
-        warnings = sum(p.severity is Severity.WARNING for p in found)
-        click.echo(f"{file}: {len(problems.errors)} errors, {warnings} warnings")
-    sys.exit(EXIT_INVALID_INPUT if bad else 0)
+        for diagnostic in items:
+            click.echo(diagnostics.format(diagnostic))
+        warnings = sum(item.severity is Severity.WARNING for item in items)
+        click.echo(f"{file}: {len(diagnostics.errors)} errors, {warnings} warnings")
+    sys.exit(EXIT_INVALID_INPUT if has_failed else 0)
 
 
 @config.command("fmt")
@@ -78,8 +78,8 @@
         before = file.read_text(encoding="utf-8")
         try:
             after = format_text(before, str(file))
-        except InvalidConfigurationError as fault:
-            click.echo(str(fault), err=True)
+        except InvalidConfigurationError as error:
+            click.echo(str(error), err=True)
             sys.exit(EXIT_INVALID_INPUT)
         if after != before:
             changed = True
@@ -95,15 +95,15 @@
 @SHARED_OPTION
 def config_diff(a: Path, b: Path, shared: bool) -> None:
     """Show what B means otherwise than A, and example requests that would go elsewhere. Exit 1 where they differ."""
-    one, other = load_or_exit(a, not shared), load_or_exit(b, not shared)
-    changes = compare.find_changes(one, other)
+    old, new = load_or_exit(a, not shared), load_or_exit(b, not shared)
+    changes = compare.find_changes(old, new)
     for line in compare.describe_changes(changes):
         click.echo(line)
-    moved = compare.find_rerouted_requests(one, other)
-    if moved:
+    rerouted = compare.find_rerouted_requests(old, new)
+    if rerouted:
         click.echo("these requests would go elsewhere:")
-    for m in moved:
-        click.echo("  " + compare.describe_rerouted_request(m))
+    for request in rerouted:
+        click.echo("  " + compare.describe_rerouted_request(request))
     sys.exit(EXIT_FAILURE if changes else 0)
 
 
@@ -117,19 +117,19 @@
 def config_explain(file: Path, path: str, publish: bool, wing: str | None, token: str, shared: bool) -> None:
     """Tell which route takes a request for PATH, why others do not, and which plan, pool and limits follow."""
     deployment = build_deployment(load_or_exit(file, not shared))
-    tokens = {t.name: t for t in deployment.shared.tokens.values()}
+    tokens = {bearer_token.name: bearer_token for bearer_token in deployment.shared.tokens.values()}
     if token and token not in tokens:
         click.echo(f"there is no token {token}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
-    where = deployment.front.zone if wing is None else wing
-    asked = RouteRequest(
+    zone = deployment.front.zone if wing is None else wing
+    request = RouteRequest(
         ClientRole.PUBLISH if publish else ClientRole.WATCH,
         path,
-        where,
+        zone,
         tokens[token].claims if token else {},
     )
     for line in explaining.explain_request(
-        deployment.shared, asked, token, deployment.shared.terms.front_index
+        deployment.shared, request, token, deployment.shared.terms.front_index
     ):
         click.echo(line)
 
--- a/oakcroft/commands/fleet.py
+++ b/oakcroft/commands/fleet.py
@@ -97,14 +97,14 @@
 def describe_owners(status: dict[str, Any]) -> list[str]:
     """Describes the duties' owners in lines of text, from a decoded answer."""
     term = status["term_ms"] / MS_PER_SECOND
-    out = [f"{status['name']}: keepers {', '.join(status['keepers'])}; a term is {term:g} s"]
+    lines = [f"{status['name']}: keepers {', '.join(status['keepers'])}; a term is {term:g} s"]
     if keeper := status.get("keeper"):
-        out.append(_describe_keeper(keeper))
+        lines.append(_describe_keeper(keeper))
     for duty in status["duties"]:
         owner = f"{duty['owner']}, number {duty['number']}" if duty["owner"] else UNKNOWN_OWNER
-        mine = f"; here: {duty['course']}, {duty['in_line'] + 1}. in line" if duty["course"] else ""
-        out.append(f"  {duty['duty']}: {owner}{mine}")
-    return out
+        own_part = f"; here: {duty['course']}, {duty['in_line'] + 1}. in line" if duty["course"] else ""
+        lines.append(f"  {duty['duty']}: {owner}{own_part}")
+    return lines
 
 
 def _describe_keeper(keeper: dict[str, Any]) -> str:
--- a/oakcroft/commands/operators.py
+++ b/oakcroft/commands/operators.py
@@ -34,16 +34,21 @@
         click.echo(f"set {TOKEN_VARIABLE} to the operators' token", err=True)
         sys.exit(EXIT_INVALID_INPUT)
     host, _, port = address.rpartition(":")
-    fields = [("Authorization", f"Bearer {secret}"), *((k.replace("_", "-"), v) for k, v in headers.items())]
+    header_fields = [
+        ("Authorization", f"Bearer {secret}"),
+        *((name.replace("_", "-"), value) for name, value in headers.items()),
+    ]
 
     async def ask() -> Response:
         with trio.fail_after(ANSWER_TIMEOUT_SECONDS):
-            return await Peer(host or "127.0.0.1", int(port)).ask(method, f"/operators/{path}", fields, body)
+            return await Peer(host or "127.0.0.1", int(port)).ask(
+                method, f"/operators/{path}", header_fields, body
+            )
 
     try:
         return trio.run(ask)
-    except (Ended, trio.TooSlowError, ValueError) as fault:
-        click.echo(f"{address}: {fault or 'no answer'}", err=True)
+    except (Ended, trio.TooSlowError, ValueError) as error:
+        click.echo(f"{address}: {error or 'no answer'}", err=True)
         sys.exit(EXIT_FAILURE)
 
 
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -55,18 +55,18 @@
 
     try:
         day, body = _read_day(file, bench_day)
-    except (InvalidConfigurationError, ValueError, OSError) as fault:
-        click.echo(str(fault), err=True)
+    except (InvalidConfigurationError, ValueError, OSError) as error:
+        click.echo(str(error), err=True)
         sys.exit(EXIT_INVALID_INPUT)
     if seed is not None:
         day = day.seeded(seed)
     audience = Mixed if mixed else Audience
     outcome = runner.play(day, body, "oakcroft", click.echo, keep, audience, with_state, patient)
-    other = None
+    baseline_outcome = None
     if baseline:
         click.echo("the naive baseline on the same day:")
-        other = runner.play(day, body, "naive", click.echo, keep and keep / "naive")
-    click.echo(report.whole(outcome, other))
+        baseline_outcome = runner.play(day, body, "naive", click.echo, keep and keep / "naive")
+    click.echo(report.whole(outcome, baseline_outcome))
     sys.exit(0 if outcome.kept else EXIT_FAILURE)
 
 
--- a/oakcroft/commands/state.py
+++ b/oakcroft/commands/state.py
@@ -23,9 +23,9 @@
     """Opens a state file. Prints the error and ends the command if that fails."""
     try:
         return StateFile(str(file))
-    except StateFileError as fault:
-        click.echo(f"{file}: {fault}", err=True)
-        if fault.fault is FileFault.LOCKED:
+    except StateFileError as error:
+        click.echo(f"{file}: {error}", err=True)
+        if error.fault is FileFault.LOCKED:
             click.echo("a running front has it; ask that front: oakcroft status", err=True)
         sys.exit(EXIT_FAILURE)
 
@@ -71,11 +71,11 @@
 @click.option("--promises", is_flag=True, help="Each promise on a line of its own.")
 def state_show(file: Path, promises: bool) -> None:
     """Tell what FILE holds."""
-    with closing(open_or_exit(file)) as one:
-        held = one.read()
-    for line in describe_contents(held, time.time_ns()):
+    with closing(open_or_exit(file)) as state_file:
+        contents = state_file.read()
+    for line in describe_contents(contents, time.time_ns()):
         click.echo(line)
-    for promise in held.promises if promises else []:
+    for promise in contents.promises if promises else []:
         mark = promise.mark.name.lower()
         click.echo(f"  {promise.id} {mark} {promise.plan} {promise.title} {promise.node} {promise.key}")
 
@@ -84,16 +84,16 @@
 @click.argument("file", type=EXISTING_FILE)
 def state_check(file: Path) -> None:
     """Read all of FILE; exit 1 where it is damaged or another program's."""
-    with closing(open_or_exit(file)) as one:
+    with closing(open_or_exit(file)) as state_file:
         try:
-            held = one.read()
-        except StateFileError as fault:
-            click.echo(f"{file}: {fault}", err=True)
+            contents = state_file.read()
+        except StateFileError as error:
+            click.echo(f"{file}: {error}", err=True)
             sys.exit(EXIT_FAILURE)
-    keys = Counter(promise.key for promise in held.promises)
-    twice = [key for key, times in keys.items() if times > 1]
-    more = f", {len(twice)} keys twice" if twice else ""
-    click.echo(f"{file}: sound, {len(held.promises)} promises{more}")
+    keys = Counter(promise.key for promise in contents.promises)
+    duplicates = [key for key, count in keys.items() if count > 1]
+    suffix = f", {len(duplicates)} keys twice" if duplicates else ""
+    click.echo(f"{file}: sound, {len(contents.promises)} promises{suffix}")
 
 
 @state.command("snapshot")
@@ -101,13 +101,13 @@
 @click.argument("to", type=NEW_FILE)
 def state_snapshot(file: Path, to: Path) -> None:
     """Copy FILE to TO, whole or not at all."""
-    with closing(open_or_exit(file)) as one:
+    with closing(open_or_exit(file)) as state_file:
         try:
-            one.snapshot(to)
-        except StateFileError as fault:
-            click.echo(f"{to}: {fault}", err=True)
+            state_file.snapshot(to)
+        except StateFileError as error:
+            click.echo(f"{to}: {error}", err=True)
             sys.exit(EXIT_FAILURE)
-        click.echo(f"{to}: {len(one.read().promises)} promises")
+        click.echo(f"{to}: {len(state_file.read().promises)} promises")
 
 
 @state.command("restore")
@@ -126,9 +126,9 @@
             sys.exit(EXIT_INVALID_INPUT)
         open_or_exit(file).close()  # no front end may have it open; closing also checkpoints its WAL
         file.replace(file.with_name(file.name + ".before"))
-    with closing(open_or_exit(snapshot)) as held:
-        count = len(held.read().promises)
-        held.snapshot(file)
-    with closing(open_or_exit(file)) as new:
-        new.delete_named_value("whole")
+    with closing(open_or_exit(snapshot)) as source:
+        count = len(source.read().promises)
+        source.snapshot(file)
+    with closing(open_or_exit(file)) as restored:
+        restored.delete_named_value("whole")
     click.echo(f"{file}: {count} promises; the front will ask its nodes for what it promised since")
--- a/oakcroft/config/checks/fronts.py
+++ b/oakcroft/config/checks/fronts.py
@@ -15,8 +15,10 @@
         return
     fronts, wings = records.fleet_value("fronts"), records.fleet_value("wings")
     if front.get("number") >= fronts:
-        what = f"front {front.get('number')} of {fronts}: fronts count from 0"
-        diagnostics.error(front.location_of("number"), what, f"write (number {max(0, fronts - 1)}) or less")
+        message = f"front {front.get('number')} of {fronts}: fronts count from 0"
+        diagnostics.error(
+            front.location_of("number"), message, f"write (number {max(0, fronts - 1)}) or less"
+        )
     zone = front.get("zone")
     if wings and zone and zone not in wings:
         guess = closest_match(zone, wings)
@@ -28,9 +30,9 @@
     """Checks that the timeouts for nodes are in order and that the answer's margin fits into each plan's abandon time."""
     nodes = records.find_single(forms.NODES)
     if nodes is not None and nodes.get("lost-after") < nodes.get("silent-after"):
-        what = "playbacks would count as lost before their node counts as silent"
+        message = "playbacks would count as lost before their node counts as silent"
         fix = f"write (lost-after {format_value(TIME_TYPE, nodes.get('silent-after'))}) or more"
-        diagnostics.error(nodes.location_of("lost-after"), what, fix)
+        diagnostics.error(nodes.location_of("lost-after"), message, fix)
     signalling = records.find_single(forms.SIGNALLING)
     if signalling is None:
         return
@@ -38,5 +40,5 @@
     for plan in records.named_records(forms.PLAN).values():
         abandon = plan.values.get("abandon")
         if abandon and way_back * 2 > abandon:
-            what = f"the way back takes over half of plan {plan.name}'s abandon time {format_value(TIME_TYPE, abandon)}"
-            diagnostics.error(signalling.location_of("way-back"), what, "write a shorter one")
+            message = f"the way back takes over half of plan {plan.name}'s abandon time {format_value(TIME_TYPE, abandon)}"
+            diagnostics.error(signalling.location_of("way-back"), message, "write a shorter one")
--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -17,11 +17,11 @@
         rank = level.get("rank")
         other = ranks.setdefault(rank, name)
         if other != name:
-            what = f"levels {other} and {name} have the same rank"
-            diagnostics.error(level.location_of("rank"), what, "number them from 1")
+            message = f"levels {other} and {name} have the same rank"
+            diagnostics.error(level.location_of("rank"), message, "number them from 1")
         if not any(sign in level.field_locations for sign in forms.SIGNAL_FIELDS):
-            what = f"level {name} names no sign and is never entered"
-            diagnostics.error(level.location, what, "add (x 1.05 0.9)")
+            message = f"level {name} names no sign and is never entered"
+            diagnostics.error(level.location, message, "add (x 1.05 0.9)")
         _check_signs(level, diagnostics)
         _check_admitted(level, records, diagnostics)
 
@@ -34,8 +34,10 @@
             continue
         entry, leave = bounds
         if entry <= leave:
-            what = f"level {level.name} is left at {sign} {leave:g} and entered at {entry:g}"
-            diagnostics.error(level.location_of(sign), what, "write the entry first, and the exit under it")
+            message = f"level {level.name} is left at {sign} {leave:g} and entered at {entry:g}"
+            diagnostics.error(
+                level.location_of(sign), message, "write the entry first, and the exit under it"
+            )
 
 
 def _check_admitted(level: Record, records: Records, diagnostics: Diagnostics) -> None:
@@ -58,5 +60,5 @@
     if len(set(order)) != len(order):
         diagnostics.error(preference.location_of("then"), "a wing stands twice in the order", "take one out")
     if len(wings) <= 1:
-        what = "a preference needs two wings or more"
-        diagnostics.error(preference.location, what, "name them in (fleet (wings …))")
+        message = "a preference needs two wings or more"
+        diagnostics.error(preference.location, message, "name them in (fleet (wings …))")
--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -23,16 +23,16 @@
         if not _check_scope(record, records, diagnostics):
             continue
         if "rate" not in record.field_locations and "at-once" not in record.field_locations:
-            what = f"limit {name} says neither rate nor at-once"
-            diagnostics.error(record.location, what, "add (rate 40/s) or (at-once 200)")
+            message = f"limit {name} says neither rate nor at-once"
+            diagnostics.error(record.location, message, "add (rate 40/s) or (at-once 200)")
             continue
         _check_figures(record, records.fleet_value("fronts"), diagnostics)
         made[name] = build_limit_from_record(name, record)
     for name, limit in made.items():
         if other := limit_reached_first(limit, made):
             place = records.named_records(forms.LIMIT)[name].location
-            what = f"limit {name} can never bind: {other}, on all, is always reached first"
-            diagnostics.warn(place, what, "lower it, or take it out")
+            message = f"limit {name} can never bind: {other}, on all, is always reached first"
+            diagnostics.warn(place, message, "lower it, or take it out")
 
 
 def _check_scope(record: Record, records: Records, diagnostics: Diagnostics) -> bool:
@@ -43,16 +43,16 @@
     scope, names = on[0], on[1:]
     kinds = [kind.value for kind in LimitScope]
     if scope not in kinds:
-        what = f"a limit stands on {join_alternatives(kinds)}, not on {scope}"
+        message = f"a limit stands on {join_alternatives(kinds)}, not on {scope}"
         diagnostics.error(
-            record.location_of("on"), what, f"write (on {closest_match(scope, kinds) or 'all'})"
+            record.location_of("on"), message, f"write (on {closest_match(scope, kinds) or 'all'})"
         )
         return False
     is_for_all = scope == LimitScope.ALL.value
     if bool(names) == is_for_all:
-        what = "a limit on all has no name, one on anything else has one"
+        message = "a limit on all has no name, one on anything else has one"
         diagnostics.error(
-            record.location_of("on"), what, "write (on all)" if is_for_all else f"write (on {scope} *)"
+            record.location_of("on"), message, "write (on all)" if is_for_all else f"write (on {scope} *)"
         )
         return False
     if names and names[0] != ANY_NAME:
@@ -74,15 +74,15 @@
 def _check_figures(record: Record, front_count: int, diagnostics: Diagnostics) -> None:
     name, rate, at_once = record.name, record.get("rate"), record.get("at-once")
     if "burst" in record.values and rate is None:
-        what = f"limit {name} has a burst without a rate"
-        diagnostics.error(record.location_of("burst"), what, "add (rate …) or take the burst out")
+        message = f"limit {name} has a burst without a rate"
+        diagnostics.error(record.location_of("burst"), message, "add (rate …) or take the burst out")
     if at_once == 0 or rate == 0:
-        what = f"limit {name} admits nothing at all"
-        diagnostics.warn(record.location, what, "take the route out instead, if that is meant")
+        message = f"limit {name} admits nothing at all"
+        diagnostics.warn(record.location, message, "take the route out instead, if that is meant")
     if record.get("of") == "whole" and at_once and at_once < front_count:
-        what = f"limit {name} has {at_once} places for {front_count} fronts: {front_count - at_once} of them admit none"
+        message = f"limit {name} has {at_once} places for {front_count} fronts: {front_count - at_once} of them admit none"
         diagnostics.warn(
-            record.location_of("at-once"), what, f"write (at-once {front_count}) or more, or (of front)"
+            record.location_of("at-once"), message, f"write (at-once {front_count}) or more, or (of front)"
         )
 
 
@@ -95,9 +95,9 @@
             continue
         first = seen.setdefault(secret, name)
         if first != name:
-            what = f"tokens {first} and {name} have the same secret"
-            diagnostics.error(token.location_of("secret"), what, "make another one")
+            message = f"tokens {first} and {name} have the same secret"
+            diagnostics.error(token.location_of("secret"), message, "make another one")
     asking = [route for route in records.named_records(forms.ROUTE).values() if route.get("claim")]
     if asking and not seen:
-        what = "a route asks for a claim, but there is no (token …)"
-        diagnostics.error(asking[0].location_of("claim"), what, 'add (token NAME (secret "…") (claim …))')
+        message = "a route asks for a claim, but there is no (token …)"
+        diagnostics.error(asking[0].location_of("claim"), message, 'add (token NAME (secret "…") (claim …))')
--- a/oakcroft/config/checks/peers.py
+++ b/oakcroft/config/checks/peers.py
@@ -32,12 +32,12 @@
         seed for zone in records.named_records(forms.ZONE).values() for seed in zone.values.get("seeds", ())
     ]
     if not [seed for seed in (*seeds, *zone_seeds) if seed != (advertised or listen)]:
-        what = "there is no seed but this front: it waits for others to find it"
-        diagnostics.warn(peers.location_of("seeds"), what, "add (seeds …)")
+        message = "there is no seed but this front: it waits for others to find it"
+        diagnostics.warn(peers.location_of("seeds"), message, "add (seeds …)")
     front = records.find_single(forms.FRONT)
     if front is not None and listen is not None and listen == front.values.get("listen"):
-        what = "viewers are listened for at the same address"
-        diagnostics.error(peers.location_of("listen"), what, "write another port")
+        message = "viewers are listened for at the same address"
+        diagnostics.error(peers.location_of("listen"), message, "write another port")
 
 
 def _check_address(
@@ -50,8 +50,8 @@
     try:
         host = ip_address(text)
     except ValueError:
-        what = f"{text} is not an IP address; names are not looked up"
-        diagnostics.error(peers.location_of(field_name), what, "write its address")
+        message = f"{text} is not an IP address; names are not looked up"
+        diagnostics.error(peers.location_of(field_name), message, "write its address")
         return
     if port == 0:
         diagnostics.error(
@@ -70,17 +70,17 @@
     names = keepers.get("names")
     many = len(set(names))
     if many < len(names):
-        what = "a keeper stands twice: its vote would count twice"
-        diagnostics.error(keepers.location_of("names"), what, "keep one of them")
+        message = "a keeper stands twice: its vote would count twice"
+        diagnostics.error(keepers.location_of("names"), message, "keep one of them")
     if many % 2 == 0:
-        what = f"{many} keepers bear no more losses than {many - 1}"
-        diagnostics.warn(keepers.location_of("names"), what, "name an odd number")
+        message = f"{many} keepers bear no more losses than {many - 1}"
+        diagnostics.warn(keepers.location_of("names"), message, "name an odd number")
     if not check_has_peers(records, keepers, "names", "keepers are reached among the peers", diagnostics):
         return
     peers = records.find_single(forms.PEERS)
     if front is not None and peers is not None and peers.get("name") in names and not front.get("state"):
-        what = f"{peers.get('name')} is a keeper and would forget what it has granted"
-        diagnostics.error(front.location_of("zone"), what, 'add (state "FILE") to the front')
+        message = f"{peers.get('name')} is a keeper and would forget what it has granted"
+        diagnostics.error(front.location_of("zone"), message, 'add (state "FILE") to the front')
 
 
 def check_probing(records: Records, diagnostics: Diagnostics) -> None:
@@ -98,11 +98,11 @@
     check_has_peers(records, adopting, "after", "who is gone is told by the peers", diagnostics)
     noticed = FAILURE_DETECTION_NS + adopting.get("after")
     if adopting.get("lease") > MAX_SESSION_LEASE:
-        what = f"nodes keep nothing for longer than {MAX_SESSION_LEASE // SECOND} s"
-        diagnostics.error(adopting.location_of("lease"), what, "write less")
+        message = f"nodes keep nothing for longer than {MAX_SESSION_LEASE // SECOND} s"
+        diagnostics.error(adopting.location_of("lease"), message, "write less")
     elif adopting.get("lease") < noticed:
-        what = "it may be over before the others have noticed and asked"
-        diagnostics.warn(adopting.location_of("lease"), what, f"write {noticed // SECOND + 1}s or more")
+        message = "it may be over before the others have noticed and asked"
+        diagnostics.warn(adopting.location_of("lease"), message, f"write {noticed // SECOND + 1}s or more")
 
 
 def check_has_peers(
--- a/oakcroft/config/checks/plans.py
+++ b/oakcroft/config/checks/plans.py
@@ -17,14 +17,14 @@
         return
     rates, worth = ladder.get("rates"), ladder.get("worth")
     if len(rates) != len(worth):
-        what = f"{len(worth)} worths stand for {len(rates)} rates"
-        diagnostics.error(ladder.location_of("worth"), what, "name one worth for each rate")
+        message = f"{len(worth)} worths stand for {len(rates)} rates"
+        diagnostics.error(ladder.location_of("worth"), message, "name one worth for each rate")
     if any(higher <= lower for lower, higher in pairwise(rates)):
-        what = "rates do not rise from rung to rung"
-        diagnostics.error(ladder.location_of("rates"), what, "name the lowest rung first, each rate once")
+        message = "rates do not rise from rung to rung"
+        diagnostics.error(ladder.location_of("rates"), message, "name the lowest rung first, each rate once")
     if any(higher < lower for lower, higher in pairwise(worth)):
-        what = "a higher rung is worth less than a lower one"
-        diagnostics.warn(ladder.location_of("worth"), what, "let worths rise")
+        message = "a higher rung is worth less than a lower one"
+        diagnostics.warn(ladder.location_of("worth"), message, "let worths rise")
 
 
 def check_plans(records: Records, diagnostics: Diagnostics) -> None:
@@ -43,22 +43,22 @@
 def _check_rungs(plan: Record, rung_count: int, diagnostics: Diagnostics) -> None:
     top, floor = plan.get("top"), plan.get("floor")
     if rung_count and top is not None and top >= rung_count:
-        what = f"plan {plan.name} has top {top}, but the ladder ends at rung {rung_count - 1}"
-        diagnostics.warn(plan.location_of("top"), what, f"write (top {rung_count - 1})")
+        message = f"plan {plan.name} has top {top}, but the ladder ends at rung {rung_count - 1}"
+        diagnostics.warn(plan.location_of("top"), message, f"write (top {rung_count - 1})")
     if rung_count and floor >= rung_count:
-        what = f"plan {plan.name} has floor {floor}, but the ladder ends at rung {rung_count - 1}"
-        diagnostics.error(plan.location_of("floor"), what, f"write (floor {rung_count - 1}) or less")
+        message = f"plan {plan.name} has floor {floor}, but the ladder ends at rung {rung_count - 1}"
+        diagnostics.error(plan.location_of("floor"), message, f"write (floor {rung_count - 1}) or less")
     elif top is not None and floor > top:
-        what = f"plan {plan.name} has its floor {floor} over its top {top}"
-        diagnostics.error(plan.location_of("floor"), what, f"write (floor {top}) or less")
+        message = f"plan {plan.name} has its floor {floor} over its top {top}"
+        diagnostics.error(plan.location_of("floor"), message, f"write (floor {top}) or less")
 
 
 def _check_times(plan: Record, diagnostics: Diagnostics) -> None:
     target, abandon = plan.values.get("startup-target"), plan.values.get("abandon")
     if target and abandon and abandon < target:
         shown = format_value(TIME_TYPE, target)
-        what = f"plan {plan.name} is given up ({format_value(TIME_TYPE, abandon)}) before its startup target ({shown})"
-        diagnostics.error(plan.location_of("abandon"), what, f"write (abandon {shown}) or more")
+        message = f"plan {plan.name} is given up ({format_value(TIME_TYPE, abandon)}) before its startup target ({shown})"
+        diagnostics.error(plan.location_of("abandon"), message, f"write (abandon {shown}) or more")
 
 
 def _check_effect(plan: Record, diagnostics: Diagnostics) -> None:
@@ -66,5 +66,5 @@
         return
     for only in ("key-lasts", "group"):
         if only in plan.field_locations:
-            what = f"{only} means nothing for plan {plan.name}, whose effect is {plan.get('effect')}"
-            diagnostics.warn(plan.location_of(only), what, f"take ({only} …) out")
+            message = f"{only} means nothing for plan {plan.name}, whose effect is {plan.get('effect')}"
+            diagnostics.warn(plan.location_of(only), message, f"take ({only} …) out")
--- a/oakcroft/config/checks/pools.py
+++ b/oakcroft/config/checks/pools.py
@@ -13,14 +13,14 @@
     """Checks that each pool refers to what the fleet defines, can match a node, and is used by a route."""
     used = {route.values.get("pool") for route in records.named_records(forms.ROUTE).values()}
     for name, pool in records.named_records(forms.POOL).items():
-        for field, what in (("wings", "wing"), ("kinds", "kind")):
-            _check_names(pool, field, records.fleet_value(field), what, diagnostics)
+        for field, label in (("wings", "wing"), ("kinds", "kind")):
+            _check_names(pool, field, records.fleet_value(field), label, diagnostics)
         _check_racks(pool, records.fleet_value("racks"), diagnostics)
         if why := build_pool_from_record(name, pool).empty_reason():
             diagnostics.error(pool.location, f"pool {name} matches nothing: {why}", "correct nodes or but")
         if not any(pool.get(field.name) for field in forms.POOL.fields):
-            what = f"pool {name} says nothing, so it holds every node"
-            diagnostics.warn(pool.location, what, "take it out, and (pool …) from its routes")
+            message = f"pool {name} says nothing, so it holds every node"
+            diagnostics.warn(pool.location, message, "take it out, and (pool …) from its routes")
         if name not in used:
             diagnostics.warn(pool.location, f"no route uses pool {name}", "")
 
@@ -44,5 +44,5 @@
 def _check_racks(pool: Record, rack_count: int, diagnostics: Diagnostics) -> None:
     for rack in pool.get("racks"):
         if rack >= rack_count:
-            what = f"pool {pool.name} names rack {rack}, but racks end at {rack_count - 1}"
-            diagnostics.error(pool.location_of("racks"), what, "racks count from 0")
+            message = f"pool {pool.name} names rack {rack}, but racks end at {rack_count - 1}"
+            diagnostics.error(pool.location_of("racks"), message, "racks count from 0")
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -49,8 +49,8 @@
     claims = _claims(record)
     if claims and not any(_has_claims(token, claims.items()) for token in _token_claims(records)):
         shown = " and ".join(f"{claim} {value}" for claim, value in sorted(claims.items()))
-        what = f"route {record.name} is never reached: no token has the claim {shown}"
-        diagnostics.warn(record.location_of("claim"), what, f"add (claim {shown}) to a token")
+        message = f"route {record.name} is never reached: no token has the claim {shown}"
+        diagnostics.warn(record.location_of("claim"), message, f"add (claim {shown}) to a token")
 
 
 def _has_claims(token_claims: Mapping[str, str], required: Iterable[tuple[str, str]]) -> bool:
@@ -62,29 +62,29 @@
     if top is None:
         return
     if top < floor:
-        what = f"route {record.name} has top {top} under the floor {floor} of plan {plan.name}"
-        diagnostics.error(record.location_of("top"), what, f"write (top {floor}) or more")
+        message = f"route {record.name} has top {top} under the floor {floor} of plan {plan.name}"
+        diagnostics.error(record.location_of("top"), message, f"write (top {floor}) or more")
     elif rung_count and top >= rung_count:
-        what = f"route {record.name} has top {top}, but the ladder ends at rung {rung_count - 1}"
-        diagnostics.warn(record.location_of("top"), what, "take it out")
+        message = f"route {record.name} has top {top}, but the ladder ends at rung {rung_count - 1}"
+        diagnostics.warn(record.location_of("top"), message, "take it out")
 
 
 def _check_redundant_titles(record: Record, diagnostics: Diagnostics) -> None:
     if "*" in record.get("titles") and len(record.get("titles")) > 1:
-        what = f"route {record.name} takes all titles by *; the others beside it say nothing"
-        diagnostics.warn(record.location_of("titles"), what, "take the others out")
+        message = f"route {record.name} takes all titles by *; the others beside it say nothing"
+        diagnostics.warn(record.location_of("titles"), message, "take the others out")
 
 
 def _check_ambiguous_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
     """Checks that no two routes of equal specificity match the same request, since either could be chosen."""
     places = {name: record.location for name, record in records.named_records(forms.ROUTE).items()}
     for one, other, title in ambiguous_routes(routes):
-        what = (
+        message = (
             f"routes {one.name} and {other.name} both take {title} under {one.match.prefix}, "
             "and neither is more particular"
         )
         fix = "give one of them titles, a wing or a claim that the other has not"
-        diagnostics.error(places[other.name], what, fix, [f"{one.name} stands at {places[one.name]}"])
+        diagnostics.error(places[other.name], message, fix, [f"{one.name} stands at {places[one.name]}"])
 
 
 def _check_unreachable_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
@@ -103,8 +103,8 @@
                 continue
             place = records.named_records(forms.ROUTE)[route.name].location
             names = join_alternatives(rival.name for rival in ahead)
-            what = f"route {route.name} is never reached for {pattern or 'any title'}: {names} always go before it"
-            diagnostics.warn(place, what, "take it out, or give it a condition of its own")
+            message = f"route {route.name} is never reached for {pattern or 'any title'}: {names} always go before it"
+            diagnostics.warn(place, message, "take it out, or give it a condition of its own")
 
 
 def _competing_routes(routes: list[Route]) -> list[tuple[str | None, list[Route]]]:
@@ -138,5 +138,5 @@
     patterns = [pattern for pattern in route.match.title_patterns if pattern.endswith("*")]
     for pattern in patterns:
         if any(other != pattern and pattern.startswith(other[:-1]) for other in patterns):
-            what = f"route {route.name} names {pattern}, which another of its titles takes in"
-            diagnostics.warn(record.location_of("titles"), what, f"take {pattern} out")
+            message = f"route {route.name} names {pattern}, which another of its titles takes in"
+            diagnostics.warn(record.location_of("titles"), message, f"take {pattern} out")
--- a/oakcroft/config/checks/zones.py
+++ b/oakcroft/config/checks/zones.py
@@ -32,16 +32,16 @@
     front = records.find_single(forms.FRONT)
     if front is not None and front.get("zone") not in zones:
         shown = front.get("zone") or "none"
-        what = f"this front stands in no zone that is listed, but in {shown}"
-        diagnostics.error(front.location_of("zone"), what, f"add (zone {shown} …), or write another")
+        message = f"this front stands in no zone that is listed, but in {shown}"
+        diagnostics.error(front.location_of("zone"), message, f"add (zone {shown} …), or write another")
     _check_keepers(records, diagnostics)
 
 
 def _check_names(name: str, zone: Record, diagnostics: Diagnostics) -> None:
     for text in (name, zone.values.get("region", "")):
         if len(text) > MAX_ZONE_NAME_LENGTH:
-            what = f"{text} is longer than the {MAX_ZONE_NAME_LENGTH} letters that go to other zones"
-            diagnostics.error(zone.location, what, "write a shorter name")
+            message = f"{text} is longer than the {MAX_ZONE_NAME_LENGTH} letters that go to other zones"
+            diagnostics.error(zone.location, message, "write a shorter name")
 
 
 def _check_seeds(zone: Record, diagnostics: Diagnostics) -> None:
@@ -49,8 +49,8 @@
         try:
             ip_address(host)
         except ValueError:
-            what = f"{host} is not an IP address; names are not looked up"
-            diagnostics.error(zone.location_of("seeds"), what, "write its address")
+            message = f"{host} is not an IP address; names are not looked up"
+            diagnostics.error(zone.location_of("seeds"), message, "write its address")
         if port == 0:
             diagnostics.error(zone.location_of("seeds"), "port 0: nobody listens there", "write its port")
 
@@ -63,7 +63,7 @@
     """
     keepers = records.find_single(forms.KEEPERS)
     if keepers is not None:
-        what = (
+        message = (
             "with (zone …) a front knows by name the fronts of its own zone alone, and could not reach these"
         )
-        diagnostics.error(keepers.location_of("names"), what, "take (keepers …) out, or all (zone …)")
+        diagnostics.error(keepers.location_of("names"), message, "take (keepers …) out, or all (zone …)")
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -34,16 +34,16 @@
 def find_changes(old: ResolvedConfig, new: ResolvedConfig) -> list[Change]:
     """Returns all changes from `old` to `new`, in the order of the forms in the language. The list is empty exactly
     when both are equal."""
-    out: list[Change] = []
+    changes: list[Change] = []
     for form in sorted({*old, *new}, key=_form_position):
         schema = forms.SCHEMAS_BY_NAME[form]
         old_form, new_form = old.get(form), new.get(form)
         if schema.name_type is None:
-            out += _field_changes(form, "", old_form, new_form)
+            changes += _field_changes(form, "", old_form, new_form)
             continue
         for name in sorted({*(old_form or {}), *(new_form or {})}):
-            out += _field_changes(form, name, (old_form or {}).get(name), (new_form or {}).get(name))
-    return out
+            changes += _field_changes(form, name, (old_form or {}).get(name), (new_form or {}).get(name))
+    return changes
 
 
 def _form_position(form_name: str) -> int:
@@ -57,8 +57,8 @@
         if old is new:
             return []
         return [Change(form_name, name, None, ABSENT if old is None else old, ABSENT if new is None else new)]
-    return [Change(form_name, name, f, old.get(f, ABSENT), new.get(f, ABSENT))
-            for f in [*old, *(f for f in new if f not in old)] if old.get(f, ABSENT) != new.get(f, ABSENT)]  # fmt: skip
+    return [Change(form_name, name, field_name, old.get(field_name, ABSENT), new.get(field_name, ABSENT))
+            for field_name in [*old, *(field_name for field_name in new if field_name not in old)] if old.get(field_name, ABSENT) != new.get(field_name, ABSENT)]  # fmt: skip
 
 
 def apply_changes(changes: list[Change], old: ResolvedConfig) -> ResolvedConfig:
@@ -66,50 +66,52 @@
 
     Raises ValueError if a changed form or field doesn't have the change's `before` value in `old`.
     """
-    out = copy.deepcopy(old)
-    for c in changes:
-        single = forms.SCHEMAS_BY_NAME[c.form].name_type is None
-        home: dict[str, Any] = out if single else out.setdefault(c.form, {})
-        key = c.form if single else c.name
-        if c.field is not None:
-            home, key = home[key], c.field
-        if home.get(key, ABSENT) != c.before:
-            raise ValueError(f"{c.form} {c.name} is not what the change starts from")
-        if c.after is ABSENT:
-            del home[key]
+    patched = copy.deepcopy(old)
+    for change in changes:
+        is_single = forms.SCHEMAS_BY_NAME[change.form].name_type is None
+        container: dict[str, Any] = patched if is_single else patched.setdefault(change.form, {})
+        key = change.form if is_single else change.name
+        if change.field is not None:
+            container, key = container[key], change.field
+        if container.get(key, ABSENT) != change.before:
+            raise ValueError(f"{change.form} {change.name} is not what the change starts from")
+        if change.after is ABSENT:
+            del container[key]
         else:
-            home[key] = copy.deepcopy(c.after)
+            container[key] = copy.deepcopy(change.after)
     for schema in forms.NAMED_FORMS:
-        out[schema.name] = dict(sorted(out.get(schema.name, {}).items()))
-    return out
+        patched[schema.name] = dict(sorted(patched.get(schema.name, {}).items()))
+    return patched
 
 
 def describe_changes(changes: list[Change]) -> list[str]:
     """Describes each change in one line of text. Secrets are not shown."""
-    out = []
-    for c in changes:
-        what = f"{c.form} {c.name}".strip()
-        schema = forms.SCHEMAS_BY_NAME[c.form]
-        if c.field is None:
-            if c.before is ABSENT:
-                out.append(f"+ {what} added: {_summarize_fields(schema, c.after)}")
+    lines = []
+    for change in changes:
+        subject = f"{change.form} {change.name}".strip()
+        schema = forms.SCHEMAS_BY_NAME[change.form]
+        if change.field is None:
+            if change.before is ABSENT:
+                lines.append(f"+ {subject} added: {_summarize_fields(schema, change.after)}")
             else:
-                out.append(f"- {what} taken out")
+                lines.append(f"- {subject} taken out")
             continue
-        field = schema.find_field(c.field)
+        field = schema.find_field(change.field)
         assert field is not None
-        out.append(f"~ {what}: {_describe_field_change(field, c.before, c.after)}")
-    return out
+        lines.append(f"~ {subject}: {_describe_field_change(field, change.before, change.after)}")
+    return lines
 
 
 def _describe_field_change(field: Field, old: Any, new: Any) -> str:
     if field.name == "secret":
         return "its secret is another"
     if (isinstance(old, tuple) and isinstance(new, tuple) and field.max_values > 2) or field.is_repeatable:
-        more = [_format_field_value(field, v) for v in new if v not in old]
-        less = [_format_field_value(field, v) for v in old if v not in new]
-        parts = [f"{field.name} now with {', '.join(more)}"] if more else []
-        parts += [f"{'' if more else field.name + ' '}no longer with {', '.join(less)}"] if less else []
+        added = [_format_field_value(field, value) for value in new if value not in old]
+        removed = [_format_field_value(field, value) for value in old if value not in new]
+        parts = [f"{field.name} now with {', '.join(added)}"] if added else []
+        parts += (
+            [f"{'' if added else field.name + ' '}no longer with {', '.join(removed)}"] if removed else []
+        )
         if parts:
             return ", ".join(parts)
     return f"{field.name} from {_format_field_value(field, old)} to {_format_field_value(field, new)}"
@@ -117,10 +119,10 @@
 
 def _summarize_fields(schema: Schema, values: Mapping[str, Any]) -> str:
     parts = []
-    for f in schema.fields:
-        value = values.get(f.name)
-        if value not in (None, "", ()) and value != f.default and f.name != "secret":
-            parts.append(f"{f.name} {_format_field_value(f, value)}")
+    for field in schema.fields:
+        value = values.get(field.name)
+        if value not in (None, "", ()) and value != field.default and field.name != "secret":
+            parts.append(f"{field.name} {_format_field_value(field, value)}")
     return ", ".join(parts) or "as by default"
 
 
@@ -128,11 +130,11 @@
     if value is ABSENT or value is None or value == "" or value == ():
         return "none"
     if isinstance(value, Mapping):
-        return ", ".join(f"{k} {v}" for k, v in value.items())
+        return ", ".join(f"{key} {item}" for key, item in value.items())
     if isinstance(value, tuple):
         if field.value_type is forms.ADDRESS_TYPE:
             return f"{value[0]}:{value[1]}"
-        return " ".join(_format_field_value(field, v) for v in value)
+        return " ".join(_format_field_value(field, item) for item in value)
     if isinstance(value, int | float) and not isinstance(value, bool):
         return format_value(field.value_type, value)
     return str(value)
@@ -154,24 +156,32 @@
 
     The examples are derived from every route of both configurations, in each zone. At most `max_requests` are returned.
     """
-    routes = [{n: build_route(n, r) for n, r in m["route"].items()} for m in (old, new)]
-    tables = [RouteTable(r.values()) for r in routes]
+    route_maps = [
+        {name: build_route(name, r) for name, r in resolved["route"].items()} for resolved in (old, new)
+    ]
+    tables = [RouteTable(r.values()) for r in route_maps]
     wings = sorted({*old["fleet"]["wings"], *new["fleet"]["wings"]}) or [""]
     seen: set[tuple[str, str, str]] = set()
-    out: list[ReroutedRequest] = []
-    asks: list[RouteRequest] = []
-    for some in routes:
-        for route in some.values():
-            asks += [example_request(route, wing) for wing in wings]
-    for asked in sorted(asks, key=lambda x: (x.path, x.role.value, x.zone, sorted(x.claims.items()))):
-        before, after = (_describe_destination(m, t, asked) for m, t in zip((old, new), tables, strict=True))
-        key = (asked.path, before, after)
+    rerouted: list[ReroutedRequest] = []
+    examples: list[RouteRequest] = []
+    for routes_by_name in route_maps:
+        for route in routes_by_name.values():
+            examples += [example_request(route, wing) for wing in wings]
+    for request in sorted(
+        examples,
+        key=lambda example: (example.path, example.role.value, example.zone, sorted(example.claims.items())),
+    ):
+        before, after = (
+            _describe_destination(resolved, route_table, request)
+            for resolved, route_table in zip((old, new), tables, strict=True)
+        )
+        key = (request.path, before, after)
         if before != after and key not in seen:
             seen.add(key)
-            out.append(ReroutedRequest(asked, before, after))
-            if len(out) >= max_requests:
+            rerouted.append(ReroutedRequest(request, before, after))
+            if len(rerouted) >= max_requests:
                 break
-    return out
+    return rerouted
 
 
 def _describe_destination(resolved: ResolvedConfig, route_table: RouteTable, request: RouteRequest) -> str:
@@ -184,7 +194,7 @@
 
 def describe_rerouted_request(rerouted: ReroutedRequest) -> str:
     """Describes a rerouted request in one line."""
-    a = rerouted.request
-    claims = "".join(f" with {k} {v}" for k, v in sorted(a.claims.items()))
-    wing = f" in {a.zone}" if a.zone else ""
-    return f"{a.role.value} {a.path}{wing}{claims}: from {rerouted.before} to {rerouted.after}"
+    request = rerouted.request
+    claims = "".join(f" with {claim} {value}" for claim, value in sorted(request.claims.items()))
+    wing = f" in {request.zone}" if request.zone else ""
+    return f"{request.role.value} {request.path}{wing}{claims}: from {rerouted.before} to {rerouted.after}"
--- a/oakcroft/config/deployment_builder.py
+++ b/oakcroft/config/deployment_builder.py
@@ -21,18 +21,18 @@
 )
 from oakcroft.decisions.admission.connection_limits import ConnectionLimits
 from oakcroft.decisions.admission.service_levels import (
+    LevelBounds,
     LevelEffects,
     ServiceLevel,
     SignalThreshold,
     LoadSignal,
 )
-from oakcroft.decisions.admission.service_levels import LevelBounds as LevelBounds
 from oakcroft.decisions.admission.request_limits import RequestLimit, LimitScope
-from oakcroft.decisions.fleet.session_takeover import TakeoverBounds as AdoptingBounds
+from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.decisions.routing.pools import Pool
 from oakcroft.decisions.routing.route_table import Match, Route, RouteTable, ClientRole
 from oakcroft.decisions.routing.configuration_version import plan_families
-from oakcroft.decisions.routing.zone_preference import ZonePreferenceBounds as WingBounds
+from oakcroft.decisions.routing.zone_preference import ZonePreferenceBounds
 from oakcroft.interface import SECOND, Effect, KeyScope, Plan, DeploymentSettings
 
 FieldValues = Mapping[str, Any]
@@ -56,12 +56,14 @@
     front = resolved.get("front") or _default_front_values()
     list_host, list_port = front["list-service"]
     host, port = front["listen"]
-    stand = FrontSettings(
+    front_settings = FrontSettings(
         host=host, port=port, list_service_host=list_host, list_service_port=list_port, node_list_file=front["kept"], state_file=front["state"],
         is_state_synced=_is_yes(front["state-sync"]), zone=front["zone"], seed=front["seed"], log_format=front["log"],
         peers=_peer_settings(resolved, front["zone"]) if "peers" in resolved else None,
     )  # fmt: skip
-    return Deployment(_shared_settings(resolved, front["number"], known_families or {}), stand, resolved)
+    return Deployment(
+        _shared_settings(resolved, front["number"], known_families or {}), front_settings, resolved
+    )
 
 
 def _default_front_values() -> dict[str, Any]:
@@ -95,7 +97,7 @@
         operator_token_digest=bytes.fromhex(resolved["operators"]["secret"]),
         levels=tuple(build_level(name, level) for name, level in levels),
         level_bounds=LevelBounds(**_by_field_name(LevelBounds, resolved["levels"])),
-        zone_preference=WingBounds(**_by_field_name(WingBounds, preference)) if preference is not None else None,
+        zone_preference=ZonePreferenceBounds(**_by_field_name(ZonePreferenceBounds, preference)) if preference is not None else None,
         preferred_zones=tuple(preference["then"] or fleet["wings"]) if preference is not None else (),
     )  # fmt: skip
 
@@ -142,7 +144,7 @@
         seeds=tuple(dict.fromkeys([*peers["seeds"], *own["seeds"]])), key_file=peers["key-file"], fleet_name=peers["fleet"],
         start_count_file=peers["starts"], keepers=tuple(keepers["names"]) if keepers is not None else (),
         term_ns=keepers["term"] if keepers is not None else 0, probe_interval_ns=probing["every"] if probing is not None else 0,
-        takeover_bounds=AdoptingBounds(adopting["after"], adopting["lease"], adopting["most"]) if adopting is not None else None,
+        takeover_bounds=TakeoverBounds(adopting["after"], adopting["lease"], adopting["most"]) if adopting is not None else None,
         region=own["region"], other_zones=tuple(
             OtherZone(name, zone["region"], tuple(zone["seeds"])) for name, zone in zones.items() if name != own_zone
         ),
@@ -182,10 +184,10 @@
 def build_limit(name: str, values: FieldValues) -> RequestLimit:
     """Builds a limit from its resolved field values."""
     scope, *names = values["on"]
-    on = names[0] if names else ""
-    is_whole = values["of"] == "whole"
+    subject = names[0] if names else ""
+    is_fleet_wide = values["of"] == "whole"
     return RequestLimit(
-        name, LimitScope(scope), on, values["rate"], values["burst"], values["at-once"], is_whole
+        name, LimitScope(scope), subject, values["rate"], values["burst"], values["at-once"], is_fleet_wide
     )
 
 
@@ -196,14 +198,16 @@
 
 def build_level(name: str, values: FieldValues) -> ServiceLevel:
     """Builds a service level from its resolved field values."""
-    marks = tuple(
-        SignalThreshold(LoadSignal(sign), float(values[sign][0]), float(values[sign][1]))
-        for sign in forms.SIGNAL_FIELDS
-        if values[sign]
+    thresholds = tuple(
+        SignalThreshold(LoadSignal(signal), float(values[signal][0]), float(values[signal][1]))
+        for signal in forms.SIGNAL_FIELDS
+        if values[signal]
     )
     admits = {plan: _parse_share(share) for plan, share in values["admits"]}
     return ServiceLevel(
-        name, marks, LevelEffects(values["top"], admits, _is_yes(values["moves"]), _is_yes(values["upkeep"]))
+        name,
+        thresholds,
+        LevelEffects(values["top"], admits, _is_yes(values["moves"]), _is_yes(values["upkeep"])),
     )
 
 
--- a/oakcroft/config/diagnostics.py
+++ b/oakcroft/config/diagnostics.py
@@ -68,31 +68,31 @@
     @property
     def errors(self) -> list[Diagnostic]:
         """The errors, without the warnings."""
-        return [p for p in self.items if p.severity is Severity.ERROR]
+        return [item for item in self.items if item.severity is Severity.ERROR]
 
     def sorted(self) -> list[Diagnostic]:
         """Returns all diagnostics in the order of their locations."""
-        return sorted(self.items, key=lambda p: (p.location, p.severity.value, p.message))
+        return sorted(self.items, key=lambda item: (item.location, item.severity.value, item.message))
 
     def format(self, diagnostic: Diagnostic) -> str:
         """Formats a diagnostic for people, with the source line and the location underlined."""
-        place = diagnostic.location
-        out = [f"{place}: {diagnostic.severity.value}: {diagnostic.message}"]
-        lines = self.source_lines.get(place.file, [])
-        if 0 < place.line <= len(lines):
-            line = lines[place.line - 1]
-            mark = "^" * max(1, min(place.length, len(line) - place.column + 1))
-            out += ["  " + line.replace("\t", " "), "  " + " " * (place.column - 1) + mark]
-        out += [f"  {note}" for note in diagnostic.notes]
+        location = diagnostic.location
+        output = [f"{location}: {diagnostic.severity.value}: {diagnostic.message}"]
+        lines = self.source_lines.get(location.file, [])
+        if 0 < location.line <= len(lines):
+            line = lines[location.line - 1]
+            underline = "^" * max(1, min(location.length, len(line) - location.column + 1))
+            output += ["  " + line.replace("\t", " "), "  " + " " * (location.column - 1) + underline]
+        output += [f"  {note}" for note in diagnostic.notes]
         if diagnostic.fix:
-            out.append(f"  fix: {diagnostic.fix}")
-        return "\n".join(out)
+            output.append(f"  fix: {diagnostic.fix}")
+        return "\n".join(output)
 
     def to_dict(self, diagnostic: Diagnostic) -> dict[str, object]:
         """Returns a diagnostic as a JSON object for tools."""
-        p = diagnostic.location
+        location = diagnostic.location
         return {
-            "grade": diagnostic.severity.value, "file": p.file, "line": p.line, "column": p.column, "length": p.length,
+            "grade": diagnostic.severity.value, "file": location.file, "line": location.line, "column": location.column, "length": location.length,
             "what": diagnostic.message, "fix": diagnostic.fix, "also": list(diagnostic.notes),
         }  # fmt: skip
 
@@ -110,13 +110,13 @@
 
 def closest_match(word: str, known: Iterable[str]) -> str:
     """Returns the known word that is most similar to `word`, "" if none is close enough to suggest."""
-    found = difflib.get_close_matches(word, sorted(known), 1, 0.7)
-    return found[0] if found else ""
+    matches = difflib.get_close_matches(word, sorted(known), 1, 0.7)
+    return matches[0] if matches else ""
 
 
 def join_alternatives(words: Iterable[str], max_words: int = 12) -> str:
     """Joins words to a phrase like "a, b or c". Of more than `max_words` only the first ones are listed."""
-    some = sorted(words)
-    if len(some) > max_words:
-        return ", ".join(some[:max_words]) + f" and {len(some) - max_words} more"
-    return " or ".join([", ".join(some[:-1]), some[-1]] if len(some) > 1 else some)
+    ordered = sorted(words)
+    if len(ordered) > max_words:
+        return ", ".join(ordered[:max_words]) + f" and {len(ordered) - max_words} more"
+    return " or ".join([", ".join(ordered[:-1]), ordered[-1]] if len(ordered) > 1 else ordered)
--- a/oakcroft/config/expander.py
+++ b/oakcroft/config/expander.py
@@ -10,7 +10,9 @@
 from oakcroft.config.diagnostics import SourceLocation, Diagnostics, closest_match
 from oakcroft.config.syntax import Atom, Form, SyntaxNode, parse_text, without_comments
 
-MAX_FILES, MAX_FORMS, MAX_USE_DEPTH = 256, 500_000, 16
+MAX_FILES = 256
+MAX_FORMS = 500_000
+MAX_USE_DEPTH = 16
 TextReader = Callable[[str], str]
 PARAMETER_IN_STRING = re.compile(r"\$\{([^{}]+)\}")
 
@@ -22,7 +24,7 @@
     name: str
     parameters: tuple[str, ...]
     body: tuple[Form, ...]
-    place: SourceLocation
+    location: SourceLocation
 
 
 class RootFolder:
@@ -44,8 +46,8 @@
         body = path.read_bytes()
         try:
             return body.decode("utf-8")
-        except UnicodeDecodeError as fault:
-            raise OSError(f"it is not UTF-8 (byte {fault.start})") from None
+        except UnicodeDecodeError as error:
+            raise OSError(f"it is not UTF-8 (byte {error.start})") from None
 
 
 class Expander:
@@ -53,7 +55,8 @@
 
     def __init__(self, read_text: TextReader, diagnostics: Diagnostics) -> None:
         """`read_text` returns the text of a file by its path relative to the first file's folder."""
-        self.read_text, self.problems = read_text, diagnostics
+        self.read_text = read_text
+        self.diagnostics = diagnostics
         self.definitions: dict[str, Definition] = {}
         self.loaded_files: set[str] = set()
         self.form_count = 0
@@ -62,41 +65,41 @@
         """Returns the plain forms of a file and of everything it includes. Errors go to the diagnostics."""
         gathered: list[Form] = []
         self._load_file(file_name, [], None, gathered)
-        out: list[Form] = []
+        expanded: list[Form] = []
         for form in gathered:
-            self._expand(form, (), out)
-        return out
+            self._expand(form, (), expanded)
+        return expanded
 
     def _load_file(
         self, file_name: str, include_chain: list[str], location: SourceLocation | None, gathered: list[Form]
     ) -> None:
-        at = location or SourceLocation(file_name, 1, 1)
+        reported_at = location or SourceLocation(file_name, 1, 1)
         if file_name in include_chain:
-            path = " -> ".join([*include_chain[include_chain.index(file_name) :], file_name])
-            self.problems.error(
-                at, f"this include goes in a circle: {path}", "take out one include of the circle"
+            circle = " -> ".join([*include_chain[include_chain.index(file_name) :], file_name])
+            self.diagnostics.error(
+                reported_at, f"this include goes in a circle: {circle}", "take out one include of the circle"
             )
             return
         if file_name in self.loaded_files:
             return  # each file is included once, however many includes name it
         self.loaded_files.add(file_name)
         if len(self.loaded_files) > MAX_FILES:
-            self.problems.error(at, f"over {MAX_FILES} files are included", "join some of them")
+            self.diagnostics.error(reported_at, f"over {MAX_FILES} files are included", "join some of them")
             return
         try:
             text = self.read_text(file_name)
-        except OSError as fault:
-            why = fault.strerror or str(fault)
-            self.problems.is_incomplete = True
-            self.problems.error(
-                at,
-                f"{file_name} cannot be read: {why}",
+        except OSError as error:
+            reason = error.strerror or str(error)
+            self.diagnostics.is_incomplete = True
+            self.diagnostics.error(
+                reported_at,
+                f"{file_name} cannot be read: {reason}",
                 "correct the path; it counts from the including file",
             )
             return
-        for part in without_comments(parse_text(text, file_name, self.problems)):
+        for part in without_comments(parse_text(text, file_name, self.diagnostics)):
             if isinstance(part, Atom):
-                self.problems.error(
+                self.diagnostics.error(
                     part.location,
                     f"{part.source_text} stands alone; a file holds forms (name …)",
                     f"write ({part.source_text} …)",
@@ -113,65 +116,65 @@
     ) -> None:
         path = form.items[1] if len(form.items) == 2 else None
         if not isinstance(path, Atom):
-            self.problems.error(form.location, "include names one file", 'write (include "plans.oak")')
+            self.diagnostics.error(form.location, "include names one file", 'write (include "plans.oak")')
             return
         if path.text.startswith(("/", "~")) or "\\" in path.text:
-            self.problems.error(
+            self.diagnostics.error(
                 path.location,
                 "an include is a path from the file it stands in, with /",
                 "write a relative path",
             )
             return
-        parts: list[str] = file_name.split("/")[:-1]
-        for piece in path.text.split("/"):
-            if piece == ".." and not parts:
-                self.problems.error(
+        segments: list[str] = file_name.split("/")[:-1]
+        for segment in path.text.split("/"):
+            if segment == ".." and not segments:
+                self.diagnostics.error(
                     path.location,
                     f"{path.text} leads out of the folder of the first file",
                     "keep files in that folder",
                 )
                 return
-            if piece == "..":
-                parts.pop()
-            elif piece not in ("", "."):
-                parts.append(piece)
-        self._load_file("/".join(parts), include_chain, path.location, gathered)
+            if segment == "..":
+                segments.pop()
+            elif segment not in ("", "."):
+                segments.append(segment)
+        self._load_file("/".join(segments), include_chain, path.location, gathered)
 
     def _add_definition(self, form: Form) -> None:
         items = form.items
         head = items[1] if len(items) > 1 else None
         parameters = items[2] if len(items) > 2 else None
         if not isinstance(head, Atom) or not isinstance(parameters, Form):
-            self.problems.error(form.location, "define names itself, its parameters, and what it stands for",
+            self.diagnostics.error(form.location, "define names itself, its parameters, and what it stands for",
                                 "write (define half (plan) (limit $plan (at-once 20)))")  # fmt: skip
             return
-        names = [p.text for p in parameters.items if isinstance(p, Atom)]
-        body = [p for p in items[3:] if isinstance(p, Form)]
+        names = [part.text for part in parameters.items if isinstance(part, Atom)]
+        body = [part for part in items[3:] if isinstance(part, Form)]
         if len(names) != len(parameters.items) or len(set(names)) != len(names):
-            self.problems.error(
+            self.diagnostics.error(
                 parameters.location,
                 "after its name a definition lists its parameters, each once",
                 "write (plan rate), or () for none",
             )
             return
         if len(body) != len(items) - 3 or not body:
-            self.problems.error(
+            self.diagnostics.error(
                 form.location, f"definition {head.text} holds forms (name …), one at least", ""
             )
             return
         if head.text in self.definitions:
-            first = self.definitions[head.text].place
-            self.problems.error(
+            first = self.definitions[head.text].location
+            self.diagnostics.error(
                 form.location, f"definition {head.text} stands twice; first at {first}", "rename one of them"
             )
             return
-        used = {name for f in body for a in _atoms_in(f) for name in _parameters_in(a)}
+        used = {name for body_form in body for atom in _atoms_in(body_form) for name in _parameters_in(atom)}
         for name in sorted(used - set(names)):
             guess = closest_match(name, names)
-            self.problems.error(form.location, f"definition {head.text} uses ${name}, which is none of its parameters",
+            self.diagnostics.error(form.location, f"definition {head.text} uses ${name}, which is none of its parameters",
                                 f"write ${guess}" if guess else f"add {name} to its parameters")  # fmt: skip
         for name in sorted(set(names) - used):
-            self.problems.warn(
+            self.diagnostics.warn(
                 parameters.location,
                 f"definition {head.text} never uses its parameter {name}",
                 f"take out {name}",
@@ -182,14 +185,16 @@
         self.form_count += 1
         if self.form_count > MAX_FORMS:
             if self.form_count == MAX_FORMS + 1:
-                self.problems.error(form.location, f"over {MAX_FORMS} forms come of this configuration", "")
+                self.diagnostics.error(
+                    form.location, f"over {MAX_FORMS} forms come of this configuration", ""
+                )
             return
         if form.name != "use":
             expanded.append(form)
             return
         head = form.items[1] if len(form.items) > 1 else None
         if not isinstance(head, Atom):
-            self.problems.error(
+            self.diagnostics.error(
                 form.location,
                 "use names a definition and gives its parameters' values",
                 "write (use half plan-a)",
@@ -198,44 +203,42 @@
         definition = self.definitions.get(head.text)
         if definition is None:
             guess = closest_match(head.text, self.definitions)
-            self.problems.error(head.location, f"there is no definition {head.text}" + (f"; did you mean {guess}?" if guess else ""),
+            self.diagnostics.error(head.location, f"there is no definition {head.text}" + (f"; did you mean {guess}?" if guess else ""),
                                 f"write {guess}" if guess else f"add (define {head.text} () …)")  # fmt: skip
             return
         if head.text in use_chain or len(use_chain) >= MAX_USE_DEPTH:
-            way = " -> ".join([*use_chain, head.text])
-            self.problems.error(
-                form.location, f"this use goes in a circle: {way}", "take the use out of its own definition"
+            circle = " -> ".join([*use_chain, head.text])
+            self.diagnostics.error(
+                form.location,
+                f"this use goes in a circle: {circle}",
+                "take the use out of its own definition",
             )
             return
-        given = form.items[2:]
-        if len(given) != len(definition.parameters):
+        arguments = form.items[2:]
+        if len(arguments) != len(definition.parameters):
             wanted = " ".join(definition.parameters) or "none"
-            self.problems.error(form.location, f"{head.text} takes {len(definition.parameters)} values ({wanted}), not {len(given)}",
-                                f"write (use {' '.join([head.text, *(p.upper() for p in definition.parameters)])})")  # fmt: skip
+            self.diagnostics.error(form.location, f"{head.text} takes {len(definition.parameters)} values ({wanted}), not {len(arguments)}",
+                                f"write (use {' '.join([head.text, *(parameter.upper() for parameter in definition.parameters)])})")  # fmt: skip
             return
-        values = dict(zip(definition.parameters, given, strict=True))
-        for piece in definition.body:
-            filled = _substitute(piece, values, form.location)
-            assert isinstance(filled, Form)
-            self._expand(filled, (*use_chain, head.text), expanded)
+        values = dict(zip(definition.parameters, arguments, strict=True))
+        for body_form in definition.body:
+            instance = _substitute(body_form, values, form.location)
+            assert isinstance(instance, Form)
+            self._expand(instance, (*use_chain, head.text), expanded)
 
 
 def _atoms_in(form: Form) -> list[Atom]:
-    out: list[Atom] = []
+    atoms: list[Atom] = []
     for part in form.items:
-        out += [part] if isinstance(part, Atom) else _atoms_in(part)
-    return out
+        atoms += [part] if isinstance(part, Atom) else _atoms_in(part)
+    return atoms
 
 
 def _parameters_in(atom: Atom) -> list[str]:
     """Returns the parameters that an atom refers to: `$name` as a symbol, or `${name}` within a string."""
-    return (
-        PARAMETER_IN_STRING.findall(atom.text)
-        if atom.is_quoted
-        else [atom.text[1:]]
-        if atom.text.startswith("$")
-        else []
-    )
+    if atom.is_quoted:
+        return PARAMETER_IN_STRING.findall(atom.text)
+    return [atom.text[1:]] if atom.text.startswith("$") else []
 
 
 def _atom_text(value: Form | Atom | None, default: str) -> str:
@@ -250,14 +253,17 @@
     if isinstance(part, Atom):
         if part.is_quoted:
             return replace(
-                part, text=PARAMETER_IN_STRING.sub(lambda m: _atom_text(values.get(m[1]), m[0]), part.text)
+                part,
+                text=PARAMETER_IN_STRING.sub(
+                    lambda match: _atom_text(values.get(match[1]), match[0]), part.text
+                ),
             )
         name = part.text[1:]
         return values[name] if part.text.startswith("$") and name in values else part
     if isinstance(part, Form):
         return replace(
             part,
-            children=tuple(_substitute(p, values, use_location) for p in part.children),
+            children=tuple(_substitute(child, values, use_location) for child in part.children),
             use_locations=(*part.use_locations, use_location),
         )
     return part
--- a/oakcroft/config/explain.py
+++ b/oakcroft/config/explain.py
@@ -17,68 +17,77 @@
     `token_name` is the name of the request's bearer token, "" for none; `front_index` selects whose share of the
     limits is shown.
     """
-    claims = "".join(f", {k} {v}" for k, v in sorted(request.claims.items()))
-    out = [f"{request.role.value} {request.path} at a front of wing {request.zone or '(none)'}{claims}"]
+    claims = "".join(f", {claim} {value}" for claim, value in sorted(request.claims.items()))
+    lines = [f"{request.role.value} {request.path} at a front of wing {request.zone or '(none)'}{claims}"]
     if settings.tokens and not token_name:
-        out.append("without a token: 401")
-        return out
+        lines.append("without a token: 401")
+        return lines
     route = settings.route_table.find(request)
     if route is None:
-        out.append("no route takes it: 404")
-        near = [
-            r for r in settings.route_table.routes.values() if find_mismatch(r.match, request) is not None
+        lines.append("no route takes it: 404")
+        candidates = [
+            candidate
+            for candidate in settings.route_table.routes.values()
+            if find_mismatch(candidate.match, request) is not None
         ]
-        for other in sorted(near, key=lambda r: (r.match.prefix != request.split_path()[0], r.name))[:8]:
-            why = find_mismatch(other.match, request)
-            out.append(f"  not route {other.name}: {why.value if why else ''}")
-        return out
-    for other, why in settings.route_table.more_specific_routes(route, request)[:12]:
-        out.append(f"  not route {other.name}: {why.value}")
-    plan = settings.plans[route.plan]
-    p = plan.plan
-    out.append(f"route {route.name} takes it")
+        for other in sorted(
+            candidates,
+            key=lambda candidate: (candidate.match.prefix != request.split_path()[0], candidate.name),
+        )[:8]:
+            mismatch = find_mismatch(other.match, request)
+            lines.append(f"  not route {other.name}: {mismatch.value if mismatch else ''}")
+        return lines
+    for other, mismatch in settings.route_table.more_specific_routes(route, request)[:12]:
+        lines.append(f"  not route {other.name}: {mismatch.value}")
+    plan_terms = settings.plans[route.plan]
+    p = plan_terms.plan
+    lines.append(f"route {route.name} takes it")
     top = p.top_rung if route.top is None else min(p.top_rung, route.top)
-    out.append(
-        f"plan {plan.name}: {p.effect.value}, playing within {format_value(TIME_TYPE, p.startup_target_ns)}, given up after "
-        f"{format_value(TIME_TYPE, plan.abandon_ns)}, rungs {p.floor} to {top}"
+    lines.append(
+        f"plan {plan_terms.name}: {p.effect.value}, playing within {format_value(TIME_TYPE, p.startup_target_ns)}, given up after "
+        f"{format_value(TIME_TYPE, plan_terms.abandon_ns)}, rungs {p.floor} to {top}"
         + (f", {p.seats} seats a title" if p.seats else "")
     )
-    out.append(describe_pool(settings.pools[route.pool]) if route.pool else "any node that holds the title")
+    lines.append(describe_pool(settings.pools[route.pool]) if route.pool else "any node that holds the title")
     ledger = LimitLedger(front_index, settings.terms.front_count)
     ledger.set_limits(settings.limits)
-    party = RequestSubject(token_name, route.name, route.plan, request.zone)
-    applying = ledger.matching_limits(party)
-    out += [
+    subject = RequestSubject(token_name, route.name, route.plan, request.zone)
+    matching = ledger.matching_limits(subject)
+    lines += [
         describe_limit(
-            limit, settings.terms.front_count, next(x for x in settings.limits if x.name == limit.name)
+            limit,
+            settings.terms.front_count,
+            next(configured for configured in settings.limits if configured.name == limit.name),
         )
-        for limit, _ in applying
+        for limit, _ in matching
     ]
-    if not applying:
-        out.append("no limit applies")
-    return out
+    if not matching:
+        lines.append("no limit applies")
+    return lines
 
 
 def describe_pool(pool: Pool) -> str:
     """Describes a node pool in one line."""
     parts = [
-        f"{name} {' or '.join(map(str, some))}"
-        for name, some in (
+        f"{name} {' or '.join(map(str, values))}"
+        for name, values in (
             ("wing", pool.zones),
             ("rack", pool.racks),
             ("kind", pool.kinds),
             ("tag", pool.tags),
             ("node", pool.nodes),
         )
-        if some
+        if values
     ]
-    but = f", but not {' or '.join(pool.excluded_nodes)}" if pool.excluded_nodes else ""
-    return f"pool {pool.name}: {' and '.join(parts) or 'every node'}{but}"
+    excluded = f", but not {' or '.join(pool.excluded_nodes)}" if pool.excluded_nodes else ""
+    return f"pool {pool.name}: {' and '.join(parts) or 'every node'}{excluded}"
 
 
 def describe_limit(front_share: RequestLimit, front_count: int, configured: RequestLimit) -> str:
     """Describes a limit in one line: the configured values and, for a fleet-wide limit, this front end's share."""
-    on = configured.scope.value + (f" {configured.subject}" if configured.scope is not LimitScope.ALL else "")
+    subject = configured.scope.value + (
+        f" {configured.subject}" if configured.scope is not LimitScope.ALL else ""
+    )
     parts = []
     if configured.rate is not None and front_share.rate is not None:
         parts.append(
@@ -90,4 +99,4 @@
             f"{configured.max_concurrent} at once"
             + (f", here {front_share.max_concurrent}" if configured.is_fleet_wide and front_count > 1 else "")
         )
-    return f"limit {configured.name} on {on}: {'; '.join(parts)}"
+    return f"limit {configured.name} on {subject}: {'; '.join(parts)}"
--- a/oakcroft/config/form_reader.py
+++ b/oakcroft/config/form_reader.py
@@ -39,15 +39,15 @@
 
 def read_form(schema: Schema, form: Form, diagnostics: Diagnostics) -> Record:
     """Reads a form by its schema. Errors go to the diagnostics; the record holds the values that could be read."""
-    used = tuple(f"used at {place}" for place in form.use_locations)
-    record, items = Record(schema, form.location, notes=used), list(form.items[1:])
+    use_notes = tuple(f"used at {place}" for place in form.use_locations)
+    record, items = Record(schema, form.location, notes=use_notes), list(form.items[1:])
     if schema.name_type is not None:
         if items and isinstance(items[0], Atom):
-            record.name = _parse_value(schema.name_type, items.pop(0), diagnostics, used) or ""
+            record.name = _parse_value(schema.name_type, items.pop(0), diagnostics, use_notes) or ""
         else:
-            what = f"({schema.name} …) is named first: {schema.name_doc}"
+            message = f"({schema.name} …) is named first: {schema.name_doc}"
             fix = f"write {schema.example}" if schema.example else ""
-            diagnostics.error(form.location, what, fix, used)
+            diagnostics.error(form.location, message, fix, use_notes)
     for item in items:
         _read_item(item, record, diagnostics)
     _report_missing(form, record, diagnostics)
@@ -56,23 +56,23 @@
 
 def _read_item(item: Atom | Form, record: Record, diagnostics: Diagnostics) -> None:
     """Reads one field of a form into the record."""
-    schema, used = record.schema, record.notes
+    schema, use_notes = record.schema, record.notes
     if not isinstance(item, Form) or not item.name:
         shown = item.source_text if isinstance(item, Atom) else "a list without a name"
-        what = f"{shown} stands alone in ({schema.name} …), which holds fields (name value …)"
-        diagnostics.error(item.location, what, "", used)
+        message = f"{shown} stands alone in ({schema.name} …), which holds fields (name value …)"
+        diagnostics.error(item.location, message, "", use_notes)
         return
     field = schema.find_field(item.name)
     if field is None:
-        _report_unknown(item, schema, used, diagnostics)
+        _report_unknown(item, schema, use_notes, diagnostics)
         return
     if field.name in record.field_locations and not field.is_repeatable:
         first = record.field_locations[field.name]
-        what = f"{field.name} stands twice; first at line {first.line}"
-        diagnostics.error(item.location, what, "keep one of them", used)
+        message = f"{field.name} stands twice; first at line {first.line}"
+        diagnostics.error(item.location, message, "keep one of them", use_notes)
         return
     record.field_locations.setdefault(field.name, item.location)
-    value = _read_field(field, item, diagnostics, used)
+    value = _read_field(field, item, diagnostics, use_notes)
     if value is None:
         return
     if field.is_repeatable:
@@ -85,8 +85,8 @@
     names = [field.name for field in schema.fields]
     guess = closest_match(item.name, names)
     known = f"did you mean {guess}?" if guess else f"known are {join_alternatives(names, MAX_FIELDS_SHOWN)}"
-    what = f"({schema.name} …) has no field {item.name}; {known}"
-    diagnostics.error(item.location, what, f"write {guess}" if guess else "", use_notes)
+    message = f"({schema.name} …) has no field {item.name}; {known}"
+    diagnostics.error(item.location, message, f"write {guess}" if guess else "", use_notes)
 
 
 def _report_missing(form: Form, record: Record, diagnostics: Diagnostics) -> None:
@@ -94,8 +94,8 @@
     for field in schema.fields:
         if field.required and field.name not in record.field_locations:
             named = f" {record.name}" if record.name else ""
-            what = f"({schema.name}{named} …) lacks {field.name}: {field.doc}"
-            diagnostics.error(form.location, what, f"add {sample_field(field)}", record.notes)
+            message = f"({schema.name}{named} …) lacks {field.name}: {field.doc}"
+            diagnostics.error(form.location, message, f"add {sample_field(field)}", record.notes)
 
 
 def sample_field(field: Field) -> str:
@@ -127,13 +127,13 @@
         return None
     try:
         return value_type.parse(item)
-    except InvalidValueError as bad:
-        fix = bad.fix
-        if bad.lacks_unit and field is not None and field.usual_range is not None:
+    except InvalidValueError as error:
+        fix = error.fix
+        if error.lacks_unit and field is not None and field.usual_range is not None:
             low, high, _ = field.usual_range
-            meant = respell_in_usual_unit(field, item, low, high)
-            fix = f"write {meant}, if so meant" if meant else fix
-        diagnostics.error(item.location, bad.message, fix, use_notes)
+            respelled = respell_in_usual_unit(field, item, low, high)
+            fix = f"write {respelled}, if so meant" if respelled else fix
+        diagnostics.error(item.location, error.message, fix, use_notes)
         return None
 
 
@@ -147,8 +147,8 @@
         return read_form(field.subform, form, diagnostics)
     items = form.items[1:]
     if not field.min_values <= len(items) <= field.max_values:
-        what = f"{field.name} holds {_describe_value_count(field)}, not {len(items)}: {field.doc}"
-        diagnostics.error(form.location, what, f"write {sample_field(field)}", use_notes)
+        message = f"{field.name} holds {_describe_value_count(field)}, not {len(items)}: {field.doc}"
+        diagnostics.error(form.location, message, f"write {sample_field(field)}", use_notes)
         return None
     values = []
     for item in items:
@@ -180,19 +180,21 @@
     if isinstance(value, str):
         return
     if field.minimum is not None and value < field.minimum:
-        what = f"{field.name} is {atom.source_text}, but no less than {format_value(field.value_type, field.minimum)} can be"
-        diagnostics.error(atom.location, what, "", use_notes)
+        message = f"{field.name} is {atom.source_text}, but no less than {format_value(field.value_type, field.minimum)} can be"
+        diagnostics.error(atom.location, message, "", use_notes)
     elif field.maximum is not None and value > field.maximum:
-        what = f"{field.name} is {atom.source_text}, but no more than {format_value(field.value_type, field.maximum)} can be"
-        diagnostics.error(atom.location, what, "", use_notes)
+        message = f"{field.name} is {atom.source_text}, but no more than {format_value(field.value_type, field.maximum)} can be"
+        diagnostics.error(atom.location, message, "", use_notes)
     elif field.usual_range is not None and not field.usual_range[0] <= value <= field.usual_range[1]:
-        low, high, think = field.usual_range
+        low, high, hint = field.usual_range
         between = f"{format_value(field.value_type, low)} to {format_value(field.value_type, high)}"
         guess = respell_in_usual_unit(field, atom, low, high)
-        what = f"{field.name} {atom.source_text} is suspicious: usual are {between}" + (
-            f"; {think}" if think else ""
+        message = f"{field.name} {atom.source_text} is suspicious: usual are {between}" + (
+            f"; {hint}" if hint else ""
+        )
+        diagnostics.warn(
+            atom.location, message, f"write {guess}, if that was meant" if guess else "", use_notes
         )
-        diagnostics.warn(atom.location, what, f"write {guess}, if that was meant" if guess else "", use_notes)
 
 
 def respell_in_usual_unit(field: Field, atom: Atom, low: float, high: float) -> str:
--- a/oakcroft/config/pipeline.py
+++ b/oakcroft/config/pipeline.py
@@ -34,9 +34,9 @@
     `is_front_file`: the file belongs to one front end and must hold (front …). Returns the resolved configuration, None
     if there are errors, and all diagnostics.
     """
-    problems = Diagnostics()
-    some = Expander(read_text, problems).expand_file(file_name)
-    return check_forms(some, problems, is_front_file)
+    diagnostics = Diagnostics()
+    plain_forms = Expander(read_text, diagnostics).expand_file(file_name)
+    return check_forms(plain_forms, diagnostics, is_front_file)
 
 
 def check_forms(
@@ -54,10 +54,10 @@
 
     Raises InvalidConfigurationError if it has errors, a file that cannot be read among them.
     """
-    found, problems = check_file(path.name, RootFolder(path.parent).read_text, is_front_file)
-    if found is None:
-        raise InvalidConfigurationError(problems)
-    return found
+    resolved, diagnostics = check_file(path.name, RootFolder(path.parent).read_text, is_front_file)
+    if resolved is None:
+        raise InvalidConfigurationError(diagnostics)
+    return resolved
 
 
 def load_deployment(path: Path) -> Deployment:
--- a/oakcroft/config/records.py
+++ b/oakcroft/config/records.py
@@ -73,9 +73,9 @@
     guess = closest_match(form.name, known)
     shown = form.name or "without a name"
     hint = f"; did you mean {guess}?" if guess else f"; known are {join_alternatives(known, MAX_NAMES_SHOWN)}"
-    also = tuple(f"used at {place}" for place in form.use_locations)
+    use_notes = tuple(f"used at {place}" for place in form.use_locations)
     diagnostics.error(
-        form.location, f"there is no form {shown}{hint}", f"write ({guess} …)" if guess else "", also
+        form.location, f"there is no form {shown}{hint}", f"write ({guess} …)" if guess else "", use_notes
     )
 
 
@@ -83,16 +83,16 @@
     name = record.schema.name
     first = records.single_by_form.setdefault(name, record)
     if first is not record:
-        what = f"({name} …) stands twice; first at {first.location}"
-        diagnostics.error(record.location, what, "join them", record.notes)
+        message = f"({name} …) stands twice; first at {first.location}"
+        diagnostics.error(record.location, message, "join them", record.notes)
 
 
 def _add_named(record: Record, records: Records, diagnostics: Diagnostics) -> None:
     name = record.schema.name
     first = records.named_by_form[name].setdefault(record.name, record)
     if first is not record:
-        what = f"{name} {record.name} is defined twice; first at {first.location}"
-        diagnostics.error(record.location, what, "rename one of them", record.notes)
+        message = f"{name} {record.name} is defined twice; first at {first.location}"
+        diagnostics.error(record.location, message, "rename one of them", record.notes)
 
 
 def _report_missing(records: Records, diagnostics: Diagnostics, is_front_file: bool) -> None:
--- a/oakcroft/config/reference.py
+++ b/oakcroft/config/reference.py
@@ -23,46 +23,50 @@
 
 def reference_page() -> str:
     """Returns the whole reference page as Markdown."""
-    out = [INTRODUCTION]
+    lines = [INTRODUCTION]
     for schema in forms.SCHEMAS_BY_NAME.values():
-        out += _form_section(schema, 2)
-    return "\n".join(out).rstrip() + "\n"
+        lines += _form_section(schema, 2)
+    return "\n".join(lines).rstrip() + "\n"
 
 
 def _form_section(schema: Schema, heading_level: int) -> list[str]:
-    head = (
+    placeholder = (
         f" {schema.name_doc.replace('the ', '').upper().replace(' ', '-')[:24]}" if schema.name_type else ""
     )
-    out = [f"{'#' * heading_level} ({schema.name}{head} …)", "", schema.doc, ""]
+    lines = [f"{'#' * heading_level} ({schema.name}{placeholder} …)", "", schema.doc, ""]
     if schema.example:
-        out += [f"    {schema.example}", ""]
-    out += ["| field | holds | default | what for |", "| --- | --- | --- | --- |"]
-    for f in schema.fields:
-        out.append(f"| `{f.name}` | {_values_cell(f)} | {_default_cell(f)} | {f.doc.replace('|', '/')} |")
-    out.append("")
-    for f in schema.fields:
-        if f.subform is not None:
-            out += _form_section(f.subform, heading_level + 1)
-    return out
+        lines += [f"    {schema.example}", ""]
+    lines += ["| field | holds | default | what for |", "| --- | --- | --- | --- |"]
+    for field in schema.fields:
+        lines.append(
+            f"| `{field.name}` | {_values_cell(field)} | {_default_cell(field)} | {field.doc.replace('|', '/')} |"
+        )
+    lines.append("")
+    for field in schema.fields:
+        if field.subform is not None:
+            lines += _form_section(field.subform, heading_level + 1)
+    return lines
 
 
 def _values_cell(field: Field) -> str:
     if field.subform is not None:
         return "fields, see below"
-    many = (
+    count = (
         ""
         if field.max_values == 1
         else f"{field.max_values} of "
         if field.min_values == field.max_values
         else "one or more of "
     )
-    again = ", may stand again" if field.is_repeatable else ""
+    repetition = ", may stand again" if field.is_repeatable else ""
     bounds = ""
     if field.minimum is not None:
         bounds += f", {format_value(field.value_type, field.minimum)} or more"
     if field.usual_range is not None:
         bounds += f", usual {format_value(field.value_type, field.usual_range[0])} to {format_value(field.value_type, field.usual_range[1])}"
-    return f"{many}{field.value_type.name}: {field.value_type.description}{bounds}{again}".replace("|", "/")
+    return f"{count}{field.value_type.name}: {field.value_type.description}{bounds}{repetition}".replace(
+        "|", "/"
+    )
 
 
 def _default_cell(field: Field) -> str:
@@ -84,12 +88,12 @@
     else:
         schema = forms.SCHEMAS_BY_NAME.get(form_name) or next(
             (
-                f.subform
-                for s in forms.SCHEMAS_BY_NAME.values()
-                for f in s.fields
-                if f.subform and f.name == form_name
+                field.subform
+                for form_schema in forms.SCHEMAS_BY_NAME.values()
+                for field in form_schema.fields
+                if field.subform and field.name == form_name
             ),
             None,
         )
-        names = [f.name for f in schema.fields] if schema else []
+        names = [field.name for field in schema.fields] if schema else []
     return sorted(n for n in names if n.startswith(prefix))
--- a/oakcroft/config/resolved.py
+++ b/oakcroft/config/resolved.py
@@ -28,26 +28,26 @@
 
     The result is equal for texts that differ only in order, layout, comments, units, includes and definitions.
     """
-    out: ResolvedConfig = {}
+    resolved: ResolvedConfig = {}
     for schema in forms.SINGLE_FORMS:
         record = records.find_single(schema)
         if record is not None:
-            out[schema.name] = resolve_fields(record)
+            resolved[schema.name] = resolve_fields(record)
         elif schema not in OPTIONAL_FORMS:
-            out[schema.name] = {field.name: field.default for field in schema.fields}
+            resolved[schema.name] = {field.name: field.default for field in schema.fields}
     for schema in forms.NAMED_FORMS:
         named = sorted(records.named_records(schema).items())
-        out[schema.name] = {name: resolve_fields(record) for name, record in named}
-    return out
+        resolved[schema.name] = {name: resolve_fields(record) for name, record in named}
+    return resolved
 
 
 def resolve_fields(record: Record) -> dict[str, Any]:
     """Returns a record's values by field name, defaults included. A secret is replaced by its digest, so that the
     result can be shown."""
-    out = {field.name: _resolve_field(record, field.name) for field in record.schema.fields}
-    if "titles" in out and "*" in out["titles"]:
-        out["titles"] = ()  # "*" stands for all titles, as does no title
-    return out
+    values = {field.name: _resolve_field(record, field.name) for field in record.schema.fields}
+    if "titles" in values and "*" in values["titles"]:
+        values["titles"] = ()  # "*" stands for all titles, as does no title
+    return values
 
 
 def _resolve_field(record: Record, field_name: str) -> Any:
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -67,7 +67,7 @@
     `examples` are two values for descriptions and suggested fixes.
     """
 
-    def read(atom: Atom) -> float | int:
+    def parse(atom: Atom) -> float | int:
         match = NUMBER_WITH_UNIT.match(atom.text) if not atom.is_quoted else None
         if match is None:
             raise InvalidValueError(
@@ -92,7 +92,7 @@
         return round(value) if is_whole else value
 
     return ValueType(
-        name, f"a figure with one of {', '.join(units)}, as {examples[0]} or {examples[1]}", read
+        name, f"a figure with one of {', '.join(units)}, as {examples[0]} or {examples[1]}", parse
     )
 
 
@@ -139,7 +139,7 @@
 def choice_type(name: str, words: Sequence[str]) -> ValueType:
     """Returns the type of a value that is one of `words`."""
 
-    def read(atom: Atom) -> str:
+    def parse(atom: Atom) -> str:
         if atom.text not in words:
             guess = closest_match(atom.text, words)
             raise InvalidValueError(
@@ -148,7 +148,7 @@
             )
         return atom.text
 
-    return ValueType(name, join_alternatives(words), read)
+    return ValueType(name, join_alternatives(words), parse)
 
 
 @dataclass(frozen=True)
@@ -242,9 +242,9 @@
     """Formats a value, given in the type's base unit, in the largest unit that suits it."""
     if value_type.name not in UNIT_FACTORS:
         return _format_number(value)
-    worth, shown = UNIT_FACTORS[value_type.name], DISPLAY_UNITS[value_type.name]
-    for unit in shown:
-        in_unit = value / worth[unit]
-        if value >= worth[unit] and in_unit == round(in_unit, MAX_DECIMALS):
-            return f"{_format_number(in_unit)}{unit}"
-    return f"{_format_number(value / worth[shown[-1]])}{shown[-1]}"
+    factors, display_units = UNIT_FACTORS[value_type.name], DISPLAY_UNITS[value_type.name]
+    for unit in display_units:
+        converted = value / factors[unit]
+        if value >= factors[unit] and converted == round(converted, MAX_DECIMALS):
+            return f"{_format_number(converted)}{unit}"
+    return f"{_format_number(value / factors[display_units[-1]])}{display_units[-1]}"
--- a/oakcroft/config/settings.py
+++ b/oakcroft/config/settings.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 
 from oakcroft.decisions.admission.connection_limits import ConnectionLimits
-from oakcroft.decisions.admission.service_levels import LevelBounds as LevelBounds, ServiceLevel
+from oakcroft.decisions.admission.service_levels import LevelBounds, ServiceLevel
 from oakcroft.decisions.admission.request_limits import RequestLimit
-from oakcroft.decisions.fleet.session_takeover import TakeoverBounds as Adopts
+from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.decisions.routing.pools import Pool
 from oakcroft.decisions.routing.route_table import RouteTable
-from oakcroft.decisions.routing.zone_preference import ZonePreferenceBounds as WingBounds
+from oakcroft.decisions.routing.zone_preference import ZonePreferenceBounds
 from oakcroft.interface import Plan, DeploymentSettings
 
 
@@ -53,7 +53,7 @@
     copy_count: int
     ice_servers: tuple[str, ...]
     connection_limits: ConnectionLimits
-    answer_margin_ns: int  # kept of each abandon time for the answer to reach the viewer, ns
+    answer_margin_ns: int  # kept of each abandon time for the answer to reach the viewer
     drain_grace_ns: int
     default_drain_notice_ns: int
     drain_timeout_ns: int
@@ -66,7 +66,7 @@
     operator_token_digest: bytes  # empty: no operators' interface
     levels: tuple[ServiceLevel, ...]  # levels of reduced service, in order of rank
     level_bounds: LevelBounds
-    zone_preference: WingBounds | None  # None: no zone is preferred
+    zone_preference: ZonePreferenceBounds | None  # None: no zone is preferred
     preferred_zones: tuple[str, ...]  # other zones in order of preference
 
 
@@ -97,7 +97,7 @@
     keepers: tuple[str, ...] = ()  # names of the front ends that grant terms of duties by majority
     term_ns: int = 0  # length of a term, ns
     probe_interval_ns: int = 0  # time between two load probes of a node, ns; 0: loads are not shared
-    takeover_bounds: Adopts | None = None  # None: playbacks of failed front ends are not taken over
+    takeover_bounds: TakeoverBounds | None = None  # None: playbacks of failed front ends are not taken over
     region: str = ""  # region of this front end's zone; empty: one flat membership of all front ends
     other_zones: tuple[OtherZone, ...] = ()
 
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -12,7 +12,8 @@
 
 from oakcroft.config.diagnostics import SourceLocation, Diagnostics
 
-MAX_TEXT_LENGTH, MAX_NESTING_DEPTH = 8_000_000, 64
+MAX_TEXT_LENGTH = 8_000_000
+MAX_NESTING_DEPTH = 64
 ESCAPES = {"n": "\n", "\\": "\\", '"': '"'}
 
 
@@ -74,33 +75,35 @@
         return parts
 
     def form(self, parts: Sequence[Token | SyntaxNode]) -> Form:
-        opening, *inside, closing = parts
+        opening, *content, closing = parts
         assert isinstance(opening, Token)
         assert isinstance(closing, Token)
-        head = inside[0] if inside else None
+        head = content[0] if content else None
         length = 1 + len(head.source_text) if isinstance(head, Atom) else 1
-        held = tuple(p for p in inside if not isinstance(p, Token))
-        return Form(held, self._location(opening, length), closing.line or 1)
+        children = tuple(p for p in content if not isinstance(p, Token))
+        return Form(children, self._location(opening, length), closing.line or 1)
 
     def text(self, parts: list[Token]) -> Atom:
-        raw = str(parts[0])
-        inner, out, at = raw[1:-1], [], 0
-        while at < len(inner):
-            if inner[at] == "\\":
-                at += 1
-                out.append(ESCAPES[inner[at]])
+        source_text = str(parts[0])
+        content = source_text[1:-1]
+        characters = []
+        position = 0
+        while position < len(content):
+            if content[position] == "\\":
+                position += 1
+                characters.append(ESCAPES[content[position]])
             else:
-                out.append(inner[at])
-            at += 1
-        return Atom("".join(out), self._location(parts[0], len(raw)), True, raw)
+                characters.append(content[position])
+            position += 1
+        return Atom("".join(characters), self._location(parts[0], len(source_text)), True, source_text)
 
     def atom(self, parts: list[Token]) -> Atom:
-        raw = str(parts[0])
-        return Atom(raw, self._location(parts[0], len(raw)), False, raw)
+        source_text = str(parts[0])
+        return Atom(source_text, self._location(parts[0], len(source_text)), False, source_text)
 
     def comment(self, parts: list[Token]) -> Comment:
-        raw = str(parts[0]).rstrip()
-        return Comment(raw, self._location(parts[0], len(raw)))
+        source_text = str(parts[0]).rstrip()
+        return Comment(source_text, self._location(parts[0], len(source_text)))
 
 
 @cache
@@ -114,10 +117,10 @@
 def _thread_parser() -> tuple[Lark, _FormBuilder]:
     """Returns this thread's parser and its builder. The builder holds the file name, so threads cannot share it."""
     if not hasattr(THREAD_LOCAL, "pair"):
-        build = _FormBuilder()
+        builder = _FormBuilder()
         THREAD_LOCAL.pair = (
-            Lark((Path(__file__).parent / "grammar.lark").read_text(), parser="lalr", transformer=build),
-            build,
+            Lark((Path(__file__).parent / "grammar.lark").read_text(), parser="lalr", transformer=builder),
+            builder,
         )
     pair: tuple[Lark, _FormBuilder] = THREAD_LOCAL.pair
     return pair
@@ -134,21 +137,21 @@
             "split it with (include …)",
         )
         return []
-    if (deep := _find_excess_nesting(text)) is not None:
+    if (excess := _find_excess_nesting(text)) is not None:
         diagnostics.is_incomplete = True
         diagnostics.error(
-            SourceLocation(file_name, deep[0], deep[1]),
+            SourceLocation(file_name, excess[0], excess[1]),
             f"lists are nested over {MAX_NESTING_DEPTH} deep here",
             "flatten them",
         )
         return []
-    parser, build = _thread_parser()
-    build.file_name = file_name
+    parser, builder = _thread_parser()
+    builder.file_name = file_name
     try:
         parts = parser.parse(text)
-    except UnexpectedInput as fault:
+    except UnexpectedInput as error:
         diagnostics.is_incomplete = True
-        _report_syntax_error(text, file_name, fault, diagnostics)
+        _report_syntax_error(text, file_name, error, diagnostics)
         return []
     assert isinstance(parts, list)
     return parts
@@ -159,46 +162,54 @@
 
     It scans without recursion, so that no text can exhaust the stack.
     """
-    depth, quoted, comment, line, start = 0, False, False, 1, 0
-    skip = False
-    for at, letter in enumerate(text):
-        if letter == "\n":
-            line, start, comment, quoted = line + 1, at + 1, False, False
-        elif comment:
+    depth = 0
+    line = 1
+    line_start = 0
+    in_string = False
+    in_comment = False
+    is_escaped = False
+    for position, character in enumerate(text):
+        if character == "\n":
+            line += 1
+            line_start = position + 1
+            in_comment = False
+            in_string = False
+        elif in_comment:
             continue
-        elif quoted:
-            if skip:
-                skip = False
-            elif letter == "\\":
-                skip = True
-            elif letter == '"':
-                quoted = False
-        elif letter == '"':
-            quoted, skip = True, False
-        elif letter == ";":
-            comment = True
-        elif letter == "(":
+        elif in_string:
+            if is_escaped:
+                is_escaped = False
+            elif character == "\\":
+                is_escaped = True
+            elif character == '"':
+                in_string = False
+        elif character == '"':
+            in_string = True
+            is_escaped = False
+        elif character == ";":
+            in_comment = True
+        elif character == "(":
             depth += 1
             if depth > MAX_NESTING_DEPTH:
-                return line, at - start + 1
-        elif letter == ")":
+                return line, position - line_start + 1
+        elif character == ")":
             depth -= 1
     return None
 
 
 def _report_syntax_error(text: str, file_name: str, error: UnexpectedInput, diagnostics: Diagnostics) -> None:
     """Records an error for a text that cannot be parsed, as specific as the parser's error allows."""
-    kind = getattr(getattr(error, "token", None), "type", "")
+    token_type = getattr(getattr(error, "token", None), "type", "")
     lines = text.split("\n")
-    if kind == "$END":
-        opened = _find_unclosed_list(text)
-        if opened is not None:
-            place = SourceLocation(file_name, *opened)
-            diagnostics.error(place, "this list is never closed", "add ) where it ends")
+    if token_type == "$END":
+        unclosed = _find_unclosed_list(text)
+        if unclosed is not None:
+            location = SourceLocation(file_name, *unclosed)
+            diagnostics.error(location, "this list is never closed", "add ) where it ends")
             return
     line, column = max(1, error.line), max(1, error.column)
     rest = lines[line - 1][column - 1 :] if line <= len(lines) else ""
-    if kind == "RPAR":
+    if token_type == "RPAR":
         diagnostics.error(
             SourceLocation(file_name, line, column),
             "this ) closes nothing",
@@ -219,15 +230,15 @@
     This is the innermost open list at the end of the text, or at the first line that begins with a list in column 1
     while lists are open, since the missing parenthesis is then most likely before that line.
     """
-    stack: list[tuple[int, int]] = []
+    open_lists: list[tuple[int, int]] = []
     for token in _lexer().lex(text):
         if token.type == "LPAR":
-            if token.column == 1 and stack:
-                return stack[-1]
-            stack.append((token.line or 1, token.column or 1))
-        elif token.type == "RPAR" and stack:
-            stack.pop()
-    return stack[-1] if stack else None
+            if token.column == 1 and open_lists:
+                return open_lists[-1]
+            open_lists.append((token.line or 1, token.column or 1))
+        elif token.type == "RPAR" and open_lists:
+            open_lists.pop()
+    return open_lists[-1] if open_lists else None
 
 
 def without_comments(parts: list[SyntaxNode]) -> list[Form | Atom]:
--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -98,7 +98,9 @@
         `vfs` is the name of an SQLite VFS to use in place of the default one. With `is_synced` off, commits don't wait
         for the disk.
         """
-        self.path, self.vfs, self.written_count = path, vfs, 0
+        self.path = path
+        self.vfs = vfs
+        self.written_count = 0
         if vfs is None:
             self._check_header(Path(path))
         with translated_errors():
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -87,27 +87,30 @@
 
         A damaged file is moved aside and replaced by a new one.
         """
-        held: StateContents | None = None
+        contents: StateContents | None = None
         try:
-            held = await self._run_in_thread(self._open)
-        except StateFileError as fault:
-            if fault.fault is not FileFault.CORRUPT:
-                self._record_failure(fault)
+            contents = await self._run_in_thread(self._open)
+        except StateFileError as error:
+            if error.fault is not FileFault.CORRUPT:
+                self._record_failure(error)
                 return None
-            held = await self._replace_damaged_file(fault)
-        if held is not None:
-            self.is_read, self.named_values = True, held.named_values
-            self.was_complete = COMPLETE_KEY in held.named_values
-        return held
+            contents = await self._replace_damaged_file(error)
+        if contents is not None:
+            self.is_read = True
+            self.named_values = contents.named_values
+            self.was_complete = COMPLETE_KEY in contents.named_values
+        return contents
 
     async def _replace_damaged_file(self, error: StateFileError) -> StateContents | None:
         try:
-            aside = await self._run_in_thread(partial(move_damaged_file, self.path))
-            self.log.error("state damaged", why=str(error), kept_as=aside)
+            damaged_path = await self._run_in_thread(partial(move_damaged_file, self.path))
+            self.log.error("state damaged", why=str(error), kept_as=damaged_path)
             return await self._run_in_thread(self._open)
-        except (StateFileError, OSError) as again:
+        except (StateFileError, OSError) as second_error:
             self._record_failure(
-                again if isinstance(again, StateFileError) else StateFileError(FileFault.IO_ERROR, str(again))
+                second_error
+                if isinstance(second_error, StateFileError)
+                else StateFileError(FileFault.IO_ERROR, str(second_error))
             )
             return None
 
@@ -149,16 +152,16 @@
         if not self.health.can_record(self.clock()) or len(self.queue) >= MAX_QUEUED:
             self.counts.refused += 1
             return False
-        one = QueuedChange(change, trio.Event())
-        assert one.finished is not None
-        self.queue.append(one)
+        queued = QueuedChange(change, trio.Event())
+        assert queued.finished is not None
+        self.queue.append(queued)
         self.wakeup.set()
         with trio.move_on_after(self.health.slow_after / 1e9):
-            await one.finished.wait()
-        if not one.is_durable:
+            await queued.finished.wait()
+        if not queued.is_durable:
             self.counts.refused += 1
         self._log_health_change(self.health.check(self.clock()))
-        return one.is_durable
+        return queued.is_durable
 
     # Writing.
 
@@ -192,11 +195,11 @@
         if self.needs_full_write and self.snapshot_memory is not None:
             self.needs_full_write = False
             batch.insert(0, QueuedChange(self.snapshot_memory()))
-        if rows := self.upkeep.allowance(self.health, len(self.queue), now):
+        if max_rows := self.upkeep.allowance(self.health, len(self.queue), now):
             batch.append(
                 QueuedChange(
                     DeleteExpired(
-                        now - self.retention_ns, rows, now - max(self.retention_ns, NODE_RETENTION_NS)
+                        now - self.retention_ns, max_rows, now - max(self.retention_ns, NODE_RETENTION_NS)
                     )
                 )
             )
@@ -206,62 +209,60 @@
     async def _commit(self, batch: list[QueuedChange], is_full_write: bool = False) -> None:
         if self.file is None:
             return
-        began = self.clock()
-        self.health.commit_started(began)
+        started_at = self.clock()
+        self.health.commit_started(started_at)
         try:
-            await self._run_in_thread(partial(self.file.commit, [w.change for w in batch]))
-        except StateFileError as fault:
+            await self._run_in_thread(partial(self.file.commit, [queued.change for queued in batch]))
+        except StateFileError as error:
             self.needs_full_write = True
-            self._record_failure(fault)
-            for one in batch:
-                if one.finished is not None:
-                    one.finished.set()
+            self._record_failure(error)
+            for queued in batch:
+                if queued.finished is not None:
+                    queued.finished.set()
             return
         now = self.clock()
         self.counts.commits += 1
         self.counts.changes += len(batch)
-        self.counts.longest_ns = max(self.counts.longest_ns, now - began)
+        self.counts.longest_ns = max(self.counts.longest_ns, now - started_at)
         self._log_health_change(self.health.commit_succeeded(now, is_full_write))
-        for one in batch:
-            if one.finished is not None:
-                one.is_durable = True
-                one.finished.set()
+        for queued in batch:
+            if queued.finished is not None:
+                queued.is_durable = True
+                queued.finished.set()
 
     def _fail_queued(self) -> None:
         """Empties the queue and wakes the callers of durable changes, which were not written."""
         self.needs_full_write = self.needs_full_write or bool(self.queue)
         while self.queue:
-            one = self.queue.popleft()
-            if one.finished is not None:
-                one.finished.set()
+            queued = self.queue.popleft()
+            if queued.finished is not None:
+                queued.finished.set()
 
     async def _reopen(self) -> None:
         """Reopens the file and writes everything in memory. Contents that were never read are reported first."""
         try:
-            held = await self._run_in_thread(self._open)
-        except StateFileError as fault:
-            if fault.fault is not FileFault.CORRUPT:
-                self._record_failure(fault)
+            contents = await self._run_in_thread(self._open)
+        except StateFileError as error:
+            if error.fault is not FileFault.CORRUPT:
+                self._record_failure(error)
                 return
-            held_anew = await self._replace_damaged_file(fault)
-            if held_anew is None:
+            new_contents = await self._replace_damaged_file(error)
+            if new_contents is None:
                 return
-            held = held_anew
+            contents = new_contents
         if not self.is_read and self.on_late_read is not None:
-            self.is_read, self.named_values, self.was_complete = (
-                True,
-                held.named_values,
-                COMPLETE_KEY in held.named_values,
-            )
-            self.on_late_read(held)
+            self.is_read = True
+            self.named_values = contents.named_values
+            self.was_complete = COMPLETE_KEY in contents.named_values
+            self.on_late_read(contents)
         if self.snapshot_memory is not None:
             self.needs_full_write = False
             await self._commit([QueuedChange(self.snapshot_memory())], is_full_write=True)
 
     def _record_failure(self, error: StateFileError) -> None:
         now = self.clock()
-        changed = self.health.commit_failed(error.fault, now)
-        if changed:
+        has_changed = self.health.commit_failed(error.fault, now)
+        if has_changed:
             self.log.error("state not written", why=str(error), disk=self.health.state.value,
                            retry_ms=(self.health.retry_at - now) // 1_000_000)  # fmt: skip
 
