--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -59,7 +59,7 @@
     if finished.returncode == 0:
         return build_deployment(pickle.loads(finished.stdout), known_families)
     error_text = finished.stderr.decode("utf-8", "replace").strip()
-    return [error_text or f"the check ended with {finished.returncode}"]
+    return [error_text or f"the configuration check exited with code {finished.returncode}"]
 
 
 def serve_file(file: Path, decide: PolicyFactory = Controller) -> int:
--- a/oakcroft/commands/state.py
+++ b/oakcroft/commands/state.py
@@ -26,7 +26,7 @@
     except StateFileError as error:
         click.echo(f"{file}: {error}", err=True)
         if error.fault is FileFault.LOCKED:
-            click.echo("a running front has it; ask that front: oakcroft status", err=True)
+            click.echo("a running front has it open; ask that front: oakcroft status", err=True)
         sys.exit(EXIT_FAILURE)
 
 
@@ -122,7 +122,7 @@
     """
     if file.exists():
         if not yes:
-            click.echo(f"{file} is there; say --yes to replace it", err=True)
+            click.echo(f"{file} exists; pass --yes to replace it", err=True)
             sys.exit(EXIT_INVALID_INPUT)
         open_or_exit(file).close()  # no front end may have it open; closing also checkpoints its WAL
         file.replace(file.with_name(file.name + ".before"))
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -78,13 +78,13 @@
 def _check_ambiguous_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
     """Checks that no two routes of equal specificity match the same request, since either could be chosen."""
     places = {name: record.location for name, record in records.named_records(forms.ROUTE).items()}
-    for one, other, title in ambiguous_routes(routes):
+    for first, second, title in ambiguous_routes(routes):
         message = (
-            f"routes {one.name} and {other.name} both take {title} under {one.match.prefix}, "
+            f"routes {first.name} and {second.name} both take {title} under {first.match.prefix}, "
             "and neither is more particular"
         )
         fix = "give one of them titles, a wing or a claim that the other has not"
-        diagnostics.error(places[other.name], message, fix, [f"{one.name} stands at {places[one.name]}"])
+        diagnostics.error(places[second.name], message, fix, [f"{first.name} stands at {places[first.name]}"])
 
 
 def _check_unreachable_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -74,7 +74,9 @@
         if change.field is not None:
             container, key = container[key], change.field
         if container.get(key, ABSENT) != change.before:
-            raise ValueError(f"{change.form} {change.name} is not what the change starts from")
+            raise ValueError(
+                f"{change.form} {change.name} doesn't have the value that the change starts from"
+            )
         if change.after is ABSENT:
             del container[key]
         else:
--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -117,15 +117,15 @@
         """Checks the file header before SQLite opens the file, so that the file of a newer program stays unchanged."""
         try:
             with path.open("rb") as file:
-                head = file.read(HEADER_LENGTH)
+                header = file.read(HEADER_LENGTH)
         except FileNotFoundError:
             return
         except OSError as error:
             raise StateFileError(FileFault.IO_ERROR, str(error)) from error
-        if len(head) == HEADER_LENGTH and head.startswith(HEADER_MAGIC):
-            version = int.from_bytes(head[USER_VERSION_BYTES], "big")
-            magic = int.from_bytes(head[APPLICATION_ID_BYTES], "big")
-            if magic not in (0, OAKCROFT_APPLICATION_ID) or version > SCHEMA_VERSION:
+        if len(header) == HEADER_LENGTH and header.startswith(HEADER_MAGIC):
+            version = int.from_bytes(header[USER_VERSION_BYTES], "big")
+            application_id = int.from_bytes(header[APPLICATION_ID_BYTES], "big")
+            if application_id not in (0, OAKCROFT_APPLICATION_ID) or version > SCHEMA_VERSION:
                 raise StateFileError(
                     FileFault.NEWER_FORMAT,
                     f"{path} has version {version}, this program knows {SCHEMA_VERSION}",
@@ -135,9 +135,9 @@
         self.db.pragma("locking_mode", "exclusive")
         self.db.pragma("auto_vacuum", "incremental")
         version = int(self.db.pragma("user_version"))
-        magic = int(self.db.pragma("application_id"))
-        if magic not in (0, OAKCROFT_APPLICATION_ID):
-            raise StateFileError(FileFault.NEWER_FORMAT, f"{self.path} is another program's")
+        application_id = int(self.db.pragma("application_id"))
+        if application_id not in (0, OAKCROFT_APPLICATION_ID):
+            raise StateFileError(FileFault.NEWER_FORMAT, f"{self.path} belongs to another program")
         if version > SCHEMA_VERSION:
             raise StateFileError(
                 FileFault.NEWER_FORMAT,
@@ -145,8 +145,8 @@
             )
         self.db.pragma("journal_mode", "wal")
         self.db.pragma("synchronous", "full" if is_synced else "off")
-        if (said := self.db.pragma("quick_check")) != "ok":
-            raise StateFileError(FileFault.CORRUPT, str(said)[:MAX_REPORT_LENGTH])
+        if (report := self.db.pragma("quick_check")) != "ok":
+            raise StateFileError(FileFault.CORRUPT, str(report)[:MAX_REPORT_LENGTH])
         if version < SCHEMA_VERSION:
             with self.db:
                 for number in range(version, SCHEMA_VERSION):
@@ -178,23 +178,29 @@
     def read(self) -> StateContents:
         """Returns all contents of the file."""
         with translated_errors():
-            run, held = self.db.execute, StateContents()
-            bodies = msgspec.msgpack.Decoder(Promise)
-            held.promises = [bodies.decode(b) for (b,) in run("SELECT body FROM promises ORDER BY id")]
-            lines = msgspec.msgpack.Decoder(ListedNode)
-            held.listed_nodes = [lines.decode(b) for (b,) in run("SELECT body FROM nodes ORDER BY name")]
-            held.node_penalties = [NodePenalty(*row) for row in run("SELECT * FROM grudges ORDER BY node")]
-            held.slot_usage = [SlotUsage(*row) for row in run("SELECT * FROM spent ORDER BY node")]
-            held.moves = [MoveRecord(*row) for row in run("SELECT * FROM moves ORDER BY playback")]
-            held.versions = [
-                VersionRecord(*row) for row in run("SELECT * FROM versions ORDER BY kind, number")
+            execute, contents = self.db.execute, StateContents()
+            promise_decoder = msgspec.msgpack.Decoder(Promise)
+            contents.promises = [
+                promise_decoder.decode(body) for (body,) in execute("SELECT body FROM promises ORDER BY id")
             ]
-            held.named_values = dict(run("SELECT name, value FROM facts ORDER BY name"))
-            if NODE_LIST_KEY in held.named_values:
-                held.list_version, held.service = msgspec.msgpack.decode(
-                    held.named_values[NODE_LIST_KEY], type=tuple[int, str]
+            node_decoder = msgspec.msgpack.Decoder(ListedNode)
+            contents.listed_nodes = [
+                node_decoder.decode(body) for (body,) in execute("SELECT body FROM nodes ORDER BY name")
+            ]
+            contents.node_penalties = [
+                NodePenalty(*row) for row in execute("SELECT * FROM grudges ORDER BY node")
+            ]
+            contents.slot_usage = [SlotUsage(*row) for row in execute("SELECT * FROM spent ORDER BY node")]
+            contents.moves = [MoveRecord(*row) for row in execute("SELECT * FROM moves ORDER BY playback")]
+            contents.versions = [
+                VersionRecord(*row) for row in execute("SELECT * FROM versions ORDER BY kind, number")
+            ]
+            contents.named_values = dict(execute("SELECT name, value FROM facts ORDER BY name"))
+            if NODE_LIST_KEY in contents.named_values:
+                contents.list_version, contents.service = msgspec.msgpack.decode(
+                    contents.named_values[NODE_LIST_KEY], type=tuple[int, str]
                 )
-            return held
+            return contents
 
     def size(self) -> int:
         """Returns the size of the main file in bytes, without the WAL."""
@@ -219,14 +225,14 @@
 
 def move_damaged_file(path: str) -> str:
     """Renames a damaged file and its logs, so that they can be examined later. Returns the file's new path."""
-    kept = Path(path)
+    original = Path(path)
     number = 1
-    while (aside := kept.with_name(f"{kept.name}.damaged-{number}")).exists():
+    while (damaged := original.with_name(f"{original.name}.damaged-{number}")).exists():
         number += 1
-    for end in ("-wal", "-journal", "-shm"):
-        log = kept.with_name(kept.name + end)
+    for suffix in ("-wal", "-journal", "-shm"):
+        log = original.with_name(original.name + suffix)
         if log.exists():
-            log.replace(aside.with_name(aside.name + end))
-    if kept.exists():
-        kept.replace(aside)
-    return str(aside)
+            log.replace(damaged.with_name(damaged.name + suffix))
+    if original.exists():
+        original.replace(damaged)
+    return str(damaged)
--- a/oakcroft/store/statements.py
+++ b/oakcroft/store/statements.py
@@ -30,7 +30,7 @@
 @singledispatch
 def write_change(change: object, db: apsw.Connection) -> None:
     """Writes a change. Raises apsw.Error if that fails, and TypeError for an object that is no change."""
-    raise TypeError(f"{type(change).__name__} is no change of a state file")
+    raise TypeError(f"{type(change).__name__} is not a state file change")
 
 
 @write_change.register
@@ -84,9 +84,9 @@
 
 @write_change.register
 def _delete_expired(change: DeleteExpired, db: apsw.Connection) -> None:
-    old = "SELECT id FROM promises WHERE mark IN (?, ?) AND changed < ? LIMIT ?"
+    expired_ids = "SELECT id FROM promises WHERE mark IN (?, ?) AND changed < ? LIMIT ?"
     values = (PromiseState.ABORTED.name, PromiseState.INTENT.name, change.changed_before, change.max_promises)
-    db.execute(f"DELETE FROM promises WHERE id IN ({old})", values)
+    db.execute(f"DELETE FROM promises WHERE id IN ({expired_ids})", values)
     for table in NODE_TABLES:
         db.execute(f"DELETE FROM {table} WHERE at < ?", (change.node_rows_before,))
     # One step frees one page, so all rows have to be fetched.
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -59,44 +59,44 @@
 
 
 def sections() -> dict[str, dict[str, str]]:
-    out: dict[str, dict[str, str]] = {}
+    sections_by_name: dict[str, dict[str, str]] = {}
     for section in (HERE / "broken.txt").read_text().split("=== ")[1:]:
-        name, _, rest = section.partition("\n")
-        files = [part.partition("\n") for part in rest.split("--- ")[1:]]
-        out[name] = {file: text.removesuffix("\n") for file, _, text in files}
-    return out
+        name, _, body = section.partition("\n")
+        files = [part.partition("\n") for part in body.split("--- ")[1:]]
+        sections_by_name[name] = {file: text.removesuffix("\n") for file, _, text in files}
+    return sections_by_name
 
 
 BROKEN = sections()
 BASE = BROKEN.pop("base")["base.oak"]
 
 
-def opener(files: dict[str, str]):  # type: ignore[no-untyped-def]
-    def open_(name: str) -> str:
+def text_reader(files: dict[str, str]):  # type: ignore[no-untyped-def]
+    def read_text(name: str) -> str:
         if name not in files:
             raise OSError("no such file")
         return files[name]
 
-    return open_
+    return read_text
 
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_a_broken_file_is_told_with_place_and_fix(name: str) -> None:
     files = {"base.oak": BASE, **BROKEN[name]}
-    found, problems = check_file("main.oak", opener(files))
-    assert "\n".join(problems.format(p) for p in problems.sorted()) == files["says"]
-    assert (found is None) == (": error: " in files["says"])
+    resolved, diagnostics = check_file("main.oak", text_reader(files))
+    assert "\n".join(diagnostics.format(item) for item in diagnostics.sorted()) == files["says"]
+    assert (resolved is None) == (": error: " in files["says"])
 
 
 def test_there_are_enough_broken_files_and_the_base_is_sound() -> None:
     assert len(BROKEN) >= 60
-    found, problems = check_file("base.oak", opener({"base.oak": BASE}))
-    assert found is not None
-    assert not problems.items
+    resolved, diagnostics = check_file("base.oak", text_reader({"base.oak": BASE}))
+    assert resolved is not None
+    assert not diagnostics.items
 
 
-def meaning(text: str) -> ResolvedConfig:
-    found, problems = check_file("main.oak", opener({"main.oak": text, "base.oak": BASE}))
+def resolved_config(text: str) -> ResolvedConfig:
+    found, problems = check_file("main.oak", text_reader({"main.oak": text, "base.oak": BASE}))
     assert found is not None, [problems.format(p) for p in problems.errors]
     return found
 
@@ -133,99 +133,99 @@
             '(pool w (wings west east)(but n1 n2))\n(route pooled (path "/w/") (plan course) (pool w))'
         )
     head, rest = forms[0], draw(st.permutations(forms[1:]))
-    out = head
+    text = head
     for form in rest:
         spaced = form.replace(") (", f"){draw(quiet) or ' '}(").replace("))", f"){draw(quiet)})")
-        out += (draw(quiet) or "\n") + spaced
-    return out + draw(st.sampled_from(["", "\n", "\n; the end", "\n\n"]))
+        text += (draw(quiet) or "\n") + spaced
+    return text + draw(st.sampled_from(["", "\n", "\n; the end", "\n\n"]))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(configurations())
 def test_layout_is_a_fixed_point_and_never_changes_meaning(text: str) -> None:
-    once = format_text(text, "main.oak")
-    assert format_text(once, "main.oak") == once
-    assert meaning(once) == meaning(text)
-    assert find_changes(meaning(text), meaning(once)) == []
-    kept = [line.partition(";")[2].strip() for line in text.split("\n") if ";" in line]
-    assert [line.partition(";")[2].strip() for line in once.split("\n") if ";" in line] == kept
+    formatted = format_text(text, "main.oak")
+    assert format_text(formatted, "main.oak") == formatted
+    assert resolved_config(formatted) == resolved_config(text)
+    assert find_changes(resolved_config(text), resolved_config(formatted)) == []
+    comments = [line.partition(";")[2].strip() for line in text.split("\n") if ";" in line]
+    assert [line.partition(";")[2].strip() for line in formatted.split("\n") if ";" in line] == comments
 
 
 @settings(derandomize=True, deadline=None, max_examples=120)
 @given(configurations(), configurations())
 def test_a_diff_is_empty_only_for_equals_and_leads_from_one_to_the_other(one: str, other: str) -> None:
-    a, b = meaning(one), meaning(other)
-    changes = find_changes(a, b)
-    assert (not changes) == (a == b)
-    assert apply_changes(changes, a) == b
+    old, new = resolved_config(one), resolved_config(other)
+    changes = find_changes(old, new)
+    assert (not changes) == (old == new)
+    assert apply_changes(changes, old) == new
     assert len(describe_changes(changes)) == len(changes)
     if not changes:
-        assert find_rerouted_requests(a, b) == []
+        assert find_rerouted_requests(old, new) == []
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.text(alphabet='()"; $ab1s%/\n\\{}', max_size=120))
 def test_no_text_crashes_the_reader_the_checker_or_the_formatter(text: str) -> None:
-    problems = Diagnostics()
-    parts = parse_text(text, "f", problems)
-    check_file("f", opener({"f": text}))
-    if problems.items:
+    diagnostics = Diagnostics()
+    parts = parse_text(text, "f", diagnostics)
+    check_file("f", text_reader({"f": text}))
+    if diagnostics.items:
         with pytest.raises(InvalidConfigurationError):
             format_text(text, "f")
     else:
-        once = format_text(text, "f")
-        assert format_text(once, "f") == once
-        assert parts or not once.strip() or once.lstrip().startswith(";")
+        formatted = format_text(text, "f")
+        assert format_text(formatted, "f") == formatted
+        assert parts or not formatted.strip() or formatted.lstrip().startswith(";")
 
 
 def test_what_is_too_deep_or_leads_out_of_the_folder_is_refused(tmp_path: Path) -> None:
-    _, problems = check_file("f", opener({"f": "(" * 5000}))
-    assert "nested" in problems.errors[0].message
+    _, diagnostics = check_file("f", text_reader({"f": "(" * 5000}))
+    assert "nested" in diagnostics.errors[0].message
     (tmp_path / "in").mkdir()
     (tmp_path / "secret.oak").write_text("(plan x)")
     (tmp_path / "in" / "link.oak").symlink_to(tmp_path / "secret.oak")
     (tmp_path / "in" / "main.oak").write_text(f'(include "link.oak")\n{BASE}')
-    _, problems = check_file("main.oak", RootFolder(tmp_path / "in").read_text)
-    assert "outside" in problems.errors[0].message
+    _, diagnostics = check_file("main.oak", RootFolder(tmp_path / "in").read_text)
+    assert "outside" in diagnostics.errors[0].message
     (tmp_path / "in" / "main.oak").write_bytes(b"\xff")
     with pytest.raises(InvalidConfigurationError, match="UTF-8"):
         load_resolved(tmp_path / "in" / "main.oak")
 
 
 def test_order_units_includes_and_definitions_make_no_difference() -> None:
-    plain = meaning(
+    plain = resolved_config(
         '(include "base.oak")\n(limit a (on plan course) (rate 60/min))\n(limit b (on all) (at-once 9))'
     )
-    other = meaning('(define l (n p) (limit $n (on plan $p) (rate 1/s)))\n(limit b (at-once 9) (on all))\n(use l a course)\n'
+    other = resolved_config('(define l (n p) (limit $n (on plan $p) (rate 1/s)))\n(limit b (at-once 9) (on all))\n(use l a course)\n'
                     '(include "base.oak")')  # fmt: skip
     assert find_changes(plain, other) == []
 
 
 def test_a_diff_speaks_of_meaning_and_shows_requests_that_go_elsewhere() -> None:
-    a = meaning('(include "base.oak")\n(pool w (nodes n1))\n(route w (path "/w/") (plan course) (pool w))\n'
+    old = resolved_config('(include "base.oak")\n(pool w (nodes n1))\n(route w (path "/w/") (plan course) (pool w))\n'
                 "(limit all (on all) (rate 40/s))")  # fmt: skip
-    b = meaning('(include "base.oak")\n(pool w (nodes n1 n2 n3))\n(route w (path "/w/") (plan course) (pool w))\n'
+    new = resolved_config('(include "base.oak")\n(pool w (nodes n1 n2 n3))\n(route w (path "/w/") (plan course) (pool w))\n'
                 '(route live (path "/w/") (titles "live-*") (plan course))\n(limit all (on all) (rate 60/s))')  # fmt: skip
-    said = describe_changes(find_changes(a, b))
-    assert "~ pool w: nodes now with n2, n3" in said
-    assert "~ limit all: rate from 40/s to 60/s" in said
-    assert any(line.startswith("+ route live added: path /w/") for line in said)
-    moved = [describe_rerouted_request(m) for m in find_rerouted_requests(a, b)]
-    assert moved == [
+    lines = describe_changes(find_changes(old, new))
+    assert "~ pool w: nodes now with n2, n3" in lines
+    assert "~ limit all: rate from 40/s to 60/s" in lines
+    assert any(line.startswith("+ route live added: path /w/") for line in lines)
+    rerouted = [describe_rerouted_request(request) for request in find_rerouted_requests(old, new)]
+    assert rerouted == [
         "watch /w/live-1 in east: from route w, plan course in pool w to route live, plan course"
     ]
-    assert any(line.startswith("- route live") for line in describe_changes(find_changes(b, a)))
+    assert any(line.startswith("- route live") for line in describe_changes(find_changes(new, old)))
 
 
 def test_explain_names_the_route_and_why_others_do_not() -> None:
-    site = build_deployment(meaning('(include "base.oak")\n(route vip (path "/whep/course/") (titles "vip-*") (plan course) (top 1))\n'
+    shared = build_deployment(resolved_config('(include "base.oak")\n(route vip (path "/whep/course/") (titles "vip-*") (plan course) (top 1))\n'
                         '(limit each (on plan *) (rate 8/s) (at-once 6))')).shared  # fmt: skip
-    lines = explain_request(site, RouteRequest(ClientRole.WATCH, "/whep/course/a", "west", {}), "", 0)
+    lines = explain_request(shared, RouteRequest(ClientRole.WATCH, "/whep/course/a", "west", {}), "", 0)
     assert "  not route vip: the title is none of its titles" in lines
     assert "route course takes it" in lines
     assert "limit each on plan *: 8/s, here 2/s; 6 at once, here 2" in lines
     assert "no route takes it: 404" in explain_request(
-        site, RouteRequest(ClientRole.WATCH, "/nope/a", "", {}), "", 0
+        shared, RouteRequest(ClientRole.WATCH, "/nope/a", "", {}), "", 0
     )
 
 
@@ -241,16 +241,16 @@
     good.write_text(BASE)
     bad.write_text(BASE.replace("(effect paid)", "(effect pade)"))
     assert cli.invoke(main, ["config", "check", str(good)]).exit_code == 0
-    broken = cli.invoke(main, ["config", "check", "--json", str(bad)])
-    assert broken.exit_code == 2
-    assert '"fix":"write paid"' in broken.output
+    checked = cli.invoke(main, ["config", "check", "--json", str(bad)])
+    assert checked.exit_code == 2
+    assert '"fix":"write paid"' in checked.output
     assert cli.invoke(main, ["config", "fmt", "--check", str(good)]).exit_code == 2
     assert cli.invoke(main, ["config", "fmt", str(good)]).exit_code == 0
     assert cli.invoke(main, ["config", "fmt", "--check", str(good)]).exit_code == 0
     assert cli.invoke(main, ["config", "diff", str(good), str(good)]).exit_code == 0
     assert cli.invoke(main, ["config", "diff", str(good), str(bad)]).exit_code == 2
-    asked = cli.invoke(main, ["config", "explain", str(good), "/whep/course/x"])
-    assert "route course takes it" in asked.output
+    explained = cli.invoke(main, ["config", "explain", str(good), "/whep/course/x"])
+    assert "route course takes it" in explained.output
     assert cli.invoke(main, ["serve", str(bad)]).exit_code == 2
 
 
@@ -273,27 +273,29 @@
 def test_the_table_finds_what_a_walk_over_all_routes_finds(
     matches: list[Match], title: str, west: bool, claims: bool
 ) -> None:
-    routes = [Route(f"r{i}", m, "p") for i, m in enumerate(matches)]
-    asked = RouteRequest(
+    routes = [Route(f"r{i}", match, "p") for i, match in enumerate(matches)]
+    request = RouteRequest(
         ClientRole.WATCH,
         "/a/" + title,
         "west" if west else "",
         {"r": "1", "s": "2"} if claims else {"r": "1"},
     )
 
-    def at(route: Route) -> tuple[int, int, int]:
-        fits = [p for p in route.match.title_patterns if pattern_matches(p, title)]
-        return max((specificity(p, route.match) for p in fits), default=specificity(None, route.match))
+    def specificity_of(route: Route) -> tuple[int, int, int]:
+        fits = [pattern for pattern in route.match.title_patterns if pattern_matches(pattern, title)]
+        return max(
+            (specificity(pattern, route.match) for pattern in fits), default=specificity(None, route.match)
+        )
 
-    taking = [r for r in routes if find_mismatch(r.match, asked) is None]
-    found = RouteTable(routes).find(asked)
-    if not taking:
+    matching = [r for r in routes if find_mismatch(r.match, request) is None]
+    found = RouteTable(routes).find(request)
+    if not matching:
         assert found is None
         return
-    best = max(at(r) for r in taking)
+    best = max(specificity_of(r) for r in matching)
     assert found is not None
-    assert at(found) == best
-    if sum(at(r) == best for r in taking) > 1:
+    assert specificity_of(found) == best
+    if sum(specificity_of(r) == best for r in matching) > 1:
         assert ambiguous_routes(routes)
     assert highest_specificity(found) >= best
 
@@ -325,48 +327,48 @@
         RequestLimit("slow", LimitScope.ALL, "", rate=1.0, burst=2), RequestLimit("each", LimitScope.PLAN, "*", max_concurrent=1),
         RequestLimit("tok", LimitScope.TOKEN, "t", max_concurrent=5),
     ])  # fmt: skip
-    party = RequestSubject("t", "r", "p", "w")
-    first = ledger.acquire(party, 0)
+    subject = RequestSubject("t", "r", "p", "w")
+    first = ledger.acquire(subject, 0)
     assert isinstance(first, LimitReservation)
-    refused = ledger.acquire(party, 0)
+    refused = ledger.acquire(subject, 0)
     assert refused == LimitExceeded("each", "1 at once", None)
     assert ledger.concurrent == {("tok", "t"): 1, ("each", "p"): 1, ("slow", ""): 1}
     assert isinstance(ledger.acquire(RequestSubject("t", "r", "q", "w"), 0), LimitReservation)
-    late = ledger.acquire(RequestSubject("t", "r", "s", "w"), 0)
-    assert isinstance(late, LimitExceeded)
-    assert late.retry_after_ns == SECOND
+    delayed = ledger.acquire(RequestSubject("t", "r", "s", "w"), 0)
+    assert isinstance(delayed, LimitExceeded)
+    assert delayed.retry_after_ns == SECOND
     ledger.release(first)
     ledger.release(first)
-    assert isinstance(ledger.acquire(party, SECOND), LimitReservation)
+    assert isinstance(ledger.acquire(subject, SECOND), LimitReservation)
 
 
 def test_clocks_that_jump_or_stand_still_give_nothing_away() -> None:
-    ledger, party = LimitLedger(), RequestSubject("", "r", "p", "w")
+    ledger, subject = LimitLedger(), RequestSubject("", "r", "p", "w")
     ledger.set_limits([RequestLimit("l", LimitScope.ALL, "", rate=10.0, burst=3)])
-    assert sum(isinstance(ledger.acquire(party, 0), LimitReservation) for _ in range(5)) == 3
-    assert sum(isinstance(ledger.acquire(party, 3600 * SECOND), LimitReservation) for _ in range(50)) == 3
-    assert isinstance(ledger.acquire(party, 5), LimitExceeded)  # the clock went back
-    assert isinstance(ledger.acquire(party, 3600 * SECOND), LimitExceeded)
+    assert sum(isinstance(ledger.acquire(subject, 0), LimitReservation) for _ in range(5)) == 3
+    assert sum(isinstance(ledger.acquire(subject, 3600 * SECOND), LimitReservation) for _ in range(50)) == 3
+    assert isinstance(ledger.acquire(subject, 5), LimitExceeded)  # the clock went back
+    assert isinstance(ledger.acquire(subject, 3600 * SECOND), LimitExceeded)
 
 
 def test_counts_outlive_a_version() -> None:
-    ledger, party = LimitLedger(), RequestSubject("", "r", "p", "w")
+    ledger, subject = LimitLedger(), RequestSubject("", "r", "p", "w")
     ledger.set_limits([RequestLimit("l", LimitScope.ALL, "", max_concurrent=3)])
-    tickets = [t for _ in range(3) if isinstance(t := ledger.acquire(party, 0), LimitReservation)]
+    tickets = [answer for _ in range(3) if isinstance(answer := ledger.acquire(subject, 0), LimitReservation)]
     ledger.set_limits([RequestLimit("l", LimitScope.ALL, "", max_concurrent=1)])
     for ticket in tickets[:2]:
         ledger.release(ticket)
-        assert isinstance(ledger.acquire(party, 1), LimitExceeded)
+        assert isinstance(ledger.acquire(subject, 1), LimitExceeded)
     ledger.release(tickets[2])
-    assert isinstance(ledger.acquire(party, 1), LimitReservation)
+    assert isinstance(ledger.acquire(subject, 1), LimitReservation)
 
 
 @given(st.integers(0, 200), st.integers(1, 60))
 def test_the_shares_of_all_fronts_are_the_whole(at_once: int, fronts: int) -> None:
     whole = RequestLimit("l", LimitScope.ALL, "", rate=30.0, burst=60.0, max_concurrent=at_once)
-    shares = [share_of_limit(whole, i, fronts) for i in range(fronts)]
-    assert sum(s.max_concurrent or 0 for s in shares) == at_once
-    assert abs(sum(s.rate or 0 for s in shares) - 30.0) < 1e-6
+    shares = [share_of_limit(whole, front_index, fronts) for front_index in range(fronts)]
+    assert sum(share.max_concurrent or 0 for share in shares) == at_once
+    assert abs(sum(share.rate or 0 for share in shares) - 30.0) < 1e-6
 
 
 @settings(derandomize=True, deadline=None, max_examples=120)
@@ -376,17 +378,22 @@
         RequestLimit("all", LimitScope.ALL, "", rate=2.0, burst=4.0),
         RequestLimit("each", LimitScope.PLAN, "*", rate=1.0, max_concurrent=3),
     ]
-    ledger, now, passed, out = LimitLedger(), 0, list[tuple[int, str]](), list[tuple[str, LimitReservation]]()
+    ledger, now, passed, held = (
+        LimitLedger(),
+        0,
+        list[tuple[int, str]](),
+        list[tuple[str, LimitReservation]](),
+    )
     ledger.set_limits(limits)
     for wait, plan, ends in steps:
         now += wait
-        if ends and out:
-            ledger.release(out.pop(0)[1])
+        if ends and held:
+            ledger.release(held.pop(0)[1])
         answer = ledger.acquire(RequestSubject("", "", plan, ""), now)
         if isinstance(answer, LimitReservation):
             passed.append((now, plan))
-            out.append((plan, answer))
-        assert sum(p == plan for p, _ in out) <= 3
+            held.append((plan, answer))
+        assert sum(p == plan for p, _ in held) <= 3
     for i, (start, _) in enumerate(passed):
         for j in range(i, len(passed)):
             span = (passed[j][0] - start) / SECOND
@@ -398,13 +405,13 @@
 
 def test_versions_are_taken_whole_in_the_order_of_their_reading() -> None:
     a, b, c = ({"plan": {"p": i}, "ladder": {"": 1}} for i in range(3))
-    force = ActiveConfiguration(ConfigurationVersion(0, a, "a"))
-    assert force.apply(None) == (ConfigurationVerdict.INVALID, [])
-    assert force.apply(ConfigurationVersion(2, c, "c")) == (ConfigurationVerdict.TAKEN, [])
-    assert force.apply(ConfigurationVersion(1, b, "b")) == (ConfigurationVerdict.OLDER, [])
-    assert force.apply(ConfigurationVersion(3, c, "again")) == (ConfigurationVerdict.SAME, [])
-    assert force.version.compiled == "c"
-    assert force.apply(ConfigurationVersion(4, {**c, "ladder": {"": 2}}, "d")) == (
+    active = ActiveConfiguration(ConfigurationVersion(0, a, "a"))
+    assert active.apply(None) == (ConfigurationVerdict.INVALID, [])
+    assert active.apply(ConfigurationVersion(2, c, "c")) == (ConfigurationVerdict.TAKEN, [])
+    assert active.apply(ConfigurationVersion(1, b, "b")) == (ConfigurationVerdict.OLDER, [])
+    assert active.apply(ConfigurationVersion(3, c, "again")) == (ConfigurationVerdict.SAME, [])
+    assert active.version.compiled == "c"
+    assert active.apply(ConfigurationVersion(4, {**c, "ladder": {"": 2}}, "d")) == (
         ConfigurationVerdict.NEEDS_RESTART,
         ["ladder"],
     )
@@ -412,14 +419,14 @@
 
 
 def test_seats_count_over_versions_of_a_plan() -> None:
-    one = build_deployment(meaning('(include "base.oak")')).shared.plans["course"].plan
+    one = build_deployment(resolved_config('(include "base.oak")')).shared.plans["course"].plan
     two = (
         build_deployment(
-            meaning('(include "base.oak")\n(limit l (on all) (rate 1/s))'), {"course": one.family_id}
+            resolved_config('(include "base.oak")\n(limit l (on all) (rate 1/s))'), {"course": one.family_id}
         )
         .shared.plans["course"]
         .plan
     )
     assert one is not two
     assert {one: 3}[two] == 3
-    assert build_route("r", meaning(BASE)["route"]["course"]).plan == "course"
+    assert build_route("r", resolved_config(BASE)["route"]["course"]).plan == "course"
