--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -73,7 +73,8 @@
     async def ready(port: int) -> None:
         print(f"serving on {front.host}:{port}", flush=True)
 
-    log, code = configure_logging(front.log_format, deployment.shared.terms.front_index), 0
+    log = configure_logging(front.log_format, deployment.shared.terms.front_index)
+    code = 0
     reduce_gc_frequency()
     try:
         trio.run(FrontEnd(deployment, log, decide, partial(read_deployment_in_subprocess, file)).run, ready)
--- a/oakcroft/commands/configuration.py
+++ b/oakcroft/commands/configuration.py
@@ -95,7 +95,8 @@
 @SHARED_OPTION
 def config_diff(a: Path, b: Path, shared: bool) -> None:
     """Show what B means otherwise than A, and example requests that would go elsewhere. Exit 1 where they differ."""
-    old, new = load_or_exit(a, not shared), load_or_exit(b, not shared)
+    old = load_or_exit(a, not shared)
+    new = load_or_exit(b, not shared)
     changes = compare.find_changes(old, new)
     for line in compare.describe_changes(changes):
         click.echo(line)
--- a/oakcroft/commands/fleet.py
+++ b/oakcroft/commands/fleet.py
@@ -144,5 +144,6 @@
     if member["heard_ms"] is not None:
         heard = f", heard {member['heard_ms'] / MS_PER_SECOND:.1f} s ago"
     by = f" by {member['by']}" if member["by"] else ""
-    name, since = f"{member['name']:{width}}", f"{member['since_ms'] / MS_PER_SECOND:8.1f} s"
+    name = f"{member['name']:{width}}"
+    since = f"{member['since_ms'] / MS_PER_SECOND:8.1f} s"
     return f"  {name} {member['standing']:9} {since}  {member['address']} {member['wing']}{heard}{by}"
--- a/oakcroft/config/checks/fronts.py
+++ b/oakcroft/config/checks/fronts.py
@@ -13,7 +13,8 @@
     front = records.find_single(forms.FRONT)
     if front is None:
         return
-    fronts, wings = records.fleet_value("fronts"), records.fleet_value("wings")
+    fronts = records.fleet_value("fronts")
+    wings = records.fleet_value("wings")
     if front.get("number") >= fronts:
         message = f"front {front.get('number')} of {fronts}: fronts count from 0"
         diagnostics.error(
--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -54,7 +54,8 @@
     preference = records.find_single(forms.PREFERENCE)
     if preference is None:
         return
-    wings, order = records.fleet_value("wings"), preference.get("then")
+    wings = records.fleet_value("wings")
+    order = preference.get("then")
     for wing in order:
         check_defined(preference, "then", dict.fromkeys(wings), "wing", diagnostics, wing)
     if len(set(order)) != len(order):
--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -40,7 +40,8 @@
     on = record.values.get("on")
     if on is None:
         return False
-    scope, names = on[0], on[1:]
+    scope = on[0]
+    names = on[1:]
     kinds = [kind.value for kind in LimitScope]
     if scope not in kinds:
         message = f"a limit stands on {join_alternatives(kinds)}, not on {scope}"
@@ -72,7 +73,9 @@
 
 
 def _check_figures(record: Record, front_count: int, diagnostics: Diagnostics) -> None:
-    name, rate, at_once = record.name, record.get("rate"), record.get("at-once")
+    name = record.name
+    rate = record.get("rate")
+    at_once = record.get("at-once")
     if "burst" in record.values and rate is None:
         message = f"limit {name} has a burst without a rate"
         diagnostics.error(record.location_of("burst"), message, "add (rate …) or take the burst out")
--- a/oakcroft/config/checks/peers.py
+++ b/oakcroft/config/checks/peers.py
@@ -22,7 +22,8 @@
     peers = records.find_single(forms.PEERS)
     if peers is None:
         return
-    listen, advertised = peers.values.get("listen"), peers.values.get("advertise")
+    listen = peers.values.get("listen")
+    advertised = peers.values.get("advertise")
     _check_address(peers, "listen", listen, advertised is None, diagnostics)
     _check_address(peers, "advertise", advertised, True, diagnostics)
     seeds = peers.get("seeds")
@@ -64,7 +65,8 @@
 
 def check_keepers(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that the keepers can reach a majority and that this one, if it is a keeper, keeps its grants on disk."""
-    keepers, front = records.find_single(forms.KEEPERS), records.find_single(forms.FRONT)
+    keepers = records.find_single(forms.KEEPERS)
+    front = records.find_single(forms.FRONT)
     if keepers is None or "names" not in keepers.values:  # missing names are reported already
         return
     names = keepers.get("names")
--- a/oakcroft/config/checks/plans.py
+++ b/oakcroft/config/checks/plans.py
@@ -15,7 +15,8 @@
     ladder = records.find_single(forms.LADDER)
     if ladder is None or "rates" not in ladder.values or "worth" not in ladder.values:
         return
-    rates, worth = ladder.get("rates"), ladder.get("worth")
+    rates = ladder.get("rates")
+    worth = ladder.get("worth")
     if len(rates) != len(worth):
         message = f"{len(worth)} worths stand for {len(rates)} rates"
         diagnostics.error(ladder.location_of("worth"), message, "name one worth for each rate")
@@ -41,7 +42,8 @@
 
 
 def _check_rungs(plan: Record, rung_count: int, diagnostics: Diagnostics) -> None:
-    top, floor = plan.get("top"), plan.get("floor")
+    top = plan.get("top")
+    floor = plan.get("floor")
     if rung_count and top is not None and top >= rung_count:
         message = f"plan {plan.name} has top {top}, but the ladder ends at rung {rung_count - 1}"
         diagnostics.warn(plan.location_of("top"), message, f"write (top {rung_count - 1})")
@@ -54,7 +56,8 @@
 
 
 def _check_times(plan: Record, diagnostics: Diagnostics) -> None:
-    target, abandon = plan.values.get("startup-target"), plan.values.get("abandon")
+    target = plan.values.get("startup-target")
+    abandon = plan.values.get("abandon")
     if target and abandon and abandon < target:
         shown = format_value(TIME_TYPE, target)
         message = f"plan {plan.name} is given up ({format_value(TIME_TYPE, abandon)}) before its startup target ({shown})"
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -58,7 +58,8 @@
 
 
 def _check_top(record: Record, plan: Record, rung_count: int, diagnostics: Diagnostics) -> None:
-    top, floor = record.get("top"), plan.get("floor")
+    top = record.get("top")
+    floor = plan.get("floor")
     if top is None:
         return
     if top < floor:
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -37,7 +37,8 @@
     changes: list[Change] = []
     for form in sorted({*old, *new}, key=_form_position):
         schema = forms.SCHEMAS_BY_NAME[form]
-        old_form, new_form = old.get(form), new.get(form)
+        old_form = old.get(form)
+        new_form = new.get(form)
         if schema.name_type is None:
             changes += _field_changes(form, "", old_form, new_form)
             continue
--- a/oakcroft/config/deployment_builder.py
+++ b/oakcroft/config/deployment_builder.py
@@ -78,8 +78,10 @@
 def _shared_settings(
     resolved: ResolvedConfig, front_index: int, known_families: Mapping[str, int]
 ) -> SharedSettings:
-    fleet, signalling = resolved["fleet"], resolved["signalling"]
-    nodes, stopping = resolved["nodes"], resolved["stopping"]
+    fleet = resolved["fleet"]
+    signalling = resolved["signalling"]
+    nodes = resolved["nodes"]
+    stopping = resolved["stopping"]
     preference = resolved.get("preference")
     levels = sorted(resolved["level"].items(), key=lambda level: level[1]["rank"])
     return SharedSettings(
@@ -135,8 +137,10 @@
 
 def _peer_settings(resolved: ResolvedConfig, own_zone: str) -> PeerSettings:
     """Builds a front end's peer settings, with those of the functions that depend on its peers."""
-    peers, keepers = resolved["peers"], resolved.get("keepers")
-    adopting, probing = resolved.get("adopting"), resolved.get("probing")
+    peers = resolved["peers"]
+    keepers = resolved.get("keepers")
+    adopting = resolved.get("adopting")
+    probing = resolved.get("probing")
     zones = resolved["zone"]
     own = zones.get(own_zone, {"region": "", "seeds": ()})
     return PeerSettings(
--- a/oakcroft/config/form_reader.py
+++ b/oakcroft/config/form_reader.py
@@ -40,7 +40,8 @@
 def read_form(schema: Schema, form: Form, diagnostics: Diagnostics) -> Record:
     """Reads a form by its schema. Errors go to the diagnostics; the record holds the values that could be read."""
     use_notes = tuple(f"used at {place}" for place in form.use_locations)
-    record, items = Record(schema, form.location, notes=use_notes), list(form.items[1:])
+    record = Record(schema, form.location, notes=use_notes)
+    items = list(form.items[1:])
     if schema.name_type is not None:
         if items and isinstance(items[0], Atom):
             record.name = _parse_value(schema.name_type, items.pop(0), diagnostics, use_notes) or ""
@@ -56,7 +57,8 @@
 
 def _read_item(item: Atom | Form, record: Record, diagnostics: Diagnostics) -> None:
     """Reads one field of a form into the record."""
-    schema, use_notes = record.schema, record.notes
+    schema = record.schema
+    use_notes = record.notes
     if not isinstance(item, Form) or not item.name:
         shown = item.source_text if isinstance(item, Atom) else "a list without a name"
         message = f"{shown} stands alone in ({schema.name} …), which holds fields (name value …)"
--- a/oakcroft/config/format.py
+++ b/oakcroft/config/format.py
@@ -93,7 +93,8 @@
                 lines[-1] = line
             else:
                 lines.append(margin + INDENT + part.source_text)
-            is_filling, previous_line = True, part_line
+            is_filling = True
+            previous_line = part_line
             continue
         if isinstance(part, Comment) and part_line == previous_line and index:
             lines[-1] += "  " + part.source_text
@@ -101,7 +102,8 @@
             if part_line > previous_line + 1 and index > first:
                 lines.append("")
             lines += _format_lines(part, depth + 1)
-        previous_line, is_filling = part.end_line if isinstance(part, Form) else part_line, False
+        previous_line = part.end_line if isinstance(part, Form) else part_line
+        is_filling = False
     if form.children and isinstance(form.children[-1], Comment):
         lines.append(margin + ")")
     else:
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -35,7 +35,9 @@
     def __init__(self, message: str, fix: str = "", lacks_unit: bool = False) -> None:
         """`lacks_unit`: the value is a number that needs a unit and has none."""
         super().__init__(message)
-        self.message, self.fix, self.lacks_unit = message, fix, lacks_unit
+        self.message = message
+        self.fix = fix
+        self.lacks_unit = lacks_unit
 
 
 @dataclass(frozen=True)
@@ -73,7 +75,8 @@
             raise InvalidValueError(
                 f"{atom.source_text} is not a {name}", f"write a figure with a unit, as {examples[0]}"
             )
-        number, unit = float(match[1]), match[2] or ""
+        number = float(match[1])
+        unit = match[2] or ""
         if not unit:
             raise InvalidValueError(
                 f"{atom.source_text} has no unit; a {name} is written with one",
@@ -242,7 +245,8 @@
     """Formats a value, given in the type's base unit, in the largest unit that suits it."""
     if value_type.name not in UNIT_FACTORS:
         return _format_number(value)
-    factors, display_units = UNIT_FACTORS[value_type.name], DISPLAY_UNITS[value_type.name]
+    factors = UNIT_FACTORS[value_type.name]
+    display_units = DISPLAY_UNITS[value_type.name]
     for unit in display_units:
         converted = value / factors[unit]
         if value >= factors[unit] and converted == round(converted, MAX_DECIMALS):
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -207,7 +207,8 @@
             location = SourceLocation(file_name, *unclosed)
             diagnostics.error(location, "this list is never closed", "add ) where it ends")
             return
-    line, column = max(1, error.line), max(1, error.column)
+    line = max(1, error.line)
+    column = max(1, error.column)
     rest = lines[line - 1][column - 1 :] if line <= len(lines) else ""
     if token_type == "RPAR":
         diagnostics.error(
--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -53,7 +53,8 @@
 
 HEADER_LENGTH = 100
 HEADER_MAGIC = b"SQLite format 3\0"
-USER_VERSION_BYTES, APPLICATION_ID_BYTES = slice(60, 64), slice(68, 72)
+USER_VERSION_BYTES = slice(60, 64)
+APPLICATION_ID_BYTES = slice(68, 72)
 """The header of a database and the positions of two numbers in it (SQLite's file format, section 1.3)."""
 
 MAX_REPORT_LENGTH = 200
@@ -178,7 +179,8 @@
     def read(self) -> StateContents:
         """Returns all contents of the file."""
         with translated_errors():
-            execute, contents = self.db.execute, StateContents()
+            execute = self.db.execute
+            contents = StateContents()
             promise_decoder = msgspec.msgpack.Decoder(Promise)
             contents.promises = [
                 promise_decoder.decode(body) for (body,) in execute("SELECT body FROM promises ORDER BY id")
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -26,6 +26,7 @@
 MAX_QUEUED = 16_384
 MAX_BATCH = 1_024
 NODE_RETENTION_NS = 3600 * SECOND  # longer than any node stays cold or penalized
+SHUTDOWN_TIMEOUT_SECONDS = 2
 IDLE_POLL_SECONDS = 0.25  # between checks of health and maintenance while nothing is queued
 
 
@@ -176,8 +177,8 @@
                 await self._write_batch()
         finally:
             # A call may still run in the file's one thread. The last changes are written after it, or lost if that
-            # takes more than two seconds.
-            with trio.CancelScope(shield=True), trio.move_on_after(2):
+            # exceeds the timeout.
+            with trio.CancelScope(shield=True), trio.move_on_after(SHUTDOWN_TIMEOUT_SECONDS):
                 if self.health.state in (FileState.HEALTHY, FileState.SLOW):
                     await self._commit(list(self.queue))
                 await self._run_in_thread(self._close)
