--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -53,7 +53,8 @@
 
 HEADER_LENGTH = 100
 HEADER_MAGIC = b"SQLite format 3\0"
-USER_VERSION_BYTES, APPLICATION_ID_BYTES = slice(60, 64), slice(68, 72)
+USER_VERSION_BYTES = slice(60, 64)
+APPLICATION_ID_BYTES = slice(68, 72)
 """The header of a database and the positions of two numbers in it (SQLite's file format, section 1.3)."""
 
 MAX_REPORT_LENGTH = 200
@@ -98,7 +99,9 @@
         `vfs` is the name of an SQLite VFS to use in place of the default one. With `is_synced` off, commits don't wait
         for the disk.
         """
-        self.path, self.vfs, self.written_count = path, vfs, 0
+        self.path = path
+        self.vfs = vfs
+        self.written_count = 0
         if vfs is None:
             self._check_header(Path(path))
         with translated_errors():
@@ -115,15 +118,15 @@
         """Checks the file header before SQLite opens the file, so that the file of a newer program stays unchanged."""
         try:
             with path.open("rb") as file:
-                head = file.read(HEADER_LENGTH)
+                header = file.read(HEADER_LENGTH)
         except FileNotFoundError:
             return
         except OSError as error:
             raise StateFileError(FileFault.IO_ERROR, str(error)) from error
-        if len(head) == HEADER_LENGTH and head.startswith(HEADER_MAGIC):
-            version = int.from_bytes(head[USER_VERSION_BYTES], "big")
-            magic = int.from_bytes(head[APPLICATION_ID_BYTES], "big")
-            if magic not in (0, OAKCROFT_APPLICATION_ID) or version > SCHEMA_VERSION:
+        if len(header) == HEADER_LENGTH and header.startswith(HEADER_MAGIC):
+            version = int.from_bytes(header[USER_VERSION_BYTES], "big")
+            application_id = int.from_bytes(header[APPLICATION_ID_BYTES], "big")
+            if application_id not in (0, OAKCROFT_APPLICATION_ID) or version > SCHEMA_VERSION:
                 raise StateFileError(
                     FileFault.NEWER_FORMAT,
                     f"{path} has version {version}, this program knows {SCHEMA_VERSION}",
@@ -133,9 +136,9 @@
         self.db.pragma("locking_mode", "exclusive")
         self.db.pragma("auto_vacuum", "incremental")
         version = int(self.db.pragma("user_version"))
-        magic = int(self.db.pragma("application_id"))
-        if magic not in (0, OAKCROFT_APPLICATION_ID):
-            raise StateFileError(FileFault.NEWER_FORMAT, f"{self.path} is another program's")
+        application_id = int(self.db.pragma("application_id"))
+        if application_id not in (0, OAKCROFT_APPLICATION_ID):
+            raise StateFileError(FileFault.NEWER_FORMAT, f"{self.path} belongs to another program")
         if version > SCHEMA_VERSION:
             raise StateFileError(
                 FileFault.NEWER_FORMAT,
@@ -143,8 +146,8 @@
             )
         self.db.pragma("journal_mode", "wal")
         self.db.pragma("synchronous", "full" if is_synced else "off")
-        if (said := self.db.pragma("quick_check")) != "ok":
-            raise StateFileError(FileFault.CORRUPT, str(said)[:MAX_REPORT_LENGTH])
+        if (report := self.db.pragma("quick_check")) != "ok":
+            raise StateFileError(FileFault.CORRUPT, str(report)[:MAX_REPORT_LENGTH])
         if version < SCHEMA_VERSION:
             with self.db:
                 for number in range(version, SCHEMA_VERSION):
@@ -176,23 +179,30 @@
     def read(self) -> StateContents:
         """Returns all contents of the file."""
         with translated_errors():
-            run, held = self.db.execute, StateContents()
-            bodies = msgspec.msgpack.Decoder(Promise)
-            held.promises = [bodies.decode(b) for (b,) in run("SELECT body FROM promises ORDER BY id")]
-            lines = msgspec.msgpack.Decoder(ListedNode)
-            held.listed_nodes = [lines.decode(b) for (b,) in run("SELECT body FROM nodes ORDER BY name")]
-            held.node_penalties = [NodePenalty(*row) for row in run("SELECT * FROM grudges ORDER BY node")]
-            held.slot_usage = [SlotUsage(*row) for row in run("SELECT * FROM spent ORDER BY node")]
-            held.moves = [MoveRecord(*row) for row in run("SELECT * FROM moves ORDER BY playback")]
-            held.versions = [
-                VersionRecord(*row) for row in run("SELECT * FROM versions ORDER BY kind, number")
+            execute = self.db.execute
+            contents = StateContents()
+            promise_decoder = msgspec.msgpack.Decoder(Promise)
+            contents.promises = [
+                promise_decoder.decode(body) for (body,) in execute("SELECT body FROM promises ORDER BY id")
             ]
-            held.named_values = dict(run("SELECT name, value FROM facts ORDER BY name"))
-            if NODE_LIST_KEY in held.named_values:
-                held.list_version, held.service = msgspec.msgpack.decode(
-                    held.named_values[NODE_LIST_KEY], type=tuple[int, str]
+            node_decoder = msgspec.msgpack.Decoder(ListedNode)
+            contents.listed_nodes = [
+                node_decoder.decode(body) for (body,) in execute("SELECT body FROM nodes ORDER BY name")
+            ]
+            contents.node_penalties = [
+                NodePenalty(*row) for row in execute("SELECT * FROM grudges ORDER BY node")
+            ]
+            contents.slot_usage = [SlotUsage(*row) for row in execute("SELECT * FROM spent ORDER BY node")]
+            contents.moves = [MoveRecord(*row) for row in execute("SELECT * FROM moves ORDER BY playback")]
+            contents.versions = [
+                VersionRecord(*row) for row in execute("SELECT * FROM versions ORDER BY kind, number")
+            ]
+            contents.named_values = dict(execute("SELECT name, value FROM facts ORDER BY name"))
+            if NODE_LIST_KEY in contents.named_values:
+                contents.list_version, contents.service = msgspec.msgpack.decode(
+                    contents.named_values[NODE_LIST_KEY], type=tuple[int, str]
                 )
-            return held
+            return contents
 
     def size(self) -> int:
         """Returns the size of the main file in bytes, without the WAL."""
@@ -217,14 +227,14 @@
 
 def move_damaged_file(path: str) -> str:
     """Renames a damaged file and its logs, so that they can be examined later. Returns the file's new path."""
-    kept = Path(path)
+    original = Path(path)
     number = 1
-    while (aside := kept.with_name(f"{kept.name}.damaged-{number}")).exists():
+    while (damaged := original.with_name(f"{original.name}.damaged-{number}")).exists():
         number += 1
-    for end in ("-wal", "-journal", "-shm"):
-        log = kept.with_name(kept.name + end)
+    for suffix in ("-wal", "-journal", "-shm"):
+        log = original.with_name(original.name + suffix)
         if log.exists():
-            log.replace(aside.with_name(aside.name + end))
-    if kept.exists():
-        kept.replace(aside)
-    return str(aside)
+            log.replace(damaged.with_name(damaged.name + suffix))
+    if original.exists():
+        original.replace(damaged)
+    return str(damaged)
