--- a/oakcroft/platform/channel_follower.py
+++ b/oakcroft/platform/channel_follower.py
@@ -52,18 +52,18 @@
 
     async def run(self) -> None:
         """Follows until it is cancelled."""
-        wait, told = MIN_RETRY_DELAY_S, False
+        retry_delay_s, was_reported = MIN_RETRY_DELAY_S, False
         while True:
             with trio.CancelScope() as self.connection_scope:
                 try:
                     silent = await self._follow_connection()
-                except (OSError, trio.TooSlowError, command_channel.ChannelError) as fault:
-                    if self.freshness.is_current or not told:
-                        self.log.warning("channel broken", after=self.last_cursor, why=str(fault)[:200])
-                        wait, told = MIN_RETRY_DELAY_S, True
+                except (OSError, trio.TooSlowError, command_channel.ChannelError) as error:
+                    if self.freshness.is_current or not was_reported:
+                        self.log.warning("channel broken", after=self.last_cursor, why=str(error)[:200])
+                        retry_delay_s, was_reported = MIN_RETRY_DELAY_S, True
                     self.freshness.record_loss()
-                    await trio.sleep(wait)
-                    wait = min(2 * wait, MAX_RETRY_DELAY_S)
+                    await trio.sleep(retry_delay_s)
+                    retry_delay_s = min(2 * retry_delay_s, MAX_RETRY_DELAY_S)
                 else:
                     if silent:
                         self.log.warning("channel silent", after=self.last_cursor)
@@ -97,9 +97,9 @@
 
     def _send_poll(self) -> None:
         assert self.connection is not None
-        block = self.freshness.poll_timeout_ms(POLL_WAIT_MS)
+        wait_ms = self.freshness.poll_timeout_ms(POLL_WAIT_MS)
         self.poll_overdue_at = trio.current_time() + POLL_WAIT_MS / 1e3 + POLL_OVERDUE_S
-        self.connection.write(self.long_poll.poll(self.last_cursor, block))
+        self.connection.write(self.long_poll.poll(self.last_cursor, wait_ms))
 
     def _read_answers(self) -> None:
         """Takes what the channel has said by now, and asks on. Waits for nothing."""
@@ -115,8 +115,8 @@
                         self.connection.close()  # the channel closes after this answer
             except BlockingIOError:
                 return
-            except (OSError, command_channel.ChannelError) as fault:
-                self.failure = str(fault) or repr(fault)
+            except (OSError, command_channel.ChannelError) as error:
+                self.failure = str(error) or repr(error)
                 self.connection.close()
 
     def _apply_answer(self, last_cursor: int, changes: list[command_channel.ListChange]) -> None:
--- a/oakcroft/platform/connection.py
+++ b/oakcroft/platform/connection.py
@@ -44,9 +44,9 @@
     def _flush(self) -> None:
         try:
             while self.send_buffer:
-                n = self.sock.send(self.send_buffer)
-                del self.send_buffer[:n]
-                self.sent_bytes += n
+                sent = self.sock.send(self.send_buffer)
+                del self.send_buffer[:sent]
+                self.sent_bytes += sent
         except BlockingIOError:
             pass
         except OSError:
@@ -90,8 +90,8 @@
         """Takes back octets that were queued, where none of them is with the kernel; whether that was so."""
         if not self.is_open or self.sent_bytes > queued_range.start:
             return False
-        at = queued_range.start - self.sent_bytes
-        del self.send_buffer[at : at + len(queued_range)]
+        start = queued_range.start - self.sent_bytes
+        del self.send_buffer[start : start + len(queued_range)]
         self.queued_bytes -= len(queued_range)
         return True
 
--- a/oakcroft/platform/idle_connections.py
+++ b/oakcroft/platform/idle_connections.py
@@ -59,18 +59,22 @@
         return found
 
     def _find_candidates(self, now: int) -> None:
-        idle = [(link, eviction_order(link.idle_state, now)) for link in self._connections if link.is_idle]
+        idle = [
+            (connection, eviction_order(connection.idle_state, now))
+            for connection in self._connections
+            if connection.is_idle
+        ]
         self._candidates.extend(nsmallest(MAX_CANDIDATES, idle, key=lambda found: found[1]))
         self._candidates_found_at = now
 
     def _next_candidate(self, now: int) -> ConnectionT | None:
         while self._candidates:
-            link, order = self._candidates.popleft()
-            if not self._is_unchanged(link, order, now) or link.unread_count:
+            connection, order = self._candidates.popleft()
+            if not self._is_unchanged(connection, order, now) or connection.unread_count:
                 continue
             # Asking for what is unread has read its socket: a part of its request may have come.
-            if self._is_unchanged(link, order, now):
-                return link
+            if self._is_unchanged(connection, order, now):
+                return connection
         return None
 
     @staticmethod
--- a/oakcroft/platform/node_pool.py
+++ b/oakcroft/platform/node_pool.py
@@ -103,17 +103,18 @@
 
     def send_setup(self, session: PlaybackSession) -> None:
         """Sends a set-up: on a connection without one, else on a new connection, else on the least used."""
-        link = self._least_used_connection()
-        while link is not None and (
-            not link.pending_setups or len(self.connections) + self.opening_count >= self.max_connections
+        connection = self._least_used_connection()
+        while connection is not None and (
+            not connection.pending_setups
+            or len(self.connections) + self.opening_count >= self.max_connections
         ):
-            if self._write_setup(link, session):
+            if self._write_setup(connection, session):
                 return
-            link = self._least_used_connection()
+            connection = self._least_used_connection()
         self.waiting_setups[session] = None
-        room = len(self.connections) + self.opening_count < self.max_connections
-        if (link is None and not self.opening_count) or (
-            self.opening_count < len(self.waiting_setups) and room
+        has_room = len(self.connections) + self.opening_count < self.max_connections
+        if (connection is None and not self.opening_count) or (
+            self.opening_count < len(self.waiting_setups) and has_room
         ):
             self._open_connection()
 
@@ -124,17 +125,17 @@
         sent again.
         """
         usable = list[NodeConnection]()
-        for link in list(self.connections):
-            if link.is_at_end():
-                if not link.pending_setups:
-                    self._discard_connection(link)
+        for connection in list(self.connections):
+            if connection.is_at_end():
+                if not connection.pending_setups:
+                    self._discard_connection(connection)
             elif (
-                link.is_open
-                and len(link.pending_setups) < self.streams_per_connection
-                and not self._is_due_to_retire(link)
+                connection.is_open
+                and len(connection.pending_setups) < self.streams_per_connection
+                and not self._is_due_to_retire(connection)
             ):
-                usable.append(link)
-        return min(usable, key=lambda x: len(x.pending_setups), default=None)
+                usable.append(connection)
+        return min(usable, key=lambda candidate: len(candidate.pending_setups), default=None)
 
     def _is_due_to_retire(self, connection: NodeConnection) -> bool:
         """Whether the connection has been idle for so long that the node may soon close it."""
@@ -148,16 +149,16 @@
         if self.listener.cancel_if_viewer_gone(session):
             return True
         now = self.clock.now()
-        left = max(1, (session.abandon_at - now) // MS)
-        attrs: json_lines.Attributes = {
+        time_left_ms = max(1, (session.abandon_at - now) // MS)
+        attributes: json_lines.Attributes = {
             "class": session.plan_name,
-            "left": str(left),
+            "left": str(time_left_ms),
             "key": session.playback.title.name,
             "rung": str(session.playback.rung),
         }
         before = connection.queued_bytes
         if (
-            not connection.write(json_lines.encode("open", session.id, attrs, None, session.description))
+            not connection.write(json_lines.encode("open", session.id, attributes, None, session.description))
             and connection.sent_bytes <= before
         ):
             self._discard_connection(connection)  # no byte of it was sent, so it can go to another connection
@@ -171,12 +172,12 @@
 
     def cancel_setup(self, session: PlaybackSession) -> bool:
         """Cancels a set-up that nobody waits for; returns whether the node cannot have received all of it."""
-        link = session.node_connection
-        unsaid = link is None or self._retract_setup(link, session)
-        if link is not None and not unsaid:
-            link.write(json_lines.encode("close", session.id, {}, CAUSE_CANCELLED))
+        connection = session.node_connection
+        never_received = connection is None or self._retract_setup(connection, session)
+        if connection is not None and not never_received:
+            connection.write(json_lines.encode("close", session.id, {}, CAUSE_CANCELLED))
         self.setup_finished(session)
-        return unsaid
+        return never_received
 
     @staticmethod
     def _retract_setup(connection: NodeEndpoint, session: PlaybackSession) -> bool:
@@ -187,13 +188,15 @@
         if the node does not read. The drawback: messages on their way from the node on a closed connection
         arrive later.
         """
-        said = connection.pending_setups[session]
-        if connection.retract(said):
-            for other, where in connection.pending_setups.items():
-                if where.start > said.start:
-                    connection.pending_setups[other] = range(where.start - len(said), where.stop - len(said))
+        queued_range = connection.pending_setups[session]
+        if connection.retract(queued_range):
+            for other, other_range in connection.pending_setups.items():
+                if other_range.start > queued_range.start:
+                    connection.pending_setups[other] = range(
+                        other_range.start - len(queued_range), other_range.stop - len(queued_range)
+                    )
             return True
-        if connection.sent_bytes < said.stop and len(connection.pending_setups) == 1:
+        if connection.sent_bytes < queued_range.stop and len(connection.pending_setups) == 1:
             connection.close()
             return True
         return False
@@ -206,32 +209,35 @@
             session.node_connection = None
         while (
             self.waiting_setups
-            and (free := self._least_used_connection()) is not None
-            and not free.pending_setups
+            and (free_connection := self._least_used_connection()) is not None
+            and not free_connection.pending_setups
         ):
-            waits = next(iter(self.waiting_setups))
-            del self.waiting_setups[waits]
-            if not self._write_setup(free, waits):
-                self.send_setup(waits)
+            next_session = next(iter(self.waiting_setups))
+            del self.waiting_setups[next_session]
+            if not self._write_setup(free_connection, next_session):
+                self.send_setup(next_session)
                 return
 
     def cancel_unsent_setups(self) -> None:
         """The node takes nothing new: set-ups that wait for a connection or in a send buffer are not sent."""
-        stuck, self.waiting_setups = list(self.waiting_setups), {}
-        stuck += [
-            t for link in self.connections for t in list(link.pending_setups) if self._retract_setup(link, t)
+        unsent_setups, self.waiting_setups = list(self.waiting_setups), {}
+        unsent_setups += [
+            session
+            for connection in self.connections
+            for session in list(connection.pending_setups)
+            if self._retract_setup(connection, session)
         ]
-        for t in stuck:
-            self.setup_finished(t)
-            self.listener.try_ended(t, Outcome.NOT_SENT, None)
+        for session in unsent_setups:
+            self.setup_finished(session)
+            self.listener.try_ended(session, Outcome.NOT_SENT, None)
 
     def send_message(
         self, kind: str, session_id: str, attributes: json_lines.Attributes, code: int | None = None
     ) -> None:
         """Sends a message about a playback on any open connection, else on the next one that opens."""
         message = json_lines.encode(kind, session_id, attributes, code)
-        for link in self.connections:
-            if link.is_open and not link.is_at_end() and link.write(message):
+        for connection in self.connections:
+            if connection.is_open and not connection.is_at_end() and connection.write(message):
                 return
         self.unsent_messages.append(message)
         self.maintain(self.clock.now())
@@ -245,8 +251,8 @@
         if self.listener.make_room_for_connection(self, min_idle_ns):
             self.nursery.start_soon(self._connect)
         else:
-            none = OSError(errno.EMFILE, "connections to nodes have their part of the descriptors")
-            self.nursery.start_soon(self.submit, partial(self._on_connect_failed, none))
+            no_descriptor = OSError(errno.EMFILE, "connections to nodes have their part of the descriptors")
+            self.nursery.start_soon(self.submit, partial(self._on_connect_failed, no_descriptor))
 
     async def _connect(self) -> None:
         """Connects, and then reads the connection until it ends."""
@@ -255,9 +261,9 @@
         except (OSError, trio.TooSlowError) as error:
             await self.submit(partial(self._on_connect_failed, error))
             return
-        link = NodeConnection(sock, self.nursery, self.clock.now())
-        await self.submit(partial(self._on_connected, link))
-        await self._read_messages(link)
+        connection = NodeConnection(sock, self.nursery, self.clock.now())
+        await self.submit(partial(self._on_connected, connection))
+        await self._read_messages(connection)
 
     def _on_connected(self, connection: NodeConnection) -> None:
         """Sends what waits for a connection."""
@@ -270,19 +276,19 @@
         self.connections.append(connection)
         while self.unsent_messages and connection.write(self.unsent_messages[0]):
             self.unsent_messages.popleft()
-        for t in list(self.waiting_setups):
+        for session in list(self.waiting_setups):
             if connection.pending_setups and self.opening_count:
                 break  # the other set-ups wait for connections that are being opened
-            del self.waiting_setups[t]
-            if not self._write_setup(connection, t):
-                self.send_setup(t)
+            del self.waiting_setups[session]
+            if not self._write_setup(connection, session):
+                self.send_setup(session)
                 return
 
     def _on_connect_failed(self, error: Exception) -> None:
         """A connect failed: set-ups that wait go to a used connection or end, and the node may count as lost."""
         self.opening_count -= 1
-        short = isinstance(error, OSError) and error.errno in LOCAL_SHORTAGE_ERRNOS
-        if short:
+        is_local_shortage = isinstance(error, OSError) and error.errno in LOCAL_SHORTAGE_ERRNOS
+        if is_local_shortage:
             self.listener.node_failed(self, "no descriptor left")
         else:
             self.consecutive_refusals = (
@@ -290,18 +296,20 @@
             )
             self.consecutive_failures += 1
         if not self.opening_count:
-            stuck, self.waiting_setups = list(self.waiting_setups), {}
-            for t in stuck:
-                link = (
+            unsent_setups, self.waiting_setups = list(self.waiting_setups), {}
+            for session in unsent_setups:
+                connection = (
                     self._least_used_connection()
                 )  # a connection in use is acceptable when no other can be opened
-                if link is None or not self._write_setup(link, t):
-                    self.listener.try_ended(t, Outcome.NOT_SENT if short else Outcome.NO_CONNECTION, None)
-        alive = (
-            any(x.is_open for x in self.connections)
+                if connection is None or not self._write_setup(connection, session):
+                    self.listener.try_ended(
+                        session, Outcome.NOT_SENT if is_local_shortage else Outcome.NO_CONNECTION, None
+                    )
+        is_alive = (
+            any(candidate.is_open for candidate in self.connections)
             and self.clock.now() - self.last_heard_at <= self.silence_timeout_ns
         )
-        if not alive and (
+        if not is_alive and (
             self.consecutive_refusals >= REFUSALS_UNTIL_LOST
             or self.consecutive_failures >= FAILURES_UNTIL_LOST
         ):
@@ -309,16 +317,16 @@
 
     async def _read_messages(self, connection: NodeConnection) -> None:
         """Submits the messages of a connection until it ends; closes it if the data is unreadable."""
-        heard, why = json_lines.LineDecoder(), ""
+        decoder, reason = json_lines.LineDecoder(), ""
         try:
             while data := await connection.read():
-                heard.receive_data(data)
-                while (event := heard.next_event()) is not None:
+                decoder.receive_data(data)
+                while (event := decoder.next_event()) is not None:
                     await self.submit(partial(self.listener.message_received, self, connection, *event))
         except ProtocolError as fault:
-            why = str(fault)
+            reason = str(fault)
             connection.close()
-        await self.submit(partial(self._on_connection_ended, connection, why))
+        await self.submit(partial(self._on_connection_ended, connection, reason))
 
     def _on_connection_ended(self, connection: NodeConnection, reason: str) -> None:
         """A connection ended: its tries end according to how much of them was sent."""
@@ -334,12 +342,14 @@
         """Closes a connection and ends its tries: `RESET` if the kernel accepted any of it, else `NOT_SENT`."""
         if connection in self.connections:
             self.connections.remove(connection)
-        out, connection.pending_setups = connection.pending_setups, {}
+        pending, connection.pending_setups = connection.pending_setups, {}
         connection.close()
-        for t, said in out.items():
-            t.node_connection = None
+        for session, queued_range in pending.items():
+            session.node_connection = None
             self.listener.try_ended(
-                t, Outcome.RESET if connection.sent_bytes > said.start else Outcome.NOT_SENT, None
+                session,
+                Outcome.RESET if connection.sent_bytes > queued_range.start else Outcome.NOT_SENT,
+                None,
             )
 
     def maintain(self, now: int) -> None:
@@ -348,12 +358,12 @@
         Retires connections before the node closes them, keeps a fresh one while sessions play, and opens
         another to a node that has been silent for too long, which shows whether it is still there.
         """
-        for link in list(self.connections):
-            if not link.pending_setups and self._is_due_to_retire(link):
-                self._retire_connection(link, now)
-        for link, since in list(self.retired_connections.items()):
+        for connection in list(self.connections):
+            if not connection.pending_setups and self._is_due_to_retire(connection):
+                self._retire_connection(connection, now)
+        for connection, since in list(self.retired_connections.items()):
             if now - since > RETIRED_CLOSE_TIMEOUT_NS:
-                link.close()
+                connection.close()
         if (
             self.is_removed
             or self.opening_count
@@ -366,9 +376,9 @@
             or self.needs_resync
             or (self.consecutive_failures or now - self.last_heard_at > self.silence_timeout_ns)
         ):
-            spare = [x for x in self.connections if not x.pending_setups]
-            if spare and len(self.connections) >= max(2, self.max_connections):
-                self._retire_connection(spare[0], now)
+            unused_connections = [candidate for candidate in self.connections if not candidate.pending_setups]
+            if unused_connections and len(self.connections) >= max(2, self.max_connections):
+                self._retire_connection(unused_connections[0], now)
             self.needs_resync = False
             self._open_connection(RETIRED_CLOSE_TIMEOUT_NS)
 
@@ -382,8 +392,8 @@
 
     def close(self) -> None:
         """Closes all connections; the node is gone for good."""
-        for link in [*self.connections, *self.retired_connections]:
-            self._discard_connection(link)
+        for connection in [*self.connections, *self.retired_connections]:
+            self._discard_connection(connection)
 
     @property
     def descriptor_count(self) -> int:
@@ -405,7 +415,7 @@
             or self.waiting_setups
             or self.opening_count
             or self.retired_connections
-            or any(x.pending_setups for x in self.connections)
+            or any(candidate.pending_setups for candidate in self.connections)
         )
 
     @property
--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -52,7 +52,7 @@
         return sum(
             1
             for pool in self.by_name.values()
-            if pool.unsent_messages or any(link.send_buffer for link in pool.connections)
+            if pool.unsent_messages or any(connection.send_buffer for connection in pool.connections)
         )
 
     @property
@@ -79,11 +79,9 @@
             node.cell, node.zone, node.kind = cell, zone, kind
         if node.started_at < started_at:
             self.events.node_restarted(pool, started_at)
-        link, places = (
-            self.configuration.link_rate_per_size * size,
-            self.configuration.places_by_kind.get(kind, 0.0),
-        )
-        return NodeEntry(node, listing, started_at, link, places)
+        link_capacity = self.configuration.link_rate_per_size * size
+        places = self.configuration.places_by_kind.get(kind, 0.0)
+        return NodeEntry(node, listing, started_at, link_capacity, places)
 
     def _replace(self, name: str, old_pool: NodePool | None, address: tuple[str, int]) -> NodePool:
         node = Node(name)
@@ -135,8 +133,8 @@
         idle = self._longest_idle_connection(pool, min_idle_ns)
         if idle is None:
             return False
-        holder, link = idle
-        holder.close_idle_connection(link)
+        holder, connection = idle
+        holder.close_idle_connection(connection)
         return True
 
     def _longest_idle_connection(
@@ -145,14 +143,14 @@
         """A connection that is idle for longer than `min_idle_ns`; those of nodes where nothing stands before others."""
         now = self.clock.now()
         idle = [
-            (bool(pool.playing_sessions), link.last_used_at, number, pool, link)
+            (bool(pool.playing_sessions), connection.last_used_at, number, pool, connection)
             for number, pool in enumerate(self)
-            for link in pool.connections
+            for connection in pool.connections
             if pool is not requesting_pool
-            and not link.pending_setups
-            and now - link.last_used_at >= min_idle_ns
+            and not connection.pending_setups
+            and now - connection.last_used_at >= min_idle_ns
         ]
         if not idle:
             return None
-        *_, pool, link = min(idle, key=lambda found: found[:3])
-        return pool, link
+        *_, pool, connection = min(idle, key=lambda found: found[:3])
+        return pool, connection
--- a/oakcroft/platform/releases.py
+++ b/oakcroft/platform/releases.py
@@ -47,10 +47,10 @@
 
     def connection_opened(self, connection: ViewerEndpoint) -> None:
         """Sends the releases that wait for a connection on one that has just opened."""
-        for session, release in list(self.unsent.items()):
-            if not self._send_on(connection, session, release):
+        for session_id, release in list(self.unsent.items()):
+            if not self._send_on(connection, session_id, release):
                 return
-            del self.unsent[session]
+            del self.unsent[session_id]
 
     def confirmed(self, session_id: str) -> None:
         """A viewer's side has received the release."""
@@ -59,11 +59,13 @@
 
     def resend_overdue(self) -> None:
         """Sends unconfirmed releases again if there is another connection to send them on."""
-        for session in self.unconfirmed.overdue(self.clock.now()):
-            if not self._attempt(session, self._awaiting_confirmation[session]):
-                self.unconfirmed.confirm(session)
-        for session in [s for s in self._awaiting_confirmation if s not in self.unconfirmed]:
-            del self._awaiting_confirmation[session]
+        for session_id in self.unconfirmed.overdue(self.clock.now()):
+            if not self._attempt(session_id, self._awaiting_confirmation[session_id]):
+                self.unconfirmed.confirm(session_id)
+        for session_id in [
+            session_id for session_id in self._awaiting_confirmation if session_id not in self.unconfirmed
+        ]:
+            del self._awaiting_confirmation[session_id]
 
     def _attempt(self, session_id: str, release: _Release) -> bool:
         """Sends a release on the best connection that it was not sent on yet; returns whether there was one."""
@@ -75,8 +77,8 @@
         untried = [c for c in candidates if c is not None and c not in release.sent_on]
 
         def order(connection: ViewerEndpoint) -> tuple[bool, bool, bool]:
-            own = connection is release.own_connection
-            return target_order(ReleaseTarget(own, connection.has_served, connection.session_count))
+            is_own = connection is release.own_connection
+            return target_order(ReleaseTarget(is_own, connection.has_served, connection.session_count))
 
         return sorted(untried, key=order)
 
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -162,9 +162,12 @@
             if stopping.state is FrontState.DRAINING and now - stopping.state_since < ACCEPT_AFTER_STOP_NS:
                 continue
             self.viewer_server.stop()
-            owed = self.coordinator.setup_count + self.viewer_server.unanswered_count
-            unsaid = self.viewer_server.unsent_count + self.coordinator.unsent_count
-            if stopping.advance(owed, self.coordinator.playing_count, owed + unsaid, now) is FrontState.GONE:
+            unanswered = self.coordinator.setup_count + self.viewer_server.unanswered_count
+            unsent = self.viewer_server.unsent_count + self.coordinator.unsent_count
+            if (
+                stopping.advance(unanswered, self.coordinator.playing_count, unanswered + unsent, now)
+                is FrontState.GONE
+            ):
                 return
 
     async def _handle_signals(self, stopping: Shutdown, clock: Clock) -> None:
@@ -199,36 +202,36 @@
         """
         assert self.channel_follower is not None
         try:
-            told = (
+            configuration = (
                 decode(self.configuration_file.read_bytes())
                 if self.configuration_file is not None
                 else self.configuration
             )
-        except (OSError, ConfigurationError) as fault:
-            self.log.warning("configuration not taken", why=str(fault)[:200])
+        except (OSError, ConfigurationError) as error:
+            self.log.warning("configuration not taken", why=str(error)[:200])
             return
-        same = told.settings == self.configuration.settings
+        settings_unchanged = configuration.settings == self.configuration.settings
         self.log.info(
             "configuration taken",
             after=self.channel_follower.last_cursor,
-            settings="unchanged" if same else "kept till restart",
+            settings="unchanged" if settings_unchanged else "kept till restart",
         )
-        self.channel_follower.switch_address(told.channel_address)
+        self.channel_follower.switch_address(configuration.channel_address)
 
 
 def main() -> int:
     """Serves with the configuration that PROXY_CONFIG names until a stop signal; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a reload has no effect before the front end runs
-    name = os.environ.get("PROXY_CONFIG", "")
+    file_name = os.environ.get("PROXY_CONFIG", "")
     try:
-        if not name:
+        if not file_name:
             raise ConfigurationError("PROXY_CONFIG is not set")
-        told = decode(Path(name).read_bytes())
-    except (OSError, ConfigurationError) as fault:
-        print(f"oakcroft: configuration: {fault}", file=sys.stderr)
+        configuration = decode(Path(file_name).read_bytes())
+    except (OSError, ConfigurationError) as error:
+        print(f"oakcroft: configuration: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION_ERROR
-    log = configure_logging("json", told.terms.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND)
+    log = configure_logging("json", configuration.terms.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND)
     reduce_gc_frequency()
-    took = time.process_time_ns() / max(told.cores, 0.01)  # with its share of a core
-    trio.run(PlatformFrontEnd(told, log, Path(name), round(took)).run)
+    start_took_ns = time.process_time_ns() / max(configuration.cores, 0.01)  # with its share of a core
+    trio.run(PlatformFrontEnd(configuration, log, Path(file_name), round(start_took_ns)).run)
     return 0
--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -95,10 +95,10 @@
         self.counts: dict[str, int] = {}
         # Nodes report the link load of each playback at a fixed interval, so one that is silent for longer may be
         # gone. Where nodes do not report unasked, silence says little, and an occasional connect checks the node.
-        every = configuration.terms.report_interval_ns
+        report_interval_ns = configuration.terms.report_interval_ns
         self.silence_timeout_ns = (
-            3 * every // 2 + configuration.terms.report_delay_ns + SECOND // 4
-            if every
+            3 * report_interval_ns // 2 + configuration.terms.report_delay_ns + SECOND // 4
+            if report_interval_ns
             else SILENCE_WITHOUT_REPORTS_NS
         )
         self.first_tested_at = 0
@@ -148,18 +148,18 @@
         """Handles one event and carries out the decisions that follow from it."""
         try:
             event()
-        except Exception as fault:  # no single event may stop the front end and with it all sessions
-            self.logger.error("event failed", error=repr(fault), exc_info=fault)
+        except Exception as error:  # no single event may stop the front end and with it all sessions
+            self.logger.error("event failed", error=repr(error), exc_info=error)
         self._run_pending_decisions()
 
     def _run_pending_decisions(self) -> None:
         """Carries out queued decisions, including those that are queued meanwhile."""
         while self.pending_decisions:
-            work = self.pending_decisions.popleft()
+            decision = self.pending_decisions.popleft()
             try:
-                work()
-            except Exception as fault:
-                self.logger.error("decision not carried out", error=repr(fault), exc_info=fault)
+                decision()
+            except Exception as error:
+                self.logger.error("decision not carried out", error=repr(error), exc_info=error)
 
     async def submit(self, event: Event) -> None:
         """Submits an event; waits while the inbox is full."""
@@ -171,19 +171,19 @@
             before = self.clock.now()
             await trio.sleep(HEARTBEAT_INTERVAL_NS / SECOND)
             now = self.clock.now()
-            late = max(0, now - before - HEARTBEAT_INTERVAL_NS)
-            self.lag_ns = max(late, self.lag_ns * 7 // 8)
-            if stood := self.stillness.heartbeat(now):
-                self.logger.warning("stood still", ms=stood // MS, open=self.setup_count)
+            late_ns = max(0, now - before - HEARTBEAT_INTERVAL_NS)
+            self.lag_ns = max(late_ns, self.lag_ns * 7 // 8)
+            if paused_ns := self.stillness.heartbeat(now):
+                self.logger.warning("stood still", ms=paused_ns // MS, open=self.setup_count)
 
     async def run_maintenance(self) -> None:
         """Maintains connections and releases at a fixed interval, and logs the counters now and then."""
-        looks = 0
+        rounds = 0
         while True:
             await trio.sleep(0.1)
             await self.submit(self._maintain)
-            looks += 1
-            if looks % 50 == 0:
+            rounds += 1
+            if rounds % 50 == 0:
                 self.logger.info("figures", open=self.setup_count, playing=self.playing_count,
                                  viewers=len(self.viewer_connections), node_links=self.node_pools.connection_count,
                                  titles=len(self.titles.titles), nodes=len(self.pools), x=round(self.controller.x, 3),
@@ -218,13 +218,13 @@
         kind = NodeListKind.WHOLE if complete else NodeListKind.CHANGES
         self.controller.on_node_list(kind, entries, self.clock.now())
         self.node_pools.list_applied()
-        told = ", ".join(f"{e.node.name} {e.status.value}" for e in entries[:6])
-        self.logger.info("list", whole=complete, changed=len(entries), nodes=len(self.pools), changes=told)
+        summary = ", ".join(f"{entry.node.name} {entry.status.value}" for entry in entries[:6])
+        self.logger.info("list", whole=complete, changed=len(entries), nodes=len(self.pools), changes=summary)
 
     def node_restarted(self, pool: NodePool, started_at: int) -> None:
         """Another process has the node's name: ends the sessions that played in the previous one."""
-        for t in [t for t in pool.playing_sessions if t.began_at < started_at]:
-            self._session_ended(t, Outcome.RESET, CAUSE_FAILED, None)
+        for session in [session for session in pool.playing_sessions if session.began_at < started_at]:
+            self._session_ended(session, Outcome.RESET, CAUSE_FAILED, None)
 
     def node_lost(self, pool: NodePool, reason: str) -> None:
         """A node's process is gone: ends all sessions that played there."""
@@ -232,9 +232,9 @@
             self.logger.warning(
                 "node lost", node=pool.node.name, why=reason, playing=len(pool.playing_sessions)
             )
-        for t in list(pool.playing_sessions):
-            pool.send_message("close", t.id, {}, CAUSE_CANCELLED)
-            self._session_ended(t, Outcome.RESET, CAUSE_FAILED, None)
+        for session in list(pool.playing_sessions):
+            pool.send_message("close", session.id, {}, CAUSE_CANCELLED)
+            self._session_ended(session, Outcome.RESET, CAUSE_FAILED, None)
 
     def make_room_for_connection(self, pool: NodePool, min_idle_ns: int) -> bool:
         """Whether a descriptor is free for one more connection to a node; see `NodePools`."""
@@ -255,9 +255,9 @@
         It never waits, so that the connection is read on and what arrives on it next, such as a release, is
         known.
         """
-        before = self.queued_requests.get(request.session_id)
-        if before is not None and not before.withdrawn:
-            self._reject_duplicate(request, before.connection)
+        earlier = self.queued_requests.get(request.session_id)
+        if earlier is not None and not earlier.withdrawn:
+            self._reject_duplicate(request, earlier.connection)
             return
         try:
             self.event_sender.send_nowait(partial(self._process_request, request))
@@ -289,10 +289,10 @@
         if request.withdrawn and not request.playing_node:
             return
         now = self.clock.now()
-        known = self.sessions.get(request.session_id)
-        if known is not None:
-            if not (request.playing_node and known.began_at):
-                self._reject_duplicate(request, known.viewer)
+        known_session = self.sessions.get(request.session_id)
+        if known_session is not None:
+            if not (request.playing_node and known_session.began_at):
+                self._reject_duplicate(request, known_session.viewer)
             return
         title = self.titles.get(request.title_name, request.home_cell, request.copies)
         plan = self.configuration.plans[request.plan_name]
@@ -315,7 +315,7 @@
             ).abandon_at,
             self.last_answer_at,
         )
-        t = PlaybackSession(
+        session = PlaybackSession(
             request.session_id,
             Playback(title, plan, request.top_rung, abandon, False),
             request.plan_name,
@@ -323,15 +323,15 @@
             request.connection,
         )
         if request.playing_node:
-            self._accept_handed_over(t, request.connection, request.playing_node, now)
+            self._accept_handed_over(session, request.connection, request.playing_node, now)
             if request.withdrawn:
                 self._handle_release(request.connection, request.session_id)
             return
-        self.sessions[request.session_id] = self.sessions_by_playback[t.playback] = t
-        request.connection.open_setups[request.session_id] = t
+        self.sessions[request.session_id] = self.sessions_by_playback[session.playback] = session
+        request.connection.open_setups[request.session_id] = session
         self.setup_count += 1
         self.held_chars += len(request.description)
-        self.controller.on_request(t.playback, now)
+        self.controller.on_request(session.playback, now)
 
     def _reject_duplicate(self, request: SetupRequest, first_connection: ViewerEndpoint | None) -> None:
         """Rejects a request whose id is already in use, without affecting the first request."""
@@ -375,21 +375,22 @@
         """Ends the playback, or cancels the set-up or the queued request. Only the connection of a set-up may
         cancel it.
         """
-        t = self.sessions.get(session_id)
-        if t is None:
-            coming = self.queued_requests.get(session_id)
-            if coming is not None and (coming.connection is connection or coming.playing_node):
-                coming.withdrawn = True
+        session = self.sessions.get(session_id)
+        if session is None:
+            queued = self.queued_requests.get(session_id)
+            if queued is not None and (queued.connection is connection or queued.playing_node):
+                queued.withdrawn = True
             return
-        if t.playback.state is PlaybackState.PLAYING:
-            self.controller.on_viewer_left(t.playback, self.clock.now())
-            if t.pool is not None:
-                t.pool.send_message("close", t.id, {}, CAUSE_CANCELLED)
+        if session.playback.state is PlaybackState.PLAYING:
+            self.controller.on_viewer_left(session.playback, self.clock.now())
+            if session.pool is not None:
+                session.pool.send_message("close", session.id, {}, CAUSE_CANCELLED)
             self.timers.schedule(
-                self.clock.now() + CLOSE_CONFIRMATION_TIMEOUT_NS, partial(self._end_unconfirmed_close, t)
+                self.clock.now() + CLOSE_CONFIRMATION_TIMEOUT_NS,
+                partial(self._end_unconfirmed_close, session),
             )
-        elif t.viewer is connection:
-            self._cancel_setup(t)
+        elif session.viewer is connection:
+            self._cancel_setup(session)
 
     def release_confirmed(self, session_id: str) -> None:
         """A viewer's side confirms that it has received a release."""
@@ -436,17 +437,21 @@
         once.
         """
         self.viewer_connections.pop(connection, None)
-        for a in connection.queued_requests.values():
-            if not a.playing_node:  # a playback that plays already is not tied to a connection
-                a.withdrawn = True
+        for request in connection.queued_requests.values():
+            if not request.playing_node:  # a playback that plays already is not tied to a connection
+                request.withdrawn = True
                 connection.write(
-                    encode_release(a.session_id, CAUSE_REJECTED, self.configuration.terms.max_retry_after_ns)
+                    encode_release(
+                        request.session_id, CAUSE_REJECTED, self.configuration.terms.max_retry_after_ns
+                    )
                 )
-        for t in list(connection.open_setups.values()):
-            harmless = not t.playback.tries
-            away = self.configuration.terms.max_retry_after_ns if harmless else 0
-            connection.write(encode_release(t.id, CAUSE_REJECTED if harmless else CAUSE_FAILED, away))
-            self._cancel_setup(t)
+        for session in list(connection.open_setups.values()):
+            nothing_ran = not session.playback.tries
+            retry_after_ns = self.configuration.terms.max_retry_after_ns if nothing_ran else 0
+            connection.write(
+                encode_release(session.id, CAUSE_REJECTED if nothing_ran else CAUSE_FAILED, retry_after_ns)
+            )
+            self._cancel_setup(session)
 
     def _forget_session(self, session: PlaybackSession) -> None:
         """Drops a session once the decision module expects nothing more for it."""
@@ -487,16 +492,16 @@
     ) -> None:
         """Handles a message of a node. Drops it if it is for no session there, repeated, or too late."""
         pool.last_heard_at = now = self.clock.now()
-        t = self.sessions.get(session_id)
+        session = self.sessions.get(session_id)
         if (
-            t is None
+            session is None
             and kind in ("event", "close")
             and not self._is_handover_window_over(now)
             and len(self.early_messages) < MAX_EARLY_SESSIONS
         ):
             # The node reports on its playbacks as soon as it is connected, possibly before the viewer hands them over.
             # Without these messages the rung would be taken for the lowest and the node for nearly empty.
-            again = partial(
+            redelivery = partial(
                 self.message_received,
                 pool,
                 connection,
@@ -506,30 +511,32 @@
                 code,
                 None,
             )
-            self.early_messages.setdefault(session_id, deque(maxlen=4)).append(again)
-        if t is None or t.pool is not pool:
+            self.early_messages.setdefault(session_id, deque(maxlen=4)).append(redelivery)
+        if session is None or session.pool is not pool:
             return
-        if t.node_connection is connection and t.playback.state is PlaybackState.SETTING_UP:
+        if session.node_connection is connection and session.playback.state is PlaybackState.SETTING_UP:
             if kind == "ready" or (
                 kind == "close" and text and terms.ENDS_BY_CAUSE.get(code or -1) is Outcome.DONE
             ):
                 # A close that carries a description is an answer as well: the playback was set up and is already over.
-                self._setup_answered(t, text, now)
-                if kind == "close" and t.began_at:
-                    self._session_ended(t, Outcome.DONE, CAUSE_ENDED, json_lines.load_report(attributes))
+                self._setup_answered(session, text, now)
+                if kind == "close" and session.began_at:
+                    self._session_ended(
+                        session, Outcome.DONE, CAUSE_ENDED, json_lines.load_report(attributes)
+                    )
             elif kind == "close":
-                pool.setup_finished(t)
+                pool.setup_finished(session)
                 self.try_ended(
-                    t,
+                    session,
                     terms.REFUSALS_BY_CAUSE.get(code if code is not None else -1, Outcome.RESET),
                     json_lines.load_report(attributes),
                 )
-        elif t.began_at and kind == "close":
+        elif session.began_at and kind == "close":
             outcome = terms.ENDS_BY_CAUSE.get(code if code is not None else -1, Outcome.RESET)
             cause = {Outcome.DONE: CAUSE_ENDED, Outcome.WITHDRAWN: 0}.get(outcome, CAUSE_FAILED)
-            self._session_ended(t, outcome, cause, json_lines.load_report(attributes))
-        elif t.began_at and kind == "event":
-            self._apply_note(t, attributes, now)
+            self._session_ended(session, outcome, cause, json_lines.load_report(attributes))
+        elif session.began_at and kind == "event":
+            self._apply_note(session, attributes, now)
 
     def _setup_answered(self, session: PlaybackSession, text: str | None, now: int) -> None:
         """A node answered a set-up: passes the answer to the viewer and starts the playback."""
@@ -558,17 +565,17 @@
 
     def _apply_note(self, session: PlaybackSession, attributes: json_lines.Attributes, now: int) -> None:
         """Applies a metric that a node reports for a playback; ignores unknown metrics and invalid values."""
-        note, value = (
+        metric, value = (
             terms.METRICS_BY_NAME.get(str(attributes.get("note"))),
             parse_finite(attributes.get("value")),
         )
-        if note is None or value is None or value < 0:
+        if metric is None or value is None or value < 0:
             return
-        if note is PlaybackMetric.RUNG and not (
+        if metric is PlaybackMetric.RUNG and not (
             value == math.floor(value) and value < len(self.configuration.terms.rung_rates)
         ):
             return
-        self.controller.on_metric(session.playback, note, value, now)
+        self.controller.on_metric(session.playback, metric, value, now)
 
     def try_ended(
         self, session: PlaybackSession, outcome: Outcome, load_report: dict[str, float] | None
--- a/oakcroft/platform/timers.py
+++ b/oakcroft/platform/timers.py
@@ -49,6 +49,6 @@
                 if event is not None:
                     await self.submit(event)
             self.earliest_changed = trio.Event()
-            until = self.clock.trio_time(self.heap[0][0]) if self.heap else float("inf")
-            with trio.move_on_at(until):
+            wake_at = self.clock.trio_time(self.heap[0][0]) if self.heap else float("inf")
+            with trio.move_on_at(wake_at):
                 await self.earliest_changed.wait()
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -89,7 +89,7 @@
         Stops once a maximal message is buffered, so that the buffer holds at most one message and one
         receive.
         """
-        heard = False
+        has_received = False
         while self.is_open and not self.has_peer_left and len(self.frames.buffer) < framing.MAX_MESSAGE_BYTES:
             try:
                 data = self.sock.recv(RECEIVE_BYTES)
@@ -97,16 +97,16 @@
                 break
             except OSError:
                 data = b""
-            heard, now = True, self.clock.now()
+            has_received, now = True, self.clock.now()
             self.has_peer_left = not data
             if self.written_at is None:
                 self.written_at = self.stillness.earliest_written_at(now, self.known_empty_at)
             if self.has_sent_message and not self.frames.has_partial_message:
                 self.idle_since = now
             self.frames.receive_data(data)
-        if heard:
+        if has_received:
             self.wait_scope.cancel()  # wakes its own task, which has not seen this data arrive
-        return heard
+        return has_received
 
     async def wait_for_data(self) -> None:
         """Waits until data arrives, or until another task has received it."""
@@ -123,7 +123,8 @@
         if not self.is_open or self.has_peer_left or self.has_peer_closed():
             return True
         return any(
-            kind == framing.RELEASE and sid == session_id for kind, sid in self.frames.pending_messages()
+            kind == framing.RELEASE and other_id == session_id
+            for kind, other_id in self.frames.pending_messages()
         )
 
     @property
@@ -200,9 +201,11 @@
             sock.close()
             self.shed_count += 1
             return
-        link = ViewerConnection(configure_socket(sock), self.nursery, self.clock, self.coordinator.stillness)
-        self.connections[link] = None
-        self.nursery.start_soon(self._serve_connection, link)
+        connection = ViewerConnection(
+            configure_socket(sock), self.nursery, self.clock, self.coordinator.stillness
+        )
+        self.connections[connection] = None
+        self.nursery.start_soon(self._serve_connection, connection)
 
     def stop(self) -> None:
         """Stops accepting and closes the listener.
@@ -223,19 +226,21 @@
         """Number of messages and queued requests that the decision module does not know yet, including those
         in sockets.
         """
-        return sum(link.unread_count + len(link.queued_requests) for link in self.connections)
+        return sum(
+            connection.unread_count + len(connection.queued_requests) for connection in self.connections
+        )
 
     @property
     def unsent_count(self) -> int:
         """Number of connections on which answers or releases wait for the peer to read."""
-        return sum(1 for link in self.connections if link.send_buffer)
+        return sum(1 for connection in self.connections if connection.send_buffer)
 
     def _make_room(self) -> bool:
         """Closes an idle connection; returns whether there was one."""
-        link = self.idle_connections.next_to_evict()
-        if link is None:
+        connection = self.idle_connections.next_to_evict()
+        if connection is None:
             return False
-        self._shed_connection(link)
+        self._shed_connection(connection)
         return True
 
     def _shed_connection(self, connection: ViewerConnection) -> None:
@@ -249,13 +254,13 @@
         while True:
             await trio.sleep(OVERDUE_CHECK_INTERVAL_S)
             now = self.clock.now()
-            for link in list(self.connections):
-                overdue = (
-                    not link.has_sent_message or link.frames.has_partial_message
-                ) and now - link.idle_since > MESSAGE_TIMEOUT_NS
+            for connection in list(self.connections):
+                is_overdue = (
+                    not connection.has_sent_message or connection.frames.has_partial_message
+                ) and now - connection.idle_since > MESSAGE_TIMEOUT_NS
                 # If the data has arrived, the delay is this front end's own.
-                if overdue and not link.receive_available() and not link.unread_count:
-                    self._shed_connection(link)
+                if is_overdue and not connection.receive_available() and not connection.unread_count:
+                    self._shed_connection(connection)
 
     async def _serve_connection(self, connection: ViewerConnection) -> None:
         """Handles the messages of one connection until it ends."""
@@ -263,21 +268,21 @@
         try:
             while connection.is_open:
                 connection.receive_available()
-                turn = 0
+                handled = 0
                 while connection.is_open and (event := connection.frames.next_event()) is not None:
                     connection.has_sent_message, connection.idle_since = True, self.clock.now()
                     self._handle_message(connection, *event)
-                    turn += 1
-                    if turn % MESSAGES_PER_TURN == 0:
+                    handled += 1
+                    if handled % MESSAGES_PER_TURN == 0:
                         await trio.lowlevel.checkpoint()
                 connection.written_at, connection.known_empty_at = None, self.clock.now()
                 if connection.has_peer_left:
                     break
                 await connection.wait_for_data()
-        except ProtocolError as fault:
-            self.coordinator.count("unreadable viewer", str(fault))
-        except Exception as fault:  # no single connection may stop the front end and with it all sessions
-            self.log.error("connection failed", error=repr(fault), exc_info=fault)
+        except ProtocolError as error:
+            self.coordinator.count("unreadable viewer", str(error))
+        except Exception as error:  # no single connection may stop the front end and with it all sessions
+            self.log.error("connection failed", error=repr(error), exc_info=error)
         finally:
             self.connections.pop(connection, None)
             self.coordinator.connection_closed(connection)
@@ -287,43 +292,47 @@
         self, connection: ViewerConnection, kind: int, session_id: str, parameters: dict[int, bytes]
     ) -> None:
         """Handles one message. A test is answered here, without the coordinator."""
-        owner = self.coordinator
+        coordinator = self.coordinator
         if kind == framing.TEST:
             self.was_tested = self.was_tested or self.is_ready
             connection.write(
                 framing.encode(framing.TESTED, session_id, (framing.CAUSE, bytes((int(self.is_ready),))))
             )
         elif kind == framing.RELEASE:
-            owner.release_received(connection, session_id)
+            coordinator.release_received(connection, session_id)
         elif kind == framing.RELEASE_CONFIRMED:
-            owner.release_confirmed(session_id)
+            coordinator.release_confirmed(session_id)
         elif kind == framing.SET_UP:
             try:
-                asked = setup_request.parse_setup_request(
+                parsed = setup_request.parse_setup_request(
                     session_id,
                     parameters,
-                    owner.configuration.abandon_ns_by_plan,
-                    owner.configuration.terms.cell_count,
-                    len(owner.configuration.terms.rung_rates),
+                    coordinator.configuration.abandon_ns_by_plan,
+                    coordinator.configuration.terms.cell_count,
+                    len(coordinator.configuration.terms.rung_rates),
                 )
-            except setup_request.SetupRequestError as fault:
-                owner.count("unusable set-up", str(fault))
+            except setup_request.SetupRequestError as error:
+                coordinator.count("unusable set-up", str(error))
                 self.reject_request(connection, session_id, CAUSE_FAILED)
                 return
-            at = asked[-1]
-            description = "" if at else asked[-2]  # not needed for a playback that is set up already
+            playing_node = parsed[-1]
+            description = (
+                "" if playing_node else parsed[-2]
+            )  # not needed for a playback that is set up already
             # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
             crowded = (
                 len(connection.open_setups) + len(connection.queued_requests) >= MAX_SETUPS_PER_CONNECTION
             )
-            if not at and (crowded or owner.held_chars + len(description) > owner.max_held_chars):
+            if not playing_node and (
+                crowded or coordinator.held_chars + len(description) > coordinator.max_held_chars
+            ):
                 self.reject_request(
-                    connection, session_id, CAUSE_REJECTED, owner.configuration.terms.max_retry_after_ns
+                    connection, session_id, CAUSE_REJECTED, coordinator.configuration.terms.max_retry_after_ns
                 )
                 return
-            written = self.clock.now() if connection.written_at is None else connection.written_at
-            owner.request_received(
-                SetupRequest(connection, session_id, written, *asked[:-2], description, at)
+            written_at = self.clock.now() if connection.written_at is None else connection.written_at
+            coordinator.request_received(
+                SetupRequest(connection, session_id, written_at, *parsed[:-2], description, playing_node)
             )
 
     @staticmethod
@@ -336,5 +345,5 @@
 
 def encode_release(session_id: str, cause: int, retry_after_ns: int = 0) -> bytes:
     """Encodes a release, with the time to stay away if there is one."""
-    stay = [(framing.RETRY_AFTER, str(retry_after_ns // MS).encode())] if retry_after_ns else []
-    return framing.encode(framing.RELEASE, session_id, (framing.CAUSE, bytes((cause,))), *stay)
+    retry_after = [(framing.RETRY_AFTER, str(retry_after_ns // MS).encode())] if retry_after_ns else []
+    return framing.encode(framing.RELEASE, session_id, (framing.CAUSE, bytes((cause,))), *retry_after)
--- a/oakcroft/platformwire/command_channel.py
+++ b/oakcroft/platformwire/command_channel.py
@@ -29,8 +29,8 @@
     try:
         host = str(ip_address(host.strip("[]")))
         number = int(port) if port.isdecimal() and len(port) < 6 else 0
-    except ValueError as fault:
-        raise ChannelError(f"{raw!r} is no address") from fault
+    except ValueError as error:
+        raise ChannelError(f"{raw!r} is no address") from error
     if not 0 < number < 65_536:
         raise ChannelError(f"{raw!r} has no port")
     return host, number
@@ -58,10 +58,10 @@
     wing, kind = raw.get("locality") or "", raw.get("flavor") or ""
     if not isinstance(wing, str) or not isinstance(kind, str):
         raise ChannelError(f"place of {name}")
-    gone = LISTING_BY_PHASE[phase] is NodeStatus.GONE and "host_port" not in raw
+    needs_no_address = LISTING_BY_PHASE[phase] is NodeStatus.GONE and "host_port" not in raw
     return (
         name,
-        ("", 0) if gone else parse_address(raw.get("host_port")),
+        ("", 0) if needs_no_address else parse_address(raw.get("host_port")),
         wing,
         kind,
         parse_whole_number(raw.get("cell", 0), "cell"),
@@ -76,10 +76,10 @@
     if not isinstance(raw, dict) or not isinstance(raw.get("cmds"), list):
         raise ChannelError("no events")
     changes = list[ListChange]()
-    for one in raw["cmds"]:
-        if not isinstance(one, dict):
+    for raw_event in raw["cmds"]:
+        if not isinstance(raw_event, dict):
             raise ChannelError("an event is no object")
-        nodes = one.get("nodes")
+        nodes = raw_event.get("nodes")
         if nodes is None:  # an event that does not concern nodes
             continue
         if not isinstance(nodes, dict) or not isinstance(nodes.get("members"), list):
@@ -91,9 +91,9 @@
             raise ChannelError("complete is neither true nor false")
         changes.append(
             (
-                parse_whole_number(one.get("cursor"), "cursor"),
+                parse_whole_number(raw_event.get("cursor"), "cursor"),
                 complete,
-                [parse_member(m) for m in nodes["members"]],
+                [parse_member(raw_member) for raw_member in nodes["members"]],
             )
         )
     return parse_whole_number(raw.get("cursor"), "cursor"), changes
@@ -102,7 +102,7 @@
 def decode_events(body: bytes) -> tuple[int, list[ListChange]]:
     """The same, from the body of an answer."""
     try:
-        said = orjson.loads(body)
-    except orjson.JSONDecodeError as fault:
-        raise ChannelError("no JSON") from fault
-    return parse_events(said)
+        raw = orjson.loads(body)
+    except orjson.JSONDecodeError as error:
+        raise ChannelError("no JSON") from error
+    return parse_events(raw)
--- a/oakcroft/platformwire/configuration.py
+++ b/oakcroft/platformwire/configuration.py
@@ -41,25 +41,29 @@
             field = "limits.cores"
             self.cores = float(raw["limits"].get("cores", 1.0))
             field = "settings"
-            env = self.settings = raw["settings"]
-            settings.check(env)
-            info, may = env["familyInfo"], env["permissions"]
-            self.terms: DeploymentSettings = terms.read_settings(env)
-            self.plans: dict[str, Plan] = terms.read_plans(env)
-            self.abandon_ns_by_plan = {c["name"]: terms.ms_to_ns(c["deadlineMs"]) for c in env["classes"]}
-            self.link_rate_per_size = float(info["weightKb"])
-            self.places_by_kind: dict[str, float] = dict(zip(env["models"], info["kindSlots"], strict=True))
-            self.idle_timeout_ns = terms.ms_to_ns(may["connIdleMs"])
-            self.connect_timeout_ns = terms.ms_to_ns(may["dialTimeoutMs"])
-            self.streams_per_connection = int(may["streamsPerConn"])
-            self.max_open = int(may["maxOpen"])
-        except KeyError as fault:
-            missing = str(fault.args[0])
+            environment = self.settings = raw["settings"]
+            settings.check(environment)
+            family, permissions = environment["familyInfo"], environment["permissions"]
+            self.terms: DeploymentSettings = terms.read_settings(environment)
+            self.plans: dict[str, Plan] = terms.read_plans(environment)
+            self.abandon_ns_by_plan = {
+                plan["name"]: terms.ms_to_ns(plan["deadlineMs"]) for plan in environment["classes"]
+            }
+            self.link_rate_per_size = float(family["weightKb"])
+            self.places_by_kind: dict[str, float] = dict(
+                zip(environment["models"], family["kindSlots"], strict=True)
+            )
+            self.idle_timeout_ns = terms.ms_to_ns(permissions["connIdleMs"])
+            self.connect_timeout_ns = terms.ms_to_ns(permissions["dialTimeoutMs"])
+            self.streams_per_connection = int(permissions["streamsPerConn"])
+            self.max_open = int(permissions["maxOpen"])
+        except KeyError as error:
+            missing = str(error.args[0])
             raise ConfigurationError(
                 f"{field}: {missing} is missing" if missing != field else f"{field} is missing"
-            ) from fault
-        except settings.SettingsError as fault:
-            raise ConfigurationError(str(fault)) from fault
+            ) from error
+        except settings.SettingsError as error:
+            raise ConfigurationError(str(error)) from error
         except (
             command_channel.ChannelError,
             TypeError,
@@ -67,21 +71,21 @@
             IndexError,
             AttributeError,
             ArithmeticError,
-        ) as fault:
-            raise ConfigurationError(f"{field}: {fault}") from fault
-        for name, value, least in (
+        ) as error:
+            raise ConfigurationError(f"{field}: {error}") from error
+        for name, value, minimum in (
             ("limits.sockets", self.max_sockets, 64), ("limits.memory_mb", self.memory_bytes, 1 << 20),
         ):  # fmt: skip
-            if value < least:
-                raise ConfigurationError(f"{name}: {value} is under {least}")
+            if value < minimum:
+                raise ConfigurationError(f"{name}: {value} is under {minimum}")
 
 
 def decode(body: bytes) -> Configuration:
     """The configuration in a file's bytes; raises ConfigurationError if it cannot be used."""
     try:
-        said = orjson.loads(body)
-    except orjson.JSONDecodeError as fault:
-        raise ConfigurationError(f"no JSON: {fault}") from fault
-    if not isinstance(said, dict):
+        raw = orjson.loads(body)
+    except orjson.JSONDecodeError as error:
+        raise ConfigurationError(f"no JSON: {error}") from error
+    if not isinstance(raw, dict):
         raise ConfigurationError("no JSON object")
-    return Configuration(said)
+    return Configuration(raw)
--- a/oakcroft/platformwire/framing.py
+++ b/oakcroft/platformwire/framing.py
@@ -49,16 +49,16 @@
 
     def pending_messages(self) -> Iterator[tuple[int, str]]:
         """Type and session id of each complete message in the buffer, without taking it."""
-        at = 0
-        while at + LENGTH_BYTES + MIN_MESSAGE_LENGTH <= len(self.buffer):
-            length = int.from_bytes(self.buffer[at : at + LENGTH_BYTES], "big")
-            if length < MIN_MESSAGE_LENGTH or at + LENGTH_BYTES + length > len(self.buffer):
+        position = 0
+        while position + LENGTH_BYTES + MIN_MESSAGE_LENGTH <= len(self.buffer):
+            length = int.from_bytes(self.buffer[position : position + LENGTH_BYTES], "big")
+            if length < MIN_MESSAGE_LENGTH or position + LENGTH_BYTES + length > len(self.buffer):
                 return
             yield (
-                self.buffer[at + LENGTH_BYTES],
-                self.buffer[at + LENGTH_BYTES + 1 : at + LENGTH_BYTES + MIN_MESSAGE_LENGTH].hex(),
+                self.buffer[position + LENGTH_BYTES],
+                self.buffer[position + LENGTH_BYTES + 1 : position + LENGTH_BYTES + MIN_MESSAGE_LENGTH].hex(),
             )
-            at += LENGTH_BYTES + length
+            position += LENGTH_BYTES + length
 
     def next_event(self) -> Event | None:
         """Takes the next message; None if it is not complete.
@@ -85,20 +85,20 @@
 
 def decode_parameters(data: bytes) -> dict[int, bytes]:
     """The parameters of a message by code; raises ProtocolError if one overruns the message or is repeated."""
-    found = dict[int, bytes]()
-    at = 0
-    while at < len(data):
-        if at + 3 > len(data):
+    parameters = dict[int, bytes]()
+    position = 0
+    while position < len(data):
+        if position + 3 > len(data):
             raise ProtocolError("a parameter without its length")
-        code, length = data[at], int.from_bytes(data[at + 1 : at + 3], "big")
-        at += 3
-        if at + length > len(data):
+        code, length = data[position], int.from_bytes(data[position + 1 : position + 3], "big")
+        position += 3
+        if position + length > len(data):
             raise ProtocolError("a parameter that overruns its message")
-        if code in found:
+        if code in parameters:
             raise ProtocolError("a parameter that stands twice")
-        found[code] = data[at : at + length]
-        at += length
-    return found
+        parameters[code] = data[position : position + length]
+        position += length
+    return parameters
 
 
 def encode(kind: int, session_id: str, *parameters: tuple[int, bytes]) -> bytes:
--- a/oakcroft/platformwire/json_lines.py
+++ b/oakcroft/platformwire/json_lines.py
@@ -67,39 +67,39 @@
 def decode_message(line: bytes) -> Event:
     """Decodes one line; raises ProtocolError if it is not a message."""
     try:
-        said = orjson.loads(line)
-    except orjson.JSONDecodeError as fault:
-        raise ProtocolError("no JSON") from fault
-    if not isinstance(said, dict):
+        raw = orjson.loads(line)
+    except orjson.JSONDecodeError as error:
+        raise ProtocolError("no JSON") from error
+    if not isinstance(raw, dict):
         raise ProtocolError("no object")
-    kind, session, attrs = said.get("msg"), said.get("sid", ""), said.get("attrs", {})
-    code, text = said.get("code"), said.get("text")
+    kind, session_id, attributes = raw.get("msg"), raw.get("sid", ""), raw.get("attrs", {})
+    code, text = raw.get("code"), raw.get("text")
     if (
         not isinstance(kind, str)
         or kind not in MESSAGE_KINDS
-        or not isinstance(session, str)
-        or not isinstance(attrs, dict)
+        or not isinstance(session_id, str)
+        or not isinstance(attributes, dict)
     ):
         raise ProtocolError("no message")
-    if session and not SESSION_ID_PATTERN.fullmatch(session):
+    if session_id and not SESSION_ID_PATTERN.fullmatch(session_id):
         raise ProtocolError("no id")
     if not (code is None or isinstance(code, int)) or not (text is None or isinstance(text, str)):
         raise ProtocolError("a code or a description of another type")
-    if not all(isinstance(v, str | int | float) for v in attrs.values()):
+    if not all(isinstance(value, str | int | float) for value in attributes.values()):
         raise ProtocolError("a field of another type")
-    return kind, session, attrs, code, text
+    return kind, session_id, attributes, code, text
 
 
 def encode(
     kind: str, session_id: str, attributes: Attributes, code: int | None = None, text: str | None = None
 ) -> bytes:
     """Encodes one message with its line end."""
-    said: dict[str, object] = {"msg": kind, "sid": session_id, "attrs": attributes}
+    raw: dict[str, object] = {"msg": kind, "sid": session_id, "attrs": attributes}
     if code is not None:
-        said["code"] = code
+        raw["code"] = code
     if text is not None:
-        said["text"] = text
-    return orjson.dumps(said) + b"\n"
+        raw["text"] = text
+    return orjson.dumps(raw) + b"\n"
 
 
 def fits_line(plan: str, title: str, description: str) -> bool:
@@ -114,8 +114,12 @@
     """The attributes that are read of a message about a playing session, for a message that is stored
     meanwhile.
     """
-    read = {name: attributes[name] for name in ("note", "value", "load") if name in attributes}
-    return {name: v for name, v in read.items() if not isinstance(v, str) or len(v) <= MAX_FIELD_LENGTH}
+    kept = {name: attributes[name] for name in ("note", "value", "load") if name in attributes}
+    return {
+        name: value
+        for name, value in kept.items()
+        if not isinstance(value, str) or len(value) <= MAX_FIELD_LENGTH
+    }
 
 
 def load_report(attributes: Attributes) -> dict[str, float] | None:
@@ -123,13 +127,13 @@
 
     Unreadable parts are left out, so that a bad report never costs the message that carries it.
     """
-    said = attributes.get("load")
-    if not isinstance(said, str) or len(said) > MAX_FIELD_LENGTH:
+    raw = attributes.get("load")
+    if not isinstance(raw, str) or len(raw) > MAX_FIELD_LENGTH:
         return None
-    found = dict[str, float]()
-    for part in said.split(";"):
+    loads = dict[str, float]()
+    for part in raw.split(";"):
         name, _, value = part.partition(":")
-        figure = parse_finite(value)
-        if name and figure is not None and figure >= 0:
-            found[name] = figure
-    return found
+        load = parse_finite(value)
+        if name and load is not None and load >= 0:
+            loads[name] = load
+    return loads
--- a/oakcroft/platformwire/long_poll.py
+++ b/oakcroft/platformwire/long_poll.py
@@ -46,8 +46,8 @@
         """Adds received bytes; an empty value marks the end of the connection."""
         try:
             self.http.receive_data(data)
-        except RuntimeError as fault:  # bytes after the end of the connection
-            raise command_channel.ChannelError(str(fault)) from fault
+        except RuntimeError as error:  # bytes after the end of the connection
+            raise command_channel.ChannelError(str(error)) from error
 
     def next_answer(self) -> tuple[int, list[command_channel.ListChange]] | None:
         """The answer to the open poll: the cursor of the last event, and the events. None if it is not
@@ -70,18 +70,18 @@
                     return self._complete_answer()
                 elif isinstance(event, h11.ConnectionClosed):
                     raise command_channel.ChannelError("closed without an answer")
-        except h11.RemoteProtocolError as fault:
-            raise command_channel.ChannelError(str(fault)) from fault
+        except h11.RemoteProtocolError as error:
+            raise command_channel.ChannelError(str(error)) from error
 
     def _complete_answer(self) -> tuple[int, list[command_channel.ListChange]]:
         """Decodes the complete answer and makes the connection ready for the next poll if it stays open."""
         body, self.body = bytes(self.body), bytearray()
         if self.status != 200:
             raise command_channel.ChannelError(f"status {self.status}")
-        found = command_channel.decode_events(body)
+        answer = command_channel.decode_events(body)
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
-        return found
+        return answer
 
     @property
     def is_ready(self) -> bool:
--- a/oakcroft/platformwire/settings.py
+++ b/oakcroft/platformwire/settings.py
@@ -58,60 +58,70 @@
     """Raises SettingsError if a field is not a number in a range."""
     value = float(raw) if isinstance(raw, int | float) else NOT_A_NUMBER
     if not minimum <= value <= maximum:
-        shown = "more than 0" if minimum == LEAST_POSITIVE else f"{minimum:g} at least"
-        raise SettingsError(f"settings.{path}: {str(raw)[:40]!r} where a figure is wanted, {shown}"
+        wanted = "more than 0" if minimum == LEAST_POSITIVE else f"{minimum:g} at least"
+        raise SettingsError(f"settings.{path}: {str(raw)[:40]!r} where a figure is wanted, {wanted}"
                        + (f" and {maximum:g} at most" if maximum < inf else ""))  # fmt: skip
 
 
 def non_empty_list(settings: Any, path: str) -> list[Any]:
     """A list that is not empty; raises SettingsError otherwise."""
-    found = field_at(settings, path)
-    if not isinstance(found, list) or not found:
+    values = field_at(settings, path)
+    if not isinstance(values, list) or not values:
         raise SettingsError(f"settings.{path}: a list with something in it is wanted")
-    return found
+    return values
 
 
 def checked_classes(settings: Any) -> Iterator[tuple[str, dict[str, Any]]]:
     """Each class with its path; raises SettingsError if one has no name or the name of another."""
     names = set[str]()
-    for i, one in enumerate(non_empty_list(settings, "classes")):
+    for i, raw_class in enumerate(non_empty_list(settings, "classes")):
         path = f"classes[{i}]"
-        if not isinstance(one, dict) or not isinstance(one.get("name"), str) or not one["name"]:
+        if (
+            not isinstance(raw_class, dict)
+            or not isinstance(raw_class.get("name"), str)
+            or not raw_class["name"]
+        ):
             raise SettingsError(f"settings.{path}.name is missing")
-        if one["name"] in names:
-            raise SettingsError(f"settings.{path}.name: {one['name']!r} stands twice")
-        names.add(one["name"])
-        yield path, one
+        if raw_class["name"] in names:
+            raise SettingsError(f"settings.{path}.name: {raw_class['name']!r} stands twice")
+        names.add(raw_class["name"])
+        yield path, raw_class
 
 
 def check(settings: Any) -> None:
     """Raises SettingsError for the first field that cannot be served."""
-    for path, (least, most) in NUMBER_RANGES.items():
-        check_number(field_at(settings, path), path, least, most)
-    for path, least in OPTIONAL_MINIMUMS.items():
+    for path, (minimum, maximum) in NUMBER_RANGES.items():
+        check_number(field_at(settings, path), path, minimum, maximum)
+    for path, minimum in OPTIONAL_MINIMUMS.items():
         group, _, name = path.partition(".")
         if field_at(settings, group).get(name) is not None:
-            check_number(field_at(settings, path), path, least)
-    for path, one in checked_classes(settings):
-        for name, least in CLASS_MINIMUMS.items():
-            if name not in one:
+            check_number(field_at(settings, path), path, minimum)
+    for path, raw_class in checked_classes(settings):
+        for name, minimum in CLASS_MINIMUMS.items():
+            if name not in raw_class:
                 raise SettingsError(f"settings.{path}.{name} is missing")
-            check_number(one[name], f"{path}.{name}", least)
-        for name, known in (("effect", terms.EFFECTS_BY_SETTING), ("group", terms.KEY_SCOPES_BY_SETTING)):
-            word = one.get(name)
-            if (word is not None or name == "effect") and (not isinstance(word, str) or word not in known):
+            check_number(raw_class[name], f"{path}.{name}", minimum)
+        for name, known_values in (
+            ("effect", terms.EFFECTS_BY_SETTING),
+            ("group", terms.KEY_SCOPES_BY_SETTING),
+        ):
+            value = raw_class.get(name)
+            if (value is not None or name == "effect") and (
+                not isinstance(value, str) or value not in known_values
+            ):
                 raise SettingsError(
-                    f"settings.{path}.{name}: {str(word)[:40]!r} is none of {', '.join(known)}"
+                    f"settings.{path}.{name}: {str(value)[:40]!r} is none of {', '.join(known_values)}"
                 )
-        if one.get("keyTtlMs") is not None:
-            check_number(one["keyTtlMs"], f"{path}.keyTtlMs", 0)
-    for path, (least, like) in NUMBER_LISTS.items():
-        found = non_empty_list(settings, path)
-        for i, said in enumerate(found):
-            check_number(said, f"{path}[{i}]", least)
-        if len(found) != len(non_empty_list(settings, like)):
+        if raw_class.get("keyTtlMs") is not None:
+            check_number(raw_class["keyTtlMs"], f"{path}.keyTtlMs", 0)
+    for path, (minimum, same_length_as) in NUMBER_LISTS.items():
+        values = non_empty_list(settings, path)
+        for i, raw in enumerate(values):
+            check_number(raw, f"{path}[{i}]", minimum)
+        if len(values) != len(non_empty_list(settings, same_length_as)):
             raise SettingsError(
-                f"settings.{path}: {len(found)} figures where {like} has {len(field_at(settings, like))}"
+                f"settings.{path}: {len(values)} figures"
+                f" where {same_length_as} has {len(field_at(settings, same_length_as))}"
             )
     for path in ("permissions.retryAfter", "membershipMode"):
         field_at(settings, path)
--- a/oakcroft/platformwire/setup_request.py
+++ b/oakcroft/platformwire/setup_request.py
@@ -23,8 +23,8 @@
         raise SetupRequestError(f"parameter {code} of {len(value)} octets")
     try:
         return value.decode()
-    except UnicodeDecodeError as fault:
-        raise SetupRequestError(f"parameter {code} is no text") from fault
+    except UnicodeDecodeError as error:
+        raise SetupRequestError(f"parameter {code} is no text") from error
 
 
 def parse_number(written: str, maximum: float, field: str) -> float:
@@ -32,9 +32,9 @@
 
     Notations that only Python reads as a number, such as underscores or surrounding spaces, are refused.
     """
-    plain = written.isascii() and "_" not in written and written.strip() == written
+    is_plain = written.isascii() and "_" not in written and written.strip() == written
     try:
-        value = float(written) if plain else math.nan
+        value = float(written) if is_plain else math.nan
     except ValueError:
         value = math.nan
     if not 0 <= value <= maximum:  # NaN fails too
@@ -52,13 +52,13 @@
 
 def parse_extras(written: str) -> dict[str, str]:
     """The extras `a:1;b:2` by name; raises SetupRequestError if they do not have that form."""
-    found = dict[str, str]()
+    extras = dict[str, str]()
     for part in written.split(";"):
         name, colon, value = part.partition(":")
-        if not colon or not name or name in found:
+        if not colon or not name or name in extras:
             raise SetupRequestError("extras are not of their form")
-        found[name] = value
-    return found
+        extras[name] = value
+    return extras
 
 
 def whole_number_extra(extras_by_name: Mapping[str, str], name: str, maximum: int) -> int:
@@ -86,12 +86,16 @@
     plan = text_parameter(parameters, framing.PLAN)
     if plan not in abandon_ns_by_plan:
         raise SetupRequestError("a plan that does not exist")
-    found = parse_extras(text_parameter(parameters, framing.EXTRAS, 1024))
-    at = found.get("at", "")
+    extras = parse_extras(text_parameter(parameters, framing.EXTRAS, 1024))
+    playing_node = extras.get("at", "")
     # Allows for the viewer's clock and for rounding; otherwise nobody waits longer than the plan's abandon time.
-    longest = 2 * abandon_ns_by_plan[plan] / MS
+    max_wait_ms = 2 * abandon_ns_by_plan[plan] / MS
     # A playback that plays already waits for no answer.
-    wait = 0.0 if at else parse_number(text_parameter(parameters, framing.WAIT, 32), longest, "wait")
+    wait_ms = (
+        0.0
+        if playing_node
+        else parse_number(text_parameter(parameters, framing.WAIT, 32), max_wait_ms, "wait")
+    )
     if framing.HINT in parameters:
         parse_number(text_parameter(parameters, framing.HINT, 32), 1e9, "hint")
     title = text_parameter(parameters, framing.TITLE)
@@ -102,11 +106,11 @@
         raise SetupRequestError("the description is too long for a node")
     return (
         plan,
-        round(wait * MS),
+        round(wait_ms * MS),
         title,
-        whole_number_extra(found, "home", cell_count - 1),
-        whole_number_extra(found, "copies", cell_count),
-        whole_number_extra(found, "top", rung_count - 1),
+        whole_number_extra(extras, "home", cell_count - 1),
+        whole_number_extra(extras, "copies", cell_count),
+        whole_number_extra(extras, "top", rung_count - 1),
         description,
-        at,
+        playing_node,
     )
