--- a/oakcroft/platform/__init__.py
+++ b/oakcroft/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One front end on the platform's protocol: sockets, tasks and bounds round the decision module."""
+"""A front end that speaks the platform's protocol: the sockets, tasks and limits around the decision module."""
--- a/oakcroft/platform/channel_follower.py
+++ b/oakcroft/platform/channel_follower.py
@@ -1,8 +1,8 @@
-"""Follows the command channel by long polls, from the last event heard whole.
+"""Follows the command channel by long polls, starting after the last event that was received completely.
 
-What the channel has said goes before all else: it is read and acted on in one step, not handed to the inbox. However much
-waits there, a front that was late or stood still decides at most one turn of its loop (5 ms of events) on a list of which
-news lies unread in its own socket.
+List changes take precedence over all other events: they are read and applied in one step and do not pass
+through the inbox. However many events wait in the inbox, a front end that is late or was paused decides for
+at most one turn of its loop (5 ms of events) on a node list whose update lies unread in its own socket.
 """
 
 from __future__ import annotations
@@ -16,14 +16,16 @@
 from oakcroft.platformwire import command_channel
 from oakcroft.platformwire.long_poll import LongPollConnection
 
-POLL_WAIT_MS = 1_000  # ms that a poll waits for events
-POLL_OVERDUE_S = 0.4  # seconds past that, after which the channel has stopped and is asked again
+POLL_WAIT_MS = 1_000  # the channel may hold a poll for so long
+POLL_OVERDUE_S = 0.4  # past the poll's wait; then the channel counts as silent
 CONNECT_TIMEOUT_S = 0.5
-MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.02, 0.2  # between tries, after a break
+# Between connection attempts; the delay doubles with each failure.
+MIN_RETRY_DELAY_S = 0.02
+MAX_RETRY_DELAY_S = 0.2
 
 
 class ChannelFollower:
-    """Asks for events and hands them to the owner."""
+    """Polls the command channel and passes its events to the session coordinator."""
 
     def __init__(
         self,
@@ -33,17 +35,23 @@
         log: structlog.typing.FilteringBoundLogger,
         start_took_ns: int = 0,
     ) -> None:
-        self.address, self.last_cursor, self.coordinator, self.log = address, last_cursor, coordinator, log
+        """Sets up the follower; `last_cursor` is the last event already known, `start_took_ns` the time the
+        process has spent starting.
+        """
+        self.address = address
+        self.last_cursor = last_cursor
+        self.coordinator = coordinator
+        self.log = log
         self.freshness = NodeListFreshness(coordinator.clock.now(), start_took_ns)
-        self.confirmed = trio.Event()  # the first answer since the start has been handed on
+        self.confirmed = trio.Event()  # the first answer since the start has been applied
         self.connection: BufferedConnection | None = None
         self.long_poll = LongPollConnection(*address)
-        self.poll_overdue_at = 0.0  # when the open poll is overdue
-        self.failure = ""  # why the connection is of no further use
+        self.poll_overdue_at = 0.0  # trio time at which the open poll is overdue
+        self.failure = ""  # why the connection can no longer be used; empty while it can
         self.connection_scope = trio.CancelScope()
 
     def switch_address(self, address: tuple[str, int]) -> None:
-        """Goes on at another address, with the number last heard; the poll at the old one is dropped."""
+        """Continues at another address after the last event received; drops the poll at the old address."""
         if address != self.address:
             self.log.info("channel moves", after=self.last_cursor)
             self.address = address
@@ -51,7 +59,7 @@
             self.connection_scope.cancel()
 
     async def run(self) -> None:
-        """Follows until it is cancelled."""
+        """Follows the channel until it is cancelled."""
         retry_delay_s, was_reported = MIN_RETRY_DELAY_S, False
         while True:
             with trio.CancelScope() as self.connection_scope:
@@ -70,9 +78,10 @@
                         self.freshness.record_loss()
 
     async def _follow_connection(self) -> bool:
-        """One connection, until its poll is overdue (True) or the channel has closed it after an answer.
+        """Uses one connection until its poll is overdue (returns True) or the channel has closed it after an
+        answer (returns False).
 
-        OSError, trio.TooSlowError or channel.Unreadable where it breaks.
+        Raises OSError, trio.TooSlowError or ChannelError if the connection cannot be opened or fails.
         """
         address = self.address
         sock = await connect(address, CONNECT_TIMEOUT_S)
@@ -96,13 +105,14 @@
         return silent
 
     def _send_poll(self) -> None:
+        """Sends the next poll and sets the time at which it is overdue."""
         assert self.connection is not None
         wait_ms = self.freshness.poll_timeout_ms(POLL_WAIT_MS)
         self.poll_overdue_at = trio.current_time() + POLL_WAIT_MS / 1e3 + POLL_OVERDUE_S
         self.connection.write(self.long_poll.poll(self.last_cursor, wait_ms))
 
     def _read_answers(self) -> None:
-        """Takes what the channel has said by now, and asks on. Waits for nothing."""
+        """Reads and applies everything that has arrived, and polls again. Never waits."""
         while self.connection is not None and self.connection.is_open:
             try:
                 data = self.connection.sock.recv(65_536)
@@ -112,7 +122,7 @@
                     if self.long_poll.is_ready:
                         self._send_poll()
                     else:
-                        self.connection.close()  # the channel closes after this answer
+                        self.connection.close()  # the channel closes the connection after this answer
             except BlockingIOError:
                 return
             except (OSError, command_channel.ChannelError) as error:
@@ -120,6 +130,7 @@
                 self.connection.close()
 
     def _apply_answer(self, last_cursor: int, changes: list[command_channel.ListChange]) -> None:
+        """Applies the events of one answer that are newer than the last cursor."""
         for number, complete, members in changes:
             if number > self.last_cursor:
                 self.last_cursor = number
--- a/oakcroft/platform/connection.py
+++ b/oakcroft/platform/connection.py
@@ -1,4 +1,4 @@
-"""One connection: a bounded buffer of what is to be written, and the count of what the kernel has taken of it."""
+"""A non-blocking connection with a bounded send buffer that knows how many bytes the kernel has accepted."""
 
 from __future__ import annotations
 
@@ -11,23 +11,29 @@
 
 
 class BufferedConnection:
-    """A non-blocking socket that is written to at once, from any task and without waiting.
+    """A non-blocking socket that any task can write to without waiting.
 
-    A set-up is written in the same step in which it is decided, so that what has left and what has not is known at
-    every moment: `sent_bytes` octets of `queued_bytes` are with the kernel. A peer that does not read is cut off when
-    more than `max_buffered_bytes` octets wait for it: guards memory, and the others' turns, against clients that only
-    ask.
+    A set-up is written in the same step in which it is decided, so it is always known what has been sent: the
+    kernel has accepted `sent_bytes` of `queued_bytes`. A peer that does not read is disconnected when more
+    than `max_buffered_bytes` wait for it. This bounds the memory, and the time taken from other connections,
+    that clients which only send can cost.
     """
 
     def __init__(self, sock: socket.socket, nursery: trio.Nursery, max_buffered_bytes: int = 65_536) -> None:
-        self.sock, self.nursery, self.max_buffered_bytes = sock, nursery, max_buffered_bytes
+        """Wraps a configured socket; `nursery` runs the task that flushes the buffer."""
+        self.sock = sock
+        self.nursery = nursery
+        self.max_buffered_bytes = max_buffered_bytes
         self.send_buffer = bytearray()
-        self.queued_bytes = self.sent_bytes = 0
+        self.queued_bytes = 0
+        self.sent_bytes = 0
         self.is_open = True
         self.is_flushing = False
 
     def write(self, data: bytes) -> bool:
-        """Writes, or queues what can't be written at once; whether the connection is still of use."""
+        """Sends the data, or buffers what the kernel does not accept; returns whether the connection is still
+        usable.
+        """
         if not self.is_open:
             return False
         if len(self.send_buffer) + len(data) > self.max_buffered_bytes:
@@ -42,6 +48,7 @@
         return self.is_open
 
     def _flush(self) -> None:
+        """Passes as much of the buffer to the kernel as it accepts."""
         try:
             while self.send_buffer:
                 sent = self.sock.send(self.send_buffer)
@@ -53,6 +60,7 @@
             self.close()
 
     async def _flush_when_writable(self) -> None:
+        """Flushes the buffer whenever the socket is writable, until the buffer is empty."""
         try:
             while self.is_open and self.send_buffer:
                 await trio.lowlevel.wait_writable(self.sock)
@@ -63,7 +71,9 @@
             self.is_flushing = False
 
     async def read(self) -> bytes:
-        """What has come; nothing at its end, however it ended."""
+        """Waits for data; returns an empty result at the end of the connection, whether it was closed or
+        failed.
+        """
         while self.is_open:
             try:
                 return self.sock.recv(RECEIVE_BYTES)
@@ -78,7 +88,7 @@
         return b""
 
     def is_at_end(self) -> bool:
-        """Whether the peer has closed or reset a connection on which all that came has been read."""
+        """Whether the peer has closed or reset the connection and everything received has been read."""
         try:
             return self.is_open and self.sock.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
@@ -87,7 +97,10 @@
             return True
 
     def retract(self, queued_range: range) -> bool:
-        """Takes back octets that were queued, where none of them is with the kernel; whether that was so."""
+        """Removes bytes that were queued, if the kernel has accepted none of them; returns whether it did.
+
+        `queued_range` counts bytes as `queued_bytes` did when they were queued.
+        """
         if not self.is_open or self.sent_bytes > queued_range.start:
             return False
         start = queued_range.start - self.sent_bytes
@@ -96,13 +109,13 @@
         return True
 
     def has_peer_closed(self) -> bool:
-        """Whether the peer has closed or reset it, however much of what it sent lies unread."""
+        """Whether the peer has closed or reset the connection, even if data still lies unread."""
         poll = select.poll()
-        poll.register(self.sock, select.POLLRDHUP)  # POLLERR and POLLHUP are told unasked
+        poll.register(self.sock, select.POLLRDHUP)  # POLLERR and POLLHUP are always reported
         return bool(poll.poll(0))
 
     def shut_down_writing(self) -> None:
-        """Says that nothing more will be written; what the peer has still to say is read."""
+        """Half-closes the connection: nothing more is written, but the peer's data is still read."""
         if self.is_open:
             try:
                 self.sock.shutdown(socket.SHUT_WR)
@@ -110,7 +123,7 @@
                 self.close()
 
     def close(self) -> None:
-        """Closes it at once; whoever reads it sees its end."""
+        """Closes the connection at once; a task that reads it sees its end."""
         if self.is_open:
             self.is_open = False
             trio.lowlevel.notify_closing(self.sock)
@@ -119,14 +132,19 @@
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
-    """A socket as links want it: never blocking, small messages sent at once."""
+    """Makes a socket non-blocking and turns off Nagle's algorithm so that small messages leave at once;
+    returns it.
+    """
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 async def connect(address: tuple[str, int], timeout_s: float) -> socket.socket:
-    """A connection; OSError or trio.TooSlowError where there is none in time. One that is given up is closed."""
+    """Opens a connection; raises OSError if it fails and trio.TooSlowError after `timeout_s` seconds.
+
+    The socket is closed if the attempt fails or is cancelled.
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = configure_socket(socket.socket(family, socket.SOCK_STREAM))
     try:
--- a/oakcroft/platform/idle_connections.py
+++ b/oakcroft/platform/idle_connections.py
@@ -1,4 +1,4 @@
-"""Finds the connection that makes room for a new one, among all that are open."""
+"""Chooses which viewers' connection to close when a new one needs its place."""
 
 from __future__ import annotations
 
@@ -12,43 +12,46 @@
 from oakcroft.running.clock import Clock
 
 MAX_CANDIDATES = 16
-"""Found by one look over all connections. In a crowd each newcomer asks for one, and a look at 256 takes 0.3 ms."""
+"""Found by one scan of all connections. In a crowd every new connection needs one, and scanning 256 takes 0.3 ms."""
 
 CANDIDATES_VALID_NS = 50 * MS
 
 
 class EvictableConnection(Protocol):
-    """What is asked of a connection."""
+    """What is needed of a connection that may be evicted."""
 
-    is_open: bool  # this side has not closed it
+    is_open: bool  # False once this side has closed it
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is owed on it."""
+        """Whether no set-up is open or queued on it."""
 
     @property
     def idle_state(self) -> IdleConnection:
-        """What its eviction is decided by, where it is idle."""
+        """The facts that the eviction order depends on; valid while it is idle."""
 
     @property
     def unread_count(self) -> int:
-        """Whole messages that have not been taken, those in its socket among them."""
+        """Number of complete messages that have not been handled, including those still in the socket."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
 
 
 class IdleConnections(Generic[ConnectionT]):
-    """The idle ones among the open connections, in the order in which they make room."""
+    """The idle ones among the open connections, in the order in which they are evicted."""
 
     def __init__(self, connections: Iterable[ConnectionT], clock: Clock) -> None:
-        """`connections`: those that are open, a live view."""
-        self._connections, self._clock = connections, clock
+        """`connections` is a live view of the open connections."""
+        self._connections = connections
+        self._clock = clock
         self._candidates = deque[tuple[ConnectionT, tuple[EvictionClass, int]]]()
         self._candidates_found_at = 0
 
     def next_to_evict(self) -> ConnectionT | None:
-        """The one that makes room next; None where something is owed on each, or has come on it meanwhile."""
+        """The connection to evict next; None if each has an open set-up or a message that has not been
+        handled.
+        """
         now = self._clock.now()
         if now - self._candidates_found_at > CANDIDATES_VALID_NS:
             self._candidates.clear()
@@ -59,6 +62,7 @@
         return found
 
     def _find_candidates(self, now: int) -> None:
+        """Scans all connections and keeps the first `MAX_CANDIDATES` in eviction order."""
         idle = [
             (connection, eviction_order(connection.idle_state, now))
             for connection in self._connections
@@ -68,18 +72,21 @@
         self._candidates_found_at = now
 
     def _next_candidate(self, now: int) -> ConnectionT | None:
+        """Takes candidates until one is still as it was when it was found; None if there is none."""
         while self._candidates:
             connection, order = self._candidates.popleft()
             if not self._is_unchanged(connection, order, now) or connection.unread_count:
                 continue
-            # Asking for what is unread has read its socket: a part of its request may have come.
+            # Counting unread messages reads the socket, so part of a request may have arrived since the first check.
             if self._is_unchanged(connection, order, now):
                 return connection
         return None
 
     @staticmethod
     def _is_unchanged(connection: ConnectionT, order: tuple[EvictionClass, int], now: int) -> bool:
-        """Guards against closing a connection for what it was when candidates were looked for."""
+        """Whether a candidate is unchanged since the scan; otherwise it would be closed for a state that is
+        out of date.
+        """
         return (
             connection.is_open and connection.is_idle and eviction_order(connection.idle_state, now) == order
         )
--- a/oakcroft/platform/node_pool.py
+++ b/oakcroft/platform/node_pool.py
@@ -22,17 +22,13 @@
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
 
-RETIRE_AFTER_IDLE_SHARE = (
-    0.6  # of the idle timeout, so that a connection is retired before the node closes it
-)
+RETIRE_AFTER_IDLE_SHARE = 0.6  # of the idle timeout, so that the node does not close it first
 CAUSE_CANCELLED = 16
-REFUSALS_UNTIL_LOST, FAILURES_UNTIL_LOST = 2, 5  # consecutive connects that show a node's process to be gone
-LOCAL_SHORTAGE_ERRNOS = (
-    errno.EMFILE,
-    errno.ENFILE,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-)  # say nothing about the node
+# Consecutive connects that show a node's process to be gone.
+REFUSALS_UNTIL_LOST = 2
+FAILURES_UNTIL_LOST = 5
+# Errors that say nothing about the node.
+LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 MAX_UNSENT_MESSAGES = 512
 RETIRED_CLOSE_TIMEOUT_NS = 2 * SECOND  # by then the node has closed a connection that was half-closed here
 CONNECT_INTERVAL_NS = 300 * MS  # least time between two connects for maintenance
@@ -44,9 +40,8 @@
     def __init__(self, sock: socket.socket, nursery: trio.Nursery, now: int) -> None:
         """Wraps a connected socket; `now` counts as its last use."""
         super().__init__(sock, nursery)
-        self.pending_setups: dict[
-            PlaybackSession, range
-        ] = {}  # with the bytes of each, as counted by `queued_bytes`
+        # With the bytes of each, as counted by `queued_bytes`.
+        self.pending_setups: dict[PlaybackSession, range] = {}
         self.last_used_at = now
 
 
@@ -72,32 +67,30 @@
         listener: NodePoolListener,
     ) -> None:
         """Creates a pool without connections. Timeouts are in ns."""
-        self.node, self.address, self.max_connections, self.streams_per_connection = (
-            node,
-            address,
-            max_connections,
-            streams_per_connection,
-        )
-        self.idle_timeout_ns, self.connect_timeout_ns, self.silence_timeout_ns = (
-            idle_timeout_ns,
-            connect_timeout_ns,
-            silence_timeout_ns,
-        )
-        self.clock, self.nursery, self.submit, self.listener = clock, nursery, submit, listener
+        self.node = node
+        self.address = address
+        self.max_connections = max_connections
+        self.streams_per_connection = streams_per_connection
+        self.idle_timeout_ns = idle_timeout_ns
+        self.connect_timeout_ns = connect_timeout_ns
+        self.silence_timeout_ns = silence_timeout_ns
+        self.clock = clock
+        self.nursery = nursery
+        self.submit = submit
+        self.listener = listener
         self.connections: list[NodeConnection] = []
         self.opening_count = 0
-        self.waiting_setups: dict[
-            PlaybackSession, None
-        ] = {}  # set-ups that wait for a connection being opened
+        # Set-ups that wait for a connection being opened.
+        self.waiting_setups: dict[PlaybackSession, None] = {}
         self.playing_sessions: dict[PlaybackSession, None] = {}
-        self.unsent_messages: deque[bytes] = deque(
-            maxlen=MAX_UNSENT_MESSAGES
-        )  # to be sent on the next connection that opens
-        self.consecutive_refusals = self.consecutive_failures = 0
-        self.last_connect_at = self.last_heard_at = 0
-        self.retired_connections: dict[
-            NodeConnection, int
-        ] = {}  # connections that are only read, and since when
+        # To be sent on the next connection that opens.
+        self.unsent_messages: deque[bytes] = deque(maxlen=MAX_UNSENT_MESSAGES)
+        self.consecutive_refusals = 0
+        self.consecutive_failures = 0
+        self.last_connect_at = 0
+        self.last_heard_at = 0
+        # Connections that are only read, and since when.
+        self.retired_connections: dict[NodeConnection, int] = {}
         self.needs_resync = False  # messages may be lost; the node repeats them on the next connection
         self.is_removed = False  # removed from the list, or its name has another address
 
@@ -268,7 +261,8 @@
     def _on_connected(self, connection: NodeConnection) -> None:
         """Sends what waits for a connection."""
         self.opening_count -= 1
-        self.consecutive_refusals = self.consecutive_failures = 0
+        self.consecutive_refusals = 0
+        self.consecutive_failures = 0
         self.last_heard_at = self.clock.now()
         if self.is_removed and not self.playing_sessions and not self.waiting_setups:
             connection.close()
@@ -298,9 +292,8 @@
         if not self.opening_count:
             unsent_setups, self.waiting_setups = list(self.waiting_setups), {}
             for session in unsent_setups:
-                connection = (
-                    self._least_used_connection()
-                )  # a connection in use is acceptable when no other can be opened
+                # A connection in use is acceptable when no other can be opened.
+                connection = self._least_used_connection()
                 if connection is None or not self._write_setup(connection, session):
                     self.listener.try_ended(
                         session, Outcome.NOT_SENT if is_local_shortage else Outcome.NO_CONNECTION, None
--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all playout nodes that the list names, and the bound on their connections together."""
+"""The connection pools of all listed playout nodes, and the limit on their connections together."""
 
 from __future__ import annotations
 
@@ -12,21 +12,24 @@
 from oakcroft.running.clock import Clock
 
 MAX_CONNECTIONS_PER_NODE = 16
-DESCRIPTOR_SHARE_DIVISOR = 3  # of the descriptors: one in so many is for connections to nodes
+DESCRIPTOR_SHARE_DIVISOR = 3  # a third of the descriptors is for connections to nodes
 
 
 class PoolEvents(Protocol):
-    """What is told of pools whose node's process is another, or gone."""
+    """Receives notice when a node's process was replaced or is gone."""
 
     def node_restarted(self, pool: NodePool, started_at: int) -> None:
-        """Another process has the node's name: what stood there before `started_at` is over."""
+        """Another process has the node's name; sessions that began before `started_at` are over."""
 
     def node_lost(self, pool: NodePool, reason: str) -> None:
-        """A node's process is gone, and all that stood there."""
+        """A node's process is gone, with all sessions that played there."""
 
 
 class NodePools:
-    """One pool a node, by the node's name; those of a name that got another address are emptied beside it."""
+    """One pool for each listed node, by the node's name.
+
+    When a node's address changes, the pool of the old address is kept beside the new one until it is empty.
+    """
 
     def __init__(
         self,
@@ -35,20 +38,23 @@
         events: PoolEvents,
         make_pool: Callable[[Node, tuple[str, int]], NodePool],
     ) -> None:
-        """`make_pool` makes the pool of a node at an address."""
-        self.configuration, self.clock, self.events, self.make_pool = configuration, clock, events, make_pool
+        """Starts without pools; `make_pool` creates the pool of a node at an address."""
+        self.configuration = configuration
+        self.clock = clock
+        self.events = events
+        self.make_pool = make_pool
         self.by_name: dict[str, NodePool] = {}
-        self.replaced: dict[NodePool, None] = {}  # of nodes whose name has another address now
+        self.replaced: dict[NodePool, None] = {}  # pools of nodes whose address has changed
         self.max_connections = max(1, configuration.max_sockets // DESCRIPTOR_SHARE_DIVISOR)
 
     def __iter__(self) -> Iterator[NodePool]:
-        """All of them, those being emptied last."""
+        """All pools; those of former addresses come last."""
         yield from self.by_name.values()
         yield from self.replaced
 
     @property
     def unsent_count(self) -> int:
-        """Nodes for which releases and other messages wait, for a connection or for the node to read."""
+        """Number of nodes with messages that wait for a connection or for the node to read."""
         return sum(
             1
             for pool in self.by_name.values()
@@ -57,11 +63,11 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections that are open to nodes on the list."""
+        """Number of open connections to listed nodes."""
         return sum(len(pool.connections) for pool in self.by_name.values())
 
     def list_entries(self, members: list[command_channel.NodeMember]) -> list[NodeEntry]:
-        """What a list or its changes say, as the module takes it; makes the pools that are new."""
+        """Converts a list or its changes for the decision module, and creates the pools of new nodes."""
         found = [self._list_entry(*member) for member in members]
         return [entry for entry in found if entry is not None]
 
@@ -69,6 +75,7 @@
         self, name: str, address: tuple[str, int], zone: str, kind: str, cell: int, listing: NodeStatus, size: float,
         started_at: int,
     ) -> NodeEntry | None:  # fmt: skip
+        """Converts one node; None for the removal of a node that is not known."""
         pool = self.by_name.get(name)
         if listing is NodeStatus.GONE and pool is None:
             return None
@@ -84,6 +91,7 @@
         return NodeEntry(node, listing, started_at, link_capacity, places)
 
     def _replace(self, name: str, old_pool: NodePool | None, address: tuple[str, int]) -> NodePool:
+        """Creates the pool of a new node or of a changed address; sessions at the former address are lost."""
         node = Node(name)
         if old_pool is not None:
             node = old_pool.node
@@ -94,8 +102,11 @@
         return pool
 
     def list_applied(self) -> None:
-        """The module has taken the list: what waits for nodes that are not ready comes back, and connections are shared
-        out anew."""
+        """Called when the decision module has taken the list.
+
+        Set-ups that wait for nodes which are no longer ready come back, and the connections are divided among
+        the listed nodes again.
+        """
         for pool in self.by_name.values():
             if pool.node.status is NodeStatus.GONE and not pool.is_removed:
                 pool.is_removed = True
@@ -109,26 +120,31 @@
             pool.max_connections = max(1, min(MAX_CONNECTIONS_PER_NODE, shared_out))
 
     def maintain(self, now: int) -> None:
-        """Connections that are due, nodes that are silent; pools that nothing needs any more go."""
+        """Maintains each pool's connections and closes pools that are no longer needed."""
         for pool in list(self):
             pool.maintain(now)
             if not pool.is_listed and pool.is_unused:
                 self._remove_pool(pool)
 
     def _remove_pool(self, pool: NodePool) -> None:
+        """Closes a pool and forgets it."""
         pool.close()
         self.replaced.pop(pool, None)
         if self.by_name.get(pool.node.name) is pool:
             del self.by_name[pool.node.name]
 
     def make_room_for_connection(self, pool: NodePool, min_idle_ns: int) -> bool:
-        """Whether there is a descriptor for one more connection to a node.
+        """Whether a descriptor is free for one more connection to a node; closes an idle connection to free
+        one if needed.
 
-        Guards the listener's descriptors and the channel's: each node has one connection at least, and there may be more
-        nodes than that allows. Harm: past it a node's connection is closed for another's, and what it tells comes later.
-        `min_idle_ns`: ns for which a connection must have been idle to be closed.
+        This protects the descriptors of the listener and of the command channel: each node gets at least one
+        connection, and there may be more nodes than the limit allows. Past the limit one node's connection is
+        closed for another's, and what the first node reports comes later. Only a connection that has been
+        idle for `min_idle_ns` may be closed.
         """
-        if sum(p.descriptor_count for p in self) <= self.max_connections:  # its own counts as held already
+        if (
+            sum(p.descriptor_count for p in self) <= self.max_connections
+        ):  # the new connection is counted already
             return True
         idle = self._longest_idle_connection(pool, min_idle_ns)
         if idle is None:
@@ -140,7 +156,9 @@
     def _longest_idle_connection(
         self, requesting_pool: NodePool, min_idle_ns: int
     ) -> tuple[NodePool, NodeConnection] | None:
-        """A connection that is idle for longer than `min_idle_ns`; those of nodes where nothing stands before others."""
+        """The connection idle for the longest time, at least `min_idle_ns`; nodes on which nothing plays come
+        first.
+        """
         now = self.clock.now()
         idle = [
             (bool(pool.playing_sessions), connection.last_used_at, number, pool, connection)
--- a/oakcroft/platform/playback_session.py
+++ b/oakcroft/platform/playback_session.py
@@ -112,13 +112,13 @@
         viewer: ViewerEndpoint | None,
     ) -> None:
         """A session that has not been sent to a node yet."""
-        self.id, self.playback, self.plan_name, self.description, self.viewer = (
-            session_id,
-            playback,
-            plan_name,
-            description,
-            viewer,
-        )
+        self.id = session_id
+        self.playback = playback
+        self.plan_name = plan_name
+        self.description = description
+        self.viewer = viewer
         self.pool: SessionNode | None = None  # of its current try, or of the node it plays on
         self.node_connection: NodeEndpoint | None = None  # while its set-up awaits an answer there
-        self.abandon_at = self.timer_id = self.began_at = 0  # `began_at` is 0 until it plays
+        self.abandon_at = 0  # of its current try
+        self.timer_id = 0
+        self.began_at = 0  # 0 until it plays
--- a/oakcroft/platform/releases.py
+++ b/oakcroft/platform/releases.py
@@ -31,7 +31,8 @@
 
     def __init__(self, clock: Clock, connections: Iterable[ViewerEndpoint]) -> None:
         """`connections` is a live view of the open connections."""
-        self.clock, self.connections = clock, connections
+        self.clock = clock
+        self.connections = connections
         self.unsent = OrderedDict[str, _Release]()  # by session id, for the next connection that opens
         self.unconfirmed = UnconfirmedReleases()
         self._awaiting_confirmation: dict[str, _Release] = {}
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -30,11 +30,11 @@
 ACCEPT_AFTER_STOP_NS = 750 * MS  # connections and requests still arrive for a while after the stop signal
 MIN_DRAIN_NS = 3 * SECOND + 300 * MS  # playbacks continue for so long
 # The platform kills the process a fixed delay after the longest abandon time, which counts as 3 s at least.
-MIN_LONGEST_ABANDON_NS, KILL_DELAY_NS = 3 * SECOND, 700 * MS
-EXIT_BEFORE_KILL_NS, LAST_ANSWER_BEFORE_KILL_NS = (
-    200 * MS,
-    350 * MS,
-)  # the process ends, and the last answer is given, so long before
+MIN_LONGEST_ABANDON_NS = 3 * SECOND
+KILL_DELAY_NS = 700 * MS
+# How long before the platform's kill the process ends, and the last answer is given.
+EXIT_BEFORE_KILL_NS = 200 * MS
+LAST_ANSWER_BEFORE_KILL_NS = 350 * MS
 FLUSH_TIMEOUT_NS = 500 * MS  # for answers and releases that wait for a slow reader
 
 
@@ -51,12 +51,10 @@
         """`configuration_file` is read again on reload; `start_took_ns` is the time the process has spent
         starting.
         """
-        self.configuration, self.log, self.configuration_file, self.start_took_ns = (
-            configuration,
-            log,
-            configuration_file,
-            start_took_ns,
-        )
+        self.configuration = configuration
+        self.log = log
+        self.configuration_file = configuration_file
+        self.start_took_ns = start_took_ns
         self.serving = trio.Event()
         self.coordinator: SessionCoordinator | None = None
         self.viewer_server: ViewerServer | None = None
--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -1,5 +1,4 @@
-"""The one task that owns all session state: passes events to the decision module and carries out its
-decisions.
+"""The one task that owns all session state: it feeds the decision module and carries out its decisions.
 
 All other tasks submit their events through one bounded inbox, in order of arrival. Events that end something
 skip the queue: list changes, releases and closed connections are handled at once. What the decision module
@@ -50,18 +49,14 @@
 MAX_OPEN_SETUPS = 1_024
 MAX_SESSIONS = 8_192
 MAX_EARLY_SESSIONS = 4_096  # sessions for which nodes send messages before viewers hand them over
-DESCRIPTION_MEMORY_DIVISOR = (
-    8  # an eighth of the memory limit is for descriptions of set-ups that wait for an answer
-)
+DESCRIPTION_MEMORY_DIVISOR = 8  # an eighth of the memory limit is for descriptions of open set-ups
 ANSWER_MARGIN_NS = 15 * MS  # part of a viewer's wait that is reserved for the answer's way back
 HANDOVER_WINDOW_NS = 15 * SECOND  # after the platform's first test; viewers hand over older playbacks by then
 MAX_SPENT_IDS = 4_096
 NEVER = 1 << 62
 # Leaves time for the connects that show a node to be gone: the ends of its sessions are due within 8 s.
 SILENCE_WITHOUT_REPORTS_NS = 4 * SECOND
-CLOSE_CONFIRMATION_TIMEOUT_NS = (
-    2 * SECOND
-)  # for a node to confirm the end of a playback that its viewer ended
+CLOSE_CONFIRMATION_TIMEOUT_NS = 2 * SECOND  # for a node to confirm a close
 
 
 class SessionCoordinator:
@@ -75,7 +70,10 @@
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """Creates the coordinator and its decision module; `run` starts handling events."""
-        self.configuration, self.clock, self.nursery, self.logger = configuration, clock, nursery, log
+        self.configuration = configuration
+        self.clock = clock
+        self.nursery = nursery
+        self.logger = log
         self.event_sender, self.inbox = trio.open_memory_channel[Event](MAX_QUEUED_EVENTS)
         self.timers = TimerQueue(clock, self.submit)
         self.stillness = PauseDetector(clock.now())
@@ -86,9 +84,8 @@
         self.node_pools = NodePools(configuration, clock, self, self._make_pool)
         self.viewer_connections: dict[ViewerConnection, None] = {}
         self.releases = Releases(clock, self.viewer_connections)
-        self.early_messages: dict[
-            str, deque[Event]
-        ] = {}  # by session id, for sessions that are not handed over yet
+        # By session id, for sessions that are not handed over yet.
+        self.early_messages: dict[str, deque[Event]] = {}
         self.setup_count = 0
         self.held_chars = 0  # characters in the descriptions of open and queued set-ups
         self.max_held_chars = configuration.memory_bytes // DESCRIPTION_MEMORY_DIVISOR
@@ -105,7 +102,9 @@
         self.pending_decisions: deque[Event] = deque()
         self.queued_requests: dict[str, SetupRequest] = {}  # set-up requests that wait in the inbox
         self.spent_ids = OrderedDict[str, None]()  # ids whose set-up was sent and must not be repeated
-        self.setups_close_at = self.last_answer_at = NEVER  # set when the front end is told to stop
+        # Both are set when the front end is told to stop.
+        self.setups_close_at = NEVER
+        self.last_answer_at = NEVER
         self.controller = Controller(configuration.terms, configuration.seed, self, clock.now())
 
     @property
--- a/oakcroft/platform/timers.py
+++ b/oakcroft/platform/timers.py
@@ -1,4 +1,4 @@
-"""What is to happen at a time: one task for all of a front's timers."""
+"""One task that fires all timers of a front end."""
 
 from __future__ import annotations
 
@@ -10,21 +10,27 @@
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
 
-CANCELLED_ENTRIES_ALLOWED = 32  # entries of dropped events that may stay
+CANCELLED_ENTRIES_ALLOWED = 32  # besides the heap entries of the timers that are still scheduled
 
 
 class TimerQueue:
-    """Events by time. One that is dropped lets go of what it holds at once, and of its place when half are such."""
+    """A queue of events by due time, in ns of the front end's clock.
+
+    Cancelling a timer releases its event at once. Its heap entry is removed when more than half of the
+    entries are cancelled.
+    """
 
     def __init__(self, clock: Clock, submit: Callable[[Event], Awaitable[None]]) -> None:
-        self.clock, self.submit = clock, submit
+        """Creates an empty queue; `submit` receives each event when it is due."""
+        self.clock = clock
+        self.submit = submit
         self.heap: list[tuple[int, int]] = []
-        self.events: dict[int, Event] = {}  # by number; of those dropped there is none
+        self.events: dict[int, Event] = {}  # by timer id; a cancelled timer has no entry
         self.last_id = 0
         self.earliest_changed = trio.Event()
 
     def schedule(self, due_at: int, event: Event) -> int:
-        """Hands the event in at that time; its number."""
+        """Schedules an event for the time `due_at`; returns the timer id."""
         self.last_id += 1
         self.events[self.last_id] = event
         heapq.heappush(self.heap, (due_at, self.last_id))
@@ -33,7 +39,11 @@
         return self.last_id
 
     def cancel(self, timer_id: int) -> None:
-        """The event is not handed in any more. Guards memory against set-ups that are taken back by the thousand."""
+        """Cancels a timer; an unknown id is ignored.
+
+        Removing the cancelled heap entries bounds the memory that set-ups which are cancelled by the thousand
+        can take.
+        """
         if (
             self.events.pop(timer_id, None) is not None
             and len(self.heap) > 2 * len(self.events) + CANCELLED_ENTRIES_ALLOWED
@@ -42,7 +52,7 @@
             heapq.heapify(self.heap)
 
     async def run(self) -> None:
-        """Waits for the next one, until it is cancelled."""
+        """Fires timers as they become due, until it is cancelled."""
         while True:
             while self.heap and self.heap[0][0] <= self.clock.now():
                 event = self.events.pop(heapq.heappop(self.heap)[1], None)
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -69,7 +69,8 @@
     ) -> None:
         """Wraps an accepted socket."""
         super().__init__(sock, nursery)
-        self.clock, self.stillness = clock, stillness
+        self.clock = clock
+        self.stillness = stillness
         self.frames = FrameDecoder()
         self.open_setups: dict[str, PlaybackSession] = {}
         self.queued_requests: dict[str, SetupRequest] = {}  # queued in the coordinator's inbox
@@ -163,17 +164,16 @@
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """Takes a bound socket and accepts connections from it once `run` is called."""
-        self.listener, self.max_connections, self.coordinator, self.clock, self.nursery, self.log = (
-            listener,
-            max_connections,
-            coordinator,
-            clock,
-            nursery,
-            log,
-        )
+        self.listener = listener
+        self.max_connections = max_connections
+        self.coordinator = coordinator
+        self.clock = clock
+        self.nursery = nursery
+        self.log = log
         self.connections: dict[ViewerConnection, None] = {}
         self.idle_connections = IdleConnections(self.connections, clock)
-        self.was_tested = self.is_ready = False
+        self.was_tested = False
+        self.is_ready = False
         self.is_accepting = True
         self.shed_count = 0
 
--- a/oakcroft/platformwire/framing.py
+++ b/oakcroft/platformwire/framing.py
@@ -10,15 +10,33 @@
 from collections.abc import Iterator
 
 MAX_MESSAGE_BYTES = 16_384
-LENGTH_BYTES, MIN_MESSAGE_LENGTH = 2, 9  # bytes of the length field, and the least value that it may have
-
-SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_CONFIRMED = 1, 6, 9, 12, 16
-NOTE, MOVE, TEST, TESTED, RUNG = 44, 51, 52, 53, 60
+LENGTH_BYTES = 2  # of the length field
+MIN_MESSAGE_LENGTH = 9  # least value of the length field
+
+# Message types.
+SET_UP = 1
+PROGRESS = 6
+ANSWER = 9
+RELEASE = 12
+RELEASE_CONFIRMED = 16
+NOTE = 44
+MOVE = 51
+TEST = 52
+TESTED = 53
+RUNG = 60
 MESSAGE_TYPES = frozenset(
     (SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_CONFIRMED, NOTE, MOVE, TEST, TESTED, RUNG)
 )
 
-PLAN, WAIT, TITLE, EXTRAS, RETRY_AFTER, HINT, CAUSE, TEXT = 100, 101, 104, 105, 106, 110, 114, 115
+# Parameter codes.
+PLAN = 100
+WAIT = 101
+TITLE = 104
+EXTRAS = 105
+RETRY_AFTER = 106
+HINT = 110
+CAUSE = 114
+TEXT = 115
 
 Event = tuple[int, str, dict[int, bytes]]
 
