--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -68,27 +68,27 @@
 
     def list_entries(self, members: list[command_channel.NodeMember]) -> list[NodeEntry]:
         """Converts a list or its changes for the decision module, and creates the pools of new nodes."""
-        found = [self._list_entry(*member) for member in members]
+        found = [self._list_entry(member) for member in members]
         return [entry for entry in found if entry is not None]
 
-    def _list_entry(
-        self, name: str, address: tuple[str, int], zone: str, kind: str, cell: int, listing: NodeStatus, size: float,
-        started_at: int,
-    ) -> NodeEntry | None:  # fmt: skip
+    def _list_entry(self, member: command_channel.NodeMember) -> NodeEntry | None:
         """Converts one node; None for the removal of a node that is not known."""
-        pool = self.by_name.get(name)
-        if listing is NodeStatus.GONE and pool is None:
+        is_gone = member.status is NodeStatus.GONE
+        pool = self.by_name.get(member.name)
+        if is_gone and pool is None:
             return None
-        if pool is None or (listing is not NodeStatus.GONE and (pool.is_removed or address != pool.address)):
-            pool = self._replace(name, pool, address)
+        if pool is None or (not is_gone and (pool.is_removed or member.address != pool.address)):
+            pool = self._replace(member.name, pool, member.address)
         node = pool.node
-        if listing is not NodeStatus.GONE:
-            node.cell, node.zone, node.kind = cell, zone, kind
-        if node.started_at < started_at:
-            self.events.node_restarted(pool, started_at)
-        link_capacity = self.configuration.link_rate_per_size * size
-        places = self.configuration.places_by_kind.get(kind, 0.0)
-        return NodeEntry(node, listing, started_at, link_capacity, places)
+        if not is_gone:
+            node.cell = member.cell
+            node.zone = member.wing
+            node.kind = member.kind
+        if node.started_at < member.started_at:
+            self.events.node_restarted(pool, member.started_at)
+        link_capacity = self.configuration.link_rate_per_size * member.size
+        places = self.configuration.places_by_kind.get(member.kind, 0.0)
+        return NodeEntry(node, member.status, member.started_at, link_capacity, places)
 
     def _replace(self, name: str, old_pool: NodePool | None, address: tuple[str, int]) -> NodePool:
         """Creates the pool of a new node or of a changed address; sessions at the former address are lost."""
--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -52,8 +52,14 @@
 DESCRIPTION_MEMORY_DIVISOR = 8  # an eighth of the memory limit is for descriptions of open set-ups
 ANSWER_MARGIN_NS = 15 * MS  # part of a viewer's wait that is reserved for the answer's way back
 HANDOVER_WINDOW_NS = 15 * SECOND  # after the platform's first test; viewers hand over older playbacks by then
+EARLY_MESSAGES_PER_SESSION = 4
 MAX_SPENT_IDS = 4_096
+NO_CAUSE = -1  # stands for a close without a cause
 NEVER = 1 << 62
+MAX_COUNT_NAMES = 64
+MAX_COUNT_NAME_LENGTH = 60
+MAINTENANCE_INTERVAL_S = 0.1
+ROUNDS_PER_FIGURES_LINE = 50
 # Leaves time for the connects that show a node to be gone: the ends of its sessions are due within 8 s.
 SILENCE_WITHOUT_REPORTS_NS = 4 * SECOND
 CLOSE_CONFIRMATION_TIMEOUT_NS = 2 * SECOND  # for a node to confirm a close
@@ -179,10 +185,10 @@
         """Maintains connections and releases at a fixed interval, and logs the counters now and then."""
         rounds = 0
         while True:
-            await trio.sleep(0.1)
+            await trio.sleep(MAINTENANCE_INTERVAL_S)
             await self.submit(self._maintain)
             rounds += 1
-            if rounds % 50 == 0:
+            if rounds % ROUNDS_PER_FIGURES_LINE == 0:
                 self.logger.info("figures", open=self.setup_count, playing=self.playing_count,
                                  viewers=len(self.viewer_connections), node_links=self.node_pools.connection_count,
                                  titles=len(self.titles.titles), nodes=len(self.pools), x=round(self.controller.x, 3),
@@ -197,9 +203,9 @@
         self.node_pools.maintain(now)
 
     def count(self, category: str, detail: str = "") -> None:
-        """Counts an event of a category by its detail, under at most 64 different names."""
-        name = f"{category}: {detail}".replace(" ", "_")[:60]
-        if name in self.counts or len(self.counts) < 64:
+        """Counts an event of a category by its detail, under a bounded number of names."""
+        name = f"{category}: {detail}".replace(" ", "_")[:MAX_COUNT_NAME_LENGTH]
+        if name in self.counts or len(self.counts) < MAX_COUNT_NAMES:
             self.counts[name] = self.counts.get(name, 0) + 1
 
     def apply_list_immediately(self, complete: bool, members: list[command_channel.NodeMember]) -> None:
@@ -278,13 +284,17 @@
             )
         )
 
-    def _process_request(self, request: SetupRequest) -> None:
-        """Processes a request that has reached the head of the inbox."""
+    def _remove_from_queue(self, request: SetupRequest) -> None:
+        """Removes a request from the tables of queued ones, unless a later one has taken its id there."""
         self.held_chars -= len(request.description)
         if self.queued_requests.get(request.session_id) is request:
             del self.queued_requests[request.session_id]
         if request.connection.queued_requests.get(request.session_id) is request:
             del request.connection.queued_requests[request.session_id]
+
+    def _process_request(self, request: SetupRequest) -> None:
+        """Processes a request that has reached the head of the inbox."""
+        self._remove_from_queue(request)
         if request.withdrawn and not request.playing_node:
             return
         now = self.clock.now()
@@ -492,15 +502,8 @@
         """Handles a message of a node. Drops it if it is for no session there, repeated, or too late."""
         pool.last_heard_at = now = self.clock.now()
         session = self.sessions.get(session_id)
-        if (
-            session is None
-            and kind in ("event", "close")
-            and not self._is_handover_window_over(now)
-            and len(self.early_messages) < MAX_EARLY_SESSIONS
-        ):
-            # The node reports on its playbacks as soon as it is connected, possibly before the viewer hands them over.
-            # Without these messages the rung would be taken for the lowest and the node for nearly empty.
-            redelivery = partial(
+        if session is None and kind in ("event", "close") and not self._is_handover_window_over(now):
+            early = partial(
                 self.message_received,
                 pool,
                 connection,
@@ -510,33 +513,50 @@
                 code,
                 None,
             )
-            self.early_messages.setdefault(session_id, deque(maxlen=4)).append(redelivery)
+            self._keep_early_message(session_id, early)
         if session is None or session.pool is not pool:
             return
         if session.node_connection is connection and session.playback.state is PlaybackState.SETTING_UP:
-            if kind == "ready" or (
-                kind == "close" and text and terms.ENDS_BY_CAUSE.get(code or -1) is Outcome.DONE
-            ):
-                # A close that carries a description is an answer as well: the playback was set up and is already over.
-                self._setup_answered(session, text, now)
-                if kind == "close" and session.began_at:
-                    self._session_ended(
-                        session, Outcome.DONE, CAUSE_ENDED, json_lines.load_report(attributes)
-                    )
-            elif kind == "close":
-                pool.setup_finished(session)
-                self.try_ended(
-                    session,
-                    terms.REFUSALS_BY_CAUSE.get(code if code is not None else -1, Outcome.RESET),
-                    json_lines.load_report(attributes),
-                )
+            self._handle_setup_reply(session, pool, kind, json_lines.load_report(attributes), code, text, now)
         elif session.began_at and kind == "close":
-            outcome = terms.ENDS_BY_CAUSE.get(code if code is not None else -1, Outcome.RESET)
+            outcome = terms.ENDS_BY_CAUSE.get(code if code is not None else NO_CAUSE, Outcome.RESET)
             cause = {Outcome.DONE: CAUSE_ENDED, Outcome.WITHDRAWN: 0}.get(outcome, CAUSE_FAILED)
             self._session_ended(session, outcome, cause, json_lines.load_report(attributes))
         elif session.began_at and kind == "event":
             self._apply_note(session, attributes, now)
 
+    def _keep_early_message(self, session_id: str, message: Event) -> None:
+        """Keeps a message on a playback until its viewer hands it over.
+
+        A node reports on its playbacks as soon as it is connected, possibly before that. Without these messages
+        the rung would be taken for the lowest and the node for nearly empty.
+        """
+        if len(self.early_messages) < MAX_EARLY_SESSIONS:
+            kept = self.early_messages.setdefault(session_id, deque(maxlen=EARLY_MESSAGES_PER_SESSION))
+            kept.append(message)
+
+    def _handle_setup_reply(
+        self,
+        session: PlaybackSession,
+        pool: NodePool,
+        kind: str,
+        load_report: dict[str, float] | None,
+        code: int | None,
+        text: str | None,
+        now: int,
+    ) -> None:
+        """Handles a message of the node on a set-up that awaits its answer."""
+        is_closed_in_order = kind == "close" and terms.ENDS_BY_CAUSE.get(code or NO_CAUSE) is Outcome.DONE
+        if kind == "ready" or (is_closed_in_order and text):
+            # A close with a description is an answer as well: the playback was set up and is already over.
+            self._setup_answered(session, text, now)
+            if kind == "close" and session.began_at:
+                self._session_ended(session, Outcome.DONE, CAUSE_ENDED, load_report)
+        elif kind == "close":
+            pool.setup_finished(session)
+            cause = code if code is not None else NO_CAUSE
+            self.try_ended(session, terms.REFUSALS_BY_CAUSE.get(cause, Outcome.RESET), load_report)
+
     def _setup_answered(self, session: PlaybackSession, text: str | None, now: int) -> None:
         """A node answered a set-up: passes the answer to the viewer and starts the playback."""
         pool = session.pool
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -15,9 +15,10 @@
 from oakcroft.platform.idle_connections import IdleConnections
 from oakcroft.platform.connection import RECEIVE_BYTES, BufferedConnection, configure_socket
 from oakcroft.platform.playback_session import SetupRequest, PlaybackSession
-from oakcroft.platformwire import setup_request, framing
+from oakcroft.platformwire import framing
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.platformwire.framing import FrameDecoder, ProtocolError
+from oakcroft.platformwire.setup_request import SetupRequestError, parse_setup_request
 from oakcroft.running.clock import Clock
 
 CAUSE_FAILED = 41
@@ -303,37 +304,50 @@
         elif kind == framing.RELEASE_CONFIRMED:
             coordinator.release_confirmed(session_id)
         elif kind == framing.SET_UP:
-            try:
-                parsed = setup_request.parse_setup_request(
-                    session_id,
-                    parameters,
-                    coordinator.configuration.abandon_ns_by_plan,
-                    coordinator.configuration.terms.cell_count,
-                    len(coordinator.configuration.terms.rung_rates),
-                )
-            except setup_request.SetupRequestError as error:
-                coordinator.count("unusable set-up", str(error))
-                self.reject_request(connection, session_id, CAUSE_FAILED)
-                return
-            playing_node = parsed[-1]
-            description = (
-                "" if playing_node else parsed[-2]
-            )  # not needed for a playback that is set up already
-            # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
-            crowded = (
-                len(connection.open_setups) + len(connection.queued_requests) >= MAX_SETUPS_PER_CONNECTION
+            self._handle_setup(connection, session_id, parameters)
+
+    def _handle_setup(
+        self, connection: ViewerConnection, session_id: str, parameters: dict[int, bytes]
+    ) -> None:
+        """Queues a set-up request, or rejects it if it is invalid or a limit is reached."""
+        coordinator = self.coordinator
+        settings = coordinator.configuration.terms
+        try:
+            setup = parse_setup_request(
+                session_id,
+                parameters,
+                coordinator.configuration.abandon_ns_by_plan,
+                settings.cell_count,
+                len(settings.rung_rates),
             )
-            if not playing_node and (
-                crowded or coordinator.held_chars + len(description) > coordinator.max_held_chars
-            ):
-                self.reject_request(
-                    connection, session_id, CAUSE_REJECTED, coordinator.configuration.terms.max_retry_after_ns
-                )
-                return
-            written_at = self.clock.now() if connection.written_at is None else connection.written_at
-            coordinator.request_received(
-                SetupRequest(connection, session_id, written_at, *parsed[:-2], description, playing_node)
+        except SetupRequestError as error:
+            coordinator.count("unusable set-up", str(error))
+            self.reject_request(connection, session_id, CAUSE_FAILED)
+            return
+        # A playback that is set up already needs no description.
+        description = "" if setup.playing_node else setup.description
+        # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
+        open_and_queued = len(connection.open_setups) + len(connection.queued_requests)
+        is_crowded = open_and_queued >= MAX_SETUPS_PER_CONNECTION
+        is_full = coordinator.held_chars + len(description) > coordinator.max_held_chars
+        if not setup.playing_node and (is_crowded or is_full):
+            self.reject_request(connection, session_id, CAUSE_REJECTED, settings.max_retry_after_ns)
+            return
+        coordinator.request_received(
+            SetupRequest(
+                connection=connection,
+                session_id=session_id,
+                written_at=self.clock.now() if connection.written_at is None else connection.written_at,
+                plan_name=setup.plan_name,
+                wait_ns=setup.wait_ns,
+                title_name=setup.title_name,
+                home_cell=setup.home_cell,
+                copies=setup.copies,
+                top_rung=setup.top_rung,
+                description=description,
+                playing_node=setup.playing_node,
             )
+        )
 
     @staticmethod
     def reject_request(
--- a/oakcroft/platformwire/command_channel.py
+++ b/oakcroft/platformwire/command_channel.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from ipaddress import ip_address
+from typing import NamedTuple
 
 import orjson
 
@@ -12,11 +13,29 @@
 LISTING_BY_PHASE = {"up": NodeStatus.READY, "draining": NodeStatus.DRAINING, "removed": NodeStatus.GONE}
 MAX_NODES = 4_096
 MAX_NODE_ID_LENGTH = 128
+MAX_PORT = 65_535
+MAX_PORT_DIGITS = 5
 
-NodeMember = tuple[str, tuple[str, int], str, str, int, NodeStatus, float, int]
-"""A listed node: id, address, wing, kind, cell, status on the list, size, start of its process in ns."""
-ListChange = tuple[int, bool, list[NodeMember]]
-"""An event: its cursor, whether it has the whole list, and the nodes in it."""
+
+class NodeMember(NamedTuple):
+    """A listed node."""
+
+    name: str
+    address: tuple[str, int]
+    wing: str
+    kind: str
+    cell: int
+    status: NodeStatus
+    size: float
+    started_at: int  # ns
+
+
+class ListChange(NamedTuple):
+    """One event with changes of the node list, or the whole list."""
+
+    cursor: int
+    is_complete: bool
+    members: list[NodeMember]
 
 
 class ChannelError(Exception):
@@ -28,10 +47,10 @@
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     try:
         host = str(ip_address(host.strip("[]")))
-        number = int(port) if port.isdecimal() and len(port) < 6 else 0
+        number = int(port) if port.isdecimal() and len(port) <= MAX_PORT_DIGITS else 0
     except ValueError as error:
         raise ChannelError(f"{raw!r} is no address") from error
-    if not 0 < number < 65_536:
+    if not 0 < number <= MAX_PORT:
         raise ChannelError(f"{raw!r} has no port")
     return host, number
 
@@ -59,15 +78,15 @@
     if not isinstance(wing, str) or not isinstance(kind, str):
         raise ChannelError(f"place of {name}")
     needs_no_address = LISTING_BY_PHASE[phase] is NodeStatus.GONE and "host_port" not in raw
-    return (
-        name,
-        ("", 0) if needs_no_address else parse_address(raw.get("host_port")),
-        wing,
-        kind,
-        parse_whole_number(raw.get("cell", 0), "cell"),
-        LISTING_BY_PHASE[phase],
-        size,
-        parse_whole_number(raw.get("up_since_ms") or 0, "up_since_ms") * MS,
+    return NodeMember(
+        name=name,
+        address=("", 0) if needs_no_address else parse_address(raw.get("host_port")),
+        wing=wing,
+        kind=kind,
+        cell=parse_whole_number(raw.get("cell", 0), "cell"),
+        status=LISTING_BY_PHASE[phase],
+        size=size,
+        started_at=parse_whole_number(raw.get("up_since_ms") or 0, "up_since_ms") * MS,
     )
 
 
@@ -90,10 +109,10 @@
         if not isinstance(complete, bool):
             raise ChannelError("complete is neither true nor false")
         changes.append(
-            (
-                parse_whole_number(raw_event.get("cursor"), "cursor"),
-                complete,
-                [parse_member(raw_member) for raw_member in nodes["members"]],
+            ListChange(
+                cursor=parse_whole_number(raw_event.get("cursor"), "cursor"),
+                is_complete=complete,
+                members=[parse_member(raw_member) for raw_member in nodes["members"]],
             )
         )
     return parse_whole_number(raw.get("cursor"), "cursor"), changes
--- a/oakcroft/platformwire/long_poll.py
+++ b/oakcroft/platformwire/long_poll.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import h11
 
 from oakcroft.platformwire import command_channel
@@ -76,7 +78,7 @@
     def _complete_answer(self) -> tuple[int, list[command_channel.ListChange]]:
         """Decodes the complete answer and makes the connection ready for the next poll if it stays open."""
         body, self.body = bytes(self.body), bytearray()
-        if self.status != 200:
+        if self.status != HTTPStatus.OK:
             raise command_channel.ChannelError(f"status {self.status}")
         answer = command_channel.decode_events(body)
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
--- a/oakcroft/platformwire/setup_request.py
+++ b/oakcroft/platformwire/setup_request.py
@@ -4,11 +4,15 @@
 
 import math
 from collections.abc import Mapping
+from typing import NamedTuple
 
 from oakcroft.interface import MS
 from oakcroft.platformwire import framing, json_lines
 
 MAX_NAME_BYTES = 128
+MAX_EXTRAS_BYTES = 1_024
+MAX_NUMBER_BYTES = 32
+MAX_HINT = 1e9
 NULL_SESSION_ID = "0" * 16
 
 
@@ -16,6 +20,19 @@
     """A set-up request that is well-formed but cannot be served."""
 
 
+class SetupParameters(NamedTuple):
+    """What a set-up request asks for."""
+
+    plan_name: str
+    wait_ns: int
+    title_name: str
+    home_cell: int  # the first cell that holds the title
+    copies: int  # number of cells that hold it
+    top_rung: int
+    description: str
+    playing_node: str  # the node on which it plays already; "" for a new set-up
+
+
 def text_parameter(parameters: Mapping[int, bytes], code: int, max_bytes: int = MAX_NAME_BYTES) -> str:
     """A parameter as text; raises SetupRequestError if it is missing, empty, too long or not UTF-8."""
     value = parameters.get(code, b"")
@@ -74,19 +91,17 @@
     abandon_ns_by_plan: Mapping[str, int],
     cell_count: int,
     rung_count: int,
-) -> tuple[str, int, str, int, int, int, str, str]:
+) -> SetupParameters:
     """The checked parameters of a set-up request; raises SetupRequestError if they cannot be served.
 
-    Returns the plan's name, the wait in ns, the title, its first cell and number of copies, the highest rung,
-    the description, and the node on which it plays already ("" for a new set-up). `abandon_ns_by_plan` has
-    each plan's abandon time.
+    `abandon_ns_by_plan` has each plan's abandon time.
     """
     if session_id == NULL_SESSION_ID:
         raise SetupRequestError("no id")
     plan = text_parameter(parameters, framing.PLAN)
     if plan not in abandon_ns_by_plan:
         raise SetupRequestError("a plan that does not exist")
-    extras = parse_extras(text_parameter(parameters, framing.EXTRAS, 1024))
+    extras = parse_extras(text_parameter(parameters, framing.EXTRAS, MAX_EXTRAS_BYTES))
     playing_node = extras.get("at", "")
     # Allows for the viewer's clock and for rounding; otherwise nobody waits longer than the plan's abandon time.
     max_wait_ms = 2 * abandon_ns_by_plan[plan] / MS
@@ -94,23 +109,23 @@
     wait_ms = (
         0.0
         if playing_node
-        else parse_number(text_parameter(parameters, framing.WAIT, 32), max_wait_ms, "wait")
+        else parse_number(text_parameter(parameters, framing.WAIT, MAX_NUMBER_BYTES), max_wait_ms, "wait")
     )
     if framing.HINT in parameters:
-        parse_number(text_parameter(parameters, framing.HINT, 32), 1e9, "hint")
+        parse_number(text_parameter(parameters, framing.HINT, MAX_NUMBER_BYTES), MAX_HINT, "hint")
     title = text_parameter(parameters, framing.TITLE)
     if not title.isprintable():
         raise SetupRequestError("a title that can't be printed")
     description = text_parameter(parameters, framing.TEXT, framing.MAX_MESSAGE_BYTES)
     if not json_lines.fits_line(plan, title, description):
         raise SetupRequestError("the description is too long for a node")
-    return (
-        plan,
-        round(wait_ms * MS),
-        title,
-        whole_number_extra(extras, "home", cell_count - 1),
-        whole_number_extra(extras, "copies", cell_count),
-        whole_number_extra(extras, "top", rung_count - 1),
-        description,
-        playing_node,
+    return SetupParameters(
+        plan_name=plan,
+        wait_ns=round(wait_ms * MS),
+        title_name=title,
+        home_cell=whole_number_extra(extras, "home", cell_count - 1),
+        copies=whole_number_extra(extras, "copies", cell_count),
+        top_rung=whole_number_extra(extras, "top", rung_count - 1),
+        description=description,
+        playing_node=playing_node,
     )
