--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -305,28 +305,18 @@
             return
         title = self.titles.get(request.title_name, request.home_cell, request.copies)
         plan = self.configuration.plans[request.plan_name]
-        if (
-            title is None
-            or len(self.sessions) >= min(MAX_SESSIONS, self.configuration.max_open)
-            or (
-                not request.playing_node
-                and (self.setup_count >= MAX_OPEN_SETUPS or request.written_at > self.setups_close_at)
-            )
-        ):
+        if title is None or not self._has_room_for(request):
             self._reject_at_capacity(request)
             return
         if request.session_id in self.spent_ids:  # its set-up has been sent once and must not be repeated
             self._reject_duplicate(request, None)
             return
-        abandon = min(
-            request_deadline(
-                request.written_at, request.wait_ns, [], response_margin(ANSWER_MARGIN_NS, self.lag_ns)
-            ).abandon_at,
-            self.last_answer_at,
-        )
+        margin_ns = response_margin(ANSWER_MARGIN_NS, self.lag_ns)
+        deadline = request_deadline(request.written_at, request.wait_ns, [], margin_ns)
+        abandon_at = min(deadline.abandon_at, self.last_answer_at)
         session = PlaybackSession(
             request.session_id,
-            Playback(title, plan, request.top_rung, abandon, False),
+            Playback(title, plan, request.top_rung, abandon_at, False),
             request.plan_name,
             request.description,
             request.connection,
@@ -336,12 +326,21 @@
             if request.withdrawn:
                 self._handle_release(request.connection, request.session_id)
             return
-        self.sessions[request.session_id] = self.sessions_by_playback[session.playback] = session
+        self.sessions[request.session_id] = session
+        self.sessions_by_playback[session.playback] = session
         request.connection.open_setups[request.session_id] = session
         self.setup_count += 1
         self.held_chars += len(request.description)
         self.controller.on_request(session.playback, now)
 
+    def _has_room_for(self, request: SetupRequest) -> bool:
+        """Whether the limits allow one more session. Only new set-ups count against those of set-ups."""
+        if len(self.sessions) >= min(MAX_SESSIONS, self.configuration.max_open):
+            return False
+        if request.playing_node:
+            return True
+        return self.setup_count < MAX_OPEN_SETUPS and request.written_at <= self.setups_close_at
+
     def _reject_duplicate(self, request: SetupRequest, first_connection: ViewerEndpoint | None) -> None:
         """Rejects a request whose id is already in use, without affecting the first request."""
         self.count("id used twice")
--- a/oakcroft/platformwire/settings.py
+++ b/oakcroft/platformwire/settings.py
@@ -90,30 +90,45 @@
 
 def check(settings: Any) -> None:
     """Raises SettingsError for the first field that cannot be served."""
+    _check_numbers(settings)
+    for path, raw_class in checked_classes(settings):
+        _check_class(path, raw_class)
+    _check_lists(settings)
+    for path in ("permissions.retryAfter", "membershipMode"):
+        field_at(settings, path)
+
+
+def _check_numbers(settings: Any) -> None:
+    """Checks the required and the optional numbers."""
     for path, (minimum, maximum) in NUMBER_RANGES.items():
         check_number(field_at(settings, path), path, minimum, maximum)
     for path, minimum in OPTIONAL_MINIMUMS.items():
         group, _, name = path.partition(".")
         if field_at(settings, group).get(name) is not None:
             check_number(field_at(settings, path), path, minimum)
-    for path, raw_class in checked_classes(settings):
-        for name, minimum in CLASS_MINIMUMS.items():
-            if name not in raw_class:
-                raise SettingsError(f"settings.{path}.{name} is missing")
-            check_number(raw_class[name], f"{path}.{name}", minimum)
-        for name, known_values in (
-            ("effect", terms.EFFECTS_BY_SETTING),
-            ("group", terms.KEY_SCOPES_BY_SETTING),
-        ):
-            value = raw_class.get(name)
-            if (value is not None or name == "effect") and (
-                not isinstance(value, str) or value not in known_values
-            ):
-                raise SettingsError(
-                    f"settings.{path}.{name}: {str(value)[:40]!r} is none of {', '.join(known_values)}"
-                )
-        if raw_class.get("keyTtlMs") is not None:
-            check_number(raw_class["keyTtlMs"], f"{path}.keyTtlMs", 0)
+
+
+def _check_class(path: str, raw_class: dict[str, Any]) -> None:
+    """Checks the fields of one class."""
+    for name, minimum in CLASS_MINIMUMS.items():
+        if name not in raw_class:
+            raise SettingsError(f"settings.{path}.{name} is missing")
+        check_number(raw_class[name], f"{path}.{name}", minimum)
+    for name, known_values in (("effect", terms.EFFECTS_BY_SETTING), ("group", terms.KEY_SCOPES_BY_SETTING)):
+        value = raw_class.get(name)
+        is_optional = name != "effect"
+        if value is None and is_optional:
+            continue
+        if not isinstance(value, str) or value not in known_values:
+            raise SettingsError(
+                f"settings.{path}.{name}: {str(value)[:40]!r} is none of {', '.join(known_values)}"
+            )
+    if raw_class.get("keyTtlMs") is not None:
+        check_number(raw_class["keyTtlMs"], f"{path}.keyTtlMs", 0)
+
+
+def _check_lists(settings: Any) -> None:
+    """Checks the lists of numbers and that their lengths agree."""
     for path, (minimum, same_length_as) in NUMBER_LISTS.items():
         values = non_empty_list(settings, path)
         for i, raw in enumerate(values):
@@ -123,5 +138,3 @@
                 f"settings.{path}: {len(values)} figures"
                 f" where {same_length_as} has {len(field_at(settings, same_length_as))}"
             )
-    for path in ("permissions.retryAfter", "membershipMode"):
-        field_at(settings, path)
