--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -158,18 +158,22 @@
     async def serve(self, stream: trio.SocketStream) -> None:
         """Reads the messages of one connection."""
         self.streams.append(stream)
-        rest = b""
+        remainder = b""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             async for data in stream:
                 await self.may_read.wait()
-                *whole, rest = (rest + data).split(b"\n")
+                *whole, remainder = (remainder + data).split(b"\n")
                 for line in whole:
-                    self.received.append(said := orjson.loads(line))
-                    if said["msg"] == "open":
-                        await self.handle_setup(stream, said)
-                    elif said["msg"] == "close" and said["code"] == 16:
+                    self.received.append(message := orjson.loads(line))
+                    if message["msg"] == "open":
+                        await self.handle_setup(stream, message)
+                    elif message["msg"] == "close" and message["code"] == 16:
                         self.record_fact(
-                            "answer", id=f"{self.name}.{said['sid']}", key=said["sid"], status=0, problem=""
+                            "answer",
+                            id=f"{self.name}.{message['sid']}",
+                            key=message["sid"],
+                            status=0,
+                            problem="",
                         )
         self.streams.remove(stream)
         await trio.aclose_forcefully(stream)
@@ -180,15 +184,15 @@
         number = f"{self.name}.{sid}"
         self.record_fact("setup", id=number, front="front-0-a", key=sid, plan=plan, title=said["attrs"]["key"],
                   rung=int(said["attrs"]["rung"]))  # fmt: skip
-        do = self.script.pop(0) if self.script else "ready"
-        if do in ("ready", "more"):
+        action = self.script.pop(0) if self.script else "ready"
+        if action in ("ready", "more"):
             self.record_fact("ran", key=sid, plan=plan, front="front-0-a", session=sid)
             self.record_fact("answer", id=number, key=sid, status=201, problem="")
-            if do == "more":
+            if action == "more":
                 await self.send(stream, msg="ready", sid="ff" * 8, attrs={}, text="of another")
-            for _ in range(2 if do == "more" else 1):
+            for _ in range(2 if action == "more" else 1):
                 await self.send(stream, msg="ready", sid=sid, attrs={}, text=f"{self.name} é\r\n{sid}")
-        elif do == "brief":  # it has played and is already over
+        elif action == "brief":  # it has played and is already over
             self.record_fact("answer", id=number, key=sid, status=201, problem="")
             await self.send(
                 stream,
@@ -198,15 +202,15 @@
                 code=16,
                 text=f"{self.name} é\r\n{sid}",
             )
-        elif isinstance(do, int):
+        elif isinstance(action, int):
             self.record_fact(
-                "answer", id=number, key=sid, status=503, problem=PROBLEM_FULL if do in (34, 102) else ""
+                "answer", id=number, key=sid, status=503, problem=PROBLEM_FULL if action in (34, 102) else ""
             )
-            await self.send(stream, msg="close", sid=sid, attrs={"load": "x0:0.5;odd"}, code=do)
-        elif do == "garble":
+            await self.send(stream, msg="close", sid=sid, attrs={"load": "x0:0.5;odd"}, code=action)
+        elif action == "garble":
             self.record_fact("broken", id=number, key=sid)
             await stream.send_all(b'{"msg":"ready","sid":\xff\n')
-        elif do == "cut":
+        elif action == "cut":
             self.record_fact("broken", id=number, key=sid)
             await trio.aclose_forcefully(stream)
 
@@ -234,8 +238,8 @@
     def answer_now(self, cursor: int, *members: dict[str, Any]) -> None:
         """Answers the newest poll without a turn of the event loop, so nothing else runs in between."""
         assert self.stream is not None
-        cmd = {"cursor": cursor, "nodes": {"complete": False, "members": list(members)}}
-        body = orjson.dumps({"cursor": cursor, "cmds": [cmd]})
+        event = {"cursor": cursor, "nodes": {"complete": False, "members": list(members)}}
+        body = orjson.dumps({"cursor": cursor, "cmds": [event]})
         self.stream.socket._sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))  # type: ignore[attr-defined]
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -252,21 +256,23 @@
                     await trio.sleep_forever()
                 later = [c for c in self.cmds if c["cursor"] > after]
                 body = orjson.dumps({"cursor": max([after, *(c["cursor"] for c in later)]), "cmds": later})
-                spoil = self.corruptions.pop(0) if self.corruptions and later else ""
-                self.corrupted_count += bool(spoil)
-                if spoil in ("again", "back"):  # repeats the first events, which undo the later ones
+                corruption = self.corruptions.pop(0) if self.corruptions and later else ""
+                self.corrupted_count += bool(corruption)
+                if corruption in ("again", "back"):  # repeats the first events, which undo the later ones
                     undone = [c | {"cursor": 1 + i} for i, c in enumerate(self.cmds)]
-                    body = orjson.dumps({"cursor": after if spoil == "again" else 1, "cmds": undone[:after]})
+                    body = orjson.dumps(
+                        {"cursor": after if corruption == "again" else 1, "cmds": undone[:after]}
+                    )
                 if self.truncated_answers:
                     self.truncated_answers, body = self.truncated_answers - 1, body[: len(body) // 2]
                 close = b"Connection: close\r\n" if self.closes_after_answer else b""
                 head = b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n" % (close, len(body))
                 await stream.send_all(
-                    (head + body)[: -len(body) // 2] if spoil in ("half", "break") else head + body
+                    (head + body)[: -len(body) // 2] if corruption in ("half", "break") else head + body
                 )
-                if spoil == "half":
+                if corruption == "half":
                     await trio.sleep_forever()
-                if self.closes_after_answer or spoil == "break":
+                if self.closes_after_answer or corruption == "break":
                     await trio.aclose_forcefully(stream)
                     return
 
@@ -303,20 +309,20 @@
         """Leaves without a turn of the event loop: a full close, a reset, a half-close, or the release of a
         set-up.
         """
-        raw: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
+        sock: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
         if how == "release":
-            raw.send(framing.encode(framing.RELEASE, sid, (framing.CAUSE, b"\x10")))
+            sock.send(framing.encode(framing.RELEASE, sid, (framing.CAUSE, b"\x10")))
         elif how == "half-close":
-            raw.shutdown(socket.SHUT_WR)
+            sock.shutdown(socket.SHUT_WR)
         else:
             if how == "reset":
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.stream.socket.close()
 
     def send_setup_now(self, sid: str, plan: str = "free", **odd: Any) -> None:
         """Sends a set-up request without a turn of the event loop."""
-        raw: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
-        raw.send(self.encode_setup(sid, plan, **odd))
+        sock: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
+        sock.send(self.encode_setup(sid, plan, **odd))
 
     async def send(self, kind: int, sid: str, cause: int = 16) -> None:
         """Sends a message with a cause."""
@@ -335,9 +341,9 @@
                 self.frames.receive_data(data)
         kind, sid, params = event
         cause = params.get(framing.CAUSE, b"\xff")[0]
-        stood = any(f["kind"] == "got" and f["key"] == sid and f["status"] == 201 for f in self.facts)
+        was_answered = any(f["kind"] == "got" and f["key"] == sid and f["status"] == 201 for f in self.facts)
         if kind == framing.ANSWER or (
-            kind == framing.RELEASE and not stood
+            kind == framing.RELEASE and not was_answered
         ):  # a release after the answer is the end
             status = 201 if kind == framing.ANSWER else 503 if cause in (34, 42, 102) else 504
             self.facts.append({"t": time.time_ns(), "kind": "got", "key": sid, "status": status, "extra": False,
@@ -390,18 +396,18 @@
         told = configuration.decode(orjson.dumps(self.configuration()))
         told.listen_address = ("127.0.0.1", 0)
         self.platform = PlatformFrontEnd(told, structlog.wrap_logger(structlog.ReturnLogger()))
-        up = trio.Event()
+        listening = trio.Event()
 
         async def ready(port: int) -> None:
             self.port = port
-            up.set()
+            listening.set()
 
         async def run() -> None:
             await self.platform.run(signals=False, stop=self.stop, ready=ready)
             self.ended.set()
 
         self.nursery.start_soon(run)
-        await up.wait()
+        await listening.wait()
 
     async def viewer(self) -> StubViewer:
         """Opens a viewer's connection."""
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -105,14 +105,14 @@
 def empty(rig: PlatformRig) -> bool:
     """Whether no table holds anything of an open set-up."""
     owner = rig.owner
-    links = [x for pool in owner.pools.values() for x in pool.connections]
+    links = [connection for pool in owner.pools.values() for connection in pool.connections]
     held: list[Any] = [owner.queued_requests, *(p.waiting_setups for p in owner.pools.values())]
     held += [
-        [t for t in owner.sessions.values() if not t.began_at],
-        [t for t in owner.sessions_by_playback.values() if not t.began_at],
+        [session for session in owner.sessions.values() if not session.began_at],
+        [session for session in owner.sessions_by_playback.values() if not session.began_at],
     ]
-    held += [x.pending_setups for x in links] + [
-        x.queued_requests or x.open_setups for x in owner.viewer_connections
+    held += [connection.pending_setups for connection in links] + [
+        connection.queued_requests or connection.open_setups for connection in owner.viewer_connections
     ]
     return not any(held) and owner.setup_count == owner.held_chars == 0
 
@@ -265,18 +265,18 @@
     """
 
     async def test(rig: PlatformRig) -> None:
-        node, link = await full_link(rig)
+        node, connection = await full_link(rig)
         viewer, later = await rig.viewer(), await rig.viewer()
         await viewer.send_setup(A, "paid", wait="300" if how == "late" else "1000")
-        await wait_until(lambda: len(link.pending_setups) == 1)
+        await wait_until(lambda: len(connection.pending_setups) == 1)
         await later.send_setup(C, "paid", wait="2000")
-        await wait_until(lambda: len(link.pending_setups) == 2)
+        await wait_until(lambda: len(connection.pending_setups) == 2)
         if how == "drains":
             rig.add_list_change(3, rig.member(node, "draining"))
         elif how != "late":
             viewer.leave(how, A)
         await wait_until(lambda: A not in rig.owner.sessions)
-        assert len(link.pending_setups) == (0 if how == "drains" else 1)
+        assert len(connection.pending_setups) == (0 if how == "drains" else 1)
         node.may_read.set()
         if how == "late" or how == "drains":
             assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)  # no try ran
@@ -429,12 +429,12 @@
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await wait_until(lambda: rig.owner.viewer_connections)
-        link = next(iter(rig.owner.viewer_connections))
-        await fill(link, framing.encode(framing.PROGRESS, C, (framing.TEXT, b"x" * 8_000)))
+        connection = next(iter(rig.owner.viewer_connections))
+        await fill(connection, framing.encode(framing.PROGRESS, C, (framing.TEXT, b"x" * 8_000)))
         # The final answer is queued behind the data above.
         await viewer.send_setup(A, "paid", p115=b"x", p101=b"nan")
         await wait_until(lambda: rig.owner.counts)
-        queued = len(link.send_buffer)
+        queued = len(connection.send_buffer)
         rig.stop.set()
         await wait_until(lambda: rig.owner.setups_close_at < owning.NEVER)
         assert queued
@@ -589,10 +589,10 @@
 
 async def stranger(rig: PlatformRig) -> StubViewer:
     """A client that sends one message, gets its answer, and keeps its connection open."""
-    one = await rig.viewer()
-    await one.send(framing.TEST, C, 0)
-    assert (await one.receive() or (0,))[0] == framing.TESTED
-    return one
+    client = await rig.viewer()
+    await client.send(framing.TEST, C, 0)
+    assert (await client.receive() or (0,))[0] == framing.TESTED
+    return client
 
 
 async def plays(rig: PlatformRig, sid: str) -> tuple[StubViewer, StubNode]:
@@ -600,7 +600,7 @@
     viewer = await rig.viewer()
     await viewer.send_setup(sid)
     assert (await viewer.receive() or (0,))[0] == framing.ANSWER
-    return viewer, next(n for n in rig.nodes if n.received_messages("open", sid))
+    return viewer, next(node for node in rig.nodes if node.received_messages("open", sid))
 
 
 def test_a_crowd_that_asks_once_and_stays_closes_no_connection_with_a_session() -> None:
@@ -612,7 +612,7 @@
         viewer, node = await plays(rig, A)
         crowd = [await stranger(rig) for _ in range(viewers.max_connections + 3)]
         assert viewers.shed_count == 4
-        assert [await one.receive() for one in crowd[:4]] == [None] * 4
+        assert [await client.receive() for client in crowd[:4]] == [None] * 4
         await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
         assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
 
@@ -628,10 +628,10 @@
         crowd = [await stranger(rig) for _ in range(viewers.max_connections)]
         newcomers = [await rig.viewer() for _ in range(3)]
         await wait_until(lambda: viewers.shed_count == 3)
-        for one, sid in zip(newcomers, (A, B, "0" * 15 + "d"), strict=True):
-            await one.send_setup(sid)
-            assert (await one.receive() or (0,))[0] == framing.ANSWER
-        assert [await one.receive() for one in crowd[:3]] == [None] * 3
+        for client, sid in zip(newcomers, (A, B, "0" * 15 + "d"), strict=True):
+            await client.send_setup(sid)
+            assert (await client.receive() or (0,))[0] == framing.ANSWER
+        assert [await client.receive() for client in crowd[:3]] == [None] * 3
 
     run_on_platform(test)
 
@@ -668,8 +668,8 @@
         if owed:
             await wait_until(lambda: rig.owner.releases.unsent)
             strangers = [await rig.viewer(), await rig.viewer()]
-        for one in strangers:
-            assert await one.receive() == (framing.RELEASE, A, OVER, b"")
+        for client in strangers:
+            assert await client.receive() == (framing.RELEASE, A, OVER, b"")
         late = await rig.viewer()
         assert await late.receive() == (framing.RELEASE, A, OVER, b"")
         await late.send(framing.RELEASE_CONFIRMED, A)
@@ -703,19 +703,19 @@
     """Repeated and late answers, answers of another node, and answers to cancelled set-ups are ignored."""
 
     async def test(rig: PlatformRig) -> None:
-        viewer, gone = await rig.viewer(), await rig.viewer()
+        viewer, leaver = await rig.viewer(), await rig.viewer()
         await viewer.send_setup(A, "paid")
         assert (await viewer.receive() or ())[:2] == (framing.ANSWER, A)
         node = next(n for n in rig.nodes if n.received_messages("open", A))
         other = next(n for n in rig.nodes if n is not node)
         for n in rig.nodes:
             n.script = ["silence"]
-        await gone.send_setup(B, "paid")
+        await leaver.send_setup(B, "paid")
         await wait_until(lambda: opens(rig, B))
-        given = next(n for n in rig.nodes if n.received_messages("open", B))
-        gone.leave("release", B)
-        await wait_until(lambda: given.received_messages("close", B))
-        await given.send(given.streams[-1], msg=again, sid=B, attrs={}, text="late", code=47)
+        asked_node = next(n for n in rig.nodes if n.received_messages("open", B))
+        leaver.leave("release", B)
+        await wait_until(lambda: asked_node.received_messages("close", B))
+        await asked_node.send(asked_node.streams[-1], msg=again, sid=B, attrs={}, text="late", code=47)
         await viewer.send_setup(C, at=other.name, wait="0")  # connects to the other node
         await wait_until(lambda: other.streams and C in rig.owner.sessions)
         await other.send(other.streams[0], msg=again, sid=A, attrs={}, text="of another node", code=16)
@@ -738,10 +738,10 @@
         await viewer.receive()
         node = next(n for n in rig.nodes if n.received_messages("open"))
         pool = rig.owner.pools[node.name]
-        t = rig.owner.sessions[A]
+        session = rig.owner.sessions[A]
         node.streams[0].socket.close()  # the check follows without a turn of the event loop
         assert pool._least_used_connection() is None
-        assert t.playback.state is PlaybackState.PLAYING
+        assert session.playback.state is PlaybackState.PLAYING
 
     run_on_platform(test)
 
@@ -827,9 +827,9 @@
         await wait_until(lambda: opens(rig))
         node = next(n for n in rig.nodes if n.received_messages("open"))
         node.streams[0].socket._sock.send(b'{"msg":"ready","sid":"%b","attrs":{},"text":"x"}\n' % A.encode())  # type: ignore[attr-defined]
-        t = rig.owner.sessions[A]
+        session = rig.owner.sessions[A]
         rig.owner._handle_event(
-            partial(rig.owner._try_timed_out, t, len(t.playback.tries))
+            partial(rig.owner._try_timed_out, session, len(session.playback.tries))
         )  # in one step with the answer
         for n in rig.nodes:
             n.script.clear()
@@ -875,7 +875,7 @@
             await viewer.send_setup(f"{i + 1:016x}", title=f"t{i}")
             assert (await viewer.receive() or (0,))[0] == framing.ANSWER
             assert sum(p.descriptor_count for p in rig.owner.pools.values()) <= 1
-        assert all(n.received_messages("open") for n in rig.nodes)
+        assert all(node.received_messages("open") for node in rig.nodes)
 
     run_on_platform(test)
 
@@ -928,8 +928,8 @@
     """
 
     async def test(rig: PlatformRig) -> None:
-        told = {"limits": {"sockets": 64, "memory_mb": 64, "cores": 1.0}}
-        async with process(rig, told, tmp_path, files=64) as running:
+        configuration = {"limits": {"sockets": 64, "memory_mb": 64, "cores": 1.0}}
+        async with process(rig, configuration, tmp_path, files=64) as running:
             await reached(rig)
             rig.channel.is_silent = True
             rig.channel.polls.clear()
@@ -937,9 +937,9 @@
             idle = [
                 await rig.viewer() for _ in range(200)
             ]  # those without a place are closed, or wait in the kernel
-            for one in idle[::2]:
+            for client in idle[::2]:
                 with suppress(trio.BrokenResourceError):
-                    await one.stream.send_all(b"\x00\x20\x01")
+                    await client.stream.send_all(b"\x00\x20\x01")
             rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
             rig.channel.is_silent = False
             rig.channel.polls.clear()
@@ -1028,7 +1028,7 @@
                 nursery.start_soon(front, rig, me, 2 if me % 3 == 0 else 1)
         for node in rig.nodes:
             times = [f["t"] / SECOND for f in rig.facts if f["kind"] == "setup" and f["node"] == node.name]
-            fullest = max(sum(1 for t in times if last - window < t <= last) for last in times)
+            fullest = max(sum(1 for sent_at in times if last - window < sent_at <= last) for last in times)
             assert fullest <= n + 2 * n**0.5 + 2
             assert len(times) > n / 2  # a front end that sends nothing would keep any pace
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -50,7 +50,7 @@
 
 def broken(rig: PlatformRig) -> list[str]:
     """Breaches of the rules in the recorded facts."""
-    return [b for finding in judge(rig.facts, site()) for b in finding.breaches]
+    return [breach for finding in judge(rig.facts, site()) for breach in finding.breaches]
 
 
 def test_a_playback_from_set_up_to_its_end() -> None:
@@ -64,10 +64,10 @@
         answer = await viewer.receive()
         node = next(n for n in rig.nodes if n.received_messages("open"))
         assert answer == (framing.ANSWER, A, 255, f"{node.name} é\r\n{A}".encode())
-        said = node.received_messages("open")[0]
-        assert said["text"] == 'é\u2028"\r\n'
-        assert said["attrs"]["class"] == "paid"
-        assert 0 < int(said["attrs"]["left"]) <= 1000
+        message = node.received_messages("open")[0]
+        assert message["text"] == 'é\u2028"\r\n'
+        assert message["attrs"]["class"] == "paid"
+        assert 0 < int(message["attrs"]["left"]) <= 1000
         ticket = rig.owner.sessions[A]
         assert ticket.playback.node is not None
         await node.send(node.streams[0], msg="event", sid=A, attrs={"note": "local", "value": "0.75"})
@@ -109,9 +109,9 @@
         heard = await first.receive()
         assert heard is not None
         assert heard[:3] == (framing.ANSWER if cause == 255 else framing.RELEASE, A, cause)
-        assert sum(len(n.received_messages("open", A)) for n in rig.nodes) == tries
+        assert sum(len(node.received_messages("open", A)) for node in rig.nodes) == tries
         if does == "silence":
-            await wait_until(lambda: any(n.received_messages("close", A) for n in rig.nodes))
+            await wait_until(lambda: any(node.received_messages("close", A) for node in rig.nodes))
         assert rig.owner.setup_count == 0
         assert broken(rig) == []
 
@@ -145,10 +145,10 @@
         await viewer.send_setup(A, "paid", wait="900")
         await wait_until(lambda: any(n.received_messages("open") for n in rig.nodes))
         node, other = sorted(rig.nodes, key=lambda n: -len(n.received))
-        said = node.received_messages("open")[0]
+        message = node.received_messages("open")[0]
         async with await trio.open_tcp_stream("127.0.0.1", other.port) as stream:
-            await other.handle_setup(trio.SocketStream(stream.socket), said)
-        assert any("paid" in b for b in broken(rig))
+            await other.handle_setup(trio.SocketStream(stream.socket), message)
+        assert any("paid" in breach for breach in broken(rig))
 
     run_on_platform(test)
 
@@ -175,9 +175,9 @@
         viewer, (node, _) = await rig.viewer(), rig.nodes
         await viewer.send_setup(A, at="n0", wait="0")
         await wait_until(lambda: A in rig.owner.sessions and node.streams)
-        link = node.streams[0]
-        await node.send(link, msg="event", sid=B, attrs={"note": "grade", "value": "2"})
-        await node.send(link, msg="close", sid=C, attrs={}, code=16)
+        connection = node.streams[0]
+        await node.send(connection, msg="event", sid=B, attrs={"note": "grade", "value": "2"})
+        await node.send(connection, msg="close", sid=C, attrs={}, code=16)
         await wait_until(lambda: len(rig.owner.early_messages) == 2)
         await viewer.send_setup(B, at="n0", wait="0")
         await viewer.send_setup(C, at="n0", wait="0")
@@ -243,7 +243,9 @@
         for sid in (A, B):
             await one.send_setup(sid)
             await one.receive()
-        places = {sid: next(n for n in rig.nodes if n.received_messages("open", sid)) for sid in (A, B)}
+        places = {
+            sid: next(node for node in rig.nodes if node.received_messages("open", sid)) for sid in (A, B)
+        }
         await one.stream.aclose()
         await wait_until(lambda: len(rig.owner.viewer_connections) == 1)
         await places[A].send(places[A].streams[0], msg="close", sid=A, attrs={}, code=41)
@@ -300,7 +302,7 @@
             assert await bad.receive() is None
         assert await silent.receive() is None
         assert await half.receive() is None
-        assert not any(n.received for n in rig.nodes)
+        assert not any(node.received for node in rig.nodes)
         assert not rig.owner.sessions
 
     run_on_platform(test)
@@ -327,12 +329,12 @@
     """A client that sends without reading is disconnected while others are served."""
 
     async def test(rig: PlatformRig) -> None:
-        deaf, viewer = await rig.viewer(), await rig.viewer()
+        non_reader, viewer = await rig.viewer(), await rig.viewer()
 
         async def flood() -> None:
             probe = framing.encode(framing.TEST, C, (framing.CAUSE, b"\0"))
             while True:
-                await deaf.stream.send_all(probe * 500)
+                await non_reader.stream.send_all(probe * 500)
 
         async def cut_off() -> None:
             with pytest.raises(trio.BrokenResourceError):
@@ -386,11 +388,13 @@
         rig.platform.configuration_file = tmp_path / "config.json"
         rig.platform.configuration_file.write_bytes(b"{")
         rig.platform.reload()
-        told = rig.configuration()
+        configuration = rig.configuration()
         rig.channel.polls.clear()
         await wait_until(lambda: rig.channel.polls)
         old, rig.channel.port = rig.channel, await rig.listen(rig.channel.serve)
-        rig.platform.configuration_file.write_bytes(orjson.dumps(told | {"channel": f"127.0.0.1:{old.port}"}))
+        rig.platform.configuration_file.write_bytes(
+            orjson.dumps(configuration | {"channel": f"127.0.0.1:{old.port}"})
+        )
         rig.platform.reload()
         assert rig.platform.channel_follower is not None
         assert rig.platform.channel_follower.address[1] == old.port
@@ -412,7 +416,7 @@
         await late.send_setup(B)
         assert (await late.receive() or (0,))[0] == framing.ANSWER
         await rig.ended.wait()
-        assert not any(n.received_messages("close") for n in rig.nodes)
+        assert not any(node.received_messages("close") for node in rig.nodes)
 
     run_on_platform(test)
 
@@ -472,7 +476,7 @@
     """The process exits with code 2 and one line on standard error."""
     file = tmp_path / "config.json"
     file.write_text('{"name": "n0"}')
-    for name, said in (
+    for name, message in (
         ("", "PROXY_CONFIG is not set"),
         (str(file), "listen"),
         (str(tmp_path / "none"), "none"),
@@ -483,7 +487,7 @@
         )  # fmt: skip
         assert done.returncode == 2
         assert len(done.stderr.splitlines()) == 1
-        assert said in done.stderr
+        assert message in done.stderr
 
 
 def test_the_platform_loads_nothing_that_it_does_not_need() -> None:
@@ -659,11 +663,11 @@
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await wait_until(lambda: rig.owner.viewer_connections)
-        link, owner = next(iter(rig.owner.viewer_connections)), rig.owner
+        connection, owner = next(iter(rig.owner.viewer_connections)), rig.owner
         for i in range(100, 124):
             await viewer.send_setup(f"{i:016x}", title=f"t{i}")
             await viewer.receive()
-        before = [len(n.received_messages("open")) for n in rig.nodes]
+        before = [len(node.received_messages("open")) for node in rig.nodes]
         assert all(before)  # an open connection to each node, so that a set-up is sent at once
         for pool in owner.pools.values():
             pool.max_connections = 1
@@ -674,7 +678,7 @@
         for i in range(24):  # half a second of work, and the requests that arrive meanwhile
             owner.event_sender.send_nowait(partial(time.sleep, 0.02))
             owner.request_received(
-                SetupRequest(link, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", "")
+                SetupRequest(connection, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", "")
             )
         rig.channel.answer_now(2, rig.member(rig.nodes[0], "draining"))
         for _ in range(24):
@@ -692,7 +696,7 @@
         rig.channel.closes_after_answer = True
         for cursor in (2, 3, 4):
             rig.add_list_change(cursor, rig.member(rig.nodes[0], "draining" if cursor % 2 == 0 else "up"))
-            await wait_until(lambda c=cursor: rig.platform.channel_follower.last_cursor == c)  # type: ignore[misc,union-attr]
+            await wait_until(lambda expected=cursor: rig.platform.channel_follower.last_cursor == expected)  # type: ignore[misc,union-attr]
         assert rig.owner.pools["n0"].node.status is NodeStatus.DRAINING
         assert rig.platform.channel_follower is not None
         assert rig.platform.channel_follower.freshness.is_current
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -46,12 +46,14 @@
 
     async def test(rig: PlatformRig) -> None:
         rig.platform.configuration_file = tmp_path / "config.json"
-        viewer, old, told = await rig.viewer(), rig.channel, rig.configuration()
+        viewer, old, configuration = await rig.viewer(), rig.channel, rig.configuration()
         if how == "told on the old one as it ends":
             rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
             await wait_until(lambda: listed(rig, "n0") is NodeStatus.DRAINING)
         new_port = await rig.listen(type(old).serve.__get__(rig.channel))
-        rig.platform.configuration_file.write_bytes(orjson.dumps(told | {"channel": f"127.0.0.1:{new_port}"}))
+        rig.platform.configuration_file.write_bytes(
+            orjson.dumps(configuration | {"channel": f"127.0.0.1:{new_port}"})
+        )
         rig.platform.reload()
         if how == "told on the new channel":
             rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
@@ -148,9 +150,9 @@
         for octet in request:
             await viewer.stream.send_all(bytes((octet,)))
             if len(crowd) < viewers.max_connections + SESSIONS:
-                crowd.append(one := await rig.viewer())
-                await one.send(framing.TEST, C, 0)
-                await one.receive()
+                crowd.append(client := await rig.viewer())
+                await client.send(framing.TEST, C, 0)
+                await client.receive()
         assert len(crowd) == viewers.max_connections + SESSIONS
         assert (await viewer.receive() or ())[:2] == (framing.ANSWER, A)
 
@@ -165,7 +167,7 @@
         request = viewer.encode_setup(A, "paid")
         await viewer.stream.send_all(request[:-1])
         await wait_until(
-            lambda: any(link.frames.has_partial_message for link in rig.owner.viewer_connections)
+            lambda: any(connection.frames.has_partial_message for connection in rig.owner.viewer_connections)
         )
         await viewer.stream.send_all(
             request[-1:] + framing.encode(framing.RELEASE, A, (framing.CAUSE, b"\x10"))
