--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -30,11 +30,11 @@
 ACCEPT_AFTER_STOP_NS = 750 * MS  # connections and requests still arrive for a while after the stop signal
 MIN_DRAIN_NS = 3 * SECOND + 300 * MS  # playbacks continue for so long
 # The platform kills the process a fixed delay after the longest abandon time, which counts as 3 s at least.
-MIN_LONGEST_ABANDON_NS, KILL_DELAY_NS = 3 * SECOND, 700 * MS
-EXIT_BEFORE_KILL_NS, LAST_ANSWER_BEFORE_KILL_NS = (
-    200 * MS,
-    350 * MS,
-)  # the process ends, and the last answer is given, so long before
+MIN_LONGEST_ABANDON_NS = 3 * SECOND
+KILL_DELAY_NS = 700 * MS
+# How long before the platform's kill the process ends, and the last answer is given.
+EXIT_BEFORE_KILL_NS = 200 * MS
+LAST_ANSWER_BEFORE_KILL_NS = 350 * MS
 FLUSH_TIMEOUT_NS = 500 * MS  # for answers and releases that wait for a slow reader
 
 
@@ -51,12 +51,10 @@
         """`configuration_file` is read again on reload; `start_took_ns` is the time the process has spent
         starting.
         """
-        self.configuration, self.log, self.configuration_file, self.start_took_ns = (
-            configuration,
-            log,
-            configuration_file,
-            start_took_ns,
-        )
+        self.configuration = configuration
+        self.log = log
+        self.configuration_file = configuration_file
+        self.start_took_ns = start_took_ns
         self.serving = trio.Event()
         self.coordinator: SessionCoordinator | None = None
         self.viewer_server: ViewerServer | None = None
@@ -162,9 +160,12 @@
             if stopping.state is FrontState.DRAINING and now - stopping.state_since < ACCEPT_AFTER_STOP_NS:
                 continue
             self.viewer_server.stop()
-            owed = self.coordinator.setup_count + self.viewer_server.unanswered_count
-            unsaid = self.viewer_server.unsent_count + self.coordinator.unsent_count
-            if stopping.advance(owed, self.coordinator.playing_count, owed + unsaid, now) is FrontState.GONE:
+            unanswered = self.coordinator.setup_count + self.viewer_server.unanswered_count
+            unsent = self.viewer_server.unsent_count + self.coordinator.unsent_count
+            if (
+                stopping.advance(unanswered, self.coordinator.playing_count, unanswered + unsent, now)
+                is FrontState.GONE
+            ):
                 return
 
     async def _handle_signals(self, stopping: Shutdown, clock: Clock) -> None:
@@ -199,36 +200,36 @@
         """
         assert self.channel_follower is not None
         try:
-            told = (
+            configuration = (
                 decode(self.configuration_file.read_bytes())
                 if self.configuration_file is not None
                 else self.configuration
             )
-        except (OSError, ConfigurationError) as fault:
-            self.log.warning("configuration not taken", why=str(fault)[:200])
+        except (OSError, ConfigurationError) as error:
+            self.log.warning("configuration not taken", why=str(error)[:200])
             return
-        same = told.settings == self.configuration.settings
+        settings_unchanged = configuration.settings == self.configuration.settings
         self.log.info(
             "configuration taken",
             after=self.channel_follower.last_cursor,
-            settings="unchanged" if same else "kept till restart",
+            settings="unchanged" if settings_unchanged else "kept till restart",
         )
-        self.channel_follower.switch_address(told.channel_address)
+        self.channel_follower.switch_address(configuration.channel_address)
 
 
 def main() -> int:
     """Serves with the configuration that PROXY_CONFIG names until a stop signal; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a reload has no effect before the front end runs
-    name = os.environ.get("PROXY_CONFIG", "")
+    file_name = os.environ.get("PROXY_CONFIG", "")
     try:
-        if not name:
+        if not file_name:
             raise ConfigurationError("PROXY_CONFIG is not set")
-        told = decode(Path(name).read_bytes())
-    except (OSError, ConfigurationError) as fault:
-        print(f"oakcroft: configuration: {fault}", file=sys.stderr)
+        configuration = decode(Path(file_name).read_bytes())
+    except (OSError, ConfigurationError) as error:
+        print(f"oakcroft: configuration: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION_ERROR
-    log = configure_logging("json", told.terms.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND)
+    log = configure_logging("json", configuration.terms.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND)
     reduce_gc_frequency()
-    took = time.process_time_ns() / max(told.cores, 0.01)  # with its share of a core
-    trio.run(PlatformFrontEnd(told, log, Path(name), round(took)).run)
+    start_took_ns = time.process_time_ns() / max(configuration.cores, 0.01)  # with its share of a core
+    trio.run(PlatformFrontEnd(configuration, log, Path(file_name), round(start_took_ns)).run)
     return 0
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -15,9 +15,10 @@
 from oakcroft.platform.idle_connections import IdleConnections
 from oakcroft.platform.connection import RECEIVE_BYTES, BufferedConnection, configure_socket
 from oakcroft.platform.playback_session import SetupRequest, PlaybackSession
-from oakcroft.platformwire import setup_request, framing
+from oakcroft.platformwire import framing
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.platformwire.framing import FrameDecoder, ProtocolError
+from oakcroft.platformwire.setup_request import SetupRequestError, parse_setup_request
 from oakcroft.running.clock import Clock
 
 CAUSE_FAILED = 41
@@ -69,7 +70,8 @@
     ) -> None:
         """Wraps an accepted socket."""
         super().__init__(sock, nursery)
-        self.clock, self.stillness = clock, stillness
+        self.clock = clock
+        self.stillness = stillness
         self.frames = FrameDecoder()
         self.open_setups: dict[str, PlaybackSession] = {}
         self.queued_requests: dict[str, SetupRequest] = {}  # queued in the coordinator's inbox
@@ -89,7 +91,7 @@
         Stops once a maximal message is buffered, so that the buffer holds at most one message and one
         receive.
         """
-        heard = False
+        has_received = False
         while self.is_open and not self.has_peer_left and len(self.frames.buffer) < framing.MAX_MESSAGE_BYTES:
             try:
                 data = self.sock.recv(RECEIVE_BYTES)
@@ -97,16 +99,16 @@
                 break
             except OSError:
                 data = b""
-            heard, now = True, self.clock.now()
+            has_received, now = True, self.clock.now()
             self.has_peer_left = not data
             if self.written_at is None:
                 self.written_at = self.stillness.earliest_written_at(now, self.known_empty_at)
             if self.has_sent_message and not self.frames.has_partial_message:
                 self.idle_since = now
             self.frames.receive_data(data)
-        if heard:
+        if has_received:
             self.wait_scope.cancel()  # wakes its own task, which has not seen this data arrive
-        return heard
+        return has_received
 
     async def wait_for_data(self) -> None:
         """Waits until data arrives, or until another task has received it."""
@@ -123,7 +125,8 @@
         if not self.is_open or self.has_peer_left or self.has_peer_closed():
             return True
         return any(
-            kind == framing.RELEASE and sid == session_id for kind, sid in self.frames.pending_messages()
+            kind == framing.RELEASE and other_id == session_id
+            for kind, other_id in self.frames.pending_messages()
         )
 
     @property
@@ -162,17 +165,16 @@
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """Takes a bound socket and accepts connections from it once `run` is called."""
-        self.listener, self.max_connections, self.coordinator, self.clock, self.nursery, self.log = (
-            listener,
-            max_connections,
-            coordinator,
-            clock,
-            nursery,
-            log,
-        )
+        self.listener = listener
+        self.max_connections = max_connections
+        self.coordinator = coordinator
+        self.clock = clock
+        self.nursery = nursery
+        self.log = log
         self.connections: dict[ViewerConnection, None] = {}
         self.idle_connections = IdleConnections(self.connections, clock)
-        self.was_tested = self.is_ready = False
+        self.was_tested = False
+        self.is_ready = False
         self.is_accepting = True
         self.shed_count = 0
 
@@ -200,9 +202,11 @@
             sock.close()
             self.shed_count += 1
             return
-        link = ViewerConnection(configure_socket(sock), self.nursery, self.clock, self.coordinator.stillness)
-        self.connections[link] = None
-        self.nursery.start_soon(self._serve_connection, link)
+        connection = ViewerConnection(
+            configure_socket(sock), self.nursery, self.clock, self.coordinator.stillness
+        )
+        self.connections[connection] = None
+        self.nursery.start_soon(self._serve_connection, connection)
 
     def stop(self) -> None:
         """Stops accepting and closes the listener.
@@ -223,19 +227,21 @@
         """Number of messages and queued requests that the decision module does not know yet, including those
         in sockets.
         """
-        return sum(link.unread_count + len(link.queued_requests) for link in self.connections)
+        return sum(
+            connection.unread_count + len(connection.queued_requests) for connection in self.connections
+        )
 
     @property
     def unsent_count(self) -> int:
         """Number of connections on which answers or releases wait for the peer to read."""
-        return sum(1 for link in self.connections if link.send_buffer)
+        return sum(1 for connection in self.connections if connection.send_buffer)
 
     def _make_room(self) -> bool:
         """Closes an idle connection; returns whether there was one."""
-        link = self.idle_connections.next_to_evict()
-        if link is None:
+        connection = self.idle_connections.next_to_evict()
+        if connection is None:
             return False
-        self._shed_connection(link)
+        self._shed_connection(connection)
         return True
 
     def _shed_connection(self, connection: ViewerConnection) -> None:
@@ -249,13 +255,13 @@
         while True:
             await trio.sleep(OVERDUE_CHECK_INTERVAL_S)
             now = self.clock.now()
-            for link in list(self.connections):
-                overdue = (
-                    not link.has_sent_message or link.frames.has_partial_message
-                ) and now - link.idle_since > MESSAGE_TIMEOUT_NS
+            for connection in list(self.connections):
+                is_overdue = (
+                    not connection.has_sent_message or connection.frames.has_partial_message
+                ) and now - connection.idle_since > MESSAGE_TIMEOUT_NS
                 # If the data has arrived, the delay is this front end's own.
-                if overdue and not link.receive_available() and not link.unread_count:
-                    self._shed_connection(link)
+                if is_overdue and not connection.receive_available() and not connection.unread_count:
+                    self._shed_connection(connection)
 
     async def _serve_connection(self, connection: ViewerConnection) -> None:
         """Handles the messages of one connection until it ends."""
@@ -263,21 +269,21 @@
         try:
             while connection.is_open:
                 connection.receive_available()
-                turn = 0
+                handled = 0
                 while connection.is_open and (event := connection.frames.next_event()) is not None:
                     connection.has_sent_message, connection.idle_since = True, self.clock.now()
                     self._handle_message(connection, *event)
-                    turn += 1
-                    if turn % MESSAGES_PER_TURN == 0:
+                    handled += 1
+                    if handled % MESSAGES_PER_TURN == 0:
                         await trio.lowlevel.checkpoint()
                 connection.written_at, connection.known_empty_at = None, self.clock.now()
                 if connection.has_peer_left:
                     break
                 await connection.wait_for_data()
-        except ProtocolError as fault:
-            self.coordinator.count("unreadable viewer", str(fault))
-        except Exception as fault:  # no single connection may stop the front end and with it all sessions
-            self.log.error("connection failed", error=repr(fault), exc_info=fault)
+        except ProtocolError as error:
+            self.coordinator.count("unreadable viewer", str(error))
+        except Exception as error:  # no single connection may stop the front end and with it all sessions
+            self.log.error("connection failed", error=repr(error), exc_info=error)
         finally:
             self.connections.pop(connection, None)
             self.coordinator.connection_closed(connection)
@@ -287,44 +293,61 @@
         self, connection: ViewerConnection, kind: int, session_id: str, parameters: dict[int, bytes]
     ) -> None:
         """Handles one message. A test is answered here, without the coordinator."""
-        owner = self.coordinator
+        coordinator = self.coordinator
         if kind == framing.TEST:
             self.was_tested = self.was_tested or self.is_ready
             connection.write(
                 framing.encode(framing.TESTED, session_id, (framing.CAUSE, bytes((int(self.is_ready),))))
             )
         elif kind == framing.RELEASE:
-            owner.release_received(connection, session_id)
+            coordinator.release_received(connection, session_id)
         elif kind == framing.RELEASE_CONFIRMED:
-            owner.release_confirmed(session_id)
+            coordinator.release_confirmed(session_id)
         elif kind == framing.SET_UP:
-            try:
-                asked = setup_request.parse_setup_request(
-                    session_id,
-                    parameters,
-                    owner.configuration.abandon_ns_by_plan,
-                    owner.configuration.terms.cell_count,
-                    len(owner.configuration.terms.rung_rates),
-                )
-            except setup_request.SetupRequestError as fault:
-                owner.count("unusable set-up", str(fault))
-                self.reject_request(connection, session_id, CAUSE_FAILED)
-                return
-            at = asked[-1]
-            description = "" if at else asked[-2]  # not needed for a playback that is set up already
-            # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
-            crowded = (
-                len(connection.open_setups) + len(connection.queued_requests) >= MAX_SETUPS_PER_CONNECTION
+            self._handle_setup(connection, session_id, parameters)
+
+    def _handle_setup(
+        self, connection: ViewerConnection, session_id: str, parameters: dict[int, bytes]
+    ) -> None:
+        """Queues a set-up request, or rejects it if it is invalid or a limit is reached."""
+        coordinator = self.coordinator
+        settings = coordinator.configuration.terms
+        try:
+            setup = parse_setup_request(
+                session_id,
+                parameters,
+                coordinator.configuration.abandon_ns_by_plan,
+                settings.cell_count,
+                len(settings.rung_rates),
             )
-            if not at and (crowded or owner.held_chars + len(description) > owner.max_held_chars):
-                self.reject_request(
-                    connection, session_id, CAUSE_REJECTED, owner.configuration.terms.max_retry_after_ns
-                )
-                return
-            written = self.clock.now() if connection.written_at is None else connection.written_at
-            owner.request_received(
-                SetupRequest(connection, session_id, written, *asked[:-2], description, at)
+        except SetupRequestError as error:
+            coordinator.count("unusable set-up", str(error))
+            self.reject_request(connection, session_id, CAUSE_FAILED)
+            return
+        # A playback that is set up already needs no description.
+        description = "" if setup.playing_node else setup.description
+        # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
+        open_and_queued = len(connection.open_setups) + len(connection.queued_requests)
+        is_crowded = open_and_queued >= MAX_SETUPS_PER_CONNECTION
+        is_full = coordinator.held_chars + len(description) > coordinator.max_held_chars
+        if not setup.playing_node and (is_crowded or is_full):
+            self.reject_request(connection, session_id, CAUSE_REJECTED, settings.max_retry_after_ns)
+            return
+        coordinator.request_received(
+            SetupRequest(
+                connection=connection,
+                session_id=session_id,
+                written_at=self.clock.now() if connection.written_at is None else connection.written_at,
+                plan_name=setup.plan_name,
+                wait_ns=setup.wait_ns,
+                title_name=setup.title_name,
+                home_cell=setup.home_cell,
+                copies=setup.copies,
+                top_rung=setup.top_rung,
+                description=description,
+                playing_node=setup.playing_node,
             )
+        )
 
     @staticmethod
     def reject_request(
@@ -336,5 +359,5 @@
 
 def encode_release(session_id: str, cause: int, retry_after_ns: int = 0) -> bytes:
     """Encodes a release, with the time to stay away if there is one."""
-    stay = [(framing.RETRY_AFTER, str(retry_after_ns // MS).encode())] if retry_after_ns else []
-    return framing.encode(framing.RELEASE, session_id, (framing.CAUSE, bytes((cause,))), *stay)
+    retry_after = [(framing.RETRY_AFTER, str(retry_after_ns // MS).encode())] if retry_after_ns else []
+    return framing.encode(framing.RELEASE, session_id, (framing.CAUSE, bytes((cause,))), *retry_after)
