--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -147,9 +147,9 @@
     """
     plan = PLAN_DECODER.decode(body).to_plan()
     if not (DIGEST_PATTERN.fullmatch(plan.digest) and DIGEST_PATTERN.fullmatch(plan.base_digest)):
-        raise ValueError("a digest is 24 hexadecimal digits")
+        raise ValueError("digests must be 24 hexadecimal digits")
     if not 0 <= plan.share_index < len(ROLLOUT_SHARES) or plan.step < 1 or plan.watch_time < 0:
-        raise ValueError("a figure is out of range")
+        raise ValueError("share index, step or watch time is out of range")
     return plan
 
 
@@ -188,7 +188,7 @@
             self.fence = Fence(FENCE_DECODER.decode(stored_fence) if stored_fence else None)
         except msgspec.MsgspecError:
             self.fence = Fence()
-            log.error("fence unreadable", why="orders wait for what the keepers say")
+            log.error("stored fence unreadable", why="orders wait for an answer of the lease acceptors")
         # A state file that may lack its last writes cannot reject old orders; the lease acceptors then tell the lowest
         # valid number.
         self.is_fence_complete = (
@@ -407,7 +407,10 @@
                 return "it does not keep the version before"
             verdict, reasons = result
         self.log.warning(
-            "catalogue taken back", roll_out=plan.number, verdict=verdict.name.lower(), reason=plan.end_reason
+            "catalogue rolled back",
+            roll_out=plan.number,
+            verdict=verdict.name.lower(),
+            reason=plan.end_reason,
         )
         return rejection_reason(verdict, reasons)
 
@@ -491,11 +494,11 @@
         try:
             plan = decode_plan(recorded_plan)
         except ValueError as fault:
-            self.log.error("plan unreadable", why=str(fault))
+            self.log.error("recorded roll-out plan unreadable", why=str(fault))
             return
         self.rollout = Rollout(plan)
         self.log.info(
-            "roll-out gone on with",
+            "roll-out resumed",
             roll_out=plan.number,
             stage=plan.stage.name.lower(),
             term=term.fencing_token,
--- a/oakcroft/front/durable_state.py
+++ b/oakcroft/front/durable_state.py
@@ -305,7 +305,7 @@
         for expired_id in [session_id for session_id, until in self.unclaimed_until.items() if now > until]:
             del self.unclaimed_until[expired_id]
             if (unclaimed := self.coordinator.sessions_by_id.get(expired_id)) is not None:
-                self.log.info("seat not taken again", playback=expired_id)
+                self.log.info("restored session not claimed", playback=expired_id)
                 self.coordinator.close_viewer_session(unclaimed)
                 self.coordinator.end_session(unclaimed)
         if (
