--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -1,21 +1,29 @@
-"""Every decision of oakcroft: who plays, on which playout node and at what rung.
-
-A host (types and Protocols in `oakcroft/interface.py`) makes one `Controller` per front end from its
-`Terms`, a seed and itself, then calls `listed`, `arrived`, `resumed`, `playing`, `noted`, `tried`, `left`
-and `alarm` as things happen; the module answers by calling the host within the same call.
-
-The design (SA2C, docs/design.md) decides the ordinary path: `_interval` samples, fits and blends the load
-into x, moves the marks and steps playing rungs; `arrived` refuses in the band; `_place` picks the holder
-and the rung.
-
-Mechanisms beside the design, six at most:
-1 distrust  failed or unanswered set-ups make a node lose its turn until the score fades;
-2 cold pace a node that may just have started gets set-ups only in this front's turn, or by a small chance;
-3 tries     what an outcome proves, when a further try may follow, and how long one may take;
-4 squeeze   short-delivery notes raise a node's load, or its rack's, past what reports can say;
-5 sampling  a front is one sample of all: its own set-ups, losses and steps count for the others, and links
-            that tell nothing are taken as usual and passed over as often as there are such;
-6 evenness  nobody starts or steps up further than about a rung over what plays already.
+"""Decision module of a front end: who plays, on which playout node and at which rung of the quality ladder.
+
+A host (types and protocols in `oakcroft/interface.py`) creates one `Controller` per front end from its
+`DeploymentSettings`, a seed and itself, and calls the controller's event methods as things happen. The controller
+answers by calling the host within the same call. Times are whole nanoseconds, rates are in kB/s.
+
+Admission follows the paper's SA2C (session-aware admission control, docs/design.md):
+
+- `_end_interval` samples the load of every node, fits a line to the samples to predict the next one, and blends the
+  predicted and the measured cluster load into x. It then moves the thresholds T2 and T3 and steps the rungs of
+  playbacks that play.
+- `on_request` rejects a request with a probability that rises from 0 to 1 while x is in the band from T1 to T2.
+- `_place` picks the holder of the title and the start rung.
+
+Mechanisms beyond the paper, six at most:
+
+1. Failure score: a node with failed or unanswered set-ups gets no more of them until its score has decayed.
+2. Cold pace: a node that may have just started gets set-ups only in this front end's time slots, or with a small
+   probability.
+3. Tries: what an outcome proves, when a retry may follow, and how long a try may take.
+4. Uplink correction: reports of short delivery raise the estimated load of a node, or of its rack's uplink, above
+   what load reports can express.
+5. Sampling: a front end sees a sample of the traffic. It extrapolates its own set-ups, losses and rung steps to the
+   other front ends, assumes a load for links that report none, and tries nodes without reports last, with a
+   probability that grows with their number.
+6. Evenness: no playback starts at, or steps up to, more than about one rung above what plays already.
 """
 
 from __future__ import annotations
@@ -25,678 +33,1049 @@
 from collections.abc import Iterable, Sequence
 from random import Random
 
-from oakcroft.interface import MS, SECOND, Effect, Entry, Fading, Group, Host, Listing, ListKind, Node, Note
-from oakcroft.interface import Outcome, Playback, Rack, State, Terms, Title
-
-# The design's open constants.
-INTERVAL = SECOND  # between samples
-WINDOW = 5  # samples in the fit
-ALPHA = 0.95  # mean against variance
-T1, T2, T3, FULL = 0.92, 1.30, 1.02, 1.50  # marks on x; FULL is the paper's C
-MARK = 0.90  # on a link: set-ups stay under it
-UP_MARK = 0.70  # the same for starts in the ladder's upper half, and for step-ups: well clear of T3
-REST = 8 * SECOND  # between a playback's change of rung and its next step up
-MOVE = 0.10  # of a mark's gap to T1, at most, in an interval
-PACE, DOWN_PACE = 0.15, 0.25  # of the playbacks concerned, at most, in an interval, up and down
-
-DISTRUST_HALF, DISTRUSTED = 4 * SECOND, 0.7  # a node is out from this score on
-SILENT = 600 * MS  # an unanswered set-up older than this speaks against its node
-TRY_SHARE = 0.4  # of the startup target, for a try that may be followed by another
-FREELY, UNEVEN = 4, 3  # set-ups in a cold slot that leave room for chance; how uneven nodes are wanted
-COLD_PART = 0.45  # of the budget of a slot of time: two slots may fall into one window
-AGE = 300 * MS  # of a report that comes with an answer
-NOTED = 2 * SECOND  # a note of short delivery holds so long
-RELAX, TIGHTEST, LOOSEST, TIGHT = 0.94, 2.0, 0.5, 1.1  # of a rack's estimate; the last is logged
-CROWDED = 1.2  # a link past this has lost capacity: its rack carries no more than that
-SHORT, DEAD = 0.98, 0.2  # delivery under this is short; that of a node that stands still
-UNHEARD = 6 * SECOND  # after its start, a front can't know which nodes are warm
-TOO_OLD = 2 * SECOND  # past its due time, a report is stale
-LIKE = 4  # how alike the loads of links are: the number of fronts whose view counts as much as the mean
-SPENT = 1 << 30  # set-ups in a slot of which nothing is left
-USUAL = 0.7  # load taken for a link while none has told
-
-
-NEXT = {
-    State.ARRIVED: {State.SETTING_UP, State.PLAYING, State.REJECTED, State.ABORTED, State.ENDED},
-    State.SETTING_UP: {State.PLAYING, State.BETWEEN, State.CLOSED, State.ENDED},
-    State.BETWEEN: {State.SETTING_UP, State.REJECTED, State.ABORTED},
-    State.PLAYING: {State.CLOSED, State.ENDED},
-    State.CLOSED: {State.ENDED},
+from oakcroft.interface import (
+    MS,
+    SECOND,
+    Effect,
+    NodeEntry,
+    DecayingSum,
+    KeyScope,
+    Host,
+    NodeStatus,
+    NodeListKind,
+    Node,
+    PlaybackMetric,
+)
+from oakcroft.interface import Outcome, Playback, Rack, PlaybackState, DeploymentSettings, Title
+
+# Parameters that the paper leaves open.
+
+SAMPLE_INTERVAL_NS = SECOND
+"""Time between two load samples."""
+FORECAST_SAMPLES = 5
+"""Number of samples in the linear fit."""
+ALPHA = 0.95
+"""The paper's alpha: weight of the mean in the cluster load, against the variance."""
+T1 = 0.92
+"""Load x from which requests are rejected; T1 to T2 is the band in which only some are."""
+T2 = 1.30
+"""Load x from which all requests are rejected; start value of a threshold that moves towards T1 under overload."""
+T3 = 1.02
+"""Load from which rungs are stepped down; start value, moves like T2."""
+MAX_SAMPLED_LOAD = 1.50
+"""The paper's C: cap of a sampled load."""
+MAX_THRESHOLD_MOVE = 0.10
+"""Largest move of T2 or T3 per interval, as a share of its distance to T1."""
+LINK_LOAD_LIMIT = 0.90
+"""Set-ups keep a link's load under it."""
+UPPER_RUNG_LOAD_LIMIT = 0.70
+"""The same for starts in the upper half of the ladder and for steps up; well below T3, so that they are not undone."""
+STEP_UP_DELAY_NS = 8 * SECOND
+"""Least time from a playback's change of rung to its next step up."""
+MAX_STEP_UP_SHARE = 0.15
+"""Largest share of a node's playbacks that is stepped up per interval."""
+MAX_STEP_DOWN_SHARE = 0.25
+"""Largest share of a node's playbacks that is stepped down per interval."""
+STEP_UP_RUNG_MARGIN = 0.5
+"""A playback steps up only if its rung is at most this much above the mean rung."""
+
+# Failure score.
+
+FAILURE_SCORE_HALF_LIFE_NS = 4 * SECOND
+"""Half-life of a node's failure score."""
+FAILURE_SCORE_LIMIT = 0.7
+"""Score from which a node gets no set-ups."""
+FAILED_TRY_SCORE = 1.0
+"""Added for a try that failed or got no answer, and for a node that stopped delivering."""
+ERROR_SCORE = 0.4
+"""Added for a try that was answered with an error."""
+RESTART_SUSPECT_SCORE = 1
+"""Score past which an unanswered try counts as a sign that the node has restarted."""
+MAX_ANSWER_DELAY_NS = 600 * MS
+"""A set-up that is unanswered for longer counts against its node."""
+
+# Tries.
+
+RETRYABLE_TRY_SHARE = 0.4
+"""Time limit of a try that another may follow, as a share of the startup target."""
+TRY_END_MARGIN_NS = 10 * MS
+"""A try ends so long before its viewer gives up."""
+RETRY_MARGIN_NS = 20 * MS
+"""No retry starts in so short a time before its viewer gives up."""
+HOLDERS_COMPARED = 2
+"""Number of holders with room of which the less loaded one is chosen."""
+MIN_PLAYBACKS_FOR_MEAN_RUNG = 3
+"""Fewer playbacks on a node say nothing of its usual rung."""
+
+# Cold pace.
+
+UPTIME_UNKNOWN_NS = 6 * SECOND
+"""Time after its start in which a front end can't know which nodes are warm."""
+COLD_SLOT_BUDGET_SHARE = 0.45
+"""Share of the overload budget that a time slot gets: a window may overlap two slots."""
+MIN_SETUP_PACE = 1e-15
+"""Set-ups per ns: lower bound that avoids a division by zero."""
+MIN_CHANCE_SETUPS = 4
+"""Set-ups in a slot from which random ones are allowed besides."""
+DEMAND_SKEW = 3
+"""How much more a node may be asked for than the mean node."""
+SLOT_USED_UP = 1 << 30
+"""Recorded as the number of set-ups in a slot that is used up."""
+
+# Load reports.
+
+TRY_REPORT_AGE_NS = 300 * MS
+"""Age of a load report that comes with the outcome of a try."""
+REPORT_TOLERANCE_NS = 2 * SECOND
+"""A load report may be late by so much before it is stale."""
+CAPPED_LOAD_TOLERANCE = 0.99
+"""A load that is reported capped at 1 may stand for any higher load from here on."""
+DEFAULT_ASSUMED_LOAD = 0.7
+"""Load assumed for a link while no link has reported its load."""
+MEAN_LOAD_WEIGHT_FRONTS = 4
+"""Number of front ends at which the assumed load weighs as much as one front end's extrapolation."""
+OWN_CHANGES_KEPT_NS = 8 * SECOND
+"""Own changes of a node's load are kept for so long; older than any report in use."""
+HELD_RATE_HISTORY_LENGTH = 12
+"""Number of interval ends for which the rate of own playbacks is kept."""
+
+# Short delivery.
+
+SHORT_DELIVERY_SHARE = 0.98
+"""Delivered shares under it are short."""
+STALLED_DELIVERY_SHARE = 0.2
+"""Under it, the node has stopped delivering."""
+SHORT_DELIVERY_VALID_NS = 2 * SECOND
+"""A report of short delivery is valid for so long."""
+INFERRED_LOAD_MARGIN = 0.05
+"""A load inferred from short delivery counts if it exceeds the known one by this."""
+EXPLAINED_LOAD_MARGIN = 0.1
+"""A link's load explains short delivery if it is at most this much too low."""
+MIN_NODES_TO_COMPARE = 2
+"""Nodes of a rack that have to play before their shares are compared."""
+RECENT_SAMPLES = 3
+"""Interval ends before the present that a late report of short delivery may describe."""
+MAX_CARRIED_LOAD = 1.2
+"""A link loaded above it has lost capacity: it loads its rack's uplink with no more."""
+MAX_UPLINK_CORRECTION = 2.0
+"""Upper bound of a rack's uplink correction."""
+MIN_UPLINK_CORRECTION = 0.5
+"""Lower bound of a rack's uplink correction."""
+LOGGED_UPLINK_CORRECTION = 1.1
+"""An uplink correction above it is logged."""
+UPLINK_CORRECTION_DECAY = 0.94
+"""Factor per interval on the correction of a loaded uplink without short delivery."""
+
+
+STATE_TRANSITIONS = {
+    PlaybackState.ARRIVED: {
+        PlaybackState.SETTING_UP,
+        PlaybackState.PLAYING,
+        PlaybackState.REJECTED,
+        PlaybackState.ABORTED,
+        PlaybackState.ENDED,
+    },
+    PlaybackState.SETTING_UP: {
+        PlaybackState.PLAYING,
+        PlaybackState.BETWEEN_TRIES,
+        PlaybackState.VIEWER_LEFT,
+        PlaybackState.ENDED,
+    },
+    PlaybackState.BETWEEN_TRIES: {PlaybackState.SETTING_UP, PlaybackState.REJECTED, PlaybackState.ABORTED},
+    PlaybackState.PLAYING: {PlaybackState.VIEWER_LEFT, PlaybackState.ENDED},
+    PlaybackState.VIEWER_LEFT: {PlaybackState.ENDED},
 }
-HOLDS = {State.SETTING_UP, State.PLAYING, State.CLOSED}
+"""Allowed transitions of a playback's state; states without an entry are final."""
+SEAT_HOLDING_STATES = {PlaybackState.SETTING_UP, PlaybackState.PLAYING, PlaybackState.VIEWER_LEFT}
+"""States in which a playback holds a seat and adds to its node's load."""
 
 
 class Controller:
-    """The decisions of one front end."""
-
-    def __init__(self, terms: Terms, seed: int, host: Host, now: int) -> None:
-        self.terms, self.host, self.rng = terms, host, Random(seed)
-        self.started, self.racks = now, [Rack() for _ in range(terms.racks)]
+    """Takes the decisions of one front end; its host calls the public methods, one at a time."""
+
+    def __init__(self, settings: DeploymentSettings, seed: int, host: Host, now: int) -> None:
+        """Starts at `now`: subscribes to the node list where the settings require it, and sets the first timer."""
+        self.settings = settings
+        self.host = host
+        self.rng = Random(seed)
+        self.started_at = now
+        self.interval_ends_at = now + SAMPLE_INTERVAL_NS
+        # Node list.
+        self.racks = [Rack() for _ in range(settings.rack_count)]
         self.nodes: dict[Node, None] = {}
-        self.version, self.asked_at, self.following = 0, now, False
-        self.wakes = now + INTERVAL  # when the running interval ends
-        self.t2, self.t3, self.x, self.err, self.predicted = T2, T3, 0.0, 1.0, 0.0
-        self.usual = USUAL  # load of a link that tells nothing: the mean of those that do
-        self.any_told = False  # `usual` is such a mean, not yet `_untold`
-        self.due = terms.reports_every + terms.seen_after + TOO_OLD  # age of a report that is still fresh
-        self.blind, self.mean_rung = 0.0, self._middle()  # how few nodes tell; of own playbacks
-        self.held, self.links = 0.0, 1.0  # kB a second of own playbacks, and of all links
-        self.held_then = deque([(now, 0.0)], maxlen=12)  # at the ends of intervals
-        self.mode, self.asked = "open", Fading()  # and requests of late
-        self.taken, self.further = deque[int](), deque[int]()
-        if terms.must_follow:
-            host.follow()
-        host.alarm(self.wakes)
-
-    # The list of playout nodes.
-
-    def listed(self, kind: ListKind, entries: Iterable[Entry], now: int) -> None:
-        """Takes in the list, or its changes."""
-        self.following = kind in (ListKind.CHANGES, ListKind.WHOLE)
-        if kind is ListKind.FAILED:
-            return  # `alarm` asks again
-        missing = dict(self.nodes) if kind is not ListKind.CHANGES else {}
-        for e in entries:
-            node = e.node
-            missing.pop(node, None)
-            # A list that comes late, or whose clock is ahead, may neither warm a node up nor keep it cold
-            # for ever.
-            started_at = min(e.started_at, now)
-            if started_at > node.started_at:  # a new process: nothing known of the old one holds
-                node.distrust.clear()
-                # Empty; but if each of many fronts knew of no emptier one, all would go there.
-                node.heard, node.reported, node.reported_at = self.rng.random() >= self.blind, 0.0, now
-                node.handed_over = False
-            node.listing, node.started_at = e.listing, max(node.started_at, started_at)
-            node.link, node.places = max(1.0, e.link), e.places
-            node.level = self._level(node)
-            node.rack = self.racks[node.cell % self.terms.racks]
-            self.nodes[node] = None
+        self.list_version = 0  # counts the lists and changes taken over
+        self.subscribed_at = now  # time of the last request to subscribe
+        self.is_subscribed = False
+        self.total_link_capacity = 1.0
+        # Cluster load and thresholds.
+        self.t2 = T2
+        self.t3 = T3
+        self.x = 0.0
+        self.prediction_error = 1.0
+        self.predicted_load = 0.0
+        self.mode = "open"
+        # Load of links without reports.
+        self.assumed_load = DEFAULT_ASSUMED_LOAD  # the mean of the links with reports, once there are any
+        self.assumed_load_is_measured = False
+        self.max_report_age_ns = settings.report_interval_ns + settings.report_delay_ns + REPORT_TOLERANCE_NS
+        self.unreported_weight = 0.0  # near 0 if most nodes report their load, near 1 if most do not
+        # Own playbacks and requests.
+        self.mean_rung = self._middle_rung()
+        self.held_rate = 0.0
+        self.held_rate_history = deque([(now, 0.0)], maxlen=HELD_RATE_HISTORY_LENGTH)
+        self.recent_requests = DecayingSum()
+        self.request_times = deque[int]()
+        self.retry_times = deque[int]()
+        if settings.must_subscribe:
+            host.subscribe_to_nodes()
+        host.set_timer(self.interval_ends_at)
+
+    # Node list.
+
+    def on_node_list(self, kind: NodeListKind, entries: Iterable[NodeEntry], now: int) -> None:
+        """Takes over the node list, or changes of it."""
+        self.is_subscribed = kind in (NodeListKind.CHANGES, NodeListKind.WHOLE)
+        if kind is NodeListKind.FAILED:
+            return  # `on_timer` subscribes again
+        missing = dict(self.nodes) if kind is not NodeListKind.CHANGES else {}
+        for entry in entries:
+            missing.pop(entry.node, None)
+            self._apply_entry(entry, now)
         for node in missing:
-            node.listing = Listing.GONE
-        self.nodes = {n: None for n in self.nodes if n.listing is not Listing.GONE}
-        for i, rack in enumerate(self.racks):
-            rack.nodes = [n for n in self.nodes if n.cell % self.terms.racks == i]
-        self.version += 1
-        self.links = max(1.0, sum(n.link for n in self.nodes))
-        if not self.any_told:
-            self.usual = self._untold()
+            node.status = NodeStatus.GONE
+        self.nodes = {n: None for n in self.nodes if n.status is not NodeStatus.GONE}
+        for index, rack in enumerate(self.racks):
+            rack.nodes = [n for n in self.nodes if n.cell % self.settings.rack_count == index]
+        self.list_version += 1
+        self.total_link_capacity = max(1.0, sum(n.link_capacity for n in self.nodes))
+        if not self.assumed_load_is_measured:
+            self.assumed_load = self._initial_assumed_load()
             for node in self.nodes:
-                node.level = self._level(node)
-        self._carry()
+                node.estimated_load = self._estimate_link_load(node)
+        self._update_carried_rates()
+
+    def _apply_entry(self, entry: NodeEntry, now: int) -> None:
+        """Takes over one entry of the node list."""
+        node = entry.node
+        # The start time never goes back, so that a late list can't make a node warm, and is never in the future, so
+        # that a clock ahead of ours can't keep it cold for ever.
+        started_at = min(entry.started_at, now)
+        if started_at > node.started_at:  # a new process: what is known of the old one is void
+            node.failure_score.clear()
+            # It is empty. Where most nodes report nothing, all front ends would choose it for that, so only some of
+            # them take its load as known.
+            node.load_known = self.rng.random() >= self.unreported_weight
+            node.reported_load = 0.0
+            node.load_reported_at = now
+            node.has_handed_over_playback = False
+        node.status = entry.status
+        node.started_at = max(node.started_at, started_at)
+        node.link_capacity = max(1.0, entry.link_capacity)
+        node.playback_capacity = entry.playback_capacity
+        node.estimated_load = self._estimate_link_load(node)
+        node.rack = self.racks[node.cell % self.settings.rack_count]
+        self.nodes[node] = None
 
     def _holders(self, title: Title) -> list[Node]:
-        """The nodes that hold a title, in the hash order that all fronts share."""
-        if title.known != self.version:
-            cells = self.terms.cells
+        """Nodes that hold a title, in a hash order that is the same on all front ends."""
+        if title.holders_version != self.list_version:
+            cells = self.settings.cell_count
             copies = title.copies if 0 < title.copies < cells else cells
-            held = [n for n in self.nodes if (n.cell - title.home) % cells < copies]
-            if (named := title.named) is not None:
-                held = [n for n in self.nodes if n.name.partition("+")[0] in named]
-            held.sort(key=lambda n: digest(f"{title.name}\0{n.name}"))
-            title.holders, title.known = held, self.version
+            holders = [n for n in self.nodes if (n.cell - title.home_cell) % cells < copies]
+            if (names := title.holder_names) is not None:
+                holders = [n for n in self.nodes if n.name.partition("+")[0] in names]
+            holders.sort(key=lambda n: stable_hash(f"{title.name}\0{n.name}"))
+            title.holders = holders
+            title.holders_version = self.list_version
         return title.holders
 
     # Load.
 
-    def _rate(self, pb: Playback, rung: int) -> float:
-        rates = pb.title.rates or self.terms.rates
-        return rates[min(rung, len(rates) - 1)] * pb.plan.rate_factor
-
-    def _adds(self, pb: Playback, node: Node, rung: int) -> float:
-        """What a set-up would add here: less where it joins a stream that runs."""
-        same = ((other.title, other.plan, other.rung) for other in node.playbacks)
-        joins = pb.plan.shares_stream and (pb.title, pb.plan, rung) in same
-        return self._rate(pb, rung) * (self.terms.join_adds if joins else 1.0)
-
-    def _level(self, node: Node) -> float:
-        """Asked of the link over what it gives: the last report and own changes since."""
-        if not node.heard:
-            own = sum(self._rate(pb, pb.rung) for pb in node.playbacks)
-            # One playback of many fronts' says little of what the others have there.
-            over = own * self.terms.fronts / node.link - self.usual
-            return self.usual + over / (1 + self.terms.fronts / LIKE)
-        since = sum(kb for at, kb in node.own if at > node.reported_at) / node.link
-        return max(0.0, node.reported + since + self._unseen(node.reported_at))
-
-    def _untold(self) -> float:
-        """The load of links of which none has told: usual for whichever is tighter, link or uplink. Guards against
-        racks that look full on a guess alone, where all of a rack's links give more than its uplink. Harm: a fleet
-        that is full is learnt from short notes only."""
-        through = self.terms.uplink * self.terms.racks / self.links if self.terms.uplink > 0 else 1.0
-        return USUAL * min(1.0, through)
-
-    def _unseen(self, at: int) -> float:
-        """What the other fronts have added to a link since then, as this front's set-ups and losses tell.
-
-        Guards against crowds that come between two reports, and against remembering links as full that a
-        loss has emptied; covers any swing that all fronts see. Harm: viewers that change fronts count as new.
+    def _playback_rate(self, playback: Playback, rung: int) -> float:
+        """Rate of a playback at a rung, in kB/s."""
+        rates = playback.title.rung_rates or self.settings.rung_rates
+        return rates[min(rung, len(rates) - 1)] * playback.plan.rate_factor
+
+    def _added_rate(self, playback: Playback, node: Node, rung: int) -> float:
+        """Rate that a set-up would add to a node, in kB/s; smaller where it joins a running stream."""
+        running = ((other.title, other.plan, other.rung) for other in node.playbacks)
+        joins = playback.plan.shares_stream and (playback.title, playback.plan, rung) in running
+        return self._playback_rate(playback, rung) * (self.settings.join_rate_share if joins else 1.0)
+
+    def _estimate_link_load(self, node: Node) -> float:
+        """Demand on the link over its capacity, from the last report and own changes since then."""
+        if not node.load_known:
+            own_rate = sum(self._playback_rate(playback, playback.rung) for playback in node.playbacks)
+            # One front end of many sees too little of a node: the more there are, the more the assumed load counts.
+            excess = own_rate * self.settings.front_count / node.link_capacity - self.assumed_load
+            return self.assumed_load + excess / (1 + self.settings.front_count / MEAN_LOAD_WEIGHT_FRONTS)
+        reported_at = node.load_reported_at
+        own_change = sum(rate for at, rate in node.own_rate_changes if at > reported_at) / node.link_capacity
+        return max(0.0, node.reported_load + own_change + self._unreported_load_of_peers(reported_at))
+
+    def _initial_assumed_load(self) -> float:
+        """Load to assume for links while none has reported.
+
+        Where the links of a rack exceed its uplink, the default load is taken for the uplink; otherwise racks would
+        look full on an assumption alone. Drawback: a full fleet shows only by reports of short delivery.
         """
-        then = next((kb for t, kb in reversed(self.held_then) if t <= at), self.held_then[0][1])
-        net, unit = self.held - then, self.terms.rates[len(self.terms.rates) // 2]
-        sure = abs(net) / (abs(net) + unit)  # one playback alone may be chance
-        return sure * net * (self.terms.fronts - 1) / self.links
+        if self.settings.uplink_capacity > 0:
+            uplink_capacity = self.settings.uplink_capacity * self.settings.rack_count
+            usable_share = uplink_capacity / self.total_link_capacity
+        else:
+            usable_share = 1.0
+        return DEFAULT_ASSUMED_LOAD * min(1.0, usable_share)
+
+    def _unreported_load_of_peers(self, since: int) -> float:
+        """Link load that the other front ends have added since `since`, extrapolated from this one's own change.
 
-    def _carry(self) -> None:
+        Covers crowds that arrive between two reports, and links that a loss has emptied while their last report
+        still says full: any change that all front ends see alike. Drawback: viewers that move from one front end to
+        another count as new.
+        """
+        history = self.held_rate_history
+        earlier_rate = next((rate for at, rate in reversed(history) if at <= since), history[0][1])
+        change = self.held_rate - earlier_rate
+        typical_rate = self.settings.rung_rates[len(self.settings.rung_rates) // 2]
+        confidence = abs(change) / (abs(change) + typical_rate)  # a single playback may be chance
+        return confidence * change * (self.settings.front_count - 1) / self.total_link_capacity
+
+    def _update_carried_rates(self) -> None:
+        """Recomputes the rate that the links of each rack carry."""
         for rack in self.racks:
-            rack.carried = sum(min(n.level, CROWDED) * n.link for n in rack.nodes)
-
-    def _load(self, node: Node, now: int, more: float = 0.0) -> float:
-        """The load that a playback on this node feels, with `more` kB a second added."""
-        crowd = self._unseen(self.held_then[-1][0])
-        load = node.level + more / node.link + crowd
-        if self.terms.uplink > 0:
-            load = max(load, (node.rack.carried + more) * node.rack.tight / self.terms.uplink + crowd)
+            rack.carried_rate = sum(
+                min(n.estimated_load, MAX_CARRIED_LOAD) * n.link_capacity for n in rack.nodes
+            )
+
+    def _effective_load(self, node: Node, now: int, added_rate: float = 0.0) -> float:
+        """Load that affects a playback on this node, link or uplink, with `added_rate` kB/s on top."""
+        peer_load = self._unreported_load_of_peers(self.held_rate_history[-1][0])
+        load = node.estimated_load + added_rate / node.link_capacity + peer_load
+        if self.settings.uplink_capacity > 0:
+            uplink_rate = (node.rack.carried_rate + added_rate) * node.rack.uplink_correction
+            load = max(load, uplink_rate / self.settings.uplink_capacity + peer_load)
         return load
 
-    def _shift(self, node: Node, kb: float, now: int) -> None:
-        """A change of what a node carries that no report has told of yet."""
-        node.own.append((now, kb))
-        while node.own[0][0] < now - 8 * SECOND:
-            node.own.popleft()
-        node.level = max(0.0, node.level + kb / node.link)
-        node.rack.carried += kb
-
-    def _report(self, node: Node, value: float, age: int, now: int, inferred: bool = False) -> None:
-        """A report of what is asked of a link, as it was `age` ago; `inferred`: from what its node did, not told."""
-        if now - age < node.reported_at and not node.told:
+    def _add_own_rate_change(self, node: Node, rate_change: float, now: int) -> None:
+        """Records a change of what a node carries, in kB/s, that no report covers yet."""
+        node.own_rate_changes.append((now, rate_change))
+        while node.own_rate_changes[0][0] < now - OWN_CHANGES_KEPT_NS:
+            node.own_rate_changes.popleft()
+        node.estimated_load = max(0.0, node.estimated_load + rate_change / node.link_capacity)
+        node.rack.carried_rate += rate_change
+
+    def _record_link_load(
+        self, node: Node, link_load: float, report_age_ns: int, now: int, is_inferred: bool = False
+    ) -> None:
+        """Records the load of a link as of `report_age_ns` ago.
+
+        With `is_inferred` the node did not report it: it follows from a refusal or from short delivery.
+        """
+        if now - report_age_ns < node.load_reported_at and not node.load_from_peer:
             return
-        old = node.level
-        node.heard, node.reported, node.reported_at, node.told = True, value, now - age, False
-        node.reports |= not inferred
-        node.level = self._level(node)
-        node.rack.carried += (min(node.level, CROWDED) - min(old, CROWDED)) * node.link
-
-    def told(self, node: Node, asked: float, age: int, now: int) -> None:
-        """What another front heard of a link, `age` ago. It is taken where this front's own traffic tells nothing of the
-        link any more, and whatever that tells next replaces it."""
-        own = node.heard and not node.told and now - node.reported_at <= self.terms.reports_every + TOO_OLD
-        if not own and now - age > (node.reported_at if node.heard else 0):
-            self._report(node, asked, age, now)
-            node.told = True
-
-    def _uplink_report(self, rack: Rack, value: float) -> None:
-        if rack.carried > 0 and self.terms.uplink > 0:
-            rack.tight = min(TIGHTEST, max(LOOSEST, value * self.terms.uplink / rack.carried))
-
-    def noted(self, pb: Playback, kind: Note, value: float, now: int) -> None:
-        """News on one playback, which mostly speaks of its node. On one that holds no place there it comes
-        too late, or too early, to be believed."""
-        node = pb.node
-        if node is None or pb.state not in HOLDS:
+        earlier_load = node.estimated_load
+        node.load_known = True
+        node.reported_load = link_load
+        node.load_reported_at = now - report_age_ns
+        node.load_from_peer = False
+        node.has_reported_load |= not is_inferred
+        node.estimated_load = self._estimate_link_load(node)
+        change = min(node.estimated_load, MAX_CARRIED_LOAD) - min(earlier_load, MAX_CARRIED_LOAD)
+        node.rack.carried_rate += change * node.link_capacity
+
+    def on_peer_load(self, node: Node, link_load: float, report_age_ns: int, now: int) -> None:
+        """Takes over the load of a link that another front end heard `report_age_ns` ago.
+
+        It counts only where this front end's own traffic brings no reports of the link any more, and the next own
+        report replaces it.
+        """
+        max_age_ns = self.settings.report_interval_ns + REPORT_TOLERANCE_NS
+        has_own_report = (
+            node.load_known and not node.load_from_peer and now - node.load_reported_at <= max_age_ns
+        )
+        if not has_own_report and now - report_age_ns > (node.load_reported_at if node.load_known else 0):
+            self._record_link_load(node, link_load, report_age_ns, now)
+            node.load_from_peer = True
+
+    def _record_uplink_load(self, rack: Rack, uplink_load: float) -> None:
+        """Sets the uplink correction so that the estimated load of the uplink equals the reported one."""
+        if rack.carried_rate > 0 and self.settings.uplink_capacity > 0:
+            correction = uplink_load * self.settings.uplink_capacity / rack.carried_rate
+            rack.uplink_correction = min(MAX_UPLINK_CORRECTION, max(MIN_UPLINK_CORRECTION, correction))
+
+    def on_metric(self, playback: Playback, metric: PlaybackMetric, value: float, now: int) -> None:
+        """Takes over a reported value about one playback, most of which describe its node.
+
+        Ignored where the playback holds no place on a node: the report is late or early and can't be trusted.
+        """
+        node = playback.node
+        if node is None or playback.state not in SEAT_HOLDING_STATES:
             return
-        if kind is Note.RUNG:
-            self._shift(node, self._rate(pb, int(value)) - self._rate(pb, pb.rung), now)
-            pb.rung = int(value)
-        elif kind is Note.LINK_ASKED:
-            self._report(node, value, 0 if pb.fresh else self.terms.seen_after, now)
-            pb.fresh = False
-        elif kind is Note.UPLINK_ASKED:
-            self._uplink_report(node.rack, value)
-        elif kind is Note.DELIVERED:
-            if value < DEAD:
-                node.distrust.add(1.0, now, DISTRUST_HALF)  # not a full link, but one that gives nothing
-                return
-            node.short, node.short_at = value, now if value < SHORT else node.short_at - NOTED
-            alone = self._squeeze(node, now)
-            if value < SHORT and alone and 1 / max(value, 0.2) > node.level + 0.05:
-                self._report(node, 1 / max(value, 0.2), self.terms.seen_after, now, inferred=True)
-
-    def _squeeze(self, node: Node, now: int) -> bool:
-        """Whether short delivery is the node's own. An uplink gives all its nodes the same share at most, so
-        the best-off node tells how far past it is; a lone node goes by whether its link's load explains it.
-
-        Guards against uplinks that give less than their mean, which no report tells; covers any bottleneck
-        behind several nodes. Harm: a rack whose links are all too full looks tight until that relaxes.
+        if metric is PlaybackMetric.RUNG:
+            new_rate = self._playback_rate(playback, int(value))
+            self._add_own_rate_change(node, new_rate - self._playback_rate(playback, playback.rung), now)
+            playback.rung = int(value)
+        elif metric is PlaybackMetric.LINK_LOAD:
+            report_age_ns = 0 if playback.next_link_load_is_current else self.settings.report_delay_ns
+            self._record_link_load(node, value, report_age_ns, now)
+            playback.next_link_load_is_current = False
+        elif metric is PlaybackMetric.UPLINK_LOAD:
+            self._record_uplink_load(node.rack, value)
+        elif metric is PlaybackMetric.DELIVERED_SHARE:
+            self._record_delivered_share(node, value, now)
+
+    def _record_delivered_share(self, node: Node, share: float, now: int) -> None:
+        """Records what share of its playbacks' streams a node delivers, and the loads that follow from it."""
+        if share < STALLED_DELIVERY_SHARE:
+            # A full link still delivers some of it; this node has stopped.
+            node.failure_score.add(FAILED_TRY_SCORE, now, FAILURE_SCORE_HALF_LIFE_NS)
+            return
+        is_short = share < SHORT_DELIVERY_SHARE
+        node.delivered_share = share
+        node.short_delivery_at = now if is_short else node.short_delivery_at - SHORT_DELIVERY_VALID_NS
+        is_short_by_link = self._is_short_by_own_link(node, now)
+        inferred_load = 1 / max(share, STALLED_DELIVERY_SHARE)
+        if is_short and is_short_by_link and inferred_load > node.estimated_load + INFERRED_LOAD_MARGIN:
+            self._record_link_load(node, inferred_load, self.settings.report_delay_ns, now, is_inferred=True)
+
+    def _is_short_by_own_link(self, node: Node, now: int) -> bool:
+        """Whether the node's own link causes its short delivery; if not, raises the rack's uplink correction.
+
+        An uplink limits all its nodes to the same share, so the node with the best share shows how far the uplink is
+        overloaded. A node without neighbours is judged by whether the load of its link explains the short delivery.
+        Covers uplinks with less than the mean capacity, which no load report shows, and any other bottleneck that
+        several nodes share. Drawback: a rack whose links are all overloaded looks like an overloaded uplink until the
+        correction has decayed.
         """
         rack = node.rack
-        shares = [n.short if now - n.short_at < NOTED else 1.0 for n in rack.nodes if n.playbacks]
-        carried = max(rack.carried, *rack.lately)  # the note is late: it tells of what was carried then
-        explained = len(shares) < 2 and 1 / max(shares) < max([node.level, *node.samples[-3:]]) + 0.1
-        if explained or max(shares) >= SHORT or carried <= 0 or self.terms.uplink <= 0:
+        shares = [
+            n.delivered_share if now - n.short_delivery_at < SHORT_DELIVERY_VALID_NS else 1.0
+            for n in rack.nodes
+            if n.playbacks
+        ]
+        best_share = max(shares)
+        # The report is late and describes an earlier moment.
+        carried_rate = max(rack.carried_rate, *rack.recent_carried_rates)
+        link_load = max([node.estimated_load, *node.load_samples[-RECENT_SAMPLES:]])
+        is_explained = (
+            len(shares) < MIN_NODES_TO_COMPARE and 1 / best_share < link_load + EXPLAINED_LOAD_MARGIN
+        )
+        has_uplink_load = carried_rate > 0 and self.settings.uplink_capacity > 0
+        if is_explained or best_share >= SHORT_DELIVERY_SHARE or not has_uplink_load:
             return True
-        rack.tight = min(TIGHTEST, max(rack.tight, self.terms.uplink / max(shares) / carried))
+        correction = self.settings.uplink_capacity / best_share / carried_rate
+        rack.uplink_correction = min(MAX_UPLINK_CORRECTION, max(rack.uplink_correction, correction))
         return False
 
-    # The design's interval.
+    # Sample interval.
+
+    def on_timer(self, now: int) -> None:
+        """Ends the sample interval and sets the timer for the next one.
 
-    def alarm(self, now: int) -> None:
-        """The interval is over. One that comes twice would run two chains of intervals from then on."""
-        if now < self.wakes - MS:
+        A timer that fires too early or twice is ignored: it would start a second chain of intervals.
+        """
+        if now < self.interval_ends_at - MS:
             return
-        self.wakes = now + INTERVAL
-        self._interval(now)
-        due = now - self.asked_at >= self.terms.ask_within // 2
-        if self.terms.must_follow and due and not self.following:
-            self.asked_at = now
-            self.host.follow()
-        self.host.alarm(self.wakes)
-
-    def _interval(self, now: int) -> None:
-        listed = [n for n in self.nodes if n.listing is Listing.READY]
-        if not listed:
+        self.interval_ends_at = now + SAMPLE_INTERVAL_NS
+        self._end_interval(now)
+        is_due = now - self.subscribed_at >= self.settings.subscribe_within_ns // 2
+        if self.settings.must_subscribe and is_due and not self.is_subscribed:
+            self.subscribed_at = now
+            self.host.subscribe_to_nodes()
+        self.host.set_timer(self.interval_ends_at)
+
+    def _end_interval(self, now: int) -> None:
+        """Samples the loads, updates x and the thresholds, and steps rungs."""
+        ready = [n for n in self.nodes if n.status is NodeStatus.READY]
+        if not ready:
             return
-        # A node that answers nothing carries no load: counted as full it would shut the door to the others.
-        ready = [n for n in listed if self._sound(n, now)] or listed
-        self._log_health(listed, now)
-        fresh = [n for n in ready if n.heard and now - n.reported_at <= self.due]
-        # Guards against taking the few links that are found full, and no others, for all, where nodes report
-        # nothing. Harm: a fleet that is full all over is learnt there node by node.
-        if not any(n.reports for n in fresh):
-            fresh = []
-        silent = 1 - len(fresh) / len(ready)  # few silent nodes are no reason to stray, many are
-        self.blind = silent**3 / (silent**3 + (1 - silent) ** 3)
-        if fresh:
-            self.usual, self.any_told = sum(n.level for n in fresh) / len(fresh), True
-        if now - self.started <= UNHEARD:
-            self.held_then.clear()
-        self.held_then.append((now, self.held))
+        # A node that does not answer carries no load; counted as full, it would cause rejections elsewhere.
+        healthy = [n for n in ready if self._is_healthy(n, now)] or ready
+        self._log_health(ready, now)
+        reporting = self._reporting_nodes(healthy, now)
+        self._update_assumed_load(reporting, healthy)
+        self._refresh_estimates(now)
+        sampled = reporting or healthy
+        self._sample_loads(sampled, now)
+        self._relax_uplink_corrections(now)
+        self._update_x(sampled, has_reports=bool(reporting))
+        self._move_thresholds()
+        self._adjust_rungs(healthy, now)
+
+    def _reporting_nodes(self, nodes: list[Node], now: int) -> list[Node]:
+        """Nodes with a fresh load report, or none where all known loads are inferred."""
+        fresh = [n for n in nodes if n.load_known and now - n.load_reported_at <= self.max_report_age_ns]
+        # Where no node reports its load, the only known loads are those of links found full, which must not stand
+        # for all others. Drawback: that the whole fleet is full is learnt there node by node.
+        return fresh if any(n.has_reported_load for n in fresh) else []
+
+    def _update_assumed_load(self, reporting: list[Node], nodes: list[Node]) -> None:
+        """Updates the weight of missing reports, and the load assumed for links without one."""
+        silent_share = 1 - len(reporting) / len(nodes)
+        # Near 0 if few nodes are without reports, near 1 if many are.
+        self.unreported_weight = silent_share**3 / (silent_share**3 + (1 - silent_share) ** 3)
+        if reporting:
+            self.assumed_load = sum(n.estimated_load for n in reporting) / len(reporting)
+            self.assumed_load_is_measured = True
+
+    def _refresh_estimates(self, now: int) -> None:
+        """Records the rate of own playbacks and estimates the loads of all nodes and racks anew."""
+        if now - self.started_at <= UPTIME_UNKNOWN_NS:
+            self.held_rate_history.clear()
+        self.held_rate_history.append((now, self.held_rate))
         for node in self.nodes:
-            if now - node.reported_at > self.due:  # nobody tells of it any more
-                node.heard, node.samples = False, []
-            node.level = self._level(node)
-        self._carry()
-        telling = fresh or ready
-        for node in telling:
-            node.samples = [*node.samples[1 - WINDOW :], min(FULL, self._load(node, now))]
-            node.forecast = forecast(node.samples)
+            if now - node.load_reported_at > self.max_report_age_ns:  # its reports have stopped
+                node.load_known = False
+                node.load_samples = []
+            node.estimated_load = self._estimate_link_load(node)
+        self._update_carried_rates()
+
+    def _sample_loads(self, nodes: list[Node], now: int) -> None:
+        """Adds a load sample to each node and forecasts its load at the end of the next interval."""
+        for node in nodes:
+            sample = min(MAX_SAMPLED_LOAD, self._effective_load(node, now))
+            node.load_samples = [*node.load_samples[1 - FORECAST_SAMPLES :], sample]
+            node.load_forecast = forecast(node.load_samples)
+
+    def _relax_uplink_corrections(self, now: int) -> None:
+        """Lowers the correction of uplinks that look loaded although no node of the rack delivers too little."""
         for rack in self.racks:
-            rack.lately = [*rack.lately[-2:], rack.carried]
-            uplink = rack.carried * rack.tight / self.terms.uplink if self.terms.uplink > 0 else 0.0
-            if uplink > T1 and all(now - n.short_at > NOTED + INTERVAL for n in rack.nodes):
-                rack.tight = max(LOOSEST, rack.tight * (RELAX if uplink < 1 else 1 / uplink))
-        measured = cluster_load([n.samples[-1] for n in telling])
-        self.err = min(1.0, abs(self.predicted / measured - 1)) if fresh and measured > 0 else 1.0
-        self.predicted = cluster_load([n.forecast for n in telling])
-        self.x = blend(self.err, self.predicted, measured)
-        self._move_marks()
-        self._steps(ready, now)
-
-    def _log_health(self, listed: list[Node], now: int) -> None:
-        for node in listed:
-            if node.out == self._sound(node, now):
-                node.out = not node.out
-                why = f"distrust {node.distrust.read(now, DISTRUST_HALF):.1f}, {len(node.waiting)} unanswered"
-                self.host.log(f"node {node.name} {'out' if node.out else 'back'}: {why}")
-        for i, rack in enumerate(self.racks):
-            if rack.logged != (rack.tight > TIGHT):
-                rack.logged = not rack.logged
-                self.host.log(f"rack {i} {'tight' if rack.logged else 'eased'}: {rack.tight:.2f}")
-
-    def _move_marks(self) -> None:
-        if (x := self.x) < T1:
-            self.t2, self.t3 = T2, T3
+            rack.recent_carried_rates = [*rack.recent_carried_rates[1 - RECENT_SAMPLES :], rack.carried_rate]
+            uplink_load = 0.0
+            if self.settings.uplink_capacity > 0:
+                uplink_load = rack.carried_rate * rack.uplink_correction / self.settings.uplink_capacity
+            quiet_ns = SHORT_DELIVERY_VALID_NS + SAMPLE_INTERVAL_NS
+            if uplink_load > T1 and all(now - n.short_delivery_at > quiet_ns for n in rack.nodes):
+                factor = UPLINK_CORRECTION_DECAY if uplink_load < 1 else 1 / uplink_load
+                rack.uplink_correction = max(MIN_UPLINK_CORRECTION, rack.uplink_correction * factor)
+
+    def _update_x(self, sampled: list[Node], has_reports: bool) -> None:
+        """Blends measured and predicted cluster load into x and predicts the next cluster load."""
+        measured_load = cluster_load([n.load_samples[-1] for n in sampled])
+        if has_reports and measured_load > 0:
+            self.prediction_error = min(1.0, abs(self.predicted_load / measured_load - 1))
+        else:
+            self.prediction_error = 1.0
+        self.predicted_load = cluster_load([n.load_forecast for n in sampled])
+        self.x = blend_loads(self.prediction_error, self.predicted_load, measured_load)
+
+    def _log_health(self, nodes: list[Node], now: int) -> None:
+        """Logs nodes that became healthy or unhealthy, and racks whose uplink correction became high or normal."""
+        for node in nodes:
+            if node.logged_as_unhealthy == self._is_healthy(node, now):
+                node.logged_as_unhealthy = not node.logged_as_unhealthy
+                status = "out" if node.logged_as_unhealthy else "back"
+                score = node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS)
+                reason = f"distrust {score:.1f}, {len(node.pending_setups)} unanswered"
+                self.host.log(f"node {node.name} {status}: {reason}")
+        for index, rack in enumerate(self.racks):
+            if rack.logged_as_overloaded != (rack.uplink_correction > LOGGED_UPLINK_CORRECTION):
+                rack.logged_as_overloaded = not rack.logged_as_overloaded
+                status = "tight" if rack.logged_as_overloaded else "eased"
+                self.host.log(f"rack {index} {status}: {rack.uplink_correction:.2f}")
+
+    def _move_thresholds(self) -> None:
+        """Moves T2 and T3 towards T1 while x exceeds them, resets them under T1, and logs a change of mode."""
+        x = self.x
+        if x < T1:
+            self.t2 = T2
+            self.t3 = T3
         if x > self.t2:
-            self.t2 -= min(x - self.t2, MOVE * (self.t2 - T1))
+            self.t2 -= min(x - self.t2, MAX_THRESHOLD_MOVE * (self.t2 - T1))
         if x > self.t3:
-            self.t3 -= min(x - self.t3, MOVE * (self.t3 - T1))
+            self.t3 -= min(x - self.t3, MAX_THRESHOLD_MOVE * (self.t3 - T1))
         mode = "open" if x <= T1 else "band" if x <= self.t2 else "closed"
         mode += ", stepping down" if x > self.t3 else ""
         if mode != self.mode:
             self.mode = mode
-            self.host.log(f"mode {mode}: x={x:.2f} err={self.err:.2f} T2={self.t2:.2f} T3={self.t3:.2f}")
-
-    def _steps(self, ready: list[Node], now: int) -> None:
-        """Playing rungs go down past T3 and up under T1, at a bounded pace."""
-        rungs = [pb.rung for node in ready for pb in node.playbacks]
-        self.mean_rung = sum(rungs) / len(rungs) if rungs else self._middle()
-        for node in [n for n in ready if n.playbacks]:
-            playing = [pb for pb in node.playbacks if pb.state is State.PLAYING]
-            load = self._load(node, now)
-            mark = T1 if now - node.short_at < NOTED else self.t3  # short notes carry no noise
-            if load > mark:
-                p = step_down_probability(max(self.x, load), self.t3)
-                down = [pb for pb in playing if pb.rung > pb.plan.floor]
-                down.sort(key=lambda pb: self._worth_per_kb(pb, pb.rung - 1))
-                self._step(node, down, -1, (load - mark) * node.link, p, now)
-            elif self.x < T1 and load < UP_MARK:
-                even = self.mean_rung + 0.5
-                rested = [pb for pb in playing if now - pb.changed_at > REST]
-                up = [pb for pb in rested if pb.rung < pb.top and pb.rung <= even]
-                up.sort(key=lambda pb: -self._worth_per_kb(pb, pb.rung))
-                self._step(node, up, 1, (UP_MARK - load) * node.link, 1.0, now)
-
-    def _step(self, node: Node, some: list[Playback], way: int, gap: float, p: float, now: int) -> None:
-        """Closes a gap of kB a second that every front sees: the others are taken to step likewise, and each
-        takes its part by chance, or many that hold one playback each would overshoot together. Covers any
-        number of fronts. Harm: chance may leave a front alone on a link slower."""
-        own = sum(self._rate(pb, pb.rung) for pb in node.playbacks)
-        many = min(max(1.0, node.level * node.link / max(own, 1.0)), self.terms.fronts)
-        pace = (PACE if way > 0 else DOWN_PACE) * len(node.playbacks)
-        for pb in some:
-            kb = abs(self._rate(pb, pb.rung + way) - self._rate(pb, pb.rung))
-            part = min(1.0, pace, gap / max(1.0, kb * many))
-            if part <= 0:
+            thresholds = f"T2={self.t2:.2f} T3={self.t3:.2f}"
+            self.host.log(f"mode {mode}: x={x:.2f} err={self.prediction_error:.2f} {thresholds}")
+
+    def _adjust_rungs(self, nodes: list[Node], now: int) -> None:
+        """Steps the rungs of playing playbacks down past T3 and up under T1, a bounded share of them per interval."""
+        rungs = [playback.rung for node in nodes for playback in node.playbacks]
+        self.mean_rung = sum(rungs) / len(rungs) if rungs else self._middle_rung()
+        for node in [n for n in nodes if n.playbacks]:
+            playing = [p for p in node.playbacks if p.state is PlaybackState.PLAYING]
+            load = self._effective_load(node, now)
+            # Short delivery is reported without noise, so a lower load is enough.
+            is_short = now - node.short_delivery_at < SHORT_DELIVERY_VALID_NS
+            limit = T1 if is_short else self.t3
+            if load > limit:
+                probability = step_down_probability(max(self.x, load), self.t3)
+                candidates = [p for p in playing if p.rung > p.plan.floor]
+                candidates.sort(key=lambda p: self._revenue_per_kb(p, p.rung - 1))
+                rate_gap = (load - limit) * node.link_capacity
+                self._step_rungs(node, candidates, -1, rate_gap, probability, now)
+            elif self.x < T1 and load < UPPER_RUNG_LOAD_LIMIT:
+                max_rung = self.mean_rung + STEP_UP_RUNG_MARGIN
+                rested = [p for p in playing if now - p.rung_changed_at > STEP_UP_DELAY_NS]
+                candidates = [p for p in rested if p.rung < p.top_rung and p.rung <= max_rung]
+                candidates.sort(key=lambda p: -self._revenue_per_kb(p, p.rung))
+                rate_gap = (UPPER_RUNG_LOAD_LIMIT - load) * node.link_capacity
+                self._step_rungs(node, candidates, 1, rate_gap, 1.0, now)
+
+    def _step_rungs(
+        self,
+        node: Node,
+        candidates: list[Playback],
+        direction: int,
+        rate_gap: float,
+        probability: float,
+        now: int,
+    ) -> None:
+        """Steps playbacks of a node one rung in `direction`, to close a gap in kB/s that every front end sees.
+
+        The other front ends are assumed to step as well, and each takes its part at random: otherwise many front ends
+        with one playback each would overshoot together. Works for any number of front ends. Drawback: a front end
+        that is alone on a link may take longer.
+        """
+        own_rate = sum(self._playback_rate(playback, playback.rung) for playback in node.playbacks)
+        # Front ends that have playbacks on the node, as estimated from its load.
+        fronts = max(1.0, node.estimated_load * node.link_capacity / max(own_rate, 1.0))
+        fronts = min(fronts, self.settings.front_count)
+        max_share = MAX_STEP_UP_SHARE if direction > 0 else MAX_STEP_DOWN_SHARE
+        steps_left = max_share * len(node.playbacks)
+        for playback in candidates:
+            new_rung = playback.rung + direction
+            step_rate = abs(
+                self._playback_rate(playback, new_rung) - self._playback_rate(playback, playback.rung)
+            )
+            step_share = min(1.0, steps_left, rate_gap / max(1.0, step_rate * fronts))
+            if step_share <= 0:
                 break
-            gap, pace = gap - part * kb * many, pace - part
-            self._shift(node, way * kb * (many - 1) * part * p, now)
-            if self.rng.random() < part * p:
-                self._shift(node, way * kb, now)
-                pb.rung, pb.changed_at = pb.rung + way, now
-                self.host.set_rung(pb, pb.rung)
-
-    def _worth_per_kb(self, pb: Playback, low: int) -> float:
-        """Revenue that the step between a rung and the next is worth, for each kB a second."""
-        worth = pb.plan.revenue * (self.terms.rung_worth[low + 1] - self.terms.rung_worth[low])
-        return worth / max(1.0, self._rate(pb, low + 1) - self._rate(pb, low))
+            rate_gap -= step_share * step_rate * fronts
+            steps_left -= step_share
+            peer_change = direction * step_rate * (fronts - 1) * step_share * probability
+            self._add_own_rate_change(node, peer_change, now)
+            if self.rng.random() < step_share * probability:
+                self._add_own_rate_change(node, direction * step_rate, now)
+                playback.rung = new_rung
+                playback.rung_changed_at = now
+                self.host.set_rung(playback, playback.rung)
+
+    def _revenue_per_kb(self, playback: Playback, lower_rung: int) -> float:
+        """Revenue gained by the step from a rung to the next, per kB/s."""
+        shares = self.settings.rung_revenue_shares
+        revenue = playback.plan.revenue * (shares[lower_rung + 1] - shares[lower_rung])
+        higher_rate = self._playback_rate(playback, lower_rung + 1)
+        return revenue / max(1.0, higher_rate - self._playback_rate(playback, lower_rung))
 
     # Requests.
 
-    def arrived(self, pb: Playback, now: int) -> None:
-        """A request is refused in the band, or placed. One that is known is not taken again."""
-        if pb.state is not State.ARRIVED:
+    def on_request(self, playback: Playback, now: int) -> None:
+        """Handles a request: rejects it with the probability that holds in the band, else places it.
+
+        A request that was handled before is ignored.
+        """
+        if playback.state is not PlaybackState.ARRIVED:
             return
-        if now >= pb.abandon:  # nobody waits any more: nothing is set up
-            self._give_up(pb, now)
+        if now >= playback.abandon_at:  # the viewer has given up
+            self._give_up(playback, now)
             return
-        if pb.beside is not None and not self._may_try_again(pb, now):
-            self._give_up(pb, now)
+        if playback.copy_of is not None and not self._may_retry(playback, now):
+            self._give_up(playback, now)
             return
-        self._count(self.taken if pb.beside is None else self.further, now)  # a copy is a further try
-        self.asked.add(1.0, now, self.terms.fall_window)
-        if not pb.moved and self.rng.random() < refusal_probability(self.x, self.t2):
-            self._give_up(pb, now)
+        is_copy = playback.copy_of is not None
+        self._record_time(
+            self.retry_times if is_copy else self.request_times, now
+        )  # a copy counts as a retry
+        self.recent_requests.add(1.0, now, self.settings.overload_window_ns)
+        if not playback.comes_from_move and self.rng.random() < refusal_probability(self.x, self.t2):
+            self._give_up(playback, now)
         else:
-            self._place(pb, now)
-
-    def _place(self, pb: Playback, now: int) -> None:
-        """The less used of the first two holders with room, at the highest rung under the mark."""
-        plan = pb.plan
-        two, unsure = list[Node](), list[Node]()
-        if not plan.seats or pb.title.seats.get(plan, 0) < plan.seats:
-            for node in self._holders(pb.title):
-                low = self._adds(pb, node, plan.floor)
-                if self._may_try(pb, node, now) and self._load(node, now, low) <= MARK:
-                    # Guards against all fronts filling a title's first holders unseen: unless it tells of
-                    # less than usual, one is passed over with the share of nodes that tell nothing, near none
-                    # for few fronts. Harm: a title spreads over more holders than it needs.
-                    fresh = node.heard and self._load(node, now) < self.usual
-                    (two if fresh or self.rng.random() >= self.blind else unsure).append(node)
-                    if len(two) == 2:
-                        break
-        self.rng.shuffle(unsure)
-        two = [*two, *unsure][:2]
-        if two:
-            node = min(two, key=lambda n: (self._load(n, now), self.rng.random()))
-            self._send(pb, node, self._start_rung(pb, node, now), now)
+            self._place(playback, now)
+
+    def _place(self, playback: Playback, now: int) -> None:
+        """Sends a try to the less loaded of the first two holders with room, or gives the playback up."""
+        plan = playback.plan
+        candidates = list[Node]()
+        last_candidates = list[Node]()
+        if not plan.seats or playback.title.seats_taken.get(plan, 0) < plan.seats:
+            for node in self._holders(playback.title):
+                if not self._has_room(playback, node, now):
+                    continue
+                # Without load reports, all front ends would fill a title's first holders without noticing. So a holder
+                # comes last at random, with the weight of missing reports as probability (near 0 with few front ends),
+                # unless its known load is under the assumed one. Drawback: a title spreads over more holders than it
+                # needs.
+                is_lightly_loaded = node.load_known and self._effective_load(node, now) < self.assumed_load
+                comes_first = is_lightly_loaded or self.rng.random() >= self.unreported_weight
+                (candidates if comes_first else last_candidates).append(node)
+                if len(candidates) == HOLDERS_COMPARED:
+                    break
+        self.rng.shuffle(last_candidates)
+        candidates = [*candidates, *last_candidates][:HOLDERS_COMPARED]
+        if candidates:
+            node = min(candidates, key=lambda n: (self._effective_load(n, now), self.rng.random()))
+            self._send_try(playback, node, self._start_rung(playback, node, now), now)
         else:
-            self._give_up(pb, now)
-
-    def _middle(self) -> float:
-        """The rung taken for usual by a front that plays nothing. Guards against whole fleets that come back at the
-        ladder's foot, each for want of a playback to go by. Harm: with links full unheard, it starts too high."""
-        return float((len(self.terms.rates) - 1) // 2)
-
-    def _start_rung(self, pb: Playback, node: Node, now: int) -> int:
-        """The highest rung that keeps the link under its mark, which is lower for the ladder's upper half;
-        and at most one over what plays there, or on this front where few play there, or the first to come
-        would take what the next lack. Covers fronts that know no load yet. Harm: a lone viewer starts low."""
-        playing = [other.rung for other in node.playbacks]
-        mean = sum(playing) / len(playing) if len(playing) > 2 else self.mean_rung
-        most = max(pb.plan.floor, min(pb.top, round(mean) + 1))
-        rung = pb.plan.floor
-        while rung < most:
-            mark = MARK if rung < len(self.terms.rates) // 2 else UP_MARK
-            if self._load(node, now, self._adds(pb, node, rung + 1)) > mark:
+            self._give_up(playback, now)
+
+    def _has_room(self, playback: Playback, node: Node, now: int) -> bool:
+        """Whether a try on a node is allowed, and its load stays under the limit at the playback's floor."""
+        floor_rate = self._added_rate(playback, node, playback.plan.floor)
+        return (
+            self._may_try(playback, node, now)
+            and self._effective_load(node, now, floor_rate) <= LINK_LOAD_LIMIT
+        )
+
+    def _middle_rung(self) -> float:
+        """Mean rung assumed by a front end that plays nothing.
+
+        Otherwise a whole fleet that comes back would start at the bottom of the ladder, as no front end has a
+        playback to go by. Drawback: it starts too high where links are full and report nothing.
+        """
+        return float((len(self.settings.rung_rates) - 1) // 2)
+
+    def _start_rung(self, playback: Playback, node: Node, now: int) -> int:
+        """Highest rung that keeps the load under its limit, which is lower for the upper half of the ladder.
+
+        It is at most one above the mean of what plays on the node, or on this front end where few play on the node:
+        otherwise the first viewers would take what later ones lack. Also protects front ends that know no load yet.
+        Drawback: a lone viewer starts low.
+        """
+        rungs = [other.rung for other in node.playbacks]
+        mean_rung = sum(rungs) / len(rungs) if len(rungs) >= MIN_PLAYBACKS_FOR_MEAN_RUNG else self.mean_rung
+        max_rung = max(playback.plan.floor, min(playback.top_rung, round(mean_rung) + 1))
+        rung = playback.plan.floor
+        while rung < max_rung:
+            is_lower_half = rung < len(self.settings.rung_rates) // 2
+            limit = LINK_LOAD_LIMIT if is_lower_half else UPPER_RUNG_LOAD_LIMIT
+            if self._effective_load(node, now, self._added_rate(playback, node, rung + 1)) > limit:
                 break
             rung += 1
         return rung
 
-    def _send(self, pb: Playback, node: Node, rung: int, now: int) -> None:
-        if rung != pb.rung:
-            pb.rung = rung
-            self.host.set_rung(pb, rung)
-        if pb.tries:
-            self._count(self.further, now)
-        slot = self._slot(node, now)[0]
-        if slot != node.slot:
-            node.slot, node.slot_used = slot, 0
-        node.slot_used += 1
-        until = pb.abandon - 10 * MS
-        if pb.plan.effect is not Effect.PAID and len(pb.tries) + 1 < self.terms.most_tries:
-            until = min(until, now + int(pb.plan.startup_target * TRY_SHARE))
-        pb.tries.append((node, now))
-        self._change(pb, State.SETTING_UP, now, node)
-        self.host.send(pb, node, until)
-
-    def _may_try(self, pb: Playback, node: Node, now: int) -> bool:
-        """Whether the rules and this front's trust let a try go to this node now."""
-        if node.listing is not Listing.READY or any(n is node for n, _ in pb.tries):
+    def _send_try(self, playback: Playback, node: Node, rung: int, now: int) -> None:
+        """Sends a setup try to a node, with a time limit that leaves time for a retry where one may follow."""
+        if rung != playback.rung:
+            playback.rung = rung
+            self.host.set_rung(playback, rung)
+        if playback.tries:
+            self._record_time(self.retry_times, now)
+        slot = self._cold_slot(node, now)[0]
+        if slot != node.cold_slot:
+            node.cold_slot = slot
+            node.cold_slot_setups = 0
+        node.cold_slot_setups += 1
+        try_ends_at = playback.abandon_at - TRY_END_MARGIN_NS
+        if playback.plan.effect is not Effect.PAID and len(playback.tries) + 1 < self.settings.max_tries:
+            time_limit_ns = int(playback.plan.startup_target_ns * RETRYABLE_TRY_SHARE)
+            try_ends_at = min(try_ends_at, now + time_limit_ns)
+        playback.tries.append((node, now))
+        self._set_state(playback, PlaybackState.SETTING_UP, now, node)
+        self.host.send_setup(playback, node, try_ends_at)
+
+    def _may_try(self, playback: Playback, node: Node, now: int) -> bool:
+        """Whether the rules, the failure score and the cold pace allow a try on this node now."""
+        if node.status is not NodeStatus.READY or any(n is node for n, _ in playback.tries):
             return False
-        if pb.admits is not None and not pb.admits(node):
+        if playback.node_filter is not None and not playback.node_filter(node):
             return False
-        if not all(self._repeats_safely(pb, ran, at, node, now) for ran, at in pb.may_have_run):
+        if not all(
+            self._repeats_safely(playback, earlier_node, sent_at, node, now)
+            for earlier_node, sent_at in playback.may_have_run
+        ):
             return False
-        return self._trusted(pb, node, now) and self._warm_enough(pb, node, now)
-
-    def _trusted(self, pb: Playback, node: Node, now: int) -> bool:
-        """Guards against nodes that are dead, silent, hung or cut off, before any list says so; covers all
-        that leaves set-ups unanswered. A single free try goes where the score has faded half way, or few
-        nodes with one failure each would shut the door. Harm: slow answers idle a good node until that."""
-        if self._sound(node, now):
-            return True
-        faint = node.distrust.read(now, DISTRUST_HALF) < 2 * DISTRUSTED
-        return faint and not node.waiting and pb.plan.effect is Effect.FREE
+        return self._is_trusted(playback, node, now) and self._warm_enough(playback, node, now)
 
-    def _sound(self, node: Node, now: int) -> bool:
-        answers = all(now - at <= SILENT for at in node.waiting.values())
-        return answers and node.distrust.read(now, DISTRUST_HALF) < DISTRUSTED
+    def _is_trusted(self, playback: Playback, node: Node, now: int) -> bool:
+        """Whether the failures of a node allow a try.
 
-    def _age(self, node: Node, now: int) -> int:
-        """How long a node has surely been up; a fresh front can't tell unless handed a playback there."""
-        if now - self.started < UNHEARD and not node.handed_over:
+        Keeps set-ups off nodes that are dead, silent, hung or cut off before the node list says so, whatever leaves
+        set-ups unanswered. A single try of a free plan may go to a node whose score is under twice the limit; otherwise
+        a few nodes with one failure each would cause every request to be rejected. Drawback: a good node that answers
+        slowly is idle until its score has decayed.
+        """
+        if self._is_healthy(node, now):
+            return True
+        score = node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS)
+        return (
+            score < 2 * FAILURE_SCORE_LIMIT
+            and not node.pending_setups
+            and playback.plan.effect is Effect.FREE
+        )
+
+    def _is_healthy(self, node: Node, now: int) -> bool:
+        """Whether a node answers in time and its failure score is under the limit."""
+        answers = all(now - sent_at <= MAX_ANSWER_DELAY_NS for sent_at in node.pending_setups.values())
+        return answers and node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS) < FAILURE_SCORE_LIMIT
+
+    def _known_uptime_ns(self, node: Node, now: int) -> int:
+        """Time for which a node has certainly been up without a failure seen here.
+
+        Right after its own start a front end can't know it, except for nodes with a playback handed over to it.
+        """
+        if now - self.started_at < UPTIME_UNKNOWN_NS and not node.has_handed_over_playback:
             return 0
         return max(0, now - max(node.started_at, node.failed_at))
 
-    def _slot(self, node: Node, now: int) -> tuple[int, int]:
-        """The running slot of time, and how many set-ups it allows this front on a cold node."""
-        terms = self.terms
-        age = min(self._age(node, now), terms.cold_for)
-        share = terms.cold_share + (1 - terms.cold_share) * (age / max(1, terms.cold_for)) ** 2
-        pace = terms.fall_multiple * share * node.places / max(1, terms.cold_for)  # set-ups a ns
-        allowed = int(COLD_PART * pace * terms.fall_window)
+    def _cold_slot(self, node: Node, now: int) -> tuple[int, int]:
+        """Number of the running time slot, and the set-ups that all front ends together may send a cold node in it."""
+        settings = self.settings
+        cold_duration_ns = max(1, settings.cold_duration_ns)
+        uptime_ns = min(self._known_uptime_ns(node, now), settings.cold_duration_ns)
+        warmth = (uptime_ns / cold_duration_ns) ** 2
+        pace_share = settings.cold_pace_share + (1 - settings.cold_pace_share) * warmth
+        setups_per_ns = settings.overload_multiple * pace_share * node.playback_capacity / cold_duration_ns
+        allowed = int(COLD_SLOT_BUDGET_SHARE * setups_per_ns * settings.overload_window_ns)
         if allowed >= 1:
-            return now // terms.fall_window, allowed
-        length = int(2 * max(terms.fall_window, 1 / max(pace, 1e-15)))
-        return now // length, 1 if now % length < length // 2 else 0
-
-    def _warm_enough(self, pb: Playback, node: Node, now: int) -> bool:
-        """Guards against all fronts together pushing over a node that has just started: each sends only
-        in its own slots of time, shared with as many fronts as the budget holds set-ups and differing from
-        node to node, so that any window holds at most two slots. Covers nodes that this front saw fail, and
-        all right after its own start but those it was handed. Harm: a warm node that failed is paced too."""
-        if self._age(node, now) >= self.terms.cold_for:
+            return now // settings.overload_window_ns, allowed
+        slot_ns = int(2 * max(settings.overload_window_ns, 1 / max(setups_per_ns, MIN_SETUP_PACE)))
+        return now // slot_ns, 1 if now % slot_ns < slot_ns // 2 else 0
+
+    def _warm_enough(self, playback: Playback, node: Node, now: int) -> bool:
+        """Whether a node is warm, or the cold pace allows a try on it now.
+
+        Keeps all front ends together from overloading a node that has just started. Each sends only in its own time
+        slots. A slot is shared by as many front ends as the budget holds set-ups, and its front ends differ from node to
+        node; any overload window overlaps at most two slots. Applies to nodes that this front end saw fail as well, and
+        right after its own start to all nodes but those with a playback handed over to it. Drawback: a warm node that
+        failed is paced, too.
+        """
+        if self._known_uptime_ns(node, now) >= self.settings.cold_duration_ns:
             return True
-        slot, allowed = self._slot(node, now)
-        turns = -(-self.terms.fronts // allowed) if allowed else 0  # every so many slots it is this front's
-        if turns and not (slot + self.terms.front + digest(node.name)) % turns:
-            return (node.slot_used if slot == node.slot else 0) < max(1, allowed // self.terms.fronts)
-        # Seldom has the front in turn a request. Where the budget is large enough for chance to stay under
-        # it, others may send too: so many that all, as busy and asked for this title, make up half a part.
-        # After its start a front has seen but a share of what it is asked in such a time; its first is no rate.
-        seen = 1 - 0.5 ** max(1.0, (now - self.started) / self.terms.fall_window)
-        busy = self.asked.read(now, self.terms.fall_window) / seen
-        each = UNEVEN * busy / len(self._holders(pb.title))
-        return allowed >= FREELY and self.rng.random() * each * self.terms.fronts < allowed / 2
-
-    def _repeats_safely(self, pb: Playback, ran: Node, at: int, node: Node, now: int) -> bool:
-        plan = pb.plan
+        slot, allowed = self._cold_slot(node, now)
+        settings = self.settings
+        # One time slot in so many is this front end's.
+        slots_per_turn = -(-settings.front_count // allowed) if allowed else 0
+        if slots_per_turn and not (slot + settings.front_index + stable_hash(node.name)) % slots_per_turn:
+            setups = node.cold_slot_setups if slot == node.cold_slot else 0
+            return setups < max(1, allowed // settings.front_count)
+        # The front end whose slot it is seldom has a request. Where the budget is large enough for random set-ups to stay
+        # under it, the others may send as well, at a probability with which all of them, if as busy as this one and
+        # asked for this title, use half the slot's budget.
+        # Shortly after its start a front end has counted only part of its usual requests. The count is scaled up for
+        # that; a single first request is not yet a rate.
+        counted_share: float = 1 - 0.5 ** max(1.0, (now - self.started_at) / settings.overload_window_ns)
+        requests = self.recent_requests.read(now, settings.overload_window_ns) / counted_share
+        requests_per_holder = DEMAND_SKEW * requests / len(self._holders(playback.title))
+        if allowed < MIN_CHANCE_SETUPS:
+            return False
+        return self.rng.random() * requests_per_holder * settings.front_count < allowed / 2
+
+    def _repeats_safely(
+        self, playback: Playback, earlier_node: Node, earlier_sent_at: int, node: Node, now: int
+    ) -> bool:
+        """Whether a set-up may be repeated on `node` although one sent to another node may have run."""
+        plan = playback.plan
         if plan.effect is Effect.FREE:
             return True
-        if plan.effect is Effect.PAID or now - at >= plan.key_lasts:
+        if plan.effect is Effect.PAID or now - earlier_sent_at >= plan.key_ttl_ns:
             return False
-        same = {Group.ALL: True, Group.ZONE: node.zone == ran.zone, Group.CELL: node.cell == ran.cell}
-        return same[plan.group]
-
-    def _may_try_again(self, pb: Playback, now: int) -> bool:
-        terms = self.terms
-        if len(pb.tries) >= terms.most_tries or now >= pb.abandon - 20 * MS:
+        recognises_key = {
+            KeyScope.ALL: True,
+            KeyScope.ZONE: node.zone == earlier_node.zone,
+            KeyScope.CELL: node.cell == earlier_node.cell,
+        }
+        return recognises_key[plan.key_scope]
+
+    def _may_retry(self, playback: Playback, now: int) -> bool:
+        """Whether the number of tries, the viewer's abandon time and the retry budget allow another try."""
+        settings = self.settings
+        if len(playback.tries) >= settings.max_tries or now >= playback.abandon_at - RETRY_MARGIN_NS:
             return False
-        if terms.tries_free is None:
+        if settings.retry_budget_base is None:
             return True
-        while self.taken and self.taken[0] <= now - terms.tries_window:
-            self.taken.popleft()
-        while self.further and self.further[0] < now - terms.tries_window:
-            self.further.popleft()
-        return len(self.further) + 1 <= terms.tries_free + terms.tries_share * len(self.taken)
-
-    def _count(self, times: deque[int], now: int) -> None:
-        """One more in the budget's window, where there is a budget; what has left the window is dropped, or a
-        front whose tries seldom fail would keep them all."""
-        if self.terms.tries_free is not None:
+        window_start = now - settings.retry_budget_window_ns
+        while self.request_times and self.request_times[0] <= window_start:
+            self.request_times.popleft()
+        while self.retry_times and self.retry_times[0] < window_start:
+            self.retry_times.popleft()
+        allowed = settings.retry_budget_base + settings.retry_budget_share * len(self.request_times)
+        return len(self.retry_times) + 1 <= allowed
+
+    def _record_time(self, times: deque[int], now: int) -> None:
+        """Adds a time to the window of the retry budget, where there is a budget.
+
+        Drops what has left the window: a front end whose tries seldom fail would otherwise keep all times.
+        """
+        if self.settings.retry_budget_base is not None:
             times.append(now)
-            while times[0] < now - self.terms.tries_window:
+            while times[0] < now - self.settings.retry_budget_window_ns:
                 times.popleft()
 
-    def _give_up(self, pb: Playback, now: int) -> None:
-        """The final answer, at once: rejected where no rule forbids it, else aborted."""
-        plan = pb.plan
-        harmless = plan.effect is Effect.KEYED and plan.group is Group.ALL
-        if pb.may_have_run and plan.effect is not Effect.FREE and not harmless:
-            self._change(pb, State.ABORTED, now)
-            self.host.abort(pb)
+    def _give_up(self, playback: Playback, now: int) -> None:
+        """Gives the final answer: a rejection, or an abort where a set-up may have run that must not be repeated."""
+        plan = playback.plan
+        may_come_again = plan.effect is Effect.FREE or (
+            plan.effect is Effect.KEYED and plan.key_scope is KeyScope.ALL
+        )
+        if playback.may_have_run and not may_come_again:
+            self._set_state(playback, PlaybackState.ABORTED, now)
+            self.host.abort(playback)
         else:
-            self._change(pb, State.REJECTED, now)
-            self.host.reject(pb, min(self.terms.stay_away_most, INTERVAL))
+            self._set_state(playback, PlaybackState.REJECTED, now)
+            self.host.reject(playback, min(self.settings.max_retry_after_ns, SAMPLE_INTERVAL_NS))
 
-    # What becomes of them.
+    # Tries and playbacks.
 
-    def resumed(self, pb: Playback, node: Node, now: int) -> None:
-        """A playback handed over at the start; it plays already."""
-        if pb.state is not State.ARRIVED:
+    def on_handed_over(self, playback: Playback, node: Node, now: int) -> None:
+        """Takes over a playback that was handed over at the start and plays already."""
+        if playback.state is not PlaybackState.ARRIVED:
             return
-        pb.tries.append((node, now))
-        node.handed_over = True
-        self.held_then[0] = (now, self.held + self._rate(pb, pb.rung))
-        self._change(pb, State.PLAYING, now, node)
-
-    def recalled(self, further: Iterable[int], spent: Iterable[Node], now: int) -> None:
-        """What an earlier life of this front did: further tries to count, and nodes whose running slot is
-        used up."""
-        self.further.extend(further)
-        for node in spent:
-            node.slot, node.slot_used = self._slot(node, now)[0], SPENT
-
-    def playing(self, pb: Playback, now: int) -> None:
-        """The set-up is done. Heard twice, or after the end, it changes nothing."""
-        if pb.state is State.SETTING_UP:
-            pb.fresh = True
-            self._change(pb, State.PLAYING, now)
-
-    def tried(
-        self, pb: Playback, outcome: Outcome, closed: bool,
-        asked: float | None, used: float | None, uplink: float | None, now: int,
+        playback.tries.append((node, now))
+        node.has_handed_over_playback = True
+        self.held_rate_history[0] = (now, self.held_rate + self._playback_rate(playback, playback.rung))
+        self._set_state(playback, PlaybackState.PLAYING, now, node)
+
+    def on_history_restored(
+        self, retry_times: Iterable[int], nodes_with_spent_slot: Iterable[Node], now: int
+    ) -> None:
+        """Takes over what an earlier process of this front end did.
+
+        `retry_times` count in the retry budget; the running time slot of `nodes_with_spent_slot` is used up.
+        """
+        self.retry_times.extend(retry_times)
+        for node in nodes_with_spent_slot:
+            node.cold_slot = self._cold_slot(node, now)[0]
+            node.cold_slot_setups = SLOT_USED_UP
+
+    def on_playing(self, playback: Playback, now: int) -> None:
+        """Handles a successful set-up; ignored when repeated, or after the playback has ended."""
+        if playback.state is PlaybackState.SETTING_UP:
+            playback.next_link_load_is_current = True
+            self._set_state(playback, PlaybackState.PLAYING, now)
+
+    def on_try_ended(
+        self, playback: Playback, outcome: Outcome, is_closed: bool,
+        link_load: float | None, link_used: float | None, uplink_load: float | None, now: int,
     ) -> None:  # fmt: skip
-        """A setup try, or the playback that it started, is over. Where none is out and nothing plays, it
-        comes twice or too late."""
-        node, state = pb.node, pb.state
-        if node is None or state not in HOLDS:
+        """Handles the end of a setup try or of the playback that it started.
+
+        `is_closed` says that no more comes of the playback. `link_load` is the demand on the link over its capacity,
+        `link_used` the same capped at 1, `uplink_load` that of the rack's uplink. Ignored where no try is out and
+        nothing plays: the event is a duplicate or late.
+        """
+        node = playback.node
+        state = playback.state
+        if node is None or state not in SEAT_HOLDING_STATES:
+            return
+        if link_load is not None:
+            self._record_link_load(node, link_load, TRY_REPORT_AGE_NS, now)
+        elif link_used is not None and (link_used < CAPPED_LOAD_TOLERANCE or node.estimated_load < 1):
+            # Capped at 1, so it does not replace a higher known load.
+            self._record_link_load(node, link_used, TRY_REPORT_AGE_NS, now)
+        if uplink_load is not None:
+            self._record_uplink_load(node.rack, uplink_load)
+        self._record_outcome(playback, node, outcome, now)
+        if is_closed or state is not PlaybackState.SETTING_UP:
+            self._set_state(playback, PlaybackState.ENDED, now)
             return
-        if asked is not None:
-            self._report(node, asked, AGE, now)
-        elif used is not None and (used < 0.99 or node.level < 1):
-            self._report(node, used, AGE, now)  # it stops at 1: past that the notes tell
-        if uplink is not None:
-            self._uplink_report(node.rack, uplink)
-        proven = outcome in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+        if outcome not in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT):
+            playback.may_have_run.append(playback.tries[-1])
+        self._set_state(playback, PlaybackState.BETWEEN_TRIES, now)
+        if self._may_retry(playback, now):
+            self._place(playback, now)
+        else:
+            self._give_up(playback, now)
+
+    def _record_outcome(self, playback: Playback, node: Node, outcome: Outcome, now: int) -> None:
+        """Updates what is known of a node by the outcome of a try or playback on it."""
+        score = node.failure_score
         if outcome in (Outcome.NO_CONNECTION, Outcome.RESET, Outcome.LATE):
-            if outcome is not Outcome.LATE or node.distrust.read(now, DISTRUST_HALF) > 1:
+            if (
+                outcome is not Outcome.LATE
+                or score.read(now, FAILURE_SCORE_HALF_LIFE_NS) > RESTART_SUSPECT_SCORE
+            ):
                 node.failed_at = now
-            node.distrust.add(1.0, now, DISTRUST_HALF)
-        elif outcome is Outcome.ERROR and pb.title.played:
-            # Guards against requests for what does not exist, which cost good nodes their standing. Harm: a
-            # node that answers all with errors keeps it until it is asked for a title that has played.
-            node.distrust.add(0.4, now, DISTRUST_HALF)
+            score.add(FAILED_TRY_SCORE, now, FAILURE_SCORE_HALF_LIFE_NS)
+        elif outcome is Outcome.ERROR and playback.title.has_played:
+            # Only for titles that have played: requests for titles that don't exist would otherwise raise the score
+            # of good nodes. Drawback: a node that answers everything with errors is found only once it is asked for a
+            # title that has played.
+            score.add(ERROR_SCORE, now, FAILURE_SCORE_HALF_LIFE_NS)
         elif outcome is Outcome.FULL:
-            # All places are taken, though the link may have room.
-            self._report(node, max(node.level, T1), 0, now, inferred=True)
-        if closed or state is not State.SETTING_UP:
-            self._change(pb, State.ENDED, now)
+            # It holds as many playbacks as it can, even if its link has room.
+            self._record_link_load(node, max(node.estimated_load, T1), 0, now, is_inferred=True)
+
+    def on_viewer_left(self, playback: Playback, now: int) -> None:
+        """Handles the leaving of a viewer; the end of a try that is out is still reported."""
+        if playback.state in (PlaybackState.SETTING_UP, PlaybackState.PLAYING):
+            self._set_state(playback, PlaybackState.VIEWER_LEFT, now)
+        elif playback.state is PlaybackState.ARRIVED:
+            self._set_state(playback, PlaybackState.ENDED, now)
+
+    def is_over(self, playback: Playback) -> bool:
+        """Whether a playback is in a final state."""
+        return playback.state not in STATE_TRANSITIONS
+
+    def _set_state(
+        self, playback: Playback, state: PlaybackState, now: int, node: Node | None = None
+    ) -> None:
+        """Changes the state of a playback, and the seats and loads with it; nothing else does.
+
+        Raises ValueError for a transition that is not allowed.
+        """
+        if state not in STATE_TRANSITIONS.get(playback.state, ()):
+            raise ValueError(f"a playback cannot go from {playback.state.value} to {state.value}")
+        held_seat = playback.state in SEAT_HOLDING_STATES
+        playback.state = state
+        if node:
+            playback.node = node
+        current_node = playback.node
+        if current_node is None:
             return
-        if not proven:
-            pb.may_have_run.append(pb.tries[-1])
-        self._change(pb, State.BETWEEN, now)
-        if self._may_try_again(pb, now):
-            self._place(pb, now)
+        playback.title.has_played |= state is PlaybackState.PLAYING
+        if state is PlaybackState.SETTING_UP:
+            current_node.pending_setups[playback] = now
         else:
-            self._give_up(pb, now)
-
-    def left(self, pb: Playback, now: int) -> None:
-        """The viewer has gone; a try that is out still reports."""
-        if pb.state in (State.SETTING_UP, State.PLAYING):
-            self._change(pb, State.CLOSED, now)
-        elif pb.state is State.ARRIVED:
-            self._change(pb, State.ENDED, now)
-
-    def over(self, pb: Playback) -> bool:
-        """Whether nothing more can come for a playback."""
-        return pb.state not in NEXT
-
-    def _change(self, pb: Playback, state: State, now: int, node: Node | None = None) -> None:
-        """The one place where a playback changes state; seats and loads follow from it."""
-        if state not in NEXT.get(pb.state, ()):
-            raise ValueError(f"a playback cannot go from {pb.state.value} to {state.value}")
-        held, pb.state = pb.state in HOLDS, state
-        if node:
-            pb.node = node
-        at = pb.node
-        if at is None:
+            current_node.pending_setups.pop(playback, None)
+        if held_seat == (state in SEAT_HOLDING_STATES):
             return
-        pb.title.played |= state is State.PLAYING
-        if state is State.SETTING_UP:
-            at.waiting[pb] = now
+        sign = -1 if held_seat else 1
+        seats_taken = playback.title.seats_taken
+        seats_taken[playback.plan] = seats_taken.get(playback.plan, 0) + sign
+        if held_seat:
+            del current_node.playbacks[playback]
         else:
-            at.waiting.pop(pb, None)
-        if held != (state in HOLDS):
-            sign = -1 if held else 1
-            seats = pb.title.seats
-            seats[pb.plan] = seats.get(pb.plan, 0) + sign
-            if held:
-                del at.playbacks[pb]
-            else:
-                at.playbacks[pb] = None
-            self.held += sign * self._rate(pb, pb.rung)
-            self._shift(at, sign * self._rate(pb, pb.rung), now)
+            current_node.playbacks[playback] = None
+        rate_change = sign * self._playback_rate(playback, playback.rung)
+        self.held_rate += rate_change
+        self._add_own_rate_change(current_node, rate_change, now)
 
 
-# The design's formulas.
+# The paper's formulas.
 
 
-def digest(text: str) -> int:
-    """The same number on all fronts."""
+def stable_hash(text: str) -> int:
+    """64-bit hash of a text; the same on all front ends and in all processes."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def forecast(samples: Sequence[float]) -> float:
-    """The next value on the straight line fitted to equally spaced samples."""
-    n = len(samples)
-    mean = sum(samples) / n
-    if n < 2:
+    """Next value on the line fitted to equally spaced samples by least squares, at least 0."""
+    count = len(samples)
+    mean = sum(samples) / count
+    if count == 1:
         return mean
-    mid = (n - 1) / 2
-    slope = sum((i - mid) * s for i, s in enumerate(samples)) / sum((i - mid) ** 2 for i in range(n))
-    return max(0.0, mean + slope * (n - mid))
+    middle = (count - 1) / 2
+    covariance = sum((i - middle) * sample for i, sample in enumerate(samples))
+    variance = sum((i - middle) ** 2 for i in range(count))
+    slope = covariance / variance
+    return max(0.0, mean + slope * (count - middle))
 
 
 def cluster_load(loads: list[float]) -> float:
-    """l_c: alpha times the mean and 1 - alpha times the variance."""
+    """The paper's l_c: alpha times the mean plus 1 - alpha times the variance."""
     mean = sum(loads) / len(loads)
-    return ALPHA * mean + (1 - ALPHA) * sum((v - mean) ** 2 for v in loads) / len(loads)
+    return ALPHA * mean + (1 - ALPHA) * sum((load - mean) ** 2 for load in loads) / len(loads)
 
 
-def blend(err: float, predicted: float, measured: float) -> float:
-    """x: predicted as far as the last prediction held, else measured."""
-    return (1 - err) * predicted + err * measured
+def blend_loads(prediction_error: float, predicted: float, measured: float) -> float:
+    """The paper's x: the mean of measured and predicted load, weighted by the error of the last prediction."""
+    return (1 - prediction_error) * predicted + prediction_error * measured
 
 
-def refusal_probability(x: float, t2: float) -> float:
-    """Nothing under T1, everything past T2, rising between."""
-    if x <= T1:
+def refusal_probability(load: float, t2: float) -> float:
+    """Probability of a rejection: 0 up to T1, 1 from T2 on, linear in the band between them."""
+    if load <= T1:
         return 0.0
-    return 1.0 if x >= t2 else (x - T1) / (t2 - T1)
+    return 1.0 if load >= t2 else (load - T1) / (t2 - T1)
 
 
-def step_down_probability(x: float, t3: float) -> float:
-    """max(pu, 1 - pu), pu = 1 - |(x - T3) / (C - T3)|, within 0 and 1."""
-    pu = 1 - min(1.0, abs((x - t3) / (FULL - t3)))
+def step_down_probability(load: float, t3: float) -> float:
+    """The paper's max(pu, 1 - pu), where pu = 1 - |(x - T3) / (C - T3)|, kept within 0 and 1."""
+    pu = 1 - min(1.0, abs((load - t3) / (MAX_SAMPLED_LOAD - t3)))
     return max(pu, 1 - pu)
--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line interface."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 import trio
 
 from oakcroft.choice import Controller
-from oakcroft.commands.arguments import BROKEN, FAULTY, FILE
+from oakcroft.commands.arguments import EXIT_FAILURE, EXIT_INVALID_INPUT, EXISTING_FILE
 from oakcroft.commands.catalogue import catalogue
 from oakcroft.commands.configuration import config
 from oakcroft.commands.fleet import fleet, status
 from oakcroft.commands.rehearsal import rehearse, stand_in
 from oakcroft.commands.state import state
-from oakcroft.config.compile import load_meaning, told
-from oakcroft.config.problems import Unsound
-from oakcroft.config.told import Deployment
-from oakcroft.front.serve import Front
-from oakcroft.front.steering import Decide
-from oakcroft.running.collections import spare_collections
-from oakcroft.running.logs import set_up
+from oakcroft.config.pipeline import load_resolved, build_deployment
+from oakcroft.config.diagnostics import InvalidConfigurationError
+from oakcroft.config.settings import Deployment
+from oakcroft.front.front_end import FrontEnd
+from oakcroft.front.protocols import PolicyFactory
+from oakcroft.running.collections import reduce_gc_frequency
+from oakcroft.running.logs import configure_logging
 
-CHECK_WITHIN_SECONDS = 120
-"""A check that a process of its own has not ended by then is given up."""
+CHECK_TIMEOUT_SECONDS = 120
+"""Timeout of a configuration check in a subprocess."""
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
@@ -39,50 +39,54 @@
     """
 
 
-def read_anew(file: Path, families: dict[str, int]) -> Deployment | list[str]:
-    """A front's file as it stands now: what it says, or what is wrong with it."""
+def read_deployment(file: Path, known_families: dict[str, int]) -> Deployment | list[str]:
+    """Reads a front end's file. Returns the deployment settings, or the errors as lines of text.
+
+    `known_families` holds the family numbers of plans that are in use.
+    """
     try:
-        return told(load_meaning(file), families)
-    except Unsound as fault:
-        return [fault.problems.show(p) for p in fault.problems.errors]
-    except OSError as fault:
-        return [f"{file}: {fault}"]
+        return build_deployment(load_resolved(file), known_families)
+    except InvalidConfigurationError as error:
+        return [error.diagnostics.format(problem) for problem in error.diagnostics.errors]
+    except OSError as error:
+        return [f"{file}: {error}"]
 
 
-def read_apart(file: Path, families: dict[str, int]) -> Deployment | list[str]:
-    """The same, checked by a process of its own: a large check would take the serving one's turns."""
+def read_deployment_in_subprocess(file: Path, known_families: dict[str, int]) -> Deployment | list[str]:
+    """Like `read_deployment`, but checks the file in a subprocess: a large check would delay the serving process."""
     command = [sys.executable, "-m", "oakcroft", "config", "meaning", str(file)]
-    done = subprocess.run(command, capture_output=True, timeout=CHECK_WITHIN_SECONDS, check=False)
-    if done.returncode == 0:
-        return told(pickle.loads(done.stdout), families)
-    said = done.stderr.decode("utf-8", "replace").strip()
-    return [said or f"the check ended with {done.returncode}"]
+    finished = subprocess.run(command, capture_output=True, timeout=CHECK_TIMEOUT_SECONDS, check=False)
+    if finished.returncode == 0:
+        return build_deployment(pickle.loads(finished.stdout), known_families)
+    error_text = finished.stderr.decode("utf-8", "replace").strip()
+    return [error_text or f"the configuration check exited with code {finished.returncode}"]
 
 
-def serve_file(file: Path, decide: Decide = Controller) -> int:
-    """Serves by a front's file until a stop signal; the exit code."""
-    found = read_anew(file, {})
-    if isinstance(found, list):
-        click.echo("\n".join(found), err=True)
-        return FAULTY
-    stand = found.stand
+def serve_file(file: Path, decide: PolicyFactory = Controller) -> int:
+    """Serves with a front end's file until a stop signal. Returns the exit code."""
+    deployment = read_deployment(file, {})
+    if isinstance(deployment, list):
+        click.echo("\n".join(deployment), err=True)
+        return EXIT_INVALID_INPUT
+    front = deployment.front
 
     async def ready(port: int) -> None:
-        print(f"serving on {stand.host}:{port}", flush=True)
+        print(f"serving on {front.host}:{port}", flush=True)
 
-    log, code = set_up(stand.log, found.site.terms.front), 0
-    spare_collections()
+    log = configure_logging(front.log_format, deployment.shared.terms.front_index)
+    code = 0
+    reduce_gc_frequency()
     try:
-        trio.run(Front(found, log, decide, partial(read_apart, file)).run, ready)
+        trio.run(FrontEnd(deployment, log, decide, partial(read_deployment_in_subprocess, file)).run, ready)
     except* OSError as group:
-        code = BROKEN
+        code = EXIT_FAILURE
         for error in group.exceptions:
             click.echo(f"cannot serve: {error}", err=True)
     return code
 
 
 @main.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 def serve(file: Path) -> None:
     """Run one front by FILE. SIGTERM lets it answer what is open and ends it; SIGHUP has it read FILE again."""
     sys.exit(serve_file(file))
--- a/oakcroft/config/format.py
+++ b/oakcroft/config/format.py
@@ -1,96 +1,111 @@
-"""The formatter: one layout for every text, comments kept, nothing changed in meaning, a fixed point."""
+"""The formatter: one canonical layout. It keeps comments and semantics, and formatting twice changes nothing."""
 
 from __future__ import annotations
 
-from oakcroft.config.problems import Problems, Unsound
-from oakcroft.config.syntax import Atom, Comment, Form, Part, read
+from oakcroft.config.diagnostics import Diagnostics, InvalidConfigurationError
+from oakcroft.config.syntax import Atom, Comment, Form, SyntaxNode, parse_text
 
-WIDTH, INDENT = 100, "  "
+MAX_LINE_WIDTH = 100
+INDENT = "  "
 
 
-def fmt(text: str, file: str) -> str:
-    """A text in its layout. Unsound where it is not of the language."""
-    problems = Problems()
-    parts = read(text, file, problems)
-    if problems.found:
-        raise Unsound(problems)
-    out: list[str] = []
-    last = 0
+def format_text(text: str, file_name: str) -> str:
+    """Formats a configuration text. Raises InvalidConfigurationError if it has syntax errors."""
+    diagnostics = Diagnostics()
+    parts = parse_text(text, file_name, diagnostics)
+    if diagnostics.items:
+        raise InvalidConfigurationError(diagnostics)
+    lines: list[str] = []
+    previous_line = 0
     for part in parts:
-        begin = part.place.line
-        if isinstance(part, Comment) and out and begin == last:
-            out[-1] += "  " + part.raw
+        line = part.location.line
+        if isinstance(part, Comment) and lines and line == previous_line:
+            lines[-1] += "  " + part.source_text
             continue
-        if out and begin > last + 1:
-            out.append("")
-        out += _lines(part, 0)
-        last = part.end if isinstance(part, Form) else begin
-    return "\n".join(out) + "\n" if out else ""
+        if lines and line > previous_line + 1:
+            lines.append("")
+        lines += _format_lines(part, 0)
+        previous_line = part.end_line if isinstance(part, Form) else line
+    return "\n".join(lines) + "\n" if lines else ""
 
 
-def flat(part: Part) -> str | None:
-    """A part on one line; None where a comment in it forbids that."""
+def format_on_one_line(part: SyntaxNode) -> str | None:
+    """Formats a part on one line. Returns None if it contains a comment, which would end the line."""
     if isinstance(part, Comment):
         return None
     if isinstance(part, Atom):
-        return part.raw
-    inside = [flat(p) for p in part.parts]
-    if any(i is None for i in inside):
+        return part.source_text
+    formatted = [format_on_one_line(child) for child in part.children]
+    if any(text is None for text in formatted):
         return None
-    return "(" + " ".join(i for i in inside if i is not None) + ")"
+    return "(" + " ".join(text for text in formatted if text is not None) + ")"
 
 
-def _lines(part: Part, depth: int) -> list[str]:
+def _format_lines(part: SyntaxNode, depth: int) -> list[str]:
     margin = INDENT * depth
     if not isinstance(part, Form):
-        return [margin + part.raw]
-    whole = flat(part)
-    if whole is not None and len(margin) + len(whole) <= WIDTH and not _spread(part):
-        return [margin + whole]
-    return _broken(part, depth)
+        return [margin + part.source_text]
+    one_line = format_on_one_line(part)
+    if (
+        one_line is not None
+        and len(margin) + len(one_line) <= MAX_LINE_WIDTH
+        and not _has_blank_line_before_part(part)
+    ):
+        return [margin + one_line]
+    return _format_on_several_lines(part, depth)
 
 
-def _leading(form: Form) -> int:
-    """How many plain values a list begins with."""
-    return next((i for i, p in enumerate(form.parts) if not isinstance(p, Atom)), len(form.parts))
+def _leading_atom_count(form: Form) -> int:
+    """Returns the number of atoms that a list begins with."""
+    return next(
+        (index for index, child in enumerate(form.children) if not isinstance(child, Atom)),
+        len(form.children),
+    )
 
 
-def _spread(form: Form) -> bool:
-    """Whether a list stays on several lines though it would fit: a part of it follows an empty line, by which its
-    writer has set it apart."""
-    first = _leading(form)
-    last = form.parts[first].place.line if first < len(form.parts) else 0
-    for i, part in enumerate(form.parts[first:]):
-        if i and not isinstance(part, Atom) and part.place.line > last + 1:
+def _has_blank_line_before_part(form: Form) -> bool:
+    """Whether a list stays on several lines although it would fit on one, because its author has put an empty line
+    before one of its parts."""
+    first = _leading_atom_count(form)
+    previous_line = form.children[first].location.line if first < len(form.children) else 0
+    for index, part in enumerate(form.children[first:]):
+        if index and not isinstance(part, Atom) and part.location.line > previous_line + 1:
             return True
-        last = part.end if isinstance(part, Form) else part.place.line
+        previous_line = part.end_line if isinstance(part, Form) else part.location.line
     return False
 
 
-def _broken(form: Form, depth: int) -> list[str]:
-    """Head and the plain values after it on the first line, filled; every other part on a line of its own."""
-    margin, first = INDENT * depth, _leading(form)
-    out, filling = [margin + "("], True
-    last = form.place.line
-    for i, part in enumerate(form.parts):
-        begin = part.place.line
+def _format_on_several_lines(form: Form, depth: int) -> list[str]:
+    """Formats a list on several lines.
+
+    The atoms that it begins with fill the first lines up to the maximum width; every other part starts a new line.
+    """
+    margin = INDENT * depth
+    first = _leading_atom_count(form)
+    lines = [margin + "("]
+    is_filling = True
+    previous_line = form.location.line
+    for index, part in enumerate(form.children):
+        part_line = part.location.line
         if isinstance(part, Atom):
-            line = out[-1] + ("" if out[-1].endswith("(") and i == 0 else " ") + part.raw
-            if filling and (i == 0 or len(line) <= WIDTH):
-                out[-1] = line
+            line = lines[-1] + ("" if lines[-1].endswith("(") and index == 0 else " ") + part.source_text
+            if is_filling and (index == 0 or len(line) <= MAX_LINE_WIDTH):
+                lines[-1] = line
             else:
-                out.append(margin + INDENT + part.raw)
-            filling, last = True, begin
+                lines.append(margin + INDENT + part.source_text)
+            is_filling = True
+            previous_line = part_line
             continue
-        if isinstance(part, Comment) and begin == last and i:
-            out[-1] += "  " + part.raw
+        if isinstance(part, Comment) and part_line == previous_line and index:
+            lines[-1] += "  " + part.source_text
         else:
-            if begin > last + 1 and i > first:
-                out.append("")
-            out += _lines(part, depth + 1)
-        last, filling = part.end if isinstance(part, Form) else begin, False
-    if form.parts and isinstance(form.parts[-1], Comment):
-        out.append(margin + ")")
+            if part_line > previous_line + 1 and index > first:
+                lines.append("")
+            lines += _format_lines(part, depth + 1)
+        previous_line = part.end_line if isinstance(part, Form) else part_line
+        is_filling = False
+    if form.children and isinstance(form.children[-1], Comment):
+        lines.append(margin + ")")
     else:
-        out[-1] += ")"
-    return out
+        lines[-1] += ")"
+    return lines
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -1,4 +1,4 @@
-"""Text to forms that know where they stand, comments included; bounds on what may be read."""
+"""The parser: from text to forms with source locations, comments included. It bounds the text's size and nesting."""
 
 from __future__ import annotations
 
@@ -10,211 +10,238 @@
 
 from lark import Lark, Token, Transformer, UnexpectedInput
 
-from oakcroft.config.problems import Place, Problems
+from oakcroft.config.diagnostics import SourceLocation, Diagnostics
 
-MOST_BYTES, MOST_DEPTH = 8_000_000, 64
+MAX_TEXT_LENGTH = 8_000_000
+MAX_NESTING_DEPTH = 64
 ESCAPES = {"n": "\n", "\\": "\\", '"': '"'}
 
 
 @dataclass(frozen=True)
 class Atom:
-    """A symbol, a figure, a $parameter or a string (`quoted`); `raw` as it was written."""
+    """A symbol, a number, a $parameter or a string (`is_quoted`). `source_text` is the atom as it was written."""
 
     text: str
-    place: Place
-    quoted: bool
-    raw: str
+    location: SourceLocation
+    is_quoted: bool
+    source_text: str
 
 
 @dataclass(frozen=True)
 class Comment:
-    """From ; to the end of its line."""
+    """A comment, from ; to the end of the line."""
 
-    raw: str
-    place: Place
+    source_text: str
+    location: SourceLocation
 
 
 @dataclass(frozen=True)
 class Form:
-    """A list; `parts` with comments, `items` without. `end` is the line of its last parenthesis. `used` tells through
-    which (use …) it came, if any."""
+    """A list. `children` includes comments, `items` doesn't.
 
-    parts: tuple[Form | Atom | Comment, ...]
-    place: Place
-    end: int
-    used: tuple[Place, ...] = ()
+    `end_line` is the line of the closing parenthesis. `use_locations` holds the location of each (use …) that the form
+    was expanded from, if any.
+    """
+
+    children: tuple[Form | Atom | Comment, ...]
+    location: SourceLocation
+    end_line: int
+    use_locations: tuple[SourceLocation, ...] = ()
 
     @property
     def items(self) -> tuple[Form | Atom, ...]:
-        """What it holds."""
-        return tuple(p for p in self.parts if not isinstance(p, Comment))
+        """The children without comments."""
+        return tuple(p for p in self.children if not isinstance(p, Comment))
 
     @property
     def name(self) -> str:
-        """Its head symbol; "" where it has none."""
-        head = next((p for p in self.parts if not isinstance(p, Comment)), None)
-        return head.text if isinstance(head, Atom) and not head.quoted else ""
+        """The symbol that the list begins with, "" if it begins with something else."""
+        head = next((p for p in self.children if not isinstance(p, Comment)), None)
+        return head.text if isinstance(head, Atom) and not head.is_quoted else ""
 
 
-Part = Form | Atom | Comment
+SyntaxNode = Form | Atom | Comment
 
 
-class _Build(Transformer[Token, list[Part]]):
-    """Makes forms while lark parses."""
+class _FormBuilder(Transformer[Token, list[SyntaxNode]]):
+    """Builds forms while lark parses. Its methods are named after the rules of grammar.lark."""
 
-    file = ""
+    file_name = ""
 
-    def _place(self, token: Token, length: int) -> Place:
-        return Place(self.file, token.line or 1, token.column or 1, length)
+    def _location(self, token: Token, length: int) -> SourceLocation:
+        return SourceLocation(self.file_name, token.line or 1, token.column or 1, length)
 
-    def start(self, parts: list[Part]) -> list[Part]:
+    def start(self, parts: list[SyntaxNode]) -> list[SyntaxNode]:
         return parts
 
-    def form(self, parts: Sequence[Token | Part]) -> Form:
-        opening, *inside, closing = parts
+    def form(self, parts: Sequence[Token | SyntaxNode]) -> Form:
+        opening, *content, closing = parts
         assert isinstance(opening, Token)
         assert isinstance(closing, Token)
-        head = inside[0] if inside else None
-        length = 1 + len(head.raw) if isinstance(head, Atom) else 1
-        held = tuple(p for p in inside if not isinstance(p, Token))
-        return Form(held, self._place(opening, length), closing.line or 1)
+        head = content[0] if content else None
+        length = 1 + len(head.source_text) if isinstance(head, Atom) else 1
+        children = tuple(p for p in content if not isinstance(p, Token))
+        return Form(children, self._location(opening, length), closing.line or 1)
 
     def text(self, parts: list[Token]) -> Atom:
-        raw = str(parts[0])
-        inner, out, at = raw[1:-1], [], 0
-        while at < len(inner):
-            if inner[at] == "\\":
-                at += 1
-                out.append(ESCAPES[inner[at]])
+        source_text = str(parts[0])
+        content = source_text[1:-1]
+        characters = []
+        position = 0
+        while position < len(content):
+            if content[position] == "\\":
+                position += 1
+                characters.append(ESCAPES[content[position]])
             else:
-                out.append(inner[at])
-            at += 1
-        return Atom("".join(out), self._place(parts[0], len(raw)), True, raw)
+                characters.append(content[position])
+            position += 1
+        return Atom("".join(characters), self._location(parts[0], len(source_text)), True, source_text)
 
     def atom(self, parts: list[Token]) -> Atom:
-        raw = str(parts[0])
-        return Atom(raw, self._place(parts[0], len(raw)), False, raw)
+        source_text = str(parts[0])
+        return Atom(source_text, self._location(parts[0], len(source_text)), False, source_text)
 
     def comment(self, parts: list[Token]) -> Comment:
-        raw = str(parts[0]).rstrip()
-        return Comment(raw, self._place(parts[0], len(raw)))
+        source_text = str(parts[0]).rstrip()
+        return Comment(source_text, self._location(parts[0], len(source_text)))
 
 
 @cache
-def _lexing() -> Lark:
+def _lexer() -> Lark:
     return Lark((Path(__file__).parent / "grammar.lark").read_text(), parser="lalr")
 
 
-LOCAL = threading.local()
+THREAD_LOCAL = threading.local()
 
 
-def _building() -> tuple[Lark, _Build]:
-    """A parser that makes forms as it goes, one for each thread since it holds the name of the file."""
-    if not hasattr(LOCAL, "pair"):
-        build = _Build()
-        LOCAL.pair = (
-            Lark((Path(__file__).parent / "grammar.lark").read_text(), parser="lalr", transformer=build),
-            build,
+def _thread_parser() -> tuple[Lark, _FormBuilder]:
+    """Returns this thread's parser and its builder. The builder holds the file name, so threads cannot share it."""
+    if not hasattr(THREAD_LOCAL, "pair"):
+        builder = _FormBuilder()
+        THREAD_LOCAL.pair = (
+            Lark((Path(__file__).parent / "grammar.lark").read_text(), parser="lalr", transformer=builder),
+            builder,
         )
-    pair: tuple[Lark, _Build] = LOCAL.pair
+    pair: tuple[Lark, _FormBuilder] = THREAD_LOCAL.pair
     return pair
 
 
-def read(text: str, file: str, problems: Problems) -> list[Part]:
-    """All parts of a text; none where it is not of the language, which is noted with its place."""
-    problems.texts[file] = text.split("\n")
-    if len(text) > MOST_BYTES:
-        problems.unread = True
-        problems.error(
-            Place(file, 1, 1), f"the file is over {MOST_BYTES // 1_000_000} MB", "split it with (include …)"
+def parse_text(text: str, file_name: str, diagnostics: Diagnostics) -> list[SyntaxNode]:
+    """Parses a text. Records an error and returns no parts if it is too large, nested too deeply or malformed."""
+    diagnostics.source_lines[file_name] = text.split("\n")
+    if len(text) > MAX_TEXT_LENGTH:
+        diagnostics.is_incomplete = True
+        diagnostics.error(
+            SourceLocation(file_name, 1, 1),
+            f"the file is over {MAX_TEXT_LENGTH // 1_000_000} MB",
+            "split it with (include …)",
         )
         return []
-    if (deep := _too_deep(text)) is not None:
-        problems.unread = True
-        problems.error(
-            Place(file, deep[0], deep[1]), f"lists are nested over {MOST_DEPTH} deep here", "flatten them"
+    if (excess := _find_excess_nesting(text)) is not None:
+        diagnostics.is_incomplete = True
+        diagnostics.error(
+            SourceLocation(file_name, excess[0], excess[1]),
+            f"lists are nested over {MAX_NESTING_DEPTH} deep here",
+            "flatten them",
         )
         return []
-    parser, build = _building()
-    build.file = file
+    parser, builder = _thread_parser()
+    builder.file_name = file_name
     try:
         parts = parser.parse(text)
-    except UnexpectedInput as fault:
-        problems.unread = True
-        _explain(text, file, fault, problems)
+    except UnexpectedInput as error:
+        diagnostics.is_incomplete = True
+        _report_syntax_error(text, file_name, error, diagnostics)
         return []
     assert isinstance(parts, list)
     return parts
 
 
-def _too_deep(text: str) -> tuple[int, int] | None:
-    """Where nesting passes the bound, found without recursion, so that no text can exhaust the stack."""
-    depth, quoted, comment, line, start = 0, False, False, 1, 0
-    skip = False
-    for at, letter in enumerate(text):
-        if letter == "\n":
-            line, start, comment, quoted = line + 1, at + 1, False, False
-        elif comment:
+def _find_excess_nesting(text: str) -> tuple[int, int] | None:
+    """Returns line and column of the list that exceeds the nesting bound, None if there is none.
+
+    It scans without recursion, so that no text can exhaust the stack.
+    """
+    depth = 0
+    line = 1
+    line_start = 0
+    in_string = False
+    in_comment = False
+    is_escaped = False
+    for position, character in enumerate(text):
+        if character == "\n":
+            line += 1
+            line_start = position + 1
+            in_comment = False
+            in_string = False
+        elif in_comment:
             continue
-        elif quoted:
-            if skip:
-                skip = False
-            elif letter == "\\":
-                skip = True
-            elif letter == '"':
-                quoted = False
-        elif letter == '"':
-            quoted, skip = True, False
-        elif letter == ";":
-            comment = True
-        elif letter == "(":
+        elif in_string:
+            if is_escaped:
+                is_escaped = False
+            elif character == "\\":
+                is_escaped = True
+            elif character == '"':
+                in_string = False
+        elif character == '"':
+            in_string = True
+            is_escaped = False
+        elif character == ";":
+            in_comment = True
+        elif character == "(":
             depth += 1
-            if depth > MOST_DEPTH:
-                return line, at - start + 1
-        elif letter == ")":
+            if depth > MAX_NESTING_DEPTH:
+                return line, position - line_start + 1
+        elif character == ")":
             depth -= 1
     return None
 
 
-def _explain(text: str, file: str, fault: UnexpectedInput, problems: Problems) -> None:
-    """Why a text is not of the language."""
-    kind = getattr(getattr(fault, "token", None), "type", "")
+def _report_syntax_error(text: str, file_name: str, error: UnexpectedInput, diagnostics: Diagnostics) -> None:
+    """Records an error for a text that cannot be parsed, as specific as the parser's error allows."""
+    token_type = getattr(getattr(error, "token", None), "type", "")
     lines = text.split("\n")
-    if kind == "$END":
-        opened = _open(text)
-        if opened is not None:
-            place = Place(file, *opened)
-            problems.error(place, "this list is never closed", "add ) where it ends")
+    if token_type == "$END":
+        unclosed = _find_unclosed_list(text)
+        if unclosed is not None:
+            location = SourceLocation(file_name, *unclosed)
+            diagnostics.error(location, "this list is never closed", "add ) where it ends")
             return
-    line, column = max(1, fault.line), max(1, fault.column)
+    line = max(1, error.line)
+    column = max(1, error.column)
     rest = lines[line - 1][column - 1 :] if line <= len(lines) else ""
-    if kind == "RPAR":
-        problems.error(
-            Place(file, line, column), "this ) closes nothing", "take it out, or add the ( that it closes"
+    if token_type == "RPAR":
+        diagnostics.error(
+            SourceLocation(file_name, line, column),
+            "this ) closes nothing",
+            "take it out, or add the ( that it closes",
         )
     elif rest.startswith('"'):
-        problems.error(
-            Place(file, line, column, max(1, len(rest.rstrip()))), "this string does not end on its line",
+        diagnostics.error(
+            SourceLocation(file_name, line, column, max(1, len(rest.rstrip()))), "this string does not end on its line",
             'end it with "; within it write \\" for ", \\\\ for \\ and \\n for a new line',
         )  # fmt: skip
     else:
-        problems.error(Place(file, line, column), "this is out of place here")
+        diagnostics.error(SourceLocation(file_name, line, column), "this is out of place here")
+
 
+def _find_unclosed_list(text: str) -> tuple[int, int] | None:
+    """Returns line and column of a list that is never closed, None if there is none.
 
-def _open(text: str) -> tuple[int, int] | None:
-    """The innermost list that is never closed; the outermost one where a later line begins a new list at its
-    margin, since the missing ) is then most likely before it."""
-    stack: list[tuple[int, int]] = []
-    for token in _lexing().lex(text):
+    This is the innermost open list at the end of the text, or at the first line that begins with a list in column 1
+    while lists are open, since the missing parenthesis is then most likely before that line.
+    """
+    open_lists: list[tuple[int, int]] = []
+    for token in _lexer().lex(text):
         if token.type == "LPAR":
-            if token.column == 1 and stack:
-                return stack[-1]
-            stack.append((token.line or 1, token.column or 1))
-        elif token.type == "RPAR" and stack:
-            stack.pop()
-    return stack[-1] if stack else None
+            if token.column == 1 and open_lists:
+                return open_lists[-1]
+            open_lists.append((token.line or 1, token.column or 1))
+        elif token.type == "RPAR" and open_lists:
+            open_lists.pop()
+    return open_lists[-1] if open_lists else None
 
 
-def without_comments(parts: list[Part]) -> list[Form | Atom]:
-    """The parts that mean something."""
+def without_comments(parts: list[SyntaxNode]) -> list[Form | Atom]:
+    """Returns the parts without comments."""
     return [p for p in parts if not isinstance(p, Comment)]
--- /dev/null
+++ b/oakcroft/decisions/moving/degrading_nodes.py
@@ -0,0 +1,82 @@
+"""Detection of nodes whose delivery degrades before they fail: the evidence that suffices to leave one early.
+
+A node that ages delivers less and less while its list entry stays ready. Each report of a short delivery is
+one piece of evidence. Another program that takes the node's link for a while looks alike for seconds, and so
+does congestion that many nodes share.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from itertools import pairwise
+
+from oakcroft.interface import SECOND
+
+REPORT_COUNT = 4
+REPORT_SPAN_NS = 12 * SECOND
+MIN_FALL_PER_REPORT = 0.06  # of the delivered share, on average
+RECOVERED_SHARE = 0.98  # delivered share from which a node counts as sound again
+MAX_SHARE_OF_FLEET = 0.75  # of what the other nodes deliver
+WEAK_SHARE = 0.75  # of the last report; viewers begin to leave at this share
+
+
+@dataclass
+class DeliveryTrend:
+    """The last delivery reports of one node: time (ns) and delivered share of each."""
+
+    reports: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=REPORT_COUNT))
+
+
+@dataclass
+class DegradingNodes:
+    """Which nodes degrade.
+
+    A node degrades if its last four reports within twelve seconds fall each time, by at least 0.06 a report
+    on average, to under three quarters, and it delivers less than three quarters of what the other nodes
+    deliver. Congestion of all nodes is no reason to move, as no other node is better.
+
+    This guards against viewers that stall for the ten seconds between a node's first weakness and its
+    failure. A false alarm costs one further try and a second copy for some hundred milliseconds for each free
+    playback there, so at most `max_concurrent` nodes of a front end are left early at one time. Drawback:
+    another program whose use of the node grows slowly empties a node that would have recovered.
+    """
+
+    max_concurrent: int = 1
+    trends: dict[str, DeliveryTrend] = field(default_factory=dict)
+    leaving_since: dict[str, int] = field(default_factory=dict)  # nodes being left and since when, ns
+
+    def report(self, node: str, share: float, fleet_share: float, now: int) -> bool:
+        """Takes a report of the share delivered at a node; True if the node is to be left from now on.
+
+        `fleet_share` is the share that the other nodes deliver on average. `now`: ns.
+        """
+        trend = self.trends.setdefault(node, DeliveryTrend())
+        trend.reports.append((now, share))
+        if share >= RECOVERED_SHARE:
+            self.forget(node)
+            return False
+        if (
+            node in self.leaving_since
+            or len(self.leaving_since) >= self.max_concurrent
+            or not self._is_degrading(trend, fleet_share, now)
+        ):
+            return False
+        self.leaving_since[node] = now
+        return True
+
+    def _is_degrading(self, trend: DeliveryTrend, fleet_share: float, now: int) -> bool:
+        """Whether the reports of a node show that it degrades."""
+        reports = list(trend.reports)
+        if len(reports) < REPORT_COUNT or now - reports[0][0] > REPORT_SPAN_NS:
+            return False
+        shares = [share for _, share in reports]
+        is_falling = all(later < earlier for earlier, later in pairwise(shares))
+        is_steep = shares[0] - shares[-1] >= MIN_FALL_PER_REPORT * (REPORT_COUNT - 1)
+        is_weak = shares[-1] < WEAK_SHARE and shares[-1] < fleet_share * MAX_SHARE_OF_FLEET
+        return is_falling and is_steep and is_weak
+
+    def forget(self, node: str) -> None:
+        """Drops a node that delivers again, has failed, or drains by the list."""
+        self.trends.pop(node, None)
+        self.leaving_since.pop(node, None)
--- /dev/null
+++ b/oakcroft/decisions/routing/title_cache.py
@@ -0,0 +1,102 @@
+"""A bounded cache of the titles that were requested from one front."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Iterable, Mapping
+
+from oakcroft.decisions.routing.catalogue import CatalogueTitle
+from oakcroft.interface import Title
+
+
+class TitleCache:
+    """Titles by name. The module keeps seats and holders on them, so a title in use must stay the same object.
+
+    The bound protects against clients that request ever new names. When the cache is full, the title unused for longest
+    that has no seat taken is evicted; where all are in use, a new title is refused. The cost: the holder order of a
+    rarely used title is computed again.
+    """
+
+    def __init__(
+        self,
+        max_titles: int,
+        cell_count: int,
+        default_copies: int,
+        configured_placements: Mapping[str, tuple[int, int]],
+    ) -> None:
+        """`configured_placements` gives (home cell, copies) by title; others are in `default_copies` cells."""
+        self.max_titles = max_titles
+        self.cell_count = cell_count
+        self.default_copies = default_copies
+        self.configured_placements = configured_placements
+        self.titles: OrderedDict[str, Title] = OrderedDict()
+        # (home cell, copies) by title, as `get` was called.
+        self.requested_placements: dict[str, tuple[int, int | None]] = {}
+        self.catalogue_titles: Mapping[str, CatalogueTitle] = {}  # of the catalogue in force
+
+    def get(self, name: str, home: int, copies: int | None = None) -> Title | None:
+        """Returns a title, None where it is new and the cache is full of titles in use.
+
+        `home` is the first cell that holds it and `copies` the number of cells, None for the default. A placement in the
+        configuration or the catalogue takes precedence.
+        """
+        title = self.titles.get(name)
+        if title is None:
+            if len(self.titles) >= self.max_titles and not self._evict_unused():
+                return None
+            title = self.titles[name] = Title(name, 0, 0)
+            self.requested_placements[name] = home, copies
+            self._update_placement(title)
+        self.titles.move_to_end(name)
+        return title
+
+    def apply_configuration(
+        self, default_copies: int, configured_placements: Mapping[str, tuple[int, int]]
+    ) -> None:
+        """Applies another configuration; cached titles stay the same objects, with their seats."""
+        self.default_copies = default_copies
+        self.configured_placements = configured_placements
+        for title in self.titles.values():
+            self._update_placement(title)
+
+    def apply_catalogue(self, catalogue_titles: Mapping[str, CatalogueTitle], changed: Iterable[str]) -> None:
+        """Applies another catalogue; `changed` names the titles that differ in it."""
+        self.catalogue_titles = catalogue_titles
+        for name in changed:
+            if (title := self.titles.get(name)) is not None:
+                self._update_placement(title)
+
+    def _update_placement(self, title: Title) -> None:
+        """Sets where a title is held and its rates: by the catalogue, else the configuration, else the default.
+
+        The object stays the same, with its seats.
+        """
+        catalogue_title = self.catalogue_titles.get(title.name)
+        requested_home, requested_copies = self.requested_placements[title.name]
+        default_placement = (
+            requested_home % self.cell_count,
+            self.default_copies if requested_copies is None else requested_copies,
+        )
+        home, copies = self.configured_placements.get(title.name, default_placement)
+        if catalogue_title is not None and catalogue_title.home >= 0:
+            home = catalogue_title.home
+            copies = catalogue_title.copies
+        holder_names = (
+            frozenset(h.partition("+")[0] for h in catalogue_title.holders)
+            if catalogue_title is not None and catalogue_title.holders
+            else None
+        )
+        if (title.home_cell, title.copies, title.holder_names) != (home, copies, holder_names):
+            title.home_cell = home
+            title.copies = copies
+            title.holder_names = holder_names
+            title.holders_version = -1
+        title.rung_rates = catalogue_title.rates if catalogue_title is not None else ()
+
+    def _evict_unused(self) -> bool:
+        for name, title in self.titles.items():
+            if not any(title.seats_taken.values()):
+                del self.titles[name]
+                del self.requested_placements[name]
+                return True
+        return False
--- /dev/null
+++ b/oakcroft/decisions/state/promise.py
@@ -0,0 +1,119 @@
+"""Promises: durable records of the playback requests that may bind a node, kept across crashes.
+
+A promise moves through defined states, in one function. A set-up of a plan that is paid, protected by a key,
+or limited by seats must have its intent recorded before it is sent; otherwise the next process could set it
+up again or give its seat away. A free one is recorded once it plays, so that the next process can go on with
+it.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from enum import Enum
+
+from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.decisions.sessions.setup_outcome import proves_not_run
+from oakcroft.interface import Effect, Outcome, Plan
+
+
+class PromiseState(Enum):
+    """State of a promise. Promises are stored with the names of the members."""
+
+    INTENT = "may have been sent"
+    PLAYS = "plays"
+    ABORTED = "answered that it may have run"
+    GONE = "over, and nothing of it binds"
+
+
+NEXT_STATES = {
+    None: {PromiseState.INTENT, PromiseState.PLAYS},
+    PromiseState.INTENT: {PromiseState.INTENT, PromiseState.PLAYS, PromiseState.ABORTED, PromiseState.GONE},
+    PromiseState.PLAYS: {PromiseState.PLAYS, PromiseState.ABORTED, PromiseState.GONE},
+    PromiseState.ABORTED: {PromiseState.GONE},
+    PromiseState.GONE: set[PromiseState](),
+}
+
+
+@dataclass(frozen=True)
+class Promise:
+    """One recorded request. Times in ns since the epoch, by the clock of the front end that wrote it.
+
+    It is stored with the names of its fields.
+    """
+
+    id: str
+    key: str
+    about: str
+    path: str
+    title: str
+    plan: str
+    effect: str
+    seats: bool
+    publishes: bool
+    ufrag: str
+    top: int
+    token: str
+    written: int
+    abandon: int
+    mark: PromiseState = PromiseState.INTENT
+    node: str = ""
+    process: str = ""  # the node's process, if its event stream had named it
+    sent_at: int = 0
+    resource: str = ""
+    events: str = ""
+    layer: str = ""
+    tag: str = ""
+    answer: str = ""
+    rung: int = 0
+    changed: int = 0
+    seated: bool = False  # it belongs to a client session of the session API, and ends with it
+
+    @property
+    def must_not_repeat(self) -> bool:
+        """Whether a second set-up would have an effect of its own, so that none may be made."""
+        return self.effect != Effect.FREE.value
+
+
+def transition(promise: Promise | None, changed: Promise) -> Promise:
+    """Returns a promise after a change of its state; the only place where the state changes.
+
+    Raises ValueError for an invalid step.
+    """
+    mark = promise.mark if promise is not None else None
+    if changed.mark not in NEXT_STATES[mark]:
+        raise ValueError(
+            f"a promise cannot go from {mark.value if mark else 'nothing'!r} to {changed.mark.value!r}"
+        )
+    return changed
+
+
+def needs_durable_intent(plan: Plan) -> bool:
+    """Whether a set-up of this plan may be sent only after its intent is durable."""
+    return plan.effect is not Effect.FREE or plan.seats > 0
+
+
+def after_try(promise: Promise, outcome: Outcome, now: int) -> Promise:
+    """Returns the promise after a try has ended. `now`: ns.
+
+    Proof that the try never ran withdraws the intent; any other outcome leaves it in force.
+    """
+    if promise.mark is PromiseState.INTENT and proves_not_run(outcome):
+        return replace(promise, mark=PromiseState.GONE, changed=now)
+    return promise
+
+
+def after_answer(promise: Promise, final: FinalAnswer, now: int) -> Promise:
+    """Returns the promise after its final answer; an abort of a free plan binds nothing. `now`: ns."""
+    if final is FinalAnswer.PLAYS:
+        return replace(promise, mark=PromiseState.PLAYS, changed=now)
+    is_binding = final is FinalAnswer.ABORTED and promise.must_not_repeat
+    mark = PromiseState.ABORTED if is_binding else PromiseState.GONE
+    return replace(promise, mark=mark, changed=now)
+
+
+def has_expired(promise: Promise, retention: int, now: int) -> bool:
+    """Whether a promise need not be kept any longer. Times in ns.
+
+    An abort, or an intent whose outcome is unknown, is kept for as long as a viewer may repeat its key.
+    """
+    return promise.mark in (PromiseState.ABORTED, PromiseState.INTENT) and now - promise.changed > retention
--- a/oakcroft/front/rendition_bound.py
+++ b/oakcroft/front/rendition_bound.py
@@ -1,7 +1,7 @@
-"""Holds a playing session to the highest rendition that its viewer and the catalogue leave it.
+"""Limits a playing session to the highest rendition that its viewer and the catalogue allow.
 
-Its node carries a change of rendition out, and may refuse. What is in force then is known from the node's event stream,
-which names the rendition of each session; where that is over the bound, the node is asked again, for a limited time.
+The session's node carries out a change of rendition, or refuses it. The node's event stream tells the rendition of each
+session; if that is above the bound, the node is asked again, for a limited time.
 """
 
 from __future__ import annotations
@@ -11,66 +11,84 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.again import RENDITION_BOUND, Again
-from oakcroft.front.steering import Steering
-from oakcroft.front.viewing import Viewing
-from oakcroft.interface import Note, State
+from oakcroft.decisions.fleet.backoff import RENDITION_BOUND_RETRY, RetryBackoff
+from oakcroft.front.protocols import Coordinator
+from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.interface import PlaybackMetric, PlaybackState
 
 
 class RenditionBound:
-    """The bounds of all sessions of one front."""
-
-    def __init__(self, helm: Steering, rng: Random, log: structlog.typing.FilteringBoundLogger) -> None:
-        """`helm` has the sessions and sends what is decided; `rng` spreads repeated attempts."""
-        self.helm, self.rng, self.log = helm, rng, log
-
-    def set(self, v: Viewing, top: int) -> None:
-        """The session goes no higher than `top`; where it does, it steps down at once."""
-        v.pb.top = top
-        v.bound_retry = None  # a new bound has all its attempts
-        if v.pb.rung > top:
-            self._step_down(v)
-
-    def exceeded(self, v: Viewing) -> None:
-        """The node has told of a rendition over the bound: it is asked again after a while.
-
-        Guards against a step down that a node refused once and that nobody repeats: its viewer gets more than it can
-        take. Each new bound gives the node `RENDITION_BOUND` anew, and one attempt waits at a time. Past that the session
-        plays on at what is in force, its viewer hears which that is, and a new wish begins over. Harm: a node that never
-        changes a rendition is asked about ten times for each bound, and the module's view of its link swings as often.
+    """Enforces the rendition bounds of all sessions of one front end."""
+
+    def __init__(
+        self, coordinator: Coordinator, rng: Random, log: structlog.typing.FilteringBoundLogger
+    ) -> None:
+        """`coordinator` has the sessions and sends rung changes to nodes; `rng` spreads repeated attempts."""
+        self.coordinator = coordinator
+        self.rng = rng
+        self.log = log
+
+    def set_bound(self, session: PlaybackSession, top_rung: int) -> None:
+        """Sets the highest rung of a session; a session above it steps down at once."""
+        session.playback.top_rung = top_rung
+        session.bound_backoff = None  # a new bound starts with all its attempts
+        if session.playback.rung > top_rung:
+            self._step_down(session)
+
+    def bound_exceeded(self, session: PlaybackSession) -> None:
+        """Handles a node's report of a rendition above the bound: asks the node again after a delay.
+
+        Guards against a step down that a node refused once and that is never repeated: the viewer would get more than it
+        can receive. Attempts follow `RENDITION_BOUND_RETRY`, restarted by each new bound, and one is pending at a time.
+        After the last attempt the session keeps its rendition, and its viewer is told which that is. Cost: a node that
+        never changes a rendition is asked about ten times for each bound, and the decision module's estimate of its link
+        load changes as often.
         """
-        if v.bound_retry_waits or not self._plays(v):
+        if session.bound_retry_pending or not self._is_playing(session):
             return
-        now = self.helm.clock.now()
-        if v.bound_retry is None:
-            v.bound_retry = Again(RENDITION_BOUND, self.rng, now)
-        wait = v.bound_retry.failed(now)
-        if wait is None:
-            self._give_up(v)
+        now = self.coordinator.clock.now()
+        if session.bound_backoff is None:
+            session.bound_backoff = RetryBackoff(RENDITION_BOUND_RETRY, self.rng, now)
+        delay_ns = session.bound_backoff.record_failure(now)
+        if delay_ns is None:
+            self._give_up(session)
             return
-        v.bound_retry_waits = True
-        self.helm.nursery.start_soon(self._ask_again, v, wait)
+        session.bound_retry_pending = True
+        self.coordinator.nursery.start_soon(self._retry_after, session, delay_ns)
 
-    async def _ask_again(self, v: Viewing, wait: int) -> None:
-        await trio.sleep(wait / 1e9)
-        await self.helm.tell(lambda: self._asked_again(v))
+    async def _retry_after(self, session: PlaybackSession, delay_ns: int) -> None:
+        await trio.sleep(delay_ns / 1e9)
+        await self.coordinator.submit(lambda: self._retry_step_down(session))
 
-    def _asked_again(self, v: Viewing) -> None:
-        v.bound_retry_waits = False
-        if self._plays(v) and v.pb.rung > v.pb.top:
-            self._step_down(v)
+    def _retry_step_down(self, session: PlaybackSession) -> None:
+        session.bound_retry_pending = False
+        if self._is_playing(session) and session.playback.rung > session.playback.top_rung:
+            self._step_down(session)
 
-    def _give_up(self, v: Viewing) -> None:
-        node = v.upstream.node if v.upstream is not None else ""
+    def _give_up(self, session: PlaybackSession) -> None:
+        node = session.upstream.node if session.upstream is not None else ""
         self.log.warning(
-            "rendition bound not in force", playback=v.id, node=node, rung=v.pb.rung, top=v.pb.top
+            "rendition bound not in force",
+            playback=session.id,
+            node=node,
+            rung=session.playback.rung,
+            top=session.playback.top_rung,
         )
-        self.helm.publish(v, "layers", {"encodingId": str(v.pb.rung)})
+        self.coordinator.publish_event(session, "layers", {"encodingId": str(session.playback.rung)})
 
-    def _step_down(self, v: Viewing) -> None:
-        """Sends the highest rendition within the bound; the module takes it as in force until the node says otherwise."""
-        self.helm.controller.noted(v.pb, Note.RUNG, v.pb.top, self.helm.clock.now())
-        self.helm.set_rung(v.pb, v.pb.top)
+    def _step_down(self, session: PlaybackSession) -> None:
+        """Requests the highest rung within the bound.
 
-    def _plays(self, v: Viewing) -> bool:
-        return v.pb in self.helm.viewings and v.pb.state is State.PLAYING and not v.ending
+        The decision module assumes that it is in force until the node reports otherwise.
+        """
+        self.coordinator.policy.on_metric(
+            session.playback, PlaybackMetric.RUNG, session.playback.top_rung, self.coordinator.clock.now()
+        )
+        self.coordinator.set_rung(session.playback, session.playback.top_rung)
+
+    def _is_playing(self, session: PlaybackSession) -> bool:
+        return (
+            session.playback in self.coordinator.sessions_by_playback
+            and session.playback.state is PlaybackState.PLAYING
+            and not session.is_ending
+        )
--- /dev/null
+++ b/oakcroft/front/session_service.py
@@ -0,0 +1,668 @@
+"""Session operations that all signalling protocols share.
+
+The service takes requests for playbacks, gives each its one answer, and changes and ends sessions; it knows
+neither HTTP nor WebSocket. The WHIP and WHEP adapter and the session API adapter call it, and neither knows
+the other.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import secrets
+from dataclasses import dataclass, field
+from functools import partial
+from urllib.parse import unquote
+
+import structlog
+import trio
+
+from oakcroft.config.settings import SharedSettings, BearerToken
+from oakcroft.decisions.sessions import answers
+from oakcroft.decisions.routing import ladder
+from oakcroft.decisions.sessions.answers import REFUSAL_REPLIES, FinalAnswer, Refusal, Reply
+from oakcroft.decisions.admission.connection_limits import (
+    MIN_SETUP_TIME_NS,
+    ConnectionTable,
+    PendingRequests,
+    is_slow_reader,
+)
+from oakcroft.decisions.moving.handover import MoveState, MoveEvent
+from oakcroft.decisions.admission.request_limits import LimitExceeded, RequestSubject
+from oakcroft.decisions.admission.deadlines import (
+    HEARTBEAT_INTERVAL_NS,
+    request_deadline,
+    is_too_late,
+    response_margin,
+)
+from oakcroft.decisions.sessions.idempotency import KeyDecision
+from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE, ResourceAction, ResourceError
+from oakcroft.decisions.routing.route_table import (
+    RouteRequest,
+    Route,
+    ClientRole,
+    RouteMismatch,
+    find_mismatch,
+)
+from oakcroft.decisions.admission.load_shedding import FairQueue, QueuedRequest, ConcurrencyWindow
+from oakcroft.decisions.fleet.shutdown import Shutdown
+from oakcroft.running.clock import Clock
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.move_executor import STAY_REPLY, NodeFilter, Move
+from oakcroft.front.service_levels import ServiceLevelControl
+from oakcroft.front.zone_routing import ZoneRouting
+from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
+from oakcroft.interface import Outcome
+from oakcroft.signalling import sdp, words
+
+EVENT_KINDS = ("active", "inactive", "layers", "move")
+MAX_EVENT_READERS = 4
+MAX_TITLE_LENGTH = 200
+ANSWER_GRACE_SECONDS = 0.02  # taken from the margin for the answer's way to the viewer
+
+
+class RequestError(Exception):
+    """A request that is answered with a problem document (RFC 9457)."""
+
+    def __init__(self, status: int, kind: str, title: str, detail: str = "") -> None:
+        """Creates an error with an HTTP status, the last part of a problem type, a title and a detail."""
+        super().__init__(title)
+        self.status = status
+        self.problem_type = f"urn:oakcroft:problem:{kind}"
+        self.title = title
+        self.detail = detail
+
+
+@dataclass
+class PlaybackRequest:
+    """A request for a playback, whichever protocol it came by.
+
+    `written_at` is the earliest time at which it may have been written.
+    """
+
+    path: str
+    offer: str
+    key: str | None
+    written_at: int
+    token: BearerToken | None = None
+    client: str = ""
+    prefer_headers: list[str] = field(default_factory=list)
+    top_rung: int | None = None
+    in_client_session: bool = False
+
+
+@dataclass
+class PatchResult:
+    """Result of a PATCH on a session: empty, or the entity tag and the fragment of a new ICE session."""
+
+    etag: str = ""
+    fragment: bytes = b""
+
+
+class SessionService:
+    """The session operations of one front end."""
+
+    def __init__(
+        self,
+        zone: str,
+        coordinator: SessionCoordinator,
+        connection_table: ConnectionTable,
+        shutdown: Shutdown,
+        clock: Clock,
+        log: structlog.typing.FilteringBoundLogger,
+    ) -> None:
+        """Creates the service of a front end in `zone`; `run_queue` has to run beside it."""
+        self.zone = zone
+        self.coordinator = coordinator
+        self.connection_table = connection_table
+        self.shutdown = shutdown
+        self.clock = clock
+        self.log = log
+        self.pending_requests = PendingRequests(connection_table.limits)
+        self.last_request_number = 0
+        self.publishers: dict[str, PlaybackSession] = {}
+        self.fair_queue = FairQueue({}, ConcurrencyWindow(), MIN_SETUP_TIME_NS)
+        self.apply_configuration()
+        self.shed_count = 0  # requests rejected unread
+        self.shed_logged = 0  # of those, the ones that the log has reported
+        self.is_shedding = False
+        self.service_levels: ServiceLevelControl | None = None
+        self.zone_routing: ZoneRouting | None = None
+        self.turn_events: dict[int, trio.Event] = {}
+        self.granted_numbers: set[int] = set()
+
+    def apply_configuration(self) -> None:
+        """Applies the revenues and startup targets of the plans in force."""
+        plans = {name: plan_terms.plan for name, plan_terms in self.coordinator.site.plans.items()}
+        targets = {name: plan.startup_target_ns for name, plan in plans.items()}
+        self.fair_queue.set_plans({name: plan.revenue for name, plan in plans.items()}, targets)
+
+    # Queue in front of the policy.
+
+    async def run_queue(self) -> None:
+        """Measures how late the event loop runs, and lets queued requests go on as their turn comes."""
+        while True:
+            slept_at = trio.current_time()
+            await trio.sleep(HEARTBEAT_INTERVAL_NS / 1e9)
+            elapsed_ns = round((trio.current_time() - slept_at) * 1e9)
+            self.fair_queue.heartbeat(elapsed_ns - HEARTBEAT_INTERVAL_NS, elapsed_ns)
+            if self.service_levels is not None:
+                self.service_levels.record_loop_lag(max(0, elapsed_ns - HEARTBEAT_INTERVAL_NS))
+            self._log_shedding()
+            for request in self.fair_queue.remove_expired(self.clock.now()):
+                self.turn_events.pop(request.number).set()
+            self._start_next_requests()
+
+    def _start_next_requests(self) -> None:
+        """Gives queued requests their turn while there is room."""
+        while (request := self.fair_queue.next_request()) is not None:
+            self.granted_numbers.add(request.number)
+            self.turn_events.pop(request.number).set()
+
+    def should_shed(self, path: str) -> bool:
+        """Whether to reject a request for this path unread, because its plan's queue is too long."""
+        if not self.fair_queue.waiting:
+            return False
+        plans = self.coordinator.site.route_table.plans.get(path[: path.rfind("/") + 1])
+        if not plans or not all(self.fair_queue.should_shed(plan) for plan in plans):
+            return False
+        self.shed_count += 1
+        return True
+
+    def _log_shedding(self) -> None:
+        """Logs once when shedding begins and once when it has ended, with its figures."""
+        newly_shed = self.shed_count - self.shed_logged
+        ended = not self.fair_queue.waiting
+        begins = newly_shed > 0 and not self.is_shedding
+        ends = self.is_shedding and ended
+        if begins or ends:
+            self.shed_logged = self.shed_count
+            self.is_shedding = begins
+            self.log.warning(
+                "shedding" if begins else "shedding over",
+                turned_away=newly_shed,
+                pace=round(self.fair_queue.throughput),
+                window=round(self.fair_queue.window.size),
+                waiting=len(self.fair_queue.waiting),
+            )
+
+    async def _wait_for_turn(self, queued_request: QueuedRequest) -> bool:
+        """Waits for a request's turn; returns False where it cannot be answered in time, or too many wait."""
+        if self.fair_queue.is_full:
+            return False
+        if self.fair_queue.submit(queued_request):
+            return True
+        turn_event = self.turn_events[queued_request.number] = trio.Event()
+        has_turn = False
+        try:
+            await turn_event.wait()
+            has_turn = (
+                queued_request.number in self.granted_numbers
+                and queued_request.abandon_at - self.clock.now() >= MIN_SETUP_TIME_NS
+            )
+        finally:
+            if not turn_event.is_set():
+                self.turn_events.pop(queued_request.number, None)
+                self.fair_queue.remove(queued_request.number)
+            if queued_request.number in self.granted_numbers:
+                self.granted_numbers.discard(queued_request.number)
+                if not has_turn:  # its turn came too late, or its viewer left at that moment
+                    self.fair_queue.finish()
+        return has_turn
+
+    # Requests.
+
+    def authenticate(self, bearer: str | None) -> BearerToken | None:
+        """The token of a bearer credential (RFC 6750); None where the configuration has no tokens.
+
+        It is looked up by its digest, so that the time of a look-up reveals nothing about it. Raises
+        RequestError 401 without a valid one.
+        """
+        tokens = self.coordinator.site.tokens
+        if not tokens:
+            return None
+        token = tokens.get(hashlib.blake2b((bearer or "").strip().encode(), digest_size=32).digest())
+        if token is None:
+            raise RequestError(
+                401, "token", "A valid bearer token is needed", "invalid_token" if bearer else ""
+            )
+        return token
+
+    def roles_served(self, path: str) -> set[ClientRole]:
+        """The client roles that are served at a path. Raises RequestError 404 where none is."""
+        title = unquote(path.rpartition("/")[2], errors="replace")
+        roles = self.coordinator.site.route_table.roles_served(path) if words.is_path(path) else set()
+        if not roles or not title or "/" in title or len(title) > MAX_TITLE_LENGTH or not title.isprintable():
+            raise RequestError(404, "no-route", "Nothing is served at this path")
+        return roles
+
+    @staticmethod
+    def parse_offer(offer_text: str) -> sdp.Description:
+        """Parses an offer. Raises RequestError 400."""
+        try:
+            return sdp.parse(offer_text)
+        except sdp.SdpFault as fault:
+            raise RequestError(400, "sdp", "The offer is no session description", str(fault)) from None
+
+    @staticmethod
+    def _check_offer(offer: sdp.Description, publishes: bool) -> None:
+        """Checks that an offer can be answered. Raises RequestError 422."""
+        try:
+            sdp.check_offer(offer, publishes)
+        except sdp.SdpFault as fault:
+            raise RequestError(422, "offer", "The offer cannot be answered", str(fault)) from None
+
+    @staticmethod
+    def _check_key(key: str | None) -> None:
+        """Checks the form of an idempotency key. Raises RequestError 400."""
+        if key is not None and not words.is_key(key):
+            raise RequestError(400, "key", 'A key is 1 to 255 visible characters or spaces but " and \\')
+
+    def _find_route(
+        self, site: SharedSettings, request: PlaybackRequest, offer: sdp.Description, title: str
+    ) -> Route:
+        """Route of a request.
+
+        Raises RequestError 403 where only a claim is missing, 404 where no route matches.
+        """
+        roles = self.roles_served(request.path)
+        publishes = any(offer.direction(media) == "sendonly" for media in offer.media)
+        role = next(iter(roles)) if len(roles) == 1 else ClientRole.PUBLISH if publishes else ClientRole.WATCH
+        path = f"{request.path.rpartition('/')[0]}/{title}"
+        route_request = RouteRequest(role, path, self.zone, request.token.claims if request.token else {})
+        route = site.route_table.find(route_request)
+        if route is not None:
+            return route
+        if any(
+            find_mismatch(candidate.match, route_request) is RouteMismatch.CLAIM
+            for candidate in site.route_table.routes.values()
+            if candidate.match.claims
+        ):
+            raise RequestError(403, "claim", "This token does not give access to this title")
+        raise RequestError(404, "no-route", "Nothing is served at this path")
+
+    def has_replay(self, key: str | None, token: BearerToken | None) -> bool:
+        """Whether a request with this key of this client has its answer already.
+
+        Such a request is exempt from all limits, as it binds nothing any more and gets the same answer again.
+        """
+        return key is not None and self.coordinator.idempotency_store.has_replay(self._client_key(key, token))
+
+    @staticmethod
+    def _client_key(key: str, token: BearerToken | None) -> str:
+        """Key with its client's name, since keys of different clients are unrelated."""
+        return f"{token.name}/{key}" if token else key
+
+    async def request_playback(self, request: PlaybackRequest) -> tuple[PlaybackSession | Reply, bool]:
+        """Answers a request for a playback.
+
+        Returns the session with its final answer, or a reply that rejects the request before it became a
+        playback; and whether the answer is given for the first time. Raises RequestError where the request
+        itself is wrong. A caller that is cancelled counts as a viewer that left.
+        """
+        site = self.coordinator.site  # the request is decided under this version throughout
+        title = unquote(request.path.rpartition("/")[2], errors="replace")
+        # Before anything is parsed, since parsing dominates the cost of a rejected request.
+        if not self.has_replay(request.key, request.token) and self.should_shed(request.path):
+            return REFUSAL_REPLIES[Refusal.BUSY], True
+        self._check_key(request.key)
+        now = self.clock.now()
+        client_name = request.token.name if request.token else ""
+        key = self._client_key(
+            request.key if request.key is not None else secrets.token_urlsafe(15), request.token
+        )
+        fingerprint = hashlib.blake2b(f"{request.path}\0{request.offer}".encode(), digest_size=16).hexdigest()
+        decision, refusal, earlier_session = self.coordinator.idempotency_store.decide(key, fingerprint, now)
+        if decision is KeyDecision.REFUSE and refusal is not None:
+            return REFUSAL_REPLIES[refusal], True
+        if decision is KeyDecision.REPLAY and isinstance(earlier_session, PlaybackSession):
+            if self.coordinator.durable_state is not None:
+                self.coordinator.durable_state.session_claimed(earlier_session)
+            return earlier_session, False
+        offer = self.parse_offer(request.offer)
+        route = self._find_route(site, request, offer, title)
+        publishes = route.match.role is ClientRole.PUBLISH
+        plan = site.plans[route.plan]
+        self._check_offer(offer, publishes)
+        if not self.shutdown.accepts_requests():
+            return REFUSAL_REPLIES[Refusal.DRAINING], True
+        if publishes:
+            self._forget_ended_publishers()
+        if publishes and title in self.publishers:
+            raise RequestError(409, "published", "This title is being published already")
+        lag_ns = self.service_levels.loop_lag_ns if self.service_levels is not None else 0
+        deadline = request_deadline(
+            request.written_at,
+            plan.abandon_ns,
+            request.prefer_headers,
+            response_margin(site.answer_margin_ns, lag_ns),
+        )
+        if is_too_late(deadline, now, MIN_SETUP_TIME_NS):
+            return REFUSAL_REPLIES[Refusal.TOO_LATE], True
+        requested_top = self._highest_requested_rung(site, request, offer, route)
+        if self.service_levels is not None:
+            if not self.service_levels.admit(plan.name):
+                return REFUSAL_REPLIES[Refusal.REDUCED], True
+            requested_top = self.service_levels.limit_top_rung(requested_top, plan.plan.floor)
+        catalogue_number = self.coordinator.catalogue.number
+        top = self.coordinator.title_top_rung(title, max(requested_top, plan.plan.floor), plan.plan.floor)
+        if top is None:
+            self.coordinator.answer_counts[FinalAnswer.REJECTED] += 1
+            return REFUSAL_REPLIES[Refusal.NO_TITLE], True
+        session = self.coordinator.new_session(
+            request.path, title, plan, publishes, key, request.offer, sdp.ufrag(offer), top, deadline
+        )
+        if session is None or not self.pending_requests.has_room():
+            return REFUSAL_REPLIES[Refusal.BUSY], True
+        session.in_client_session = request.in_client_session
+        session.has_client_key = request.key is not None
+        session.token_name = client_name
+        session.fingerprint = fingerprint
+        session.requested_top = max(requested_top, plan.plan.floor)
+        session.catalogue_number = catalogue_number
+        if (
+            self.coordinator.durable_state is not None
+            and (reply := self.coordinator.durable_state.rejection(session)) is not None
+        ):
+            return reply, True
+        session.pool = site.pools[route.pool] if route.pool else None
+        session.playback.node_filter = self._node_filter(session)
+        reservation = self.coordinator.limit_ledger.acquire(
+            RequestSubject(client_name, route.name, route.plan, self.zone), now
+        )
+        if isinstance(reservation, LimitExceeded):
+            return answers.limit_reply(reservation), True
+        session.limit_reservation = reservation
+        self.last_request_number += 1
+        return await self._queue_and_answer(
+            session, self.last_request_number, fingerprint, request.client or client_name
+        )
+
+    def _forget_ended_publishers(self) -> None:
+        """Drops publishing sessions that have ended, which no longer hold their titles."""
+        self.publishers = {
+            title: publisher
+            for title, publisher in self.publishers.items()
+            if publisher.final_answer is None or publisher.id in self.coordinator.sessions_by_id
+        }
+
+    @staticmethod
+    def _highest_requested_rung(
+        site: SharedSettings, request: PlaybackRequest, offer: sdp.Description, route: Route
+    ) -> int:
+        """Highest rung that the offer's bandwidth, the route and the request allow."""
+        max_rate = ladder.offered_rate(*sdp.bandwidth(offer))
+        rung_limits = [
+            ladder.best_rung(site.terms.rung_rates, site.plans[route.plan].plan.rate_factor, max_rate),
+            route.top,
+            request.top_rung,
+        ]
+        return min(rung for rung in rung_limits if rung is not None)
+
+    def _node_filter(self, session: PlaybackSession, applies_zones: bool = True) -> NodeFilter | None:
+        """Filter for the nodes that a set-up may go to now; None for all nodes.
+
+        These are the nodes of its route's pool, in the zones that may take it at present.
+        """
+        zone_filter = (
+            self.zone_routing.node_filter() if self.zone_routing is not None and applies_zones else None
+        )
+        pool = session.pool
+        rack_count = self.coordinator.site.terms.rack_count
+        if pool is None:
+            return zone_filter
+        return lambda node: pool.admits(node, rack_count) and (zone_filter is None or zone_filter(node))
+
+    async def _queue_and_answer(
+        self, session: PlaybackSession, number: int, fingerprint: str, client: str
+    ) -> tuple[PlaybackSession | Reply, bool]:
+        """Queues a request in front of the policy and waits for its answer."""
+        is_paid = session.plan.plan.effect.value == "paid"
+        self.pending_requests.add(number)
+        if (
+            not self.coordinator.idempotency_store.begin(session.key, fingerprint, is_paid, self.clock.now())
+            and is_paid
+        ):
+            self.pending_requests.remove(number)  # without a record, a repeat would be set up again
+            if session.limit_reservation is not None:
+                self.coordinator.limit_ledger.release(session.limit_reservation)
+            return REFUSAL_REPLIES[Refusal.BUSY], True
+        if session.publishes:
+            self.publishers[session.playback.title.name] = session
+        self.coordinator.unanswered_count += 1
+        has_turn = is_submitted = False
+        try:
+            has_turn = await self._wait_for_turn(
+                QueuedRequest(session.deadline.abandon_at, number, session.plan.name, client)
+            )
+            is_submitted = has_turn and self.coordinator.try_submit(
+                partial(self.coordinator.request_placement, session)
+            )
+            if not is_submitted:
+                reply = REFUSAL_REPLIES[
+                    Refusal.BUSY if has_turn or self.fair_queue.is_full else Refusal.TOO_LATE
+                ]
+                session.set_answer(FinalAnswer.REJECTED, reply)
+                self.coordinator.idempotency_store.record_answer(
+                    session.key, FinalAnswer.REJECTED, session, self.clock.now()
+                )
+                return reply, True
+            with trio.CancelScope(deadline=self.clock.trio_time(session.deadline.abandon_at)):
+                await session.answered.wait()
+            if session.final_answer is None:  # both fell due at once, as after a pause: the policy goes first
+                with trio.move_on_after(ANSWER_GRACE_SECONDS):
+                    await session.answered.wait()
+            if session.final_answer is None:  # the policy owes the answer; guards against any fault there
+                self.log.error("no answer in time", playback=session.id, plan=session.plan.name)
+                session.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(session.plan.plan.effect))
+                self.coordinator.idempotency_store.record_answer(
+                    session.key, FinalAnswer.ABORTED, session, self.clock.now()
+                )
+                if self.coordinator.durable_state is not None:
+                    self.coordinator.durable_state.answer_given(session, FinalAnswer.ABORTED)
+                self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
+            return session, True
+        finally:
+            if has_turn:
+                self.fair_queue.finish()
+                self._start_next_requests()
+            self.coordinator.unanswered_count -= 1
+            self.pending_requests.remove(number)
+            if not is_submitted and session.limit_reservation is not None:
+                self.coordinator.limit_ledger.release(session.limit_reservation)
+            # The viewer left; its key stays in use until the end of the set-up is known.
+            if session.final_answer is None:
+                if is_submitted:
+                    self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
+                else:
+                    session.set_answer(FinalAnswer.REJECTED)
+                    self.coordinator.idempotency_store.record_answer(
+                        session.key, FinalAnswer.REJECTED, session, self.clock.now()
+                    )
+                session.answered.set()
+            if session.publishes and session.final_answer is not FinalAnswer.PLAYS:
+                self.publishers.pop(session.playback.title.name, None)
+            self.coordinator.count_changed.notify()
+
+    # Playing sessions.
+
+    def find_session(self, session_id: str, token: BearerToken | None) -> PlaybackSession:
+        """Session by its id. Raises RequestError 404, or 403 for a session of another client."""
+        session = self.coordinator.sessions_by_id.get(session_id)
+        if session is None or session.resource is None or session.upstream is None:
+            raise RequestError(404, "no-session", "No such session")
+        if token is not None and session.token_name and token.name != session.token_name:
+            raise RequestError(403, "claim", "This session is another client's")
+        self._check_active(session)
+        return session
+
+    def _check_active(self, session: PlaybackSession) -> None:
+        """Raises RequestError 404 for a session that has ended, or is being ended."""
+        if (
+            session.resource is None
+            or session.resource.not_found()
+            or session.id not in self.coordinator.sessions_by_id
+        ):
+            raise RequestError(404, "no-session", "No such session")
+
+    @staticmethod
+    def _resource_error(error: ResourceError) -> RequestError:
+        """The error of a session resource as RequestError."""
+        return RequestError(error.status, error.problem_type.rpartition(":")[2], error.title)
+
+    async def patch(
+        self, session: PlaybackSession, content_type: str, etags: list[str] | None, body: bytes
+    ) -> PatchResult:
+        """Applies a trickle ICE fragment to a session (RFC 9725 4.3).
+
+        Raises RequestError with the status of a request that does not fit the resource, or 502 where the node
+        failed.
+        """
+        assert session.resource is not None
+        assert session.upstream is not None
+        fragment = sdp.Fragment("", "", [], True)
+        if content_type == SDPFRAG_MEDIA_TYPE:
+            try:
+                fragment = sdp.parse_fragment(body.decode("utf-8"))
+            except (UnicodeDecodeError, sdp.SdpFault) as error:
+                raise RequestError(400, "sdp", "This is no trickle fragment", str(error)) from None
+        action = session.resource.patch(content_type, etags, fragment.ufrag, len(fragment.candidates))
+        if isinstance(action, ResourceError):
+            raise self._resource_error(action)
+        # A move may replace both meanwhile.
+        upstream = session.upstream
+        resource = session.resource
+        node_client = self.coordinator.node_clients.get(upstream.node)
+        if action is ResourceAction.TRICKLE:
+            reply = await node_client.patch(upstream, f'"{upstream.etag}"', body) if node_client else None
+            if reply is None or reply.status not in (200, 204):
+                raise RequestError(502, "node", "The playout node did not take the candidates")
+            return PatchResult()
+        is_restarted = False
+        try:
+            reply = await node_client.patch(upstream, "*", body) if node_client else None
+            etag = (reply.header("etag") or "").strip('"') if reply is not None else ""
+            if reply is None or reply.status != 200 or not etag:
+                raise RequestError(502, "node", "The playout node did not restart ICE")
+            upstream.etag = etag
+            resource.restart_succeeded(etag, fragment.ufrag)
+            is_restarted = True
+            return PatchResult(etag, reply.body)
+        finally:
+            if not is_restarted:
+                resource.restart_failed()
+
+    async def end_session(self, session: PlaybackSession) -> None:
+        """Ends a session for its viewer. Raises RequestError 404 for one that has ended."""
+        assert session.resource is not None
+        action = session.resource.delete()
+        if isinstance(action, ResourceError):
+            raise self._resource_error(action)
+        if session.publishes:
+            self.publishers.pop(session.playback.title.name, None)
+        await self.coordinator.submit(partial(self.coordinator.end_session, session))
+
+    async def select_layer(self, session: PlaybackSession, requested: str) -> None:
+        """Sets the highest rung that the viewer takes; below it the policy goes on choosing.
+
+        Raises RequestError 422 for a rung that the plan does not have.
+        """
+        self._check_active(session)
+        plan = session.playback.plan
+        rung = ladder.requested_rung(requested, plan.floor, plan.top_rung)
+        if rung is None:
+            raise RequestError(
+                422, "layer", "No such layer in this plan", f"rungs {plan.floor} to {plan.top_rung}"
+            )
+        # A level of reduced service limits increases only and takes nothing away.
+        if self.service_levels is not None and rung > session.playback.top_rung:
+            rung = max(session.playback.top_rung, self.service_levels.limit_top_rung(rung, plan.floor))
+        await self.coordinator.submit(partial(self.coordinator.set_requested_top, session, rung))
+
+    def open_reader(
+        self, session: PlaybackSession, kinds: frozenset[str], for_client_session: bool = False
+    ) -> SessionEventReader:
+        """Opens a reader of a session's events, which begins with the present state.
+
+        The reader of a session that has ended gets just that event. Raises RequestError 409 for one reader
+        too many; with `for_client_session` the reader is not counted, since otherwise a repeated request
+        could not get its answer.
+        """
+        if len(session.readers) >= MAX_EVENT_READERS and not for_client_session:
+            raise RequestError(409, "events", f"{MAX_EVENT_READERS} streams of this session are open")
+        send, receive = trio.open_memory_channel[tuple[str, dict[str, str]]](
+            self.connection_table.limits.event_backlog
+        )
+        reader = SessionEventReader(kinds, send, receive)
+        if session.id not in self.coordinator.sessions_by_id:
+            send.send_nowait(("inactive", {"why": Outcome.RESET.value}))
+            send.close()
+            return reader
+        session.readers.append(reader)
+        if "active" in kinds:
+            send.send_nowait(("active", {}))
+        if "layers" in kinds:
+            send.send_nowait(("layers", {"encodingId": str(session.playback.rung)}))
+        assert not is_slow_reader(2, self.connection_table.limits)
+        return reader
+
+    @staticmethod
+    def close_reader(session: PlaybackSession, reader: SessionEventReader) -> None:
+        """Closes a reader of a session's events."""
+        reader.receive.close()
+        if reader in session.readers:
+            session.readers.remove(reader)
+
+    async def accept_move_offer(
+        self, session: PlaybackSession, offer_text: str, key: str, prefer_headers: list[str]
+    ) -> tuple[str, str] | Reply:
+        """Handles the new offer of a player that was told to move.
+
+        Returns the answer and the entity tag of the target, or a reply by which the player stays. Raises
+        RequestError 409 where the session is not being moved.
+        """
+        self._check_active(session)
+        self._check_key(key)
+        offer = self.parse_offer(offer_text)
+        self._check_offer(offer, session.publishes)
+        move = self.coordinator.move_executor.moves.get(session.id)
+        if move is None or not move.handover.awaits_offer():
+            raise RequestError(409, "no-move", "This session is not being moved")
+        deadline = request_deadline(
+            self.clock.now(), session.plan.abandon_ns, prefer_headers, self.coordinator.site.answer_margin_ns
+        )
+        title = session.playback.title.name
+        counterpart = self.coordinator.new_session(
+            session.path,
+            title,
+            session.plan,
+            session.publishes,
+            key,
+            offer_text,
+            sdp.ufrag(offer),
+            session.playback.top_rung,
+            deadline,
+        )
+        if counterpart is None:
+            return REFUSAL_REPLIES[Refusal.BUSY]
+        await self.coordinator.submit(partial(self._start_move, move, counterpart))
+        with trio.CancelScope(deadline=self.clock.trio_time(deadline.abandon_at)):
+            await counterpart.answered.wait()
+        upstream = counterpart.upstream if move.handover.state is MoveState.BESIDE else session.upstream
+        if counterpart.final_answer is not FinalAnswer.PLAYS or upstream is None:
+            return counterpart.reply or STAY_REPLY
+        return upstream.sdp_answer, upstream.etag
+
+    def _start_move(self, move: Move, counterpart: PlaybackSession) -> None:
+        """Hands an offer to its move."""
+        counterpart.pool = move.session.pool
+        if not self.coordinator.move_executor.offer_received(move, counterpart, self._node_filter):
+            counterpart.set_answer(FinalAnswer.REJECTED, STAY_REPLY)
+
+    async def confirm_move(self, session: PlaybackSession) -> None:
+        """Handles the confirmation that the player plays from the target."""
+        self._check_active(session)
+        move = self.coordinator.move_executor.moves.get(session.id)
+        if move is not None:
+            await self.coordinator.submit(
+                partial(self.coordinator.move_executor.handle, move, MoveEvent.CONFIRMED)
+            )
--- /dev/null
+++ b/oakcroft/front/session_takeover.py
@@ -0,0 +1,331 @@
+"""Takes over the sessions of failed front ends.
+
+The decisions are in decisions/fleet/session_takeover.py and, for the node, session_ownership.py; docs/adopting.md has
+the design. One request to a node: opens its event stream; lists its sessions of failed front ends; restores those that
+can be served here, so that seats and loads are counted before the front end is responsible for them; takes them over at
+the node; drops those that the node gave to another front end.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from functools import partial
+
+import structlog
+import trio
+
+from oakcroft.decisions.fleet.session_takeover import (
+    SessionTakeover,
+    TakeoverBounds,
+    TakeoverRequest,
+    TakeoverDecision,
+)
+from oakcroft.decisions.fleet.session_ownership import TakeoverAnswer
+from oakcroft.decisions.membership.member import MemberState
+from oakcroft.decisions.membership.membership import Membership
+from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.decisions.state.promise import PromiseState, Promise
+from oakcroft.front.session_service import MAX_TITLE_LENGTH
+from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.node_client import NodeClient
+from oakcroft.front.recovered_session import attach_to_node, resume_playback, session_from_promise
+from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
+from oakcroft.interface import MS, SECOND, Effect, Outcome, PlaybackState
+from oakcroft.signalling import handing, words
+
+CHECK_INTERVAL_NS = 50 * MS
+ANSWERS_BY_VALUE = {w.value: w for w in TakeoverAnswer}
+MAX_PAGES_PER_REQUEST = 64  # of one node's list in one request; the second round asks for the rest
+
+
+class TakeoverRunner:
+    """Runs session takeover on one front end."""
+
+    def __init__(
+        self,
+        coordinator: SessionCoordinator,
+        membership: Membership,
+        bounds: TakeoverBounds,
+        on_published: Callable[[PlaybackSession], None],
+        accepts_new: Callable[[], bool],
+        log: structlog.typing.FilteringBoundLogger,
+    ) -> None:
+        """`on_published` is called with each adopted session that publishes."""
+        self.coordinator = coordinator
+        self.membership = membership
+        self.bounds = bounds
+        self.on_published = on_published
+        self.log = log
+        self.accepts_new = accepts_new  # a front end that is leaving would at once end what it took over
+        self.takeover = SessionTakeover(membership.me.name, bounds)
+        self.adopted_playbacks: dict[str, PlaybackSession] = {}  # adopted sessions by id
+        self.adopted_counts = Counter[str]()
+        self.lost_to_others = 0
+        self.declined_counts = Counter[str]()
+        coordinator.on_sessions_taken_over = self.playbacks_lost
+
+    def playbacks_lost(self, playback_count: int) -> None:
+        """Counts sessions of this front end that nodes report as taken over by others."""
+        self.lost_to_others += playback_count
+
+    def update_fronts(self) -> None:
+        """Applies a change of the fleet's membership."""
+        failed_fronts = [
+            name
+            for name, member in self.membership.members.items()
+            if member.latest.state is MemberState.FAILED
+        ]
+        present_fronts = [self.membership.me.name] if self.membership.displaced else self.membership.present()
+        for returned_front in self.takeover.update_fronts(
+            () if self.membership.displaced else failed_fronts, present_fronts, self.coordinator.clock.now()
+        ):
+            self.log.info(
+                "adoption over",
+                of=returned_front.name,
+                why="it is back, or forgotten",
+                taken=returned_front.adopted,
+            )
+
+    async def run(self) -> None:
+        """Sends due takeover requests until cancelled."""
+        # A front end with a state file restores its own sessions from that.
+        if self.coordinator.durable_state is None:
+            self.takeover.add_own_earlier_generation(self.coordinator.clock.now())
+        while True:
+            now = self.coordinator.clock.now()
+            self.takeover.update_nodes(self.coordinator.node_list.listed_nodes, now)
+            for request in self.takeover.due_requests(now) if self.accepts_new() else ():
+                self.coordinator.nursery.start_soon(self._run_request, request)
+            for failed_front in self.takeover.take_finished(now):
+                if (
+                    failed_front.adopted
+                    or failed_front.declined
+                    or failed_front.name != self.membership.me.name
+                ):
+                    self.log.info(
+                        "adoption done",
+                        of=failed_front.name,
+                        taken=failed_front.adopted,
+                        left=dict(failed_front.declined),
+                        ms=(now - failed_front.failed_at) // MS,
+                    )
+            await trio.sleep(CHECK_INTERVAL_NS / SECOND)
+
+    async def _run_request(self, request: TakeoverRequest) -> None:
+        answers: dict[str, TakeoverAnswer] | None = None
+        next_page = ""
+        try:
+            node_client = self.coordinator.node_clients.get(request.node)
+            if node_client is not None:
+                await self.coordinator.submit(
+                    partial(
+                        self.coordinator.follow_events, node_client, f"/events/{self.coordinator.pseudonym}"
+                    )
+                )
+                for _ in range(MAX_PAGES_PER_REQUEST):
+                    listing = await node_client.list_sessions_of(request.front_names, next_page)
+                    if listing is None:
+                        answers = None  # the list is incomplete: the node is asked again
+                        break
+                    answers = {
+                        name: ANSWERS_BY_VALUE.get(value, TakeoverAnswer.RECENTLY_CONNECTED)
+                        for name, value in listing.fronts.items()
+                    }
+                    own_sessions = [
+                        offered
+                        for offered in listing.sessions
+                        if request.is_own(offered.front, offered.session)
+                    ]
+                    if own_sessions:
+                        await self._adopt(node_client, own_sessions)
+                    next_page = listing.next
+                    if not next_page:
+                        break
+        finally:
+            self.takeover.request_finished(request, answers, self.coordinator.clock.now())
+
+    async def _adopt(self, node_client: NodeClient, offered: list[handing.Offered]) -> None:
+        """Takes over the offered sessions that can be served here."""
+        chosen: dict[str, tuple[handing.Offered, PlaybackSession]] = {}
+        done = trio.Event()
+
+        def choose() -> None:
+            self._forget_ended()
+            for offered_session in offered:
+                decision, session = self._restore_offered(node_client, offered_session)
+                if session is not None:
+                    chosen[offered_session.session] = offered_session, session
+                else:
+                    self._count_declined(offered_session.front, decision)
+            done.set()
+
+        await self.coordinator.submit(choose)
+        await done.wait()
+        if not chosen:
+            return
+        given: set[str] | None = None
+        try:
+            given = await node_client.take_over(list(chosen))
+        finally:
+            with trio.CancelScope(shield=True):
+                await self.coordinator.submit(partial(self._finish_adoption, node_client, chosen, given))
+
+    def _forget_ended(self) -> None:
+        """Drops adopted sessions that have ended."""
+        self.adopted_playbacks = {
+            session_id: session
+            for session_id, session in self.adopted_playbacks.items()
+            if session.playback in self.coordinator.sessions_by_playback
+        }
+
+    def _count_declined(self, front_name: str, decision: TakeoverDecision) -> None:
+        self.declined_counts[decision.value] += 1
+        if (failed_front := self.takeover.failed_fronts.get(front_name)) is not None:
+            failed_front.declined[decision.value] += 1
+
+    def _restore_offered(
+        self, node_client: NodeClient, offered: handing.Offered
+    ) -> tuple[TakeoverDecision, PlaybackSession | None]:
+        """Restores an offered session as a playback of the decision module, if it can be served here.
+
+        Returns why it is declined otherwise. Its seat is checked before the playback is counted (rule 5).
+        """
+        coordinator = self.coordinator
+        memo = handing.read_memo(offered.memo)
+        if memo is None or not words.is_path(memo.path) or not words.is_path(offered.session):
+            return TakeoverDecision.UNREADABLE_MEMO, None
+        plan = coordinator.site.plans.get(memo.plan)
+        if plan is None:
+            return TakeoverDecision.UNKNOWN_PLAN, None
+        if (
+            memo.id in coordinator.sessions_by_id
+            or (node_client.name, offered.session) in coordinator.sessions_by_upstream
+        ):
+            return TakeoverDecision.ALREADY_HELD, None
+        if len(self.adopted_playbacks) >= self.bounds.max_adopted:
+            return TakeoverDecision.TOO_MANY_ADOPTED, None
+        node = coordinator.node_list.nodes.get(node_client.name)
+        top_rung = coordinator.title_top_rung(memo.title, max(memo.top, plan.plan.floor), plan.plan.floor)
+        if (
+            node is None
+            or top_rung is None
+            or offered.rung < plan.plan.floor
+            or len(memo.title) > MAX_TITLE_LENGTH
+        ):
+            return TakeoverDecision.TITLE_NOT_SERVED, None
+        now = coordinator.clock.now()
+        promise = Promise(
+            memo.id,
+            offered.key,
+            memo.about,
+            memo.path,
+            memo.title,
+            memo.plan,
+            plan.plan.effect.value,
+            plan.plan.seats > 0,
+            memo.publishes,
+            memo.ufrag,
+            top_rung,
+            memo.token,
+            memo.written,
+            memo.abandon,
+            PromiseState.PLAYS,
+            node_client.name,
+            node_client.stream_health.process,
+            now,
+            rung=offered.rung,
+            changed=now,
+        )
+        session = session_from_promise(coordinator, promise)
+        if session is None:
+            return TakeoverDecision.TITLE_NOT_SERVED, None
+        if plan.plan.seats and session.playback.title.seats_taken.get(plan.plan, 0) >= plan.plan.seats:
+            return TakeoverDecision.NO_SEAT_FREE, None
+        resume_playback(coordinator, session, node)
+        self.adopted_playbacks[session.id] = session
+        return TakeoverDecision.ACCEPTED, session
+
+    def _finish_adoption(
+        self,
+        node_client: NodeClient,
+        chosen: dict[str, tuple[handing.Offered, PlaybackSession]],
+        given: set[str] | None,
+    ) -> None:
+        """Keeps the sessions that the node has given and ends the others.
+
+        `given` is None if the node's answer was lost; its event stream is then reopened, whose start lists the sessions.
+        """
+        coordinator = self.coordinator
+        for resource, (offered, session) in chosen.items():
+            if (
+                session.playback not in coordinator.sessions_by_playback
+                or session.playback.state is not PlaybackState.PLAYING
+            ):
+                continue
+            if given is not None and resource not in given:
+                self.adopted_playbacks.pop(session.id, None)
+                coordinator.playback_ended(session, Outcome.WITHDRAWN)
+                continue
+            layer_path = f"{offered.session}/layer"
+            attach_to_node(
+                coordinator,
+                session,
+                node_client,
+                UpstreamSession(
+                    node_client.name,
+                    offered.session,
+                    f"/events/{coordinator.pseudonym}",
+                    layer_path,
+                    offered.tag,
+                    offered.answer,
+                ),
+            )
+            # A key that was aborted because nodes told of it while the state file was lost stays aborted.
+            if coordinator.durable_state is None or not coordinator.durable_state.is_learned_key(session.key):
+                is_paid = session.plan.plan.effect is not Effect.FREE
+                coordinator.idempotency_store.restore(
+                    session.key,
+                    session.fingerprint,
+                    is_paid,
+                    FinalAnswer.PLAYS,
+                    session,
+                    coordinator.clock.now(),
+                )
+            if coordinator.durable_state is not None:
+                coordinator.durable_state.answer_given(session, FinalAnswer.PLAYS)
+            if session.publishes:
+                self.on_published(session)
+            if session.playback.rung > session.playback.top_rung:
+                coordinator.set_rung_bound(session, session.playback.top_rung)
+            self.adopted_counts[offered.front] += 1
+            if (failed_front := self.takeover.failed_fronts.get(offered.front)) is not None:
+                failed_front.adopted += 1
+        if given is None:
+            node_client.reopen_stream()
+        else:
+            self.log.info(
+                "adopted",
+                node=node_client.name,
+                taken=len(given),
+                asked=len(chosen),
+                held=len(self.adopted_playbacks),
+            )
+
+    def status(self) -> dict[str, object]:
+        """Counts and failed front ends, for operators."""
+        takeover = self.takeover
+        self._forget_ended()
+        return {
+            "held": len(self.adopted_playbacks),
+            "adopted": sum(self.adopted_counts.values()),
+            "passed_on": self.lost_to_others,
+            "left": dict(self.declined_counts),
+            "asking": sorted(
+                front.name
+                for front in takeover.failed_fronts.values()
+                if front.expires_at and front.pending_nodes
+            ),
+            "errands": len(takeover.active_requests),
+            "passed_over": takeover.dropped_tasks,
+        }
