--- a/tests/test_untold_loads.py
+++ b/tests/test_untold_loads.py
@@ -1,96 +1,109 @@
-"""Fleets whose nodes report no loads: what a front takes links for, and what one that is found full tells of the rest."""
+"""Fleets whose nodes report no loads: the load assumed for links, and what a full link says about the others."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from helpers import FREE, TERMS, Fleet
-
-from oakcroft.choice import T1, USUAL
-from oakcroft.interface import SECOND, ListKind, Node, Note, Outcome, Playback, Title
-
-NODES, LINK = 8, 4000.0  # of `Fleet`
-UNTOLD = replace(TERMS, fronts=40, reports_every=0, uplink=0.65 * NODES / TERMS.racks * LINK)
-"""Nothing is reported unasked, and a rack's uplink gives two thirds of what its links give."""
-LIGHT = replace(FREE, rate_factor=0.1)  # one on each of forty fronts asks a twentieth of what the links give
-
-
-def pass_seconds(fleet: Fleet, seconds: int) -> None:
-    """The end of each interval comes."""
+from helpers import FREE, TERMS, ControllerHarness
+
+from oakcroft.choice import T1, DEFAULT_ASSUMED_LOAD
+from oakcroft.interface import SECOND, NodeListKind, Node, PlaybackMetric, Outcome, Playback, Title
+
+NODES = 8
+LINK_CAPACITY = 4000.0  # kB/s of each node's link, as listed by `ControllerHarness`
+NO_REPORTS = replace(
+    TERMS,
+    front_count=40,
+    report_interval_ns=0,
+    uplink_capacity=0.65 * NODES / TERMS.rack_count * LINK_CAPACITY,
+)
+"""Nodes send no reports, and a rack's uplink has two thirds of the capacity of its links."""
+# One such playback on each of 40 front ends takes a twentieth of the links' capacity.
+LIGHT_PLAN = replace(FREE, rate_factor=0.1)
+
+
+def end_intervals(harness: ControllerHarness, seconds: int) -> None:
+    """Lets sample intervals end."""
     for _ in range(seconds):
-        fleet.now += SECOND
-        fleet.control.alarm(fleet.now)
+        harness.now += SECOND
+        harness.controller.on_timer(harness.now)
 
 
-def plays_on(fleet: Fleet, node: Node) -> Playback:
-    """A playback that this front was handed."""
-    pb = Playback(Title(f"on {node.name}", 0, 0), FREE, 2, fleet.now + SECOND, False)
-    fleet.control.resumed(pb, node, fleet.now)
-    return pb
+def hand_over(harness: ControllerHarness, node: Node) -> Playback:
+    """Hands a playback on a node over to the front end."""
+    playback = Playback(Title(f"on {node.name}", 0, 0), FREE, 2, harness.now + SECOND, False)
+    harness.controller.on_handed_over(playback, node, harness.now)
+    return playback
 
 
-def test_racks_do_not_look_full_on_a_guess_alone() -> None:
-    """A guess of each link alone fills no uplink: requests are placed, off the ladder's foot."""
-    fleet = Fleet(NODES, UNTOLD)
-    pass_seconds(fleet, 3)
+def test_racks_do_not_look_full_by_assumption_alone() -> None:
+    """The load assumed for each link must not add up to a full uplink: requests are placed, above the lowest rung."""
+    harness = ControllerHarness(NODES, NO_REPORTS)
+    end_intervals(harness, 3)
     playing = []
     for second in range(3):
-        pb = fleet.ask(LIGHT, Title(f"t{second}", 0, 0))
-        assert not fleet.answers(pb)
-        fleet.control.playing(pb, fleet.now)
-        playing.append(pb)
-        pass_seconds(fleet, 10)
-        assert fleet.control.x < (T1 + USUAL) / 2
-    assert sum(pb.rung for pb in playing) / len(playing) >= 1  # off the ladder's foot
-
-
-def test_links_are_taken_at_the_usual_of_what_their_uplink_lets_through() -> None:
-    """The guess is of what is tighter, link or uplink, and stands before the first request."""
-    wide = Fleet(NODES, replace(UNTOLD, uplink=NODES * LINK))
-    without = Fleet(NODES, replace(UNTOLD, uplink=0.0))
-    assert wide.control.usual == without.control.usual == USUAL
-    narrow = Fleet(NODES, UNTOLD)
-    assert narrow.control.usual == pytest.approx(0.65 * USUAL)
-    assert all(node.level < USUAL for node in narrow.nodes)  # from the first request on
+        playback = harness.request(LIGHT_PLAN, Title(f"t{second}", 0, 0))
+        assert not harness.final_answers(playback)
+        harness.controller.on_playing(playback, harness.now)
+        playing.append(playback)
+        end_intervals(harness, 10)
+        assert harness.controller.x < (T1 + DEFAULT_ASSUMED_LOAD) / 2
+    assert sum(playback.rung for playback in playing) / len(playing) >= 1  # above the lowest rung
+
+
+def test_assumed_load_is_limited_by_the_uplink() -> None:
+    """The assumption is made for the narrower of link and uplink, before the first request."""
+    wide = ControllerHarness(NODES, replace(NO_REPORTS, uplink_capacity=NODES * LINK_CAPACITY))
+    without = ControllerHarness(NODES, replace(NO_REPORTS, uplink_capacity=0.0))
+    assert wide.controller.assumed_load == without.controller.assumed_load == DEFAULT_ASSUMED_LOAD
+    narrow = ControllerHarness(NODES, NO_REPORTS)
+    assert narrow.controller.assumed_load == pytest.approx(0.65 * DEFAULT_ASSUMED_LOAD)
+    assert all(
+        node.estimated_load < DEFAULT_ASSUMED_LOAD for node in narrow.nodes
+    )  # from the first request on
 
 
 @pytest.mark.parametrize("sign", ["short delivery", "full answer"])
-def test_one_link_that_is_found_full_says_nothing_of_the_others(sign: str) -> None:
-    """Full links are what is noticed where nothing reports; the rest is taken for usual all the same."""
-    fleet = Fleet(NODES, UNTOLD)
-    pass_seconds(fleet, 3)
-    usual = fleet.control.usual
+def test_one_full_link_says_nothing_about_the_others(sign: str) -> None:
+    """Where nothing reports, only full links are noticed; they must not stand for the other links."""
+    harness = ControllerHarness(NODES, NO_REPORTS)
+    end_intervals(harness, 3)
+    assumed_load = harness.controller.assumed_load
     if sign == "short delivery":
-        plays_on(fleet, fleet.nodes[2])  # in the same rack, with all that it asks
-        node = fleet.nodes[0]
-        fleet.control.noted(plays_on(fleet, node), Note.DELIVERED, 0.7, fleet.now)
+        hand_over(harness, harness.nodes[2])  # in the same rack, with full delivery
+        node = harness.nodes[0]
+        harness.controller.on_metric(
+            hand_over(harness, node), PlaybackMetric.DELIVERED_SHARE, 0.7, harness.now
+        )
     else:
-        pb = fleet.ask()
-        node = fleet.sends()[-1]
-        fleet.control.tried(pb, Outcome.FULL, False, None, None, None, fleet.now)
-    assert node.level > usual + 0.2
-    pass_seconds(fleet, 10)
-    assert fleet.control.usual == usual
-    assert fleet.control.x < T1
-    assert not fleet.answers(fleet.ask(title=Title("another", 0, 0)))
-
-
-def test_what_is_found_full_counts_beside_what_is_told() -> None:
-    """Where nodes report, short delivery is a sample among others."""
-    fleet = Fleet(NODES, replace(UNTOLD, reports_every=3 * SECOND))
-    told, short = plays_on(fleet, fleet.nodes[0]), plays_on(fleet, fleet.nodes[2])
-    fleet.control.noted(told, Note.LINK_ASKED, 0.5, fleet.now)
-    fleet.control.noted(short, Note.DELIVERED, 0.7, fleet.now)
-    pass_seconds(fleet, 1)
-    assert fleet.control.usual == pytest.approx((0.5 + 1 / 0.7) / 2, abs=0.1)
-
-
-def test_a_mean_that_was_told_stands_when_the_list_changes() -> None:
-    """Once a link has told, no list brings the first guess back."""
-    fleet = Fleet(NODES, UNTOLD)
-    fleet.control.noted(plays_on(fleet, fleet.nodes[0]), Note.LINK_ASKED, 0.2, fleet.now)
-    pass_seconds(fleet, 1)
-    usual = fleet.control.usual
-    fleet.relist(ListKind.WHOLE)
-    assert fleet.control.usual == usual < 0.65 * USUAL
+        playback = harness.request()
+        node = harness.sent_nodes()[-1]
+        harness.controller.on_try_ended(playback, Outcome.FULL, False, None, None, None, harness.now)
+    assert node.estimated_load > assumed_load + 0.2
+    end_intervals(harness, 10)
+    assert harness.controller.assumed_load == assumed_load
+    assert harness.controller.x < T1
+    assert not harness.final_answers(harness.request(title=Title("another", 0, 0)))
+
+
+def test_inferred_loads_count_beside_reported_ones() -> None:
+    """Where nodes report, the load inferred from short delivery is one sample among others."""
+    harness = ControllerHarness(NODES, replace(NO_REPORTS, report_interval_ns=3 * SECOND))
+    reporting, short_of_delivery = hand_over(harness, harness.nodes[0]), hand_over(harness, harness.nodes[2])
+    harness.controller.on_metric(reporting, PlaybackMetric.LINK_LOAD, 0.5, harness.now)
+    harness.controller.on_metric(short_of_delivery, PlaybackMetric.DELIVERED_SHARE, 0.7, harness.now)
+    end_intervals(harness, 1)
+    assert harness.controller.assumed_load == pytest.approx((0.5 + 1 / 0.7) / 2, abs=0.1)
+
+
+def test_a_reported_mean_stays_when_the_list_changes() -> None:
+    """Once a link has reported, a new node list must not bring back the default."""
+    harness = ControllerHarness(NODES, NO_REPORTS)
+    harness.controller.on_metric(
+        hand_over(harness, harness.nodes[0]), PlaybackMetric.LINK_LOAD, 0.2, harness.now
+    )
+    end_intervals(harness, 1)
+    assumed_load = harness.controller.assumed_load
+    harness.apply_list(NodeListKind.WHOLE)
+    assert harness.controller.assumed_load == assumed_load < 0.65 * DEFAULT_ASSUMED_LOAD
