--- a/oakcroft/decisions/sessions/setup_outcome.py
+++ b/oakcroft/decisions/sessions/setup_outcome.py
@@ -9,10 +9,12 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
-from http import HTTPStatus
 
 from oakcroft.interface import Outcome
 
+STATUS_CREATED = 201
+STATUS_UNAVAILABLE = 503
+
 PROBLEM_FULL = "urn:oakcroft:problem:full"
 """Problem type (RFC 9457) of a node that rejected a set-up before any work, since it is full."""
 
@@ -105,9 +107,9 @@
 
 def _answered_outcome(progress: RequestProgress) -> Outcome:
     """Returns the outcome of a whole response."""
-    if progress.status == HTTPStatus.CREATED:
+    if progress.status == STATUS_CREATED:
         return Outcome.DONE
-    if progress.status == HTTPStatus.SERVICE_UNAVAILABLE and progress.problem_type in (
+    if progress.status == STATUS_UNAVAILABLE and progress.problem_type in (
         PROBLEM_FULL,
         PROBLEM_DRAINING,
     ):
