--- a/benchmarks/front_cost.py
+++ b/benchmarks/front_cost.py
@@ -24,7 +24,7 @@
 
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 
 SITE = """(fleet (fronts 1) (cells {nodes}) (racks 4) (copies 6)
     (cold-for 200ms) (fall-multiple 90) (fall-window 1s) (reports-every 2s) (seen-after 500ms))
@@ -99,7 +99,10 @@
     async def set_up(self, peer: Peer, direct: bool, end: bool) -> bool:
         """One playback, ended at once if so wished."""
         self.number += 1
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(f"b{self.number}"))]
+        headers = [
+            ("Content-Type", sdp.MEDIA_TYPE),
+            ("Idempotency-Key", http_formats.quoted(f"b{self.number}")),
+        ]
         if direct:
             headers.append(("Via", "1.1 direct"))
         try:
@@ -122,7 +125,10 @@
         async def one(at: float) -> None:
             peer = self.rng.choice(self.nodes) if direct else self.front
             self.number += 1
-            key = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(f"b{self.number}"))]
+            key = [
+                ("Content-Type", sdp.MEDIA_TYPE),
+                ("Idempotency-Key", http_formats.quoted(f"b{self.number}")),
+            ]
             try:
                 path = f"/whep/open/t{self.rng.randrange(50)}"
                 response = await peer.ask(
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -31,7 +31,7 @@
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 from oakcroft.standins.record import read
 from oakcroft.store.file import PutPromise, StateFile
 
@@ -87,7 +87,7 @@
     peer = Peer("127.0.0.1", port, 1.0)
     try:
         with trio.fail_after(6):
-            headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key))]
+            headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key))]
             sat = await peer.ask("POST", path, headers, BODY)
             return sat.status, sat.header("location") or "", float(sat.header("retry-after") or 0)
     except (Ended, trio.TooSlowError, OSError):
--- a/oakcroft/client/whep.py
+++ b/oakcroft/client/whep.py
@@ -15,7 +15,7 @@
 from oakcroft.decisions.sessions.setup_outcome import RequestEnd
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Headers, Response
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 
 
 @dataclass
@@ -60,7 +60,11 @@
 
     async def _once(self, path: str, offer: str, key: str, wait: int | None) -> tuple[Response | None, bool]:
         """The answer, if any, and whether the front may have read the request."""
-        headers = [*self.headers, ("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key))]
+        headers = [
+            *self.headers,
+            ("Content-Type", sdp.MEDIA_TYPE),
+            ("Idempotency-Key", http_formats.quoted(key)),
+        ]
         if wait is not None:
             headers.append(("Prefer", f"wait={wait}"))
         try:
--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -40,7 +40,7 @@
 from oakcroft.httpwire.client import REFUSED, Ended, Peer
 from oakcroft.httpwire.message import Headers, Response
 from oakcroft.interface import SECOND, Outcome
-from oakcroft.signalling import handing, sdp, words
+from oakcroft.signalling import takeover_messages, sdp, http_formats
 
 EVENT_NAMES = ("share", "link", "rung", "ended", "started")
 REQUEST_TIMEOUT_SECONDS = 2.0
@@ -52,7 +52,7 @@
     """Result of one setup try; `upstream` is the session where it succeeded, `cause` a text for the log."""
 
     outcome: Outcome
-    load_report: words.Load
+    load_report: http_formats.Load
     upstream: UpstreamSession | None
     cause: str
 
@@ -92,8 +92,8 @@
     def headers(self) -> Headers:
         """Headers that go with every request to a node."""
         return [
-            (handing.FRONT, handing.front(self.front_name, self.generation())),
-            (handing.LEASE, str(self.lease_ns // SECOND)),
+            (takeover_messages.FRONT, takeover_messages.front(self.front_name, self.generation())),
+            (takeover_messages.LEASE, str(self.lease_ns // SECOND)),
         ]
 
 
@@ -103,8 +103,8 @@
     Empty where it would be too long, in which case the session cannot be taken over.
     """
     playback = session.playback
-    return handing.memo(
-        handing.Memo(
+    return takeover_messages.memo(
+        takeover_messages.Memo(
             session.id,
             session.fingerprint,
             session.path,
@@ -168,12 +168,12 @@
         with trio.CancelScope(deadline=self.clock.trio_time(abandon_at)):
             try:
                 headers = self._headers(
-                    Content_Type=sdp.MEDIA_TYPE, Idempotency_Key=words.quoted(session.key)
+                    Content_Type=sdp.MEDIA_TYPE, Idempotency_Key=http_formats.quoted(session.key)
                 )
                 if session.catalogue_number:
-                    headers.append((words.CATALOGUE, str(session.catalogue_number)))
+                    headers.append((http_formats.CATALOGUE, str(session.catalogue_number)))
                 if self.identity is not None and (memo := takeover_memo(session)):
-                    headers.append((handing.MEMO, memo))
+                    headers.append((takeover_messages.MEMO, memo))
                 response = await self.peer.ask(
                     "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), progress
                 )
@@ -181,11 +181,11 @@
             except Ended as ended:
                 end = ended.end
                 cause = ended.cause
-        load_report = words.Load()
+        load_report = http_formats.Load()
         upstream = None
         if response is not None:
-            load_report = words.read_load(response.header(words.LOAD))
-            progress.problem_type = words.problem_type(response.body) if response.status != 201 else ""
+            load_report = http_formats.read_load(response.header(http_formats.LOAD))
+            progress.problem_type = http_formats.problem_type(response.body) if response.status != 201 else ""
             if response.status == 201:
                 upstream = self._parse_upstream(session.path, response)
                 if upstream is None:
@@ -196,22 +196,23 @@
     def _parse_upstream(self, path: str, response: Response) -> UpstreamSession | None:
         """Session that a 201 response describes; None where a part of it is missing."""
         location = response.header("location")
-        if not location or words.media_type(response.header("content-type") or "") != sdp.MEDIA_TYPE:
+        if not location or http_formats.media_type(response.header("content-type") or "") != sdp.MEDIA_TYPE:
             return None
         base = f"http://{self.address[0]}:{self.address[1]}{path}"
-        links = words.links(response.all("link"))
+        links = http_formats.links(response.all("link"))
         resource = self._local_path(base, location)
         if resource is None:
             return None
         events_path, layer_path = (
-            self._local_path(base, links.get(rel, "")) or "" for rel in (words.REL_EVENTS, words.REL_LAYER)
+            self._local_path(base, links.get(rel, "")) or ""
+            for rel in (http_formats.REL_EVENTS, http_formats.REL_LAYER)
         )
         etag = (response.header("etag") or "").strip('"')
         return UpstreamSession(
             self.name,
             resource,
-            events_path if words.REL_EVENTS in links else "",
-            layer_path if words.REL_LAYER in links else "",
+            events_path if http_formats.REL_EVENTS in links else "",
+            layer_path if http_formats.REL_LAYER in links else "",
             etag,
             response.body.decode("utf-8", "replace"),
         )
@@ -228,7 +229,7 @@
         except ValueError:
             return None
         target = parts.path + (f"?{parts.query}" if parts.query else "")
-        return target if is_local and words.is_path(target.replace("?", "")) else None
+        return target if is_local and http_formats.is_path(target.replace("?", "")) else None
 
     async def _request_with_retry(
         self,
@@ -279,19 +280,21 @@
             body,
         )
 
-    async def list_sessions_of(self, front_names: Iterable[str], after: str) -> handing.Listing | None:
+    async def list_sessions_of(
+        self, front_names: Iterable[str], after: str
+    ) -> takeover_messages.Listing | None:
         """Lists the node's sessions of front ends that no longer listen to it, from a position on.
 
         None where the node gave no usable answer.
         """
         fronts = ",".join(quote(name, safe="") for name in front_names)
-        target = f"{handing.PATH}?of={fronts}&after={quote(after, safe='')}"
-        return await self._request_json("GET", target, b"", handing.LISTING)
+        target = f"{takeover_messages.PATH}?of={fronts}&after={quote(after, safe='')}"
+        return await self._request_json("GET", target, b"", takeover_messages.LISTING)
 
     async def take_over(self, resources: list[str]) -> set[str] | None:
         """Takes over sessions; returns those that the node has granted, None where no answer came."""
-        body = msgspec.json.encode(handing.Taking(resources))
-        granted = await self._request_json("POST", handing.PATH, body, handing.TAKING)
+        body = msgspec.json.encode(takeover_messages.Taking(resources))
+        granted = await self._request_json("POST", takeover_messages.PATH, body, takeover_messages.TAKING)
         return set(granted.sessions) if granted is not None else None
 
     async def fetch_load(self) -> tuple[float | None, bool]:
@@ -299,10 +302,14 @@
 
         The second value is False where the node does not support the question.
         """
-        response = await self._request("GET", words.LOAD_PATH, self._headers(), b"")
+        response = await self._request("GET", http_formats.LOAD_PATH, self._headers(), b"")
         if response is None:
             return None, True
-        link_load = words.read_load(response.header(words.LOAD)).asked if response.status < 300 else None
+        link_load = (
+            http_formats.read_load(response.header(http_formats.LOAD)).asked
+            if response.status < 300
+            else None
+        )
         return (link_load, True) if is_valid_value(link_load) else (None, response.status >= 500)
 
     async def _request_json(
@@ -359,8 +366,8 @@
         self, on_event: EventHandler, on_lost: LossHandler, backoff: RetryBackoff
     ) -> StreamBreak:
         """Reads one event stream to its end; returns how it ended."""
-        reader = words.EventReader()
-        headers = self._headers(Accept=words.EVENTS)
+        reader = http_formats.EventReader()
+        headers = self._headers(Accept=http_formats.EVENTS)
         self.stream_requested_at = self.clock.now()
         try:
             with trio.CancelScope() as silence:
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -22,7 +22,7 @@
 from oakcroft.front.zone_routing import ZoneRouting
 from oakcroft.interface import SECOND
 from oakcroft.httpwire.message import Headers, Request, Response
-from oakcroft.signalling import words
+from oakcroft.signalling import http_formats
 
 OPERATORS_PATH = "/operators/"
 MAX_PIN_S = 86_400  # seconds
@@ -266,7 +266,7 @@
             "reasons": reasons,
         }
         if STATUS_BY_VERDICT[verdict] >= 400:
-            body = words.problem(
+            body = http_formats.problem(
                 STATUS_BY_VERDICT[verdict],
                 "urn:oakcroft:problem:catalogue",
                 verdict.value,
@@ -274,7 +274,9 @@
                 **body_fields,
             )
             return Response(
-                STATUS_BY_VERDICT[verdict], [("Content-Type", words.PROBLEM), ("ETag", self._etag())], body
+                STATUS_BY_VERDICT[verdict],
+                [("Content-Type", http_formats.PROBLEM), ("ETag", self._etag())],
+                body,
             )
         headers = [("Content-Type", "application/json"), ("ETag", self._etag())]
         return Response(STATUS_BY_VERDICT[verdict], headers, orjson.dumps(body_fields))
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -46,14 +46,14 @@
 from oakcroft.front.playback_session import PlaybackSession
 from oakcroft.interface import Node, PlaybackMetric, Outcome, Playback, PlaybackState
 from oakcroft.config.settings import Deployment, PlanTerms, SharedSettings
-from oakcroft.signalling import words
+from oakcroft.signalling import http_formats
 
 
 if TYPE_CHECKING:
     from oakcroft.front.durable_state import FrontEndState
 
 
-EMPTY_LOAD_REPORT = words.Load()
+EMPTY_LOAD_REPORT = http_formats.Load()
 MAX_QUEUED_EVENTS = 4_096
 MAX_TITLES = 50_000
 MAX_IDEMPOTENCY_KEYS = 100_000
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -52,7 +52,7 @@
 from oakcroft.front.zone_routing import ZoneRouting
 from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.interface import Outcome
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 
 EVENT_KINDS = ("active", "inactive", "layers", "move")
 MAX_EVENT_READERS = 4
@@ -230,7 +230,7 @@
     def roles_served(self, path: str) -> set[ClientRole]:
         """The client roles that are served at a path. Raises RequestError 404 where none is."""
         title = unquote(path.rpartition("/")[2], errors="replace")
-        roles = self.coordinator.site.route_table.roles_served(path) if words.is_path(path) else set()
+        roles = self.coordinator.site.route_table.roles_served(path) if http_formats.is_path(path) else set()
         if not roles or not title or "/" in title or len(title) > MAX_TITLE_LENGTH or not title.isprintable():
             raise RequestError(404, "no-route", "Nothing is served at this path")
         return roles
@@ -254,7 +254,7 @@
     @staticmethod
     def _check_key(key: str | None) -> None:
         """Checks the form of an idempotency key. Raises RequestError 400."""
-        if key is not None and not words.is_key(key):
+        if key is not None and not http_formats.is_key(key):
             raise RequestError(400, "key", 'A key is 1 to 255 visible characters or spaces but " and \\')
 
     def _find_route(
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -32,7 +32,7 @@
 from oakcroft.front.recovered_session import attach_to_node, resume_playback, session_from_promise
 from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
 from oakcroft.interface import MS, SECOND, Effect, Outcome, PlaybackState
-from oakcroft.signalling import handing, words
+from oakcroft.signalling import takeover_messages, http_formats
 
 CHECK_INTERVAL_NS = 50 * MS
 ANSWERS_BY_VALUE = {w.value: w for w in TakeoverAnswer}
@@ -145,9 +145,9 @@
         finally:
             self.takeover.request_finished(request, answers, self.coordinator.clock.now())
 
-    async def _adopt(self, node_client: NodeClient, offered: list[handing.Offered]) -> None:
+    async def _adopt(self, node_client: NodeClient, offered: list[takeover_messages.Offered]) -> None:
         """Takes over the offered sessions that can be served here."""
-        chosen: dict[str, tuple[handing.Offered, PlaybackSession]] = {}
+        chosen: dict[str, tuple[takeover_messages.Offered, PlaybackSession]] = {}
         done = trio.Event()
 
         def choose() -> None:
@@ -185,15 +185,15 @@
             failed_front.declined[decision.value] += 1
 
     def _restore_offered(
-        self, node_client: NodeClient, offered: handing.Offered
+        self, node_client: NodeClient, offered: takeover_messages.Offered
     ) -> tuple[TakeoverDecision, PlaybackSession | None]:
         """Restores an offered session as a playback of the decision module, if it can be served here.
 
         Returns why it is declined otherwise. Its seat is checked before the playback is counted (rule 5).
         """
         coordinator = self.coordinator
-        memo = handing.read_memo(offered.memo)
-        if memo is None or not words.is_path(memo.path) or not words.is_path(offered.session):
+        memo = takeover_messages.read_memo(offered.memo)
+        if memo is None or not http_formats.is_path(memo.path) or not http_formats.is_path(offered.session):
             return TakeoverDecision.UNREADABLE_MEMO, None
         plan = coordinator.site.plans.get(memo.plan)
         if plan is None:
@@ -249,7 +249,7 @@
     def _finish_adoption(
         self,
         node_client: NodeClient,
-        chosen: dict[str, tuple[handing.Offered, PlaybackSession]],
+        chosen: dict[str, tuple[takeover_messages.Offered, PlaybackSession]],
         given: set[str] | None,
     ) -> None:
         """Keeps the sessions that the node has given and ends the others.
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -17,7 +17,7 @@
 from oakcroft.front.session_service import EVENT_KINDS, PlaybackRequest, SessionService, RequestError
 from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.httpwire.message import Headers, Request, Response
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 
 TRY_PAGE = Path(__file__).parent / "try.html"
 EXPOSED_HEADERS = "Location, Link, ETag, Retry-After, Accept-Post, Accept-Patch"
@@ -49,9 +49,9 @@
 def busy_response() -> bytes:
     """The serialized response to a request that is rejected unread."""
     reply = answers.REFUSAL_REPLIES[answers.Refusal.BUSY]
-    body = words.problem(reply.status, reply.problem_type, reply.title, retry=reply.may_retry)
+    body = http_formats.problem(reply.status, reply.problem_type, reply.title, retry=reply.may_retry)
     head = (
-        f"HTTP/1.1 {reply.status} \r\nContent-Type: {words.PROBLEM}\r\nRetry-After: {reply.retry_after_s}\r\n"
+        f"HTTP/1.1 {reply.status} \r\nContent-Type: {http_formats.PROBLEM}\r\nRetry-After: {reply.retry_after_s}\r\n"
         f"Access-Control-Allow-Origin: *\r\nAccess-Control-Expose-Headers: {EXPOSED_HEADERS}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     )
@@ -94,7 +94,7 @@
             token = self.service.authenticate(bearer[1].decode("latin-1") if bearer else None)
         except RequestError:
             return False
-        return self.service.has_replay(words.idempotency_key(key[1].decode("latin-1")), token)
+        return self.service.has_replay(http_formats.idempotency_key(key[1].decode("latin-1")), token)
 
     async def handle(self, request: Request) -> Response:
         """Response to one request; errors become problem documents."""
@@ -102,13 +102,13 @@
             response = await self._route_request(request)
         except RequestError as error:
             headers = [
-                ("Content-Type", words.PROBLEM),
+                ("Content-Type", http_formats.PROBLEM),
                 *(error.headers if isinstance(error, HttpRequestError) else []),
             ]
             if error.status == 401:
                 challenge = 'Bearer realm="oakcroft"' + (f', error="{error.detail}"' if error.detail else "")
                 headers.append(("WWW-Authenticate", challenge))
-            body = words.problem(error.status, error.problem_type, error.title, error.detail)
+            body = http_formats.problem(error.status, error.problem_type, error.title, error.detail)
             response = Response(error.status, headers, body)
         response.headers += [
             ("Access-Control-Allow-Origin", "*"),
@@ -152,11 +152,11 @@
     @staticmethod
     def _read_offer(request: Request) -> str:
         """The offer in a request. Raises RequestError 400, 406 or 415."""
-        if words.media_type(request.header("content-type") or "") != sdp.MEDIA_TYPE:
+        if http_formats.media_type(request.header("content-type") or "") != sdp.MEDIA_TYPE:
             raise HttpRequestError(
                 415, "media-type", f"An offer comes as {sdp.MEDIA_TYPE}", [("Accept-Post", sdp.MEDIA_TYPE)]
             )
-        if not words.accepts(request.header("accept"), sdp.MEDIA_TYPE):
+        if not http_formats.accepts(request.header("accept"), sdp.MEDIA_TYPE):
             raise RequestError(406, "accept", f"The answer comes as {sdp.MEDIA_TYPE}")
         try:
             return request.body.decode("utf-8")
@@ -167,7 +167,7 @@
     def _read_key(request: Request) -> str | None:
         """The idempotency key of a request, if it has one. Raises RequestError 400."""
         given = request.header("idempotency-key")
-        key = words.idempotency_key(given) if given is not None else None
+        key = http_formats.idempotency_key(given) if given is not None else None
         if given is not None and key is None:
             raise RequestError(400, "key", "Idempotency-Key holds a quoted string")
         return key
@@ -176,7 +176,7 @@
         """Whether a request repeats one that has its answer."""
         key = request.header("idempotency-key")
         return key is not None and self.service.has_replay(
-            words.idempotency_key(key), self.service.authenticate(bearer_token(request))
+            http_formats.idempotency_key(key), self.service.authenticate(bearer_token(request))
         )
 
     async def _create_session(self, request: Request) -> Response:
@@ -202,13 +202,13 @@
     @staticmethod
     def _problem_response(reply: Reply) -> Response:
         """A reply as a response with a problem document."""
-        headers = [("Content-Type", words.PROBLEM)]
+        headers = [("Content-Type", http_formats.PROBLEM)]
         if reply.retry_after_s is not None:
             headers.append(("Retry-After", str(reply.retry_after_s)))
         return Response(
             reply.status,
             headers,
-            words.problem(reply.status, reply.problem_type, reply.title, retry=reply.may_retry),
+            http_formats.problem(reply.status, reply.problem_type, reply.title, retry=reply.may_retry),
         )
 
     def _answer_response(self, session: PlaybackSession, is_first: bool) -> Response:
@@ -226,11 +226,17 @@
             ("ETag", f'"{session.resource.etag}"'),
         ]
         headers += [
-            ("Link", words.link(server, words.REL_ICE)) for server in self.coordinator.site.ice_servers
+            ("Link", http_formats.link(server, http_formats.REL_ICE))
+            for server in self.coordinator.site.ice_servers
         ]
         if not session.publishes:
-            events = words.link(f"{location}/events", words.REL_EVENTS, events=",".join(EVENT_KINDS))
-            headers += [("Link", events), ("Link", words.link(f"{location}/layer", words.REL_LAYER))]
+            events = http_formats.link(
+                f"{location}/events", http_formats.REL_EVENTS, events=",".join(EVENT_KINDS)
+            )
+            headers += [
+                ("Link", events),
+                ("Link", http_formats.link(f"{location}/layer", http_formats.REL_LAYER)),
+            ]
         headers.append(("Accept-Patch", SDPFRAG_MEDIA_TYPE))
         on_unsent = (
             partial(self.coordinator.answer_undelivered, session)
@@ -268,8 +274,8 @@
             await self.service.end_session(session)
             return Response(200)
         if_match = request.header("if-match")
-        etags = words.entity_tags(if_match) if if_match is not None else None
-        content_type = words.media_type(request.header("content-type") or "")
+        etags = http_formats.entity_tags(if_match) if if_match is not None else None
+        content_type = http_formats.media_type(request.header("content-type") or "")
         result = await self.service.patch(session, content_type, etags, request.body)
         if not result.etag:
             return Response(204)
@@ -320,13 +326,13 @@
                 raise RequestError(400, "events", 'Events are named as ["active", "inactive"]')
             wanted = [kind for kind in EVENT_KINDS if kind in kinds]
             return Response(201, [("Location", f"{location}?kinds={'.'.join(wanted)}")])
-        if not words.accepts(request.header("accept"), words.EVENTS):
-            raise RequestError(406, "accept", f"Events come as {words.EVENTS}")
+        if not http_formats.accepts(request.header("accept"), http_formats.EVENTS):
+            raise RequestError(406, "accept", f"Events come as {http_formats.EVENTS}")
         requested_kinds = request.query("kinds")
         reader = self.service.open_reader(
             session, frozenset(EVENT_KINDS if requested_kinds is None else requested_kinds.split("."))
         )
-        headers = [("Content-Type", words.EVENTS), ("Cache-Control", "no-store")]
+        headers = [("Content-Type", http_formats.EVENTS), ("Cache-Control", "no-store")]
         return Response(200, headers, stream=self._event_stream(session, reader))
 
     async def _event_stream(
@@ -335,10 +341,10 @@
         """Server-sent events of a reader, with a comment as keepalive every 10 seconds."""
         try:
             while True:
-                chunk = words.BEAT
+                chunk = http_formats.BEAT
                 with trio.move_on_after(10):
                     try:
-                        chunk = words.event(*await reader.receive.receive())
+                        chunk = http_formats.event(*await reader.receive.receive())
                     except trio.EndOfChannel:
                         return
                 yield chunk
--- a/oakcroft/httpwire/server.py
+++ b/oakcroft/httpwire/server.py
@@ -25,7 +25,7 @@
 )
 from oakcroft.decisions.admission.connection_limits import phase_timeout
 from oakcroft.httpwire.message import Headers, Request, Response
-from oakcroft.signalling.words import PROBLEM, problem
+from oakcroft.signalling.http_formats import PROBLEM, problem
 
 Handler = Callable[[Request], Awaitable[Response]]
 Clock = Callable[[], int]
--- a/oakcroft/rehearsal/mixed.py
+++ b/oakcroft/rehearsal/mixed.py
@@ -12,7 +12,7 @@
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.viewers import Audience, Visit
-from oakcroft.signalling import sdp, session_api as api, words
+from oakcroft.signalling import sdp, session_api as api, http_formats
 
 
 BOTH_WAYS_EVERY, BOTH_WAYS_FIRST = 10, 5
@@ -104,7 +104,7 @@
         """The same request under the same key over HTTP: it must hear of the same playback."""
         prefix, body = self._asked(visit)
         peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key))]
+        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key))]
         try:
             with trio.fail_after(2):
                 sat = await peer.ask("POST", prefix + visit.title, headers, body.encode(), fresh=True)
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -13,7 +13,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.viewers import Audience, Visit, offer, plan_visits
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 from oakcroft.standins import rtp
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
@@ -102,7 +102,7 @@
     async def _ask_for(self, visit: Visit, front: int, key: str, port: int, path: str) -> Response | None:
         """One POST of an offer, recorded like any."""
         wait = visit.plan.abandon_ns
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key)),
+        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key)),
                    ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
         candidate = f"a=candidate:1 1 udp 2130706431 127.0.0.1 {port} typ host\r\n"
         body = offer(50_000, visit.number).replace("a=rtcp-mux\r\n", f"a=rtcp-mux\r\n{candidate}", 1)
@@ -123,7 +123,7 @@
         finally:
             self.tally.waiting -= 1
             await peer.close()
-        kind = words.problem_type(response.body) if response.status >= 400 else ""
+        kind = http_formats.problem_type(response.body) if response.status >= 400 else ""
         self.record.note("got", key=key, status=response.status, type=kind, extra=False)
         self.tally.answers[f"{response.status} {kind.rpartition(':')[2]}".strip()] += 1
         return response
@@ -161,9 +161,11 @@
 
         async def follow(moves: int = 0) -> None:
             nonlocal left_early
-            reader, kinds = words.EventReader(), "inactive" if self.mode == "stay" else "inactive.move"
+            reader, kinds = http_formats.EventReader(), "inactive" if self.mode == "stay" else "inactive.move"
             try:
-                async with peer.stream("GET", f"{here}/events?kinds={kinds}", [("Accept", words.EVENTS)]) as (
+                async with peer.stream(
+                    "GET", f"{here}/events?kinds={kinds}", [("Accept", http_formats.EVENTS)]
+                ) as (
                     _,
                     chunks,
                 ):
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -16,7 +16,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
 from oakcroft.config.settings import PlanTerms
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
@@ -197,7 +197,7 @@
     async def _ask(self, visit: Visit, rng: Random, front: int, key: str) -> Response | None:
         """One request; None where no front took it or it was cut."""
         wait, (prefix, text) = visit.plan.abandon_ns, self._asked(visit)
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key)),
+        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key)),
                    ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
         peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
         body = text.encode()
@@ -219,7 +219,7 @@
         extra = (
             bool(peer.idle) and readable(peer.idle[-1].stream) and response.header("connection") != "close"
         )
-        kind = words.problem_type(response.body) if response.status >= HTTPStatus.BAD_REQUEST else ""
+        kind = http_formats.problem_type(response.body) if response.status >= HTTPStatus.BAD_REQUEST else ""
         self.record.note("got", key=key, status=response.status, type=kind, extra=extra)
         self.tally.answers[f"{response.status} {kind.rpartition(':')[2]}".strip()] += 1
         if response.status == HTTPStatus.CREATED:
@@ -229,12 +229,12 @@
 
     async def _listens(self, front: int, here: str) -> bool:
         """Listens to a session until it ends; True where the front went instead, and the media may play on."""
-        reader, until = words.EventReader(), trio.current_time() + PATIENCE
+        reader, until = http_formats.EventReader(), trio.current_time() + PATIENCE
         while True:
             try:
                 peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
                 events = f"{here}/events?kinds=inactive"
-                async with peer.stream("GET", events, [("Accept", words.EVENTS)]) as (head, chunks):
+                async with peer.stream("GET", events, [("Accept", http_formats.EVENTS)]) as (head, chunks):
                     if head.status != HTTPStatus.OK:
                         return False
                     until = 0.0
--- a/oakcroft/standins/event_streams.py
+++ b/oakcroft/standins/event_streams.py
@@ -9,7 +9,7 @@
 from oakcroft.decisions.fleet.session_ownership import effective_lease
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
-from oakcroft.signalling import handing, words
+from oakcroft.signalling import takeover_messages, http_formats
 from oakcroft.standins.node_state import KEYS_KEPT_SECONDS, LEASE_SECONDS, Ear, NodeState
 
 MOST_WAITING_EVENTS = 1024
@@ -23,7 +23,7 @@
 
 def extend_lease(node: NodeState, front: str, request: Request) -> None:
     """Keeps for how long a front asks the node to hold its sessions while it does not listen."""
-    asked = handing.read_lease(request.header(handing.LEASE.lower()))
+    asked = takeover_messages.read_lease(request.header(takeover_messages.LEASE.lower()))
     node.ear_of(front).lease = effective_lease(asked, round(LEASE_SECONDS * SECOND)) / SECOND
 
 
@@ -35,8 +35,8 @@
         ear.send.close()
     ear.send = send
     node.record.note("listens", node=node.name, front=front, open=True)
-    send.send_nowait(words.event("hello", _hello(node, front, ear)))
-    headers = [("Content-Type", words.EVENTS), ("Cache-Control", "no-store")]
+    send.send_nowait(http_formats.event("hello", _hello(node, front, ear)))
+    headers = [("Content-Type", http_formats.EVENTS), ("Cache-Control", "no-store")]
     return Response(200, headers, stream=_chunks(node, front, ear, send, receive))
 
 
@@ -61,7 +61,7 @@
 ) -> AsyncIterator[bytes]:
     try:
         while True:
-            chunk = words.BEAT
+            chunk = http_formats.BEAT
             with trio.move_on_after(BEAT_SECONDS):
                 try:
                     chunk = await receive.receive()
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -19,7 +19,7 @@
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import SECOND
-from oakcroft.signalling import handing, sdp, words
+from oakcroft.signalling import takeover_messages, sdp, http_formats
 from oakcroft.standins import rtp
 from oakcroft.standins.event_streams import end_sessions_of_lost_fronts, extend_lease, open_stream
 from oakcroft.standins.links import Machine
@@ -154,17 +154,17 @@
     async def handle(self, request: Request) -> Response:
         """One request of a front."""
         front = front_of(request)
-        if request.method == "POST" and not request.path.startswith(("/sessions/", handing.PATH)):
+        if request.method == "POST" and not request.path.startswith(("/sessions/", takeover_messages.PATH)):
             return await self.set_up(request, front)
         while self.is_mute(front):
             await self.changed.wait()
         if request.path.startswith("/events/"):
             extend_lease(self, front, request)
             return self.open_events(front)
-        if request.path == words.LOAD_PATH and request.method == "GET":
+        if request.path == http_formats.LOAD_PATH and request.method == "GET":
             self.record.note("load asked", node=self.name, front=front)
-            return Response(204, [(words.LOAD, words.load_report(self.load()))])
-        if request.path == handing.PATH:
+            return Response(204, [(http_formats.LOAD, http_formats.load_report(self.load()))])
+        if request.path == takeover_messages.PATH:
             return answer_takeover(self, request)
         return self._handle_session(request, front)
 
@@ -182,8 +182,8 @@
         caller = caller_of(request)
         if not may_control(session.holder, caller) and not self.ails.trusts_all:
             self.record.note("turned away", node=self.name, session=name, front=front, method=request.method)
-            problem = words.problem(409, handing.NOT_HELD, "another front has it")
-            return Response(409, [("Content-Type", words.PROBLEM)], problem)
+            problem = http_formats.problem(409, takeover_messages.NOT_HELD, "another front has it")
+            return Response(409, [("Content-Type", http_formats.PROBLEM)], problem)
         session.holder = replace(session.holder, generation=max(session.holder.generation, caller.generation))
         if request.method == "DELETE":
             self.end_session(name, "deleted", front)
@@ -205,10 +205,10 @@
 
     async def set_up(self, request: Request, front: str) -> Response:
         """Sets up a session, and puts on record how that ended, also where the front went away."""
-        key = words.idempotency_key(request.header("idempotency-key") or "") or ""
+        key = http_formats.idempotency_key(request.header("idempotency-key") or "") or ""
         plan, title = self.plan_of(request.path)
         rung = int(request.query("encodingId") or 0)
-        catalogue = int(request.header(words.CATALOGUE.lower()) or 0)
+        catalogue = int(request.header(http_formats.CATALOGUE.lower()) or 0)
         self.numbers += 1
         number = f"{self.process}.{self.numbers}"
         self.record.note("setup", node=self.name, id=number, front=front, key=key, plan=plan, title=title,
@@ -221,7 +221,7 @@
         finally:
             if not answered:
                 self.record.note("broken", node=self.name, id=number, key=key)
-        how = words.problem_type(response.body) if response.status != CREATED else ""
+        how = http_formats.problem_type(response.body) if response.status != CREATED else ""
         self.record.note("answer", node=self.name, id=number, key=key, status=response.status, problem=how)
         return response
 
@@ -243,7 +243,7 @@
         offer = sdp.parse(request.body.decode())
         await self._work()
         session.media, session.holder = rtp.receiver(offer), caller_of(request)
-        session.memo = (request.header(handing.MEMO.lower()) or "")[: handing.MOST_MEMO]
+        session.memo = (request.header(takeover_messages.MEMO.lower()) or "")[: takeover_messages.MOST_MEMO]
         session.answer = sdp.answer(offer, self.numbers, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
         self.start_session(session, rung)
         extend_lease(self, front, request)
@@ -267,16 +267,19 @@
         here = f"/sessions/{session.id}"
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE), ("Location", here), ("ETag", f'"{session.tag}"'),
-            ("Link", words.link(f"/events/{front}", words.REL_EVENTS)),
-            ("Link", words.link(f"{here}/layer", words.REL_LAYER)),
-            (words.LOAD, words.load_report(self.load())),
+            ("Link", http_formats.link(f"/events/{front}", http_formats.REL_EVENTS)),
+            ("Link", http_formats.link(f"{here}/layer", http_formats.REL_LAYER)),
+            (http_formats.LOAD, http_formats.load_report(self.load())),
         ]  # fmt: skip
         body = session.answer.encode()
         return Response(201, headers, body, unsent=lambda: self.end_session(session.id, "answer not taken"))
 
     def _refused(self, kind: str, title: str) -> Response:
-        headers = [("Content-Type", words.PROBLEM), (words.LOAD, words.load_report(self.load()))]
-        return Response(503, headers, words.problem(503, kind, title))
+        headers = [
+            ("Content-Type", http_formats.PROBLEM),
+            (http_formats.LOAD, http_formats.load_report(self.load())),
+        ]
+        return Response(503, headers, http_formats.problem(503, kind, title))
 
 
 def _patch(request: Request, session: Session) -> Response:
--- a/oakcroft/standins/takeover.py
+++ b/oakcroft/standins/takeover.py
@@ -9,7 +9,7 @@
 
 from oakcroft.decisions.fleet.session_ownership import Caller, TakeoverAnswer, check_takeover
 from oakcroft.httpwire.message import Request, Response
-from oakcroft.signalling import handing
+from oakcroft.signalling import takeover_messages
 from oakcroft.standins.node_state import KEYS_KEPT_SECONDS, NodeState, Session, caller_of
 
 MOST_LISTING_OCTETS = 200_000
@@ -25,17 +25,19 @@
 
 
 def answer_takeover(node: NodeState, request: Request) -> Response:
-    """Answers a request to `handing.PATH`: a GET lists what may be taken over, a POST takes some of it."""
+    """Answers a request to `takeover_messages.PATH`: a GET lists what may be taken over, a POST takes some of it."""
     return _take(node, request) if request.method == "POST" else _offer(node, request)
 
 
 def _offer(node: NodeState, request: Request) -> Response:
     """One page of what may be taken over of the fronts that are named, and how each of them stands as far as it goes."""
     caller = caller_of(request)
-    asked = [unquote(name) for name in (request.query("of") or "").split(",") if name][: handing.MOST_OF]
+    asked = [unquote(name) for name in (request.query("of") or "").split(",") if name][
+        : takeover_messages.MOST_OF
+    ]
     after = int(request.query("after") or 0)
     states = dict.fromkeys(asked, TakeoverAnswer.ALLOWED.value)
-    page, going_on, room, last = list[handing.Offered](), "", MOST_LISTING_OCTETS, 0
+    page, going_on, room, last = list[takeover_messages.Offered](), "", MOST_LISTING_OCTETS, 0
     for session in sorted(node.sessions.values(), key=lambda session: session.number):
         if session.holder.member not in states or not session.memo:
             continue
@@ -46,19 +48,19 @@
         if session.number <= after:
             continue
         room -= len(session.answer) + len(session.memo) + SESSION_OVERHEAD_OCTETS
-        if len(page) == handing.MOST_PAGE or room < 0:
+        if len(page) == takeover_messages.MOST_PAGE or room < 0:
             going_on = str(last)
             break
         last = session.number
         page.append(_offered(node, session))
-    body = msgspec.json.encode(handing.Listing(states, page, going_on))
+    body = msgspec.json.encode(takeover_messages.Listing(states, page, going_on))
     return Response(200, [JSON, ("Cache-Control", "no-store")], body)
 
 
-def _offered(node: NodeState, session: Session) -> handing.Offered:
+def _offered(node: NodeState, session: Session) -> takeover_messages.Offered:
     rung, path = node.machine.streams[session.id].rung, f"/sessions/{session.id}"
     tag, holder = str(session.tag), session.holder.member
-    return handing.Offered(path, session.key, holder, rung, tag, session.memo, session.answer)
+    return takeover_messages.Offered(path, session.key, holder, rung, tag, session.memo, session.answer)
 
 
 def _may_take(node: NodeState, session: Session, caller: Caller) -> TakeoverAnswer:
@@ -71,7 +73,7 @@
     """Hands sessions over to a front; all that may be, in one step of this node."""
     caller = caller_of(request)
     try:
-        wanted = handing.TAKING.decode(request.body).sessions
+        wanted = takeover_messages.TAKING.decode(request.body).sessions
     except msgspec.MsgspecError:
         return Response(400)
     given = []
@@ -82,7 +84,7 @@
         if node.ails.trusts_all or _may_take(node, session, caller) is TakeoverAnswer.ALLOWED:
             _pass_on(node, session, path, caller)
             given.append(path)
-    return Response(200, [JSON], msgspec.json.encode(handing.Taking(given)))
+    return Response(200, [JSON], msgspec.json.encode(takeover_messages.Taking(given)))
 
 
 def _pass_on(node: NodeState, session: Session, path: str, caller: Caller) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -22,7 +22,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 from oakcroft.standins.day import parse
 from oakcroft.standins.fleet import Fleet
 from oakcroft.standins.playout import PlayoutNode
@@ -125,7 +125,7 @@
         response = None
         try:
             response = await self.request_playback(path, Idempotency_Key=f'"{key}"')
-            kind = words.problem_type(response.body) if response.status != 201 else ""
+            kind = http_formats.problem_type(response.body) if response.status != 201 else ""
             self.record.note("got", key=key, status=response.status, type=kind, extra=False)
         except Ended:
             self.record.note("cut", key=key)
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -24,7 +24,7 @@
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.holding import judge_holding, outlived
 from oakcroft.rulecheck.rules import judge
-from oakcroft.signalling import handing, sdp
+from oakcroft.signalling import takeover_messages, sdp
 
 FACT_KINDS = ("ran", "passed", "rung", "over", "listens", "death")
 
@@ -365,7 +365,7 @@
         (session,) = node.sessions.values()
         late = [
             ("Via", f"1.1 {session.front}"),
-            (handing.FRONT, handing.front("f1", session.holder.generation)),
+            (takeover_messages.FRONT, takeover_messages.front("f1", session.holder.generation)),
         ]
         path = f"/sessions/{session.id}"
         rig.signal("f1", signal.SIGKILL)
@@ -383,7 +383,7 @@
         assert await word("PATCH", path) == 409
         assert await word("DELETE", path) == 409
         taking = orjson.dumps({"sessions": [path]})
-        assert await word("POST", handing.PATH, taking) == 200
+        assert await word("POST", takeover_messages.PATH, taking) == 200
         assert rig.holders_by_key() == {"mine": session.holder.member}
         assert session.holder.member != "f1"
         assert node.machine.streams[session.id].rung == rung
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,7 +19,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 from oakcroft.standins.playout import PlayoutNode
 
 FRAGMENT = (
@@ -38,9 +38,9 @@
             assert [m.kind for m in sdp.parse(answer.body.decode()).media] == ["audio", "video"]
             location = answer.header("location") or ""
             etag = answer.header("etag") or ""
-            links = words.links(answer.all("link"))
-            assert links[words.REL_ICE] == "stun:127.0.0.1:3478"
-            assert links[words.REL_EVENTS] == location + "/events"
+            links = http_formats.links(answer.all("link"))
+            assert links[http_formats.REL_ICE] == "stun:127.0.0.1:3478"
+            assert links[http_formats.REL_EVENTS] == location + "/events"
             assert len(rig.nodes_in_use()) == 1
             trickle = {"Content_Type": SDPFRAG_MEDIA_TYPE}
             assert (await rig.request("PATCH", location, FRAGMENT, If_Match=etag, **trickle)).status == 204
@@ -97,7 +97,7 @@
                 answer = await rig.request(method, path, body, **headers)
                 assert answer.status == status, (path, headers)
                 assert orjson.loads(answer.body)["status"] == status
-                assert answer.header("content-type") == words.PROBLEM
+                assert answer.header("content-type") == http_formats.PROBLEM
             challenge = (await rig.request("POST", "/whep/open/t", good, **content_type)).header(
                 "www-authenticate"
             )
@@ -203,11 +203,11 @@
                 head,
                 chunks,
             ):
-                assert head.header("content-type") == words.EVENTS
+                assert head.header("content-type") == http_formats.EVENTS
                 await wait_until(lambda: rig.nodes_in_use()[0].ears)
                 await trio.sleep(0.1)
                 rig.nodes_in_use()[0].kill()
-                reader = words.EventReader()
+                reader = http_formats.EventReader()
                 async for chunk in chunks:
                     heard += [name for name, _ in reader.feed(chunk) if name]
             assert heard == ["inactive"]
@@ -257,7 +257,7 @@
         async with running_front_end(tmp_path) as rig:
             first = await rig.request_playback("/whip/open/live")
             assert first.status == 201
-            assert words.REL_LAYER not in words.links(first.all("link"))
+            assert http_formats.REL_LAYER not in http_formats.links(first.all("link"))
             assert (await rig.request_playback("/whip/open/live")).status == 409
             assert (await rig.request("DELETE", first.header("location") or "")).status == 200
             assert (await rig.request_playback("/whip/open/live")).status == 201
@@ -596,7 +596,7 @@
                 fair_queue.throughput = 0.0
                 rejection = await peer.ask("POST", "/whep/open/t", headers, body)
                 assert (rejection.status, rejection.header("retry-after")) == (503, "1")
-                assert words.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
+                assert http_formats.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
                 assert rig.front_end.service.shed_count == 1
                 # The same connection.
                 options = await peer.ask("OPTIONS", "/whep/open/t", [], b"")
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -39,7 +39,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS, SECOND, KeyScope, NodeStatus, Node, Outcome, Playback
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 from oakcroft.standins import rtp
 from oakcroft.standins.playout import PlayoutNode
 
@@ -354,7 +354,7 @@
 
     async def listen(self) -> None:
         """Reads its event stream and notes the request for an offer and the end of the playback."""
-        peer, reader = Peer("127.0.0.1", self.rig.port), words.EventReader()
+        peer, reader = Peer("127.0.0.1", self.rig.port), http_formats.EventReader()
         with suppress(Ended):  # its front end may stop
             async with peer.stream("GET", f"{self.here}/events?kinds=inactive.move", []) as (_, chunks):
                 async for chunk in chunks:
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -13,7 +13,7 @@
 from oakcroft.config.syntax import parse_text
 from oakcroft.front.node_list_client import NodeListError, parse_response
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import sdp, http_formats
 
 OFFER = offer(800, 7)
 
@@ -74,37 +74,37 @@
 def test_headers_are_read_by_their_texts() -> None:
     """Link, Idempotency-Key and Accept headers are parsed as their specifications say."""
     value = '<a>; rel="x y"; q=1, <b,c>;rel=z , <d>'
-    assert words.links([value]) == {"x": "a", "y": "a", "z": "b,c"}
-    made = words.link("/s", words.REL_EVENTS, events="a,b")
-    assert words.links([made]) == {words.REL_EVENTS: "/s"}
-    assert words.idempotency_key('"a b"') == "a b"
-    assert words.idempotency_key("8e03978e-40d5") == "8e03978e-40d5"
-    assert words.idempotency_key('"') is None
-    assert words.accepts("text/*;q=0.5, application/sdp", sdp.MEDIA_TYPE)
-    assert not words.accepts("application/sdp;q=0.000", sdp.MEDIA_TYPE)
+    assert http_formats.links([value]) == {"x": "a", "y": "a", "z": "b,c"}
+    made = http_formats.link("/s", http_formats.REL_EVENTS, events="a,b")
+    assert http_formats.links([made]) == {http_formats.REL_EVENTS: "/s"}
+    assert http_formats.idempotency_key('"a b"') == "a b"
+    assert http_formats.idempotency_key("8e03978e-40d5") == "8e03978e-40d5"
+    assert http_formats.idempotency_key('"') is None
+    assert http_formats.accepts("text/*;q=0.5, application/sdp", sdp.MEDIA_TYPE)
+    assert not http_formats.accepts("application/sdp;q=0.000", sdp.MEDIA_TYPE)
 
 
 def test_load_reports_in_both_forms_and_nothing_from_others() -> None:
     """Load reports are read in both encodings; anything else gives an empty report."""
-    load = words.Load(1.25, 1.0, 0.5)
-    assert words.read_load(words.load_report(load)) == load
-    assert words.read_load('JSON {"named_metrics": {"link_asked": 0.5}}') == words.Load(0.5)
+    load = http_formats.Load(1.25, 1.0, 0.5)
+    assert http_formats.read_load(http_formats.load_report(load)) == load
+    assert http_formats.read_load('JSON {"named_metrics": {"link_asked": 0.5}}') == http_formats.Load(0.5)
     for bad in (None, "", "BIN AAAA", "JSON [", "JSON 3", "TEXT named_metrics.link_asked=nan", "TEXT a=b=c",
                 "TEXT named_metrics.link_asked=-1", 'JSON {"named_metrics": {"link_asked": true}}'):  # fmt: skip
-        assert words.read_load(bad) == words.Load()
+        assert http_formats.read_load(bad) == http_formats.Load()
 
 
 def test_event_streams_come_in_any_pieces() -> None:
     """Server-sent events are parsed whatever the sizes of the chunks."""
-    data = words.event("share", {"share": 0.5}) + words.BEAT + b"data: 1\r\ndata: 2\r\n\r\n"
+    data = http_formats.event("share", {"share": 0.5}) + http_formats.BEAT + b"data: 1\r\ndata: 2\r\n\r\n"
     for size in (1, 2, 7, 100):
-        reader = words.EventReader()
+        reader = http_formats.EventReader()
         got = list[tuple[str, bytes]]()
         for i in range(0, len(data), size):
             got += reader.feed(data[i : i + size])
         assert got == [("share", b'{"share":0.5}'), ("", b""), ("message", b"1\n2")]
     with pytest.raises(ValueError, match="too long"):
-        list(words.EventReader(100).feed(b"x" * 200))
+        list(http_formats.EventReader(100).feed(b"x" * 200))
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
@@ -131,14 +131,14 @@
     for parser, fault in ((sdp.parse, sdp.SdpFault), (sdp.parse_fragment, sdp.SdpFault)):
         with contextlib.suppress(fault):
             parser(text)
-    words.links([text])
-    words.idempotency_key(text)
-    words.accepts(text, sdp.MEDIA_TYPE)
-    words.read_load("JSON " + text)
-    words.read_load("TEXT " + text)
-    words.problem_type(raw)
+    http_formats.links([text])
+    http_formats.idempotency_key(text)
+    http_formats.accepts(text, sdp.MEDIA_TYPE)
+    http_formats.read_load("JSON " + text)
+    http_formats.read_load("TEXT " + text)
+    http_formats.problem_type(raw)
     with contextlib.suppress(ValueError):
-        list(words.EventReader().feed(raw))
+        list(http_formats.EventReader().feed(raw))
     with contextlib.suppress(NodeListError):
         parse_response(raw)
     parse_text(text, "f", Diagnostics())
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -61,7 +61,7 @@
 from oakcroft.rulecheck.facts import set_ups as tries_of
 from oakcroft.rulecheck.plan_terms import terms_kept
 from oakcroft.rulecheck.repeated_set_ups import no_set_up_twice
-from oakcroft.signalling import words
+from oakcroft.signalling import http_formats
 from oakcroft.standins.disk import Disk
 from oakcroft.store.file import (
     DeleteExpired,
@@ -678,12 +678,12 @@
 
 def key_header(name: str) -> dict[str, Any]:
     """Returns the header of an idempotency key."""
-    return {"Idempotency_Key": words.quoted(name)}
+    return {"Idempotency_Key": http_formats.quoted(name)}
 
 
 def problem_name(response: Response) -> str:
     """Returns the last part of a response's problem type."""
-    return words.problem_type(response.body).rpartition(":")[2]
+    return http_formats.problem_type(response.body).rpartition(":")[2]
 
 
 def check_rules_2_and_5(rig: Rig) -> None:
