--- a/benchmarks/front_cost.py
+++ b/benchmarks/front_cost.py
@@ -22,7 +22,7 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import sdp, http_formats
 
@@ -90,30 +90,30 @@
     """Set-ups to a front and directly to nodes."""
 
     def __init__(self, front: int, nodes: list[int]) -> None:
-        self.front = Peer("127.0.0.1", front, most=400, most_idle=400)
-        self.nodes = [Peer("127.0.0.1", port, most=100, most_idle=8) for port in nodes]
+        self.front = HttpClient("127.0.0.1", front, max_concurrent=400, max_idle=400)
+        self.nodes = [HttpClient("127.0.0.1", port, max_concurrent=100, max_idle=8) for port in nodes]
         self.rng, self.number = Random(7), 0
         self.body = offer(20_000, 1).encode()
         self.failed = 0
 
-    async def set_up(self, peer: Peer, direct: bool, end: bool) -> bool:
+    async def set_up(self, peer: HttpClient, direct: bool, end: bool) -> bool:
         """One playback, ended at once if so wished."""
         self.number += 1
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE),
-            ("Idempotency-Key", http_formats.quoted(f"b{self.number}")),
+            ("Idempotency-Key", http_formats.quoted_string(f"b{self.number}")),
         ]
         if direct:
             headers.append(("Via", "1.1 direct"))
         try:
             path = f"/whep/open/t{self.rng.randrange(50)}"
-            response = await peer.ask("POST", path, headers, self.body)
+            response = await peer.request("POST", path, headers, self.body)
             if response.status != 201:
                 self.failed += 1
                 return False
             if end:
-                await peer.ask("DELETE", response.header("location") or "", [], b"")
-        except Ended:
+                await peer.request("DELETE", response.header("location") or "", [], b"")
+        except ExchangeError:
             self.failed += 1
             return False
         return True
@@ -127,19 +127,19 @@
             self.number += 1
             key = [
                 ("Content-Type", sdp.MEDIA_TYPE),
-                ("Idempotency-Key", http_formats.quoted(f"b{self.number}")),
+                ("Idempotency-Key", http_formats.quoted_string(f"b{self.number}")),
             ]
             try:
                 path = f"/whep/open/t{self.rng.randrange(50)}"
-                response = await peer.ask(
+                response = await peer.request(
                     "POST", path, key + ([("Via", "1.1 direct")] if direct else []), self.body
                 )
                 found.record_value(round((trio.current_time() - at) * 1e6))
                 if response.status == 201:
-                    await peer.ask("DELETE", response.header("location") or "", [], b"")
+                    await peer.request("DELETE", response.header("location") or "", [], b"")
                 else:
                     self.failed += 1
-            except Ended:
+            except ExchangeError:
                 self.failed += 1
 
         async with trio.open_nursery() as nursery:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -27,7 +27,7 @@
 from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
 from oakcroft.running.clock import Clock
 from oakcroft.front.node_list_client import DISCOVERY_PATH
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
 from oakcroft.rehearsal.viewers import offer
@@ -45,20 +45,20 @@
 async def load(port: int, rate: float, seconds: float, seed: int) -> None:
     """One load process; prints what was asked and answered in time, by plan."""
     rng, asked, served = Random(seed), {"dear": 0, "cheap": 0}, {"dear": 0, "cheap": 0}
-    peer, body = Peer("127.0.0.1", port, most=4000, most_idle=4000), offer(20_000, 1).encode()
+    peer, body = HttpClient("127.0.0.1", port, max_concurrent=4000, max_idle=4000), offer(20_000, 1).encode()
 
     async def one(at: float) -> None:
         plan = "dear" if rng.random() < 1 / 3 else "cheap"
         asked[plan] += 1
         try:
             with trio.move_on_at(at + 3):
-                sat = await peer.ask(
+                sat = await peer.request(
                     "POST", f"/whep/{plan}/t{rng.randrange(50)}", [("Content-Type", sdp.MEDIA_TYPE)], body
                 )
                 if sat.status == 201:
                     served[plan] += trio.current_time() - at <= 1.0
-                    await peer.ask("DELETE", sat.header("location") or "", [], b"")
-        except Ended:
+                    await peer.request("DELETE", sat.header("location") or "", [], b"")
+        except ExchangeError:
             pass
 
     async with trio.open_nursery() as nursery:
@@ -85,7 +85,7 @@
         fleet = Process("stand-in", str(folder / f"day-{i}.oak"), "--seed", str(i), "--start", str(1 << 62),
                         "--record", str(folder / f"record-{i}"))  # fmt: skip
         port = orjson.loads(await fleet.start(folder / f"fleet-{i}.log"))["list"]
-        asked = await Peer("127.0.0.1", port).ask("POST", DISCOVERY_PATH, [], b"{}")
+        asked = await HttpClient("127.0.0.1", port).request("POST", DISCOVERY_PATH, [], b"{}")
         some.append(fleet)
         lists.append(asked.body)
     whole, known = orjson.loads(lists[0]), orjson.loads(lists[0])["version_info"]
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -28,7 +28,7 @@
 from oakcroft.config.pipeline import check_file, build_deployment
 from oakcroft.decisions.state.promise import PromiseState, Promise
 from oakcroft.running.clock import Clock
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
 from oakcroft.signalling import sdp, http_formats
@@ -84,13 +84,13 @@
 
 async def ask(port: int, path: str, key: str) -> tuple[int, str, float] | None:
     """Status, location and Retry-After of one request; None where its front died under it."""
-    peer = Peer("127.0.0.1", port, 1.0)
+    peer = HttpClient("127.0.0.1", port, 1.0)
     try:
         with trio.fail_after(6):
-            headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key))]
-            sat = await peer.ask("POST", path, headers, BODY)
+            headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted_string(key))]
+            sat = await peer.request("POST", path, headers, BODY)
             return sat.status, sat.header("location") or "", float(sat.header("retry-after") or 0)
-    except (Ended, trio.TooSlowError, OSError):
+    except (ExchangeError, trio.TooSlowError, OSError):
         return None
     finally:
         await peer.close()
@@ -119,11 +119,11 @@
                 answers[key].append(again[:2] if again else (0, ""))
             if got[0] == 201:
                 await trio.sleep(rng.uniform(0, 0.3))
-                peer = Peer("127.0.0.1", rig.port, 1.0)
+                peer = HttpClient("127.0.0.1", rig.port, 1.0)
                 try:
                     with trio.fail_after(3):
-                        await peer.ask("DELETE", got[1], [], b"", fresh=True)
-                except (Ended, trio.TooSlowError, OSError):
+                        await peer.request("DELETE", got[1], [], b"", new_connection=True)
+                except (ExchangeError, trio.TooSlowError, OSError):
                     pass
             if got[0] != 503:
                 break
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -38,7 +38,7 @@
     while not greeted:
         ws.receive_data(await stream.receive_some(4096))
         greeted = any(isinstance(e, events.AcceptConnection) for e in ws.events())
-    text = api.Codec(api.JSON).write(api.Hello()).decode()
+    text = api.Codec(api.JSON).encode(api.Hello()).decode()
     await stream.send_all(ws.send(events.TextMessage(data=text)))
     await stream.receive_some(4096)
     return stream
@@ -56,11 +56,11 @@
         ws.receive_data(await stream.receive_some(4096))
         greeted = any(isinstance(e, events.AcceptConnection) for e in ws.events())
     codec, began = api.Codec(api.JSON), trio.current_time()
-    await stream.send_all(ws.send(events.TextMessage(data=codec.write(api.Hello()).decode())))
+    await stream.send_all(ws.send(events.TextMessage(data=codec.encode(api.Hello()).decode())))
     with trio.move_on_after(seconds):
         try:
             for number in range(1, 1 << 30):
-                call = codec.write(api.Layer("x" * 400, 0, number)).decode()
+                call = codec.encode(api.Layer("x" * 400, 0, number)).decode()
                 await stream.send_all(ws.send(events.TextMessage(data=call)))
                 await trio.sleep(0.05)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -82,11 +82,11 @@
             await trio.sleep_forever()
 
     async def one(client: SessionClient, at: float) -> None:
-        ask = api.Ask(next(client.numbers), f"/whep/open/t{rng.randrange(50)}", body)
+        ask = api.Ask(next(client.call_ids), f"/whep/open/t{rng.randrange(50)}", body)
         answer = await client.call(ask)
         sockets.record_value(round((trio.current_time() - at) * 1e6))
         if isinstance(answer, api.Answer) and answer.status == 201:
-            await client.call(api.End(answer.playback, next(client.numbers)))
+            await client.call(api.End(answer.playback, next(client.call_ids)))
         else:
             load.failed += 1
 
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -31,7 +31,7 @@
     evaluate_change,
 )
 from oakcroft.decisions.routing.title_cache import TitleCache
-from oakcroft.httpwire.client import Peer
+from oakcroft.httpwire.client import HttpClient
 
 PAID = SITE.replace("(effect free)", "(effect paid)")
 
@@ -93,13 +93,13 @@
 
         async def swap() -> None:
             nonlocal taken
-            peer = Peer("127.0.0.1", port)
+            peer = HttpClient("127.0.0.1", port)
             for n in range(1 << 30):
                 some = {f"t{i}": CatalogueTitle(("n0", f"n{1 + (i + n) % 9}")) for i in range(50)}
                 some |= {f"lesson-{i}": CatalogueTitle((f"n{(i + n) % 10}",)) for i in range(titles)}
                 text = format_catalogue(some.items(), False).encode()
                 headers = [("Authorization", "Bearer operators-secret"), ("If-Match", "*")]
-                sat = await peer.ask("PUT", "/operators/catalogue", headers, text)
+                sat = await peer.request("PUT", "/operators/catalogue", headers, text)
                 taken += sat.status == 200
                 await trio.sleep(1)
 
--- a/oakcroft/client/blocking.py
+++ b/oakcroft/client/blocking.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from oakcroft.client.whep import Playing, WhepClient
+from oakcroft.client.whep import WhepSession, WhepClient
 
 T = TypeVar("T")
 
@@ -22,14 +22,14 @@
         self.base, self.token = base, token
         self.started = threading.Event()
         self.thread = threading.Thread(
-            target=lambda: trio.run(self._live), name="oakcroft-client", daemon=True
+            target=lambda: trio.run(self._run), name="oakcroft-client", daemon=True
         )
 
-    async def _live(self) -> None:
-        self.trio_token, self.stop = trio.lowlevel.current_trio_token(), trio.Event()
+    async def _run(self) -> None:
+        self.trio_token, self.stop_requested = trio.lowlevel.current_trio_token(), trio.Event()
         self.client = WhepClient(self.base, self.token)
         self.started.set()
-        await self.stop.wait()
+        await self.stop_requested.wait()
         await self.client.close()
 
     def __enter__(self) -> BlockingWhepClient:
@@ -42,19 +42,19 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         """Closes the connection and ends the thread."""
-        self._call(self._end)
+        self._call(self._stop)
         self.thread.join(10)
 
-    async def _end(self) -> None:
-        self.stop.set()
+    async def _stop(self) -> None:
+        self.stop_requested.set()
 
-    def _call(self, what: Callable[..., Awaitable[T]], *given: object) -> T:
-        return trio.from_thread.run(what, *given, trio_token=self.trio_token)
+    def _call(self, function: Callable[..., Awaitable[T]], *arguments: object) -> T:
+        return trio.from_thread.run(function, *arguments, trio_token=self.trio_token)
 
-    def ask(self, path: str, offer: str, wait: int | None = None) -> Playing:
+    def ask(self, path: str, offer: str, wait: int | None = None) -> WhepSession:
         """As `WhepClient.ask`."""
         return self._call(self.client.ask, path, offer, wait)
 
-    def end(self, playing: Playing) -> None:
+    def end(self, playing: WhepSession) -> None:
         """As `WhepClient.end`."""
         self._call(self.client.end, playing)
--- a/oakcroft/client/retry.py
+++ b/oakcroft/client/retry.py
@@ -28,7 +28,7 @@
     """A set-up may have run without an answer: a paid playback must not be asked for again."""
 
 
-class Next(Enum):
+class RetryAction(Enum):
     """What to do after an answer, or the lack of one."""
 
     DONE = "take it"
@@ -62,32 +62,32 @@
         retry: bool,
         retry_after: float | None,
         sent: bool = True,
-    ) -> tuple[Next, float]:
+    ) -> tuple[RetryAction, float]:
         """What follows an answer (None: none came; `sent`: the request may have been read), and the seconds to wait
         first."""
         if status is not None and status < HTTPStatus.MULTIPLE_CHOICES:
-            return Next.DONE, 0.0
-        how = (
-            Next.GIVE_UP
+            return RetryAction.DONE, 0.0
+        action = (
+            RetryAction.GIVE_UP
             if status is None and sent and not self.repeatable
-            else self._how(status, kind, retry)
+            else self._action_after_failure(status, kind, retry)
         )
-        if how is Next.GIVE_UP or tries >= self.most or self.budget < 1.0:
-            return Next.GIVE_UP, 0.0
+        if action is RetryAction.GIVE_UP or tries >= self.most or self.budget < 1.0:
+            return RetryAction.GIVE_UP, 0.0
         self.budget -= 1.0
         ceiling = min(self.longest_wait, self.first_wait * 2.0**tries)
         wait = ceiling * (0.5 + 0.5 * self.rng.random())
-        return how, max(wait, (retry_after or 0.0) * (1.0 + 0.25 * self.rng.random()))
+        return action, max(wait, (retry_after or 0.0) * (1.0 + 0.25 * self.rng.random()))
 
     @staticmethod
-    def _how(status: int | None, kind: str, retry: bool) -> Next:
+    def _action_after_failure(status: int | None, kind: str, retry: bool) -> RetryAction:
         if status is None or kind.endswith(":outstanding"):
-            return Next.SAME_KEY
+            return RetryAction.SAME_KEY
         if status in (429, 503) and retry:
-            return Next.NEW_KEY
-        return Next.NEW_KEY if status == HTTPStatus.GATEWAY_TIMEOUT and retry else Next.GIVE_UP
+            return RetryAction.NEW_KEY
+        return RetryAction.NEW_KEY if status == HTTPStatus.GATEWAY_TIMEOUT and retry else RetryAction.GIVE_UP
 
 
-def fault(status: int, kind: str, title: str, retry: bool) -> Refused:
+def final_error(status: int, kind: str, title: str, retry: bool) -> Refused:
     """The error for an answer that is final."""
     return Unsure(status, kind, title) if status in (0, 504) and not retry else Refused(status, kind, title)
--- a/oakcroft/client/session.py
+++ b/oakcroft/client/session.py
@@ -14,20 +14,22 @@
 import wsproto
 from wsproto import events
 
-from oakcroft.client.retry import Next, Retries, fault
+from oakcroft.client.retry import RetryAction, Retries, final_error
 from oakcroft.signalling import session_api as api
 
-PATH = "/api/v1"
-LOST_ASK = api.Answer(0, 0, 504, "urn:oakcroft:problem:front-lost", "The front has lost its memory", False)
-LOST_CALL = api.Done(0, 0, 404, "urn:oakcroft:problem:front-lost", "The front has lost its memory")
+SESSION_API_PATH = "/api/v1"
+LOST_REQUEST_ANSWER = api.Answer(
+    0, 0, 504, "urn:oakcroft:problem:front-lost", "The front has lost its memory", False
+)
+LOST_CALL_RESULT = api.Done(0, 0, 404, "urn:oakcroft:problem:front-lost", "The front has lost its memory")
 
 
 class Playback:
     """One playback: its answer, and its events as they come."""
 
-    def __init__(self, id_: str, answer: str, tag: str, asked: api.Ask | None = None) -> None:
+    def __init__(self, id_: str, answer: str, tag: str, request: api.Ask | None = None) -> None:
         """`answer`: in SDP; `tag`: of its ICE session; `asked`: what it was asked for by, to ask for it again."""
-        self.id, self.answer, self.tag, self.asked = id_, answer, tag, asked
+        self.id, self.answer, self.tag, self.request = id_, answer, tag, request
         self.send, self.events = trio.open_memory_channel[api.Event](256)
 
 
@@ -41,17 +43,17 @@
         parts = urlsplit(url)
         self.host, self.port, self.token = parts.hostname or "127.0.0.1", parts.port or 80, token
         self.subprotocol, self.codec, self.nursery = subprotocol, api.Codec(subprotocol), nursery
-        self.numbers, self.seen, self.pass_ = itertools.count(1), 0, ""
-        self.waiting: dict[int, trio.MemorySendChannel[object]] = {}
-        self.unsent: dict[
+        self.call_ids, self.last_seen, self.resume_token = itertools.count(1), 0, ""
+        self.reply_channels: dict[int, trio.MemorySendChannel[object]] = {}
+        self.pending_calls: dict[
             int, object
         ] = {}  # calls without an answer, sent again where the front has lost the seat
         self.playbacks: dict[str, Playback] = {}
         self.stream: trio.SocketStream | None = None
         self.ws: wsproto.WSConnection | None = None
-        self.up, self.retries, self.resumed, self.lost = trio.Event(), retries, 0, 0
+        self.connected, self.retries, self.resumed, self.lost = trio.Event(), retries, 0, 0
         self.closing = False
-        self.turn = trio.Lock()  # one message at a time on the stream
+        self.send_lock = trio.Lock()  # one message at a time on the stream
 
     @classmethod
     @asynccontextmanager
@@ -62,7 +64,7 @@
         async with trio.open_nursery() as nursery:
             client = cls(url, token, subprotocol, nursery, retries or Retries(Random()))
             nursery.start_soon(client._run)
-            await client.up.wait()
+            await client.connected.wait()
             try:
                 yield client
             finally:
@@ -87,7 +89,7 @@
                 trio.ClosedResourceError,
             ):
                 pass
-            self.up = trio.Event() if self.up.is_set() else self.up
+            self.connected = trio.Event() if self.connected.is_set() else self.connected
             if self.stream is not None:
                 await trio.aclose_forcefully(self.stream)
             tries += 1
@@ -97,48 +99,50 @@
         self.stream = await trio.open_tcp_stream(self.host, self.port)
         self.ws = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
         request = events.Request(
-            host=f"{self.host}:{self.port}", target=PATH, subprotocols=[self.subprotocol]
+            host=f"{self.host}:{self.port}", target=SESSION_API_PATH, subprotocols=[self.subprotocol]
         )
         await self.stream.send_all(self.ws.send(request))
         accepted = await self._next()
         if not isinstance(accepted, events.AcceptConnection):
             raise OSError("the front does not take the connection")
-        await self._send(api.Hello(self.pass_, self.seen, self.token))
+        await self._send(api.Hello(self.resume_token, self.last_seen, self.token))
         welcome = await self._message()
         if not isinstance(welcome, api.Welcome):
             raise OSError("the front does not welcome the client")
         if welcome.back:
             self.resumed += 1  # what the front did not read is said again; it takes no call twice by its id
-            for message in list(self.unsent.values()):
+            for message in list(self.pending_calls.values()):
                 self.nursery.start_soon(self._send, message)
         else:
-            self._start_anew(welcome.remembers)
-        self.pass_ = welcome.resume
-        self.up.set()
+            self._start_new_session(welcome.remembers)
+        self.resume_token = welcome.resume
+        self.connected.set()
 
-    def _start_anew(self, remembers: bool) -> None:
+    def _start_new_session(self, remembers: bool) -> None:
         """The front does not know the seat any more, as after a restart. One that remembers its keys is asked again under
         them, for what waited and for what played. Of one without memory what played is lost, and what waited may have run
         there and be paid for and would be set up again under the same key, so it is not said again: its caller hears that
         nothing is known of it."""
-        self.seen = 0
+        self.last_seen = 0
         for name, playback in list(self.playbacks.items()):
-            if remembers and playback.asked is not None and playback.asked.key:
-                self.nursery.start_soon(self._take_again, playback, playback.asked)
+            if remembers and playback.request is not None and playback.request.key:
+                self.nursery.start_soon(self._request_again, playback, playback.request)
                 continue
             self.lost += 1
             playback.send.close()
             del self.playbacks[name]
-        for id_, message in list(self.unsent.items()):
-            if not self.pass_ or (remembers and isinstance(message, api.Ask) and message.key):
+        for id_, message in list(self.pending_calls.items()):
+            if not self.resume_token or (remembers and isinstance(message, api.Ask) and message.key):
                 self.nursery.start_soon(self._send, message)
-            elif id_ in self.waiting:
-                lost = LOST_ASK if isinstance(message, api.Ask) else LOST_CALL
-                self.waiting.pop(id_).send_nowait(lost)
+            elif id_ in self.reply_channels:
+                lost = LOST_REQUEST_ANSWER if isinstance(message, api.Ask) else LOST_CALL_RESULT
+                self.reply_channels.pop(id_).send_nowait(lost)
 
-    async def _take_again(self, playback: Playback, asked: api.Ask) -> None:
+    async def _request_again(self, playback: Playback, request: api.Ask) -> None:
         """Asks a restarted front for a playback under its key: the same goes on, or it is lost."""
-        again = api.Ask(next(self.numbers), asked.path, asked.offer, asked.key, asked.wait_s, asked.top)
+        again = api.Ask(
+            next(self.call_ids), request.path, request.offer, request.key, request.wait_s, request.top
+        )
         answer = await self.call(again)
         if (
             isinstance(answer, api.Answer)
@@ -165,9 +169,9 @@
             if isinstance(event, events.TextMessage | events.BytesMessage):
                 whole += event.data.encode() if isinstance(event.data, str) else bytes(event.data)
                 if event.message_finished:
-                    return self.codec.read_server(bytes(whole))
+                    return self.codec.decode_server_message(bytes(whole))
             elif isinstance(event, events.Ping) and self.ws is not None and self.stream is not None:
-                async with self.turn:
+                async with self.send_lock:
                     await self.stream.send_all(self.ws.send(event.response()))
             elif isinstance(event, events.CloseConnection):
                 raise OSError(f"closed: {event.code} {event.reason}")
@@ -177,15 +181,15 @@
             message = await self._message()
             number = getattr(message, "n", 0)
             if number:
-                if number <= self.seen:
+                if number <= self.last_seen:
                     continue
-                self.seen = number
+                self.last_seen = number
                 await self._send(api.Ack(number))
             match message:
                 case api.Answer() | api.Done() | api.MovedTo():
-                    self.unsent.pop(message.id, None)
-                    if message.id in self.waiting:
-                        self.waiting.pop(message.id).send_nowait(message)
+                    self.pending_calls.pop(message.id, None)
+                    if message.id in self.reply_channels:
+                        self.reply_channels.pop(message.id).send_nowait(message)
                 case api.Event() if message.playback in self.playbacks:
                     playback = self.playbacks[message.playback]
                     with suppress(trio.WouldBlock, trio.BrokenResourceError):  # nobody reads them
@@ -195,29 +199,29 @@
                         del self.playbacks[message.playback]
 
     async def _send(self, message: object) -> None:
-        data = self.codec.write(message)
+        data = self.codec.encode(message)
         frame = (
             events.BytesMessage(data=data) if self.codec.binary else events.TextMessage(data=data.decode())
         )
         try:
-            async with self.turn:
+            async with self.send_lock:
                 if self.ws is not None and self.stream is not None:
                     await self.stream.send_all(self.ws.send(frame))
         except (trio.BrokenResourceError, trio.ClosedResourceError, wsproto.utilities.LocalProtocolError):
             pass  # it is said again, or answered already, once the connection stands
 
-    async def call(self, make: object) -> object:
+    async def call(self, message: object) -> object:
         """Sends a message with an id and waits for what answers it, over as many connections as it takes."""
-        id_ = getattr(make, "id", 0)
+        id_ = getattr(message, "id", 0)
         send, receive = trio.open_memory_channel[object](1)
-        self.waiting[id_], self.unsent[id_] = send, make
+        self.reply_channels[id_], self.pending_calls[id_] = send, message
         try:
-            await self.up.wait()
-            await self._send(make)
+            await self.connected.wait()
+            await self._send(message)
             return await receive.receive()
         finally:
-            self.waiting.pop(id_, None)
-            self.unsent.pop(id_, None)
+            self.reply_channels.pop(id_, None)
+            self.pending_calls.pop(id_, None)
 
     # What a player does.
 
@@ -226,7 +230,7 @@
         self.retries.began()
         key, tries = str(uuid.uuid4()), 0
         while True:
-            ask = api.Ask(next(self.numbers), path, offer, key, wait, top)
+            ask = api.Ask(next(self.call_ids), path, offer, key, wait, top)
             answer = await self.call(ask)
             assert isinstance(answer, api.Answer)
             tries += 1
@@ -235,21 +239,21 @@
                     answer.playback, answer.answer, answer.tag, ask
                 )
                 return playback
-            how, seconds = self.retries.after(
+            action, seconds = self.retries.after(
                 tries, answer.status, answer.kind, answer.retry, answer.retry_after_s
             )
-            if how is Next.GIVE_UP:
-                raise fault(answer.status, answer.kind, answer.title, answer.retry)
+            if action is RetryAction.GIVE_UP:
+                raise final_error(answer.status, answer.kind, answer.title, answer.retry)
             await trio.sleep(seconds)
-            if how is Next.NEW_KEY:
+            if action is RetryAction.NEW_KEY:
                 key = str(uuid.uuid4())
 
     async def end(self, playback: Playback) -> None:
         """Ends a playback."""
         self.playbacks.pop(playback.id, None)
-        await self.call(api.End(playback.id, next(self.numbers)))
+        await self.call(api.End(playback.id, next(self.call_ids)))
 
     async def layer(self, playback: Playback, rung: int) -> int:
         """Names the highest rung wanted; the status."""
-        done = await self.call(api.Layer(playback.id, rung, next(self.numbers)))
+        done = await self.call(api.Layer(playback.id, rung, next(self.call_ids)))
         return done.status if isinstance(done, api.Done) else 0
--- a/oakcroft/commands/operators.py
+++ b/oakcroft/commands/operators.py
@@ -9,7 +9,7 @@
 import trio
 
 from oakcroft.commands.arguments import EXIT_FAILURE, EXIT_INVALID_INPUT
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Response
 
 FRONT_OPTION = click.option("--front", "address", required=True, help="HOST:PORT of the front.")
@@ -41,13 +41,13 @@
 
     async def ask() -> Response:
         with trio.fail_after(ANSWER_TIMEOUT_SECONDS):
-            return await Peer(host or "127.0.0.1", int(port)).ask(
+            return await HttpClient(host or "127.0.0.1", int(port)).request(
                 method, f"/operators/{path}", header_fields, body
             )
 
     try:
         return trio.run(ask)
-    except (Ended, trio.TooSlowError, ValueError) as error:
+    except (ExchangeError, trio.TooSlowError, ValueError) as error:
         click.echo(f"{address}: {error or 'no answer'}", err=True)
         sys.exit(EXIT_FAILURE)
 
--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -30,7 +30,7 @@
 from oakcroft.front.protocols import ChangeNotifier, PolicyFactory
 from oakcroft.front.websocket_api import SESSION_API_PATH, SessionApi
 from oakcroft.front.whip_whep import WhipWhepApi
-from oakcroft.httpwire.client import Peer
+from oakcroft.httpwire.client import HttpClient
 from oakcroft.httpwire.message import Request
 from oakcroft.interface import MS
 from oakcroft.httpwire.server import Server
@@ -163,7 +163,7 @@
             await self._load_cached_list(coordinator)
             if coordinator.durable_state is not None and store is not None:
                 await self._restore_state(coordinator, service, store, nursery)
-            peer = Peer(front_settings.list_service_host, front_settings.list_service_port)
+            peer = HttpClient(front_settings.list_service_host, front_settings.list_service_port)
             rng = Random(front_settings.seed + 2)
             follower = NodeListFollower(
                 peer, clock, rng, front_settings.node_list_file, pseudonym, coordinator.apply_list, self.log
--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -37,7 +37,7 @@
 from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
 from oakcroft.running.clock import Clock
 from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
-from oakcroft.httpwire.client import REFUSED, Ended, Peer
+from oakcroft.httpwire.client import CONNECTION_REFUSED, ExchangeError, HttpClient
 from oakcroft.httpwire.message import Headers, Response
 from oakcroft.interface import SECOND, Outcome
 from oakcroft.signalling import takeover_messages, sdp, http_formats
@@ -52,7 +52,7 @@
     """Result of one setup try; `upstream` is the session where it succeeded, `cause` a text for the log."""
 
     outcome: Outcome
-    load_report: http_formats.Load
+    load_report: http_formats.LoadReport
     upstream: UpstreamSession | None
     cause: str
 
@@ -92,8 +92,11 @@
     def headers(self) -> Headers:
         """Headers that go with every request to a node."""
         return [
-            (takeover_messages.FRONT, takeover_messages.front(self.front_name, self.generation())),
-            (takeover_messages.LEASE, str(self.lease_ns // SECOND)),
+            (
+                takeover_messages.FRONT_HEADER,
+                takeover_messages.format_front(self.front_name, self.generation()),
+            ),
+            (takeover_messages.LEASE_HEADER, str(self.lease_ns // SECOND)),
         ]
 
 
@@ -103,8 +106,8 @@
     Empty where it would be too long, in which case the session cannot be taken over.
     """
     playback = session.playback
-    return takeover_messages.memo(
-        takeover_messages.Memo(
+    return takeover_messages.encode_memo(
+        takeover_messages.SessionMemo(
             session.id,
             session.fingerprint,
             session.path,
@@ -137,7 +140,7 @@
         self.clock = clock
         self.rng = rng
         self.address = (host, port)
-        self.peer = Peer(host, port, connect_timeout_ns / 1e9)
+        self.peer = HttpClient(host, port, connect_timeout_ns / 1e9)
         self.stream_health = EventStreamHealth(timeouts, clock.now())
         self.node_sessions = NodeSessions(claim_timeout)
         self.events_path = ""
@@ -168,23 +171,23 @@
         with trio.CancelScope(deadline=self.clock.trio_time(abandon_at)):
             try:
                 headers = self._headers(
-                    Content_Type=sdp.MEDIA_TYPE, Idempotency_Key=http_formats.quoted(session.key)
+                    Content_Type=sdp.MEDIA_TYPE, Idempotency_Key=http_formats.quoted_string(session.key)
                 )
                 if session.catalogue_number:
-                    headers.append((http_formats.CATALOGUE, str(session.catalogue_number)))
+                    headers.append((http_formats.CATALOGUE_HEADER, str(session.catalogue_number)))
                 if self.identity is not None and (memo := takeover_memo(session)):
-                    headers.append((takeover_messages.MEMO, memo))
-                response = await self.peer.ask(
+                    headers.append((takeover_messages.MEMO_HEADER, memo))
+                response = await self.peer.request(
                     "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), progress
                 )
                 end = RequestEnd.ANSWERED
-            except Ended as ended:
+            except ExchangeError as ended:
                 end = ended.end
                 cause = ended.cause
-        load_report = http_formats.Load()
+        load_report = http_formats.LoadReport()
         upstream = None
         if response is not None:
-            load_report = http_formats.read_load(response.header(http_formats.LOAD))
+            load_report = http_formats.parse_load_report(response.header(http_formats.LOAD_HEADER))
             progress.problem_type = http_formats.problem_type(response.body) if response.status != 201 else ""
             if response.status == 201:
                 upstream = self._parse_upstream(session.path, response)
@@ -196,10 +199,13 @@
     def _parse_upstream(self, path: str, response: Response) -> UpstreamSession | None:
         """Session that a 201 response describes; None where a part of it is missing."""
         location = response.header("location")
-        if not location or http_formats.media_type(response.header("content-type") or "") != sdp.MEDIA_TYPE:
+        if (
+            not location
+            or http_formats.parse_media_type(response.header("content-type") or "") != sdp.MEDIA_TYPE
+        ):
             return None
         base = f"http://{self.address[0]}:{self.address[1]}{path}"
-        links = http_formats.links(response.all("link"))
+        links = http_formats.parse_links(response.header_values("link"))
         resource = self._local_path(base, location)
         if resource is None:
             return None
@@ -229,7 +235,7 @@
         except ValueError:
             return None
         target = parts.path + (f"?{parts.query}" if parts.query else "")
-        return target if is_local and http_formats.is_path(target.replace("?", "")) else None
+        return target if is_local and http_formats.is_request_path(target.replace("?", "")) else None
 
     async def _request_with_retry(
         self,
@@ -282,19 +288,21 @@
 
     async def list_sessions_of(
         self, front_names: Iterable[str], after: str
-    ) -> takeover_messages.Listing | None:
+    ) -> takeover_messages.SessionListing | None:
         """Lists the node's sessions of front ends that no longer listen to it, from a position on.
 
         None where the node gave no usable answer.
         """
         fronts = ",".join(quote(name, safe="") for name in front_names)
-        target = f"{takeover_messages.PATH}?of={fronts}&after={quote(after, safe='')}"
-        return await self._request_json("GET", target, b"", takeover_messages.LISTING)
+        target = f"{takeover_messages.SESSIONS_PATH}?of={fronts}&after={quote(after, safe='')}"
+        return await self._request_json("GET", target, b"", takeover_messages.LISTING_DECODER)
 
     async def take_over(self, resources: list[str]) -> set[str] | None:
         """Takes over sessions; returns those that the node has granted, None where no answer came."""
-        body = msgspec.json.encode(takeover_messages.Taking(resources))
-        granted = await self._request_json("POST", takeover_messages.PATH, body, takeover_messages.TAKING)
+        body = msgspec.json.encode(takeover_messages.SessionSelection(resources))
+        granted = await self._request_json(
+            "POST", takeover_messages.SESSIONS_PATH, body, takeover_messages.SELECTION_DECODER
+        )
         return set(granted.sessions) if granted is not None else None
 
     async def fetch_load(self) -> tuple[float | None, bool]:
@@ -306,7 +314,7 @@
         if response is None:
             return None, True
         link_load = (
-            http_formats.read_load(response.header(http_formats.LOAD)).asked
+            http_formats.parse_load_report(response.header(http_formats.LOAD_HEADER)).link_demand
             if response.status < 300
             else None
         )
@@ -327,8 +335,8 @@
         """Sends one request; None where no complete response came in time."""
         try:
             with trio.fail_after(REQUEST_TIMEOUT_SECONDS):
-                return await self.peer.ask(method, target, headers, body)
-        except (Ended, trio.TooSlowError):
+                return await self.peer.request(method, target, headers, body)
+        except (ExchangeError, trio.TooSlowError):
             return None
 
     def reopen_stream(self) -> None:
@@ -366,8 +374,8 @@
         self, on_event: EventHandler, on_lost: LossHandler, backoff: RetryBackoff
     ) -> StreamBreak:
         """Reads one event stream to its end; returns how it ended."""
-        reader = http_formats.EventReader()
-        headers = self._headers(Accept=http_formats.EVENTS)
+        reader = http_formats.EventStreamParser()
+        headers = self._headers(Accept=http_formats.EVENT_STREAM_MEDIA_TYPE)
         self.stream_requested_at = self.clock.now()
         try:
             with trio.CancelScope() as silence:
@@ -394,8 +402,8 @@
                                 await on_event(name, msgspec.json.decode(data, type=NodeEvent))
             if silence.cancelled_caught:
                 return StreamBreak.CLOSED if self.is_reopening else StreamBreak.TIMED_OUT
-        except Ended as ended:
-            return StreamBreak.REFUSED if ended.cause == REFUSED else StreamBreak.RESET
+        except ExchangeError as ended:
+            return StreamBreak.REFUSED if ended.cause == CONNECTION_REFUSED else StreamBreak.RESET
         except (ValueError, msgspec.DecodeError):
             return StreamBreak.RESET
         return StreamBreak.CLOSED
--- a/oakcroft/front/node_list_client.py
+++ b/oakcroft/front/node_list_client.py
@@ -21,7 +21,7 @@
 from oakcroft.decisions.fleet.backoff import LIST_RETRY, RetryBackoff
 from oakcroft.decisions.fleet.node_list import ListedNode
 from oakcroft.running.clock import Clock
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.interface import MS, NodeStatus
 
 DISCOVERY_PATH = "/v3/discovery:endpoints"
@@ -203,8 +203,16 @@
 class NodeListFollower:
     """Follows the list of the node list service by long polls."""
 
-    def __init__(self, peer: Peer, clock: Clock, rng: Random, cache_path: str, pseudonym: str, apply_list: ListHandler,
-                 log: structlog.typing.FilteringBoundLogger) -> None:  # fmt: skip
+    def __init__(
+        self,
+        peer: HttpClient,
+        clock: Clock,
+        rng: Random,
+        cache_path: str,
+        pseudonym: str,
+        apply_list: ListHandler,
+        log: structlog.typing.FilteringBoundLogger,
+    ) -> None:
         """Creates a follower; an empty `cache_path` turns the cache off."""
         self.peer = peer
         self.clock = clock
@@ -239,8 +247,8 @@
         body = request_body(self.list_version, self.pseudonym)
         try:
             with trio.fail_after(MAX_POLL_SECONDS + 5):
-                response = await self.peer.ask("POST", DISCOVERY_PATH, headers, body)
-        except (Ended, trio.TooSlowError) as error:
+                response = await self.peer.request("POST", DISCOVERY_PATH, headers, body)
+        except (ExchangeError, trio.TooSlowError) as error:
             return str(error) or "no answer"
         if response.status == 304:
             return None
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -155,7 +155,7 @@
                         404, "no-keepers", "This front has no (keepers …) in its configuration"
                     )
                 if method == "DELETE":
-                    lease_name = request.query("duty") or ""
+                    lease_name = request.query_parameter("duty") or ""
                     if self.leases.term(lease_name) is None:
                         raise RequestError(
                             409, "not-mine", "This front has no such duty: ask the one that has"
@@ -177,7 +177,7 @@
         if request.method == "PUT":
             named_base = self._base_digest(request)
             (force, reason, _) = self._change_options(request)
-            watch_s = request.query("watch") or "10"
+            watch_s = request.query_parameter("watch") or "10"
             if not watch_s.isdigit() or int(watch_s) > MAX_WATCH_S:
                 raise RequestError(400, "watch", f"watch is whole seconds up to {MAX_WATCH_S}")
             base_digest = self.coordinator.catalogue.digest if named_base is None else named_base
@@ -193,7 +193,7 @@
                     422, "catalogue", f"{len(fault.faults)} faults; nothing is begun", faults
                 ) from None
         elif request.method == "DELETE":
-            rejection = await rollout.roll_back((request.query("why") or "")[:100])
+            rejection = await rollout.roll_back((request.query_parameter("why") or "")[:100])
         if rejection:
             raise RequestError(409, "roll-out", rejection)
         status = 200 if request.method == "GET" else 202
@@ -203,7 +203,7 @@
         return f'"{self.coordinator.catalogue.digest or "none"}"'
 
     def _get_catalogue(self, request: Request) -> Response:
-        version = request.query("version")
+        version = request.query_parameter("version")
         text = self.catalogues.active_text
         if version:
             if not version.isdigit() or int(version) not in self.catalogues.texts_by_version:
@@ -222,14 +222,14 @@
 
     @staticmethod
     def _change_options(request: Request) -> tuple[bool, str, float]:
-        written_share = request.query("share") or "1"
+        written_share = request.query_parameter("share") or "1"
         try:
             share = float(written_share)
         except ValueError:
             share = -1.0
         if not 0 <= share <= 1:
             raise RequestError(400, "share", "share is a part of the fronts from 0 to 1")
-        return request.query("force") == "yes", (request.query("why") or "")[:200], share
+        return request.query_parameter("force") == "yes", (request.query_parameter("why") or "")[:200], share
 
     async def _change_catalogue(self, request: Request) -> Response:
         base_digest = self._base_digest(request)
@@ -249,7 +249,7 @@
             ) from None
 
     async def _roll_back(self, request: Request) -> Response:
-        number = request.query("to") or ""
+        number = request.query_parameter("to") or ""
         base_digest = self._base_digest(request)
         result = await self.catalogues.roll_back(
             int(number) if number.isdigit() else -1, base_digest, self._change_options(request)[0]
@@ -266,7 +266,7 @@
             "reasons": reasons,
         }
         if STATUS_BY_VERDICT[verdict] >= 400:
-            body = http_formats.problem(
+            body = http_formats.problem_body(
                 STATUS_BY_VERDICT[verdict],
                 "urn:oakcroft:problem:catalogue",
                 verdict.value,
@@ -275,7 +275,7 @@
             )
             return Response(
                 STATUS_BY_VERDICT[verdict],
-                [("Content-Type", http_formats.PROBLEM), ("ETag", self._etag())],
+                [("Content-Type", http_formats.PROBLEM_MEDIA_TYPE), ("ETag", self._etag())],
                 body,
             )
         headers = [("Content-Type", "application/json"), ("ETag", self._etag())]
@@ -297,8 +297,8 @@
 
     def _pin_level(self, request: Request) -> Response:
         """Pins a service level for a number of seconds; without a name, removes the pin."""
-        name = request.query("name") or ""
-        seconds = request.query("for") or "600"
+        name = request.query_parameter("name") or ""
+        seconds = request.query_parameter("for") or "600"
         controller = self.service_levels.controller
         if not name:
             controller.unpin()
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -53,7 +53,7 @@
     from oakcroft.front.durable_state import FrontEndState
 
 
-EMPTY_LOAD_REPORT = http_formats.Load()
+EMPTY_LOAD_REPORT = http_formats.LoadReport()
 MAX_QUEUED_EVENTS = 4_096
 MAX_TITLES = 50_000
 MAX_IDEMPOTENCY_KEYS = 100_000
@@ -596,9 +596,9 @@
             playback,
             result.outcome,
             is_closed,
-            result.load_report.asked,
-            result.load_report.used,
-            result.load_report.uplink,
+            result.load_report.link_demand,
+            result.load_report.utilization,
+            result.load_report.uplink_demand,
             now,
         )
         self._forget_if_over(session)
@@ -629,11 +629,11 @@
             return
         self.sessions_by_upstream[node_client.name, result.upstream.resource] = session
         self.policy.on_playing(playback, now)
-        if result.load_report.asked is not None:
-            self.policy.on_metric(playback, PlaybackMetric.LINK_LOAD, result.load_report.asked, now)
-            self.on_link_load(node_client.name, result.load_report.asked, 0)
-        if result.load_report.uplink is not None:
-            self.policy.on_metric(playback, PlaybackMetric.UPLINK_LOAD, result.load_report.uplink, now)
+        if result.load_report.link_demand is not None:
+            self.policy.on_metric(playback, PlaybackMetric.LINK_LOAD, result.load_report.link_demand, now)
+            self.on_link_load(node_client.name, result.load_report.link_demand, 0)
+        if result.load_report.uplink_demand is not None:
+            self.policy.on_metric(playback, PlaybackMetric.UPLINK_LOAD, result.load_report.uplink_demand, now)
         if session.copy_of is None:
             session.resource = SessionResource(result.upstream.etag, session.ufrag)
             self.sessions_by_id[session.id] = session
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -230,7 +230,11 @@
     def roles_served(self, path: str) -> set[ClientRole]:
         """The client roles that are served at a path. Raises RequestError 404 where none is."""
         title = unquote(path.rpartition("/")[2], errors="replace")
-        roles = self.coordinator.site.route_table.roles_served(path) if http_formats.is_path(path) else set()
+        roles = (
+            self.coordinator.site.route_table.roles_served(path)
+            if http_formats.is_request_path(path)
+            else set()
+        )
         if not roles or not title or "/" in title or len(title) > MAX_TITLE_LENGTH or not title.isprintable():
             raise RequestError(404, "no-route", "Nothing is served at this path")
         return roles
@@ -240,7 +244,7 @@
         """Parses an offer. Raises RequestError 400."""
         try:
             return sdp.parse(offer_text)
-        except sdp.SdpFault as fault:
+        except sdp.SdpError as fault:
             raise RequestError(400, "sdp", "The offer is no session description", str(fault)) from None
 
     @staticmethod
@@ -248,13 +252,13 @@
         """Checks that an offer can be answered. Raises RequestError 422."""
         try:
             sdp.check_offer(offer, publishes)
-        except sdp.SdpFault as fault:
+        except sdp.SdpError as fault:
             raise RequestError(422, "offer", "The offer cannot be answered", str(fault)) from None
 
     @staticmethod
     def _check_key(key: str | None) -> None:
         """Checks the form of an idempotency key. Raises RequestError 400."""
-        if key is not None and not http_formats.is_key(key):
+        if key is not None and not http_formats.is_idempotency_key(key):
             raise RequestError(400, "key", 'A key is 1 to 255 visible characters or spaces but " and \\')
 
     def _find_route(
@@ -349,7 +353,7 @@
             self.coordinator.answer_counts[FinalAnswer.REJECTED] += 1
             return REFUSAL_REPLIES[Refusal.NO_TITLE], True
         session = self.coordinator.new_session(
-            request.path, title, plan, publishes, key, request.offer, sdp.ufrag(offer), top, deadline
+            request.path, title, plan, publishes, key, request.offer, sdp.ice_ufrag(offer), top, deadline
         )
         if session is None or not self.pending_requests.has_room():
             return REFUSAL_REPLIES[Refusal.BUSY], True
@@ -390,7 +394,7 @@
         site: SharedSettings, request: PlaybackRequest, offer: sdp.Description, route: Route
     ) -> int:
         """Highest rung that the offer's bandwidth, the route and the request allow."""
-        max_rate = ladder.offered_rate(*sdp.bandwidth(offer))
+        max_rate = ladder.offered_rate(*sdp.session_bandwidth(offer))
         rung_limits = [
             ladder.best_rung(site.terms.rung_rates, site.plans[route.plan].plan.rate_factor, max_rate),
             route.top,
@@ -523,7 +527,7 @@
         if content_type == SDPFRAG_MEDIA_TYPE:
             try:
                 fragment = sdp.parse_fragment(body.decode("utf-8"))
-            except (UnicodeDecodeError, sdp.SdpFault) as error:
+            except (UnicodeDecodeError, sdp.SdpError) as error:
                 raise RequestError(400, "sdp", "This is no trickle fragment", str(error)) from None
         action = session.resource.patch(content_type, etags, fragment.ufrag, len(fragment.candidates))
         if isinstance(action, ResourceError):
@@ -638,7 +642,7 @@
             session.publishes,
             key,
             offer_text,
-            sdp.ufrag(offer),
+            sdp.ice_ufrag(offer),
             session.playback.top_rung,
             deadline,
         )
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -145,9 +145,9 @@
         finally:
             self.takeover.request_finished(request, answers, self.coordinator.clock.now())
 
-    async def _adopt(self, node_client: NodeClient, offered: list[takeover_messages.Offered]) -> None:
+    async def _adopt(self, node_client: NodeClient, offered: list[takeover_messages.OfferedSession]) -> None:
         """Takes over the offered sessions that can be served here."""
-        chosen: dict[str, tuple[takeover_messages.Offered, PlaybackSession]] = {}
+        chosen: dict[str, tuple[takeover_messages.OfferedSession, PlaybackSession]] = {}
         done = trio.Event()
 
         def choose() -> None:
@@ -185,15 +185,19 @@
             failed_front.declined[decision.value] += 1
 
     def _restore_offered(
-        self, node_client: NodeClient, offered: takeover_messages.Offered
+        self, node_client: NodeClient, offered: takeover_messages.OfferedSession
     ) -> tuple[TakeoverDecision, PlaybackSession | None]:
         """Restores an offered session as a playback of the decision module, if it can be served here.
 
         Returns why it is declined otherwise. Its seat is checked before the playback is counted (rule 5).
         """
         coordinator = self.coordinator
-        memo = takeover_messages.read_memo(offered.memo)
-        if memo is None or not http_formats.is_path(memo.path) or not http_formats.is_path(offered.session):
+        memo = takeover_messages.decode_memo(offered.memo)
+        if (
+            memo is None
+            or not http_formats.is_request_path(memo.path)
+            or not http_formats.is_request_path(offered.session)
+        ):
             return TakeoverDecision.UNREADABLE_MEMO, None
         plan = coordinator.site.plans.get(memo.plan)
         if plan is None:
@@ -206,7 +210,9 @@
         if len(self.adopted_playbacks) >= self.bounds.max_adopted:
             return TakeoverDecision.TOO_MANY_ADOPTED, None
         node = coordinator.node_list.nodes.get(node_client.name)
-        top_rung = coordinator.title_top_rung(memo.title, max(memo.top, plan.plan.floor), plan.plan.floor)
+        top_rung = coordinator.title_top_rung(
+            memo.title, max(memo.top_rung, plan.plan.floor), plan.plan.floor
+        )
         if (
             node is None
             or top_rung is None
@@ -218,7 +224,7 @@
         promise = Promise(
             memo.id,
             offered.key,
-            memo.about,
+            memo.fingerprint,
             memo.path,
             memo.title,
             memo.plan,
@@ -228,8 +234,8 @@
             memo.ufrag,
             top_rung,
             memo.token,
-            memo.written,
-            memo.abandon,
+            memo.written_at,
+            memo.abandon_at,
             PromiseState.PLAYS,
             node_client.name,
             node_client.stream_health.process,
@@ -249,7 +255,7 @@
     def _finish_adoption(
         self,
         node_client: NodeClient,
-        chosen: dict[str, tuple[takeover_messages.Offered, PlaybackSession]],
+        chosen: dict[str, tuple[takeover_messages.OfferedSession, PlaybackSession]],
         given: set[str] | None,
     ) -> None:
         """Keeps the sessions that the node has given and ends the others.
--- a/oakcroft/front/websocket_api.py
+++ b/oakcroft/front/websocket_api.py
@@ -179,7 +179,7 @@
         """
         offered = [
             protocol.strip()
-            for value in request.all("sec-websocket-protocol")
+            for value in request.header_values("sec-websocket-protocol")
             for protocol in value.split(",")
         ]
         chosen = next((protocol for protocol in api.SUBPROTOCOLS if protocol in offered), None)
@@ -603,7 +603,7 @@
         """
         if self.is_closing:
             return
-        data = self.codec.write(message)
+        data = self.codec.encode(message)
         frame = (
             events.BytesMessage(data=data) if self.codec.binary else events.TextMessage(data=data.decode())
         )
@@ -692,7 +692,7 @@
                     self.close(CloseReason.UNSUPPORTED_DATA, f"{self.subprotocol} has other frames")
                     return None
                 try:
-                    return self.codec.read(data)
+                    return self.codec.decode_client_message(data)
                 except ValueError as fault:
                     self.close(CloseReason.INVALID_FRAME_PAYLOAD_DATA, str(fault))
             case events.Ping():
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -49,9 +49,10 @@
 def busy_response() -> bytes:
     """The serialized response to a request that is rejected unread."""
     reply = answers.REFUSAL_REPLIES[answers.Refusal.BUSY]
-    body = http_formats.problem(reply.status, reply.problem_type, reply.title, retry=reply.may_retry)
+    body = http_formats.problem_body(reply.status, reply.problem_type, reply.title, retry=reply.may_retry)
     head = (
-        f"HTTP/1.1 {reply.status} \r\nContent-Type: {http_formats.PROBLEM}\r\nRetry-After: {reply.retry_after_s}\r\n"
+        f"HTTP/1.1 {reply.status} \r\nContent-Type: {http_formats.PROBLEM_MEDIA_TYPE}\r\n"
+        f"Retry-After: {reply.retry_after_s}\r\n"
         f"Access-Control-Allow-Origin: *\r\nAccess-Control-Expose-Headers: {EXPOSED_HEADERS}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     )
@@ -94,7 +95,7 @@
             token = self.service.authenticate(bearer[1].decode("latin-1") if bearer else None)
         except RequestError:
             return False
-        return self.service.has_replay(http_formats.idempotency_key(key[1].decode("latin-1")), token)
+        return self.service.has_replay(http_formats.parse_idempotency_key(key[1].decode("latin-1")), token)
 
     async def handle(self, request: Request) -> Response:
         """Response to one request; errors become problem documents."""
@@ -102,13 +103,13 @@
             response = await self._route_request(request)
         except RequestError as error:
             headers = [
-                ("Content-Type", http_formats.PROBLEM),
+                ("Content-Type", http_formats.PROBLEM_MEDIA_TYPE),
                 *(error.headers if isinstance(error, HttpRequestError) else []),
             ]
             if error.status == 401:
                 challenge = 'Bearer realm="oakcroft"' + (f', error="{error.detail}"' if error.detail else "")
                 headers.append(("WWW-Authenticate", challenge))
-            body = http_formats.problem(error.status, error.problem_type, error.title, error.detail)
+            body = http_formats.problem_body(error.status, error.problem_type, error.title, error.detail)
             response = Response(error.status, headers, body)
         response.headers += [
             ("Access-Control-Allow-Origin", "*"),
@@ -152,11 +153,11 @@
     @staticmethod
     def _read_offer(request: Request) -> str:
         """The offer in a request. Raises RequestError 400, 406 or 415."""
-        if http_formats.media_type(request.header("content-type") or "") != sdp.MEDIA_TYPE:
+        if http_formats.parse_media_type(request.header("content-type") or "") != sdp.MEDIA_TYPE:
             raise HttpRequestError(
                 415, "media-type", f"An offer comes as {sdp.MEDIA_TYPE}", [("Accept-Post", sdp.MEDIA_TYPE)]
             )
-        if not http_formats.accepts(request.header("accept"), sdp.MEDIA_TYPE):
+        if not http_formats.accepts_media_type(request.header("accept"), sdp.MEDIA_TYPE):
             raise RequestError(406, "accept", f"The answer comes as {sdp.MEDIA_TYPE}")
         try:
             return request.body.decode("utf-8")
@@ -167,7 +168,7 @@
     def _read_key(request: Request) -> str | None:
         """The idempotency key of a request, if it has one. Raises RequestError 400."""
         given = request.header("idempotency-key")
-        key = http_formats.idempotency_key(given) if given is not None else None
+        key = http_formats.parse_idempotency_key(given) if given is not None else None
         if given is not None and key is None:
             raise RequestError(400, "key", "Idempotency-Key holds a quoted string")
         return key
@@ -176,7 +177,7 @@
         """Whether a request repeats one that has its answer."""
         key = request.header("idempotency-key")
         return key is not None and self.service.has_replay(
-            http_formats.idempotency_key(key), self.service.authenticate(bearer_token(request))
+            http_formats.parse_idempotency_key(key), self.service.authenticate(bearer_token(request))
         )
 
     async def _create_session(self, request: Request) -> Response:
@@ -190,7 +191,7 @@
             written_at,
             token,
             request.source,
-            request.all("prefer"),
+            request.header_values("prefer"),
         )
         answer, is_first = await self.service.request_playback(playback_request)
         return (
@@ -202,13 +203,13 @@
     @staticmethod
     def _problem_response(reply: Reply) -> Response:
         """A reply as a response with a problem document."""
-        headers = [("Content-Type", http_formats.PROBLEM)]
+        headers = [("Content-Type", http_formats.PROBLEM_MEDIA_TYPE)]
         if reply.retry_after_s is not None:
             headers.append(("Retry-After", str(reply.retry_after_s)))
         return Response(
             reply.status,
             headers,
-            http_formats.problem(reply.status, reply.problem_type, reply.title, retry=reply.may_retry),
+            http_formats.problem_body(reply.status, reply.problem_type, reply.title, retry=reply.may_retry),
         )
 
     def _answer_response(self, session: PlaybackSession, is_first: bool) -> Response:
@@ -226,16 +227,16 @@
             ("ETag", f'"{session.resource.etag}"'),
         ]
         headers += [
-            ("Link", http_formats.link(server, http_formats.REL_ICE))
+            ("Link", http_formats.format_link(server, http_formats.REL_ICE_SERVER))
             for server in self.coordinator.site.ice_servers
         ]
         if not session.publishes:
-            events = http_formats.link(
+            events = http_formats.format_link(
                 f"{location}/events", http_formats.REL_EVENTS, events=",".join(EVENT_KINDS)
             )
             headers += [
                 ("Link", events),
-                ("Link", http_formats.link(f"{location}/layer", http_formats.REL_LAYER)),
+                ("Link", http_formats.format_link(f"{location}/layer", http_formats.REL_LAYER)),
             ]
         headers.append(("Accept-Patch", SDPFRAG_MEDIA_TYPE))
         on_unsent = (
@@ -244,7 +245,7 @@
             else None
         )
         session.answer_undelivered = False
-        return Response(201, headers, session.upstream.sdp_answer.encode(), unsent=on_unsent)
+        return Response(201, headers, session.upstream.sdp_answer.encode(), on_unsent=on_unsent)
 
     async def _handle_session(self, request: Request) -> Response:
         """Handles a request on a session resource or one of its sub-resources."""
@@ -274,8 +275,8 @@
             await self.service.end_session(session)
             return Response(200)
         if_match = request.header("if-match")
-        etags = http_formats.entity_tags(if_match) if if_match is not None else None
-        content_type = http_formats.media_type(request.header("content-type") or "")
+        etags = http_formats.parse_entity_tags(if_match) if if_match is not None else None
+        content_type = http_formats.parse_media_type(request.header("content-type") or "")
         result = await self.service.patch(session, content_type, etags, request.body)
         if not result.etag:
             return Response(204)
@@ -299,7 +300,7 @@
         """Handles the offer of a player that is being moved."""
         key = self._read_key(request) or secrets.token_urlsafe(15)
         result = await self.service.accept_move_offer(
-            session, self._read_offer(request), key, request.all("prefer")
+            session, self._read_offer(request), key, request.header_values("prefer")
         )
         if isinstance(result, Reply):
             return self._problem_response(result)
@@ -326,13 +327,15 @@
                 raise RequestError(400, "events", 'Events are named as ["active", "inactive"]')
             wanted = [kind for kind in EVENT_KINDS if kind in kinds]
             return Response(201, [("Location", f"{location}?kinds={'.'.join(wanted)}")])
-        if not http_formats.accepts(request.header("accept"), http_formats.EVENTS):
-            raise RequestError(406, "accept", f"Events come as {http_formats.EVENTS}")
-        requested_kinds = request.query("kinds")
+        if not http_formats.accepts_media_type(
+            request.header("accept"), http_formats.EVENT_STREAM_MEDIA_TYPE
+        ):
+            raise RequestError(406, "accept", f"Events come as {http_formats.EVENT_STREAM_MEDIA_TYPE}")
+        requested_kinds = request.query_parameter("kinds")
         reader = self.service.open_reader(
             session, frozenset(EVENT_KINDS if requested_kinds is None else requested_kinds.split("."))
         )
-        headers = [("Content-Type", http_formats.EVENTS), ("Cache-Control", "no-store")]
+        headers = [("Content-Type", http_formats.EVENT_STREAM_MEDIA_TYPE), ("Cache-Control", "no-store")]
         return Response(200, headers, stream=self._event_stream(session, reader))
 
     async def _event_stream(
@@ -341,10 +344,10 @@
         """Server-sent events of a reader, with a comment as keepalive every 10 seconds."""
         try:
             while True:
-                chunk = http_formats.BEAT
+                chunk = http_formats.KEEP_ALIVE_COMMENT
                 with trio.move_on_after(10):
                     try:
-                        chunk = http_formats.event(*await reader.receive.receive())
+                        chunk = http_formats.format_event(*await reader.receive.receive())
                     except trio.EndOfChannel:
                         return
                 yield chunk
--- a/oakcroft/httpwire/client.py
+++ b/oakcroft/httpwire/client.py
@@ -18,10 +18,10 @@
 from oakcroft.decisions.sessions.setup_outcome import RequestEnd, RequestStage, RequestProgress
 from oakcroft.httpwire.message import Headers, Response
 
-MOST_ANSWER = 262_144
+MAX_RESPONSE_BYTES = 262_144
 
 
-class Ended(Exception):
+class ExchangeError(Exception):
     """An exchange that ended without a whole answer."""
 
     def __init__(self, end: RequestEnd, cause: str) -> None:
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Line:
+class PooledConnection:
     """One open connection."""
 
     stream: trio.SocketStream
@@ -38,7 +38,7 @@
     idle_since: float
 
 
-class Peer:
+class HttpClient:
     """The connections of one client to one address.
 
     Idle connections are kept up to `most_idle` and `idle_for` seconds, which must be under the peer's own idle
@@ -50,41 +50,41 @@
         self,
         host: str,
         port: int,
-        connect_within: float = 1.0,
-        most: int = 512,
-        most_idle: int = 32,
-        idle_for: float = 10.0,
+        connect_timeout_s: float = 1.0,
+        max_concurrent: int = 512,
+        max_idle: int = 32,
+        idle_timeout_s: float = 10.0,
     ) -> None:
-        self.host, self.port, self.connect_within = host, port, connect_within
-        self.most_idle, self.idle_for = most_idle, idle_for
-        self.idle: deque[Line] = deque()
-        self.turns = trio.CapacityLimiter(most)
+        self.host, self.port, self.connect_timeout_s = host, port, connect_timeout_s
+        self.max_idle, self.idle_timeout_s = max_idle, idle_timeout_s
+        self.idle: deque[PooledConnection] = deque()
+        self.limiter = trio.CapacityLimiter(max_concurrent)
 
-    async def ask(
+    async def request(
         self,
         method: str,
         target: str,
         headers: Headers,
         body: bytes,
-        trail: RequestProgress | None = None,
-        fresh: bool = False,
+        progress: RequestProgress | None = None,
+        new_connection: bool = False,
     ) -> Response:
-        """One exchange. Ended says how it failed; a cancelled one leaves its trail where it stood."""
-        trail = trail or RequestProgress()
-        async with self.turns:
-            trail.advance(RequestStage.CONNECTING)
-            line = await self._line(fresh)
-            trail.advance(RequestStage.CONNECTED)
+        """One exchange. ExchangeError says how it failed; a cancelled one leaves its progress where it stood."""
+        progress = progress or RequestProgress()
+        async with self.limiter:
+            progress.advance(RequestStage.CONNECTING)
+            line = await self._connection(new_connection)
+            progress.advance(RequestStage.CONNECTED)
             done = False
             try:
-                response = await self._exchange(line, method, target, headers, body, trail)
+                response = await self._exchange(line, method, target, headers, body, progress)
                 done = True
             finally:
-                if done and self._reusable(line):
+                if done and self._is_reusable(line):
                     line.http.start_next_cycle()
                     line.idle_since = trio.current_time()
                     self.idle.append(line)
-                    while len(self.idle) > self.most_idle:
+                    while len(self.idle) > self.max_idle:
                         await trio.aclose_forcefully(self.idle.popleft().stream)
                 else:
                     with trio.CancelScope(shield=True):
@@ -96,12 +96,12 @@
         self, method: str, target: str, headers: Headers, body: bytes = b""
     ) -> AsyncIterator[tuple[Response, AsyncIterator[bytes]]]:
         """An exchange whose answer is a stream, on a connection of its own."""
-        line = await self._line(True)
+        line = await self._connection(True)
         try:
-            trail = RequestProgress()
-            trail.advance(RequestStage.CONNECTED)
-            await self._write(line, method, target, headers, body, trail)
-            head = await self._head(line, trail)
+            progress = RequestProgress()
+            progress.advance(RequestStage.CONNECTED)
+            await self._write(line, method, target, headers, body, progress)
+            head = await self._head(line, progress)
 
             async def chunks() -> AsyncIterator[bytes]:
                 while True:
@@ -121,43 +121,56 @@
         while self.idle:
             await trio.aclose_forcefully(self.idle.popleft().stream)
 
-    async def _line(self, fresh: bool) -> Line:
+    async def _connection(self, new_connection: bool) -> PooledConnection:
         now = trio.current_time()
-        while self.idle and not fresh:
+        while self.idle and not new_connection:
             line = self.idle.pop()
-            if now - line.idle_since < self.idle_for and not readable(line.stream):
+            if now - line.idle_since < self.idle_timeout_s and not has_pending_input(line.stream):
                 return line
             await trio.aclose_forcefully(line.stream)
         try:
-            with trio.fail_after(self.connect_within):
+            with trio.fail_after(self.connect_timeout_s):
                 stream = await trio.open_tcp_stream(self.host, self.port)
         except (OSError, trio.TooSlowError) as error:
-            raise Ended(
-                RequestEnd.UNREACHED, REFUSED if was_refused(error) else str(error) or "no connection in time"
+            raise ExchangeError(
+                RequestEnd.UNREACHED,
+                CONNECTION_REFUSED if was_refused(error) else str(error) or "no connection in time",
             ) from error
-        return Line(stream, h11.Connection(h11.CLIENT, max_incomplete_event_size=32_768), now)
+        return PooledConnection(stream, h11.Connection(h11.CLIENT, max_incomplete_event_size=32_768), now)
 
     async def _exchange(
-        self, line: Line, method: str, target: str, headers: Headers, body: bytes, trail: RequestProgress
+        self,
+        line: PooledConnection,
+        method: str,
+        target: str,
+        headers: Headers,
+        body: bytes,
+        progress: RequestProgress,
     ) -> Response:
-        await self._write(line, method, target, headers, body, trail)
-        response = await self._head(line, trail)
+        await self._write(line, method, target, headers, body, progress)
+        response = await self._head(line, progress)
         read = bytearray()
         while True:
             event = await self._next(line)
             if isinstance(event, h11.Data):
                 read += event.data
-                if len(read) > MOST_ANSWER:
-                    raise Ended(RequestEnd.INVALID_RESPONSE, "the answer is too large")
+                if len(read) > MAX_RESPONSE_BYTES:
+                    raise ExchangeError(RequestEnd.INVALID_RESPONSE, "the answer is too large")
             elif isinstance(event, h11.EndOfMessage):
-                trail.advance(RequestStage.RESPONSE_READ)
+                progress.advance(RequestStage.RESPONSE_READ)
                 response.body = bytes(read)
                 return response
             else:
-                raise Ended(RequestEnd.CONNECTION_LOST, "the answer broke off")
+                raise ExchangeError(RequestEnd.CONNECTION_LOST, "the answer broke off")
 
     async def _write(
-        self, line: Line, method: str, target: str, headers: Headers, body: bytes, trail: RequestProgress
+        self,
+        line: PooledConnection,
+        method: str,
+        target: str,
+        headers: Headers,
+        body: bytes,
+        progress: RequestProgress,
     ) -> None:
         fields = [("Host", f"{self.host}:{self.port}"), *headers]
         if body or method in ("POST", "PATCH", "PUT"):
@@ -172,28 +185,28 @@
             h11.LocalProtocolError,
             UnicodeEncodeError,
         ) as error:  # HTTP cannot carry it, and none of it left
-            raise Ended(RequestEnd.WITHDRAWN, str(error)) from error
-        if trail.stage is RequestStage.CONNECTED:
-            trail.advance(RequestStage.PARTLY_WRITTEN)  # from here on the kernel may have any part of it
+            raise ExchangeError(RequestEnd.WITHDRAWN, str(error)) from error
+        if progress.stage is RequestStage.CONNECTED:
+            progress.advance(RequestStage.PARTLY_WRITTEN)  # from here on the kernel may have any part of it
         try:
             await line.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise Ended(RequestEnd.CONNECTION_LOST, str(error)) from error
-        trail.advance(RequestStage.WRITTEN)
+            raise ExchangeError(RequestEnd.CONNECTION_LOST, str(error)) from error
+        progress.advance(RequestStage.WRITTEN)
 
-    async def _head(self, line: Line, trail: RequestProgress) -> Response:
+    async def _head(self, line: PooledConnection, progress: RequestProgress) -> Response:
         while True:
             event = await self._next(line)
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise Ended(RequestEnd.CONNECTION_LOST, "closed without an answer")
-            trail.advance(RequestStage.RESPONSE_STARTED)
-            trail.status = event.status_code
+                raise ExchangeError(RequestEnd.CONNECTION_LOST, "closed without an answer")
+            progress.advance(RequestStage.RESPONSE_STARTED)
+            progress.status = event.status_code
             headers = [(n.decode("latin-1"), v.decode("latin-1")) for n, v in event.headers]
             return Response(event.status_code, headers)
 
-    async def _next(self, line: Line) -> object:
+    async def _next(self, line: PooledConnection) -> object:
         ended = False
         try:
             while (event := line.http.next_event()) is h11.NEED_DATA:
@@ -201,19 +214,19 @@
                 ended = not data
                 line.http.receive_data(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise Ended(RequestEnd.CONNECTION_LOST, str(error)) from error
+            raise ExchangeError(RequestEnd.CONNECTION_LOST, str(error)) from error
         except h11.RemoteProtocolError as error:
-            raise Ended(
+            raise ExchangeError(
                 RequestEnd.CONNECTION_LOST if ended else RequestEnd.INVALID_RESPONSE, str(error)
             ) from error
         return event
 
     @staticmethod
-    def _reusable(line: Line) -> bool:
+    def _is_reusable(line: PooledConnection) -> bool:
         return line.http.our_state is h11.DONE and line.http.their_state is h11.DONE
 
 
-REFUSED = "connection refused"
+CONNECTION_REFUSED = "connection refused"
 
 
 def was_refused(error: BaseException) -> bool:
@@ -224,7 +237,7 @@
     return isinstance(error, ConnectionRefusedError) or (cause is not None and was_refused(cause))
 
 
-def readable(stream: trio.SocketStream) -> bool:
+def has_pending_input(stream: trio.SocketStream) -> bool:
     """Whether an idle connection has anything to read, which can only be its end or stray bytes."""
     poll = select.poll()
     poll.register(stream.socket.fileno(), select.POLLIN | select.POLLHUP | select.POLLERR)
--- a/oakcroft/httpwire/message.py
+++ b/oakcroft/httpwire/message.py
@@ -28,7 +28,7 @@
         """The path as sent, without its query."""
         return self.target.partition("?")[0]
 
-    def query(self, name: str) -> str | None:
+    def query_parameter(self, name: str) -> str | None:
         """The first value of a query parameter."""
         for part in self.target.partition("?")[2].split("&"):
             key, _, value = part.partition("=")
@@ -40,7 +40,7 @@
         """The first value of a field, by its lower-case name."""
         return next((v for n, v in self.headers if n == name), None)
 
-    def all(self, name: str) -> list[str]:
+    def header_values(self, name: str) -> list[str]:
         """All values of a field."""
         return [v for n, v in self.headers if n == name]
 
@@ -55,12 +55,12 @@
     stream: AsyncIterator[bytes] | None = None
     close: bool = False
     upgrade: Callable[[trio.SocketStream, bytes], Awaitable[None]] | None = None  # takes the connection over
-    unsent: Callable[[], None] | None = None  # called when it could not be written whole
+    on_unsent: Callable[[], None] | None = None  # called when it could not be written whole
 
     def header(self, name: str) -> str | None:
         """The first value of a field, by its lower-case name."""
         return next((v for n, v in self.headers if n.lower() == name), None)
 
-    def all(self, name: str) -> list[str]:
+    def header_values(self, name: str) -> list[str]:
         """All values of a field."""
         return [v for n, v in self.headers if n.lower() == name]
--- a/oakcroft/rehearsal/mixed.py
+++ b/oakcroft/rehearsal/mixed.py
@@ -9,7 +9,7 @@
 
 from oakcroft.client.retry import Retries
 from oakcroft.client.session import Playback, SessionClient
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.viewers import Audience, Visit
 from oakcroft.signalling import sdp, session_api as api, http_formats
@@ -81,7 +81,7 @@
         self.record.note("ask", key=key, front=front, plan=visit.plan.name, title=visit.title, wait=wait)
         try:
             with trio.fail_after(wait / 1e9 + 3):
-                ask = api.Ask(next(client.numbers), prefix + visit.title, body, key, -(-wait // SECOND))
+                ask = api.Ask(next(client.call_ids), prefix + visit.title, body, key, -(-wait // SECOND))
                 answer = await client.call(ask)
         except trio.TooSlowError:
             self.record.note("cut", key=key, front=front, why="no answer")
@@ -103,12 +103,14 @@
     async def _other_way(self, visit: Visit, front: int, key: str, playback: str) -> None:
         """The same request under the same key over HTTP: it must hear of the same playback."""
         prefix, body = self._asked(visit)
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key))]
+        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), 1.0)
+        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted_string(key))]
         try:
             with trio.fail_after(2):
-                sat = await peer.ask("POST", prefix + visit.title, headers, body.encode(), fresh=True)
-        except (Ended, trio.TooSlowError):
+                sat = await peer.request(
+                    "POST", prefix + visit.title, headers, body.encode(), new_connection=True
+                )
+        except (ExchangeError, trio.TooSlowError):
             return
         finally:
             await peer.close()
--- a/oakcroft/rehearsal/observer.py
+++ b/oakcroft/rehearsal/observer.py
@@ -9,7 +9,7 @@
 import orjson
 import trio
 
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.rehearsal.front_processes import OPERATORS_TOKEN, FrontProcess, FrontProcesses
 from oakcroft.rulecheck.facts import Fact
 from oakcroft.standins.record import Record
@@ -75,16 +75,16 @@
 ) -> dict[str, Any]:
     """What a front says to its operators; nothing where it does not answer, or another life of it does."""
     port = front.port
-    peer = Peer("127.0.0.1", port, connect_within=CONNECT_WITHIN_SECONDS)
+    peer = HttpClient("127.0.0.1", port, connect_timeout_s=CONNECT_WITHIN_SECONDS)
     try:
         with trio.move_on_after(within):
             fields = [("Authorization", f"Bearer {OPERATORS_TOKEN}"), ("If-Match", "*")]
-            answer = await peer.ask(method, path, fields, body)
+            answer = await peer.request(method, path, fields, body)
             if port == front.port and answer.status < FIRST_REFUSAL:
                 return dict(orjson.loads(answer.body))
             problem = answer.body.decode("utf-8", "replace")[:PROBLEM_SHOWN]
             return {"status": answer.status, "problem": problem}
-    except (Ended, orjson.JSONDecodeError):
+    except (ExchangeError, orjson.JSONDecodeError):
         pass
     finally:
         await peer.close()
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -9,7 +9,7 @@
 import orjson
 import trio
 
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.viewers import Audience, Visit, offer, plan_visits
@@ -102,19 +102,19 @@
     async def _ask_for(self, visit: Visit, front: int, key: str, port: int, path: str) -> Response | None:
         """One POST of an offer, recorded like any."""
         wait = visit.plan.abandon_ns
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key)),
+        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted_string(key)),
                    ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
         candidate = f"a=candidate:1 1 udp 2130706431 127.0.0.1 {port} typ host\r\n"
         body = offer(50_000, visit.number).replace("a=rtcp-mux\r\n", f"a=rtcp-mux\r\n{candidate}", 1)
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
+        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), 1.0)
         self.tally.requests += 1
         self.tally.waiting += 1
         self.record.note("ask", key=key, front=front, plan=visit.plan.name, title=visit.title, wait=wait)
         try:
             with trio.fail_after(wait / 1e9 + 3):
-                response = await peer.ask("POST", path, headers, body.encode(), fresh=True)
-        except (Ended, trio.TooSlowError) as fault:
-            refused = isinstance(fault, Ended) and fault.end.name == "UNREACHED"
+                response = await peer.request("POST", path, headers, body.encode(), new_connection=True)
+        except (ExchangeError, trio.TooSlowError) as fault:
+            refused = isinstance(fault, ExchangeError) and fault.end.name == "UNREACHED"
             self.record.note("unreached" if refused else "cut", key=key, front=front, why=str(fault))
             return None
         except trio.Cancelled:
@@ -133,7 +133,7 @@
         screen: rtp.Playout, seen: Watched, ends: float,
     ) -> None:  # fmt: skip
         here = sat.header("location") or ""
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
+        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), 1.0)
         self.tally.playing += 1
         left_early = False
         around: list[int] = []
@@ -161,10 +161,13 @@
 
         async def follow(moves: int = 0) -> None:
             nonlocal left_early
-            reader, kinds = http_formats.EventReader(), "inactive" if self.mode == "stay" else "inactive.move"
+            reader, kinds = (
+                http_formats.EventStreamParser(),
+                "inactive" if self.mode == "stay" else "inactive.move",
+            )
             try:
                 async with peer.stream(
-                    "GET", f"{here}/events?kinds={kinds}", [("Accept", http_formats.EVENTS)]
+                    "GET", f"{here}/events?kinds={kinds}", [("Accept", http_formats.EVENT_STREAM_MEDIA_TYPE)]
                 ) as (
                     _,
                     chunks,
@@ -186,7 +189,7 @@
                                 confirm.append(1)
                             else:
                                 seen.refused += 1
-            except Ended:
+            except ExchangeError:
                 pass
 
         async with trio.open_nursery() as nursery:
@@ -195,16 +198,16 @@
                 await follow()
             if life.cancelled_caught or left_early:
                 with trio.move_on_after(2):
-                    with suppress(Ended):
-                        await peer.ask("DELETE", here, [], b"", fresh=True)
+                    with suppress(ExchangeError):
+                        await peer.request("DELETE", here, [], b"", new_connection=True)
             nursery.cancel_scope.cancel()
         self.tally.playing -= 1
 
     async def _done(self, front: int, here: str) -> None:
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
+        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), 1.0)
         with trio.move_on_after(2):
-            with suppress(Ended):
-                await peer.ask("POST", f"{here}/move/done", [], b"", fresh=True)
+            with suppress(ExchangeError):
+                await peer.request("POST", f"{here}/move/done", [], b"", new_connection=True)
 
 
 def trio_now() -> int:
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -12,7 +12,7 @@
 import trio
 
 from oakcroft.decisions.routing.route_table import ClientRole
-from oakcroft.httpwire.client import Ended, Peer, readable
+from oakcroft.httpwire.client import ExchangeError, HttpClient, has_pending_input
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
 from oakcroft.config.settings import PlanTerms
@@ -197,9 +197,9 @@
     async def _ask(self, visit: Visit, rng: Random, front: int, key: str) -> Response | None:
         """One request; None where no front took it or it was cut."""
         wait, (prefix, text) = visit.plan.abandon_ns, self._asked(visit)
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted(key)),
+        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", http_formats.quoted_string(key)),
                    ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
+        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), 1.0)
         body = text.encode()
         asked = {"key": key, "front": front, "plan": visit.plan.name, "title": visit.title, "wait": wait}
         self.tally.requests += 1
@@ -208,16 +208,20 @@
         self.record.note("ask", **asked)
         try:
             with trio.fail_after(wait / 1e9 + 3):  # it is impatient, but the record must show a late answer
-                response = await peer.ask("POST", prefix + visit.title, headers, body, fresh=True)
-        except (Ended, trio.TooSlowError) as fault:
-            refused = isinstance(fault, Ended) and fault.end.name == "UNREACHED"
+                response = await peer.request(
+                    "POST", prefix + visit.title, headers, body, new_connection=True
+                )
+        except (ExchangeError, trio.TooSlowError) as fault:
+            refused = isinstance(fault, ExchangeError) and fault.end.name == "UNREACHED"
             self.record.note("unreached" if refused else "cut", key=key, front=front, why=str(fault))
             self.tally.answers["unreached" if refused else "cut"] += 1
             return None
         finally:
             self.tally.waiting -= 1
         extra = (
-            bool(peer.idle) and readable(peer.idle[-1].stream) and response.header("connection") != "close"
+            bool(peer.idle)
+            and has_pending_input(peer.idle[-1].stream)
+            and response.header("connection") != "close"
         )
         kind = http_formats.problem_type(response.body) if response.status >= HTTPStatus.BAD_REQUEST else ""
         self.record.note("got", key=key, status=response.status, type=kind, extra=extra)
@@ -229,12 +233,15 @@
 
     async def _listens(self, front: int, here: str) -> bool:
         """Listens to a session until it ends; True where the front went instead, and the media may play on."""
-        reader, until = http_formats.EventReader(), trio.current_time() + PATIENCE
+        reader, until = http_formats.EventStreamParser(), trio.current_time() + PATIENCE
         while True:
             try:
-                peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
+                peer = HttpClient("127.0.0.1", self.ports.get(front, 1), 1.0)
                 events = f"{here}/events?kinds=inactive"
-                async with peer.stream("GET", events, [("Accept", http_formats.EVENTS)]) as (head, chunks):
+                async with peer.stream("GET", events, [("Accept", http_formats.EVENT_STREAM_MEDIA_TYPE)]) as (
+                    head,
+                    chunks,
+                ):
                     if head.status != HTTPStatus.OK:
                         return False
                     until = 0.0
@@ -242,7 +249,7 @@
                         if any(name == "inactive" for name, _ in reader.feed(chunk)):
                             return False
                 return True
-            except Ended:
+            except ExchangeError:
                 if not self.patient or trio.current_time() > until > 0:
                     return False
                 if not until:
@@ -251,7 +258,7 @@
 
     async def _watch(self, front: int, sat: Response, seconds: float) -> bool:
         """Watches to the end and says so; False when the playback was lost before."""
-        peer, here = Peer("127.0.0.1", self.ports.get(front, 1), 1.0), sat.header("location") or ""
+        peer, here = HttpClient("127.0.0.1", self.ports.get(front, 1), 1.0), sat.header("location") or ""
         self.tally.playing += 1
         lost = False
         try:
@@ -262,8 +269,8 @@
             if life.cancelled_caught and not self.stopped:
                 lost = False
                 with trio.move_on_after(3):
-                    await peer.ask("DELETE", here, [], b"", fresh=True)
-        except Ended:
+                    await peer.request("DELETE", here, [], b"", new_connection=True)
+        except ExchangeError:
             pass
         finally:
             self.tally.playing -= 1
--- a/oakcroft/signalling/http_formats.py
+++ b/oakcroft/signalling/http_formats.py
@@ -8,27 +8,29 @@
 
 import orjson
 
-PROBLEM = "application/problem+json"
-EVENTS = "text/event-stream"
+PROBLEM_MEDIA_TYPE = "application/problem+json"
+EVENT_STREAM_MEDIA_TYPE = "text/event-stream"
 REL_EVENTS = "urn:ietf:params:whep:ext:core:server-sent-events"
 REL_LAYER = "urn:ietf:params:whep:ext:core:layer"
-REL_ICE = "ice-server"
-LOAD = "endpoint-load-metrics"
+REL_ICE_SERVER = "ice-server"
+LOAD_HEADER = "endpoint-load-metrics"
 
-LINK = re.compile(
+LINK_VALUE_PATTERN = re.compile(
     r"<([^>]*)>\s*((?:;\s*[!#$%&'*+\-.^_`|~0-9A-Za-z]+\s*(?:=\s*(?:\"[^\"]*\"|[^\s,;]*))?\s*)*)(?:,|$)"
 )
-PARAMETER = re.compile(r";\s*([^=;\s]+)\s*(?:=\s*(?:\"([^\"]*)\"|([^\s,;]*)))?")
-KEY = re.compile(r'^"([\x20-\x21\x23-\x5b\x5d-\x7e]{1,255})"$|^([!#$%&\'*+\-.^_`|~0-9A-Za-z:/]{1,255})$')
-PATH = re.compile(r"/[!\"$->@-~]*")  # visible ASCII but # and ?
+LINK_PARAMETER_PATTERN = re.compile(r";\s*([^=;\s]+)\s*(?:=\s*(?:\"([^\"]*)\"|([^\s,;]*)))?")
+IDEMPOTENCY_KEY_PATTERN = re.compile(
+    r'^"([\x20-\x21\x23-\x5b\x5d-\x7e]{1,255})"$|^([!#$%&\'*+\-.^_`|~0-9A-Za-z:/]{1,255})$'
+)
+REQUEST_PATH_PATTERN = re.compile(r"/[!\"$->@-~]*")  # visible ASCII but # and ?
 LOAD_PATH = "/load"
 """Where a node tells its load to whoever asks, in the field that goes with its answers."""
 
-CATALOGUE = "Oakcroft-Catalogue"
+CATALOGUE_HEADER = "Oakcroft-Catalogue"
 """The version of the catalogue under which a set-up left its front."""
 
 
-def problem(status: int, kind: str, title: str, detail: str = "", **more: object) -> bytes:
+def problem_body(status: int, kind: str, title: str, detail: str = "", **more: object) -> bytes:
     """A problem body (RFC 9457)."""
     body: dict[str, object] = {"type": kind, "title": title, "status": status}
     if detail:
@@ -46,58 +48,62 @@
     return kind if isinstance(kind, str) else ""
 
 
-def quoted(text: str) -> str:
+def quoted_string(text: str) -> str:
     """A quoted string (RFC 9110 5.6.4)."""
     return '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
-def link(target: str, rel: str, **parameters: str) -> str:
+def format_link(target: str, rel: str, **parameters: str) -> str:
     """One value of a Link field (RFC 8288 3)."""
     return "; ".join(
-        [f"<{target}>", f"rel={quoted(rel)}", *(f"{k}={quoted(v)}" for k, v in parameters.items())]
+        [
+            f"<{target}>",
+            f"rel={quoted_string(rel)}",
+            *(f"{k}={quoted_string(v)}" for k, v in parameters.items()),
+        ]
     )
 
 
-def links(values: list[str]) -> dict[str, str]:
+def parse_links(values: list[str]) -> dict[str, str]:
     """Relation to target, the first of each, of Link fields."""
     found: dict[str, str] = {}
     for value in values:
-        for match in LINK.finditer(value):
-            for name, quoted_value, bare in PARAMETER.findall(match[2]):
+        for match in LINK_VALUE_PATTERN.finditer(value):
+            for name, quoted_value, bare in LINK_PARAMETER_PATTERN.findall(match[2]):
                 if name.lower() == "rel":
                     for rel in (quoted_value or bare).split():
                         found.setdefault(rel, match[1])
     return found
 
 
-def is_key(text: str) -> bool:
+def is_idempotency_key(text: str) -> bool:
     """Whether a key that came by itself could stand in an Idempotency-Key field as it is."""
-    return KEY.match(f'"{text}"') is not None
+    return IDEMPOTENCY_KEY_PATTERN.match(f'"{text}"') is not None
 
 
-def is_path(text: str) -> bool:
+def is_request_path(text: str) -> bool:
     """Whether this can stand as the path of a request target (RFC 9112 3.2), with no query behind it."""
-    return PATH.fullmatch(text) is not None
+    return REQUEST_PATH_PATTERN.fullmatch(text) is not None
 
 
-def idempotency_key(value: str) -> str | None:
+def parse_idempotency_key(value: str) -> str | None:
     """The key of an Idempotency-Key field: a quoted string (RFC 8941 3.3.3) or, as many clients send it, a bare
     token. None for anything else."""
-    match = KEY.match(value.strip())
+    match = IDEMPOTENCY_KEY_PATTERN.match(value.strip())
     return (match[1] or match[2]) if match else None
 
 
-def entity_tags(value: str) -> list[str]:
+def parse_entity_tags(value: str) -> list[str]:
     """The tags of an If-Match field (RFC 9110 13.1.1), as written; `*` stands for itself."""
     return [part.strip() for part in value.split(",") if part.strip()]
 
 
-def media_type(value: str) -> str:
+def parse_media_type(value: str) -> str:
     """A Content-Type without its parameters, in lower case."""
     return value.partition(";")[0].strip().lower()
 
 
-def accepts(value: str | None, media: str) -> bool:
+def accepts_media_type(value: str | None, media: str) -> bool:
     """Whether an Accept field (RFC 9110 12.5.1) leaves room for a media type; an absent one takes all."""
     if value is None or not value.strip():
         return True
@@ -111,27 +117,27 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class LoadReport:
     """A node's load report: asked of its link over what it gives, the same capped at 1, and of the uplink."""
 
-    asked: float | None = None
-    used: float | None = None
-    uplink: float | None = None
+    link_demand: float | None = None
+    utilization: float | None = None
+    uplink_demand: float | None = None
 
 
-def load_report(load: Load) -> str:
+def format_load_report(load: LoadReport) -> str:
     """A load report in ORCA's text form (the open request cost aggregation header)."""
-    named = {"link_asked": load.asked, "uplink_asked": load.uplink}
+    named = {"link_asked": load.link_demand, "uplink_asked": load.uplink_demand}
     parts = [f"named_metrics.{k}={v:.4f}" for k, v in named.items() if v is not None]
-    if load.used is not None:
-        parts.append(f"application_utilization={load.used:.4f}")
+    if load.utilization is not None:
+        parts.append(f"application_utilization={load.utilization:.4f}")
     return "TEXT " + ", ".join(parts)
 
 
-def read_load(value: str | None) -> Load:
+def parse_load_report(value: str | None) -> LoadReport:
     """Reads a load report in ORCA's text or JSON form; one that is not understood says nothing."""
     if not value:
-        return Load()
+        return LoadReport()
     form, _, rest = value.strip().partition(" ")
     found: dict[str, object] = {}
     if form == "TEXT":
@@ -142,22 +148,22 @@
         try:
             body = orjson.loads(rest)
         except orjson.JSONDecodeError:
-            return Load()
+            return LoadReport()
         if not isinstance(body, dict):
-            return Load()
+            return LoadReport()
         found = {k: v for k, v in body.items() if k != "named_metrics"}
         named = body.get("named_metrics")
         if isinstance(named, dict):
             found |= {f"named_metrics.{k}": v for k, v in named.items()}
-    used = _figure(found.get("application_utilization"))
+    used = _parse_load_value(found.get("application_utilization"))
     asked, uplink = (
-        _figure(found.get("named_metrics.link_asked")),
-        _figure(found.get("named_metrics.uplink_asked")),
+        _parse_load_value(found.get("named_metrics.link_asked")),
+        _parse_load_value(found.get("named_metrics.uplink_asked")),
     )
-    return Load(asked, used, uplink)
+    return LoadReport(asked, used, uplink)
 
 
-def _figure(value: object) -> float | None:
+def _parse_load_value(value: object) -> float | None:
     """A figure that can be a load; what is none (not a number, below zero, endless) says nothing."""
     if isinstance(value, bool) or not isinstance(value, int | float | str):
         return None
@@ -168,29 +174,29 @@
     return number if 0 <= number < 1e6 else None
 
 
-def event(name: str, data: object) -> bytes:
+def format_event(name: str, data: object) -> bytes:
     """One server-sent event with a JSON body (WHATWG HTML 9.2)."""
     return b"event: " + name.encode() + b"\ndata: " + orjson.dumps(data) + b"\n\n"
 
 
-BEAT = b": beat\n\n"
+KEEP_ALIVE_COMMENT = b": beat\n\n"
 """A comment line, which keeps a stream alive."""
 
 
-class EventReader:
-    """Server-sent events from bytes as they come. ValueError for a line or an event beyond `most` bytes.
+class EventStreamParser:
+    """Server-sent events from bytes as they come. ValueError for a line or an event beyond `max_bytes` bytes.
 
     A comment yields an event named "" so that its reader knows that the stream lives.
     """
 
-    def __init__(self, most: int = 65_536) -> None:
-        self.most, self.rest, self.name, self.data = most, b"", "message", list[bytes]()
+    def __init__(self, max_bytes: int = 65_536) -> None:
+        self.max_bytes, self.rest, self.name, self.data = max_bytes, b"", "message", list[bytes]()
 
     def feed(self, chunk: bytes) -> Iterator[tuple[str, bytes]]:
         """The events that are whole now."""
         self.rest += chunk
         *whole, self.rest = self.rest.split(b"\n")
-        if len(self.rest) > self.most:
+        if len(self.rest) > self.max_bytes:
             raise ValueError("a line of the event stream is too long")
         for line in whole:
             line = line.removesuffix(b"\r")
@@ -207,5 +213,5 @@
                     self.name = value.decode("utf-8", "replace")
                 elif field == b"data":
                     self.data.append(value)
-                    if sum(map(len, self.data)) > self.most:
+                    if sum(map(len, self.data)) > self.max_bytes:
                         raise ValueError("an event is too long")
--- a/oakcroft/signalling/session_api.py
+++ b/oakcroft/signalling/session_api.py
@@ -12,7 +12,7 @@
 
 JSON, MSGPACK = "oakcroft.v1.json", "oakcroft.v1.msgpack"
 SUBPROTOCOLS = (JSON, MSGPACK)
-Whole = Annotated[int, msgspec.Meta(ge=-(2**53 - 1), le=2**53 - 1)]
+SafeInteger = Annotated[int, msgspec.Meta(ge=-(2**53 - 1), le=2**53 - 1)]
 """A whole number as every client can hold it (RFC 8259 6), and as both subprotocols can say it again."""
 
 
@@ -20,48 +20,48 @@
     """First message of a connection: a new client, or one that comes back with its pass and the last number it has."""
 
     resume: str = ""
-    seen: Whole = 0
+    seen: SafeInteger = 0
     token: str = ""
 
 
 class Ask(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
     """Asks for a playback: answered by one `answer` with the same `id`."""
 
-    id: Whole
+    id: SafeInteger
     path: str
     offer: str
     key: str = ""
-    wait_s: Whole = 0
-    top: Whole | None = None
+    wait_s: SafeInteger = 0
+    top: SafeInteger | None = None
 
 
 class Layer(msgspec.Struct, tag="layer", forbid_unknown_fields=True):
     """The highest rung that the player takes from now on."""
 
     playback: str
-    rung: Whole
-    id: Whole = 0
+    rung: SafeInteger
+    id: SafeInteger = 0
 
 
 class Pause(msgspec.Struct, tag="pause", forbid_unknown_fields=True):
     """The player shows nothing for now: the playback goes down to its plan's floor."""
 
     playback: str
-    id: Whole = 0
+    id: SafeInteger = 0
 
 
 class Resume(msgspec.Struct, tag="resume", forbid_unknown_fields=True):
     """And up again, to what it took before."""
 
     playback: str
-    id: Whole = 0
+    id: SafeInteger = 0
 
 
 class End(msgspec.Struct, tag="end", forbid_unknown_fields=True):
     """Ends a playback."""
 
     playback: str
-    id: Whole = 0
+    id: SafeInteger = 0
 
 
 class Trickle(msgspec.Struct, tag="trickle", forbid_unknown_fields=True):
@@ -70,7 +70,7 @@
     playback: str
     tag: str
     fragment: str
-    id: Whole = 0
+    id: SafeInteger = 0
 
 
 class MoveOffer(msgspec.Struct, tag="move-offer", forbid_unknown_fields=True):
@@ -79,20 +79,20 @@
     playback: str
     offer: str
     key: str = ""
-    id: Whole = 0
+    id: SafeInteger = 0
 
 
 class MoveDone(msgspec.Struct, tag="move-done", forbid_unknown_fields=True):
     """The player plays from the target."""
 
     playback: str
-    id: Whole = 0
+    id: SafeInteger = 0
 
 
 class Ack(msgspec.Struct, tag="ack", forbid_unknown_fields=True):
     """The client has everything up to `n`."""
 
-    n: Whole
+    n: SafeInteger
 
 
 class Bye(msgspec.Struct, tag="bye", forbid_unknown_fields=True):
@@ -175,11 +175,11 @@
     def __init__(self, subprotocol: str) -> None:
         self.binary = subprotocol == MSGPACK
 
-    def write(self, message: object) -> bytes:
+    def encode(self, message: object) -> bytes:
         """A message as bytes."""
         return msgspec.msgpack.encode(message) if self.binary else msgspec.json.encode(message)
 
-    def read(self, data: bytes) -> FromClient:
+    def decode_client_message(self, data: bytes) -> FromClient:
         """A client's message."""
         try:
             if self.binary:
@@ -188,7 +188,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as fault:
             raise ValueError(str(fault)) from None
 
-    def read_server(self, data: bytes) -> ToClient:
+    def decode_server_message(self, data: bytes) -> ToClient:
         """A front's message, as a client reads it."""
         try:
             if self.binary:
@@ -213,8 +213,8 @@
                     shown = getattr(f.type, "__name__", None) if isinstance(f.type, type) else str(f.type)
                     shown = (
                         str(shown)
-                        .replace(f"typing.Optional[{Whole}]", "int | None")
-                        .replace(str(Whole), "int")
+                        .replace(f"typing.Optional[{SafeInteger}]", "int | None")
+                        .replace(str(SafeInteger), "int")
                     )
                     default = (
                         "must stand"
--- a/oakcroft/standins/event_streams.py
+++ b/oakcroft/standins/event_streams.py
@@ -23,7 +23,7 @@
 
 def extend_lease(node: NodeState, front: str, request: Request) -> None:
     """Keeps for how long a front asks the node to hold its sessions while it does not listen."""
-    asked = takeover_messages.read_lease(request.header(takeover_messages.LEASE.lower()))
+    asked = takeover_messages.parse_lease(request.header(takeover_messages.LEASE_HEADER.lower()))
     node.ear_of(front).lease = effective_lease(asked, round(LEASE_SECONDS * SECOND)) / SECOND
 
 
@@ -35,8 +35,8 @@
         ear.send.close()
     ear.send = send
     node.record.note("listens", node=node.name, front=front, open=True)
-    send.send_nowait(http_formats.event("hello", _hello(node, front, ear)))
-    headers = [("Content-Type", http_formats.EVENTS), ("Cache-Control", "no-store")]
+    send.send_nowait(http_formats.format_event("hello", _hello(node, front, ear)))
+    headers = [("Content-Type", http_formats.EVENT_STREAM_MEDIA_TYPE), ("Cache-Control", "no-store")]
     return Response(200, headers, stream=_chunks(node, front, ear, send, receive))
 
 
@@ -61,7 +61,7 @@
 ) -> AsyncIterator[bytes]:
     try:
         while True:
-            chunk = http_formats.BEAT
+            chunk = http_formats.KEEP_ALIVE_COMMENT
             with trio.move_on_after(BEAT_SECONDS):
                 try:
                     chunk = await receive.receive()
--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -123,10 +123,10 @@
         """Whether nothing that the node sends reaches a front."""
         return self.ails.silent or self.wing_of(front) in self.ails.cut_from
 
-    def load(self) -> http_formats.Load:
+    def load(self) -> http_formats.LoadReport:
         """What is asked of its links, as it reports that."""
         asked, uplink = self.machine.asked(), self.machine.uplink_asked()
-        return http_formats.Load(asked, min(1.0, asked), uplink if uplink else None)
+        return http_formats.LoadReport(asked, min(1.0, asked), uplink if uplink else None)
 
     def rate(self, plan: str, title: str, rung: int) -> float:
         """The rate of a stream, kB a second."""
@@ -194,7 +194,7 @@
         """An event to one front, if it listens and is not too far behind."""
         if ear.send is not None:
             try:
-                ear.send.send_nowait(http_formats.event(name, data))
+                ear.send.send_nowait(http_formats.format_event(name, data))
             except (trio.WouldBlock, trio.BrokenResourceError, trio.ClosedResourceError):
                 ear.send.close()
                 ear.send, ear.away_since = None, trio.current_time()
@@ -207,5 +207,5 @@
 
 def caller_of(request: Request) -> Caller:
     """Which front asks, with its name among its peers and the number of its start."""
-    member, start = takeover_messages.read_front(request.header(takeover_messages.FRONT.lower()))
+    member, start = takeover_messages.parse_front(request.header(takeover_messages.FRONT_HEADER.lower()))
     return Caller(front_of(request), member, start)
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -154,7 +154,9 @@
     async def handle(self, request: Request) -> Response:
         """One request of a front."""
         front = front_of(request)
-        if request.method == "POST" and not request.path.startswith(("/sessions/", takeover_messages.PATH)):
+        if request.method == "POST" and not request.path.startswith(
+            ("/sessions/", takeover_messages.SESSIONS_PATH)
+        ):
             return await self.set_up(request, front)
         while self.is_mute(front):
             await self.changed.wait()
@@ -163,8 +165,8 @@
             return self.open_events(front)
         if request.path == http_formats.LOAD_PATH and request.method == "GET":
             self.record.note("load asked", node=self.name, front=front)
-            return Response(204, [(http_formats.LOAD, http_formats.load_report(self.load()))])
-        if request.path == takeover_messages.PATH:
+            return Response(204, [(http_formats.LOAD_HEADER, http_formats.format_load_report(self.load()))])
+        if request.path == takeover_messages.SESSIONS_PATH:
             return answer_takeover(self, request)
         return self._handle_session(request, front)
 
@@ -182,8 +184,10 @@
         caller = caller_of(request)
         if not may_control(session.holder, caller) and not self.ails.trusts_all:
             self.record.note("turned away", node=self.name, session=name, front=front, method=request.method)
-            problem = http_formats.problem(409, takeover_messages.NOT_HELD, "another front has it")
-            return Response(409, [("Content-Type", http_formats.PROBLEM)], problem)
+            problem = http_formats.problem_body(
+                409, takeover_messages.NOT_HELD_PROBLEM, "another front has it"
+            )
+            return Response(409, [("Content-Type", http_formats.PROBLEM_MEDIA_TYPE)], problem)
         session.holder = replace(session.holder, generation=max(session.holder.generation, caller.generation))
         if request.method == "DELETE":
             self.end_session(name, "deleted", front)
@@ -205,10 +209,10 @@
 
     async def set_up(self, request: Request, front: str) -> Response:
         """Sets up a session, and puts on record how that ended, also where the front went away."""
-        key = http_formats.idempotency_key(request.header("idempotency-key") or "") or ""
+        key = http_formats.parse_idempotency_key(request.header("idempotency-key") or "") or ""
         plan, title = self.plan_of(request.path)
-        rung = int(request.query("encodingId") or 0)
-        catalogue = int(request.header(http_formats.CATALOGUE.lower()) or 0)
+        rung = int(request.query_parameter("encodingId") or 0)
+        catalogue = int(request.header(http_formats.CATALOGUE_HEADER.lower()) or 0)
         self.numbers += 1
         number = f"{self.process}.{self.numbers}"
         self.record.note("setup", node=self.name, id=number, front=front, key=key, plan=plan, title=title,
@@ -243,8 +247,10 @@
         offer = sdp.parse(request.body.decode())
         await self._work()
         session.media, session.holder = rtp.receiver(offer), caller_of(request)
-        session.memo = (request.header(takeover_messages.MEMO.lower()) or "")[: takeover_messages.MOST_MEMO]
-        session.answer = sdp.answer(offer, self.numbers, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
+        session.memo = (request.header(takeover_messages.MEMO_HEADER.lower()) or "")[
+            : takeover_messages.MAX_MEMO_LENGTH
+        ]
+        session.answer = sdp.create_answer(offer, self.numbers, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
         self.start_session(session, rung)
         extend_lease(self, front, request)
         while self.ails.hung or self.is_mute(front):
@@ -267,19 +273,21 @@
         here = f"/sessions/{session.id}"
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE), ("Location", here), ("ETag", f'"{session.tag}"'),
-            ("Link", http_formats.link(f"/events/{front}", http_formats.REL_EVENTS)),
-            ("Link", http_formats.link(f"{here}/layer", http_formats.REL_LAYER)),
-            (http_formats.LOAD, http_formats.load_report(self.load())),
+            ("Link", http_formats.format_link(f"/events/{front}", http_formats.REL_EVENTS)),
+            ("Link", http_formats.format_link(f"{here}/layer", http_formats.REL_LAYER)),
+            (http_formats.LOAD_HEADER, http_formats.format_load_report(self.load())),
         ]  # fmt: skip
         body = session.answer.encode()
-        return Response(201, headers, body, unsent=lambda: self.end_session(session.id, "answer not taken"))
+        return Response(
+            201, headers, body, on_unsent=lambda: self.end_session(session.id, "answer not taken")
+        )
 
     def _refused(self, kind: str, title: str) -> Response:
         headers = [
-            ("Content-Type", http_formats.PROBLEM),
-            (http_formats.LOAD, http_formats.load_report(self.load())),
+            ("Content-Type", http_formats.PROBLEM_MEDIA_TYPE),
+            (http_formats.LOAD_HEADER, http_formats.format_load_report(self.load())),
         ]
-        return Response(503, headers, http_formats.problem(503, kind, title))
+        return Response(503, headers, http_formats.problem_body(503, kind, title))
 
 
 def _patch(request: Request, session: Session) -> Response:
--- a/oakcroft/standins/takeover.py
+++ b/oakcroft/standins/takeover.py
@@ -32,12 +32,12 @@
 def _offer(node: NodeState, request: Request) -> Response:
     """One page of what may be taken over of the fronts that are named, and how each of them stands as far as it goes."""
     caller = caller_of(request)
-    asked = [unquote(name) for name in (request.query("of") or "").split(",") if name][
-        : takeover_messages.MOST_OF
+    asked = [unquote(name) for name in (request.query_parameter("of") or "").split(",") if name][
+        : takeover_messages.MAX_FRONTS_PER_REQUEST
     ]
-    after = int(request.query("after") or 0)
+    after = int(request.query_parameter("after") or 0)
     states = dict.fromkeys(asked, TakeoverAnswer.ALLOWED.value)
-    page, going_on, room, last = list[takeover_messages.Offered](), "", MOST_LISTING_OCTETS, 0
+    page, going_on, room, last = list[takeover_messages.OfferedSession](), "", MOST_LISTING_OCTETS, 0
     for session in sorted(node.sessions.values(), key=lambda session: session.number):
         if session.holder.member not in states or not session.memo:
             continue
@@ -48,19 +48,21 @@
         if session.number <= after:
             continue
         room -= len(session.answer) + len(session.memo) + SESSION_OVERHEAD_OCTETS
-        if len(page) == takeover_messages.MOST_PAGE or room < 0:
+        if len(page) == takeover_messages.MAX_SESSIONS_PER_PAGE or room < 0:
             going_on = str(last)
             break
         last = session.number
         page.append(_offered(node, session))
-    body = msgspec.json.encode(takeover_messages.Listing(states, page, going_on))
+    body = msgspec.json.encode(takeover_messages.SessionListing(states, page, going_on))
     return Response(200, [JSON, ("Cache-Control", "no-store")], body)
 
 
-def _offered(node: NodeState, session: Session) -> takeover_messages.Offered:
+def _offered(node: NodeState, session: Session) -> takeover_messages.OfferedSession:
     rung, path = node.machine.streams[session.id].rung, f"/sessions/{session.id}"
     tag, holder = str(session.tag), session.holder.member
-    return takeover_messages.Offered(path, session.key, holder, rung, tag, session.memo, session.answer)
+    return takeover_messages.OfferedSession(
+        path, session.key, holder, rung, tag, session.memo, session.answer
+    )
 
 
 def _may_take(node: NodeState, session: Session, caller: Caller) -> TakeoverAnswer:
@@ -73,7 +75,7 @@
     """Hands sessions over to a front; all that may be, in one step of this node."""
     caller = caller_of(request)
     try:
-        wanted = takeover_messages.TAKING.decode(request.body).sessions
+        wanted = takeover_messages.SELECTION_DECODER.decode(request.body).sessions
     except msgspec.MsgspecError:
         return Response(400)
     given = []
@@ -84,7 +86,7 @@
         if node.ails.trusts_all or _may_take(node, session, caller) is TakeoverAnswer.ALLOWED:
             _pass_on(node, session, path, caller)
             given.append(path)
-    return Response(200, [JSON], msgspec.json.encode(takeover_messages.Taking(given)))
+    return Response(200, [JSON], msgspec.json.encode(takeover_messages.SessionSelection(given)))
 
 
 def _pass_on(node: NodeState, session: Session, path: str, caller: Caller) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,7 +18,7 @@
 from oakcroft.running.clock import Clock
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.front_end import FrontEnd
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
@@ -98,9 +98,9 @@
 
     async def request(self, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
         """Sends one HTTP request on a connection of its own; header names have underscores for hyphens."""
-        peer = Peer("127.0.0.1", self.port)
+        peer = HttpClient("127.0.0.1", self.port)
         fields = [(k.replace("_", "-"), v) for k, v in headers.items()]
-        response = await peer.ask(method, path, fields, body)
+        response = await peer.request(method, path, fields, body)
         await peer.close()
         return response
 
@@ -127,7 +127,7 @@
             response = await self.request_playback(path, Idempotency_Key=f'"{key}"')
             kind = http_formats.problem_type(response.body) if response.status != 201 else ""
             self.record.note("got", key=key, status=response.status, type=kind, extra=False)
-        except Ended:
+        except ExchangeError:
             self.record.note("cut", key=key)
         except trio.Cancelled:
             self.record.note("left", key=key)
@@ -153,7 +153,7 @@
 
     async def request_playback_ignoring_errors(self, path: str, headers: dict[str, Any]) -> None:
         """Requests a playback from a front end that may die meanwhile."""
-        with suppress(Ended, OSError):
+        with suppress(ExchangeError, OSError):
             await self.request_playback(path, **headers)
 
 
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -19,7 +19,7 @@
 
 from oakcroft.decisions.fleet.session_takeover import HASH_SLOTS_PER_NODE
 from oakcroft.decisions.membership.rendezvous import line, weight
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.holding import judge_holding, outlived
@@ -45,10 +45,10 @@
         return path
 
     async def request(self, name: str, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
-        peer = Peer("127.0.0.1", self.ports[name], connect_within=0.5)
+        peer = HttpClient("127.0.0.1", self.ports[name], connect_timeout_s=0.5)
         try:
             fields = [(k.replace("_", "-"), v) for k, v in headers.items()]
-            return await peer.ask(method, path, fields, body)
+            return await peer.request(method, path, fields, body)
         finally:
             await peer.close()
 
@@ -73,7 +73,7 @@
                     name, "GET", "/operators/status", Authorization=f"Bearer {TOKEN}"
                 )
             return dict(orjson.loads(response.body))
-        except (Ended, trio.TooSlowError):
+        except (ExchangeError, trio.TooSlowError):
             return {}
 
     def holders_by_key(self) -> dict[str, str]:
@@ -93,7 +93,7 @@
 
     async def request_ignoring_errors(self, name: str, method: str, path: str) -> None:
         """A call that the front end may never answer."""
-        with trio.move_on_after(20), suppress(Ended, OSError):
+        with trio.move_on_after(20), suppress(ExchangeError, OSError):
             await self.request(name, method, path)
 
     def lose_streams(self, name: str) -> None:
@@ -365,7 +365,7 @@
         (session,) = node.sessions.values()
         late = [
             ("Via", f"1.1 {session.front}"),
-            (takeover_messages.FRONT, takeover_messages.front("f1", session.holder.generation)),
+            (takeover_messages.FRONT_HEADER, takeover_messages.format_front("f1", session.holder.generation)),
         ]
         path = f"/sessions/{session.id}"
         rig.signal("f1", signal.SIGKILL)
@@ -373,8 +373,8 @@
         rung = node.machine.streams[session.id].rung
 
         async def word(method: str, target: str, body: bytes = b"") -> int:
-            peer = Peer("127.0.0.1", node.port)
-            answer = await peer.ask(method, target, late, body)
+            peer = HttpClient("127.0.0.1", node.port)
+            answer = await peer.request(method, target, late, body)
             await peer.close()
             return answer.status
 
@@ -383,7 +383,7 @@
         assert await word("PATCH", path) == 409
         assert await word("DELETE", path) == 409
         taking = orjson.dumps({"sessions": [path]})
-        assert await word("POST", takeover_messages.PATH, taking) == 200
+        assert await word("POST", takeover_messages.SESSIONS_PATH, taking) == 200
         assert rig.holders_by_key() == {"mine": session.holder.member}
         assert session.holder.member != "f1"
         assert node.machine.streams[session.id].rung == rung
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -12,7 +12,7 @@
 from rig import run_async_test
 
 from oakcroft.decisions.sessions.setup_outcome import RequestEnd, RequestProgress, setup_outcome
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.interface import Outcome
 from oakcroft.standins.playout import reset
 
@@ -85,13 +85,13 @@
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, behaviour, listeners)
-            peer = Peer("127.0.0.1", listeners[0].socket.getsockname()[1])
+            peer = HttpClient("127.0.0.1", listeners[0].socket.getsockname()[1])
             trail, end = RequestProgress(), RequestEnd.TIMED_OUT
             with trio.move_on_after(0.4):
                 try:
-                    await peer.ask("POST", "/x", [], b"a body to the end", trail)
+                    await peer.request("POST", "/x", [], b"a body to the end", trail)
                     end = RequestEnd.ANSWERED
-                except Ended as ended:
+                except ExchangeError as ended:
                     end = ended.end
             assert setup_outcome(trail, end) is wanted
             nursery.cancel_scope.cancel()
@@ -104,18 +104,18 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             trail = RequestProgress()
-            with pytest.raises(Ended) as ended:
-                await Peer("127.0.0.1", free.getsockname()[1]).ask("POST", "/", [], b"x", trail)
+            with pytest.raises(ExchangeError) as ended:
+                await HttpClient("127.0.0.1", free.getsockname()[1]).request("POST", "/", [], b"x", trail)
             assert setup_outcome(trail, ended.value.end) is Outcome.NO_CONNECTION
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, silence, listeners)
-            peer = Peer("127.0.0.1", listeners[0].socket.getsockname()[1], most=1)
-            nursery.start_soon(peer.ask, "POST", "/", [], b"x")
+            peer = HttpClient("127.0.0.1", listeners[0].socket.getsockname()[1], max_concurrent=1)
+            nursery.start_soon(peer.request, "POST", "/", [], b"x")
             await trio.testing.wait_all_tasks_blocked(0.02)
             second = RequestProgress()
             with trio.move_on_after(0.1):
-                await peer.ask("POST", "/", [], b"x", second)
+                await peer.request("POST", "/", [], b"x", second)
             assert setup_outcome(second, RequestEnd.TIMED_OUT) is Outcome.NOT_SENT
             nursery.cancel_scope.cancel()
 
@@ -135,9 +135,9 @@
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, once, listeners)
-            peer = Peer("127.0.0.1", listeners[0].socket.getsockname()[1])
+            peer = HttpClient("127.0.0.1", listeners[0].socket.getsockname()[1])
             for _ in range(3):
-                assert (await peer.ask("POST", "/", [], b"to the end")).status == 201
+                assert (await peer.request("POST", "/", [], b"to the end")).status == 201
                 await closed.wait()
                 closed = trio.Event()
                 await trio.sleep(0.01)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -20,7 +20,7 @@
 from oakcroft.commands.fleet import describe_owners
 from oakcroft.config.pipeline import check_file
 from oakcroft.config.diagnostics import InvalidConfigurationError
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.standins.day import parse
 
 TERM = 2.0
@@ -41,17 +41,17 @@
     async def call(
         self, name: str, method: str, path: str, body: bytes = b"", **headers: str
     ) -> dict[str, Any]:
-        peer = Peer("127.0.0.1", self.ports[name], connect_within=0.5)
+        peer = HttpClient("127.0.0.1", self.ports[name], connect_timeout_s=0.5)
         try:
             with trio.move_on_after(14):
                 fields = [
                     ("Authorization", f"Bearer {TOKEN}"),
                     *((k.replace("_", "-"), v) for k, v in headers.items()),
                 ]
-                said = await peer.ask(method, f"/operators/{path}", fields, body)
+                said = await peer.request(method, f"/operators/{path}", fields, body)
                 told = orjson.loads(said.body or b"{}")
                 return {"status": said.status, **(told if isinstance(told, dict) else {"all": told})}
-        except Ended:
+        except ExchangeError:
             pass
         finally:
             await peer.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -25,7 +25,7 @@
 from oakcroft.front.node_client import NodeClient
 from oakcroft.front.front_end import FrontEnd
 from oakcroft.front.playback_session import PlaybackSession
-from oakcroft.httpwire.client import Ended
+from oakcroft.httpwire.client import ExchangeError
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Connection
 from oakcroft.interface import NodeStatus, Playback
@@ -114,7 +114,7 @@
     async def held_write(self: Connection, response: Response) -> None:
         # Only a response of the front end names a session like this, not one of a node.
         names_session = (response.header("location") or "").startswith("/session/")
-        if names_session and response.unsent is not None and not reached.is_set():
+        if names_session and response.on_unsent is not None and not reached.is_set():
             reached.set()
             await let_go.wait()
         await write(self, response)
@@ -191,7 +191,7 @@
     target.ails.hung = True
 
     async def send_offer() -> None:
-        with suppress(Ended):  # the front end may die
+        with suppress(ExchangeError):  # the front end may die
             await player.offer()
 
     scenario.request_finished.set()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -15,7 +15,7 @@
 
 from oakcroft.decisions.sessions.event_stream_health import StreamState
 from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
-from oakcroft.httpwire.client import Peer
+from oakcroft.httpwire.client import HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS
 from oakcroft.rehearsal.viewers import offer
@@ -38,8 +38,8 @@
             assert [m.kind for m in sdp.parse(answer.body.decode()).media] == ["audio", "video"]
             location = answer.header("location") or ""
             etag = answer.header("etag") or ""
-            links = http_formats.links(answer.all("link"))
-            assert links[http_formats.REL_ICE] == "stun:127.0.0.1:3478"
+            links = http_formats.parse_links(answer.header_values("link"))
+            assert links[http_formats.REL_ICE_SERVER] == "stun:127.0.0.1:3478"
             assert links[http_formats.REL_EVENTS] == location + "/events"
             assert len(rig.nodes_in_use()) == 1
             trickle = {"Content_Type": SDPFRAG_MEDIA_TYPE}
@@ -97,7 +97,7 @@
                 answer = await rig.request(method, path, body, **headers)
                 assert answer.status == status, (path, headers)
                 assert orjson.loads(answer.body)["status"] == status
-                assert answer.header("content-type") == http_formats.PROBLEM
+                assert answer.header("content-type") == http_formats.PROBLEM_MEDIA_TYPE
             challenge = (await rig.request("POST", "/whep/open/t", good, **content_type)).header(
                 "www-authenticate"
             )
@@ -199,15 +199,17 @@
             placed = await rig.request("POST", location + "/events", b'["inactive", "nonsense"]')
             assert placed.status == 201
             heard: list[str] = []
-            async with Peer("127.0.0.1", rig.port).stream("GET", placed.header("location") or "", []) as (
+            async with HttpClient("127.0.0.1", rig.port).stream(
+                "GET", placed.header("location") or "", []
+            ) as (
                 head,
                 chunks,
             ):
-                assert head.header("content-type") == http_formats.EVENTS
+                assert head.header("content-type") == http_formats.EVENT_STREAM_MEDIA_TYPE
                 await wait_until(lambda: rig.nodes_in_use()[0].ears)
                 await trio.sleep(0.1)
                 rig.nodes_in_use()[0].kill()
-                reader = http_formats.EventReader()
+                reader = http_formats.EventStreamParser()
                 async for chunk in chunks:
                     heard += [name for name, _ in reader.feed(chunk) if name]
             assert heard == ["inactive"]
@@ -257,7 +259,7 @@
         async with running_front_end(tmp_path) as rig:
             first = await rig.request_playback("/whip/open/live")
             assert first.status == 201
-            assert http_formats.REL_LAYER not in http_formats.links(first.all("link"))
+            assert http_formats.REL_LAYER not in http_formats.parse_links(first.header_values("link"))
             assert (await rig.request_playback("/whip/open/live")).status == 409
             assert (await rig.request("DELETE", first.header("location") or "")).status == 200
             assert (await rig.request_playback("/whip/open/live")).status == 201
@@ -583,10 +585,10 @@
             assert rig.front_end is not None
             assert rig.front_end.service is not None
             fair_queue = rig.front_end.service.fair_queue
-            peer = Peer("127.0.0.1", rig.port)
+            peer = HttpClient("127.0.0.1", rig.port)
             headers = [("Content-Type", sdp.MEDIA_TYPE)]
             body = offer(900, 1).encode()
-            assert (await peer.ask("POST", "/whep/open/t", headers, body)).status == 201
+            assert (await peer.request("POST", "/whep/open/t", headers, body)).status == 201
             # Nothing is started: four requests of a plan wait, and no more.
             fair_queue.window.size = fair_queue.window.max_size = 0
             async with trio.open_nursery() as nursery:
@@ -594,15 +596,15 @@
                     nursery.start_soon(rig.request_playback)
                 await wait_until(lambda: len(fair_queue.waiting) == 4)
                 fair_queue.throughput = 0.0
-                rejection = await peer.ask("POST", "/whep/open/t", headers, body)
+                rejection = await peer.request("POST", "/whep/open/t", headers, body)
                 assert (rejection.status, rejection.header("retry-after")) == (503, "1")
                 assert http_formats.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
                 assert rig.front_end.service.shed_count == 1
                 # The same connection.
-                options = await peer.ask("OPTIONS", "/whep/open/t", [], b"")
+                options = await peer.request("OPTIONS", "/whep/open/t", [], b"")
                 assert options.status == 204
                 fair_queue.window.size = fair_queue.window.max_size = 512
-            assert (await peer.ask("POST", "/whep/open/t", headers, body)).status == 201
+            assert (await peer.request("POST", "/whep/open/t", headers, body)).status == 201
             await wait_until(lambda: any(e["event"] == "shedding over" for e in rig.log_entries()))
 
     run_async_test(test)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -35,7 +35,7 @@
 )
 from oakcroft.decisions.moving.move_scheduler import MoveScheduler, MoveLimits, MoveReason
 from oakcroft.decisions.moving.drain_notice import DrainNotices
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS, SECOND, KeyScope, NodeStatus, Node, Outcome, Playback
 from oakcroft.rehearsal.viewers import offer
@@ -354,8 +354,8 @@
 
     async def listen(self) -> None:
         """Reads its event stream and notes the request for an offer and the end of the playback."""
-        peer, reader = Peer("127.0.0.1", self.rig.port), http_formats.EventReader()
-        with suppress(Ended):  # its front end may stop
+        peer, reader = HttpClient("127.0.0.1", self.rig.port), http_formats.EventStreamParser()
+        with suppress(ExchangeError):  # its front end may stop
             async with peer.stream("GET", f"{self.here}/events?kinds=inactive.move", []) as (_, chunks):
                 async for chunk in chunks:
                     for name, data in reader.feed(chunk):
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -31,7 +31,7 @@
 from oakcroft.front.session_service import MAX_EVENT_READERS
 from oakcroft.front.node_client import NodeClient
 from oakcroft.front.playback_session import UpstreamSession
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import MS, SECOND, Outcome
 from oakcroft.rehearsal.viewers import offer
@@ -146,7 +146,7 @@
 def test_a_number_that_only_one_subprotocol_can_say_is_no_message() -> None:
     for number in (2**53, -(2**53), 10**400):
         with pytest.raises(ValueError, match="int"):
-            api.Codec(api.JSON).read(b'{"type":"end","playback":"p","id":%d}' % number)
+            api.Codec(api.JSON).decode_client_message(b'{"type":"end","playback":"p","id":%d}' % number)
 
 
 @pytest.mark.parametrize(
@@ -622,12 +622,12 @@
     async def test() -> None:
         async with trio.open_nursery() as nursery:
             (listener,) = await nursery.start(partial(trio.serve_tcp, node, 0, host="127.0.0.1"))
-            peer = Peer("127.0.0.1", listener.socket.getsockname()[1])
-            assert (await peer.ask("POST", "/a", [], b"x" * 10)).status == 201
+            peer = HttpClient("127.0.0.1", listener.socket.getsockname()[1])
+            assert (await peer.request("POST", "/a", [], b"x" * 10)).status == 201
             assert len(peer.idle) == 1
             trail = RequestProgress()
-            with pytest.raises(Ended) as ended:
-                await peer.ask("POST", "/a", [], b"x" * 10, trail)
+            with pytest.raises(ExchangeError) as ended:
+                await peer.request("POST", "/a", [], b"x" * 10, trail)
             assert setup_outcome(trail, ended.value.end) is Outcome.RESET
             assert not peer.idle
             nursery.cancel_scope.cancel()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -40,7 +40,7 @@
     ProbeTarget,
     ReceivedMessage,
 )
-from oakcroft.httpwire.client import Ended, Peer
+from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.peers import peer_endpoint
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.membership_codec import MembershipCodec
@@ -121,12 +121,14 @@
 
     async def view(self, name: str) -> dict[str, Any]:
         """What a front says of the fleet; nothing while it does not answer."""
-        peer = Peer("127.0.0.1", self.ports[name], connect_within=0.5)
+        peer = HttpClient("127.0.0.1", self.ports[name], connect_timeout_s=0.5)
         try:
             with trio.move_on_after(1):
-                said = await peer.ask("GET", "/operators/fleet", [("Authorization", f"Bearer {TOKEN}")], b"")
+                said = await peer.request(
+                    "GET", "/operators/fleet", [("Authorization", f"Bearer {TOKEN}")], b""
+                )
                 return dict(orjson.loads(said.body))
-        except Ended:
+        except ExchangeError:
             pass
         finally:
             await peer.close()
--- a/tests/test_session_takeover.py
+++ b/tests/test_session_takeover.py
@@ -196,19 +196,19 @@
 
 @given(TEXT, TEXT, st.integers(0, 1 << 40), st.booleans())
 def test_a_memo_survives_encoding_and_decoding(id_: str, title: str, when: int, publishes: bool) -> None:
-    memo = takeover_messages.Memo(
+    memo = takeover_messages.SessionMemo(
         id_, "a", "/whep/open/t", title, "open", "u", "", 3, when, when + 1, publishes
     )
-    assert takeover_messages.read_memo(takeover_messages.memo(memo)) == memo
+    assert takeover_messages.decode_memo(takeover_messages.encode_memo(memo)) == memo
 
 
 @given(st.text(max_size=80) | st.binary(max_size=80).map(lambda b: b.decode("latin-1")))
 def test_invalid_memos_fronts_and_leases_are_ignored(text: str) -> None:
-    memo = takeover_messages.read_memo(text)
-    assert memo is None or takeover_messages.memo(memo)
-    name, start = takeover_messages.read_front(text)
+    memo = takeover_messages.decode_memo(text)
+    assert memo is None or takeover_messages.encode_memo(memo)
+    name, start = takeover_messages.parse_front(text)
     assert (name == "") == (start == 0) or start == 0
-    assert 0 <= takeover_messages.read_lease(text) < 10_000 * SECOND
+    assert 0 <= takeover_messages.parse_lease(text) < 10_000 * SECOND
 
 
 @given(st.text(min_size=1, max_size=64), st.integers(1, (1 << 56) - 1))
@@ -217,13 +217,13 @@
         name.encode()
     except UnicodeEncodeError:
         return
-    assert takeover_messages.read_front(takeover_messages.front(name, start)) == (name, start)
+    assert takeover_messages.parse_front(takeover_messages.format_front(name, start)) == (name, start)
 
 
 def test_a_memo_that_does_not_fit_its_field_is_empty() -> None:
-    memo = takeover_messages.Memo("i", "a", "/" + "x" * 5_000, "t", "open", "u", "", 3, 0, 1, False)
-    assert takeover_messages.memo(memo) == ""
-    assert takeover_messages.read_memo("A" * 100) is None
+    memo = takeover_messages.SessionMemo("i", "a", "/" + "x" * 5_000, "t", "open", "u", "", 3, 0, 1, False)
+    assert takeover_messages.encode_memo(memo) == ""
+    assert takeover_messages.decode_memo("A" * 100) is None
 
 
 def test_without_the_forms_there_are_no_takeovers_and_no_probes() -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -18,7 +18,7 @@
 
 from oakcroft.client import Refused, Retries, SessionClient, Unsure, WhepClient
 from oakcroft.client.blocking import BlockingWhepClient
-from oakcroft.client.retry import Next
+from oakcroft.client.retry import RetryAction
 from oakcroft.decisions.admission.client_limits import ClientLimits, ClientUsage, ClientVerdict
 from oakcroft.decisions.admission.resume_tokens import TokenError, ResumeTokens
 from oakcroft.decisions.sessions.client_session import (
@@ -28,7 +28,7 @@
     ClientSessionState,
 )
 from oakcroft.decisions.admission.load_shedding import FairQueue, QueuedRequest, ConcurrencyWindow
-from oakcroft.httpwire.server import whole_post
+from oakcroft.httpwire.server import is_whole_post
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.websocket_api import SessionApi
 from oakcroft.interface import MS, SECOND
@@ -221,31 +221,31 @@
 
 def test_only_a_whole_plain_post_is_answered_unread() -> None:
     good = b"POST /whep/open/t HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nv=0\n"
-    assert whole_post(good)
-    assert whole_post(good.replace(b"Content-Length", b"content-length"))
+    assert is_whole_post(good)
+    assert is_whole_post(good.replace(b"Content-Length", b"content-length"))
     for bad in (
         good[:-1], good + b"P", good.replace(b"POST", b"GET "), good.replace(b"\r\nContent-Length: 4", b""),
         good.replace(b"Host: a", b"Transfer-Encoding: chunked"), good.replace(b"Host: a", b"Expect: 100-continue"),
         good.replace(b"Host: a", b"Connection: close"), good.replace(b"Host: a", b"Content-Length: 4"), b"POST /", b"",
     ):  # fmt: skip
-        assert not whole_post(bad), bad
+        assert not is_whole_post(bad), bad
 
 
 def test_a_client_asks_again_only_where_that_is_safe() -> None:
     retries = Retries(Random(1), most=3)
-    assert retries.after(1, 201, "", True, None)[0] is Next.DONE
-    assert retries.after(1, None, "", True, None, sent=False)[0] is Next.SAME_KEY
+    assert retries.after(1, 201, "", True, None)[0] is RetryAction.DONE
+    assert retries.after(1, None, "", True, None, sent=False)[0] is RetryAction.SAME_KEY
     # A killed front end without a state file forgets its keys.
-    assert retries.after(1, None, "", True, None, sent=True)[0] is Next.GIVE_UP
-    assert Retries(Random(1), repeatable=True).after(1, None, "", True, None)[0] is Next.SAME_KEY
-    assert retries.after(1, 409, "urn:oakcroft:problem:outstanding", True, 1.0)[0] is Next.SAME_KEY
+    assert retries.after(1, None, "", True, None, sent=True)[0] is RetryAction.GIVE_UP
+    assert Retries(Random(1), repeatable=True).after(1, None, "", True, None)[0] is RetryAction.SAME_KEY
+    assert retries.after(1, 409, "urn:oakcroft:problem:outstanding", True, 1.0)[0] is RetryAction.SAME_KEY
     next_action, wait = retries.after(1, 503, "", True, 2.0)
-    assert next_action is Next.NEW_KEY
+    assert next_action is RetryAction.NEW_KEY
     assert 2.0 <= wait <= 2.5
-    assert retries.after(1, 504, "", False, None)[0] is Next.GIVE_UP
-    assert retries.after(3, 503, "", True, None)[0] is Next.GIVE_UP
-    assert retries.after(1, 400, "", True, None)[0] is Next.GIVE_UP
-    while retries.after(1, 503, "", True, None)[0] is Next.NEW_KEY:
+    assert retries.after(1, 504, "", False, None)[0] is RetryAction.GIVE_UP
+    assert retries.after(3, 503, "", True, None)[0] is RetryAction.GIVE_UP
+    assert retries.after(1, 400, "", True, None)[0] is RetryAction.GIVE_UP
+    while retries.after(1, 503, "", True, None)[0] is RetryAction.NEW_KEY:
         pass
     assert retries.budget < 1.0
 
@@ -259,10 +259,10 @@
 def test_no_bytes_make_the_codec_fail_otherwise(data: bytes, subprotocol: str) -> None:
     codec = api.Codec(subprotocol)
     try:
-        message = codec.read(data)
+        message = codec.decode_client_message(data)
     except ValueError:
         return
-    assert codec.read(codec.write(message)) == message
+    assert codec.decode_client_message(codec.encode(message)) == message
 
 
 # Whole sessions.
@@ -283,7 +283,7 @@
 
     async def send(self, message: object) -> None:
         await self.stream.send_all(
-            self.websocket.send(events.TextMessage(data=api.Codec(api.JSON).write(message).decode()))
+            self.websocket.send(events.TextMessage(data=api.Codec(api.JSON).encode(message).decode()))
         )
 
     async def next_event(self) -> events.Event:
@@ -296,7 +296,7 @@
         while True:
             event = await self.next_event()
             if isinstance(event, events.TextMessage):
-                return api.Codec(api.JSON).read_server(event.data.encode())
+                return api.Codec(api.JSON).decode_server_message(event.data.encode())
             assert not isinstance(event, events.CloseConnection), (event.code, event.reason)
 
     async def close_code(self) -> int:
@@ -507,7 +507,7 @@
 def test_pieces_pings_and_silence(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig) as client_connection:
-            text = api.Codec(api.JSON).write(api.Hello()).decode()
+            text = api.Codec(api.JSON).encode(api.Hello()).decode()
             await client_connection.stream.send_all(
                 client_connection.websocket.send(events.TextMessage(data=text[:5], message_finished=False))
             )
@@ -646,7 +646,7 @@
                 answers = list[object]()
 
                 async def third() -> None:
-                    ask = api.Ask(next(client.numbers), "/whep/course/c", offer(900, 1), "third")
+                    ask = api.Ask(next(client.call_ids), "/whep/course/c", offer(900, 1), "third")
                     answers.append(await client.call(ask))
 
                 nursery.start_soon(third)
@@ -677,7 +677,7 @@
                 await client.end(free)
                 await wait_until(
                     lambda: len(
-                        {f["key"] for f in rig.recorded("over")} & {free.asked.key if free.asked else ""}
+                        {f["key"] for f in rig.recorded("over")} & {free.request.key if free.request else ""}
                     )
                 )
             assert Counter(f["plan"] for f in rig.recorded("ran"))["course"] <= 2
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -32,7 +32,7 @@
 )
 def test_a_broken_description_is_told_by_line(change: tuple[str, str], why: str) -> None:
     """A malformed session description is rejected with the reason."""
-    with pytest.raises(sdp.SdpFault, match=why):
+    with pytest.raises(sdp.SdpError, match=why):
         sdp.parse(OFFER.replace(*change))
 
 
@@ -51,7 +51,7 @@
 def test_an_offer_is_checked_for_what_whep_demands(change: tuple[str, str], why: str) -> None:
     """An offer that WHEP does not allow is rejected with the reason."""
     sdp.check_offer(sdp.parse(OFFER), False)
-    with pytest.raises(sdp.SdpFault, match=why):
+    with pytest.raises(sdp.SdpError, match=why):
         sdp.check_offer(sdp.parse(OFFER.replace(*change)), False)
 
 
@@ -60,57 +60,65 @@
     for publishes in (False, True):
         asked = sdp.parse(offer(800, 7, publishes))
         sdp.check_offer(asked, publishes)
-        given_ = sdp.parse(sdp.answer(asked, 3, ("u" * 8, "p" * 24), "sha-256 " + ":".join(["AB"] * 32)))
+        given_ = sdp.parse(
+            sdp.create_answer(asked, 3, ("u" * 8, "p" * 24), "sha-256 " + ":".join(["AB"] * 32))
+        )
         assert [given_.direction(m) for m in given_.media] == ["recvonly" if publishes else "sendonly"] * 2
 
 
 def test_bandwidth_is_the_sessions_or_the_sum_of_its_media() -> None:
     """The bandwidth is that of the session, or the sum of its media sections."""
-    assert sdp.bandwidth(sdp.parse(OFFER)) == (800, None)
+    assert sdp.session_bandwidth(sdp.parse(OFFER)) == (800, None)
     parts = OFFER.replace("b=AS:800\r\n", "").replace("c=IN IP4 0.0.0.0", "c=IN IP4 0.0.0.0\r\nb=TIAS:5000")
-    assert sdp.bandwidth(sdp.parse(parts)) == (None, 10_000)
+    assert sdp.session_bandwidth(sdp.parse(parts)) == (None, 10_000)
 
 
 def test_headers_are_read_by_their_texts() -> None:
     """Link, Idempotency-Key and Accept headers are parsed as their specifications say."""
     value = '<a>; rel="x y"; q=1, <b,c>;rel=z , <d>'
-    assert http_formats.links([value]) == {"x": "a", "y": "a", "z": "b,c"}
-    made = http_formats.link("/s", http_formats.REL_EVENTS, events="a,b")
-    assert http_formats.links([made]) == {http_formats.REL_EVENTS: "/s"}
-    assert http_formats.idempotency_key('"a b"') == "a b"
-    assert http_formats.idempotency_key("8e03978e-40d5") == "8e03978e-40d5"
-    assert http_formats.idempotency_key('"') is None
-    assert http_formats.accepts("text/*;q=0.5, application/sdp", sdp.MEDIA_TYPE)
-    assert not http_formats.accepts("application/sdp;q=0.000", sdp.MEDIA_TYPE)
+    assert http_formats.parse_links([value]) == {"x": "a", "y": "a", "z": "b,c"}
+    made = http_formats.format_link("/s", http_formats.REL_EVENTS, events="a,b")
+    assert http_formats.parse_links([made]) == {http_formats.REL_EVENTS: "/s"}
+    assert http_formats.parse_idempotency_key('"a b"') == "a b"
+    assert http_formats.parse_idempotency_key("8e03978e-40d5") == "8e03978e-40d5"
+    assert http_formats.parse_idempotency_key('"') is None
+    assert http_formats.accepts_media_type("text/*;q=0.5, application/sdp", sdp.MEDIA_TYPE)
+    assert not http_formats.accepts_media_type("application/sdp;q=0.000", sdp.MEDIA_TYPE)
 
 
 def test_load_reports_in_both_forms_and_nothing_from_others() -> None:
     """Load reports are read in both encodings; anything else gives an empty report."""
-    load = http_formats.Load(1.25, 1.0, 0.5)
-    assert http_formats.read_load(http_formats.load_report(load)) == load
-    assert http_formats.read_load('JSON {"named_metrics": {"link_asked": 0.5}}') == http_formats.Load(0.5)
+    load = http_formats.LoadReport(1.25, 1.0, 0.5)
+    assert http_formats.parse_load_report(http_formats.format_load_report(load)) == load
+    assert http_formats.parse_load_report(
+        'JSON {"named_metrics": {"link_asked": 0.5}}'
+    ) == http_formats.LoadReport(0.5)
     for bad in (None, "", "BIN AAAA", "JSON [", "JSON 3", "TEXT named_metrics.link_asked=nan", "TEXT a=b=c",
                 "TEXT named_metrics.link_asked=-1", 'JSON {"named_metrics": {"link_asked": true}}'):  # fmt: skip
-        assert http_formats.read_load(bad) == http_formats.Load()
+        assert http_formats.parse_load_report(bad) == http_formats.LoadReport()
 
 
 def test_event_streams_come_in_any_pieces() -> None:
     """Server-sent events are parsed whatever the sizes of the chunks."""
-    data = http_formats.event("share", {"share": 0.5}) + http_formats.BEAT + b"data: 1\r\ndata: 2\r\n\r\n"
+    data = (
+        http_formats.format_event("share", {"share": 0.5})
+        + http_formats.KEEP_ALIVE_COMMENT
+        + b"data: 1\r\ndata: 2\r\n\r\n"
+    )
     for size in (1, 2, 7, 100):
-        reader = http_formats.EventReader()
+        reader = http_formats.EventStreamParser()
         got = list[tuple[str, bytes]]()
         for i in range(0, len(data), size):
             got += reader.feed(data[i : i + size])
         assert got == [("share", b'{"share":0.5}'), ("", b""), ("message", b"1\n2")]
     with pytest.raises(ValueError, match="too long"):
-        list(http_formats.EventReader(100).feed(b"x" * 200))
+        list(http_formats.EventStreamParser(100).feed(b"x" * 200))
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.data())
 def test_mutated_offers_give_a_description_or_the_parsers_fault(data: st.DataObject) -> None:
-    """Mutated offers parse or raise SdpFault, and no other exception."""
+    """Mutated offers parse or raise SdpError, and no other exception."""
     raw = bytearray(OFFER.encode())
     for _ in range(data.draw(st.integers(1, 6))):
         at = data.draw(st.integers(0, len(raw) - 1))
@@ -119,26 +127,26 @@
     try:
         offer_ = sdp.parse(text)
         sdp.check_offer(offer_, False)
-    except sdp.SdpFault:
+    except sdp.SdpError:
         return
-    sdp.parse(sdp.answer(offer_, 1, ("uuuu", "p" * 22), "sha-256 " + ":".join(["AB"] * 32)))
+    sdp.parse(sdp.create_answer(offer_, 1, ("uuuu", "p" * 22), "sha-256 " + ":".join(["AB"] * 32)))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=200), st.text(max_size=80))
 def test_no_bytes_from_outside_raise_anything_unexpected(raw: bytes, text: str) -> None:
     """Arbitrary bytes raise only the error that each parser declares."""
-    for parser, fault in ((sdp.parse, sdp.SdpFault), (sdp.parse_fragment, sdp.SdpFault)):
+    for parser, fault in ((sdp.parse, sdp.SdpError), (sdp.parse_fragment, sdp.SdpError)):
         with contextlib.suppress(fault):
             parser(text)
-    http_formats.links([text])
-    http_formats.idempotency_key(text)
-    http_formats.accepts(text, sdp.MEDIA_TYPE)
-    http_formats.read_load("JSON " + text)
-    http_formats.read_load("TEXT " + text)
+    http_formats.parse_links([text])
+    http_formats.parse_idempotency_key(text)
+    http_formats.accepts_media_type(text, sdp.MEDIA_TYPE)
+    http_formats.parse_load_report("JSON " + text)
+    http_formats.parse_load_report("TEXT " + text)
     http_formats.problem_type(raw)
     with contextlib.suppress(ValueError):
-        list(http_formats.EventReader().feed(raw))
+        list(http_formats.EventStreamParser().feed(raw))
     with contextlib.suppress(NodeListError):
         parse_response(raw)
     parse_text(text, "f", Diagnostics())
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -54,7 +54,7 @@
     needs_durable_intent,
 )
 from oakcroft.decisions.fleet.node_list import ListedNode
-from oakcroft.httpwire.client import Ended
+from oakcroft.httpwire.client import ExchangeError
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS, SECOND, Effect, KeyScope, NodeStatus, Outcome, Plan
 from oakcroft.rehearsal.viewers import offer
@@ -678,7 +678,7 @@
 
 def key_header(name: str) -> dict[str, Any]:
     """Returns the header of an idempotency key."""
-    return {"Idempotency_Key": http_formats.quoted(name)}
+    return {"Idempotency_Key": http_formats.quoted_string(name)}
 
 
 def problem_name(response: Response) -> str:
@@ -932,7 +932,7 @@
             async def ask(path: str, name: str) -> None:
                 try:
                     response = await rig.request_playback(path, **key_header(name))
-                except (Ended, OSError):
+                except (ExchangeError, OSError):
                     heard.setdefault(name, []).append("cut")
                     return
                 heard.setdefault(name, []).append(response.header("location") or str(response.status))
