--- a/oakcroft/client/session.py
+++ b/oakcroft/client/session.py
@@ -201,7 +201,7 @@
     async def _send(self, message: object) -> None:
         data = self.codec.encode(message)
         frame = (
-            events.BytesMessage(data=data) if self.codec.binary else events.TextMessage(data=data.decode())
+            events.BytesMessage(data=data) if self.codec.is_binary else events.TextMessage(data=data.decode())
         )
         try:
             async with self.send_lock:
--- a/oakcroft/front/websocket_api.py
+++ b/oakcroft/front/websocket_api.py
@@ -605,7 +605,7 @@
             return
         data = self.codec.encode(message)
         frame = (
-            events.BytesMessage(data=data) if self.codec.binary else events.TextMessage(data=data.decode())
+            events.BytesMessage(data=data) if self.codec.is_binary else events.TextMessage(data=data.decode())
         )
         self._enqueue(self.websocket.send(frame))
 
@@ -688,7 +688,7 @@
                     return None
                 data = bytes(self.partial_message)
                 self.partial_message = bytearray()
-                if isinstance(event, events.BytesMessage) is not self.codec.binary:
+                if isinstance(event, events.BytesMessage) is not self.codec.is_binary:
                     self.close(CloseReason.UNSUPPORTED_DATA, f"{self.subprotocol} has other frames")
                     return None
                 try:
--- a/oakcroft/signalling/__init__.py
+++ b/oakcroft/signalling/__init__.py
@@ -1,1 +1,1 @@
-"""The words of WHIP, WHEP and what goes with them: parsed strictly, written plainly, no I/O."""
+"""Wire formats of WHIP, WHEP, the session API and session takeover: strict parsers and formatters without I/O."""
--- a/oakcroft/signalling/sdp.py
+++ b/oakcroft/signalling/sdp.py
@@ -1,7 +1,7 @@
-"""Session descriptions (RFC 8866), as strictly as a WHIP or WHEP endpoint needs them, and answers to them.
+"""Strict parser of session descriptions (RFC 8866) for WHIP and WHEP, and answers to offers.
 
-A description is read line by line into its session part and its media parts. What is checked beyond the grammar is
-what RFC 9725 4.2 and the WHEP draft demand of an offer: bundled audio and video, one direction for each kind of
+A description is parsed line by line into its session section and its media sections. Beyond the grammar, an offer is
+checked for what RFC 9725 4.2 and the WHEP draft require: bundled audio and video, one direction for each kind of
 client, ICE credentials, a DTLS fingerprint and a setup role that leaves the choice to the answerer.
 """
 
@@ -24,20 +24,37 @@
     r"^(sha-1|sha-224|sha-256|sha-384|sha-512) [0-9A-Fa-f]{2}(:[0-9A-Fa-f]{2}){19,63}$", re.I
 )
 DIRECTIONS = ("sendrecv", "sendonly", "recvonly", "inactive")
-MAX_LINES, MAX_MEDIA_SECTIONS = 2_000, 32
+OPPOSITE_DIRECTIONS = {
+    "sendonly": "recvonly",
+    "recvonly": "sendonly",
+    "sendrecv": "sendrecv",
+    "inactive": "inactive",
+}
+SECURE_PROTOCOLS = ("UDP/TLS/RTP/SAVPF", "TCP/TLS/RTP/SAVPF", "UDP/DTLS/SCTP", "TCP/DTLS/SCTP")
+MAX_LINES = 2_000
+MAX_MEDIA_SECTIONS = 32
+MAX_PORT = 65_535
+MIN_CANDIDATE_FIELDS = 8  # foundation to type (RFC 8839 5.1)
+
+SESSION_LINE_ORDER = "vosiuepcbtrzka"
+REPEATABLE_LINES = "epbtrka"
+MEDIA_SECTION_LINES = "icbka"
+REQUIRED_LINES = (("o", "origin"), ("s", "session name"), ("t", "time"))
 
 
 class SdpError(ValueError):
-    """What is wrong with a description, and the 1-based line where it shows (0: it lacks something)."""
+    """A description is malformed or not acceptable: the reason and the 1-based line (0: something is missing)."""
 
     def __init__(self, reason: str, line: int = 0) -> None:
+        """`line`: 1-based line of the error, or 0."""
         super().__init__(f"line {line}: {reason}" if line else reason)
-        self.reason, self.line = reason, line
+        self.reason = reason
+        self.line = line
 
 
 @dataclass
 class MediaSection:
-    """One m= section."""
+    """One media section, which begins with an m= line."""
 
     kind: str
     port: int
@@ -48,13 +65,13 @@
     bandwidth: dict[str, int] = field(default_factory=dict)
 
     def attribute(self, name: str) -> str | None:
-        """The first attribute of that name; "" for a flag."""
-        return next((v for n, v in self.attributes if n == name), None)
+        """Returns the value of the first attribute with the name; "" for a flag, None if there is none."""
+        return next((value for key, value in self.attributes if key == name), None)
 
 
 @dataclass
 class Description:
-    """A whole session description."""
+    """A parsed session description."""
 
     origin: str
     attributes: list[tuple[str, str]] = field(default_factory=list)
@@ -62,16 +79,16 @@
     media: list[MediaSection] = field(default_factory=list)
 
     def attribute(self, name: str) -> str | None:
-        """The first session-level attribute of that name; "" for a flag."""
-        return next((v for n, v in self.attributes if n == name), None)
+        """Returns the value of the first session-level attribute with the name; "" for a flag."""
+        return next((value for key, value in self.attributes if key == name), None)
 
     def media_attribute(self, media: MediaSection, name: str) -> str | None:
-        """An attribute of a media section, or the session's where the section has none (RFC 8839 5.4)."""
+        """Returns an attribute of a media section, or that of the session if it has none (RFC 8839 5.4)."""
         own = media.attribute(name)
         return own if own is not None else self.attribute(name)
 
     def direction(self, media: MediaSection) -> str:
-        """The media's direction (RFC 8866 6.7); sendrecv where none is stated."""
+        """Returns the direction of a media section (RFC 8866 6.7); sendrecv if none is stated."""
         for source in (media.attributes, self.attributes):
             for name, _ in source:
                 if name in DIRECTIONS:
@@ -80,7 +97,7 @@
 
 
 def parse(text: str) -> Description:
-    """Reads a description. SdpError names the line of the first fault."""
+    """Parses a description; raises SdpError with the line of the first error."""
     lines = text.split("\n")
     if lines and lines[-1] == "":
         lines.pop()
@@ -88,58 +105,68 @@
         raise SdpError("it is empty")
     if len(lines) > MAX_LINES:
         raise SdpError(f"more than {MAX_LINES} lines")
-    seen, description, media = "", Description(""), None
-    for number, raw in enumerate(lines, 1):
-        line = raw[:-1] if raw.endswith("\r") else raw
-        match = LINE_PATTERN.match(line)
-        if not match or "\0" in line or "\r" in line:
-            raise SdpError("not a line of the form x=value", number)
-        kind, value = match[1], match[2]
-        if number == 1 and line != "v=0":
-            raise SdpError("it must begin with v=0", number)
+    description = Description("")
+    media: MediaSection | None = None
+    seen = ""  # kinds of the session-level lines so far
+    for number, line in enumerate(lines, 1):
+        kind, value = _parse_line(line, number)
         if kind == "m":
-            media = _media(value, number)
+            media = _parse_media_line(value, number)
             description.media.append(media)
             if len(description.media) > MAX_MEDIA_SECTIONS:
                 raise SdpError(f"more than {MAX_MEDIA_SECTIONS} media sections", number)
         else:
-            _order(kind, seen, media is not None, number)
-            _take(description, media, kind, value, number)
-        seen += kind if media is None and kind not in seen else ""
-    for kind, name in (("o", "origin"), ("s", "session name"), ("t", "time")):
+            _check_line_order(kind, seen, media is not None, number)
+            _apply_line(description, media, kind, value, number)
+        if media is None and kind not in seen:
+            seen += kind
+    for kind, name in REQUIRED_LINES:
         if kind not in seen:
             raise SdpError(f"no {kind}= line ({name})")
     return description
 
 
-def _media(value: str, number: int) -> MediaSection:
+def _parse_line(raw: str, number: int) -> tuple[str, str]:
+    """Returns the kind and the value of a line."""
+    line = raw.removesuffix("\r")
+    match = LINE_PATTERN.match(line)
+    if not match or "\0" in line or "\r" in line:
+        raise SdpError("not a line of the form x=value", number)
+    if number == 1 and line != "v=0":
+        raise SdpError("it must begin with v=0", number)
+    return match[1], match[2]
+
+
+def _parse_media_line(value: str, number: int) -> MediaSection:
     match = MEDIA_PATTERN.match(value)
-    if not match or int(match[2]) > 65_535:
+    if not match or int(match[2]) > MAX_PORT:
         raise SdpError("m= names kind, port, protocol and formats", number)
     formats = match[4].split(" ")
-    if not all(TOKEN_PATTERN.match(f) for f in formats):
+    if not all(TOKEN_PATTERN.match(name) for name in formats):
         raise SdpError("a format is no token", number)
     return MediaSection(match[1], int(match[2]), match[3], formats, number)
 
 
-LINE_ORDER = "vosiuepcbtrzka"
-
-
-def _order(kind: str, seen: str, in_media: bool, number: int) -> None:
+def _check_line_order(kind: str, seen: str, in_media: bool, number: int) -> None:
+    """Checks that a line may follow the session-level lines `seen` (RFC 8866 5)."""
     if in_media:
-        if kind not in "icbka":
+        if kind not in MEDIA_SECTION_LINES:
             raise SdpError(f"{kind}= has no place in a media section", number)
         return
-    if kind not in LINE_ORDER:
+    if kind not in SESSION_LINE_ORDER:
         raise SdpError(f"{kind}= is no line of a description", number)
-    if kind in seen and kind not in "epbtrka":
+    if kind in seen and kind not in REPEATABLE_LINES:
         raise SdpError(f"{kind}= stands in it twice", number)
-    later = [k for k in seen if LINE_ORDER.index(k) > LINE_ORDER.index(kind)]
-    if later and not (kind in "tr" and set(later) <= {"r", "t"}):
+    position = SESSION_LINE_ORDER.index(kind)
+    later = [other for other in seen if SESSION_LINE_ORDER.index(other) > position]
+    is_time_description = kind in "tr" and set(later) <= {"r", "t"}  # t= and r= lines alternate
+    if later and not is_time_description:
         raise SdpError(f"{kind}= comes after {later[0]}=", number)
 
 
-def _take(description: Description, media: MediaSection | None, kind: str, value: str, number: int) -> None:
+def _apply_line(
+    description: Description, media: MediaSection | None, kind: str, value: str, number: int
+) -> None:
     if kind == "o":
         if not ORIGIN_PATTERN.match(value):
             raise SdpError("o= names user, two numbers and an address", number)
@@ -157,117 +184,144 @@
 
 
 def check_offer(offer: Description, publishes: bool) -> None:
-    """What WHIP (`publishes`) or WHEP demands of an offer. SdpError says what is missing and where.
+    """Checks an offer for the requirements of WHIP (`publishes`) or WHEP; raises SdpError for the first violation.
 
     RFC 9725 4.2: sendonly or sendrecv media in an offer to publish, one bundle, `setup:actpass` or active. WHEP: the
     other direction. Both: ICE credentials (RFC 8839 5.4) and a fingerprint (RFC 8122).
     """
-    live = [m for m in offer.media if m.port != 0 or m.attribute("bundle-only") is not None]
-    if not any(m.kind in ("audio", "video") for m in live):
+    active = [media for media in offer.media if _is_active(media)]
+    if not any(media.kind in ("audio", "video") for media in active):
         raise SdpError("it offers neither audio nor video")
-    wanted = ("sendonly", "sendrecv") if publishes else ("recvonly", "sendrecv")
-    mids = set[str]()
-    for m in live:
-        if m.proto not in ("UDP/TLS/RTP/SAVPF", "TCP/TLS/RTP/SAVPF", "UDP/DTLS/SCTP", "TCP/DTLS/SCTP"):
-            raise SdpError(f"{m.proto} is not secured media", m.line)
-        if m.kind in ("audio", "video") and offer.direction(m) not in wanted:
-            raise SdpError(f"media is {offer.direction(m)}, wanted {wanted[0]}", m.line)
-        if not UFRAG_PATTERN.match(offer.media_attribute(m, "ice-ufrag") or "") or not PWD_PATTERN.match(
-            offer.media_attribute(m, "ice-pwd") or ""
-        ):
-            raise SdpError("no usable ice-ufrag and ice-pwd", m.line)
-        if not FINGERPRINT_PATTERN.match(offer.media_attribute(m, "fingerprint") or ""):
-            raise SdpError("no usable DTLS fingerprint", m.line)
-        if offer.media_attribute(m, "setup") not in ("actpass", "active"):
-            raise SdpError("setup must be actpass or active", m.line)
-        if (mid := m.attribute("mid")) is not None:
-            if mid in mids:
-                raise SdpError(f"mid {mid} stands in it twice", m.line)
-            mids.add(mid)
-    if len(live) > 1:
-        bundle = set((offer.attribute("group") or "").split(" ")[1:])
-        if (
-            not (offer.attribute("group") or "").startswith("BUNDLE ")
-            or not mids <= bundle
-            or len(mids) < len(live)
-        ):
-            raise SdpError("all media must be in one BUNDLE group")
+    directions = ("sendonly", "sendrecv") if publishes else ("recvonly", "sendrecv")
+    mids: set[str] = set()
+    for media in active:
+        _check_media(offer, media, directions)
+        mid = media.attribute("mid")
+        if mid is None:
+            continue
+        if mid in mids:
+            raise SdpError(f"mid {mid} stands in it twice", media.line)
+        mids.add(mid)
+    if len(active) > 1:
+        _check_bundle(offer, mids, len(active))
+
+
+def _is_active(media: MediaSection) -> bool:
+    """Returns whether a media section is offered: port 0 disables it unless it is bundle-only."""
+    return media.port != 0 or media.attribute("bundle-only") is not None
+
+
+def _check_media(offer: Description, media: MediaSection, directions: tuple[str, str]) -> None:
+    if media.proto not in SECURE_PROTOCOLS:
+        raise SdpError(f"{media.proto} is not secured media", media.line)
+    direction = offer.direction(media)
+    if media.kind in ("audio", "video") and direction not in directions:
+        raise SdpError(f"media is {direction}, wanted {directions[0]}", media.line)
+    has_ufrag = UFRAG_PATTERN.match(offer.media_attribute(media, "ice-ufrag") or "")
+    has_password = PWD_PATTERN.match(offer.media_attribute(media, "ice-pwd") or "")
+    if not has_ufrag or not has_password:
+        raise SdpError("no usable ice-ufrag and ice-pwd", media.line)
+    if not FINGERPRINT_PATTERN.match(offer.media_attribute(media, "fingerprint") or ""):
+        raise SdpError("no usable DTLS fingerprint", media.line)
+    if offer.media_attribute(media, "setup") not in ("actpass", "active"):
+        raise SdpError("setup must be actpass or active", media.line)
+
+
+def _check_bundle(offer: Description, mids: set[str], media_count: int) -> None:
+    group = offer.attribute("group") or ""
+    bundled_mids = set(group.split(" ")[1:])
+    if not group.startswith("BUNDLE ") or not mids <= bundled_mids or len(mids) < media_count:
+        raise SdpError("all media must be in one BUNDLE group")
 
 
 def ice_ufrag(offer: Description) -> str:
-    """The ICE user fragment of an offer's first media section."""
-    return (offer.media_attribute(offer.media[0], "ice-ufrag") if offer.media else None) or ""
+    """Returns the ICE user name fragment of the first media section; "" if there is none."""
+    if not offer.media:
+        return ""
+    return offer.media_attribute(offer.media[0], "ice-ufrag") or ""
 
 
 def session_bandwidth(offer: Description) -> tuple[int | None, int | None]:
-    """(AS in kbit/s, TIAS in bit/s) of the whole session: stated there, or the sum over the video and audio."""
+    """Returns the bandwidth of the session as (AS in kbit/s, TIAS in bit/s).
+
+    Each is the session's own value or the sum over its media sections; None if neither is stated.
+    """
+    return _bandwidth(offer, "AS"), _bandwidth(offer, "TIAS")
 
-    def stated(name: str) -> int | None:
-        if name in offer.bandwidth:
-            return offer.bandwidth[name]
-        parts = [m.bandwidth[name] for m in offer.media if name in m.bandwidth]
-        return sum(parts) if parts else None
 
-    return stated("AS"), stated("TIAS")
+def _bandwidth(offer: Description, modifier: str) -> int | None:
+    if modifier in offer.bandwidth:
+        return offer.bandwidth[modifier]
+    parts = [media.bandwidth[modifier] for media in offer.media if modifier in media.bandwidth]
+    return sum(parts) if parts else None
 
 
 def create_answer(offer: Description, session: int, credentials: tuple[str, str], fingerprint: str) -> str:
-    """An answer to a checked offer: every media section is taken, in the other direction."""
-    turn = {"sendonly": "recvonly", "recvonly": "sendonly", "sendrecv": "sendrecv", "inactive": "inactive"}
-    out = ["v=0", f"o=- {session} 1 IN IP4 127.0.0.1", "s=-", "t=0 0"]
+    """Returns an answer to a checked offer that accepts every media section, in the opposite direction.
+
+    `credentials`: the ICE user name fragment and password.
+    """
+    ufrag, password = credentials
+    lines = ["v=0", f"o=- {session} 1 IN IP4 127.0.0.1", "s=-", "t=0 0"]
     if group := offer.attribute("group"):
-        out.append(f"a=group:{group}")
-    out.append("a=ice-lite")
-    for m in offer.media:
-        out += [f"m={m.kind} 9 {m.proto} {m.formats[0]}", "c=IN IP4 0.0.0.0"]
-        if (mid := m.attribute("mid")) is not None:
-            out.append(f"a=mid:{mid}")
-        out += [
-            f"a=ice-ufrag:{credentials[0]}",
-            f"a=ice-pwd:{credentials[1]}",
+        lines.append(f"a=group:{group}")
+    lines.append("a=ice-lite")
+    for media in offer.media:
+        lines += [f"m={media.kind} 9 {media.proto} {media.formats[0]}", "c=IN IP4 0.0.0.0"]
+        if (mid := media.attribute("mid")) is not None:
+            lines.append(f"a=mid:{mid}")
+        lines += [
+            f"a=ice-ufrag:{ufrag}",
+            f"a=ice-pwd:{password}",
             f"a=fingerprint:{fingerprint}",
+            "a=setup:passive",
+            f"a={OPPOSITE_DIRECTIONS[offer.direction(media)]}",
+            "a=rtcp-mux",
         ]
-        out += ["a=setup:passive", f"a={turn[offer.direction(m)]}", "a=rtcp-mux"]
-    return "\r\n".join(out) + "\r\n"
+    return "\r\n".join(lines) + "\r\n"
 
 
 @dataclass
 class Fragment:
-    """A trickle fragment (RFC 8840 9): the ICE credentials it names and its candidates."""
+    """A trickle ICE fragment (RFC 8840 9): its ICE credentials and candidates."""
 
     ufrag: str
     pwd: str
     candidates: list[str]
-    ended: bool
+    ended: bool  # it has the end-of-candidates attribute
 
 
 def parse_fragment(text: str) -> Fragment:
-    """Reads an `application/trickle-ice-sdpfrag` body. SdpError names the line of the first fault."""
+    """Parses an `application/trickle-ice-sdpfrag` body; raises SdpError with the line of the first error."""
     fragment = Fragment("", "", [], False)
-    for number, raw in enumerate(text.splitlines(), 1):
-        match = LINE_PATTERN.match(raw)
+    for number, line in enumerate(text.splitlines(), 1):
+        match = LINE_PATTERN.match(line)
         if not match or match[1] not in "am":
             raise SdpError("a fragment holds a= and m= lines", number)
         if match[1] == "m":
-            _media(match[2], number)
-            continue
-        name, _, value = match[2].partition(":")
-        if name == "ice-ufrag":
-            if not UFRAG_PATTERN.match(value):
-                raise SdpError("no usable ice-ufrag", number)
-            fragment.ufrag = fragment.ufrag or value
-        elif name == "ice-pwd":
-            if not PWD_PATTERN.match(value):
-                raise SdpError("no usable ice-pwd", number)
-            fragment.pwd = fragment.pwd or value
-        elif name == "candidate":
-            if len(value.split(" ")) < 8 or " typ " not in value:
-                raise SdpError("a candidate names at least foundation to type (RFC 8839 5.1)", number)
-            fragment.candidates.append(value)
-        elif name == "end-of-candidates":
-            fragment.ended = True
-        elif not TOKEN_PATTERN.match(name):
-            raise SdpError("a= names an attribute", number)
+            _parse_media_line(match[2], number)
+        else:
+            name, _, value = match[2].partition(":")
+            _apply_fragment_attribute(fragment, name, value, number)
     if not fragment.ufrag and not fragment.candidates and not fragment.ended:
         raise SdpError("it names neither credentials nor candidates")
     return fragment
+
+
+def _apply_fragment_attribute(fragment: Fragment, name: str, value: str, number: int) -> None:
+    if name == "ice-ufrag":
+        if not UFRAG_PATTERN.match(value):
+            raise SdpError("no usable ice-ufrag", number)
+        fragment.ufrag = fragment.ufrag or value
+    elif name == "ice-pwd":
+        if not PWD_PATTERN.match(value):
+            raise SdpError("no usable ice-pwd", number)
+        fragment.pwd = fragment.pwd or value
+    elif name == "candidate":
+        if len(value.split(" ")) < MIN_CANDIDATE_FIELDS or " typ " not in value:
+            raise SdpError("a candidate names at least foundation to type (RFC 8839 5.1)", number)
+        fragment.candidates.append(value)
+    elif name == "end-of-candidates":
+        fragment.ended = True
+    elif not TOKEN_PATTERN.match(name):
+        raise SdpError("a= names an attribute", number)
--- a/oakcroft/signalling/session_api.py
+++ b/oakcroft/signalling/session_api.py
@@ -1,7 +1,7 @@
-"""The messages of the session API, version 1: schema of what is read, written, and of the reference page.
+"""Messages of the session API, version 1: the schema for decoding, encoding and the reference page.
 
-Text frames carry JSON under the subprotocol `oakcroft.v1.json`, binary ones MessagePack under `oakcroft.v1.msgpack`.
-What a client must hear is numbered (`n`); it acknowledges with `ack`.
+Text frames carry JSON under the subprotocol `oakcroft.v1.json`, binary frames MessagePack under `oakcroft.v1.msgpack`.
+Messages that must reach the client are numbered (`n`); the client acknowledges them with `ack`.
 """
 
 from __future__ import annotations
@@ -10,14 +10,16 @@
 
 import msgspec
 
-JSON, MSGPACK = "oakcroft.v1.json", "oakcroft.v1.msgpack"
+JSON = "oakcroft.v1.json"
+MSGPACK = "oakcroft.v1.msgpack"
 SUBPROTOCOLS = (JSON, MSGPACK)
 SafeInteger = Annotated[int, msgspec.Meta(ge=-(2**53 - 1), le=2**53 - 1)]
-"""A whole number as every client can hold it (RFC 8259 6), and as both subprotocols can say it again."""
+"""An integer that every client can represent (RFC 8259 6) and that both subprotocols can encode."""
 
 
 class Hello(msgspec.Struct, tag="hello", forbid_unknown_fields=True):
-    """First message of a connection: a new client, or one that comes back with its pass and the last number it has."""
+    """First message of a connection. A client that reconnects sends its resume token in `resume` and the last number that
+    it received in `seen`."""
 
     resume: str = ""
     seen: SafeInteger = 0
@@ -25,7 +27,7 @@
 
 
 class Ask(msgspec.Struct, tag="ask", forbid_unknown_fields=True):
-    """Asks for a playback: answered by one `answer` with the same `id`."""
+    """Requests a playback. The response is one `answer` with the same `id`."""
 
     id: SafeInteger
     path: str
@@ -36,7 +38,7 @@
 
 
 class Layer(msgspec.Struct, tag="layer", forbid_unknown_fields=True):
-    """The highest rung that the player takes from now on."""
+    """Sets the highest rung that the player accepts from now on."""
 
     playback: str
     rung: SafeInteger
@@ -44,14 +46,14 @@
 
 
 class Pause(msgspec.Struct, tag="pause", forbid_unknown_fields=True):
-    """The player shows nothing for now: the playback goes down to its plan's floor."""
+    """The player is paused: the playback goes down to the floor of its plan."""
 
     playback: str
     id: SafeInteger = 0
 
 
 class Resume(msgspec.Struct, tag="resume", forbid_unknown_fields=True):
-    """And up again, to what it took before."""
+    """The player continues: the playback may use the rungs that it had before the pause."""
 
     playback: str
     id: SafeInteger = 0
@@ -65,7 +67,7 @@
 
 
 class Trickle(msgspec.Struct, tag="trickle", forbid_unknown_fields=True):
-    """ICE candidates or a restart, as in a WHEP PATCH: `tag` is the entity tag, or * for a restart."""
+    """ICE candidates or an ICE restart, as in a WHEP PATCH. `tag` is the entity tag, or * for a restart."""
 
     playback: str
     tag: str
@@ -74,7 +76,7 @@
 
 
 class MoveOffer(msgspec.Struct, tag="move-offer", forbid_unknown_fields=True):
-    """The offer of a player that was told to move; answered by `moved-to` or `done`."""
+    """The offer of a player that was told to move. The response is `moved-to` or `done`."""
 
     playback: str
     offer: str
@@ -83,28 +85,29 @@
 
 
 class MoveDone(msgspec.Struct, tag="move-done", forbid_unknown_fields=True):
-    """The player plays from the target."""
+    """The player plays from the target of its move."""
 
     playback: str
     id: SafeInteger = 0
 
 
 class Ack(msgspec.Struct, tag="ack", forbid_unknown_fields=True):
-    """The client has everything up to `n`."""
+    """Acknowledges all messages up to number `n`."""
 
     n: SafeInteger
 
 
 class Bye(msgspec.Struct, tag="bye", forbid_unknown_fields=True):
-    """The client leaves for good: what it plays ends."""
+    """The client leaves and does not reconnect. Its playbacks end."""
 
 
 FromClient = Hello | Ask | Layer | Pause | Resume | End | Trickle | MoveOffer | MoveDone | Ack | Bye
 
 
 class Welcome(msgspec.Struct, tag="welcome"):
-    """Answer to `hello`: the pass to come back with, for how long, and whether the client came back to its seat.
-    `remembers`: the front knows its keys over a restart, so that a request may be said again under its key."""
+    """Response to `hello`. `resume` is the token for a reconnect within `keep_ms` after the connection is lost. `back`:
+    the client session was resumed; `why`: the reason if a resume token was not accepted. `remembers`: the front end
+    keeps idempotency keys over a restart, so that a request may be repeated under its key."""
 
     resume: str
     keep_ms: int
@@ -115,8 +118,8 @@
 
 
 class Answer(msgspec.Struct, tag="answer"):
-    """The one answer to an `ask`: 201 plays, 503 rejected, 504 aborted, others as in HTTP. `again`: this key's answer was
-    given before."""
+    """The only response to an `ask`: 201 plays, 503 rejected, 504 aborted, others as in HTTP. `again`: this replays an
+    earlier answer to the same key."""
 
     n: int
     id: int
@@ -132,7 +135,7 @@
 
 
 class Event(msgspec.Struct, tag="event"):
-    """News of a playback: `layers` with encodingId, `move`, `inactive` with why."""
+    """Event of a playback. `kind` is `layers` with encodingId, `move`, or `inactive` with why."""
 
     n: int
     playback: str
@@ -141,7 +144,7 @@
 
 
 class Done(msgspec.Struct, tag="done"):
-    """The end of a call other than `ask`: 200, or a problem; `tag` and `fragment` after an ICE restart."""
+    """Response to a call other than `ask`: 200, or a problem. `tag` and `fragment` are set after an ICE restart."""
 
     n: int
     id: int
@@ -153,7 +156,7 @@
 
 
 class MovedTo(msgspec.Struct, tag="moved-to"):
-    """The target's answer to a `move-offer`."""
+    """The target node's answer to a `move-offer`."""
 
     n: int
     id: int
@@ -163,66 +166,77 @@
 
 
 class Replaced(msgspec.Struct, tag="replaced"):
-    """Another connection speaks for this client now."""
+    """Another connection of this client has replaced this one."""
 
 
 ToClient = Welcome | Answer | Event | Done | MovedTo | Replaced
 
 
 class Codec:
-    """Reads and writes messages of one subprotocol. ValueError for what is no message."""
+    """Encodes and decodes messages of one subprotocol; decoding raises ValueError for an invalid message."""
 
     def __init__(self, subprotocol: str) -> None:
-        self.binary = subprotocol == MSGPACK
+        """`subprotocol`: one of `SUBPROTOCOLS`."""
+        self.is_binary = subprotocol == MSGPACK
 
     def encode(self, message: object) -> bytes:
-        """A message as bytes."""
-        return msgspec.msgpack.encode(message) if self.binary else msgspec.json.encode(message)
+        """Encodes a message."""
+        return msgspec.msgpack.encode(message) if self.is_binary else msgspec.json.encode(message)
 
     def decode_client_message(self, data: bytes) -> FromClient:
-        """A client's message."""
+        """Decodes a message from a client."""
         try:
-            if self.binary:
+            if self.is_binary:
                 return msgspec.msgpack.decode(data, type=FromClient)
             return msgspec.json.decode(data, type=FromClient)
-        except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            raise ValueError(str(fault)) from None
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise ValueError(str(error)) from None
 
     def decode_server_message(self, data: bytes) -> ToClient:
-        """A front's message, as a client reads it."""
+        """Decodes a message from a front end."""
         try:
-            if self.binary:
+            if self.is_binary:
                 return msgspec.msgpack.decode(data, type=ToClient)
             return msgspec.json.decode(data, type=ToClient)
-        except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-            raise ValueError(str(fault)) from None
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            raise ValueError(str(error)) from None
 
 
 def reference() -> str:
-    """The reference page of the API, from the messages themselves."""
-    out = ["# Session API, version 1", "", "Made from `oakcroft/signalling/session_api.py`; do not edit.", "",
-           (__doc__ or "").strip(), ""]  # fmt: skip
+    """Returns the reference page of the API, generated from the message classes."""
+    lines = [
+        "# Session API, version 1",
+        "",
+        "Made from `oakcroft/signalling/session_api.py`; do not edit.",
+        "",
+        (__doc__ or "").strip(),
+        "",
+    ]
     for title, union in (("From the client", FromClient), ("To the client", ToClient)):
-        out += [f"## {title}", ""]
-        for kind in get_args(union):
-            out += [f"### `{kind.__struct_config__.tag}`", "", " ".join((kind.__doc__ or "").split()), ""]
-            fields = list(msgspec.structs.fields(kind))
-            if fields:
-                out += ["| field | type | default |", "| --- | --- | --- |"]
-                for f in fields:
-                    shown = getattr(f.type, "__name__", None) if isinstance(f.type, type) else str(f.type)
-                    shown = (
-                        str(shown)
-                        .replace(f"typing.Optional[{SafeInteger}]", "int | None")
-                        .replace(str(SafeInteger), "int")
-                    )
-                    default = (
-                        "must stand"
-                        if f.required
-                        else f"`{f.default!r}`"
-                        if f.default is not msgspec.NODEFAULT
-                        else "`[]`"
-                    )
-                    out.append(f"| `{f.name}` | {str(shown).replace('|', 'or')} | {default} |")
-                out.append("")
-    return "\n".join(out).rstrip() + "\n"
+        lines += [f"## {title}", ""]
+        for message_class in get_args(union):
+            lines += _message_reference(message_class)
+    return "\n".join(lines).rstrip() + "\n"
+
+
+def _message_reference(message_class: type[msgspec.Struct]) -> list[str]:
+    description = " ".join((message_class.__doc__ or "").split())
+    lines = [f"### `{message_class.__struct_config__.tag}`", "", description, ""]
+    fields = msgspec.structs.fields(message_class)
+    if not fields:
+        return lines
+    lines += ["| field | type | default |", "| --- | --- | --- |"]
+    lines += [f"| `{field.name}` | {_type_name(field.type)} | {_default(field)} |" for field in fields]
+    return [*lines, ""]
+
+
+def _type_name(type_: object) -> str:
+    name = type_.__name__ if isinstance(type_, type) else str(type_)
+    name = name.replace(f"typing.Optional[{SafeInteger}]", "int | None").replace(str(SafeInteger), "int")
+    return name.replace("|", "or")
+
+
+def _default(field: msgspec.structs.FieldInfo) -> str:
+    if field.required:
+        return "must stand"
+    return f"`{field.default!r}`" if field.default is not msgspec.NODEFAULT else "`[]`"
--- a/oakcroft/signalling/takeover_messages.py
+++ b/oakcroft/signalling/takeover_messages.py
@@ -1,8 +1,9 @@
-"""The words by which nodes and fronts speak of sessions that outlive their front (docs/adopting.md).
+"""Messages between front ends and playout nodes about sessions that outlive their front end (docs/adopting.md).
 
-A front says who it is in `Oakcroft-Front: NAME;start=NUMBER`, how long its sessions are to outlive its silence in
-`Oakcroft-Lease: SECONDS`, and with each set-up hands the node a memo, `Oakcroft-Memo`, that the node keeps unread and
-hands to whoever takes the session over. All of it is bounded, and what can't be read says nothing.
+A front end identifies itself in `Oakcroft-Front: NAME;start=NUMBER`. `Oakcroft-Lease: SECONDS` states how long its
+sessions shall outlive the loss of its event stream. Each set-up carries a memo in `Oakcroft-Memo`. The node does not
+interpret it but passes it to the front end that takes the session over. All values are bounded, and an invalid one
+counts as absent.
 """
 
 from __future__ import annotations
@@ -20,20 +21,26 @@
 MEMO_HEADER = "Oakcroft-Memo"
 SESSIONS_PATH = "/fronts/sessions"
 NOT_HELD_PROBLEM = "urn:oakcroft:problem:not-held"
-"""The type of a 409 to a front that holds a session no more, or never did."""
+"""Problem type of a 409 to a front end that does not hold the session, or no longer does."""
 
-MAX_MEMO_LENGTH = 4_096  # characters, as it stands in its field
-MAX_SESSIONS_PER_PAGE = 32  # sessions in one answer of a node
-MAX_FRONTS_PER_REQUEST = 16  # fronts asked for in one question
+MAX_MEMO_LENGTH = 4_096  # characters of the encoded header field
+MAX_SESSIONS_PER_PAGE = 32
+MAX_FRONTS_PER_REQUEST = 16
+MAX_LEASE_DIGITS = 4
 FRONT_PATTERN = re.compile(r"([A-Za-z0-9_.~%-]{1,768});start=([0-9]{1,17})")
 
+SECOND_NS = 1_000_000_000
+
 ShortText = Annotated[str, msgspec.Meta(max_length=255)]
 LongText = Annotated[str, msgspec.Meta(max_length=1_024)]
 TimestampNs = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
 
 
 class SessionMemo(msgspec.Struct, frozen=True, array_like=True):
-    """What a front must know of a playback to go on with it. Times in ns since the epoch. New fields go to the end."""
+    """State of a playback that another front end needs to continue it. Times in ns since the epoch.
+
+    It is encoded as an array, so new fields go to the end.
+    """
 
     id: ShortText
     fingerprint: ShortText
@@ -49,11 +56,11 @@
 
 
 class OfferedSession(msgspec.Struct, frozen=True):
-    """A session that may be taken over, as its node tells."""
+    """A session that may be taken over, as its node reports it."""
 
     session: Annotated[str, msgspec.Meta(max_length=255, pattern=r"^/[!-~]*$")]
     key: ShortText
-    front: ShortText  # the member that holds it
+    front: ShortText  # name of the front end that holds it
     rung: Annotated[int, msgspec.Meta(ge=0, lt=256)]
     tag: ShortText
     memo: Annotated[str, msgspec.Meta(max_length=MAX_MEMO_LENGTH)]
@@ -61,46 +68,50 @@
 
 
 class SessionListing(msgspec.Struct, frozen=True):
-    """A node's answer: how each front that was asked for stands there, and what may be taken."""
+    """A node's answer: its verdict on each requested front end, and the sessions that may be taken over."""
 
     fronts: Annotated[dict[str, str], msgspec.Meta(max_length=MAX_FRONTS_PER_REQUEST)]
     sessions: Annotated[list[OfferedSession], msgspec.Meta(max_length=MAX_SESSIONS_PER_PAGE)]
-    next: ShortText = (
-        ""  # a word of the node's own, to be sent back as `after` for what has no place here; "": that is all
-    )
+    next: ShortText = ""  # opaque cursor, sent back as `after` to get the next page; "" on the last page
 
 
 class SessionSelection(msgspec.Struct, frozen=True):
-    """The sessions that a front would take, and in the answer those that it has."""
+    """The sessions that a front end asks to take over; in the answer, those that it holds now."""
 
     sessions: Annotated[list[LongText], msgspec.Meta(max_length=MAX_SESSIONS_PER_PAGE)]
 
 
 def format_front(member: str, start: int) -> str:
-    """The value of an `Oakcroft-Front` field."""
+    """Returns the value of an `Oakcroft-Front` field.
+
+    `start` is the generation of the front end's process.
+    """
     return f"{quote(member, safe='')};start={start}"
 
 
 def parse_front(value: str | None) -> tuple[str, int]:
-    """Name and start of a field; "" and 0 for none, or one that is not understood."""
+    """Returns the name and generation of an `Oakcroft-Front` field; "" and 0 if it is absent or invalid."""
     match = FRONT_PATTERN.fullmatch((value or "").strip())
-    return (unquote(match[1]), int(match[2])) if match else ("", 0)
+    if match is None:
+        return "", 0
+    return unquote(match[1]), int(match[2])
 
 
 def parse_lease(value: str | None) -> int:
-    """A lease in ns; 0 for none."""
+    """Returns the lease of an `Oakcroft-Lease` field in ns; 0 if it is absent or invalid."""
     text = (value or "").strip()
-    return int(text) * 1_000_000_000 if text.isdecimal() and text.isascii() and len(text) <= 4 else 0
+    is_valid = text.isdecimal() and text.isascii() and len(text) <= MAX_LEASE_DIGITS
+    return int(text) * SECOND_NS if is_valid else 0
 
 
-def encode_memo(some: SessionMemo) -> str:
-    """The value of an `Oakcroft-Memo` field; "" where it would be too long."""
-    text = base64.urlsafe_b64encode(msgspec.msgpack.encode(some)).decode("ascii")
+def encode_memo(memo: SessionMemo) -> str:
+    """Returns the value of an `Oakcroft-Memo` field; "" if it would be longer than `MAX_MEMO_LENGTH`."""
+    text = base64.urlsafe_b64encode(msgspec.msgpack.encode(memo)).decode("ascii")
     return text if len(text) <= MAX_MEMO_LENGTH else ""
 
 
 def decode_memo(text: str) -> SessionMemo | None:
-    """The memo of a field; None where it is none."""
+    """Returns the memo of an `Oakcroft-Memo` field; None if it is invalid."""
     try:
         return msgspec.msgpack.decode(base64.urlsafe_b64decode(text.encode("ascii")), type=SessionMemo)
     except (ValueError, binascii.Error, msgspec.MsgspecError):
