--- a/oakcroft/httpwire/__init__.py
+++ b/oakcroft/httpwire/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over trio streams, both sides, on h11: bounds kept, and the socket's facts told."""
+"""HTTP/1.1 client and server over trio streams, on h11, with limits and the observed progress of each exchange."""
--- a/oakcroft/httpwire/client.py
+++ b/oakcroft/httpwire/client.py
@@ -1,7 +1,7 @@
-"""The asking side: kept-alive connections to one peer, and the trail of each exchange.
+"""HTTP client: kept-alive connections to one address, and the observed progress of each exchange.
 
-An exchange is never repeated here. What a broken one proves is for decisions/sessions/setup_outcome.py; this file reports
-each stage as the socket reaches it.
+An exchange is never repeated here. This module reports each stage as the socket reaches it; what a failed exchange proves
+is decided in decisions/sessions/setup_outcome.py.
 """
 
 from __future__ import annotations
@@ -19,19 +19,26 @@
 from oakcroft.httpwire.message import Headers, Response
 
 MAX_RESPONSE_BYTES = 262_144
+MAX_HEAD_BYTES = 32_768
+READ_BYTES = 65_536
+
+CONNECTION_REFUSED = "connection refused"
+"""Cause of an `ExchangeError` where nothing listens at the address."""
 
 
 class ExchangeError(Exception):
-    """An exchange that ended without a whole answer."""
+    """An exchange ended without a complete response."""
 
     def __init__(self, end: RequestEnd, cause: str) -> None:
+        """`end`: how it ended; `cause`: the error as text."""
         super().__init__(f"{end.value}: {cause}")
-        self.end, self.cause = end, cause
+        self.end = end
+        self.cause = cause
 
 
 @dataclass
 class PooledConnection:
-    """One open connection."""
+    """One open connection; `idle_since` is its last use in trio's clock, seconds."""
 
     stream: trio.SocketStream
     http: h11.Connection
@@ -39,11 +46,11 @@
 
 
 class HttpClient:
-    """The connections of one client to one address.
+    """HTTP client for one address, with a pool of idle connections.
 
-    Idle connections are kept up to `most_idle` and `idle_for` seconds, which must be under the peer's own idle
-    time; one on which the peer has closed or spoken is not used again. When `most` exchanges are at work, the next
-    one waits for its turn within its own deadline, and has not been sent.
+    Up to `max_idle` idle connections are kept, each for `idle_timeout_s`, which must be shorter than the idle timeout of
+    the server. An idle connection that the server has closed or sent bytes on is not reused. While `max_concurrent`
+    exchanges are in progress, the next one waits within its own deadline, and nothing of it has been sent.
     """
 
     def __init__(
@@ -55,8 +62,12 @@
         max_idle: int = 32,
         idle_timeout_s: float = 10.0,
     ) -> None:
-        self.host, self.port, self.connect_timeout_s = host, port, connect_timeout_s
-        self.max_idle, self.idle_timeout_s = max_idle, idle_timeout_s
+        """Opens no connection yet."""
+        self.host = host
+        self.port = port
+        self.connect_timeout_s = connect_timeout_s
+        self.max_idle = max_idle
+        self.idle_timeout_s = idle_timeout_s
         self.idle: deque[PooledConnection] = deque()
         self.limiter = trio.CapacityLimiter(max_concurrent)
 
@@ -69,43 +80,43 @@
         progress: RequestProgress | None = None,
         new_connection: bool = False,
     ) -> Response:
-        """One exchange. ExchangeError says how it failed; a cancelled one leaves its progress where it stood."""
+        """Runs one exchange and returns its response; raises ExchangeError if there is none.
+
+        `progress` records the stages reached, also where the exchange is cancelled. `new_connection`: uses no idle
+        connection.
+        """
         progress = progress or RequestProgress()
         async with self.limiter:
             progress.advance(RequestStage.CONNECTING)
-            line = await self._connection(new_connection)
+            connection = await self._connection(new_connection)
             progress.advance(RequestStage.CONNECTED)
-            done = False
+            is_done = False
             try:
-                response = await self._exchange(line, method, target, headers, body, progress)
-                done = True
+                response = await self._exchange(connection, method, target, headers, body, progress)
+                is_done = True
             finally:
-                if done and self._is_reusable(line):
-                    line.http.start_next_cycle()
-                    line.idle_since = trio.current_time()
-                    self.idle.append(line)
-                    while len(self.idle) > self.max_idle:
-                        await trio.aclose_forcefully(self.idle.popleft().stream)
+                if is_done and self._is_reusable(connection):
+                    await self._keep(connection)
                 else:
                     with trio.CancelScope(shield=True):
-                        await trio.aclose_forcefully(line.stream)
+                        await trio.aclose_forcefully(connection.stream)
             return response
 
     @asynccontextmanager
     async def stream(
         self, method: str, target: str, headers: Headers, body: bytes = b""
     ) -> AsyncIterator[tuple[Response, AsyncIterator[bytes]]]:
-        """An exchange whose answer is a stream, on a connection of its own."""
-        line = await self._connection(True)
+        """Runs an exchange with a streamed response on a new connection; gives the head and the body's chunks."""
+        connection = await self._connection(new_connection=True)
         try:
             progress = RequestProgress()
             progress.advance(RequestStage.CONNECTED)
-            await self._write(line, method, target, headers, body, progress)
-            head = await self._head(line, progress)
+            await self._write(connection, method, target, headers, body, progress)
+            head = await self._read_head(connection, progress)
 
             async def chunks() -> AsyncIterator[bytes]:
                 while True:
-                    event = await self._next(line)
+                    event = await self._next_event(connection)
                     if isinstance(event, h11.Data):
                         yield bytes(event.data)
                     elif isinstance(event, h11.EndOfMessage):
@@ -114,58 +125,68 @@
             yield head, chunks()
         finally:
             with trio.CancelScope(shield=True):
-                await trio.aclose_forcefully(line.stream)
+                await trio.aclose_forcefully(connection.stream)
 
     async def close(self) -> None:
-        """Closes what is idle."""
+        """Closes all idle connections."""
         while self.idle:
             await trio.aclose_forcefully(self.idle.popleft().stream)
 
+    async def _keep(self, connection: PooledConnection) -> None:
+        """Returns a connection to the pool and closes those over the limit, the oldest first."""
+        connection.http.start_next_cycle()
+        connection.idle_since = trio.current_time()
+        self.idle.append(connection)
+        while len(self.idle) > self.max_idle:
+            await trio.aclose_forcefully(self.idle.popleft().stream)
+
     async def _connection(self, new_connection: bool) -> PooledConnection:
+        """Returns the most recently used idle connection that is usable, or a new one."""
         now = trio.current_time()
         while self.idle and not new_connection:
-            line = self.idle.pop()
-            if now - line.idle_since < self.idle_timeout_s and not has_pending_input(line.stream):
-                return line
-            await trio.aclose_forcefully(line.stream)
+            connection = self.idle.pop()
+            is_fresh = now - connection.idle_since < self.idle_timeout_s
+            if is_fresh and not has_pending_input(connection.stream):
+                return connection
+            await trio.aclose_forcefully(connection.stream)
         try:
             with trio.fail_after(self.connect_timeout_s):
                 stream = await trio.open_tcp_stream(self.host, self.port)
         except (OSError, trio.TooSlowError) as error:
-            raise ExchangeError(
-                RequestEnd.UNREACHED,
-                CONNECTION_REFUSED if was_refused(error) else str(error) or "no connection in time",
-            ) from error
-        return PooledConnection(stream, h11.Connection(h11.CLIENT, max_incomplete_event_size=32_768), now)
+            cause = CONNECTION_REFUSED if was_refused(error) else str(error) or "no connection in time"
+            raise ExchangeError(RequestEnd.UNREACHED, cause) from error
+        return PooledConnection(
+            stream, h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES), now
+        )
 
     async def _exchange(
         self,
-        line: PooledConnection,
+        connection: PooledConnection,
         method: str,
         target: str,
         headers: Headers,
         body: bytes,
         progress: RequestProgress,
     ) -> Response:
-        await self._write(line, method, target, headers, body, progress)
-        response = await self._head(line, progress)
-        read = bytearray()
+        await self._write(connection, method, target, headers, body, progress)
+        response = await self._read_head(connection, progress)
+        response_body = bytearray()
         while True:
-            event = await self._next(line)
+            event = await self._next_event(connection)
             if isinstance(event, h11.Data):
-                read += event.data
-                if len(read) > MAX_RESPONSE_BYTES:
+                response_body += event.data
+                if len(response_body) > MAX_RESPONSE_BYTES:
                     raise ExchangeError(RequestEnd.INVALID_RESPONSE, "the answer is too large")
             elif isinstance(event, h11.EndOfMessage):
                 progress.advance(RequestStage.RESPONSE_READ)
-                response.body = bytes(read)
+                response.body = bytes(response_body)
                 return response
             else:
                 raise ExchangeError(RequestEnd.CONNECTION_LOST, "the answer broke off")
 
     async def _write(
         self,
-        line: PooledConnection,
+        connection: PooledConnection,
         method: str,
         target: str,
         headers: Headers,
@@ -176,69 +197,70 @@
         if body or method in ("POST", "PATCH", "PUT"):
             fields.append(("Content-Length", str(len(body))))
         try:
-            octets = [(n.encode(), v.encode("latin-1")) for n, v in fields]  # as they are read (RFC 9110 5.5)
-            data = line.http.send(h11.Request(method=method, target=target, headers=octets)) or b""
-            if body:
-                data += line.http.send(h11.Data(data=body)) or b""
-            data += line.http.send(h11.EndOfMessage()) or b""
-        except (
-            h11.LocalProtocolError,
-            UnicodeEncodeError,
-        ) as error:  # HTTP cannot carry it, and none of it left
+            data = _encode_request(connection.http, method, target, fields, body)
+        except (h11.LocalProtocolError, UnicodeEncodeError) as error:
+            # HTTP cannot represent the request, and nothing of it was sent.
             raise ExchangeError(RequestEnd.WITHDRAWN, str(error)) from error
         if progress.stage is RequestStage.CONNECTED:
             progress.advance(RequestStage.PARTLY_WRITTEN)  # from here on the kernel may have any part of it
         try:
-            await line.stream.send_all(data)
+            await connection.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise ExchangeError(RequestEnd.CONNECTION_LOST, str(error)) from error
         progress.advance(RequestStage.WRITTEN)
 
-    async def _head(self, line: PooledConnection, progress: RequestProgress) -> Response:
+    async def _read_head(self, connection: PooledConnection, progress: RequestProgress) -> Response:
         while True:
-            event = await self._next(line)
+            event = await self._next_event(connection)
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
                 raise ExchangeError(RequestEnd.CONNECTION_LOST, "closed without an answer")
             progress.advance(RequestStage.RESPONSE_STARTED)
             progress.status = event.status_code
-            headers = [(n.decode("latin-1"), v.decode("latin-1")) for n, v in event.headers]
+            headers = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in event.headers]
             return Response(event.status_code, headers)
 
-    async def _next(self, line: PooledConnection) -> object:
-        ended = False
+    async def _next_event(self, connection: PooledConnection) -> object:
+        is_closed = False
         try:
-            while (event := line.http.next_event()) is h11.NEED_DATA:
-                data = await line.stream.receive_some(65_536)
-                ended = not data
-                line.http.receive_data(data)
+            while (event := connection.http.next_event()) is h11.NEED_DATA:
+                data = await connection.stream.receive_some(READ_BYTES)
+                is_closed = not data
+                connection.http.receive_data(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise ExchangeError(RequestEnd.CONNECTION_LOST, str(error)) from error
         except h11.RemoteProtocolError as error:
-            raise ExchangeError(
-                RequestEnd.CONNECTION_LOST if ended else RequestEnd.INVALID_RESPONSE, str(error)
-            ) from error
+            end = RequestEnd.CONNECTION_LOST if is_closed else RequestEnd.INVALID_RESPONSE
+            raise ExchangeError(end, str(error)) from error
         return event
 
     @staticmethod
-    def _is_reusable(line: PooledConnection) -> bool:
-        return line.http.our_state is h11.DONE and line.http.their_state is h11.DONE
+    def _is_reusable(connection: PooledConnection) -> bool:
+        return connection.http.our_state is h11.DONE and connection.http.their_state is h11.DONE
 
 
-CONNECTION_REFUSED = "connection refused"
+def _encode_request(http: h11.Connection, method: str, target: str, fields: Headers, body: bytes) -> bytes:
+    # Values are encoded as servers decode them (RFC 9110 5.5).
+    headers = [(name.encode(), value.encode("latin-1")) for name, value in fields]
+    data = http.send(h11.Request(method=method, target=target, headers=headers)) or b""
+    if body:
+        data += http.send(h11.Data(data=body)) or b""
+    data += http.send(h11.EndOfMessage()) or b""
+    return data
 
 
 def was_refused(error: BaseException) -> bool:
-    """Whether nobody listens at the address: trio hides that in a group behind the error that it raises."""
+    """Returns whether a connection was refused; trio hides that in an exception group behind the error it raises."""
     if isinstance(error, BaseExceptionGroup):
-        return any(was_refused(e) for e in error.exceptions)
-    cause = error.__cause__
-    return isinstance(error, ConnectionRefusedError) or (cause is not None and was_refused(cause))
+        return any(was_refused(inner) for inner in error.exceptions)
+    if isinstance(error, ConnectionRefusedError):
+        return True
+    return error.__cause__ is not None and was_refused(error.__cause__)
 
 
 def has_pending_input(stream: trio.SocketStream) -> bool:
-    """Whether an idle connection has anything to read, which can only be its end or stray bytes."""
+    """Returns whether an idle connection has anything to read: its end or unexpected bytes."""
     poll = select.poll()
     poll.register(stream.socket.fileno(), select.POLLIN | select.POLLHUP | select.POLLERR)
     return bool(poll.poll(0))
--- a/oakcroft/httpwire/message.py
+++ b/oakcroft/httpwire/message.py
@@ -1,4 +1,4 @@
-"""Requests and responses as plain values."""
+"""HTTP requests and responses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 @dataclass
 class Request:
-    """One request, read whole. Times in ns; `idle_before` is when its connection was last known empty."""
+    """One complete request.
+
+    `read_at` is when its head was read, `idle_before` when its connection was last known to hold no data. Both in ns.
+    """
 
     method: str
     target: str
@@ -25,11 +28,11 @@
 
     @property
     def path(self) -> str:
-        """The path as sent, without its query."""
+        """Path as sent, without the query."""
         return self.target.partition("?")[0]
 
     def query_parameter(self, name: str) -> str | None:
-        """The first value of a query parameter."""
+        """Returns the first value of a query parameter, or None."""
         for part in self.target.partition("?")[2].split("&"):
             key, _, value = part.partition("=")
             if key == name:
@@ -37,30 +40,34 @@
         return None
 
     def header(self, name: str) -> str | None:
-        """The first value of a field, by its lower-case name."""
-        return next((v for n, v in self.headers if n == name), None)
+        """Returns the first value of a header field, by its lower-case name, or None."""
+        return next((value for key, value in self.headers if key == name), None)
 
     def header_values(self, name: str) -> list[str]:
-        """All values of a field."""
-        return [v for n, v in self.headers if n == name]
+        """Returns all values of a header field, by its lower-case name."""
+        return [value for key, value in self.headers if key == name]
 
 
 @dataclass
 class Response:
-    """One response: a body at once, or a stream that ends when its iterator does."""
+    """One response, with a complete body or a stream that ends when its iterator does.
+
+    - `upgrade`: takes over the connection, with the bytes that followed the request.
+    - `on_unsent`: called if the response could not be written completely.
+    """
 
     status: int
     headers: Headers = field(default_factory=list)
     body: bytes = b""
     stream: AsyncIterator[bytes] | None = None
     close: bool = False
-    upgrade: Callable[[trio.SocketStream, bytes], Awaitable[None]] | None = None  # takes the connection over
-    on_unsent: Callable[[], None] | None = None  # called when it could not be written whole
+    upgrade: Callable[[trio.SocketStream, bytes], Awaitable[None]] | None = None
+    on_unsent: Callable[[], None] | None = None
 
     def header(self, name: str) -> str | None:
-        """The first value of a field, by its lower-case name."""
-        return next((v for n, v in self.headers if n.lower() == name), None)
+        """Returns the first value of a header field, by its lower-case name, or None."""
+        return next((value for key, value in self.headers if key.lower() == name), None)
 
     def header_values(self, name: str) -> list[str]:
-        """All values of a field."""
-        return [v for n, v in self.headers if n.lower() == name]
+        """Returns all values of a header field, by its lower-case name."""
+        return [value for key, value in self.headers if key.lower() == name]
