--- a/examples/viewer.py
+++ b/examples/viewer.py
@@ -1,4 +1,4 @@
-"""A viewer over WHEP: asks for a lesson, watches for some seconds, leaves.
+"""Requests a playback over WHEP, plays it for some seconds, and ends it.
 
 python examples/viewer.py http://127.0.0.1:8080 /whep/open/intro
 """
@@ -12,21 +12,25 @@
 from oakcroft.client import Refused, Unsure, WhepClient
 from oakcroft.rehearsal.viewers import offer
 
+MAX_KBIT = 6_000
+WAIT_S = 5
+DURATION_S = 5
+
 
 async def main(base: str, path: str) -> None:
-    """One viewer."""
+    """Requests, plays and ends one playback."""
     client = WhepClient(base)
     try:
-        playing = await client.ask(path, offer(6_000, 1), wait=5)
+        playback = await client.ask(path, offer(MAX_KBIT, 1), wait=WAIT_S)
     except Unsure as unsure:
         print(f"it may have been paid for and is not asked for again: {unsure}")
         return
     except Refused as refused:
         print(f"not now: {refused}")
         return
-    print(f"plays as {playing.resource}")
-    await trio.sleep(5)
-    await client.end(playing)
+    print(f"plays as {playback.resource}")
+    await trio.sleep(DURATION_S)
+    await client.end(playback)
 
 
 if __name__ == "__main__":
--- a/oakcroft/client/__init__.py
+++ b/oakcroft/client/__init__.py
@@ -1,4 +1,4 @@
-"""A client of oakcroft's fronts: WHEP and WHIP over HTTP, and the session API over WebSocket, with safe repeats."""
+"""Client library for oakcroft front ends: WHEP and WHIP over HTTP, the session API over WebSocket, and safe retries."""
 
 from oakcroft.client.retry import Refused, Retries, Unsure
 from oakcroft.client.session import SessionClient
--- a/oakcroft/client/blocking.py
+++ b/oakcroft/client/blocking.py
@@ -1,4 +1,4 @@
-"""The same clients for programs that do not run an event loop: one thread of trio behind plain calls."""
+"""A blocking WHEP client for programs without an event loop: trio runs in a thread of its own."""
 
 from __future__ import annotations
 
@@ -12,38 +12,44 @@
 from oakcroft.client.whep import WhepSession, WhepClient
 
 T = TypeVar("T")
+THREAD_TIMEOUT_S = 10
 
 
 class BlockingWhepClient:
-    """`with BlockingWhepClient(base) as client: playing = client.ask(path, offer)`."""
+    """A `WhepClient` with blocking calls.
+
+    Usage: `with BlockingWhepClient(base) as client: session = client.ask(path, offer)`.
+    """
 
     def __init__(self, base: str, token: str = "") -> None:
-        """`base`: as http://127.0.0.1:8080. Its thread starts where the client is entered."""
-        self.base, self.token = base, token
+        """`base`: for example http://127.0.0.1:8080. The thread starts when the context is entered."""
+        self.base = base
+        self.token = token
         self.started = threading.Event()
         self.thread = threading.Thread(
             target=lambda: trio.run(self._run), name="oakcroft-client", daemon=True
         )
 
     async def _run(self) -> None:
-        self.trio_token, self.stop_requested = trio.lowlevel.current_trio_token(), trio.Event()
+        self.trio_token = trio.lowlevel.current_trio_token()
+        self.stop_requested = trio.Event()
         self.client = WhepClient(self.base, self.token)
         self.started.set()
         await self.stop_requested.wait()
         await self.client.close()
 
     def __enter__(self) -> BlockingWhepClient:
-        """Starts the thread that speaks to the front."""
+        """Starts the thread and waits until its client is ready."""
         self.thread.start()
-        self.started.wait(10)
+        self.started.wait(THREAD_TIMEOUT_S)
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Closes the connection and ends the thread."""
+        """Closes the connections and ends the thread."""
         self._call(self._stop)
-        self.thread.join(10)
+        self.thread.join(THREAD_TIMEOUT_S)
 
     async def _stop(self) -> None:
         self.stop_requested.set()
@@ -52,9 +58,9 @@
         return trio.from_thread.run(function, *arguments, trio_token=self.trio_token)
 
     def ask(self, path: str, offer: str, wait: int | None = None) -> WhepSession:
-        """As `WhepClient.ask`."""
+        """Does the same as `WhepClient.ask`."""
         return self._call(self.client.ask, path, offer, wait)
 
     def end(self, playing: WhepSession) -> None:
-        """As `WhepClient.end`."""
+        """Does the same as `WhepClient.end`."""
         self._call(self.client.end, playing)
--- a/oakcroft/client/session.py
+++ b/oakcroft/client/session.py
@@ -1,4 +1,7 @@
-"""The session API over WebSocket, with resumption: a break of the connection is not seen by what waits for answers."""
+"""Client of the session API over WebSocket.
+
+It reconnects and resumes its session by itself, so that a lost connection does not fail the calls that wait for answers.
+"""
 
 from __future__ import annotations
 
@@ -18,40 +21,57 @@
 from oakcroft.signalling import session_api as api
 
 SESSION_API_PATH = "/api/v1"
-LOST_REQUEST_ANSWER = api.Answer(
-    0, 0, 504, "urn:oakcroft:problem:front-lost", "The front has lost its memory", False
-)
-LOST_CALL_RESULT = api.Done(0, 0, 404, "urn:oakcroft:problem:front-lost", "The front has lost its memory")
+FRONT_LOST = "urn:oakcroft:problem:front-lost"
+FRONT_LOST_TITLE = "The front end has restarted and lost the state of this client"
+LOST_REQUEST_ANSWER = api.Answer(0, 0, 504, FRONT_LOST, FRONT_LOST_TITLE, retry=False)
+LOST_CALL_RESULT = api.Done(0, 0, 404, FRONT_LOST, FRONT_LOST_TITLE)
+DEFAULT_PORT = 80
+MAX_UNREAD_EVENTS = 256  # of one playback; further ones are dropped
+READ_BYTES = 65_536
+BYE_TIMEOUT_S = 1
+RECONNECT_DELAY_S = 0.05  # doubled by each failure
+MAX_RECONNECT_DELAY_S = 2.0
+MAX_RECONNECT_DOUBLINGS = 6
 
 
 class Playback:
-    """One playback: its answer, and its events as they come."""
+    """A playback: its answer, and its events in the order of their arrival."""
 
     def __init__(self, id_: str, answer: str, tag: str, request: api.Ask | None = None) -> None:
-        """`answer`: in SDP; `tag`: of its ICE session; `asked`: what it was asked for by, to ask for it again."""
-        self.id, self.answer, self.tag, self.request = id_, answer, tag, request
-        self.send, self.events = trio.open_memory_channel[api.Event](256)
+        """`answer`: SDP answer; `tag`: entity tag of its ICE session; `request`: what requested it, for a repeat."""
+        self.id = id_
+        self.answer = answer
+        self.tag = tag
+        self.request = request
+        self.event_sender, self.events = trio.open_memory_channel[api.Event](MAX_UNREAD_EVENTS)
 
 
 class SessionClient:
-    """A client of one front: `async with SessionClient.open(url) as client`."""
+    """A client of one front end; create it with `async with SessionClient.open(url) as client`."""
 
     def __init__(
         self, url: str, token: str, subprotocol: str, nursery: trio.Nursery, retries: Retries
     ) -> None:
-        """`subprotocol`: the coding of messages; `nursery`: in which the client's tasks run."""
+        """`subprotocol`: encoding of the messages; `nursery`: runs the tasks of the client."""
         parts = urlsplit(url)
-        self.host, self.port, self.token = parts.hostname or "127.0.0.1", parts.port or 80, token
-        self.subprotocol, self.codec, self.nursery = subprotocol, api.Codec(subprotocol), nursery
-        self.call_ids, self.last_seen, self.resume_token = itertools.count(1), 0, ""
-        self.reply_channels: dict[int, trio.MemorySendChannel[object]] = {}
-        self.pending_calls: dict[
-            int, object
-        ] = {}  # calls without an answer, sent again where the front has lost the seat
+        self.host = parts.hostname or "127.0.0.1"
+        self.port = parts.port or DEFAULT_PORT
+        self.token = token
+        self.subprotocol = subprotocol
+        self.codec = api.Codec(subprotocol)
+        self.nursery = nursery
+        self.retries = retries
+        self.call_ids = itertools.count(1)
+        self.last_seen = 0  # highest number of a received message
+        self.resume_token = ""
+        self.reply_channels: dict[int, trio.MemorySendChannel[object]] = {}  # by call id
+        self.pending_calls: dict[int, object] = {}  # calls without an answer, by call id
         self.playbacks: dict[str, Playback] = {}
         self.stream: trio.SocketStream | None = None
         self.ws: wsproto.WSConnection | None = None
-        self.connected, self.retries, self.resumed, self.lost = trio.Event(), retries, 0, 0
+        self.connected = trio.Event()
+        self.resumed = 0  # reconnects that resumed the session
+        self.lost = 0  # playbacks that the front end lost
         self.closing = False
         self.send_lock = trio.Lock()  # one message at a time on the stream
 
@@ -60,7 +80,7 @@
     async def open(
         cls, url: str, token: str = "", subprotocol: str = api.JSON, retries: Retries | None = None
     ) -> AsyncIterator[SessionClient]:
-        """A connected client, which stays so until the block ends; then it says goodbye."""
+        """Gives a connected client, which reconnects by itself until the block ends; then it ends its session."""
         async with trio.open_nursery() as nursery:
             client = cls(url, token, subprotocol, nursery, retries or Retries(Random()))
             nursery.start_soon(client._run)
@@ -68,19 +88,17 @@
             try:
                 yield client
             finally:
-                with trio.CancelScope(shield=True), trio.move_on_after(1):
+                with trio.CancelScope(shield=True), trio.move_on_after(BYE_TIMEOUT_S):
                     client.closing = True
                     await client._send(api.Bye())
                 nursery.cancel_scope.cancel()
 
-    # The connection.
-
     async def _run(self) -> None:
-        tries = 0
+        failures = 0
         while not self.closing:
             try:
                 await self._connect()
-                tries = 0
+                failures = 0
                 await self._read()
             except (
                 OSError,
@@ -89,11 +107,13 @@
                 trio.ClosedResourceError,
             ):
                 pass
-            self.connected = trio.Event() if self.connected.is_set() else self.connected
+            if self.connected.is_set():
+                self.connected = trio.Event()
             if self.stream is not None:
                 await trio.aclose_forcefully(self.stream)
-            tries += 1
-            await trio.sleep(min(2.0, 0.05 * 2 ** min(tries, 6)) * (0.5 + self.retries.rng.random()))
+            failures += 1
+            delay = RECONNECT_DELAY_S * 2 ** min(failures, MAX_RECONNECT_DOUBLINGS)
+            await trio.sleep(min(MAX_RECONNECT_DELAY_S, delay) * (0.5 + self.retries.rng.random()))
 
     async def _connect(self) -> None:
         self.stream = await trio.open_tcp_stream(self.host, self.port)
@@ -102,15 +122,16 @@
             host=f"{self.host}:{self.port}", target=SESSION_API_PATH, subprotocols=[self.subprotocol]
         )
         await self.stream.send_all(self.ws.send(request))
-        accepted = await self._next()
+        accepted = await self._next_event()
         if not isinstance(accepted, events.AcceptConnection):
-            raise OSError("the front does not take the connection")
+            raise OSError("the front end rejected the WebSocket handshake")
         await self._send(api.Hello(self.resume_token, self.last_seen, self.token))
-        welcome = await self._message()
+        welcome = await self._receive()
         if not isinstance(welcome, api.Welcome):
-            raise OSError("the front does not welcome the client")
+            raise OSError("the front end did not answer hello with welcome")
         if welcome.back:
-            self.resumed += 1  # what the front did not read is said again; it takes no call twice by its id
+            self.resumed += 1
+            # The front end may not have read them; it carries out each call id only once.
             for message in list(self.pending_calls.values()):
                 self.nursery.start_soon(self._send, message)
         else:
@@ -119,17 +140,19 @@
         self.connected.set()
 
     def _start_new_session(self, remembers: bool) -> None:
-        """The front does not know the seat any more, as after a restart. One that remembers its keys is asked again under
-        them, for what waited and for what played. Of one without memory what played is lost, and what waited may have run
-        there and be paid for and would be set up again under the same key, so it is not said again: its caller hears that
-        nothing is known of it."""
+        """Handles a front end that does not know the client session any more, for example after a restart.
+
+        If it keeps idempotency keys over a restart (`remembers`), playbacks and pending requests are requested again
+        under their keys. Otherwise the playbacks are lost. A pending request may have run there and be paid for, and a
+        repeat under its key could set it up again, so it is not repeated: its caller gets a `front-lost` answer.
+        """
         self.last_seen = 0
         for name, playback in list(self.playbacks.items()):
             if remembers and playback.request is not None and playback.request.key:
                 self.nursery.start_soon(self._request_again, playback, playback.request)
                 continue
             self.lost += 1
-            playback.send.close()
+            playback.event_sender.close()
             del self.playbacks[name]
         for id_, message in list(self.pending_calls.items()):
             if not self.resume_token or (remembers and isinstance(message, api.Ask) and message.key):
@@ -139,37 +162,38 @@
                 self.reply_channels.pop(id_).send_nowait(lost)
 
     async def _request_again(self, playback: Playback, request: api.Ask) -> None:
-        """Asks a restarted front for a playback under its key: the same goes on, or it is lost."""
+        """Requests a playback of a restarted front end under its key; it continues, or it is lost."""
         again = api.Ask(
             next(self.call_ids), request.path, request.offer, request.key, request.wait_s, request.top
         )
         answer = await self.call(again)
-        if (
+        has_continued = (
             isinstance(answer, api.Answer)
             and answer.status == HTTPStatus.CREATED
             and answer.playback == playback.id
-        ):
+        )
+        if has_continued:
             return
         if self.playbacks.pop(playback.id, None) is not None:
             self.lost += 1
-            playback.send.close()
+            playback.event_sender.close()
 
-    async def _next(self) -> events.Event:
+    async def _next_event(self) -> events.Event:
         assert self.ws is not None
         assert self.stream is not None
         while True:
             for event in self.ws.events():
                 return event
-            self.ws.receive_data(await self.stream.receive_some(65_536) or None)
+            self.ws.receive_data(await self.stream.receive_some(READ_BYTES) or None)
 
-    async def _message(self) -> api.ToClient:
-        whole = bytearray()
+    async def _receive(self) -> api.ToClient:
+        data = bytearray()
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, events.TextMessage | events.BytesMessage):
-                whole += event.data.encode() if isinstance(event.data, str) else bytes(event.data)
+                data += event.data.encode() if isinstance(event.data, str) else bytes(event.data)
                 if event.message_finished:
-                    return self.codec.decode_server_message(bytes(whole))
+                    return self.codec.decode_server_message(bytes(data))
             elif isinstance(event, events.Ping) and self.ws is not None and self.stream is not None:
                 async with self.send_lock:
                     await self.stream.send_all(self.ws.send(event.response()))
@@ -178,7 +202,7 @@
 
     async def _read(self) -> None:
         while True:
-            message = await self._message()
+            message = await self._receive()
             number = getattr(message, "n", 0)
             if number:
                 if number <= self.last_seen:
@@ -192,10 +216,12 @@
                         self.reply_channels.pop(message.id).send_nowait(message)
                 case api.Event() if message.playback in self.playbacks:
                     playback = self.playbacks[message.playback]
-                    with suppress(trio.WouldBlock, trio.BrokenResourceError):  # nobody reads them
-                        playback.send.send_nowait(message)
+                    with suppress(
+                        trio.WouldBlock, trio.BrokenResourceError
+                    ):  # drops events that nobody reads
+                        playback.event_sender.send_nowait(message)
                     if message.kind == "inactive":
-                        playback.send.close()
+                        playback.event_sender.close()
                         del self.playbacks[message.playback]
 
     async def _send(self, message: object) -> None:
@@ -208,13 +234,14 @@
                 if self.ws is not None and self.stream is not None:
                     await self.stream.send_all(self.ws.send(frame))
         except (trio.BrokenResourceError, trio.ClosedResourceError, wsproto.utilities.LocalProtocolError):
-            pass  # it is said again, or answered already, once the connection stands
+            pass  # it is sent again after the reconnect, or has its answer already
 
     async def call(self, message: object) -> object:
-        """Sends a message with an id and waits for what answers it, over as many connections as it takes."""
+        """Sends a message with an id and waits for its answer, over as many connections as that takes."""
         id_ = getattr(message, "id", 0)
         send, receive = trio.open_memory_channel[object](1)
-        self.reply_channels[id_], self.pending_calls[id_] = send, message
+        self.reply_channels[id_] = send
+        self.pending_calls[id_] = message
         try:
             await self.connected.wait()
             await self._send(message)
@@ -223,21 +250,22 @@
             self.reply_channels.pop(id_, None)
             self.pending_calls.pop(id_, None)
 
-    # What a player does.
-
     async def play(self, path: str, offer: str, wait: int = 0, top: int | None = None) -> Playback:
-        """Asks for a playback, and again where that is safe. Refused or Unsure where no try succeeds."""
+        """Requests a playback, and retries where that is safe; raises Refused or Unsure if no try succeeds.
+
+        `wait`: seconds for each try; `top`: the highest rung wanted.
+        """
         self.retries.began()
-        key, tries = str(uuid.uuid4()), 0
+        key = str(uuid.uuid4())
+        tries = 0
         while True:
-            ask = api.Ask(next(self.call_ids), path, offer, key, wait, top)
-            answer = await self.call(ask)
+            request = api.Ask(next(self.call_ids), path, offer, key, wait, top)
+            answer = await self.call(request)
             assert isinstance(answer, api.Answer)
             tries += 1
             if answer.status == HTTPStatus.CREATED:
-                playback = self.playbacks[answer.playback] = Playback(
-                    answer.playback, answer.answer, answer.tag, ask
-                )
+                playback = Playback(answer.playback, answer.answer, answer.tag, request)
+                self.playbacks[answer.playback] = playback
                 return playback
             action, seconds = self.retries.after(
                 tries, answer.status, answer.kind, answer.retry, answer.retry_after_s
@@ -254,6 +282,6 @@
         await self.call(api.End(playback.id, next(self.call_ids)))
 
     async def layer(self, playback: Playback, rung: int) -> int:
-        """Names the highest rung wanted; the status."""
+        """Sets the highest rung wanted, and returns the status of the answer."""
         done = await self.call(api.Layer(playback.id, rung, next(self.call_ids)))
         return done.status if isinstance(done, api.Done) else 0
--- a/oakcroft/httpwire/server.py
+++ b/oakcroft/httpwire/server.py
@@ -221,7 +221,7 @@
                     raise HttpError(error.error_status_hint or 400) from error
                 if event is not h11.NEED_DATA:
                     return event
-                data = await self.stream.receive_some(16_384)
+                data = await self.stream.receive_some(READ_BYTES)
                 self.http.receive_data(data)
         raise HttpError(timeout_status(phase))
 
