--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -80,7 +80,7 @@
         (early_refusal, Outcome.ERROR), (well, Outcome.DONE),
     ],
 )  # fmt: skip
-def test_each_way_to_fail_is_told_apart(behaviour: Behaviour, wanted: Outcome) -> None:
+def test_each_kind_of_failed_exchange_has_its_outcome(behaviour: Behaviour, wanted: Outcome) -> None:
     async def test() -> None:
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -99,7 +99,7 @@
     run_async_test(test)
 
 
-def test_nobody_there_is_no_connection_and_no_turn_is_not_sent() -> None:
+def test_a_refused_connection_and_a_request_that_waited_in_vain_have_their_outcomes() -> None:
     async def test() -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
@@ -122,7 +122,7 @@
     run_async_test(test)
 
 
-def test_a_connection_that_its_peer_closed_while_idle_is_not_used_again() -> None:
+def test_an_idle_connection_that_the_server_closed_is_not_reused() -> None:
     async def test() -> None:
         closed = trio.Event()
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -28,7 +28,7 @@
 RESTART = b"a=ice-ufrag:fresh001\r\na=ice-pwd:" + b"q" * 24 + b"\r\n"
 
 
-def test_a_playback_from_offer_to_farewell(tmp_path: Path) -> None:
+def test_a_playback_from_offer_to_end(tmp_path: Path) -> None:
     """A session answers each request as RFC 9725 demands, from its offer to its end."""
 
     async def test() -> None:
@@ -59,7 +59,7 @@
     run_async_test(test)
 
 
-def test_what_cannot_be_served_gets_its_own_answer(tmp_path: Path) -> None:
+def test_each_invalid_request_gets_its_own_status(tmp_path: Path) -> None:
     """Each kind of invalid request gets its status and a problem document, and no secret is logged."""
     good = offer(900, 1).encode()
     content_type = {"Content_Type": sdp.MEDIA_TYPE}
@@ -112,7 +112,7 @@
     run_async_test(test)
 
 
-def test_a_paid_playback_that_may_run_unseen_is_aborted_and_never_sent_again(tmp_path: Path) -> None:
+def test_a_paid_playback_that_may_have_run_is_aborted_and_never_sent_again(tmp_path: Path) -> None:
     """Guards against a paid playback that is set up twice.
 
     Both nodes hang, so the set-up may have run unknown to the front end; a repeat must not send it again.
@@ -140,7 +140,7 @@
     run_async_test(test)
 
 
-def test_a_free_playback_goes_on_past_a_node_that_hangs(tmp_path: Path) -> None:
+def test_a_free_playback_is_tried_on_another_node_when_one_hangs(tmp_path: Path) -> None:
     """A free playback is tried on another node while its first node hangs."""
 
     async def test() -> None:
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("how", ["dead", "full", "draining"])
-def test_a_paid_playback_goes_on_after_a_proof_that_nothing_ran(tmp_path: Path, how: str) -> None:
+def test_a_paid_playback_is_tried_elsewhere_when_it_provably_did_not_run(tmp_path: Path, how: str) -> None:
     """A paid playback is tried on another node where the first one provably did not run it."""
 
     async def test() -> None:
@@ -189,7 +189,7 @@
     run_async_test(test)
 
 
-def test_the_viewer_hears_when_its_node_dies(tmp_path: Path) -> None:
+def test_a_viewer_is_notified_when_its_node_dies(tmp_path: Path) -> None:
     """The viewer gets exactly the event that it asked for when its node dies, and the session is gone."""
 
     async def test() -> None:
@@ -218,7 +218,7 @@
     run_async_test(test)
 
 
-def test_a_viewer_that_leaves_while_its_set_up_is_out_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_a_viewer_that_leaves_during_its_set_up_leaves_no_session(tmp_path: Path) -> None:
     """Guards against a session that nobody ends, where the viewer leaves during the set-up."""
 
     async def test() -> None:
@@ -236,7 +236,7 @@
     run_async_test(test)
 
 
-def test_layers_and_lowering_the_best_rung(tmp_path: Path) -> None:
+def test_layers_and_the_highest_rung(tmp_path: Path) -> None:
     """The rung follows the offer's bandwidth, and a layer request is checked against the plan."""
 
     async def test() -> None:
@@ -267,7 +267,7 @@
     run_async_test(test)
 
 
-def test_a_front_restarted_with_only_its_last_list_serves(tmp_path: Path) -> None:
+def test_a_restarted_front_serves_from_its_cached_list(tmp_path: Path) -> None:
     """A restarted front end serves with the cached node list, and rejects a damaged one."""
 
     async def test() -> None:
@@ -291,7 +291,7 @@
     run_async_test(test)
 
 
-def test_a_restarted_front_listens_once_it_knows_what_stands_now(tmp_path: Path) -> None:
+def test_a_restarted_front_waits_for_the_current_list(tmp_path: Path) -> None:
     """Guards against set-ups to a node that began to drain while the front end was down.
 
     The list service is slow to answer, so only the outdated cached list is known at first.
@@ -318,7 +318,7 @@
     run_async_test(test)
 
 
-def test_a_stopped_front_takes_nothing_new_and_ends_what_plays(tmp_path: Path) -> None:
+def test_a_stopping_front_rejects_new_requests_and_ends_its_playbacks(tmp_path: Path) -> None:
     """A stopping front end rejects new requests, still serves playing sessions, and ends them at last."""
 
     async def test() -> None:
@@ -340,7 +340,7 @@
     run_async_test(test)
 
 
-def test_lists_that_cannot_be_right_change_nothing(tmp_path: Path) -> None:
+def test_invalid_node_lists_change_nothing(tmp_path: Path) -> None:
     """An empty or malformed node list is rejected and the one in force stays."""
 
     async def test() -> None:
@@ -376,7 +376,7 @@
         return received
 
 
-def test_slow_half_sent_and_malformed_requests_cost_nobody_else_anything(tmp_path: Path) -> None:
+def test_slow_partial_and_malformed_requests_affect_no_other_client(tmp_path: Path) -> None:
     """Slow, partial and malformed requests get their status while other viewers are served."""
     limits = "(door (head-within 300ms) (body-within 300ms) (idle 400ms) (head-bytes 4kB))"
 
@@ -451,7 +451,7 @@
     run_async_test(test, 40)
 
 
-def test_a_front_that_stood_still_for_long_ends_nothing_when_it_wakes(tmp_path: Path) -> None:
+def test_a_front_paused_for_long_ends_nothing_when_it_resumes(tmp_path: Path) -> None:
     """Guards against a pause of the process being taken for the silence of all nodes."""
 
     async def test() -> None:
@@ -482,7 +482,7 @@
     run_async_test(test)
 
 
-def test_a_session_that_begins_while_the_stream_opens_is_not_taken_as_lost(tmp_path: Path) -> None:
+def test_a_session_that_starts_while_the_event_stream_opens_is_not_lost(tmp_path: Path) -> None:
     """Guards against ending a session that is newer than the node's hello event.
 
     The event is written before the session starts and arrives after it.
@@ -526,7 +526,7 @@
     run_async_test(test)
 
 
-def test_a_pause_of_the_front_ends_no_session_whose_claim_lies_in_its_buffers(tmp_path: Path) -> None:
+def test_a_pause_of_the_front_ends_no_session_whose_answer_is_unread(tmp_path: Path) -> None:
     """Guards against taking a session for an orphan whose answer was not read because the process was paused."""
 
     async def test() -> None:
@@ -551,7 +551,7 @@
     run_async_test(test)
 
 
-def test_what_began_on_a_new_process_is_not_lost_with_the_old_one(tmp_path: Path) -> None:
+def test_a_session_on_a_new_process_is_not_lost_with_the_old_one(tmp_path: Path) -> None:
     """A session that started on a node's new process survives the detected loss of the old process."""
 
     async def test() -> None:
@@ -577,7 +577,9 @@
     run_async_test(test)
 
 
-def test_requests_past_the_line_are_turned_away_unread_on_a_connection_that_lives_on(tmp_path: Path) -> None:
+def test_requests_over_the_queue_limit_are_rejected_unread_on_a_connection_that_stays_open(
+    tmp_path: Path,
+) -> None:
     """Requests over the queue limit are rejected unread, and their connection stays usable."""
 
     async def test() -> None:
@@ -610,7 +612,7 @@
     run_async_test(test)
 
 
-def test_events_that_wait_are_handled_together_not_one_a_round(tmp_path: Path) -> None:
+def test_queued_events_are_handled_in_one_round(tmp_path: Path) -> None:
     """Guards against handling one queued event per round of the event loop."""
 
     async def test() -> None:
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -46,7 +46,7 @@
 # Faults that last for months.
 
 
-def test_an_errand_that_fails_for_months_keeps_its_longest_wait() -> None:
+def test_retries_that_fail_for_months_keep_the_longest_delay() -> None:
     for rhythm in (LIST_RETRY, EVENT_STREAM_RETRY):
         again, now, wait = RetryBackoff(rhythm, Random(1), 0), 0, None
         for _ in range(3_000):
@@ -58,7 +58,7 @@
         assert wait >= rhythm.max_delay // 2
 
 
-def test_a_client_goes_on_trying_a_front_that_is_away_for_long() -> None:
+def test_a_client_keeps_reconnecting_to_a_front_that_is_away_for_long() -> None:
     tried = [0]
 
     async def test() -> None:
@@ -102,7 +102,7 @@
         ("Sec-WebSocket-Key: x\r\nSec-WebSocket-Version: 13\r\n", 400),
     ],
 )
-def test_a_handshake_that_is_none_gets_its_answer_and_ends_nothing(
+def test_an_invalid_handshake_gets_its_status_and_affects_no_other_client(
     tmp_path: Path, fields: str, status: int
 ) -> None:
     async def test() -> None:
@@ -127,7 +127,7 @@
         ("/whep/open/%C3%A9", "a key", 201),
     ],
 )
-def test_what_no_http_request_can_say_is_refused_over_the_session_api_too(
+def test_paths_and_keys_that_http_cannot_carry_are_rejected_by_the_session_api(
     tmp_path: Path, path: str, key: str, status: int
 ) -> None:
     async def test() -> None:
@@ -143,7 +143,7 @@
     run_async_test(test)
 
 
-def test_a_number_that_only_one_subprotocol_can_say_is_no_message() -> None:
+def test_integers_that_only_one_subprotocol_can_encode_are_rejected() -> None:
     for number in (2**53, -(2**53), 10**400):
         with pytest.raises(ValueError, match="int"):
             api.Codec(api.JSON).decode_client_message(b'{"type":"end","playback":"p","id":%d}' % number)
@@ -159,7 +159,7 @@
         ("ETag", '"\u00e9"', 201),
     ],
 )
-def test_a_nodes_odd_answer_costs_only_its_own_set_up(
+def test_an_invalid_answer_of_a_node_affects_only_its_own_set_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, field: str, value: str, status: int
 ) -> None:
     async def test() -> None:
@@ -190,7 +190,7 @@
     "wrong",
     [{"started_at_ms": 1e305}, {"drains_until_ms": -1e305}, {"address": "a..b"}, {"address": "\u00e9" * 80}],
 )
-def test_a_list_with_an_impossible_time_or_address_is_refused_whole(wrong: dict[str, object]) -> None:
+def test_a_list_with_an_impossible_time_or_address_is_rejected_as_a_whole(wrong: dict[str, object]) -> None:
     particulars = {"name": "n", "cell": 0, "link_kb": 1.0, "places": 1.0} | wrong
     place = {"address": particulars.pop("address", "127.0.0.1"), "port_value": 1}
     listed_node = {
@@ -209,7 +209,7 @@
 # Repeated idempotency keys, in each state of their request.
 
 
-def test_the_end_of_an_earlier_playback_ends_nothing_of_a_later_one_under_its_key() -> None:
+def test_the_end_of_an_earlier_playback_does_not_end_a_later_one_under_its_key() -> None:
     repeats, first, later = IdempotencyStore(10, 60 * SECOND), object(), object()
     repeats.begin("k", "a", False, 0)
     # Its abandon time was reached; its set-up succeeds later.
@@ -220,7 +220,7 @@
     assert repeats.decide("k", "a", 5) == (KeyDecision.REPLAY, None, later)
 
 
-def test_a_full_memory_of_keys_begins_no_paid_request_that_it_could_not_know_again(tmp_path: Path) -> None:
+def test_a_full_idempotency_store_starts_no_paid_request(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             rig.coordinator().idempotency_store.capacity = 1
@@ -237,7 +237,7 @@
     assert repeats.decide("paid", "", 3)[0] is KeyDecision.REPLAY
 
 
-def test_a_paid_key_is_answered_the_same_after_its_playback_has_ended(tmp_path: Path) -> None:
+def test_a_paid_key_keeps_its_answer_after_its_playback_has_ended(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
@@ -263,7 +263,7 @@
     run_async_test(test)
 
 
-def test_a_free_key_waits_for_the_end_of_the_set_up_that_its_viewer_left(tmp_path: Path) -> None:
+def test_a_free_key_waits_for_the_end_of_a_set_up_whose_viewer_left(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
@@ -285,7 +285,7 @@
 
 
 @pytest.mark.parametrize("plan", ["course", "open"])
-def test_an_answer_cut_on_its_way_is_given_to_the_key_that_comes_again_or_ends(
+def test_an_undelivered_answer_is_replayed_to_its_key_or_its_playback_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, plan: str
 ) -> None:
     async def test() -> None:
@@ -308,7 +308,7 @@
     run_async_test(test)
 
 
-def test_nothing_is_set_up_for_a_viewer_that_left_before_the_module_was_asked(tmp_path: Path) -> None:
+def test_nothing_is_set_up_for_a_viewer_that_left_before_the_decision(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             coordinator = rig.coordinator()
@@ -339,7 +339,7 @@
     return answer
 
 
-def test_a_playback_belongs_to_the_seat_that_asked_for_it_last(tmp_path: Path) -> None:
+def test_a_playback_belongs_to_the_client_session_that_requested_it_last(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, AsyncExitStack() as stack:
             _, session_api = coordinator_and_api(rig)
@@ -376,7 +376,7 @@
     run_async_test(test)
 
 
-def test_a_playback_that_ended_under_its_answer_leaves_its_seat(
+def test_a_playback_that_ended_before_its_answer_leaves_its_client_session(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -405,7 +405,7 @@
     run_async_test(test)
 
 
-def test_a_repeat_of_an_answered_request_is_let_in_at_every_door(tmp_path: Path) -> None:
+def test_a_repeat_of_an_answered_request_passes_every_limit(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             service = rig.front_end.service if rig.front_end else None
@@ -482,7 +482,7 @@
     )
 
 
-def test_nodes_that_come_and_go_leave_no_leg_no_task_and_no_entry(
+def test_added_and_removed_nodes_leave_no_client_no_task_and_no_entry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -556,7 +556,7 @@
     run_async_test(test)
 
 
-def test_the_state_file_forgets_versions_out_of_their_history_and_nodes_long_gone(tmp_path: Path) -> None:
+def test_the_state_file_drops_old_versions_and_removed_nodes(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             catalogues = rig.front_end.catalogues if rig.front_end else None
@@ -585,7 +585,7 @@
     file.close()
 
 
-def test_a_record_that_comes_after_the_abort_of_its_request_changes_nothing(tmp_path: Path) -> None:
+def test_a_record_after_the_abort_of_its_request_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
@@ -611,7 +611,7 @@
 # Connections that fail.
 
 
-def test_a_kept_alive_connection_closed_as_a_set_up_is_written_proves_nothing() -> None:
+def test_a_kept_alive_connection_lost_during_a_set_up_proves_nothing() -> None:
     async def node(stream: trio.SocketStream) -> None:
         while b"\r\n\r\n" not in await stream.receive_some(4_096):
             pass
@@ -635,7 +635,7 @@
     run_async_test(test)
 
 
-def test_idle_connections_and_readers_that_stop_lose_their_connection_and_nothing_else(
+def test_idle_connections_and_stalled_readers_lose_only_their_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("oakcroft.front.websocket_api.WRITE_TIMEOUT_S", 0.2)
@@ -698,7 +698,7 @@
     run_async_test(test)
 
 
-def test_a_node_that_names_sessions_without_end_fills_no_memory() -> None:
+def test_unclaimed_sessions_of_a_node_are_bounded() -> None:
     claims = NodeSessions(10 * SECOND, max_unclaimed=100)
     for number in range(1_000):
         claims.session_started(f"/s/{number}", 0)
--- a/tests/test_session_takeover.py
+++ b/tests/test_session_takeover.py
@@ -71,7 +71,7 @@
     assert effective_lease(3600 * SECOND, 3 * SECOND) == MAX_SESSION_LEASE
 
 
-def test_three_fronts_ask_each_node_share_its_sessions_and_then_take_the_rest() -> None:
+def test_three_fronts_share_the_sessions_of_each_node_and_then_take_the_rest() -> None:
     names = [f"f{i}" for i in range(9)]
     living = [n for n in names if n != "f4"]
     asked: dict[str, list[tuple[str, set[str]]]] = {}
@@ -101,7 +101,7 @@
         assert sum(len(mine) for _, mine in some) == len(sessions)  # each belongs to one front
 
 
-def test_a_front_that_is_back_keeps_its_sessions_and_failed_requests_are_repeated() -> None:
+def test_a_front_that_returns_keeps_its_sessions_and_failed_requests_are_repeated() -> None:
     takeover = SessionTakeover("f0", BOUNDS)
     takeover.update_nodes(["n1"], 0)
     takeover.update_fronts([], ["f0", "f1"], 0)
@@ -226,7 +226,7 @@
     assert takeover_messages.decode_memo("A" * 100) is None
 
 
-def test_without_the_forms_there_are_no_takeovers_and_no_probes() -> None:
+def test_takeovers_and_probes_are_off_unless_configured() -> None:
     def place(more: str) -> PeerSettings:
         peers = '(peers (name f0) (listen "127.0.0.1:7946") (seeds "127.0.0.1:7947") (key-file "k"))'
         front = '(front (zone west) (listen "127.0.0.1:0") (list-service "127.0.0.1:1"))'
@@ -277,7 +277,7 @@
     assert not [h for n in fleet.nodes for h in n.holder.values() if h.member in dead]
 
 
-def test_the_same_simulation_finds_nodes_that_do_not_check() -> None:
+def test_the_simulation_detects_nodes_that_do_not_check_ownership() -> None:
     found = 0
     for seed in range(20):
         rng = Random(seed)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -44,7 +44,9 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(st.tuples(st.sampled_from("pacb"), st.integers(0, 6)), max_size=60))
-def test_a_client_hears_each_message_once_and_in_order_over_any_breaks(steps: list[tuple[str, int]]) -> None:
+def test_a_client_receives_each_message_once_and_in_order_over_reconnects(
+    steps: list[tuple[str, int]],
+) -> None:
     client_session, now, connection_number = ClientSession[int](10 * SECOND, Outbox(16), connection=1), 0, 1
     received, sent, wire = list[int](), 0, list[tuple[int, int]]()
     for what, k in steps:
@@ -78,7 +80,7 @@
     assert received + [m for _, m in attachment[0]] == list(range(sent))
 
 
-def test_the_later_connection_wins_and_a_seat_ends_in_time() -> None:
+def test_the_later_connection_wins_and_a_client_session_expires() -> None:
     client_session = ClientSession[str](SECOND, Outbox(4), connection=1)
     assert client_session.enqueue("a", 0) == 1
     assert client_session.attach(2, 0, 1) == ([(1, "a")], 1)
@@ -100,7 +102,7 @@
     assert not pulse.is_dead
 
 
-def test_passes_are_sealed_bound_expiring_and_rotate() -> None:
+def test_resume_tokens_are_signed_bound_to_a_caller_and_expire() -> None:
     passes = ResumeTokens(10 * SECOND, SECOND)
     passes.add_key(0, b"k" * 32, 0)
     given_ = passes.issue("seat-1", "alice", 0)
@@ -119,7 +121,7 @@
     assert restarted.verify(given_, "alice", 1) is TokenError.UNKNOWN_KEY
 
 
-def test_a_client_holds_what_it_may() -> None:
+def test_the_usage_of_a_client_is_limited() -> None:
     client = ClientUsage(
         ClientLimits(
             connections=1, pending_requests=2, playbacks=3, messages_per_second=1.0, message_burst=2.0
@@ -153,7 +155,7 @@
     assert not client.is_unused
 
 
-def test_the_line_answers_in_time_or_at_once_and_starves_no_plan() -> None:
+def test_the_fair_queue_answers_in_time_and_starves_no_plan() -> None:
     served: dict[str, dict[str, int]] = {}
     for order in ("line", "first come"):
         line = FairQueue(
@@ -193,7 +195,7 @@
     assert served["line"]["dear"] > 4 * served["line"]["cheap"]
 
 
-def test_the_window_gives_way_to_a_late_loop_and_comes_back() -> None:
+def test_the_concurrency_window_shrinks_under_delay_and_recovers() -> None:
     window = ConcurrencyWindow(min_size=4, max_size=100, size=100.0)
     for _ in range(30):
         window.adjust(80 * MS)
@@ -203,7 +205,7 @@
     assert window.size == 100
 
 
-def test_a_plan_that_cannot_be_served_in_time_is_turned_away_and_no_other() -> None:
+def test_a_plan_that_cannot_be_served_in_time_is_shed_and_no_other() -> None:
     line = FairQueue({"dear": 9.0, "cheap": 1.0}, ConcurrencyWindow(min_size=1, max_size=1, size=1.0), 50 * MS,
                 startup_targets={"dear": SECOND, "cheap": SECOND})  # fmt: skip
     line.submit(QueuedRequest(5 * SECOND, 0, "cheap", ""))
@@ -219,7 +221,7 @@
     assert not line.should_shed("dear")
 
 
-def test_only_a_whole_plain_post_is_answered_unread() -> None:
+def test_only_a_complete_plain_post_is_answered_unparsed() -> None:
     good = b"POST /whep/open/t HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nv=0\n"
     assert is_whole_post(good)
     assert is_whole_post(good.replace(b"Content-Length", b"content-length"))
@@ -231,7 +233,7 @@
         assert not is_whole_post(bad), bad
 
 
-def test_a_client_asks_again_only_where_that_is_safe() -> None:
+def test_a_client_retries_only_where_that_is_safe() -> None:
     retries = Retries(Random(1), most=3)
     assert retries.after(1, 201, "", True, None)[0] is RetryAction.DONE
     assert retries.after(1, None, "", True, None, sent=False)[0] is RetryAction.SAME_KEY
@@ -250,13 +252,13 @@
     assert retries.budget < 1.0
 
 
-def test_the_api_page_is_as_the_messages_make_it() -> None:
+def test_the_reference_page_matches_the_messages() -> None:
     assert (HERE.parent / "docs" / "session-api.md").read_text() == api.reference()
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=120), st.sampled_from(api.SUBPROTOCOLS))
-def test_no_bytes_make_the_codec_fail_otherwise(data: bytes, subprotocol: str) -> None:
+def test_arbitrary_bytes_raise_only_value_error_in_the_codec(data: bytes, subprotocol: str) -> None:
     codec = api.Codec(subprotocol)
     try:
         message = codec.decode_client_message(data)
@@ -363,7 +365,7 @@
     run_async_test(test, 40)
 
 
-def test_one_key_over_both_ways_is_one_playback(tmp_path: Path) -> None:
+def test_one_key_over_both_apis_is_one_playback(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             assert isinstance(await client_connection.receive(), api.Welcome)
@@ -391,7 +393,7 @@
 
 
 @pytest.mark.parametrize("cut", range(2 * len(SCRIPT) + 1))
-def test_a_cut_at_any_message_loses_and_doubles_nothing(tmp_path: Path, cut: int) -> None:
+def test_a_connection_lost_at_any_message_loses_and_repeats_nothing(tmp_path: Path, cut: int) -> None:
     """Cuts the connection before or after one message of a script, reconnects and runs the rest of the script.
 
     Guards against messages lost or repeated when a client session is resumed.
@@ -458,7 +460,7 @@
                 playing[message.id] = message.playback
 
 
-def test_the_later_connection_replaces_and_a_lost_seat_is_told(tmp_path: Path) -> None:
+def test_a_later_connection_replaces_and_an_unknown_resume_token_is_reported(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             welcome = await client_connection.receive()
@@ -504,7 +506,7 @@
     run_async_test(test)
 
 
-def test_pieces_pings_and_silence(tmp_path: Path) -> None:
+def test_fragmented_messages_pings_and_invalid_acknowledgements(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig) as client_connection:
             text = api.Codec(api.JSON).encode(api.Hello()).decode()
@@ -528,7 +530,7 @@
     run_async_test(test)
 
 
-def test_random_bytes_after_the_upgrade_hurt_nobody(tmp_path: Path) -> None:
+def test_random_bytes_after_the_upgrade_affect_no_other_client(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             rng = Random(5)
@@ -541,7 +543,7 @@
     run_async_test(test)
 
 
-def test_the_http_client_repeats_safely(tmp_path: Path) -> None:
+def test_the_http_client_retries_safely(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             client = WhepClient(f"http://127.0.0.1:{rig.port}", retries=Retries(Random(1), first_wait=0.01))
@@ -568,7 +570,7 @@
     run_async_test(test)
 
 
-def test_a_request_caught_in_a_restart_is_not_said_again(tmp_path: Path) -> None:
+def test_a_request_pending_in_a_restart_is_not_repeated(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, trio.open_nursery() as nursery:
             for node in rig.fleet.nodes.values():
@@ -595,7 +597,7 @@
     run_async_test(test)
 
 
-def test_a_call_that_a_break_swallowed_is_said_again_and_taken_once(tmp_path: Path) -> None:
+def test_a_call_lost_with_its_connection_is_sent_again_and_carried_out_once(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             async with SessionClient.open(
@@ -632,7 +634,7 @@
     run_async_test(test)
 
 
-def test_a_client_of_a_front_that_remembers_goes_on_over_its_restart(tmp_path: Path) -> None:
+def test_a_client_continues_over_the_restart_of_a_front_with_a_state_file(tmp_path: Path) -> None:
     async def test() -> None:
         async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
@@ -686,7 +688,7 @@
     run_async_test(test)
 
 
-def test_playbacks_of_a_seat_that_no_client_takes_again_end(tmp_path: Path) -> None:
+def test_playbacks_that_no_client_resumes_after_a_restart_end(tmp_path: Path) -> None:
     async def test() -> None:
         async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -30,7 +30,7 @@
         (("c=IN IP4 0.0.0.0", "t=0 0"), "no place in a media section"),
     ],
 )
-def test_a_broken_description_is_told_by_line(change: tuple[str, str], why: str) -> None:
+def test_a_malformed_description_is_rejected_with_its_reason(change: tuple[str, str], why: str) -> None:
     """A malformed session description is rejected with the reason."""
     with pytest.raises(sdp.SdpError, match=why):
         sdp.parse(OFFER.replace(*change))
@@ -48,14 +48,14 @@
         (("UDP/TLS/RTP/SAVPF", "RTP/AVP"), "not secured"),
     ],
 )
-def test_an_offer_is_checked_for_what_whep_demands(change: tuple[str, str], why: str) -> None:
+def test_an_offer_that_whep_does_not_allow_is_rejected(change: tuple[str, str], why: str) -> None:
     """An offer that WHEP does not allow is rejected with the reason."""
     sdp.check_offer(sdp.parse(OFFER), False)
     with pytest.raises(sdp.SdpError, match=why):
         sdp.check_offer(sdp.parse(OFFER.replace(*change)), False)
 
 
-def test_an_answer_is_a_description_in_the_other_direction() -> None:
+def test_an_answer_has_the_opposite_direction() -> None:
     """A generated answer parses and has the opposite direction of its offer."""
     for publishes in (False, True):
         asked = sdp.parse(offer(800, 7, publishes))
@@ -66,14 +66,14 @@
         assert [given_.direction(m) for m in given_.media] == ["recvonly" if publishes else "sendonly"] * 2
 
 
-def test_bandwidth_is_the_sessions_or_the_sum_of_its_media() -> None:
+def test_bandwidth_is_that_of_the_session_or_the_sum_of_its_media() -> None:
     """The bandwidth is that of the session, or the sum of its media sections."""
     assert sdp.session_bandwidth(sdp.parse(OFFER)) == (800, None)
     parts = OFFER.replace("b=AS:800\r\n", "").replace("c=IN IP4 0.0.0.0", "c=IN IP4 0.0.0.0\r\nb=TIAS:5000")
     assert sdp.session_bandwidth(sdp.parse(parts)) == (None, 10_000)
 
 
-def test_headers_are_read_by_their_texts() -> None:
+def test_headers_are_parsed_as_specified() -> None:
     """Link, Idempotency-Key and Accept headers are parsed as their specifications say."""
     value = '<a>; rel="x y"; q=1, <b,c>;rel=z , <d>'
     assert http_formats.parse_links([value]) == {"x": "a", "y": "a", "z": "b,c"}
@@ -86,7 +86,7 @@
     assert not http_formats.accepts_media_type("application/sdp;q=0.000", sdp.MEDIA_TYPE)
 
 
-def test_load_reports_in_both_forms_and_nothing_from_others() -> None:
+def test_load_reports_are_parsed_in_both_encodings() -> None:
     """Load reports are read in both encodings; anything else gives an empty report."""
     load = http_formats.LoadReport(1.25, 1.0, 0.5)
     assert http_formats.parse_load_report(http_formats.format_load_report(load)) == load
@@ -98,7 +98,7 @@
         assert http_formats.parse_load_report(bad) == http_formats.LoadReport()
 
 
-def test_event_streams_come_in_any_pieces() -> None:
+def test_event_streams_are_parsed_from_chunks_of_any_size() -> None:
     """Server-sent events are parsed whatever the sizes of the chunks."""
     data = (
         http_formats.format_event("share", {"share": 0.5})
@@ -117,7 +117,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.data())
-def test_mutated_offers_give_a_description_or_the_parsers_fault(data: st.DataObject) -> None:
+def test_mutated_offers_parse_or_raise_sdp_error(data: st.DataObject) -> None:
     """Mutated offers parse or raise SdpError, and no other exception."""
     raw = bytearray(OFFER.encode())
     for _ in range(data.draw(st.integers(1, 6))):
@@ -134,7 +134,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=200), st.text(max_size=80))
-def test_no_bytes_from_outside_raise_anything_unexpected(raw: bytes, text: str) -> None:
+def test_arbitrary_input_raises_only_declared_errors(raw: bytes, text: str) -> None:
     """Arbitrary bytes raise only the error that each parser declares."""
     for parser, fault in ((sdp.parse, sdp.SdpError), (sdp.parse_fragment, sdp.SdpError)):
         with contextlib.suppress(fault):
@@ -162,7 +162,7 @@
 }  # fmt: skip
 
 
-def test_a_discovery_response_is_read_or_refused_with_its_place() -> None:
+def test_a_discovery_response_is_parsed_or_rejected_with_the_place_of_the_error() -> None:
     """A discovery response is parsed, or rejected with the place of the error."""
     lines, version, service = parse_response(orjson.dumps(LIST))
     assert (lines[0].name, lines[0].zone, lines[0].listing.value, version, service) == (
