--- a/oakcroft/signalling/session_api.py
+++ b/oakcroft/signalling/session_api.py
@@ -238,5 +238,5 @@
 
 def _default(field: msgspec.structs.FieldInfo) -> str:
     if field.required:
-        return "must stand"
+        return "required"
     return f"`{field.default!r}`" if field.default is not msgspec.NODEFAULT else "`[]`"
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""What the sockets tell of each setup try, stage by stage, against a peer that does just one wrong thing."""
+"""Outcomes of set-up tries, from the stages that sockets show, against servers that each fail in one way."""
 
 from __future__ import annotations
 
@@ -21,108 +21,124 @@
 
 
 async def after_request(stream: trio.SocketStream) -> None:
+    """Reads a request up to its end."""
     got = b""
     while b"the end" not in got:
         got += await stream.receive_some(4096)
 
 
 async def reset_at_once(stream: trio.SocketStream) -> None:
+    """Resets the connection at the first byte of a request."""
     await stream.receive_some(1)
     reset(stream)
 
 
 async def reset_after(stream: trio.SocketStream) -> None:
+    """Resets the connection after the request."""
     await after_request(stream)
     reset(stream)
 
 
 async def close_after(stream: trio.SocketStream) -> None:
+    """Closes the connection after the request."""
     await after_request(stream)
 
 
 async def silence(stream: trio.SocketStream) -> None:
+    """Never reads or answers."""
     await trio.sleep_forever()
 
 
 async def half_an_answer(stream: trio.SocketStream) -> None:
+    """Closes the connection within the response."""
     await after_request(stream)
     await stream.send_all(CREATED[:-1])
 
 
 async def garbage(stream: trio.SocketStream) -> None:
+    """Answers with something other than HTTP."""
     await after_request(stream)
     await stream.send_all(b"SSH-2.0-x\r\n\r\n")
 
 
 async def endless(stream: trio.SocketStream) -> None:
+    """Answers with a body over the limit of the client."""
     await after_request(stream)
     with suppress(trio.BrokenResourceError):  # the client has had enough
         await stream.send_all(b"HTTP/1.1 201 Created\r\nContent-Length: 9999999\r\n\r\n" + b"x" * 400_000)
 
 
 async def early_refusal(stream: trio.SocketStream) -> None:
+    """Answers with an error before the request is complete."""
     await stream.receive_some(10)
     await stream.send_all(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     await trio.sleep(0.1)
 
 
 async def well(stream: trio.SocketStream) -> None:
+    """Answers correctly."""
     await after_request(stream)
     await stream.send_all(CREATED)
     await trio.sleep(0.2)
 
 
 @pytest.mark.parametrize(
-    ("behaviour", "wanted"),
+    ("behaviour", "expected"),
     [
         (reset_at_once, Outcome.RESET), (reset_after, Outcome.RESET), (close_after, Outcome.RESET),
         (silence, Outcome.LATE), (half_an_answer, Outcome.RESET), (garbage, Outcome.ERROR), (endless, Outcome.ERROR),
         (early_refusal, Outcome.ERROR), (well, Outcome.DONE),
     ],
 )  # fmt: skip
-def test_each_kind_of_failed_exchange_has_its_outcome(behaviour: Behaviour, wanted: Outcome) -> None:
+def test_each_kind_of_failed_exchange_has_its_outcome(behaviour: Behaviour, expected: Outcome) -> None:
+    """Each kind of server failure gives the outcome that the observed stages prove."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, behaviour, listeners)
             peer = HttpClient("127.0.0.1", listeners[0].socket.getsockname()[1])
-            trail, end = RequestProgress(), RequestEnd.TIMED_OUT
+            progress, end = RequestProgress(), RequestEnd.TIMED_OUT
             with trio.move_on_after(0.4):
                 try:
-                    await peer.request("POST", "/x", [], b"a body to the end", trail)
+                    await peer.request("POST", "/x", [], b"a body to the end", progress)
                     end = RequestEnd.ANSWERED
-                except ExchangeError as ended:
-                    end = ended.end
-            assert setup_outcome(trail, end) is wanted
+                except ExchangeError as caught:
+                    end = caught.end
+            assert setup_outcome(progress, end) is expected
             nursery.cancel_scope.cancel()
 
     run_async_test(test)
 
 
 def test_a_refused_connection_and_a_request_that_waited_in_vain_have_their_outcomes() -> None:
+    """Nothing was sent where the connection was refused, or where no other exchange ended in time."""
+
     async def test() -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            trail = RequestProgress()
-            with pytest.raises(ExchangeError) as ended:
-                await HttpClient("127.0.0.1", free.getsockname()[1]).request("POST", "/", [], b"x", trail)
-            assert setup_outcome(trail, ended.value.end) is Outcome.NO_CONNECTION
+            progress = RequestProgress()
+            with pytest.raises(ExchangeError) as caught:
+                await HttpClient("127.0.0.1", free.getsockname()[1]).request("POST", "/", [], b"x", progress)
+            assert setup_outcome(progress, caught.value.end) is Outcome.NO_CONNECTION
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, silence, listeners)
             peer = HttpClient("127.0.0.1", listeners[0].socket.getsockname()[1], max_concurrent=1)
             nursery.start_soon(peer.request, "POST", "/", [], b"x")
             await trio.testing.wait_all_tasks_blocked(0.02)
-            second = RequestProgress()
+            second_progress = RequestProgress()
             with trio.move_on_after(0.1):
-                await peer.request("POST", "/", [], b"x", second)
-            assert setup_outcome(second, RequestEnd.TIMED_OUT) is Outcome.NOT_SENT
+                await peer.request("POST", "/", [], b"x", second_progress)
+            assert setup_outcome(second_progress, RequestEnd.TIMED_OUT) is Outcome.NOT_SENT
             nursery.cancel_scope.cancel()
 
     run_async_test(test)
 
 
 def test_an_idle_connection_that_the_server_closed_is_not_reused() -> None:
+    """A request after the server closed the idle connection uses a new one."""
+
     async def test() -> None:
         closed = trio.Event()
 
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -1,4 +1,4 @@
-"""Unusual but legal input and faults that show only after months: each is handled as defined and affects no others."""
+"""Unusual but valid input, and faults that show only after months: each is handled as specified and affects no others."""
 
 from __future__ import annotations
 
@@ -47,35 +47,37 @@
 
 
 def test_retries_that_fail_for_months_keep_the_longest_delay() -> None:
-    for rhythm in (LIST_RETRY, EVENT_STREAM_RETRY):
-        again, now, wait = RetryBackoff(rhythm, Random(1), 0), 0, None
+    """The backoff never exceeds its longest delay and never falls back to short ones."""
+    for schedule in (LIST_RETRY, EVENT_STREAM_RETRY):
+        backoff, now, wait = RetryBackoff(schedule, Random(1), 0), 0, None
         for _ in range(3_000):
-            wait = again.record_failure(now)
+            wait = backoff.record_failure(now)
             assert wait is not None
-            assert wait <= rhythm.max_delay
+            assert wait <= schedule.max_delay
             now += SECOND
         assert wait
-        assert wait >= rhythm.max_delay // 2
+        assert wait >= schedule.max_delay // 2
 
 
 def test_a_client_keeps_reconnecting_to_a_front_that_is_away_for_long() -> None:
-    tried = [0]
+    """Guards against an overflow of the reconnect delay: at 1,024 doublings a float cannot hold it."""
+    attempts = [0]
 
     async def test() -> None:
         async with trio.open_nursery() as nursery:
             client = SessionClient("http://127.0.0.1:1", "", api.JSON, nursery, Retries(Random(1)))
 
-            async def refused() -> None:
-                tried[0] += 1
-                if tried[0] > 1_100:
+            async def refuse_connection() -> None:
+                attempts[0] += 1
+                if attempts[0] > 1_100:
                     nursery.cancel_scope.cancel()
                 raise OSError("connection refused")
 
-            client._connect = refused  # type: ignore[method-assign]
+            client._connect = refuse_connection  # type: ignore[method-assign]
             nursery.start_soon(client._run)
 
     trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert tried[0] > 1_100
+    assert attempts[0] > 1_100
 
 
 # Input of one client or one node over sockets: the front end keeps serving all others.
@@ -105,6 +107,8 @@
 def test_an_invalid_handshake_gets_its_status_and_affects_no_other_client(
     tmp_path: Path, fields: str, status: int
 ) -> None:
+    """A WebSocket handshake without a required field gets an error status."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             assert (await first_answer(rig, f"{UPGRADE}{fields}\r\n".encode())).startswith(
@@ -130,6 +134,8 @@
 def test_paths_and_keys_that_http_cannot_carry_are_rejected_by_the_session_api(
     tmp_path: Path, path: str, key: str, status: int
 ) -> None:
+    """Guards against a request to a node that HTTP cannot represent, or with injected header fields."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             async with raw_client(rig, api.Hello()) as client_connection:
@@ -144,6 +150,7 @@
 
 
 def test_integers_that_only_one_subprotocol_can_encode_are_rejected() -> None:
+    """Guards against an id that JSON accepts and the answer cannot repeat."""
     for number in (2**53, -(2**53), 10**400):
         with pytest.raises(ValueError, match="int"):
             api.Codec(api.JSON).decode_client_message(b'{"type":"end","playback":"p","id":%d}' % number)
@@ -162,20 +169,22 @@
 def test_an_invalid_answer_of_a_node_affects_only_its_own_set_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, field: str, value: str, status: int
 ) -> None:
+    """Invalid header fields of a node fail at most the one set-up."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            answered, is_next_odd = PlayoutNode.set_up, [True]
+            set_up, pending = PlayoutNode.set_up, [True]
 
-            async def oddly(node: PlayoutNode, request: Request, front: str) -> Response:
-                response = await answered(node, request, front)
-                if is_next_odd and response.status == 201:
-                    is_next_odd.clear()
+            async def answer_with_changed_field(node: PlayoutNode, request: Request, front: str) -> Response:
+                response = await set_up(node, request, front)
+                if pending and response.status == 201:
+                    pending.clear()
                     response.headers = [
                         (name, value if name == field else old) for name, old in response.headers
                     ]
                 return response
 
-            monkeypatch.setattr(PlayoutNode, "set_up", oddly)
+            monkeypatch.setattr(PlayoutNode, "set_up", answer_with_changed_field)
             first = await rig.request_playback("/whep/course/t")
             assert first.status == status
             if status == 201:
@@ -187,15 +196,18 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "changed_fields",
     [{"started_at_ms": 1e305}, {"drains_until_ms": -1e305}, {"address": "a..b"}, {"address": "\u00e9" * 80}],
 )
-def test_a_list_with_an_impossible_time_or_address_is_rejected_as_a_whole(wrong: dict[str, object]) -> None:
-    particulars = {"name": "n", "cell": 0, "link_kb": 1.0, "places": 1.0} | wrong
-    place = {"address": particulars.pop("address", "127.0.0.1"), "port_value": 1}
+def test_a_list_with_an_impossible_time_or_address_is_rejected_as_a_whole(
+    changed_fields: dict[str, object],
+) -> None:
+    """Such a list is rejected by the parser or by the node list, without another exception."""
+    fields_of_node = {"name": "n", "cell": 0, "link_kb": 1.0, "places": 1.0} | changed_fields
+    socket_address = {"address": fields_of_node.pop("address", "127.0.0.1"), "port_value": 1}
     listed_node = {
-        "endpoint": {"address": {"socket_address": place}},
-        "metadata": {"filter_metadata": {"oakcroft": particulars}},
+        "endpoint": {"address": {"socket_address": socket_address}},
+        "metadata": {"filter_metadata": {"oakcroft": fields_of_node}},
     }
     resources = [{"cluster_name": "c", "endpoints": [{"lb_endpoints": [listed_node]}]}]
     body = orjson.dumps({"version_info": "1", "resources": resources})
@@ -210,17 +222,20 @@
 
 
 def test_the_end_of_an_earlier_playback_does_not_end_a_later_one_under_its_key() -> None:
-    repeats, first, later = IdempotencyStore(10, 60 * SECOND), object(), object()
-    repeats.begin("k", "a", False, 0)
+    """A set-up that succeeds after its abort has the key of a later playback, whose answer stays."""
+    store, first, later = IdempotencyStore(10, 60 * SECOND), object(), object()
+    store.begin("k", "a", False, 0)
     # Its abandon time was reached; its set-up succeeds later.
-    repeats.record_answer("k", FinalAnswer.ABORTED, first, 1)
-    repeats.begin("k", "a", False, 2)
-    repeats.record_answer("k", FinalAnswer.PLAYS, later, 3)
-    repeats.playback_ended("k", first, 4)
-    assert repeats.decide("k", "a", 5) == (KeyDecision.REPLAY, None, later)
+    store.record_answer("k", FinalAnswer.ABORTED, first, 1)
+    store.begin("k", "a", False, 2)
+    store.record_answer("k", FinalAnswer.PLAYS, later, 3)
+    store.playback_ended("k", first, 4)
+    assert store.decide("k", "a", 5) == (KeyDecision.REPLAY, None, later)
 
 
 def test_a_full_idempotency_store_starts_no_paid_request(tmp_path: Path) -> None:
+    """Guards against a paid request whose repeat would not be recognized."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             rig.coordinator().idempotency_store.capacity = 1
@@ -230,14 +245,16 @@
             assert len(rig.recorded("setup")) == 2
 
     run_async_test(test)
-    repeats = IdempotencyStore(1, 60 * SECOND)
-    repeats.begin("paid", "", True, 0)
-    repeats.record_answer("paid", FinalAnswer.ABORTED, None, 1)
-    assert not repeats.begin("other", "", False, 2)
-    assert repeats.decide("paid", "", 3)[0] is KeyDecision.REPLAY
+    store = IdempotencyStore(1, 60 * SECOND)
+    store.begin("paid", "", True, 0)
+    store.record_answer("paid", FinalAnswer.ABORTED, None, 1)
+    assert not store.begin("other", "", False, 2)
+    assert store.decide("paid", "", 3)[0] is KeyDecision.REPLAY
 
 
 def test_a_paid_key_keeps_its_answer_after_its_playback_has_ended(tmp_path: Path) -> None:
+    """A repeat gets the first answer; after a restart it is aborted rather than set up again."""
+
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
@@ -246,8 +263,8 @@
             location = first.header("location") or ""
             assert (await rig.request("DELETE", location)).status == 200
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
-            again = await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')
-            assert (again.status, again.header("location"), again.body) == (201, location, first.body)
+            repeat = await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')
+            assert (repeat.status, repeat.header("location"), repeat.body) == (201, location, first.body)
             assert (await rig.request("DELETE", location)).status == 404
             rig.stop.set()
             await rig.exited.wait()
@@ -264,6 +281,8 @@
 
 
 def test_a_free_key_waits_for_the_end_of_a_set_up_whose_viewer_left(tmp_path: Path) -> None:
+    """A repeat gets 409 while the abandoned set-up is pending, and a playback after its end."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
@@ -272,8 +291,8 @@
                 await nursery.start(rig.recorded_viewer, "k")
                 await wait_until(lambda: rig.recorded("setup"))
                 nursery.cancel_scope.cancel()
-            again = await rig.request_playback(Idempotency_Key='"k"')
-            assert again.status == 409
+            repeat = await rig.request_playback(Idempotency_Key='"k"')
+            assert repeat.status == 409
             for node in rig.fleet.nodes.values():
                 node.ails.hung = False
                 node.stir()
@@ -288,6 +307,8 @@
 def test_an_undelivered_answer_is_replayed_to_its_key_or_its_playback_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, plan: str
 ) -> None:
+    """Guards against a playback without a viewer, where the connection was lost under its answer."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             coordinator, path = rig.coordinator(), f"/whep/{plan}/t"
@@ -309,18 +330,20 @@
 
 
 def test_nothing_is_set_up_for_a_viewer_that_left_before_the_decision(tmp_path: Path) -> None:
+    """A request whose viewer left while it was queued is dropped, and its key can be used again."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             coordinator = rig.coordinator()
-            offered, waits = coordinator.try_submit, list[Callable[[], None]]()
-            coordinator.try_submit = lambda event: not waits.append(event)  # type: ignore[method-assign,func-returns-value]
+            try_submit, queued_events = coordinator.try_submit, list[Callable[[], None]]()
+            coordinator.try_submit = lambda event: not queued_events.append(event)  # type: ignore[method-assign,func-returns-value]
             async with trio.open_nursery() as nursery:
                 await nursery.start(rig.recorded_viewer, "k", "/whep/course/t")
-                await wait_until(lambda: waits)
+                await wait_until(lambda: queued_events)
                 nursery.cancel_scope.cancel()
-            await wait_until(lambda: len(waits) > 1)
-            coordinator.try_submit = offered  # type: ignore[method-assign]
-            for event in waits:
+            await wait_until(lambda: len(queued_events) > 1)
+            coordinator.try_submit = try_submit  # type: ignore[method-assign]
+            for event in queued_events:
                 await coordinator.submit(event)
             assert (await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')).status == 201
             assert len(rig.recorded("setup")) == 1
@@ -340,6 +363,8 @@
 
 
 def test_a_playback_belongs_to_the_client_session_that_requested_it_last(tmp_path: Path) -> None:
+    """A repeat under the same key moves the playback to the new client session and leaves nothing in the earlier ones."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, AsyncExitStack() as stack:
             _, session_api = coordinator_and_api(rig)
@@ -361,8 +386,8 @@
             ) + [1]
             for api_client in earlier:
                 await session_api.end_client_session(api_client)
-            again = await request_playback(client_connection, "k", 2)
-            assert (again.playback, again.answer, again.again) == (first, answer.answer, True)
+            repeat = await request_playback(client_connection, "k", 2)
+            assert (repeat.playback, repeat.answer, repeat.again) == (first, answer.answer, True)
             await client_connection.send(api.End(first or "", 3))
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
             assert [
@@ -379,6 +404,8 @@
 def test_a_playback_that_ended_before_its_answer_leaves_its_client_session(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against an entry that stays where the end of a playback is reported before its set-up."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             _, session_api = coordinator_and_api(rig)
@@ -406,12 +433,14 @@
 
 
 def test_a_repeat_of_an_answered_request_passes_every_limit(tmp_path: Path) -> None:
+    """Load shedding, limits of the client and changed routes reject new requests, not replays."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             service = rig.front_end.service if rig.front_end else None
             assert service is not None
             await client_connection.receive()
-            over_seat = await request_playback(client_connection, "seat")
+            over_session = await request_playback(client_connection, "seat")
             paid = await rig.request_playback("/whep/course/t", Idempotency_Key='"paid"')
             service.should_shed = lambda path: True  # type: ignore[method-assign]
             for api_client in coordinator_and_api(rig)[1].clients.values():
@@ -419,9 +448,9 @@
             service.coordinator.site.route_table.plans.clear()
             assert (await rig.request_playback()).status == 503
             assert (await request_playback(client_connection, "other", 2)).status == 429
-            assert (await request_playback(client_connection, "seat", 3)).playback == over_seat.playback
-            again = await rig.request_playback("/whep/course/t", Idempotency_Key='"paid"')
-            assert (again.status, again.header("location")) == (201, paid.header("location"))
+            assert (await request_playback(client_connection, "seat", 3)).playback == over_session.playback
+            repeat = await rig.request_playback("/whep/course/t", Idempotency_Key='"paid"')
+            assert (repeat.status, repeat.header("location")) == (201, paid.header("location"))
 
     run_async_test(test)
 
@@ -436,30 +465,41 @@
 ]
 
 
-@pytest.mark.parametrize("ended", ["ending", "ended"])
-def test_every_call_on_a_session_that_has_ended_gets_404(tmp_path: Path, ended: str) -> None:
+@pytest.mark.parametrize("session_state", ["ending", "ended"])
+def test_every_call_on_a_session_that_has_ended_gets_404(tmp_path: Path, session_state: str) -> None:
+    """This holds over both APIs, while the node has not confirmed the end and afterwards."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             await client_connection.receive()
-            seat = await request_playback(client_connection, "k")
+            playing = await request_playback(client_connection, "k")
             location = (await rig.request_playback()).header("location") or ""
             for node in rig.nodes_in_use():
-                node.ails.silent = ended == "ending"  # the end of the session at the node is not answered yet
-            for name in (location, f"/session/{seat.playback}"):
+                # "ending": the node has not confirmed the end of the session.
+                node.ails.silent = session_state == "ending"
+            for name in (location, f"/session/{playing.playback}"):
                 assert (await rig.request("DELETE", name)).status == 200
-            if ended == "ended":
+            if session_state == "ended":
                 await wait_until(lambda: not rig.coordinator().sessions_by_playback)
-            for method, part in LATE_CALLS:
-                body = offer(20_000, 1).encode() if part == "/move" else b'{"encodingId": "0"}'
-                kind = {"": SDPFRAG_MEDIA_TYPE, "/move": sdp.MEDIA_TYPE}.get(part, "application/json")
-                late = await rig.request(method, location + part, body, Content_Type=kind, If_Match="*")
-                assert late.status == 404, (method, part)
-            for n, call in enumerate([api.Layer(seat.playback, 0, 7), api.Pause(seat.playback, 8),
-                                      api.MoveDone(seat.playback, 9), api.End(seat.playback, 10)]):  # fmt: skip
+            for method, suffix in LATE_CALLS:
+                body = offer(20_000, 1).encode() if suffix == "/move" else b'{"encodingId": "0"}'
+                kind = {"": SDPFRAG_MEDIA_TYPE, "/move": sdp.MEDIA_TYPE}.get(suffix, "application/json")
+                answer = await rig.request(method, location + suffix, body, Content_Type=kind, If_Match="*")
+                assert answer.status == 404, (method, suffix)
+            calls = [
+                api.Layer(playing.playback, 0, 7),
+                api.Pause(playing.playback, 8),
+                api.MoveDone(playing.playback, 9),
+                api.End(playing.playback, 10),
+            ]
+            for n, call in enumerate(calls):
                 await client_connection.send(call)
                 while not isinstance(done := await client_connection.receive(), api.Done):
                     pass
-                assert (done.id, done.status) == (7 + n, 200 if done.id == 10 and ended == "ending" else 404)
+                assert (done.id, done.status) == (
+                    7 + n,
+                    200 if done.id == 10 and session_state == "ending" else 404,
+                )
             for node in rig.fleet.nodes.values():
                 node.ails.silent = False
                 node.stir()
@@ -485,6 +525,8 @@
 def test_added_and_removed_nodes_leave_no_client_no_task_and_no_entry(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against a slow leak over many changes of the node list."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             coordinator = rig.coordinator()
@@ -512,6 +554,8 @@
 def test_a_set_up_answered_by_a_process_that_the_list_has_replaced_is_ended_there(
     tmp_path: Path, path: str, status: int
 ) -> None:
+    """A paid set-up is aborted, a free one is tried elsewhere, and the late session is ended."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
@@ -539,6 +583,8 @@
 
 
 def test_publishers_that_ended_by_themselves_leave_no_entry(tmp_path: Path) -> None:
+    """Guards against a table of publishers that grows with each of them."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             service = rig.front_end.service if rig.front_end else None
@@ -557,6 +603,8 @@
 
 
 def test_the_state_file_drops_old_versions_and_removed_nodes(tmp_path: Path) -> None:
+    """Guards against a state file that grows with each catalogue version and each node."""
+
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             catalogues = rig.front_end.catalogues if rig.front_end else None
@@ -586,6 +634,8 @@
 
 
 def test_a_record_after_the_abort_of_its_request_changes_nothing(tmp_path: Path) -> None:
+    """A late record does not turn an aborted promise into a playing one."""
+
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
@@ -612,6 +662,8 @@
 
 
 def test_a_kept_alive_connection_lost_during_a_set_up_proves_nothing() -> None:
+    """The server may have read the request before it closed the connection, so its outcome is a reset."""
+
     async def node(stream: trio.SocketStream) -> None:
         while b"\r\n\r\n" not in await stream.receive_some(4_096):
             pass
@@ -625,10 +677,10 @@
             peer = HttpClient("127.0.0.1", listener.socket.getsockname()[1])
             assert (await peer.request("POST", "/a", [], b"x" * 10)).status == 201
             assert len(peer.idle) == 1
-            trail = RequestProgress()
-            with pytest.raises(ExchangeError) as ended:
-                await peer.request("POST", "/a", [], b"x" * 10, trail)
-            assert setup_outcome(trail, ended.value.end) is Outcome.RESET
+            progress = RequestProgress()
+            with pytest.raises(ExchangeError) as caught:
+                await peer.request("POST", "/a", [], b"x" * 10, progress)
+            assert setup_outcome(progress, caught.value.end) is Outcome.RESET
             assert not peer.idle
             nursery.cancel_scope.cancel()
 
@@ -638,6 +690,7 @@
 def test_idle_connections_and_stalled_readers_lose_only_their_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Their playbacks continue, and other clients are served."""
     monkeypatch.setattr("oakcroft.front.websocket_api.WRITE_TIMEOUT_S", 0.2)
 
     async def test() -> None:
@@ -674,6 +727,8 @@
 def test_an_ice_restart_that_a_move_overtakes_changes_nothing_of_the_target(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The late answer of the source node does not change the entity tag of the target."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             answer = await rig.request_playback()
@@ -699,6 +754,7 @@
 
 
 def test_unclaimed_sessions_of_a_node_are_bounded() -> None:
+    """Guards against unbounded memory where a node reports sessions without end."""
     claims = NodeSessions(10 * SECOND, max_unclaimed=100)
     for number in range(1_000):
         claims.session_started(f"/s/{number}", 0)
--- a/tests/test_session_takeover.py
+++ b/tests/test_session_takeover.py
@@ -65,6 +65,7 @@
 
 
 def test_leases_are_bounded() -> None:
+    """A lease is at least the default of the node and at most `MAX_SESSION_LEASE`."""
     assert effective_lease(0, 3 * SECOND) == 3 * SECOND
     assert effective_lease(15 * SECOND, 3 * SECOND) == 15 * SECOND
     assert effective_lease(SECOND, 3 * SECOND) == 3 * SECOND
@@ -72,6 +73,7 @@
 
 
 def test_three_fronts_share_the_sessions_of_each_node_and_then_take_the_rest() -> None:
+    """Each node is asked by three front ends, first for disjoint shares of its sessions and later for all of them."""
     names = [f"f{i}" for i in range(9)]
     living = [n for n in names if n != "f4"]
     asked: dict[str, list[tuple[str, set[str]]]] = {}
@@ -102,6 +104,7 @@
 
 
 def test_a_front_that_returns_keeps_its_sessions_and_failed_requests_are_repeated() -> None:
+    """Requests are repeated until they succeed, the front end returns or its sessions have expired."""
     takeover = SessionTakeover("f0", BOUNDS)
     takeover.update_nodes(["n1"], 0)
     takeover.update_fronts([], ["f0", "f1"], 0)
@@ -131,6 +134,7 @@
 
 
 def test_own_earlier_sessions_are_requested_at_all_nodes_once_these_are_listed() -> None:
+    """A restarted front end requests the sessions of its earlier generation from every listed node."""
     takeover = SessionTakeover("f0", BOUNDS)
     takeover.add_own_earlier_generation(SECOND)
     assert takeover.take_finished(SECOND) == []
@@ -150,6 +154,7 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 40), st.integers(1, 12), st.integers(0, 1 << 30))
 def test_requests_and_tables_are_bounded(fronts: int, nodes: int, seed: int) -> None:
+    """Random events never exceed the bounds, and each pending task exists exactly once."""
     rng = Random(seed)
     names = [f"f{i}" for i in range(fronts)]
     takeover, now = SessionTakeover("f0", BOUNDS), 0
@@ -187,6 +192,7 @@
 
 
 def test_tasks_past_the_bound_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Tasks over `MAX_TASKS` are dropped and counted."""
     monkeypatch.setattr(session_takeover, "MAX_TASKS", 10)
     takeover = SessionTakeover("f0", BOUNDS)
     takeover.update_nodes([f"n{i}" for i in range(4)], 0)
@@ -196,6 +202,7 @@
 
 @given(TEXT, TEXT, st.integers(0, 1 << 40), st.booleans())
 def test_a_memo_survives_encoding_and_decoding(id_: str, title: str, when: int, publishes: bool) -> None:
+    """Decoding an encoded memo gives the same memo."""
     memo = takeover_messages.SessionMemo(
         id_, "a", "/whep/open/t", title, "open", "u", "", 3, when, when + 1, publishes
     )
@@ -204,6 +211,7 @@
 
 @given(st.text(max_size=80) | st.binary(max_size=80).map(lambda b: b.decode("latin-1")))
 def test_invalid_memos_fronts_and_leases_are_ignored(text: str) -> None:
+    """Arbitrary header values decode to a valid value or count as absent."""
     memo = takeover_messages.decode_memo(text)
     assert memo is None or takeover_messages.encode_memo(memo)
     name, start = takeover_messages.parse_front(text)
@@ -213,6 +221,7 @@
 
 @given(st.text(min_size=1, max_size=64), st.integers(1, (1 << 56) - 1))
 def test_a_field_can_hold_any_member_name(name: str, start: int) -> None:
+    """Any name that UTF-8 can encode survives the Oakcroft-Front field."""
     try:
         name.encode()
     except UnicodeEncodeError:
@@ -221,12 +230,15 @@
 
 
 def test_a_memo_that_does_not_fit_its_field_is_empty() -> None:
+    """A memo over the limit is not sent, and an invalid one is not decoded."""
     memo = takeover_messages.SessionMemo("i", "a", "/" + "x" * 5_000, "t", "open", "u", "", 3, 0, 1, False)
     assert takeover_messages.encode_memo(memo) == ""
     assert takeover_messages.decode_memo("A" * 100) is None
 
 
 def test_takeovers_and_probes_are_off_unless_configured() -> None:
+    """Takeovers and probes are configured by their own forms, with defaults."""
+
     def place(more: str) -> PeerSettings:
         peers = '(peers (name f0) (listen "127.0.0.1:7946") (seeds "127.0.0.1:7947") (key-file "k"))'
         front = '(front (zone west) (listen "127.0.0.1:0") (list-service "127.0.0.1:1"))'
@@ -248,6 +260,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_sessions_of_failed_fronts_are_taken_over(seed: int) -> None:
+    """All sessions of failed front ends continue elsewhere within eight seconds."""
     fleet = ManyAdopters(12, 6, 20, seed, BOUNDS)
     fleet.play(1)
     fleet.kill([f"f{i}" for i in range(1 + 3 * (seed % 3))], heard_after=seed * 100 * MS)
@@ -259,6 +272,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_late_and_duplicated_messages_do_not_break_ownership(seed: int) -> None:
+    """Lost, late and duplicated messages never give a session two owners or a failed one."""
     rng, net = Random(seed), Net(lose=0.1, double=0.2, much_later=0.2)
     fleet = ManyAdopters(8, 4, 10, seed, BOUNDS, net)
     for _ in range(6):
@@ -278,6 +292,7 @@
 
 
 def test_the_simulation_detects_nodes_that_do_not_check_ownership() -> None:
+    """Shows that the simulation would find a violation: with nodes that do not check, it finds some."""
     found = 0
     for seed in range(20):
         rng = Random(seed)
@@ -291,6 +306,7 @@
 
 
 def test_sessions_that_no_front_has_room_for_end_with_their_lease() -> None:
+    """Sessions over the capacity of the remaining front ends end when their lease expires."""
     fleet = ManyAdopters(4, 2, 10, 1, BOUNDS, room=12)
     fleet.kill(["f0"])
     fleet.play(25)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -47,30 +47,31 @@
 def test_a_client_receives_each_message_once_and_in_order_over_reconnects(
     steps: list[tuple[str, int]],
 ) -> None:
+    """Random sequences of messages, acknowledgements and lost connections lose and repeat no message."""
     client_session, now, connection_number = ClientSession[int](10 * SECOND, Outbox(16), connection=1), 0, 1
     received, sent, wire = list[int](), 0, list[tuple[int, int]]()
-    for what, k in steps:
+    for step, count in steps:
         now += MS
-        if what == "p" and not client_session.has_ended:
+        if step == "p" and not client_session.has_ended:
             number = client_session.enqueue(sent, now)
             if number is not None:
                 sent += 1
                 if client_session.state is ClientSessionState.ATTACHED:
                     wire.append((number, sent - 1))
-        elif what == "a":  # the connection delivers some messages, the client acknowledges them
-            for number, message in wire[:k]:
+        elif step == "a":  # the connection delivers some messages, the client acknowledges them
+            for number, message in wire[:count]:
                 if number == len(received) + 1:
                     received.append(message)
-            del wire[:k]
+            del wire[:count]
             assert client_session.outbox.acknowledge(len(received))
-        elif what == "c":  # the connection is lost and the client reconnects: messages in transit are lost
+        elif step == "c":  # the connection is lost and the client reconnects: messages in transit are lost
             client_session.detach(connection_number, now)
             wire.clear()
             connection_number += 1
             attachment = client_session.attach(connection_number, len(received), now)
             if attachment is not None:
                 wire += attachment[0]
-        elif what == "b":
+        elif step == "b":
             client_session.detach(connection_number, now)
             wire.clear()
     attachment = client_session.attach(connection_number + 1, len(received), now)
@@ -81,6 +82,7 @@
 
 
 def test_the_later_connection_wins_and_a_client_session_expires() -> None:
+    """An earlier connection has no effect any more, and an unattached client session ends after its timeout."""
     client_session = ClientSession[str](SECOND, Outbox(4), connection=1)
     assert client_session.enqueue("a", 0) == 1
     assert client_session.attach(2, 0, 1) == ([(1, "a")], 1)
@@ -90,38 +92,40 @@
     assert not client_session.check_expiry(SECOND)
     assert client_session.check_expiry(2 * SECOND)
     assert client_session.attach(3, 0, 2 * SECOND) is None
-    misbehaving = ClientSession[str](SECOND, Outbox(4), connection=1)
-    assert not misbehaving.outbox.acknowledge(1)
-    assert misbehaving.attach(2, 5, 0) is None  # it acknowledges a message that was never sent
-    pulse = KeepaliveProbe(SECOND)
+    misbehaving_session = ClientSession[str](SECOND, Outbox(4), connection=1)
+    assert not misbehaving_session.outbox.acknowledge(1)
+    assert misbehaving_session.attach(2, 5, 0) is None  # it acknowledges a message that was never sent
+    keepalive = KeepaliveProbe(SECOND)
     for asked in range(3):
-        assert not pulse.is_dead, asked
-        pulse.ping_sent()
-    assert pulse.is_dead
-    pulse.message_received()
-    assert not pulse.is_dead
+        assert not keepalive.is_dead, asked
+        keepalive.ping_sent()
+    assert keepalive.is_dead
+    keepalive.message_received()
+    assert not keepalive.is_dead
 
 
 def test_resume_tokens_are_signed_bound_to_a_caller_and_expire() -> None:
-    passes = ResumeTokens(10 * SECOND, SECOND)
-    passes.add_key(0, b"k" * 32, 0)
-    given_ = passes.issue("seat-1", "alice", 0)
-    assert passes.verify(given_, "alice", 1) == "seat-1"
-    assert passes.verify(given_, "bob", 1) is TokenError.BAD_SIGNATURE
-    assert passes.verify(given_.replace("seat-1", "seat-2"), "alice", 1) is TokenError.BAD_SIGNATURE
-    assert passes.verify(given_, "alice", 11 * SECOND) is TokenError.EXPIRED
-    assert passes.verify("no pass", "alice", 1) is TokenError.MALFORMED
-    assert passes.needs_key(2 * SECOND)
-    passes.add_key(1, b"l" * 32, 2 * SECOND)
-    assert passes.verify(given_, "alice", 3 * SECOND) == "seat-1"
-    passes.add_key(2, b"m" * 32, 4 * SECOND)
-    assert passes.verify(given_, "alice", 5 * SECOND) is TokenError.UNKNOWN_KEY
+    """A token is valid only unchanged, for its caller, within its lifetime and while its key is kept."""
+    tokens = ResumeTokens(10 * SECOND, SECOND)
+    tokens.add_key(0, b"k" * 32, 0)
+    token = tokens.issue("seat-1", "alice", 0)
+    assert tokens.verify(token, "alice", 1) == "seat-1"
+    assert tokens.verify(token, "bob", 1) is TokenError.BAD_SIGNATURE
+    assert tokens.verify(token.replace("seat-1", "seat-2"), "alice", 1) is TokenError.BAD_SIGNATURE
+    assert tokens.verify(token, "alice", 11 * SECOND) is TokenError.EXPIRED
+    assert tokens.verify("no pass", "alice", 1) is TokenError.MALFORMED
+    assert tokens.needs_key(2 * SECOND)
+    tokens.add_key(1, b"l" * 32, 2 * SECOND)
+    assert tokens.verify(token, "alice", 3 * SECOND) == "seat-1"
+    tokens.add_key(2, b"m" * 32, 4 * SECOND)
+    assert tokens.verify(token, "alice", 5 * SECOND) is TokenError.UNKNOWN_KEY
     restarted = ResumeTokens(10 * SECOND)
     restarted.add_key(9, b"z" * 32, 0)
-    assert restarted.verify(given_, "alice", 1) is TokenError.UNKNOWN_KEY
+    assert restarted.verify(token, "alice", 1) is TokenError.UNKNOWN_KEY
 
 
 def test_the_usage_of_a_client_is_limited() -> None:
+    """Connections, pending requests, playbacks and the message rate each have their limit."""
     client = ClientUsage(
         ClientLimits(
             connections=1, pending_requests=2, playbacks=3, messages_per_second=1.0, message_burst=2.0
@@ -156,9 +160,10 @@
 
 
 def test_the_fair_queue_answers_in_time_and_starves_no_plan() -> None:
+    """Under five times the capacity, the queue earns far more than in order of arrival, and every plan gets its share."""
     served: dict[str, dict[str, int]] = {}
-    for order in ("line", "first come"):
-        line = FairQueue(
+    for order in ("fair", "arrival"):
+        fair_queue = FairQueue(
             {"dear": 9.0, "cheap": 1.0}, ConcurrencyWindow(min_size=1, max_size=1, size=1.0), 50 * MS
         )
         rng, now, number, in_time = Random(3), 0, 0, {"dear": 0, "cheap": 0}
@@ -171,17 +176,18 @@
                 queued = QueuedRequest(
                     now + 500 * MS, number, rng.choice(["dear", "cheap"]), f"c{rng.randrange(5)}"
                 )
-                if order == "first come":
+                if order == "arrival":
                     queue.append(queued)
-                elif line.submit(queued):
+                elif fair_queue.submit(queued):
                     in_time[queued.plan] += 1
                     finishes.append(now + 50 * MS)
             for at in [f for f in finishes if f <= now]:
                 finishes.remove(at)
-                line.finish() if order == "line" else None
-            if order == "line":
-                line.remove_expired(now)
-                while (turn := line.next_request()) is not None:
+                if order == "fair":
+                    fair_queue.finish()
+            if order == "fair":
+                fair_queue.remove_expired(now)
+                while (turn := fair_queue.next_request()) is not None:
                     in_time[turn.plan] += 1
                     finishes.append(now + 50 * MS)
             elif queue and not finishes:
@@ -190,12 +196,13 @@
                 in_time[queued.plan] += queued.abandon_at >= now + 50 * MS
         served[order] = in_time
     revenue = {order: 9 * s["dear"] + s["cheap"] for order, s in served.items()}
-    assert revenue["line"] > 5 * revenue["first come"]
-    assert served["line"]["cheap"] >= 0.08 * sum(served["line"].values())  # its minimum share
-    assert served["line"]["dear"] > 4 * served["line"]["cheap"]
+    assert revenue["fair"] > 5 * revenue["arrival"]
+    assert served["fair"]["cheap"] >= 0.08 * sum(served["fair"].values())  # its minimum share
+    assert served["fair"]["dear"] > 4 * served["fair"]["cheap"]
 
 
 def test_the_concurrency_window_shrinks_under_delay_and_recovers() -> None:
+    """The window shrinks to its minimum while the event loop is late, and grows again afterwards."""
     window = ConcurrencyWindow(min_size=4, max_size=100, size=100.0)
     for _ in range(30):
         window.adjust(80 * MS)
@@ -206,22 +213,24 @@
 
 
 def test_a_plan_that_cannot_be_served_in_time_is_shed_and_no_other() -> None:
-    line = FairQueue({"dear": 9.0, "cheap": 1.0}, ConcurrencyWindow(min_size=1, max_size=1, size=1.0), 50 * MS,
+    """Only the plan whose queue is longer than its share of the throughput is shed."""
+    fair_queue = FairQueue({"dear": 9.0, "cheap": 1.0}, ConcurrencyWindow(min_size=1, max_size=1, size=1.0), 50 * MS,
                 startup_targets={"dear": SECOND, "cheap": SECOND})  # fmt: skip
-    line.submit(QueuedRequest(5 * SECOND, 0, "cheap", ""))
-    line.turns_since_heartbeat, line.throughput = 0, 100.0
+    fair_queue.submit(QueuedRequest(5 * SECOND, 0, "cheap", ""))
+    fair_queue.turns_since_heartbeat, fair_queue.throughput = 0, 100.0
     for number in range(1, 20):
-        assert not line.should_shed("dear")
-        if not line.should_shed("cheap"):
-            line.submit(QueuedRequest(5 * SECOND, number, "cheap", ""))
+        assert not fair_queue.should_shed("dear")
+        if not fair_queue.should_shed("cheap"):
+            fair_queue.submit(QueuedRequest(5 * SECOND, number, "cheap", ""))
     # Alone it gets all the turns: 50 in half its startup target.
-    assert line.plans["cheap"].waiting_count == 19
-    line.submit(QueuedRequest(5 * SECOND, 20, "dear", ""))
-    assert line.should_shed("cheap")  # now it gets a tenth of them
-    assert not line.should_shed("dear")
+    assert fair_queue.plans["cheap"].waiting_count == 19
+    fair_queue.submit(QueuedRequest(5 * SECOND, 20, "dear", ""))
+    assert fair_queue.should_shed("cheap")  # now it gets a tenth of them
+    assert not fair_queue.should_shed("dear")
 
 
 def test_only_a_complete_plain_post_is_answered_unparsed() -> None:
+    """Any header field or byte beyond a plain POST makes the server parse the request."""
     good = b"POST /whep/open/t HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nv=0\n"
     assert is_whole_post(good)
     assert is_whole_post(good.replace(b"Content-Length", b"content-length"))
@@ -234,6 +243,7 @@
 
 
 def test_a_client_retries_only_where_that_is_safe() -> None:
+    """The retry policy gives the action for each kind of answer, within its budget."""
     retries = Retries(Random(1), most=3)
     assert retries.after(1, 201, "", True, None)[0] is RetryAction.DONE
     assert retries.after(1, None, "", True, None, sent=False)[0] is RetryAction.SAME_KEY
@@ -253,12 +263,14 @@
 
 
 def test_the_reference_page_matches_the_messages() -> None:
+    """The reference page in docs is generated from the message classes as they are."""
     assert (HERE.parent / "docs" / "session-api.md").read_text() == api.reference()
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=120), st.sampled_from(api.SUBPROTOCOLS))
 def test_arbitrary_bytes_raise_only_value_error_in_the_codec(data: bytes, subprotocol: str) -> None:
+    """Bytes decode to a message that survives encoding, or raise ValueError."""
     codec = api.Codec(subprotocol)
     try:
         message = codec.decode_client_message(data)
@@ -271,6 +283,7 @@
 
 
 def coordinator_and_api(rig: Rig) -> tuple[SessionCoordinator, SessionApi]:
+    """Returns the coordinator and the session API of a running front end."""
     assert rig.front_end is not None
     assert rig.front_end.coordinator is not None
     assert rig.front_end.session_api is not None
@@ -281,20 +294,24 @@
     """A WebSocket client whose every step is under the test's control."""
 
     def __init__(self, stream: trio.SocketStream, websocket: wsproto.WSConnection) -> None:
+        """`websocket`: the state of an upgraded connection on `stream`."""
         self.stream, self.websocket = stream, websocket
 
     async def send(self, message: object) -> None:
+        """Sends a message as one text frame."""
         await self.stream.send_all(
             self.websocket.send(events.TextMessage(data=api.Codec(api.JSON).encode(message).decode()))
         )
 
     async def next_event(self) -> events.Event:
+        """Returns the next WebSocket event."""
         while True:
             for event in self.websocket.events():
                 return event
             self.websocket.receive_data(await self.stream.receive_some(65_536) or None)
 
     async def receive(self) -> api.ToClient:
+        """Returns the next message; fails if the connection was closed."""
         while True:
             event = await self.next_event()
             if isinstance(event, events.TextMessage):
@@ -302,15 +319,18 @@
             assert not isinstance(event, events.CloseConnection), (event.code, event.reason)
 
     async def close_code(self) -> int:
+        """Returns the status code of the close frame, skipping what comes before it."""
         while not isinstance(event := await self.next_event(), events.CloseConnection):
             pass
         return event.code
 
     async def abort(self) -> None:
+        """Closes the connection without a close frame."""
         await trio.aclose_forcefully(self.stream)
 
 
 async def open_raw_client(rig: Rig) -> RawClient:
+    """Opens a WebSocket connection to the front end."""
     stream = await trio.open_tcp_stream("127.0.0.1", rig.port)
     ws = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
     await stream.send_all(ws.send(events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])))
@@ -321,6 +341,7 @@
 
 @asynccontextmanager
 async def raw_client(rig: Rig, hello: api.Hello | None = None) -> AsyncIterator[RawClient]:
+    """Gives a raw client that has sent `hello`, if there is one."""
     client_connection = await open_raw_client(rig)
     try:
         if hello is not None:
@@ -331,9 +352,11 @@
 
 
 def test_a_playback_over_websocket_and_the_client_library(tmp_path: Path) -> None:
+    """The client library plays, changes rungs, gets events and ends playbacks in both subprotocols."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            helm, sessions = coordinator_and_api(rig)
+            coordinator, sessions = coordinator_and_api(rig)
             for subprotocol in api.SUBPROTOCOLS:
                 async with SessionClient.open(
                     f"http://127.0.0.1:{rig.port}", subprotocol=subprotocol
@@ -353,9 +376,9 @@
                     await client.end(second)
                     await wait_until(lambda: not rig.nodes_in_use())
                     third = await client.play("/whep/course/u", OFFER)
-                    assert third.id in helm.sessions_by_id
+                    assert third.id in coordinator.sessions_by_id
                 # Closing the client ended its playbacks.
-                await wait_until(lambda: not rig.nodes_in_use() and not helm.sessions_by_playback)
+                await wait_until(lambda: not rig.nodes_in_use() and not coordinator.sessions_by_playback)
                 await wait_until(lambda: not sessions.clients)
                 for node in rig.fleet.nodes.values():
                     if node.ails.dead:
@@ -366,10 +389,12 @@
 
 
 def test_one_key_over_both_apis_is_one_playback(tmp_path: Path) -> None:
+    """A key that was used over HTTP replays its answer over WebSocket."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             assert isinstance(await client_connection.receive(), api.Welcome)
-            sat = await rig.request(
+            http_answer = await rig.request(
                 "POST",
                 "/whep/course/t",
                 OFFER.encode(),
@@ -380,7 +405,7 @@
             answer = await client_connection.receive()
             assert isinstance(answer, api.Answer)
             assert (answer.status, answer.again) == (201, True)
-            assert f"/session/{answer.playback}" == sat.header("location")
+            assert f"/session/{answer.playback}" == http_answer.header("location")
             assert len(rig.recorded("ran")) == 1
 
     run_async_test(test)
@@ -401,17 +426,17 @@
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            helm, sessions = coordinator_and_api(rig)
-            received, numbers, playing, pass_ = list[object](), list[int](), dict[int, str](), ""
+            coordinator, sessions = coordinator_and_api(rig)
+            received, numbers, playing, resume_token = list[object](), list[int](), dict[int, str](), ""
 
             async def connect() -> RawClient:
-                nonlocal pass_
+                nonlocal resume_token
                 client_connection = await open_raw_client(rig)
-                await client_connection.send(api.Hello(pass_, numbers[-1] if numbers else 0))
+                await client_connection.send(api.Hello(resume_token, numbers[-1] if numbers else 0))
                 welcome = await client_connection.receive()
                 assert isinstance(welcome, api.Welcome)
-                assert welcome.back is bool(pass_)
-                pass_ = welcome.resume
+                assert welcome.back is bool(resume_token)
+                resume_token = welcome.resume
                 return client_connection
 
             client_connection = await connect()
@@ -440,41 +465,48 @@
             assert await client_connection.close_code() == 1000
             await client_connection.abort()
             await wait_until(
-                lambda: not helm.sessions_by_playback and not sessions.clients and not rig.nodes_in_use()
+                lambda: (
+                    not coordinator.sessions_by_playback and not sessions.clients and not rig.nodes_in_use()
+                )
             )
-            await wait_until(lambda: not sessions.usage_by_caller and helm.unanswered_count == 0)
+            await wait_until(lambda: not sessions.usage_by_caller and coordinator.unanswered_count == 0)
 
     run_async_test(test)
 
 
 async def collect(
-    one: RawClient, heard: list[object], numbers: list[int], playing: dict[int, str], wanted: int
+    client: RawClient, received: list[object], numbers: list[int], playing: dict[int, str], wanted: int
 ) -> None:
     """Receives messages until the answers to the first `wanted` calls have arrived."""
     with trio.fail_after(5):
-        while len([m for m in heard if isinstance(m, api.Answer | api.Done)]) < wanted:
-            message = await one.receive()
-            heard.append(message)
+        while len([m for m in received if isinstance(m, api.Answer | api.Done)]) < wanted:
+            message = await client.receive()
+            received.append(message)
             numbers.append(getattr(message, "n", 0))
             if isinstance(message, api.Answer):
                 playing[message.id] = message.playback
 
 
 def test_a_later_connection_replaces_and_an_unknown_resume_token_is_reported(tmp_path: Path) -> None:
+    """A reconnect closes the earlier connection, and an unknown token starts a new session with the reason."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig, api.Hello()) as client_connection:
             welcome = await client_connection.receive()
             assert isinstance(welcome, api.Welcome)
-            async with raw_client(rig, api.Hello(welcome.resume, 0)) as two:
-                again = await two.receive()
+            async with raw_client(rig, api.Hello(welcome.resume, 0)) as second:
+                again = await second.receive()
                 assert isinstance(again, api.Welcome)
                 assert again.back
                 assert isinstance(await client_connection.receive(), api.Replaced)
                 assert await client_connection.close_code() == 4001
-            async with raw_client(rig, api.Hello("1.2.x.y", 0)) as three:
-                fresh = await three.receive()
-                assert isinstance(fresh, api.Welcome)
-                assert (fresh.back, fresh.why) == (False, TokenError.UNKNOWN_KEY.value)
+            async with raw_client(rig, api.Hello("1.2.x.y", 0)) as third:
+                new_session_welcome = await third.receive()
+                assert isinstance(new_session_welcome, api.Welcome)
+                assert (new_session_welcome.back, new_session_welcome.why) == (
+                    False,
+                    TokenError.UNKNOWN_KEY.value,
+                )
 
     run_async_test(test)
 
@@ -496,6 +528,8 @@
     ],
 )
 def test_frames_that_the_rfc_forbids_close_with_its_code(tmp_path: Path, data: bytes, code: int) -> None:
+    """Each violation of RFC 6455 closes its connection with the status code of the RFC."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig) as client_connection:
             await client_connection.stream.send_all(data)
@@ -507,6 +541,8 @@
 
 
 def test_fragmented_messages_pings_and_invalid_acknowledgements(tmp_path: Path) -> None:
+    """Fragments are joined, pings are answered, and an acknowledgement of nothing sent closes the connection."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, raw_client(rig) as client_connection:
             text = api.Codec(api.JSON).encode(api.Hello()).decode()
@@ -531,6 +567,8 @@
 
 
 def test_random_bytes_after_the_upgrade_affect_no_other_client(tmp_path: Path) -> None:
+    """Random bytes cause no failed request in the log, and other clients are served."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             rng = Random(5)
@@ -544,6 +582,8 @@
 
 
 def test_the_http_client_retries_safely(tmp_path: Path) -> None:
+    """A paid request without an answer is not repeated, and the blocking client plays and ends."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             client = WhepClient(f"http://127.0.0.1:{rig.port}", retries=Retries(Random(1), first_wait=0.01))
@@ -571,6 +611,8 @@
 
 
 def test_a_request_pending_in_a_restart_is_not_repeated(tmp_path: Path) -> None:
+    """Guards against a paid playback that is set up twice, before and after a restart without a state file."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, trio.open_nursery() as nursery:
             for node in rig.fleet.nodes.values():
@@ -598,6 +640,8 @@
 
 
 def test_a_call_lost_with_its_connection_is_sent_again_and_carried_out_once(tmp_path: Path) -> None:
+    """The connection is lost before a call is written, or while its set-up is pending at a node."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             async with SessionClient.open(
@@ -635,6 +679,8 @@
 
 
 def test_a_client_continues_over_the_restart_of_a_front_with_a_state_file(tmp_path: Path) -> None:
+    """Playbacks continue over the restart, and a pending paid request is aborted."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
@@ -689,6 +735,8 @@
 
 
 def test_playbacks_that_no_client_resumes_after_a_restart_end(tmp_path: Path) -> None:
+    """Guards against playbacks that run for ever because their client does not return after a restart."""
+
     async def test() -> None:
         async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
@@ -702,10 +750,10 @@
             await start_front_end(nursery, rig, with_state=True)
             assert rig.front_end is not None
             assert rig.front_end.coordinator is not None
-            memory = rig.front_end.coordinator.durable_state
-            assert memory is not None
-            assert len(memory.unclaimed_until) == 1
-            memory.unclaimed_until = dict.fromkeys(memory.unclaimed_until, 0)
+            durable_state = rig.front_end.coordinator.durable_state
+            assert durable_state is not None
+            assert len(durable_state.unclaimed_until) == 1
+            durable_state.unclaimed_until = dict.fromkeys(durable_state.unclaimed_until, 0)
             await wait_until(lambda: len(rig.recorded("over")) == 1)
             nursery.cancel_scope.cancel()
 
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -1,4 +1,4 @@
-"""Parsers of data from outside: strict, with an error that names the place, and never another exception."""
+"""Parsers of external data: they are strict, their errors name the place, and they raise no other exception."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
         (("v=0", "v=1"), "begin with v=0"),
         (("s=-\r\n", ""), "no s="),
@@ -30,14 +30,14 @@
         (("c=IN IP4 0.0.0.0", "t=0 0"), "no place in a media section"),
     ],
 )
-def test_a_malformed_description_is_rejected_with_its_reason(change: tuple[str, str], why: str) -> None:
+def test_a_malformed_description_is_rejected_with_its_reason(change: tuple[str, str], reason: str) -> None:
     """A malformed session description is rejected with the reason."""
-    with pytest.raises(sdp.SdpError, match=why):
+    with pytest.raises(sdp.SdpError, match=reason):
         sdp.parse(OFFER.replace(*change))
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
         (("a=recvonly", "a=sendonly"), "wanted recvonly"),
         (("a=ice-pwd:" + "p" * 24, "a=ice-pwd:short"), "ice-pwd"),
@@ -48,22 +48,22 @@
         (("UDP/TLS/RTP/SAVPF", "RTP/AVP"), "not secured"),
     ],
 )
-def test_an_offer_that_whep_does_not_allow_is_rejected(change: tuple[str, str], why: str) -> None:
+def test_an_offer_that_whep_does_not_allow_is_rejected(change: tuple[str, str], reason: str) -> None:
     """An offer that WHEP does not allow is rejected with the reason."""
     sdp.check_offer(sdp.parse(OFFER), False)
-    with pytest.raises(sdp.SdpError, match=why):
+    with pytest.raises(sdp.SdpError, match=reason):
         sdp.check_offer(sdp.parse(OFFER.replace(*change)), False)
 
 
 def test_an_answer_has_the_opposite_direction() -> None:
     """A generated answer parses and has the opposite direction of its offer."""
     for publishes in (False, True):
-        asked = sdp.parse(offer(800, 7, publishes))
-        sdp.check_offer(asked, publishes)
-        given_ = sdp.parse(
-            sdp.create_answer(asked, 3, ("u" * 8, "p" * 24), "sha-256 " + ":".join(["AB"] * 32))
+        parsed_offer = sdp.parse(offer(800, 7, publishes))
+        sdp.check_offer(parsed_offer, publishes)
+        answer = sdp.parse(
+            sdp.create_answer(parsed_offer, 3, ("u" * 8, "p" * 24), "sha-256 " + ":".join(["AB"] * 32))
         )
-        assert [given_.direction(m) for m in given_.media] == ["recvonly" if publishes else "sendonly"] * 2
+        assert [answer.direction(m) for m in answer.media] == ["recvonly" if publishes else "sendonly"] * 2
 
 
 def test_bandwidth_is_that_of_the_session_or_the_sum_of_its_media() -> None:
@@ -77,8 +77,8 @@
     """Link, Idempotency-Key and Accept headers are parsed as their specifications say."""
     value = '<a>; rel="x y"; q=1, <b,c>;rel=z , <d>'
     assert http_formats.parse_links([value]) == {"x": "a", "y": "a", "z": "b,c"}
-    made = http_formats.format_link("/s", http_formats.REL_EVENTS, events="a,b")
-    assert http_formats.parse_links([made]) == {http_formats.REL_EVENTS: "/s"}
+    formatted = http_formats.format_link("/s", http_formats.REL_EVENTS, events="a,b")
+    assert http_formats.parse_links([formatted]) == {http_formats.REL_EVENTS: "/s"}
     assert http_formats.parse_idempotency_key('"a b"') == "a b"
     assert http_formats.parse_idempotency_key("8e03978e-40d5") == "8e03978e-40d5"
     assert http_formats.parse_idempotency_key('"') is None
@@ -107,10 +107,10 @@
     )
     for size in (1, 2, 7, 100):
         reader = http_formats.EventStreamParser()
-        got = list[tuple[str, bytes]]()
+        events = list[tuple[str, bytes]]()
         for i in range(0, len(data), size):
-            got += reader.feed(data[i : i + size])
-        assert got == [("share", b'{"share":0.5}'), ("", b""), ("message", b"1\n2")]
+            events += reader.feed(data[i : i + size])
+        assert events == [("share", b'{"share":0.5}'), ("", b""), ("message", b"1\n2")]
     with pytest.raises(ValueError, match="too long"):
         list(http_formats.EventStreamParser(100).feed(b"x" * 200))
 
@@ -121,24 +121,24 @@
     """Mutated offers parse or raise SdpError, and no other exception."""
     raw = bytearray(OFFER.encode())
     for _ in range(data.draw(st.integers(1, 6))):
-        at = data.draw(st.integers(0, len(raw) - 1))
-        raw[at : at + data.draw(st.integers(0, 9))] = data.draw(st.binary(max_size=6))
+        position = data.draw(st.integers(0, len(raw) - 1))
+        raw[position : position + data.draw(st.integers(0, 9))] = data.draw(st.binary(max_size=6))
     text = bytes(raw).decode("latin-1")
     try:
-        offer_ = sdp.parse(text)
-        sdp.check_offer(offer_, False)
+        parsed_offer = sdp.parse(text)
+        sdp.check_offer(parsed_offer, False)
     except sdp.SdpError:
         return
-    sdp.parse(sdp.create_answer(offer_, 1, ("uuuu", "p" * 22), "sha-256 " + ":".join(["AB"] * 32)))
+    sdp.parse(sdp.create_answer(parsed_offer, 1, ("uuuu", "p" * 22), "sha-256 " + ":".join(["AB"] * 32)))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary(max_size=200), st.text(max_size=80))
 def test_arbitrary_input_raises_only_declared_errors(raw: bytes, text: str) -> None:
     """Arbitrary bytes raise only the error that each parser declares."""
-    for parser, fault in ((sdp.parse, sdp.SdpError), (sdp.parse_fragment, sdp.SdpError)):
-        with contextlib.suppress(fault):
-            parser(text)
+    for parse_function, error in ((sdp.parse, sdp.SdpError), (sdp.parse_fragment, sdp.SdpError)):
+        with contextlib.suppress(error):
+            parse_function(text)
     http_formats.parse_links([text])
     http_formats.parse_idempotency_key(text)
     http_formats.accepts_media_type(text, sdp.MEDIA_TYPE)
@@ -173,8 +173,8 @@
         "s",
     )
     raw = orjson.dumps(LIST)
-    for old, new, why in (
+    for old, new, reason in (
         (b'"cell":0', b'"cell":"x"', "cell"), (b"DRAINING", b"LIMPING", "LIMPING"), (b'"3"', b'"-3"', "whole number"),
     ):  # fmt: skip
-        with pytest.raises(NodeListError, match=why):
+        with pytest.raises(NodeListError, match=reason):
             parse_response(raw.replace(old, new))
