--- a/benchmarks/front_cost.py
+++ b/benchmarks/front_cost.py
@@ -24,7 +24,7 @@
 
 from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 
 SITE = """(fleet (fronts 1) (cells {nodes}) (racks 4) (copies 6)
     (cold-for 200ms) (fall-multiple 90) (fall-window 1s) (reports-every 2s) (seen-after 500ms))
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -31,7 +31,7 @@
 from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins.record import read
 from oakcroft.store.file import PutPromise, StateFile
 
--- a/oakcroft/client/blocking.py
+++ b/oakcroft/client/blocking.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from oakcroft.client.whep import WhepSession, WhepClient
+from oakcroft.client.whep import WhepClient, WhepSession
 
 T = TypeVar("T")
 THREAD_TIMEOUT_S = 10
--- a/oakcroft/client/session.py
+++ b/oakcroft/client/session.py
@@ -17,7 +17,7 @@
 import wsproto
 from wsproto import events
 
-from oakcroft.client.retry import RetryAction, Retries, final_error
+from oakcroft.client.retry import Retries, RetryAction, final_error
 from oakcroft.signalling import session_api as api
 
 SESSION_API_PATH = "/api/v1"
--- a/oakcroft/client/whep.py
+++ b/oakcroft/client/whep.py
@@ -11,11 +11,11 @@
 import orjson
 import trio
 
-from oakcroft.client.retry import NO_ANSWER, RetryAction, Retries, final_error
+from oakcroft.client.retry import NO_ANSWER, Retries, RetryAction, final_error
 from oakcroft.decisions.sessions.setup_outcome import RequestEnd
 from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Headers, Response
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 
 CONNECT_TIMEOUT_S = 2.0
 DEFAULT_WAIT_S = 30
--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -40,7 +40,7 @@
 from oakcroft.httpwire.client import CONNECTION_REFUSED, ExchangeError, HttpClient
 from oakcroft.httpwire.message import Headers, Response
 from oakcroft.interface import SECOND, Outcome
-from oakcroft.signalling import takeover_messages, sdp, http_formats
+from oakcroft.signalling import http_formats, sdp, takeover_messages
 
 EVENT_NAMES = ("share", "link", "rung", "ended", "started")
 REQUEST_TIMEOUT_SECONDS = 2.0
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -52,7 +52,7 @@
 from oakcroft.front.zone_routing import ZoneRouting
 from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.interface import Outcome
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 
 EVENT_KINDS = ("active", "inactive", "layers", "move")
 MAX_EVENT_READERS = 4
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -32,7 +32,7 @@
 from oakcroft.front.recovered_session import attach_to_node, resume_playback, session_from_promise
 from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
 from oakcroft.interface import MS, SECOND, Effect, Outcome, PlaybackState
-from oakcroft.signalling import takeover_messages, http_formats
+from oakcroft.signalling import http_formats, takeover_messages
 
 CHECK_INTERVAL_NS = 50 * MS
 ANSWERS_BY_VALUE = {w.value: w for w in TakeoverAnswer}
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -17,7 +17,7 @@
 from oakcroft.front.session_service import EVENT_KINDS, PlaybackRequest, SessionService, RequestError
 from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.httpwire.message import Headers, Request, Response
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 
 TRY_PAGE = Path(__file__).parent / "try.html"
 EXPOSED_HEADERS = "Location, Link, ETag, Retry-After, Accept-Post, Accept-Patch"
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -13,7 +13,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.viewers import Audience, Visit, offer, plan_visits
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins import rtp
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -16,7 +16,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
 from oakcroft.config.settings import PlanTerms
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
--- a/oakcroft/standins/event_streams.py
+++ b/oakcroft/standins/event_streams.py
@@ -9,7 +9,7 @@
 from oakcroft.decisions.fleet.session_ownership import effective_lease
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import SECOND
-from oakcroft.signalling import takeover_messages, http_formats
+from oakcroft.signalling import http_formats, takeover_messages
 from oakcroft.standins.node_state import KEYS_KEPT_SECONDS, LEASE_SECONDS, Ear, NodeState
 
 MOST_WAITING_EVENTS = 1024
--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -15,7 +15,7 @@
 from oakcroft.decisions.routing.route_table import RouteRequest, ClientRole
 from oakcroft.httpwire.message import Request
 from oakcroft.interface import SECOND
-from oakcroft.signalling import takeover_messages, http_formats
+from oakcroft.signalling import http_formats, takeover_messages
 from oakcroft.standins.links import Machine, Stream
 from oakcroft.standins.record import Record
 
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -19,7 +19,7 @@
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import SECOND
-from oakcroft.signalling import takeover_messages, sdp, http_formats
+from oakcroft.signalling import http_formats, sdp, takeover_messages
 from oakcroft.standins import rtp
 from oakcroft.standins.event_streams import end_sessions_of_lost_fronts, extend_lease, open_stream
 from oakcroft.standins.links import Machine
--- a/oakcroft/standins/takeover.py
+++ b/oakcroft/standins/takeover.py
@@ -25,7 +25,7 @@
 
 
 def answer_takeover(node: NodeState, request: Request) -> Response:
-    """Answers a request to `takeover_messages.PATH`: a GET lists what may be taken over, a POST takes some of it."""
+    """Answers a request to `SESSIONS_PATH`: a GET lists what may be taken over, a POST takes some of it."""
     return _take(node, request) if request.method == "POST" else _offer(node, request)
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -22,7 +22,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins.day import parse
 from oakcroft.standins.fleet import Fleet
 from oakcroft.standins.playout import PlayoutNode
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -24,7 +24,7 @@
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.holding import judge_holding, outlived
 from oakcroft.rulecheck.rules import judge
-from oakcroft.signalling import takeover_messages, sdp
+from oakcroft.signalling import sdp, takeover_messages
 
 FACT_KINDS = ("ran", "passed", "rung", "over", "listens", "death")
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,7 +19,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins.playout import PlayoutNode
 
 FRAGMENT = (
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -39,7 +39,7 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS, SECOND, KeyScope, NodeStatus, Node, Outcome, Playback
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins import rtp
 from oakcroft.standins.playout import PlayoutNode
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -214,8 +214,12 @@
 
 def test_a_plan_that_cannot_be_served_in_time_is_shed_and_no_other() -> None:
     """Only the plan whose queue is longer than its share of the throughput is shed."""
-    fair_queue = FairQueue({"dear": 9.0, "cheap": 1.0}, ConcurrencyWindow(min_size=1, max_size=1, size=1.0), 50 * MS,
-                startup_targets={"dear": SECOND, "cheap": SECOND})  # fmt: skip
+    fair_queue = FairQueue(
+        {"dear": 9.0, "cheap": 1.0},
+        ConcurrencyWindow(min_size=1, max_size=1, size=1.0),
+        50 * MS,
+        startup_targets={"dear": SECOND, "cheap": SECOND},
+    )
     fair_queue.submit(QueuedRequest(5 * SECOND, 0, "cheap", ""))
     fair_queue.turns_since_heartbeat, fair_queue.throughput = 0, 100.0
     for number in range(1, 20):
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -13,7 +13,7 @@
 from oakcroft.config.syntax import parse_text
 from oakcroft.front.node_list_client import NodeListError, parse_response
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, http_formats
+from oakcroft.signalling import http_formats, sdp
 
 OFFER = offer(800, 7)
 
