--- a/oakcroft/front/websocket_api.py
+++ b/oakcroft/front/websocket_api.py
@@ -179,7 +179,7 @@
         """
         offered = [
             protocol.strip()
-            for value in request.all("sec-websocket-protocol")
+            for value in request.header_values("sec-websocket-protocol")
             for protocol in value.split(",")
         ]
         chosen = next((protocol for protocol in api.SUBPROTOCOLS if protocol in offered), None)
@@ -603,9 +603,9 @@
         """
         if self.is_closing:
             return
-        data = self.codec.write(message)
+        data = self.codec.encode(message)
         frame = (
-            events.BytesMessage(data=data) if self.codec.binary else events.TextMessage(data=data.decode())
+            events.BytesMessage(data=data) if self.codec.is_binary else events.TextMessage(data=data.decode())
         )
         self._enqueue(self.websocket.send(frame))
 
@@ -688,11 +688,11 @@
                     return None
                 data = bytes(self.partial_message)
                 self.partial_message = bytearray()
-                if isinstance(event, events.BytesMessage) is not self.codec.binary:
+                if isinstance(event, events.BytesMessage) is not self.codec.is_binary:
                     self.close(CloseReason.UNSUPPORTED_DATA, f"{self.subprotocol} has other frames")
                     return None
                 try:
-                    return self.codec.read(data)
+                    return self.codec.decode_client_message(data)
                 except ValueError as fault:
                     self.close(CloseReason.INVALID_FRAME_PAYLOAD_DATA, str(fault))
             case events.Ping():
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -15,11 +15,11 @@
 
 from oakcroft.decisions.sessions.event_stream_health import StreamState
 from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
-from oakcroft.httpwire.client import Peer
+from oakcroft.httpwire.client import HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.signalling import sdp, words
+from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins.playout import PlayoutNode
 
 FRAGMENT = (
@@ -28,7 +28,7 @@
 RESTART = b"a=ice-ufrag:fresh001\r\na=ice-pwd:" + b"q" * 24 + b"\r\n"
 
 
-def test_a_playback_from_offer_to_farewell(tmp_path: Path) -> None:
+def test_a_playback_from_offer_to_end(tmp_path: Path) -> None:
     """A session answers each request as RFC 9725 demands, from its offer to its end."""
 
     async def test() -> None:
@@ -38,9 +38,9 @@
             assert [m.kind for m in sdp.parse(answer.body.decode()).media] == ["audio", "video"]
             location = answer.header("location") or ""
             etag = answer.header("etag") or ""
-            links = words.links(answer.all("link"))
-            assert links[words.REL_ICE] == "stun:127.0.0.1:3478"
-            assert links[words.REL_EVENTS] == location + "/events"
+            links = http_formats.parse_links(answer.header_values("link"))
+            assert links[http_formats.REL_ICE_SERVER] == "stun:127.0.0.1:3478"
+            assert links[http_formats.REL_EVENTS] == location + "/events"
             assert len(rig.nodes_in_use()) == 1
             trickle = {"Content_Type": SDPFRAG_MEDIA_TYPE}
             assert (await rig.request("PATCH", location, FRAGMENT, If_Match=etag, **trickle)).status == 204
@@ -59,7 +59,7 @@
     run_async_test(test)
 
 
-def test_what_cannot_be_served_gets_its_own_answer(tmp_path: Path) -> None:
+def test_each_invalid_request_gets_its_own_status(tmp_path: Path) -> None:
     """Each kind of invalid request gets its status and a problem document, and no secret is logged."""
     good = offer(900, 1).encode()
     content_type = {"Content_Type": sdp.MEDIA_TYPE}
@@ -97,7 +97,7 @@
                 answer = await rig.request(method, path, body, **headers)
                 assert answer.status == status, (path, headers)
                 assert orjson.loads(answer.body)["status"] == status
-                assert answer.header("content-type") == words.PROBLEM
+                assert answer.header("content-type") == http_formats.PROBLEM_MEDIA_TYPE
             challenge = (await rig.request("POST", "/whep/open/t", good, **content_type)).header(
                 "www-authenticate"
             )
@@ -112,7 +112,7 @@
     run_async_test(test)
 
 
-def test_a_paid_playback_that_may_run_unseen_is_aborted_and_never_sent_again(tmp_path: Path) -> None:
+def test_a_paid_playback_that_may_have_run_is_aborted_and_never_sent_again(tmp_path: Path) -> None:
     """Guards against a paid playback that is set up twice.
 
     Both nodes hang, so the set-up may have run unknown to the front end; a repeat must not send it again.
@@ -140,7 +140,7 @@
     run_async_test(test)
 
 
-def test_a_free_playback_goes_on_past_a_node_that_hangs(tmp_path: Path) -> None:
+def test_a_free_playback_is_tried_on_another_node_when_one_hangs(tmp_path: Path) -> None:
     """A free playback is tried on another node while its first node hangs."""
 
     async def test() -> None:
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("how", ["dead", "full", "draining"])
-def test_a_paid_playback_goes_on_after_a_proof_that_nothing_ran(tmp_path: Path, how: str) -> None:
+def test_a_paid_playback_is_tried_elsewhere_when_it_provably_did_not_run(tmp_path: Path, how: str) -> None:
     """A paid playback is tried on another node where the first one provably did not run it."""
 
     async def test() -> None:
@@ -189,7 +189,7 @@
     run_async_test(test)
 
 
-def test_the_viewer_hears_when_its_node_dies(tmp_path: Path) -> None:
+def test_a_viewer_is_notified_when_its_node_dies(tmp_path: Path) -> None:
     """The viewer gets exactly the event that it asked for when its node dies, and the session is gone."""
 
     async def test() -> None:
@@ -199,15 +199,17 @@
             placed = await rig.request("POST", location + "/events", b'["inactive", "nonsense"]')
             assert placed.status == 201
             heard: list[str] = []
-            async with Peer("127.0.0.1", rig.port).stream("GET", placed.header("location") or "", []) as (
+            async with HttpClient("127.0.0.1", rig.port).stream(
+                "GET", placed.header("location") or "", []
+            ) as (
                 head,
                 chunks,
             ):
-                assert head.header("content-type") == words.EVENTS
+                assert head.header("content-type") == http_formats.EVENT_STREAM_MEDIA_TYPE
                 await wait_until(lambda: rig.nodes_in_use()[0].ears)
                 await trio.sleep(0.1)
                 rig.nodes_in_use()[0].kill()
-                reader = words.EventReader()
+                reader = http_formats.EventStreamParser()
                 async for chunk in chunks:
                     heard += [name for name, _ in reader.feed(chunk) if name]
             assert heard == ["inactive"]
@@ -216,7 +218,7 @@
     run_async_test(test)
 
 
-def test_a_viewer_that_leaves_while_its_set_up_is_out_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_a_viewer_that_leaves_during_its_set_up_leaves_no_session(tmp_path: Path) -> None:
     """Guards against a session that nobody ends, where the viewer leaves during the set-up."""
 
     async def test() -> None:
@@ -234,7 +236,7 @@
     run_async_test(test)
 
 
-def test_layers_and_lowering_the_best_rung(tmp_path: Path) -> None:
+def test_layers_and_the_highest_rung(tmp_path: Path) -> None:
     """The rung follows the offer's bandwidth, and a layer request is checked against the plan."""
 
     async def test() -> None:
@@ -257,7 +259,7 @@
         async with running_front_end(tmp_path) as rig:
             first = await rig.request_playback("/whip/open/live")
             assert first.status == 201
-            assert words.REL_LAYER not in words.links(first.all("link"))
+            assert http_formats.REL_LAYER not in http_formats.parse_links(first.header_values("link"))
             assert (await rig.request_playback("/whip/open/live")).status == 409
             assert (await rig.request("DELETE", first.header("location") or "")).status == 200
             assert (await rig.request_playback("/whip/open/live")).status == 201
@@ -265,7 +267,7 @@
     run_async_test(test)
 
 
-def test_a_front_restarted_with_only_its_last_list_serves(tmp_path: Path) -> None:
+def test_a_restarted_front_serves_from_its_cached_list(tmp_path: Path) -> None:
     """A restarted front end serves with the cached node list, and rejects a damaged one."""
 
     async def test() -> None:
@@ -289,7 +291,7 @@
     run_async_test(test)
 
 
-def test_a_restarted_front_listens_once_it_knows_what_stands_now(tmp_path: Path) -> None:
+def test_a_restarted_front_waits_for_the_current_list(tmp_path: Path) -> None:
     """Guards against set-ups to a node that began to drain while the front end was down.
 
     The list service is slow to answer, so only the outdated cached list is known at first.
@@ -316,7 +318,7 @@
     run_async_test(test)
 
 
-def test_a_stopped_front_takes_nothing_new_and_ends_what_plays(tmp_path: Path) -> None:
+def test_a_stopping_front_rejects_new_requests_and_ends_its_playbacks(tmp_path: Path) -> None:
     """A stopping front end rejects new requests, still serves playing sessions, and ends them at last."""
 
     async def test() -> None:
@@ -338,7 +340,7 @@
     run_async_test(test)
 
 
-def test_lists_that_cannot_be_right_change_nothing(tmp_path: Path) -> None:
+def test_invalid_node_lists_change_nothing(tmp_path: Path) -> None:
     """An empty or malformed node list is rejected and the one in force stays."""
 
     async def test() -> None:
@@ -374,7 +376,7 @@
         return received
 
 
-def test_slow_half_sent_and_malformed_requests_cost_nobody_else_anything(tmp_path: Path) -> None:
+def test_slow_partial_and_malformed_requests_affect_no_other_client(tmp_path: Path) -> None:
     """Slow, partial and malformed requests get their status while other viewers are served."""
     limits = "(door (head-within 300ms) (body-within 300ms) (idle 400ms) (head-bytes 4kB))"
 
@@ -449,7 +451,7 @@
     run_async_test(test, 40)
 
 
-def test_a_front_that_stood_still_for_long_ends_nothing_when_it_wakes(tmp_path: Path) -> None:
+def test_a_front_paused_for_long_ends_nothing_when_it_resumes(tmp_path: Path) -> None:
     """Guards against a pause of the process being taken for the silence of all nodes."""
 
     async def test() -> None:
@@ -480,7 +482,7 @@
     run_async_test(test)
 
 
-def test_a_session_that_begins_while_the_stream_opens_is_not_taken_as_lost(tmp_path: Path) -> None:
+def test_a_session_that_starts_while_the_event_stream_opens_is_not_lost(tmp_path: Path) -> None:
     """Guards against ending a session that is newer than the node's hello event.
 
     The event is written before the session starts and arrives after it.
@@ -524,7 +526,7 @@
     run_async_test(test)
 
 
-def test_a_pause_of_the_front_ends_no_session_whose_claim_lies_in_its_buffers(tmp_path: Path) -> None:
+def test_a_pause_of_the_front_ends_no_session_whose_answer_is_unread(tmp_path: Path) -> None:
     """Guards against taking a session for an orphan whose answer was not read because the process was paused."""
 
     async def test() -> None:
@@ -549,7 +551,7 @@
     run_async_test(test)
 
 
-def test_what_began_on_a_new_process_is_not_lost_with_the_old_one(tmp_path: Path) -> None:
+def test_a_session_on_a_new_process_is_not_lost_with_the_old_one(tmp_path: Path) -> None:
     """A session that started on a node's new process survives the detected loss of the old process."""
 
     async def test() -> None:
@@ -575,7 +577,9 @@
     run_async_test(test)
 
 
-def test_requests_past_the_line_are_turned_away_unread_on_a_connection_that_lives_on(tmp_path: Path) -> None:
+def test_requests_over_the_queue_limit_are_rejected_unread_on_a_connection_that_stays_open(
+    tmp_path: Path,
+) -> None:
     """Requests over the queue limit are rejected unread, and their connection stays usable."""
 
     async def test() -> None:
@@ -583,10 +587,10 @@
             assert rig.front_end is not None
             assert rig.front_end.service is not None
             fair_queue = rig.front_end.service.fair_queue
-            peer = Peer("127.0.0.1", rig.port)
+            peer = HttpClient("127.0.0.1", rig.port)
             headers = [("Content-Type", sdp.MEDIA_TYPE)]
             body = offer(900, 1).encode()
-            assert (await peer.ask("POST", "/whep/open/t", headers, body)).status == 201
+            assert (await peer.request("POST", "/whep/open/t", headers, body)).status == 201
             # Nothing is started: four requests of a plan wait, and no more.
             fair_queue.window.size = fair_queue.window.max_size = 0
             async with trio.open_nursery() as nursery:
@@ -594,21 +598,21 @@
                     nursery.start_soon(rig.request_playback)
                 await wait_until(lambda: len(fair_queue.waiting) == 4)
                 fair_queue.throughput = 0.0
-                rejection = await peer.ask("POST", "/whep/open/t", headers, body)
+                rejection = await peer.request("POST", "/whep/open/t", headers, body)
                 assert (rejection.status, rejection.header("retry-after")) == (503, "1")
-                assert words.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
+                assert http_formats.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
                 assert rig.front_end.service.shed_count == 1
                 # The same connection.
-                options = await peer.ask("OPTIONS", "/whep/open/t", [], b"")
+                options = await peer.request("OPTIONS", "/whep/open/t", [], b"")
                 assert options.status == 204
                 fair_queue.window.size = fair_queue.window.max_size = 512
-            assert (await peer.ask("POST", "/whep/open/t", headers, body)).status == 201
+            assert (await peer.request("POST", "/whep/open/t", headers, body)).status == 201
             await wait_until(lambda: any(e["event"] == "shedding over" for e in rig.log_entries()))
 
     run_async_test(test)
 
 
-def test_events_that_wait_are_handled_together_not_one_a_round(tmp_path: Path) -> None:
+def test_queued_events_are_handled_in_one_round(tmp_path: Path) -> None:
     """Guards against handling one queued event per round of the event loop."""
 
     async def test() -> None:
