--- a/oakcroft/rehearsal/front_processes.py
+++ b/oakcroft/rehearsal/front_processes.py
@@ -12,7 +12,7 @@
 import trio
 
 from oakcroft.interface import MS
-from oakcroft.standins.between import Between
+from oakcroft.standins.peer_network import Between
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -27,7 +27,7 @@
 from oakcroft.rulecheck.owners import judge_owners
 from oakcroft.rulecheck.rules import judge
 from oakcroft.running.clock import Clock
-from oakcroft.standins.between import Between
+from oakcroft.standins.peer_network import Between
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record, read
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -47,7 +47,7 @@
 from oakcroft.peerwire.push_pull_stream import FullStateReader, write_full_state
 from oakcroft.peerwire.sealing import KEY_LINGERS, KeyFileError, KeyRing, parse_keys
 from oakcroft.running.clock import Clock
-from oakcroft.standins.between import Between
+from oakcroft.standins.peer_network import Between
 from oakcroft.standins.day import parse
 from oakcroft.standins.fleet import Fleet
 from oakcroft.standins.record import Record
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -33,7 +33,7 @@
 from oakcroft.peerwire.sealing import KeyRing
 from oakcroft.peerwire.zone_codec import ZONE_FORMAT, ZoneCodec
 from oakcroft.running.clock import Clock
-from oakcroft.standins.between import Between
+from oakcroft.standins.peer_network import Between
 
 SPEED = 3
 KEY, OTHER_KEY = b"k" * 32, b"o" * 32
