--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -74,7 +74,7 @@
         async with test_peers.fronts(Path(folder), 5, Fronts) as rig:
             assert isinstance(rig, Fronts)
             for node in rig.nodes.nodes.values():
-                node.machine.places = 400
+                node.machine.playback_capacity = 400
             keys = [k for name in victims for k in await rig.start_playbacks(name, 14)]
             for name in victims:
                 rig.signal(name, signal.SIGKILL)
--- a/benchmarks/mass_drain.py
+++ b/benchmarks/mass_drain.py
@@ -32,7 +32,7 @@
     Playback,
 )
 from oakcroft.interface import DeploymentSettings, Title
-from oakcroft.standins.links import Machine, Rack, Stream, Warmth
+from oakcroft.standins.links import Machine, Rack, Stream, WarmUp
 
 PLAN = Plan(Effect.FREE, KeyScope.ALL, SECOND, SECOND, 1.0, 0, 2, 0, 1.0, False)
 STEP, COLD_FOR, WINDOW = 20 * MS, 8 * SECOND, 2 * SECOND
@@ -119,7 +119,7 @@
 
     def __init__(self, fronts: int, nodes: int, playbacks: int, notice: int, seed: int) -> None:
         self.now, self.fronts, self.cells, self.rng = 0, fronts, nodes, Random(seed)
-        warmth = Warmth(0.4, COLD_FOR, 4.0, WINDOW)
+        warmth = WarmUp(0.4, COLD_FOR, 4.0, WINDOW)
         self.machines = {f"n{i}": Machine(f"n{i}", Rack(0.0), 24_000.0, 60, warmth) for i in range(nodes)}
         self.cell = {f"n{i}": i for i in range(nodes)}
         self.count: Counter[str] = Counter()
@@ -139,7 +139,7 @@
             front.control.on_handed_over(pb, front.nodes[name], self.now)
             self.number += 1
             front.playing[f"p{self.number}"] = pb
-            self.machines[name].begin(f"p{self.number}", Stream(400.0, 1, (0.3, 0.6, 1.0), 0))
+            self.machines[name].add_stream(f"p{self.number}", Stream(400.0, 1, (0.3, 0.6, 1.0), 0))
 
     def notice_left(self) -> int:
         """Time that the draining nodes are good for."""
@@ -149,7 +149,7 @@
         """A set-up reaches a node, which answers 15 ms later."""
         machine = self.machines[node.name]
         self.setups[node.name][self.now // SECOND] += 1
-        if not machine.knock(self.now):
+        if not machine.admit_setup(self.now):
             self.count["pushed over"] += 1
         front.mover.set_target(front.copies[pb], node.name)
         self.due.append((self.now + 15 * MS, front, pb, node))
@@ -162,7 +162,7 @@
         ready = {f: heard[f] + 2 * SECOND + self.rng.randrange(SECOND) for f in self.all}
         cold_at = self.now + 2 * SECOND
         for old, new in replaced.items():
-            self.machines[new] = Machine(new, Rack(0.0), 24_000.0, 60, self.machines[old].warmth)
+            self.machines[new] = Machine(new, Rack(0.0), 24_000.0, 60, self.machines[old].warm_up)
             self.machines[new].restart(cold_at)
             self.setups[new], self.cell[new] = Counter(), self.cell[old]
         ticks = {f: self.now + self.rng.randrange(SECOND) for f in self.all}
@@ -207,10 +207,10 @@
         key = front.copies.pop(pb)
         machine, old = self.machines[node.name], front.playing[key]
         front.control.on_playing(pb, self.now)
-        front.control.on_metric(pb, PlaybackMetric.LINK_LOAD, machine.asked(), self.now)
+        front.control.on_metric(pb, PlaybackMetric.LINK_LOAD, machine.link_load(), self.now)
         assert old.node is not None
-        self.machines[old.node.name].end(key)
-        machine.begin(key, Stream(400.0, pb.rung, (0.3, 0.6, 1.0), self.now))
+        self.machines[old.node.name].remove_stream(key)
+        machine.add_stream(key, Stream(400.0, pb.rung, (0.3, 0.6, 1.0), self.now))
         front.control.on_viewer_left(old, self.now)
         front.control.on_try_ended(old, Outcome.WITHDRAWN, True, None, None, None, self.now)
         front.playing[key] = pb
@@ -245,7 +245,7 @@
     pace = 0.4 * 60 / (COLD_FOR / SECOND) * 4
     print(f"  a node that has just started stands {pace:.0f} set-ups a second for {WINDOW // SECOND} s")
     full = max(len(world.machines[n].streams) for n in warm + cold)
-    asked = max(world.machines[n].asked() for n in warm + cold)
+    asked = max(world.machines[n].link_load() for n in warm + cold)
     took = time.perf_counter() - began
     print(f"  fullest target: {full} of 60 places, {asked:.2f} of its link; {took:.1f} s of computing")
 
--- a/benchmarks/moving.py
+++ b/benchmarks/moving.py
@@ -18,7 +18,7 @@
 from oakcroft.rehearsal.outcome import Outcome
 from oakcroft.rehearsal.players import MODES, Players
 from oakcroft.rulecheck.repeated_set_ups import base
-from oakcroft.standins.day import parse
+from oakcroft.standins.day import parse_day
 
 NODES = 8
 ALL = " ".join(f"n{i + 1}" for i in range(NODES))
@@ -65,7 +65,9 @@
     """One run."""
     body = day(scene, rate)
     kind = type("These", (Players,), {"mode": mode})
-    outcome = runner.play(parse(body, scene).seeded(seed), body, "oakcroft", lambda _: None, keep, kind)
+    outcome = runner.play(
+        parse_day(body, scene).with_seed(seed), body, "oakcroft", lambda _: None, keep, kind
+    )
     assert isinstance(outcome.audience, Players)
     seen = outcome.audience.seen
     gaps = HdrHistogram(1, 60_000_000, 3)
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -32,7 +32,7 @@
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
 from oakcroft.signalling import sdp, words
-from oakcroft.standins.record import read
+from oakcroft.standins.record import read_facts
 from oakcroft.store.file import PutPromise, StateFile
 
 SITE = """(fleet (fronts 1) (cells 10) (copies 6) (cold-for 2s) (fall-multiple 60) (fall-window 1s)
@@ -154,7 +154,7 @@
         assert rig.fleet.child is not None
         rig.fleet.child.terminate()
         await rig.fleet.child.wait()
-        facts = read(Path(name) / "record")
+        facts = read_facts(Path(name) / "record")
         found, _ = check_file("site", lambda _: SITE, False)
         assert found is not None
         rules = {
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -59,7 +59,7 @@
         click.echo(str(error), err=True)
         sys.exit(EXIT_INVALID_INPUT)
     if seed is not None:
-        day = day.seeded(seed)
+        day = day.with_seed(seed)
     audience = Mixed if mixed else Audience
     outcome = runner.play(day, body, "oakcroft", click.echo, keep, audience, with_state, patient)
     baseline_outcome = None
@@ -73,17 +73,17 @@
 def _read_day(file: str | None, bench_day: Path | None) -> tuple[Day, str]:
     """Returns a day and its text: a file, a shipped day by its name, or a day translated from a file of the bench."""
     from oakcroft.rehearsal.bench_day import translate
-    from oakcroft.standins.day import parse
+    from oakcroft.standins.day import parse_day
 
     if bench_day is not None:
         body, notes = translate(bench_day.read_bytes(), bench_day.stem)
         for note in notes:
             click.echo(note)
-        return parse(body, bench_day.stem), body
+        return parse_day(body, bench_day.stem), body
     shipped = SHIPPED_DAYS_FOLDER / f"{file or 'bad-day'}.oak"
     source = shipped if shipped.exists() else Path(file or "")
     body = source.read_text(encoding="utf-8")
-    return parse(body, source.stem), body
+    return parse_day(body, source.stem), body
 
 
 @click.command(name="stand-in", hidden=True)
@@ -94,6 +94,6 @@
 def stand_in(file: Path, seed: int, start: int, record: Path) -> None:
     """Run the fleet of a day: its nodes, its list service and its faults."""
     from oakcroft.standins import program
-    from oakcroft.standins.day import load as load_day
+    from oakcroft.standins.day import load_day
 
-    trio.run(program.main, load_day(file).seeded(seed), start, record)
+    trio.run(program.main, load_day(file).with_seed(seed), start, record)
--- a/oakcroft/rehearsal/front_faults.py
+++ b/oakcroft/rehearsal/front_faults.py
@@ -50,17 +50,17 @@
 
     async def inject(self, fault: Fault, begin: float) -> None:
         """Plays a fault from its beginning to its end. `begin`: when the day does, by the event loop's clock."""
-        await trio.sleep_until(begin + fault.at / SECOND)
+        await trio.sleep_until(begin + fault.start_ns / SECOND)
         if fault.kind == "zone-loss":
-            chosen = self.fronts.in_wings(fault.on)
+            chosen = self.fronts.in_wings(fault.targets)
         else:
-            chosen = [self.fronts.all[int(number)] for number in fault.on] or self.fronts.all
+            chosen = [self.fronts.all[int(number)] for number in fault.targets] or self.fronts.all
         await self.injectors[fault.kind](chosen, fault)
 
     async def _lose_zone(self, chosen: list[FrontProcess], fault: Fault) -> None:
         for front in chosen:
             self.fronts.kill(front)
-        await trio.sleep(fault.length / SECOND)
+        await trio.sleep(fault.duration_ns / SECOND)
         for front in chosen:
             await self.fronts.boot(front)
 
@@ -75,7 +75,7 @@
                 for front in chosen:
                     nursery.start_soon(self.fronts.boot, front)
             return
-        gap = fault.length / SECOND / max(1, len(chosen))
+        gap = fault.duration_ns / SECOND / max(1, len(chosen))
         for front in chosen:
             self.fronts.kill(front)
             await trio.sleep(down)
@@ -84,7 +84,7 @@
 
     async def _stall(self, chosen: list[FrontProcess], fault: Fault) -> None:
         """Each front stands still for `size` seconds every `extra` seconds, apart from each other."""
-        until = trio.current_time() + fault.length / SECOND
+        until = trio.current_time() + fault.duration_ns / SECOND
 
         async def one(front: FrontProcess, after: float) -> None:
             await trio.sleep(after)
@@ -108,7 +108,7 @@
             self._lose(chosen, fault)
         for front in chosen:
             self._begin(front, fault.kind)
-        await trio.sleep(fault.length / SECOND)
+        await trio.sleep(fault.duration_ns / SECOND)
         if fault.kind in ("cut", "lose") and self.between is not None:
             self.between.heal()
         for front in chosen:
@@ -126,8 +126,8 @@
         for one in chosen if self.between is not None else ():
             for other in self.fronts.all:
                 assert self.between is not None
-                way = self.between.on(f"f{one.number}", f"f{other.number}")
-                way.lose, way.late = fault.size, (0.0, fault.extra)
+                way = self.between.faults_on(f"f{one.number}", f"f{other.number}")
+                way.loss_rate, way.delay_seconds = fault.size, (0.0, fault.extra)
 
     def _begin(self, front: FrontProcess, kind: str) -> None:
         """What a kind of fault does to one front."""
@@ -170,15 +170,15 @@
             return
         if fault.kind == "owner-kill":
             self.fronts.kill(front)
-            await trio.sleep(fault.length / SECOND)
+            await trio.sleep(fault.duration_ns / SECOND)
             await self.fronts.boot(front)
             return
         if self.between is not None:
             for other in self.fronts.all:
-                way = self.between.on(f"f{front.number}", f"f{other.number}")
-                way.late = (fault.size, fault.size + OWNER_LATE_SPREAD_SECONDS)
+                way = self.between.faults_on(f"f{front.number}", f"f{other.number}")
+                way.delay_seconds = (fault.size, fault.size + OWNER_LATE_SPREAD_SECONDS)
         await trio.sleep(OWNER_SPEAKS_SECONDS)
-        await self.fronts.stand_still(front, front.process, fault.length / SECOND)
+        await self.fronts.stand_still(front, front.process, fault.duration_ns / SECOND)
         if self.between is not None:
             self.between.heal()
 
--- a/oakcroft/rehearsal/front_processes.py
+++ b/oakcroft/rehearsal/front_processes.py
@@ -12,7 +12,7 @@
 import trio
 
 from oakcroft.interface import MS
-from oakcroft.standins.peer_network import Between
+from oakcroft.standins.peer_network import PeerNetwork
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
@@ -60,7 +60,7 @@
     folder: Path
     policy: str
     record: Record
-    between: Between | None
+    between: PeerNetwork | None
     keeps_state: bool
     ports: dict[int, int]
     failures: list[str]
@@ -69,13 +69,13 @@
 
     def __post_init__(self) -> None:
         """One front for each of the day's, none of which runs yet."""
-        for number in range(len(self.day.fronts)):
+        for number in range(len(self.day.front_zones)):
             name = f"front-{number}"
             self.all.append(FrontProcess(number, self.folder / f"{name}.oak", self.folder / f"{name}.log"))
 
     def in_wings(self, wings: tuple[str, ...]) -> list[FrontProcess]:
         """The fronts that stand in any of some wings."""
-        return [front for front in self.all if self.day.fronts[front.number] in wings]
+        return [front for front in self.all if self.day.front_zones[front.number] in wings]
 
     async def boot_all(self) -> None:
         """Starts all, side by side."""
@@ -113,18 +113,18 @@
             f"{self._peers_text(front)}{self._shared_text()}"
             f"(front (number {front.number}) (seed {self.day.seed * SEED_STEP + front.number})\n"
             f'  (listen "127.0.0.1:{front.port}") (list-service "127.0.0.1:{self.list_port}") (kept "{kept}") {state}\n'
-            f'  (zone "{self.day.fronts[front.number]}"))\n{self.day.site_text}\n'
+            f'  (zone "{self.day.front_zones[front.number]}"))\n{self.day.site_text}\n'
         )
 
     def _peers_text(self, front: FrontProcess) -> str:
         if self.between is None:
             return ""
         name = f"f{front.number}"
-        (host, port), (relay, _) = self.between.fronts[name], self.between.relays[name]
+        (host, port), (relay, _) = self.between.front_addresses[name], self.between.relay_addresses[name]
         key, start = self.folder / "peers.key", self.folder / f"front-{front.number}.start"
         key.write_text(PEERS_KEY)
         seeds = " ".join(
-            f'"{address}:{number}"' for address, number in [*self.between.relays.values()][:SEEDS]
+            f'"{address}:{number}"' for address, number in [*self.between.relay_addresses.values()][:SEEDS]
         )
         return (
             f'(operators (secret "{OPERATORS_TOKEN}"))'
@@ -137,10 +137,10 @@
         text = ""
         if self.day.keepers:
             keepers = " ".join(f"f{number}" for number in self.day.keepers)
-            text += f"(keepers (names {keepers}) (term {self.day.term // MS}ms))\n"
-        if self.day.probing:
+            text += f"(keepers (names {keepers}) (term {self.day.term_ns // MS}ms))\n"
+        if self.day.shares_node_loads:
             text += "(probing)\n"
-        if self.day.adopting:
+        if self.day.has_takeovers:
             text += "(adopting (after 500ms) (lease 15s))\n"
         return text
 
--- a/oakcroft/rehearsal/mixed.py
+++ b/oakcroft/rehearsal/mixed.py
@@ -68,9 +68,9 @@
                                 return
                 if connecting.cancelled_caught:
                     self.tally.answers["unreached"] += 1
-            if whole or rng.random() > self.day.crowd.returns:
+            if whole or rng.random() > self.day.viewer_model.return_share:
                 return
-            await trio.sleep(max(after, rng.uniform(*self.day.crowd.back_after) / 1e9))
+            await trio.sleep(max(after, rng.uniform(*self.day.viewer_model.return_delay_ns) / 1e9))
 
     async def _say(self, client: SessionClient, visit: Visit, front: int, key: str) -> api.Answer | None:
         """One request, recorded."""
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -18,7 +18,7 @@
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
-STALL = 2 * rtp.INTERVAL
+STALL = 2 * rtp.PACKET_INTERVAL_NS
 MODES = ("move", "break", "stay")
 
 
@@ -63,7 +63,7 @@
             for visit in plan_visits(self.day):
                 await trio.sleep_until(start + visit.at / 1e9)
                 nursery.start_soon(self._play, visit)
-            await trio.sleep_until(start + self.day.length / 1e9)
+            await trio.sleep_until(start + self.day.duration_ns / 1e9)
             self.stopped = True
             nursery.cancel_scope.deadline = trio.current_time() + 8
 
@@ -75,13 +75,13 @@
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as media:
             await media.bind(("127.0.0.1", 0))
             port = media.getsockname()[1]
-            screen = rtp.Playout()
+            screen = rtp.PlayoutTracker()
             while not self.stopped and trio.current_time() < ends and tries < 40:
                 front, key = self._front(rng, visit.wing), f"v{visit.number}.{tries}"
                 tries += 1
                 sat = await self._ask_for(visit, front, key, port, f"/whep/{visit.plan.name}/{visit.title}")
                 if sat is None or sat.status != 201:
-                    await trio.sleep(rng.uniform(*self.day.crowd.back_after) / 1e9)
+                    await trio.sleep(rng.uniform(*self.day.viewer_model.return_delay_ns) / 1e9)
                     continue
                 if seen is None:
                     seen = Watched(visit.plan.name)
@@ -90,13 +90,15 @@
                 if seen is not None and trio.current_time() < ends - 0.05 and not self.stopped:
                     seen.whole = seen.whole and self.mode == "break"
                     await trio.sleep(
-                        0 if self.mode == "break" else rng.uniform(*self.day.crowd.back_after) / 1e9
+                        0
+                        if self.mode == "break"
+                        else rng.uniform(*self.day.viewer_model.return_delay_ns) / 1e9
                     )
             if seen is not None:
                 seen.longest, seen.played, seen.doubles = (
-                    max(seen.longest, screen.longest),
-                    screen.played,
-                    screen.doubles,
+                    max(seen.longest, screen.longest_gap_ns),
+                    screen.played_count,
+                    screen.duplicate_count,
                 )
 
     async def _ask_for(self, visit: Visit, front: int, key: str, port: int, path: str) -> Response | None:
@@ -130,7 +132,7 @@
 
     async def _watch_media(
         self, visit: Visit, front: int, sat: Response, key: str, media: trio.socket.SocketType, port: int,
-        screen: rtp.Playout, seen: Watched, ends: float,
+        screen: rtp.PlayoutTracker, seen: Watched, ends: float,
     ) -> None:  # fmt: skip
         here = sat.header("location") or ""
         peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
@@ -142,13 +144,13 @@
         async def receive() -> None:
             while True:
                 data, _ = await media.recvfrom(2048)
-                packet = rtp.parse(data)
+                packet = rtp.parse_packet(data)
                 if packet is None:
                     continue
                 new = packet.source not in screen.sources
                 now = trio_now()
-                gap = now - screen.last_at if screen.last_at else 0
-                played = screen.take(packet, now)
+                gap = now - screen.last_played_at if screen.last_played_at else 0
+                played = screen.receive(packet, now)
                 if new and confirm:
                     confirm.clear()
                     nursery.start_soon(self._done, front, here)
--- a/oakcroft/rehearsal/report.py
+++ b/oakcroft/rehearsal/report.py
@@ -43,7 +43,7 @@
         waits = sorted(t.waits)
         p = [waits[min(len(waits) - 1, int(len(waits) * q))] / 1e6 for q in (0.5, 0.99)]
         out.append(f"  a 201 took p50 {p[0]:.0f} ms, p99 {p[1]:.0f} ms")
-    if outcome.day.adopting:
+    if outcome.day.has_takeovers:
         passed, ended = outlived(outcome.facts)
         after = taken_after(outcome.facts)
         when = (
@@ -61,7 +61,7 @@
     """The report."""
     d = outcome.day
     out = [
-        f"day {d.name}, seed {d.seed}: {len(d.fronts)} fronts, {len(d.nodes)} nodes, {d.length / 1e9:.0f} s",
+        f"day {d.name}, seed {d.seed}: {len(d.front_zones)} fronts, {len(d.nodes)} nodes, {d.duration_ns / 1e9:.0f} s",
         f"faults ({len(outcome.faults)} kinds): {', '.join(outcome.faults)}", "rules, from the sockets:", *rules(outcome),
         "answers:", *figures(outcome),
     ]  # fmt: skip
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -27,9 +27,9 @@
 from oakcroft.rulecheck.owners import judge_owners
 from oakcroft.rulecheck.rules import judge
 from oakcroft.running.clock import Clock
-from oakcroft.standins.peer_network import Between
+from oakcroft.standins.peer_network import PeerNetwork
 from oakcroft.standins.day import Day
-from oakcroft.standins.record import Record, read
+from oakcroft.standins.record import Record, read_facts
 
 SETTLE_SECONDS = 6.5
 """A front paces every node for its first six seconds, as it cannot know which are warm."""
@@ -58,7 +58,7 @@
         self.record = Record(folder / "viewers.jsonl")
         self.audience = audience(day, self.record)
         self.failures: list[str] = []
-        self.between = network(len(day.fronts), day.seed) if day.peers else None
+        self.between = network(len(day.front_zones), day.seed) if day.has_peers else None
         self.fronts = FrontProcesses(
             day, folder, policy, self.record, self.between, state or bool(day.keepers), self.audience.ports,
             self.failures,
@@ -70,7 +70,7 @@
         """Plays the day and judges it."""
         clock = Clock()
         for place in self.day.nodes:
-            self.record.note("place", node=place.name, places=place.places)
+            self.record.note("place", node=place.name, places=place.playback_capacity)
         begin = trio.current_time() + SETTLE_SECONDS + START_SECONDS
         start = clock.now() + round((SETTLE_SECONDS + START_SECONDS) * SECOND)
         fleet = await self._start_fleet(start)
@@ -143,7 +143,7 @@
             self.failures.append("the fleet did not end")
 
     def _outcome(self) -> Outcome:
-        facts = read(self.folder / "viewers.jsonl") + read(self.folder / "fleet.jsonl")
+        facts = read_facts(self.folder / "viewers.jsonl") + read_facts(self.folder / "fleet.jsonl")
         earned: dict[str, float] = next((fact["plans"] for fact in facts if fact["kind"] == "earned"), {})
         failed = [fact for fact in facts if fact["kind"] == "stand-in failed"]
         self.failures += [f"{fact['path']}: {fact['error']}" for fact in failed]
@@ -157,25 +157,25 @@
     def _judge(self, facts: list[Fact]) -> list[Finding]:
         """The six rules, and the properties of what the day has besides."""
         findings = judge(facts, self.day.site)
-        names = {number: f"f{number}" for number in range(len(self.day.fronts))}
-        if self.day.peers:
+        names = {number: f"f{number}" for number in range(len(self.day.front_zones))}
+        if self.day.has_peers:
             findings += judge_view(facts, names)
         if self.day.keepers:
             with_orders = facts + orders_in_effect(self.fronts)
-            findings += judge_owners(with_orders, names, frozenset(self.day.keepers), self.day.term)
-        if self.day.adopting:
+            findings += judge_owners(with_orders, names, frozenset(self.day.keepers), self.day.term_ns)
+        if self.day.has_takeovers:
             findings += judge_holding(facts)
         return findings
 
 
-def network(fronts: int, seed: int) -> Between:
+def network(fronts: int, seed: int) -> PeerNetwork:
     """A network between so many fronts, on addresses of this machine that differ by front."""
     with socket.socket() as probe:
         probe.bind(("127.0.71.1", 0))
         port = probe.getsockname()[1]
     listen = {f"f{i}": (f"127.0.71.{i + 1}", port) for i in range(fronts)}
     relays = {f"f{i}": (f"127.0.72.{i + 1}", port) for i in range(fronts)}
-    return Between(listen, relays, Random(seed))
+    return PeerNetwork(listen, relays, Random(seed))
 
 
 def play(
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -37,26 +37,26 @@
 
 def plan_visits(day: Day) -> list[Visit]:
     """Every viewer of the day, from its seed alone."""
-    rng, crowd = Random(day.seed * 104729 + 3), day.crowd
-    weights = [1 / (i + 1) ** crowd.zipf for i in range(crowd.titles)]
+    rng, crowd = Random(day.seed * 104729 + 3), day.viewer_model
+    weights = [1 / (i + 1) ** crowd.zipf_exponent for i in range(crowd.title_count)]
     titles = list(itertools.accumulate(weights))
-    plans, shares = list(crowd.share), list(crowd.share.values())
-    wings, rungs = sorted(set(day.fronts)), len(day.site.terms.rung_rates)
+    plans, shares = list(crowd.plan_shares), list(crowd.plan_shares.values())
+    wings, rungs = sorted(set(day.front_zones)), len(day.site.terms.rung_rates)
     crowds = [f for f in day.faults if f.kind == "crowd"]
     visits, at = list[Visit](), 0.0
     while True:
-        at += rng.expovariate(crowd.rate)
-        if at * SECOND >= day.length:
+        at += rng.expovariate(crowd.arrival_rate)
+        if at * SECOND >= day.duration_ns:
             break
         visits.append(
             _visit(day, rng, round(at * SECOND), len(visits), plans, shares, titles, wings, rungs, None)
         )
     for fault in crowds:
-        t, rate = fault.at / SECOND, crowd.rate * fault.size
-        hot = rng.randrange(crowd.titles)
+        t, rate = fault.start_ns / SECOND, crowd.arrival_rate * fault.size
+        hot = rng.randrange(crowd.title_count)
         while rate > 0:
             t += rng.expovariate(rate)
-            if t * SECOND >= fault.at + fault.length:
+            if t * SECOND >= fault.start_ns + fault.duration_ns:
                 break
             visits.append(
                 _visit(day, rng, round(t * SECOND), len(visits), plans, shares, titles, wings, rungs, hot)
@@ -70,8 +70,12 @@
 ) -> Visit:  # fmt: skip
     plan = day.site.plans[rng.choices(plans, shares)[0]]
     title = bisect.bisect(titles, rng.random() * titles[-1]) if hot is None else hot
-    top = rng.randrange(1, max(2, rungs - 1)) if rng.random() < day.crowd.small_screens else rungs - 1
-    life = round(day.crowd.life[plan.name] * min(4.0, rng.expovariate(1.0) + 0.1))
+    top = (
+        rng.randrange(1, max(2, rungs - 1))
+        if rng.random() < day.viewer_model.small_screen_share
+        else rungs - 1
+    )
+    life = round(day.viewer_model.mean_watch_ns[plan.name] * min(4.0, rng.expovariate(1.0) + 0.1))
     return Visit(
         at,
         number,
@@ -130,7 +134,7 @@
         self.ports: dict[int, int] = {}
         self.stopped = False
         rng = Random(day.seed * 31 + 5)
-        self.weights = [1 + day.crowd.uneven * rng.uniform(-1, 1) for _ in day.fronts]
+        self.weights = [1 + day.viewer_model.front_skew * rng.uniform(-1, 1) for _ in day.front_zones]
 
     async def run(self, start: float) -> None:
         """All visits, from trio's time `start` on; returns when the day is over and the last answer is in."""
@@ -138,13 +142,15 @@
             for visit in plan_visits(self.day):
                 await trio.sleep_until(start + visit.at / 1e9)
                 nursery.start_soon(self._visit, visit)
-            await trio.sleep_until(start + self.day.length / 1e9)
+            await trio.sleep_until(start + self.day.duration_ns / 1e9)
             self.stopped = True
             longest = max(p.abandon_ns for p in self.day.site.plans.values()) / 1e9
             nursery.cancel_scope.deadline = trio.current_time() + longest + 1
 
     def _front(self, rng: Random, wing: str) -> int:
-        near = [i for i, w in enumerate(self.day.fronts) if w == wing] or list(range(len(self.day.fronts)))
+        near = [i for i, w in enumerate(self.day.front_zones) if w == wing] or list(
+            range(len(self.day.front_zones))
+        )
         return rng.choices(near, [self.weights[i] for i in near])[0]
 
     async def _visit(self, visit: Visit) -> None:
@@ -164,11 +170,11 @@
                 again = sat is None or sat.status == HTTPStatus.SERVICE_UNAVAILABLE
                 if (
                     not again
-                    or rng.random() > self.day.crowd.returns
+                    or rng.random() > self.day.viewer_model.return_share
                     or trio.current_time() - began > GIVES_UP_AFTER
                 ):
                     return
-                wait = rng.uniform(*self.day.crowd.back_after) / 1e9
+                wait = rng.uniform(*self.day.viewer_model.return_delay_ns) / 1e9
                 if sat is not None and (after := sat.header("retry-after")):
                     wait = max(wait, float(after))
                 await trio.sleep(wait)
@@ -181,10 +187,10 @@
             sat_down = trio.current_time()
             whole = await self._watch(front, sat, left)
             watched += trio.current_time() - sat_down
-            if whole or rng.random() > self.day.crowd.returns:
+            if whole or rng.random() > self.day.viewer_model.return_share:
                 return
             self.tally.lost += 1
-            await trio.sleep(rng.uniform(*self.day.crowd.back_after) / 1e9)
+            await trio.sleep(rng.uniform(*self.day.viewer_model.return_delay_ns) / 1e9)
 
     def _asked(self, visit: Visit) -> tuple[str, str]:
         """Path before the title, and the offer, that a visit asks with."""
--- a/oakcroft/standins/day.py
+++ b/oakcroft/standins/day.py
@@ -48,38 +48,38 @@
     """One trouble: its kind, when from the day's start and for how long (ns), whom it hits, and its figures."""
 
     kind: str
-    at: int
-    length: int
-    on: tuple[str, ...]
+    start_ns: int
+    duration_ns: int
+    targets: tuple[str, ...]
     size: float
     extra: float
 
 
 @dataclass(frozen=True)
-class NodePlace:
+class NodeSpec:
     """One node of the fleet."""
 
     name: str
-    wing: str
+    zone: str
     cell: int
-    link: float
-    places: int
+    link_capacity: float
+    playback_capacity: int
 
 
 @dataclass(frozen=True)
-class Crowd:
+class ViewerModel:
     """How viewers come: new playbacks a second, how many titles and how unevenly wanted, how long they watch,
     which plan they ask for, how many return after a loss and when."""
 
-    rate: float
-    titles: int
-    zipf: float
-    share: dict[str, float]
-    life: dict[str, int]
-    returns: float
-    back_after: tuple[int, int]
-    small_screens: float
-    uneven: float
+    arrival_rate: float
+    title_count: int
+    zipf_exponent: float
+    plan_shares: dict[str, float]
+    mean_watch_ns: dict[str, int]
+    return_share: float
+    return_delay_ns: tuple[int, int]
+    small_screen_share: float
+    front_skew: float
 
 
 @dataclass(frozen=True)
@@ -87,26 +87,26 @@
     """A whole day. Times in ns."""
 
     name: str
-    length: int
+    duration_ns: int
     seed: int
     site: SharedSettings
     site_text: str
-    fronts: tuple[str, ...]  # the wing of each
-    nodes: tuple[NodePlace, ...]
-    uplinks: tuple[float, ...]
-    late: tuple[int, int]
-    guard: float
-    stall: float
-    setup: tuple[int, int]
-    crowd: Crowd
+    front_zones: tuple[str, ...]  # the wing of each
+    nodes: tuple[NodeSpec, ...]
+    uplink_capacities: tuple[float, ...]
+    list_delay_ns: tuple[int, int]
+    full_link_load: float
+    shortfall_penalty: float
+    setup_duration_ns: tuple[int, int]
+    viewer_model: ViewerModel
     faults: tuple[Fault, ...]
-    peers: bool = False  # whether the fronts speak to each other
+    has_peers: bool = False  # whether the fronts speak to each other
     keepers: tuple[int, ...] = ()  # those that grant terms of the fleet's duties
-    term: int = 2 * SECOND
-    adopting: bool = False  # whether fronts take over playbacks of those that are gone
-    probing: bool = False  # whether they share what nodes tell of their loads
+    term_ns: int = 2 * SECOND
+    has_takeovers: bool = False  # whether fronts take over playbacks of those that are gone
+    shares_node_loads: bool = False  # whether they share what nodes tell of their loads
 
-    def seeded(self, seed: int) -> Day:
+    def with_seed(self, seed: int) -> Day:
         """The same day from another seed."""
         return replace(self, seed=seed)
 
@@ -176,12 +176,12 @@
 )  # fmt: skip
 
 
-def load(path: Path) -> Day:
+def load_day(path: Path) -> Day:
     """Reads a day's file. Unsound says what is wrong and where."""
-    return parse(path.read_text(encoding="utf-8"), path.stem)
+    return parse_day(path.read_text(encoding="utf-8"), path.stem)
 
 
-def parse(body: str, name: str) -> Day:
+def parse_day(body: str, name: str) -> Day:
     """Reads a day: one (day …) whose (site …) holds forms of the configuration language."""
     problems = Diagnostics()
     parts = without_comments(parse_text(body, name, problems))
@@ -233,12 +233,26 @@
     keepers = tuple(record.get("keepers"))
     faults = [_fault(fault, known, peers, bool(keepers), problems) for fault in record.get("fault") or []]
     return Day(
-        name=name, length=record.get("length"), seed=record.get("seed"), site=site, site_text=text, fronts=fronts,
-        nodes=nodes, uplinks=uplinks, late=(late[0], late[-1]), guard=record.get("guard"), stall=record.get("stall"),
-        setup=(setup[0], setup[-1]), crowd=_crowd(record.get("viewers"), site, problems),
-        faults=tuple(sorted(faults, key=lambda fault: (fault.at, fault.kind, fault.on))), peers=peers, keepers=keepers,
-        term=record.get("term"), adopting=_is_yes(record, "adopting"), probing=_is_yes(record, "probing"),
-    )  # fmt: skip
+        name=name,
+        duration_ns=record.get("length"),
+        seed=record.get("seed"),
+        site=site,
+        site_text=text,
+        front_zones=fronts,
+        nodes=nodes,
+        uplink_capacities=uplinks,
+        list_delay_ns=(late[0], late[-1]),
+        full_link_load=record.get("guard"),
+        shortfall_penalty=record.get("stall"),
+        setup_duration_ns=(setup[0], setup[-1]),
+        viewer_model=_crowd(record.get("viewers"), site, problems),
+        faults=tuple(sorted(faults, key=lambda fault: (fault.start_ns, fault.kind, fault.targets))),
+        has_peers=peers,
+        keepers=keepers,
+        term_ns=record.get("term"),
+        has_takeovers=_is_yes(record, "adopting"),
+        shares_node_loads=_is_yes(record, "probing"),
+    )
 
 
 def _is_yes(record: Record, field: str) -> bool:
@@ -273,7 +287,7 @@
             problems.error(record.location_of("keepers"), f"there is no front {number}; there are {fronts}")
 
 
-def _crowd(viewers: Record, site: SharedSettings, problems: Diagnostics) -> Crowd:
+def _crowd(viewers: Record, site: SharedSettings, problems: Diagnostics) -> ViewerModel:
     shares: list[Record] = viewers.get("plan") or []
     for share in shares:
         if share.name not in site.plans:
@@ -281,16 +295,21 @@
                 share.location, f"there is no plan {share.name}; there is {join_alternatives(site.plans)}"
             )
     back = viewers.get("back-after")
-    return Crowd(
-        rate=viewers.get("rate"), titles=viewers.get("titles"), zipf=viewers.get("zipf"),
-        share={share.name: share.get("share") for share in shares},
-        life={share.name: share.get("life") for share in shares}, returns=viewers.get("returns"),
-        back_after=(back[0], back[-1]), small_screens=viewers.get("small-screens"), uneven=viewers.get("uneven"),
-    )  # fmt: skip
+    return ViewerModel(
+        arrival_rate=viewers.get("rate"),
+        title_count=viewers.get("titles"),
+        zipf_exponent=viewers.get("zipf"),
+        plan_shares={share.name: share.get("share") for share in shares},
+        mean_watch_ns={share.name: share.get("life") for share in shares},
+        return_share=viewers.get("returns"),
+        return_delay_ns=(back[0], back[-1]),
+        small_screen_share=viewers.get("small-screens"),
+        front_skew=viewers.get("uneven"),
+    )
 
 
-def _node(r: Record) -> NodePlace:
-    return NodePlace(r.name, r.get("wing"), r.get("cell"), r.get("link"), r.get("places"))
+def _node(r: Record) -> NodeSpec:
+    return NodeSpec(r.name, r.get("wing"), r.get("cell"), r.get("link"), r.get("places"))
 
 
 def _fault(r: Record, known: dict[str, set[str]], peers: bool, keepers: bool, problems: Diagnostics) -> Fault:
@@ -304,7 +323,7 @@
     if fault.kind in OWNER_FAULTS and not keepers:
         problems.error(r.location, f"{fault.kind} needs an owner, and nobody grants terms", "add (keepers …)")
     kind = "wing" if fault.kind.startswith("zone") else "front" if fault.kind in FRONT_FAULTS else "node"
-    for name in fault.on if fault.kind not in LIST_FAULTS + VIEWER_FAULTS else ():
+    for name in fault.targets if fault.kind not in LIST_FAULTS + VIEWER_FAULTS else ():
         if name not in known[kind]:
             problems.error(
                 r.location_of("on"), f"there is no {kind} {name}; there is {join_alternatives(known[kind])}"
--- a/oakcroft/standins/disk.py
+++ b/oakcroft/standins/disk.py
@@ -13,7 +13,7 @@
 
 import apsw
 
-FAULTS: dict[str, Callable[[], Exception]] = {
+FAILURES: dict[str, Callable[[], Exception]] = {
     "full": lambda: apsw.FullError("disk full"),
     "io-write": lambda: _io(apsw.SQLITE_IOERR_WRITE),
     "io-sync": lambda: _io(apsw.SQLITE_IOERR_FSYNC),
@@ -28,43 +28,43 @@
 
 
 @dataclass
-class Content:
+class FileContent:
     """One file: as it reads now, as a power cut leaves it at the least, and the writes in between."""
 
-    now: bytearray = field(default_factory=bytearray)
+    current: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
-    since: list[tuple[int, bytes]] = field(default_factory=list)
+    unsynced_writes: list[tuple[int, bytes]] = field(default_factory=list)
 
 
-class Handle:
+class FileHandle:
     """One open file, as SQLite calls it."""
 
-    def __init__(self, disk: Disk, content: Content) -> None:
+    def __init__(self, disk: FaultyDisk, content: FileContent) -> None:
         self.disk, self.content = disk, content
 
     def xRead(self, amount: int, offset: int) -> bytes:
-        self.disk.call("read")
-        return bytes(self.content.now[offset : offset + amount])
+        self.disk.count_call("read")
+        return bytes(self.content.current[offset : offset + amount])
 
     def xWrite(self, data: bytes, offset: int) -> None:
-        self.disk.call("write")
-        now = self.content.now
+        self.disk.count_call("write")
+        now = self.content.current
         if len(now) < offset:
             now.extend(bytes(offset - len(now)))
         now[offset : offset + len(data)] = data
-        self.content.since.append((offset, bytes(data)))
+        self.content.unsynced_writes.append((offset, bytes(data)))
 
     def xTruncate(self, size: int) -> None:
-        self.disk.call("write")
-        del self.content.now[size:]
-        self.content.since.append((size, b""))
+        self.disk.count_call("write")
+        del self.content.current[size:]
+        self.content.unsynced_writes.append((size, b""))
 
     def xSync(self, _flags: int) -> None:
-        self.disk.call("sync")
-        self.content.synced, self.content.since = bytes(self.content.now), []
+        self.disk.count_call("sync")
+        self.content.synced, self.content.unsynced_writes = bytes(self.content.current), []
 
     def xFileSize(self) -> int:
-        return len(self.content.now)
+        return len(self.content.current)
 
     def xLock(self, _level: int) -> None:
         pass
@@ -88,49 +88,65 @@
         pass
 
 
-class Disk(apsw.VFS):
+class FaultyDisk(apsw.VFS):
     """The disk; SQLite knows it by its name."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.files = name, dict[str, Content]()
-        self.cuts, self.after = 0, self
-        self.calls, self.fail_at, self.lasting, self.kind, self.only = 0, -1, False, "", ""
-        self.slow = 0.0  # seconds that each sync takes
-        self.at_call: Callable[[int, str], None] | None = None
+        self.name, self.files = name, dict[str, FileContent]()
+        self.cut_count, self.successor = 0, self
+        self.call_count, self.fail_at_call, self.is_lasting, self.failure, self.failing_call = (
+            0,
+            -1,
+            False,
+            "",
+            "",
+        )
+        self.sync_delay_seconds = 0.0  # seconds that each sync takes
+        self.on_call: Callable[[int, str], None] | None = None
         super().__init__(name, "")
 
     # Faults.
 
     def fail(self, kind: str, at: int, lasting: bool = False, only: str = "") -> None:
         """The so-many-th write or sync from now fails (0: the next), or all from there. `only`: of this kind of call."""
-        self.calls, self.fail_at, self.kind, self.lasting, self.only = 0, at, kind, lasting, only
-
-    def mend(self) -> None:
+        self.call_count, self.fail_at_call, self.failure, self.is_lasting, self.failing_call = (
+            0,
+            at,
+            kind,
+            lasting,
+            only,
+        )
+
+    def repair(self) -> None:
         """Nothing fails any more."""
-        self.fail_at, self.slow = -1, 0.0
+        self.fail_at_call, self.sync_delay_seconds = -1, 0.0
 
-    def call(self, what: str) -> None:
+    def count_call(self, what: str) -> None:
         """One call on a file."""
         if what == "read":
             return
-        if what == "sync" and self.slow:
-            time.sleep(self.slow)
-        if self.only in ("", what):
-            number = self.calls
-            self.calls += 1
-            if self.at_call is not None:
-                self.at_call(number, what)
-            if self.fail_at >= 0 and (number == self.fail_at or (self.lasting and number > self.fail_at)):
-                raise FAULTS[self.kind]()
-
-    def cut_power(self, rng: Random) -> Disk:
+        if what == "sync" and self.sync_delay_seconds:
+            time.sleep(self.sync_delay_seconds)
+        if self.failing_call in ("", what):
+            number = self.call_count
+            self.call_count += 1
+            if self.on_call is not None:
+                self.on_call(number, what)
+            if self.fail_at_call >= 0 and (
+                number == self.fail_at_call or (self.is_lasting and number > self.fail_at_call)
+            ):
+                raise FAILURES[self.failure]()
+
+    def cut_power(self, rng: Random) -> FaultyDisk:
         """The disk as it is found after a power cut: what was not synced is lost, but for a part of it, as writes arrive
         in any order, the last one perhaps torn. Programs of before go on with this one, which nobody reads."""
-        self.cuts += 1
-        after = self.after = Disk(f"{self.name}-{self.cuts}")  # kept: SQLite forgets one that nothing holds
+        self.cut_count += 1
+        after = self.successor = FaultyDisk(
+            f"{self.name}-{self.cut_count}"
+        )  # kept: SQLite forgets one that nothing holds
         for name, content in list(self.files.items()):
             left = bytearray(content.synced)
-            for offset, data in list(content.since):
+            for offset, data in list(content.unsynced_writes):
                 if rng.random() < 0.5:
                     continue
                 part = data[: rng.randrange(len(data) + 1)] if rng.random() < 0.2 else data
@@ -140,22 +156,22 @@
                 if len(left) < offset:
                     left.extend(bytes(offset - len(left)))
                 left[offset : offset + len(part)] = part
-            after.files[name] = Content(left, bytes(left))
+            after.files[name] = FileContent(left, bytes(left))
         return after
 
-    def damage(self, name: str, offset: int) -> None:
+    def corrupt(self, name: str, offset: int) -> None:
         """A page reads otherwise than it was written."""
         content = next(c for n, c in self.files.items() if n.endswith(name))
-        content.now[offset : offset + 64] = bytes(64 * [0xA5])
-        content.synced = bytes(content.now)
+        content.current[offset : offset + 64] = bytes(64 * [0xA5])
+        content.synced = bytes(content.current)
 
     # As SQLite calls it.
 
     def xOpen(  # type: ignore[override]
         self, name: apsw.URIFilename | str | None, flags: list[int]
-    ) -> Handle:
+    ) -> FileHandle:
         path = name if isinstance(name, str) else name.filename() if name is not None else "temporary"
-        return Handle(self, self.files.setdefault(path, Content()))
+        return FileHandle(self, self.files.setdefault(path, FileContent()))
 
     def xDelete(self, name: str, syncdir: bool) -> None:
         self.files.pop(name, None)
--- a/oakcroft/standins/faults.py
+++ b/oakcroft/standins/faults.py
@@ -41,22 +41,22 @@
 
 
 async def _inject_on_time(fleet: Fleet, fault: Fault, start: int) -> None:
-    await trio.sleep_until(fleet.clock.trio_time(start + fault.at))
-    fleet.record.note("fault", what=fault.kind, on=list(fault.on), phase="begins")
+    await trio.sleep_until(fleet.clock.trio_time(start + fault.start_ns))
+    fleet.record.note("fault", what=fault.kind, on=list(fault.targets), phase="begins")
     await inject(fleet, fault)
-    fleet.record.note("fault", what=fault.kind, on=list(fault.on), phase="ends")
+    fleet.record.note("fault", what=fault.kind, on=list(fault.targets), phase="ends")
 
 
 async def inject(fleet: Fleet, fault: Fault) -> None:
     """Plays one fault from its beginning to its end. A kind that befalls no node or list (front ends, viewers) is left to
     others."""
-    nodes = [fleet.nodes[name] for name in fault.on if name in fleet.nodes]
+    nodes = [fleet.nodes[name] for name in fault.targets if name in fleet.nodes]
     if fault.kind in INJECTORS:
         await INJECTORS[fault.kind](fleet, nodes, fault)
 
 
 def _seconds(fault: Fault) -> float:
-    return fault.length / SECOND
+    return fault.duration_ns / SECOND
 
 
 async def _crash(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
@@ -68,20 +68,22 @@
 
 
 async def _lose_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
-    nodes = [node for node in fleet.nodes.values() if node.wing in fault.on]
+    nodes = [node for node in fleet.nodes.values() if node.zone in fault.targets]
     await _down(fleet, nodes, _seconds(fault), silent=fault.extra > SILENT_OVER)
 
 
 async def _hang(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _while(nodes, _seconds(fault), "hung", True, False)
+    await _while(nodes, _seconds(fault), "is_hung", True, False)
 
 
 async def _lose_answers(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _while(nodes, _seconds(fault), "lost_share", fault.size, 0.0)
+    await _while(nodes, _seconds(fault), "lost_answer_share", fault.size, 0.0)
 
 
 async def _report_late(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _while(nodes or list(fleet.nodes.values()), _seconds(fault), "late", fault.size, 0.0)
+    await _while(
+        nodes or list(fleet.nodes.values()), _seconds(fault), "report_delay_seconds", fault.size, 0.0
+    )
 
 
 async def _slow_down(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
@@ -99,10 +101,10 @@
     while trio.current_time() < until:
         on = not on
         for node in nodes:
-            node.machine.taken = fault.size if on else 0.0
+            node.machine.taken_share = fault.size if on else 0.0
         await trio.sleep(min(swing, max(SHORTEST_SLEEP_SECONDS, until - trio.current_time())))
     for node in nodes:
-        node.machine.taken = 0.0
+        node.machine.taken_share = 0.0
 
 
 async def _ageing(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
@@ -117,13 +119,13 @@
 async def _age(fleet: Fleet, node: PlayoutNode, lasts: float, times: float, away: float) -> None:
     for step in range(1, AGEING_STEPS + 1):
         await trio.sleep(lasts / AGEING_STEPS)
-        node.machine.slowness = 1 + (max(1.0, times) - 1) * step / AGEING_STEPS
+        node.machine.slowdown = 1 + (max(1.0, times) - 1) * step / AGEING_STEPS
     node.kill()
-    fleet.publish()
+    fleet.publish_list()
     await trio.sleep(away)
-    node.machine.slowness = 1.0
+    node.machine.slowdown = 1.0
     await return_cold(fleet, node)
-    fleet.publish()
+    fleet.publish_list()
 
 
 async def _deploy(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
@@ -139,20 +141,22 @@
 
 async def _cut_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
     """Front ends and nodes on different sides of the cut do not reach each other."""
-    wings = sorted({node.wing for node in fleet.nodes.values()})
+    wings = sorted({node.zone for node in fleet.nodes.values()})
     for node in fleet.nodes.values():
-        node.ails.cut_from = {wing for wing in wings if (wing in fault.on) != (node.wing in fault.on)}
-        node.stir()
+        node.faults.unreachable_zones = {
+            wing for wing in wings if (wing in fault.targets) != (node.zone in fault.targets)
+        }
+        node.notify_changed()
     await trio.sleep(_seconds(fault))
     for node in fleet.nodes.values():
-        node.ails.cut_from = set()
-        node.stir()
+        node.faults.unreachable_zones = set()
+        node.notify_changed()
 
 
 async def _fail_list(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
-    fleet.list.set_fault(fault.kind)
+    fleet.list_service.set_fault(fault.kind)
     await trio.sleep(_seconds(fault))
-    fleet.list.clear_fault()
+    fleet.list_service.clear_fault()
 
 
 INJECTORS: dict[str, Injector] = {
@@ -166,47 +170,47 @@
 async def _while(nodes: list[PlayoutNode], seconds: float, name: str, faulty: object, sound: object) -> None:
     """Sets one of the nodes' ailments for so long."""
     for node in nodes:
-        setattr(node.ails, name, faulty)
-        node.stir()
+        setattr(node.faults, name, faulty)
+        node.notify_changed()
     await trio.sleep(seconds)
     for node in nodes:
-        setattr(node.ails, name, sound)
-        node.stir()
+        setattr(node.faults, name, sound)
+        node.notify_changed()
 
 
 async def _down(fleet: Fleet, nodes: Iterable[PlayoutNode], seconds: float, silent: bool) -> None:
     """Processes die and come back cold; with `silent`, nothing comes from them until then."""
-    down = [node for node in nodes if not node.ails.dead]
+    down = [node for node in nodes if not node.faults.is_dead]
     for node in down:
         if silent:
             fleet.record.note("silent", node=node.name)
-            node.ails.silent = True
-            node.stir()
+            node.faults.is_silent = True
+            node.notify_changed()
         else:
             node.kill()
     if not silent:
-        fleet.publish()
+        fleet.publish_list()
     await trio.sleep(seconds)
     for node in down:
         if silent:
             node.kill()
         await return_cold(fleet, node)
-    fleet.publish()
+    fleet.publish_list()
 
 
 async def return_cold(fleet: Fleet, node: PlayoutNode) -> None:
     """A dead node's process starts again, if the node is still part of the fleet."""
-    if node.ails.dead and fleet.nodes.get(node.name) is node:
+    if node.faults.is_dead and fleet.nodes.get(node.name) is node:
         node.machine.restart(fleet.clock.now())
-        await fleet.boot(node)
+        await fleet.start_node(node)
 
 
 async def _slow(nodes: list[PlayoutNode], seconds: float, times: float) -> None:
     for node in nodes:
-        node.machine.slowness *= max(1.0, times)
+        node.machine.slowdown *= max(1.0, times)
     await trio.sleep(seconds)
     for node in nodes:
-        node.machine.slowness /= max(1.0, times)
+        node.machine.slowdown /= max(1.0, times)
 
 
 async def _replace(
@@ -224,18 +228,18 @@
 async def _replace_batch(fleet: Fleet, batch: list[PlayoutNode], notice: float, gap: float) -> None:
     batch = [node for node in batch if fleet.nodes.get(node.name) is node]
     for node in batch:
-        node.ails.draining = True
+        node.faults.is_draining = True
         fleet.record.note("draining", node=node.name)
-    fleet.publish()
+    fleet.publish_list()
     await trio.sleep(notice)
     for node in batch:
         node.kill()
-        fleet.retire(node)
-    fleet.publish()
+        fleet.remove(node)
+    fleet.publish_list()
     await trio.sleep(gap)
     for node in batch:
         base, _, number = node.name.partition("+")
-        replacement = fleet.add(fleet.place(node.name), f"{base}+{int(number or 0) + 1}")
+        replacement = fleet.add(fleet.spec_of(node.name), f"{base}+{int(number or 0) + 1}")
         replacement.machine.restart(fleet.clock.now())
-        await fleet.boot(replacement)
-    fleet.publish()
+        await fleet.start_node(replacement)
+    fleet.publish_list()
--- a/oakcroft/standins/fleet.py
+++ b/oakcroft/standins/fleet.py
@@ -15,8 +15,8 @@
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import MS, SECOND
 from oakcroft.running.clock import Clock
-from oakcroft.standins.day import Day, NodePlace
-from oakcroft.standins.links import Machine, Rack, Warmth
+from oakcroft.standins.day import Day, NodeSpec
+from oakcroft.standins.links import Machine, Rack, WarmUp
 from oakcroft.standins.list_service import ListedNode, ListService
 from oakcroft.standins.playout import PlayoutNode
 from oakcroft.standins.record import Record
@@ -59,10 +59,10 @@
         """The nodes stand but no process runs yet; `run` starts them."""
         self.day, self.record, self.clock = day, record, clock
         self.rng = Random(day.seed * SEED_FACTOR + SEED_OFFSET)
-        self.racks = [Rack(uplink) for uplink in day.uplinks]
+        self.racks = [Rack(uplink) for uplink in day.uplink_capacities]
         self.nodes: dict[str, PlayoutNode] = {}
-        self.retired: list[PlayoutNode] = []
-        self.list = ListService(day, clock, record)
+        self.removed_nodes: list[PlayoutNode] = []
+        self.list_service = ListService(day, clock, record)
         self.list_port = 0
         self._reports: list[DelayedReport] = []
         self._reports_made = 0
@@ -70,34 +70,49 @@
         for place in day.nodes:
             self.add(place, place.name)
 
-    def add(self, place: NodePlace, name: str) -> PlayoutNode:
+    def add(self, place: NodeSpec, name: str) -> PlayoutNode:
         """Puts a node on a place, under a name of its own; its process is not started."""
         terms = self.day.site.terms
-        warmth = Warmth(
+        warmth = WarmUp(
             terms.cold_pace_share, terms.cold_duration_ns, terms.overload_multiple, terms.overload_window_ns
         )
-        link = place.link * self.rng.uniform(*LINK_SPREAD)
+        link = place.link_capacity * self.rng.uniform(*LINK_SPREAD)
         machine = Machine(
-            name, self.racks[place.cell % terms.rack_count], link, place.places, warmth, self.day.guard
+            name,
+            self.racks[place.cell % terms.rack_count],
+            link,
+            place.playback_capacity,
+            warmth,
+            self.day.full_link_load,
+        )
+        node = PlayoutNode(
+            name,
+            place.zone,
+            place.cell,
+            machine,
+            self.day.site,
+            self.record,
+            Random(f"{self.day.seed} {name}"),
+            self.day.setup_duration_ns,
+            self.clock.now,
+            self.zone_of_front,
         )
-        node = PlayoutNode(name, place.wing, place.cell, machine, self.day.site, self.record,
-                           Random(f"{self.day.seed} {name}"), self.day.setup, self.clock.now, self.wing_of)  # fmt: skip
         self.nodes[name] = node
         return node
 
-    def retire(self, node: PlayoutNode) -> None:
+    def remove(self, node: PlayoutNode) -> None:
         """Takes a dead node out of the fleet; what it earned still counts."""
         del self.nodes[node.name]
-        self.retired.append(node)
+        self.removed_nodes.append(node)
         node.machine.rack.nodes.remove(node.machine)
 
-    def wing_of(self, front: str) -> str:
+    def zone_of_front(self, front: str) -> str:
         """The wing of a front, by the name that it goes by."""
         _, _, rest = front.partition("-")
         number = rest.partition("-")[0]
-        return self.day.fronts[int(number)] if number.isdigit() else ""
+        return self.day.front_zones[int(number)] if number.isdigit() else ""
 
-    def place(self, name: str) -> NodePlace:
+    def spec_of(self, name: str) -> NodeSpec:
         """The place that a node, or its replacement, stands on."""
         return next(place for place in self.day.nodes if place.name == name.split("+")[0])
 
@@ -106,35 +121,43 @@
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             for node in list(self.nodes.values()):
-                await self.boot(node)
+                await self.start_node(node)
             service = Server(
-                self.list.handle,
+                self.list_service.handle,
                 ConnectionTable(ConnectionLimits(idle=LIST_IDLE_NS)),
                 self.clock.now,
                 lambda *_: None,
             )
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            self.publish()
+            self.publish_list()
             nursery.start_soon(service.run, listeners)
             nursery.start_soon(self._pass_time)
             self.list_port = listeners[0].socket.getsockname()[1]
             ready.set()
 
-    async def boot(self, node: PlayoutNode) -> None:
+    async def start_node(self, node: PlayoutNode) -> None:
         """Starts a node's process."""
         listeners = await node.listen()
-        self.nursery.start_soon(node.live, listeners)
+        self.nursery.start_soon(node.run_process, listeners)
 
-    def publish(self) -> None:
+    def publish_list(self) -> None:
         """Publishes the list of all nodes whose process lives."""
-        living = [node for node in self.nodes.values() if not node.ails.dead]
-        self.list.publish([self._listed(node) for node in living], self.clock.now())
+        living = [node for node in self.nodes.values() if not node.faults.is_dead]
+        self.list_service.publish([self._listed(node) for node in living], self.clock.now())
 
     def _listed(self, node: PlayoutNode) -> ListedNode:
-        place = self.place(node.name)
-        health = "DRAINING" if node.ails.draining else "HEALTHY"
-        return ListedNode(node.name, node.wing, node.cell, node.port, health, place.link, place.places,
-                          node.machine.started / MS)  # fmt: skip
+        place = self.spec_of(node.name)
+        health = "DRAINING" if node.faults.is_draining else "HEALTHY"
+        return ListedNode(
+            node.name,
+            node.zone,
+            node.cell,
+            node.port,
+            health,
+            place.link_capacity,
+            place.playback_capacity,
+            node.machine.started_at / MS,
+        )
 
     async def _pass_time(self) -> None:
         """Time passes for the links; what the nodes report of them reaches the front ends late."""
@@ -144,13 +167,15 @@
             await trio.sleep(TICK_SECONDS)
             now, tick = trio.current_time(), tick + 1
             for node in list(self.nodes.values()):
-                ails = node.ails
-                node.machine.pass_time(now - last, self.day.stall, ails.dead or ails.hung or ails.silent)
-                if ails.dead or ails.silent:
+                ails = node.faults
+                node.machine.advance(
+                    now - last, self.day.shortfall_penalty, ails.is_dead or ails.is_hung or ails.is_silent
+                )
+                if ails.is_dead or ails.is_silent:
                     continue
                 if tick % TICKS_BETWEEN_SHARES == 0:
                     self._report_share(node, now)
-                    node.look_for_lost_fronts()
+                    node.end_sessions_of_lost_fronts()
                 if tick % ticks_between_loads == 0:
                     self._report_load(node, now)
             self._deliver_reports(now)
@@ -158,20 +183,20 @@
 
     def _report_share(self, node: PlayoutNode, now: float) -> None:
         """A node that delivers short says so, and once more when it does no longer."""
-        share = 0.0 if node.ails.hung else node.machine.smooth
+        share = 0.0 if node.faults.is_hung else node.machine.smoothed_share
         short = share < SHORT_SHARE
         if short or self._delivers_short.get(node.name):
             self._delay(node, now, "share", {"share": share})
         self._delivers_short[node.name] = short
 
     def _report_load(self, node: PlayoutNode, now: float) -> None:
-        load = {"asked": node.machine.asked()}
-        if node.machine.rack.uplink:
-            load["uplink"] = node.machine.uplink_asked()
+        load = {"asked": node.machine.link_load()}
+        if node.machine.rack.uplink_capacity:
+            load["uplink"] = node.machine.uplink_load()
         self._delay(node, now, "link", load)
 
     def _delay(self, node: PlayoutNode, now: float, name: str, data: object) -> None:
-        at = now + self.day.site.terms.report_delay_ns / SECOND + node.ails.late
+        at = now + self.day.site.terms.report_delay_ns / SECOND + node.faults.report_delay_seconds
         self._reports_made += 1
         heapq.heappush(self._reports, DelayedReport(at, self._reports_made, node, node.process, name, data))
 
@@ -180,19 +205,19 @@
         while self._reports and self._reports[0].at <= now:
             report = heapq.heappop(self._reports)
             node = report.node
-            if report.process != node.process or node.ails.dead:
+            if report.process != node.process or node.faults.is_dead:
                 continue
             playing = {session.front for session in node.sessions.values()}
-            for front, ear in list(node.ears.items()):
+            for front, ear in list(node.subscriptions.items()):
                 if front in playing:
-                    node.say(ear, report.name, report.data)
+                    node.send_event(ear, report.name, report.data)
 
-    def summary(self) -> dict[str, float]:
+    def revenue_by_plan(self) -> dict[str, float]:
         """Revenue-seconds earned for each plan."""
         out: dict[str, float] = {}
-        for node in [*self.nodes.values(), *self.retired]:
+        for node in [*self.nodes.values(), *self.removed_nodes]:
             for session in list(node.sessions):
                 node.end_session(session, "end of the day")
-            for plan, earned in node.earned.items():
+            for plan, earned in node.revenue_by_plan.items():
                 out[plan] = out.get(plan, 0.0) + earned
         return out
--- a/oakcroft/standins/links.py
+++ b/oakcroft/standins/links.py
@@ -12,38 +12,42 @@
 
 
 @dataclass(frozen=True)
-class Warmth:
+class WarmUp:
     """How a node warms up and when it falls over: all fronts' set-ups over `window` ns against its pace."""
 
-    start_share: float
-    cold_for: int
-    multiple: float
-    window: int
+    initial_share: float
+    cold_ns: int
+    overload_multiple: float
+    window_ns: int
 
-    def share(self, age: int) -> float:
+    def pace_share(self, age: int) -> float:
         """The share of its full pace that a node takes at this age."""
-        return min(1.0, self.start_share + (1 - self.start_share) * age / max(1, self.cold_for))
+        return min(1.0, self.initial_share + (1 - self.initial_share) * age / max(1, self.cold_ns))
 
-    def budget(self, age: int, places: float) -> float:
+    def setup_budget(self, age: int, places: float) -> float:
         """Set-ups over a window ending at this age that a node stands."""
-        return self.multiple * self.share(age) * places / max(1, self.cold_for) * self.window
+        return self.overload_multiple * self.pace_share(age) * places / max(1, self.cold_ns) * self.window_ns
 
 
 @dataclass
 class Rack:
     """An uplink, kB a second; 0 for one that never binds."""
 
-    uplink: float
+    uplink_capacity: float
     nodes: list[Machine] = field(default_factory=list)
 
-    def asked(self) -> float:
+    def requested_rate(self) -> float:
         """What its nodes would put on it: each no more than its own link gives."""
-        return sum(min(n.asked_kb(), n.gives()) for n in self.nodes)
+        return sum(min(n.requested_rate(), n.available_rate()) for n in self.nodes)
 
-    def share(self) -> float:
+    def delivered_share(self) -> float:
         """The share of that which it carries."""
-        asked = self.asked()
-        return 1.0 if self.uplink <= 0 or asked <= self.uplink else self.uplink / asked
+        asked = self.requested_rate()
+        return (
+            1.0
+            if self.uplink_capacity <= 0 or asked <= self.uplink_capacity
+            else self.uplink_capacity / asked
+        )
 
 
 @dataclass
@@ -52,9 +56,9 @@
 
     rate: float
     rung: int
-    worth: tuple[float, ...]
-    started: int
-    earned: float = 0.0
+    revenue_rates: tuple[float, ...]
+    started_at: int
+    revenue: float = 0.0
 
 
 @dataclass
@@ -63,85 +67,93 @@
 
     name: str
     rack: Rack
-    link: float
-    places: int
-    warmth: Warmth
-    guard: float = 0.0
-    started: int = 0
-    cold: bool = False
-    fallen: bool = False
-    taken: float = 0.0  # the share of its link that another program has
-    slowness: float = 1.0
+    link_capacity: float
+    playback_capacity: int
+    warm_up: WarmUp
+    full_link_load: float = 0.0
+    started_at: int = 0
+    is_cold: bool = False
+    is_overloaded: bool = False
+    taken_share: float = 0.0  # the share of its link that another program has
+    slowdown: float = 1.0
     streams: dict[str, Stream] = field(default_factory=dict)
-    waiting: int = 0
-    lately: deque[int] = field(default_factory=deque)
-    smooth: float = 1.0
+    pending_setups: int = 0
+    recent_setups: deque[int] = field(default_factory=deque)
+    smoothed_share: float = 1.0
 
     def __post_init__(self) -> None:
         """Puts itself into its rack."""
         self.rack.nodes.append(self)
 
-    def asked_kb(self) -> float:
+    def requested_rate(self) -> float:
         """What its streams ask for."""
         return sum(s.rate for s in self.streams.values())
 
-    def gives(self) -> float:
+    def available_rate(self) -> float:
         """What its link gives now."""
-        return self.link * (1 - self.taken) / self.slowness
+        return self.link_capacity * (1 - self.taken_share) / self.slowdown
 
-    def asked(self) -> float:
+    def link_load(self) -> float:
         """Asked of the link over what it gives."""
-        return self.asked_kb() / max(1.0, self.gives())
+        return self.requested_rate() / max(1.0, self.available_rate())
 
-    def uplink_asked(self) -> float:
+    def uplink_load(self) -> float:
         """The same for its rack's uplink, 0 where none binds."""
-        return self.rack.asked() / self.rack.uplink if self.rack.uplink > 0 else 0.0
+        return (
+            self.rack.requested_rate() / self.rack.uplink_capacity if self.rack.uplink_capacity > 0 else 0.0
+        )
 
-    def share(self) -> float:
+    def delivered_share(self) -> float:
         """The share of their rates that its streams get."""
-        asked = self.asked()
-        return (1.0 if asked <= 1 else 1 / asked) * self.rack.share()
+        asked = self.link_load()
+        return (1.0 if asked <= 1 else 1 / asked) * self.rack.delivered_share()
 
-    def knock(self, now: int) -> bool:
+    def admit_setup(self, now: int) -> bool:
         """A set-up arrives. Counts it against a cold node's pace; False when the node falls over under it."""
-        if not self.cold:
-            return not self.fallen
-        age = now - self.started
-        if age >= self.warmth.cold_for:
-            self.cold = False
+        if not self.is_cold:
+            return not self.is_overloaded
+        age = now - self.started_at
+        if age >= self.warm_up.cold_ns:
+            self.is_cold = False
             return True
-        self.lately.append(now)
-        while self.lately[0] <= now - self.warmth.window:
-            self.lately.popleft()
-        if len(self.lately) > self.warmth.budget(age, self.places) + 1:
-            self.fallen = True
-        return not self.fallen
+        self.recent_setups.append(now)
+        while self.recent_setups[0] <= now - self.warm_up.window_ns:
+            self.recent_setups.popleft()
+        if len(self.recent_setups) > self.warm_up.setup_budget(age, self.playback_capacity) + 1:
+            self.is_overloaded = True
+        return not self.is_overloaded
 
     def has_room(self) -> bool:
         """Whether it takes one more stream."""
-        if self.guard and self.asked() >= self.guard:
+        if self.full_link_load and self.link_load() >= self.full_link_load:
             return False
-        return len(self.streams) + self.waiting < self.places
+        return len(self.streams) + self.pending_setups < self.playback_capacity
 
-    def begin(self, session: str, stream: Stream) -> None:
+    def add_stream(self, session: str, stream: Stream) -> None:
         """A playback begins to play."""
         self.streams[session] = stream
 
-    def end(self, session: str) -> Stream | None:
+    def remove_stream(self, session: str) -> Stream | None:
         """A playback ends."""
         return self.streams.pop(session, None)
 
     def restart(self, now: int) -> None:
         """A new process: empty and cold."""
         self.streams.clear()
-        self.lately.clear()
-        self.started, self.cold, self.fallen, self.waiting, self.smooth = now, True, False, 0, 1.0
-
-    def pass_time(self, seconds: float, stall: float, dead: bool = False) -> None:
+        self.recent_setups.clear()
+        self.started_at, self.is_cold, self.is_overloaded, self.pending_setups, self.smoothed_share = (
+            now,
+            True,
+            False,
+            0,
+            1.0,
+        )
+
+    def advance(self, seconds: float, stall: float, dead: bool = False) -> None:
         """Its streams earn for so long. Under 98% of its rate, one loses `stall` points of worth for each point
         that is missing; a node that stands still (`dead`) earns nothing."""
-        share = 0.0 if dead else self.share()
-        self.smooth += (share - self.smooth) * min(1.0, seconds / 0.5)
+        share = 0.0 if dead else self.delivered_share()
+        self.smoothed_share += (share - self.smoothed_share) * min(1.0, seconds / 0.5)
         loss = max(0.0, 0.98 - share) * stall
         for stream in self.streams.values():
-            stream.earned += seconds * stream.worth[stream.rung] * max(0.0, 1 - loss)
+            stream.revenue += seconds * stream.revenue_rates[stream.rung] * max(0.0, 1 - loss)
--- a/oakcroft/standins/list_service.py
+++ b/oakcroft/standins/list_service.py
@@ -47,10 +47,10 @@
     port: int
     health: str
     """`HEALTHY` or `DRAINING`."""
-    link: float
+    link_capacity: float
     """kB a second."""
-    places: int
-    started: float
+    playback_capacity: int
+    started_ms: float
     """When its process started, in ms on the clock of the day."""
 
 
@@ -60,25 +60,25 @@
     def __init__(self, day: Day, clock: Clock, record: Record) -> None:
         """A service without any version; `record` keeps what it was asked and answered."""
         self.day, self.clock, self.record = day, clock, record
-        self.history: list[tuple[int, list[ListedNode]]] = []
+        self.versions: list[tuple[int, list[ListedNode]]] = []
         self.changed = trio.Event()
-        self.trouble = ""
+        self.fault = ""
 
     def publish(self, nodes: list[ListedNode], at: int) -> None:
         """Adds a version of the list, published at a time in ns."""
-        self.history.append((at, nodes))
-        self.wake()
+        self.versions.append((at, nodes))
+        self.wake_polls()
 
     def set_fault(self, kind: str) -> None:
         """Has the service fail in one of the kinds of `day.LIST_FAULTS`; polls that are held notice at once."""
-        self.trouble = kind
-        self.wake()
+        self.fault = kind
+        self.wake_polls()
 
     def clear_fault(self) -> None:
         """Ends the fault; polls that are held go on."""
-        self.trouble = ""
+        self.fault = ""
 
-    def wake(self) -> None:
+    def wake_polls(self) -> None:
         """Has all held polls look again."""
         self.changed.set()
         self.changed = trio.Event()
@@ -91,7 +91,7 @@
         known = int(orjson.loads(request.body).get("version_info") or NO_VERSION)
         self.record.note("poll", front=front, version=known)
         until = trio.current_time() + LONG_POLL_SECONDS
-        if self.trouble == "list-slow":
+        if self.fault == "list-slow":
             await trio.sleep(SLOW_ANSWER_SECONDS)
         while trio.current_time() < until:
             answer = self._faulty_answer() or self._newer_list(front, known)
@@ -102,41 +102,41 @@
         return Response(304)
 
     def _faulty_answer(self) -> Response | None:
-        match self.trouble:
+        match self.fault:
             case "list-down":
                 return Response(503)
             case "list-broken":
                 return Response(200, JSON, BROKEN_LIST)
             case "list-empty":
-                return Response(200, JSON, _encode(len(self.history) + EMPTY_LIST_VERSION_STEP, []))
+                return Response(200, JSON, _encode(len(self.versions) + EMPTY_LIST_VERSION_STEP, []))
             case _:
                 return None
 
     def _newer_list(self, front: str, known: int) -> Response | None:
         """The newest version that has reached a front end by now, if that is newer than the one it knows."""
         now = self.clock.now()
-        versions = range(known + 1, len(self.history))
+        versions = range(known + 1, len(self.versions))
         visible = max((v for v in versions if self._visible_at(v, front) <= now), default=NO_VERSION)
         if visible <= known:
             return None
-        nodes = self.history[visible][1]
+        nodes = self.versions[visible][1]
         self.record.note("told", front=front, version=visible,
                          ready=[node.name for node in nodes if node.health == "HEALTHY"],
-                         started={node.name: node.started for node in nodes})  # fmt: skip
+                         started={node.name: node.started_ms for node in nodes})  # fmt: skip
         return Response(200, JSON, _encode(visible, nodes))
 
     def _seconds_to_wait(self, front: str, known: int, until: float) -> float:
         """Until the next version reaches a front end, within the time that its poll may be held."""
         now = self.clock.now()
-        due = [self._visible_at(version, front) for version in range(known + 1, len(self.history))]
+        due = [self._visible_at(version, front) for version in range(known + 1, len(self.versions))]
         soonest = min((at for at in due if at > now), default=now + LONGEST_WAIT_NS)
         return max(SHORTEST_WAIT_SECONDS, min((soonest - now) / SECOND, until - trio.current_time()))
 
     def _visible_at(self, version: int, front: str) -> int:
         """When a version reaches a front end: its own lateness, which differs from list to list."""
-        low, high = self.day.late
+        low, high = self.day.list_delay_ns
         number = front.split("-")[1] if front.count("-") > 1 else "0"
-        published = self.history[version][0]
+        published = self.versions[version][0]
         if version == 0:
             return published
         return published + round(Random(f"{self.day.seed} {number} {version}").uniform(low, high))
@@ -156,8 +156,8 @@
 
 def _endpoint(node: ListedNode) -> dict[str, object]:
     address = {"address": "127.0.0.1", "port_value": node.port}
-    more = {"name": node.name, "cell": node.cell, "link_kb": node.link, "places": node.places,
-            "started_at_ms": node.started}  # fmt: skip
+    more = {"name": node.name, "cell": node.cell, "link_kb": node.link_capacity, "places": node.playback_capacity,
+            "started_at_ms": node.started_ms}  # fmt: skip
     return {
         "endpoint": {"address": {"socket_address": address}}, "health_status": node.health,
         "metadata": {"filter_metadata": {"oakcroft": more}},
--- a/oakcroft/standins/peer_network.py
+++ b/oakcroft/standins/peer_network.py
@@ -16,51 +16,54 @@
 import trio
 
 Address = tuple[str, int]
-MOST = 65_536
+MAX_READ_BYTES = 65_536
 
 
 @dataclass
-class Ails:
+class LinkFaults:
     """What befalls the way from one front to another."""
 
-    cut: bool = False
-    lose: float = 0.0
-    double: float = 0.0
-    late: tuple[float, float] = (0.0, 0.0)  # seconds; where they differ, messages overtake each other
+    is_cut: bool = False
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
+    delay_seconds: tuple[float, float] = (
+        0.0,
+        0.0,
+    )  # seconds; where they differ, messages overtake each other
 
 
 @dataclass
-class Between:
+class PeerNetwork:
     """All relays. `fronts`: by name, where each listens; `relays`: where the others reach it."""
 
-    fronts: dict[str, Address]
-    relays: dict[str, Address]
+    front_addresses: dict[str, Address]
+    relay_addresses: dict[str, Address]
     rng: Random
-    ails: dict[tuple[str, str], Ails] = field(default_factory=dict)
-    passed: int = 0
-    lost: int = 0
-    waiting: int = 0  # under way just now
+    link_faults: dict[tuple[str, str], LinkFaults] = field(default_factory=dict)
+    forwarded_count: int = 0
+    lost_count: int = 0
+    delayed_count: int = 0  # under way just now
 
-    def on(self, one: str, other: str) -> Ails:
+    def faults_on(self, one: str, other: str) -> LinkFaults:
         """What befalls the way from one to the other, to be changed."""
-        return self.ails.setdefault((one, other), Ails())
+        return self.link_faults.setdefault((one, other), LinkFaults())
 
     def cut(self, some: set[str], others: set[str], cut: bool = True) -> None:
         """Cuts what goes from `some` to `others`, that way only; or mends it."""
         for one in some:
             for other in others - {one}:
-                self.on(one, other).cut = cut
+                self.faults_on(one, other).is_cut = cut
 
     def heal(self) -> None:
         """All ways are as at the beginning."""
-        self.ails.clear()
+        self.link_faults.clear()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Passes on until it is cancelled."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
-            for name in self.fronts:
-                host, port = self.relays[name]
+            for name in self.front_addresses:
+                host, port = self.relay_addresses[name]
                 sock = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 await sock.bind((host, port))
                 nursery.start_soon(self._datagrams, name, sock)
@@ -70,42 +73,47 @@
             await trio.sleep_forever()
 
     async def _datagrams(self, to: str, sock: trio.socket.SocketType) -> None:
-        by_address = {address: name for name, address in self.fronts.items()}
+        by_address = {address: name for name, address in self.front_addresses.items()}
         while True:
             try:
-                octets, sender = await sock.recvfrom(MOST)
+                octets, sender = await sock.recvfrom(MAX_READ_BYTES)
             except OSError:
                 continue
             one = by_address.get(sender[:2])
-            ails = self.ails.get((one or "", to), Ails())
-            times = 2 if self.rng.random() < ails.double else 1
+            ails = self.link_faults.get((one or "", to), LinkFaults())
+            times = 2 if self.rng.random() < ails.duplicate_rate else 1
             for _ in range(times):
-                if ails.cut or self.rng.random() < ails.lose:
-                    self.lost += 1
+                if ails.is_cut or self.rng.random() < ails.loss_rate:
+                    self.lost_count += 1
                 else:
-                    self.nursery.start_soon(self._pass, sock, octets, to, self.rng.uniform(*ails.late))
+                    self.nursery.start_soon(
+                        self._pass, sock, octets, to, self.rng.uniform(*ails.delay_seconds)
+                    )
 
     async def _pass(self, sock: trio.socket.SocketType, octets: bytes, to: str, late: float) -> None:
         if late:
-            self.waiting += 1
+            self.delayed_count += 1
             try:
                 await trio.sleep(late)
             finally:
-                self.waiting -= 1
-        self.passed += 1
+                self.delayed_count -= 1
+        self.forwarded_count += 1
         try:
-            await sock.sendto(octets, self.fronts[to])
+            await sock.sendto(octets, self.front_addresses[to])
         except OSError:
-            self.lost += 1
+            self.lost_count += 1
 
     async def _stream(self, to: str, stream: trio.SocketStream) -> None:
-        by_host = {address[0]: name for name, address in self.fronts.items()}
+        by_host = {address[0]: name for name, address in self.front_addresses.items()}
         one = by_host.get(stream.socket.getpeername()[0], "")
-        if self.ails.get((one, to), Ails()).cut or self.ails.get((to, one), Ails()).cut:
+        if (
+            self.link_faults.get((one, to), LinkFaults()).is_cut
+            or self.link_faults.get((to, one), LinkFaults()).is_cut
+        ):
             await trio.aclose_forcefully(stream)
             return
         try:
-            onward = await trio.open_tcp_stream(*self.fronts[to])
+            onward = await trio.open_tcp_stream(*self.front_addresses[to])
         except OSError:
             await trio.aclose_forcefully(stream)
             return
@@ -118,7 +126,7 @@
     @staticmethod
     async def _pump(one: trio.SocketStream, other: trio.SocketStream) -> None:
         try:
-            while octets := await one.receive_some(MOST):
+            while octets := await one.receive_some(MAX_READ_BYTES):
                 await other.send_all(octets)
             await other.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -21,7 +21,7 @@
 from oakcroft.interface import SECOND
 from oakcroft.signalling import handing, sdp, words
 from oakcroft.standins import rtp
-from oakcroft.standins.event_streams import end_sessions_of_lost_fronts, extend_lease, open_stream
+from oakcroft.standins.event_streams import end_sessions_of_lost_fronts, store_lease, open_event_stream
 from oakcroft.standins.links import Machine
 from oakcroft.standins.node_state import NodeState, Session, caller_of, front_of
 from oakcroft.standins.record import Record
@@ -38,7 +38,7 @@
 IDLE_NS = 3600 * SECOND
 """Connections of fronts are never cut for being idle within a day."""
 
-MOST_SLOWNESS = 20.0
+MAX_SETUP_SLOWDOWN = 20.0
 """A node that is slowed down further answers set-ups no later."""
 
 PRECONDITION_FAILED = 412
@@ -51,21 +51,23 @@
     def __init__(
         self,
         name: str,
-        wing: str,
+        zone: str,
         cell: int,
         machine: Machine,
         site: SharedSettings,
         record: Record,
         rng: Random,
-        setup: tuple[int, int],
+        setup_duration_ns: tuple[int, int],
         clock: Callable[[], int],
-        wing_of: Callable[[str], str],
+        zone_of_front: Callable[[str], str],
     ) -> None:
         """A node without a process; `listen` and `live` start one."""
-        super().__init__(name, wing, cell, machine, site, record, rng, setup, clock, wing_of)
+        super().__init__(
+            name, zone, cell, machine, site, record, rng, setup_duration_ns, clock, zone_of_front
+        )
         self.port = 0
-        self.scope: trio.CancelScope | None = None
-        self.streams: set[trio.SocketStream] = set()
+        self.process_scope: trio.CancelScope | None = None
+        self.connections: set[trio.SocketStream] = set()
 
     async def listen(self) -> list[trio.SocketListener]:
         """Opens the node's port, the same one each time; while the node was dead, another program may have had it."""
@@ -82,25 +84,25 @@
         self.port = listeners[0].socket.getsockname()[1]
         return listeners
 
-    async def live(self, listeners: list[trio.SocketListener]) -> None:
+    async def run_process(self, listeners: list[trio.SocketListener]) -> None:
         """One life of the process, until it is killed."""
-        self.boots += 1
-        self.ran.clear()
-        self.up_since = trio.current_time()
-        self.ails.dead = self.ails.silent = self.ails.hung = False
-        self.record.note("start", node=self.name, process=self.process, cold=self.machine.cold)
+        self.start_count += 1
+        self.keys_by_front.clear()
+        self.process_started_at = trio.current_time()
+        self.faults.is_dead = self.faults.is_silent = self.faults.is_hung = False
+        self.record.note("start", node=self.name, process=self.process, cold=self.machine.is_cold)
         server = Server(
             self.handle, ConnectionTable(ConnectionLimits(idle=IDLE_NS)), self.clock, self._failed
         )
 
         async def serve(stream: trio.SocketStream) -> None:
-            self.streams.add(stream)
+            self.connections.add(stream)
             try:
                 await server.serve(stream)
             finally:
-                self.streams.discard(stream)
+                self.connections.discard(stream)
 
-        with trio.CancelScope() as self.scope:
+        with trio.CancelScope() as self.process_scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send_media)
                 await trio.serve_listeners(serve, listeners)
@@ -109,45 +111,47 @@
         """RTP to every player that receives it, at the media clock's pace."""
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as out:
             while True:
-                tick = rtp.tick(self.clock()) + 1
-                await trio.sleep(max(0.0, (tick * rtp.INTERVAL - self.clock()) / SECOND))
-                if self.ails.hung or self.ails.silent:
+                tick = rtp.media_tick(self.clock()) + 1
+                await trio.sleep(max(0.0, (tick * rtp.PACKET_INTERVAL_NS - self.clock()) / SECOND))
+                if self.faults.is_hung or self.faults.is_silent:
                     continue
                 for session in list(self.sessions.values()):
                     await self._send_packet(out, session, tick)
 
     async def _send_packet(self, out: trio.socket.SocketType, session: Session, tick: int) -> None:
         stream = self.machine.streams.get(session.id)
-        if session.media is None or stream is None:  # it may have ended while others were sent to
+        if session.media_address is None or stream is None:  # it may have ended while others were sent to
             return
-        packet = rtp.packet(session.sequence, tick, rtp.ssrc(session.id), self.clock(), stream.rung)
-        session.sequence += 1
+        packet = rtp.encode_packet(
+            session.next_rtp_sequence, tick, rtp.ssrc(session.id), self.clock(), stream.rung
+        )
+        session.next_rtp_sequence += 1
         try:
-            await out.sendto(packet, session.media)
+            await out.sendto(packet, session.media_address)
         except OSError:
-            session.media = None
+            session.media_address = None
 
     def _failed(self, request: Request, error: BaseException) -> None:
         self.record.note("stand-in failed", node=self.name, path=request.path, error=repr(error))
 
     def kill(self) -> None:
         """The process dies: every connection is reset, every playback ends."""
-        if self.ails.dead:
+        if self.faults.is_dead:
             return
-        self.ails.dead = True
+        self.faults.is_dead = True
         playing = {session.front for session in self.sessions.values()}
-        listening = {front for front, ear in self.ears.items() if ear.send}
+        listening = {front for front, ear in self.subscriptions.items() if ear.channel}
         self.record.note("death", node=self.name, process=self.process, seen_by=sorted(playing | listening))
         for session in list(self.sessions):
             self.end_session(session, "death")
-        self.ears.clear()
-        for stream in list(self.streams):
-            reset(stream)
-        if self.scope is not None:
-            self.scope.cancel()
-        self.stir()
-
-    def look_for_lost_fronts(self) -> None:
+        self.subscriptions.clear()
+        for stream in list(self.connections):
+            reset_connection(stream)
+        if self.process_scope is not None:
+            self.process_scope.cancel()
+        self.notify_changed()
+
+    def end_sessions_of_lost_fronts(self) -> None:
         """Ends what fronts play here whose stream has been gone for the lease."""
         end_sessions_of_lost_fronts(self)
 
@@ -156,11 +160,11 @@
         front = front_of(request)
         if request.method == "POST" and not request.path.startswith(("/sessions/", handing.PATH)):
             return await self.set_up(request, front)
-        while self.is_mute(front):
+        while self.cannot_reach(front):
             await self.changed.wait()
         if request.path.startswith("/events/"):
-            extend_lease(self, front, request)
-            return self.open_events(front)
+            store_lease(self, front, request)
+            return self.open_event_stream(front)
         if request.path == words.LOAD_PATH and request.method == "GET":
             self.record.note("load asked", node=self.name, front=front)
             return Response(204, [(words.LOAD, words.load_report(self.load()))])
@@ -168,9 +172,9 @@
             return answer_takeover(self, request)
         return self._handle_session(request, front)
 
-    def open_events(self, front: str) -> Response:
+    def open_event_stream(self, front: str) -> Response:
         """Opens the event stream of a front."""
-        return open_stream(self, front)
+        return open_event_stream(self, front)
 
     def _handle_session(self, request: Request, front: str) -> Response:
         """A request for one session, by the front that holds it."""
@@ -180,7 +184,7 @@
         if session is None:
             return Response(404)
         caller = caller_of(request)
-        if not may_control(session.holder, caller) and not self.ails.trusts_all:
+        if not may_control(session.holder, caller) and not self.faults.skips_holder_check:
             self.record.note("turned away", node=self.name, session=name, front=front, method=request.method)
             problem = words.problem(409, handing.NOT_HELD, "another front has it")
             return Response(409, [("Content-Type", words.PROBLEM)], problem)
@@ -200,20 +204,20 @@
             "rung", node=self.name, front=front, plan=session.plan, session=session.id, rung=rung
         )
         stream = self.machine.streams[session.id]
-        stream.rate, stream.rung = self.rate(session.plan, session.title, rung), rung
+        stream.rate, stream.rung = self.stream_rate(session.plan, session.title, rung), rung
         return Response(204)
 
     async def set_up(self, request: Request, front: str) -> Response:
         """Sets up a session, and puts on record how that ended, also where the front went away."""
         key = words.idempotency_key(request.header("idempotency-key") or "") or ""
-        plan, title = self.plan_of(request.path)
+        plan, title = self.plan_and_title(request.path)
         rung = int(request.query("encodingId") or 0)
         catalogue = int(request.header(words.CATALOGUE.lower()) or 0)
-        self.numbers += 1
-        number = f"{self.process}.{self.numbers}"
+        self.setup_count += 1
+        number = f"{self.process}.{self.setup_count}"
         self.record.note("setup", node=self.name, id=number, front=front, key=key, plan=plan, title=title,
                          rung=rung, catalogue=catalogue)  # fmt: skip
-        session = Session(number.replace(".", "-"), front, key, plan, title, number=self.numbers)
+        session = Session(number.replace(".", "-"), front, key, plan, title, setup_number=self.setup_count)
         answered = False
         try:
             response = await self._answer(request, session, number, rung)
@@ -228,45 +232,45 @@
     async def _answer(self, request: Request, session: Session, number: str, rung: int) -> Response:
         """The answer to a set-up, which may be late, lost, or the process's last."""
         front = session.front  # by the time of the answer, another may have taken the session over
-        while self.is_mute(front):
+        while self.cannot_reach(front):
             await self.changed.wait()
-        if not self.machine.knock(self.clock()):
+        if not self.machine.admit_setup(self.clock()):
             self.record.note("fell", node=self.name, process=self.process)
             self.kill()
             await trio.sleep_forever()
         if not session.plan:
             return Response(404)
-        if self.ails.draining:
+        if self.faults.is_draining:
             return self._refused(PROBLEM_DRAINING, "draining")
         if not self.machine.has_room():
             return self._refused(PROBLEM_FULL, "full")
         offer = sdp.parse(request.body.decode())
-        await self._work()
-        session.media, session.holder = rtp.receiver(offer), caller_of(request)
+        await self._wait_setup_duration()
+        session.media_address, session.holder = rtp.media_address(offer), caller_of(request)
         session.memo = (request.header(handing.MEMO.lower()) or "")[: handing.MOST_MEMO]
-        session.answer = sdp.answer(offer, self.numbers, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
+        session.answer = sdp.answer(offer, self.setup_count, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
         self.start_session(session, rung)
-        extend_lease(self, front, request)
-        while self.ails.hung or self.is_mute(front):
+        store_lease(self, front, request)
+        while self.faults.is_hung or self.cannot_reach(front):
             await self.changed.wait()
-        if self.rng.random() < self.ails.lost_share:
+        if self.rng.random() < self.faults.lost_answer_share:
             self.record.note("answer lost", node=self.name, id=number, key=session.key)
             await trio.sleep_forever()
         return self._created(session, front)
 
-    async def _work(self) -> None:
+    async def _wait_setup_duration(self) -> None:
         """Takes the time that a set-up takes here; it uses a place meanwhile."""
-        self.machine.waiting += 1
+        self.machine.pending_setups += 1
         try:
-            slowness = min(MOST_SLOWNESS, self.machine.slowness)
-            await trio.sleep(self.rng.uniform(*self.setup) / SECOND * slowness)
+            slowness = min(MAX_SETUP_SLOWDOWN, self.machine.slowdown)
+            await trio.sleep(self.rng.uniform(*self.setup_duration_ns) / SECOND * slowness)
         finally:
-            self.machine.waiting -= 1
+            self.machine.pending_setups -= 1
 
     def _created(self, session: Session, front: str) -> Response:
         here = f"/sessions/{session.id}"
         headers = [
-            ("Content-Type", sdp.MEDIA_TYPE), ("Location", here), ("ETag", f'"{session.tag}"'),
+            ("Content-Type", sdp.MEDIA_TYPE), ("Location", here), ("ETag", f'"{session.entity_tag}"'),
             ("Link", words.link(f"/events/{front}", words.REL_EVENTS)),
             ("Link", words.link(f"{here}/layer", words.REL_LAYER)),
             (words.LOAD, words.load_report(self.load())),
@@ -283,15 +287,17 @@
     """Trickle ICE, or an ICE restart (RFC 9725, section 4.3)."""
     fragment = sdp.parse_fragment(request.body.decode())
     if request.header("if-match") == "*":
-        session.tag += 1
-        body = f"a=ice-ufrag:new{session.tag:05d}\r\na=ice-pwd:{'C' * 24}\r\n".encode()
-        return Response(200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{session.tag}"')], body)
-    if request.header("if-match") != f'"{session.tag}"':
+        session.entity_tag += 1
+        body = f"a=ice-ufrag:new{session.entity_tag:05d}\r\na=ice-pwd:{'C' * 24}\r\n".encode()
+        return Response(
+            200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{session.entity_tag}"')], body
+        )
+    if request.header("if-match") != f'"{session.entity_tag}"':
         return Response(PRECONDITION_FAILED)
     return Response(204 if fragment.candidates or fragment.ended else 400)
 
 
-def reset(stream: trio.SocketStream) -> None:
+def reset_connection(stream: trio.SocketStream) -> None:
     """Closes a connection so that its peer sees a reset."""
     try:
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/oakcroft/standins/program.py
+++ b/oakcroft/standins/program.py
@@ -40,7 +40,7 @@
             async for _ in signals:
                 nursery.cancel_scope.cancel()
                 break
-    record.note("earned", plans=fleet.summary())
+    record.note("earned", plans=fleet.revenue_by_plan())
     record.close()
     sys.stdout.flush()
 
--- a/oakcroft/standins/record.py
+++ b/oakcroft/standins/record.py
@@ -14,18 +14,18 @@
 
     def __init__(self, path: Path) -> None:
         """Begins the file anew."""
-        self.out: IO[bytes] = path.open("wb", buffering=1 << 16)
+        self.file: IO[bytes] = path.open("wb", buffering=1 << 16)
 
     def note(self, kind: str, **fields: Any) -> None:
         """One fact, now."""
-        self.out.write(orjson.dumps({"t": time.time_ns(), "kind": kind, **fields}) + b"\n")
+        self.file.write(orjson.dumps({"t": time.time_ns(), "kind": kind, **fields}) + b"\n")
 
     def close(self) -> None:
         """Writes out what is left."""
-        self.out.close()
+        self.file.close()
 
 
-def read(path: Path) -> list[dict[str, Any]]:
+def read_facts(path: Path) -> list[dict[str, Any]]:
     """All whole facts of a file; a last line cut short by a killed writer is left out."""
     facts = []
     for line in path.read_bytes().split(b"\n"):
--- a/oakcroft/standins/rtp.py
+++ b/oakcroft/standins/rtp.py
@@ -9,18 +9,18 @@
 from oakcroft.interface import MS
 from oakcroft.signalling.sdp import Description
 
-INTERVAL = 40 * MS
+PACKET_INTERVAL_NS = 40 * MS
 """Between two packets: all nodes send the same media at the same tick, as copies of one lesson do."""
 
-RATE = 90_000
+CLOCK_RATE_HZ = 90_000
 HEADER = struct.Struct("!BBHII")
-EXTRA = struct.Struct("!QB")
-VIDEO = 96
+PAYLOAD = struct.Struct("!QB")
+VIDEO_PAYLOAD_TYPE = 96
 
 
-def tick(now: int) -> int:
+def media_tick(now: int) -> int:
     """The media tick at a time, ns."""
-    return now // INTERVAL
+    return now // PACKET_INTERVAL_NS
 
 
 def ssrc(session: str) -> int:
@@ -28,10 +28,12 @@
     return int.from_bytes(hashlib.blake2b(session.encode(), digest_size=4).digest(), "big")
 
 
-def packet(sequence: int, tick_: int, source: int, sent: int, rung: int) -> bytes:
+def encode_packet(sequence: int, tick_: int, source: int, sent: int, rung: int) -> bytes:
     """One packet; its payload is the sender's time and the rung."""
-    timestamp = tick_ * RATE * INTERVAL // 1_000_000_000 & 0xFFFFFFFF
-    return HEADER.pack(0x80, VIDEO, sequence & 0xFFFF, timestamp, source) + EXTRA.pack(sent, rung)
+    timestamp = tick_ * CLOCK_RATE_HZ * PACKET_INTERVAL_NS // 1_000_000_000 & 0xFFFFFFFF
+    return HEADER.pack(0x80, VIDEO_PAYLOAD_TYPE, sequence & 0xFFFF, timestamp, source) + PAYLOAD.pack(
+        sent, rung
+    )
 
 
 @dataclass(frozen=True)
@@ -41,7 +43,7 @@
     sequence: int
     timestamp: int
     source: int
-    sent: int
+    sent_at: int
     rung: int
 
 
@@ -52,16 +54,20 @@
 """Of a candidate attribute up to its type (RFC 8839, section 5.1)."""
 
 
-def parse(data: bytes) -> Packet | None:
+def parse_packet(data: bytes) -> Packet | None:
     """Reads a packet; None for what is none of ours."""
-    if len(data) != HEADER.size + EXTRA.size or data[0] != VERSION_2 or data[1] & 0x7F != VIDEO:
+    if (
+        len(data) != HEADER.size + PAYLOAD.size
+        or data[0] != VERSION_2
+        or data[1] & 0x7F != VIDEO_PAYLOAD_TYPE
+    ):
         return None
     _, _, sequence, timestamp, source = HEADER.unpack_from(data)
-    sent, rung = EXTRA.unpack_from(data, HEADER.size)
+    sent, rung = PAYLOAD.unpack_from(data, HEADER.size)
     return Packet(sequence, timestamp, source, sent, rung)
 
 
-def receiver(offer: Description) -> tuple[str, int] | None:
+def media_address(offer: Description) -> tuple[str, int] | None:
     """Where an offer's host candidate (RFC 8839 5.1) says that media is received; None without one."""
     for media in offer.media:
         for name, value in media.attributes:
@@ -76,7 +82,7 @@
     return None
 
 
-class Playout:
+class PlayoutTracker:
     """What a player has played, from packets alone: overlap of two copies played once, the longest gap kept.
 
     A packet plays when its timestamp is later than all that played. A gap is the time between the arrivals of two
@@ -85,20 +91,20 @@
 
     def __init__(self) -> None:
         """Nothing has played yet."""
-        self.last_timestamp, self.last_at = -1, 0
-        self.played = self.doubles = 0
-        self.longest = 0
+        self.last_timestamp, self.last_played_at = -1, 0
+        self.played_count = self.duplicate_count = 0
+        self.longest_gap_ns = 0
         self.sources: set[int] = set()
 
-    def take(self, p: Packet, now: int) -> bool:
+    def receive(self, p: Packet, now: int) -> bool:
         """A packet arrived; whether it played."""
         self.sources.add(p.source)
         ahead = (p.timestamp - self.last_timestamp) & 0xFFFFFFFF
         if self.last_timestamp >= 0 and (ahead == 0 or ahead > 1 << 31):
-            self.doubles += 1
+            self.duplicate_count += 1
             return False
-        if self.last_at:
-            self.longest = max(self.longest, now - self.last_at)
-        self.last_timestamp, self.last_at = p.timestamp, now
-        self.played += 1
+        if self.last_played_at:
+            self.longest_gap_ns = max(self.longest_gap_ns, now - self.last_played_at)
+        self.last_timestamp, self.last_played_at = p.timestamp, now
+        self.played_count += 1
         return True
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -23,11 +23,11 @@
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.rulecheck.rules import judge
 from oakcroft.signalling import sdp, words
-from oakcroft.standins.day import parse
+from oakcroft.standins.day import parse_day
 from oakcroft.standins.fleet import Fleet
 from oakcroft.standins.playout import PlayoutNode
 from oakcroft.standins.record import Record
-from oakcroft.standins.record import read as read_record
+from oakcroft.standins.record import read_facts as read_record
 from oakcroft.store.file import StateFile
 
 SITE_TEMPLATE = """(fleet (fronts 1) (wings west) (cells 2) (seen-after 50ms) (reports-every 500ms) (cold-for 200ms)
@@ -89,7 +89,7 @@
 
     def recorded(self, kind: str) -> list[dict[str, Any]]:
         """Recorded facts of one kind, in order."""
-        self.record.out.flush()
+        self.record.file.flush()
         return [f for f in read_record(self.directory / "fleet.jsonl") if f["kind"] == kind]
 
     def log_entries(self) -> list[dict[str, Any]]:
@@ -136,7 +136,7 @@
 
     def rule_breaches(self) -> dict[int, list[str]]:
         """Violations of the six rules, by rule, judged from what passed on the sockets."""
-        self.record.out.flush()
+        self.record.file.flush()
         found = judge(read_record(self.directory / "fleet.jsonl"), self.fleet.day.site)
         assert [f.rule for f in found] == [1, 2, 3, 4, 5, 6]
         return {f.rule: f.breaches for f in found if f.breaches}
@@ -171,7 +171,7 @@
     )
     day = DAY_TEMPLATE.replace("n2 (wing west)", "n2 (wing east)") if two_zones else DAY_TEMPLATE
     site = site.replace("(wings west)", "(wings west east)") if two_zones else site
-    scenario = parse(day.replace("SITE", site), "day")
+    scenario = parse_day(day.replace("SITE", site), "day")
     record = Record(folder / "fleet.jsonl")
     log_output = io.BytesIO()
     async with trio.open_nursery() as nursery:
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -102,8 +102,8 @@
             s.front for n in self.nodes.nodes.values() for s in n.sessions.values() if s.holder.member == name
         }
         for node in self.nodes.nodes.values():
-            for front in pseudonyms & set(node.ears):
-                if (send := node.ears[front].send) is not None:
+            for front in pseudonyms & set(node.subscriptions):
+                if (send := node.subscriptions[front].channel) is not None:
                     send.close()
 
     def assert_rules_hold(self) -> None:
@@ -389,7 +389,7 @@
         assert node.machine.streams[session.id].rung == rung
         rig.assert_rules_hold()
 
-        node.ails.trusts_all = True
+        node.faults.skips_holder_check = True
         assert await word("DELETE", path) == 200
         (held, *_) = judge_holding(rig.facts(*FACT_KINDS))
         assert any("ended by front-1-" in b for b in held.breaches), held
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -424,7 +424,7 @@
             both = "(catalogue (title a (holders n1 n2)))"
             assert (await send_catalogue(rig, both)).status == 200
             for node in rig.fleet.nodes.values():
-                node.ails.silent = True
+                node.faults.is_silent = True
             first = list[Response]()
 
             async def watch() -> None:
@@ -438,8 +438,8 @@
                 assert (
                     await send_catalogue(rig, f"(put (title a (holders {other})))", "*", "", "PATCH")
                 ).status == 200
-                rig.node(other).ails.silent = False
-                rig.node(other).stir()
+                rig.node(other).faults.is_silent = False
+                rig.node(other).notify_changed()
             assert first[0].status == 201
             tries = [(f["node"], f["catalogue"]) for f in rig.recorded("setup")]
             assert tries == [(taken_away, 1), (other, 2)]
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -14,7 +14,7 @@
 from oakcroft.decisions.sessions.setup_outcome import RequestEnd, RequestProgress, setup_outcome
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.interface import Outcome
-from oakcroft.standins.playout import reset
+from oakcroft.standins.playout import reset_connection
 
 Behaviour = Callable[[trio.SocketStream], Awaitable[None]]
 CREATED = b"HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok"
@@ -28,12 +28,12 @@
 
 async def reset_at_once(stream: trio.SocketStream) -> None:
     await stream.receive_some(1)
-    reset(stream)
+    reset_connection(stream)
 
 
 async def reset_after(stream: trio.SocketStream) -> None:
     await after_request(stream)
-    reset(stream)
+    reset_connection(stream)
 
 
 async def close_after(stream: trio.SocketStream) -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -21,7 +21,7 @@
 from oakcroft.config.pipeline import check_file
 from oakcroft.config.diagnostics import InvalidConfigurationError
 from oakcroft.httpwire.client import Ended, Peer
-from oakcroft.standins.day import parse
+from oakcroft.standins.day import parse_day
 
 TERM = 2.0
 ONE = "(catalogue (others yes) (title a (home 0) (copies 1)))"
@@ -127,10 +127,10 @@
         assert (await rig.roll_out(second, TWO, watch=60))["status"] == 202
         await rig.rolls(rig.names, stage="taken")
         for name in others:
-            rig.between.on(second, name).late = (4 * TERM, 4 * TERM + 1)
-        passed = rig.between.waiting
+            rig.between.faults_on(second, name).delay_seconds = (4 * TERM, 4 * TERM + 1)
+        passed = rig.between.delayed_count
         with trio.fail_after(6):
-            while rig.between.waiting < passed + 40:  # 40 of its messages are in flight
+            while rig.between.delayed_count < passed + 40:  # 40 of its messages are in flight
                 await trio.sleep(0.02)
         rig.signal(second, signal.SIGSTOP)
         third, latest = await rig.owner(others, within=6 * TERM)
@@ -270,7 +270,7 @@
             "(fronts west)", f"(fronts west) {more}", 1
         )
         with pytest.raises(InvalidConfigurationError) as found:
-            parse(day, "day")
+            parse_day(day, "day")
         return str(found.value)
 
     assert "reached among the peers" in errors("(keepers 0)")
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -31,7 +31,7 @@
 from oakcroft.interface import NodeStatus, Playback
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import session_api as api
-from oakcroft.standins.playout import PlayoutNode, reset
+from oakcroft.standins.playout import PlayoutNode, reset_connection
 
 TAG = '"1"'
 
@@ -100,7 +100,7 @@
 async def setup_running(scenario: Scenario) -> None:
     """A setup try runs on a node that does not answer."""
     for node in scenario.rig.fleet.nodes.values():
-        node.ails.hung = True
+        node.faults.is_hung = True
     scenario.nursery.start_soon(scenario.ask)
     await wait_until(lambda: scenario.rig.recorded("ran"))
 
@@ -188,7 +188,7 @@
     scenario.location = player.here
     _, target = drain(scenario.rig)
     await player.told.wait()
-    target.ails.hung = True
+    target.faults.is_hung = True
 
     async def send_offer() -> None:
         with suppress(Ended):  # the front end may die
@@ -235,7 +235,7 @@
         stream = await trio.open_tcp_stream("127.0.0.1", scenario.rig.port)
         await stream.send_all(f"GET {scenario.location}/events HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         await stream.receive_some(64)
-        reset(stream)
+        reset_connection(stream)
         await wait_until(
             lambda: (
                 not any(
@@ -288,13 +288,13 @@
 
 async def node_cut(scenario: Scenario) -> None:
     """All connections of the node are reset."""
-    for stream in list(scenario.node().streams):
-        reset(stream)
+    for stream in list(scenario.node().connections):
+        reset_connection(stream)
 
 
 async def node_silent(scenario: Scenario) -> None:
     """The node stops sending."""
-    scenario.node().ails.silent = True
+    scenario.node().faults.is_silent = True
     node_client = scenario.rig.coordinator().node_clients[scenario.node().name]
     if scenario.request_finished.is_set():  # otherwise the stream has not been opened
         await wait_until(lambda: node_client.stream_health.state is not StreamState.ALIVE)
@@ -303,13 +303,13 @@
 async def node_dies(scenario: Scenario) -> None:
     """The node's process is killed and the node list says so."""
     scenario.node().kill()
-    scenario.rig.fleet.publish()
+    scenario.rig.fleet.publish_list()
 
 
 async def node_drains(scenario: Scenario) -> None:
     """The node starts to drain."""
-    scenario.node().ails.draining = True
-    scenario.rig.fleet.publish()
+    scenario.node().faults.is_draining = True
+    scenario.rig.fleet.publish_list()
     if scenario.rig.front_end is not None and not scenario.rig.exited.is_set():
         await wait_until(
             lambda: (
@@ -321,16 +321,16 @@
 
 async def stream_cut(scenario: Scenario) -> None:
     """The node closes its event streams."""
-    for ear in scenario.node().ears.values():
-        if ear.send is not None:
-            ear.send.close()
+    for ear in scenario.node().subscriptions.values():
+        if ear.channel is not None:
+            ear.channel.close()
 
 
 async def list_wrong(scenario: Scenario) -> None:
     """The node list service sends malformed and empty lists and then fails."""
     for trouble in ("list-broken", "list-empty", "list-down"):
-        scenario.rig.fleet.list.trouble = trouble
-        scenario.rig.fleet.publish()
+        scenario.rig.fleet.list_service.fault = trouble
+        scenario.rig.fleet.publish_list()
     if not scenario.rig.exited.is_set():
         await wait_until(
             lambda: any(e["event"] == "list service failing" for e in scenario.rig.log_entries())
@@ -450,13 +450,13 @@
     rig = scenario.rig
     scenario.release()
     scenario.release = lambda: None
-    rig.fleet.list.trouble = ""
+    rig.fleet.list_service.fault = ""
     for node in rig.fleet.nodes.values():
-        node.ails.hung = node.ails.silent = node.ails.draining = False
-        if node.ails.dead:
-            await rig.fleet.boot(node)
-        node.stir()
-    rig.fleet.publish()
+        node.faults.is_hung = node.faults.is_silent = node.faults.is_draining = False
+        if node.faults.is_dead:
+            await rig.fleet.start_node(node)
+        node.notify_changed()
+    rig.fleet.publish_list()
     await scenario.request_finished.wait()
     await wait_until(lambda: rig.serving.is_set() and not rig.exited.is_set())
     assert rig.front_end is not None
@@ -547,7 +547,7 @@
             b"POST /whep/open/t HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nv="
         )
         for node in nodes:
-            node.ails.hung = True
+            node.faults.is_hung = True
         unanswered = [
             Scenario(rig, nursery, path, f"{number}-x{n}")
             for n, path in enumerate(("/whep/open/u", "/whep/course/u"))
@@ -561,16 +561,16 @@
             )
         )
         unanswered[0].request_scope.cancel()
-        for stream in list(nodes[number % 2].streams):
-            reset(stream)
+        for stream in list(nodes[number % 2].connections):
+            reset_connection(stream)
         nodes[0].kill()
-        rig.fleet.publish()
+        rig.fleet.publish_list()
         await trio.aclose_forcefully(partial_request)
         for node in nodes:
-            node.ails.hung = False
-            node.stir()
-        await rig.fleet.boot(nodes[0])
-        rig.fleet.publish()
+            node.faults.is_hung = False
+            node.notify_changed()
+        await rig.fleet.start_node(nodes[0])
+        rig.fleet.publish_list()
         for scenario in unanswered:
             await scenario.request_finished.wait()
         for holder in front.session_api.clients.values():
@@ -603,8 +603,8 @@
     nodes = rig.fleet.nodes.values()
     node_clients = rig.coordinator().node_clients
     for node in nodes:
-        for stream in list(node.streams):
-            reset(stream)
+        for stream in list(node.connections):
+            reset_connection(stream)
     since = rig.coordinator().clock.now()
 
     def is_at_rest() -> bool:
@@ -613,7 +613,8 @@
             for node_client in node_clients.values()
         )
         has_one_stream = all(
-            len(node.streams) == 1 and sum(e.send is not None for e in node.ears.values()) == 1
+            len(node.connections) == 1
+            and sum(e.channel is not None for e in node.subscriptions.values()) == 1
             for node in nodes
         )
         return (
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -242,11 +242,11 @@
             honest = next(n for n in rig.names if n != first)
             await rig.request_until_playing(honest, "/whep/open/t1", "before")
             codec = LoadCodec("oakcroft", KeyRing((bytes.fromhex(KEY),)))
-            place = {n.name: round(n.machine.started) for n in rig.nodes.nodes.values()}
+            place = {n.name: round(n.machine.started_at) for n in rig.nodes.nodes.values()}
             lies = [LoadReport(process_id(n, at), 40.0, 0) for n, at in place.items()]
             with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as out:
                 for _ in range(20):
-                    await out.sendto(codec.rows(first, 1, lies), rig.between.fronts[honest])
+                    await out.sendto(codec.rows(first, 1, lies), rig.between.front_addresses[honest])
                     await trio.sleep(0.01)
                 await rig.request_until_playing(honest, "/whep/open/t1", "beside")
             rig.assert_rules_hold()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -121,7 +121,7 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
-                node.ails.hung = True
+                node.faults.is_hung = True
             began = trio.current_time()
             answer = await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')
             assert trio.current_time() - began < 1.2
@@ -129,8 +129,8 @@
             assert orjson.loads(answer.body)["retry"] is False
             assert answer.header("retry-after") is None
             for node in rig.fleet.nodes.values():
-                node.ails.hung = False
-                node.stir()
+                node.faults.is_hung = False
+                node.notify_changed()
             again = await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')
             assert again.status == 504
             assert len(rig.recorded("setup")) == 1
@@ -146,7 +146,7 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
-                node.ails.hung = True
+                node.faults.is_hung = True
             answers: list[Response] = []
 
             async def ask() -> None:
@@ -157,7 +157,7 @@
                 await wait_until(lambda: len(rig.recorded("setup")) == 1)
                 hung = rig.recorded("setup")[0]["node"]
                 for node in rig.fleet.nodes.values():
-                    node.ails.hung = node.name == hung
+                    node.faults.is_hung = node.name == hung
             assert answers[0].status == 201
             assert rig.recorded("setup")[0]["node"] == hung
             assert {f["node"] for f in rig.recorded("answer")} == {n for n in rig.fleet.nodes if n != hung}
@@ -178,9 +178,9 @@
             if how == "dead":
                 chosen.kill()  # the node list still has it
             elif how == "full":
-                chosen.machine.places = 0
+                chosen.machine.playback_capacity = 0
             else:
-                chosen.ails.draining = True
+                chosen.faults.is_draining = True
             for i in range(3):
                 answer = await rig.request_playback("/whep/course/t", Idempotency_Key=f'"p{i}"')
                 assert answer.status == 201
@@ -204,7 +204,7 @@
                 chunks,
             ):
                 assert head.header("content-type") == words.EVENTS
-                await wait_until(lambda: rig.nodes_in_use()[0].ears)
+                await wait_until(lambda: rig.nodes_in_use()[0].subscriptions)
                 await trio.sleep(0.1)
                 rig.nodes_in_use()[0].kill()
                 reader = words.EventReader()
@@ -222,12 +222,12 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
-                node.ails.hung = True
+                node.faults.is_hung = True
             with trio.move_on_after(0.15):
                 await rig.request_playback("/whep/open/t")
             for node in rig.fleet.nodes.values():
-                node.ails.hung = False
-                node.stir()
+                node.faults.is_hung = False
+                node.notify_changed()
             await wait_until(lambda: rig.recorded("ran") and not rig.nodes_in_use())
             assert (await rig.request_playback()).status == 201
 
@@ -301,9 +301,9 @@
             draining_node = rig.nodes_in_use()[0]
             await wait_until(lambda: (tmp_path / "kept").exists())
             rig.front_end_scope.cancel()
-            draining_node.ails.draining = True
-            rig.fleet.publish()
-            rig.fleet.list.trouble = "list-slow"
+            draining_node.faults.is_draining = True
+            rig.fleet.publish_list()
+            rig.fleet.list_service.fault = "list-slow"
             before = len(rig.recorded("setup"))
             await start_front_end(nursery, rig)
             for _ in range(4):
@@ -344,12 +344,12 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for trouble, event in (("list-empty", "list refused"), ("list-broken", "list service failing")):
-                rig.fleet.list.trouble = trouble
-                rig.fleet.list.changed.set()
-                rig.fleet.list.changed = trio.Event()
+                rig.fleet.list_service.fault = trouble
+                rig.fleet.list_service.changed.set()
+                rig.fleet.list_service.changed = trio.Event()
                 await wait_until(lambda event=event: any(e["event"] == event for e in rig.log_entries()))  # type: ignore[misc]
                 assert (await rig.request_playback()).status == 201
-                rig.fleet.list.trouble = ""
+                rig.fleet.list_service.fault = ""
                 await wait_until(
                     lambda: rig.log_entries()[-1]["event"] == "list service back" or rig.recorded("poll")
                 )
@@ -411,10 +411,10 @@
         async with running_front_end(tmp_path) as rig:
             viewer_answers = [await rig.request_playback("/whep/seats/t") for _ in range(2)]
             assert [answer.status for answer in viewer_answers] == [201, 201]
-            await wait_until(lambda: all(n.ears for n in rig.nodes_in_use()))
+            await wait_until(lambda: all(n.subscriptions for n in rig.nodes_in_use()))
             for node in rig.fleet.nodes.values():
-                node.ails.silent = True
-                node.stir()
+                node.faults.is_silent = True
+                node.notify_changed()
             await wait_until(lambda: any(e["event"] == "node lost" for e in rig.log_entries()), 8)
             location = viewer_answers[0].header("location") or ""
             await wait_until(
@@ -428,12 +428,12 @@
                 await rig.request("DELETE", location)
             ).status == 404  # the viewer has been told that it ended
             for node in rig.fleet.nodes.values():
-                node.ails.silent = False
+                node.faults.is_silent = False
             assert (
                 await rig.request_playback("/whep/seats/t")
             ).status == 503  # both may still play on the silent node
             for node in rig.fleet.nodes.values():
-                node.stir()
+                node.notify_changed()
             await wait_until(lambda: not rig.nodes_in_use(), 10)
             coordinator = rig.front_end.coordinator if rig.front_end else None
             assert coordinator is not None
@@ -490,7 +490,7 @@
         async with running_front_end(tmp_path) as rig:
             coordinator = rig.front_end.coordinator if rig.front_end else None
             assert coordinator is not None
-            open_events = PlayoutNode.open_events
+            open_events = PlayoutNode.open_event_stream
             let_go = trio.Event()
 
             def delayed_open_events(self: PlayoutNode, front: str) -> Response:
@@ -507,7 +507,7 @@
                 return response
 
             for node in rig.fleet.nodes.values():
-                node.open_events = delayed_open_events.__get__(node)  # type: ignore[method-assign]
+                node.open_event_stream = delayed_open_events.__get__(node)  # type: ignore[method-assign]
             viewer_answers = [await rig.request_playback("/whep/open/t") for _ in range(6)]
             assert [answer.status for answer in viewer_answers] == [201] * 6
             let_go.set()
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -386,7 +386,7 @@
     helm = rig.front_end.coordinator if rig.front_end else None
     assert helm is not None
     v = helm.sessions_by_id[player.here.rpartition("/")[2]]
-    await wait_until(lambda: v.readers and all(n.ears for n in rig.nodes_in_use()))
+    await wait_until(lambda: v.readers and all(n.subscriptions for n in rig.nodes_in_use()))
     return player
 
 
@@ -394,8 +394,8 @@
     """Begins to drain the node that plays; returns it and the other one."""
     source = rig.nodes_in_use()[0]
     other = next(n for n in rig.fleet.nodes.values() if n is not source)
-    source.ails.draining = True
-    rig.fleet.publish()
+    source.faults.is_draining = True
+    rig.fleet.publish_list()
     return source, other
 
 
@@ -448,8 +448,8 @@
     await player.done()
     await wait_until(lambda: len(ends(rig)) > before and not source.sessions)
     assert ends(rig)[-1] == "done"
-    source.ails.draining = False
-    rig.fleet.publish()
+    source.faults.is_draining = False
+    rig.fleet.publish_list()
     await wait_until(lambda: helm.node_list.listed_nodes[source.name].listing is NodeStatus.READY)
     return source
 
@@ -528,7 +528,7 @@
                     assert ends(rig)[0] == "stayed"
                     assert source.sessions
                 case "target refuses":
-                    target.machine.places = 0
+                    target.machine.playback_capacity = 0
                     assert (await player.offer()).status == 503
                     assert ends(rig) == ["stayed"]
                     assert source.sessions
@@ -542,15 +542,15 @@
                     await player.ended.wait()
                     assert ends(rig) == ["lost"]
                 case "source dies placing":
-                    target.ails.hung = True
+                    target.faults.is_hung = True
                     nursery.start_soon(offer_)
                     await wait_until(lambda: target.sessions)
                     source.kill()
                     await wait_until(
                         lambda: any(e.get("state") == MoveState.ORPHANED.value for e in rig.log_entries())
                     )
-                    target.ails.hung = False
-                    target.stir()
+                    target.faults.is_hung = False
+                    target.notify_changed()
                     await wait_until(lambda: answers)
                     assert answers[0].status == 201  # the copy has become the playback
                     assert not player.ended.is_set()
@@ -560,21 +560,21 @@
                     assert (await rig.request("DELETE", player.here)).status == 200
                     await wait_until(lambda: not rig.nodes_in_use())
                 case "taken back":
-                    source.ails.draining = False
-                    rig.fleet.publish()
+                    source.faults.is_draining = False
+                    rig.fleet.publish_list()
                     await wait_until(lambda: ends(rig) == ["stayed"])
                     assert (await player.offer()).status == 409
                 case "taken back placing":
-                    target.ails.hung = True
+                    target.faults.is_hung = True
                     nursery.start_soon(offer_)
                     await wait_until(lambda: target.sessions)
-                    source.ails.draining = False
-                    rig.fleet.publish()
+                    source.faults.is_draining = False
+                    rig.fleet.publish_list()
                     await wait_until(
                         lambda: any(e.get("state") == MoveState.RECALLED.value for e in rig.log_entries())
                     )
-                    target.ails.hung = False
-                    target.stir()
+                    target.faults.is_hung = False
+                    target.notify_changed()
                     await wait_until(lambda: answers and not target.sessions)
                     assert answers[0].status == 503
                     assert source.sessions
@@ -593,16 +593,20 @@
 def test_rtp_is_parsed_as_sent_and_overlapping_streams_play_once() -> None:
     """RTP packets are parsed as sent, and a player plays overlapping streams once."""
     for i in range(5):
-        sent = rtp.packet(65_535 + i, 1000 + i, 7, 123, 2)
-        read = rtp.parse(sent)
+        sent = rtp.encode_packet(65_535 + i, 1000 + i, 7, 123, 2)
+        read = rtp.parse_packet(sent)
         assert read is not None
         assert (read.sequence, read.source, read.rung) == ((65_535 + i) & 0xFFFF, 7, 2)
-    assert rtp.parse(b"\x80" * 21) is None
-    assert rtp.parse(b"") is None
-    screen = rtp.Playout()
+    assert rtp.parse_packet(b"\x80" * 21) is None
+    assert rtp.parse_packet(b"") is None
+    screen = rtp.PlayoutTracker()
     ticks = [(0, 1), (1, 1), (2, 1), (2, 2), (3, 2), (3, 1), (4, 2), (9, 2)]
     for tick, source in ticks:
-        packet = rtp.parse(rtp.packet(tick, tick, source, 0, 0))
+        packet = rtp.parse_packet(rtp.encode_packet(tick, tick, source, 0, 0))
         assert packet is not None
-        screen.take(packet, tick * rtp.INTERVAL + 1)
-    assert (screen.played, screen.doubles, screen.longest) == (6, 2, 5 * rtp.INTERVAL)
+        screen.receive(packet, tick * rtp.PACKET_INTERVAL_NS + 1)
+    assert (screen.played_count, screen.duplicate_count, screen.longest_gap_ns) == (
+        6,
+        2,
+        5 * rtp.PACKET_INTERVAL_NS,
+    )
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -37,7 +37,7 @@
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import sdp
 from oakcroft.signalling import session_api as api
-from oakcroft.standins.playout import PlayoutNode, reset
+from oakcroft.standins.playout import PlayoutNode, reset_connection
 
 from rig import Rig, wait_until_recovered, run_async_test, running_front_end, start_front_end, wait_until
 from test_sessions import RawClient, coordinator_and_api, raw_client
@@ -267,7 +267,7 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
-                node.ails.hung = True
+                node.faults.is_hung = True
             async with trio.open_nursery() as nursery:
                 await nursery.start(rig.recorded_viewer, "k")
                 await wait_until(lambda: rig.recorded("setup"))
@@ -275,8 +275,8 @@
             again = await rig.request_playback(Idempotency_Key='"k"')
             assert again.status == 409
             for node in rig.fleet.nodes.values():
-                node.ails.hung = False
-                node.stir()
+                node.faults.is_hung = False
+                node.notify_changed()
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
             assert (await rig.request_playback(Idempotency_Key='"k"')).status == 201
             rig.assert_rules_hold()
@@ -444,7 +444,9 @@
             seat = await request_playback(client_connection, "k")
             location = (await rig.request_playback()).header("location") or ""
             for node in rig.nodes_in_use():
-                node.ails.silent = ended == "ending"  # the end of the session at the node is not answered yet
+                node.faults.is_silent = (
+                    ended == "ending"
+                )  # the end of the session at the node is not answered yet
             for name in (location, f"/session/{seat.playback}"):
                 assert (await rig.request("DELETE", name)).status == 200
             if ended == "ended":
@@ -461,8 +463,8 @@
                     pass
                 assert (done.id, done.status) == (7 + n, 200 if done.id == 10 and ended == "ending" else 404)
             for node in rig.fleet.nodes.values():
-                node.ails.silent = False
-                node.stir()
+                node.faults.is_silent = False
+                node.notify_changed()
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
 
     run_async_test(test)
@@ -515,7 +517,7 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
-                node.ails.hung = True
+                node.faults.is_hung = True
             async with trio.open_nursery() as nursery:
                 answers = list[Response | None]()
 
@@ -527,8 +529,8 @@
                 name = rig.recorded("setup")[0]["node"]
                 await replace_node_list(rig, replace(rig.coordinator().node_list.listed_nodes[name], port=1))
                 for node in rig.fleet.nodes.values():
-                    node.ails.hung = False
-                    node.stir()
+                    node.faults.is_hung = False
+                    node.notify_changed()
                 await wait_until(lambda: answers)
             assert answers[0] is not None
             assert answers[0].status == status
@@ -617,7 +619,7 @@
             pass
         await stream.send_all(b"HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n")
         await stream.receive_some(1)  # the next request has begun to arrive
-        reset(stream)
+        reset_connection(stream)
 
     async def test() -> None:
         async with trio.open_nursery() as nursery:
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -119,19 +119,19 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             node, *_ = rig.fleet.nodes.values()
-            rig.node("n2").ails.draining = True
-            rig.fleet.publish()
+            rig.node("n2").faults.is_draining = True
+            rig.fleet.publish_list()
             await wait_until(
                 lambda: rig.coordinator().node_list.listed_nodes["n2"].listing.value == "draining"
             )
             for n in range(6):
                 assert (await rig.request_playback(f"/whep/open/t{n}")).status == 201
-            node.ails.silent = True
+            node.faults.is_silent = True
             known = rig.coordinator().node_list.nodes["n1"]
             await wait_until(lambda: any(e["event"] == "node lost" for e in rig.log_entries()))
             assert 0 < known.failure_score.value <= 1.5
-            node.ails.silent = False
-            node.stir()
+            node.faults.is_silent = False
+            node.notify_changed()
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
             rig.assert_rules_hold()
 
@@ -209,8 +209,8 @@
 def test_a_request_goes_to_another_wing_while_its_own_drains(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, PREFERENCE, two_zones=True) as rig:
-            rig.node("n1").ails.draining = True
-            rig.fleet.publish()
+            rig.node("n1").faults.is_draining = True
+            rig.fleet.publish_list()
             await wait_until(
                 lambda: rig.coordinator().node_list.listed_nodes["n1"].listing.value == "draining"
             )
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -47,11 +47,11 @@
 from oakcroft.peerwire.push_pull_stream import FullStateReader, write_full_state
 from oakcroft.peerwire.sealing import KEY_LINGERS, KeyFileError, KeyRing, parse_keys
 from oakcroft.running.clock import Clock
-from oakcroft.standins.peer_network import Between
-from oakcroft.standins.day import parse
+from oakcroft.standins.peer_network import PeerNetwork
+from oakcroft.standins.day import parse_day
 from oakcroft.standins.fleet import Fleet
 from oakcroft.standins.record import Record
-from oakcroft.standins.record import read as read_record
+from oakcroft.standins.record import read_facts as read_record
 from test_view import ALIVE, SECRET, update as named
 
 
@@ -81,15 +81,15 @@
             port = probe.getsockname()[1]
         listen = {n: (f"127.0.71.{i + 1}", port) for i, n in enumerate(self.names)}
         relays = {n: (f"127.0.72.{i + 1}", port) for i, n in enumerate(self.names)}
-        self.between = Between(listen, relays, Random(1))
+        self.between = PeerNetwork(listen, relays, Random(1))
         self.processes: dict[str, trio.Process] = {}
         self.ports: dict[str, int] = {}
         (folder / "key").write_text(KEY)
 
     def file(self, name: str) -> Path:
         number, path = self.names.index(name), self.folder / f"{name}.oak"
-        (host, port), (relay, _) = self.between.fronts[name], self.between.relays[name]
-        seeds = " ".join(f'"{h}:{p}"' for h, p in list(self.between.relays.values())[:2])
+        (host, port), (relay, _) = self.between.front_addresses[name], self.between.relay_addresses[name]
+        seeds = " ".join(f'"{h}:{p}"' for h, p in list(self.between.relay_addresses.values())[:2])
         site = SITE_TEMPLATE.replace("(fronts 1)", f"(fronts {len(self.names)})")
         site = site.replace("EXTRA", f'(operators (secret "{TOKEN}")) (limit all (on all) (rate 50/s))')
         path.write_text(f"""(front (number {number}) (seed {number + 1}) (zone west) (listen "127.0.0.1:0")
@@ -151,7 +151,7 @@
 
     def facts(self, *kinds: str) -> list[dict[str, Any]]:
         """What the nodes have on record."""
-        self.record.out.flush()
+        self.record.file.flush()
         return [f for f in read_record(self.folder / "fleet.jsonl") if f["kind"] in kinds]
 
     def signal(self, name: str, number: signal.Signals) -> None:
@@ -162,7 +162,7 @@
 async def fronts(folder: Path, many: int = 5, kind: type[Fronts] = Fronts) -> AsyncIterator[Fronts]:
     site = SITE_TEMPLATE.replace("EXTRA", "").replace("(fronts 1)", f"(fronts {many})")
     plan = DAY_TEMPLATE.replace("(fronts west)", f"(fronts{' west' * many})").replace("SITE", site)
-    day = parse(plan, "day")
+    day = parse_day(plan, "day")
     record = Record(folder / "fleet.jsonl")
     async with trio.open_nursery() as nursery:
         nodes, up = Fleet(day, record, Clock()), trio.Event()
@@ -225,12 +225,12 @@
         assert await rig.see(rig.names, dict.fromkeys(rig.names, "alive")) < 10
         for a in rig.names:
             for b in rig.names:
-                ails = rig.between.on(a, b)
-                ails.lose, ails.double, ails.late = 0.33, 0.2, (0.0, 0.1)
+                ails = rig.between.faults_on(a, b)
+                ails.loss_rate, ails.duplicate_rate, ails.delay_seconds = 0.33, 0.2, (0.0, 0.1)
         rig.between.cut({"f0"}, {"f1"})  # one way only
-        passed = rig.between.passed
+        passed = rig.between.forwarded_count
         with trio.fail_after(30):
-            while rig.between.passed < passed + 400:  # so many messages, however long they take
+            while rig.between.forwarded_count < passed + 400:  # so many messages, however long they take
                 for name in rig.names:
                     assert "gone" not in (await rig.standings(name)).values()
                 await trio.sleep(0.1)
@@ -262,7 +262,7 @@
 
 def test_what_is_not_sealed_is_dropped_and_a_key_changes_while_serving(tmp_path: Path) -> None:
     async def test(rig: Fronts) -> None:
-        rng, at = Random(1), rig.between.fronts["f0"]
+        rng, at = Random(1), rig.between.front_addresses["f0"]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for i in range(4_000):  # 4 MB
                 sock.sendto(rng.randbytes(1_024), at)
@@ -378,7 +378,7 @@
         text = text.replace("(zone west)", f"(zone {self.zone(name)})")
         text = re.sub(r'\(seeds "[^)]*\)', "", text)
         for zone, region in self.ZONES.items():
-            relays = [self.between.relays[n] for n in self.names if self.zone(n) == zone]
+            relays = [self.between.relay_addresses[n] for n in self.names if self.zone(n) == zone]
             seeds = " ".join(f'"{host}:{port}"' for host, port in relays)
             text += f"(zone {zone} (region {region}) (seeds {seeds}))"
         path.write_text(text)
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -8,7 +8,7 @@
 from oakcroft.rehearsal.bench_day import KINDS, translate
 from oakcroft.rehearsal.viewers import plan_visits
 from oakcroft.rehearsal import report, runner
-from oakcroft.standins.day import FAULTS, Day, parse
+from oakcroft.standins.day import FAULTS, Day, parse_day
 
 SHORT = """(day (length 7s) (seed 3) (fronts west east) (late 200ms 600ms) (guard 1.2) (setup 3ms 10ms)
   (site
@@ -32,7 +32,7 @@
 
 
 def plot(body: str) -> Day:
-    return parse(body, "day")
+    return parse_day(body, "day")
 
 
 def test_a_short_bad_day_keeps_every_rule_on_the_sockets() -> None:
@@ -49,7 +49,7 @@
 def test_the_viewers_of_a_day_come_from_its_seed_alone() -> None:
     one = plot(SHORT)
     assert plan_visits(one) == plan_visits(one)
-    assert plan_visits(one) != plan_visits(one.seeded(4))
+    assert plan_visits(one) != plan_visits(one.with_seed(4))
 
 
 def drawn(kind: str) -> bytes:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -356,9 +356,9 @@
                 await wait_until(lambda: not rig.nodes_in_use() and not helm.sessions_by_playback)
                 await wait_until(lambda: not sessions.clients)
                 for node in rig.fleet.nodes.values():
-                    if node.ails.dead:
+                    if node.faults.is_dead:
                         node.machine.restart(0)
-                        await rig.fleet.boot(node)
+                        await rig.fleet.start_node(node)
 
     run_async_test(test, 40)
 
@@ -548,13 +548,13 @@
             playing = await client.ask("/whep/open/t", OFFER)
             await client.end(playing)
             for node in rig.fleet.nodes.values():
-                node.ails.hung = True
+                node.faults.is_hung = True
             with pytest.raises(Unsure):
                 await client.ask("/whep/course/t", OFFER)
             assert len([f for f in rig.recorded("setup") if f["plan"] == "course"]) == 1
             for node in rig.fleet.nodes.values():
-                node.ails.hung = False
-                node.stir()
+                node.faults.is_hung = False
+                node.notify_changed()
 
             def plain() -> int:
                 with BlockingWhepClient(f"http://127.0.0.1:{rig.port}") as blocking:
@@ -572,7 +572,7 @@
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, trio.open_nursery() as nursery:
             for node in rig.fleet.nodes.values():
-                node.ails.hung = True
+                node.faults.is_hung = True
             async with SessionClient.open(
                 f"http://127.0.0.1:{rig.port}", retries=Retries(Random(1))
             ) as client:
@@ -608,7 +608,7 @@
                         await trio.aclose_forcefully(stream)  # before the call is written
                     else:
                         for node in rig.fleet.nodes.values():
-                            node.ails.hung = True
+                            node.faults.is_hung = True
 
                         async def cut(
                             stream: trio.SocketStream = stream, so_far: int = i, cuts: int = cuts
@@ -617,8 +617,8 @@
                             await trio.aclose_forcefully(stream)
                             await wait_until(lambda: client.resumed > cuts)
                             for node in rig.fleet.nodes.values():
-                                node.ails.hung = False
-                                node.stir()
+                                node.faults.is_hung = False
+                                node.notify_changed()
 
                     async with trio.open_nursery() as nursery:  # or while its set-up is pending at a node
                         if not i % 2:
@@ -642,7 +642,7 @@
                 paid = await client.play("/whep/course/a", offer(900, 1))
                 free = await client.play("/whep/open/b", offer(900, 1))
                 for node in rig.fleet.nodes.values():
-                    node.ails.silent = True  # a third request is pending when the front end stops
+                    node.faults.is_silent = True  # a third request is pending when the front end stops
                 answers = list[object]()
 
                 async def third() -> None:
@@ -663,8 +663,8 @@
                 rig.front_end_scope.cancel()
                 await rig.exited.wait()
                 for node in rig.fleet.nodes.values():
-                    node.ails.silent = False
-                    node.stir()
+                    node.faults.is_silent = False
+                    node.notify_changed()
                 await start_front_end(nursery, rig, with_state=True, port=port)
                 assert rig.front_end is not None
                 await wait_until(lambda: answers)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -62,7 +62,7 @@
 from oakcroft.rulecheck.plan_terms import terms_kept
 from oakcroft.rulecheck.repeated_set_ups import no_set_up_twice
 from oakcroft.signalling import words
-from oakcroft.standins.disk import Disk
+from oakcroft.standins.disk import FaultyDisk
 from oakcroft.store.file import (
     DeleteExpired,
     NamedValue,
@@ -430,9 +430,9 @@
 # The state file.
 
 
-def make_disk() -> Disk:
+def make_disk() -> FaultyDisk:
     """Makes a disk under a name of its own."""
-    return Disk(f"disk-{next(NAMES)}")
+    return FaultyDisk(f"disk-{next(NAMES)}")
 
 
 def list_entry(name: str) -> ListedNode:
@@ -537,14 +537,14 @@
                 raise apsw.exception_for(apsw.SQLITE_IOERR)
 
         file = StateFile("state", vfs=disk.name)
-        disk.calls, disk.at_call = 0, at
+        disk.call_count, disk.on_call = 0, at
         try:
             for n in range(12):
                 file.commit([PutPromise(make_promise(f"{n}-{part}")) for part in "abc"])
                 done = n + 1
         except StateFileError:
             pass
-        disk.at_call = None
+        disk.on_call = None
         after = StateFile("state", vfs=disk.cut_power(rng).name)
         ids = Counter(p.id.split("-")[0] for p in after.read().promises)
         assert set(ids.values()) <= {3}
@@ -595,7 +595,7 @@
 # The writer of the state file.
 
 
-def make_writer(disk: Disk, whole: Callable[[], ReplaceContents] | None = None) -> StateWriter:
+def make_writer(disk: FaultyDisk, whole: Callable[[], ReplaceContents] | None = None) -> StateWriter:
     """Makes a store on a disk."""
     log = structlog.wrap_logger(structlog.PrintLogger(io.StringIO()))
     writer = StateWriter(
@@ -636,7 +636,7 @@
                 while not await writer.write_durably(PutPromise(late)):  # the fault may hit this write
                     await wait_until(lambda writer=writer: writer.health.state is FileState.HEALTHY)  # type: ignore[misc]
                 nursery.cancel_scope.cancel()
-            disk.mend()
+            disk.repair()
             file = StateFile("state", vfs=disk.cut_power(Random(at)).name)
             on_record = {promise.id for promise in file.read().promises}
             assert set(kept) <= on_record, (at, set(kept) - on_record)  # all that was reported as durable
@@ -656,11 +656,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(writer.run)
             assert await writer.write_durably(PutPromise(make_promise("a")))
-            disk.slow = 0.4
+            disk.sync_delay_seconds = 0.4
             assert not await writer.write_durably(PutPromise(make_promise("b")))
             assert writer.health.state is FileState.SLOW
             assert not await writer.write_durably(PutPromise(make_promise("c")))
-            disk.slow = 0.0
+            disk.sync_delay_seconds = 0.0
 
             def noted() -> bool:
                 writer.enqueue(NamedValue("alive", b"1"))
@@ -790,12 +790,12 @@
         async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
             for node in rig.fleet.nodes.values():
-                node.ails.lost_share = 1.0  # it runs, and its answer is lost
+                node.faults.lost_answer_share = 1.0  # it runs, and its answer is lost
             nursery.start_soon(rig.request_playback_ignoring_errors, "/whep/course/a", key_header("k1"))
             await wait_until(lambda: rig.recorded("ran"))
             await restart_front_end(rig, nursery)
             for node in rig.fleet.nodes.values():
-                node.ails.lost_share = 0.0
+                node.faults.lost_answer_share = 0.0
             response = await rig.request_playback("/whep/course/a", **key_header("k1"))
             assert (response.status, problem_name(response)) == (504, "aborted")
             await wait_until(lambda: len(rig.recorded("over")) == 1)  # no viewer can use it, so it is ended
@@ -828,7 +828,7 @@
             seat = replace(lost, id="y", key="key-y", plan="seats", effect="free", seats=True, title="s")
             file.commit([PutPromise(lost), PutPromise(told_of), PutPromise(seat)])
             file.close()
-            rig.node("n1").up_since -= 60
+            rig.node("n1").process_started_at -= 60
             await start_front_end(nursery, rig, with_state=True)
             assert (await rig.request_playback("/whep/course/t", **key_header("key-z"))).status == 504
             response = [(await rig.request_playback("/whep/seats/s")).status for _ in range(2)]
@@ -898,7 +898,7 @@
             assert (
                 await rig.request_playback("/whep/course/a", **key_header("k1"))
             ).status == 201  # the earlier answer still holds
-            disk.mend()
+            disk.repair()
             await wait_until(
                 lambda: (
                     rig.front_end
@@ -948,7 +948,7 @@
                             token.run_sync_soon(rig.front_end_scope.cancel)
                         raise apsw.exception_for(apsw.SQLITE_IOERR)
 
-                disk.calls, disk.at_call = 0, at
+                disk.call_count, disk.on_call = 0, at
                 paths = [(f"/whep/course/c{point}", f"c{point}.{n}") for n in range(2)]
                 paths += [(f"/whep/seats/s{point}", f"s{point}.{n}") for n in range(3)]
                 async with trio.open_nursery() as asking:
@@ -957,7 +957,7 @@
                 if not rig.exited.is_set():
                     rig.front_end_scope.cancel()
                 await rig.exited.wait()
-                disk.at_call = None
+                disk.on_call = None
                 disk = disk.cut_power(rng)
                 await start_front_end(nursery, rig, with_state=True, open_state_file=opens)
                 await wait_until_recovered(rig)
@@ -1025,7 +1025,7 @@
                     assert second.status in (
                         {first.status} if first.status in (201, 504) else {201, 503, 504}
                     ), name
-                disk.mend()
+                disk.repair()
                 await wait_until(
                     lambda: (
                         rig.front_end
--- a/tests/test_wings.py
+++ b/tests/test_wings.py
@@ -213,9 +213,9 @@
             assert 5 <= len(overflowed) <= asked / 2 + 1  # within the bound; the rest is rejected at once
             assert answers.count(503) >= 5
             rig.node("n1").machine.restart(rig.fleet.clock.now())
-            await rig.fleet.boot(rig.node("n1"))
-            await wait_until(lambda: not rig.node("n1").ails.dead)
-            rig.fleet.publish()
+            await rig.fleet.start_node(rig.node("n1"))
+            await wait_until(lambda: not rig.node("n1").faults.is_dead)
+            rig.fleet.publish_list()
             await wait_until(
                 lambda: any(e["event"] == "wing" and e["after"] == "sound" for e in rig.log_entries()), 12
             )
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -33,7 +33,7 @@
 from oakcroft.peerwire.sealing import KeyRing
 from oakcroft.peerwire.zone_codec import ZONE_FORMAT, ZoneCodec
 from oakcroft.running.clock import Clock
-from oakcroft.standins.peer_network import Between
+from oakcroft.standins.peer_network import PeerNetwork
 
 SPEED = 3
 KEY, OTHER_KEY = b"k" * 32, b"o" * 32
@@ -71,7 +71,7 @@
     """Six fronts in one event loop, and the network between them."""
 
     folder: Path
-    between: Between
+    between: PeerNetwork
     nursery: trio.Nursery
     clock: Clock = field(default_factory=FastClock)
     endpoints: dict[str, PeerEndpoint] = field(default_factory=dict)
@@ -83,11 +83,11 @@
         """Where a front stands: two seeds of its zone, two addresses of the other."""
         zone = name.split("-")[0]
         other = next(z for z in REGIONS if z != zone)
-        relays = self.between.relays
+        relays = self.between.relay_addresses
         seeds = tuple(relays[f"{zone}-{i}"] for i in (0, 1))
         others = (OtherZone(other, REGIONS[other], tuple(relays[f"{other}-{i}"] for i in (0, 1))),)
         return PeerSettings(
-            name, self.between.fronts[name], relays[name], seeds, str(self.folder / "key"), FLEET, "",
+            name, self.between.front_addresses[name], relays[name], seeds, str(self.folder / "key"), FLEET, "",
             region=REGIONS[zone], other_zones=others,
         )  # fmt: skip
 
@@ -164,7 +164,7 @@
     listen = {name: (f"127.0.75.{i + 1}", port) for i, name in enumerate(NAMES)}
     relays = {name: (f"127.0.76.{i + 1}", port) for i, name in enumerate(NAMES)}
     async with trio.open_nursery() as nursery:
-        rig = Zones(folder, Between(listen, relays, Random(1)), nursery)
+        rig = Zones(folder, PeerNetwork(listen, relays, Random(1)), nursery)
         await nursery.start(rig.between.run)
         for name in NAMES:
             await rig.start(name)
