--- a/oakcroft/standins/__init__.py
+++ b/oakcroft/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for what stands around a front: playout nodes, the list service. Written from the public texts."""
+"""Emulated surroundings of a front end: playout nodes, node list service, peer network and a disk that fails.
+
+They are written from the published interfaces, not from the front end's own code.
+"""
--- a/oakcroft/standins/disk.py
+++ b/oakcroft/standins/disk.py
@@ -1,7 +1,7 @@
-"""A disk that loses what was not synced, as a power cut does, and fails to order: a file system for SQLite in memory.
+"""In-memory file system for SQLite that loses unsynced data like a power cut, and fails on demand.
 
-Each file has what was written and, beside it, what has been synced. Calls are counted, so that a fault can be set on any
-one of them: it fails that call, or all from that call on, until the disk is mended.
+Each file holds its current content and, beside it, the content at its last sync. Write and sync calls are counted, so
+that a fault can be set on any one of them: that call fails, or that call and all later ones until the disk is repaired.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 
 FAILURES: dict[str, Callable[[], Exception]] = {
     "full": lambda: apsw.FullError("disk full"),
-    "io-write": lambda: _io(apsw.SQLITE_IOERR_WRITE),
-    "io-sync": lambda: _io(apsw.SQLITE_IOERR_FSYNC),
+    "io-write": lambda: _io_error(apsw.SQLITE_IOERR_WRITE),
+    "io-sync": lambda: _io_error(apsw.SQLITE_IOERR_FSYNC),
     "read-only": lambda: apsw.ReadOnlyError("read-only"),
 }
+NO_CALL = -1
 
 
-def _io(code: int) -> Exception:
+def _io_error(code: int) -> Exception:
     error = apsw.exception_for(code)
     assert isinstance(error, apsw.IOError)
     return error
@@ -29,7 +30,10 @@
 
 @dataclass
 class FileContent:
-    """One file: as it reads now, as a power cut leaves it at the least, and the writes in between."""
+    """A file: its content as it reads now, its content at the last sync, and the writes since then, by offset.
+
+    A write without data truncates the file at its offset.
+    """
 
     current: bytearray = field(default_factory=bytearray)
     synced: bytes = b""
@@ -37,7 +41,7 @@
 
 
 class FileHandle:
-    """One open file, as SQLite calls it."""
+    """An open file; the methods are those that SQLite calls."""
 
     def __init__(self, disk: FaultyDisk, content: FileContent) -> None:
         self.disk, self.content = disk, content
@@ -48,10 +52,10 @@
 
     def xWrite(self, data: bytes, offset: int) -> None:
         self.disk.count_call("write")
-        now = self.content.current
-        if len(now) < offset:
-            now.extend(bytes(offset - len(now)))
-        now[offset : offset + len(data)] = data
+        current = self.content.current
+        if len(current) < offset:
+            current.extend(bytes(offset - len(current)))
+        current[offset : offset + len(data)] = data
         self.content.unsynced_writes.append((offset, bytes(data)))
 
     def xTruncate(self, size: int) -> None:
@@ -61,7 +65,8 @@
 
     def xSync(self, _flags: int) -> None:
         self.disk.count_call("sync")
-        self.content.synced, self.content.unsynced_writes = bytes(self.content.current), []
+        self.content.synced = bytes(self.content.current)
+        self.content.unsynced_writes = []
 
     def xFileSize(self) -> int:
         return len(self.content.current)
@@ -89,61 +94,69 @@
 
 
 class FaultyDisk(apsw.VFS):
-    """The disk; SQLite knows it by its name."""
+    """The disk, registered with SQLite as a VFS under its name."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.files = name, dict[str, FileContent]()
-        self.cut_count, self.successor = 0, self
-        self.call_count, self.fail_at_call, self.is_lasting, self.failure, self.failing_call = (
-            0,
-            -1,
-            False,
-            "",
-            "",
-        )
-        self.sync_delay_seconds = 0.0  # seconds that each sync takes
+        self.name = name
+        self.files: dict[str, FileContent] = {}
+        self.cut_count = 0
+        self.successor = self  # disk after the last power cut
+        self.call_count = 0
+        self.fail_at_call = NO_CALL
+        self.is_lasting = False
+        self.failure = ""
+        self.failing_call = ""
+        self.sync_delay_seconds = 0.0
         self.on_call: Callable[[int, str], None] | None = None
         super().__init__(name, "")
 
     # Faults.
 
     def fail(self, kind: str, at: int, lasting: bool = False, only: str = "") -> None:
-        """The so-many-th write or sync from now fails (0: the next), or all from there. `only`: of this kind of call."""
-        self.call_count, self.fail_at_call, self.failure, self.is_lasting, self.failing_call = (
-            0,
-            at,
-            kind,
-            lasting,
-            only,
-        )
+        """Makes the write or sync number `at` from now fail (0 for the next), and all later ones if `lasting`.
+
+        `kind` is a key of `FAILURES`; `only` restricts the fault, and the count, to calls of one kind.
+        """
+        self.call_count = 0
+        self.fail_at_call = at
+        self.failure = kind
+        self.is_lasting = lasting
+        self.failing_call = only
 
     def repair(self) -> None:
-        """Nothing fails any more."""
-        self.fail_at_call, self.sync_delay_seconds = -1, 0.0
+        """Clears all faults."""
+        self.fail_at_call = NO_CALL
+        self.sync_delay_seconds = 0.0
 
-    def count_call(self, what: str) -> None:
-        """One call on a file."""
-        if what == "read":
+    def count_call(self, call: str) -> None:
+        """Counts a call on a file, and raises the error that is set on it."""
+        if call == "read":
             return
-        if what == "sync" and self.sync_delay_seconds:
+        if call == "sync" and self.sync_delay_seconds:
             time.sleep(self.sync_delay_seconds)
-        if self.failing_call in ("", what):
-            number = self.call_count
-            self.call_count += 1
-            if self.on_call is not None:
-                self.on_call(number, what)
-            if self.fail_at_call >= 0 and (
-                number == self.fail_at_call or (self.is_lasting and number > self.fail_at_call)
-            ):
-                raise FAILURES[self.failure]()
+        if self.failing_call not in ("", call):
+            return
+        number = self.call_count
+        self.call_count += 1
+        if self.on_call is not None:
+            self.on_call(number, call)
+        if self._fails_at(number):
+            raise FAILURES[self.failure]()
+
+    def _fails_at(self, number: int) -> bool:
+        if self.fail_at_call < 0:
+            return False
+        return number == self.fail_at_call or (self.is_lasting and number > self.fail_at_call)
 
     def cut_power(self, rng: Random) -> FaultyDisk:
-        """The disk as it is found after a power cut: what was not synced is lost, but for a part of it, as writes arrive
-        in any order, the last one perhaps torn. Programs of before go on with this one, which nobody reads."""
+        """Returns the disk as it is found after a power cut.
+
+        Of the unsynced writes, each is lost or kept at random, as writes reach a disk in any order, and some of those
+        kept are torn. Programs from before the cut go on with this disk, whose files nobody reads any more.
+        """
         self.cut_count += 1
-        after = self.successor = FaultyDisk(
-            f"{self.name}-{self.cut_count}"
-        )  # kept: SQLite forgets one that nothing holds
+        # The reference is kept because SQLite unregisters a VFS that nothing refers to.
+        successor = self.successor = FaultyDisk(f"{self.name}-{self.cut_count}")
         for name, content in list(self.files.items()):
             left = bytearray(content.synced)
             for offset, data in list(content.unsynced_writes):
@@ -156,16 +169,16 @@
                 if len(left) < offset:
                     left.extend(bytes(offset - len(left)))
                 left[offset : offset + len(part)] = part
-            after.files[name] = FileContent(left, bytes(left))
-        return after
+            successor.files[name] = FileContent(left, bytes(left))
+        return successor
 
     def corrupt(self, name: str, offset: int) -> None:
-        """A page reads otherwise than it was written."""
-        content = next(c for n, c in self.files.items() if n.endswith(name))
+        """Overwrites 64 bytes of the file whose name ends in `name`, as if the medium had gone bad."""
+        content = next(content for path, content in self.files.items() if path.endswith(name))
         content.current[offset : offset + 64] = bytes(64 * [0xA5])
         content.synced = bytes(content.current)
 
-    # As SQLite calls it.
+    # Methods that SQLite calls.
 
     def xOpen(  # type: ignore[override]
         self, name: apsw.URIFilename | str | None, flags: list[int]
--- a/oakcroft/standins/links.py
+++ b/oakcroft/standins/links.py
@@ -1,8 +1,8 @@
-"""A model of playout nodes behind shared links: no I/O, no clock of its own, so that a laboratory can grow from it.
+"""Model of playout nodes behind shared links, without I/O and without a clock of its own.
 
-A node's link and its rack's uplink are shared by all that they carry; where more is asked than either gives, all
-playbacks there get the same share of their rates. A node runs so many streams at most. One that has just started is
-cold: it takes set-ups at a slowly rising pace and falls over when pushed well past it.
+A node's link and its rack's uplink are shared by all streams on them; where more is requested than either has, every
+stream gets the same share of its rate. A node runs a limited number of streams. One that has just started is cold: it
+accepts set-ups at a pace that rises slowly, and crashes when set-ups come far above that pace.
 """
 
 from __future__ import annotations
@@ -10,49 +10,54 @@
 from collections import deque
 from dataclasses import dataclass, field
 
+SMOOTHING_SECONDS = 0.5
+"""Time constant of the smoothed share of their rates that a node's streams get."""
+
+FULL_QUALITY_SHARE = 0.98
+"""Streams that get at least this share of their rate lose no revenue."""
+
 
 @dataclass(frozen=True)
 class WarmUp:
-    """How a node warms up and when it falls over: all fronts' set-ups over `window` ns against its pace."""
+    """How a node warms up, and how many set-ups of all front ends crash it while it does."""
 
-    initial_share: float
+    initial_share: float  # share of the full pace right after the start
     cold_ns: int
     overload_multiple: float
     window_ns: int
 
     def pace_share(self, age: int) -> float:
-        """The share of its full pace that a node takes at this age."""
+        """Returns the share of its full pace that a node accepts at an age in ns."""
         return min(1.0, self.initial_share + (1 - self.initial_share) * age / max(1, self.cold_ns))
 
-    def setup_budget(self, age: int, places: float) -> float:
-        """Set-ups over a window ending at this age that a node stands."""
-        return self.overload_multiple * self.pace_share(age) * places / max(1, self.cold_ns) * self.window_ns
+    def setup_budget(self, age: int, playback_capacity: float) -> float:
+        """Returns how many set-ups a node survives in a window that ends at this age."""
+        paced_share = self.overload_multiple * self.pace_share(age)
+        return paced_share * playback_capacity / max(1, self.cold_ns) * self.window_ns
 
 
 @dataclass
 class Rack:
-    """An uplink, kB a second; 0 for one that never binds."""
+    """An uplink shared by the nodes of a rack, in kB/s; a capacity of 0 is never the bottleneck."""
 
     uplink_capacity: float
     nodes: list[Machine] = field(default_factory=list)
 
     def requested_rate(self) -> float:
-        """What its nodes would put on it: each no more than its own link gives."""
-        return sum(min(n.requested_rate(), n.available_rate()) for n in self.nodes)
+        """Returns the rate that its nodes would send, each no more than its own link carries, in kB/s."""
+        return sum(min(node.requested_rate(), node.available_rate()) for node in self.nodes)
 
     def delivered_share(self) -> float:
-        """The share of that which it carries."""
-        asked = self.requested_rate()
-        return (
-            1.0
-            if self.uplink_capacity <= 0 or asked <= self.uplink_capacity
-            else self.uplink_capacity / asked
-        )
+        """Returns the share of the requested rate that the uplink carries."""
+        requested = self.requested_rate()
+        if self.uplink_capacity <= 0 or requested <= self.uplink_capacity:
+            return 1.0
+        return self.uplink_capacity / requested
 
 
 @dataclass
 class Stream:
-    """One playback on a node: its rate, rung and what a second of it is worth at each rung."""
+    """One playback on a node: its rate in kB/s, its rung, and the revenue per second at each rung."""
 
     rate: float
     rung: int
@@ -63,18 +68,20 @@
 
 @dataclass
 class Machine:
-    """One node's hardware: link in kB a second, streams at most, and what ails it now."""
+    """Hardware of one node: its link in kB/s, how many streams it runs at most, and its present faults."""
 
     name: str
     rack: Rack
     link_capacity: float
     playback_capacity: int
     warm_up: WarmUp
-    full_link_load: float = 0.0
+    full_link_load: float = (
+        0.0  # link load from which on it has no room for another stream; 0 for no such bound
+    )
     started_at: int = 0
     is_cold: bool = False
     is_overloaded: bool = False
-    taken_share: float = 0.0  # the share of its link that another program has
+    taken_share: float = 0.0  # share of its link that another program uses
     slowdown: float = 1.0
     streams: dict[str, Stream] = field(default_factory=dict)
     pending_setups: int = 0
@@ -82,34 +89,34 @@
     smoothed_share: float = 1.0
 
     def __post_init__(self) -> None:
-        """Puts itself into its rack."""
+        """Adds the node to its rack."""
         self.rack.nodes.append(self)
 
     def requested_rate(self) -> float:
-        """What its streams ask for."""
-        return sum(s.rate for s in self.streams.values())
+        """Returns the rate that its streams request, in kB/s."""
+        return sum(stream.rate for stream in self.streams.values())
 
     def available_rate(self) -> float:
-        """What its link gives now."""
+        """Returns the rate that its link carries now, in kB/s."""
         return self.link_capacity * (1 - self.taken_share) / self.slowdown
 
     def link_load(self) -> float:
-        """Asked of the link over what it gives."""
+        """Returns the requested rate over the available rate of its link."""
         return self.requested_rate() / max(1.0, self.available_rate())
 
     def uplink_load(self) -> float:
-        """The same for its rack's uplink, 0 where none binds."""
-        return (
-            self.rack.requested_rate() / self.rack.uplink_capacity if self.rack.uplink_capacity > 0 else 0.0
-        )
+        """Returns the same for the uplink of its rack, or 0 if that is never the bottleneck."""
+        if self.rack.uplink_capacity <= 0:
+            return 0.0
+        return self.rack.requested_rate() / self.rack.uplink_capacity
 
     def delivered_share(self) -> float:
-        """The share of their rates that its streams get."""
-        asked = self.link_load()
-        return (1.0 if asked <= 1 else 1 / asked) * self.rack.delivered_share()
+        """Returns the share of their rates that its streams get."""
+        load = self.link_load()
+        return (1.0 if load <= 1 else 1 / load) * self.rack.delivered_share()
 
     def admit_setup(self, now: int) -> bool:
-        """A set-up arrives. Counts it against a cold node's pace; False when the node falls over under it."""
+        """Counts a set-up against a cold node's pace; returns False if the node crashes under it."""
         if not self.is_cold:
             return not self.is_overloaded
         age = now - self.started_at
@@ -124,36 +131,37 @@
         return not self.is_overloaded
 
     def has_room(self) -> bool:
-        """Whether it takes one more stream."""
+        """Returns whether it accepts one more stream."""
         if self.full_link_load and self.link_load() >= self.full_link_load:
             return False
         return len(self.streams) + self.pending_setups < self.playback_capacity
 
     def add_stream(self, session: str, stream: Stream) -> None:
-        """A playback begins to play."""
+        """Adds the stream of a session that starts to play."""
         self.streams[session] = stream
 
     def remove_stream(self, session: str) -> Stream | None:
-        """A playback ends."""
+        """Removes and returns the stream of a session that ends."""
         return self.streams.pop(session, None)
 
     def restart(self, now: int) -> None:
-        """A new process: empty and cold."""
+        """Starts a new process, which has no streams and is cold."""
         self.streams.clear()
         self.recent_setups.clear()
-        self.started_at, self.is_cold, self.is_overloaded, self.pending_setups, self.smoothed_share = (
-            now,
-            True,
-            False,
-            0,
-            1.0,
-        )
-
-    def advance(self, seconds: float, stall: float, dead: bool = False) -> None:
-        """Its streams earn for so long. Under 98% of its rate, one loses `stall` points of worth for each point
-        that is missing; a node that stands still (`dead`) earns nothing."""
-        share = 0.0 if dead else self.delivered_share()
-        self.smoothed_share += (share - self.smoothed_share) * min(1.0, seconds / 0.5)
-        loss = max(0.0, 0.98 - share) * stall
+        self.started_at = now
+        self.is_cold = True
+        self.is_overloaded = False
+        self.pending_setups = 0
+        self.smoothed_share = 1.0
+
+    def advance(self, seconds: float, shortfall_penalty: float, delivers_nothing: bool = False) -> None:
+        """Adds the revenue that its streams earn in so many seconds.
+
+        Under `FULL_QUALITY_SHARE` of its rate a stream loses `shortfall_penalty` points of revenue for each point of
+        the rate that is missing; a node that delivers nothing earns nothing.
+        """
+        share = 0.0 if delivers_nothing else self.delivered_share()
+        self.smoothed_share += (share - self.smoothed_share) * min(1.0, seconds / SMOOTHING_SECONDS)
+        loss = max(0.0, FULL_QUALITY_SHARE - share) * shortfall_penalty
         for stream in self.streams.values():
             stream.revenue += seconds * stream.revenue_rates[stream.rung] * max(0.0, 1 - loss)
--- a/oakcroft/standins/record.py
+++ b/oakcroft/standins/record.py
@@ -1,4 +1,4 @@
-"""What passed on the sockets, one JSON line a fact, with the wall clock's time in ns."""
+"""Facts observed on the sockets, written as one JSON line each with the wall-clock time in ns."""
 
 from __future__ import annotations
 
@@ -8,25 +8,27 @@
 
 import orjson
 
+BUFFER_BYTES = 1 << 16
+
 
 class Record:
-    """Appends facts to a file."""
+    """File to which facts are appended."""
 
     def __init__(self, path: Path) -> None:
-        """Begins the file anew."""
-        self.file: IO[bytes] = path.open("wb", buffering=1 << 16)
+        """Creates the file; an existing one is overwritten."""
+        self.file: IO[bytes] = path.open("wb", buffering=BUFFER_BYTES)
 
     def note(self, kind: str, **fields: Any) -> None:
-        """One fact, now."""
+        """Appends one fact with the current time."""
         self.file.write(orjson.dumps({"t": time.time_ns(), "kind": kind, **fields}) + b"\n")
 
     def close(self) -> None:
-        """Writes out what is left."""
+        """Flushes and closes the file."""
         self.file.close()
 
 
 def read_facts(path: Path) -> list[dict[str, Any]]:
-    """All whole facts of a file; a last line cut short by a killed writer is left out."""
+    """Returns all complete facts of a file; a last line truncated by a killed writer is left out."""
     facts = []
     for line in path.read_bytes().split(b"\n"):
         try:
