--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -1,4 +1,4 @@
-"""What a playout node holds: its sessions, the event streams of its front ends, and what is wrong with it now."""
+"""State of an emulated playout node: its sessions, the event streams of its front ends, and its present faults."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
 from oakcroft.standins.record import Record
 
 KEY_RETENTION_SECONDS = 120.0
-"""For which a node knows the keys that it ran."""
+"""How long a node remembers the idempotency keys of the set-ups that it ran."""
 
 DEFAULT_LEASE_SECONDS = 3.0
-"""A front whose event stream is gone for so long has lost its sessions, unless it asked for longer."""
+"""A front end without an event stream for this time loses its sessions, unless it requested a longer lease."""
 
-TITLE_RATE_LEAST, TITLE_RATE_SPREAD, TITLE_RATE_STEPS = 0.85, 0.3, 97
-"""A title's rate over its rung's: no two are encoded alike."""
+TITLE_RATE_MIN = 0.85
+TITLE_RATE_SPREAD = 0.3
+TITLE_RATE_STEPS = 97
+"""Range and steps of a title's rate relative to that of its rung, as titles differ in how well they compress."""
 
 
 @dataclass
@@ -39,33 +41,32 @@
     plan: str
     title: str
     entity_tag: int = 1
-    """The entity tag of its ICE session; a restart counts it up."""
+    """Entity tag of its ICE session; an ICE restart increments it."""
     holder: Caller = field(default_factory=lambda: Caller(""))
     memo: str = ""
-    """What its front left for whoever takes it over."""
+    """What its front end stored for the one that may take it over."""
     answer: str = ""
     media_address: tuple[str, int] | None = None
-    """Where the player receives, if it says."""
+    """Address at which the player receives, if its offer has one."""
     next_rtp_sequence: int = 0
-    """Of its next RTP packet."""
     setup_number: int = 0
-    """Of the set-up, in its process."""
+    """Number of the set-up, counted by process."""
 
 
 @dataclass
 class Subscription:
-    """One front's event stream, or the lack of it."""
+    """The event stream of one front end, which is open while there is a channel."""
 
     channel: trio.MemorySendChannel[bytes] | None = None
     disconnected_at: float = 0.0
     lease_seconds: float = DEFAULT_LEASE_SECONDS
     taken_over: deque[tuple[float, str]] = field(default_factory=deque)
-    """Sessions that others took over, and when."""
+    """Sessions that other front ends took over from it, each with the time."""
 
 
 @dataclass
 class NodeFaults:
-    """What is wrong with a node now."""
+    """Present faults of a node."""
 
     is_dead: bool = False
     is_silent: bool = False
@@ -74,12 +75,12 @@
     is_draining: bool = False
     report_delay_seconds: float = 0.0
     skips_holder_check: bool = False
-    """A planted fault: it does not check who holds a session."""
+    """Violates the protocol: lets any front end control or take over any session. For tests of the rules."""
     unreachable_zones: set[str] = field(default_factory=set)
 
 
 class NodeState:
-    """The state of one node, and the changes of it that more than one kind of request makes."""
+    """State of one node, and the changes of it that are common to several kinds of requests."""
 
     def __init__(
         self,
@@ -99,14 +100,22 @@
         `setup_duration_ns` is the range of how long a set-up takes; `clock` returns the time in ns; `zone_of_front`
         returns the zone of a front end.
         """
-        self.name, self.zone, self.cell, self.machine = name, zone, cell, machine
-        self.site, self.record, self.rng, self.setup_duration_ns = site, record, rng, setup_duration_ns
-        self.clock, self.zone_of_front = clock, zone_of_front
-        self.start_count, self.setup_count = 0, 0
+        self.name = name
+        self.zone = zone
+        self.cell = cell
+        self.machine = machine
+        self.site = site
+        self.record = record
+        self.rng = rng
+        self.setup_duration_ns = setup_duration_ns
+        self.clock = clock
+        self.zone_of_front = zone_of_front
+        self.start_count = 0
+        self.setup_count = 0
         self.faults = NodeFaults()
         self.sessions: dict[str, Session] = {}
         self.keys_by_front: dict[str, deque[tuple[float, str]]] = {}
-        """By front: when it ran a set-up, and under which key."""
+        """Times and idempotency keys of the set-ups that it ran."""
         self.process_started_at = 0.0
         self.subscriptions: dict[str, Subscription] = {}
         self.changed = trio.Event()
@@ -114,105 +123,108 @@
 
     @property
     def process(self) -> str:
-        """The name of the running process."""
+        """Name of the running process."""
         return f"{self.name}-{self.start_count}"
 
     def notify_changed(self) -> None:
-        """Wakes those that wait for the node's state to change."""
+        """Wakes the tasks that wait for a change of the node's state."""
         self.changed.set()
         self.changed = trio.Event()
 
     def cannot_reach(self, front: str) -> bool:
-        """Whether nothing that the node sends reaches a front."""
+        """Returns whether nothing that the node sends reaches a front end."""
         return self.faults.is_silent or self.zone_of_front(front) in self.faults.unreachable_zones
 
     def load(self) -> words.Load:
-        """What is asked of its links, as it reports that."""
+        """Returns the load of its links as it reports it."""
         asked, uplink = self.machine.link_load(), self.machine.uplink_load()
         return words.Load(asked, min(1.0, asked), uplink if uplink else None)
 
     def stream_rate(self, plan: str, title: str, rung: int) -> float:
-        """The rate of a stream, kB a second."""
+        """Returns the rate of a stream in kB/s."""
         step = (sum(title.encode()) % TITLE_RATE_STEPS) / TITLE_RATE_STEPS
-        of_title = TITLE_RATE_LEAST + TITLE_RATE_SPREAD * step
-        return self.site.terms.rung_rates[rung] * self.site.plans[plan].plan.rate_factor * of_title
+        title_factor = TITLE_RATE_MIN + TITLE_RATE_SPREAD * step
+        return self.site.terms.rung_rates[rung] * self.site.plans[plan].plan.rate_factor * title_factor
 
     def plan_and_title(self, path: str) -> tuple[str, str]:
-        """The plan and title of a path, as the most particular route of either side has it; conditions on the client
-        are the front's matter."""
+        """Returns the plan and the title of a path by the most specific route for watching or publishing.
+
+        Conditions that routes set on the client are left to the front end.
+        """
         prefix, title = RouteRequest(ClientRole.WATCH, unquote(path), "", {}).split_path()
-        for side in ClientRole:
-            bucket = self.site.route_table.by_prefix.get((side, prefix))
+        for role in ClientRole:
+            bucket = self.site.route_table.by_prefix.get((role, prefix))
             for routes in bucket.candidates(title) if bucket else ():
                 for route in routes:
                     return route.plan, title
         return "", ""
 
     def recent_keys(self, front: str) -> deque[tuple[float, str]]:
-        """When the node ran set-ups of a front, and under which keys, as far back as it knows."""
-        ran = self.keys_by_front.setdefault(front, deque())
-        while ran and ran[0][0] < trio.current_time() - KEY_RETENTION_SECONDS:
-            ran.popleft()
-        return ran
+        """Returns the times and keys of a front end's set-ups within the retention, oldest first."""
+        keys = self.keys_by_front.setdefault(front, deque())
+        while keys and keys[0][0] < trio.current_time() - KEY_RETENTION_SECONDS:
+            keys.popleft()
+        return keys
 
     def subscription_of(self, front: str) -> Subscription:
-        """A front's event stream; one that is gone since now where it never had any."""
+        """Returns a front end's event stream; if it never had any, one that counts as disconnected from now on."""
         return self.subscriptions.setdefault(front, Subscription(disconnected_at=trio.current_time()))
 
     def disconnected_for(self, front: str) -> int | None:
-        """For how long a front has not listened, ns; None where it does."""
-        ear = self.subscriptions.get(front)
-        if ear is None:
+        """Returns for how long in ns a front end has had no event stream; None while it has one."""
+        subscription = self.subscriptions.get(front)
+        if subscription is None:
             return MAX_SESSION_LEASE
-        return (
-            None if ear.channel is not None else round((trio.current_time() - ear.disconnected_at) * SECOND)
-        )
+        if subscription.channel is not None:
+            return None
+        return round((trio.current_time() - subscription.disconnected_at) * SECOND)
 
     def start_session(self, session: Session, rung: int) -> None:
-        """A session begins to play."""
+        """Starts a session on a rung, and reports it to its front end."""
         plan = self.site.plans[session.plan].plan
-        worth = tuple(worth * plan.revenue for worth in self.site.terms.rung_revenue_shares)
-        stream = Stream(self.stream_rate(session.plan, session.title, rung), rung, worth, self.clock())
+        revenue_rates = tuple(share * plan.revenue for share in self.site.terms.rung_revenue_shares)
+        rate = self.stream_rate(session.plan, session.title, rung)
         self.sessions[session.id] = session
         self.recent_keys(session.front).append((trio.current_time(), session.key))
-        self.machine.add_stream(session.id, stream)
+        self.machine.add_stream(session.id, Stream(rate, rung, revenue_rates, self.clock()))
         self.record.note(
             "ran", node=self.name, key=session.key, plan=session.plan, front=session.front, session=session.id
         )
-        self.send_event(
-            self.subscription_of(session.front), "started", {"session": f"/sessions/{session.id}"}
-        )
+        subscription = self.subscription_of(session.front)
+        self.send_event(subscription, "started", {"session": f"/sessions/{session.id}"})
 
-    def end_session(self, name: str, why: str, by: str = "") -> None:
-        """Ends a session, if there is one of this name, and tells its front. `by`: the front that asked for it."""
-        session = self.sessions.pop(name, None)
-        stream = self.machine.remove_stream(name)
+    def end_session(self, session_id: str, why: str, by: str = "") -> None:
+        """Ends a session, if it exists, and reports it to its front end. `by` is the front end that requested it."""
+        session = self.sessions.pop(session_id, None)
+        stream = self.machine.remove_stream(session_id)
         if session is None or stream is None:
             return
         self.revenue_by_plan[session.plan] = self.revenue_by_plan.get(session.plan, 0.0) + stream.revenue
         self.record.note(
-            "over", node=self.name, session=name, key=session.key, front=session.front, why=why, by=by
+            "over", node=self.name, session=session_id, key=session.key, front=session.front, why=why, by=by
         )
-        if ear := self.subscriptions.get(session.front):
-            self.send_event(ear, "ended", {"session": f"/sessions/{name}", "why": why})
+        if subscription := self.subscriptions.get(session.front):
+            self.send_event(subscription, "ended", {"session": f"/sessions/{session_id}", "why": why})
 
     @staticmethod
-    def send_event(ear: Subscription, name: str, data: object) -> None:
-        """An event to one front, if it listens and is not too far behind."""
-        if ear.channel is not None:
-            try:
-                ear.channel.send_nowait(words.event(name, data))
-            except (trio.WouldBlock, trio.BrokenResourceError, trio.ClosedResourceError):
-                ear.channel.close()
-                ear.channel, ear.disconnected_at = None, trio.current_time()
+    def send_event(subscription: Subscription, name: str, data: object) -> None:
+        """Queues an event for one front end; closes its event stream if the front end is too far behind."""
+        if subscription.channel is None:
+            return
+        try:
+            subscription.channel.send_nowait(words.event(name, data))
+        except (trio.WouldBlock, trio.BrokenResourceError, trio.ClosedResourceError):
+            subscription.channel.close()
+            subscription.channel = None
+            subscription.disconnected_at = trio.current_time()
 
 
 def front_of(request: Request) -> str:
-    """The pseudonym of the front that asks."""
+    """Returns the pseudonym of the front end that sends a request."""
     return (request.header("via") or "").removeprefix("1.1 ")
 
 
 def caller_of(request: Request) -> Caller:
-    """Which front asks, with its name among its peers and the number of its start."""
-    member, start = handing.read_front(request.header(handing.FRONT.lower()))
-    return Caller(front_of(request), member, start)
+    """Returns the front end that sends a request, with its member name and its generation."""
+    member, generation = handing.read_front(request.header(handing.FRONT.lower()))
+    return Caller(front_of(request), member, generation)
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -1,4 +1,4 @@
-"""A playout node: a WHEP and WHIP endpoint over the model of its link, with faults to order."""
+"""Emulated playout node: a WHEP and WHIP endpoint over the model of its link, with faults on demand."""
 
 from __future__ import annotations
 
@@ -28,25 +28,27 @@
 from oakcroft.standins.takeover import answer_takeover
 
 FINGERPRINT = "sha-256 " + ":".join(["AB"] * 32)
-ICE_USERNAME, ICE_PASSWORD = "node" + "A" * 4, "B" * 24
-"""Of every answer; no media passes that would need them."""
+ICE_USERNAME = "node" + "A" * 4
+ICE_PASSWORD = "B" * 24
+"""The same in every answer; the node sends media without ICE."""
 
-LISTEN_RETRIES, LISTEN_RETRY_SECONDS = 100, 0.05
-"""How often a port is tried again that another program may have had meanwhile."""
+LISTEN_RETRIES = 100
+LISTEN_RETRY_SECONDS = 0.05
+"""Retries to bind a port that another program may have used while the node was dead."""
 
 LISTEN_BACKLOG = 512
-IDLE_NS = 3600 * SECOND
-"""Connections of fronts are never cut for being idle within a day."""
+IDLE_TIMEOUT_NS = 3600 * SECOND
+"""Long enough that no connection of a front end is closed for being idle within a day."""
 
 MAX_SETUP_SLOWDOWN = 20.0
-"""A node that is slowed down further answers set-ups no later."""
+"""Bound on how much a slowed-down node delays its answers to set-ups."""
 
 PRECONDITION_FAILED = 412
 CREATED = 201
 
 
 class PlayoutNode(NodeState):
-    """One node: its port, its process, and its answers to the fronts."""
+    """One node: its port, its process, and its answers to the front ends."""
 
     def __init__(
         self,
@@ -61,7 +63,7 @@
         clock: Callable[[], int],
         zone_of_front: Callable[[str], str],
     ) -> None:
-        """A node without a process; `listen` and `live` start one."""
+        """Creates a node without a running process; `listen` and `run_process` start one."""
         super().__init__(
             name, zone, cell, machine, site, record, rng, setup_duration_ns, clock, zone_of_front
         )
@@ -70,7 +72,7 @@
         self.connections: set[trio.SocketStream] = set()
 
     async def listen(self) -> list[trio.SocketListener]:
-        """Opens the node's port, the same one each time; while the node was dead, another program may have had it."""
+        """Opens the node's port, which stays the same from process to process."""
         for retries_left in range(LISTEN_RETRIES, -1, -1):
             try:
                 listeners = list(
@@ -85,14 +87,16 @@
         return listeners
 
     async def run_process(self, listeners: list[trio.SocketListener]) -> None:
-        """One life of the process, until it is killed."""
+        """Runs one process of the node until it is killed."""
         self.start_count += 1
         self.keys_by_front.clear()
         self.process_started_at = trio.current_time()
-        self.faults.is_dead = self.faults.is_silent = self.faults.is_hung = False
+        self.faults.is_dead = False
+        self.faults.is_silent = False
+        self.faults.is_hung = False
         self.record.note("start", node=self.name, process=self.process, cold=self.machine.is_cold)
         server = Server(
-            self.handle, ConnectionTable(ConnectionLimits(idle=IDLE_NS)), self.clock, self._failed
+            self.handle, ConnectionTable(ConnectionLimits(idle=IDLE_TIMEOUT_NS)), self.clock, self._failed
         )
 
         async def serve(stream: trio.SocketStream) -> None:
@@ -108,26 +112,26 @@
                 await trio.serve_listeners(serve, listeners)
 
     async def _send_media(self) -> None:
-        """RTP to every player that receives it, at the media clock's pace."""
-        with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as out:
+        """Sends RTP to every player that receives it, at each tick of the media clock."""
+        with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
             while True:
                 tick = rtp.media_tick(self.clock()) + 1
                 await trio.sleep(max(0.0, (tick * rtp.PACKET_INTERVAL_NS - self.clock()) / SECOND))
                 if self.faults.is_hung or self.faults.is_silent:
                     continue
                 for session in list(self.sessions.values()):
-                    await self._send_packet(out, session, tick)
+                    await self._send_packet(sock, session, tick)
 
-    async def _send_packet(self, out: trio.socket.SocketType, session: Session, tick: int) -> None:
+    async def _send_packet(self, sock: trio.socket.SocketType, session: Session, tick: int) -> None:
         stream = self.machine.streams.get(session.id)
-        if session.media_address is None or stream is None:  # it may have ended while others were sent to
+        if session.media_address is None or stream is None:  # ended while packets were sent to others
             return
         packet = rtp.encode_packet(
             session.next_rtp_sequence, tick, rtp.ssrc(session.id), self.clock(), stream.rung
         )
         session.next_rtp_sequence += 1
         try:
-            await out.sendto(packet, session.media_address)
+            await sock.sendto(packet, session.media_address)
         except OSError:
             session.media_address = None
 
@@ -135,12 +139,12 @@
         self.record.note("stand-in failed", node=self.name, path=request.path, error=repr(error))
 
     def kill(self) -> None:
-        """The process dies: every connection is reset, every playback ends."""
+        """Kills the process: resets every connection and ends every playback."""
         if self.faults.is_dead:
             return
         self.faults.is_dead = True
         playing = {session.front for session in self.sessions.values()}
-        listening = {front for front, ear in self.subscriptions.items() if ear.channel}
+        listening = {front for front, subscription in self.subscriptions.items() if subscription.channel}
         self.record.note("death", node=self.name, process=self.process, seen_by=sorted(playing | listening))
         for session in list(self.sessions):
             self.end_session(session, "death")
@@ -152,11 +156,11 @@
         self.notify_changed()
 
     def end_sessions_of_lost_fronts(self) -> None:
-        """Ends what fronts play here whose stream has been gone for the lease."""
+        """Ends the sessions of front ends that have had no event stream for their lease."""
         end_sessions_of_lost_fronts(self)
 
     async def handle(self, request: Request) -> Response:
-        """One request of a front."""
+        """Answers one request of a front end."""
         front = front_of(request)
         if request.method == "POST" and not request.path.startswith(("/sessions/", handing.PATH)):
             return await self.set_up(request, front)
@@ -173,28 +177,30 @@
         return self._handle_session(request, front)
 
     def open_event_stream(self, front: str) -> Response:
-        """Opens the event stream of a front."""
+        """Opens the event stream of a front end."""
         return open_event_stream(self, front)
 
     def _handle_session(self, request: Request, front: str) -> Response:
-        """A request for one session, by the front that holds it."""
-        _, _, name = request.path.partition("/sessions/")
-        name, _, part = name.partition("/")
-        session = self.sessions.get(name)
+        """Answers a request for one session, if it comes from the front end that holds it."""
+        _, _, subpath = request.path.partition("/sessions/")
+        session_id, _, resource = subpath.partition("/")
+        session = self.sessions.get(session_id)
         if session is None:
             return Response(404)
         caller = caller_of(request)
         if not may_control(session.holder, caller) and not self.faults.skips_holder_check:
-            self.record.note("turned away", node=self.name, session=name, front=front, method=request.method)
+            self.record.note(
+                "turned away", node=self.name, session=session_id, front=front, method=request.method
+            )
             problem = words.problem(409, handing.NOT_HELD, "another front has it")
             return Response(409, [("Content-Type", words.PROBLEM)], problem)
         session.holder = replace(session.holder, generation=max(session.holder.generation, caller.generation))
         if request.method == "DELETE":
-            self.end_session(name, "deleted", front)
+            self.end_session(session_id, "deleted", front)
             return Response(200)
         if request.method == "PATCH":
             return _patch(request, session)
-        if part == "layer" and request.method == "POST":
+        if resource == "layer" and request.method == "POST":
             return self._change_rung(request, session, front)
         return Response(405)
 
@@ -204,34 +210,47 @@
             "rung", node=self.name, front=front, plan=session.plan, session=session.id, rung=rung
         )
         stream = self.machine.streams[session.id]
-        stream.rate, stream.rung = self.stream_rate(session.plan, session.title, rung), rung
+        stream.rate = self.stream_rate(session.plan, session.title, rung)
+        stream.rung = rung
         return Response(204)
 
     async def set_up(self, request: Request, front: str) -> Response:
-        """Sets up a session, and puts on record how that ended, also where the front went away."""
+        """Sets up a session and records the outcome, also if the front end closes the connection meanwhile."""
         key = words.idempotency_key(request.header("idempotency-key") or "") or ""
         plan, title = self.plan_and_title(request.path)
         rung = int(request.query("encodingId") or 0)
         catalogue = int(request.header(words.CATALOGUE.lower()) or 0)
         self.setup_count += 1
-        number = f"{self.process}.{self.setup_count}"
-        self.record.note("setup", node=self.name, id=number, front=front, key=key, plan=plan, title=title,
-                         rung=rung, catalogue=catalogue)  # fmt: skip
-        session = Session(number.replace(".", "-"), front, key, plan, title, setup_number=self.setup_count)
+        setup_id = f"{self.process}.{self.setup_count}"
+        self.record.note(
+            "setup",
+            node=self.name,
+            id=setup_id,
+            front=front,
+            key=key,
+            plan=plan,
+            title=title,
+            rung=rung,
+            catalogue=catalogue,
+        )
+        session_id = setup_id.replace(".", "-")
+        session = Session(session_id, front, key, plan, title, setup_number=self.setup_count)
         answered = False
         try:
-            response = await self._answer(request, session, number, rung)
+            response = await self._answer(request, session, setup_id, rung)
             answered = True
         finally:
             if not answered:
-                self.record.note("broken", node=self.name, id=number, key=key)
-        how = words.problem_type(response.body) if response.status != CREATED else ""
-        self.record.note("answer", node=self.name, id=number, key=key, status=response.status, problem=how)
+                self.record.note("broken", node=self.name, id=setup_id, key=key)
+        problem = words.problem_type(response.body) if response.status != CREATED else ""
+        self.record.note(
+            "answer", node=self.name, id=setup_id, key=key, status=response.status, problem=problem
+        )
         return response
 
-    async def _answer(self, request: Request, session: Session, number: str, rung: int) -> Response:
-        """The answer to a set-up, which may be late, lost, or the process's last."""
-        front = session.front  # by the time of the answer, another may have taken the session over
+    async def _answer(self, request: Request, session: Session, setup_id: str, rung: int) -> Response:
+        """Answers a set-up. The answer may be late or lost, or the set-up may crash the process."""
+        front = session.front  # another front end may take the session over before the answer is sent
         while self.cannot_reach(front):
             await self.changed.wait()
         if not self.machine.admit_setup(self.clock()):
@@ -241,12 +260,13 @@
         if not session.plan:
             return Response(404)
         if self.faults.is_draining:
-            return self._refused(PROBLEM_DRAINING, "draining")
+            return self._reject(PROBLEM_DRAINING, "draining")
         if not self.machine.has_room():
-            return self._refused(PROBLEM_FULL, "full")
+            return self._reject(PROBLEM_FULL, "full")
         offer = sdp.parse(request.body.decode())
         await self._wait_setup_duration()
-        session.media_address, session.holder = rtp.media_address(offer), caller_of(request)
+        session.media_address = rtp.media_address(offer)
+        session.holder = caller_of(request)
         session.memo = (request.header(handing.MEMO.lower()) or "")[: handing.MOST_MEMO]
         session.answer = sdp.answer(offer, self.setup_count, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
         self.start_session(session, rung)
@@ -254,37 +274,39 @@
         while self.faults.is_hung or self.cannot_reach(front):
             await self.changed.wait()
         if self.rng.random() < self.faults.lost_answer_share:
-            self.record.note("answer lost", node=self.name, id=number, key=session.key)
+            self.record.note("answer lost", node=self.name, id=setup_id, key=session.key)
             await trio.sleep_forever()
         return self._created(session, front)
 
     async def _wait_setup_duration(self) -> None:
-        """Takes the time that a set-up takes here; it uses a place meanwhile."""
+        """Waits as long as a set-up takes, which counts against the node's capacity meanwhile."""
         self.machine.pending_setups += 1
         try:
-            slowness = min(MAX_SETUP_SLOWDOWN, self.machine.slowdown)
-            await trio.sleep(self.rng.uniform(*self.setup_duration_ns) / SECOND * slowness)
+            slowdown = min(MAX_SETUP_SLOWDOWN, self.machine.slowdown)
+            await trio.sleep(self.rng.uniform(*self.setup_duration_ns) / SECOND * slowdown)
         finally:
             self.machine.pending_setups -= 1
 
     def _created(self, session: Session, front: str) -> Response:
-        here = f"/sessions/{session.id}"
+        path = f"/sessions/{session.id}"
         headers = [
-            ("Content-Type", sdp.MEDIA_TYPE), ("Location", here), ("ETag", f'"{session.entity_tag}"'),
+            ("Content-Type", sdp.MEDIA_TYPE),
+            ("Location", path),
+            ("ETag", f'"{session.entity_tag}"'),
             ("Link", words.link(f"/events/{front}", words.REL_EVENTS)),
-            ("Link", words.link(f"{here}/layer", words.REL_LAYER)),
+            ("Link", words.link(f"{path}/layer", words.REL_LAYER)),
             (words.LOAD, words.load_report(self.load())),
-        ]  # fmt: skip
+        ]
         body = session.answer.encode()
         return Response(201, headers, body, unsent=lambda: self.end_session(session.id, "answer not taken"))
 
-    def _refused(self, kind: str, title: str) -> Response:
+    def _reject(self, kind: str, title: str) -> Response:
         headers = [("Content-Type", words.PROBLEM), (words.LOAD, words.load_report(self.load()))]
         return Response(503, headers, words.problem(503, kind, title))
 
 
 def _patch(request: Request, session: Session) -> Response:
-    """Trickle ICE, or an ICE restart (RFC 9725, section 4.3)."""
+    """Answers a trickle ICE fragment or an ICE restart (RFC 9725, section 4.3)."""
     fragment = sdp.parse_fragment(request.body.decode())
     if request.header("if-match") == "*":
         session.entity_tag += 1
@@ -298,7 +320,7 @@
 
 
 def reset_connection(stream: trio.SocketStream) -> None:
-    """Closes a connection so that its peer sees a reset."""
+    """Closes a connection with a TCP reset."""
     try:
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         stream.socket.close()
