--- a/oakcroft/standins/faults.py
+++ b/oakcroft/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into an emulated fleet, kind by kind, as operators have recorded them."""
+"""Injection of faults into an emulated fleet, one function per kind of fault that operators have recorded."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from oakcroft.standins.fleet import Fleet
 from oakcroft.standins.playout import PlayoutNode
 
-SILENT_OVER = 0.5
-"""A lost zone whose `extra` is over this falls silent; otherwise its processes are seen to die."""
+SILENT_ZONE_LOSS_ABOVE = 0.5
+"""A lost zone whose `extra` is above this falls silent; otherwise its processes die and reset their connections."""
 
-SHORTEST_NOTICE_SECONDS = 0.1
-SHORTEST_SWING_SECONDS = 0.5
-SHORTEST_RETURN_SECONDS = 1.0
-SHORTEST_SLEEP_SECONDS = 0.01
-"""Floors under the figures of a day's text, which may be left out and are 0 then."""
+MIN_NOTICE_SECONDS = 0.1
+MIN_SWITCH_SECONDS = 0.5
+MIN_DOWNTIME_SECONDS = 1.0
+MIN_SLEEP_SECONDS = 0.01
+"""Lower bounds for figures of a day's text, which are 0 where it leaves them out."""
 
-PREEMPTED_BATCH = 0.5
+PREEMPTED_BATCH_SHARE = 0.5
 """Share of the fleet that is preempted at one time, at most."""
 
 DEPLOY_GAP_SECONDS = 0.5
-"""In a rolling deploy, between a node's death and its replacement."""
+"""Time between a node's death and its replacement in a rolling deploy."""
 
 AGEING_STEPS = 5
-"""An ageing node grows slower in so many steps."""
+"""Steps in which an ageing node becomes slower."""
 
 Injector = Callable[[Fleet, list[PlayoutNode], Fault], Awaitable[None]]
-"""Plays one kind of fault on the nodes that a fault names, from its beginning to its end."""
+"""Injects a fault of one kind into the nodes that it names, and returns when it has ended."""
 
 
 async def inject_all(fleet: Fleet, start: int) -> None:
-    """Injects every fault of the fleet's day, which begins at `start` (ns), and returns after the last one's end."""
+    """Injects all faults of the fleet's day, which begins at `start` (ns), and returns when the last one has ended."""
     async with trio.open_nursery() as nursery:
         for fault in fleet.day.faults:
             nursery.start_soon(_inject_on_time, fleet, fault, start)
@@ -48,8 +48,10 @@
 
 
 async def inject(fleet: Fleet, fault: Fault) -> None:
-    """Plays one fault from its beginning to its end. A kind that befalls no node or list (front ends, viewers) is left to
-    others."""
+    """Injects one fault and returns when it has ended.
+
+    Kinds that concern neither nodes nor the list are ignored; the rehearsal injects those of front ends and viewers.
+    """
     nodes = [fleet.nodes[name] for name in fault.targets if name in fleet.nodes]
     if fault.kind in INJECTORS:
         await INJECTORS[fault.kind](fleet, nodes, fault)
@@ -60,28 +62,28 @@
 
 
 async def _crash(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _down(fleet, nodes, _seconds(fault), silent=False)
+    await _take_down(fleet, nodes, _seconds(fault), silent=False)
 
 
 async def _vanish(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _down(fleet, nodes, _seconds(fault), silent=True)
+    await _take_down(fleet, nodes, _seconds(fault), silent=True)
 
 
 async def _lose_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
     nodes = [node for node in fleet.nodes.values() if node.zone in fault.targets]
-    await _down(fleet, nodes, _seconds(fault), silent=fault.extra > SILENT_OVER)
+    await _take_down(fleet, nodes, _seconds(fault), silent=fault.extra > SILENT_ZONE_LOSS_ABOVE)
 
 
 async def _hang(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _while(nodes, _seconds(fault), "is_hung", True, False)
+    await _set_for(nodes, _seconds(fault), "is_hung", True, False)
 
 
 async def _lose_answers(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _while(nodes, _seconds(fault), "lost_answer_share", fault.size, 0.0)
+    await _set_for(nodes, _seconds(fault), "lost_answer_share", fault.size, 0.0)
 
 
 async def _report_late(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _while(
+    await _set_for(
         nodes or list(fleet.nodes.values()), _seconds(fault), "report_delay_seconds", fault.size, 0.0
     )
 
@@ -95,56 +97,59 @@
 
 
 async def _noisy_neighbour(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    """Another program takes a share of each node's link, on and off."""
-    swing = max(SHORTEST_SWING_SECONDS, fault.extra)
-    until, on = trio.current_time() + _seconds(fault), False
+    """Lets another program use a share of each node's link, on and off."""
+    switch_seconds = max(MIN_SWITCH_SECONDS, fault.extra)
+    until = trio.current_time() + _seconds(fault)
+    is_on = False
     while trio.current_time() < until:
-        on = not on
+        is_on = not is_on
         for node in nodes:
-            node.machine.taken_share = fault.size if on else 0.0
-        await trio.sleep(min(swing, max(SHORTEST_SLEEP_SECONDS, until - trio.current_time())))
+            node.machine.taken_share = fault.size if is_on else 0.0
+        await trio.sleep(min(switch_seconds, max(MIN_SLEEP_SECONDS, until - trio.current_time())))
     for node in nodes:
         node.machine.taken_share = 0.0
 
 
 async def _ageing(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    """Slower and slower one after the other, then one death each and a cold return."""
-    away = max(SHORTEST_RETURN_SECONDS, fault.extra)
+    """Slows the nodes down, each over a longer time than the one before; each then dies and restarts cold."""
+    downtime_seconds = max(MIN_DOWNTIME_SECONDS, fault.extra)
     async with trio.open_nursery() as nursery:
         for index, node in enumerate(nodes):
-            lasts = _seconds(fault) * (index + 1) / (len(nodes) + 1)
-            nursery.start_soon(_age, fleet, node, lasts, fault.size, away)
+            ageing_seconds = _seconds(fault) * (index + 1) / (len(nodes) + 1)
+            nursery.start_soon(_age, fleet, node, ageing_seconds, fault.size, downtime_seconds)
 
 
-async def _age(fleet: Fleet, node: PlayoutNode, lasts: float, times: float, away: float) -> None:
+async def _age(
+    fleet: Fleet, node: PlayoutNode, ageing_seconds: float, slowdown: float, downtime_seconds: float
+) -> None:
     for step in range(1, AGEING_STEPS + 1):
-        await trio.sleep(lasts / AGEING_STEPS)
-        node.machine.slowdown = 1 + (max(1.0, times) - 1) * step / AGEING_STEPS
+        await trio.sleep(ageing_seconds / AGEING_STEPS)
+        node.machine.slowdown = 1 + (max(1.0, slowdown) - 1) * step / AGEING_STEPS
     node.kill()
     fleet.publish_list()
-    await trio.sleep(away)
+    await trio.sleep(downtime_seconds)
     node.machine.slowdown = 1.0
-    await return_cold(fleet, node)
+    await restart_cold(fleet, node)
     fleet.publish_list()
 
 
 async def _deploy(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    notice = max(SHORTEST_NOTICE_SECONDS, fault.extra)
-    await _replace(fleet, nodes, _seconds(fault), fault.size, notice, DEPLOY_GAP_SECONDS)
+    notice_seconds = max(MIN_NOTICE_SECONDS, fault.extra)
+    await _replace(fleet, nodes, _seconds(fault), fault.size, notice_seconds, DEPLOY_GAP_SECONDS)
 
 
 async def _preempt(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    notice = max(SHORTEST_NOTICE_SECONDS, fault.size)
-    gap = max(DEPLOY_GAP_SECONDS, fault.extra)
-    await _replace(fleet, nodes, _seconds(fault), PREEMPTED_BATCH, notice, gap)
+    notice_seconds = max(MIN_NOTICE_SECONDS, fault.size)
+    gap_seconds = max(DEPLOY_GAP_SECONDS, fault.extra)
+    await _replace(fleet, nodes, _seconds(fault), PREEMPTED_BATCH_SHARE, notice_seconds, gap_seconds)
 
 
 async def _cut_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
-    """Front ends and nodes on different sides of the cut do not reach each other."""
-    wings = sorted({node.zone for node in fleet.nodes.values()})
+    """Cuts the network between the named zones and the others, for front ends and nodes alike."""
+    zones = sorted({node.zone for node in fleet.nodes.values()})
     for node in fleet.nodes.values():
         node.faults.unreachable_zones = {
-            wing for wing in wings if (wing in fault.targets) != (node.zone in fault.targets)
+            zone for zone in zones if (zone in fault.targets) != (node.zone in fault.targets)
         }
         node.notify_changed()
     await trio.sleep(_seconds(fault))
@@ -160,28 +165,45 @@
 
 
 INJECTORS: dict[str, Injector] = {
-    "crash": _crash, "vanish": _vanish, "zone-loss": _lose_zone, "hang": _hang, "answer-lost": _lose_answers,
-    "report-late": _report_late, "slow": _slow_down, "shared-slow": _slow_down_all, "neighbour": _noisy_neighbour,
-    "ageing": _ageing, "deploy": _deploy, "preempt": _preempt, "zone-cut": _cut_zone, "list-empty": _fail_list,
-    "list-broken": _fail_list, "list-down": _fail_list,
-}  # fmt: skip
-
-
-async def _while(nodes: list[PlayoutNode], seconds: float, name: str, faulty: object, sound: object) -> None:
-    """Sets one of the nodes' ailments for so long."""
+    "crash": _crash,
+    "vanish": _vanish,
+    "zone-loss": _lose_zone,
+    "hang": _hang,
+    "answer-lost": _lose_answers,
+    "report-late": _report_late,
+    "slow": _slow_down,
+    "shared-slow": _slow_down_all,
+    "neighbour": _noisy_neighbour,
+    "ageing": _ageing,
+    "deploy": _deploy,
+    "preempt": _preempt,
+    "zone-cut": _cut_zone,
+    "list-empty": _fail_list,
+    "list-broken": _fail_list,
+    "list-down": _fail_list,
+}
+
+
+async def _set_for(
+    nodes: list[PlayoutNode], seconds: float, field: str, faulty: object, healthy: object
+) -> None:
+    """Sets one field of the nodes' faults for a time."""
     for node in nodes:
-        setattr(node.faults, name, faulty)
+        setattr(node.faults, field, faulty)
         node.notify_changed()
     await trio.sleep(seconds)
     for node in nodes:
-        setattr(node.faults, name, sound)
+        setattr(node.faults, field, healthy)
         node.notify_changed()
 
 
-async def _down(fleet: Fleet, nodes: Iterable[PlayoutNode], seconds: float, silent: bool) -> None:
-    """Processes die and come back cold; with `silent`, nothing comes from them until then."""
-    down = [node for node in nodes if not node.faults.is_dead]
-    for node in down:
+async def _take_down(fleet: Fleet, nodes: Iterable[PlayoutNode], seconds: float, silent: bool) -> None:
+    """Takes the nodes' processes down for a time and restarts them cold.
+
+    They are killed at once, or, with `silent`, send nothing and are killed at the end.
+    """
+    running = [node for node in nodes if not node.faults.is_dead]
+    for node in running:
         if silent:
             fleet.record.note("silent", node=node.name)
             node.faults.is_silent = True
@@ -191,52 +213,59 @@
     if not silent:
         fleet.publish_list()
     await trio.sleep(seconds)
-    for node in down:
+    for node in running:
         if silent:
             node.kill()
-        await return_cold(fleet, node)
+        await restart_cold(fleet, node)
     fleet.publish_list()
 
 
-async def return_cold(fleet: Fleet, node: PlayoutNode) -> None:
-    """A dead node's process starts again, if the node is still part of the fleet."""
+async def restart_cold(fleet: Fleet, node: PlayoutNode) -> None:
+    """Restarts a dead node's process, if the node is still part of the fleet."""
     if node.faults.is_dead and fleet.nodes.get(node.name) is node:
         node.machine.restart(fleet.clock.now())
         await fleet.start_node(node)
 
 
-async def _slow(nodes: list[PlayoutNode], seconds: float, times: float) -> None:
+async def _slow(nodes: list[PlayoutNode], seconds: float, factor: float) -> None:
     for node in nodes:
-        node.machine.slowdown *= max(1.0, times)
+        node.machine.slowdown *= max(1.0, factor)
     await trio.sleep(seconds)
     for node in nodes:
-        node.machine.slowdown /= max(1.0, times)
+        node.machine.slowdown /= max(1.0, factor)
 
 
 async def _replace(
-    fleet: Fleet, nodes: list[PlayoutNode], seconds: float, batch: float, notice: float, gap: float
+    fleet: Fleet,
+    nodes: list[PlayoutNode],
+    seconds: float,
+    batch_share: float,
+    notice_seconds: float,
+    gap_seconds: float,
 ) -> None:
-    """In batches: listed as draining, dead after the notice, a new cold node in each one's place some time later."""
-    size = max(1, round(len(fleet.nodes) * batch))
+    """Replaces nodes in batches: they drain, die after the notice, and are replaced by cold ones after the gap."""
+    size = max(1, round(len(fleet.nodes) * batch_share))
     batches = [nodes[first : first + size] for first in range(0, len(nodes), size)]
     async with trio.open_nursery() as nursery:
-        for some in batches:
-            nursery.start_soon(_replace_batch, fleet, some, notice, gap)
+        for batch in batches:
+            nursery.start_soon(_replace_batch, fleet, batch, notice_seconds, gap_seconds)
             await trio.sleep(seconds / len(batches))
 
 
-async def _replace_batch(fleet: Fleet, batch: list[PlayoutNode], notice: float, gap: float) -> None:
+async def _replace_batch(
+    fleet: Fleet, batch: list[PlayoutNode], notice_seconds: float, gap_seconds: float
+) -> None:
     batch = [node for node in batch if fleet.nodes.get(node.name) is node]
     for node in batch:
         node.faults.is_draining = True
         fleet.record.note("draining", node=node.name)
     fleet.publish_list()
-    await trio.sleep(notice)
+    await trio.sleep(notice_seconds)
     for node in batch:
         node.kill()
         fleet.remove(node)
     fleet.publish_list()
-    await trio.sleep(gap)
+    await trio.sleep(gap_seconds)
     for node in batch:
         base, _, number = node.name.partition("+")
         replacement = fleet.add(fleet.spec_of(node.name), f"{base}+{int(number or 0) + 1}")
--- a/oakcroft/standins/fleet.py
+++ b/oakcroft/standins/fleet.py
@@ -1,6 +1,6 @@
-"""The emulated fleet: the playout nodes of a day on ports of their own, their list service, and their load reports.
+"""Emulated fleet: the playout nodes of a day on ports of their own, their list service, and their load reports.
 
-Faults are no part of it; `faults` injects them from outside, by what this module offers.
+Faults are injected from outside by `faults`, through the methods of this module.
 """
 
 from __future__ import annotations
@@ -22,29 +22,33 @@
 from oakcroft.standins.record import Record
 
 TICK_SECONDS = 0.1
-"""The step in which the links are reckoned."""
+"""Step in which the link model advances."""
 
-TICKS_BETWEEN_SHARES = 10
-"""A node's share is looked at once in so many ticks."""
+TICKS_PER_SHARE_CHECK = 10
+"""A node checks in every tenth tick whether it delivers less than its rates."""
 
-SHORT_SHARE = 0.98
-"""Under this share of its rates a node delivers short, and says so."""
+SHORT_DELIVERY_SHARE = 0.98
+"""Below this share of its rates a node reports short delivery."""
 
 LINK_SPREAD = (0.85, 1.15)
-"""What a node's link gives over what the list says of it: lists are never exact."""
+"""Range of a node's true link capacity relative to the listed one, as lists are never exact."""
 
-LIST_IDLE_NS = 3600 * SECOND
-"""Connections to the list service are never cut for being idle within a day."""
+LIST_IDLE_TIMEOUT_NS = 3600 * SECOND
+"""Long enough that no connection to the list service is closed for being idle within a day."""
 
-SEED_FACTOR, SEED_OFFSET = 7919, 1
-"""Keep the fleet's chance apart from that of other parts that are seeded with the day's seed as it is."""
+SEED_FACTOR = 7919
+SEED_OFFSET = 1
+"""Keep the fleet's random draws independent of those of other parts, which derive theirs from the same seed."""
 
 
 @dataclass(order=True)
 class DelayedReport:
-    """A node's report that reaches the front ends at a time of the event loop's clock, if its process lives till then."""
+    """A node's report that reaches the front ends after a delay, if its process is still running then.
 
-    at: float
+    Reports are ordered by the event loop's time of their delivery, and by their number where that is equal.
+    """
+
+    deliver_at: float
     number: int
     node: PlayoutNode = field(compare=False)
     process: str = field(compare=False)
@@ -53,11 +57,13 @@
 
 
 class Fleet:
-    """All nodes of a day, and the list service that names them."""
+    """All nodes of a day, and the list service that announces them."""
 
     def __init__(self, day: Day, record: Record, clock: Clock) -> None:
-        """The nodes stand but no process runs yet; `run` starts them."""
-        self.day, self.record, self.clock = day, record, clock
+        """Creates the nodes without running processes; `run` starts them."""
+        self.day = day
+        self.record = record
+        self.clock = clock
         self.rng = Random(day.seed * SEED_FACTOR + SEED_OFFSET)
         self.racks = [Rack(uplink) for uplink in day.uplink_capacities]
         self.nodes: dict[str, PlayoutNode] = {}
@@ -65,30 +71,30 @@
         self.list_service = ListService(day, clock, record)
         self.list_port = 0
         self._reports: list[DelayedReport] = []
-        self._reports_made = 0
-        self._delivers_short: dict[str, bool] = {}
-        for place in day.nodes:
-            self.add(place, place.name)
+        self._report_count = 0
+        self._is_short: dict[str, bool] = {}
+        for spec in day.nodes:
+            self.add(spec, spec.name)
 
-    def add(self, place: NodeSpec, name: str) -> PlayoutNode:
-        """Puts a node on a place, under a name of its own; its process is not started."""
+    def add(self, spec: NodeSpec, name: str) -> PlayoutNode:
+        """Adds a node under a name that may differ from its specification's; its process is not started."""
         terms = self.day.site.terms
-        warmth = WarmUp(
+        warm_up = WarmUp(
             terms.cold_pace_share, terms.cold_duration_ns, terms.overload_multiple, terms.overload_window_ns
         )
-        link = place.link_capacity * self.rng.uniform(*LINK_SPREAD)
+        link_capacity = spec.link_capacity * self.rng.uniform(*LINK_SPREAD)
         machine = Machine(
             name,
-            self.racks[place.cell % terms.rack_count],
-            link,
-            place.playback_capacity,
-            warmth,
+            self.racks[spec.cell % terms.rack_count],
+            link_capacity,
+            spec.playback_capacity,
+            warm_up,
             self.day.full_link_load,
         )
         node = PlayoutNode(
             name,
-            place.zone,
-            place.cell,
+            spec.zone,
+            spec.cell,
             machine,
             self.day.site,
             self.record,
@@ -101,20 +107,20 @@
         return node
 
     def remove(self, node: PlayoutNode) -> None:
-        """Takes a dead node out of the fleet; what it earned still counts."""
+        """Removes a dead node from the fleet; its revenue still counts."""
         del self.nodes[node.name]
         self.removed_nodes.append(node)
         node.machine.rack.nodes.remove(node.machine)
 
     def zone_of_front(self, front: str) -> str:
-        """The wing of a front, by the name that it goes by."""
-        _, _, rest = front.partition("-")
-        number = rest.partition("-")[0]
+        """Returns the zone of a front end by its pseudonym, which contains its number; empty if it has none."""
+        _, _, suffix = front.partition("-")
+        number = suffix.partition("-")[0]
         return self.day.front_zones[int(number)] if number.isdigit() else ""
 
     def spec_of(self, name: str) -> NodeSpec:
-        """The place that a node, or its replacement, stands on."""
-        return next(place for place in self.day.nodes if place.name == name.split("+")[0])
+        """Returns the specification of a node, or of the node that it replaces."""
+        return next(spec for spec in self.day.nodes if spec.name == name.split("+")[0])
 
     async def run(self, ready: trio.Event) -> None:
         """Runs all nodes and the list service until cancelled; sets `ready` once every port is open."""
@@ -124,14 +130,14 @@
                 await self.start_node(node)
             service = Server(
                 self.list_service.handle,
-                ConnectionTable(ConnectionLimits(idle=LIST_IDLE_NS)),
+                ConnectionTable(ConnectionLimits(idle=LIST_IDLE_TIMEOUT_NS)),
                 self.clock.now,
                 lambda *_: None,
             )
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             self.publish_list()
             nursery.start_soon(service.run, listeners)
-            nursery.start_soon(self._pass_time)
+            nursery.start_soon(self._advance_links)
             self.list_port = listeners[0].socket.getsockname()[1]
             ready.set()
 
@@ -141,12 +147,12 @@
         self.nursery.start_soon(node.run_process, listeners)
 
     def publish_list(self) -> None:
-        """Publishes the list of all nodes whose process lives."""
-        living = [node for node in self.nodes.values() if not node.faults.is_dead]
-        self.list_service.publish([self._listed(node) for node in living], self.clock.now())
+        """Publishes the list of all nodes whose processes are running."""
+        running = [node for node in self.nodes.values() if not node.faults.is_dead]
+        self.list_service.publish([self._list_entry(node) for node in running], self.clock.now())
 
-    def _listed(self, node: PlayoutNode) -> ListedNode:
-        place = self.spec_of(node.name)
+    def _list_entry(self, node: PlayoutNode) -> ListedNode:
+        spec = self.spec_of(node.name)
         health = "DRAINING" if node.faults.is_draining else "HEALTHY"
         return ListedNode(
             node.name,
@@ -154,70 +160,73 @@
             node.cell,
             node.port,
             health,
-            place.link_capacity,
-            place.playback_capacity,
+            spec.link_capacity,
+            spec.playback_capacity,
             node.machine.started_at / MS,
         )
 
-    async def _pass_time(self) -> None:
-        """Time passes for the links; what the nodes report of them reaches the front ends late."""
-        last, tick = trio.current_time(), 0
-        ticks_between_loads = max(1, round(self.day.site.terms.report_interval_ns / SECOND / TICK_SECONDS))
+    async def _advance_links(self) -> None:
+        """Advances the link model tick by tick, and delivers the nodes' reports with their delays."""
+        last = trio.current_time()
+        tick = 0
+        report_interval_seconds = self.day.site.terms.report_interval_ns / SECOND
+        ticks_per_load_report = max(1, round(report_interval_seconds / TICK_SECONDS))
         while True:
             await trio.sleep(TICK_SECONDS)
-            now, tick = trio.current_time(), tick + 1
+            now = trio.current_time()
+            tick += 1
             for node in list(self.nodes.values()):
-                ails = node.faults
-                node.machine.advance(
-                    now - last, self.day.shortfall_penalty, ails.is_dead or ails.is_hung or ails.is_silent
-                )
-                if ails.is_dead or ails.is_silent:
+                faults = node.faults
+                delivers_nothing = faults.is_dead or faults.is_hung or faults.is_silent
+                node.machine.advance(now - last, self.day.shortfall_penalty, delivers_nothing)
+                if faults.is_dead or faults.is_silent:
                     continue
-                if tick % TICKS_BETWEEN_SHARES == 0:
+                if tick % TICKS_PER_SHARE_CHECK == 0:
                     self._report_share(node, now)
                     node.end_sessions_of_lost_fronts()
-                if tick % ticks_between_loads == 0:
+                if tick % ticks_per_load_report == 0:
                     self._report_load(node, now)
             self._deliver_reports(now)
             last = now
 
     def _report_share(self, node: PlayoutNode, now: float) -> None:
-        """A node that delivers short says so, and once more when it does no longer."""
+        """Reports the delivered share of a node that is short, and once more when it has recovered."""
         share = 0.0 if node.faults.is_hung else node.machine.smoothed_share
-        short = share < SHORT_SHARE
-        if short or self._delivers_short.get(node.name):
-            self._delay(node, now, "share", {"share": share})
-        self._delivers_short[node.name] = short
+        is_short = share < SHORT_DELIVERY_SHARE
+        if is_short or self._is_short.get(node.name):
+            self._queue_report(node, now, "share", {"share": share})
+        self._is_short[node.name] = is_short
 
     def _report_load(self, node: PlayoutNode, now: float) -> None:
         load = {"asked": node.machine.link_load()}
         if node.machine.rack.uplink_capacity:
             load["uplink"] = node.machine.uplink_load()
-        self._delay(node, now, "link", load)
+        self._queue_report(node, now, "link", load)
 
-    def _delay(self, node: PlayoutNode, now: float, name: str, data: object) -> None:
-        at = now + self.day.site.terms.report_delay_ns / SECOND + node.faults.report_delay_seconds
-        self._reports_made += 1
-        heapq.heappush(self._reports, DelayedReport(at, self._reports_made, node, node.process, name, data))
+    def _queue_report(self, node: PlayoutNode, now: float, name: str, data: object) -> None:
+        deliver_at = now + self.day.site.terms.report_delay_ns / SECOND + node.faults.report_delay_seconds
+        self._report_count += 1
+        report = DelayedReport(deliver_at, self._report_count, node, node.process, name, data)
+        heapq.heappush(self._reports, report)
 
     def _deliver_reports(self, now: float) -> None:
-        """Sends every report that is due to the front ends that play something on its node."""
-        while self._reports and self._reports[0].at <= now:
+        """Sends every report that is due to the front ends that have sessions on its node."""
+        while self._reports and self._reports[0].deliver_at <= now:
             report = heapq.heappop(self._reports)
             node = report.node
             if report.process != node.process or node.faults.is_dead:
                 continue
             playing = {session.front for session in node.sessions.values()}
-            for front, ear in list(node.subscriptions.items()):
+            for front, subscription in list(node.subscriptions.items()):
                 if front in playing:
-                    node.send_event(ear, report.name, report.data)
+                    node.send_event(subscription, report.name, report.data)
 
     def revenue_by_plan(self) -> dict[str, float]:
-        """Revenue-seconds earned for each plan."""
-        out: dict[str, float] = {}
+        """Ends all sessions and returns the revenue of each plan, of removed nodes as well."""
+        total: dict[str, float] = {}
         for node in [*self.nodes.values(), *self.removed_nodes]:
-            for session in list(node.sessions):
-                node.end_session(session, "end of the day")
-            for plan, earned in node.revenue_by_plan.items():
-                out[plan] = out.get(plan, 0.0) + earned
-        return out
+            for session_id in list(node.sessions):
+                node.end_session(session_id, "end of the day")
+            for plan, revenue in node.revenue_by_plan.items():
+                total[plan] = total.get(plan, 0.0) + revenue
+        return total
