--- a/oakcroft/standins/day.py
+++ b/oakcroft/standins/day.py
@@ -1,4 +1,4 @@
-"""A rehearsal's day: the site, the fleet, the viewers and the troubles, read from one S-expression."""
+"""Days to rehearse: the configuration, the fleet, the viewers and the faults, read from one S-expression."""
 
 from __future__ import annotations
 
@@ -32,12 +32,25 @@
 from oakcroft.config.settings import SharedSettings
 
 NODE_FAULTS = (
-    "crash", "vanish", "hang", "slow", "shared-slow", "neighbour", "report-late", "ageing", "answer-lost",
-    "deploy", "preempt", "zone-loss", "zone-cut",
-)  # fmt: skip
+    "crash",
+    "vanish",
+    "hang",
+    "slow",
+    "shared-slow",
+    "neighbour",
+    "report-late",
+    "ageing",
+    "answer-lost",
+    "deploy",
+    "preempt",
+    "zone-loss",
+    "zone-cut",
+)
 LIST_FAULTS = ("list-empty", "list-broken", "list-down")
 PEER_FAULTS = ("cut", "lose", "stand", "fill", "wipe")
-OWNER_FAULTS = ("roll-out", "owner-stand", "owner-kill")  # whoever owns the catalogue just then
+OWNER_FAULTS = ("roll-out", "owner-stand", "owner-kill")
+"""Faults of the front end that owns the catalogue at that time."""
+
 FRONT_FAULTS = ("front-kill", "front-stall", *OWNER_FAULTS, *PEER_FAULTS)
 VIEWER_FAULTS = ("crowd",)
 FAULTS = NODE_FAULTS + LIST_FAULTS + FRONT_FAULTS + VIEWER_FAULTS
@@ -45,69 +58,68 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One trouble: its kind, when from the day's start and for how long (ns), whom it hits, and its figures."""
+    """A fault of a day."""
 
     kind: str
-    start_ns: int
+    start_ns: int  # from the start of the day
     duration_ns: int
-    targets: tuple[str, ...]
-    size: float
+    targets: tuple[str, ...]  # names of nodes or zones, or numbers of front ends
+    size: float  # the meaning of both figures depends on the kind
     extra: float
 
 
 @dataclass(frozen=True)
 class NodeSpec:
-    """One node of the fleet."""
+    """Specification of a node of the fleet."""
 
     name: str
     zone: str
     cell: int
-    link_capacity: float
+    link_capacity: float  # kB/s
     playback_capacity: int
 
 
 @dataclass(frozen=True)
 class ViewerModel:
-    """How viewers come: new playbacks a second, how many titles and how unevenly wanted, how long they watch,
-    which plan they ask for, how many return after a loss and when."""
+    """Model of the viewers: when they arrive, what they request and for how long they watch."""
 
-    arrival_rate: float
+    arrival_rate: float  # new viewers per second
     title_count: int
-    zipf_exponent: float
+    zipf_exponent: float  # of the popularity of titles
     plan_shares: dict[str, float]
-    mean_watch_ns: dict[str, int]
-    return_share: float
+    mean_watch_ns: dict[str, int]  # by plan
+    return_share: float  # share that requests the title again after a loss or a rejection
     return_delay_ns: tuple[int, int]
-    small_screen_share: float
-    front_skew: float
+    small_screen_share: float  # share that cannot use the upper rungs
+    front_skew: float  # how unevenly viewers choose front ends
 
 
 @dataclass(frozen=True)
 class Day:
-    """A whole day. Times in ns."""
+    """A day to rehearse. Ranges are from the least to the greatest value."""
 
     name: str
     duration_ns: int
     seed: int
     site: SharedSettings
     site_text: str
-    front_zones: tuple[str, ...]  # the wing of each
+    front_zones: tuple[str, ...]  # zone of each front end
     nodes: tuple[NodeSpec, ...]
-    uplink_capacities: tuple[float, ...]
+    uplink_capacities: tuple[float, ...]  # of each rack, in kB/s; 0 for no bound
     list_delay_ns: tuple[int, int]
-    full_link_load: float
-    shortfall_penalty: float
+    full_link_load: float  # link load from which on a node answers that it is full; 0 for no such bound
+    shortfall_penalty: float  # points of revenue lost for each point of a stream's rate that is missing
     setup_duration_ns: tuple[int, int]
     viewer_model: ViewerModel
     faults: tuple[Fault, ...]
-    has_peers: bool = False  # whether the fronts speak to each other
-    keepers: tuple[int, ...] = ()  # those that grant terms of the fleet's duties
-    term_ns: int = 2 * SECOND
-    has_takeovers: bool = False  # whether fronts take over playbacks of those that are gone
-    shares_node_loads: bool = False  # whether they share what nodes tell of their loads
+    has_peers: bool = False  # whether front ends communicate with each other
+    keepers: tuple[int, ...] = ()  # numbers of the front ends that grant the leases of the fleet's duties
+    term_ns: int = 2 * SECOND  # duration of such a lease
+    has_takeovers: bool = False  # whether front ends take over the sessions of failed ones
+    shares_node_loads: bool = False  # whether front ends share the loads that nodes report
 
     def with_seed(self, seed: int) -> Day:
-        """The same day from another seed."""
+        """Returns the same day with another seed."""
         return replace(self, seed=seed)
 
 
@@ -124,7 +136,7 @@
 PLAN_SHARE = Schema(
     "plan", "How many ask for a plan and how long they watch.",
     (
-        Field("share", "of new playbacks", NUMBER_TYPE, required=True),
+        Field("share", "share of new playbacks", NUMBER_TYPE, required=True),
         Field("life", "mean time watched", TIME_TYPE, required=True, minimum=1),
     ),
     NAME_TYPE, "the plan's name",
@@ -136,14 +148,14 @@
         Field("titles", "how many titles there are", INTEGER_TYPE, required=True, minimum=1),
         Field("zipf", "how unevenly they are wanted", NUMBER_TYPE, 0.8),
         Field("returns", "share that comes again after a loss or a rejection", NUMBER_TYPE, 0.9),
-        Field("back-after", "between these times", TIME_TYPE, (SECOND, 2 * SECOND), max_values=2),
+        Field("back-after", "after how long they come again, between", TIME_TYPE, (SECOND, 2 * SECOND), max_values=2),
         Field("small-screens", "share that cannot use the upper rungs", NUMBER_TYPE, 0.2),
         Field("uneven", "how unevenly fronts are asked", NUMBER_TYPE, 0.3),
         Field("plan", PLAN_SHARE.doc, subform=PLAN_SHARE, is_repeatable=True, required=True),
     ),
 )  # fmt: skip
 FAULT = Schema(
-    "fault", "One trouble.",
+    "fault", "One fault.",
     (
         Field("at", "when it begins, from the day's start", TIME_TYPE, required=True),
         Field("for", "how long it lasts", TIME_TYPE, 0),
@@ -157,18 +169,18 @@
     "day", "A day to rehearse.",
     (
         Field("length", "how long viewers come", TIME_TYPE, required=True, minimum=1),
-        Field("seed", "of all chance in it", INTEGER_TYPE, 1),
+        Field("seed", "of all random draws", INTEGER_TYPE, 1),
         Field("fronts", "the wing of each front", NAME_TYPE, required=True, max_values=10_000),
         Field("late", "how late the list service is, between", TIME_TYPE, (SECOND, 2 * SECOND), max_values=2),
         Field("setup", "how long a node takes for a set-up, between", TIME_TYPE, (5 * MS, 20 * MS), max_values=2),
-        Field("uplinks", "of each rack", RATE_TYPE, (), max_values=10_000),
+        Field("uplinks", "the uplink of each rack", RATE_TYPE, (), max_values=10_000),
         Field("guard", "a node answers full while so much of its link is asked; 0: never", NUMBER_TYPE, 0.0),
         Field("peers", "whether the fronts keep a view of each other", choice_type("answer", ("yes", "no")), "no"),
         Field("keepers", "numbers of the fronts that grant terms of duties", INTEGER_TYPE, (), max_values=7),
         Field("term", "the length of a term", TIME_TYPE, 2 * SECOND, minimum=SECOND),
         Field("adopting", "whether they take over from those that are gone", choice_type("answer", ("yes", "no")), "no"),
         Field("probing", "whether they share nodes' loads", choice_type("answer", ("yes", "no")), "no"),
-        Field("stall", "points of worth lost for each point of the rate that is missing", NUMBER_TYPE, 7.0),
+        Field("stall", "points of revenue lost for each point of the rate that is missing", NUMBER_TYPE, 7.0),
         Field("node", NODE.doc, subform=NODE, is_repeatable=True, required=True),
         Field("viewers", VIEWERS.doc, subform=VIEWERS, required=True),
         Field("fault", FAULT.doc, subform=FAULT, is_repeatable=True),
@@ -177,77 +189,91 @@
 
 
 def load_day(path: Path) -> Day:
-    """Reads a day's file. Unsound says what is wrong and where."""
+    """Reads a day from a file; raises InvalidConfigurationError with all problems and their locations."""
     return parse_day(path.read_text(encoding="utf-8"), path.stem)
 
 
 def parse_day(body: str, name: str) -> Day:
-    """Reads a day: one (day …) whose (site …) holds forms of the configuration language."""
+    """Reads a day: one (day …) whose (site …) holds forms of the configuration language.
+
+    Raises InvalidConfigurationError with all problems and their locations.
+    """
     problems = Diagnostics()
-    parts = without_comments(parse_text(body, name, problems))
-    day = parts[0] if len(parts) == 1 else None
+    items = without_comments(parse_text(body, name, problems))
+    day = items[0] if len(items) == 1 else None
     if not isinstance(day, Form) or day.name != "day":
         if not problems.items:
-            problems.error(
-                parts[0].location if parts else SourceLocation(name, 1, 1), "the file holds one (day …)"
-            )
+            location = items[0].location if items else SourceLocation(name, 1, 1)
+            problems.error(location, "the file holds one (day …)")
         raise InvalidConfigurationError(problems)
-    sites = [p for p in day.items if isinstance(p, Form) and p.name == "site"]
-    rest = Form(tuple(p for p in day.items if p not in sites), day.location, day.end_line)
+    sites = [item for item in day.items if isinstance(item, Form) and item.name == "site"]
+    rest = Form(tuple(item for item in day.items if item not in sites), day.location, day.end_line)
     record = read_form(DAY, rest, problems)
     if len(sites) != 1:
         problems.error(
             day.location, "(day …) lacks one (site …), which holds the configuration", "add (site …)"
         )
         raise InvalidConfigurationError(problems)
-    expander, inside = Expander(_no_files, problems), list[Form]()
-    for form in sites[0].items[1:]:
-        if isinstance(form, Form):
-            expander._expand(form, (), inside)
-    found, _ = check_forms(inside, problems, is_front_file=False)
-    if found is None or problems.errors:
+    forms = _expand_site(sites[0], problems)
+    records, _ = check_forms(forms, problems, is_front_file=False)
+    if records is None or problems.errors:
         raise InvalidConfigurationError(problems)
-    text = "\n".join(format_on_one_line(f) or "" for f in inside)
-    out = _day(record, build_deployment(found).shared, text, name, problems)
+    site_text = "\n".join(format_on_one_line(form) or "" for form in forms)
+    result = _build_day(record, build_deployment(records).shared, site_text, name, problems)
     if problems.errors:
         raise InvalidConfigurationError(problems)
-    return out
+    return result
 
 
-def _no_files(name: str) -> str:
+def _expand_site(site: Form, problems: Diagnostics) -> list[Form]:
+    expander = Expander(_reject_include, problems)
+    expanded: list[Form] = []
+    for form in site.items[1:]:
+        if isinstance(form, Form):
+            expander._expand(form, (), expanded)
+    return expanded
+
+
+def _reject_include(name: str) -> str:
     raise OSError("a day includes no files")
 
 
-def _day(record: Record, site: SharedSettings, text: str, name: str, problems: Diagnostics) -> Day:
-    """The day of a record; what contradicts itself in it is noted."""
-    fronts, nodes = tuple(record.get("fronts")), tuple(_node(node) for node in record.get("node"))
-    uplinks = tuple(record.get("uplinks")) or (0.0,) * site.terms.rack_count
-    late, setup, peers = record.get("late"), record.get("setup"), _is_yes(record, "peers")
-    _check_sizes(record, site, len(fronts), len(uplinks), problems)
-    _check_peers(record, len(fronts), problems)
-    known = {
+def _build_day(record: Record, site: SharedSettings, site_text: str, name: str, problems: Diagnostics) -> Day:
+    """Builds the day of a record, and reports contradictions in it."""
+    front_zones = tuple(record.get("fronts"))
+    nodes = tuple(_build_node(node) for node in record.get("node"))
+    uplink_capacities = tuple(record.get("uplinks")) or (0.0,) * site.terms.rack_count
+    list_delay = record.get("late")
+    setup_duration = record.get("setup")
+    has_peers = _is_yes(record, "peers")
+    _check_sizes(record, site, len(front_zones), len(uplink_capacities), problems)
+    _check_peers(record, len(front_zones), problems)
+    known_targets = {
         "node": {node.name for node in nodes},
-        "wing": set(fronts),
-        "front": {str(number) for number in range(len(fronts))},
+        "wing": set(front_zones),
+        "front": {str(number) for number in range(len(front_zones))},
     }
     keepers = tuple(record.get("keepers"))
-    faults = [_fault(fault, known, peers, bool(keepers), problems) for fault in record.get("fault") or []]
+    faults = [
+        _build_fault(fault, known_targets, has_peers, bool(keepers), problems)
+        for fault in record.get("fault") or []
+    ]
     return Day(
         name=name,
         duration_ns=record.get("length"),
         seed=record.get("seed"),
         site=site,
-        site_text=text,
-        front_zones=fronts,
+        site_text=site_text,
+        front_zones=front_zones,
         nodes=nodes,
-        uplink_capacities=uplinks,
-        list_delay_ns=(late[0], late[-1]),
+        uplink_capacities=uplink_capacities,
+        list_delay_ns=(list_delay[0], list_delay[-1]),
         full_link_load=record.get("guard"),
         shortfall_penalty=record.get("stall"),
-        setup_duration_ns=(setup[0], setup[-1]),
-        viewer_model=_crowd(record.get("viewers"), site, problems),
+        setup_duration_ns=(setup_duration[0], setup_duration[-1]),
+        viewer_model=_build_viewer_model(record.get("viewers"), site, problems),
         faults=tuple(sorted(faults, key=lambda fault: (fault.start_ns, fault.kind, fault.targets))),
-        has_peers=peers,
+        has_peers=has_peers,
         keepers=keepers,
         term_ns=record.get("term"),
         has_takeovers=_is_yes(record, "adopting"),
@@ -260,41 +286,42 @@
 
 
 def _check_sizes(
-    record: Record, site: SharedSettings, fronts: int, uplinks: int, problems: Diagnostics
+    record: Record, site: SharedSettings, front_count: int, uplink_count: int, problems: Diagnostics
 ) -> None:
-    if fronts != site.terms.front_count:
-        what = f"{fronts} fronts stand here, the fleet has {site.terms.front_count}"
-        problems.error(record.location_of("fronts"), what)
-    if uplinks != site.terms.rack_count:
-        problems.error(
-            record.location_of("uplinks"), f"{uplinks} uplinks stand for {site.terms.rack_count} racks"
-        )
+    if front_count != site.terms.front_count:
+        message = f"{front_count} fronts are listed, the fleet has {site.terms.front_count}"
+        problems.error(record.location_of("fronts"), message)
+    if uplink_count != site.terms.rack_count:
+        message = f"{uplink_count} uplinks are listed for {site.terms.rack_count} racks"
+        problems.error(record.location_of("uplinks"), message)
 
 
 NEEDS_PEERS = {
-    "keepers": "keepers are reached", "adopting": "who is gone is told", "probing": "loads are told",
-}  # fmt: skip
-"""Fields of a day that work by way of the peers, and how."""
-
-
-def _check_peers(record: Record, fronts: int, problems: Diagnostics) -> None:
-    for field, how in NEEDS_PEERS.items():
-        wanted = _is_yes(record, field) or (field == "keepers" and bool(record.get(field)))
-        if wanted and not _is_yes(record, "peers"):
-            problems.error(record.location_of(field), f"{how} among the peers", "add (peers yes)")
+    "keepers": "keepers are reached",
+    "adopting": "failures are reported",
+    "probing": "loads are shared",
+}
+"""Fields of a day that need peers, and what for."""
+
+
+def _check_peers(record: Record, front_count: int, problems: Diagnostics) -> None:
+    for field, purpose in NEEDS_PEERS.items():
+        is_set = _is_yes(record, field) or (field == "keepers" and bool(record.get(field)))
+        if is_set and not _is_yes(record, "peers"):
+            problems.error(record.location_of(field), f"{purpose} among the peers", "add (peers yes)")
     for number in record.get("keepers"):
-        if number >= fronts:
-            problems.error(record.location_of("keepers"), f"there is no front {number}; there are {fronts}")
+        if number >= front_count:
+            message = f"there is no front {number}; there are {front_count}"
+            problems.error(record.location_of("keepers"), message)
 
 
-def _crowd(viewers: Record, site: SharedSettings, problems: Diagnostics) -> ViewerModel:
+def _build_viewer_model(viewers: Record, site: SharedSettings, problems: Diagnostics) -> ViewerModel:
     shares: list[Record] = viewers.get("plan") or []
     for share in shares:
         if share.name not in site.plans:
-            problems.error(
-                share.location, f"there is no plan {share.name}; there is {join_alternatives(site.plans)}"
-            )
-    back = viewers.get("back-after")
+            message = f"there is no plan {share.name}; there is {join_alternatives(site.plans)}"
+            problems.error(share.location, message)
+    return_delay = viewers.get("back-after")
     return ViewerModel(
         arrival_rate=viewers.get("rate"),
         title_count=viewers.get("titles"),
@@ -302,30 +329,51 @@
         plan_shares={share.name: share.get("share") for share in shares},
         mean_watch_ns={share.name: share.get("life") for share in shares},
         return_share=viewers.get("returns"),
-        return_delay_ns=(back[0], back[-1]),
+        return_delay_ns=(return_delay[0], return_delay[-1]),
         small_screen_share=viewers.get("small-screens"),
         front_skew=viewers.get("uneven"),
     )
 
 
-def _node(r: Record) -> NodeSpec:
-    return NodeSpec(r.name, r.get("wing"), r.get("cell"), r.get("link"), r.get("places"))
+def _build_node(record: Record) -> NodeSpec:
+    return NodeSpec(
+        record.name, record.get("wing"), record.get("cell"), record.get("link"), record.get("places")
+    )
 
 
-def _fault(r: Record, known: dict[str, set[str]], peers: bool, keepers: bool, problems: Diagnostics) -> Fault:
-    fault = Fault(r.name, r.get("at"), r.get("for"), tuple(r.get("on")), r.get("size"), r.get("extra"))
-    if fault.kind in ("cut", "lose") and not peers:
-        problems.error(
-            r.location,
-            f"{fault.kind} befalls what fronts say to each other, and they have no peers",
-            "add (peers yes)",
-        )
-    if fault.kind in OWNER_FAULTS and not keepers:
-        problems.error(r.location, f"{fault.kind} needs an owner, and nobody grants terms", "add (keepers …)")
-    kind = "wing" if fault.kind.startswith("zone") else "front" if fault.kind in FRONT_FAULTS else "node"
-    for name in fault.targets if fault.kind not in LIST_FAULTS + VIEWER_FAULTS else ():
-        if name not in known[kind]:
-            problems.error(
-                r.location_of("on"), f"there is no {kind} {name}; there is {join_alternatives(known[kind])}"
-            )
+def _build_fault(
+    record: Record,
+    known_targets: dict[str, set[str]],
+    has_peers: bool,
+    has_keepers: bool,
+    problems: Diagnostics,
+) -> Fault:
+    fault = Fault(
+        kind=record.name,
+        start_ns=record.get("at"),
+        duration_ns=record.get("for"),
+        targets=tuple(record.get("on")),
+        size=record.get("size"),
+        extra=record.get("extra"),
+    )
+    if fault.kind in ("cut", "lose") and not has_peers:
+        message = f"{fault.kind} acts on messages between fronts, and they have no peers"
+        problems.error(record.location, message, "add (peers yes)")
+    if fault.kind in OWNER_FAULTS and not has_keepers:
+        message = f"{fault.kind} needs an owner, and nobody grants terms"
+        problems.error(record.location, message, "add (keepers …)")
+    if fault.kind in LIST_FAULTS + VIEWER_FAULTS:
+        return fault
+    target_kind = _target_kind(fault)
+    known = known_targets[target_kind]
+    for name in fault.targets:
+        if name not in known:
+            message = f"there is no {target_kind} {name}; there is {join_alternatives(known)}"
+            problems.error(record.location_of("on"), message)
     return fault
+
+
+def _target_kind(fault: Fault) -> str:
+    if fault.kind.startswith("zone"):
+        return "wing"
+    return "front" if fault.kind in FRONT_FAULTS else "node"
