--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -1,5 +1,6 @@
-"""Races at the moments at which something is owed, each forced over real connections: tasks of the front end
-are held back while its peers act, within one step of the event loop.
+"""Races around set-ups, answers and releases, forced over real connections.
+
+Tasks of the front end are held back while its peers act, or act within one step of the event loop.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 from oakcroft.decisions.fleet.shutdown import FrontState, Shutdown
 from oakcroft.interface import MS, SECOND, NodeStatus, PlaybackState
 from oakcroft.platform import (
-    channel_follower as following,
-    connection as linking,
-    session_coordinator as owning,
-    node_pool as pooling,
+    channel_follower,
+    connection as connection_module,
+    session_coordinator,
+    node_pool,
     serve,
-    viewers as viewing,
+    viewers as viewers_module,
 )
 from oakcroft.platform.connection import BufferedConnection
 from oakcroft.platform.node_pool import NodeConnection
@@ -40,86 +41,88 @@
 
 A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
 FAILED, REFUSED, OVER = 41, 42, 16
-LEAVES = ("close", "reset", "half-close", "release")
+WAYS_TO_LEAVE = ("close", "reset", "half-close", "release")
 
 
-class Hold:
-    """Holds back one task of the front end, from `shut` to `open`."""
+class Gate:
+    """Holds back a task of the front end while it is closed."""
 
     def __init__(self) -> None:
-        """Nothing is held back."""
-        self.gate = trio.Event()
-        self.gate.set()
+        """Creates an open gate."""
+        self.released = trio.Event()
+        self.released.set()
 
-    def shut(self) -> None:
-        """Holds the task back from its next step."""
-        self.gate = trio.Event()
+    def close(self) -> None:
+        """Holds the task back at its next step."""
+        self.released = trio.Event()
 
     def open(self) -> None:
-        """Lets the task go on."""
-        self.gate.set()
+        """Lets the task continue."""
+        self.released.set()
 
 
-def held_owner(monkeypatch: pytest.MonkeyPatch) -> Hold:
-    """Holds back the coordinator's inbox, as on a front end that is behind."""
-    hold = Hold()
+def gate_coordinator(monkeypatch: pytest.MonkeyPatch) -> Gate:
+    """Returns a gate before the coordinator's inbox, which is closed as on a front end that is behind."""
+    gate = Gate()
 
     async def handle_all(inbox: Any, handle: Callable[[Any], None]) -> None:
         async for event in inbox:
-            await hold.gate.wait()
+            await gate.released.wait()
             handle(event)
 
-    monkeypatch.setattr(owning, "handle_events", handle_all)
-    return hold
+    monkeypatch.setattr(session_coordinator, "handle_events", handle_all)
+    return gate
 
 
-def held_dials(monkeypatch: pytest.MonkeyPatch) -> Hold:
-    """Holds back connects to nodes."""
-    hold, connect = Hold(), linking.connect
+def gate_connects(monkeypatch: pytest.MonkeyPatch) -> Gate:
+    """Returns a gate before connects to nodes."""
+    gate = Gate()
+    connect = connection_module.connect
 
     async def late(address: tuple[str, int], within: float) -> socket.socket:
-        await hold.gate.wait()
+        await gate.released.wait()
         return await connect(address, within)
 
-    monkeypatch.setattr(pooling, "connect", late)
-    return hold
+    monkeypatch.setattr(node_pool, "connect", late)
+    return gate
 
 
-def held_readers(monkeypatch: pytest.MonkeyPatch) -> Hold:
-    """Holds back the tasks that read viewers' connections."""
-    hold, wait = Hold(), viewing.ViewerConnection.wait_for_data
+def gate_viewer_readers(monkeypatch: pytest.MonkeyPatch) -> Gate:
+    """Returns a gate before the tasks that read viewers' connections."""
+    gate = Gate()
+    wait = viewers_module.ViewerConnection.wait_for_data
 
-    async def late(link: viewing.ViewerConnection) -> None:
-        await wait(link)
-        await hold.gate.wait()
+    async def late(connection: viewers_module.ViewerConnection) -> None:
+        await wait(connection)
+        await gate.released.wait()
 
-    monkeypatch.setattr(viewing.ViewerConnection, "wait_for_data", late)
-    return hold
+    monkeypatch.setattr(viewers_module.ViewerConnection, "wait_for_data", late)
+    return gate
 
 
-def opens(rig: PlatformRig, sid: str = A) -> int:
-    """Number of set-ups of a session that have reached nodes."""
+def setup_count(rig: PlatformRig, sid: str = A) -> int:
+    """Returns how many set-ups of a session have reached nodes."""
     return sum(len(node.received_messages("open", sid)) for node in rig.nodes)
 
 
-def empty(rig: PlatformRig) -> bool:
-    """Whether no table holds anything of an open set-up."""
+def has_no_open_setups(rig: PlatformRig) -> bool:
+    """Returns whether no table holds anything of an open set-up."""
     owner = rig.owner
-    links = [connection for pool in owner.pools.values() for connection in pool.connections]
+    connections = [connection for pool in owner.pools.values() for connection in pool.connections]
     held: list[Any] = [owner.queued_requests, *(p.waiting_setups for p in owner.pools.values())]
     held += [
         [session for session in owner.sessions.values() if not session.began_at],
         [session for session in owner.sessions_by_playback.values() if not session.began_at],
     ]
-    held += [connection.pending_setups for connection in links] + [
+    held += [connection.pending_setups for connection in connections] + [
         connection.queued_requests or connection.open_setups for connection in owner.viewer_connections
     ]
     return not any(held) and owner.setup_count == owner.held_chars == 0
 
 
-async def after(rig: PlatformRig) -> None:
+async def check_cleaned_up(rig: PlatformRig) -> None:
     """Checks that a set-up whose viewer left is cleaned up, and that another viewer is served."""
-    await wait_until(lambda: empty(rig))
+    await wait_until(lambda: has_no_open_setups(rig))
     other = await rig.viewer()
     await other.send_setup(C)
     assert (await other.receive() or (0,))[0] == framing.ANSWER
@@ -129,7 +132,7 @@
 
 
 @pytest.mark.parametrize("plan", ["paid", "free"])
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 def test_nothing_is_sent_for_a_client_that_left_before_its_set_up_was_read(how: str, plan: str) -> None:
     """The set-up and the viewer's leaving arrive in one read, as after a pause of the front end."""
 
@@ -137,111 +140,109 @@
         viewer = await rig.viewer()
         viewer.send_setup_now(A, plan)
         viewer.leave(how, A)
-        await wait_until(lambda: rig.owner.counts.get("try:_viewer_gone", 0) or empty(rig))
+        await wait_until(lambda: rig.owner.counts.get("try:_viewer_gone", 0) or has_no_open_setups(rig))
         if how == "half-close":  # it still reads, so it is answered at once
             assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)
-        await after(rig)
-        assert opens(rig) == 0
+        await check_cleaned_up(rig)
+        assert setup_count(rig) == 0
 
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("how", LEAVES)
-@pytest.mark.parametrize("read", [True, False], ids=["its leaving read", "its leaving unread"])
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("leaving_is_read", [True, False], ids=["its leaving read", "its leaving unread"])
 def test_nothing_is_sent_for_a_client_that_left_while_its_set_up_waited_behind_others(
-    how: str, read: bool, monkeypatch: pytest.MonkeyPatch
+    how: str, leaving_is_read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The viewer leaves while its request waits in the inbox, seen or not yet seen by its connection's task."""
-    owner, readers = held_owner(monkeypatch), held_readers(monkeypatch)
+    coordinator_gate, reader_gate = gate_coordinator(monkeypatch), gate_viewer_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewer, other = await rig.viewer(), await rig.viewer()
         await other.send_setup(B)
         await other.receive()
-        owner.shut()
+        coordinator_gate.close()
         for _ in range(1_000):
             rig.owner.event_sender.send_nowait(lambda: None)
         await viewer.send_setup(A, "paid")
         await wait_until(lambda: A in rig.owner.queued_requests)
-        if not read:
-            readers.shut()
+        if not leaving_is_read:
+            reader_gate.close()
         viewer.leave(how, A)
-        if read:
+        if leaving_is_read:
             await wait_until(lambda: rig.owner.queued_requests[A].withdrawn)
-        owner.open()
+        coordinator_gate.open()
         await wait_until(lambda: not rig.owner.queued_requests and not rig.owner.setup_count)
-        readers.open()
-        await after(rig)
-        assert opens(rig) == 0
+        reader_gate.open()
+        await check_cleaned_up(rig)
+        assert setup_count(rig) == 0
         assert rig.owner.sessions[B].playback.state is PlaybackState.PLAYING  # other playbacks go on
 
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 def test_nothing_is_sent_for_a_client_that_left_while_a_connection_was_opened(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The viewer leaves while its set-up waits for a connect to a node."""
-    dials, readers = held_dials(monkeypatch), held_readers(monkeypatch)
+    connect_gate, reader_gate = gate_connects(monkeypatch), gate_viewer_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        dials.shut()
+        connect_gate.close()
         await viewer.send_setup(A, "paid")
         await wait_until(lambda: any(pool.waiting_setups for pool in rig.owner.pools.values()))
-        readers.shut()
+        reader_gate.close()
         viewer.leave(how, A)
-        dials.open()
+        connect_gate.open()
         await wait_until(lambda: rig.owner.counts.get("try:_viewer_gone"))
-        readers.open()
-        await after(rig)
-        assert opens(rig) == 0
+        reader_gate.open()
+        await check_cleaned_up(rig)
+        assert setup_count(rig) == 0
 
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 def test_no_further_try_follows_for_a_client_that_left(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The viewer leaves before a refusal that would allow another try."""
-    readers = held_readers(monkeypatch)
+    reader_gate = gate_viewer_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for node in rig.nodes:
             node.script = ["silence"]
         await viewer.send_setup(A, "paid")
-        await wait_until(lambda: opens(rig))
+        await wait_until(lambda: setup_count(rig))
         first = next(n for n in rig.nodes if n.received_messages("open"))
-        readers.shut()
+        reader_gate.close()
         viewer.leave(how, A)
         # The node is full, so another try would be allowed.
         await first.send(first.streams[0], msg="close", sid=A, attrs={}, code=34)
         await wait_until(lambda: rig.owner.counts.get("try:_viewer_gone"))
-        readers.open()
+        reader_gate.open()
         for node in rig.nodes:
             node.script.clear()
-        await after(rig)
-        assert opens(rig) == 1
+        await check_cleaned_up(rig)
+        assert setup_count(rig) == 1
 
     run_on_platform(test)
 
 
-async def fill(link: BufferedConnection, message: bytes) -> None:
-    """Sends meaningless messages until the kernel accepts no more, so that whatever follows stays in the send
-    buffer.
-    """
-    full = 0
-    while full < 5:
-        link._flush()  # the kernel may accept some before it reports the socket as writable
-        full = full + 1 if link.send_buffer else 0
-        while not link.send_buffer:
-            link.write(message)
+async def fill_send_buffer(connection: BufferedConnection, message: bytes) -> None:
+    """Sends a message until the kernel accepts no more, so that whatever follows stays in the send buffer."""
+    full_rounds = 0
+    while full_rounds < 5:
+        connection._flush()  # the kernel may accept some before it reports the socket as writable
+        full_rounds = full_rounds + 1 if connection.send_buffer else 0
+        while not connection.send_buffer:
+            connection.write(message)
         await trio.sleep(0.02)
 
 
-async def full_link(rig: PlatformRig) -> tuple[StubNode, NodeConnection]:
-    """A node that no longer reads, with one connection whose send buffer is full."""
+async def node_with_full_connection(rig: PlatformRig) -> tuple[StubNode, NodeConnection]:
+    """Returns a node that no longer reads, and its only connection, whose send buffer is full."""
     first = await rig.viewer()
     await first.send_setup(B)
     await first.receive()
@@ -252,20 +253,21 @@
     pool = rig.owner.pools[node.name]
     node.may_read = trio.Event()
     pool.max_connections = 1
-    await fill(pool.connections[0], b'{"msg":"trying","sid":"","attrs":{"x":"%b"}}\n' % (b"x" * 8_000))
+    await fill_send_buffer(
+        pool.connections[0], b'{"msg":"trying","sid":"","attrs":{"x":"%b"}}\n' % (b"x" * 8_000)
+    )
     return node, pool.connections[0]
 
 
 @pytest.mark.parametrize("how", ["close", "release", "late", "drains"])
 def test_a_set_up_in_unsent_bytes_is_taken_back_whole(how: str) -> None:
-    """A set-up in the send buffer of a node that does not read is removed when its viewer leaves, its time
-    runs out, or the node drains.
+    """A set-up in the send buffer of a node that does not read is removed when it can no longer succeed.
 
-    Other set-ups on the same connection are not affected.
+    Its viewer leaves, its time runs out, or the node drains. Other set-ups on the connection are not affected.
     """
 
     async def test(rig: PlatformRig) -> None:
-        node, connection = await full_link(rig)
+        node, connection = await node_with_full_connection(rig)
         viewer, later = await rig.viewer(), await rig.viewer()
         await viewer.send_setup(A, "paid", wait="300" if how == "late" else "1000")
         await wait_until(lambda: len(connection.pending_setups) == 1)
@@ -282,7 +284,7 @@
             assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)  # no try ran
         if how != "drains":
             assert (await later.receive() or (0,))[0] == framing.ANSWER
-        assert opens(rig) == 0
+        assert setup_count(rig) == 0
         assert B in rig.owner.sessions
 
     run_on_platform(test)
@@ -296,17 +298,17 @@
         for node in rig.nodes:
             node.script = ["silence"] * 10
         await viewer.send_setup(A, "paid")
-        await wait_until(lambda: opens(rig))
+        await wait_until(lambda: setup_count(rig))
         for _ in range(300):
             viewer.leave("release", A)
             viewer.send_setup_now(A, "paid")
         viewer.leave("release", A)
-        await wait_until(lambda: empty(rig))
+        await wait_until(lambda: has_no_open_setups(rig))
         other = await rig.viewer()
         await other.send_setup(A, "paid")
         assert (await other.receive() or ())[:3] == (framing.RELEASE, A, FAILED)
-        await wait_until(lambda: empty(rig))
-        assert opens(rig) == 1
+        await wait_until(lambda: has_no_open_setups(rig))
+        assert setup_count(rig) == 1
 
     run_on_platform(test)
 
@@ -315,41 +317,41 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The release of a playback may wait in the inbox behind its own handover; the node still gets the close."""
-    owner = held_owner(monkeypatch)
+    coordinator_gate = gate_coordinator(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        owner.shut()
+        coordinator_gate.close()
         viewer.send_setup_now(A, at="n0", wait="0")
         viewer.leave("release", A)
         await wait_until(lambda: A in rig.owner.queued_requests and rig.owner.queued_requests[A].withdrawn)
-        owner.open()
+        coordinator_gate.open()
         await wait_until(lambda: rig.nodes[0].received_messages("close", A))
 
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("how", LEAVES)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("plan", ["paid", "free"])
 def test_an_answer_for_a_client_that_left_ends_at_its_node(
     how: str, plan: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A playback whose viewer left before the node's answer is closed at the node."""
-    readers = held_readers(monkeypatch)
+    reader_gate = gate_viewer_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         for node in rig.nodes:
             node.script = ["silence"]
         await viewer.send_setup(A, plan)
-        await wait_until(lambda: opens(rig))
+        await wait_until(lambda: setup_count(rig))
         node = next(n for n in rig.nodes if n.received_messages("open"))
-        readers.shut()
+        reader_gate.close()
         viewer.leave(how, A)
         await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="answer")
         await wait_until(lambda: node.received_messages("close", A))
-        readers.open()
-        await wait_until(lambda: empty(rig))
+        reader_gate.open()
+        await wait_until(lambda: has_no_open_setups(rig))
         assert not rig.owner.sessions
 
     run_on_platform(test)
@@ -360,16 +362,16 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A playback is not tied to the connection on which its viewer hands it over."""
-    owner = held_owner(monkeypatch)
+    coordinator_gate = gate_coordinator(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        owner.shut()
+        coordinator_gate.close()
         await viewer.send_setup(A, at="n0", wait="0")
         await wait_until(lambda: A in rig.owner.queued_requests)
         viewer.leave(how)
         await wait_until(lambda: not rig.owner.viewer_connections)
-        owner.open()
+        coordinator_gate.open()
         await wait_until(lambda: A in rig.owner.sessions and rig.nodes[0].streams)
         assert rig.owner.sessions[A].playback.state is PlaybackState.PLAYING
         assert not rig.nodes[0].received_messages("close")
@@ -383,11 +385,9 @@
 @pytest.mark.parametrize("where", ["kernel", "socket", "inbox"])
 @pytest.mark.parametrize("plays", [True, False])
 def test_what_came_by_the_stop_is_answered(where: str, plays: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Set-ups that wait in the kernel, in a socket or in the inbox at the stop signal are answered before the
-    exit.
-    """
+    """Set-ups that wait in the kernel, a socket or the inbox at the stop signal are answered before the exit."""
     monkeypatch.setattr(serve, "ACCEPT_AFTER_STOP_NS", 100 * MS)
-    owner, readers = held_owner(monkeypatch), held_readers(monkeypatch)
+    coordinator_gate, reader_gate = gate_coordinator(monkeypatch), gate_viewer_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         if plays:
@@ -395,12 +395,12 @@
             await first.receive()
         viewer = await rig.viewer()
         await wait_until(lambda: viewer is not None and len(rig.owner.viewer_connections) == 1 + plays)
-        (readers if where == "socket" else owner).shut()
+        (reader_gate if where == "socket" else coordinator_gate).close()
         if where == "kernel":
             assert rig.platform.viewer_server is not None
-            owner.open()
+            coordinator_gate.open()
             rig.stop.set()
-            await wait_until(lambda: rig.owner.setups_close_at < owning.NEVER)
+            await wait_until(lambda: rig.owner.setups_close_at < session_coordinator.NEVER)
             raw = socket.create_connection(("127.0.0.1", rig.port))  # in one step with closing the listener
             raw.send(viewer.encode_setup(A))
             rig.platform.viewer_server.stop()
@@ -413,8 +413,8 @@
             with trio.move_on_after(0.5):  # the front end must not exit meanwhile
                 await rig.ended.wait()
             assert not rig.ended.is_set()
-        owner.open()
-        readers.open()
+        coordinator_gate.open()
+        reader_gate.open()
         assert (await viewer.receive() or (0, ""))[:2] in ((framing.ANSWER, A), (framing.RELEASE, A))
 
     run_on_platform(test)
@@ -430,20 +430,20 @@
         viewer = await rig.viewer()
         await wait_until(lambda: rig.owner.viewer_connections)
         connection = next(iter(rig.owner.viewer_connections))
-        await fill(connection, framing.encode(framing.PROGRESS, C, (framing.TEXT, b"x" * 8_000)))
+        await fill_send_buffer(connection, framing.encode(framing.PROGRESS, C, (framing.TEXT, b"x" * 8_000)))
         # The final answer is queued behind the data above.
         await viewer.send_setup(A, "paid", p115=b"x", p101=b"nan")
         await wait_until(lambda: rig.owner.counts)
-        queued = len(connection.send_buffer)
+        queued_bytes = len(connection.send_buffer)
         rig.stop.set()
-        await wait_until(lambda: rig.owner.setups_close_at < owning.NEVER)
-        assert queued
+        await wait_until(lambda: rig.owner.setups_close_at < session_coordinator.NEVER)
+        assert queued_bytes
         with trio.move_on_after(serve.FLUSH_TIMEOUT_NS / SECOND / 2):  # nothing else is due or plays
             await rig.ended.wait()
-        heard = await viewer.receive()
-        while heard is not None and heard[1] != A:
-            heard = await viewer.receive()
-        assert (heard or ())[:3] == (framing.RELEASE, A, FAILED)
+        message = await viewer.receive()
+        while message is not None and message[1] != A:
+            message = await viewer.receive()
+        assert (message or ())[:3] == (framing.RELEASE, A, FAILED)
         await rig.ended.wait()
 
     run_on_platform(test)
@@ -471,10 +471,10 @@
 
     It must then end without listening, since a viewer that reached it would not be answered.
     """
-    owner = held_owner(monkeypatch)
+    coordinator_gate = gate_coordinator(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
-        owner.shut()
+        coordinator_gate.close()
         rig.nursery.start_soon(rig.start)
         await wait_until(lambda: hasattr(rig, "platform") and rig.platform.channel_follower is not None)
         await wait_until(lambda: rig.platform.channel_follower.confirmed.is_set())  # type: ignore[union-attr]
@@ -482,7 +482,7 @@
             await trio.open_tcp_stream("127.0.0.1", rig.platform.port)
         rig.stop.set()
         await trio.testing.wait_all_tasks_blocked()
-        owner.open()
+        coordinator_gate.open()
         await rig.ended.wait()
         assert not rig.platform.serving.is_set()
 
@@ -502,7 +502,7 @@
             node.script = ["silence"] * 4
         viewer = await rig.viewer()
         rig.stop.set()
-        await wait_until(lambda: rig.owner.setups_close_at < owning.NEVER)
+        await wait_until(lambda: rig.owner.setups_close_at < session_coordinator.NEVER)
         await viewer.send_setup(A, wait="1500")
         await wait_until(lambda: A in rig.owner.sessions)
         assert rig.owner.sessions[A].playback.abandon_at <= rig.owner.last_answer_at
@@ -515,28 +515,27 @@
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("longest", [SECOND, 3 * SECOND, 5 * SECOND, 9 * SECOND])
+@pytest.mark.parametrize("longest_abandon_ns", [SECOND, 3 * SECOND, 5 * SECOND, 9 * SECOND])
 @pytest.mark.parametrize(
-    ("unanswered", "playing", "unsaid"), [(1, 0, 1), (0, 1, 0), (0, 1, 1), (0, 0, 1), (0, 0, 0)]
+    ("unanswered", "playing", "unsent"), [(1, 0, 1), (0, 1, 0), (0, 1, 1), (0, 0, 1), (0, 0, 0)]
 )
 def test_a_front_has_ended_before_it_is_killed_whatever_holds_it(
-    longest: int, unanswered: int, playing: int, unsaid: int
+    longest_abandon_ns: int, unanswered: int, playing: int, unsent: int
 ) -> None:
     """The process exits before the platform kills it, whatever is still open, and soon if nothing is."""
-    drain, killed = (
-        max(serve.MIN_DRAIN_NS, longest),
-        max(serve.MIN_LONGEST_ABANDON_NS, longest) + serve.KILL_DELAY_NS,
-    )
-    stopping, now = Shutdown(drain, serve.FLUSH_TIMEOUT_NS, drain, killed - serve.EXIT_BEFORE_KILL_NS), SECOND
-    stopping.start_serving(0)
-    stopping.handle_stop_signal(now)
-    course = FrontState.DRAINING
-    while course is not FrontState.GONE:
+    drain_ns = max(serve.MIN_DRAIN_NS, longest_abandon_ns)
+    kill_after = max(serve.MIN_LONGEST_ABANDON_NS, longest_abandon_ns) + serve.KILL_DELAY_NS
+    shutdown = Shutdown(drain_ns, serve.FLUSH_TIMEOUT_NS, drain_ns, kill_after - serve.EXIT_BEFORE_KILL_NS)
+    now = SECOND
+    shutdown.start_serving(0)
+    shutdown.handle_stop_signal(now)
+    state = FrontState.DRAINING
+    while state is not FrontState.GONE:
         now += 50 * MS
-        course = stopping.advance(unanswered, playing, unsaid, now)
-        stopping.handle_stop_signal(now)  # a repeated signal in every state
-    assert now - SECOND < killed - 50 * MS
-    if not (unanswered or unsaid or playing):
+        state = shutdown.advance(unanswered, playing, unsent, now)
+        shutdown.handle_stop_signal(now)  # a repeated signal in every state
+    assert now - SECOND < kill_after - 50 * MS
+    if not (unanswered or unsent or playing):
         assert now - SECOND <= 200 * MS
 
 
@@ -545,7 +544,7 @@
 
 def test_a_set_up_that_waits_takes_a_connection_that_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
     """A set-up that waits for a connect is sent on a connection that becomes free first."""
-    dials = held_dials(monkeypatch)
+    connect_gate = gate_connects(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         rig.add_list_change(2, rig.member(rig.nodes[1], "removed"))
@@ -553,8 +552,8 @@
         node, viewer = rig.nodes[0], await rig.viewer()
         node.script = ["silence"]
         await viewer.send_setup(A)
-        await wait_until(lambda: opens(rig))
-        dials.shut()
+        await wait_until(lambda: setup_count(rig))
+        connect_gate.close()
         await viewer.send_setup(B)
         await wait_until(lambda: rig.owner.pools["n0"].waiting_setups)
         await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="answer")
@@ -569,34 +568,34 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An unread set-up in the socket protects its connection from eviction."""
-    readers = held_readers(monkeypatch)
+    reader_gate = gate_viewer_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewers = rig.platform.viewer_server
         assert viewers is not None
-        asks, idle = await rig.viewer(), await rig.viewer()
+        requesting, idle = await rig.viewer(), await rig.viewer()
         await wait_until(lambda: len(viewers.connections) == 2)
-        readers.shut()
-        asks.send_setup_now(A, "paid")
+        reader_gate.close()
+        requesting.send_setup_now(A, "paid")
         assert viewers._make_room()
-        readers.open()
-        assert (await asks.receive() or (0,))[0] == framing.ANSWER
+        reader_gate.open()
+        assert (await requesting.receive() or (0,))[0] == framing.ANSWER
         assert await idle.receive() is None
-        assert opens(rig) == 1
+        assert setup_count(rig) == 1
 
     run_on_platform(test)
 
 
-async def stranger(rig: PlatformRig) -> StubViewer:
-    """A client that sends one message, gets its answer, and keeps its connection open."""
+async def idle_client(rig: PlatformRig) -> StubViewer:
+    """Returns a client that has sent one message, got its answer, and keeps its connection open."""
     client = await rig.viewer()
     await client.send(framing.TEST, C, 0)
     assert (await client.receive() or (0,))[0] == framing.TESTED
     return client
 
 
-async def plays(rig: PlatformRig, sid: str) -> tuple[StubViewer, StubNode]:
-    """A viewer with a playing session, and the node it plays on."""
+async def playing_viewer(rig: PlatformRig, sid: str) -> tuple[StubViewer, StubNode]:
+    """Returns a viewer with a playing session, and the node that it plays on."""
     viewer = await rig.viewer()
     await viewer.send_setup(sid)
     assert (await viewer.receive() or (0,))[0] == framing.ANSWER
@@ -609,10 +608,10 @@
     async def test(rig: PlatformRig) -> None:
         viewers = rig.platform.viewer_server
         assert viewers is not None
-        viewer, node = await plays(rig, A)
-        crowd = [await stranger(rig) for _ in range(viewers.max_connections + 3)]
+        viewer, node = await playing_viewer(rig, A)
+        idle_clients = [await idle_client(rig) for _ in range(viewers.max_connections + 3)]
         assert viewers.shed_count == 4
-        assert [await client.receive() for client in crowd[:4]] == [None] * 4
+        assert [await client.receive() for client in idle_clients[:4]] == [None] * 4
         await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
         assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
 
@@ -625,13 +624,13 @@
     async def test(rig: PlatformRig) -> None:
         viewers = rig.platform.viewer_server
         assert viewers is not None
-        crowd = [await stranger(rig) for _ in range(viewers.max_connections)]
+        idle_clients = [await idle_client(rig) for _ in range(viewers.max_connections)]
         newcomers = [await rig.viewer() for _ in range(3)]
         await wait_until(lambda: viewers.shed_count == 3)
         for client, sid in zip(newcomers, (A, B, "0" * 15 + "d"), strict=True):
             await client.send_setup(sid)
             assert (await client.receive() or (0,))[0] == framing.ANSWER
-        assert [await client.receive() for client in crowd[:3]] == [None] * 3
+        assert [await client.receive() for client in idle_clients[:3]] == [None] * 3
 
     run_on_platform(test)
 
@@ -640,9 +639,9 @@
     """A release prefers connections on which a set-up was answered."""
 
     async def test(rig: PlatformRig) -> None:
-        first = await stranger(rig)
-        viewer, node = await plays(rig, A)
-        other, _ = await plays(rig, B)
+        first = await idle_client(rig)
+        viewer, node = await playing_viewer(rig, A)
+        other, _ = await playing_viewer(rig, B)
         await viewer.stream.aclose()
         await wait_until(lambda: len(rig.owner.viewer_connections) == 2)
         await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
@@ -655,20 +654,20 @@
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("owed", [False, True], ids=["strangers there", "strangers come"])
-def test_an_end_that_strangers_do_not_confirm_is_sent_again_until_a_viewer_hears_it(owed: bool) -> None:
+@pytest.mark.parametrize("is_unsent", [False, True], ids=["strangers there", "strangers come"])
+def test_an_end_that_strangers_do_not_confirm_is_sent_again_until_a_viewer_hears_it(is_unsent: bool) -> None:
     """A release that is not confirmed is sent again on other connections."""
 
     async def test(rig: PlatformRig) -> None:
-        strangers = [] if owed else [await stranger(rig), await stranger(rig)]
-        viewer, node = await plays(rig, A)
+        idle_clients = [] if is_unsent else [await idle_client(rig), await idle_client(rig)]
+        viewer, node = await playing_viewer(rig, A)
         await viewer.stream.aclose()
-        await wait_until(lambda: len(rig.owner.viewer_connections) == len(strangers))
+        await wait_until(lambda: len(rig.owner.viewer_connections) == len(idle_clients))
         await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
-        if owed:
+        if is_unsent:
             await wait_until(lambda: rig.owner.releases.unsent)
-            strangers = [await rig.viewer(), await rig.viewer()]
-        for client in strangers:
+            idle_clients = [await rig.viewer(), await rig.viewer()]
+        for client in idle_clients:
             assert await client.receive() == (framing.RELEASE, A, OVER, b"")
         late = await rig.viewer()
         assert await late.receive() == (framing.RELEASE, A, OVER, b"")
@@ -682,24 +681,24 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A connection is not closed as overdue while its message lies unread because the front end was paused."""
-    readers = held_readers(monkeypatch)
+    reader_gate = gate_viewer_readers(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await wait_until(lambda: rig.owner.viewer_connections)
-        readers.shut()
+        reader_gate.close()
         next(iter(rig.owner.viewer_connections)).idle_since = 0
         viewer.send_setup_now(A)
         with trio.move_on_after(0.3):
             await rig.ended.wait()
-        readers.open()
+        reader_gate.open()
         assert (await viewer.receive() or (0,))[0] == framing.ANSWER
 
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("again", ["ready", "close"])
-def test_answers_twice_late_of_others_and_to_what_was_given_up_change_nothing(again: str) -> None:
+@pytest.mark.parametrize("repeated", ["ready", "close"])
+def test_answers_twice_late_of_others_and_to_what_was_given_up_change_nothing(repeated: str) -> None:
     """Repeated and late answers, answers of another node, and answers to cancelled set-ups are ignored."""
 
     async def test(rig: PlatformRig) -> None:
@@ -711,20 +710,20 @@
         for n in rig.nodes:
             n.script = ["silence"]
         await leaver.send_setup(B, "paid")
-        await wait_until(lambda: opens(rig, B))
+        await wait_until(lambda: setup_count(rig, B))
         asked_node = next(n for n in rig.nodes if n.received_messages("open", B))
         leaver.leave("release", B)
         await wait_until(lambda: asked_node.received_messages("close", B))
-        await asked_node.send(asked_node.streams[-1], msg=again, sid=B, attrs={}, text="late", code=47)
+        await asked_node.send(asked_node.streams[-1], msg=repeated, sid=B, attrs={}, text="late", code=47)
         await viewer.send_setup(C, at=other.name, wait="0")  # connects to the other node
         await wait_until(lambda: other.streams and C in rig.owner.sessions)
-        await other.send(other.streams[0], msg=again, sid=A, attrs={}, text="of another node", code=16)
+        await other.send(other.streams[0], msg=repeated, sid=A, attrs={}, text="of another node", code=16)
         await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="twice")
-        await node.send(node.streams[0], msg=again, sid="f" * 16, attrs={}, text="of nobody", code=34)
+        await node.send(node.streams[0], msg=repeated, sid="f" * 16, attrs={}, text="of nobody", code=34)
         await viewer.send(framing.TEST, "e" * 16, 0)
         assert (await viewer.receive() or ())[:2] == (framing.TESTED, "e" * 16)
         assert rig.owner.sessions[A].playback.state is PlaybackState.PLAYING
-        assert opens(rig, B) == 1
+        assert setup_count(rig, B) == 1
 
     run_on_platform(test)
 
@@ -749,14 +748,11 @@
 # A command channel that fails.
 
 
-@pytest.mark.parametrize("spoil", ["half", "break", "again", "back"])
-def test_an_answer_of_the_channel_that_is_none_neither_undoes_news_nor_keeps_it(spoil: str) -> None:
-    """Damaged answers are not applied: half an answer, a break within one, and cursors that repeat or go
-    back.
-    """
-    assert (
-        following.POLL_OVERDUE_S < 2
-    )  # an event counts as delivered 2 s after the wait that the poll asked for
+@pytest.mark.parametrize("corruption", ["half", "break", "again", "back"])
+def test_an_answer_of_the_channel_that_is_none_neither_undoes_news_nor_keeps_it(corruption: str) -> None:
+    """Damaged answers are not applied: half an answer, a break within one, and cursors that repeat or go back."""
+    # An event counts as delivered 2 s after the wait that the poll asked for.
+    assert channel_follower.POLL_OVERDUE_S < 2
 
     async def test(rig: PlatformRig) -> None:
         follower = rig.platform.channel_follower
@@ -764,7 +760,7 @@
         rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
         await wait_until(lambda: follower.last_cursor == 2)
         rig.channel.cmds[0]["nodes"]["members"][0]["phase"] = "up"
-        rig.channel.corruptions = [spoil]
+        rig.channel.corruptions = [corruption]
         rig.add_list_change(3, rig.member(rig.nodes[1], "draining"))
         await wait_until(lambda: rig.channel.corrupted_count and follower.last_cursor == 3, 6)
         assert all(pool.node.status is NodeStatus.DRAINING for pool in rig.owner.pools.values())
@@ -780,12 +776,12 @@
         rig.channel.is_silent = True
         rig.channel.polls.clear()
         await wait_until(lambda: rig.channel.polls)
-        old = rig.channel.stream
-        await wait_until(lambda: rig.channel.stream is not old, 6)
-        newest, rig.channel.stream = rig.channel.stream, old
+        abandoned_stream = rig.channel.stream
+        await wait_until(lambda: rig.channel.stream is not abandoned_stream, 6)
+        current_stream, rig.channel.stream = rig.channel.stream, abandoned_stream
         with suppress(OSError):
             rig.channel.answer_now(2, rig.member(rig.nodes[0], "draining"))
-        rig.channel.stream = newest
+        rig.channel.stream = current_stream
         rig.channel.answer_now(2, rig.member(rig.nodes[1], "draining"))
         await wait_until(lambda: rig.owner.pools["n1"].node.status is NodeStatus.DRAINING)
         assert rig.owner.pools["n0"].node.status is NodeStatus.READY
@@ -797,20 +793,20 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A set-up that waits for a connect is not sent to the former address of its node."""
-    dials = held_dials(monkeypatch)
+    connect_gate = gate_connects(monkeypatch)
 
     async def test(rig: PlatformRig) -> None:
-        viewer, (left, other) = await rig.viewer(), rig.nodes
+        viewer, (former, other) = await rig.viewer(), rig.nodes
         rig.add_list_change(2, rig.member(other, "removed"))
         await wait_until(lambda: set(rig.owner.pools) == {"n0"})
-        dials.shut()
+        connect_gate.close()
         await viewer.send_setup(A, "paid")
         await wait_until(lambda: rig.owner.pools["n0"].waiting_setups)
         rig.add_list_change(3, rig.member(other, "up", "n0") | {"up_since_ms": 1})
         await wait_until(lambda: rig.owner.pools["n0"].address[1] == other.port)
-        dials.open()
+        connect_gate.open()
         assert (await viewer.receive() or ())[:2] in ((framing.ANSWER, A), (framing.RELEASE, A))
-        assert not left.received_messages("open")
+        assert not former.received_messages("open")
 
     run_on_platform(test)
 
@@ -824,13 +820,12 @@
         for node in rig.nodes:
             node.script = ["silence"] * 3
         await viewer.send_setup(A, plan)
-        await wait_until(lambda: opens(rig))
+        await wait_until(lambda: setup_count(rig))
         node = next(n for n in rig.nodes if n.received_messages("open"))
         node.streams[0].socket._sock.send(b'{"msg":"ready","sid":"%b","attrs":{},"text":"x"}\n' % A.encode())  # type: ignore[attr-defined]
         session = rig.owner.sessions[A]
-        rig.owner._handle_event(
-            partial(rig.owner._try_timed_out, session, len(session.playback.tries))
-        )  # in one step with the answer
+        # In one step with the answer.
+        rig.owner._handle_event(partial(rig.owner._try_timed_out, session, len(session.playback.tries)))
         for n in rig.nodes:
             n.script.clear()
         assert (await viewer.receive() or (0, ""))[1] == A
@@ -841,8 +836,10 @@
     run_on_platform(test)
 
 
-@pytest.mark.parametrize(("every", "silent"), [(1000.0, 1_800), (0.0, 4_000)])
-def test_a_node_that_tells_nothing_unasked_is_not_taken_for_silent(every: float, silent: int) -> None:
+@pytest.mark.parametrize(("report_interval_ms", "tolerated_ms"), [(1000.0, 1_800), (0.0, 4_000)])
+def test_a_node_that_tells_nothing_unasked_is_not_taken_for_silent(
+    report_interval_ms: float, tolerated_ms: int
+) -> None:
     """Without reports, silence is tolerated for longer before another connection checks the node.
 
     Seen on the bench (piedmont-playback): 16,150 connections to nodes for 1,653 requests.
@@ -854,12 +851,12 @@
         await viewer.receive()
         pool = next(p for p in rig.owner.pools.values() if p.playing_sessions)
         now, pool.last_connect_at = rig.owner.clock.now(), 0
-        for quiet in (silent - 100, silent + 100):
-            pool.last_heard_at = now - quiet * MS
+        for silent_ms in (tolerated_ms - 100, tolerated_ms + 100):
+            pool.last_heard_at = now - silent_ms * MS
             pool.maintain(now)
-            assert pool.opening_count == (quiet > silent)
+            assert pool.opening_count == (silent_ms > tolerated_ms)
 
-    run_on_platform(test, info={"reportsEveryMs": every})
+    run_on_platform(test, info={"reportsEveryMs": report_interval_ms})
 
 
 # Descriptors.
@@ -884,23 +881,25 @@
 
 
 @asynccontextmanager
-async def process(
-    rig: PlatformRig, told: dict[str, Any], tmp: Path, files: int = 0
+async def running_process(
+    rig: PlatformRig, overrides: dict[str, Any], folder: Path, max_files: int = 0
 ) -> AsyncIterator[trio.Process]:
-    """The program as the platform starts it, with a limit of descriptors if given; killed at the end of the
-    test.
-    """
+    """Runs the program as the platform starts it, with a limit of descriptors if given; kills it at the end."""
     rig.channel.port = rig.channel.port or await rig.listen(rig.channel.serve)
     for node in rig.nodes:
         node.port = node.port or await rig.listen(node.serve)
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        rig.port = free.getsockname()[1]
-    file = tmp / "config.json"
-    file.write_bytes(orjson.dumps(rig.configuration() | {"listen": f"127.0.0.1:{rig.port}"} | told))
-    limits = partial(resource.setrlimit, resource.RLIMIT_NOFILE, (files, files)) if files else None
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        rig.port = probe.getsockname()[1]
+    config_file = folder / "config.json"
+    config_file.write_bytes(
+        orjson.dumps(rig.configuration() | {"listen": f"127.0.0.1:{rig.port}"} | overrides)
+    )
+    limits = (
+        partial(resource.setrlimit, resource.RLIMIT_NOFILE, (max_files, max_files)) if max_files else None
+    )
     command = [sys.executable, "-m", "oakcroft", "platform"]
-    env = {**os.environ, "PROXY_CONFIG": str(file)}
+    env = {**os.environ, "PROXY_CONFIG": str(config_file)}
     running = await trio.lowlevel.open_process(command, env=env, stdout=subprocess.DEVNULL, preexec_fn=limits)
     try:
         yield running
@@ -910,8 +909,8 @@
         await running.wait()
 
 
-async def reached(rig: PlatformRig) -> StubViewer:
-    """A viewer's connection, as soon as the front end listens."""
+async def connect_when_listening(rig: PlatformRig) -> StubViewer:
+    """Connects a viewer as soon as the front end listens."""
     while True:
         try:
             return await rig.viewer()
@@ -929,14 +928,13 @@
 
     async def test(rig: PlatformRig) -> None:
         configuration = {"limits": {"sockets": 64, "memory_mb": 64, "cores": 1.0}}
-        async with process(rig, configuration, tmp_path, files=64) as running:
-            await reached(rig)
+        async with running_process(rig, configuration, tmp_path, max_files=64) as running:
+            await connect_when_listening(rig)
             rig.channel.is_silent = True
             rig.channel.polls.clear()
             await wait_until(lambda: rig.channel.polls)
-            idle = [
-                await rig.viewer() for _ in range(200)
-            ]  # those without a place are closed, or wait in the kernel
+            # Those that get no connection slot are closed, or wait in the kernel.
+            idle = [await rig.viewer() for _ in range(200)]
             for client in idle[::2]:
                 with suppress(trio.BrokenResourceError):
                     await client.stream.send_all(b"\x00\x20\x01")
@@ -944,15 +942,15 @@
             rig.channel.is_silent = False
             rig.channel.polls.clear()
             with trio.fail_after(3):
-                good = await rig.viewer()
-                await good.send_setup(A)
-                assert (await good.receive() or (0,))[0] == framing.ANSWER
+                viewer = await rig.viewer()
+                await viewer.send_setup(A)
+                assert (await viewer.receive() or (0,))[0] == framing.ANSWER
             await wait_until(lambda: 2 in rig.channel.polls)
             for i in range(8):
-                await good.send_setup(f"{i + 1:016x}", title=f"t{i}")
-                assert (await good.receive() or (0,))[0] == framing.ANSWER
+                await viewer.send_setup(f"{i + 1:016x}", title=f"t{i}")
+                assert (await viewer.receive() or (0,))[0] == framing.ANSWER
             assert running.poll() is None
-            assert opens(rig, "0" * 15 + "8") == 1
+            assert setup_count(rig, "0" * 15 + "8") == 1
             assert not rig.nodes[0].received_messages("open", "0" * 15 + "8")
 
     run_on_platform(test, started=False)
@@ -964,15 +962,15 @@
 
     async def test(rig: PlatformRig) -> None:
         rig.channel.is_silent = when == "before the list"
-        async with process(rig, {}, tmp_path) as running:
+        async with running_process(rig, {}, tmp_path) as running:
             if rig.channel.is_silent:
                 await wait_until(lambda: rig.channel.polls)
             else:
                 for node in rig.nodes:
                     node.script = ["silence"]
-                viewer = await reached(rig)
+                viewer = await connect_when_listening(rig)
                 await viewer.send_setup(A, "paid")
-                await wait_until(lambda: opens(rig))
+                await wait_until(lambda: setup_count(rig))
             if when == "with a reload":
                 running.send_signal(signal.SIGHUP)
             running.send_signal(signal.SIGTERM)
@@ -995,27 +993,29 @@
 
     All nodes count as cold, since no front end has heard of them, and a third of the front ends restart.
     """
-    window, places, cold_for = 1.0, 40, 6.0
+    window_s = 1.0
+    capacity = 40
+    cold_s = 6.0
     rules = SETTINGS["rules"] | {
-        "coldMs": 1000 * cold_for,
+        "coldMs": 1000 * cold_s,
         "fallMultiple": 4.0,
-        "overloadForMs": 1000 * window,
+        "overloadForMs": 1000 * window_s,
     }
-    n = 4.0 * SETTINGS["rules"]["coldShare"] * places / cold_for * window
-    info = SETTINGS["familyInfo"] | {"kindSlots": [places]}
-
-    async def front(rig: PlatformRig, me: int, lives: int) -> None:
-        """One front end and its viewer, who asks as fast as it is answered or turned away."""
-        own = PlatformRig(rig.nursery)
-        own.nodes, own.channel = rig.nodes, rig.channel
-        settings = SETTINGS | {"balancers": 30, "me": me, "rules": rules, "familyInfo": info}
-        for life in range(lives):
-            (tmp_path / f"{me}").mkdir(exist_ok=True)
-            async with process(own, {"settings": settings}, tmp_path / f"{me}"):
-                viewer = await reached(own)
-                with trio.move_on_after(4 / lives):
+    setup_budget = 4.0 * SETTINGS["rules"]["coldShare"] * capacity / cold_s * window_s
+    info = SETTINGS["familyInfo"] | {"kindSlots": [capacity]}
+
+    async def front(rig: PlatformRig, index: int, process_count: int) -> None:
+        """Runs one front end and its viewer, which requests again as soon as it is answered or rejected."""
+        own_rig = PlatformRig(rig.nursery)
+        own_rig.nodes, own_rig.channel = rig.nodes, rig.channel
+        settings = SETTINGS | {"balancers": 30, "me": index, "rules": rules, "familyInfo": info}
+        for process_number in range(process_count):
+            (tmp_path / f"{index}").mkdir(exist_ok=True)
+            async with running_process(own_rig, {"settings": settings}, tmp_path / f"{index}"):
+                viewer = await connect_when_listening(own_rig)
+                with trio.move_on_after(4 / process_count):
                     for i in range(1_000):
-                        await viewer.send_setup(f"{me:04x}{life:04x}{i:08x}", title=f"t{i % 7}")
+                        await viewer.send_setup(f"{index:04x}{process_number:04x}{i:08x}", title=f"t{i % 7}")
                         await viewer.receive(10)
                         await trio.sleep(0.1)
 
@@ -1024,13 +1024,15 @@
         for node in rig.nodes:
             node.port = await rig.listen(node.serve)
         async with trio.open_nursery() as nursery:
-            for me in range(30):
-                nursery.start_soon(front, rig, me, 2 if me % 3 == 0 else 1)
+            for index in range(30):
+                nursery.start_soon(front, rig, index, 2 if index % 3 == 0 else 1)
         for node in rig.nodes:
             times = [f["t"] / SECOND for f in rig.facts if f["kind"] == "setup" and f["node"] == node.name]
-            fullest = max(sum(1 for sent_at in times if last - window < sent_at <= last) for last in times)
-            assert fullest <= n + 2 * n**0.5 + 2
-            assert len(times) > n / 2  # a front end that sends nothing would keep any pace
+            fullest_window = max(
+                sum(1 for sent_at in times if last - window_s < sent_at <= last) for last in times
+            )
+            assert fullest_window <= setup_budget + 2 * setup_budget**0.5 + 2
+            assert len(times) > setup_budget / 2  # a front end that sends nothing would keep any pace
 
     run_on_platform(test, started=False, within=90)
 
@@ -1038,9 +1040,11 @@
 # Readiness.
 
 
-@pytest.mark.parametrize(("took", "waits"), [(0, 8), (SECOND // 2, 8), (3 * SECOND, 6), (20 * SECOND, 1)])
+@pytest.mark.parametrize(
+    ("start_duration", "wait_s"), [(0, 8), (SECOND // 2, 8), (3 * SECOND, 6), (20 * SECOND, 1)]
+)
 def test_a_front_that_started_slowly_waits_for_its_list_no_longer_than_its_readiness_allows(
-    took: int, waits: int
+    start_duration: int, wait_s: int
 ) -> None:
     """The wait for the list shrinks with the time the process took to start."""
-    assert NodeListFreshness(100 * SECOND, took).opens_at_latest == (100 + waits) * SECOND
+    assert NodeListFreshness(100 * SECOND, start_duration).opens_at_latest == (100 + wait_s) * SECOND
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,6 +1,4 @@
-"""State that survives crashes: the file and its faults, the decisions of a recovery, and front ends that are
-killed.
-"""
+"""State that survives crashes: the state file and its faults, recovery decisions, and front ends that are killed."""
 
 from __future__ import annotations
 
@@ -78,17 +76,17 @@
 from oakcroft.store.schema import MIGRATIONS, SCHEMA_VERSION
 from oakcroft.store.writer import StateWriter
 
-NAMES = count()
+DISK_NUMBERS = count()
 RETENTION = 300 * SECOND
 
 
 def make_promise(
-    id_: str = "p", mark: PromiseState = PromiseState.INTENT, effect: Effect = Effect.PAID, **more: Any
+    id_: str = "p", mark: PromiseState = PromiseState.INTENT, effect: Effect = Effect.PAID, **changes: Any
 ) -> Promise:
     """Makes a promise that was sent to node n1 at one second."""
-    base = Promise(id_, f"key-{id_}", "about", "/whep/course/t", "t", "course", effect.value, False, False, "u", 2, "",
+    promise = Promise(id_, f"key-{id_}", "about", "/whep/course/t", "t", "course", effect.value, False, False, "u", 2, "",
                    0, 5 * SECOND, mark, "n1", "n1-1", SECOND, changed=SECOND)  # fmt: skip
-    return replace(base, **more)
+    return replace(promise, **changes)
 
 
 def make_plan(effect: Effect, seats: int = 0) -> Plan:
@@ -96,10 +94,13 @@
     return Plan(effect, KeyScope.ALL, SECOND, SECOND, 1.0, 0, 2, seats, 1.0, False)
 
 
-def node_report(**more: Any) -> NodeReport:
+def node_report(**changes: Any) -> NodeReport:
     """Makes a node report that can prove that an intent never ran."""
-    at = 8 * SECOND
-    return replace(NodeReport("n1-1", {}, frozenset(), 60 * SECOND, 60 * SECOND, at, at + MS), **more)
+    received_at = 8 * SECOND
+    return replace(
+        NodeReport("n1-1", {}, frozenset(), 60 * SECOND, 60 * SECOND, received_at, received_at + MS),
+        **changes,
+    )
 
 
 # Decisions: promises, node reports, recovery and the health of the file.
@@ -133,9 +134,8 @@
         True,
     ]
     assert needs_durable_intent(make_plan(Effect.FREE, seats=1))
-    assert not has_expired(
-        make_promise(mark=PromiseState.PLAYS), RETENTION, 1 << 60
-    )  # a promise that plays is kept
+    # A promise that plays is kept.
+    assert not has_expired(make_promise(mark=PromiseState.PLAYS), RETENTION, 1 << 60)
 
 
 def test_only_a_report_that_proves_it_frees_a_key() -> None:
@@ -201,9 +201,7 @@
 
 
 def test_a_front_end_without_its_state_waits_for_node_reports() -> None:
-    """A front end that lost its state records nothing until all listed nodes have reported, or the retention
-    has passed.
-    """
+    """A front end that lost its state records nothing until all listed nodes have reported or the retention is over."""
     recovery = Recovery(RETENTION, 0)
     assert recovery.state_read(True, ["a"], 0) is RecoveryPhase.SERVING
     recovery = Recovery(RETENTION, 0)
@@ -264,22 +262,23 @@
 
 
 class World:
-    """Model of paid requests with seats, one node, and a front end that is killed; it uses only the pure
-    functions.
-    """
+    """Model of paid requests with seats, one node, and a front end that is killed; it uses only pure functions."""
 
     SEATS = 2
 
     def __init__(self, rng: Random) -> None:
         """Starts with one process of the node and no requests."""
-        self.rng, self.now = rng, 100 * SECOND
+        self.rng = rng
+        self.now = 100 * SECOND
         self.durable: dict[str, Promise] = {}
         self.memory: dict[str, Promise] = {}
         self.in_flight: list[Promise] = []  # set-ups that the node has not read; they outlive the front end
         self.running: dict[str, str] = {}
-        self.ran, self.times = Counter[str](), dict[str, int]()
+        self.ran: Counter[str] = Counter()
+        self.ran_at: dict[str, int] = {}
         self.answers: dict[str, list[str]] = {}
-        self.process, self.up = 1, 0
+        self.process = 1
+        self.process_started_at = 0
         self.unanswered: set[str] = set()
 
     def seats(self) -> int:
@@ -289,7 +288,7 @@
         )
 
     def request(self, key: str) -> None:
-        """A viewer sends a request with a key, for the first time or again."""
+        """Handles a viewer's request with a key, which may be a repeated one."""
         promise = self.memory.get(key)
         if promise is not None and promise.mark is PromiseState.PLAYS:
             self.answers.setdefault(key, []).append("plays")
@@ -312,11 +311,11 @@
         return None
 
     def arrive(self) -> None:
-        """The node reads the oldest set-up that was sent, if it is not too late."""
+        """Has the node read the oldest set-up that was sent, if it is not too late."""
         if self.in_flight and self.now <= self.in_flight[0].abandon + MAX_IN_FLIGHT_NS:
             promise = self.in_flight.pop(0)
             self.ran[promise.key] += 1
-            self.times[promise.key] = self.now
+            self.ran_at[promise.key] = self.now
             self.running[promise.id] = promise.key
             if (
                 (recorded := self.memory.get(promise.id)) is promise
@@ -335,7 +334,7 @@
         return None
 
     def kill(self) -> None:
-        """The front end is killed and starts again from its durable promises."""
+        """Kills the front end and restarts it from its durable promises."""
         self.memory = {}
         self.unanswered.clear()  # its connections are closed with it
         for id_, promise in self.durable.items():
@@ -343,14 +342,14 @@
                 self.memory[id_] = promise
 
     def receive_report(self) -> None:
-        """The front end receives a node report."""
-        keys = frozenset(k for k, t in self.times.items() if self.now - t < 60 * SECOND)
+        """Has the front end receive a node report."""
+        keys = frozenset(k for k, t in self.ran_at.items() if self.now - t < 60 * SECOND)
         requested_at = self.now - self.rng.randrange(SECOND)
         report = NodeReport(
             str(self.process),
             dict(self.running),
             keys,
-            self.now - self.up,
+            self.now - self.process_started_at,
             60 * SECOND,
             requested_at,
             self.now,
@@ -372,17 +371,18 @@
                 self.memory[id_] = self.durable[id_] = after
 
     def end_promise(self, id_: str) -> None:
-        """A promise binds nothing any more: a request with its key is a new one."""
+        """Ends a promise: a later request with its key is a new one."""
         if self.memory.pop(id_).mark is PromiseState.PLAYS:
             self.ran[f"key-{id_}"] = 0
             self.answers.pop(id_, None)
         self.durable.pop(id_, None)
 
     def restart_node(self) -> None:
-        """The node's process is replaced by a new one, which remembers nothing."""
-        self.process, self.up = self.process + 1, self.now
+        """Replaces the node's process by a new one, which remembers no keys."""
+        self.process += 1
+        self.process_started_at = self.now
         self.running.clear()
-        self.times.clear()
+        self.ran_at.clear()
         self.in_flight.clear()
 
     def check(self) -> None:
@@ -401,8 +401,8 @@
 ) -> None:
     """Guards against double set-ups and exceeded seats across restarts, for any sequence of events."""
     world, numbers = World(Random(seed)), count()
-    for what in steps:
-        match what:
+    for step in steps:
+        match step:
             case "ask":
                 world.request(f"k{next(numbers)}")
             case "again":
@@ -431,8 +431,8 @@
 
 
 def make_disk() -> FaultyDisk:
-    """Makes a disk under a name of its own."""
-    return FaultyDisk(f"disk-{next(NAMES)}")
+    """Makes a disk with a unique name."""
+    return FaultyDisk(f"disk-{next(DISK_NUMBERS)}")
 
 
 def list_entry(name: str) -> ListedNode:
@@ -530,26 +530,29 @@
 def test_commits_are_durable_and_atomic_across_a_power_cut_at_any_call() -> None:
     """Guards against lost or partial commits after a power cut at any call of the file system."""
     for cut in range(60):
-        disk, rng, done = make_disk(), Random(cut), 0
+        disk = make_disk()
+        rng = Random(cut)
+        commits_done = 0
 
-        def at(number: int, _what: str, cut: int = cut) -> None:
+        def fail_from_cut(number: int, _call: str, cut: int = cut) -> None:
             if number >= cut:
                 raise apsw.exception_for(apsw.SQLITE_IOERR)
 
         file = StateFile("state", vfs=disk.name)
-        disk.call_count, disk.on_call = 0, at
+        disk.call_count = 0
+        disk.on_call = fail_from_cut
         try:
             for n in range(12):
                 file.commit([PutPromise(make_promise(f"{n}-{part}")) for part in "abc"])
-                done = n + 1
+                commits_done = n + 1
         except StateFileError:
             pass
         disk.on_call = None
         after = StateFile("state", vfs=disk.cut_power(rng).name)
         ids = Counter(p.id.split("-")[0] for p in after.read().promises)
         assert set(ids.values()) <= {3}
-        assert {str(n) for n in range(done)} <= set(ids)
-        assert len(ids) <= done + 1
+        assert {str(n) for n in range(commits_done)} <= set(ids)
+        assert len(ids) <= commits_done + 1
         after.close()
 
 
@@ -595,8 +598,10 @@
 # The writer of the state file.
 
 
-def make_writer(disk: FaultyDisk, whole: Callable[[], ReplaceContents] | None = None) -> StateWriter:
-    """Makes a store on a disk."""
+def make_writer(
+    disk: FaultyDisk, snapshot_memory: Callable[[], ReplaceContents] | None = None
+) -> StateWriter:
+    """Makes a writer of a state file on a disk."""
     log = structlog.wrap_logger(structlog.PrintLogger(io.StringIO()))
     writer = StateWriter(
         "state",
@@ -606,7 +611,7 @@
         RETENTION,
         lambda: StateFile("state", vfs=disk.name),
     )
-    writer.snapshot_memory = whole or (lambda: ReplaceContents(()))
+    writer.snapshot_memory = snapshot_memory or (lambda: ReplaceContents(()))
     return writer
 
 
@@ -618,13 +623,13 @@
     """
 
     async def test() -> None:
-        for at in range(14):
+        for failing_call in range(14):
             disk, kept = make_disk(), dict[str, Promise]()
             writer = make_writer(disk, lambda kept=kept: ReplaceContents(tuple(kept.values())))  # type: ignore[misc]
             await writer.start()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(writer.run)
-                disk.fail(kind, at, only="sync" if kind == "io-sync" else "")
+                disk.fail(kind, failing_call, only="sync" if kind == "io-sync" else "")
                 for n in range(12):
                     promise = make_promise(str(n), changed=writer.clock())
                     kept[promise.id] = promise
@@ -637,9 +642,10 @@
                     await wait_until(lambda writer=writer: writer.health.state is FileState.HEALTHY)  # type: ignore[misc]
                 nursery.cancel_scope.cancel()
             disk.repair()
-            file = StateFile("state", vfs=disk.cut_power(Random(at)).name)
-            on_record = {promise.id for promise in file.read().promises}
-            assert set(kept) <= on_record, (at, set(kept) - on_record)  # all that was reported as durable
+            file = StateFile("state", vfs=disk.cut_power(Random(failing_call)).name)
+            stored_ids = {promise.id for promise in file.read().promises}
+            # All that was reported as durable is stored.
+            assert set(kept) <= stored_ids, (failing_call, set(kept) - stored_ids)
             file.close()
 
     run_async_test(test, 60)
@@ -662,11 +668,11 @@
             assert not await writer.write_durably(PutPromise(make_promise("c")))
             disk.sync_delay_seconds = 0.0
 
-            def noted() -> bool:
+            def is_healthy_after_write() -> bool:
                 writer.enqueue(NamedValue("alive", b"1"))
                 return writer.health.state is FileState.HEALTHY
 
-            await wait_until(noted)
+            await wait_until(is_healthy_after_write)
             assert await writer.write_durably(PutPromise(make_promise("d")))
             nursery.cancel_scope.cancel()
 
@@ -698,12 +704,12 @@
 
 
 async def restart_front_end(
-    rig: Rig, nursery: trio.Nursery, opens: Callable[[str], StateFile] | None = None
+    rig: Rig, nursery: trio.Nursery, open_state_file: Callable[[str], StateFile] | None = None
 ) -> None:
     """Kills the front end and starts another on the same state."""
     rig.front_end_scope.cancel()
     await rig.exited.wait()
-    await start_front_end(nursery, rig, with_state=True, open_state_file=opens)
+    await start_front_end(nursery, rig, with_state=True, open_state_file=open_state_file)
 
 
 def test_a_restarted_front_end_resumes_its_playbacks(tmp_path: Path) -> None:
@@ -735,9 +741,8 @@
                 "location"
             ) == free.header("location")
             assert (await rig.request_playback("/whep/seats/c", **key_header("k4"))).status == 201
-            assert (
-                await rig.request_playback("/whep/seats/c", **key_header("k5"))
-            ).status == 503  # two seats, both taken
+            # Two seats, both taken.
+            assert (await rig.request_playback("/whep/seats/c", **key_header("k5"))).status == 503
             assert len(rig.recorded("setup")) == 4
             assert (await rig.request("DELETE", free.header("location") or "")).status == 200
             await wait_until(lambda: len(rig.recorded("over")) == 1)
@@ -824,9 +829,9 @@
             lost = make_promise(
                 "x", node="n1", sent_at=sent, abandon=now - 1900 * MS, changed=sent, about=about
             )
-            told_of = replace(lost, id="z", key="key-z")
+            answered = replace(lost, id="z", key="key-z")
             seat = replace(lost, id="y", key="key-y", plan="seats", effect="free", seats=True, title="s")
-            file.commit([PutPromise(lost), PutPromise(told_of), PutPromise(seat)])
+            file.commit([PutPromise(lost), PutPromise(answered), PutPromise(seat)])
             file.close()
             rig.node("n1").process_started_at -= 60
             await start_front_end(nursery, rig, with_state=True)
@@ -843,9 +848,8 @@
                 )
             )
             assert (await rig.request_playback("/whep/course/t", **key_header("key-x"))).status == 201
-            assert (
-                await rig.request_playback("/whep/course/t", **key_header("key-z"))
-            ).status == 504  # its viewer was told so before
+            # Its viewer got this answer before.
+            assert (await rig.request_playback("/whep/course/t", **key_header("key-z"))).status == 504
             assert (await rig.request_playback("/whep/seats/s")).status == 201
             nursery.cancel_scope.cancel()
 
@@ -853,9 +857,7 @@
 
 
 def test_a_front_end_that_lost_its_state_learns_the_keys_from_its_nodes(tmp_path: Path) -> None:
-    """Guards against a second set-up by a front end whose state file is gone: its nodes report the keys that
-    ran.
-    """
+    """Guards against a second set-up by a front end whose state file is gone: its nodes report the keys that ran."""
 
     async def test() -> None:
         async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
@@ -883,21 +885,20 @@
 
     async def test() -> None:
         disk = make_disk()
-        opens = lambda _: StateFile("state", vfs=disk.name)  # noqa: E731
+        open_state_file = lambda _: StateFile("state", vfs=disk.name)  # noqa: E731
         async with trio.open_nursery() as nursery, running_front_end(tmp_path) as rig:
-            await restart_front_end(rig, nursery, opens)
+            await restart_front_end(rig, nursery, open_state_file)
             await wait_until_recovered(rig)
             assert (await rig.request_playback("/whep/course/a", **key_header("k1"))).status == 201
             disk.fail(kind, 0, lasting=True, only=only)
             before = len(rig.recorded("setup"))
             response = [await rig.request_playback("/whep/course/a", **key_header(f"f{n}")) for n in range(3)]
-            assert {s.status for s in response} == {503}
-            assert all(s.header("retry-after") for s in response[1:])
+            assert {answer.status for answer in response} == {503}
+            assert all(answer.header("retry-after") for answer in response[1:])
             assert len(rig.recorded("setup")) == before  # none of them was sent
             assert (await rig.request_playback("/whep/open/a", **key_header("k3"))).status == 201
-            assert (
-                await rig.request_playback("/whep/course/a", **key_header("k1"))
-            ).status == 201  # the earlier answer still holds
+            # The earlier answer still holds.
+            assert (await rig.request_playback("/whep/course/a", **key_header("k1"))).status == 201
             disk.repair()
             await wait_until(
                 lambda: (
@@ -909,7 +910,7 @@
             )
             assert (await rig.request_playback("/whep/course/a", **key_header("k4"))).status == 201
             disk = disk.cut_power(Random(1))
-            await restart_front_end(rig, nursery, opens)
+            await restart_front_end(rig, nursery, open_state_file)
             assert (await rig.request_playback("/whep/course/a", **key_header("k1"))).status == 201
             assert (await rig.request_playback("/whep/course/a", **key_header("k4"))).status == 201
             assert len({f["key"] for f in rig.recorded("ran") if f["plan"] == "course"}) == 2
@@ -923,50 +924,56 @@
 
     async def test() -> None:
         disk, rng = make_disk(), Random(5)
-        opens = lambda _: StateFile("state", vfs=disk.name)  # noqa: E731
+        open_state_file = lambda _: StateFile("state", vfs=disk.name)  # noqa: E731
         async with trio.open_nursery() as nursery, running_front_end(tmp_path) as rig:
-            await restart_front_end(rig, nursery, opens)
+            await restart_front_end(rig, nursery, open_state_file)
             await wait_until_recovered(rig)
-            heard: dict[str, list[str]] = {}
+            answers_by_key: dict[str, list[str]] = {}
 
-            async def ask(path: str, name: str) -> None:
+            async def request(path: str, name: str) -> None:
                 try:
                     response = await rig.request_playback(path, **key_header(name))
                 except (Ended, OSError):
-                    heard.setdefault(name, []).append("cut")
+                    answers_by_key.setdefault(name, []).append("cut")
                     return
-                heard.setdefault(name, []).append(response.header("location") or str(response.status))
+                answers_by_key.setdefault(name, []).append(
+                    response.header("location") or str(response.status)
+                )
 
-            for point in range(0, 64, 2):
+            for kill_point in range(0, 64, 2):
                 token = trio.lowlevel.current_trio_token()
 
-                def at(
-                    number: int, _what: str, point: int = point, token: trio.lowlevel.TrioToken = token
+                def kill_at_point(
+                    number: int,
+                    _call: str,
+                    kill_point: int = kill_point,
+                    token: trio.lowlevel.TrioToken = token,
                 ) -> None:
-                    if number >= point:
-                        if number == point:
+                    if number >= kill_point:
+                        if number == kill_point:
                             token.run_sync_soon(rig.front_end_scope.cancel)
                         raise apsw.exception_for(apsw.SQLITE_IOERR)
 
-                disk.call_count, disk.on_call = 0, at
-                paths = [(f"/whep/course/c{point}", f"c{point}.{n}") for n in range(2)]
-                paths += [(f"/whep/seats/s{point}", f"s{point}.{n}") for n in range(3)]
-                async with trio.open_nursery() as asking:
+                disk.call_count = 0
+                disk.on_call = kill_at_point
+                paths = [(f"/whep/course/c{kill_point}", f"c{kill_point}.{n}") for n in range(2)]
+                paths += [(f"/whep/seats/s{kill_point}", f"s{kill_point}.{n}") for n in range(3)]
+                async with trio.open_nursery() as requests:
                     for path, name in paths:
-                        asking.start_soon(ask, path, name)
+                        requests.start_soon(request, path, name)
                 if not rig.exited.is_set():
                     rig.front_end_scope.cancel()
                 await rig.exited.wait()
                 disk.on_call = None
                 disk = disk.cut_power(rng)
-                await start_front_end(nursery, rig, with_state=True, open_state_file=opens)
+                await start_front_end(nursery, rig, with_state=True, open_state_file=open_state_file)
                 await wait_until_recovered(rig)
                 for path, name in paths:
-                    await ask(path, name)
-            response = Counter(answers[0][:1] for answers in heard.values())
+                    await request(path, name)
+            response = Counter(answers[0][:1] for answers in answers_by_key.values())
             assert response["c"]  # some were cut off
             assert response["/"]  # and some were answered before the kill
-            for name, (first, second) in heard.items():
+            for name, (first, second) in answers_by_key.items():
                 if first.startswith("/") or first == "504":
                     assert second == first, f"{name}: {first} and then {second}"
             check_rules_2_and_5(rig)
@@ -1002,26 +1009,26 @@
 
     async def test() -> None:
         disk = make_disk()
-        opens = lambda _: StateFile("state", vfs=disk.name)  # noqa: E731
+        open_state_file = lambda _: StateFile("state", vfs=disk.name)  # noqa: E731
         async with trio.open_nursery() as nursery, running_front_end(tmp_path) as rig:
-            await restart_front_end(rig, nursery, opens)
+            await restart_front_end(rig, nursery, open_state_file)
             await wait_until_recovered(rig)
-            heard: dict[str, Response] = {}
-
-            async def ask(path: str, name: str) -> None:
-                heard[name] = await rig.request_playback(path, **key_header(name))
-
-            for call in range(0, 24, 2):
-                disk.fail(kind, call, only="sync" if kind == "io-sync" else "")
-                names = [(f"/whep/course/c{call}", f"c{call}.{n}") for n in range(2)]
-                names += [(f"/whep/seats/s{call}", f"s{call}.{n}") for n in range(3)]
-                names += [(f"/whep/open/o{call}", f"o{call}")]
-                async with trio.open_nursery() as asking:
-                    for path, name in names:
-                        asking.start_soon(ask, path, name)
-                assert heard[f"o{call}"].status == 201  # a free plan is not affected
-                for path, name in names[:2]:
-                    first, second = heard[name], await rig.request_playback(path, **key_header(name))
+            responses: dict[str, Response] = {}
+
+            async def request(path: str, name: str) -> None:
+                responses[name] = await rig.request_playback(path, **key_header(name))
+
+            for failing_call in range(0, 24, 2):
+                disk.fail(kind, failing_call, only="sync" if kind == "io-sync" else "")
+                requested = [(f"/whep/course/c{failing_call}", f"c{failing_call}.{n}") for n in range(2)]
+                requested += [(f"/whep/seats/s{failing_call}", f"s{failing_call}.{n}") for n in range(3)]
+                requested += [(f"/whep/open/o{failing_call}", f"o{failing_call}")]
+                async with trio.open_nursery() as requests:
+                    for path, name in requested:
+                        requests.start_soon(request, path, name)
+                assert responses[f"o{failing_call}"].status == 201  # a free plan is not affected
+                for path, name in requested[:2]:
+                    first, second = responses[name], await rig.request_playback(path, **key_header(name))
                     assert second.status in (
                         {first.status} if first.status in (201, 504) else {201, 503, 504}
                     ), name
@@ -1089,12 +1096,11 @@
             await rig.exited.wait()
             path = tmp_path / "state"
             body = bytearray(path.read_bytes())
-            path.write_bytes(body[: len(body) // 2])  # torn: half of it is gone
+            path.write_bytes(body[: len(body) // 2])  # truncated to half
             await start_front_end(nursery, rig, with_state=True)
             await wait_until_recovered(rig)
-            assert (
-                await rig.request_playback("/whep/course/a", **key_header("k1"))
-            ).status == 504  # the node knows that it ran
+            # The node knows that it ran.
+            assert (await rig.request_playback("/whep/course/a", **key_header("k1"))).status == 504
             assert (await rig.request_playback("/whep/course/a", **key_header("k2"))).status == 201
             assert list(tmp_path.glob("state.damaged-1"))
             assert Counter(f["key"] for f in rig.recorded("ran"))["k1"] == 1
