--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -1,4 +1,4 @@
-"""A playout node: a WHEP and WHIP endpoint over the model of its link, with faults to order."""
+"""Emulated playout node: a WHEP and WHIP endpoint over the model of its link, with faults on demand."""
 
 from __future__ import annotations
 
@@ -21,54 +21,58 @@
 from oakcroft.interface import SECOND
 from oakcroft.signalling import http_formats, sdp, takeover_messages
 from oakcroft.standins import rtp
-from oakcroft.standins.event_streams import end_sessions_of_lost_fronts, extend_lease, open_stream
+from oakcroft.standins.event_streams import end_sessions_of_lost_fronts, store_lease, open_event_stream
 from oakcroft.standins.links import Machine
 from oakcroft.standins.node_state import NodeState, Session, caller_of, front_of
 from oakcroft.standins.record import Record
 from oakcroft.standins.takeover import answer_takeover
 
 FINGERPRINT = "sha-256 " + ":".join(["AB"] * 32)
-ICE_USERNAME, ICE_PASSWORD = "node" + "A" * 4, "B" * 24
-"""Of every answer; no media passes that would need them."""
+ICE_USERNAME = "node" + "A" * 4
+ICE_PASSWORD = "B" * 24
+"""The same in every answer; the node sends media without ICE."""
 
-LISTEN_RETRIES, LISTEN_RETRY_SECONDS = 100, 0.05
-"""How often a port is tried again that another program may have had meanwhile."""
+LISTEN_RETRIES = 100
+LISTEN_RETRY_SECONDS = 0.05
+"""Retries to bind a port that another program may have used while the node was dead."""
 
 LISTEN_BACKLOG = 512
-IDLE_NS = 3600 * SECOND
-"""Connections of fronts are never cut for being idle within a day."""
+IDLE_TIMEOUT_NS = 3600 * SECOND
+"""Long enough that no connection of a front end is closed for being idle within a day."""
 
-MOST_SLOWNESS = 20.0
-"""A node that is slowed down further answers set-ups no later."""
+MAX_SETUP_SLOWDOWN = 20.0
+"""Bound on how much a slowed-down node delays its answers to set-ups."""
 
 PRECONDITION_FAILED = 412
 CREATED = 201
 
 
 class PlayoutNode(NodeState):
-    """One node: its port, its process, and its answers to the fronts."""
+    """One node: its port, its process, and its answers to the front ends."""
 
     def __init__(
         self,
         name: str,
-        wing: str,
+        zone: str,
         cell: int,
         machine: Machine,
         site: SharedSettings,
         record: Record,
         rng: Random,
-        setup: tuple[int, int],
+        setup_duration_ns: tuple[int, int],
         clock: Callable[[], int],
-        wing_of: Callable[[str], str],
+        zone_of_front: Callable[[str], str],
     ) -> None:
-        """A node without a process; `listen` and `live` start one."""
-        super().__init__(name, wing, cell, machine, site, record, rng, setup, clock, wing_of)
+        """Creates a node without a running process; `listen` and `run_process` start one."""
+        super().__init__(
+            name, zone, cell, machine, site, record, rng, setup_duration_ns, clock, zone_of_front
+        )
         self.port = 0
-        self.scope: trio.CancelScope | None = None
-        self.streams: set[trio.SocketStream] = set()
+        self.process_scope: trio.CancelScope | None = None
+        self.connections: set[trio.SocketStream] = set()
 
     async def listen(self) -> list[trio.SocketListener]:
-        """Opens the node's port, the same one each time; while the node was dead, another program may have had it."""
+        """Opens the node's port, which stays the same from process to process."""
         for retries_left in range(LISTEN_RETRIES, -1, -1):
             try:
                 listeners = list(
@@ -82,87 +86,91 @@
         self.port = listeners[0].socket.getsockname()[1]
         return listeners
 
-    async def live(self, listeners: list[trio.SocketListener]) -> None:
-        """One life of the process, until it is killed."""
-        self.boots += 1
-        self.ran.clear()
-        self.up_since = trio.current_time()
-        self.ails.dead = self.ails.silent = self.ails.hung = False
-        self.record.note("start", node=self.name, process=self.process, cold=self.machine.cold)
+    async def run_process(self, listeners: list[trio.SocketListener]) -> None:
+        """Runs one process of the node until it is killed."""
+        self.start_count += 1
+        self.keys_by_front.clear()
+        self.process_started_at = trio.current_time()
+        self.faults.is_dead = False
+        self.faults.is_silent = False
+        self.faults.is_hung = False
+        self.record.note("start", node=self.name, process=self.process, cold=self.machine.is_cold)
         server = Server(
-            self.handle, ConnectionTable(ConnectionLimits(idle=IDLE_NS)), self.clock, self._failed
+            self.handle, ConnectionTable(ConnectionLimits(idle=IDLE_TIMEOUT_NS)), self.clock, self._failed
         )
 
         async def serve(stream: trio.SocketStream) -> None:
-            self.streams.add(stream)
+            self.connections.add(stream)
             try:
                 await server.serve(stream)
             finally:
-                self.streams.discard(stream)
+                self.connections.discard(stream)
 
-        with trio.CancelScope() as self.scope:
+        with trio.CancelScope() as self.process_scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send_media)
                 await trio.serve_listeners(serve, listeners)
 
     async def _send_media(self) -> None:
-        """RTP to every player that receives it, at the media clock's pace."""
-        with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as out:
+        """Sends RTP to every player that receives it, at each tick of the media clock."""
+        with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
             while True:
-                tick = rtp.tick(self.clock()) + 1
-                await trio.sleep(max(0.0, (tick * rtp.INTERVAL - self.clock()) / SECOND))
-                if self.ails.hung or self.ails.silent:
+                tick = rtp.media_tick(self.clock()) + 1
+                await trio.sleep(max(0.0, (tick * rtp.PACKET_INTERVAL_NS - self.clock()) / SECOND))
+                if self.faults.is_hung or self.faults.is_silent:
                     continue
                 for session in list(self.sessions.values()):
-                    await self._send_packet(out, session, tick)
+                    await self._send_packet(sock, session, tick)
 
-    async def _send_packet(self, out: trio.socket.SocketType, session: Session, tick: int) -> None:
+    async def _send_packet(self, sock: trio.socket.SocketType, session: Session, tick: int) -> None:
         stream = self.machine.streams.get(session.id)
-        if session.media is None or stream is None:  # it may have ended while others were sent to
+        if session.media_address is None or stream is None:  # ended while packets were sent to others
             return
-        packet = rtp.packet(session.sequence, tick, rtp.ssrc(session.id), self.clock(), stream.rung)
-        session.sequence += 1
+        packet = rtp.encode_packet(
+            session.next_rtp_sequence, tick, rtp.ssrc(session.id), self.clock(), stream.rung
+        )
+        session.next_rtp_sequence += 1
         try:
-            await out.sendto(packet, session.media)
+            await sock.sendto(packet, session.media_address)
         except OSError:
-            session.media = None
+            session.media_address = None
 
     def _failed(self, request: Request, error: BaseException) -> None:
         self.record.note("stand-in failed", node=self.name, path=request.path, error=repr(error))
 
     def kill(self) -> None:
-        """The process dies: every connection is reset, every playback ends."""
-        if self.ails.dead:
+        """Kills the process: resets every connection and ends every playback."""
+        if self.faults.is_dead:
             return
-        self.ails.dead = True
+        self.faults.is_dead = True
         playing = {session.front for session in self.sessions.values()}
-        listening = {front for front, ear in self.ears.items() if ear.send}
+        listening = {front for front, subscription in self.subscriptions.items() if subscription.channel}
         self.record.note("death", node=self.name, process=self.process, seen_by=sorted(playing | listening))
         for session in list(self.sessions):
             self.end_session(session, "death")
-        self.ears.clear()
-        for stream in list(self.streams):
-            reset(stream)
-        if self.scope is not None:
-            self.scope.cancel()
-        self.stir()
-
-    def look_for_lost_fronts(self) -> None:
-        """Ends what fronts play here whose stream has been gone for the lease."""
+        self.subscriptions.clear()
+        for stream in list(self.connections):
+            reset_connection(stream)
+        if self.process_scope is not None:
+            self.process_scope.cancel()
+        self.notify_changed()
+
+    def end_sessions_of_lost_fronts(self) -> None:
+        """Ends the sessions of front ends that have had no event stream for their lease."""
         end_sessions_of_lost_fronts(self)
 
     async def handle(self, request: Request) -> Response:
-        """One request of a front."""
+        """Answers one request of a front end."""
         front = front_of(request)
         if request.method == "POST" and not request.path.startswith(
             ("/sessions/", takeover_messages.SESSIONS_PATH)
         ):
             return await self.set_up(request, front)
-        while self.is_mute(front):
+        while self.cannot_reach(front):
             await self.changed.wait()
         if request.path.startswith("/events/"):
-            extend_lease(self, front, request)
-            return self.open_events(front)
+            store_lease(self, front, request)
+            return self.open_event_stream(front)
         if request.path == http_formats.LOAD_PATH and request.method == "GET":
             self.record.note("load asked", node=self.name, front=front)
             return Response(204, [(http_formats.LOAD_HEADER, http_formats.format_load_report(self.load()))])
@@ -170,31 +178,33 @@
             return answer_takeover(self, request)
         return self._handle_session(request, front)
 
-    def open_events(self, front: str) -> Response:
-        """Opens the event stream of a front."""
-        return open_stream(self, front)
+    def open_event_stream(self, front: str) -> Response:
+        """Opens the event stream of a front end."""
+        return open_event_stream(self, front)
 
     def _handle_session(self, request: Request, front: str) -> Response:
-        """A request for one session, by the front that holds it."""
-        _, _, name = request.path.partition("/sessions/")
-        name, _, part = name.partition("/")
-        session = self.sessions.get(name)
+        """Answers a request for one session, if it comes from the front end that holds it."""
+        _, _, subpath = request.path.partition("/sessions/")
+        session_id, _, resource = subpath.partition("/")
+        session = self.sessions.get(session_id)
         if session is None:
             return Response(404)
         caller = caller_of(request)
-        if not may_control(session.holder, caller) and not self.ails.trusts_all:
-            self.record.note("turned away", node=self.name, session=name, front=front, method=request.method)
+        if not may_control(session.holder, caller) and not self.faults.skips_holder_check:
+            self.record.note(
+                "turned away", node=self.name, session=session_id, front=front, method=request.method
+            )
             problem = http_formats.problem_body(
                 409, takeover_messages.NOT_HELD_PROBLEM, "another front has it"
             )
             return Response(409, [("Content-Type", http_formats.PROBLEM_MEDIA_TYPE)], problem)
         session.holder = replace(session.holder, generation=max(session.holder.generation, caller.generation))
         if request.method == "DELETE":
-            self.end_session(name, "deleted", front)
+            self.end_session(session_id, "deleted", front)
             return Response(200)
         if request.method == "PATCH":
             return _patch(request, session)
-        if part == "layer" and request.method == "POST":
+        if resource == "layer" and request.method == "POST":
             return self._change_rung(request, session, front)
         return Response(405)
 
@@ -204,85 +214,101 @@
             "rung", node=self.name, front=front, plan=session.plan, session=session.id, rung=rung
         )
         stream = self.machine.streams[session.id]
-        stream.rate, stream.rung = self.rate(session.plan, session.title, rung), rung
+        stream.rate = self.stream_rate(session.plan, session.title, rung)
+        stream.rung = rung
         return Response(204)
 
     async def set_up(self, request: Request, front: str) -> Response:
-        """Sets up a session, and puts on record how that ended, also where the front went away."""
+        """Sets up a session and records the outcome, also if the front end closes the connection meanwhile."""
         key = http_formats.parse_idempotency_key(request.header("idempotency-key") or "") or ""
-        plan, title = self.plan_of(request.path)
+        plan, title = self.plan_and_title(request.path)
         rung = int(request.query_parameter("encodingId") or 0)
         catalogue = int(request.header(http_formats.CATALOGUE_HEADER.lower()) or 0)
-        self.numbers += 1
-        number = f"{self.process}.{self.numbers}"
-        self.record.note("setup", node=self.name, id=number, front=front, key=key, plan=plan, title=title,
-                         rung=rung, catalogue=catalogue)  # fmt: skip
-        session = Session(number.replace(".", "-"), front, key, plan, title, number=self.numbers)
+        self.setup_count += 1
+        setup_id = f"{self.process}.{self.setup_count}"
+        self.record.note(
+            "setup",
+            node=self.name,
+            id=setup_id,
+            front=front,
+            key=key,
+            plan=plan,
+            title=title,
+            rung=rung,
+            catalogue=catalogue,
+        )
+        session_id = setup_id.replace(".", "-")
+        session = Session(session_id, front, key, plan, title, setup_number=self.setup_count)
         answered = False
         try:
-            response = await self._answer(request, session, number, rung)
+            response = await self._answer(request, session, setup_id, rung)
             answered = True
         finally:
             if not answered:
-                self.record.note("broken", node=self.name, id=number, key=key)
-        how = http_formats.problem_type(response.body) if response.status != CREATED else ""
-        self.record.note("answer", node=self.name, id=number, key=key, status=response.status, problem=how)
+                self.record.note("broken", node=self.name, id=setup_id, key=key)
+        problem = http_formats.problem_type(response.body) if response.status != CREATED else ""
+        self.record.note(
+            "answer", node=self.name, id=setup_id, key=key, status=response.status, problem=problem
+        )
         return response
 
-    async def _answer(self, request: Request, session: Session, number: str, rung: int) -> Response:
-        """The answer to a set-up, which may be late, lost, or the process's last."""
-        front = session.front  # by the time of the answer, another may have taken the session over
-        while self.is_mute(front):
+    async def _answer(self, request: Request, session: Session, setup_id: str, rung: int) -> Response:
+        """Answers a set-up. The answer may be late or lost, or the set-up may crash the process."""
+        front = session.front  # another front end may take the session over before the answer is sent
+        while self.cannot_reach(front):
             await self.changed.wait()
-        if not self.machine.knock(self.clock()):
+        if not self.machine.admit_setup(self.clock()):
             self.record.note("fell", node=self.name, process=self.process)
             self.kill()
             await trio.sleep_forever()
         if not session.plan:
             return Response(404)
-        if self.ails.draining:
-            return self._refused(PROBLEM_DRAINING, "draining")
+        if self.faults.is_draining:
+            return self._reject(PROBLEM_DRAINING, "draining")
         if not self.machine.has_room():
-            return self._refused(PROBLEM_FULL, "full")
+            return self._reject(PROBLEM_FULL, "full")
         offer = sdp.parse(request.body.decode())
-        await self._work()
-        session.media, session.holder = rtp.receiver(offer), caller_of(request)
+        await self._wait_setup_duration()
+        session.media_address = rtp.media_address(offer)
+        session.holder = caller_of(request)
         session.memo = (request.header(takeover_messages.MEMO_HEADER.lower()) or "")[
             : takeover_messages.MAX_MEMO_LENGTH
         ]
-        session.answer = sdp.create_answer(offer, self.numbers, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
+        session.answer = sdp.create_answer(offer, self.setup_count, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
         self.start_session(session, rung)
-        extend_lease(self, front, request)
-        while self.ails.hung or self.is_mute(front):
+        store_lease(self, front, request)
+        while self.faults.is_hung or self.cannot_reach(front):
             await self.changed.wait()
-        if self.rng.random() < self.ails.lost_share:
-            self.record.note("answer lost", node=self.name, id=number, key=session.key)
+        if self.rng.random() < self.faults.lost_answer_share:
+            self.record.note("answer lost", node=self.name, id=setup_id, key=session.key)
             await trio.sleep_forever()
         return self._created(session, front)
 
-    async def _work(self) -> None:
-        """Takes the time that a set-up takes here; it uses a place meanwhile."""
-        self.machine.waiting += 1
+    async def _wait_setup_duration(self) -> None:
+        """Waits as long as a set-up takes, which counts against the node's capacity meanwhile."""
+        self.machine.pending_setups += 1
         try:
-            slowness = min(MOST_SLOWNESS, self.machine.slowness)
-            await trio.sleep(self.rng.uniform(*self.setup) / SECOND * slowness)
+            slowdown = min(MAX_SETUP_SLOWDOWN, self.machine.slowdown)
+            await trio.sleep(self.rng.uniform(*self.setup_duration_ns) / SECOND * slowdown)
         finally:
-            self.machine.waiting -= 1
+            self.machine.pending_setups -= 1
 
     def _created(self, session: Session, front: str) -> Response:
-        here = f"/sessions/{session.id}"
+        path = f"/sessions/{session.id}"
         headers = [
-            ("Content-Type", sdp.MEDIA_TYPE), ("Location", here), ("ETag", f'"{session.tag}"'),
+            ("Content-Type", sdp.MEDIA_TYPE),
+            ("Location", path),
+            ("ETag", f'"{session.entity_tag}"'),
             ("Link", http_formats.format_link(f"/events/{front}", http_formats.REL_EVENTS)),
-            ("Link", http_formats.format_link(f"{here}/layer", http_formats.REL_LAYER)),
+            ("Link", http_formats.format_link(f"{path}/layer", http_formats.REL_LAYER)),
             (http_formats.LOAD_HEADER, http_formats.format_load_report(self.load())),
-        ]  # fmt: skip
+        ]
         body = session.answer.encode()
         return Response(
             201, headers, body, on_unsent=lambda: self.end_session(session.id, "answer not taken")
         )
 
-    def _refused(self, kind: str, title: str) -> Response:
+    def _reject(self, kind: str, title: str) -> Response:
         headers = [
             ("Content-Type", http_formats.PROBLEM_MEDIA_TYPE),
             (http_formats.LOAD_HEADER, http_formats.format_load_report(self.load())),
@@ -291,19 +317,21 @@
 
 
 def _patch(request: Request, session: Session) -> Response:
-    """Trickle ICE, or an ICE restart (RFC 9725, section 4.3)."""
+    """Answers a trickle ICE fragment or an ICE restart (RFC 9725, section 4.3)."""
     fragment = sdp.parse_fragment(request.body.decode())
     if request.header("if-match") == "*":
-        session.tag += 1
-        body = f"a=ice-ufrag:new{session.tag:05d}\r\na=ice-pwd:{'C' * 24}\r\n".encode()
-        return Response(200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{session.tag}"')], body)
-    if request.header("if-match") != f'"{session.tag}"':
+        session.entity_tag += 1
+        body = f"a=ice-ufrag:new{session.entity_tag:05d}\r\na=ice-pwd:{'C' * 24}\r\n".encode()
+        return Response(
+            200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{session.entity_tag}"')], body
+        )
+    if request.header("if-match") != f'"{session.entity_tag}"':
         return Response(PRECONDITION_FAILED)
     return Response(204 if fragment.candidates or fragment.ended else 400)
 
 
-def reset(stream: trio.SocketStream) -> None:
-    """Closes a connection so that its peer sees a reset."""
+def reset_connection(stream: trio.SocketStream) -> None:
+    """Closes a connection with a TCP reset."""
     try:
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         stream.socket.close()
--- a/oakcroft/standins/takeover.py
+++ b/oakcroft/standins/takeover.py
@@ -1,4 +1,4 @@
-"""Sessions that outlive their front: what a node offers to those that would take over, and how it hands it on."""
+"""Takeover of sessions at an emulated node: which sessions it offers to a front end, and how they change their holder."""
 
 from __future__ import annotations
 
@@ -10,92 +10,107 @@
 from oakcroft.decisions.fleet.session_ownership import Caller, TakeoverAnswer, check_takeover
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.signalling import takeover_messages
-from oakcroft.standins.node_state import KEYS_KEPT_SECONDS, NodeState, Session, caller_of
+from oakcroft.standins.node_state import KEY_RETENTION_SECONDS, NodeState, Session, caller_of
 
-MOST_LISTING_OCTETS = 200_000
-"""Of one answer to a front that would take over."""
+MAX_LISTING_BYTES = 200_000
+"""Size of one page of sessions that may be taken over."""
 
-SESSION_OVERHEAD_OCTETS = 1_000
-"""What a session takes in a listing beside its answer and its memo, at most."""
+SESSION_OVERHEAD_BYTES = 1_000
+"""Upper bound on the size of a session in a page beside its answer and its memo."""
 
-MOST_PASSED = 1_024
-"""Sessions of one front of which a node still tells it that others took them over."""
+MAX_TAKEN_OVER = 1_024
+"""Sessions taken over from one front end that a node still reports to it."""
 
 JSON = ("Content-Type", "application/json")
 
 
 def answer_takeover(node: NodeState, request: Request) -> Response:
     """Answers a request to `SESSIONS_PATH`: a GET lists what may be taken over, a POST takes some of it."""
-    return _take(node, request) if request.method == "POST" else _offer(node, request)
+    return _take_over(node, request) if request.method == "POST" else _list_offers(node, request)
 
 
-def _offer(node: NodeState, request: Request) -> Response:
-    """One page of what may be taken over of the fronts that are named, and how each of them stands as far as it goes."""
+def _list_offers(node: NodeState, request: Request) -> Response:
+    """Answers with one page of sessions that may be taken over from the named front ends, and their states so far."""
     caller = caller_of(request)
-    asked = [unquote(name) for name in (request.query_parameter("of") or "").split(",") if name][
+    holders = [unquote(name) for name in (request.query_parameter("of") or "").split(",") if name][
         : takeover_messages.MAX_FRONTS_PER_REQUEST
     ]
     after = int(request.query_parameter("after") or 0)
-    states = dict.fromkeys(asked, TakeoverAnswer.ALLOWED.value)
-    page, going_on, room, last = list[takeover_messages.OfferedSession](), "", MOST_LISTING_OCTETS, 0
-    for session in sorted(node.sessions.values(), key=lambda session: session.number):
+    states = dict.fromkeys(holders, TakeoverAnswer.ALLOWED.value)
+    page: list[takeover_messages.OfferedSession] = []
+    next_page = ""
+    bytes_left = MAX_LISTING_BYTES
+    last_number = 0
+    for session in sorted(node.sessions.values(), key=lambda session: session.setup_number):
         if session.holder.member not in states or not session.memo:
             continue
-        word = _may_take(node, session, caller)
-        if word is not TakeoverAnswer.ALLOWED:
-            states[session.holder.member] = word.value
+        answer = _check_takeover(node, session, caller)
+        if answer is not TakeoverAnswer.ALLOWED:
+            states[session.holder.member] = answer.value
             continue
-        if session.number <= after:
+        if session.setup_number <= after:
             continue
-        room -= len(session.answer) + len(session.memo) + SESSION_OVERHEAD_OCTETS
-        if len(page) == takeover_messages.MAX_SESSIONS_PER_PAGE or room < 0:
-            going_on = str(last)
+        bytes_left -= len(session.answer) + len(session.memo) + SESSION_OVERHEAD_BYTES
+        if len(page) == takeover_messages.MAX_SESSIONS_PER_PAGE or bytes_left < 0:
+            next_page = str(last_number)
             break
-        last = session.number
-        page.append(_offered(node, session))
-    body = msgspec.json.encode(takeover_messages.SessionListing(states, page, going_on))
+        last_number = session.setup_number
+        page.append(_offer(node, session))
+    body = msgspec.json.encode(takeover_messages.SessionListing(states, page, next_page))
     return Response(200, [JSON, ("Cache-Control", "no-store")], body)
 
 
-def _offered(node: NodeState, session: Session) -> takeover_messages.OfferedSession:
-    rung, path = node.machine.streams[session.id].rung, f"/sessions/{session.id}"
-    tag, holder = str(session.tag), session.holder.member
+def _offer(node: NodeState, session: Session) -> takeover_messages.OfferedSession:
+    path = f"/sessions/{session.id}"
+    rung = node.machine.streams[session.id].rung
+    tag = str(session.entity_tag)
     return takeover_messages.OfferedSession(
-        path, session.key, holder, rung, tag, session.memo, session.answer
+        path, session.key, session.holder.member, rung, tag, session.memo, session.answer
     )
 
 
-def _may_take(node: NodeState, session: Session, caller: Caller) -> TakeoverAnswer:
-    ear = node.ears.get(caller.pseudonym)
-    listens = ear is not None and ear.send is not None
-    return check_takeover(session.holder, caller, node.away(session.front), listens)
+def _check_takeover(node: NodeState, session: Session, caller: Caller) -> TakeoverAnswer:
+    subscription = node.subscriptions.get(caller.pseudonym)
+    is_connected = subscription is not None and subscription.channel is not None
+    return check_takeover(session.holder, caller, node.disconnected_for(session.front), is_connected)
 
 
-def _take(node: NodeState, request: Request) -> Response:
-    """Hands sessions over to a front; all that may be, in one step of this node."""
+def _take_over(node: NodeState, request: Request) -> Response:
+    """Hands over to the caller all requested sessions that it may take over, without yielding to other tasks."""
     caller = caller_of(request)
     try:
-        wanted = takeover_messages.SELECTION_DECODER.decode(request.body).sessions
+        requested = takeover_messages.SELECTION_DECODER.decode(request.body).sessions
     except msgspec.MsgspecError:
         return Response(400)
-    given = []
-    for path in wanted:
+    taken = []
+    for path in requested:
         session = node.sessions.get(path.removeprefix("/sessions/"))
         if session is None:
             continue
-        if node.ails.trusts_all or _may_take(node, session, caller) is TakeoverAnswer.ALLOWED:
-            _pass_on(node, session, path, caller)
-            given.append(path)
-    return Response(200, [JSON], msgspec.json.encode(takeover_messages.SessionSelection(given)))
-
-
-def _pass_on(node: NodeState, session: Session, path: str, caller: Caller) -> None:
-    before = session.front
-    passed = node.ear_of(before).passed
-    passed.append((trio.current_time(), path))
-    while len(passed) > MOST_PASSED or passed[0][0] < trio.current_time() - KEYS_KEPT_SECONDS:
-        passed.popleft()
-    session.front, session.holder = caller.pseudonym, caller
-    node.keys_ran(caller.pseudonym).append((trio.current_time(), session.key))
-    node.record.note("passed", node=node.name, session=session.id, key=session.key, plan=session.plan,
-                     title=session.title, before=before, front=caller.pseudonym, start=caller.generation)  # fmt: skip
+        is_allowed = _check_takeover(node, session, caller) is TakeoverAnswer.ALLOWED
+        if is_allowed or node.faults.skips_holder_check:
+            _change_holder(node, session, path, caller)
+            taken.append(path)
+    return Response(200, [JSON], msgspec.json.encode(takeover_messages.SessionSelection(taken)))
+
+
+def _change_holder(node: NodeState, session: Session, path: str, caller: Caller) -> None:
+    previous_front = session.front
+    taken_over = node.subscription_of(previous_front).taken_over
+    taken_over.append((trio.current_time(), path))
+    while len(taken_over) > MAX_TAKEN_OVER or taken_over[0][0] < trio.current_time() - KEY_RETENTION_SECONDS:
+        taken_over.popleft()
+    session.front = caller.pseudonym
+    session.holder = caller
+    node.recent_keys(caller.pseudonym).append((trio.current_time(), session.key))
+    node.record.note(
+        "passed",
+        node=node.name,
+        session=session.id,
+        key=session.key,
+        plan=session.plan,
+        title=session.title,
+        before=previous_front,
+        front=caller.pseudonym,
+        start=caller.generation,
+    )
