--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -446,6 +446,9 @@
         Covers uplinks with less than the mean capacity, which no load report shows, and any other bottleneck that
         several nodes share. Drawback: a rack whose links are all overloaded looks like an overloaded uplink until the
         correction has decayed.
+
+        Only listed nodes count, as the rate that the uplink is taken to carry is theirs. Where none of them plays, which
+        happens to a node that has left the list, nothing is known of the uplink: the node's own link is the cause.
         """
         rack = node.rack
         shares = [
@@ -453,7 +456,7 @@
             for n in rack.nodes
             if n.playbacks
         ]
-        best_share = max(shares)
+        best_share = max(shares, default=1.0)
         # The report is late and describes an earlier moment.
         carried_rate = max(rack.carried_rate, *rack.recent_carried_rates)
         link_load = max([node.estimated_load, *node.load_samples[-RECENT_SAMPLES:]])
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -316,6 +316,22 @@
     assert harness.final_answers(playback) == []
 
 
+def test_short_delivery_of_a_node_that_left_the_list_is_due_to_its_own_link() -> None:
+    """Where no listed node of the rack plays, short delivery says nothing of the uplink: it is the link's."""
+    for share, inferred_load in ((0.7, 1 / 0.7), (1.0, 0.0)):
+        harness = ControllerHarness()
+        playback = hand_over(harness, 0)
+        left, idle_neighbour = harness.nodes.pop(0), harness.nodes[1]
+        harness.apply_list(NodeListKind.WHOLE)
+        assert left.rack is idle_neighbour.rack
+        neighbour_load = idle_neighbour.estimated_load
+        harness.controller.on_metric(playback, PlaybackMetric.DELIVERED_SHARE, share, harness.now)
+        assert left.rack.uplink_correction == 1.0
+        assert left.reported_load == inferred_load
+        assert left.delivered_share == share
+        assert idle_neighbour.estimated_load == neighbour_load
+
+
 def test_subscription_is_renewed_only_after_a_failure() -> None:
     """A working subscription is not renewed."""
     harness = ControllerHarness(terms=replace(TERMS, must_subscribe=True), warm=False)
