--- a/oakcroft/front/durable_state.py
+++ b/oakcroft/front/durable_state.py
@@ -134,6 +134,12 @@
             return
         if earlier is not None and earlier.mark is PromiseState.GONE:
             return
+        if (
+            earlier is not None
+            and earlier.mark is PromiseState.ABORTED
+            and promise.mark is PromiseState.PLAYS
+        ):
+            return  # a session that was taken over again after its end here: its key stays aborted
         transition(earlier, promise)
         if promise.mark is PromiseState.GONE:
             self.promises.pop(promise.id, None)
