--- a/oakcroft/decisions/state/promise.py
+++ b/oakcroft/decisions/state/promise.py
@@ -111,6 +111,17 @@
     return replace(promise, mark=mark, changed=now)
 
 
+def after_failed_takeover(promise: Promise, was_refused: bool, now: int) -> Promise:
+    """Returns the promise after a takeover that has left this front end no session to serve. `now`: ns.
+
+    `was_refused`: the node did not hand the session over, so that nothing of it binds this front end. Otherwise the
+    session was, or may have been, handed over and has ended since: a key that must not repeat aborts.
+    """
+    is_binding = promise.must_not_repeat and not was_refused
+    mark = PromiseState.ABORTED if is_binding else PromiseState.GONE
+    return replace(promise, mark=mark, answer="", changed=now)
+
+
 def has_expired(promise: Promise, retention: int, now: int) -> bool:
     """Whether a promise need not be kept any longer. Times in ns.
 
--- a/oakcroft/front/durable_state.py
+++ b/oakcroft/front/durable_state.py
@@ -35,6 +35,7 @@
     PromiseState,
     Promise,
     after_answer,
+    after_failed_takeover,
     after_try,
     transition,
     needs_durable_intent,
@@ -158,8 +159,11 @@
         """The promise to record for a playing session, whether newly set up or moved to another node."""
         if session.upstream is None or session.playback.node is None:
             return None
-        upstream = session.upstream
-        promise = self._intent_promise(session, session.upstream.node, session.playback.rung)
+        return self._promise_on_upstream(session, session.upstream)
+
+    def _promise_on_upstream(self, session: PlaybackSession, upstream: UpstreamSession) -> Promise:
+        """The promise for a session that plays as a session on a node."""
+        promise = self._intent_promise(session, upstream.node, session.playback.rung)
         return replace(
             promise,
             mark=PromiseState.PLAYS,
@@ -320,6 +324,46 @@
         ):
             self._record_complete_state()
 
+    # Takeover of sessions of failed front ends.
+
+    def takeover_started(self, session: PlaybackSession, upstream: UpstreamSession) -> Promise | None:
+        """Returns the promise that must be recorded before a node hands a session over; None where none must be.
+
+        `upstream` is the session on the node, as it will be after the hand-over. A session of which there is a record
+        already keeps that record, and while the state file has not been read yet it may hold one: nothing is recorded
+        before the hand-over in either case.
+        """
+        if not needs_durable_intent(session.playback.plan):
+            return None
+        if session.id in self.promises or not self.store.is_read:
+            return None
+        promise = transition(None, self._promise_on_upstream(session, upstream))
+        self.promises[promise.id] = promise
+        return promise
+
+    async def record_takeovers(self, promises: Iterable[Promise]) -> None:
+        """Records sessions that are to be taken over, all at the same time; the wait is bounded.
+
+        Returns also where that did not succeed: their viewers play, so they are taken over all the same.
+        """
+        async with trio.open_nursery() as nursery:
+            for promise in promises:
+                nursery.start_soon(self._record_takeover, promise)
+
+    async def _record_takeover(self, promise: Promise) -> None:
+        """Records a session that is to be taken over, or leaves its record to a later commit."""
+        if not await self.store.write_durably(PutPromise(promise)):
+            self.log.warning("answer not on record", playback=promise.id, plan=promise.plan)
+            self.store.enqueue(PutPromise(promise))
+
+    def takeover_failed(self, promise: Promise, was_refused: bool) -> None:
+        """Withdraws the record of a session that was not handed over (`was_refused`) or has ended meanwhile."""
+        now = self.coordinator.clock.now()
+        updated = after_failed_takeover(promise, was_refused, now)
+        self.update_promise(updated)
+        if updated.mark is PromiseState.ABORTED:
+            self._restore_aborted_key(updated, now)
+
     # Startup.
 
     def restore(self, stored: StateContents | None) -> None:
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -2,14 +2,16 @@
 
 The decisions are in decisions/fleet/session_takeover.py and, for the node, session_ownership.py; docs/adopting.md has
 the design. One request to a node: opens its event stream; lists its sessions of failed front ends; restores those that
-can be served here, so that seats and loads are counted before the front end is responsible for them; takes them over at
-the node; drops those that the node gave to another front end.
+can be served here, so that seats and loads are counted before the front end is responsible for them; records those whose
+plan requires it, so that a restart does not forget their keys; takes them over at the node; drops those that the node
+gave to another front end.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from functools import partial
 
 import structlog
@@ -39,6 +41,23 @@
 MAX_PAGES_PER_REQUEST = 64  # of one node's list in one request; the second round asks for the rest
 
 
+@dataclass(frozen=True)
+class ChosenSession:
+    """A session that this front end asks a node to hand over."""
+
+    offered: handing.Offered
+    """The node's offer."""
+
+    session: PlaybackSession
+    """The restored session, whose seat and load count already."""
+
+    upstream: UpstreamSession
+    """The session on the node, as it will be after the hand-over."""
+
+    promise: Promise | None
+    """The record that is written before the hand-over; None where none is."""
+
+
 class TakeoverRunner:
     """Runs session takeover on one front end."""
 
@@ -147,7 +166,7 @@
 
     async def _adopt(self, node_client: NodeClient, offered: list[handing.Offered]) -> None:
         """Takes over the offered sessions that can be served here."""
-        chosen: dict[str, tuple[handing.Offered, PlaybackSession]] = {}
+        chosen: dict[str, ChosenSession] = {}
         done = trio.Event()
 
         def choose() -> None:
@@ -155,7 +174,7 @@
             for offered_session in offered:
                 decision, session = self._restore_offered(node_client, offered_session)
                 if session is not None:
-                    chosen[offered_session.session] = offered_session, session
+                    chosen[offered_session.session] = self._choose(node_client, offered_session, session)
                 else:
                     self._count_declined(offered_session.front, decision)
             done.set()
@@ -164,13 +183,40 @@
         await done.wait()
         if not chosen:
             return
-        given: set[str] | None = None
+        given: set[str] | None = set()  # no session is handed over before the node is asked
         try:
+            await self._record_promises(chosen.values())
+            given = None
             given = await node_client.take_over(list(chosen))
         finally:
             with trio.CancelScope(shield=True):
                 await self.coordinator.submit(partial(self._finish_adoption, node_client, chosen, given))
 
+    def _choose(
+        self, node_client: NodeClient, offered: handing.Offered, session: PlaybackSession
+    ) -> ChosenSession:
+        """Prepares the takeover of a restored session."""
+        upstream = UpstreamSession(
+            node_client.name,
+            offered.session,
+            f"/events/{self.coordinator.pseudonym}",
+            f"{offered.session}/layer",
+            offered.tag,
+            offered.answer,
+        )
+        durable_state = self.coordinator.durable_state
+        promise = durable_state.takeover_started(session, upstream) if durable_state is not None else None
+        return ChosenSession(offered, session, upstream, promise)
+
+    async def _record_promises(self, chosen: Iterable[ChosenSession]) -> None:
+        """Writes the records of chosen sessions that must be durable before the node hands the sessions over.
+
+        Otherwise a front end that is killed right after the hand-over would not know the keys of its sessions.
+        """
+        promises = [chosen_session.promise for chosen_session in chosen if chosen_session.promise is not None]
+        if promises and self.coordinator.durable_state is not None:
+            await self.coordinator.durable_state.record_takeovers(promises)
+
     def _forget_ended(self) -> None:
         """Drops adopted sessions that have ended."""
         self.adopted_playbacks = {
@@ -247,60 +293,28 @@
         return TakeoverDecision.ACCEPTED, session
 
     def _finish_adoption(
-        self,
-        node_client: NodeClient,
-        chosen: dict[str, tuple[handing.Offered, PlaybackSession]],
-        given: set[str] | None,
+        self, node_client: NodeClient, chosen: dict[str, ChosenSession], given: set[str] | None
     ) -> None:
         """Keeps the sessions that the node has given and ends the others.
 
         `given` is None if the node's answer was lost; its event stream is then reopened, whose start lists the sessions.
         """
         coordinator = self.coordinator
-        for resource, (offered, session) in chosen.items():
-            if (
+        for resource, chosen_session in chosen.items():
+            session = chosen_session.session
+            was_refused = given is not None and resource not in given
+            has_ended = (
                 session.playback not in coordinator.sessions_by_playback
                 or session.playback.state is not PlaybackState.PLAYING
-            ):
+            )
+            if not (was_refused or has_ended):
+                self._keep_session(node_client, chosen_session)
                 continue
-            if given is not None and resource not in given:
+            if not has_ended:
                 self.adopted_playbacks.pop(session.id, None)
                 coordinator.playback_ended(session, Outcome.WITHDRAWN)
-                continue
-            layer_path = f"{offered.session}/layer"
-            attach_to_node(
-                coordinator,
-                session,
-                node_client,
-                UpstreamSession(
-                    node_client.name,
-                    offered.session,
-                    f"/events/{coordinator.pseudonym}",
-                    layer_path,
-                    offered.tag,
-                    offered.answer,
-                ),
-            )
-            # A key that was aborted because nodes told of it while the state file was lost stays aborted.
-            if coordinator.durable_state is None or not coordinator.durable_state.is_learned_key(session.key):
-                is_paid = session.plan.plan.effect is not Effect.FREE
-                coordinator.idempotency_store.restore(
-                    session.key,
-                    session.fingerprint,
-                    is_paid,
-                    FinalAnswer.PLAYS,
-                    session,
-                    coordinator.clock.now(),
-                )
-            if coordinator.durable_state is not None:
-                coordinator.durable_state.answer_given(session, FinalAnswer.PLAYS)
-            if session.publishes:
-                self.on_published(session)
-            if session.playback.rung > session.playback.top_rung:
-                coordinator.set_rung_bound(session, session.playback.top_rung)
-            self.adopted_counts[offered.front] += 1
-            if (failed_front := self.takeover.failed_fronts.get(offered.front)) is not None:
-                failed_front.adopted += 1
+            if chosen_session.promise is not None and coordinator.durable_state is not None:
+                coordinator.durable_state.takeover_failed(chosen_session.promise, was_refused)
         if given is None:
             node_client.reopen_stream()
         else:
@@ -312,6 +326,33 @@
                 held=len(self.adopted_playbacks),
             )
 
+    def _keep_session(self, node_client: NodeClient, chosen_session: ChosenSession) -> None:
+        """Serves a session that the node has handed over."""
+        coordinator = self.coordinator
+        session = chosen_session.session
+        attach_to_node(coordinator, session, node_client, chosen_session.upstream)
+        # A key that was aborted because nodes told of it while the state file was lost stays aborted.
+        if coordinator.durable_state is None or not coordinator.durable_state.is_learned_key(session.key):
+            is_paid = session.plan.plan.effect is not Effect.FREE
+            coordinator.idempotency_store.restore(
+                session.key,
+                session.fingerprint,
+                is_paid,
+                FinalAnswer.PLAYS,
+                session,
+                coordinator.clock.now(),
+            )
+        if coordinator.durable_state is not None:
+            coordinator.durable_state.answer_given(session, FinalAnswer.PLAYS)
+        if session.publishes:
+            self.on_published(session)
+        if session.playback.rung > session.playback.top_rung:
+            coordinator.set_rung_bound(session, session.playback.top_rung)
+        front_name = chosen_session.offered.front
+        self.adopted_counts[front_name] += 1
+        if (failed_front := self.takeover.failed_fronts.get(front_name)) is not None:
+            failed_front.adopted += 1
+
     def status(self) -> dict[str, object]:
         """Counts and failed front ends, for operators."""
         takeover = self.takeover
