--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -71,18 +71,20 @@
         """A datagram has come."""
         assert isinstance(message, FlatDatagram)
         out = message.message
-        self.view.heard(message.sender, out.kind, out.sequence, out.to, out.target, out.updates, now)
+        self.view.receive_message(
+            message.sender, out.kind, out.sequence, out.to, out.target, out.updates, now
+        )
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
         """Another's whole list has come: this one's goes back, as it is after taking that in."""
         self.receive_reply(message, now)
-        mine = self.view.whole()
+        mine = self.view.full_state()
         return StreamReply(mine, self._sizes.whole(mine))
 
     def receive_reply(self, message: object, now: int) -> None:
         """A whole list has come."""
         assert isinstance(message, list)
-        self.view.exchanged(message[0], message, now)
+        self.view.receive_full_state(message[0], message, now)
 
     def leave(self, now: int) -> None:
         """Says that this front end leaves."""
@@ -97,7 +99,7 @@
 
     def _outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
-            mine = self.view.whole()
+            mine = self.view.full_state()
             return Outgoing(message.address, mine, self._sizes.whole(mine), True)
         me = self.view.me
         message, octets = self._sizes.fitted(me, message)
@@ -113,7 +115,7 @@
 
     def lists(self, member: str) -> bool:
         """Whether a member is taken to be there."""
-        return self.view.standing(member) in (MemberState.ALIVE, MemberState.SUSPECTED)
+        return self.view.state_of(member) in (MemberState.ALIVE, MemberState.SUSPECTED)
 
     def size(self) -> int:
         """Entries in its list of members."""
@@ -149,7 +151,7 @@
         everybody = [membership.view.me for membership in flat]
         for position, membership in enumerate(flat):
             other = everybody[position - 1]
-            membership.view.exchanged(other, everybody, now)
+            membership.view.receive_full_state(other, everybody, now)
             membership.view.table.queue.pending.clear()
             membership.view.push_pull.wanted.clear()
 
--- a/benchmarks/capacity/fleet_flat_sizes.py
+++ b/benchmarks/capacity/fleet_flat_sizes.py
@@ -11,8 +11,8 @@
 
 from oakcroft.decisions.membership.member import MemberUpdate
 from oakcroft.decisions.membership.messages import Message
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
-from oakcroft.peerwire.push_pull_stream import LENGTH_OCTETS, MAX_PARTS, UPDATES_A_PART
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
+from oakcroft.peerwire.push_pull_stream import LENGTH_OCTETS, MAX_PARTS, UPDATES_PER_PART
 from oakcroft.peerwire.sealing import SEAL_LENGTH
 
 FORMAT_OCTETS = 1
@@ -101,7 +101,7 @@
         )
         fitting = len(message.updates)
         updates = sum(map(self.update, message.updates))
-        while fitting and octets + array_octets(fitting) + updates > MAX_DATAGRAM:
+        while fitting and octets + array_octets(fitting) + updates > MAX_DATAGRAM_BYTES:
             fitting -= 1
             updates -= self.update(message.updates[fitting])
         return octets + array_octets(fitting) + updates, fitting
@@ -115,11 +115,11 @@
 
     def whole(self, news: Sequence[MemberUpdate]) -> int:
         """The octets of a whole list by stream, the sender's own word first."""
-        sender, rest = news[0], news[1 : 1 + MAX_PARTS * UPDATES_A_PART]
+        sender, rest = news[0], news[1 : 1 + MAX_PARTS * UPDATES_PER_PART]
         each = self._base + self.update(sender) + 1 + 1 + 1 + 1 + 1  # kind, to, its start, about, more
         octets = 0
-        for number in range(max(1, -(-len(rest) // UPDATES_A_PART))):
-            part = rest[number * UPDATES_A_PART : (number + 1) * UPDATES_A_PART]
+        for number in range(max(1, -(-len(rest) // UPDATES_PER_PART))):
+            part = rest[number * UPDATES_PER_PART : (number + 1) * UPDATES_PER_PART]
             octets += LENGTH_OCTETS + each + integer_octets(number) + array_octets(len(part))
             octets += sum(map(self.update, part))
         return octets
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -24,7 +24,7 @@
 from oakcroft.decisions.membership.member_table import PRESENT_STATES, StateChange
 from oakcroft.decisions.membership.messages import Message, MessageKind
 from oakcroft.decisions.membership.zone_directory import RemoteState, ZoneChange
-from oakcroft.decisions.membership.zone_messages import ZoneMessage, ZoneOut
+from oakcroft.decisions.membership.zone_messages import ZoneMessage, OutgoingZoneMessage
 from oakcroft.decisions.membership.zone_placement import ZonePlacement, ZoneSeeds
 from oakcroft.decisions.membership.zone_summary import ZoneContact
 from oakcroft.peerwire.membership_codec import MembershipCodec
@@ -102,11 +102,11 @@
     def receive(self, message: object, now: int) -> None:
         """A datagram has come, of the zone or from another."""
         if isinstance(message, ZoneDatagram):
-            self.membership.heard_zone(message.sender, message.message, now)
+            self.membership.receive_zone_message(message.sender, message.message, now)
             return
         assert isinstance(message, FlatDatagram)
         flat = message.message
-        self.membership.heard(
+        self.membership.receive_message(
             message.sender, flat.kind, flat.sequence, flat.to, flat.target, flat.updates, now
         )
 
@@ -116,13 +116,13 @@
             return None
         assert isinstance(message, list)
         self.receive_reply(message, now)
-        mine = self.membership.whole(message)
+        mine = self.membership.full_state(message)
         return StreamReply(mine, self._fleet.flat_sizes.whole(mine))
 
     def receive_reply(self, message: object, now: int) -> None:
         """A whole table has come."""
         assert isinstance(message, list)
-        self.membership.exchanged(message[0], message, now)
+        self.membership.receive_full_state(message[0], message, now)
 
     def leave(self, now: int) -> None:
         """Says that this front end leaves."""
@@ -138,7 +138,7 @@
             for message in messages
         ]
 
-    def _zone_outgoing(self, out: ZoneOut) -> Outgoing:
+    def _zone_outgoing(self, out: OutgoingZoneMessage) -> Outgoing:
         me = self.membership.local.me
         if me.generation != self._contact.generation:
             self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
@@ -147,7 +147,7 @@
 
     def _flat_outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
-            mine = self.membership.whole()
+            mine = self.membership.full_state()
             return Outgoing(message.address, mine, self._fleet.flat_sizes.whole(mine), True)
         me = self.membership.local.me
         message, octets = self._fleet.flat_sizes.fitted(me, message)
@@ -186,7 +186,7 @@
         """Whether a member is taken to be there."""
         zone = self._fleet.zone_of_name[member]
         if zone == self._zone:
-            return self.membership.standing(member) in PRESENT_STATES
+            return self.membership.state_of(member) in PRESENT_STATES
         return self.membership.remote_state(zone, member) not in ABSENT_REMOTELY
 
     def size(self) -> int:
--- a/benchmarks/capacity/measure_rollout.py
+++ b/benchmarks/capacity/measure_rollout.py
@@ -82,7 +82,7 @@
         if plan.stage in FINAL_STAGES:
             to = self.rollout.unconfirmed_fronts(to, self.now)
         word = Order(CATALOGUE_LEASE, 7, plan.step, encode_plan(plan))
-        orders = [self.codec.order(self.names[0], 1, word) for _ in to]
+        orders = [self.codec.encode_order(self.names[0], 1, word) for _ in to]
         self.processor += time.process_time() - began
         for name, octets in zip(to, orders, strict=True):
             self.sent += len(octets) + IP_UDP
@@ -100,7 +100,7 @@
         if takes and plan.stage in (RolloutStage.TAKEN, RolloutStage.DONE):
             self.in_force[name] = plan.digest
         body = ReportBody(plan.step, True, self.in_force[name], takes, "", 100, 1, False)
-        octets = self.codec.report(
+        octets = self.codec.encode_report(
             name, 1, OrderReport(CATALOGUE_LEASE, order.number, order.step, True, ENCODER.encode(body))
         )
         self._carry(lambda: self._heard(name, octets, body))
@@ -110,7 +110,7 @@
         began = time.process_time()
         opened = self.codec.ring.open(octets, self.now)
         assert opened is not None
-        self.codec.taken(opened)
+        self.codec.decode(opened)
         report = FrontReport(
             body.step, body.has_text, body.active_digest, body.is_in_share, "", body.answers, body.failures
         )
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -63,14 +63,14 @@
     """A question and its answer on the wire, with a plan on record as a rollout has it: the mean of the two."""
     codec, note = LeaseCodec("oakcroft", KeyRing((b"k" * 32,))), LeaseNote(7, 1, b"p" * NOTE_OCTETS)
     term = LeaseTerm(7, "front-0001", 1)
-    question = codec.ask(
+    question = codec.encode_request(
         "front-0001", 1, LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", term, 9, TERM, note)
     )
     epochs = tuple((f"front-{i:04}", 1) for i in range(KEEPERS - 1))
     reply = LeaseAnswer(
         LeaseMessageKind.ACCEPTED, "catalogue", "front-0002", 1, 7, 9, 7, term, TERM, note, epochs
     )
-    return (len(question) + len(codec.answer("front-0002", 1, reply))) / 2 + IP_UDP
+    return (len(question) + len(codec.encode_answer("front-0002", 1, reply))) / 2 + IP_UDP
 
 
 def loads(size: int, seed: int) -> Sequence[float]:
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -78,7 +78,7 @@
                 figures.probe_finished(node, truth[node], True, now)
             for to, rows in tells:
                 if counted:
-                    datagrams, octets = datagrams + 1, octets + len(codec.rows(name, 1, rows)) + 28
+                    datagrams, octets = datagrams + 1, octets + len(codec.encode(name, 1, rows)) + 28
                 if rng.random() >= lose:
                     began = time.perf_counter()
                     all_[to].receive_reports(rows, now)
--- a/oakcroft/decisions/fleet/session_takeover.py
+++ b/oakcroft/decisions/fleet/session_takeover.py
@@ -18,7 +18,7 @@
 from enum import Enum
 
 from oakcroft.decisions.fleet.session_ownership import TakeoverAnswer
-from oakcroft.decisions.membership.rendezvous import line, weight
+from oakcroft.decisions.membership.rendezvous import rank_order, weight
 from oakcroft.interface import MS, SECOND
 
 MAX_ADOPTERS_PER_NODE = 3
@@ -226,7 +226,7 @@
             if not budget[0]:
                 return None
             budget[0] -= 1
-            order = line(f"{node}/{slot}", self.known_fronts | {self.me})
+            order = rank_order(f"{node}/{slot}", self.known_fronts | {self.me})
             preceding = self.preceding_fronts[node, slot] = tuple(order[: order.index(self.me)])
         rank = 0
         for front in preceding:
--- a/oakcroft/decisions/membership/delegates.py
+++ b/oakcroft/decisions/membership/delegates.py
@@ -13,10 +13,10 @@
 from oakcroft.decisions.membership.rendezvous import weight
 from oakcroft.decisions.membership.zone_summary import MAX_DELEGATES
 
-SETTLING_TIME = 30_000_000
+SETTLING_TIME_US = 30_000_000
 """Microseconds for which a member must have run: guards the zone's voice against members that come and go."""
 
-START_SPREAD = 10_000_000
+START_SPREAD_US = 10_000_000
 """Microseconds after the zone's eldest within which a member counts as settled too: the members of a zone
 that starts as a whole are delegates at once, and none is displaced when the first of them settle."""
 
@@ -48,10 +48,10 @@
         return self._ranked
 
     def _select(self, clock: int) -> None:
-        latest = max(clock - SETTLING_TIME, min(self._generations.values(), default=0) + START_SPREAD)
+        latest = max(clock - SETTLING_TIME_US, min(self._generations.values(), default=0) + START_SPREAD_US)
         settled = [name for name, generation in self._generations.items() if generation <= latest]
         candidates = settled if len(settled) >= MAX_DELEGATES else list(self._generations)
         ranked = sorted(candidates, key=lambda name: (-self._weights[name], name))
         self._ranked = tuple(ranked[:MAX_DELEGATES])
         unsettled = [generation for generation in self._generations.values() if generation > latest]
-        self._valid_until = min(unsettled, default=clock) + SETTLING_TIME
+        self._valid_until = min(unsettled, default=clock) + SETTLING_TIME_US
--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -27,7 +27,7 @@
     MemberRecord,
     ZoneDigest,
     ZoneMessage,
-    ZoneOut,
+    OutgoingZoneMessage,
     ZoneRecords,
     ZoneRequest,
 )
@@ -36,17 +36,17 @@
 from oakcroft.decisions.membership.zone_summary import ZoneContact
 from oakcroft.interface import MS, SECOND
 
-QUIET_START = 10 * SECOND
+DELEGATE_START_DELAY = 10 * SECOND
 """In which a front does not act as a delegate: in a whole start each is first in rank of the zone of one
 that it sees."""
 
 AUTHOR_INTERVAL = 500 * MS
 """Between two looks of a front at whether it is a delegate and is to author."""
 
-CLOCK_TOLERANCE = 86_400 * 1_000_000
+CLOCK_TOLERANCE_US = 86_400 * 1_000_000
 """Microseconds by which a generation may lie ahead of this front's clock: a day."""
 
-MICROSECOND = 1_000
+NS_PER_US = 1_000
 """In nanoseconds."""
 
 DIFFERENCE_TOLERANCE = 2 * SECOND
@@ -77,10 +77,10 @@
         self.reporter = ZoneReporter(self.local, self.author, now)
         self.selection = DelegateSelection(me.zone)
         self.lookups = ZoneLookups(rng)
-        self.out: list[Message | ZoneOut] = []
+        self.out: list[Message | OutgoingZoneMessage] = []
         self.changes: list[StateChange | ZoneChange] = []
         self._seen_present: list[str] | None = None
-        self._next_author_at = now + QUIET_START
+        self._next_author_at = now + DELEGATE_START_DELAY
         self._settle(now)
 
     # What is known.
@@ -103,18 +103,18 @@
         """Members of the own zone taken to be there, this front among them."""
         return self.local.present()
 
-    def standing(self, name: str) -> MemberState | None:
+    def state_of(self, name: str) -> MemberState | None:
         """The state of a member of the own zone; None where it is not known."""
-        return self.local.standing(name)
+        return self.local.state_of(name)
 
     def left_count(self) -> int:
         """How many of the own zone have left, each by its own proof: the only ones whose shares of rates
         pass on."""
         return self.local.left_count()
 
-    def whole(self, asked_with: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
+    def full_state(self, asked_with: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
         """What an exchange sends now. Whoever answers passes what the other side has sent. Charged: once a call."""
-        return self.pool.table(asked_with)
+        return self.pool.exchange_state(asked_with)
 
     def remote_state(self, zone: str, name: str) -> RemoteState:
         """The state of a member of another zone."""
@@ -130,7 +130,7 @@
 
     def rank(self, now: int) -> int | None:
         """This front's rank among the delegates of its zone; None where it is none, or too young to act."""
-        if now - self.started_at < QUIET_START or self.local.displaced or self.local.left:
+        if now - self.started_at < DELEGATE_START_DELAY or self.local.displaced or self.local.left:
             return None
         delegates = self.selection.delegates(self._clock(now))
         own_name = self.local.me.name
@@ -177,19 +177,19 @@
         if record is None:
             return
         if self.reporter.differs_for(record.summary, now) >= DIFFERENCE_TOLERANCE:
-            self.pool.differs(now)
+            self.pool.on_digest_mismatch(now)
         else:
-            self.pool.agrees(now)
+            self.pool.on_digest_match(now)
 
     # What is received.
 
-    def heard(
+    def receive_message(
         self, sender: MemberUpdate, kind: MessageKind, sequence: int, to: MemberId, target: ProbeTarget |
         None, updates: Sequence[MemberUpdate], now: int,
     ) -> None:  # fmt: skip
         """A datagram of the flat protocol."""
         self.budget.advance(now)
-        self.pool.heard(sender, kind, sequence, to, target, updates, now)
+        self.pool.receive_message(sender, kind, sequence, to, target, updates, now)
         self._settle(now)
 
     def accepts_exchange(self, now: int) -> bool:
@@ -198,13 +198,13 @@
         self.budget.advance(now)
         return self.pool.accepts_exchange()
 
-    def exchanged(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
+    def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
         """Another front's whole table, by stream."""
         self.budget.advance(now)
-        self.pool.exchanged(sender, updates, now)
+        self.pool.receive_full_state(sender, updates, now)
         self._settle(now)
 
-    def heard_zone(self, sender: ZoneContact, message: ZoneMessage, now: int) -> None:
+    def receive_zone_message(self, sender: ZoneContact, message: ZoneMessage, now: int) -> None:
         """A datagram of the layer between zones."""
         self.budget.advance(now)
         latest = self._latest_generation(now)
@@ -220,7 +220,7 @@
         elif isinstance(message, LookupRequest):
             self._answer(sender, message)
         else:
-            self.lookups.answered(message)
+            self.lookups.receive_answer(message)
         self._settle(now)
 
     def lookup(self, zone: str, name: str, now: int) -> None:
@@ -255,12 +255,12 @@
         """The time in microseconds as generations count it: this front's own, which was read of the clock, and the time
         since."""
         own = max(self.first_generation, self.local.me.generation)
-        return own + (now - self.started_at) // MICROSECOND
+        return own + (now - self.started_at) // NS_PER_US
 
     def _latest_generation(self, now: int) -> int:
         """The latest generation that a sound process can have. A clock that is behind refuses others, which harms its own
         front only."""
-        return self._clock(now) + CLOCK_TOLERANCE
+        return self._clock(now) + CLOCK_TOLERANCE_US
 
     # After each call.
 
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -126,7 +126,7 @@
         """Addresses at which the fleet is looked for."""
         return self.push_pull.seeds
 
-    def standing(self, name: str) -> MemberState | None:
+    def state_of(self, name: str) -> MemberState | None:
         """The state of a member; None where it is not known."""
         return self.table.state(name)
 
@@ -138,7 +138,7 @@
         """How many have left in order, each by its own update."""
         return self.table.count(MemberState.LEFT)
 
-    def whole(self) -> list[MemberUpdate]:
+    def full_state(self) -> list[MemberUpdate]:
         """The full state that a push-pull sends: this front's own update first."""
         return self.table.full_state()
 
@@ -173,7 +173,7 @@
             return
         self._probe(now)
         self._expire_suspicions(now)
-        self.merger.look_into_disputed(now)
+        self.merger.probe_disputed(now)
         self.push_pull.tick(now)
         self._gossip(now)
         if now >= self.next_tidy_at:
@@ -211,7 +211,7 @@
 
     # What is received.
 
-    def heard(
+    def receive_message(
         self, sender: MemberUpdate, kind: MessageKind, sequence: int, to: MemberId, target: ProbeTarget | None,
         updates: Sequence[MemberUpdate], now: int,
     ) -> None:  # fmt: skip
@@ -227,7 +227,7 @@
         for update in updates[:MAX_UPDATES]:
             self.merger.merge(update, sender.name, now)
 
-    def exchanged(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
+    def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
         """Another front's full state, by push-pull."""
         if self.left:
             return
--- a/oakcroft/decisions/membership/own_identity.py
+++ b/oakcroft/decisions/membership/own_identity.py
@@ -59,7 +59,7 @@
     def _is_earlier(self, other: MemberUpdate) -> bool:
         return (other.generation, other.address) < (self.me.generation, self.me.address)
 
-    def told_of_me(self, update: MemberUpdate, by: str, now: int) -> bool:
+    def merge_own_update(self, update: MemberUpdate, by: str, now: int) -> bool:
         """What others say of this front; whether it had to refute it."""
         if update.generation == self.me.generation:
             return self._refute(update, by)
--- a/oakcroft/decisions/membership/paced_pool.py
+++ b/oakcroft/decisions/membership/paced_pool.py
@@ -20,7 +20,7 @@
     MessageKind,
     ProbeTarget,
 )
-from oakcroft.decisions.membership.paced_queue import FLAT_MESSAGE_SIZE, UPDATE_SIZE, PacedUpdateQueue
+from oakcroft.decisions.membership.paced_queue import FLAT_MESSAGE_BYTES, UPDATE_BYTES, PacedUpdateQueue
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
 from oakcroft.decisions.membership.zone_summary import MAX_ZONE_MEMBERS
 from oakcroft.interface import SECOND
@@ -34,7 +34,7 @@
 MAX_START_EXCHANGES = 15
 """After which a front no longer counts as just started, whatever its exchanges bring."""
 
-ENOUGH_FRUITLESS = 2
+MAX_FRUITLESS_EXCHANGES = 2
 """Exchanges in a row that brought no member, after which it has found its zone."""
 
 REPAIR_INTERVAL = 3 * SECOND
@@ -42,10 +42,10 @@
 """Between two exchanges of a front whose members are not those that its zone's summary has; doubled while
 they bring nothing, so that a summary that is wrong costs little."""
 
-YOUNG_TIME = 45 * SECOND
+EARLY_EXCHANGE_TIME = 45 * SECOND
 """Of a front's own start, in which it goes on exchanging tables."""
 
-START_TIME = 15 * SECOND
+INTRODUCTION_TIME = 15 * SECOND
 """In which the answers to probes introduce other members."""
 
 FEW_MEMBERS = 16
@@ -57,16 +57,16 @@
 """Members on one such answer, at random. Guards the seeds in a whole start: who knows nobody else probes
 them alone."""
 
-ASKING_PART = 12
+REQUEST_MEMBERS = 12
 """Members that the beginner of an exchange sends: it wants to learn, and teaches when it is asked."""
 
-START_PART = 48
+START_ANSWER_MEMBERS = 48
 """Members in an answer while this front has just started: what it knows then others mostly know too."""
 
-FULL_ANSWER = 80
+FULL_ANSWER_MEMBERS = 80
 """Members in an answer that may overdraw the budget."""
 
-MIN_PART = 8
+MIN_ANSWER_MEMBERS = 8
 """Members in a part of a table, where tokens do not reach for all of it."""
 
 
@@ -114,7 +114,7 @@
     @property
     def is_starting(self) -> bool:
         """Whether this front has just started and still looks for its zone."""
-        return self._fruitless < ENOUGH_FRUITLESS and self._start_exchanges < MAX_START_EXCHANGES
+        return self._fruitless < MAX_FRUITLESS_EXCHANGES and self._start_exchanges < MAX_START_EXCHANGES
 
     @property
     def due(self) -> int:
@@ -143,48 +143,52 @@
             self._exchanges.clear()
             self._want_any()
 
-    def differs(self, now: int) -> None:
+    def on_digest_mismatch(self, now: int) -> None:
         """This front's members have not been those of its zone's summary for some time: it exchanges tables
         to see who is right."""
         if self.is_starting or now < self._next_repair_at:
             return
         self._next_repair_at = now + self._repair_interval
-        if now - self.started_at >= YOUNG_TIME:
+        if now - self.started_at >= EARLY_EXCHANGE_TIME:
             self._repair_interval = min(2 * self._repair_interval, MAX_REPAIR_INTERVAL)
         self._want_any()
 
-    def agrees(self, now: int) -> None:
+    def on_digest_match(self, now: int) -> None:
         """They are. In a front's first minute that is no reason to stop: its zone's author may lack the same members."""
         self._repair_interval = REPAIR_INTERVAL
-        if now - self.started_at < YOUNG_TIME and not self.is_starting and now >= self._next_repair_at:
+        if (
+            now - self.started_at < EARLY_EXCHANGE_TIME
+            and not self.is_starting
+            and now >= self._next_repair_at
+        ):
             self._next_repair_at = now + REPAIR_INTERVAL
             self._want_any()
 
     # What is received.
 
-    def heard(
+    def receive_message(
         self, sender: MemberUpdate, kind: MessageKind, sequence: int, to: MemberId, target: ProbeTarget | None,
         updates: Sequence[MemberUpdate], now: int,
     ) -> None:  # fmt: skip
         """A datagram of the flat protocol."""
         if self._is_own(sender):
-            self.membership.heard(sender, kind, sequence, to, target, self._own(updates), now)
+            self.membership.receive_message(sender, kind, sequence, to, target, self._own(updates), now)
 
     def accepts_exchange(self) -> bool:
         """Whether to serve a table now, or a part of one. Guards a seed in a whole start, which all ask at
         once."""
-        if self.budget.available >= _table_size(MIN_PART):
+        if self.budget.available >= _table_size(MIN_ANSWER_MEMBERS):
             return True
         self.counts.refused_exchanges += 1
         return False
 
-    def table(self, asked_with: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
+    def exchange_state(self, asked_with: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
         """What an exchange sends: this front's own update first. Whoever begins one asks with a few members
         at random; the answer, to what it was `asked_with`, has what that lacks, as far as tokens reach. A
         part is as sound as the whole: what it leaves out comes with another."""
-        own, *others = self.membership.whole()
+        own, *others = self.membership.full_state()
         if asked_with is None:
-            most = ASKING_PART
+            most = REQUEST_MEMBERS
         else:
             told = {update.name: update.precedence for update in asked_with}
             others = [update for update in others if told.get(update.name) != update.precedence]
@@ -196,19 +200,19 @@
     def _affordable_answer(self, wanted: int) -> int:
         """How many members an answer may have. All of them overdraw the budget now and then: a member that
         one front lacks is seldom in a part."""
-        affordable = max(MIN_PART, self.budget.available // UPDATE_SIZE)
+        affordable = max(MIN_ANSWER_MEMBERS, self.budget.available // UPDATE_BYTES)
         if self.is_starting:
-            return min(affordable, START_PART)
+            return min(affordable, START_ANSWER_MEMBERS)
         if self.budget.available < self.budget.burst // 2:
             return affordable
-        return min(wanted, max(affordable, FULL_ANSWER))
+        return min(wanted, max(affordable, FULL_ANSWER_MEMBERS))
 
-    def exchanged(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
+    def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
         """Another front's table, by stream."""
         if not self._is_own(sender):
             return
         known = len(self.membership.members)
-        self.membership.exchanged(sender, self._own(updates), now)
+        self.membership.receive_full_state(sender, self._own(updates), now)
         is_answer = sender.address == self._asked
         if len(self.membership.members) > known:
             self._fruitless = 0
@@ -236,9 +240,9 @@
         """Gathers what the membership has to send, and charges it."""
         for message in self.membership.out:
             if message.kind is not MessageKind.PUSH_PULL:
-                if message.kind is MessageKind.ACK and now - self.started_at < START_TIME:
+                if message.kind is MessageKind.ACK and now - self.started_at < INTRODUCTION_TIME:
                     message = self._with_introductions(message)
-                self.budget.charge(FLAT_MESSAGE_SIZE + UPDATE_SIZE * len(message.updates))
+                self.budget.charge(FLAT_MESSAGE_BYTES + UPDATE_BYTES * len(message.updates))
                 self.out.append(message)
             elif not self.membership.joined:
                 self._ping(message.address)
@@ -248,7 +252,7 @@
         # What rides along was charged when it was taken from the queue.
         self.budget.charge(-self.queue.charged)
         self.queue.charged = 0
-        while self._exchanges and self.budget.available >= _table_size(MIN_PART):
+        while self._exchanges and self.budget.available >= _table_size(MIN_ANSWER_MEMBERS):
             address = next(iter(self._exchanges))
             del self._exchanges[address]
             self._asked = address
@@ -262,7 +266,7 @@
     def _ping(self, seed: Address) -> None:
         """Joining begins with a ping: the answer introduces others, of whom one is then asked for its
         table."""
-        self.budget.charge(FLAT_MESSAGE_SIZE)
+        self.budget.charge(FLAT_MESSAGE_BYTES)
         sequence = self.membership.outbox.new_sequence()
         self.out.append(Message(MessageKind.PING, seed, sequence))
 
@@ -282,4 +286,4 @@
 
 
 def _table_size(members: int) -> int:
-    return FLAT_MESSAGE_SIZE + UPDATE_SIZE * members
+    return FLAT_MESSAGE_BYTES + UPDATE_BYTES * members
--- a/oakcroft/decisions/membership/paced_queue.py
+++ b/oakcroft/decisions/membership/paced_queue.py
@@ -6,10 +6,10 @@
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
 
-FLAT_MESSAGE_SIZE = 130
+FLAT_MESSAGE_BYTES = 130
 """Octets of a flat message without updates, sealed."""
 
-UPDATE_SIZE = 78
+UPDATE_BYTES = 78
 """Octets of one update, for names of nine octets."""
 
 CROWDED_QUEUE = 24
@@ -41,13 +41,13 @@
 
     def __bool__(self) -> bool:
         """Whether any update waits and may be carried."""
-        return bool(self.pending) and self.budget.available >= FLAT_MESSAGE_SIZE
+        return bool(self.pending) and self.budget.available >= FLAT_MESSAGE_BYTES
 
     def take(self, most: int, members: int) -> list[MemberUpdate]:
         """At most as many as there are tokens for."""
         if len(self.pending) > CROWDED_QUEUE:
             members = min(members, CROWDED_MEMBERS)
-        taken = super().take(min(most, self.budget.available // UPDATE_SIZE), members)
-        self.budget.charge(UPDATE_SIZE * len(taken))
-        self.charged += UPDATE_SIZE * len(taken)
+        taken = super().take(min(most, self.budget.available // UPDATE_BYTES), members)
+        self.budget.charge(UPDATE_BYTES * len(taken))
+        self.charged += UPDATE_BYTES * len(taken)
         return taken
--- a/oakcroft/decisions/membership/rendezvous.py
+++ b/oakcroft/decisions/membership/rendezvous.py
@@ -18,7 +18,7 @@
     return int.from_bytes(hashlib.blake2b(word, digest_size=8, person=b"oakcroft-first").digest(), "big")
 
 
-def line(work: str, fronts: Iterable[str]) -> list[str]:
+def rank_order(work: str, fronts: Iterable[str]) -> list[str]:
     """The fronts in order for a piece of work, the first in line first."""
     return sorted(fronts, key=lambda f: (-weight(work, f), f))
 
--- a/oakcroft/decisions/membership/traffic_budget.py
+++ b/oakcroft/decisions/membership/traffic_budget.py
@@ -9,15 +9,15 @@
 
 from oakcroft.interface import SECOND
 
-RATE = 4_200
+RATE_BYTES_PER_S = 4_200
 """Octets a second: with the probes that may overdraw it, and with what others send here at the same pace,
 under the 8,000 that a front may send or receive for control in any ten seconds, also in a whole start of a
 zone of 135."""
 
-BURST = 7_000
+BURST_BYTES = 7_000
 """Octets at once: a dozen summaries, so that a newcomer is not slow in quiet times."""
 
-MAX_DEBT = 12_000
+MAX_DEBT_BYTES = 12_000
 """Octets: what was overdrawn beyond is forgiven, or a minute of many failing probes would silence gossip for
 another."""
 
@@ -25,7 +25,7 @@
 class TrafficBudget:
     """Octets that may still be sent. Time is told by `advance`."""
 
-    def __init__(self, now: int, rate: int = RATE, burst: int = BURST) -> None:
+    def __init__(self, now: int, rate: int = RATE_BYTES_PER_S, burst: int = BURST_BYTES) -> None:
         """A full bucket; `rate` in octets a second, `burst` in octets."""
         self.rate = rate
         self.burst = burst
@@ -45,7 +45,7 @@
 
     def charge(self, octets: int) -> None:
         """What was sent all the same."""
-        self._balance = max(-MAX_DEBT * SECOND, self._balance - octets * SECOND)
+        self._balance = max(-MAX_DEBT_BYTES * SECOND, self._balance - octets * SECOND)
 
     def spend(self, octets: int) -> bool:
         """Whether something that can wait may be sent now; charged if so. What is larger than half the burst
--- a/oakcroft/decisions/membership/update_merger.py
+++ b/oakcroft/decisions/membership/update_merger.py
@@ -51,7 +51,7 @@
             self.counters.unsound += 1
             return
         if update.name == self.table.own_name:
-            if self.identity.told_of_me(update, by, now):
+            if self.identity.merge_own_update(update, by, now):
                 self.counters.refuted += 1
             return
         member = self.table.members.get(update.name)
@@ -107,7 +107,7 @@
         if member.latest.state is MemberState.ALIVE and len(self.disputed) < MAX_DISPUTED:
             self.disputed[update.name] = update
 
-    def look_into_disputed(self, now: int) -> None:
+    def probe_disputed(self, now: int) -> None:
         """Probes members that others call failed and this front does not, with the update in a message to them."""
         if not self.disputed or now < self.next_dispute_at:
             return
--- a/oakcroft/decisions/membership/zone_author.py
+++ b/oakcroft/decisions/membership/zone_author.py
@@ -12,7 +12,7 @@
 
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.decisions.membership.zone_directory import ZoneRecord
-from oakcroft.decisions.membership.zone_messages import MAX_PAYLOAD, change_size, summary_size
+from oakcroft.decisions.membership.zone_messages import MAX_PAYLOAD_BYTES, change_size, summary_size
 from oakcroft.decisions.membership.zone_summary import (
     MAX_CHANGES,
     MAX_COUNTER,
@@ -32,11 +32,11 @@
 PUBLICATION_SPACING = 2 * SECOND
 """At least, between two contents of one author: what changes meanwhile goes together."""
 
-FRESH_TIME = 60 * SECOND
+RECENT_CHANGE_TIME = 60 * SECOND
 """For which every recent change is listed, up to `MAX_CHANGES`: ten times what a reader needs to take it
 in."""
 
-LISTED_LATER = 8
+MIN_LISTED_CHANGES = 8
 """Changes that are listed even when they are older: for a region that returns after long."""
 
 MAX_RECENT = 64
@@ -87,7 +87,7 @@
         if accusation.name in self.contested or len(self.contested) < MAX_CONTESTED:
             self.contested[accusation.name] = accusation
 
-    def refuted(self, members: Iterable[MemberChange], now: int) -> None:
+    def record_refutations(self, members: Iterable[MemberChange], now: int) -> None:
         """Contested members as they stand: one that has raised its incarnation over the accusation is told
         of as alive."""
         for change in members:
@@ -98,9 +98,9 @@
     def changes(self, room: int, now: int) -> tuple[MemberChange, ...]:
         """The changes that a summary lists now, in so many octets; by name, so that two authors write the
         same."""
-        fresh = [recent for recent in self.recent.values() if now - recent.at < FRESH_TIME]
-        older = [recent for recent in self.recent.values() if now - recent.at >= FRESH_TIME]
-        padding = older[max(0, len(older) - max(0, LISTED_LATER - len(fresh))) :]
+        fresh = [recent for recent in self.recent.values() if now - recent.at < RECENT_CHANGE_TIME]
+        older = [recent for recent in self.recent.values() if now - recent.at >= RECENT_CHANGE_TIME]
+        padding = older[max(0, len(older) - max(0, MIN_LISTED_CHANGES - len(fresh))) :]
         listed = _fitting([recent.change for recent in [*_by_urgency(fresh), *padding]], room)
         return tuple(sorted(listed, key=lambda change: change.name))
 
@@ -133,11 +133,11 @@
     def _still_holds(self, desired: ZoneSummary, held: ZoneSummary) -> bool:
         """Whether what is held need not be replaced. That changes of this front's own content have aged is
         no reason to publish another; of another's content everything has to be right."""
-        if desired.says_the_same(held):
+        if desired.has_same_content(held):
             return True
         is_own = held.fingerprint == self.published
         has_only_aged = set(desired.changes) <= set(held.changes)
-        return is_own and has_only_aged and desired.says_the_same(replace(held, changes=desired.changes))
+        return is_own and has_only_aged and desired.has_same_content(replace(held, changes=desired.changes))
 
     def _content(self, local: LocalState, record: ZoneRecord | None, now: int) -> ZoneSummary:
         epoch, version = next_key(_greatest_known(record), self.me.generation)
@@ -145,7 +145,7 @@
             self.me.zone, self.region, self.me.name, epoch, version, 0, local.counts, local.delegates,
             local.member_digest, (),
         )  # fmt: skip
-        return replace(bare, changes=self.changes(MAX_PAYLOAD - summary_size(bare), now))
+        return replace(bare, changes=self.changes(MAX_PAYLOAD_BYTES - summary_size(bare), now))
 
 
 def _greatest_known(record: ZoneRecord | None) -> DigestEntry | None:
--- a/oakcroft/decisions/membership/zone_directory.py
+++ b/oakcroft/decisions/membership/zone_directory.py
@@ -45,7 +45,7 @@
     """Its zone is unreachable, or was never heard of."""
 
 
-TOLD_AS = {
+UNCONFIRMED_STATES = {
     MemberState.ALIVE: RemoteState.ALIVE,
     MemberState.LEFT: RemoteState.LEFT,
     MemberState.FAILED: RemoteState.SUSPECTED,
@@ -173,7 +173,7 @@
         self._moved(record, now)
         return True
 
-    def take(self, summary: ZoneSummary, now: int) -> bool:
+    def merge_summary(self, summary: ZoneSummary, now: int) -> bool:
         """A plausible summary; whether its content is newer than what was held, and is held now."""
         record = self.records.get(summary.zone)
         if record is None:
@@ -220,7 +220,7 @@
 
     def _merge(self, record: ZoneRecord, change: MemberChange, known: RemoteMember | None, now: int) -> None:
         zone, author = record.summary.zone, record.summary.author
-        member = RemoteMember(change, TOLD_AS[change.state])
+        member = RemoteMember(change, UNCONFIRMED_STATES[change.state])
         record.members.pop(change.name, None)
         record.members[change.name] = member
         self._pending.pop((zone, change.name), None)
--- a/oakcroft/decisions/membership/zone_gossip.py
+++ b/oakcroft/decisions/membership/zone_gossip.py
@@ -15,10 +15,10 @@
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
 from oakcroft.decisions.membership.zone_directory import ZoneDirectory
 from oakcroft.decisions.membership.zone_messages import (
-    MAX_PAYLOAD,
+    MAX_PAYLOAD_BYTES,
     ZoneDigest,
     ZoneMessage,
-    ZoneOut,
+    OutgoingZoneMessage,
     ZoneRecords,
     ZoneRequest,
     entry_size,
@@ -87,7 +87,7 @@
         self.budget = budget
         self.rng = rng
         self.local = LocalZone()
-        self.out: list[ZoneOut] = []
+        self.out: list[OutgoingZoneMessage] = []
         self.counts = GossipCounters()
         self._requested_at: dict[str, int] = {}
         self._offered_at: dict[str, int] = {}  # contents of known zones that are not held yet
@@ -124,7 +124,7 @@
     def publish(self, summary: ZoneSummary, now: int) -> None:
         """A summary of the own zone by this front: a new content is forwarded, a heartbeat told to each
         zone."""
-        if self.directory.take(summary, now):
+        if self.directory.merge_summary(summary, now):
             # Forwarding has a head start: told of a new content at once, each zone would ask this front for it.
             # It goes without tokens: nobody else could tell it.
             for receiver in self._forward_addresses((summary,), None):
@@ -134,7 +134,9 @@
             address = self._contact(zone)
             if address is not None:
                 # Not charged: an author's heartbeats would leave it no tokens to answer with.
-                self.out.append(ZoneOut(address, ZoneDigest((summary.entry,), wants_answer=False)))
+                self.out.append(
+                    OutgoingZoneMessage(address, ZoneDigest((summary.entry,), wants_answer=False))
+                )
 
     # What is received.
 
@@ -178,7 +180,7 @@
                 self.counts.implausible += 1
                 continue
             is_first = summary.zone not in self.directory.records
-            if not self.directory.take(summary, now):
+            if not self.directory.merge_summary(summary, now):
                 continue
             self._offered_at.pop(summary.zone, None)
             if summary.zone == self.directory.own_zone:
@@ -249,7 +251,7 @@
 
     def _send(self, address: Address, message: ZoneMessage) -> None:
         self.budget.charge(estimated_size(message))
-        self.out.append(ZoneOut(address, message))
+        self.out.append(OutgoingZoneMessage(address, message))
 
     def send_each(self, addresses: Iterable[Address], message: ZoneMessage) -> None:
         """A message that does not wait, to each address."""
@@ -261,7 +263,7 @@
         if not self.budget.spend(estimated_size(message)):
             self.counts.deferred += 1
             return False
-        self.out.append(ZoneOut(address, message))
+        self.out.append(OutgoingZoneMessage(address, message))
         return True
 
 
@@ -270,7 +272,7 @@
     part: list[DigestEntry] = []
     size = 0
     for entry in entries:
-        if part and size + entry_size(entry) > MAX_PAYLOAD:
+        if part and size + entry_size(entry) > MAX_PAYLOAD_BYTES:
             yield tuple(part)
             part, size = [], 0
         part.append(entry)
@@ -284,7 +286,7 @@
     part: list[ZoneSummary] = []
     size = 0
     for summary in summaries:
-        if part and size + summary_size(summary) > MAX_PAYLOAD:
+        if part and size + summary_size(summary) > MAX_PAYLOAD_BYTES:
             yield tuple(part)
             part, size = [], 0
         part.append(summary)
--- a/oakcroft/decisions/membership/zone_lookup.py
+++ b/oakcroft/decisions/membership/zone_lookup.py
@@ -56,7 +56,7 @@
         self._open[request.number] = Lookup(request, now + LOOKUP_TIMEOUT, asked)
         return request
 
-    def answered(self, answer: LookupAnswer) -> None:
+    def receive_answer(self, answer: LookupAnswer) -> None:
         """An answer: the first that knows the member counts, else the last that does not."""
         lookup = self._open.get(answer.number)
         if lookup is None or (answer.zone, answer.name) != (lookup.request.zone, lookup.request.name):
--- a/oakcroft/decisions/membership/zone_messages.py
+++ b/oakcroft/decisions/membership/zone_messages.py
@@ -11,21 +11,21 @@
 from oakcroft.decisions.membership.messages import Address
 from oakcroft.decisions.membership.zone_summary import DigestEntry, MemberChange, ZoneContact, ZoneSummary
 
-MAX_PAYLOAD = 1_200
+MAX_PAYLOAD_BYTES = 1_200
 """Octets of entries or summaries in one datagram of 1,400; the rest is for seal and envelope."""
 
-ENVELOPE_SIZE = 79
+ENVELOPE_BYTES = 79
 """Octets of a datagram's seal, fleet, sender and kind, for names and addresses of 10 octets."""
 
-ENTRY_SIZE = 28
+ENTRY_BYTES = 28
 """Octets of a digest entry beside the zone's name."""
 
-SUMMARY_SIZE = 52
+SUMMARY_BYTES = 52
 """Octets of a summary beside names, delegates and changes."""
 
-CONTACT_SIZE = 15
-CHANGE_SIZE = 15
-LOOKUP_SIZE = 24
+CONTACT_BYTES = 15
+CHANGE_BYTES = 15
+LOOKUP_BYTES = 24
 """Octets of a contact, of a change and of a lookup beside the texts in them."""
 
 
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True)
-class ZoneOut:
+class OutgoingZoneMessage:
     """A message to be sent as a datagram to whoever is at an address."""
 
     address: Address
@@ -96,31 +96,31 @@
 
 def entry_size(entry: DigestEntry) -> int:
     """Octets of a digest entry, estimated."""
-    return ENTRY_SIZE + len(entry.zone)
+    return ENTRY_BYTES + len(entry.zone)
 
 
 def summary_size(summary: ZoneSummary) -> int:
     """Octets of a summary, estimated."""
     names = len(summary.zone) + len(summary.region) + len(summary.author)
     contacts = sum(_contact_size(contact) for contact in summary.delegates)
-    return SUMMARY_SIZE + names + contacts + sum(change_size(change) for change in summary.changes)
+    return SUMMARY_BYTES + names + contacts + sum(change_size(change) for change in summary.changes)
 
 
 def _contact_size(contact: ZoneContact) -> int:
-    return CONTACT_SIZE + len(contact.name) + len(contact.host)
+    return CONTACT_BYTES + len(contact.name) + len(contact.host)
 
 
 def change_size(change: MemberChange) -> int:
     """Octets of a change in a summary, estimated."""
-    return CHANGE_SIZE + len(change.name)
+    return CHANGE_BYTES + len(change.name)
 
 
 def estimated_size(message: ZoneMessage) -> int:
     """Octets of the datagram, seal included, IP and UDP not."""
     if isinstance(message, ZoneDigest):
-        return ENVELOPE_SIZE + sum(entry_size(entry) for entry in message.entries)
+        return ENVELOPE_BYTES + sum(entry_size(entry) for entry in message.entries)
     if isinstance(message, ZoneRequest):
-        return ENVELOPE_SIZE + sum(1 + len(zone) for zone in message.zones)
+        return ENVELOPE_BYTES + sum(1 + len(zone) for zone in message.zones)
     if isinstance(message, ZoneRecords):
-        return ENVELOPE_SIZE + sum(summary_size(summary) for summary in message.summaries)
-    return ENVELOPE_SIZE + LOOKUP_SIZE + len(message.zone) + 2 * len(message.name)
+        return ENVELOPE_BYTES + sum(summary_size(summary) for summary in message.summaries)
+    return ENVELOPE_BYTES + LOOKUP_BYTES + len(message.zone) + 2 * len(message.name)
--- a/oakcroft/decisions/membership/zone_reporter.py
+++ b/oakcroft/decisions/membership/zone_reporter.py
@@ -23,7 +23,7 @@
 )
 from oakcroft.interface import SECOND
 
-NEWCOMERS_TOLD_AFTER = 60 * SECOND
+NEWCOMER_REPORT_DELAY = 60 * SECOND
 """Of a front's own start: whom it finds earlier did not join, it was there."""
 
 ABSENT_LABELS = ("", MemberState.FAILED.label, MemberState.LEFT.label)
@@ -61,7 +61,7 @@
     def _is_return(self, change: StateChange, now: int) -> bool:
         """Whether a member that is alive is news to other zones."""
         if change.was == "":
-            return now - self.started_at >= NEWCOMERS_TOLD_AFTER
+            return now - self.started_at >= NEWCOMER_REPORT_DELAY
         return change.was in ABSENT_LABELS or change.name in self.author.recent
 
     def local_state(self, delegates: Iterable[str]) -> LocalState:
@@ -132,4 +132,4 @@
             if member is not None and member.latest.state in PRESENT_STATES:
                 latest = member.latest
                 present.append(MemberChange(name, latest.generation, latest.incarnation, MemberState.ALIVE))
-        self.author.refuted(present, now)
+        self.author.record_refutations(present, now)
--- a/oakcroft/decisions/membership/zone_summary.py
+++ b/oakcroft/decisions/membership/zone_summary.py
@@ -37,7 +37,7 @@
 FINGERPRINT_OCTETS = 8
 MAX_FINGERPRINT = 1 << 8 * FINGERPRINT_OCTETS
 
-TOLD_STATES = (MemberState.ALIVE, MemberState.FAILED, MemberState.LEFT)
+REPORTED_STATES = (MemberState.ALIVE, MemberState.FAILED, MemberState.LEFT)
 """Suspicions are not told between zones: most are refuted within half a second."""
 
 
@@ -104,7 +104,7 @@
             0 < len(self.name) <= MAX_NAME_LENGTH
             and 0 < self.generation <= latest_generation
             and 0 <= self.incarnation < MAX_INCARNATION
-            and self.state in TOLD_STATES
+            and self.state in REPORTED_STATES
         )
 
 
@@ -184,7 +184,7 @@
             and all(change.is_plausible(latest_generation) for change in self.changes)
         )
 
-    def says_the_same(self, other: ZoneSummary) -> bool:
+    def has_same_content(self, other: ZoneSummary) -> bool:
         """Whether two summaries differ in author and numbers only."""
         return (self.counts, self.delegates, self.member_digest, self.changes) == (
             other.counts, other.delegates, other.member_digest, other.changes,
--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -173,11 +173,11 @@
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
         """Registers the handlers of orders and reports with `peers`, and asks for the catalogue lease."""
-        assert peers.duties is not None
+        assert peers.leases is not None
         self.coordinator = coordinator
         self.catalogues = catalogues
         self.peers = peers
-        self.duties = peers.duties
+        self.duties = peers.leases
         self.log = log
         stored_fence = (
             coordinator.durable_state.store.named_values.get(FENCE_FACT)
@@ -208,12 +208,12 @@
         self.plan_lock = trio.Lock()
         leases = self.duties
         leases.want(CATALOGUE_LEASE)
-        leases.orders[CATALOGUE_LEASE] = self._handle_order
-        leases.reports[CATALOGUE_LEASE] = self._handle_report
-        leases.orders[REQUEST_ORDER] = self._handle_request
-        leases.reports[REQUEST_REPLY] = self._handle_reply
-        leases.changed[CATALOGUE_LEASE] = self._owner_changed
-        leases.texts = self._find_text
+        leases.order_handlers[CATALOGUE_LEASE] = self._handle_order
+        leases.report_handlers[CATALOGUE_LEASE] = self._handle_report
+        leases.order_handlers[REQUEST_ORDER] = self._handle_request
+        leases.report_handlers[REQUEST_REPLY] = self._handle_reply
+        leases.holder_handlers[CATALOGUE_LEASE] = self._owner_changed
+        leases.find_text = self._find_text
 
     # Orders.
 
@@ -237,9 +237,9 @@
                 not self.is_fence_complete
                 or order.number > self.fence.highest_seen.get(CATALOGUE_LEASE, (0, 0))[0]
             ):
-                promised_number = self.duties.floor(CATALOGUE_LEASE)
+                promised_number = self.duties.token_floor(CATALOGUE_LEASE)
                 if promised_number is None or promised_number < order.number:
-                    self.duties.look_for_floor(CATALOGUE_LEASE)
+                    self.duties.request_token_floor(CATALOGUE_LEASE)
                     return None
                 if not self.is_fence_complete:
                     self.fence.record(CATALOGUE_LEASE, promised_number, 0)
@@ -421,14 +421,14 @@
         self.wake.set()
 
     def _handle_report(self, sender: str, report: OrderReport) -> None:
-        term = self.duties.term(CATALOGUE_LEASE)
+        term = self.duties.held_term(CATALOGUE_LEASE)
         rollout = self.rollout
         if term is None or rollout is None:
             return
         if not report.taken:
             if (report.number, report.step) > (term.fencing_token, rollout.plan.step):
                 # The acceptors have promised numbers that this owner never saw: it asks for a term with a higher one.
-                self.duties.outbid(CATALOGUE_LEASE, report.number)
+                self.duties.raise_token(CATALOGUE_LEASE, report.number)
             return
         if report.number != term.fencing_token:
             return
@@ -458,7 +458,7 @@
         """
         while True:
             self.wake = trio.Event()
-            term = self.duties.term(CATALOGUE_LEASE)
+            term = self.duties.held_term(CATALOGUE_LEASE)
             if term is not None:
                 await self._advance_rollout(term)
             with trio.move_on_after(ORDER_INTERVAL_S):
@@ -476,7 +476,7 @@
             next_plan = rollout.next_plan(present, now)
             if next_plan is not None:
                 await self._record_plan(rollout, next_plan)
-        if self.duties.term(CATALOGUE_LEASE) != term or self.rollout is not rollout:
+        if self.duties.held_term(CATALOGUE_LEASE) != term or self.rollout is not rollout:
             return
         body = encode_plan(rollout.plan)
         # During the roll-out all front ends report; after its end only those that have not confirmed it, or were absent.
@@ -488,7 +488,7 @@
 
     def _load_plan(self, term: LeaseTerm) -> None:
         """Continues the roll-out whose plan the previous owner recorded."""
-        recorded_plan = self.duties.note(CATALOGUE_LEASE)
+        recorded_plan = self.duties.recorded_note(CATALOGUE_LEASE)
         if self.rollout is not None or not recorded_plan:
             return
         try:
@@ -505,7 +505,7 @@
         )
 
     async def _record_plan(self, rollout: Rollout, new_plan: RolloutPlan) -> bool:
-        if not await self.duties.put_on_record(CATALOGUE_LEASE, encode_plan(new_plan)):
+        if not await self.duties.record_note(CATALOGUE_LEASE, encode_plan(new_plan)):
             return False
         rollout.set_recorded_plan(new_plan)
         self.log.info(
@@ -546,13 +546,13 @@
         self.pending_requests.add(key)
         with trio.move_on_after(SUBMIT_TIMEOUT_S):
             while key not in self.request_replies:
-                if self.duties.term(CATALOGUE_LEASE) is not None:
+                if self.duties.held_term(CATALOGUE_LEASE) is not None:
                     self.request_replies[key] = await self._start_request(
                         request, self.peers.membership.me.name
                     )
                     break
-                self.duties.look_for_floor(CATALOGUE_LEASE)  # the acceptors' answers name the owner
-                if owner := self.duties.owner(CATALOGUE_LEASE):
+                self.duties.request_token_floor(CATALOGUE_LEASE)  # the acceptors' answers name the owner
+                if owner := self.duties.holder(CATALOGUE_LEASE):
                     self.duties.order(
                         owner.holder, Order(REQUEST_ORDER, owner.fencing_token, 0, ENCODER.encode(request))
                     )
@@ -564,7 +564,7 @@
 
     async def _handle_request(self, received: ReceivedLeaseMessage, order: Order) -> OrderReport | None:
         """Handles an operator's request that another front end has forwarded; None if it is invalid or misdirected."""
-        if self.duties.term(CATALOGUE_LEASE) is None:
+        if self.duties.held_term(CATALOGUE_LEASE) is None:
             return None
         try:
             request = REQUEST_DECODER.decode(order.body)
@@ -598,7 +598,7 @@
                 RolloutPlan(0, request.digest, request.base_digest, RolloutStage.HANDED, 0), sender
             )
         async with self.plan_lock:
-            term = self.duties.term(CATALOGUE_LEASE)
+            term = self.duties.held_term(CATALOGUE_LEASE)
             if term is None:
                 return "the term ended meanwhile: ask again"
             self._load_plan(term)
@@ -648,7 +648,7 @@
         """The last roll-out as this front end knows it, for operators."""
         rollout = self.rollout
         plan = rollout.plan if rollout is not None else self.ordered_plan
-        owner = self.duties.owner(CATALOGUE_LEASE)
+        owner = self.duties.holder(CATALOGUE_LEASE)
         told: dict[str, object] = {
             "owner": owner.holder if owner else None,
             "number": owner.fencing_token if owner else 0,
--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -277,10 +277,10 @@
         if peers is None or peer_settings is None:
             return None
         operators.fleet_status = peers.status
-        if peers.duties is not None:
+        if peers.leases is not None:
             from oakcroft.front.catalogue_rollout import CatalogueRollout
 
-            operators.leases = peers.duties
+            operators.leases = peers.leases
             operators.rollout = rollout = CatalogueRollout(coordinator, catalogues, peers, self.log)
             nursery.start_soon(rollout.run)
         if peer_settings.probe_interval_ns:
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -53,10 +53,10 @@
     def status(self) -> dict[str, object]:
         """The leases as this front end knows them."""
 
-    def term(self, duty: str) -> object | None:
+    def held_term(self, duty: str) -> object | None:
         """The running term of a lease, if this front end holds it."""
 
-    def give_back(self, duty: str) -> None:
+    def yield_lease(self, duty: str) -> None:
         """Releases a lease before its term ends."""
 
 
@@ -156,11 +156,11 @@
                     )
                 if method == "DELETE":
                     lease_name = request.query("duty") or ""
-                    if self.leases.term(lease_name) is None:
+                    if self.leases.held_term(lease_name) is None:
                         raise RequestError(
                             409, "not-mine", "This front has no such duty: ask the one that has"
                         )
-                    self.leases.give_back(lease_name)
+                    self.leases.yield_lease(lease_name)
                 return Response(
                     200, [("Content-Type", "application/json")], orjson.dumps(self.leases.status())
                 )
--- a/oakcroft/peers/datagrams.py
+++ b/oakcroft/peers/datagrams.py
@@ -15,12 +15,12 @@
 
 from oakcroft.decisions.membership.messages import Address
 from oakcroft.interface import SECOND
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 
-DATAGRAMS_A_TURN = 8
+DATAGRAMS_PER_TURN = 8
 """Some 2 ms of work, before the front's other tasks have their turn: one that wakes finds hundreds waiting."""
 
-MAX_DATAGRAMS_A_SECOND = 2_000
+MAX_DATAGRAMS_PER_SECOND = 2_000
 """Sealed datagrams followed: twelve times what 200 fronts send one in a heal."""
 
 
@@ -62,7 +62,7 @@
         read_in_turn = 0
         while True:
             try:
-                octets, _ = self.socket.recvfrom(MAX_DATAGRAM + 1)
+                octets, _ = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 await trio.lowlevel.wait_readable(self.socket)
                 continue
@@ -71,7 +71,7 @@
                 continue
             receive(octets)
             read_in_turn += 1
-            if read_in_turn % DATAGRAMS_A_TURN == 0:
+            if read_in_turn % DATAGRAMS_PER_TURN == 0:
                 await trio.lowlevel.checkpoint()
 
 
@@ -84,9 +84,9 @@
         self.in_second = 0
 
     def allows(self, now: int) -> bool:
-        """Counts one datagram; whether it is within `MAX_DATAGRAMS_A_SECOND`."""
+        """Counts one datagram; whether it is within `MAX_DATAGRAMS_PER_SECOND`."""
         if now // SECOND != self.second:
             self.second = now // SECOND
             self.in_second = 0
         self.in_second += 1
-        return self.in_second <= MAX_DATAGRAMS_A_SECOND
+        return self.in_second <= MAX_DATAGRAMS_PER_SECOND
--- a/oakcroft/peers/key_file.py
+++ b/oakcroft/peers/key_file.py
@@ -11,7 +11,7 @@
 
 from oakcroft.peerwire.sealing import KeyFileError, KeyRing, parse_keys
 
-CHECK_INTERVAL = 5.0
+CHECK_INTERVAL_S = 5.0
 """Seconds between two looks at the file."""
 
 FileVersion = tuple[int, int]
@@ -40,7 +40,7 @@
     async def watch(self) -> None:
         """Takes changed keys until it is cancelled; a file that can't be used changes nothing."""
         while True:
-            await trio.sleep(CHECK_INTERVAL)
+            await trio.sleep(CHECK_INTERVAL_S)
             version = _version(self.file)
             if version != self.version:
                 self.version = version
--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -23,10 +23,10 @@
 from oakcroft.peerwire.lease_codec import ENCODER, LeaseCodec
 from oakcroft.peerwire.lease_wire import RecordPart, WireRow, row_from_wire, row_to_wire
 
-LEARN_INTERVAL = SECOND // 2
+RECORD_REQUEST_INTERVAL = SECOND // 2
 """Between two questions of an acceptor that remembers nothing."""
 
-MAX_SAVING = 64
+MAX_PENDING_SAVES = 64
 """Answers that wait for the disk; past it a message is dropped, as any datagram may be."""
 
 RECORD_NAME = "keeper"
@@ -38,7 +38,7 @@
 RECORD_DECODER = msgspec.msgpack.Decoder(tuple[int, list[tuple[str, int]], list[WireRow]])
 
 
-class Keeping(Protocol):
+class NamedValueStore(Protocol):
     """The state file, as far as an acceptor needs it."""
 
     async def save(self, name: str, value: bytes) -> bool:
@@ -55,11 +55,11 @@
     """
 
     def __init__(
-        self, keeper: LeaseAcceptor, record: Keeping, codec: LeaseCodec, me: Callable[[], tuple[str, int]],
+        self, acceptor: LeaseAcceptor, record: NamedValueStore, codec: LeaseCodec, me: Callable[[], tuple[str, int]],
         send: Callable[[str, bytes], None], dropped: Counter[str], log: structlog.typing.FilteringBoundLogger, now: int,
     ) -> None:  # fmt: skip
         """`record` is the state file; `dropped` counts what could not wait for it."""
-        self.keeper = keeper
+        self.acceptor = acceptor
         self.record = record
         self.codec = codec
         self.me = me
@@ -68,7 +68,7 @@
         self.log = log
         self.nursery: trio.Nursery | None = None
         self.has_begun = False
-        self.disk_sound = True
+        self.is_record_writable = True
         self.waiting_for_record = 0
         self.writing = 0
         self.asks = 0
@@ -77,39 +77,39 @@
 
     # Messages.
 
-    def receive_ask(self, sender: str, ask: LeaseRequest, now: int) -> None:
+    def receive_request(self, sender: str, ask: LeaseRequest, now: int) -> None:
         """A candidate's message."""
         if not self.has_begun or ask.term.holder != sender:
             return
         self.asks += 1
-        answer = self.keeper.handle_request(ask, now)
+        answer = self.acceptor.handle_request(ask, now)
         if answer is not None:
             self._when_saved(partial(self._send_answer, sender, answer))
 
     def _send_answer(self, to: str, answer: LeaseAnswer) -> None:
         with suppress(MessageError):  # a name too long to fit: such a candidate gets nothing
-            self.send(to, self.codec.answer(*self.me(), answer))
+            self.send(to, self.codec.encode_answer(*self.me(), answer))
 
-    def receive_question(self, sender: str, epoch: int) -> None:
+    def receive_record_request(self, sender: str, epoch: int) -> None:
         """Another acceptor, which remembers nothing, asks what this one knows."""
         if not self.has_begun:
             return
-        told = self.keeper.record_for_peer(sender, epoch)
+        told = self.acceptor.record_for_peer(sender, epoch)
         if told is None:
             return
-        if self.keeper.has_full_record:
+        if self.acceptor.has_full_record:
             self._when_saved(partial(self._send_learnt, sender, told))
         else:  # it has no record yet that anything could rest on
             self._send_learnt(sender, told)
 
     def _send_learnt(self, to: str, told: AcceptorRecord) -> None:
         with suppress(MessageError):
-            for part in self.codec.learnt(*self.me(), told):
+            for part in self.codec.encode_record(*self.me(), told):
                 self.send(to, part)
 
-    def receive_learnt(self, sender: str, part: RecordPart, now: int) -> None:
+    def receive_record_part(self, sender: str, part: RecordPart, now: int) -> None:
         """One part of what another acceptor tells. MessageError where it can't be one."""
-        keeper = self.keeper
+        keeper = self.acceptor
         if keeper.has_full_record or sender not in keeper.acceptors:
             return
         if not 0 <= part.part < part.parts <= MAX_LEASES:
@@ -133,9 +133,9 @@
         """Does something once what the acceptor holds is on record; never where it can't be put there."""
         if self.nursery is None:
             return
-        if not self.keeper.unsaved and not self.writing:
+        if not self.acceptor.unsaved and not self.writing:
             then()
-        elif self.waiting_for_record < MAX_SAVING:
+        elif self.waiting_for_record < MAX_PENDING_SAVES:
             self.waiting_for_record += 1
             self.nursery.start_soon(self._save, then)
         else:
@@ -143,7 +143,7 @@
 
     async def _save(self, then: Callable[[], object]) -> None:
         """All that the acceptor holds is written each time, so that no part of it can be missing from a new file."""
-        keeper = self.keeper
+        keeper = self.acceptor
         duties, keeper.unsaved = keeper.unsaved, set()
         value = self._record_value()
         saved = False
@@ -155,21 +155,21 @@
             self.writing -= 1
             if not saved:
                 keeper.unsaved |= duties  # until it is, nothing that rests on it leaves
-        if saved is not self.disk_sound and keeper.has_full_record:
-            self.disk_sound = saved
+        if saved is not self.is_record_writable and keeper.has_full_record:
+            self.is_record_writable = saved
             why = "on record again" if saved else "its record can't be written"
             self.log.warning("keeper", grants=saved, why=why)
         if saved:
             then()
 
     def _record_value(self) -> bytes:
-        keeper = self.keeper
+        keeper = self.acceptor
         rows = [row_to_wire(duty, row) for duty, row in sorted(keeper.records.items())]
         return ENCODER.encode((keeper.epoch, sorted(keeper.peer_epochs.items()), rows))
 
     def _begin(self, now: int) -> None:
         """Takes the record on once it can be read."""
-        keeper = self.keeper
+        keeper = self.acceptor
         held = self.record.held()
         if held is None:
             return
@@ -192,40 +192,40 @@
         """Begins once the record can be read; asks the other acceptors while this one remembers nothing."""
         if not self.has_begun:
             self._begin(now)
-        if self.has_begun and not self.keeper.has_full_record and now >= self.next_learn_at:
-            self.next_learn_at = now + LEARN_INTERVAL
+        if self.has_begun and not self.acceptor.has_full_record and now >= self.next_learn_at:
+            self.next_learn_at = now + RECORD_REQUEST_INTERVAL
             self._ask_others()
 
     def _ask_others(self) -> None:
-        keeper = self.keeper
+        keeper = self.acceptor
         _, keeper.epoch = self.me()
         if not keeper.peers_to_ask():
             keeper.peer_records.clear()  # all have told, and it was not enough: anew
         for other in keeper.peers_to_ask():
-            self.send(other, self.codec.learn(*self.me(), keeper.epoch))
+            self.send(other, self.codec.encode_record_request(*self.me(), keeper.epoch))
         if len(keeper.acceptors) == 1:
             keeper.has_full_record = True  # nobody else to ask
             keeper.unsaved = {EPOCHS}
 
-    def promised(self, duty: str) -> int | None:
+    def promised_token(self, duty: str) -> int | None:
         """The highest number promised for a lease; None where none was."""
-        row = self.keeper.records.get(duty)
+        row = self.acceptor.records.get(duty)
         return row.promised_token if row is not None else None
 
     def time_left(self, duty: str, now: int) -> int | None:
         """Milliseconds that the running term of a lease has left here; None where none runs."""
-        if self.keeper.running_term(duty, now) is None:
+        if self.acceptor.running_term(duty, now) is None:
             return None
-        return (self.keeper.running_until[duty] - now) // MS
+        return (self.acceptor.running_until[duty] - now) // MS
 
     def status(self, now: int) -> dict[str, object]:
         """For operators."""
-        keeper = self.keeper
+        keeper = self.acceptor
         return {
             "speaks": self.has_begun and keeper.can_answer(now),
             "sound": keeper.has_full_record,
             "epoch": keeper.epoch,
-            "record": self.disk_sound,
+            "record": self.is_record_writable,
             "mute_ms": max(0, keeper.silent_until - now) // MS,
             "asks": self.asks,
             "waits_for": keeper.peers_to_ask(),
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -16,30 +16,30 @@
 from oakcroft.peers.lease_acceptor import AcceptorHost
 
 
-class Leases(Protocol):
+class LeaseStatusSource(Protocol):
     """What is shown of the leases that a front hosts."""
 
-    place: PeerSettings
+    settings: PeerSettings
     membership: Membership
-    acceptor: AcceptorHost | None
+    acceptor_host: AcceptorHost | None
     candidates: dict[str, LeaseCandidate]
     wanted: set[str]
     dropped: Counter[str]
 
-    def owner(self, duty: str) -> LeaseTerm | None:
+    def holder(self, duty: str) -> LeaseTerm | None:
         """Who has a lease, as far as this front knows."""
 
 
-def lease_status(host: Leases, now: int) -> dict[str, object]:
+def lease_status(host: LeaseStatusSource, now: int) -> dict[str, object]:
     """Leases, holders and this front's acceptor."""
-    acceptor = host.acceptor
-    known = set(acceptor.keeper.records) if acceptor is not None else set[str]()
+    acceptor = host.acceptor_host
+    known = set(acceptor.acceptor.records) if acceptor is not None else set[str]()
     leases = [_one_lease(host, duty, now) for duty in sorted(host.wanted | known)]
     status: dict[str, object] = {
         "name": host.membership.me.name,
-        "keepers": list(host.place.keepers),
+        "keepers": list(host.settings.keepers),
         "duties": leases,
-        "term_ms": host.place.term_ns // MS,
+        "term_ms": host.settings.term_ns // MS,
         "dropped": dict(host.dropped),
     }
     if acceptor is not None:
@@ -47,8 +47,8 @@
     return status
 
 
-def _one_lease(host: Leases, duty: str, now: int) -> dict[str, object]:
-    candidate, holder, acceptor = host.candidates.get(duty), host.owner(duty), host.acceptor
+def _one_lease(host: LeaseStatusSource, duty: str, now: int) -> dict[str, object]:
+    candidate, holder, acceptor = host.candidates.get(duty), host.holder(duty), host.acceptor_host
     return {
         "duty": duty,
         "owner": holder.holder if holder is not None else None,
@@ -56,6 +56,6 @@
         "mine": candidate is not None and candidate.held_term(now) is not None,
         "course": candidate.state.value if candidate is not None else None,
         "in_line": candidate.rank if candidate is not None else None,
-        "promised": acceptor.promised(duty) if acceptor is not None else None,
+        "promised": acceptor.promised_token(duty) if acceptor is not None else None,
         "left_ms": acceptor.time_left(duty, now) if acceptor is not None else None,
     }
--- a/oakcroft/peers/leases.py
+++ b/oakcroft/peers/leases.py
@@ -29,12 +29,12 @@
 )
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.interface import MS, SECOND
-from oakcroft.peers.lease_acceptor import AcceptorHost, Keeping
+from oakcroft.peers.lease_acceptor import AcceptorHost, NamedValueStore
 from oakcroft.peers.lease_status import lease_status
 from oakcroft.peers.order_work import OrderWork
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.lease_codec import LeaseCodec
-from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, RecordQuestion
+from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, RecordRequest
 from oakcroft.peerwire.sealing import KeyRing
 
 MAX_RANK = 5
@@ -53,33 +53,33 @@
     """All leases of one front, by name ("duty" in the words of operators and of the wire)."""
 
     def __init__(
-        self, place: PeerSettings, ring: KeyRing, membership: Membership, record: Keeping | None, seed: int,
+        self, place: PeerSettings, ring: KeyRing, membership: Membership, record: NamedValueStore | None, seed: int,
         send: Callable[[str, bytes], None], log: structlog.typing.FilteringBoundLogger,
     ) -> None:  # fmt: skip
         """`record` is the state file, which an acceptor needs; `send` takes octets to a front by name."""
-        self.place = place
+        self.settings = place
         self.membership = membership
         self.log = log
         self.send = send
         self.codec = LeaseCodec(place.fleet_name, ring)
         self.rng = Random(seed)
         self.dropped: Counter[str] = Counter()
-        self.acceptor = self._make_acceptor(record)
+        self.acceptor_host = self._make_acceptor(record)
         self.candidates: dict[str, LeaseCandidate] = {}
         self.wanted: set[str] = set()
         self.ranked: list[str] | None = None  # the fronts by which `ranks` were found
         self.ranks: dict[str, int] = {}
-        self.owned: dict[str, LeaseTerm] = {}  # as the host was last told
+        self.reported_terms: dict[str, LeaseTerm] = {}  # as the host was last told
         self.order_work = OrderWork(self._send_report, log)
-        self.orders = self.order_work.by_duty
-        self.reports: dict[str, Callable[[str, OrderReport], None]] = {}
-        self.changed: dict[str, Callable[[LeaseTerm | None], None]] = {}
+        self.order_handlers = self.order_work.handlers
+        self.report_handlers: dict[str, Callable[[str, OrderReport], None]] = {}
+        self.holder_handlers: dict[str, Callable[[LeaseTerm | None], None]] = {}
         self.floors: dict[str, dict[str, int]] = {}  # by duty and acceptor, the highest number promised
-        self.texts: Callable[[str], bytes | None] = lambda _: None  # what this front holds, by digest
+        self.find_text: Callable[[str], bytes | None] = lambda _: None  # what this front holds, by digest
         self.nursery: trio.Nursery | None = None
 
-    def _make_acceptor(self, record: Keeping | None) -> AcceptorHost | None:
-        place, now = self.place, boot_time()
+    def _make_acceptor(self, record: NamedValueStore | None) -> AcceptorHost | None:
+        place, now = self.settings, boot_time()
         if place.name not in place.keepers or record is None:
             return None
         keeper = LeaseAcceptor(place.name, place.keepers, place.term_ns, self.membership.me.generation, now)
@@ -94,17 +94,17 @@
         self.wanted.add(duty)
         self.ranked = None
 
-    def term(self, duty: str) -> LeaseTerm | None:
+    def held_term(self, duty: str) -> LeaseTerm | None:
         """The term of a lease, while this front may take itself for its holder."""
         candidate = self.candidates.get(duty)
         return candidate.held_term(boot_time()) if candidate is not None else None
 
-    def note(self, duty: str) -> bytes:
+    def recorded_note(self, duty: str) -> bytes:
         """What the holders of a lease have put on record, as this holder found or wrote it."""
         candidate = self.candidates.get(duty)
         return candidate.note.body if candidate is not None else b""
 
-    async def put_on_record(self, duty: str, body: bytes) -> bool:
+    async def record_note(self, duty: str, body: bytes) -> bool:
         """Puts a note on record at a majority; False where the term ended first."""
         candidate = self.candidates.get(duty)
         if candidate is None or candidate.held_term(boot_time()) is None:
@@ -117,14 +117,14 @@
             await trio.sleep(RECORD_CHECK_INTERVAL / SECOND)
         return False
 
-    def owner(self, duty: str) -> LeaseTerm | None:
+    def holder(self, duty: str) -> LeaseTerm | None:
         """Who has a lease, as far as this front knows: by its own term, its acceptor, or what it was told."""
         candidate, now = self.candidates.get(duty), boot_time()
-        seen = self.acceptor.keeper.running_term(duty, now) if self.acceptor is not None else None
+        seen = self.acceptor_host.acceptor.running_term(duty, now) if self.acceptor_host is not None else None
         told = candidate.known_term(now) if candidate is not None else None
         return max((t for t in (seen, told) if t is not None), key=lambda t: t.fencing_token, default=None)
 
-    def outbid(self, duty: str, number: int) -> None:
+    def raise_token(self, duty: str, number: int) -> None:
         """A resource has seen a higher number than this holder's: it asks for a term over that."""
         candidate = self.candidates.get(duty)
         if candidate is None or candidate.held_term(boot_time()) is None:
@@ -134,17 +134,17 @@
         candidate.set_wanted(True, boot_time())
         self._tell_change(duty, candidate, boot_time())
 
-    def floor(self, duty: str) -> int | None:
+    def token_floor(self, duty: str) -> int | None:
         """A number that no begun term of a lease is over, as a majority of acceptors says; None until one has."""
         told = self.floors.get(duty, {})
-        return max(told.values()) if len(told) >= majority(len(self.place.keepers)) else None
+        return max(told.values()) if len(told) >= majority(len(self.settings.keepers)) else None
 
-    def look_for_floor(self, duty: str) -> None:
+    def request_token_floor(self, duty: str) -> None:
         """Asks the acceptors for it: a number as low as this is refused, with what was promised."""
         ask = LeaseRequest(LeaseMessageKind.PREPARE, duty, LeaseTerm(1, *self.me))
-        self._send_asks([AcceptorMessage(k, ask) for k in self.place.keepers])
+        self._send_asks([AcceptorMessage(k, ask) for k in self.settings.keepers])
 
-    def give_back(self, duty: str) -> None:
+    def yield_lease(self, duty: str) -> None:
         """An operator has taken the lease from this front: it stands back for a few terms."""
         if (candidate := self.candidates.get(duty)) is not None:
             self._send_asks(candidate.set_wanted(False, boot_time()))
@@ -153,9 +153,9 @@
 
     # Messages received.
 
-    def taken(self, opened: bytes) -> None:
+    def receive(self, opened: bytes) -> None:
         """A message that came by datagram. MessageError where it is none."""
-        received = self.codec.taken(opened)
+        received = self.codec.decode(opened)
         if self.membership.displaced or self.membership.left:
             return  # another process has this name: it speaks
         sender, message, now = received.sender, received.message, boot_time()
@@ -164,27 +164,27 @@
         elif isinstance(message, Order):
             self.order_work.begin(received, message)
         elif isinstance(message, OrderReport):
-            if (reported := self.reports.get(message.duty)) is not None:
+            if (reported := self.report_handlers.get(message.duty)) is not None:
                 reported(sender, message)
-        elif self.acceptor is not None:
-            self._pass_to_acceptor(self.acceptor, sender, message, now)
+        elif self.acceptor_host is not None:
+            self._pass_to_acceptor(self.acceptor_host, sender, message, now)
 
     @staticmethod
     def _pass_to_acceptor(
-        acceptor: AcceptorHost, sender: str, message: LeaseRequest | RecordQuestion | RecordPart, now: int
+        acceptor: AcceptorHost, sender: str, message: LeaseRequest | RecordRequest | RecordPart, now: int
     ) -> None:
         if isinstance(message, LeaseRequest):
-            acceptor.receive_ask(sender, message, now)
-        elif isinstance(message, RecordQuestion):
-            acceptor.receive_question(sender, message.epoch)
+            acceptor.receive_request(sender, message, now)
+        elif isinstance(message, RecordRequest):
+            acceptor.receive_record_request(sender, message.epoch)
         else:
-            acceptor.receive_learnt(sender, message, now)
+            acceptor.receive_record_part(sender, message, now)
 
     def _receive_answer(self, answer: LeaseAnswer, now: int) -> None:
         candidate = self.candidates.get(answer.lease_name)
         if candidate is None:
             return
-        if answer.acceptor in self.place.keepers:
+        if answer.acceptor in self.settings.keepers:
             self.floors.setdefault(answer.lease_name, {})[answer.acceptor] = answer.highest_promised
         self._send_asks(candidate.receive_answer(answer, now))
         self._tell_change(answer.lease_name, candidate, now)
@@ -202,14 +202,14 @@
     def _send_asks(self, words: list[AcceptorMessage]) -> None:
         for word in words:
             with suppress(MessageError):
-                self._send_to(word.acceptor, self.codec.ask(*self.me, word.request))
+                self._send_to(word.acceptor, self.codec.encode_request(*self.me, word.request))
 
     def order(self, to: str, word: Order) -> None:
         """A holder's order to a front."""
-        self._send_to(to, self.codec.order(*self.me, word))
+        self._send_to(to, self.codec.encode_order(*self.me, word))
 
     def _send_report(self, to: str, word: OrderReport) -> None:
-        self._send_to(to, self.codec.report(*self.me, word))
+        self._send_to(to, self.codec.encode_report(*self.me, word))
 
     def _send_to(self, to: str, octets: bytes) -> None:
         if to != self.membership.me.name:
@@ -221,7 +221,7 @@
         opened = self.codec.ring.open(octets, 0)
         if opened is not None:
             with suppress(MessageError):
-                self.taken(opened)
+                self.receive(opened)
 
     # Time.
 
@@ -238,13 +238,13 @@
 
     def _use_nursery(self, nursery: trio.Nursery | None) -> None:
         self.nursery = self.order_work.nursery = nursery
-        if self.acceptor is not None:
-            self.acceptor.nursery = nursery
+        if self.acceptor_host is not None:
+            self.acceptor_host.nursery = nursery
 
     def tick(self, now: int) -> None:
         """Does what is due."""
-        if self.acceptor is not None:
-            self.acceptor.tick(now)
+        if self.acceptor_host is not None:
+            self.acceptor_host.tick(now)
         if self.membership.displaced or self.membership.left:
             for candidate in self.candidates.values():
                 self._send_asks(candidate.set_wanted(False, now))
@@ -272,7 +272,7 @@
         generation = self.membership.me.generation
         if known is not None and (known.generation == generation or known.held_term(now) is not None):
             return known
-        place = self.place
+        place = self.settings
         self.candidates[duty] = candidate = LeaseCandidate(
             duty, self.membership.me.name, generation, place.keepers, place.term_ns, self.rng, generation, now
         )
@@ -280,16 +280,16 @@
 
     def _tell_change(self, duty: str, candidate: LeaseCandidate, now: int) -> None:
         """Tells of a change of holder, as far as this front is concerned."""
-        term, before = candidate.held_term(now), self.owned.get(duty)
+        term, before = candidate.held_term(now), self.reported_terms.get(duty)
         if term == before:
             return
         if term is not None:
-            self.owned[duty] = term
+            self.reported_terms[duty] = term
             self.log.info("duty taken", duty=duty, number=term.fencing_token, terms=candidate.terms_won)
         else:
-            self.owned.pop(duty, None)
+            self.reported_terms.pop(duty, None)
             self.log.info("duty over", duty=duty, number=before.fencing_token if before else 0)
-        if (tell := self.changed.get(duty)) is not None:
+        if (tell := self.holder_handlers.get(duty)) is not None:
             tell(term)
 
     def status(self) -> dict[str, object]:
--- a/oakcroft/peers/order_work.py
+++ b/oakcroft/peers/order_work.py
@@ -29,13 +29,13 @@
         """`send_report` sends without waiting."""
         self.send_report = send_report
         self.log = log
-        self.by_duty: dict[str, Work] = {}
+        self.handlers: dict[str, Work] = {}
         self.working = 0
         self.nursery: trio.Nursery | None = None
 
     def begin(self, received: ReceivedLeaseMessage, order: Order) -> None:
         """Begins the work of one order, if this front knows it and not too much is under way."""
-        work = self.by_duty.get(order.duty)
+        work = self.handlers.get(order.duty)
         if work is not None and self.nursery is not None and self.working < MAX_WORKING:
             self.working += 1
             self.nursery.start_soon(self._do, work, received, order)
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -18,19 +18,19 @@
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import Message, MessageKind
-from oakcroft.decisions.membership.zone_messages import ZoneOut
+from oakcroft.decisions.membership.zone_messages import OutgoingZoneMessage
 from oakcroft.interface import MS, SECOND
 from oakcroft.peers.change_log import log_changes
 from oakcroft.peers.datagrams import DatagramSocket, RateLimit
-from oakcroft.peers.lease_acceptor import Keeping
+from oakcroft.peers.lease_acceptor import NamedValueStore
 from oakcroft.peers.leases import LeaseHost
 from oakcroft.peers.generations import store_generation
 from oakcroft.peers.key_file import KeyFile
 from oakcroft.peers.membership_start import begin_membership, leave_in_order, own_zone_membership
-from oakcroft.peers.push_pull_service import PUSH_PULL_TIMEOUT, PushPullService
+from oakcroft.peers.push_pull_service import PUSH_PULL_TIMEOUT_S, PushPullService
 from oakcroft.peers.status import membership_status
 from oakcroft.peers.streams import StreamServer
-from oakcroft.peers.text_transfer import TEXT_TIMEOUT, TextTransfer
+from oakcroft.peers.text_transfer import TEXT_TIMEOUT_S, TextTransfer
 from oakcroft.peers.zone_service import ZoneService
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.lease_codec import LEASE_FORMAT
@@ -39,13 +39,13 @@
 from oakcroft.peerwire.zone_codec import ZONE_FORMAT, ZoneCodec
 from oakcroft.running.clock import Clock
 
-RESTART_DELAY = 1.0
+RESTART_DELAY_S = 1.0
 """Seconds after a fault of this part of the program."""
 
 LEAVE_REPEATS = 3
 """Times that the last update is sent, so that a lost datagram does not lose it."""
 
-LEAVE_REPEAT_INTERVAL = 0.05
+LEAVE_REPEAT_INTERVAL_S = 0.05
 """Seconds."""
 
 LISTEN_BACKLOG = 64
@@ -56,10 +56,10 @@
 
     def __init__(
         self, place: PeerSettings, zone: str, seed: int, clock: Clock, log: structlog.typing.FilteringBoundLogger,
-        on_change: Callable[[Membership], None] = lambda _: None, record: Keeping | None = None,
+        on_change: Callable[[Membership], None] = lambda _: None, record: NamedValueStore | None = None,
     ) -> None:  # fmt: skip
         """Opens nothing yet. KeyFileError where the key file can't be used; `record` is the state file."""
-        self.place = place
+        self.settings = place
         self.clock = clock
         self.log = log
         self.on_change = on_change
@@ -84,15 +84,15 @@
         self.push_pulls = PushPullService(
             self.codec, self.hosted, own_host, self.now, self.dropped, self._carry_out
         )
-        self.streams = StreamServer(self.push_pulls.answer, PUSH_PULL_TIMEOUT, self.dropped)
-        self.duties: LeaseHost | None = None
-        self.texts: TextTransfer | None = None
+        self.streams = StreamServer(self.push_pulls.answer, PUSH_PULL_TIMEOUT_S, self.dropped)
+        self.leases: LeaseHost | None = None
+        self.text_transfer: TextTransfer | None = None
         if place.keepers:
-            self.duties = LeaseHost(
+            self.leases = LeaseHost(
                 place, self.key_file.ring, self.membership, record, seed + 1, self._send_to_member, log
             )
-            self.texts = TextTransfer(self.codec, self.duties, own_host, self.now, self.dropped)
-            self.streams.register(LEASE_FORMAT, self.texts.answer, TEXT_TIMEOUT)
+            self.text_transfer = TextTransfer(self.codec, self.leases, own_host, self.now, self.dropped)
+            self.streams.register(LEASE_FORMAT, self.text_transfer.answer, TEXT_TIMEOUT_S)
         self.has_begun = False
         self.woken = trio.Event()
 
@@ -103,7 +103,7 @@
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Takes part until it is cancelled. OSError where the address can't be had at the start.
 
-        Guards the front against a fault in all of this: viewers are served on, and after `RESTART_DELAY` it takes part
+        Guards the front against a fault in all of this: viewers are served on, and after `RESTART_DELAY_S` it takes part
         again.
         """
         while True:
@@ -114,10 +114,10 @@
                     raise
                 self.log.error("peers failed", error=repr(error)[:300], exc_info=error)
             task_status = trio.TASK_STATUS_IGNORED
-            await trio.sleep(RESTART_DELAY)
+            await trio.sleep(RESTART_DELAY_S)
 
     async def _take_part(self, task_status: trio.TaskStatus[None]) -> None:
-        host, port = self.place.listen
+        host, port = self.settings.listen
         with self.datagrams.opened():
             listeners = await trio.open_tcp_listeners(port, host=host, backlog=LISTEN_BACKLOG)
             self._log_start()
@@ -127,8 +127,8 @@
                 nursery.start_soon(self._run_timers)
                 nursery.start_soon(self.key_file.watch)
                 nursery.start_soon(trio.serve_listeners, self.streams.serve, listeners)
-                if self.duties is not None:
-                    nursery.start_soon(self.duties.run)
+                if self.leases is not None:
+                    nursery.start_soon(self.leases.run)
                 self.has_begun = True
                 task_status.started()
 
@@ -139,19 +139,19 @@
 
     async def leave(self) -> None:
         """Says that this front leaves in order. Call it when no more is let in: its shares pass on with it."""
-        if self.duties is not None:
-            self.duties.leave()
+        if self.leases is not None:
+            self.leases.leave()
         leave_in_order(self.hosted, self.now())
         last_messages = self._take_messages()
         for _ in range(LEAVE_REPEATS):
             for message in last_messages:
                 self._send(message)
-            await trio.sleep(LEAVE_REPEAT_INTERVAL)
+            await trio.sleep(LEAVE_REPEAT_INTERVAL_S)
 
     # Sending.
 
-    def _take_messages(self) -> list[Message | ZoneOut]:
-        messages: list[Message | ZoneOut] = [*self.hosted.out]
+    def _take_messages(self) -> list[Message | OutgoingZoneMessage]:
+        messages: list[Message | OutgoingZoneMessage] = [*self.hosted.out]
         self.hosted.out = []
         return messages
 
@@ -170,19 +170,19 @@
         self.hosted.changes = []
         if membership.me.generation != self.stored_generation:
             self.stored_generation = membership.me.generation
-            if trouble := store_generation(self.place.start_count_file, self.stored_generation):
-                self.log.warning("start not kept", file=self.place.start_count_file, why=trouble)
+            if trouble := store_generation(self.settings.start_count_file, self.stored_generation):
+                self.log.warning("start not kept", file=self.settings.start_count_file, why=trouble)
         self.on_change(membership)
 
-    def _send(self, message: Message | ZoneOut) -> None:
-        if isinstance(message, ZoneOut):
+    def _send(self, message: Message | OutgoingZoneMessage) -> None:
+        if isinstance(message, OutgoingZoneMessage):
             self._send_between_zones(message)
         elif message.kind is MessageKind.PUSH_PULL:
             self.nursery.start_soon(self.push_pulls.begin, message.address)
         else:
             self.datagrams.send(self.codec.encode(self.membership.me, message), message.address)
 
-    def _send_between_zones(self, message: ZoneOut) -> None:
+    def _send_between_zones(self, message: OutgoingZoneMessage) -> None:
         assert self.zones is not None
         try:
             octets = self.zones.encode(message)
@@ -202,7 +202,7 @@
         membership = self.membership
         if not membership.displaced and not membership.left:
             me = membership.me
-            self._send_to_member(peer, self.load_codec.rows(me.name, me.generation, reports))
+            self._send_to_member(peer, self.load_codec.encode(me.name, me.generation, reports))
 
     # Receiving.
 
@@ -220,8 +220,8 @@
     def _dispatch(self, opened: bytes, now: int) -> None:
         """Hands an opened datagram to what its format is for. MessageError where it is for nothing here."""
         wire_format = opened[0] if opened else None
-        if self.duties is not None and wire_format == LEASE_FORMAT:
-            self.duties.taken(opened)
+        if self.leases is not None and wire_format == LEASE_FORMAT:
+            self.leases.receive(opened)
             self.received += 1
         elif self.zones is not None and wire_format == ZONE_FORMAT:
             self.zones.receive(opened, now)
@@ -235,14 +235,14 @@
     def _receive_membership(self, opened: bytes, now: int) -> None:
         message = self.codec.read(opened)
         self.received += 1
-        self.hosted.heard(
+        self.hosted.receive_message(
             message.sender, message.kind, message.sequence, message.to, message.target, message.updates, now
         )
         self._carry_out()
 
     def _read_loads(self, opened: bytes) -> list[LoadReport]:
         """Loads of nodes: taken of members that this front knows, whatever their generation."""
-        sender, rows = self.load_codec.taken(opened)
+        sender, rows = self.load_codec.decode(opened)
         if sender not in self.membership.members or self.membership.displaced:
             raise MessageError("no member")
         self.received += 1
@@ -256,9 +256,9 @@
     async def fetch(self, name: str, digest: str) -> bytes | None:
         """A text that another front holds; None where it can't be had."""
         member = self.membership.members.get(name)
-        if member is None or self.texts is None:
+        if member is None or self.text_transfer is None:
             return None
-        return await self.texts.fetch(member.latest.address, digest)
+        return await self.text_transfer.fetch(member.latest.address, digest)
 
     # Time.
 
--- a/oakcroft/peers/push_pull_service.py
+++ b/oakcroft/peers/push_pull_service.py
@@ -15,9 +15,9 @@
 from oakcroft.peers.streams import STREAM_ERRORS, connect
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.membership_codec import MembershipCodec
-from oakcroft.peerwire.push_pull_stream import MAX_PART, FullStateReader, write_full_state
+from oakcroft.peerwire.push_pull_stream import MAX_PART_BYTES, FullStateReader, write_full_state
 
-PUSH_PULL_TIMEOUT = 2.0
+PUSH_PULL_TIMEOUT_S = 2.0
 """Seconds for one, from the first octet to the last."""
 
 
@@ -39,12 +39,12 @@
     def _own_state(self, asked_with: Sequence[MemberUpdate] | None = None) -> bytes:
         """What is sent; to whoever has begun, what it lacks by what it `asked_with`."""
         hosted = self.membership
-        state = hosted.whole(asked_with) if isinstance(hosted, ZonedMembership) else hosted.whole()
+        state = hosted.full_state(asked_with) if isinstance(hosted, ZonedMembership) else hosted.full_state()
         return write_full_state(self.codec, state)
 
     async def begin(self, address: Address) -> None:
         """A push-pull with whoever is at an address; one that fails is as good as lost."""
-        with trio.move_on_after(PUSH_PULL_TIMEOUT), suppress(*STREAM_ERRORS, MessageError):
+        with trio.move_on_after(PUSH_PULL_TIMEOUT_S), suppress(*STREAM_ERRORS, MessageError):
             async with await connect(address, self.own_host) as stream:
                 await stream.send_all(self._own_state())
                 await self._receive(stream)
@@ -72,7 +72,7 @@
         try:
             reader.receive_data(first, self.now())
             while not reader.done:
-                octets = await stream.receive_some(MAX_PART)
+                octets = await stream.receive_some(MAX_PART_BYTES)
                 if not octets:
                     return None
                 reader.receive_data(octets, self.now())
@@ -80,6 +80,6 @@
             self.dropped[str(error)] += 1
             return None
         assert reader.sender is not None
-        self.membership.exchanged(reader.sender, reader.updates, self.now())
+        self.membership.receive_full_state(reader.sender, reader.updates, self.now())
         self.merged()
         return reader.updates
--- a/oakcroft/peers/streams.py
+++ b/oakcroft/peers/streams.py
@@ -10,7 +10,7 @@
 import trio
 
 from oakcroft.decisions.membership.messages import Address
-from oakcroft.peerwire.push_pull_stream import LENGTH_OCTETS, MAX_PART
+from oakcroft.peerwire.push_pull_stream import LENGTH_OCTETS, MAX_PART_BYTES
 from oakcroft.peerwire.sealing import SEAL_LENGTH
 
 MAX_STREAMS = 8
@@ -75,7 +75,7 @@
     """A stream's octets up to where its first message shows its format; None where it ends before."""
     octets = bytearray()
     while len(octets) <= FORMAT_AT:
-        more = await stream.receive_some(MAX_PART)
+        more = await stream.receive_some(MAX_PART_BYTES)
         if not more:
             return None
         octets += more
--- a/oakcroft/peers/text_transfer.py
+++ b/oakcroft/peers/text_transfer.py
@@ -12,15 +12,15 @@
 from oakcroft.peers.leases import LeaseHost
 from oakcroft.peers.streams import STREAM_ERRORS, connect
 from oakcroft.peerwire.errors import MessageError
-from oakcroft.peerwire.lease_codec import MAX_TEXT
+from oakcroft.peerwire.lease_codec import MAX_TEXT_BYTES
 from oakcroft.peerwire.lease_wire import TextChunk
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM, MembershipCodec
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES, MembershipCodec
 from oakcroft.peerwire.push_pull_stream import LENGTH_OCTETS
 
-TEXT_TIMEOUT = 10.0
+TEXT_TIMEOUT_S = 10.0
 """Seconds for a text of 16 MiB at most."""
 
-READ_SIZE = 65_536
+READ_BYTES = 65_536
 
 
 class TextTransfer:
@@ -48,30 +48,30 @@
         except MessageError as error:
             self.dropped[str(error)] += 1
             return
-        text = self.leases.texts(digest) or b""
-        for part in self.leases.codec.chunks(*self.leases.me, text):
+        text = self.leases.find_text(digest) or b""
+        for part in self.leases.codec.encode_text(*self.leases.me, text):
             await stream.send_all(part)
 
     async def _read_question(self, stream: trio.SocketStream, first: bytes) -> str:
         end = LENGTH_OCTETS + int.from_bytes(first[:LENGTH_OCTETS], "big")
-        while len(first) < end <= MAX_DATAGRAM:
-            more = await stream.receive_some(MAX_DATAGRAM)
+        while len(first) < end <= MAX_DATAGRAM_BYTES:
+            more = await stream.receive_some(MAX_DATAGRAM_BYTES)
             if not more:
                 raise MessageError("not sealed")
             first += more
         opened = self.codec.open(first[LENGTH_OCTETS:end], self.now())
-        return self.leases.codec.asked_for(opened)
+        return self.leases.codec.decode_text_request(opened)
 
     async def fetch(self, address: Address, digest: str) -> bytes | None:
-        """A text that another front holds; None where it can't be had within `TEXT_TIMEOUT`."""
+        """A text that another front holds; None where it can't be had within `TEXT_TIMEOUT_S`."""
         text = bytearray()
         expected_part = 0
-        with trio.move_on_after(TEXT_TIMEOUT), suppress(*STREAM_ERRORS, MessageError):
+        with trio.move_on_after(TEXT_TIMEOUT_S), suppress(*STREAM_ERRORS, MessageError):
             async with await connect(address, self.own_host) as stream:
-                await stream.send_all(self.leases.codec.fetch(*self.leases.me, digest))
+                await stream.send_all(self.leases.codec.encode_text_request(*self.leases.me, digest))
                 async for chunk in self._chunks(stream):
                     text += chunk.octets
-                    if chunk.part != expected_part or len(text) > MAX_TEXT:
+                    if chunk.part != expected_part or len(text) > MAX_TEXT_BYTES:
                         return None
                     expected_part += 1
                     if not chunk.more:
@@ -80,7 +80,7 @@
 
     async def _chunks(self, stream: trio.SocketStream) -> AsyncIterator[TextChunk]:
         buffer = bytearray()
-        while octets := await stream.receive_some(READ_SIZE):
+        while octets := await stream.receive_some(READ_BYTES):
             buffer += octets
             while len(buffer) >= LENGTH_OCTETS:
                 end = LENGTH_OCTETS + int.from_bytes(buffer[:LENGTH_OCTETS], "big")
@@ -88,4 +88,4 @@
                     break
                 opened = self.codec.unseal(bytes(buffer[LENGTH_OCTETS:end]), self.now())
                 del buffer[:end]
-                yield self.leases.codec.chunk(opened)
+                yield self.leases.codec.decode_text_chunk(opened)
--- a/oakcroft/peers/zone_service.py
+++ b/oakcroft/peers/zone_service.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
-from oakcroft.decisions.membership.zone_messages import ZoneOut
+from oakcroft.decisions.membership.zone_messages import OutgoingZoneMessage
 from oakcroft.decisions.membership.zone_placement import ZoneStatus
 from oakcroft.decisions.membership.zone_summary import ZoneContact
 from oakcroft.interface import MS
@@ -19,7 +19,7 @@
         self.region = region
         self.codec = codec
 
-    def encode(self, out: ZoneOut) -> bytes:
+    def encode(self, out: OutgoingZoneMessage) -> bytes:
         """A message as a datagram. MessageError where it is too long for one."""
         me = self.zoned.local.me
         sender = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
@@ -28,7 +28,7 @@
     def receive(self, opened: bytes, now: int) -> None:
         """An opened datagram of this layer. MessageError where it is none."""
         received = self.codec.read(opened)
-        self.zoned.heard_zone(received.sender, received.message, now)
+        self.zoned.receive_zone_message(received.sender, received.message, now)
 
     def status(self, now: int) -> dict[str, object]:
         """The own zone and region, the other zones, and the counts of this layer, as plain values."""
--- a/oakcroft/peerwire/lease_codec.py
+++ b/oakcroft/peerwire/lease_codec.py
@@ -20,11 +20,11 @@
     Order,
     OrderReport,
     RecordPart,
-    RecordQuestion,
+    RecordRequest,
     TextChunk,
-    TextQuestion,
-    WireAnswer,
-    WireAsk,
+    TextRequest,
+    WireLeaseAnswer,
+    WireLeaseRequest,
     WireBody,
     checked_name,
     checked_number,
@@ -34,41 +34,41 @@
     term_from_wire,
     term_to_wire,
 )
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 from oakcroft.peerwire.push_pull_stream import frame
 from oakcroft.peerwire.sealing import KeyRing
 
 LEASE_FORMAT = 65
 MAX_ACCEPTORS = 7
-STEPS = {step.value: step for step in LeaseMessageKind}
-ORDER, REPORT, TEXT_QUESTION, TEXT_CHUNK = 32, 33, 34, 35
+MESSAGE_KINDS = {step.value: step for step in LeaseMessageKind}
+ORDER, REPORT, TEXT_REQUEST, TEXT_CHUNK = 32, 33, 34, 35
 """Kinds over those of `Step`: a holder's order to a front, and the front's report; by stream, a text by its digest."""
 
 CHUNK_OCTETS = 12_288
-MAX_TEXT = 16_777_216
+MAX_TEXT_BYTES = 16_777_216
 """Octets of a text."""
 
 ENCODER = msgspec.msgpack.Encoder()
 BODY_DECODER = msgspec.msgpack.Decoder(WireBody)
-ASK_DECODER = msgspec.msgpack.Decoder(WireAsk)
-ANSWER_DECODER = msgspec.msgpack.Decoder(WireAnswer)
-QUESTION_DECODER = msgspec.msgpack.Decoder(RecordQuestion)
+LEASE_REQUEST_DECODER = msgspec.msgpack.Decoder(WireLeaseRequest)
+LEASE_ANSWER_DECODER = msgspec.msgpack.Decoder(WireLeaseAnswer)
+RECORD_REQUEST_DECODER = msgspec.msgpack.Decoder(RecordRequest)
 PART_DECODER = msgspec.msgpack.Decoder(RecordPart)
 ORDER_DECODER = msgspec.msgpack.Decoder(Order)
 REPORT_DECODER = msgspec.msgpack.Decoder(OrderReport)
-TEXT_QUESTION_DECODER = msgspec.msgpack.Decoder(TextQuestion)
+TEXT_REQUEST_DECODER = msgspec.msgpack.Decoder(TextRequest)
 TEXT_CHUNK_DECODER = msgspec.msgpack.Decoder(TextChunk)
 
 T = TypeVar("T")
-LeaseMessage = LeaseRequest | LeaseAnswer | RecordQuestion | RecordPart | Order | OrderReport
+LeaseMessage = LeaseRequest | LeaseAnswer | RecordRequest | RecordPart | Order | OrderReport
 
 
 @dataclass(frozen=True)
 class ReceivedLeaseMessage:
-    """A message as it was read, and whose; `start` is the sender's generation."""
+    """A message as it was read, and whose."""
 
     sender: str
-    start: int
+    generation: int
     message: LeaseMessage
 
 
@@ -86,21 +86,21 @@
 
     def _datagram(self, sender: str, start: int, kind: int, payload: msgspec.Struct) -> bytes:
         octets = self._seal(sender, start, kind, payload)
-        if len(octets) > MAX_DATAGRAM:
+        if len(octets) > MAX_DATAGRAM_BYTES:
             raise MessageError("too long")
         return octets
 
-    def ask(self, sender: str, start: int, ask: LeaseRequest) -> bytes:
+    def encode_request(self, sender: str, start: int, ask: LeaseRequest) -> bytes:
         """A candidate's message to an acceptor."""
-        wire = WireAsk(
+        wire = WireLeaseRequest(
             ask.lease_name, term_to_wire(ask.term), ask.seq, ask.term_length, note_to_wire(ask.note)
         )
         return self._datagram(sender, start, ask.kind.value, wire)
 
-    def answer(self, sender: str, start: int, answer: LeaseAnswer) -> bytes:
+    def encode_answer(self, sender: str, start: int, answer: LeaseAnswer) -> bytes:
         """An acceptor's message to a candidate."""
         running = None if answer.running_term is None else term_to_wire(answer.running_term)
-        wire = WireAnswer(
+        wire = WireLeaseAnswer(
             answer.lease_name,
             answer.epoch,
             answer.fencing_token,
@@ -113,11 +113,11 @@
         )
         return self._datagram(sender, start, answer.kind.value, wire)
 
-    def learn(self, sender: str, start: int, epoch: int) -> bytes:
+    def encode_record_request(self, sender: str, start: int, epoch: int) -> bytes:
         """The question of an acceptor that remembers nothing."""
-        return self._datagram(sender, start, LeaseMessageKind.LEARN.value, RecordQuestion(epoch))
+        return self._datagram(sender, start, LeaseMessageKind.LEARN.value, RecordRequest(epoch))
 
-    def learnt(self, sender: str, start: int, told: AcceptorRecord) -> list[bytes]:
+    def encode_record(self, sender: str, start: int, told: AcceptorRecord) -> list[bytes]:
         """The answer to it, a row a datagram."""
         parts = max(1, len(told.records))
         wire = [
@@ -127,21 +127,21 @@
         wire = wire or [RecordPart(told.epoch, told.has_full_record, 0, 1)]
         return [self._datagram(sender, start, LeaseMessageKind.LEARNT.value, part) for part in wire]
 
-    def order(self, sender: str, start: int, order: Order) -> bytes:
+    def encode_order(self, sender: str, start: int, order: Order) -> bytes:
         """A holder's order."""
         return self._datagram(sender, start, ORDER, order)
 
-    def report(self, sender: str, start: int, report: OrderReport) -> bytes:
+    def encode_report(self, sender: str, start: int, report: OrderReport) -> bytes:
         """What became of an order."""
         return self._datagram(sender, start, REPORT, report)
 
     # By stream: each message behind its length in two octets.
 
-    def fetch(self, sender: str, start: int, digest: str) -> bytes:
+    def encode_text_request(self, sender: str, start: int, digest: str) -> bytes:
         """The question for a text."""
-        return frame(self._datagram(sender, start, TEXT_QUESTION, TextQuestion(digest)))
+        return frame(self._datagram(sender, start, TEXT_REQUEST, TextRequest(digest)))
 
-    def chunks(self, sender: str, start: int, text: bytes) -> Iterator[bytes]:
+    def encode_text(self, sender: str, start: int, text: bytes) -> Iterator[bytes]:
         """A text, part by part."""
         offsets = range(0, max(1, len(text)), CHUNK_OCTETS)
         for number, offset in enumerate(offsets):
@@ -149,11 +149,11 @@
             chunk = TextChunk(number, more, text[offset : offset + CHUNK_OCTETS])
             yield frame(self._seal(sender, start, TEXT_CHUNK, chunk))
 
-    def asked_for(self, opened: bytes) -> str:
+    def decode_text_request(self, opened: bytes) -> str:
         """The digest of the text that a stream's first message asks for."""
-        return self._payload(opened, TEXT_QUESTION, TEXT_QUESTION_DECODER).digest
+        return self._payload(opened, TEXT_REQUEST, TEXT_REQUEST_DECODER).digest
 
-    def chunk(self, opened: bytes) -> TextChunk:
+    def decode_text_chunk(self, opened: bytes) -> TextChunk:
         """One part of a text."""
         return self._payload(opened, TEXT_CHUNK, TEXT_CHUNK_DECODER)
 
@@ -166,7 +166,7 @@
         except msgspec.MsgspecError as error:
             raise MessageError("malformed") from error
 
-    def taken(self, opened: bytes) -> ReceivedLeaseMessage:
+    def decode(self, opened: bytes) -> ReceivedLeaseMessage:
         """What a message says that the ring has opened, its format first."""
         try:
             body = BODY_DECODER.decode(opened[1:])
@@ -204,19 +204,19 @@
 
 
 def _read_ask(body: WireBody) -> LeaseRequest:
-    wire = ASK_DECODER.decode(body.payload)
+    wire = LEASE_REQUEST_DECODER.decode(body.payload)
     return LeaseRequest(
-        STEPS[body.kind], checked_name(wire.duty), term_from_wire(wire.term), checked_number(wire.seq),
+        MESSAGE_KINDS[body.kind], checked_name(wire.duty), term_from_wire(wire.term), checked_number(wire.seq),
         checked_number(wire.length), note_from_wire(wire.note),
     )  # fmt: skip
 
 
 def _read_answer(body: WireBody) -> LeaseAnswer:
-    wire = ANSWER_DECODER.decode(body.payload)
+    wire = LEASE_ANSWER_DECODER.decode(body.payload)
     epochs = tuple((checked_name(name), checked_number(epoch)) for name, epoch in wire.epochs[:MAX_ACCEPTORS])
     running = None if wire.running is None else term_from_wire(wire.running)
     return LeaseAnswer(
-        STEPS[body.kind], checked_name(wire.duty), checked_name(body.sender), checked_number(wire.epoch),
+        MESSAGE_KINDS[body.kind], checked_name(wire.duty), checked_name(body.sender), checked_number(wire.epoch),
         checked_number(wire.number), checked_number(wire.seq), checked_number(wire.highest), running,
         checked_number(wire.left), note_from_wire(wire.note), epochs,
     )  # fmt: skip
@@ -229,7 +229,7 @@
     LeaseMessageKind.PROMISED.value: _read_answer,
     LeaseMessageKind.REFUSED.value: _read_answer,
     LeaseMessageKind.ACCEPTED.value: _read_answer,
-    LeaseMessageKind.LEARN.value: lambda body: QUESTION_DECODER.decode(body.payload),
+    LeaseMessageKind.LEARN.value: lambda body: RECORD_REQUEST_DECODER.decode(body.payload),
     LeaseMessageKind.LEARNT.value: lambda body: PART_DECODER.decode(body.payload),
     ORDER: _read_order,
     REPORT: _read_report,
--- a/oakcroft/peerwire/lease_wire.py
+++ b/oakcroft/peerwire/lease_wire.py
@@ -32,7 +32,7 @@
     body: bytes = b""
 
 
-class WireAsk(msgspec.Struct, array_like=True):
+class WireLeaseRequest(msgspec.Struct, array_like=True):
     """An `Ask` on the wire."""
 
     duty: str
@@ -42,7 +42,7 @@
     note: WireNote = WireNote()
 
 
-class WireAnswer(msgspec.Struct, array_like=True):
+class WireLeaseAnswer(msgspec.Struct, array_like=True):
     """An `Answer` on the wire."""
 
     duty: str
@@ -56,7 +56,7 @@
     epochs: list[tuple[str, int]] = []
 
 
-class RecordQuestion(msgspec.Struct, array_like=True):
+class RecordRequest(msgspec.Struct, array_like=True):
     """An acceptor that remembers nothing, with the epoch of its new record, asks what another knows."""
 
     epoch: int
@@ -101,7 +101,7 @@
     body: bytes
 
 
-class TextQuestion(msgspec.Struct, array_like=True):
+class TextRequest(msgspec.Struct, array_like=True):
     """Asks for a text by its digest."""
 
     digest: str
--- a/oakcroft/peerwire/load_codec.py
+++ b/oakcroft/peerwire/load_codec.py
@@ -21,18 +21,18 @@
 )
 from oakcroft.interface import MS
 from oakcroft.peerwire.errors import MessageError
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 from oakcroft.peerwire.sealing import KeyRing
 
 LOAD_FORMAT = 67
-THOUSAND = 1_000
+LOAD_SCALE = 1_000
 """Parts of one, in which a load goes on the wire."""
 
 MAX_NAME_LENGTH = 64
-MARK_LENGTH = 8
+PROCESS_ID_LENGTH = 8
 
-Mark = Annotated[bytes, msgspec.Meta(min_length=MARK_LENGTH, max_length=MARK_LENGTH)]
-Load = Annotated[int, msgspec.Meta(ge=0, le=round(MAX_LOAD * THOUSAND))]
+ProcessId = Annotated[bytes, msgspec.Meta(min_length=PROCESS_ID_LENGTH, max_length=PROCESS_ID_LENGTH)]
+Load = Annotated[int, msgspec.Meta(ge=0, le=round(MAX_LOAD * LOAD_SCALE))]
 Age = Annotated[int, msgspec.Meta(ge=0, le=MAX_REPORT_AGE // MS)]
 
 
@@ -42,7 +42,7 @@
     fleet: str
     sender: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
     start: int
-    rows: Annotated[list[tuple[Mark, Load, Age]], msgspec.Meta(max_length=MAX_REPORTS_PER_MESSAGE)]
+    rows: Annotated[list[tuple[ProcessId, Load, Age]], msgspec.Meta(max_length=MAX_REPORTS_PER_MESSAGE)]
 
 
 ENCODER = msgspec.msgpack.Encoder()
@@ -57,21 +57,21 @@
         self.fleet = fleet
         self.ring = ring
 
-    def rows(self, sender: str, start: int, rows: Sequence[LoadReport]) -> bytes:
+    def encode(self, sender: str, start: int, rows: Sequence[LoadReport]) -> bytes:
         """One datagram. Rows that do not fit stay out, the last first."""
         some = [
-            (r.process_id, round(r.load * THOUSAND), min(r.age, MAX_REPORT_AGE) // MS)
+            (r.process_id, round(r.load * LOAD_SCALE), min(r.age, MAX_REPORT_AGE) // MS)
             for r in rows[:MAX_REPORTS_PER_MESSAGE]
         ]
         while True:
             octets = self.ring.seal(
                 bytes((LOAD_FORMAT,)) + ENCODER.encode(WireBody(self.fleet, sender, start, some))
             )
-            if len(octets) <= MAX_DATAGRAM or not some:
+            if len(octets) <= MAX_DATAGRAM_BYTES or not some:
                 return octets
             some.pop()
 
-    def taken(self, opened: bytes) -> tuple[str, list[LoadReport]]:
+    def decode(self, opened: bytes) -> tuple[str, list[LoadReport]]:
         """Whose figures, and which, of a message that the ring has opened, its form first. MessageError if it is none."""
         try:
             body = DECODER.decode(opened[1:])
@@ -79,4 +79,4 @@
             raise MessageError("malformed") from fault
         if body.fleet != self.fleet:
             raise MessageError("other fleet")
-        return body.sender, [LoadReport(mark, load / THOUSAND, age * MS) for mark, load, age in body.rows]
+        return body.sender, [LoadReport(mark, load / LOAD_SCALE, age * MS) for mark, load, age in body.rows]
--- a/oakcroft/peerwire/membership_codec.py
+++ b/oakcroft/peerwire/membership_codec.py
@@ -30,7 +30,7 @@
 FORMATS_READ = (FORMAT, FORMAT + 1)
 """Formats that are read. There is none before the first."""
 
-MAX_DATAGRAM = 1_400
+MAX_DATAGRAM_BYTES = 1_400
 """Octets, seal included: what crosses an Ethernet path whole, with room for tunnels."""
 
 MAX_TEXT_LENGTH = MAX_NAME_LENGTH
@@ -116,7 +116,7 @@
         while True:
             body = self._body(sender, message, updates)
             octets = self.seal(body)
-            if len(octets) <= MAX_DATAGRAM or not updates:
+            if len(octets) <= MAX_DATAGRAM_BYTES or not updates:
                 return octets
             updates.pop()
 
@@ -139,7 +139,7 @@
 
     def open(self, octets: bytes, now: int) -> bytes:
         """What a datagram's seal holds, its format first. MessageError where no holder of a key sealed it."""
-        if len(octets) > MAX_DATAGRAM:
+        if len(octets) > MAX_DATAGRAM_BYTES:
             raise MessageError("too long")
         return self.unseal(octets, now)
 
--- a/oakcroft/peerwire/push_pull_stream.py
+++ b/oakcroft/peerwire/push_pull_stream.py
@@ -10,13 +10,13 @@
 from oakcroft.peerwire.membership_codec import MembershipCodec, WireBody, from_wire, to_wire
 from oakcroft.peerwire.sealing import SEAL_LENGTH
 
-MAX_PART = 16_384
+MAX_PART_BYTES = 16_384
 """Octets of one part."""
 
 MAX_PARTS = 64
 """Of one full state, each way."""
 
-UPDATES_A_PART = 96
+UPDATES_PER_PART = 96
 LENGTH_OCTETS = 2
 
 
@@ -27,8 +27,8 @@
 
 def write_full_state(codec: MembershipCodec, updates: Sequence[MemberUpdate]) -> bytes:
     """A full state, its sender's own update first. What is over `MAX_PARTS` stays out."""
-    sender, rest = updates[0], updates[1 : 1 + MAX_PARTS * UPDATES_A_PART]
-    parts = [rest[i : i + UPDATES_A_PART] for i in range(0, len(rest), UPDATES_A_PART)] or [[]]
+    sender, rest = updates[0], updates[1 : 1 + MAX_PARTS * UPDATES_PER_PART]
+    parts = [rest[i : i + UPDATES_PER_PART] for i in range(0, len(rest), UPDATES_PER_PART)] or [[]]
     octets = bytearray()
     for number, part in enumerate(parts):
         more = number + 1 < len(parts)
@@ -56,7 +56,7 @@
         self.buffer += octets
         while not self.done and len(self.buffer) >= LENGTH_OCTETS:
             length = int.from_bytes(self.buffer[:LENGTH_OCTETS], "big")
-            if length > MAX_PART:
+            if length > MAX_PART_BYTES:
                 raise MessageError("too long")
             if length <= SEAL_LENGTH:
                 raise MessageError("malformed")
@@ -75,7 +75,7 @@
             raise MessageError("malformed")
         self.sender = sender
         self.parts += 1
-        self.updates += [u for w in body.updates[:UPDATES_A_PART] if (u := from_wire(w)) is not None]
+        self.updates += [u for w in body.updates[:UPDATES_PER_PART] if (u := from_wire(w)) is not None]
         if self.parts >= MAX_PARTS and body.more:
             raise MessageError("too long")
         self.done = not body.more
--- a/oakcroft/peerwire/sealing.py
+++ b/oakcroft/peerwire/sealing.py
@@ -2,8 +2,8 @@
 
 A key file holds one key a line, 32 octets in hexadecimal. The first seals; all open. So a key is changed while
 serving by adding the new one below the old on every front, then putting it first, then taking the old one out; one
-that is taken out still opens for `KEY_LINGERS`, for the fronts that have not read their files yet. This is no encryption:
-what peers say of each other is no secret, but nobody else may say it.
+that is taken out still opens for `RETIRED_KEY_LIFETIME`, for the fronts that have not read their files yet. This is no
+encryption: what peers say of each other is no secret, but nobody else may say it.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 SEAL_LENGTH = 16
 KEY_LENGTH = 32
 MAX_KEYS = 4
-KEY_LINGERS = 120 * SECOND
-PERSON = b"oakcroft-peers"
+RETIRED_KEY_LIFETIME = 120 * SECOND
+SEAL_PERSONALIZATION = b"oakcroft-peers"
 """Domain of the keyed BLAKE2b (RFC 7693), so that a seal is good for nothing else."""
 
 FINGERPRINT_LENGTH = 4
@@ -57,7 +57,7 @@
     def change(self, keys: tuple[bytes, ...], now: int) -> None:
         """Other keys from now on."""
         self.former = {k: until for k, until in self.former.items() if until > now and k not in keys}
-        self.former |= {k: now + KEY_LINGERS for k in self.keys if k not in keys}
+        self.former |= {k: now + RETIRED_KEY_LIFETIME for k in self.keys if k not in keys}
         while len(self.former) > MAX_KEYS:
             del self.former[min(self.former, key=lambda k: self.former[k])]
         self.keys = keys
@@ -84,4 +84,4 @@
 
 
 def _mac(key: bytes, body: bytes) -> bytes:
-    return hashlib.blake2b(body, key=key, digest_size=SEAL_LENGTH, person=PERSON).digest()
+    return hashlib.blake2b(body, key=key, digest_size=SEAL_LENGTH, person=SEAL_PERSONALIZATION).digest()
--- a/oakcroft/peerwire/zone_codec.py
+++ b/oakcroft/peerwire/zone_codec.py
@@ -33,7 +33,7 @@
     ZoneSummary,
 )
 from oakcroft.peerwire.errors import MessageError
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM, is_numeric_host
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES, is_numeric_host
 from oakcroft.peerwire.sealing import KeyRing
 from oakcroft.peerwire.zone_wire import (
     KINDS,
@@ -81,7 +81,7 @@
         wire_sender = WireSender(sender.name, sender.generation, sender.zone, sender.host, sender.port)
         body = WireBody(self.fleet, wire_sender, kind.value, msgspec.Raw(ENCODER.encode(payload)))
         octets = self.ring.seal(bytes((ZONE_FORMAT,)) + ENCODER.encode(body))
-        if len(octets) > MAX_DATAGRAM:
+        if len(octets) > MAX_DATAGRAM_BYTES:
             raise MessageError("too long")
         return octets
 
--- a/oakcroft/rehearsal/many_owners.py
+++ b/oakcroft/rehearsal/many_owners.py
@@ -12,7 +12,7 @@
 
 from oakcroft.decisions.fleet.acceptor import LeaseAcceptor
 from oakcroft.decisions.fleet.candidate import LeaseCandidate, CandidateState, AcceptorMessage
-from oakcroft.decisions.membership.rendezvous import line
+from oakcroft.decisions.membership.rendezvous import rank_order
 from oakcroft.decisions.fleet.lease import LeaseAnswer, AcceptorRecord
 from oakcroft.interface import MS, SECOND
 
@@ -78,7 +78,7 @@
         if name in self.dead:
             return
         if self.in_line is None:
-            self.in_line = line(DUTY, [n for n in self.names if n not in self.known_dead])[:IN_LINE]
+            self.in_line = rank_order(DUTY, [n for n in self.names if n not in self.known_dead])[:IN_LINE]
         one = self.candidates[name]
         one.rank = self.in_line.index(name) if name in self.in_line else IN_LINE
         self._say(name, one.set_wanted(one.rank < IN_LINE or one.held_term(self.now) is not None, self.now))
--- a/oakcroft/rehearsal/many_views.py
+++ b/oakcroft/rehearsal/many_views.py
@@ -172,7 +172,7 @@
             return
 
         def hear() -> None:
-            there.view.heard(
+            there.view.receive_message(
                 me, message.kind, message.sequence, message.to, message.target, message.updates, self.now
             )
             self._after(there)
@@ -193,14 +193,14 @@
             or self.cut(other.name, one.name)
         ):
             return
-        mine, theirs = one.view.whole(), other.view.whole()
+        mine, theirs = one.view.full_state(), other.view.full_state()
         for process, whole in ((one, mine), (other, theirs)):
             process.octets += HEADER * (2 + len(whole) // 15) + WORD * len(whole)
 
         def swap() -> None:
             for process, sender, whole in ((other, mine[0], mine), (one, theirs[0], theirs)):
                 if process.alive and not process.stopped:
-                    process.view.exchanged(sender, whole, self.now)
+                    process.view.receive_full_state(sender, whole, self.now)
                     self._after(process)
 
         self.later(self.now + 4 * self.latency[1], swap)
@@ -209,7 +209,7 @@
 
     def agree(self, names: set[str], standing: MemberState) -> bool:
         """Whether all that run see all these so."""
-        return all(p.view.standing(n) is standing for p in self.living() for n in names if n != p.name)
+        return all(p.view.state_of(n) is standing for p in self.living() for n in names if n != p.name)
 
     def settled(self) -> bool:
         """Whether all that run see just those as alive that run, and suspect nobody."""
@@ -220,7 +220,7 @@
     def _sees(view: Membership, living: set[str]) -> bool:
         if view.suspects or len(view.present()) != len(living):
             return False
-        return all(view.standing(n) is MemberState.ALIVE for n in living)
+        return all(view.state_of(n) is MemberState.ALIVE for n in living)
 
 
 def fleet(size: int, seed: int, loss: float = 0.0, double: float = 0.0) -> Net:
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -18,7 +18,7 @@
 from test_peers import TOKEN, Fronts, fronts
 
 from oakcroft.decisions.fleet.session_takeover import HASH_SLOTS_PER_NODE
-from oakcroft.decisions.membership.rendezvous import line, weight
+from oakcroft.decisions.membership.rendezvous import rank_order, weight
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
@@ -299,7 +299,7 @@
 def test_a_front_that_is_leaving_takes_nothing_over(tmp_path: Path) -> None:
     async def test(rig: TakeoverFronts) -> None:
         dead, node = "f4", "n1"
-        order = line(
+        order = rank_order(
             f"{node}/{weight('slot', dead) % HASH_SLOTS_PER_NODE}", [n for n in rig.names if n != dead]
         )
         leaving = order[0]  # the first that would send a takeover request
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -31,7 +31,7 @@
 from oakcroft.interface import MS, SECOND, Outcome
 from oakcroft.peerwire.load_codec import LoadCodec
 from oakcroft.peerwire.errors import MessageError
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 from oakcroft.peerwire.sealing import KeyRing
 
 EVERY = 2500 * MS
@@ -163,15 +163,15 @@
 def test_load_reports_survive_encoding_and_decoding() -> None:
     codec = LoadCodec("oakcroft", KeyRing((bytes.fromhex(KEY),)))
     rows = [LoadReport(process_id(f"n{i}", i), i / 8, i * 100 * MS) for i in range(MAX_REPORTS_PER_MESSAGE)]
-    octets = codec.rows("f" * 64, 1 << 55, rows)
-    assert len(octets) <= MAX_DATAGRAM
-    sender, taken = codec.taken(codec.ring.open(octets, 0) or b"")
+    octets = codec.encode("f" * 64, 1 << 55, rows)
+    assert len(octets) <= MAX_DATAGRAM_BYTES
+    sender, taken = codec.decode(codec.ring.open(octets, 0) or b"")
     assert (sender, taken) == ("f" * 64, rows)
-    assert codec.taken(codec.ring.open(codec.rows("f0", 1, [*rows, rows[0]]), 0) or b"")[1] == rows
+    assert codec.decode(codec.ring.open(codec.encode("f0", 1, [*rows, rows[0]]), 0) or b"")[1] == rows
     other = LoadCodec("another", codec.ring)
-    for opened in (b"", b"C", b"C\xc1", octets, other.ring.open(other.rows("f0", 1, rows), 0) or b""):
+    for opened in (b"", b"C", b"C\xc1", octets, other.ring.open(other.encode("f0", 1, rows), 0) or b""):
         with pytest.raises(MessageError):
-            codec.taken(opened)
+            codec.decode(opened)
 
 
 def test_the_module_uses_reports_only_without_recent_own_traffic() -> None:
@@ -246,7 +246,7 @@
             lies = [LoadReport(process_id(n, at), 40.0, 0) for n, at in place.items()]
             with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as out:
                 for _ in range(20):
-                    await out.sendto(codec.rows(first, 1, lies), rig.between.fronts[honest])
+                    await out.sendto(codec.encode(first, 1, lies), rig.between.fronts[honest])
                     await trio.sleep(0.01)
                 await rig.request_until_playing(honest, "/whep/open/t1", "beside")
             rig.assert_rules_hold()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -45,7 +45,7 @@
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.membership_codec import MembershipCodec
 from oakcroft.peerwire.push_pull_stream import FullStateReader, write_full_state
-from oakcroft.peerwire.sealing import KEY_LINGERS, KeyFileError, KeyRing, parse_keys
+from oakcroft.peerwire.sealing import RETIRED_KEY_LIFETIME, KeyFileError, KeyRing, parse_keys
 from oakcroft.running.clock import Clock
 from oakcroft.standins.between import Between
 from oakcroft.standins.day import parse
@@ -426,8 +426,8 @@
     other.change(parse_keys(f"{OTHER}\n{KEY}"), 0)
     assert other.open(sealed, 0) == b"body"
     other.change(parse_keys(OTHER), 1)
-    assert other.open(sealed, KEY_LINGERS) == b"body"
-    assert other.open(sealed, KEY_LINGERS + 2) is None
+    assert other.open(sealed, RETIRED_KEY_LIFETIME) == b"body"
+    assert other.open(sealed, RETIRED_KEY_LIFETIME + 2) is None
     assert other.open(b"", 0) is None
 
 
@@ -504,7 +504,7 @@
 def test_a_fault_among_the_peers_ends_neither_the_front_nor_its_part(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(peer_endpoint, "RESTART_DELAY", 0.01)
+    monkeypatch.setattr(peer_endpoint, "RESTART_DELAY_S", 0.01)
     (tmp_path / "key").write_text(KEY)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.73.1", 0))
@@ -535,10 +535,10 @@
                     sock.sendto(
                         datagram(codec, update("b"), MessageKind.PING, i, ANYONE, None, []), place.listen
                     )
-                    if view.standing("b") is ALIVE:
+                    if view.state_of("b") is ALIVE:
                         break
                     await trio.sleep(0.01)
-            assert view.standing("b") is ALIVE
+            assert view.state_of("b") is ALIVE
             nursery.cancel_scope.cancel()
 
     run_async_test(test, 20)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oakcroft.decisions.membership.rendezvous import line, rank
+from oakcroft.decisions.membership.rendezvous import rank_order, rank
 from oakcroft.decisions.fleet.rollout import (
     FINAL_STAGES,
     ROLLOUT_SHARES,
@@ -37,7 +37,7 @@
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, row_from_wire
 from oakcroft.peerwire.errors import MessageError
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 from oakcroft.peerwire.sealing import KeyRing
 
 FRONTS = [f"f{i}" for i in range(10)]
@@ -191,14 +191,14 @@
 def test_only_the_work_of_a_front_that_goes_passes_on(
     names: set[str], work: str, data: st.DataObject
 ) -> None:
-    order = line(work, names)
+    order = rank_order(work, names)
     gone = data.draw(st.sampled_from(order))
-    assert line(work, names - {gone}) == [n for n in order if n != gone]
+    assert rank_order(work, names - {gone}) == [n for n in order if n != gone]
     assert [rank(work, n, names) for n in order] == list(range(len(order)))
 
 
 def test_leases_are_spread_over_the_fronts() -> None:
-    firsts = [line(f"duty-{i}", FRONTS)[0] for i in range(1_000)]
+    firsts = [rank_order(f"duty-{i}", FRONTS)[0] for i in range(1_000)]
     assert all(60 < firsts.count(n) < 140 for n in FRONTS)
 
 
@@ -223,20 +223,22 @@
     one = codec()
     ask = LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
     answer = LeaseAnswer(LeaseMessageKind.REFUSED, "catalogue", "f1", 5, 6, 7, 8, TERM, 9, NOTE, (("f2", 3),))
-    got = one.taken(opened(one.ask("f1", 99, ask)))
-    assert (got.sender, got.start, got.message) == ("f1", 99, ask)
-    assert one.taken(opened(one.answer("f1", 99, answer))).message == answer
+    got = one.decode(opened(one.encode_request("f1", 99, ask)))
+    assert (got.sender, got.generation, got.message) == ("f1", 99, ask)
+    assert one.decode(opened(one.encode_answer("f1", 99, answer))).message == answer
     order, report = Order("catalogue", 5, 2, b"x" * 900), OrderReport("catalogue", 5, 2, True, b"y")
-    assert one.taken(opened(one.order("f1", 1, order))).message == order
-    assert one.taken(opened(one.report("f1", 1, report))).message == report
+    assert one.decode(opened(one.encode_order("f1", 1, order))).message == order
+    assert one.decode(opened(one.encode_report("f1", 1, report))).message == report
     rows = tuple((f"d{i}", LeaseRecord(i + 1, "f1/9", TERM, NOTE)) for i in range(64))
-    parts = [one.taken(opened(p)).message for p in one.learnt("f1", 1, AcceptorRecord("f1", 4, True, rows))]
+    parts = [
+        one.decode(opened(p)).message for p in one.encode_record("f1", 1, AcceptorRecord("f1", 4, True, rows))
+    ]
     assert len(parts) == 64
     assert (
         tuple((p.row.duty, row_from_wire(p.row)) for p in parts if isinstance(p, RecordPart) and p.row)
         == rows
     )
-    assert len(one.learnt("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
+    assert len(one.encode_record("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
 
 
 def test_the_largest_messages_fit_a_datagram() -> None:
@@ -245,12 +247,14 @@
     row = LeaseTerm((1 << 62) - 1, name, (1 << 62) - 1)
     epochs = tuple((f"{i:02}" + "e" * 62, 1 << 60) for i in range(7))
     words = [
-        codec().ask(name, 1 << 60, LeaseRequest(LeaseMessageKind.PROPOSE, name, row, 1 << 60, 1 << 60, big)),
-        codec().answer(
+        codec().encode_request(
+            name, 1 << 60, LeaseRequest(LeaseMessageKind.PROPOSE, name, row, 1 << 60, 1 << 60, big)
+        ),
+        codec().encode_answer(
             name, 1 << 60, LeaseAnswer(LeaseMessageKind.REFUSED, name, name, 1, 1, 1, 1, row, 1, big, epochs)
         ),
     ]
-    assert all(len(w) <= MAX_DATAGRAM for w in words), [len(w) for w in words]
+    assert all(len(w) <= MAX_DATAGRAM_BYTES for w in words), [len(w) for w in words]
 
 
 def test_a_plan_fits_its_record_whatever_was_written_into_it() -> None:
@@ -297,40 +301,40 @@
 
 def test_texts_are_sent_in_chunks() -> None:
     one, text = codec(), Random(1).randbytes(50_000)
-    stream, parts = b"".join(one.chunks("f1", 1, text)), list[TextChunk]()
+    stream, parts = b"".join(one.encode_text("f1", 1, text)), list[TextChunk]()
     while stream:
         end = 2 + int.from_bytes(stream[:2], "big")
-        parts.append(one.chunk(opened(stream[2:end])))
+        parts.append(one.decode_text_chunk(opened(stream[2:end])))
         stream = stream[end:]
     assert b"".join(p.octets for p in parts) == text
     assert [p.more for p in parts] == [True] * (len(parts) - 1) + [False]
-    asked = one.fetch("f1", 1, "abc")
-    assert one.asked_for(opened(asked[2:])) == "abc"
+    asked = one.encode_text_request("f1", 1, "abc")
+    assert one.decode_text_request(opened(asked[2:])) == "abc"
     with pytest.raises(MessageError):
-        one.chunk(opened(asked[2:]))
+        one.decode_text_chunk(opened(asked[2:]))
 
 
 @given(st.binary(max_size=200))
 def test_an_undecodable_message_is_rejected(octets: bytes) -> None:
     with pytest.raises(MessageError):
-        codec().taken(bytes((65,)) + octets)
+        codec().decode(bytes((65,)) + octets)
 
 
 @given(st.integers(0, 2_000), st.integers(0, 255))
 def test_a_changed_octet_raises_no_other_error(at: int, value: int) -> None:
     octets = bytearray(
         opened(
-            codec().ask(
+            codec().encode_request(
                 "f1", 99, LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
             )
         )
     )
     octets[at % len(octets)] = value
     with suppress(MessageError):
-        codec().taken(bytes(octets))
-    other = codec("other").ask("f1", 99, LeaseRequest(LeaseMessageKind.PREPARE, "d", TERM))
+        codec().decode(bytes(octets))
+    other = codec("other").encode_request("f1", 99, LeaseRequest(LeaseMessageKind.PREPARE, "d", TERM))
     with pytest.raises(MessageError):
-        codec().taken(opened(other))
+        codec().decode(opened(other))
 
 
 # A holder that fails in the middle of each step.
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -29,7 +29,7 @@
 from oakcroft.decisions.membership.shares import max_overshoot, rate_divisor
 from oakcroft.decisions.membership.member_table import FAILED_RETENTION, MAX_FORMER_ADDRESSES, MAX_MEMBERS
 from oakcroft.decisions.membership.membership import Membership
-from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, MessageKind
+from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, Message, MessageKind
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.many_views import Net, fleet
 from oakcroft.rulecheck.fleet import judge_view
@@ -76,20 +76,20 @@
     for view in views:
         rng.shuffle(some)
         for one in some:
-            view.heard(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [one], 0)
+            view.receive_message(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [one], 0)
     held = [{n: m.latest.precedence for n, m in v.members.items()} for v in views]
     assert held[0] == held[1]
 
 
 def test_only_a_member_itself_can_say_that_it_leaves() -> None:
     view = Membership(update("me"), SECRET, Random(1), 0)
-    view.heard(update("x"), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+    view.receive_message(update("x"), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
     forged = replace(update("x", LEFT), proof=b"f" * 16)
-    view.heard(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [forged], 0)
-    assert view.standing("x") is ALIVE
+    view.receive_message(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [forged], 0)
+    assert view.state_of("x") is ALIVE
     assert view.counts.refused_leaves == 1
-    view.heard(update("x", LEFT), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
-    assert view.standing("x") is LEFT
+    view.receive_message(update("x", LEFT), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+    assert view.state_of("x") is LEFT
 
 
 def test_words_that_nobody_could_outbid_are_none() -> None:
@@ -99,8 +99,8 @@
         update("x", generation=1 << 60),
         replace(update("x"), proof=b""),
     ):
-        view.heard(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [bad], 0)
-    assert view.standing("x") is None
+        view.receive_message(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [bad], 0)
+    assert view.state_of("x") is None
     assert view.counts.unsound == 3
 
 
@@ -115,18 +115,18 @@
     incarnation never wins, nobody is gone by hearsay, tables stay within bounds."""
     names, seen, states = ("a", "b", "c"), set[str](), 0
 
-    def start() -> tuple[dict[str, Membership], list[tuple[str, MemberUpdate, object]]]:
+    def start() -> tuple[dict[str, Membership], list[tuple[str, MemberUpdate, Message]]]:
         views = {n: Membership(update(n), SECRET, Random(ord(n)), 0) for n in names}
         for view in views.values():
             for other in names:
                 if other != view.me.name:
-                    view.heard(update(other), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
-        views["a"].heard(
+                    view.receive_message(update(other), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+        views["a"].receive_message(
             update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, by="b")], 0
         )
         return views, []
 
-    def collect(views: dict[str, Membership], flying: list[tuple[str, MemberUpdate, object]]) -> None:
+    def collect(views: dict[str, Membership], flying: list[tuple[str, MemberUpdate, Message]]) -> None:
         for view in views.values():
             for out in view.out:
                 to = out.address[0].removeprefix("host-")
@@ -134,7 +134,7 @@
                     flying.append((to, view.me, out))
             view.out, view.changes = [], []
 
-    def shape(views: dict[str, Membership], flying: list[tuple[str, MemberUpdate, object]], now: int) -> str:
+    def shape(views: dict[str, Membership], flying: list[tuple[str, MemberUpdate, Message]], now: int) -> str:
         held = [sorted((n, m.latest.precedence) for n, m in v.members.items()) for v in views.values()]
         return repr((held, sorted((t, s.precedence, repr(o)) for t, s, o in flying), now))
 
@@ -159,7 +159,9 @@
                     f.pop(int(step.split()[1]))
                 else:
                     to, sender, out = f.pop(step)
-                    v[to].heard(sender, out.kind, out.sequence, out.to, out.target, out.updates, then)  # type: ignore[attr-defined]
+                    v[to].receive_message(
+                        sender, out.kind, out.sequence, out.to, out.target, out.updates, then
+                    )
                 for n, view in v.items():
                     for m, x in view.members.items():
                         assert x.latest.precedence >= before[n].get(m, (0, False, 0, 0)), "an older word won"
@@ -244,7 +246,7 @@
     net.cut = lambda one, other: part[one] != part[other]
     net.run(FAILED_RETENTION + 60 * SECOND)
     view = net.processes["f3"].view
-    assert all(view.standing(n) is None for n in part if part[n] != part["f3"])  # forgotten
+    assert all(view.state_of(n) is None for n in part if part[n] != part["f3"])  # forgotten
     net.cut = lambda _one, _other: False
     began = net.now
     assert net.run(30 * SECOND, net.settled)
@@ -293,7 +295,7 @@
     other.alive = False
     net.run(40 * SECOND)  # the one that was displaced comes back when the other has gone
     assert not first.view.displaced
-    assert net.processes["f0"].view.standing("f2") is ALIVE
+    assert net.processes["f0"].view.state_of("f2") is ALIVE
 
 
 def test_all_seeds_down_at_the_start_and_a_seed_that_is_the_front_itself() -> None:
@@ -366,7 +368,7 @@
                 ]
                 for to in view.table.sample(3):
                     there = net.processes[to].view
-                    there.heard(view.me, MessageKind.GOSSIP, 0, ANYONE, None, lies, net.now)
+                    there.receive_message(view.me, MessageKind.GOSSIP, 0, ANYONE, None, lies, net.now)
                     net._after(net.processes[to])
         net.run(100 * MS)
     assert told(net, FAILED) == set()
@@ -383,7 +385,7 @@
     for process in net.living():
         if process.name not in ("f3", "f5"):
             liar = net.processes["f3"].view.me
-            process.view.heard(liar, MessageKind.GOSSIP, 0, ANYONE, None, [claim], net.now)
+            process.view.receive_message(liar, MessageKind.GOSSIP, 0, ANYONE, None, [claim], net.now)
             net._after(process)
     net.run(30 * SECOND)
     assert told(net, FAILED) == set()
@@ -394,7 +396,9 @@
 def test_tables_stay_within_their_bounds() -> None:
     view, now = Membership(update("me"), SECRET, Random(1), 0), 0
     for i in range(3 * MAX_MEMBERS):
-        view.heard(update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50, now)
+        view.receive_message(
+            update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50, now
+        )
         assert all(len(out.updates) <= MAX_UPDATES for out in view.out)
         view.out.clear()
         if i % 100 == 0:
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -15,10 +15,10 @@
 from hypothesis import strategies as st
 
 from oakcroft.decisions.membership import hierarchy, zone_directory
-from oakcroft.decisions.membership.delegates import SETTLING_TIME, DelegateSelection
+from oakcroft.decisions.membership.delegates import SETTLING_TIME_US, DelegateSelection
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.decisions.membership.paced_pool import PacedPool
-from oakcroft.decisions.membership.traffic_budget import BURST, RATE, TrafficBudget
+from oakcroft.decisions.membership.traffic_budget import BURST_BYTES, RATE_BYTES_PER_S, TrafficBudget
 from oakcroft.decisions.membership.zone_author import LocalState, ZoneAuthor
 from oakcroft.decisions.membership.zone_directory import (
     MAX_REMEMBERED_CHANGES,
@@ -30,7 +30,7 @@
 )
 from oakcroft.decisions.membership.zone_lookup import LOOKUP_TIMEOUT, MAX_LOOKUPS
 from oakcroft.decisions.membership.zone_messages import (
-    MAX_PAYLOAD,
+    MAX_PAYLOAD_BYTES,
     ZoneDigest,
     ZoneRecords,
     ZoneRequest,
@@ -109,9 +109,9 @@
     shuffled = told + random.choices(told, k=3)
     random.shuffle(shuffled)
     for each in told:
-        one.take(each, 0)
+        one.merge_summary(each, 0)
     for each in shuffled:
-        other.take(each, 0)
+        other.merge_summary(each, 0)
     assert one.digest() == other.digest()
     assert one.digest()[0].precedence == max(each.entry.precedence for each in told)
 
@@ -125,7 +125,7 @@
     directory = ZoneDirectory("own")
     random.shuffle(changes)
     for version, each in enumerate(changes):
-        directory.take(summary(version, changes=(each,)), 0)
+        directory.merge_summary(summary(version, changes=(each,)), 0)
     greatest: dict[str, MemberChange] = {}
     for each in changes:
         known = greatest.get(each.name)
@@ -181,18 +181,20 @@
 def test_an_old_life_after_a_new_one_changes_nothing() -> None:
     """A summary or a change of an earlier generation is not taken."""
     directory = ZoneDirectory("own")
-    directory.take(summary(4, changes=(change("a", MemberState.ALIVE, generation=9),)), 0)
-    assert not directory.take(summary(3, changes=(change("a", MemberState.FAILED, generation=8),)), 0)
-    assert directory.take(summary(5, changes=(change("a", MemberState.FAILED, generation=8),)), 0)
+    directory.merge_summary(summary(4, changes=(change("a", MemberState.ALIVE, generation=9),)), 0)
+    assert not directory.merge_summary(
+        summary(3, changes=(change("a", MemberState.FAILED, generation=8),)), 0
+    )
+    assert directory.merge_summary(summary(5, changes=(change("a", MemberState.FAILED, generation=8),)), 0)
     assert directory.state("z", "a") is RemoteState.ALIVE
 
 
 def test_a_failure_that_its_zone_no_longer_lists_is_not_confirmed() -> None:
     """The later summary of the zone took it back."""
     directory = ZoneDirectory("own")
-    directory.take(summary(1, changes=(change("a", MemberState.FAILED),)), 0)
+    directory.merge_summary(summary(1, changes=(change("a", MemberState.FAILED),)), 0)
     assert directory.state("z", "a") is RemoteState.SUSPECTED
-    directory.take(summary(2), SECOND)
+    directory.merge_summary(summary(2), SECOND)
     directory.tick(7 * SECOND)
     assert directory.state("z", "a") is RemoteState.UNLISTED
     assert directory.counts.taken_back == 1
@@ -201,8 +203,8 @@
 def test_a_failure_waits_while_its_zone_is_unreachable() -> None:
     """A zone that cannot be heard cannot take anything back."""
     directory = ZoneDirectory("own")
-    directory.take(summary(1), 0)
-    directory.take(summary(2, changes=(change("a", MemberState.FAILED),)), UNREACHABLE_TIME - SECOND)
+    directory.merge_summary(summary(1), 0)
+    directory.merge_summary(summary(2, changes=(change("a", MemberState.FAILED),)), UNREACHABLE_TIME - SECOND)
     directory.records["z"].is_reachable = False
     directory.tick(UNREACHABLE_TIME + 10 * SECOND)
     assert directory.state("z", "a") is RemoteState.UNKNOWN
@@ -224,7 +226,7 @@
     local = LocalState(StateCounts(1, 50, 50), contacts, 1)
     told = author.next_summary(local, None, SECOND)
     assert told is not None
-    assert summary_size(told) <= MAX_PAYLOAD
+    assert summary_size(told) <= MAX_PAYLOAD_BYTES
     assert {each.state for each in told.changes} == {MemberState.FAILED}
 
 
@@ -236,10 +238,10 @@
             author.note(change(f"failed{second:02}", MemberState.FAILED), second * SECOND)
         for state in (MemberState.LEFT, MemberState.ALIVE):
             author.note(change(f"back{second:02}", state), second * SECOND)
-            listed = author.changes(MAX_PAYLOAD, second * SECOND)
+            listed = author.changes(MAX_PAYLOAD_BYTES, second * SECOND)
             assert change(f"back{second:02}", state) in listed
             assert len(listed) <= MAX_CHANGES
-    told = author.changes(MAX_PAYLOAD, 40 * SECOND)
+    told = author.changes(MAX_PAYLOAD_BYTES, 40 * SECOND)
     failures = [each.name for each in told if each.state is MemberState.FAILED]
     assert failures == ["failed00", "failed10", "failed20", "failed30"]
     returns = [each.name for each in told if each.state is MemberState.ALIVE]
@@ -249,22 +251,22 @@
 def test_an_author_outbids_a_content_that_it_has_only_heard_of() -> None:
     """It follows an author whose last contents have not reached it: what it writes has to be taken all the same."""
     behind, elsewhere = ZoneDirectory("z"), ZoneDirectory("own")
-    behind.take(summary(2), 0)
+    behind.merge_summary(summary(2), 0)
     for version in range(2, 10):
-        elsewhere.take(summary(version), 0)
+        elsewhere.merge_summary(summary(version), 0)
     author = ZoneAuthor(ZoneContact("author", 1, "z", "h", 1), "r", 0)
     author.note(change("a", MemberState.LEFT), SECOND)
     behind.advance(summary(9).entry, SECOND)
     told = author.next_summary(LocalState(StateCounts(2, 0, 1), (), 1), behind.records["z"], SECOND)
     assert told is not None
-    assert elsewhere.take(told, SECOND)
+    assert elsewhere.merge_summary(told, SECOND)
     assert elsewhere.state("z", "a") is RemoteState.LEFT
 
 
 def test_a_heartbeat_of_a_content_that_has_not_come_yet_is_a_sign_of_life() -> None:
     """A zone that lives is not unreachable because nobody has tokens to send its content; nor for good after a lie."""
     directory = ZoneDirectory("own")
-    directory.take(summary(1), 0)
+    directory.merge_summary(summary(1), 0)
     for heartbeat in range(1, 9):
         directory.advance(replace(summary(2).entry, heartbeat=heartbeat), heartbeat * 3 * SECOND)
         directory.tick(heartbeat * 3 * SECOND)
@@ -272,7 +274,7 @@
     directory.advance(replace(summary(2).entry, version=MAX_COUNTER - 1), 25 * SECOND)
     directory.tick(24 * SECOND + 2 * UNREACHABLE_TIME)
     assert not directory.records["z"].is_reachable
-    directory.take(summary(2), 60 * SECOND)
+    directory.merge_summary(summary(2), 60 * SECOND)
     directory.advance(replace(summary(2).entry, heartbeat=9), 61 * SECOND)
     assert directory.records["z"].moved_at == 61 * SECOND
 
@@ -290,7 +292,7 @@
 
 def test_a_newcomer_moves_no_delegate_for_thirty_seconds() -> None:
     """Hysteresis: members that come and go do not change who speaks; a newcomer itself sees the same."""
-    began = 10 * SETTLING_TIME
+    began = 10 * SETTLING_TIME_US
     first, generations = settled_zone()
     before = first.delegates(began)
     without = {name: g for name, g in generations.items() if name not in before}
@@ -300,19 +302,19 @@
     newcomer = DelegateSelection("z")
     for selection in (first, newcomer):
         selection.observe(restarted)
-        assert selection.delegates(began + SETTLING_TIME - 1) == others
-        assert selection.delegates(began + SETTLING_TIME) == before
+        assert selection.delegates(began + SETTLING_TIME_US - 1) == others
+        assert selection.delegates(began + SETTLING_TIME_US) == before
 
 
 def test_a_zone_that_starts_as_a_whole_has_its_delegates_at_once_and_keeps_them() -> None:
     """They are not displaced when the first members settle."""
     selection, _ = settled_zone()
-    assert len({selection.delegates(SETTLING_TIME * i // 10) for i in range(1, 30)}) == 1
+    assert len({selection.delegates(SETTLING_TIME_US * i // 10) for i in range(1, 30)}) == 1
 
 
 def test_of_those_that_fail_only_delegates_are_replaced() -> None:
     """The delegates that remain keep their order."""
-    began = 10 * SETTLING_TIME
+    began = 10 * SETTLING_TIME_US
     selection, generations = settled_zone()
     first, second, third = selection.delegates(began)
     del generations[second]
@@ -352,7 +354,7 @@
             budget.charge(octets)
         elif budget.spend(octets):
             spent += octets
-        assert spent <= BURST + RATE * now // SECOND + BURST
+        assert spent <= BURST_BYTES + RATE_BYTES_PER_S * now // SECOND + BURST_BYTES
 
 
 # A fleet: four regions of two zones of six.
@@ -709,7 +711,7 @@
 
 def test_planted_a_front_without_the_bound_on_epochs_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """It would take what nobody can outbid."""
-    monkeypatch.setattr(hierarchy, "CLOCK_TOLERANCE", 1 << 60)
+    monkeypatch.setattr(hierarchy, "CLOCK_TOLERANCE_US", 1 << 60)
     fleet = small_fleet(11)
     reader = fleet.fronts["r0z0f1"]
     absurd = replace(reader.membership.directory.records["r1z0"].summary, epoch=1 << 55, author="liar")
@@ -737,7 +739,7 @@
     """A front of another zone speaks the flat protocol to a zone; whom that zone then lists."""
     stranger = fleet.fronts["r2z0f0"].membership
     insider = fleet.fronts["r0z0f0"]
-    insider.membership.exchanged(stranger.local.me, stranger.local.whole(), fleet.now)
+    insider.membership.receive_full_state(stranger.local.me, stranger.local.full_state(), fleet.now)
     fleet.run(10 * SECOND)
     return {name for f in fleet.living() if f.zone == "r0z0" for name in f.membership.present()}
 
@@ -777,7 +779,9 @@
     assert len(directory.records) <= MAX_ZONES
     assert all(zone in directory.records for zone in fleet.layout)
     assert all(len(record.members) <= MAX_REMEMBERED_CHANGES for record in directory.records.values())
-    assert front.sent.total - sent_before <= 2 * BURST + RATE * (fleet.now - began) // SECOND
+    assert (
+        front.sent.total - sent_before <= 2 * BURST_BYTES + RATE_BYTES_PER_S * (fleet.now - began) // SECOND
+    )
     assert len(front.membership.present()) == fleet.members
 
 
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -189,7 +189,7 @@
     async def test(rig: Zones) -> None:
         await rig.kill("south-1")
         await wait_until(
-            lambda: all(rig.zoned(n).standing("south-1") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
+            lambda: all(rig.zoned(n).state_of("south-1") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
             FAILED_IN_ZONE_SECONDS,
         )
         await wait_until(
@@ -242,7 +242,7 @@
         assert rig.called_failed() == set()
         await rig.kill("south-2")
         await wait_until(
-            lambda: all(rig.zoned(n).standing("south-2") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
+            lambda: all(rig.zoned(n).state_of("south-2") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
             FAILED_IN_ZONE_SECONDS,
         )
         rig.between.heal()
@@ -279,12 +279,12 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind(("127.0.75.9", 0))
             for one in octets:
-                sock.sendto(one, endpoint.place.listen)
+                sock.sendto(one, endpoint.settings.listen)
         unsealed = {forged, octets[-1]}
         await wait_until(lambda: endpoint.dropped["not sealed"] >= len(unsealed))
         await wait_until(lambda: endpoint.dropped["other fleet"] >= 1 and endpoint.dropped["malformed"] >= 1)
         await wait_until(lambda: rig.zoned("north-0").pool.counts.other_zone >= 1)
-        assert rig.zoned("north-0").standing("south-9") is None
+        assert rig.zoned("north-0").state_of("south-9") is None
         assert rig.know_each_other()
 
     on_zones(tmp_path, test)
--- a/tests/test_zone_wire.py
+++ b/tests/test_zone_wire.py
@@ -30,7 +30,7 @@
     ZoneSummary,
 )
 from oakcroft.peerwire.errors import MessageError
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM, MembershipCodec
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES, MembershipCodec
 from oakcroft.peerwire.sealing import KeyRing
 from oakcroft.peerwire.zone_codec import ZONE_FORMAT, ZoneCodec
 
@@ -90,7 +90,7 @@
 def test_each_message_comes_back_as_it_was(message: ZoneMessage) -> None:
     """Round trip; a summary keeps its fingerprint, by which fronts tell contents apart."""
     octets = CODEC.encode(SENDER, message)
-    assert len(octets) <= MAX_DATAGRAM
+    assert len(octets) <= MAX_DATAGRAM_BYTES
     received = CODEC.read(opened(octets))
     assert received.sender == SENDER
     assert received.message == message
@@ -190,4 +190,4 @@
     summary = ZoneSummary(
         zone, zone, name, GENERATION, 1, 1, StateCounts(1, 0, 0), (delegate,) * MAX_DELEGATES, 0, (change,)
     )
-    assert len(CODEC.encode(SENDER, ZoneRecords((summary,)))) <= MAX_DATAGRAM
+    assert len(CODEC.encode(SENDER, ZoneRecords((summary,)))) <= MAX_DATAGRAM_BYTES
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -13,7 +13,7 @@
 from oakcroft.decisions.membership.member_table import StateChange
 from oakcroft.decisions.membership.messages import Address, Message, MessageKind
 from oakcroft.decisions.membership.zone_directory import RemoteState, ZoneChange
-from oakcroft.decisions.membership.zone_messages import ZoneMessage, ZoneOut, estimated_size
+from oakcroft.decisions.membership.zone_messages import ZoneMessage, OutgoingZoneMessage, estimated_size
 from oakcroft.decisions.membership.zone_placement import ZonePlacement, ZoneSeeds
 from oakcroft.decisions.membership.zone_summary import ZoneContact
 from oakcroft.interface import MS, SECOND
@@ -220,7 +220,7 @@
             front.membership.tick(self.now)
             self._after(front)
 
-    def _carry(self, sender: Front, message: Message | ZoneOut) -> None:
+    def _carry(self, sender: Front, message: Message | OutgoingZoneMessage) -> None:
         receiver = self.at.get(message.address)
         if isinstance(message, Message) and message.kind is MessageKind.PUSH_PULL:
             self._exchange(sender, receiver)
@@ -244,9 +244,9 @@
     def _latency(self, sender: Front, receiver: Front) -> int:
         return self.rng.randint(*(LOCAL_LATENCY if sender.region == receiver.region else REMOTE_LATENCY))
 
-    def _deliver(self, me: MemberUpdate, receiver: Front, message: Message | ZoneOut) -> None:
+    def _deliver(self, me: MemberUpdate, receiver: Front, message: Message | OutgoingZoneMessage) -> None:
         if isinstance(message, Message):
-            receiver.membership.heard(
+            receiver.membership.receive_message(
                 me, message.kind, message.sequence, message.to, message.target, message.updates, self.now
             )
             self._after(receiver)
@@ -256,7 +256,7 @@
 
     def tell(self, sender: ZoneContact, receiver: Front, message: ZoneMessage) -> None:
         """Hands a message of the zone layer to a front, whoever wrote it."""
-        receiver.membership.heard_zone(sender, message, self.now)
+        receiver.membership.receive_zone_message(sender, message, self.now)
         self._after(receiver)
 
     def look_up(self, front: Front, zone: str, name: str) -> None:
@@ -267,17 +267,17 @@
     def _exchange(self, one: Front, other: Front | None) -> None:
         if other is None or not other.alive or self.cut(one, other) or self.cut(other, one):
             return
-        mine = one.membership.whole()
+        mine = one.membership.full_state()
         self._count_table(one, other, mine)
         if not other.membership.accepts_exchange(self.now):
             return
-        theirs = other.membership.whole(mine)
+        theirs = other.membership.full_state(mine)
         self._count_table(other, one, theirs)
 
         def swap() -> None:
             for receiver, table in ((other, mine), (one, theirs)):
                 if receiver.alive:
-                    receiver.membership.exchanged(table[0], table, self.now)
+                    receiver.membership.receive_full_state(table[0], table, self.now)
                     self._after(receiver)
 
         self.later(self.now + 4 * LOCAL_LATENCY[1], swap)
@@ -293,7 +293,7 @@
         """Whether a front takes another to have failed."""
         zone = name[: name.index("f")]
         if front.zone == zone:
-            return front.membership.standing(name) is MemberState.FAILED
+            return front.membership.state_of(name) is MemberState.FAILED
         return front.membership.remote_state(zone, name) is RemoteState.FAILED
 
     def known_failed(self, name: str) -> bool:
