--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -184,9 +184,15 @@
     # What is received.
 
     def receive_message(
-        self, sender: MemberUpdate, kind: MessageKind, sequence: int, to: MemberId, target: ProbeTarget |
-        None, updates: Sequence[MemberUpdate], now: int,
-    ) -> None:  # fmt: skip
+        self,
+        sender: MemberUpdate,
+        kind: MessageKind,
+        sequence: int,
+        to: MemberId,
+        target: ProbeTarget | None,
+        updates: Sequence[MemberUpdate],
+        now: int,
+    ) -> None:
         """A datagram of the flat protocol."""
         self.budget.advance(now)
         self.pool.receive_message(sender, kind, sequence, to, target, updates, now)
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -212,9 +212,15 @@
     # What is received.
 
     def receive_message(
-        self, sender: MemberUpdate, kind: MessageKind, sequence: int, to: MemberId, target: ProbeTarget | None,
-        updates: Sequence[MemberUpdate], now: int,
-    ) -> None:  # fmt: skip
+        self,
+        sender: MemberUpdate,
+        kind: MessageKind,
+        sequence: int,
+        to: MemberId,
+        target: ProbeTarget | None,
+        updates: Sequence[MemberUpdate],
+        now: int,
+    ) -> None:
         """A datagram: what its sender says of itself, and what it brings."""
         if self.left or not self._accept_sender(sender, kind, sequence, now):
             return
--- a/oakcroft/decisions/membership/outbox.py
+++ b/oakcroft/decisions/membership/outbox.py
@@ -38,9 +38,13 @@
         self.messages.append(message)
 
     def send(
-        self, kind: MessageKind, name: str, sequence: int = 0, target: ProbeTarget | None = None,
+        self,
+        kind: MessageKind,
+        name: str,
+        sequence: int = 0,
+        target: ProbeTarget | None = None,
         first: MemberUpdate | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A message to a known member, with `first` or else what is held against it, and what is under way."""
         latest = self.table.members[name].latest
         to = MemberId(name, latest.generation)
--- a/oakcroft/decisions/membership/paced_pool.py
+++ b/oakcroft/decisions/membership/paced_pool.py
@@ -167,9 +167,15 @@
     # What is received.
 
     def receive_message(
-        self, sender: MemberUpdate, kind: MessageKind, sequence: int, to: MemberId, target: ProbeTarget | None,
-        updates: Sequence[MemberUpdate], now: int,
-    ) -> None:  # fmt: skip
+        self,
+        sender: MemberUpdate,
+        kind: MessageKind,
+        sequence: int,
+        to: MemberId,
+        target: ProbeTarget | None,
+        updates: Sequence[MemberUpdate],
+        now: int,
+    ) -> None:
         """A datagram of the flat protocol."""
         if self._is_own(sender):
             self.membership.receive_message(sender, kind, sequence, to, target, self._own(updates), now)
--- a/oakcroft/decisions/membership/update_merger.py
+++ b/oakcroft/decisions/membership/update_merger.py
@@ -31,9 +31,16 @@
     """Merges updates into one front's table."""
 
     def __init__(
-        self, table: MemberTable, outbox: Outbox, identity: OwnIdentity, prober: Prober,
-        suspicions: SuspicionTracker, health: LocalHealth, counters: Counters, now: int,
-    ) -> None:  # fmt: skip
+        self,
+        table: MemberTable,
+        outbox: Outbox,
+        identity: OwnIdentity,
+        prober: Prober,
+        suspicions: SuspicionTracker,
+        health: LocalHealth,
+        counters: Counters,
+        now: int,
+    ) -> None:
         """Shares its parts with the `Membership` that it belongs to."""
         self.table = table
         self.outbox = outbox
--- a/oakcroft/decisions/membership/zone_author.py
+++ b/oakcroft/decisions/membership/zone_author.py
@@ -142,9 +142,17 @@
     def _content(self, local: LocalState, record: ZoneRecord | None, now: int) -> ZoneSummary:
         epoch, version = next_key(_greatest_known(record), self.me.generation)
         bare = ZoneSummary(
-            self.me.zone, self.region, self.me.name, epoch, version, 0, local.counts, local.delegates,
-            local.member_digest, (),
-        )  # fmt: skip
+            self.me.zone,
+            self.region,
+            self.me.name,
+            epoch,
+            version,
+            0,
+            local.counts,
+            local.delegates,
+            local.member_digest,
+            (),
+        )
         return replace(bare, changes=self.changes(MAX_PAYLOAD_BYTES - summary_size(bare), now))
 
 
--- a/oakcroft/decisions/membership/zone_reporter.py
+++ b/oakcroft/decisions/membership/zone_reporter.py
@@ -119,9 +119,12 @@
             return
         self.author.contest(change)
         claim = replace(
-            latest, generation=change.generation, incarnation=change.incarnation,
-            state=MemberState.FAILED, reported_by=author,
-        )  # fmt: skip
+            latest,
+            generation=change.generation,
+            incarnation=change.incarnation,
+            state=MemberState.FAILED,
+            reported_by=author,
+        )
         self.membership.merger.merge(claim, author, now)
 
     def report_refuted(self, now: int) -> None:
--- a/oakcroft/decisions/membership/zone_summary.py
+++ b/oakcroft/decisions/membership/zone_summary.py
@@ -187,8 +187,11 @@
     def has_same_content(self, other: ZoneSummary) -> bool:
         """Whether two summaries differ in author and numbers only."""
         return (self.counts, self.delegates, self.member_digest, self.changes) == (
-            other.counts, other.delegates, other.member_digest, other.changes,
-        )  # fmt: skip
+            other.counts,
+            other.delegates,
+            other.member_digest,
+            other.changes,
+        )
 
     def with_heartbeat(self, heartbeat: int) -> ZoneSummary:
         """The same content at another heartbeat."""
--- a/oakcroft/peers/__init__.py
+++ b/oakcroft/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The tasks that let a front speak to its peers. Imported only where the configuration has (peers …)."""
+"""Communication between fronts: sockets, timers and files. Imported only if the configuration has (peers …)."""
--- a/oakcroft/peers/change_log.py
+++ b/oakcroft/peers/change_log.py
@@ -1,4 +1,4 @@
-"""Changes of the membership as log lines, one each, with their evidence. The words are the operators'."""
+"""Logs membership changes, one line each, with the reason. Event names and keys are an interface to operators."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def log_changes(
     changes: Iterable[StateChange | ZoneChange], present: int, log: structlog.typing.FilteringBoundLogger
 ) -> None:
-    """A line for each change; `present` is how many members of the own zone are there now."""
+    """Logs each change; `present` is the current number of present members of the own zone."""
     for change in changes:
         if isinstance(change, StateChange):
             log.info(
--- a/oakcroft/peers/datagrams.py
+++ b/oakcroft/peers/datagrams.py
@@ -1,7 +1,7 @@
-"""The UDP socket of one front among its peers, with what it may read and how much of it.
+"""UDP socket of one front for messages between peers, with a rate limit on received datagrams.
 
-Writing never waits: a datagram that the kernel does not take is lost, as any may be. Reading gives way to the front's
-other tasks after every few datagrams.
+Sending never blocks: a datagram that the kernel does not accept is lost, as any datagram may be. Reading yields to the
+front's other tasks after every few datagrams.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 
 DATAGRAMS_PER_TURN = 8
-"""Some 2 ms of work, before the front's other tasks have their turn: one that wakes finds hundreds waiting."""
+"""About 2 ms of work. Hundreds of datagrams may be waiting, and other tasks must run in between."""
 
 MAX_DATAGRAMS_PER_SECOND = 2_000
-"""Sealed datagrams followed: twelve times what 200 fronts send one in a heal."""
+"""Authenticated datagrams processed: 12 times what 200 fronts send to one while a partition heals."""
 
 
 class DatagramSocket:
-    """Sends and reads datagrams at one address; counts what was sent and dropped."""
+    """Sends and reads datagrams at one address; counts those sent and dropped."""
 
     def __init__(self, listen: Address, dropped: Counter[str]) -> None:
-        """Opens nothing yet; `dropped` counts what is not sent, by reason."""
+        """Opens nothing yet; `dropped` counts datagrams that could not be sent, by reason."""
         self.listen = listen
         self.dropped = dropped
         self.sent = 0
@@ -37,7 +37,7 @@
 
     @contextmanager
     def opened(self) -> Iterator[None]:
-        """Holds the socket. OSError where the address can't be had."""
+        """Keeps the socket open. Raises OSError if the address cannot be bound."""
         family = socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET
         with socket.socket(family, socket.SOCK_DGRAM) as self.socket:
             self.socket.setblocking(False)
@@ -45,19 +45,19 @@
             yield
 
     def send(self, octets: bytes, address: Address) -> None:
-        """Sends one datagram, or drops it: before the socket is open, and where the kernel does not take it."""
+        """Sends one datagram, or drops it if the socket is not open or the kernel does not accept it."""
         if self.socket is None:
             return
         try:
             self.socket.sendto(octets, address)
-        except (OSError, OverflowError) as error:  # full, unreachable, or no address
+        except (OSError, OverflowError) as error:  # buffer full, host unreachable, or invalid address
             self.dropped[f"not sent: {type(error).__name__}"] += 1
             return
         self.sent += 1
         self.octets_sent += len(octets)
 
     async def read(self, receive: Callable[[bytes], None]) -> None:
-        """Hands on each datagram until it is cancelled."""
+        """Passes each datagram to `receive` until cancelled."""
         assert self.socket is not None
         read_in_turn = 0
         while True:
@@ -66,7 +66,7 @@
             except BlockingIOError:
                 await trio.lowlevel.wait_readable(self.socket)
                 continue
-            except OSError:  # what a peer's machine answered to one of ours
+            except OSError:  # an ICMP error in answer to a datagram sent from here
                 await trio.lowlevel.checkpoint()
                 continue
             receive(octets)
@@ -76,15 +76,15 @@
 
 
 class RateLimit:
-    """Guards the front's turns against a peer that floods: covers one that holds the key and is broken."""
+    """Limits datagrams per second, so that a faulty peer that holds the key cannot starve the front's other tasks."""
 
     def __init__(self) -> None:
-        """Starts a count at zero."""
+        """Starts with a count of zero."""
         self.second = 0
         self.in_second = 0
 
     def allows(self, now: int) -> bool:
-        """Counts one datagram; whether it is within `MAX_DATAGRAMS_PER_SECOND`."""
+        """Counts one datagram; returns whether it is within `MAX_DATAGRAMS_PER_SECOND`."""
         if now // SECOND != self.second:
             self.second = now // SECOND
             self.in_second = 0
--- a/oakcroft/peers/generations.py
+++ b/oakcroft/peers/generations.py
@@ -1,4 +1,4 @@
-"""The generation of a start: stored on disk where that is asked for, and never in the way where the disk fails."""
+"""Generation number of a process start, stored on disk if configured. Disk errors never prevent a start."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 def begin_generation(file: str) -> tuple[int, str]:
-    """The generation of this start, and what went wrong with the file ("": nothing; no file is given as "").
+    """Returns the generation of this start and a file error ("" for none). An empty `file` means that none is configured.
 
-    A file that is gone, torn or on a full disk costs nothing here: the clock decides, and peers that know a later
-    generation say so.
+    A file that is missing, corrupt or on a full disk does no harm: the clock determines the generation, and peers that
+    know a later one report it.
     """
-    stored, trouble = _read(file) if file else (0, "")
+    stored, read_error = _read(file) if file else (0, "")
     generation = next_generation(time.time_ns() // NS_PER_US, stored)
-    return generation, store_generation(file, generation) or trouble
+    return generation, store_generation(file, generation) or read_error
 
 
 def _read(file: str) -> tuple[int, str]:
-    """The stored generation (0: none), and what went wrong."""
+    """Returns the stored generation (0 for none) and an error ("" for none)."""
     try:
         text = Path(file).read_text(encoding="ascii").strip()
         stored = int(text) if text.isdecimal() else 0
@@ -37,7 +37,7 @@
 
 
 def store_generation(file: str, generation: int) -> str:
-    """Writes the generation; what went wrong. The old one stays whole until the new one is on disk."""
+    """Writes the generation; returns an error ("" for none). The old file stays intact until the new one is on disk."""
     if not file:
         return ""
     replacement = Path(f"{file}.new")
--- a/oakcroft/peers/key_file.py
+++ b/oakcroft/peers/key_file.py
@@ -1,4 +1,4 @@
-"""The key file: read at the start, and again whenever it has changed."""
+"""Key file of the fleet: read at startup and again whenever it changes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from oakcroft.peerwire.sealing import KeyFileError, KeyRing, parse_keys
 
 CHECK_INTERVAL_S = 5.0
-"""Seconds between two looks at the file."""
+"""Time between checks of the file for changes."""
 
 FileVersion = tuple[int, int]
-"""Time of the last change and size; both 0 where there is no file."""
+"""Modification time and size; both 0 if there is no file."""
 
 
 def read_keys(file: str) -> tuple[bytes, ...]:
-    """The keys of a file. KeyFileError where it can't be read or holds none."""
+    """Reads the keys of a file. Raises KeyFileError if it cannot be read or contains no valid keys."""
     try:
         return parse_keys(Path(file).read_text(encoding="ascii"))
     except (OSError, UnicodeDecodeError) as error:
@@ -27,10 +27,10 @@
 
 
 class KeyFile:
-    """One key file and the ring that its keys are on."""
+    """One key file and the key ring that holds its keys."""
 
     def __init__(self, file: str, now: Callable[[], int], log: structlog.typing.FilteringBoundLogger) -> None:
-        """Reads the file. KeyFileError where it can't be used."""
+        """Reads the file. Raises KeyFileError if it cannot be used."""
         self.file = file
         self.now = now
         self.log = log
@@ -38,7 +38,7 @@
         self.ring = KeyRing(read_keys(file))
 
     async def watch(self) -> None:
-        """Takes changed keys until it is cancelled; a file that can't be used changes nothing."""
+        """Loads changed keys until cancelled. A file that cannot be used leaves the current keys in force."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
             version = _version(self.file)
@@ -57,7 +57,7 @@
 
 def _version(file: str) -> FileVersion:
     try:
-        found = os.stat(file)
+        status = os.stat(file)
     except OSError:
         return 0, 0
-    return found.st_mtime_ns, found.st_size
+    return status.st_mtime_ns, status.st_size
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -1,6 +1,6 @@
-"""What operators see of the leases of one front, as plain values.
+"""Lease status of one front as plain values, for operators.
 
-The keys are the operators' interface and keep their words: a lease is a `duty`, an acceptor a `keeper`.
+The keys are an interface to operators and do not change: there a lease is a `duty`, and an acceptor a `keeper`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class LeaseStatusSource(Protocol):
-    """What is shown of the leases that a front hosts."""
+    """The attributes of a front's lease host that its status is made of."""
 
     settings: PeerSettings
     membership: Membership
@@ -27,11 +27,11 @@
     dropped: Counter[str]
 
     def holder(self, duty: str) -> LeaseTerm | None:
-        """Who has a lease, as far as this front knows."""
+        """Current term of a lease, as far as this front knows."""
 
 
 def lease_status(host: LeaseStatusSource, now: int) -> dict[str, object]:
-    """Leases, holders and this front's acceptor."""
+    """Status of all known leases, their holders and this front's acceptor."""
     acceptor = host.acceptor_host
     known = set(acceptor.acceptor.records) if acceptor is not None else set[str]()
     leases = [_one_lease(host, duty, now) for duty in sorted(host.wanted | known)]
@@ -48,7 +48,9 @@
 
 
 def _one_lease(host: LeaseStatusSource, duty: str, now: int) -> dict[str, object]:
-    candidate, holder, acceptor = host.candidates.get(duty), host.holder(duty), host.acceptor_host
+    candidate = host.candidates.get(duty)
+    holder = host.holder(duty)
+    acceptor = host.acceptor_host
     return {
         "duty": duty,
         "owner": holder.holder if holder is not None else None,
--- a/oakcroft/peers/membership_start.py
+++ b/oakcroft/peers/membership_start.py
@@ -1,4 +1,4 @@
-"""How a front begins its membership: flat, or by zone and region where the configuration names a region."""
+"""Creates a front's membership: flat, or with zones if the configuration names a region."""
 
 from __future__ import annotations
 
@@ -18,34 +18,41 @@
 SECRET_LENGTH = 16
 
 HostedMembership = Membership | ZonedMembership
-"""What a front hosts; both are called alike."""
+"""The membership of a front; both kinds have the same methods."""
 
 
 def begin_membership(
-    place: PeerSettings, zone: str, seed: int, now: int, log: structlog.typing.FilteringBoundLogger
+    settings: PeerSettings, zone: str, seed: int, now: int, log: structlog.typing.FilteringBoundLogger
 ) -> HostedMembership:
-    """The membership of this start, with a generation over the last one."""
-    generation, trouble = begin_generation(place.start_count_file)
-    if trouble:
-        log.warning("start not kept", file=place.start_count_file, why=trouble)
+    """Creates the membership of this start, with a generation higher than that of the previous start."""
+    generation, file_error = begin_generation(settings.start_count_file)
+    if file_error:
+        log.warning("start not kept", file=settings.start_count_file, why=file_error)
     secret = secrets.token_bytes(SECRET_LENGTH)
     me = MemberUpdate(
-        place.name, generation, 0, MemberState.ALIVE, *place.advertise, zone, __version__, commitment(secret)
+        settings.name,
+        generation,
+        0,
+        MemberState.ALIVE,
+        *settings.advertise,
+        zone,
+        __version__,
+        commitment(secret),
     )
-    if not place.region:
-        return Membership(me, secret, Random(seed), now, place.seeds)
-    others = tuple(ZoneSeeds(other.zone, other.region, other.addresses) for other in place.other_zones)
-    placement = ZonePlacement(place.region, place.seeds, others)
+    if not settings.region:
+        return Membership(me, secret, Random(seed), now, settings.seeds)
+    others = tuple(ZoneSeeds(other.zone, other.region, other.addresses) for other in settings.other_zones)
+    placement = ZonePlacement(settings.region, settings.seeds, others)
     return ZonedMembership(me, secret, Random(seed), now, placement)
 
 
 def own_zone_membership(hosted: HostedMembership) -> Membership:
-    """The flat membership in it: of the whole fleet, or of the own zone."""
+    """The flat membership: of the whole fleet, or of the front's own zone."""
     return hosted.local if isinstance(hosted, ZonedMembership) else hosted
 
 
 def leave_in_order(hosted: HostedMembership, now: int) -> None:
-    """Puts the last update of this front into the messages to be sent."""
+    """Leaves the fleet: adds this front's last update to the messages to be sent."""
     if isinstance(hosted, ZonedMembership):
         hosted.leave(now)
     else:
--- a/oakcroft/peers/order_work.py
+++ b/oakcroft/peers/order_work.py
@@ -1,4 +1,4 @@
-"""Work that the holder of a lease orders of this front, one task for each order."""
+"""Executes orders that the holder of a lease sends to this front, each in a task of its own."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from oakcroft.peerwire.lease_wire import Order, OrderReport
 
 MAX_WORKING = 16
-"""Orders at work or waiting for their turn; what is dropped is ordered again."""
+"""Orders in progress at once; further ones are dropped, and the holder sends them again."""
 
 MAX_ERROR_LENGTH = 300
-"""Characters of an error in the log."""
+"""Characters of an error text that are logged."""
 
 Work = Callable[[ReceivedLeaseMessage, Order], Awaitable[OrderReport | None]]
-"""Does what an order says; the report to whoever sent it, or none."""
+"""Executes an order; returns the report for its sender, or None."""
 
 
 class OrderWork:
-    """Starts the work that each order is for. `send_report` takes what became of it to a front by name."""
+    """Passes each order to the handler of its lease and sends the handler's report to the order's sender."""
 
     def __init__(
         self, send_report: Callable[[str, OrderReport], None], log: structlog.typing.FilteringBoundLogger
     ) -> None:
-        """`send_report` sends without waiting."""
+        """`send_report` sends a report to a front by name, without blocking."""
         self.send_report = send_report
         self.log = log
         self.handlers: dict[str, Work] = {}
@@ -34,21 +34,21 @@
         self.nursery: trio.Nursery | None = None
 
     def begin(self, received: ReceivedLeaseMessage, order: Order) -> None:
-        """Begins the work of one order, if this front knows it and not too much is under way."""
+        """Starts executing an order, unless it has no handler here or too many orders are in progress."""
         work = self.handlers.get(order.duty)
         if work is not None and self.nursery is not None and self.working < MAX_WORKING:
             self.working += 1
             self.nursery.start_soon(self._do, work, received, order)
 
     async def _do(self, work: Work, received: ReceivedLeaseMessage, order: Order) -> None:
-        """Guards the acceptor beside it, and the membership, against a fault in one order's work."""
+        """Runs one handler. An exception in it must not stop the acceptor and the membership, which share the nursery."""
         report = None
         try:
             report = await work(received, order)
         except Exception as error:
-            shown = repr(error)[:MAX_ERROR_LENGTH]
+            text = repr(error)[:MAX_ERROR_LENGTH]
             self.log.error(
-                "order failed", duty=order.duty, sender=received.sender, error=shown, exc_info=error
+                "order failed", duty=order.duty, sender=received.sender, error=text, exc_info=error
             )
         finally:
             self.working -= 1
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -1,8 +1,8 @@
-"""One front among its peers: a UDP socket, a TCP listener, and the membership that both feed.
+"""Endpoint of one front for its peers: a UDP socket, a TCP listener, and the membership that uses them.
 
-Nothing here waits on a peer, and nothing is in an answer's way: datagrams are written without waiting, reading gives way
-after each few, and what comes faster than a whole fleet's traffic is dropped and counted. All that is decided is decided
-by decisions/membership.
+Nothing here blocks on a peer or delays the front's answers to viewers: datagrams are sent without waiting, reading yields
+after every few, and traffic beyond what a whole fleet sends is dropped and counted. All decisions are made in
+`oakcroft.decisions.membership`; this module does the I/O.
 """
 
 from __future__ import annotations
@@ -40,83 +40,89 @@
 from oakcroft.running.clock import Clock
 
 RESTART_DELAY_S = 1.0
-"""Seconds after a fault of this part of the program."""
+"""After an unexpected exception in this part of the program."""
 
 LEAVE_REPEATS = 3
-"""Times that the last update is sent, so that a lost datagram does not lose it."""
+"""Times that the last update is sent, in case datagrams are lost."""
 
 LEAVE_REPEAT_INTERVAL_S = 0.05
-"""Seconds."""
-
 LISTEN_BACKLOG = 64
 
+MAX_ERROR_LENGTH = 300
+"""Characters of an exception's text that are logged."""
+
 
 class PeerEndpoint:
-    """One front's part in the fleet's membership. `on_change` is called after each change of it."""
+    """One front's part in the fleet's membership. `on_change` is called after each membership change."""
 
     def __init__(
-        self, place: PeerSettings, zone: str, seed: int, clock: Clock, log: structlog.typing.FilteringBoundLogger,
-        on_change: Callable[[Membership], None] = lambda _: None, record: NamedValueStore | None = None,
-    ) -> None:  # fmt: skip
-        """Opens nothing yet. KeyFileError where the key file can't be used; `record` is the state file."""
-        self.settings = place
+        self,
+        settings: PeerSettings,
+        zone: str,
+        seed: int,
+        clock: Clock,
+        log: structlog.typing.FilteringBoundLogger,
+        on_change: Callable[[Membership], None] = lambda _: None,
+        record: NamedValueStore | None = None,
+    ) -> None:
+        """Opens no sockets yet. Raises KeyFileError if the key file cannot be used; `record` is the state file."""
+        self.settings = settings
         self.clock = clock
         self.log = log
         self.on_change = on_change
         self.dropped: Counter[str] = Counter()
         self.received = 0
         self.rate_limit = RateLimit()
-        self.key_file = KeyFile(place.key_file, self.now, log)
-        self.codec = MembershipCodec(place.fleet_name, self.key_file.ring)
-        self.load_codec = LoadCodec(place.fleet_name, self.key_file.ring)
-        self.on_loads: Callable[[list[LoadReport]], None] | None = (
-            None  # who wants other fronts' loads of nodes
-        )
-        self.hosted = begin_membership(place, zone, seed, self.now(), log)
+        self.key_file = KeyFile(settings.key_file, self.now, log)
+        self.codec = MembershipCodec(settings.fleet_name, self.key_file.ring)
+        self.load_codec = LoadCodec(settings.fleet_name, self.key_file.ring)
+        # Receives other fronts' reports of node loads; None drops them.
+        self.on_loads: Callable[[list[LoadReport]], None] | None = None
+        self.hosted = begin_membership(settings, zone, seed, self.now(), log)
         self.membership = own_zone_membership(self.hosted)
         self.zones: ZoneService | None = None
         if isinstance(self.hosted, ZonedMembership):
-            zone_codec = ZoneCodec(place.fleet_name, self.key_file.ring)
-            self.zones = ZoneService(self.hosted, place.region, zone_codec)
+            zone_codec = ZoneCodec(settings.fleet_name, self.key_file.ring)
+            self.zones = ZoneService(self.hosted, settings.region, zone_codec)
         self.stored_generation = self.membership.me.generation
-        self.datagrams = DatagramSocket(place.listen, self.dropped)
-        own_host = place.listen[0]
+        self.datagrams = DatagramSocket(settings.listen, self.dropped)
+        own_host = settings.listen[0]
         self.push_pulls = PushPullService(
-            self.codec, self.hosted, own_host, self.now, self.dropped, self._carry_out
+            self.codec, self.hosted, own_host, self.now, self.dropped, self._process_output
         )
         self.streams = StreamServer(self.push_pulls.answer, PUSH_PULL_TIMEOUT_S, self.dropped)
         self.leases: LeaseHost | None = None
         self.text_transfer: TextTransfer | None = None
-        if place.keepers:
+        if settings.keepers:
             self.leases = LeaseHost(
-                place, self.key_file.ring, self.membership, record, seed + 1, self._send_to_member, log
+                settings, self.key_file.ring, self.membership, record, seed + 1, self._send_to_member, log
             )
             self.text_transfer = TextTransfer(self.codec, self.leases, own_host, self.now, self.dropped)
             self.streams.register(LEASE_FORMAT, self.text_transfer.answer, TEXT_TIMEOUT_S)
         self.has_begun = False
-        self.woken = trio.Event()
+        self.timers_changed = trio.Event()
 
     def now(self) -> int:
-        """Now, by the front's clock, which no step of the wall clock moves."""
+        """Current time of the front's clock, which steps of the wall clock do not change."""
         return self.clock.now()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Takes part until it is cancelled. OSError where the address can't be had at the start.
+        """Runs until cancelled. Raises OSError if the address cannot be bound at the start.
 
-        Guards the front against a fault in all of this: viewers are served on, and after `RESTART_DELAY_S` it takes part
-        again.
+        A later exception does not stop the front: it keeps serving viewers, and this part is restarted after
+        `RESTART_DELAY_S`.
         """
         while True:
             try:
-                await self._take_part(task_status)
+                await self._run_once(task_status)
             except Exception as error:
                 if not self.has_begun:
                     raise
-                self.log.error("peers failed", error=repr(error)[:300], exc_info=error)
+                self.log.error("peers failed", error=repr(error)[:MAX_ERROR_LENGTH], exc_info=error)
             task_status = trio.TASK_STATUS_IGNORED
             await trio.sleep(RESTART_DELAY_S)
 
-    async def _take_part(self, task_status: trio.TaskStatus[None]) -> None:
+    async def _run_once(self, task_status: trio.TaskStatus[None]) -> None:
         host, port = self.settings.listen
         with self.datagrams.opened():
             listeners = await trio.open_tcp_listeners(port, host=host, backlog=LISTEN_BACKLOG)
@@ -138,7 +144,7 @@
         self.log.info("peers", name=me.name, start=me.generation, address=f"{me.host}:{me.port}", seeds=seeds)
 
     async def leave(self) -> None:
-        """Says that this front leaves in order. Call it when no more is let in: its shares pass on with it."""
+        """Announces that this front leaves. Call it once no requests are admitted: others take over its rate shares."""
         if self.leases is not None:
             self.leases.leave()
         leave_in_order(self.hosted, self.now())
@@ -155,23 +161,23 @@
         self.hosted.out = []
         return messages
 
-    def _carry_out(self) -> None:
-        """What the membership has asked for, and what has changed in it. Called after each call of it."""
+    def _process_output(self) -> None:
+        """Sends the membership's messages and reports its changes. Called after each call to the membership."""
         while self.hosted.out:
             for message in self._take_messages():
                 self._send(message)
         if self.hosted.changes:
-            self._tell_changes()
-        self.woken.set()
+            self._report_changes()
+        self.timers_changed.set()
 
-    def _tell_changes(self) -> None:
+    def _report_changes(self) -> None:
         membership = self.membership
         log_changes(self.hosted.changes, len(membership.present()), self.log)
         self.hosted.changes = []
         if membership.me.generation != self.stored_generation:
             self.stored_generation = membership.me.generation
-            if trouble := store_generation(self.settings.start_count_file, self.stored_generation):
-                self.log.warning("start not kept", file=self.settings.start_count_file, why=trouble)
+            if error := store_generation(self.settings.start_count_file, self.stored_generation):
+                self.log.warning("start not kept", file=self.settings.start_count_file, why=error)
         self.on_change(membership)
 
     def _send(self, message: Message | OutgoingZoneMessage) -> None:
@@ -192,13 +198,13 @@
         self.datagrams.send(octets, message.address)
 
     def _send_to_member(self, name: str, octets: bytes) -> None:
-        """Octets to a member by name; lost where nobody knows the name."""
+        """Sends octets to a member by name; drops them if there is no such member."""
         member = self.membership.members.get(name)
         if member is not None:
             self.datagrams.send(octets, member.latest.address)
 
     def send_loads(self, peer: str, reports: list[LoadReport]) -> None:
-        """Loads of nodes, to a member by name."""
+        """Sends node loads to a member by name."""
         membership = self.membership
         if not membership.displaced and not membership.left:
             me = membership.me
@@ -218,7 +224,7 @@
             return
 
     def _dispatch(self, opened: bytes, now: int) -> None:
-        """Hands an opened datagram to what its format is for. MessageError where it is for nothing here."""
+        """Passes an authenticated datagram to the handler of its format. Raises MessageError if it is invalid."""
         wire_format = opened[0] if opened else None
         if self.leases is not None and wire_format == LEASE_FORMAT:
             self.leases.receive(opened)
@@ -226,7 +232,7 @@
         elif self.zones is not None and wire_format == ZONE_FORMAT:
             self.zones.receive(opened, now)
             self.received += 1
-            self._carry_out()
+            self._process_output()
         elif self.on_loads is not None and wire_format == LOAD_FORMAT:
             self.on_loads(self._read_loads(opened))
         else:
@@ -238,10 +244,10 @@
         self.hosted.receive_message(
             message.sender, message.kind, message.sequence, message.to, message.target, message.updates, now
         )
-        self._carry_out()
+        self._process_output()
 
     def _read_loads(self, opened: bytes) -> list[LoadReport]:
-        """Loads of nodes: taken of members that this front knows, whatever their generation."""
+        """Node loads; accepted from any known member, whatever its generation."""
         sender, rows = self.load_codec.decode(opened)
         if sender not in self.membership.members or self.membership.displaced:
             raise MessageError("no member")
@@ -249,12 +255,12 @@
         return rows
 
     def present(self) -> list[str]:
-        """Who is there, this front among them; itself alone where another process has its name."""
+        """Present members including this front; only this front if another process displaced it."""
         membership = self.membership
         return [membership.me.name] if membership.displaced else membership.present()
 
     async def fetch(self, name: str, digest: str) -> bytes | None:
-        """A text that another front holds; None where it can't be had."""
+        """Fetches a text from another front by digest; None if that fails."""
         member = self.membership.members.get(name)
         if member is None or self.text_transfer is None:
             return None
@@ -265,17 +271,17 @@
     async def _run_timers(self) -> None:
         while True:
             self.hosted.tick(self.now())
-            self._carry_out()
-            self.woken = trio.Event()
+            self._process_output()
+            self.timers_changed = trio.Event()
             deadline = max(self.hosted.due, self.now() + MS)
             with trio.move_on_at(self.clock.trio_time(deadline)):
-                await self.woken.wait()
-                await trio.sleep(MS / SECOND)  # what comes together is looked at together
+                await self.timers_changed.wait()
+                await trio.sleep(MS / SECOND)  # handles messages that arrive together in one pass
 
-    # What operators see.
+    # Status.
 
     def status(self) -> dict[str, object]:
-        """The membership and its counts, as plain values."""
+        """The membership and its counters as plain values, for operators; the keys do not change."""
         now = self.now()
         return {
             **membership_status(self.membership, now),
--- a/oakcroft/peers/status.py
+++ b/oakcroft/peers/status.py
@@ -1,6 +1,7 @@
-"""What operators see of a front's membership, as plain values.
+"""Membership status of one front as plain values, for operators.
 
-The keys are the operators' interface (`oakcroft fleet view --json`) and keep their words: `standing`, `start`, `wing`.
+The keys are an interface (`oakcroft fleet view --json`) and do not change: `standing` is a member's state, `start` its
+generation, `wing` its zone.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 def membership_status(membership: Membership, now: int) -> dict[str, object]:
-    """The membership: this front's own place in it, and its members."""
+    """Status of the membership: this front itself and all members."""
     members = [member_status(member, now) for _, member in sorted(membership.members.items())]
     return {
         "name": membership.me.name,
@@ -25,7 +26,7 @@
 
 
 def member_status(member: Member, now: int) -> dict[str, object]:
-    """One member, as one front sees it."""
+    """Status of one member."""
     latest = member.latest
     return {
         "name": latest.name,
--- a/oakcroft/peers/streams.py
+++ b/oakcroft/peers/streams.py
@@ -1,4 +1,4 @@
-"""Streams between peers: connecting from the own address, and accepting a bounded number of them."""
+"""TCP streams between peers: connects from the front's own address and accepts a bounded number of streams."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from oakcroft.peerwire.sealing import SEAL_LENGTH
 
 MAX_STREAMS = 8
-"""Begun by others and served at once."""
+"""Accepted streams that are served at once."""
 
-FORMAT_AT = LENGTH_OCTETS + SEAL_LENGTH
-"""Where a stream's first message shows its format."""
+FORMAT_OFFSET = LENGTH_OCTETS + SEAL_LENGTH
+"""Offset of the format byte in a stream's first message."""
 
 STREAM_ERRORS = (OSError, trio.BrokenResourceError)
-"""What a peer or the network may do to a stream."""
+"""Errors that a peer or the network may cause on a stream."""
 
 Answer = Callable[[trio.SocketStream, bytes], Awaitable[None]]
-"""Serves a stream whose first octets have been read."""
+"""Serves a stream whose first octets have already been read."""
 
 
 async def connect(address: Address, own_host: str) -> trio.SocketStream:
-    """A stream to a peer, from this front's own address. OSError where it can't be had."""
+    """Opens a stream to a peer from this front's own address. Raises OSError on failure."""
     local_address = None if ip_address(own_host).is_unspecified else own_host
     return await trio.open_tcp_stream(*address, local_address=local_address)
 
 
 class StreamServer:
-    """Accepts streams and hands each to what its format is for."""
+    """Accepts streams and passes each to the handler of its format."""
 
     def __init__(self, default: Answer, default_timeout: float, dropped: Counter[str]) -> None:
-        """`default` serves streams whose format nobody registered, within `default_timeout` seconds."""
+        """`default` serves streams of formats that are not registered, within `default_timeout` seconds."""
         self.default = default
         self.default_timeout = default_timeout
         self.dropped = dropped
@@ -44,11 +44,11 @@
         self.limiter = trio.CapacityLimiter(MAX_STREAMS)
 
     def register(self, wire_format: int, answer: Answer, timeout: float) -> None:
-        """Who serves streams of a format, and within how many seconds more."""
+        """Registers the handler of a format; it has `timeout` seconds in addition to the default timeout."""
         self.by_format[wire_format] = (answer, timeout)
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """A stream that another has begun; closed at once where too many are."""
+        """Serves an accepted stream, or closes it at once if too many are open."""
         try:
             self.limiter.acquire_nowait()
         except trio.WouldBlock:
@@ -66,17 +66,17 @@
         first = await _first_octets(stream)
         if first is None:
             return
-        answer, more_time = self.by_format.get(first[FORMAT_AT], (self.default, 0.0))
-        scope.deadline += more_time
+        answer, extra_timeout = self.by_format.get(first[FORMAT_OFFSET], (self.default, 0.0))
+        scope.deadline += extra_timeout
         await answer(stream, first)
 
 
 async def _first_octets(stream: trio.SocketStream) -> bytes | None:
-    """A stream's octets up to where its first message shows its format; None where it ends before."""
+    """Reads a stream until the format byte of its first message; None if the stream ends before it."""
     octets = bytearray()
-    while len(octets) <= FORMAT_AT:
-        more = await stream.receive_some(MAX_PART_BYTES)
-        if not more:
+    while len(octets) <= FORMAT_OFFSET:
+        received = await stream.receive_some(MAX_PART_BYTES)
+        if not received:
             return None
-        octets += more
+        octets += received
     return bytes(octets)
--- a/oakcroft/peers/text_transfer.py
+++ b/oakcroft/peers/text_transfer.py
@@ -1,4 +1,4 @@
-"""Texts from front to front by their digest, over a stream: what a staged rollout hands on."""
+"""Transfers texts between fronts over a stream, by digest; used by staged rollouts of the catalogue."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from oakcroft.peerwire.push_pull_stream import LENGTH_OCTETS
 
 TEXT_TIMEOUT_S = 10.0
-"""Seconds for a text of 16 MiB at most."""
+"""For one transfer; a text has at most 16 MiB."""
 
 READ_BYTES = 65_536
 
 
 class TextTransfer:
-    """Hands texts out, and fetches them from others."""
+    """Serves texts to other fronts and fetches texts from them."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         now: Callable[[], int],
         dropped: Counter[str],
     ) -> None:
-        """`leases` says what texts this front holds."""
+        """`leases` finds the texts that this front holds and encodes the messages."""
         self.codec = codec
         self.leases = leases
         self.own_host = own_host
@@ -42,9 +42,9 @@
         self.dropped = dropped
 
     async def answer(self, stream: trio.SocketStream, first: bytes) -> None:
-        """A text that another front asks for by its digest, with the first octets of its question."""
+        """Sends a text that another front requests by digest; `first` is the start of its request."""
         try:
-            digest = await self._read_question(stream, first)
+            digest = await self._read_request(stream, first)
         except MessageError as error:
             self.dropped[str(error)] += 1
             return
@@ -52,18 +52,18 @@
         for part in self.leases.codec.encode_text(*self.leases.me, text):
             await stream.send_all(part)
 
-    async def _read_question(self, stream: trio.SocketStream, first: bytes) -> str:
+    async def _read_request(self, stream: trio.SocketStream, first: bytes) -> str:
         end = LENGTH_OCTETS + int.from_bytes(first[:LENGTH_OCTETS], "big")
         while len(first) < end <= MAX_DATAGRAM_BYTES:
-            more = await stream.receive_some(MAX_DATAGRAM_BYTES)
-            if not more:
+            received = await stream.receive_some(MAX_DATAGRAM_BYTES)
+            if not received:
                 raise MessageError("not sealed")
-            first += more
+            first += received
         opened = self.codec.open(first[LENGTH_OCTETS:end], self.now())
         return self.leases.codec.decode_text_request(opened)
 
     async def fetch(self, address: Address, digest: str) -> bytes | None:
-        """A text that another front holds; None where it can't be had within `TEXT_TIMEOUT_S`."""
+        """Fetches a text from another front; None if that fails or takes longer than `TEXT_TIMEOUT_S`."""
         text = bytearray()
         expected_part = 0
         with trio.move_on_after(TEXT_TIMEOUT_S), suppress(*STREAM_ERRORS, MessageError):
--- a/oakcroft/peers/zone_service.py
+++ b/oakcroft/peers/zone_service.py
@@ -1,4 +1,4 @@
-"""Hosts the layer between zones: its datagrams in and out, and what operators see of other zones."""
+"""Hosts the protocol between zones: encodes and decodes its datagrams and reports zone status to operators."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class ZoneService:
-    """The layer between zones of one front."""
+    """Connects one front's zoned membership to its datagrams."""
 
     def __init__(self, zoned: ZonedMembership, region: str, codec: ZoneCodec) -> None:
-        """`zoned` decides, `region` is the own zone's, `codec` reads and writes messages."""
+        """`region` is that of the front's own zone."""
         self.zoned = zoned
         self.region = region
         self.codec = codec
 
-    def encode(self, out: OutgoingZoneMessage) -> bytes:
-        """A message as a datagram. MessageError where it is too long for one."""
+    def encode(self, outgoing: OutgoingZoneMessage) -> bytes:
+        """Encodes a message as a datagram. Raises MessageError if it does not fit."""
         me = self.zoned.local.me
         sender = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
-        return self.codec.encode(sender, out.message)
+        return self.codec.encode(sender, outgoing.message)
 
     def receive(self, opened: bytes, now: int) -> None:
-        """An opened datagram of this layer. MessageError where it is none."""
+        """Processes an authenticated datagram of this protocol. Raises MessageError if it is not valid."""
         received = self.codec.read(opened)
         self.zoned.receive_zone_message(received.sender, received.message, now)
 
     def status(self, now: int) -> dict[str, object]:
-        """The own zone and region, the other zones, and the counts of this layer, as plain values."""
+        """The own zone and region, the other zones, and the counters of this protocol, as plain values."""
         zoned = self.zoned
         return {
             "zone": zoned.zone,
--- a/oakcroft/peerwire/lease_codec.py
+++ b/oakcroft/peerwire/lease_codec.py
@@ -206,9 +206,13 @@
 def _read_ask(body: WireBody) -> LeaseRequest:
     wire = LEASE_REQUEST_DECODER.decode(body.payload)
     return LeaseRequest(
-        MESSAGE_KINDS[body.kind], checked_name(wire.duty), term_from_wire(wire.term), checked_number(wire.seq),
-        checked_number(wire.length), note_from_wire(wire.note),
-    )  # fmt: skip
+        MESSAGE_KINDS[body.kind],
+        checked_name(wire.duty),
+        term_from_wire(wire.term),
+        checked_number(wire.seq),
+        checked_number(wire.length),
+        note_from_wire(wire.note),
+    )
 
 
 def _read_answer(body: WireBody) -> LeaseAnswer:
@@ -216,10 +220,18 @@
     epochs = tuple((checked_name(name), checked_number(epoch)) for name, epoch in wire.epochs[:MAX_ACCEPTORS])
     running = None if wire.running is None else term_from_wire(wire.running)
     return LeaseAnswer(
-        MESSAGE_KINDS[body.kind], checked_name(wire.duty), checked_name(body.sender), checked_number(wire.epoch),
-        checked_number(wire.number), checked_number(wire.seq), checked_number(wire.highest), running,
-        checked_number(wire.left), note_from_wire(wire.note), epochs,
-    )  # fmt: skip
+        MESSAGE_KINDS[body.kind],
+        checked_name(wire.duty),
+        checked_name(body.sender),
+        checked_number(wire.epoch),
+        checked_number(wire.number),
+        checked_number(wire.seq),
+        checked_number(wire.highest),
+        running,
+        checked_number(wire.left),
+        note_from_wire(wire.note),
+        epochs,
+    )
 
 
 READERS: dict[int, Callable[[WireBody], LeaseMessage]] = {
--- a/oakcroft/peerwire/membership_codec.py
+++ b/oakcroft/peerwire/membership_codec.py
@@ -76,9 +76,17 @@
 def to_wire(update: MemberUpdate) -> WireUpdate:
     """An update as it goes on the wire."""
     return WireUpdate(
-        update.name, update.generation, update.incarnation, update.state.value, update.host, update.port,
-        update.zone, update.version, update.proof, update.reported_by,
-    )  # fmt: skip
+        update.name,
+        update.generation,
+        update.incarnation,
+        update.state.value,
+        update.host,
+        update.port,
+        update.zone,
+        update.version,
+        update.proof,
+        update.reported_by,
+    )
 
 
 def from_wire(wire: WireUpdate) -> MemberUpdate | None:
@@ -87,9 +95,17 @@
     if longest > MAX_TEXT_LENGTH or wire.state not in STATES or not is_numeric_host(wire.host):
         return None
     return MemberUpdate(
-        wire.name, wire.generation, wire.incarnation, STATES[wire.state], wire.host, wire.port,
-        wire.zone, wire.version, wire.proof, wire.reported_by,
-    )  # fmt: skip
+        wire.name,
+        wire.generation,
+        wire.incarnation,
+        STATES[wire.state],
+        wire.host,
+        wire.port,
+        wire.zone,
+        wire.version,
+        wire.proof,
+        wire.reported_by,
+    )
 
 
 def is_numeric_host(host: str) -> bool:
--- a/oakcroft/peerwire/zone_codec.py
+++ b/oakcroft/peerwire/zone_codec.py
@@ -135,9 +135,17 @@
     delegates = [WireDelegate(d.name, d.generation, d.host, d.port) for d in summary.delegates]
     changes = [WireChange(c.name, c.generation, c.incarnation, c.state) for c in summary.changes]
     return WireSummary(
-        summary.zone, summary.region, summary.author, summary.epoch, summary.version, summary.heartbeat,
-        counts, delegates, summary.member_digest, changes,
-    )  # fmt: skip
+        summary.zone,
+        summary.region,
+        summary.author,
+        summary.epoch,
+        summary.version,
+        summary.heartbeat,
+        counts,
+        delegates,
+        summary.member_digest,
+        changes,
+    )
 
 
 def _wire_member(member: MemberRecord) -> WireMember:
@@ -200,9 +208,17 @@
     )
     changes = tuple(MemberChange(c.name, c.generation, c.incarnation, c.state) for c in wire.changes)
     return ZoneSummary(
-        wire.zone, wire.region, wire.author, wire.epoch, wire.version, wire.heartbeat,
-        StateCounts(*wire.counts), delegates, wire.member_digest, changes,
-    )  # fmt: skip
+        wire.zone,
+        wire.region,
+        wire.author,
+        wire.epoch,
+        wire.version,
+        wire.heartbeat,
+        StateCounts(*wire.counts),
+        delegates,
+        wire.member_digest,
+        changes,
+    )
 
 
 def _member(wire: WireMember) -> MemberRecord:
