--- a/oakcroft/decisions/membership/__init__.py
+++ b/oakcroft/decisions/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which front ends are there: membership by probes, suspicion and gossip (SWIM, Lifeguard). No I/O."""
+"""Membership of front ends: failure detection and gossip dissemination (SWIM, Lifeguard), without I/O."""
--- a/oakcroft/decisions/membership/counters.py
+++ b/oakcroft/decisions/membership/counters.py
@@ -1,4 +1,4 @@
-"""What a membership dropped or corrected, and why."""
+"""Counters of messages and updates that a membership dropped or corrected, by reason."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass
 class Counters:
-    """Counts since the start. The field names are what `fleet view --json` and metrics show, and stay as they are."""
+    """Counts since the start. The field names appear in `fleet view --json` and in metrics, and do not change."""
 
-    unsound: int = 0  # updates that no sound member could have sent
+    unsound: int = 0  # implausible updates
     old_start: int = 0  # messages of an older generation
     other_start: int = 0  # probes meant for another generation of this front
     misaddressed: int = 0  # probes meant for another member that had this address
-    full: int = 0  # newcomers for whom the table had no room
-    refuted: int = 0  # accusations of this front
+    full: int = 0  # new members that were not added because the table was full
+    refuted: int = 0  # accusations of this front that it refuted
     stood_still: int = 0  # pauses of this process
-    refused_leaves: int = 0  # leaves without the proof
+    refused_leaves: int = 0  # leave updates without a valid proof
--- a/oakcroft/decisions/membership/delegates.py
+++ b/oakcroft/decisions/membership/delegates.py
@@ -1,10 +1,10 @@
-"""Which members speak for their zone to other zones: rendezvous hashing with hysteresis, reckoned by each
-front alone.
+"""Selection of a zone's delegates, which communicate with other zones: rendezvous hashing with hysteresis.
 
-The members of the highest weight for the zone's name (Thaler and Ravishankar 1998) among those that have run
-long enough. Nobody elects: where memberships differ for a while more than three act, and this costs messages
-only. How long a member has run is read of its generation, the clock at its start, so that all fronts count
-the same, also one that has just started."""
+The delegates are the members with the highest weights for the zone's name (Thaler and Ravishankar 1998) among those
+that have run long enough. Each front computes them by itself, without an election: while memberships differ, more than
+three members may act, which costs only messages. A member's uptime follows from its generation, the clock time of its
+start, so that all fronts compute the same, including one that has just started.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +14,18 @@
 from oakcroft.decisions.membership.zone_summary import MAX_DELEGATES
 
 SETTLING_TIME_US = 30_000_000
-"""Microseconds for which a member must have run: guards the zone's voice against members that come and go."""
+"""Uptime before a member becomes a delegate, so that members that restart often do not change the delegates."""
 
 START_SPREAD_US = 10_000_000
-"""Microseconds after the zone's eldest within which a member counts as settled too: the members of a zone
-that starts as a whole are delegates at once, and none is displaced when the first of them settle."""
+"""Members that started within this time of the zone's oldest count as settled too: a zone that starts as a whole has
+delegates at once, and they do not change when the first members settle."""
 
 
 class DelegateSelection:
-    """The delegates of one zone as one front sees them. Times are in microseconds of the clock, as
-    generations are."""
+    """Delegates of one zone as one front sees them. Times are clock times in microseconds, as generations are."""
 
     def __init__(self, zone: str) -> None:
-        """Nobody is observed yet."""
+        """Starts without members."""
         self.zone = zone
         self._generations: dict[str, int] = {}
         self._weights: dict[str, int] = {}
@@ -34,15 +33,14 @@
         self._valid_until = 0
 
     def observe(self, generations: Mapping[str, int]) -> None:
-        """Who is present, whenever that has changed. Suspected members count: a suspicion moves no
-        delegate."""
+        """Sets the present members and their generations. Includes suspected ones: a suspicion changes no delegate."""
         self._generations = dict(generations)
         known = self._weights
         self._weights = {name: known.get(name) or weight(self.zone, name) for name in generations}
         self._valid_until = 0
 
     def delegates(self, clock: int) -> tuple[str, ...]:
-        """The delegates in rank, the first first; fewer than three where fewer are present."""
+        """Delegates in order of rank; fewer than `MAX_DELEGATES` if fewer members are present."""
         if clock >= self._valid_until:
             self._select(clock)
         return self._ranked
--- a/oakcroft/decisions/membership/dissemination.py
+++ b/oakcroft/decisions/membership/dissemination.py
@@ -1,8 +1,8 @@
-"""Gossip dissemination: which updates are piggybacked on messages that are sent anyway.
+"""Gossip dissemination: selects the updates that are piggybacked on messages that are sent anyway.
 
-Each update is carried so many times as it takes to reach all but surely (SWIM, section 5: a small multiple of log n),
-the least carried first. A newer update about a member takes the place of an older one. Bounded: one update for each
-member at most.
+Each update is sent often enough to reach all members with high probability (SWIM, section 5: a small multiple of log
+n), the least sent first. A newer update about a member replaces an older one, so there is at most one update per
+member.
 """
 
 from __future__ import annotations
@@ -12,36 +12,36 @@
 from oakcroft.decisions.membership.member import MemberUpdate
 
 RETRANSMIT_MULTIPLIER = 4
-"""Times log10(n + 1) that an update is carried (as memberlist does): at 200 members 12 messages, each to another at
-random; a push-pull now and then reaches whom all of them missed."""
+"""An update is sent this many times log10(n + 1) (as in memberlist): in 12 messages to random members at 200 members.
+Members that all of them miss are reached by periodic push-pull."""
 
 
 class UpdateQueue:
-    """The updates under way, with how often each was carried."""
+    """Updates to be disseminated, with the number of times that each was sent."""
 
     def __init__(self) -> None:
-        """Starts with nothing to carry."""
+        """Starts empty."""
         self.pending: dict[str, tuple[MemberUpdate, int]] = {}
 
     def add(self, update: MemberUpdate) -> None:
-        """An update to be carried from now on."""
+        """Adds an update, replacing an older one about the same member."""
         self.pending[update.name] = (update, 0)
 
     def drop(self, name: str) -> None:
-        """The member is forgotten."""
+        """Removes the update about a member."""
         self.pending.pop(name, None)
 
     def __bool__(self) -> bool:
-        """Whether any update waits to be carried."""
+        """Whether any update is waiting to be sent."""
         return bool(self.pending)
 
     def take(self, most: int, members: int) -> list[MemberUpdate]:
-        """At most so many updates for the next message, in a fleet of so many members."""
-        limit = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(members + 1))
+        """At most `most` updates for the next message; `members` is the size of the fleet."""
+        retransmit_limit = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(members + 1))
         chosen = sorted(self.pending.values(), key=lambda entry: (entry[1], entry[0].name))[:most]
-        for update, times in chosen:
-            if times + 1 >= limit:
+        for update, times_sent in chosen:
+            if times_sent + 1 >= retransmit_limit:
                 del self.pending[update.name]
             else:
-                self.pending[update.name] = (update, times + 1)
+                self.pending[update.name] = (update, times_sent + 1)
         return [update for update, _ in chosen]
--- a/oakcroft/decisions/membership/failure_detector.py
+++ b/oakcroft/decisions/membership/failure_detector.py
@@ -1,8 +1,9 @@
-"""Parts of the failure detector: one probe's course, the order in which members are probed, and local health.
+"""Parts of the failure detector: the stages of a probe, the order in which members are probed, and local health.
 
-SWIM's probe: a question to one member, in a shuffled round so that each has its turn in bounded time; unanswered, it is
-repeated directly and through others; unanswered still, the member is suspected. Probes overlap: their interval decides
-how soon a crash is found, their length how seldom a loss is taken for one.
+A SWIM probe pings one member, in a shuffled round so that each member is probed within a bounded time. Without an
+answer the ping is repeated directly and through other members; without an answer to these, the member is suspected.
+Probes overlap: their interval determines how soon a crash is found, and their timeout how seldom a lost message is
+taken for one.
 """
 
 from __future__ import annotations
@@ -15,29 +16,29 @@
 from oakcroft.interface import MS, SECOND
 
 PROBE_INTERVAL = 300 * MS
-"""Between two probes of one front. Each member is then probed 3.3 times a second by all together, whatever their
-number: the first probe of a crashed one comes within 1.4 s in 99 of 100 cases (4.6 intervals), which leaves 4.6 s of
-the six wanted."""
+"""Between two probes by one front. All fronts together then probe each member 3.3 times a second, whatever their
+number: a crashed member is first probed within 1.4 s in 99 of 100 cases (4.6 intervals), which leaves 4.6 s of the 6 s
+in which a crash must be known."""
 
 RETRY_INTERVAL = 300 * MS
-"""After which a probe is repeated, directly and through others; and once more after as long again."""
+"""Delay before a probe is repeated directly and through others, and before the second repetition."""
 
 PROBE_TIMEOUT = SECOND
 """After which a probe without an answer has failed."""
 
 INDIRECT_PROBES = 3
-"""Members asked to probe in this front's place (SWIM's k): with three, and three probes of its own, 6 of a million
+"""Members asked to probe in this front's place (k in SWIM). With three of them and three direct pings, 6 of a million
 probes of a living member fail at 5% loss, and 1 in 100 at 20%."""
 
 MAX_PROBES = 32
-"""Probes open at once; further ones wait for their turn in the round."""
+"""Probes in progress at once; no further ones start until one ends."""
 
 MAX_HEALTH_MULTIPLIER = 4
-"""How many times as long a front in poor health waits, at most."""
+"""Upper bound of the factor by which a front in poor local health extends its timeouts."""
 
 
 class ProbeStage(IntEnum):
-    """What has been done for one probe so far."""
+    """The last step taken for a probe."""
 
     SENT = 0
     RETRIED_INDIRECTLY = 1
@@ -46,7 +47,7 @@
 
 @dataclass
 class Probe:
-    """One member being probed."""
+    """A probe of one member."""
 
     name: str
     sequence: int
@@ -54,26 +55,26 @@
     stage: ProbeStage = ProbeStage.SENT
 
     def deadline(self, multiplier: int) -> int:
-        """When the next step is due, for a front with this health multiplier."""
+        """When the next step is due, given the front's health multiplier."""
         if self.stage is ProbeStage.RETRIED_AGAIN:
             return self.started_at + PROBE_TIMEOUT * multiplier
         return self.started_at + RETRY_INTERVAL * (self.stage + 1) * multiplier
 
 
 class ProbeRound:
-    """The members in turn: shuffled anew for each round, newcomers at random places in what is left of this one."""
+    """Order in which members are probed: shuffled for each round; a new member is inserted at a random position."""
 
     def __init__(self, rng: Random) -> None:
-        """`rng` shuffles the rounds."""
+        """Shuffles rounds with `rng`."""
         self.rng = rng
         self.remaining = list[str]()
 
     def add(self, name: str) -> None:
-        """A member has joined."""
+        """Adds a member to the current round."""
         self.remaining.insert(self.rng.randrange(len(self.remaining) + 1), name)
 
     def next(self, present: Callable[[], list[str]], eligible: Callable[[str], bool]) -> str | None:
-        """Whose turn it is among those `present` that are `eligible`; None where there is nobody."""
+        """The next eligible member; starts a new round of the `present` members when needed. None if there is none."""
         while self.remaining:
             if eligible(name := self.remaining.pop()):
                 return name
@@ -84,24 +85,24 @@
 
 @dataclass
 class LocalHealth:
-    """How far a front may trust its own findings (Lifeguard's local health multiplier).
+    """Local health of a front (Lifeguard's local health multiplier).
 
-    Guards against a front that is short of time and takes its own lateness for others' failures: it waits longer while it
-    was late, or was shown to be wrong. Failed probes alone don't count, or a crash of most of the fleet would make the
-    rest slow to find it. Cost: for some seconds a front that was late finds crashes later.
+    A front that is short of processor time must not take its own delays for failures of others: it waits longer after
+    it was late or suspected a member that is alive. Failed probes alone do not count, or a crash of most of the fleet
+    would delay its detection by the rest. The cost: for some seconds a front that was late detects crashes later.
     """
 
     score: int = 0
 
     @property
     def multiplier(self) -> int:
-        """How many times as long this front waits."""
+        """Factor by which this front extends its timeouts."""
         return 1 + self.score
 
     def worsen(self) -> None:
-        """This front was late, or a member that it suspected lives."""
+        """Records that this front was late, or that a member it suspected is alive."""
         self.score = min(MAX_HEALTH_MULTIPLIER - 1, self.score + 1)
 
     def improve(self) -> None:
-        """A probe was answered in time."""
+        """Records a probe that was answered in time."""
         self.score = max(0, self.score - 1)
--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -1,8 +1,7 @@
-"""Membership in two layers: the flat protocol inside a zone, summaries between zones. No I/O, as the flat
-one.
+"""Membership in two layers: the flat protocol inside a zone, and zone summaries between zones. No I/O.
 
-Time and chance come in with each call; the host takes `out`, `changes` and `found` after each call and puts
-empty lists in their place. What this layer is, and why, stands in docs/membership.md.
+Time is passed in with each call, and random numbers come from the generator given at the start. After each call the
+host takes `out`, `changes` and `found` and replaces them with empty lists. docs/membership.md describes the design.
 """
 
 from __future__ import annotations
@@ -37,23 +36,22 @@
 from oakcroft.interface import MS, SECOND
 
 DELEGATE_START_DELAY = 10 * SECOND
-"""In which a front does not act as a delegate: in a whole start each is first in rank of the zone of one
-that it sees."""
+"""After its start, before a front acts as a delegate: when all start at once, each sees only itself and would rank
+first."""
 
 AUTHOR_INTERVAL = 500 * MS
-"""Between two looks of a front at whether it is a delegate and is to author."""
+"""Between checks whether this front is a delegate and has to author its zone's summary."""
 
 CLOCK_TOLERANCE_US = 86_400 * 1_000_000
-"""Microseconds by which a generation may lie ahead of this front's clock: a day."""
+"""By which a generation may be ahead of this front's clock: one day."""
 
 NS_PER_US = 1_000
-"""In nanoseconds."""
 
 DIFFERENCE_TOLERANCE = 2 * SECOND
-"""For which a front's members may differ from its zone's summary: gossip takes that long to get round."""
+"""For which a front's members may differ from its zone's summary: gossip takes that long to reach all."""
 
 LOOKUP_FANOUT = 2
-"""Delegates that are asked for a member: guards a lookup against one that lies or has just failed."""
+"""Delegates that are asked for a member, in case one gives a false answer or has just failed."""
 
 
 class ZonedMembership:
@@ -62,9 +60,9 @@
     def __init__(
         self, me: MemberUpdate, secret: bytes, rng: Random, now: int, placement: ZonePlacement
     ) -> None:
-        """`me.zone` is the own zone. ValueError where it stands among the other zones of `placement`."""
+        """`me.zone` is the own zone. Raises ValueError if it is among the other zones of `placement`."""
         if any(other.zone == me.zone for other in placement.others):
-            raise ValueError(f"own zone {me.zone} stands among the other zones")
+            raise ValueError(f"own zone {me.zone} is listed among the other zones")
         self.zone = me.zone
         self.started_at = now
         self.first_generation = me.generation
@@ -79,11 +77,11 @@
         self.lookups = ZoneLookups(rng)
         self.out: list[Message | OutgoingZoneMessage] = []
         self.changes: list[StateChange | ZoneChange] = []
-        self._seen_present: list[str] | None = None
+        self._processed_present: list[str] | None = None
         self._next_author_at = now + DELEGATE_START_DELAY
-        self._settle(now)
+        self._apply_local_changes(now)
 
-    # What is known.
+    # Queries.
 
     @property
     def local(self) -> Membership:
@@ -92,7 +90,7 @@
 
     @property
     def found(self) -> list[LookupResult]:
-        """Lookups that have ended. The host takes the list and puts an empty one in its place."""
+        """Results of finished lookups. The host takes the list and replaces it with an empty one."""
         return self.lookups.found
 
     @found.setter
@@ -100,28 +98,30 @@
         self.lookups.found = results
 
     def present(self) -> list[str]:
-        """Members of the own zone taken to be there, this front among them."""
+        """Present members of the own zone, including this front."""
         return self.local.present()
 
     def state_of(self, name: str) -> MemberState | None:
-        """The state of a member of the own zone; None where it is not known."""
+        """State of a member of the own zone; None if it is not known."""
         return self.local.state_of(name)
 
     def left_count(self) -> int:
-        """How many of the own zone have left, each by its own proof: the only ones whose shares of rates
-        pass on."""
+        """Number of members of the own zone that have left with proof; only their rate shares are taken over."""
         return self.local.left_count()
 
-    def full_state(self, asked_with: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
-        """What an exchange sends now. Whoever answers passes what the other side has sent. Charged: once a call."""
-        return self.pool.exchange_state(asked_with)
+    def full_state(self, known_to_peer: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
+        """Updates to send in an exchange, within the traffic budget, which each call charges.
+
+        The answering side passes the updates that it has received from the other.
+        """
+        return self.pool.exchange_state(known_to_peer)
 
     def remote_state(self, zone: str, name: str) -> RemoteState:
-        """The state of a member of another zone."""
+        """State of a member of another zone."""
         return self.directory.state(zone, name)
 
     def zones(self) -> list[ZoneStatus]:
-        """The other zones as they are known."""
+        """Status of the other known zones."""
         return [
             ZoneStatus(zone, r.summary.region, r.summary.counts, r.is_reachable, r.moved_at)
             for zone, r in sorted(self.directory.records.items())
@@ -129,7 +129,7 @@
         ]
 
     def rank(self, now: int) -> int | None:
-        """This front's rank among the delegates of its zone; None where it is none, or too young to act."""
+        """This front's rank among its zone's delegates; None if it is not one or has just started."""
         if now - self.started_at < DELEGATE_START_DELAY or self.local.displaced or self.local.left:
             return None
         delegates = self.selection.delegates(self._clock(now))
@@ -140,26 +140,26 @@
 
     @property
     def due(self) -> int:
-        """When `tick` has something to do at the latest."""
+        """The latest time by which `tick` must be called."""
         times = [self.pool.due, self.gossip.due(), self._next_author_at]
         times += [at for at in (self.directory.due(), self.lookups.due()) if at is not None]
         return min(times)
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Performs everything that is due."""
         self.budget.advance(now)
         self.pool.tick(now)
         if not self.local.left and not self.local.displaced:
             self.gossip.tick(now)
         if now >= self._next_author_at:
             self._next_author_at = now + AUTHOR_INTERVAL
-            self._author(now)
-            self._compare(now)
+            self._publish_summary(now)
+            self._compare_with_summary(now)
         self.directory.tick(now)
         self.lookups.tick(now)
-        self._settle(now)
+        self._apply_local_changes(now)
 
-    def _author(self, now: int) -> None:
+    def _publish_summary(self, now: int) -> None:
         rank = self.rank(now)
         self.gossip.local.is_delegate = rank is not None
         record = self.directory.records.get(self.zone)
@@ -171,8 +171,8 @@
         if summary is not None:
             self.gossip.publish(summary, now)
 
-    def _compare(self, now: int) -> None:
-        """Guards a front that gossip has missed: its members are compared with its zone's summary."""
+    def _compare_with_summary(self, now: int) -> None:
+        """Compares the members with the zone's summary, to detect updates that gossip failed to deliver here."""
         record = self.directory.records.get(self.zone)
         if record is None:
             return
@@ -181,7 +181,7 @@
         else:
             self.pool.on_digest_match(now)
 
-    # What is received.
+    # Received messages.
 
     def receive_message(
         self,
@@ -193,25 +193,24 @@
         updates: Sequence[MemberUpdate],
         now: int,
     ) -> None:
-        """A datagram of the flat protocol."""
+        """Processes a datagram of the flat protocol."""
         self.budget.advance(now)
         self.pool.receive_message(sender, kind, sequence, to, target, updates, now)
-        self._settle(now)
+        self._apply_local_changes(now)
 
     def accepts_exchange(self, now: int) -> bool:
-        """Whether to serve a whole table by stream now; else the stream is closed, and the other asks
-        again."""
+        """Whether to answer an exchange now; if not, the stream is closed and the other side tries again."""
         self.budget.advance(now)
         return self.pool.accepts_exchange()
 
     def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
-        """Another front's whole table, by stream."""
+        """Merges another front's full state."""
         self.budget.advance(now)
         self.pool.receive_full_state(sender, updates, now)
-        self._settle(now)
+        self._apply_local_changes(now)
 
     def receive_zone_message(self, sender: ZoneContact, message: ZoneMessage, now: int) -> None:
-        """A datagram of the layer between zones."""
+        """Processes a datagram of the protocol between zones."""
         self.budget.advance(now)
         latest = self._latest_generation(now)
         if self.local.left or self.local.displaced or not sender.is_plausible(latest):
@@ -224,27 +223,27 @@
             for summary in self.gossip.received_records(sender, message, latest, now):
                 self.reporter.examine(summary, now)
         elif isinstance(message, LookupRequest):
-            self._answer(sender, message)
+            self._answer_lookup(sender, message)
         else:
             self.lookups.receive_answer(message)
-        self._settle(now)
+        self._apply_local_changes(now)
 
     def lookup(self, zone: str, name: str, now: int) -> None:
-        """Asks a zone for one of its members; the answer comes in `found`."""
+        """Starts a lookup of a member of another zone; the result is added to `found`."""
         self.budget.advance(now)
         addresses = self.gossip.contacts(zone, LOOKUP_FANOUT)
         request = self.lookups.begin(zone, name, len(addresses), now)
         if request is not None:
             self.gossip.send_each(addresses, request)
-        self._settle(now)
+        self._apply_local_changes(now)
 
     def leave(self, now: int) -> None:
-        """This front leaves in order, by its own proof, as in the flat protocol."""
+        """Leaves the fleet with proof, as in the flat protocol."""
         self.local.leave()
         self._collect(now)
 
-    def _answer(self, sender: ZoneContact, request: LookupRequest) -> None:
-        """Only a front of the zone that is asked answers, by its own table."""
+    def _answer_lookup(self, sender: ZoneContact, request: LookupRequest) -> None:
+        """Answers from the own table, if the request is for this front's zone."""
         if request.zone != self.zone:
             return
         member = self.local.members.get(request.name)
@@ -258,29 +257,27 @@
         self.gossip.send_if_affordable(sender.address, answer)
 
     def _clock(self, now: int) -> int:
-        """The time in microseconds as generations count it: this front's own, which was read of the clock, and the time
-        since."""
+        """Clock time in microseconds, comparable with generations: this front's generation plus its uptime."""
         own = max(self.first_generation, self.local.me.generation)
         return own + (now - self.started_at) // NS_PER_US
 
     def _latest_generation(self, now: int) -> int:
-        """The latest generation that a sound process can have. A clock that is behind refuses others, which harms its own
-        front only."""
+        """The latest plausible generation. A front whose clock is behind rejects others, which affects only itself."""
         return self._clock(now) + CLOCK_TOLERANCE_US
 
-    # After each call.
+    # Effects of each call.
 
-    def _settle(self, now: int) -> None:
-        """Takes in what the flat membership has changed, and gathers what is to be sent."""
+    def _apply_local_changes(self, now: int) -> None:
+        """Passes changes of the flat membership on to the zone layer, and collects messages and changes."""
         present = self.local.present()
-        if present is not self._seen_present:
-            self._seen_present = present
+        if present is not self._processed_present:
+            self._processed_present = present
             own_name = self.local.me.name
             members = self.local.members
             self.selection.observe({name: members[name].latest.generation for name in present})
             self.gossip.local.peers = [members[name].latest.address for name in present if name != own_name]
         for change in self.local.changes:
-            self.reporter.note(change, now)
+            self.reporter.record_change(change, now)
         self._collect(now)
 
     def _collect(self, now: int) -> None:
--- a/oakcroft/decisions/membership/member.py
+++ b/oakcroft/decisions/membership/member.py
@@ -1,10 +1,10 @@
-"""What is said of one member of the fleet, and which of two updates about it holds.
+"""Updates about a member of the fleet, and which of two updates takes precedence.
 
-All updates about one member stand in one order: a later generation over an earlier one; within a generation, leaving
-over all else; then the higher incarnation; then failed over suspected over alive. So neither the order in which updates
-arrive nor how often matters: what holds is the greatest that was received. Only the member itself raises its incarnation
-(SWIM, Das, Gupta and Motivala 2002, section 4.2), and only it can say that it leaves: each generation is announced with
-the digest of a secret, and leaving shows the secret.
+All updates about one member are totally ordered: a later generation precedes an earlier one; within a generation, a
+leave precedes all else; then the higher incarnation; then failed over suspected over alive. The greatest received
+update holds, so neither the order of arrival nor duplicates matter. Only the member itself raises its incarnation
+(SWIM, Das, Gupta and Motivala 2002, section 4.2), and only it can announce that it leaves: each generation is announced
+with the digest of a secret, and a leave reveals the secret.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 
     @property
     def label(self) -> str:
-        """The word that operators read for it, in logs and in `fleet view`."""
+        """Name of the state in logs and in `fleet view`."""
         return _LABELS[self]
 
 
 _LABELS = {
     MemberState.ALIVE: "alive",
     MemberState.SUSPECTED: "suspected",
-    MemberState.FAILED: "gone",  # operators' scripts read this word
+    MemberState.FAILED: "gone",  # operators' scripts match this label
     MemberState.LEFT: "left",
 }
 
 MAX_INCARNATION = 1 << 40
-"""An update that claims as much is dropped: nobody could refute it any more."""
+"""Updates with an incarnation this high are dropped, since they could not be refuted by a higher one."""
 
 MAX_GENERATION = 1 << 56
-"""Generations count microseconds since the epoch; this lasts for two thousand years."""
+"""Generations are microseconds since the Unix epoch; the bound is reached after two thousand years."""
 
 MAX_NAME_LENGTH = 64
 MAX_PORT = 65_535
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True)
 class MemberUpdate:
-    """One statement about one member.
+    """An update about one member.
 
-    `generation` numbers the starts of its process. `proof` is the digest of its secret in `PROOF_LENGTH` octets; where it
-    has left, the secret itself. `reported_by` is who reports it as suspected or failed.
+    `generation` identifies the start of its process. `proof` is the digest of its secret in `PROOF_LENGTH` octets or,
+    in a leave, the secret itself. `reported_by` is the member that reports it as suspected or failed.
     """
 
     name: str
@@ -67,7 +67,7 @@
 
     @property
     def precedence(self) -> tuple[int, bool, int, int]:
-        """The key by which the greater of two updates about one member holds."""
+        """Sort key: of two updates about one member the greater holds."""
         return self.generation, self.state is MemberState.LEFT, self.incarnation, self.state.value
 
     @property
@@ -76,7 +76,7 @@
         return self.host, self.port
 
     def is_plausible(self) -> bool:
-        """Whether any sound member could have said this. Guards against numbers that nobody could ever outbid."""
+        """Whether a correct member could have sent this; rejects numbers that no later update could exceed."""
         return (
             0 < self.generation < MAX_GENERATION
             and 0 <= self.incarnation < MAX_INCARNATION
@@ -86,30 +86,30 @@
         )
 
     def with_state(self, state: MemberState, reported_by: str) -> MemberUpdate:
-        """The same member in another state, as somebody reports it."""
+        """A copy with another state and reporter."""
         return replace(self, state=state, reported_by=reported_by)
 
 
 def commitment(secret: bytes) -> bytes:
-    """The digest under which a member announces the secret that proves its leaving."""
+    """Digest of the secret that a member reveals when it leaves."""
     return hashlib.blake2b(secret, digest_size=PROOF_LENGTH, person=b"oakcroft-leave").digest()
 
 
 def supersedes(update: MemberUpdate, known: MemberUpdate | None) -> bool:
-    """Whether an update is to be taken over what is known."""
+    """Whether an update replaces the known one."""
     if known is None:
         return True
     leaves = update.state is MemberState.LEFT and known.state is not MemberState.LEFT
     if leaves and update.generation == known.generation:
-        # Guards against a member that says others have left, whose shares of limits would pass on.
+        # Without proof, a faulty member could announce that others left, to have their rate shares taken over.
         return commitment(update.proof) == known.proof
     return update.precedence > known.precedence
 
 
 def next_generation(clock_us: int, stored: int, known_to_peers: int = 0) -> int:
-    """The generation of a new start: over the clock (µs), over the one stored on disk, and over what peers know.
+    """Generation of a new start: the clock (µs), or more if the stored generation or the peers' is not below it.
 
-    Any one of the three may be lost: a clock that went back, a file that is gone, peers that cannot be reached yet. What
-    peers know comes later and is then taken over at once.
+    Any of the three may be unavailable: the clock may have gone back, the file may be missing, and peers may not be
+    reachable yet. The peers' generation becomes known later and is then exceeded at once.
     """
     return min(MAX_GENERATION - 1, max(clock_us, stored + 1, known_to_peers + 1, 1))
--- a/oakcroft/decisions/membership/member_table.py
+++ b/oakcroft/decisions/membership/member_table.py
@@ -1,7 +1,7 @@
-"""The table of members: how each stands, since when, who is present, and what has changed.
+"""Table of members: the state of each, since when, and the changes to report.
 
-Every change of a member's state goes through `MemberTable.transition`, which also queues it for dissemination. The table
-is bounded; past the bound a failed or left member makes room, or the newcomer is not taken.
+Every state change of a known member goes through `MemberTable.transition`, which also queues it for dissemination. The
+table is bounded: when it is full, a failed or left member is removed, or the new member is not added.
 """
 
 from __future__ import annotations
@@ -17,25 +17,26 @@
 
 MAX_MEMBERS = 1_024
 MAX_FORMER_ADDRESSES = 256
-"""Addresses of forgotten members that are still asked now and then."""
+"""Addresses of removed members that are still pinged from time to time."""
 
 FAILED_RETENTION = 600 * SECOND
 LEFT_RETENTION = 86_400 * SECOND
 RETENTION = {MemberState.FAILED: FAILED_RETENTION, MemberState.LEFT: LEFT_RETENTION}
-"""How long a member that is no longer there stays in the table."""
+"""How long a member that is no longer present stays in the table."""
 
 PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECTED)
 
 RESTART_DECAY = 10 * SECOND
-"""In which one restart of a member is forgotten."""
+"""Interval after which the restart count of a member decreases by one."""
 
 FREQUENT_RESTARTS = 4
-"""Past so many, changes are told of at each power of two only: a member that restarts on and on must not fill the log."""
+"""Above this count, changes are reported only at powers of two, so that a member that keeps restarting cannot fill the
+log."""
 
 
 @dataclass(frozen=True)
 class StateChange:
-    """A change of the table, with its evidence; `was` and `now` are operators' words."""
+    """A change of a member's state and its reason; `was` and `now` are state labels."""
 
     name: str
     was: str
@@ -45,31 +46,34 @@
 
 @dataclass
 class Member:
-    """One member as this front sees it. `since`: of its state; `heard_at`: its own last message here (0: none)."""
+    """One member as this front sees it.
+
+    `since` is the time of the last state change, `heard_at` that of the last message received from it (0 for none).
+    """
 
     latest: MemberUpdate
     since: int
     heard_at: int = 0
     suspicion: Suspicion | None = None
-    restarts: int = 0  # new generations, fewer as time passes
+    restarts: int = 0  # number of new generations, decreasing over time
     restarted_at: int = 0
 
     def count_restart(self, now: int) -> None:
-        """A new generation of a known member."""
+        """Counts a new generation of the member."""
         self.restarts = max(0, self.restarts - (now - self.restarted_at) // RESTART_DECAY) + 1
         self.restarted_at = now
 
     @property
     def restarts_often(self) -> bool:
-        """Whether its restarts are too many for each to be told of."""
+        """Whether it restarts too often for each restart to be reported."""
         return self.restarts > FREQUENT_RESTARTS
 
 
 class MemberTable:
-    """All members that this front knows, itself among them."""
+    """All members that this front knows, including itself."""
 
     def __init__(self, me: MemberUpdate, rng: Random, now: int) -> None:
-        """A table that holds this front alone, as it says of itself in `me`."""
+        """Starts with only this front, whose update is `me`."""
         self.own_name = me.name
         self.rng = rng
         self.members: dict[str, Member] = {me.name: Member(me, now)}
@@ -78,63 +82,64 @@
         self.changes: list[StateChange] = []
         self.queue = UpdateQueue()
         self.queue.add(me)
-        self._present: list[str] | None = None  # what `present` found last
+        self._present: list[str] | None = None  # cached result of `present`
 
     @property
     def me(self) -> MemberUpdate:
-        """What this front says of itself."""
+        """This front's own update."""
         return self.members[self.own_name].latest
 
     def state(self, name: str) -> MemberState | None:
-        """The state of a member; None where it is not known."""
+        """State of a member; None if it is not known."""
         member = self.members.get(name)
         return member.latest.state if member is not None else None
 
     def present(self) -> list[str]:
-        """Those taken to be there, this front among them, by name. Not to be changed."""
+        """Sorted names of the present members, including this front. Callers must not modify the list."""
         if self._present is None:
             self._present = sorted(n for n, m in self.members.items() if m.latest.state in PRESENT_STATES)
         return self._present
 
     def is_present(self, name: str) -> bool:
-        """Whether another member is taken to be there."""
+        """Whether `name` is another member that is present."""
         return name != self.own_name and self.state(name) in PRESENT_STATES
 
     def sample(self, most: int, except_for: str = "") -> list[str]:
-        """Some of the others that are present, at random."""
+        """A random sample of the other present members."""
         others = [n for n in self.present() if n not in (self.own_name, except_for)]
         return self.rng.sample(others, min(most, len(others)))
 
     def count(self, state: MemberState) -> int:
-        """How many members are in a state."""
+        """Number of members in a state."""
         return sum(m.latest.state is state for m in self.members.values())
 
     def full_state(self) -> list[MemberUpdate]:
-        """All that this front would tell another: its own update first."""
+        """The latest updates of all members, this front's own first."""
         others = [m.latest for n, m in sorted(self.members.items()) if n != self.own_name]
         return [self.me, *others]
 
     # Changes.
 
     def announce(self, me: MemberUpdate) -> None:
-        """Another update about this front itself, to be disseminated."""
+        """Replaces this front's own update and queues it for dissemination."""
         self.members[self.own_name].latest = me
         self.queue.add(me)
 
     def set_left(self, me: MemberUpdate) -> None:
-        """This front's last update about itself."""
+        """Replaces this front's own update by its last one, a leave."""
         self.members[self.own_name].latest = me
         self._present = None
 
     def record_own_change(self, was: str, now: str, why: str) -> None:
-        """A change of this front's own state or identity, for the host to tell operators."""
+        """Reports a change of this front's own state or identity."""
         self.changes.append(StateChange(self.own_name, was, now, why))
 
     def admit(self, update: MemberUpdate, suspicion: Suspicion | None, now: int, why: str) -> bool:
-        """Takes a newcomer in; False where the table is full of members that are there."""
+        """Adds a new member; returns False if the table is full of present members."""
         if len(self.members) >= MAX_MEMBERS and not self._make_room():
             return False
-        self.members[update.name] = member = Member(update, now)
+        member = Member(update, now)
+        self.members[update.name] = member
         self.set_suspicion(member, suspicion)
         self._present = None
         self.former_addresses.pop(update.address, None)
@@ -143,7 +148,7 @@
         return True
 
     def set_suspicion(self, member: Member, suspicion: Suspicion | None) -> None:
-        """Begins or ends a suspicion."""
+        """Sets a member's suspicion, or ends it with None."""
         member.suspicion = suspicion
         if suspicion is not None:
             self.suspects[member.latest.name] = member
@@ -151,11 +156,12 @@
             self.suspects.pop(member.latest.name, None)
 
     def transition(self, member: Member, update: MemberUpdate, now: int, why: str) -> None:
-        """The one place where the state of a known member changes."""
-        was, member.latest = member.latest, update
+        """Applies an update to a known member; the only place where a known member's state changes."""
+        previous = member.latest
+        member.latest = update
         self.queue.add(update)
         self._present = None
-        if was.state is update.state and was.generation == update.generation:
+        if previous.state is update.state and previous.generation == update.generation:
             return
         member.since = now
         is_power_of_two = member.restarts & (member.restarts - 1) == 0
@@ -163,19 +169,19 @@
             return
         if member.restarts_often:
             why += f", {member.restarts} starts of late"
-        self.changes.append(StateChange(update.name, was.state.label, update.state.label, why))
+        self.changes.append(StateChange(update.name, previous.state.label, update.state.label, why))
 
-    # Forgetting.
+    # Removal.
 
     def forget_expired(self, now: int) -> None:
-        """Forgets members that failed or left long enough ago."""
+        """Removes members that failed or left longer ago than their retention."""
         for name, member in list(self.members.items()):
             retention = RETENTION.get(member.latest.state)
             if retention is not None and now - member.since > retention:
                 self._forget(name)
 
     def _make_room(self) -> bool:
-        """Guards the table against names without end: those that failed or left go first, the longest ago first."""
+        """Removes the member that failed or left the longest ago; returns False if all are present."""
         absent = [m for m in self.members.values() if m.latest.state not in PRESENT_STATES]
         if not absent:
             return False
@@ -191,7 +197,7 @@
             self._remember_address(member.latest.address)
 
     def _remember_address(self, address: Address) -> None:
-        """So that two sides of a partition that outlasts the retention still find each other."""
+        """Keeps an address so that the sides of a partition that outlasts the retention still find each other."""
         self.former_addresses.pop(address, None)
         self.former_addresses[address] = None
         while len(self.former_addresses) > MAX_FORMER_ADDRESSES:
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -1,11 +1,11 @@
-"""One front's membership of the fleet: who is there, as a state machine without sockets, clock or threads.
-
-Time and chance come in with each call; what is to be sent stands in `out` and what has changed in `changes`, both to
-be taken by the host after each call. Built from SWIM (probes, indirect probes, suspicion, incarnations, updates that are
-piggybacked), Lifeguard (suspicion that shortens with confirmations, local health, telling the accused first) and
-periodic push-pull. What differs, and why, stands in docs/fleet.md; above all: nobody fails by hearsay. An update that a
-member has failed makes this front probe that member, with the update in the message, and only its own clock ends a
-suspicion.
+"""Membership of the fleet as one front sees it: a state machine without sockets, clock or threads.
+
+Time is passed in with each call, and random numbers come from the generator given at the start. Messages to send are in
+`out` and changes in `changes`; the host takes both after each call. The protocol combines SWIM (probes, indirect
+probes, suspicion, incarnations, piggybacked updates), Lifeguard (suspicion timeouts that shorten with confirmations,
+local health, informing a suspected member first) and periodic push-pull. docs/fleet.md describes where it differs;
+above all, no member is declared failed because others say so. An update that a member has failed makes this front probe
+that member, with the update in the message, and only this front's own clock ends a suspicion.
 """
 
 from __future__ import annotations
@@ -34,27 +34,27 @@
 from oakcroft.interface import MS, SECOND
 
 GOSSIP_INTERVAL = 200 * MS
-"""Between messages that only carry updates, while there are any."""
+"""Between messages that carry only updates, while any are queued."""
 
 GOSSIP_FANOUT = 3
-"""Members told in each interval."""
+"""Members that receive gossip in each interval."""
 
 PAUSE_THRESHOLD = SECOND
-"""Without a tick for longer, this process stood still."""
+"""Time without a tick after which this process is considered to have been paused."""
 
 TIDY_INTERVAL = 10 * SECOND
 
 DISPLACED_POSTPONEMENT = SECOND
-"""How far a displaced front puts off all that is periodic, again and again."""
+"""Delay by which a displaced front repeatedly postpones all periodic work."""
 
 
 class Membership:
-    """The membership of one front."""
+    """Membership of one front."""
 
     def __init__(
         self, me: MemberUpdate, secret: bytes, rng: Random, now: int, seeds: Iterable[Address] = ()
     ) -> None:
-        """`me` is announced, `secret` proves leaving, `seeds` are addresses at which the fleet is looked for."""
+        """`me` is the own update, `secret` proves a leave, and `seeds` are addresses to join the fleet through."""
         self.counts = Counters()
         self.health = LocalHealth()
         self.table = MemberTable(me, rng, now)
@@ -79,11 +79,11 @@
         self.next_gossip_at = now
         self.next_tidy_at = now
 
-    # What the host takes after each call.
+    # Output, which the host takes after each call.
 
     @property
     def out(self) -> list[Message]:
-        """Messages to be sent. The host takes the list and puts an empty one in its place."""
+        """Messages to send. The host takes the list and replaces it with an empty one."""
         return self.outbox.messages
 
     @out.setter
@@ -92,28 +92,28 @@
 
     @property
     def changes(self) -> list[StateChange]:
-        """Changes to be told of. The host takes the list and puts an empty one in its place."""
+        """Changes to report. The host takes the list and replaces it with an empty one."""
         return self.table.changes
 
     @changes.setter
     def changes(self, changes: list[StateChange]) -> None:
         self.table.changes = changes
 
-    # What is known.
+    # Queries.
 
     @property
     def me(self) -> MemberUpdate:
-        """What this front says of itself."""
+        """This front's own update."""
         return self.table.me
 
     @property
     def displaced(self) -> bool:
-        """Whether another process under this front's name holds it."""
+        """Whether another, later started process uses this front's name."""
         return self.identity.displaced
 
     @property
     def left(self) -> bool:
-        """Whether this front has left in order."""
+        """Whether this front has left the fleet."""
         return self.identity.left
 
     @property
@@ -123,44 +123,44 @@
 
     @property
     def seeds(self) -> list[Address]:
-        """Addresses at which the fleet is looked for."""
+        """Addresses through which to join the fleet."""
         return self.push_pull.seeds
 
     def state_of(self, name: str) -> MemberState | None:
-        """The state of a member; None where it is not known."""
+        """State of a member; None if it is not known."""
         return self.table.state(name)
 
     def present(self) -> list[str]:
-        """Those taken to be there, this front among them, by name. Not to be changed."""
+        """Sorted names of the present members, including this front. Callers must not modify the list."""
         return self.table.present()
 
     def left_count(self) -> int:
-        """How many have left in order, each by its own update."""
+        """Number of members that have left, each by its own update."""
         return self.table.count(MemberState.LEFT)
 
     def full_state(self) -> list[MemberUpdate]:
-        """The full state that a push-pull sends: this front's own update first."""
+        """The full state to send in a push-pull, this front's own update first."""
         return self.table.full_state()
 
     @property
     def due(self) -> int:
-        """When `tick` has something to do at the latest."""
-        times = [self.prober.next_probe_at]
-        times += self.push_pull.deadlines()
-        times += self.prober.deadlines()
-        times += self.suspicions.deadlines()
+        """The latest time by which `tick` must be called."""
+        deadlines = [self.prober.next_probe_at]
+        deadlines += self.push_pull.deadlines()
+        deadlines += self.prober.deadlines()
+        deadlines += self.suspicions.deadlines()
         if self.table.queue:
-            times.append(self.next_gossip_at)
+            deadlines.append(self.next_gossip_at)
         if self.merger.disputed:
-            times.append(self.merger.next_dispute_at)
+            deadlines.append(self.merger.next_dispute_at)
         if self.identity.conflict is not None:
-            times.append(self.identity.conflict.until)
-        return min(times)
+            deadlines.append(self.identity.conflict.until)
+        return min(deadlines)
 
     # Time.
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Performs everything that is due."""
         since_last_tick = now - self.last_tick_at
         self.last_tick_at = now
         if since_last_tick > PAUSE_THRESHOLD:
@@ -181,8 +181,11 @@
             self.table.forget_expired(now)
 
     def _recover_from_pause(self, duration: int, now: int) -> None:
-        """Guards against declaring the rest failed after a pause of this process: its own probes and suspicions ran out
-        while it could receive nothing. Covers a stopped machine, a long collection, a starved core."""
+        """Resets probes and extends suspicions, whose deadlines passed while this process could not receive answers.
+
+        Otherwise it would declare the others failed after the machine was suspended, a long garbage collection or a
+        starved core.
+        """
         self.counts.stood_still += 1
         self.health.worsen()
         self.prober.reset(now)
@@ -209,7 +212,7 @@
         for name in self.table.sample(GOSSIP_FANOUT):
             self.outbox.send(MessageKind.GOSSIP, name)
 
-    # What is received.
+    # Received messages.
 
     def receive_message(
         self,
@@ -221,7 +224,7 @@
         updates: Sequence[MemberUpdate],
         now: int,
     ) -> None:
-        """A datagram: what its sender says of itself, and what it brings."""
+        """Processes a datagram; `sender` is the sender's own update."""
         if self.left or not self._accept_sender(sender, kind, sequence, now):
             return
         if kind is MessageKind.PING:
@@ -234,7 +237,7 @@
             self.merger.merge(update, sender.name, now)
 
     def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
-        """Another front's full state, by push-pull."""
+        """Merges another front's full state, received by push-pull."""
         if self.left:
             return
         if (sender.name, sender.generation) == (self.me.name, self.me.generation):
@@ -247,7 +250,7 @@
             self.merger.merge(update, sender.name, now)
 
     def _accept_sender(self, sender: MemberUpdate, kind: MessageKind, sequence: int, now: int) -> bool:
-        """Whether a message is to be followed; what it says of its sender is taken."""
+        """Merges the sender's own update; returns whether the rest of the message is to be processed."""
         if not sender.is_plausible():
             self.counts.unsound += 1
             return False
@@ -257,7 +260,7 @@
             return False
         known = self.members.get(sender.name)
         if known is not None and sender.generation < known.latest.generation:
-            # An older life, or what was recorded of it: it is told who has the name now, and changes nothing.
+            # An earlier process, or a replayed message of one: it is sent the latest update and changes nothing.
             self.counts.old_start += 1
             self.outbox.reply(MessageKind.GOSSIP, sender, first=known.latest)
             return False
@@ -270,10 +273,10 @@
         if is_stranger and known.latest.state is not MemberState.LEFT:
             self.push_pull.want(sender.address)
         if known.latest.precedence > sender.precedence and kind is not MessageKind.PING:
-            self._tell_accused(sender, known.latest)  # an answer to a ping tells it anyway
+            self._notify_accused(sender, known.latest)  # the answer to a ping carries the accusation anyway
         return True
 
-    def _tell_accused(self, sender: MemberUpdate, accusation: MemberUpdate) -> None:
+    def _notify_accused(self, sender: MemberUpdate, accusation: MemberUpdate) -> None:
         to = MemberId(sender.name, sender.generation)
         self.outbox.put(Message(MessageKind.GOSSIP, sender.address, to=to, updates=[accusation]))
 
@@ -282,7 +285,9 @@
         accusation = known if known.precedence > sender.precedence else None
         is_for_other_name = to[0] not in ("", self.me.name)
         is_for_other_generation = to[1] not in (0, self.me.generation)
-        if is_for_other_name:  # the address was another's: it is told who is here, and that is no answer
+        if (
+            is_for_other_name
+        ):  # another member had this address: replies with the own update, but not with an answer
             self.counts.misaddressed += 1
         elif is_for_other_generation:
             self.counts.other_start += 1
@@ -292,5 +297,5 @@
             self.outbox.reply(MessageKind.ACK, sender, sequence, accusation)
 
     def leave(self) -> None:
-        """This front leaves in order: its last update, with the secret that proves it, to some of the others."""
+        """Leaves the fleet: sends a last update, with the secret that proves it, to some of the others."""
         self.identity.leave()
--- a/oakcroft/decisions/membership/messages.py
+++ b/oakcroft/decisions/membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages that members exchange, as typed values; their octets are peerwire's."""
+"""Messages between members as typed values; `oakcroft.peerwire` encodes them."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 """Host and port."""
 
 MAX_UPDATES = 12
-"""Updates on one message: what fits a datagram of 1,400 octets."""
+"""Updates in one message, so that it fits a datagram of 1,400 octets."""
 
 
 class MessageKind(Enum):
-    """What a message is for; the value is its number on the wire."""
+    """Kind of a message; the value is its number on the wire."""
 
     PING = 1
     ACK = 2
-    PING_REQUEST = 3  # probe `target` in the sender's place
-    GOSSIP = 4  # updates alone
-    PUSH_PULL = 5  # not a datagram: an exchange of full states by stream
+    PING_REQUEST = 3  # asks the receiver to probe `target` for the sender
+    GOSSIP = 4  # updates only
+    PUSH_PULL = 5  # exchange of full states over a stream, not a datagram
 
 
 class MemberId(NamedTuple):
-    """One process: the name of a member and the generation of its start."""
+    """Identifies one process: the name of a member and its generation."""
 
     name: str
     generation: int
 
 
 ANYONE = MemberId("", 0)
-"""The addressee where a message is meant for whoever is at the address."""
+"""Receiver of a message that is meant for any member at the address."""
 
 
 class ProbeTarget(NamedTuple):
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Message:
-    """A message to be sent to an address, meant for the process `to`."""
+    """A message to send to an address, meant for the process `to`."""
 
     kind: MessageKind
     address: Address
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class ReceivedMessage:
-    """A datagram as it was read: `sender` is what the sender says of itself."""
+    """A decoded datagram; `sender` is the sender's own update."""
 
     sender: MemberUpdate
     kind: MessageKind
--- a/oakcroft/decisions/membership/outbox.py
+++ b/oakcroft/decisions/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages that wait to be sent by the host, each with the updates that go along on it."""
+"""Messages waiting to be sent by the host, each with piggybacked updates."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 )
 
 SEQUENCE_BITS = 48
-"""Of a sequence number: drawn at random, so that nobody can answer a probe that did not reach him."""
+"""Size of sequence numbers, which are random so that a probe can be answered only by a member that received it."""
 
 
 class Outbox:
     """The messages that one front has to send, in order."""
 
     def __init__(self, table: MemberTable, rng: Random) -> None:
-        """Addresses come from `table`, sequence numbers from `rng`."""
+        """`table` provides addresses, `rng` sequence numbers."""
         self.table = table
         self.rng = rng
         self.messages: list[Message] = []
 
     def new_sequence(self) -> int:
-        """A fresh sequence number."""
+        """A new random sequence number."""
         return self.rng.getrandbits(SEQUENCE_BITS) + 1
 
     def put(self, message: Message) -> None:
-        """A message as it stands."""
+        """Adds a message unchanged."""
         self.messages.append(message)
 
     def send(
@@ -45,7 +45,7 @@
         target: ProbeTarget | None = None,
         first: MemberUpdate | None = None,
     ) -> None:
-        """A message to a known member, with `first` or else what is held against it, and what is under way."""
+        """Sends a message to a known member, with `first` or else an accusation of it, and queued updates."""
         latest = self.table.members[name].latest
         to = MemberId(name, latest.generation)
         updates = self.updates(first or self.accusation(name))
@@ -54,22 +54,22 @@
     def reply(
         self, kind: MessageKind, sender: MemberUpdate, sequence: int = 0, first: MemberUpdate | None = None
     ) -> None:
-        """A message back to whoever sent one, with `first` and what is under way."""
+        """Replies to the sender of a message, with `first` and queued updates."""
         to = MemberId(sender.name, sender.generation)
         self.put(Message(kind, sender.address, sequence, to, updates=self.updates(first)))
 
     def ping_address(self, address: Address) -> None:
-        """Asks whoever is at an address whether it is there."""
+        """Pings any member at an address."""
         sequence = self.new_sequence()
         self.put(Message(MessageKind.PING, address, sequence, ANYONE, updates=self.updates()))
 
     def updates(self, first: MemberUpdate | None = None) -> list[MemberUpdate]:
-        """What goes along: what the addressee must receive, then what is under way."""
+        """The updates for one message: `first`, which the receiver must get, then queued updates."""
         room = MAX_UPDATES - (first is not None)
         queued = self.table.queue.take(room, len(self.table.members))
         return [first, *queued] if first is not None else queued
 
     def accusation(self, name: str) -> MemberUpdate | None:
-        """What this front holds against a member, for it to refute."""
+        """The update that says a member is not alive, for it to refute; None if it is alive or not known."""
         member = self.table.members.get(name)
         return member.latest if member is not None and member.latest.state is not MemberState.ALIVE else None
--- a/oakcroft/decisions/membership/paced_pool.py
+++ b/oakcroft/decisions/membership/paced_pool.py
@@ -1,7 +1,7 @@
-"""The flat membership of one zone, with its traffic paced and members of other zones kept out.
+"""Flat membership of one zone with a traffic budget, restricted to members of the zone.
 
-The flat protocol stands as it is. Here what can wait of its traffic (updates that ride along, gossip, whole
-tables) draws on the front's budget, and what comes of another zone is turned away before the protocol sees it.
+The flat protocol itself is unchanged. Here its deferrable traffic (piggybacked updates, gossip, full states) is limited
+by the front's budget, and messages of members of other zones are dropped before the protocol processes them.
 """
 
 from __future__ import annotations
@@ -28,60 +28,61 @@
 MAX_WAITING_EXCHANGES = 4
 
 START_EXCHANGE_INTERVAL = SECOND
-"""Between two exchanges of a front that has just started. In a whole start tables double with each, which
-brings a zone together for an eighth of the octets of gossip."""
+"""Between exchanges of a front that has just started. When a zone starts as a whole, each exchange doubles the known
+members, and all find each other with an eighth of the octets that gossip takes."""
 
 MAX_START_EXCHANGES = 15
-"""After which a front no longer counts as just started, whatever its exchanges bring."""
+"""After which a front no longer counts as just started, even if exchanges still bring new members."""
 
 MAX_FRUITLESS_EXCHANGES = 2
-"""Exchanges in a row that brought no member, after which it has found its zone."""
+"""Consecutive exchanges without a new member after which a front has found its zone."""
 
 REPAIR_INTERVAL = 3 * SECOND
 MAX_REPAIR_INTERVAL = 24 * SECOND
-"""Between two exchanges of a front whose members are not those that its zone's summary has; doubled while
-they bring nothing, so that a summary that is wrong costs little."""
+"""Between exchanges of a front whose members differ from its zone's summary. The interval doubles while the exchanges
+bring no new member, so that a wrong summary costs little traffic."""
 
 EARLY_EXCHANGE_TIME = 45 * SECOND
-"""Of a front's own start, in which it goes on exchanging tables."""
+"""After its start, in which a front keeps exchanging states even if its members match the summary."""
 
 INTRODUCTION_TIME = 15 * SECOND
-"""In which the answers to probes introduce other members."""
+"""After its start, in which a front adds other members' updates to its answers to probes."""
 
 FEW_MEMBERS = 16
 START_PROBE_INTERVAL = SECOND
-"""Between two probes of a front that has just started, while it knows few members: in a whole start all know
-the same few, the seeds, and would probe them without end."""
+"""Between probes of a front that has just started and knows fewer than `FEW_MEMBERS`: when a zone starts as a whole,
+all know only the seeds, and would overload them with probes."""
 
 INTRODUCTIONS = 3
-"""Members on one such answer, at random. Guards the seeds in a whole start: who knows nobody else probes
-them alone."""
+"""Random members added to an answer to a probe, so that a front that knows only the seeds soon probes others too."""
 
 REQUEST_MEMBERS = 12
-"""Members that the beginner of an exchange sends: it wants to learn, and teaches when it is asked."""
+"""Members sent by the side that begins an exchange; its purpose is to learn of members."""
 
 START_ANSWER_MEMBERS = 48
-"""Members in an answer while this front has just started: what it knows then others mostly know too."""
+"""Members in an answer while this front has just started: the other side then knows most of them already."""
 
 FULL_ANSWER_MEMBERS = 80
 """Members in an answer that may overdraw the budget."""
 
 MIN_ANSWER_MEMBERS = 8
-"""Members in a part of a table, where tokens do not reach for all of it."""
+"""Members in an answer if the budget does not allow more."""
 
 
 @dataclass
 class PoolCounters:
-    """What was turned away, and why."""
+    """Counts of what was dropped, by reason. The field names appear in the status and do not change."""
 
     other_zone: int = 0  # messages and updates of members of other zones
-    zone_full: int = 0  # and of newcomers past the bound of a zone
-    refused_exchanges: int = 0  # whole tables that were not served, for want of tokens
+    zone_full: int = 0  # messages and updates of new members beyond the maximum size of a zone
+    refused_exchanges: int = 0  # exchanges not answered because the budget was exhausted
 
 
 class PacedPool:
-    """One front's flat membership of its zone. `membership` is read by all; messages go in here and stand in
-    `out`."""
+    """One front's flat membership of its zone.
+
+    `membership` may be read directly, but messages are passed in here, and those to send are in `out`.
+    """
 
     def __init__(
         self,
@@ -92,7 +93,7 @@
         seeds: Sequence[Address],
         budget: TrafficBudget,
     ) -> None:
-        """The membership of a front that starts now."""
+        """Creates the membership of a front that starts now."""
         self.zone = me.zone
         self.rng = rng
         self.budget = budget
@@ -104,27 +105,30 @@
         self.seeds = frozenset(seeds)
         self.started_at = now
         self._exchanges: dict[Address, None] = {}
-        self._asked: Address | None = None  # whose answer was last asked for
+        self._last_requested: Address | None = None  # with whom this front last began an exchange
         self._start_exchanges = 0
-        self._fruitless = 0
+        self._fruitless_exchanges = 0
         self._next_start_exchange_at = now
         self._repair_interval = REPAIR_INTERVAL
         self._next_repair_at = now
 
     @property
     def is_starting(self) -> bool:
-        """Whether this front has just started and still looks for its zone."""
-        return self._fruitless < MAX_FRUITLESS_EXCHANGES and self._start_exchanges < MAX_START_EXCHANGES
+        """Whether this front has just started and is still finding the members of its zone."""
+        return (
+            self._fruitless_exchanges < MAX_FRUITLESS_EXCHANGES
+            and self._start_exchanges < MAX_START_EXCHANGES
+        )
 
     @property
     def due(self) -> int:
-        """When `tick` has something to do at the latest."""
+        """The latest time by which `tick` must be called."""
         if self.is_starting:
             return min(self.membership.due, self._next_start_exchange_at)
         return self.membership.due
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Performs everything that is due."""
         self.membership.tick(now)
         if self.is_starting and len(self.membership.present()) < FEW_MEMBERS:
             prober = self.membership.prober
@@ -135,26 +139,27 @@
         self.queue.is_starting = self.is_starting
 
     def _exchange_at_start(self) -> None:
-        """Guards the seeds in a whole start: who knows any member asks them no longer, and exchanges with
-        others."""
+        """Exchanges with a random known member instead of the seeds, which would be overloaded in a start of all."""
         if len(self.membership.present()) > 1:
             self._start_exchanges += 1
             self.membership.push_pull.joined = True
             self._exchanges.clear()
-            self._want_any()
+            self._queue_random_exchange()
 
     def on_digest_mismatch(self, now: int) -> None:
-        """This front's members have not been those of its zone's summary for some time: it exchanges tables
-        to see who is right."""
+        """Begins an exchange, since this front's members have differed from its zone's summary for some time."""
         if self.is_starting or now < self._next_repair_at:
             return
         self._next_repair_at = now + self._repair_interval
         if now - self.started_at >= EARLY_EXCHANGE_TIME:
             self._repair_interval = min(2 * self._repair_interval, MAX_REPAIR_INTERVAL)
-        self._want_any()
+        self._queue_random_exchange()
 
     def on_digest_match(self, now: int) -> None:
-        """They are. In a front's first minute that is no reason to stop: its zone's author may lack the same members."""
+        """Resets the repair interval, since this front's members match its zone's summary.
+
+        During `EARLY_EXCHANGE_TIME` exchanges continue: the summary's author may lack the same members.
+        """
         self._repair_interval = REPAIR_INTERVAL
         if (
             now - self.started_at < EARLY_EXCHANGE_TIME
@@ -162,9 +167,9 @@
             and now >= self._next_repair_at
         ):
             self._next_repair_at = now + REPAIR_INTERVAL
-            self._want_any()
+            self._queue_random_exchange()
 
-    # What is received.
+    # Received messages.
 
     def receive_message(
         self,
@@ -176,36 +181,36 @@
         updates: Sequence[MemberUpdate],
         now: int,
     ) -> None:
-        """A datagram of the flat protocol."""
+        """Processes a datagram of the flat protocol."""
         if self._is_own(sender):
             self.membership.receive_message(sender, kind, sequence, to, target, self._own(updates), now)
 
     def accepts_exchange(self) -> bool:
-        """Whether to serve a table now, or a part of one. Guards a seed in a whole start, which all ask at
-        once."""
-        if self.budget.available >= _table_size(MIN_ANSWER_MEMBERS):
+        """Whether the budget allows an answer now; protects a seed that a whole starting zone asks at once."""
+        if self.budget.available >= _state_bytes(MIN_ANSWER_MEMBERS):
             return True
         self.counts.refused_exchanges += 1
         return False
 
-    def exchange_state(self, asked_with: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
-        """What an exchange sends: this front's own update first. Whoever begins one asks with a few members
-        at random; the answer, to what it was `asked_with`, has what that lacks, as far as tokens reach. A
-        part is as sound as the whole: what it leaves out comes with another."""
+    def exchange_state(self, known_to_peer: Sequence[MemberUpdate] | None = None) -> list[MemberUpdate]:
+        """Updates to send in an exchange, this front's own first.
+
+        The side that begins sends a few random members. The answer contains what is missing in `known_to_peer`, within
+        the budget. A part of the state is as valid as all of it; other exchanges bring the rest.
+        """
         own, *others = self.membership.full_state()
-        if asked_with is None:
+        if known_to_peer is None:
             most = REQUEST_MEMBERS
         else:
-            told = {update.name: update.precedence for update in asked_with}
-            others = [update for update in others if told.get(update.name) != update.precedence]
+            known = {update.name: update.precedence for update in known_to_peer}
+            others = [update for update in others if known.get(update.name) != update.precedence]
             most = self._affordable_answer(len(others))
         chosen = self.rng.sample(others, min(most, len(others)))
-        self.budget.charge(_table_size(1 + len(chosen)))
+        self.budget.charge(_state_bytes(1 + len(chosen)))
         return [own, *chosen]
 
     def _affordable_answer(self, wanted: int) -> int:
-        """How many members an answer may have. All of them overdraw the budget now and then: a member that
-        one front lacks is seldom in a part."""
+        """Number of members in an answer; may overdraw the budget, since a small part seldom has a missing member."""
         affordable = max(MIN_ANSWER_MEMBERS, self.budget.available // UPDATE_BYTES)
         if self.is_starting:
             return min(affordable, START_ANSWER_MEMBERS)
@@ -214,21 +219,24 @@
         return min(wanted, max(affordable, FULL_ANSWER_MEMBERS))
 
     def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
-        """Another front's table, by stream."""
+        """Merges another front's state, received in an exchange."""
         if not self._is_own(sender):
             return
-        known = len(self.membership.members)
+        known_count = len(self.membership.members)
         self.membership.receive_full_state(sender, self._own(updates), now)
-        is_answer = sender.address == self._asked
-        if len(self.membership.members) > known:
-            self._fruitless = 0
+        is_answer = sender.address == self._last_requested
+        if len(self.membership.members) > known_count:
+            self._fruitless_exchanges = 0
             self._repair_interval = REPAIR_INTERVAL
         elif is_answer:
-            self._fruitless += 1
+            self._fruitless_exchanges += 1
 
     def _is_own(self, update: MemberUpdate) -> bool:
-        """Guards the zone's pool against members of another, which a seed in the wrong list would join to
-        it, and against more of them than its traffic is meant for."""
+        """Whether an update is about a member that this zone may have.
+
+        Rejects members of other zones, which a wrongly configured seed would add, and more members than the traffic
+        budget is meant for.
+        """
         if update.zone != self.zone:
             self.counts.other_zone += 1
             return False
@@ -240,10 +248,10 @@
     def _own(self, updates: Sequence[MemberUpdate]) -> list[MemberUpdate]:
         return [update for update in updates if self._is_own(update)]
 
-    # What is sent.
+    # Sent messages.
 
     def collect(self, now: int) -> None:
-        """Gathers what the membership has to send, and charges it."""
+        """Collects the membership's messages in `out`, and charges them to the budget."""
         for message in self.membership.out:
             if message.kind is not MessageKind.PUSH_PULL:
                 if message.kind is MessageKind.ACK and now - self.started_at < INTRODUCTION_TIME:
@@ -253,15 +261,15 @@
             elif not self.membership.joined:
                 self._ping(message.address)
             elif not self.is_starting:
-                self._want(message.address)
+                self._queue_exchange(message.address)
         self.membership.out = []
-        # What rides along was charged when it was taken from the queue.
+        # Piggybacked updates were already charged when they were taken from the queue.
         self.budget.charge(-self.queue.charged)
         self.queue.charged = 0
-        while self._exchanges and self.budget.available >= _table_size(MIN_ANSWER_MEMBERS):
+        while self._exchanges and self.budget.available >= _state_bytes(MIN_ANSWER_MEMBERS):
             address = next(iter(self._exchanges))
             del self._exchanges[address]
-            self._asked = address
+            self._last_requested = address
             self.out.append(Message(MessageKind.PUSH_PULL, address))
 
     def _with_introductions(self, message: Message) -> Message:
@@ -270,26 +278,24 @@
         return replace(message, updates=[*message.updates, *introduced][:MAX_UPDATES])
 
     def _ping(self, seed: Address) -> None:
-        """Joining begins with a ping: the answer introduces others, of whom one is then asked for its
-        table."""
+        """Pings a seed to join: the answer introduces other members, and an exchange with one of them follows."""
         self.budget.charge(FLAT_MESSAGE_BYTES)
         sequence = self.membership.outbox.new_sequence()
         self.out.append(Message(MessageKind.PING, seed, sequence))
 
-    def _want_any(self) -> None:
-        """An exchange with a member at random; not with a seed where another is known, since all know the
-        seeds first."""
+    def _queue_random_exchange(self) -> None:
+        """Queues an exchange with a random member; with a seed only if no other is known, since all know the seeds."""
         own_name = self.membership.me.name
         members = self.membership.members
         others = [members[name].latest.address for name in self.membership.present() if name != own_name]
         candidates = [address for address in others if address not in self.seeds] or others
         if candidates:
-            self._want(self.rng.choice(candidates))
+            self._queue_exchange(self.rng.choice(candidates))
 
-    def _want(self, address: Address) -> None:
+    def _queue_exchange(self, address: Address) -> None:
         if len(self._exchanges) < MAX_WAITING_EXCHANGES:
             self._exchanges[address] = None
 
 
-def _table_size(members: int) -> int:
+def _state_bytes(members: int) -> int:
     return FLAT_MESSAGE_BYTES + UPDATE_BYTES * members
--- a/oakcroft/decisions/membership/paced_queue.py
+++ b/oakcroft/decisions/membership/paced_queue.py
@@ -1,4 +1,4 @@
-"""The flat protocol's queue of updates, paced: what rides along on messages waits for tokens of the front's budget."""
+"""The flat protocol's update queue with a traffic budget: piggybacked updates wait until the budget allows them."""
 
 from __future__ import annotations
 
@@ -7,25 +7,23 @@
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
 
 FLAT_MESSAGE_BYTES = 130
-"""Octets of a flat message without updates, sealed."""
+"""Size of a sealed flat message without updates."""
 
 UPDATE_BYTES = 78
-"""Octets of one update, for names of nine octets."""
+"""Size of one update with names of nine octets."""
 
 CROWDED_QUEUE = 24
-"""Updates under way past which each is carried fewer times: exchanges of tables bring the rest more
-cheaply."""
+"""Queue length above which each update is sent fewer times: exchanges of states are cheaper for many updates."""
 
 CROWDED_MEMBERS = 9
-"""The size of a fleet whose number of retransmissions is taken then: four."""
+"""Fleet size used to compute the number of transmissions then, which gives four."""
 
 
 class PacedUpdateQueue(UpdateQueue):
-    """The flat protocol's updates, which wait for tokens. Guards the budget in a whole start, when each
-    member is news."""
+    """Update queue limited by a traffic budget, which matters when a zone starts as a whole and all members are new."""
 
     def __init__(self, queue: UpdateQueue, own_name: str, budget: TrafficBudget) -> None:
-        """Takes over what waits in a queue."""
+        """Takes over the pending updates of `queue`."""
         super().__init__()
         self.pending = queue.pending
         self.own_name = own_name
@@ -34,17 +32,16 @@
         self.is_starting = True
 
     def add(self, update: MemberUpdate) -> None:
-        """An update to be carried; not who lives while this front has just started and learns of all at
-        once."""
+        """Adds an update, except about other alive members while this front is starting and learns of all at once."""
         if update.name == self.own_name or update.state is not MemberState.ALIVE or not self.is_starting:
             super().add(update)
 
     def __bool__(self) -> bool:
-        """Whether any update waits and may be carried."""
+        """Whether any update is waiting and the budget allows a message."""
         return bool(self.pending) and self.budget.available >= FLAT_MESSAGE_BYTES
 
     def take(self, most: int, members: int) -> list[MemberUpdate]:
-        """At most as many as there are tokens for."""
+        """At most `most` updates, as many as the budget allows."""
         if len(self.pending) > CROWDED_QUEUE:
             members = min(members, CROWDED_MEMBERS)
         taken = super().take(min(most, self.budget.available // UPDATE_BYTES), members)
--- a/oakcroft/decisions/membership/prober.py
+++ b/oakcroft/decisions/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probing: this front's own probes, and those that it makes in another's place (SWIM, section 3.1)."""
+"""Probing: this front's own probes and those that it relays for other members (SWIM, section 3.1)."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from oakcroft.interface import SECOND
 
 MAX_RELAYED_PROBES = 64
-"""Probes made for others and still open."""
+"""Open probes on behalf of other members."""
 
 RELAYED_PROBE_LIFETIME = SECOND
 
 
 @dataclass
 class RelayedProbe:
-    """A probe made for another: whom to answer, under which sequence number, until when."""
+    """A probe on behalf of `requester`, which gets the answer under its own `sequence`."""
 
     requester: MemberUpdate
     sequence: int
@@ -42,29 +42,29 @@
     def __init__(
         self, table: MemberTable, outbox: Outbox, health: LocalHealth, rng: Random, now: int
     ) -> None:
-        """The first probe begins at a random time within one interval."""
+        """Schedules the first probe at a random time within one interval."""
         self.table = table
         self.outbox = outbox
         self.health = health
         self.round = ProbeRound(rng)
         self.probes: dict[int, Probe] = {}
         self.relayed: dict[int, RelayedProbe] = {}
-        self.last_relay = ""  # whoever last got a probe through that had failed directly
+        self.last_relay = ""  # the member that last relayed a probe which had failed directly
         self.next_probe_at = now + rng.randrange(PROBE_INTERVAL)
 
     def deadlines(self) -> Iterator[int]:
-        """When the open probes have a step due."""
+        """When the next steps of the open probes are due."""
         multiplier = self.health.multiplier
         return (probe.deadline(multiplier) for probe in self.probes.values())
 
     def reset(self, now: int) -> None:
-        """Gives up all that is open, and probes anew at once."""
+        """Drops all open probes and starts a new one at once."""
         self.probes.clear()
         self.relayed.clear()
         self.next_probe_at = now
 
     def advance(self, now: int) -> Iterator[Member]:
-        """Takes the steps that are due, one by one; yields each member whose probe has failed, before the next step."""
+        """Takes the steps that are due one by one, and yields each member whose probe failed before the next step."""
         multiplier = self.health.multiplier
         for probe in list(self.probes.values()):
             if now < probe.deadline(multiplier):
@@ -74,7 +74,7 @@
                 yield member
 
     def _step(self, probe: Probe) -> Member | None:
-        """The next step of one probe; the member where that was the last."""
+        """Takes the next step of a probe; returns the member if the probe has failed."""
         member = self.table.members.get(probe.name)
         if member is None or member.latest.state not in PRESENT_STATES:
             del self.probes[probe.sequence]
@@ -89,7 +89,7 @@
         return None
 
     def begin_next(self, now: int) -> None:
-        """Probes the member whose turn it is, if one is due."""
+        """Probes the next member if a probe is due, and drops expired relayed probes."""
         for sequence, relayed in list(self.relayed.items()):
             if now >= relayed.expires_at:
                 del self.relayed[sequence]
@@ -101,7 +101,7 @@
             self.probe(name, now)
 
     def probe(self, name: str, now: int) -> None:
-        """Probes a member out of turn, unless a probe of it is open or too many are."""
+        """Probes a member now, unless a probe of it is open or too many probes are."""
         if len(self.probes) >= MAX_PROBES or any(p.name == name for p in self.probes.values()):
             return
         sequence = self.outbox.new_sequence()
@@ -109,8 +109,10 @@
         self.outbox.send(MessageKind.PING, name, sequence)
 
     def _request_relays(self, about: MemberUpdate, sequence: int) -> None:
-        """Through some members at random, and whoever last got through where this front did not: guards a member that
-        only one other can reach."""
+        """Requests indirect probes from random members.
+
+        One of them is replaced by the last successful relay, since some member may be reachable through one other only.
+        """
         relays = self.table.sample(INDIRECT_PROBES, about.name)
         if self.table.is_present(self.last_relay) and self.last_relay not in (about.name, *relays):
             relays[-1] = self.last_relay
@@ -119,7 +121,7 @@
             self.outbox.send(MessageKind.PING_REQUEST, relay, sequence, target)
 
     def relay(self, requester: MemberUpdate, sequence: int, target: ProbeTarget, now: int) -> None:
-        """Probes a target in another's place."""
+        """Probes a target on behalf of `requester`."""
         if len(self.relayed) >= MAX_RELAYED_PROBES:
             return
         own_sequence = self.outbox.new_sequence()
@@ -129,7 +131,7 @@
         self.outbox.put(Message(MessageKind.PING, target.address, own_sequence, to, updates=updates))
 
     def acknowledged(self, sequence: int, by: str) -> None:
-        """An answer to a probe of this front's own, or to one made in another's place."""
+        """Processes an answer to an own or a relayed probe."""
         if (probe := self.probes.pop(sequence, None)) is not None:
             self.health.improve()
             if probe.name != by:
--- a/oakcroft/decisions/membership/push_pull.py
+++ b/oakcroft/decisions/membership/push_pull.py
@@ -1,8 +1,8 @@
-"""Joining, rejoining, and push-pull anti-entropy: full states exchanged with one other member now and then.
+"""Joining, rejoining, and push-pull anti-entropy: periodic exchanges of full states with one other member.
 
-Gossip reaches all but surely; a push-pull makes up for what it missed (Demers and others 1987, as in memberlist). Seeds
-are asked until one answers; failed members, absent seeds and the addresses of forgotten members are pinged now and then,
-so that the sides of a healed partition find each other without a person.
+Gossip reaches all members with high probability; push-pull delivers what it missed (Demers et al. 1987, as in
+memberlist). Seeds are tried until one answers. Failed members, absent seeds and the addresses of removed members are
+pinged from time to time, so that the sides of a healed partition find each other without an operator.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 from oakcroft.interface import SECOND
 
 PUSH_PULL_INTERVAL = 60 * SECOND
-"""On average, between two with a member at random: two of 14 kB a minute at 200 members."""
+"""Mean time between exchanges with a random member: two of 14 kB a minute at 200 members."""
 
 PUSH_PULL_SPACING = SECOND
-"""At least, between two that this front begins."""
+"""Minimum time between two exchanges that this front begins."""
 
 MAX_WANTED = 4
-"""Addresses that wait for a push-pull; further ones are met by gossip, or later."""
+"""Addresses queued for an exchange; further ones are dropped, since gossip or a later exchange reaches them."""
 
 JOIN_INTERVAL = SECOND
-"""Between two attempts to join by a seed, until somebody answers; half as much again at random."""
+"""Between two attempts to join through a seed until one succeeds, plus up to half of it at random."""
 
 REJOIN_INTERVAL = 2 * SECOND
-"""Between two pings to addresses where somebody was, or should be; a quarter more at random."""
+"""Between two pings to addresses of absent members or seeds, plus up to a quarter of it at random."""
 
 
 class PushPull:
-    """When this front exchanges full states, and with whom."""
+    """Schedules this front's exchanges of full states."""
 
     def __init__(
         self, table: MemberTable, outbox: Outbox, rng: Random, now: int, seeds: Iterable[Address]
     ) -> None:
-        """Of `seeds`, this front's own address is left out."""
+        """Ignores this front's own address among `seeds`."""
         self.table = table
         self.outbox = outbox
         self.rng = rng
@@ -51,7 +51,7 @@
         self.last_push_pull_at = now - PUSH_PULL_SPACING
 
     def deadlines(self) -> Iterator[int]:
-        """When there is something to do."""
+        """When the periodic actions are due."""
         yield self.next_rejoin_at
         yield self.next_push_pull_at
         if not self.joined and self.seeds:
@@ -60,20 +60,21 @@
             yield self.last_push_pull_at + PUSH_PULL_SPACING
 
     def postpone(self, until: int) -> None:
-        """Nothing periodic before then."""
-        self.next_rejoin_at = self.next_push_pull_at = until
+        """Postpones all periodic actions."""
+        self.next_rejoin_at = until
+        self.next_push_pull_at = until
 
     def want(self, address: Address) -> None:
-        """A push-pull with whoever is at an address, when its turn comes."""
+        """Queues an exchange with the member at an address."""
         if len(self.wanted) < MAX_WANTED:
             self.wanted[address] = None
 
     def remove_seed(self, address: Address) -> None:
-        """A seed that turned out to be this front itself."""
+        """Removes a seed that turned out to be this front itself."""
         self.seeds = [seed for seed in self.seeds if seed != address]
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Performs everything that is due."""
         if not self.joined and self.seeds and now >= self.next_join_at:
             self.next_join_at = now + JOIN_INTERVAL + self.rng.randrange(JOIN_INTERVAL // 2)
             self.want(self.rng.choice(self.seeds))
@@ -91,7 +92,7 @@
             self.outbox.put(Message(MessageKind.PUSH_PULL, address))
 
     def _ping_absent(self) -> None:
-        """Asks one address, of those where somebody was or should be, whether anybody is there."""
+        """Pings one random address of failed or removed members and seeds that no present member has."""
         members = self.table.members
         present = {members[name].latest.address for name in self.table.present()}
         failed = [m.latest.address for m in members.values() if m.latest.state is MemberState.FAILED]
--- a/oakcroft/decisions/membership/shares.py
+++ b/oakcroft/decisions/membership/shares.py
@@ -1,22 +1,21 @@
-"""What part of a rate limit for the whole fleet one front may use, by its membership.
+"""Shares of a fleet-wide rate limit, as they follow from the membership.
 
-A front's share is fixed by the configuration, and passes on only where its owner has left by its own proven update: then
-each of the others may use a part of it. One that is suspected or failed keeps its share, for it may be on the other side
-of a partition and serving. So both sides of any partition together stay within the limit, but for fronts that left and
-have come back unheard: each of these takes its own share while those who have not heard of it still use theirs of it,
-which passes the limit by less than one share a front, until the update has come round (under two seconds, or the
-partition's end).
+A front's share is fixed by the configuration. Others take it over only if the front has left with proof; each then uses
+a part of it. A suspected or failed front keeps its share, since it may be serving on the other side of a partition. So
+both sides of any partition together stay within the limit, except for fronts that have left and come back: such a front
+uses its own share while members that do not know of its return still use their parts of it. That exceeds the limit by
+less than one share per such front, until the update has reached all (within two seconds, or at the end of the
+partition).
 """
 
 from __future__ import annotations
 
 
 def rate_divisor(fronts: int, left: int) -> int:
-    """Into how many parts a rate for all `fronts` is divided where `left` of them have left in order."""
+    """Number of parts that a rate for all `fronts` is divided into if `left` of them have left."""
     return max(1, fronts - max(0, min(left, fronts - 1)))
 
 
 def max_overshoot(fronts: int, unheard: int) -> float:
-    """By what share of a rate the fleet may pass it, at most, while so many fronts that had left serve again and have
-    not been heard of by all others."""
+    """Maximum fraction by which a rate is exceeded while `unheard` fronts have returned and not all others know."""
     return unheard / fronts
--- a/oakcroft/decisions/membership/suspicion.py
+++ b/oakcroft/decisions/membership/suspicion.py
@@ -1,9 +1,10 @@
-"""How long a member stays suspected before it counts as failed.
+"""Duration of a suspicion, after which the member counts as failed.
 
-Lifeguard (Dadgar, Phillips, Currey 2017): long while only one front reports it, shorter with each further member that
-finds the same by itself, never under what a refutation needs to get round. The clock is each front's own: an update that
-somebody has failed counts as one more confirmation, never as the end of the time. So nobody fails by hearsay alone, and
-a part of the fleet that was cut off, or a member that lies, costs refutations and no member's state.
+As in Lifeguard (Dadgar, Phillips, Currey 2017), the timeout is long while only one front reports the member, and
+shorter with each further member that independently confirms it, but never shorter than a refutation takes to spread.
+Each front uses its own clock: an update that a member has failed counts as one more confirmation and does not end the
+timeout. So no member is declared failed only because others say so, and a partitioned part of the fleet or a faulty
+member causes refutations at worst.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from oakcroft.interface import MS, SECOND
 
 MIN_TIMEOUT = 1_800 * MS
-"""Of a suspicion. A refutation passes the accused and comes back by gossip: at 200 fronts and 5% loss it took 0.2 s in
-the middle and 0.42 s at most of 193 (simulated, docs/fleet.md); four times that, for machines that are short of time."""
+"""A refutation has to reach the accused and come back by gossip: at 200 fronts and 5% loss the median was 0.2 s and the
+maximum of 193 was 0.42 s (simulated, docs/fleet.md); four times that, for machines that are short of processor time."""
 
 MAX_TIMEOUT = 6 * SECOND
-"""While nobody else finds the same. A fleet probes each member some three times a second in all, so that in a crash
-confirmations come within a second; one that stands alone so long is more likely to be cut off itself."""
+"""Without confirmations. The fleet probes each member about three times a second, so a crash is confirmed within a
+second; a front that stays alone with a suspicion is more likely to be cut off itself."""
 
 MAX_CONFIRMATIONS = 2
-"""Beside the first accuser, that shorten the timeout all the way."""
+"""Confirmations, beside the first accuser's, that shorten the timeout to the minimum."""
 
 
 @dataclass
@@ -35,7 +36,7 @@
     confirmations: set[str] = field(default_factory=set)
 
     def confirm(self, reported_by: str) -> bool:
-        """Counts a confirmation; whether it is a new one that counts."""
+        """Counts a confirmation; returns whether it is new."""
         if reported_by == self.first_accuser or reported_by in self.confirmations:
             return False
         if len(self.confirmations) > MAX_CONFIRMATIONS:
@@ -44,14 +45,14 @@
         return True
 
     def deadline(self, others: int) -> int:
-        """When it ends, with so many others who could confirm it."""
-        wanted = min(MAX_CONFIRMATIONS, max(0, others))
-        if wanted == 0:
+        """When the suspicion ends; `others` is the number of members that could confirm it."""
+        needed = min(MAX_CONFIRMATIONS, max(0, others))
+        if needed == 0:
             return self.started_at + MIN_TIMEOUT * self.health_multiplier
-        progress = math.log(len(self.confirmations) + 1) / math.log(wanted + 1)
+        progress = math.log(len(self.confirmations) + 1) / math.log(needed + 1)
         timeout = round(MAX_TIMEOUT - (MAX_TIMEOUT - MIN_TIMEOUT) * min(1.0, progress))
         return self.started_at + self.health_multiplier * timeout
 
     def extend(self, duration: int) -> None:
-        """This front did not run for so long, and could not have received a refutation."""
+        """Extends the suspicion by a time in which this front was paused and could not receive a refutation."""
         self.started_at += duration
--- a/oakcroft/decisions/membership/suspicion_tracker.py
+++ b/oakcroft/decisions/membership/suspicion_tracker.py
@@ -1,4 +1,4 @@
-"""The suspicions that one front holds: begun by its own failed probes, confirmed by others, ended by its own clock."""
+"""Suspicions of one front: started by its own failed probes, confirmed by other members, ended by its own clock."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 ACCUSATIONS = (MemberState.SUSPECTED, MemberState.FAILED)
 NOT_CONFIRMING = 2
-"""Present members that can't confirm a suspicion: this front and the suspect."""
+"""Number of present members that cannot confirm a suspicion: this front and the suspect."""
 
 
 class SuspicionTracker:
     """Begins, confirms and ends suspicions in a table of members."""
 
     def __init__(self, table: MemberTable, health: LocalHealth) -> None:
-        """`health` says how long this front waits before it judges."""
+        """`health` determines how far this front extends its timeouts."""
         self.table = table
         self.health = health
 
@@ -27,12 +27,12 @@
         return suspicion.deadline(len(self.table.present()) - NOT_CONFIRMING)
 
     def deadlines(self) -> Iterator[int]:
-        """When the suspicions end."""
+        """End times of all suspicions."""
         suspicions = (m.suspicion for m in self.table.suspects.values())
         return (self._deadline(suspicion) for suspicion in suspicions if suspicion is not None)
 
     def probe_failed(self, member: Member, now: int) -> None:
-        """A probe of this front's own has failed: the member is suspected, or the suspicion confirmed."""
+        """Handles a failed probe by this front: suspects the member, or confirms an existing suspicion."""
         own_name = self.table.own_name
         if member.suspicion is not None:
             if member.suspicion.confirm(own_name):
@@ -43,7 +43,7 @@
             self.table.transition(member, suspected, now, "no answer, through others neither")
 
     def confirm(self, member: Member, update: MemberUpdate, by: str) -> None:
-        """Somebody else accuses a suspected member: one confirmation, whether the update says suspected or failed."""
+        """Counts another member's accusation, suspected or failed, as a confirmation of an existing suspicion."""
         latest = member.latest
         is_same = (update.generation, update.incarnation) == (latest.generation, latest.incarnation)
         if member.suspicion is None or not is_same or update.state not in ACCUSATIONS:
@@ -53,7 +53,7 @@
             self.table.queue.add(update.with_state(MemberState.SUSPECTED, accuser))
 
     def expire(self, now: int) -> None:
-        """Members whose suspicion has ended count as failed."""
+        """Declares members failed whose suspicion has ended."""
         for member in list(self.table.suspects.values()):
             suspicion = member.suspicion
             if suspicion is None or now < self._deadline(suspicion):
@@ -66,7 +66,7 @@
             self.table.transition(member, failed, now, why)
 
     def extend_all(self, duration: int) -> None:
-        """This front did not run for so long."""
+        """Extends all suspicions by a time in which this front was paused."""
         for member in self.table.suspects.values():
             if member.suspicion is not None:
                 member.suspicion.extend(duration)
--- a/oakcroft/decisions/membership/update_merger.py
+++ b/oakcroft/decisions/membership/update_merger.py
@@ -1,7 +1,7 @@
-"""Takes updates into the table of members, whoever brings them: newcomers, changes, confirmations, disputed failures.
+"""Merges received updates into the member table: new members, state changes, confirmations and disputed failures.
 
-An update that a present member has failed is never taken over. It counts as a confirmation where the member is suspected
-here as well; where it is not, the failure is disputed: this front probes the member itself, with the update in the
+An update that a present member has failed is never applied directly. If the member is suspected here too, the update
+counts as a confirmation; otherwise the failure is disputed: this front probes the member itself, with the update in the
 message, so that the member can refute it.
 """
 
@@ -20,11 +20,11 @@
 from oakcroft.interface import MS
 
 MAX_DISPUTED = 256
-"""Disputed failures that wait to be looked into; further ones are dropped, and come again with gossip."""
+"""Disputed failures that wait for a probe; further ones are dropped, and gossip brings them again."""
 
 DISPUTE_INTERVAL = 50 * MS
-DISPUTES_AT_ONCE = 4
-"""Looked into in one interval: after a partition hundreds may be disputed in one moment."""
+DISPUTES_PER_INTERVAL = 4
+"""Members probed per interval: after a partition hundreds of failures may be disputed at once."""
 
 
 class UpdateMerger:
@@ -41,7 +41,7 @@
         counters: Counters,
         now: int,
     ) -> None:
-        """Shares its parts with the `Membership` that it belongs to."""
+        """Shares its components with the `Membership` that it belongs to."""
         self.table = table
         self.outbox = outbox
         self.identity = identity
@@ -53,7 +53,7 @@
         self.next_dispute_at = now
 
     def merge(self, update: MemberUpdate, by: str, now: int) -> None:
-        """One update, brought by the member `by`."""
+        """Merges one update, received from the member `by`."""
         if not update.is_plausible():
             self.counters.unsound += 1
             return
@@ -67,11 +67,11 @@
         elif supersedes(update, member.latest):
             self._apply(member, update, by, now)
         else:
-            self._note_outdated(member, update, by)
+            self._handle_outdated(member, update, by)
 
     def _admit(self, update: MemberUpdate, by: str, now: int) -> None:
         if update.state is MemberState.FAILED:
-            return  # kept by hearsay, members that failed would be handed to and fro for ever
+            return  # otherwise fronts would pass failed members on to each other forever
         suspicion = None
         if update.state is MemberState.SUSPECTED:
             suspicion = Suspicion(now, update.reported_by or by)
@@ -80,8 +80,8 @@
         else:
             self.counters.full += 1
 
-    def _note_outdated(self, member: Member, update: MemberUpdate, by: str) -> None:
-        """An update that does not hold may still confirm a suspicion, or be a leave without proof."""
+    def _handle_outdated(self, member: Member, update: MemberUpdate, by: str) -> None:
+        """Handles an update without precedence, which may confirm a suspicion or be a leave without proof."""
         latest = member.latest
         self.suspicions.confirm(member, update, by)
         leaves = update.state is MemberState.LEFT and latest.state is not MemberState.LEFT
@@ -115,20 +115,20 @@
             self.disputed[update.name] = update
 
     def probe_disputed(self, now: int) -> None:
-        """Probes members that others call failed and this front does not, with the update in a message to them."""
+        """Probes members that others report as failed and this front does not, and sends them that update."""
         if not self.disputed or now < self.next_dispute_at:
             return
         self.next_dispute_at = now + DISPUTE_INTERVAL
-        for name in list(self.disputed)[:DISPUTES_AT_ONCE]:
-            claim = self.disputed.pop(name)
+        for name in list(self.disputed)[:DISPUTES_PER_INTERVAL]:
+            accusation = self.disputed.pop(name)
             member = self.table.members.get(name)
             if member is None or member.latest.state is not MemberState.ALIVE:
                 continue
-            if supersedes(claim, member.latest):
+            if supersedes(accusation, member.latest):
                 self.prober.probe(name, now)
-                self.outbox.send(MessageKind.GOSSIP, name, first=claim)
+                self.outbox.send(MessageKind.GOSSIP, name, first=accusation)
 
 
 def _source(update: MemberUpdate, by: str) -> str:
-    """Who brought an update, for operators."""
+    """Source of an update, for the reason of a change."""
     return f"told by {by}" if by != update.name else "by its own word"
--- a/oakcroft/decisions/membership/zone_author.py
+++ b/oakcroft/decisions/membership/zone_author.py
@@ -1,8 +1,7 @@
-"""What a front says of its own zone to others, and when: the content of the zone's summary, and its
-heartbeat.
+"""Authoring of the summary of a front's own zone: its content, its heartbeat, and when they are published.
 
-Every front keeps the recent changes, since any may become the author. The delegate of first rank authors;
-one of a later rank steps in where the summary has not moved for so many heartbeats more.
+Every front keeps the recent changes, since any may become the author. The delegate of rank 0 is the author; each
+further rank takes over after one more heartbeat interval without a new summary or heartbeat.
 """
 
 from __future__ import annotations
@@ -26,18 +25,17 @@
 from oakcroft.interface import SECOND
 
 HEARTBEAT_INTERVAL = 3 * SECOND
-"""Between two moves of a zone's summary: at 32 zones 1.4 kB a second of the author, who tells each zone
-directly."""
+"""Between two heartbeats of a zone's summary. The author sends them to each zone directly, 1.4 kB a second at 32
+zones."""
 
 PUBLICATION_SPACING = 2 * SECOND
-"""At least, between two contents of one author: what changes meanwhile goes together."""
+"""Minimum time between two contents by one author; changes in between are published together."""
 
 RECENT_CHANGE_TIME = 60 * SECOND
-"""For which every recent change is listed, up to `MAX_CHANGES`: ten times what a reader needs to take it
-in."""
+"""For which every change is listed, up to `MAX_CHANGES`: ten times what it takes to reach all readers."""
 
 MIN_LISTED_CHANGES = 8
-"""Changes that are listed even when they are older: for a region that returns after long."""
+"""Changes that are listed even if they are older, for a region that returns after a long partition."""
 
 MAX_RECENT = 64
 MAX_CONTESTED = 256
@@ -45,7 +43,7 @@
 
 @dataclass(frozen=True)
 class RecentChange:
-    """A change of a member of the own zone, and when it was seen here."""
+    """A change of a member of the own zone, and when this front saw it."""
 
     change: MemberChange
     at: int
@@ -53,7 +51,7 @@
 
 @dataclass(frozen=True)
 class LocalState:
-    """The own zone by the flat membership of this front, as the summary tells it."""
+    """The own zone according to this front's flat membership, as far as a summary contains it."""
 
     counts: StateCounts
     delegates: tuple[ZoneContact, ...]
@@ -61,10 +59,10 @@
 
 
 class ZoneAuthor:
-    """Authors the summary of one front's own zone, when it is this front's turn."""
+    """Authors the summary of a front's own zone while this front is the author."""
 
     def __init__(self, me: ZoneContact, region: str, now: int) -> None:
-        """Nothing has changed yet."""
+        """Starts without changes."""
         self.me = me
         self.region = region
         self.recent: dict[str, RecentChange] = {}
@@ -73,41 +71,39 @@
         self.next_heartbeat_at = now
         self.published: int | None = None  # fingerprint of this front's own last content
 
-    # What has changed.
+    # Changes.
 
-    def note(self, change: MemberChange, now: int) -> None:
-        """A change of a member that others are to be told of."""
+    def record_change(self, change: MemberChange, now: int) -> None:
+        """Records a change of a member, to be listed in the summary."""
         self.recent.pop(change.name, None)
         self.recent[change.name] = RecentChange(change, now)
         while len(self.recent) > MAX_RECENT:
             del self.recent[next(iter(self.recent))]
 
     def contest(self, accusation: MemberChange) -> None:
-        """Somebody told of this zone that a member failed or left which is present here."""
+        """Records that another author reported a present member of this zone as failed or left."""
         if accusation.name in self.contested or len(self.contested) < MAX_CONTESTED:
             self.contested[accusation.name] = accusation
 
     def record_refutations(self, members: Iterable[MemberChange], now: int) -> None:
-        """Contested members as they stand: one that has raised its incarnation over the accusation is told
-        of as alive."""
+        """Records as alive the contested members whose incarnation is now above that of the accusation."""
         for change in members:
             if change.precedence > self.contested[change.name].precedence:
                 del self.contested[change.name]
-                self.note(change, now)
+                self.record_change(change, now)
 
     def changes(self, room: int, now: int) -> tuple[MemberChange, ...]:
-        """The changes that a summary lists now, in so many octets; by name, so that two authors write the
-        same."""
+        """The changes to list in a summary, in at most `room` octets; sorted by name, so that all authors agree."""
         fresh = [recent for recent in self.recent.values() if now - recent.at < RECENT_CHANGE_TIME]
         older = [recent for recent in self.recent.values() if now - recent.at >= RECENT_CHANGE_TIME]
         padding = older[max(0, len(older) - max(0, MIN_LISTED_CHANGES - len(fresh))) :]
         listed = _fitting([recent.change for recent in [*_by_urgency(fresh), *padding]], room)
         return tuple(sorted(listed, key=lambda change: change.name))
 
-    # When it is told.
+    # Publication.
 
     def is_due(self, rank: int | None, record: ZoneRecord | None, now: int) -> bool:
-        """Whether this front is to author now; `rank` is its own among the delegates."""
+        """Whether this front is the author now; `rank` is its rank among the delegates."""
         if rank is None:
             return False
         if rank == 0 or record is None:
@@ -115,10 +111,9 @@
         return now - record.moved_at > (1 + rank) * HEARTBEAT_INTERVAL
 
     def next_summary(self, local: LocalState, record: ZoneRecord | None, now: int) -> ZoneSummary | None:
-        """The summary to be published now, if any: a new content, or the content that is known with the next
-        heartbeat."""
+        """The summary to publish now, if any: with new content, or the known content with the next heartbeat."""
         desired = self._content(local, record, now)
-        is_new = record is None or not self._still_holds(desired, record.summary)
+        is_new = record is None or not self._is_still_valid(desired, record.summary)
         if is_new and now - self.published_at >= PUBLICATION_SPACING:
             self.published_at = now
             self.published = desired.fingerprint
@@ -130,9 +125,12 @@
             return desired
         return record.summary.with_heartbeat(record.heartbeat + 1)
 
-    def _still_holds(self, desired: ZoneSummary, held: ZoneSummary) -> bool:
-        """Whether what is held need not be replaced. That changes of this front's own content have aged is
-        no reason to publish another; of another's content everything has to be right."""
+    def _is_still_valid(self, desired: ZoneSummary, held: ZoneSummary) -> bool:
+        """Whether the held summary need not be replaced.
+
+        This front's own content is not replaced only because listed changes have aged; another author's content is
+        replaced if anything differs.
+        """
         if desired.has_same_content(held):
             return True
         is_own = held.fingerprint == self.published
@@ -141,7 +139,7 @@
 
     def _content(self, local: LocalState, record: ZoneRecord | None, now: int) -> ZoneSummary:
         epoch, version = next_key(_greatest_known(record), self.me.generation)
-        bare = ZoneSummary(
+        without_changes = ZoneSummary(
             self.me.zone,
             self.region,
             self.me.name,
@@ -153,14 +151,15 @@
             local.member_digest,
             (),
         )
-        return replace(bare, changes=self.changes(MAX_PAYLOAD_BYTES - summary_size(bare), now))
+        room = MAX_PAYLOAD_BYTES - summary_size(without_changes)
+        return replace(without_changes, changes=self.changes(room, now))
 
 
 def _greatest_known(record: ZoneRecord | None) -> DigestEntry | None:
-    """The entry to be outbid: of the content that is held, or of one that was only heard of.
+    """The entry that a new content must exceed: of the held content, or of a greater one known only from a digest.
 
-    Guards against an author that gossip has missed: at the next version of an old content it would write what nobody
-    takes, until it has come up with its predecessor.
+    An author that lacks the last contents would otherwise publish versions that nobody accepts, until it has caught up
+    with its predecessor.
     """
     if record is None:
         return None
@@ -168,19 +167,19 @@
 
 
 def _by_urgency(recent: Sequence[RecentChange]) -> list[RecentChange]:
-    """Which changes are listed where not all can be; `recent` has the earliest first.
+    """Order in which changes are listed if not all fit; `recent` has the earliest first.
 
-    Failures, the earliest first: in a mass failure a reader must find again what it is to confirm. All else needs no
-    confirmation, so the latest first: guards a release of more members than a summary lists, whose last ones would
-    stay listed as left while returns that everybody has taken in hold the places.
+    Failures come first, the earliest first, since in a mass failure readers must find them again to confirm them. Other
+    changes need no confirmation and come latest first: when a release restarts more members than a summary lists, the
+    last ones would otherwise stay listed as left, while returns that all readers already know take up the space.
     """
-    failures = [each for each in recent if each.change.state is MemberState.FAILED]
-    others = [each for each in recent if each.change.state is not MemberState.FAILED]
+    failures = [entry for entry in recent if entry.change.state is MemberState.FAILED]
+    others = [entry for entry in recent if entry.change.state is not MemberState.FAILED]
     return [*failures, *reversed(others)]
 
 
 def _fitting(changes: Iterable[MemberChange], room: int) -> list[MemberChange]:
-    """As many changes as a summary may list and so many octets hold."""
+    """The first changes that fit in `room` octets, at most as many as a summary may list."""
     listed: list[MemberChange] = []
     for change in changes:
         room -= change_size(change)
--- a/oakcroft/decisions/membership/zone_directory.py
+++ b/oakcroft/decisions/membership/zone_directory.py
@@ -1,9 +1,8 @@
-"""What one front knows of all zones: the greatest summary of each, who failed there, and which zones are
-silent.
+"""Directory of all zones that one front knows: the greatest summary of each, members' states, and reachability.
 
-Nobody fails by hearsay alone: a failure that another zone tells of counts after `CONFIRMATION_TIME`, and
-only if that zone's summary still lists it then. A false one is taken back by the accused's own zone in the
-meantime. A zone whose heartbeat stands still is unreachable; its members are unknown, never failed.
+A failure that another zone reports counts only after `CONFIRMATION_TIME`, and only if that zone's summary still lists
+it then; the member's own zone takes a false report back in the meantime. A zone whose heartbeat does not advance is
+unreachable, and its members' states are unknown, never failed.
 """
 
 from __future__ import annotations
@@ -18,31 +17,32 @@
 
 MAX_ZONES = 64
 MAX_REMEMBERED_CHANGES = 128
-"""Of members of one other zone; past it the oldest goes, and its member is `UNLISTED` again."""
+"""For one other zone; beyond it the oldest is dropped, and its member is `UNLISTED` again."""
 
 CONFIRMATION_TIME = 6 * SECOND
-"""For which a failure told by another zone stays a suspicion. A refutation takes the way of any change: to
-the accused's zone, to the accused and back."""
+"""For which a failure reported by another zone remains a suspicion. A refutation takes as long as any change to reach
+the accused's zone, then the accused, and to come back."""
 
 UNREACHABLE_TIME = 12 * SECOND
-"""Without a move of its heartbeat a zone counts as unreachable. In an hour of two zones of 85 at 2% loss two moves were
-at most 10.0 s apart at any front (simulated, docs/membership.md); a front that errs sees the zone again at the next."""
+"""Without a new heartbeat, after which a zone counts as unreachable. In an hour of two zones of 85 at 2% loss,
+heartbeats were at most 10.0 s apart at any front (simulated, docs/membership.md); after an error the next heartbeat
+corrects it."""
 
 FORGETTING_TIME = 86_400 * SECOND
-"""After which an unreachable zone that is not configured makes room."""
+"""After which an unreachable zone that is not configured is removed."""
 
 
 class RemoteState(Enum):
-    """State of a member of another zone, as far as it is known here; the value is the operators' word."""
+    """State of a member of another zone, as far as it is known here; the values appear in logs and status."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
     FAILED = "failed"
     LEFT = "left"
     UNLISTED = "unlisted"
-    """Its zone is reachable and has told nothing of it that is remembered."""
+    """Its zone is reachable, and no change of the member is remembered."""
     UNKNOWN = "unknown"
-    """Its zone is unreachable, or was never heard of."""
+    """Its zone is unreachable or not known."""
 
 
 UNCONFIRMED_STATES = {
@@ -50,14 +50,16 @@
     MemberState.LEFT: RemoteState.LEFT,
     MemberState.FAILED: RemoteState.SUSPECTED,
 }
-"""What a change means before it is confirmed."""
+"""Remote state that a reported state results in before it is confirmed."""
 
 
 @dataclass(frozen=True)
 class ZoneChange:
-    """A change of what is known of other zones, with its evidence. `name` is empty where it is about the
-    zone itself, which then is `reachable` or `unreachable`; else `was` and `now` are values of
-    `RemoteState`."""
+    """A change of a zone or of a member of another zone, and its reason.
+
+    If `name` is empty, the change is about the zone itself, which becomes `reachable` or `unreachable`; otherwise `was`
+    and `now` are values of `RemoteState`.
+    """
 
     zone: str
     name: str
@@ -68,7 +70,7 @@
 
 @dataclass
 class RemoteMember:
-    """A member of another zone of whom its zone has told."""
+    """A member of another zone that its zone has reported a change of."""
 
     change: MemberChange
     state: RemoteState
@@ -77,9 +79,11 @@
 
 @dataclass
 class ZoneRecord:
-    """One zone as this front knows it. `moved_at`: when its summary or heartbeat last grew here. `offered`:
-    the greatest entry that was heard of; it may be a lie, so only entries of contents that are not held are
-    compared with it."""
+    """One zone as this front knows it.
+
+    `moved_at` is when a greater summary or heartbeat last arrived here. `offered` is the greatest entry received in a
+    digest; it may be false, so it is compared only with entries of contents that are not held.
+    """
 
     summary: ZoneSummary
     heartbeat: int
@@ -102,39 +106,37 @@
 
 @dataclass
 class DirectoryCounters:
-    """What was not taken, and why."""
+    """Counts of what was not accepted, by reason. The field names appear in the status and do not change."""
 
-    zones_full: int = 0  # zones for which there was no room
+    zones_full: int = 0  # zones not added because the table was full
     taken_back: int = 0  # failures that their zone no longer listed when they were to be confirmed
 
 
 class ZoneDirectory:
-    """All zones as one front knows them, its own among them."""
+    """All zones as one front knows them, including its own."""
 
     def __init__(self, own_zone: str, configured: Iterable[str] = ()) -> None:
-        """Nothing is known yet; `configured` zones always have room."""
+        """Starts empty; there is always room for `configured` zones."""
         self.own_zone = own_zone
         self.configured = frozenset(configured) | {own_zone}
         self.records: dict[str, ZoneRecord] = {}
         self.changes: list[ZoneChange] = []
         self.counts = DirectoryCounters()
-        self._pending: dict[
-            tuple[str, str], int
-        ] = {}  # zone and name of unconfirmed failures, to their deadline
+        self._pending: dict[tuple[str, str], int] = {}  # deadlines of unconfirmed failures, by zone and name
 
-    # What is known.
+    # Queries.
 
     def entry(self, zone: str) -> DigestEntry | None:
-        """Which summary of a zone is held."""
+        """Entry of the held summary of a zone; None if there is none."""
         record = self.records.get(zone)
         return record.entry if record is not None else None
 
     def digest(self) -> list[DigestEntry]:
-        """Which summaries are held, by zone."""
+        """Entries of all held summaries, sorted by zone."""
         return [record.entry for _, record in sorted(self.records.items())]
 
     def state(self, zone: str, name: str) -> RemoteState:
-        """The state of a member of another zone."""
+        """State of a member of another zone."""
         record = self.records.get(zone)
         if record is None or not record.is_reachable:
             return RemoteState.UNKNOWN
@@ -142,22 +144,26 @@
         return member.state if member is not None else RemoteState.UNLISTED
 
     def is_newer_content(self, entry: DigestEntry) -> bool:
-        """Whether somebody holds a later content than this front."""
+        """Whether the entry's content is later than the one held here."""
         known = self.entry(entry.zone)
         return known is None or entry.content_precedence > known.content_precedence
 
     def newer_than(self, entries: Iterable[DigestEntry]) -> list[DigestEntry]:
-        """Entries for what is held here and is newer than, or missing in, a digest."""
-        told = {entry.zone: entry.precedence for entry in entries}
+        """Entries of held summaries that are newer than those in a digest, or missing there."""
+        known = {entry.zone: entry.precedence for entry in entries}
         return [
-            entry for entry in self.digest() if entry.zone not in told or entry.precedence > told[entry.zone]
+            entry
+            for entry in self.digest()
+            if entry.zone not in known or entry.precedence > known[entry.zone]
         ]
 
-    # Taking in.
+    # Received summaries.
 
     def advance(self, entry: DigestEntry, now: int) -> bool:
-        """A later heartbeat of the content that is held; whether it was one. Of a later content, which may
-        yet have to come, it is a sign of life as well."""
+        """Applies a later heartbeat of the held content; returns whether it was later.
+
+        An entry of a later content, which may not have arrived yet, also shows that the zone is alive.
+        """
         record = self.records.get(entry.zone)
         if record is None:
             return False
@@ -165,51 +171,53 @@
         if entry.content_precedence > held:
             if entry.precedence > record.offered.precedence:
                 record.offered = entry
-                self._moved(record, now)
+                self._mark_moved(record, now)
             return False
         if entry.content_precedence < held or entry.heartbeat <= record.heartbeat:
             return False
         record.heartbeat = entry.heartbeat
-        self._moved(record, now)
+        self._mark_moved(record, now)
         return True
 
     def merge_summary(self, summary: ZoneSummary, now: int) -> bool:
-        """A plausible summary; whether its content is newer than what was held, and is held now."""
+        """Merges a plausible summary; returns whether its content is newer than the held one and now replaces it."""
         record = self.records.get(summary.zone)
         if record is None:
             if not self._has_room(summary.zone):
                 self.counts.zones_full += 1
                 return False
             record = self.records[summary.zone] = ZoneRecord(summary, summary.heartbeat, now, summary.entry)
-            self._tell(summary.zone, "", "", "reachable", f"told by {summary.author}")
+            self._report(summary.zone, "", "", "reachable", f"told by {summary.author}")
         elif summary.entry.content_precedence <= record.summary.entry.content_precedence:
             self.advance(summary.entry, now)
             return False
         else:
             record.summary = summary
             record.heartbeat = summary.heartbeat
-            self._moved(record, now)
+            self._mark_moved(record, now)
         if summary.zone != self.own_zone:
             self._merge_changes(record, now)
         return True
 
     def _has_room(self, zone: str) -> bool:
-        """Guards the table against zones that nobody configured, and the configured ones against being kept
-        out."""
+        """Whether a zone may be added: unconfigured zones are bounded and cannot take the room of configured ones."""
         if zone in self.configured:
             return True
         others = sum(known not in self.configured for known in self.records)
         return len(self.configured) + others < MAX_ZONES
 
-    def _moved(self, record: ZoneRecord, now: int) -> None:
+    def _mark_moved(self, record: ZoneRecord, now: int) -> None:
         record.moved_at = now
         if record.is_reachable:
             return
         record.is_reachable = True
         zone = record.summary.zone
-        self._tell(zone, "", "unreachable", "reachable", "its heartbeat moves again")
+        self._report(zone, "", "unreachable", "reachable", "its heartbeat moves again")
         for name, member in record.members.items():
-            if (zone, name) in self._pending:  # its zone could not take it back meanwhile
+            if (
+                zone,
+                name,
+            ) in self._pending:  # its zone could not take the failure back while it was unreachable
                 member.confirm_at = self._pending[zone, name] = now + CONFIRMATION_TIME
 
     def _merge_changes(self, record: ZoneRecord, now: int) -> None:
@@ -219,7 +227,8 @@
                 self._merge(record, change, known, now)
 
     def _merge(self, record: ZoneRecord, change: MemberChange, known: RemoteMember | None, now: int) -> None:
-        zone, author = record.summary.zone, record.summary.author
+        zone = record.summary.zone
+        author = record.summary.author
         member = RemoteMember(change, UNCONFIRMED_STATES[change.state])
         record.members.pop(change.name, None)
         record.members[change.name] = member
@@ -228,41 +237,40 @@
             member.confirm_at = self._pending[zone, change.name] = now + CONFIRMATION_TIME
         was = known.state.value if known is not None else ""
         if was != member.state.value:
-            self._tell(zone, change.name, was, member.state.value, f"told by {author}")
+            self._report(zone, change.name, was, member.state.value, f"told by {author}")
         if len(record.members) > MAX_REMEMBERED_CHANGES:
             oldest = next(iter(record.members))
             del record.members[oldest]
             self._pending.pop((zone, oldest), None)
 
-    def _tell(self, zone: str, name: str, was: str, now: str, why: str) -> None:
+    def _report(self, zone: str, name: str, was: str, now: str, why: str) -> None:
         if zone != self.own_zone:
             self.changes.append(ZoneChange(zone, name, was, now, why))
 
     # Time.
 
     def due(self) -> int | None:
-        """When `tick` has something to do at the latest; None where nothing is open."""
+        """The latest time by which `tick` must be called; None if nothing is pending."""
         deadlines = list(self._pending.values())
         deadlines += [r.moved_at + UNREACHABLE_TIME for r in self.records.values() if r.is_reachable]
         return min(deadlines, default=None)
 
     def tick(self, now: int) -> None:
-        """Zones that have been silent for too long, and failures that are to be confirmed."""
+        """Marks silent zones as unreachable, removes forgotten ones, and confirms failures that are due."""
         for zone, record in list(self.records.items()):
-            silent = now - record.moved_at
-            if record.is_reachable and silent >= UNREACHABLE_TIME:
+            silence = now - record.moved_at
+            if record.is_reachable and silence >= UNREACHABLE_TIME:
                 record.is_reachable = False
-                why = f"no heartbeat for {silent // SECOND} s"
-                self._tell(zone, "", "reachable", "unreachable", why)
-            elif silent >= FORGETTING_TIME and zone not in self.configured:
+                why = f"no heartbeat for {silence // SECOND} s"
+                self._report(zone, "", "reachable", "unreachable", why)
+            elif silence >= FORGETTING_TIME and zone not in self.configured:
                 del self.records[zone]
         for (zone, name), deadline in list(self._pending.items()):
             if now >= deadline:
                 self._confirm(zone, name, now)
 
     def _confirm(self, zone: str, name: str, now: int) -> None:
-        """A failure has stood for long enough: it counts, if its zone still says so and could have taken it
-        back."""
+        """Confirms a failure that is due, if its zone still reports it and was reachable to take it back."""
         record = self.records.get(zone)
         if record is None:
             del self._pending[zone, name]
@@ -275,9 +283,9 @@
         if member.change in record.summary.changes:
             member.state = RemoteState.FAILED
             why = f"told by {record.summary.author} and not taken back"
-            self._tell(zone, name, RemoteState.SUSPECTED.value, RemoteState.FAILED.value, why)
+            self._report(zone, name, RemoteState.SUSPECTED.value, RemoteState.FAILED.value, why)
         else:
             del record.members[name]
             self.counts.taken_back += 1
             why = f"{record.summary.author} no longer says so"
-            self._tell(zone, name, RemoteState.SUSPECTED.value, RemoteState.UNLISTED.value, why)
+            self._report(zone, name, RemoteState.SUSPECTED.value, RemoteState.UNLISTED.value, why)
--- a/oakcroft/decisions/membership/zone_gossip.py
+++ b/oakcroft/decisions/membership/zone_gossip.py
@@ -1,15 +1,17 @@
-"""How summaries of zones get round: eager forwarding of new contents, and digests that repair what it missed.
+"""Dissemination of zone summaries: new contents are forwarded at once, and digests repair what forwarding missed.
 
-Inside a zone and between delegates alike, who takes a newer content forwards it at once to a few others
-chosen at random, and digests are reconciled at a steady pace (push-pull as in Scuttlebutt, van Renesse and
-others 2008). An author tells its heartbeat to each zone directly, whether that zone is reachable or not:
-this is what finds a region again after a partition."""
+Inside a zone and between delegates alike, a front that receives a newer content forwards it at once to a few random
+others, and digests are reconciled periodically (push-pull as in Scuttlebutt, van Renesse et al. 2008). An author sends
+its heartbeat to each zone directly, whether that zone is reachable or not, so that regions find each other after a
+partition.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator, Sequence
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
 from random import Random
+from typing import TypeVar
 
 from oakcroft.decisions.membership.messages import Address
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
@@ -25,36 +27,38 @@
     estimated_size,
     summary_size,
 )
-from oakcroft.decisions.membership.zone_summary import DigestEntry, ZoneContact, ZoneSummary
+from oakcroft.decisions.membership.zone_summary import ZoneContact, ZoneSummary
 from oakcroft.interface import MS, SECOND
 
 LOCAL_DIGEST_INTERVAL = SECOND
-"""Between two digests to a member of the own zone: a heartbeat gets through a zone of 85 in some seven of
-them."""
+"""Between digests to a random member of the own zone; a heartbeat reaches all of a zone of 85 in about seven
+intervals."""
 
 REMOTE_DIGEST_INTERVAL = 4 * SECOND
-"""Between two digests of a delegate to a delegate of another zone. Guards a zone that only a third one can
-reach."""
+"""Between digests of a delegate to one of another zone, so that a zone is known even if only a third zone can reach
+it."""
 
 LOCAL_FANOUT = 3
 REMOTE_FANOUT = 3
-"""To how many a new content is forwarded: with three, some 94% are reached by forwarding alone (Kermarrec,
-Massoulié and Ganesh 2003), digests reach the rest."""
+"""Number of receivers that a new content is forwarded to: with three, forwarding alone reaches about 94% (Kermarrec,
+Massoulié and Ganesh 2003), and digests reach the rest."""
 
 FORWARDING_TIME = SECOND
-"""In which forwarding brings most contents; only then one is asked for."""
+"""In which forwarding delivers most contents; a missing one is requested only after it."""
 
 REQUEST_SPACING = 500 * MS
-"""Between two requests for one zone's summary: several members may offer it in one moment."""
+"""Between two requests for one zone's summary, which several members may offer at the same time."""
 
 MAX_RECORD_DATAGRAMS = 3
-"""In answer to one request; the rest waits for the next digest."""
+"""In answer to one request; the next digest brings the rest."""
+
+T = TypeVar("T")
 
 
 @dataclass
 class LocalZone:
-    """What the gossip needs to know of the own zone: addresses of the other present members, and whether
-    this front acts as a delegate."""
+    """The own zone as far as gossip needs it: addresses of the other present members, and whether this front acts as a
+    delegate."""
 
     peers: Sequence[Address] = ()
     is_delegate: bool = False
@@ -62,10 +66,10 @@
 
 @dataclass
 class GossipCounters:
-    """What was dropped, and why."""
+    """Counts of what was dropped, by reason. The field names appear in the status and do not change."""
 
-    implausible: int = 0  # summaries and entries that no author could have written
-    deferred: int = 0  # messages that waited for tokens
+    implausible: int = 0  # summaries and entries that no correct author could have written
+    deferred: int = 0  # messages that the traffic budget did not allow
 
 
 @dataclass
@@ -76,12 +80,12 @@
 
 
 class ZoneGossip:
-    """Whom one front sends what about zones, and when. Messages to be sent stand in `out`."""
+    """Sends and processes the messages that disseminate zone summaries. Messages to send are in `out`."""
 
     def __init__(
         self, directory: ZoneDirectory, others: OtherZones, budget: TrafficBudget, rng: Random, now: int
     ) -> None:
-        """Intervals begin at random, so that fronts that start together do not send together."""
+        """Intervals begin at random times, so that fronts that start together do not send at the same time."""
         self.directory = directory
         self.others = others
         self.budget = budget
@@ -97,7 +101,7 @@
     # Time.
 
     def due(self) -> int:
-        """When `tick` has something to do at the latest."""
+        """The latest time by which `tick` must be called."""
         return min(self._next_local_digest_at, self._next_remote_digest_at)
 
     def tick(self, now: int) -> None:
@@ -115,35 +119,34 @@
                     self._send_digest(address)
 
     def _send_digest(self, address: Address) -> None:
-        """A whole digest. It carries heartbeats, so it does not wait for tokens."""
-        for entries in _packed(self.directory.digest()):
+        """Sends a full digest. It carries heartbeats, so it does not wait for the budget."""
+        for entries in _packed(self.directory.digest(), entry_size):
             self._send(address, ZoneDigest(entries, wants_answer=True))
 
-    # What this front authors.
+    # Publication.
 
     def publish(self, summary: ZoneSummary, now: int) -> None:
-        """A summary of the own zone by this front: a new content is forwarded, a heartbeat told to each
-        zone."""
+        """Publishes a summary of the own zone: forwards a new content, or sends a new heartbeat to each zone."""
         if self.directory.merge_summary(summary, now):
-            # Forwarding has a head start: told of a new content at once, each zone would ask this front for it.
-            # It goes without tokens: nobody else could tell it.
+            # Heartbeats of a new content are not sent at once: each zone would then request it from this front.
+            # Forwarding does not wait for the budget, since no other front has the content yet.
             for receiver in self._forward_addresses((summary,), None):
                 self._send(receiver, ZoneRecords((summary,)))
             return
         for zone in self._other_zones():
             address = self._contact(zone)
             if address is not None:
-                # Not charged: an author's heartbeats would leave it no tokens to answer with.
+                # Not charged: otherwise an author's heartbeats would leave it no budget for answers.
                 self.out.append(
                     OutgoingZoneMessage(address, ZoneDigest((summary.entry,), wants_answer=False))
                 )
 
-    # What is received.
+    # Received messages.
 
     def received_digest(
         self, sender: ZoneContact, message: ZoneDigest, latest_generation: int, now: int
     ) -> None:
-        """Heartbeats are taken, newer contents asked for, and what is newer here is answered."""
+        """Applies heartbeats, requests newer contents, and answers with the entries that are newer here."""
         entries = [entry for entry in message.entries if entry.is_plausible(latest_generation)]
         self.counts.implausible += len(message.entries) - len(entries)
         wanted = []
@@ -154,26 +157,23 @@
         self._request(sender.address, wanted, now)
         if not message.wants_answer:
             return
-        for newer in _packed(self.directory.newer_than(entries)):
+        for newer in _packed(self.directory.newer_than(entries), entry_size):
             self.send_if_affordable(sender.address, ZoneDigest(newer, wants_answer=False))
 
     def received_request(self, sender: ZoneContact, message: ZoneRequest) -> None:
-        """Summaries that the sender asks for, as far as tokens reach."""
-        known = [
-            self.directory.records[z].current
-            for z in dict.fromkeys(message.zones)
-            if z in self.directory.records
-        ]
-        for datagrams, summaries in enumerate(_packed_summaries(known)):
-            if datagrams >= MAX_RECORD_DATAGRAMS:
+        """Sends the requested summaries, as far as the budget allows."""
+        records = self.directory.records
+        known = [records[zone].current for zone in dict.fromkeys(message.zones) if zone in records]
+        for datagram_count, summaries in enumerate(_packed(known, summary_size)):
+            if datagram_count >= MAX_RECORD_DATAGRAMS:
                 break
             self.send_if_affordable(sender.address, ZoneRecords(summaries))
 
     def received_records(
         self, sender: ZoneContact, message: ZoneRecords, latest_generation: int, now: int
     ) -> list[ZoneSummary]:
-        """Summaries are taken where they are newer, and forwarded; returns those of the own zone."""
-        fresh = []
+        """Merges and forwards newer summaries; returns those of the own zone."""
+        forwarded = []
         own = []
         for summary in message.summaries:
             if not summary.is_plausible(latest_generation):
@@ -186,17 +186,18 @@
             if summary.zone == self.directory.own_zone:
                 own.append(summary)
             if self.local.is_delegate or not is_first:
-                # A newcomer's first look at each zone is news to nobody else, unless it speaks for its zone.
-                fresh.append(summary)
-        if fresh:
-            self._forward(fresh, sender.address)
+                # A front that learns of a zone for the first time does not forward the summary, since others know it
+                # already; only a delegate does.
+                forwarded.append(summary)
+        if forwarded:
+            self._forward(forwarded, sender.address)
         return own
 
     # Sending.
 
     def _is_overdue(self, zone: str, now: int) -> bool:
-        """Whether a newer content should have come by forwarding. Guards an author, whom each zone would ask
-        at once."""
+        """Whether forwarding should have delivered a newer content by now; before, all zones would request it at
+        once."""
         if zone not in self.directory.records:
             return True
         return now - self._offered_at.setdefault(zone, now) >= FORWARDING_TIME
@@ -212,21 +213,21 @@
             self._requested_at.update(dict.fromkeys(due, now))
 
     def _forward(self, summaries: Sequence[ZoneSummary], except_for: Address) -> None:
-        """New contents, at once, as far as tokens reach."""
+        """Forwards new contents, as far as the budget allows."""
         for address in self._forward_addresses(summaries, except_for):
-            for part in _packed_summaries(summaries):
+            for part in _packed(summaries, summary_size):
                 self.send_if_affordable(address, ZoneRecords(part))
 
     def _forward_addresses(
         self, summaries: Sequence[ZoneSummary], except_for: Address | None
     ) -> list[Address]:
-        """Some members of the own zone and, from a delegate, some other zones."""
+        """Random members of the own zone and, if this front is a delegate, of other zones."""
         peers = [address for address in self.local.peers if address != except_for]
         addresses = self.rng.sample(peers, min(LOCAL_FANOUT, len(peers)))
         if not self.local.is_delegate:
             return addresses
-        told_of = {summary.zone for summary in summaries}
-        zones = [zone for zone in self._other_zones() if zone not in told_of]
+        described_zones = {summary.zone for summary in summaries}
+        zones = [zone for zone in self._other_zones() if zone not in described_zones]
         chosen = self.rng.sample(zones, min(REMOTE_FANOUT, len(zones)))
         return addresses + [address for zone in chosen if (address := self._contact(zone)) is not None]
 
@@ -235,8 +236,7 @@
         return sorted({*self.directory.records, *self.others.seeds} - {own})
 
     def _contact(self, zone: str) -> Address | None:
-        """One address to speak to a zone: of its delegates, or of its seeds where they are not known or are
-        silent."""
+        """A random address of a zone: of its delegates, and of its seeds if the zone is unreachable or has none."""
         record = self.directory.records.get(zone)
         seeds = list(self.others.seeds.get(zone, ()))
         delegates = [delegate.address for delegate in record.summary.delegates] if record is not None else []
@@ -245,7 +245,7 @@
         return self.rng.choice(candidates) if candidates else None
 
     def contacts(self, zone: str, most: int) -> list[Address]:
-        """Some addresses to ask a zone's delegates at."""
+        """Up to `most` random addresses of a zone."""
         candidates = [self._contact(zone) for _ in range(2 * most)]
         return list(dict.fromkeys(address for address in candidates if address is not None))[:most]
 
@@ -254,12 +254,12 @@
         self.out.append(OutgoingZoneMessage(address, message))
 
     def send_each(self, addresses: Iterable[Address], message: ZoneMessage) -> None:
-        """A message that does not wait, to each address."""
+        """Sends a message to each address without waiting for the budget."""
         for address in addresses:
             self._send(address, message)
 
     def send_if_affordable(self, address: Address, message: ZoneMessage) -> bool:
-        """A message that can wait; whether it was sent."""
+        """Sends a deferrable message if the budget allows it; returns whether it was sent."""
         if not self.budget.spend(estimated_size(message)):
             self.counts.deferred += 1
             return False
@@ -267,29 +267,17 @@
         return True
 
 
-def _packed(entries: Iterable[DigestEntry]) -> Iterator[tuple[DigestEntry, ...]]:
-    """Entries, as many to a datagram as fit."""
-    part: list[DigestEntry] = []
-    size = 0
-    for entry in entries:
-        if part and size + entry_size(entry) > MAX_PAYLOAD_BYTES:
-            yield tuple(part)
-            part, size = [], 0
-        part.append(entry)
-        size += entry_size(entry)
-    if part:
-        yield tuple(part)
-
-
-def _packed_summaries(summaries: Iterable[ZoneSummary]) -> Iterator[tuple[ZoneSummary, ...]]:
-    """Summaries, as many to a datagram as fit."""
-    part: list[ZoneSummary] = []
-    size = 0
-    for summary in summaries:
-        if part and size + summary_size(summary) > MAX_PAYLOAD_BYTES:
+def _packed(items: Iterable[T], size_of: Callable[[T], int]) -> Iterator[tuple[T, ...]]:
+    """Splits items into parts that each fit in one datagram, in order."""
+    part: list[T] = []
+    part_size = 0
+    for item in items:
+        item_size = size_of(item)
+        if part and part_size + item_size > MAX_PAYLOAD_BYTES:
             yield tuple(part)
-            part, size = [], 0
-        part.append(summary)
-        size += summary_size(summary)
+            part = []
+            part_size = 0
+        part.append(item)
+        part_size += item_size
     if part:
         yield tuple(part)
--- a/oakcroft/decisions/membership/zone_lookup.py
+++ b/oakcroft/decisions/membership/zone_lookup.py
@@ -1,5 +1,4 @@
-"""Questions for one member of another zone, put to some of that zone's delegates. Bounded in number and in
-time."""
+"""Lookups of one member of another zone by asking some of that zone's delegates; bounded in number and in time."""
 
 from __future__ import annotations
 
@@ -10,17 +9,16 @@
 from oakcroft.interface import SECOND
 
 MAX_LOOKUPS = 256
-"""Open at once; one more is answered `UNKNOWN` at once."""
+"""Open at once; a further one ends immediately without an answer."""
 
 LOOKUP_TIMEOUT = 2 * SECOND
 NUMBER_BITS = 48
-"""Of a question: drawn at random, so that nobody can answer who was not asked."""
+"""Size of request numbers, which are random so that only a front that was asked can answer."""
 
 
 @dataclass(frozen=True)
 class LookupResult:
-    """What a lookup found; `member` is None where the zone does not know it, or `is_answered` is False and
-    nobody spoke."""
+    """Result of a lookup; `member` is None if the zone does not know it, or if there was no answer."""
 
     zone: str
     name: str
@@ -30,7 +28,7 @@
 
 @dataclass
 class Lookup:
-    """An open question."""
+    """An open lookup; `outstanding` is the number of answers that may still arrive."""
 
     request: LookupRequest
     expires_at: int
@@ -38,17 +36,19 @@
 
 
 class ZoneLookups:
-    """The open questions of one front; what was found stands in `found`."""
+    """The open lookups of one front; results are added to `found`."""
 
     def __init__(self, rng: Random) -> None:
-        """None is open."""
+        """Starts without open lookups."""
         self.rng = rng
         self.found: list[LookupResult] = []
         self._open: dict[int, Lookup] = {}
 
     def begin(self, zone: str, name: str, asked: int, now: int) -> LookupRequest | None:
-        """The question to be put to so many; None, and found unanswered, where too many are open or nobody
-        can be asked."""
+        """Opens a lookup and returns the request to send to `asked` fronts.
+
+        Returns None, with an unanswered result, if too many lookups are open or there is no front to ask.
+        """
         if asked == 0 or len(self._open) >= MAX_LOOKUPS:
             self.found.append(LookupResult(zone, name, None, is_answered=False))
             return None
@@ -57,7 +57,7 @@
         return request
 
     def receive_answer(self, answer: LookupAnswer) -> None:
-        """An answer: the first that knows the member counts, else the last that does not."""
+        """Processes an answer: the first that has the member ends the lookup, otherwise the last one."""
         lookup = self._open.get(answer.number)
         if lookup is None or (answer.zone, answer.name) != (lookup.request.zone, lookup.request.name):
             return
@@ -67,11 +67,11 @@
             self.found.append(LookupResult(answer.zone, answer.name, answer.member, is_answered=True))
 
     def due(self) -> int | None:
-        """When the first question expires."""
+        """When the first lookup expires; None if none is open."""
         return min((lookup.expires_at for lookup in self._open.values()), default=None)
 
     def tick(self, now: int) -> None:
-        """Questions that nobody answered in time."""
+        """Ends lookups that were not answered in time."""
         for number, lookup in list(self._open.items()):
             if now >= lookup.expires_at:
                 del self._open[number]
--- a/oakcroft/decisions/membership/zone_messages.py
+++ b/oakcroft/decisions/membership/zone_messages.py
@@ -1,6 +1,6 @@
-"""The messages between fronts that spread summaries of zones, as typed values; their octets are peerwire's.
+"""Messages between fronts that disseminate zone summaries, as typed values; `oakcroft.peerwire` encodes them.
 
-Each is one datagram. The sender is told by the envelope, as a `ZoneContact`.
+Each is one datagram, whose envelope contains the sender as a `ZoneContact`.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 from oakcroft.decisions.membership.zone_summary import DigestEntry, MemberChange, ZoneContact, ZoneSummary
 
 MAX_PAYLOAD_BYTES = 1_200
-"""Octets of entries or summaries in one datagram of 1,400; the rest is for seal and envelope."""
+"""For entries or summaries in one datagram of 1,400; the rest is for seal and envelope."""
 
 ENVELOPE_BYTES = 79
-"""Octets of a datagram's seal, fleet, sender and kind, for names and addresses of 10 octets."""
+"""For a datagram's seal, fleet, sender and kind, with names and addresses of 10 octets."""
 
 ENTRY_BYTES = 28
-"""Octets of a digest entry beside the zone's name."""
+"""For a digest entry without the zone's name."""
 
 SUMMARY_BYTES = 52
-"""Octets of a summary beside names, delegates and changes."""
+"""For a summary without names, delegates and changes."""
 
 CONTACT_BYTES = 15
 CHANGE_BYTES = 15
 LOOKUP_BYTES = 24
-"""Octets of a contact, of a change and of a lookup beside the texts in them."""
+"""For a contact, a change and a lookup without the strings in them."""
 
 
 @dataclass(frozen=True)
 class ZoneDigest:
-    """Which summaries the sender holds. `wants_answer`: it asks for the entries that are newer at the
+    """The summaries that the sender holds; with `wants_answer` it requests the entries that are newer at the
     receiver."""
 
     entries: tuple[DigestEntry, ...]
@@ -40,21 +40,21 @@
 
 @dataclass(frozen=True)
 class ZoneRequest:
-    """The sender asks for the summaries of these zones."""
+    """Requests the summaries of some zones."""
 
     zones: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class ZoneRecords:
-    """Summaries, on request or as they came to be known."""
+    """Summaries, as requested or as forwarded."""
 
     summaries: tuple[ZoneSummary, ...]
 
 
 @dataclass(frozen=True)
 class LookupRequest:
-    """The sender asks a member of a zone for another member of that zone."""
+    """Requests a member's record from another member of its zone."""
 
     number: int
     zone: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class MemberRecord:
-    """One member as its own zone's flat membership has it."""
+    """One member according to the flat membership of its own zone."""
 
     name: str
     generation: int
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class LookupAnswer:
-    """The answer to a `LookupRequest`; `member` is None where the answering front does not know it."""
+    """Answer to a `LookupRequest`; `member` is None if the answering front does not know it."""
 
     number: int
     zone: str
@@ -88,19 +88,19 @@
 
 @dataclass(frozen=True)
 class OutgoingZoneMessage:
-    """A message to be sent as a datagram to whoever is at an address."""
+    """A message to send as a datagram to an address."""
 
     address: Address
     message: ZoneMessage
 
 
 def entry_size(entry: DigestEntry) -> int:
-    """Octets of a digest entry, estimated."""
+    """Estimated octets of a digest entry."""
     return ENTRY_BYTES + len(entry.zone)
 
 
 def summary_size(summary: ZoneSummary) -> int:
-    """Octets of a summary, estimated."""
+    """Estimated octets of a summary."""
     names = len(summary.zone) + len(summary.region) + len(summary.author)
     contacts = sum(_contact_size(contact) for contact in summary.delegates)
     return SUMMARY_BYTES + names + contacts + sum(change_size(change) for change in summary.changes)
@@ -111,12 +111,12 @@
 
 
 def change_size(change: MemberChange) -> int:
-    """Octets of a change in a summary, estimated."""
+    """Estimated octets of a change in a summary."""
     return CHANGE_BYTES + len(change.name)
 
 
 def estimated_size(message: ZoneMessage) -> int:
-    """Octets of the datagram, seal included, IP and UDP not."""
+    """Estimated octets of the datagram, including the seal but not IP and UDP headers."""
     if isinstance(message, ZoneDigest):
         return ENVELOPE_BYTES + sum(entry_size(entry) for entry in message.entries)
     if isinstance(message, ZoneRequest):
--- a/oakcroft/decisions/membership/zone_placement.py
+++ b/oakcroft/decisions/membership/zone_placement.py
@@ -1,4 +1,4 @@
-"""Where a front stands in a fleet of zones, as configured, and how it sees the other zones."""
+"""A front's configured place in a fleet of zones, and the status of other zones as it sees them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 @dataclass(frozen=True)
 class ZonePlacement:
-    """A front's region, seeds of its own zone, and the other zones. The own zone is the member's own."""
+    """A front's region, the seeds of its own zone, and the other zones. The own zone is in the front's
+    `MemberUpdate`."""
 
     region: str
     seeds: tuple[Address, ...]
@@ -28,8 +29,7 @@
 
 @dataclass(frozen=True)
 class ZoneStatus:
-    """A zone as a front knows it, for operators. `moved_at`: when its summary or heartbeat last grew
-    there."""
+    """Status of a zone; `moved_at` is when a greater summary or heartbeat last arrived at this front."""
 
     zone: str
     region: str
--- a/oakcroft/decisions/membership/zone_reporter.py
+++ b/oakcroft/decisions/membership/zone_reporter.py
@@ -1,8 +1,9 @@
-"""What a front's flat membership tells its zone's author, and what others say of its zone.
+"""Passes changes from a front's flat membership to its zone's author, and checks summaries of the zone by other
+authors.
 
-Changes that other zones are to be told of are noted from the flat membership. A summary of the own zone that
-somebody else wrote is examined: what it holds against a member that is present here is put to that member,
-as any claim of a failure in the flat protocol, so that it can refute; and once it has, other zones are told.
+Changes of the flat membership that other zones need to know are recorded for the summary. Summaries of the own zone by
+other authors are examined: if one reports a member as failed or left that is present here, the accusation is merged
+into the flat membership, so that the member can refute it, and the refutation is then reported to other zones.
 """
 
 from __future__ import annotations
@@ -24,48 +25,48 @@
 from oakcroft.interface import SECOND
 
 NEWCOMER_REPORT_DELAY = 60 * SECOND
-"""Of a front's own start: whom it finds earlier did not join, it was there."""
+"""After the front's start. Members found earlier did not join the zone: they were present before this front."""
 
 ABSENT_LABELS = ("", MemberState.FAILED.label, MemberState.LEFT.label)
-"""What a member was, in a change, that was not there before."""
+"""Previous states, in a change, of a member that was not present before."""
 
 
 def contact_of(member: MemberUpdate) -> ZoneContact:
-    """Where a member of a zone can be reached."""
+    """The contact of a member."""
     return ZoneContact(member.name, member.generation, member.zone, member.host, member.port)
 
 
 class ZoneReporter:
-    """Stands between one front's flat membership and the author of its zone's summary."""
+    """Connects a front's flat membership with the author of its zone's summary."""
 
     def __init__(self, membership: Membership, author: ZoneAuthor, now: int) -> None:
-        """Both as they are at the front's start."""
+        """`now` is the time of the front's start."""
         self.membership = membership
         self.author = author
         self.started_at = now
-        self._digest_of: list[str] | None = None
+        self._digested_members: list[str] | None = None
         self._digest = 0
         self._differs_since: int | None = None
 
-    def note(self, change: StateChange, now: int) -> None:
-        """A change of the own zone, as the flat membership tells it."""
+    def record_change(self, change: StateChange, now: int) -> None:
+        """Records a change of the own zone for the summary, if other zones need to know it."""
         member = self.membership.members.get(change.name)
         if member is None or member.latest.state is MemberState.SUSPECTED:
             return
         latest = member.latest
         if latest.state is MemberState.ALIVE and not self._is_return(change, now):
             return
-        told = MemberChange(change.name, latest.generation, latest.incarnation, latest.state)
-        self.author.note(told, now)
+        member_change = MemberChange(change.name, latest.generation, latest.incarnation, latest.state)
+        self.author.record_change(member_change, now)
 
     def _is_return(self, change: StateChange, now: int) -> bool:
-        """Whether a member that is alive is news to other zones."""
+        """Whether other zones do not know yet that a member is alive."""
         if change.was == "":
             return now - self.started_at >= NEWCOMER_REPORT_DELAY
         return change.was in ABSENT_LABELS or change.name in self.author.recent
 
     def local_state(self, delegates: Iterable[str]) -> LocalState:
-        """The own zone as a summary tells it."""
+        """The own zone as a summary contains it."""
         members = self.membership.members
         table = self.membership.table
         present = self.membership.present()
@@ -74,16 +75,16 @@
         return LocalState(counts, contacts, self.digest())
 
     def digest(self) -> int:
-        """Digest of the members that are present here; reckoned anew when they have changed."""
+        """Digest of the present members; computed again when they have changed."""
         present = self.membership.present()
-        if present is not self._digest_of:
+        if present is not self._digested_members:
             members = self.membership.members
-            self._digest_of = present
+            self._digested_members = present
             self._digest = member_digest([(name, members[name].latest.generation) for name in present])
         return self._digest
 
     def differs_for(self, summary: ZoneSummary, now: int) -> int:
-        """For how long the members here have not been those of the zone's summary."""
+        """How long the members here have differed from those in the zone's summary; 0 if they match."""
         if self.digest() == summary.member_digest:
             self._differs_since = None
             return 0
@@ -92,25 +93,27 @@
         return now - self._differs_since
 
     def examine(self, summary: ZoneSummary, now: int) -> None:
-        """A summary of the own zone that came from elsewhere, whatever author it names: what this front
-        wrote it holds already."""
+        """Examines a summary of the own zone that was received from another front, whatever author it names."""
         for change in summary.changes:
             self._adopt(change, now)
             if change.state is not MemberState.ALIVE:
-                self._examine(change, summary.author, now)
+                self._examine_accusation(change, summary.author, now)
 
     def _adopt(self, change: MemberChange, now: int) -> None:
-        """What another author lists and this front agrees with it will list as well, should it become the
-        author: or what waits for confirmation elsewhere would be dropped."""
+        """Records a change that another author lists, if this front agrees with it.
+
+        Should this front become the author, it lists the change too; otherwise other zones would drop failures that
+        they have not confirmed yet.
+        """
         member = self.membership.members.get(change.name)
         recent = self.author.recent.get(change.name)
         if member is None or (recent is not None and recent.change.precedence >= change.precedence):
             return
         latest = member.latest
         if (latest.generation, latest.state) == (change.generation, change.state):
-            self.author.note(change, now)
+            self.author.record_change(change, now)
 
-    def _examine(self, change: MemberChange, author: str, now: int) -> None:
+    def _examine_accusation(self, change: MemberChange, author: str, now: int) -> None:
         member = self.membership.members.get(change.name)
         if member is None or member.latest.state not in PRESENT_STATES:
             return
@@ -118,17 +121,17 @@
         if change.precedence <= (latest.generation, latest.incarnation, MemberState.ALIVE.value):
             return
         self.author.contest(change)
-        claim = replace(
+        accusation = replace(
             latest,
             generation=change.generation,
             incarnation=change.incarnation,
             state=MemberState.FAILED,
             reported_by=author,
         )
-        self.membership.merger.merge(claim, author, now)
+        self.membership.merger.merge(accusation, author, now)
 
     def report_refuted(self, now: int) -> None:
-        """Contested members that have raised their incarnation are told of as alive."""
+        """Reports contested members as alive that have raised their incarnation."""
         present = []
         for name in self.author.contested:
             member = self.membership.members.get(name)
--- a/oakcroft/decisions/membership/zone_summary.py
+++ b/oakcroft/decisions/membership/zone_summary.py
@@ -1,10 +1,10 @@
-"""The summary by which other zones know a zone: its content, which of two holds, and which are plausible.
+"""Summary of a zone for other zones: its content, precedence and plausibility.
 
-The members of a zone author summaries of it without coordination. All summaries of one zone stand in one
-order: epoch, version, fingerprint of the content, heartbeat; the greatest holds. The order is total and a
-key has one content, so taking the greatest is associative, commutative and idempotent: readers agree
-whatever the order, repeats and gaps of messages. Within a summary each change of a member has an order of
-its own, so a later author who does not list a change does not take it back.
+Members of a zone author summaries of it without coordination. All summaries of one zone are totally ordered by epoch,
+version, fingerprint of the content and heartbeat, and the greatest holds. Since each key has one content, taking the
+greatest is associative, commutative and idempotent: readers agree whatever the order, duplicates and losses of
+messages. The changes of members in a summary have an order of their own, so a later author that does not list a change
+does not revert it.
 """
 
 from __future__ import annotations
@@ -17,33 +17,32 @@
 from oakcroft.decisions.membership.messages import Address
 
 MAX_DELEGATES = 3
-"""Of one zone: two may fail in one detection time and the zone still speaks."""
+"""For one zone: two may fail within one detection time and the zone still has a delegate."""
 
 MAX_CHANGES = 32
-"""Of members in one summary: with these, and names of ten octets, it takes some 980 octets of a datagram's
-1,400."""
+"""In one summary, which then takes about 980 octets of a datagram's 1,400, with names of ten octets."""
 
 MAX_ZONE_NAME_LENGTH = 32
 MAX_ZONE_MEMBERS = 256
-"""Present members of a zone, by which the flat protocol's traffic inside it stays within the budget."""
+"""Present members of a zone, so that the flat protocol's traffic stays within the budget."""
 
 MAX_ABSENT_MEMBERS = 1_024
-"""Failed or left members that a summary may count: the bound of the flat protocol's table."""
+"""Failed or left members that a summary may count: the maximum size of the flat protocol's table."""
 
 MAX_COUNTER = 1 << 40
-"""Of versions and heartbeats. Past it an author takes the next epoch, so that every plausible summary can be
-outbid."""
+"""Bound of versions and heartbeats. Beyond it an author starts the next epoch, so that every plausible summary can be
+superseded."""
 
 FINGERPRINT_OCTETS = 8
 MAX_FINGERPRINT = 1 << 8 * FINGERPRINT_OCTETS
 
 REPORTED_STATES = (MemberState.ALIVE, MemberState.FAILED, MemberState.LEFT)
-"""Suspicions are not told between zones: most are refuted within half a second."""
+"""Suspicions are not reported to other zones: most are refuted within half a second."""
 
 
 @dataclass(frozen=True)
 class ZoneContact:
-    """A process that speaks for itself or for its zone, and where it can be reached."""
+    """A process that acts for itself or for its zone, and its address."""
 
     name: str
     generation: int
@@ -57,7 +56,7 @@
         return self.host, self.port
 
     def is_plausible(self, latest_generation: int) -> bool:
-        """Whether a sound process could be this."""
+        """Whether a correct process could have these values."""
         return (
             0 < len(self.name) <= MAX_NAME_LENGTH
             and 0 < self.generation <= latest_generation
@@ -68,21 +67,21 @@
 
 @dataclass(frozen=True)
 class StateCounts:
-    """How many members of a zone are in a state."""
+    """Numbers of members of a zone by state."""
 
     present: int
     failed: int
     left: int
 
     def is_plausible(self) -> bool:
-        """Whether a zone's table could hold so many."""
+        """Whether a zone's member table could hold so many."""
         absent = (self.failed, self.left)
         return 0 <= self.present <= MAX_ABSENT_MEMBERS and all(0 <= n <= MAX_ABSENT_MEMBERS for n in absent)
 
 
 @dataclass(frozen=True)
 class MemberChange:
-    """What a zone says of one of its members, as told to other zones."""
+    """The state of one member as its zone reports it to other zones."""
 
     name: str
     generation: int
@@ -91,15 +90,15 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """The key by which the greater of two changes of one member holds.
+        """Sort key: of two changes of one member the greater holds.
 
-        Other than in the flat protocol a later incarnation goes over a leaving: its proof cannot be checked
-        outside the zone, so a false one has to be refutable.
+        Unlike in the flat protocol, a later incarnation precedes a leave: a leave's proof cannot be checked outside the
+        zone, so a false one must be refutable.
         """
         return self.generation, self.incarnation, self.state.value
 
     def is_plausible(self, latest_generation: int) -> bool:
-        """Whether a sound zone could say this."""
+        """Whether a correct zone could report this."""
         return (
             0 < len(self.name) <= MAX_NAME_LENGTH
             and 0 < self.generation <= latest_generation
@@ -110,7 +109,7 @@
 
 @dataclass(frozen=True)
 class DigestEntry:
-    """Which summary of a zone somebody holds."""
+    """Identifies the summary of a zone that a front holds."""
 
     zone: str
     epoch: int
@@ -120,17 +119,19 @@
 
     @property
     def content_precedence(self) -> tuple[int, int, int]:
-        """The order of contents."""
+        """Sort key of contents."""
         return self.epoch, self.version, self.fingerprint
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
-        """The order of summaries: by content, then by heartbeat."""
+        """Sort key of summaries: by content, then by heartbeat."""
         return self.epoch, self.version, self.fingerprint, self.heartbeat
 
     def is_plausible(self, latest_generation: int) -> bool:
-        """Whether an author could have said this. Guards against numbers that nobody could outbid: epochs are
-        generations, so one far in the future is none."""
+        """Whether a correct author could have sent this.
+
+        Rejects numbers that no later summary could exceed. Epochs are generations, so one far in the future is invalid.
+        """
         return (
             0 < len(self.zone) <= MAX_ZONE_NAME_LENGTH
             and 0 < self.epoch <= latest_generation
@@ -142,8 +143,7 @@
 
 @dataclass(frozen=True)
 class ZoneSummary:
-    """A zone as its author sees it. `member_digest` is over the names and generations of the present
-    members."""
+    """A zone as its author sees it; `member_digest` covers the names and generations of the present members."""
 
     zone: str
     region: str
@@ -171,7 +171,7 @@
         return DigestEntry(self.zone, self.epoch, self.version, self.fingerprint, self.heartbeat)
 
     def is_plausible(self, latest_generation: int) -> bool:
-        """Whether an author could have said this."""
+        """Whether a correct author could have sent this."""
         return (
             self.entry.is_plausible(latest_generation)
             and 0 < len(self.region) <= MAX_ZONE_NAME_LENGTH
@@ -185,7 +185,7 @@
         )
 
     def has_same_content(self, other: ZoneSummary) -> bool:
-        """Whether two summaries differ in author and numbers only."""
+        """Whether two summaries differ only in author, epoch, version and heartbeat."""
         return (self.counts, self.delegates, self.member_digest, self.changes) == (
             other.counts,
             other.delegates,
@@ -196,7 +196,7 @@
     def with_heartbeat(self, heartbeat: int) -> ZoneSummary:
         """The same content at another heartbeat."""
         summary = replace(self, heartbeat=heartbeat)
-        summary.__dict__["fingerprint"] = self.fingerprint  # of the content, which stays: not reckoned again
+        summary.__dict__["fingerprint"] = self.fingerprint  # the content is the same: reuses the cached value
         return summary
 
 
@@ -209,8 +209,10 @@
 
 
 def next_key(known: DigestEntry | None, generation: int) -> tuple[int, int]:
-    """Epoch and version of a new content that outbids what is known of the zone. The author's own
-    `generation` is the epoch where nothing is known."""
+    """Epoch and version of a new content that supersedes the known one.
+
+    If nothing is known of the zone, the epoch is the author's own `generation`.
+    """
     if known is None:
         return generation, 0
     if known.version + 1 < MAX_COUNTER:
--- a/oakcroft/peers/generations.py
+++ b/oakcroft/peers/generations.py
@@ -12,7 +12,7 @@
 
 
 def begin_generation(file: str) -> tuple[int, str]:
-    """Returns the generation of this start and a file error ("" for none). An empty `file` means that none is configured.
+    """Returns the generation of this start and a file error ("" for none). `file` is empty if none is configured.
 
     A file that is missing, corrupt or on a full disk does no harm: the clock determines the generation, and peers that
     know a later one report it.
--- a/oakcroft/peers/order_work.py
+++ b/oakcroft/peers/order_work.py
@@ -41,7 +41,7 @@
             self.nursery.start_soon(self._do, work, received, order)
 
     async def _do(self, work: Work, received: ReceivedLeaseMessage, order: Order) -> None:
-        """Runs one handler. An exception in it must not stop the acceptor and the membership, which share the nursery."""
+        """Runs one handler; an exception in it must not stop the acceptor and membership, which share the nursery."""
         report = None
         try:
             report = await work(received, order)
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -1,7 +1,7 @@
 """Endpoint of one front for its peers: a UDP socket, a TCP listener, and the membership that uses them.
 
-Nothing here blocks on a peer or delays the front's answers to viewers: datagrams are sent without waiting, reading yields
-after every few, and traffic beyond what a whole fleet sends is dropped and counted. All decisions are made in
+Nothing here blocks on a peer or delays the front's answers to viewers: datagrams are sent without waiting, reading
+yields after every few, and traffic beyond what a whole fleet sends is dropped and counted. All decisions are made in
 `oakcroft.decisions.membership`; this module does the I/O.
 """
 
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -222,7 +222,7 @@
     contacts = tuple(ZoneContact(f"{i}".zfill(64), 1, "z" * 32, "h" * 39, 1) for i in range(3))
     author = ZoneAuthor(contacts[0], "r" * 32, 0)
     for i in range(100):
-        author.note(change(f"{i}".zfill(64), MemberState.FAILED if i % 2 else MemberState.LEFT), 0)
+        author.record_change(change(f"{i}".zfill(64), MemberState.FAILED if i % 2 else MemberState.LEFT), 0)
     local = LocalState(StateCounts(1, 50, 50), contacts, 1)
     told = author.next_summary(local, None, SECOND)
     assert told is not None
@@ -235,9 +235,9 @@
     author = ZoneAuthor(ZoneContact("author", 1, "z", "h", 1), "r", 0)
     for second in range(40):
         if second % 10 == 0:
-            author.note(change(f"failed{second:02}", MemberState.FAILED), second * SECOND)
+            author.record_change(change(f"failed{second:02}", MemberState.FAILED), second * SECOND)
         for state in (MemberState.LEFT, MemberState.ALIVE):
-            author.note(change(f"back{second:02}", state), second * SECOND)
+            author.record_change(change(f"back{second:02}", state), second * SECOND)
             listed = author.changes(MAX_PAYLOAD_BYTES, second * SECOND)
             assert change(f"back{second:02}", state) in listed
             assert len(listed) <= MAX_CHANGES
@@ -255,7 +255,7 @@
     for version in range(2, 10):
         elsewhere.merge_summary(summary(version), 0)
     author = ZoneAuthor(ZoneContact("author", 1, "z", "h", 1), "r", 0)
-    author.note(change("a", MemberState.LEFT), SECOND)
+    author.record_change(change("a", MemberState.LEFT), SECOND)
     behind.advance(summary(9).entry, SECOND)
     told = author.next_summary(LocalState(StateCounts(2, 0, 1), (), 1), behind.records["z"], SECOND)
     assert told is not None
