--- a/oakcroft/peers/key_file.py
+++ b/oakcroft/peers/key_file.py
@@ -52,7 +52,7 @@
         except KeyFileError as error:
             self.log.warning("peer keys not taken", why=str(error))
         else:
-            self.log.info("peer keys taken", keys=len(self.ring.keys), lingering=len(self.ring.former))
+            self.log.info("peer keys taken", keys=len(self.ring.keys), lingering=len(self.ring.retired))
 
 
 def _version(file: str) -> FileVersion:
--- a/oakcroft/peerwire/__init__.py
+++ b/oakcroft/peerwire/__init__.py
@@ -1,1 +1,1 @@
-"""What peers say to each other, as octets: sealed datagrams, and whole views over a stream. No sockets."""
+"""Encoding of messages between peers: sealed datagrams, and full states and texts over streams. No sockets."""
--- a/oakcroft/peerwire/errors.py
+++ b/oakcroft/peerwire/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the peers' wire."""
+"""Errors of the peer protocol's codecs."""
 
 from __future__ import annotations
 
 
 class MessageError(Exception):
-    """A message that is not taken; its text is a reason of one word or two, to be counted by."""
+    """A message is invalid or does not fit; the error's text is a short reason that dropped messages are counted by."""
--- a/oakcroft/peerwire/lease_codec.py
+++ b/oakcroft/peerwire/lease_codec.py
@@ -1,9 +1,10 @@
-"""The messages of candidates and acceptors of leases, and of holders to the other fronts, as MessagePack under a seal.
+"""Codec of lease messages between candidates, acceptors, holders and other fronts: sealed MessagePack.
 
 message = seal:16 format:1 body       body: an array [fleet, sender, generation, kind, payload]
 
-The payload is an array by kind. The format is another than that of the membership's messages, so a program that knows no
-leases drops them as `other form`. What can't be read, or is no sound value, is dropped with a reason to be counted by.
+The payload is an array whose fields depend on the kind. The format byte differs from that of membership messages, so a
+program without leases drops these messages as `other form`. Invalid messages raise MessageError with a reason that is
+counted.
 """
 
 from __future__ import annotations
@@ -40,13 +41,17 @@
 
 LEASE_FORMAT = 65
 MAX_ACCEPTORS = 7
-MESSAGE_KINDS = {step.value: step for step in LeaseMessageKind}
-ORDER, REPORT, TEXT_REQUEST, TEXT_CHUNK = 32, 33, 34, 35
-"""Kinds over those of `Step`: a holder's order to a front, and the front's report; by stream, a text by its digest."""
+MESSAGE_KINDS = {kind.value: kind for kind in LeaseMessageKind}
+
+ORDER = 32
+REPORT = 33
+TEXT_REQUEST = 34
+TEXT_CHUNK = 35
+"""Kinds above those of `LeaseMessageKind`: a holder's order to a front, the front's report; the last two over
+streams."""
 
 CHUNK_OCTETS = 12_288
 MAX_TEXT_BYTES = 16_777_216
-"""Octets of a text."""
 
 ENCODER = msgspec.msgpack.Encoder()
 BODY_DECODER = msgspec.msgpack.Decoder(WireBody)
@@ -65,7 +70,7 @@
 
 @dataclass(frozen=True)
 class ReceivedLeaseMessage:
-    """A message as it was read, and whose."""
+    """A decoded message with its sender and the sender's generation."""
 
     sender: str
     generation: int
@@ -73,32 +78,36 @@
 
 
 class LeaseCodec:
-    """Writes and reads the lease messages of one fleet. MessageError for whatever is none of them."""
+    """Encodes and decodes the lease messages of one fleet. Raises MessageError for invalid messages."""
 
     def __init__(self, fleet: str, ring: KeyRing) -> None:
-        """`fleet` names the fleet, `ring` seals and opens."""
+        """`fleet` is the fleet's name; `ring` has the keys to seal and open messages."""
         self.fleet = fleet
         self.ring = ring
 
-    def _seal(self, sender: str, start: int, kind: int, payload: msgspec.Struct) -> bytes:
-        body = WireBody(self.fleet, sender, start, kind, msgspec.Raw(ENCODER.encode(payload)))
+    def _seal(self, sender: str, generation: int, kind: int, payload: msgspec.Struct) -> bytes:
+        body = WireBody(self.fleet, sender, generation, kind, msgspec.Raw(ENCODER.encode(payload)))
         return self.ring.seal(bytes((LEASE_FORMAT,)) + ENCODER.encode(body))
 
-    def _datagram(self, sender: str, start: int, kind: int, payload: msgspec.Struct) -> bytes:
-        octets = self._seal(sender, start, kind, payload)
+    def _datagram(self, sender: str, generation: int, kind: int, payload: msgspec.Struct) -> bytes:
+        octets = self._seal(sender, generation, kind, payload)
         if len(octets) > MAX_DATAGRAM_BYTES:
             raise MessageError("too long")
         return octets
 
-    def encode_request(self, sender: str, start: int, ask: LeaseRequest) -> bytes:
-        """A candidate's message to an acceptor."""
+    def encode_request(self, sender: str, generation: int, request: LeaseRequest) -> bytes:
+        """A candidate's request to an acceptor."""
         wire = WireLeaseRequest(
-            ask.lease_name, term_to_wire(ask.term), ask.seq, ask.term_length, note_to_wire(ask.note)
+            request.lease_name,
+            term_to_wire(request.term),
+            request.seq,
+            request.term_length,
+            note_to_wire(request.note),
         )
-        return self._datagram(sender, start, ask.kind.value, wire)
+        return self._datagram(sender, generation, request.kind.value, wire)
 
-    def encode_answer(self, sender: str, start: int, answer: LeaseAnswer) -> bytes:
-        """An acceptor's message to a candidate."""
+    def encode_answer(self, sender: str, generation: int, answer: LeaseAnswer) -> bytes:
+        """An acceptor's answer to a candidate."""
         running = None if answer.running_term is None else term_to_wire(answer.running_term)
         wire = WireLeaseAnswer(
             answer.lease_name,
@@ -111,50 +120,50 @@
             note_to_wire(answer.note),
             list(answer.peer_epochs[:MAX_ACCEPTORS]),
         )
-        return self._datagram(sender, start, answer.kind.value, wire)
+        return self._datagram(sender, generation, answer.kind.value, wire)
 
-    def encode_record_request(self, sender: str, start: int, epoch: int) -> bytes:
-        """The question of an acceptor that remembers nothing."""
-        return self._datagram(sender, start, LeaseMessageKind.LEARN.value, RecordRequest(epoch))
+    def encode_record_request(self, sender: str, generation: int, epoch: int) -> bytes:
+        """The request of an acceptor that has lost its record for other acceptors' records."""
+        return self._datagram(sender, generation, LeaseMessageKind.LEARN.value, RecordRequest(epoch))
 
-    def encode_record(self, sender: str, start: int, told: AcceptorRecord) -> list[bytes]:
-        """The answer to it, a row a datagram."""
-        parts = max(1, len(told.records))
+    def encode_record(self, sender: str, generation: int, record: AcceptorRecord) -> list[bytes]:
+        """An acceptor's record, one row per datagram."""
+        parts = max(1, len(record.records))
         wire = [
-            RecordPart(told.epoch, told.has_full_record, number, parts, row_to_wire(duty, row))
-            for number, (duty, row) in enumerate(told.records)
+            RecordPart(record.epoch, record.has_full_record, number, parts, row_to_wire(duty, row))
+            for number, (duty, row) in enumerate(record.records)
         ]
-        wire = wire or [RecordPart(told.epoch, told.has_full_record, 0, 1)]
-        return [self._datagram(sender, start, LeaseMessageKind.LEARNT.value, part) for part in wire]
+        wire = wire or [RecordPart(record.epoch, record.has_full_record, 0, 1)]
+        return [self._datagram(sender, generation, LeaseMessageKind.LEARNT.value, part) for part in wire]
 
-    def encode_order(self, sender: str, start: int, order: Order) -> bytes:
-        """A holder's order."""
-        return self._datagram(sender, start, ORDER, order)
+    def encode_order(self, sender: str, generation: int, order: Order) -> bytes:
+        """A holder's order to a front."""
+        return self._datagram(sender, generation, ORDER, order)
 
-    def encode_report(self, sender: str, start: int, report: OrderReport) -> bytes:
-        """What became of an order."""
-        return self._datagram(sender, start, REPORT, report)
+    def encode_report(self, sender: str, generation: int, report: OrderReport) -> bytes:
+        """A front's report on an order."""
+        return self._datagram(sender, generation, REPORT, report)
 
-    # By stream: each message behind its length in two octets.
+    # Over streams; each message is preceded by its length in two octets.
 
-    def encode_text_request(self, sender: str, start: int, digest: str) -> bytes:
-        """The question for a text."""
-        return frame(self._datagram(sender, start, TEXT_REQUEST, TextRequest(digest)))
+    def encode_text_request(self, sender: str, generation: int, digest: str) -> bytes:
+        """A request for a text by its digest."""
+        return frame(self._datagram(sender, generation, TEXT_REQUEST, TextRequest(digest)))
 
-    def encode_text(self, sender: str, start: int, text: bytes) -> Iterator[bytes]:
-        """A text, part by part."""
+    def encode_text(self, sender: str, generation: int, text: bytes) -> Iterator[bytes]:
+        """A text in chunks."""
         offsets = range(0, max(1, len(text)), CHUNK_OCTETS)
         for number, offset in enumerate(offsets):
             more = number + 1 < len(offsets)
             chunk = TextChunk(number, more, text[offset : offset + CHUNK_OCTETS])
-            yield frame(self._seal(sender, start, TEXT_CHUNK, chunk))
+            yield frame(self._seal(sender, generation, TEXT_CHUNK, chunk))
 
     def decode_text_request(self, opened: bytes) -> str:
-        """The digest of the text that a stream's first message asks for."""
+        """The digest in a text request."""
         return self._payload(opened, TEXT_REQUEST, TEXT_REQUEST_DECODER).digest
 
     def decode_text_chunk(self, opened: bytes) -> TextChunk:
-        """One part of a text."""
+        """One chunk of a text."""
         return self._payload(opened, TEXT_CHUNK, TEXT_CHUNK_DECODER)
 
     def _payload(self, opened: bytes, kind: int, decoder: msgspec.msgpack.Decoder[T]) -> T:
@@ -167,13 +176,14 @@
             raise MessageError("malformed") from error
 
     def decode(self, opened: bytes) -> ReceivedLeaseMessage:
-        """What a message says that the ring has opened, its format first."""
+        """Decodes an opened message, which begins with its format byte."""
         try:
             body = BODY_DECODER.decode(opened[1:])
             if body.fleet != self.fleet:
                 raise MessageError("other fleet")
-            sender, start = checked_name(body.sender), checked_number(body.start)
-            return ReceivedLeaseMessage(sender, start, _read(body))
+            sender = checked_name(body.sender)
+            generation = checked_number(body.start)
+            return ReceivedLeaseMessage(sender, generation, _read(body))
         except msgspec.MsgspecError as error:
             raise MessageError("malformed") from error
 
@@ -187,23 +197,23 @@
 
 def _read_order(body: WireBody) -> Order:
     order = ORDER_DECODER.decode(body.payload)
-    _check_fence(order)
+    _check_order_fields(order)
     return order
 
 
 def _read_report(body: WireBody) -> OrderReport:
     report = REPORT_DECODER.decode(body.payload)
-    _check_fence(report)
+    _check_order_fields(report)
     return report
 
 
-def _check_fence(message: Order | OrderReport) -> None:
+def _check_order_fields(message: Order | OrderReport) -> None:
     checked_name(message.duty)
     checked_number(message.number)
     checked_number(message.step)
 
 
-def _read_ask(body: WireBody) -> LeaseRequest:
+def _read_request(body: WireBody) -> LeaseRequest:
     wire = LEASE_REQUEST_DECODER.decode(body.payload)
     return LeaseRequest(
         MESSAGE_KINDS[body.kind],
@@ -235,9 +245,9 @@
 
 
 READERS: dict[int, Callable[[WireBody], LeaseMessage]] = {
-    LeaseMessageKind.PREPARE.value: _read_ask,
-    LeaseMessageKind.PROPOSE.value: _read_ask,
-    LeaseMessageKind.RELEASE.value: _read_ask,
+    LeaseMessageKind.PREPARE.value: _read_request,
+    LeaseMessageKind.PROPOSE.value: _read_request,
+    LeaseMessageKind.RELEASE.value: _read_request,
     LeaseMessageKind.PROMISED.value: _read_answer,
     LeaseMessageKind.REFUSED.value: _read_answer,
     LeaseMessageKind.ACCEPTED.value: _read_answer,
--- a/oakcroft/peerwire/lease_wire.py
+++ b/oakcroft/peerwire/lease_wire.py
@@ -1,6 +1,7 @@
-"""The structures that lease messages have on the wire; `lease_codec` turns them into the decisions' own.
+"""Wire structures of lease messages, and their conversion to and from the types of `oakcroft.decisions.fleet`.
 
-A lease is called a duty on the wire, its acceptors keepers, and a generation a start.
+Field names are not sent, since structures are encoded as arrays. In them a lease is a `duty` and a generation a
+`start`.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 MAX_NAME_LENGTH = 64
 
 MAX_PROMISED_TO_LENGTH = 2 * MAX_NAME_LENGTH
-"""Of whom a number was promised to: a name and a generation as one text."""
+"""Maximum length of `WireRow.to`, which is a name and a generation in one string."""
 
 
 class WireTerm(msgspec.Struct, array_like=True):
@@ -33,7 +34,7 @@
 
 
 class WireLeaseRequest(msgspec.Struct, array_like=True):
-    """An `Ask` on the wire."""
+    """A `LeaseRequest` on the wire."""
 
     duty: str
     term: WireTerm
@@ -43,7 +44,7 @@
 
 
 class WireLeaseAnswer(msgspec.Struct, array_like=True):
-    """An `Answer` on the wire."""
+    """A `LeaseAnswer` on the wire."""
 
     duty: str
     epoch: int
@@ -57,13 +58,13 @@
 
 
 class RecordRequest(msgspec.Struct, array_like=True):
-    """An acceptor that remembers nothing, with the epoch of its new record, asks what another knows."""
+    """The request of an acceptor that has lost its record for another's; `epoch` is that of its new record."""
 
     epoch: int
 
 
 class WireRow(msgspec.Struct, array_like=True):
-    """A row of an acceptor's record; also as it stands in the state file."""
+    """A row of an acceptor's record, on the wire and in the state file."""
 
     duty: str
     promised: int
@@ -73,7 +74,7 @@
 
 
 class RecordPart(msgspec.Struct, array_like=True):
-    """One part of what an acceptor tells: a row, or none where it has none."""
+    """One part of an acceptor's record: a row, or none if the record is empty."""
 
     epoch: int
     sound: bool
@@ -83,7 +84,8 @@
 
 
 class Order(msgspec.Struct, array_like=True):
-    """A holder's order under its term's number and a step of it; `body` is the work's own."""
+    """A holder's order, fenced by its term's token (`number`) and a step within the term; `body` depends on the
+    lease."""
 
     duty: str
     number: int
@@ -92,7 +94,8 @@
 
 
 class OrderReport(msgspec.Struct, array_like=True):
-    """What became of an order; `taken` false: it was turned away here, and (number, step) is what stands."""
+    """Report on an order. If `taken` is false, it was rejected, and `number` and `step` are those of the order in
+    force."""
 
     duty: str
     number: int
@@ -102,13 +105,13 @@
 
 
 class TextRequest(msgspec.Struct, array_like=True):
-    """Asks for a text by its digest."""
+    """Requests a text by its digest."""
 
     digest: str
 
 
 class TextChunk(msgspec.Struct, array_like=True):
-    """A part of a text, in order. None at all and no more: whoever was asked does not hold it."""
+    """A chunk of a text, in order. A single empty chunk means that the front does not have the text."""
 
     part: int
     more: bool
@@ -116,7 +119,7 @@
 
 
 class WireBody(msgspec.Struct, array_like=True):
-    """A message under its seal and format."""
+    """The body of a message, after seal and format byte."""
 
     fleet: str
     sender: str
@@ -126,49 +129,49 @@
 
 
 def checked_number(number: int) -> int:
-    """A number that is within bounds. MessageError where it is not."""
+    """Returns a number if it is within bounds. Raises MessageError if not."""
     if not 0 <= number < NUMBER_LIMIT:
         raise MessageError("malformed")
     return number
 
 
 def checked_name(name: str, max_length: int = MAX_NAME_LENGTH) -> str:
-    """A name that is within bounds. MessageError where it is not."""
+    """Returns a name if it is not too long. Raises MessageError if it is."""
     if len(name) > max_length:
         raise MessageError("malformed")
     return name
 
 
 def term_to_wire(term: LeaseTerm) -> WireTerm:
-    """A term for the wire."""
+    """Converts a term to its wire structure."""
     return WireTerm(term.fencing_token, term.holder, term.generation)
 
 
 def term_from_wire(wire: WireTerm) -> LeaseTerm:
-    """A term that has been read. MessageError where it is none."""
+    """Converts a wire structure to a term. Raises MessageError if it is invalid."""
     return LeaseTerm(checked_number(wire.number), checked_name(wire.owner), checked_number(wire.start))
 
 
 def note_to_wire(note: LeaseNote) -> WireNote:
-    """A note for the wire."""
+    """Converts a note to its wire structure."""
     return WireNote(note.fencing_token, note.step, note.body)
 
 
 def note_from_wire(wire: WireNote) -> LeaseNote:
-    """A note that has been read. MessageError where it is none."""
+    """Converts a wire structure to a note. Raises MessageError if it is invalid."""
     if len(wire.body) > MAX_NOTE_OCTETS:
         raise MessageError("malformed")
     return LeaseNote(checked_number(wire.number), checked_number(wire.step), wire.body)
 
 
 def row_to_wire(duty: str, row: LeaseRecord) -> WireRow:
-    """A row for the wire or the state file."""
+    """Converts a row to its structure on the wire and in the state file."""
     term = None if row.accepted_term is None else term_to_wire(row.accepted_term)
     return WireRow(duty, row.promised_token, row.promised_to, term, note_to_wire(row.note))
 
 
 def row_from_wire(wire: WireRow) -> LeaseRecord:
-    """A row that has been read. MessageError where it is none."""
+    """Converts a wire structure to a row. Raises MessageError if it is invalid."""
     term = None if wire.term is None else term_from_wire(wire.term)
     to = checked_name(wire.to, MAX_PROMISED_TO_LENGTH)
     return LeaseRecord(checked_number(wire.promised), to, term, note_from_wire(wire.note))
--- a/oakcroft/peerwire/load_codec.py
+++ b/oakcroft/peerwire/load_codec.py
@@ -1,9 +1,10 @@
-"""Nodes' loads, from front to front, as MessagePack in a seal.
+"""Codec of reports of node loads between fronts: sealed MessagePack.
 
-message = seal:16 form:1 body       body: an array [fleet, sender, start, rows]       row = [mark:8, load, age]
+message = seal:16 format:1 body       body: an array [fleet, sender, generation, rows]
+row = [process id:8, load, age]
 
-The load of a link in thousandths, the age in milliseconds. The form is another than those of the view and of duties, so a
-program that knows no figures drops them as `other form`.
+The load of a link is in thousandths, the age in milliseconds. The format byte differs from those of membership and
+lease messages, so a program without load reports drops these messages as `other form`.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 LOAD_FORMAT = 67
 LOAD_SCALE = 1_000
-"""Parts of one, in which a load goes on the wire."""
+"""Loads are sent in thousandths."""
 
 MAX_NAME_LENGTH = 64
 PROCESS_ID_LENGTH = 8
@@ -37,7 +38,7 @@
 
 
 class WireBody(msgspec.Struct, array_like=True):
-    """A message under its seal and format."""
+    """The body of a message, after seal and format byte."""
 
     fleet: str
     sender: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
@@ -50,33 +51,36 @@
 
 
 class LoadCodec:
-    """Writes and reads the figures of one fleet."""
+    """Encodes and decodes the load reports of one fleet."""
 
     def __init__(self, fleet: str, ring: KeyRing) -> None:
-        """`fleet` names the fleet, `ring` seals and opens."""
+        """`fleet` is the fleet's name; `ring` has the keys to seal and open messages."""
         self.fleet = fleet
         self.ring = ring
 
-    def encode(self, sender: str, start: int, rows: Sequence[LoadReport]) -> bytes:
-        """One datagram. Rows that do not fit stay out, the last first."""
-        some = [
-            (r.process_id, round(r.load * LOAD_SCALE), min(r.age, MAX_REPORT_AGE) // MS)
-            for r in rows[:MAX_REPORTS_PER_MESSAGE]
+    def encode(self, sender: str, generation: int, reports: Sequence[LoadReport]) -> bytes:
+        """Encodes one datagram. Leaves out the last reports if not all fit."""
+        rows = [
+            (report.process_id, round(report.load * LOAD_SCALE), min(report.age, MAX_REPORT_AGE) // MS)
+            for report in reports[:MAX_REPORTS_PER_MESSAGE]
         ]
         while True:
-            octets = self.ring.seal(
-                bytes((LOAD_FORMAT,)) + ENCODER.encode(WireBody(self.fleet, sender, start, some))
-            )
-            if len(octets) <= MAX_DATAGRAM_BYTES or not some:
+            body = WireBody(self.fleet, sender, generation, rows)
+            octets = self.ring.seal(bytes((LOAD_FORMAT,)) + ENCODER.encode(body))
+            if len(octets) <= MAX_DATAGRAM_BYTES or not rows:
                 return octets
-            some.pop()
+            rows.pop()
 
     def decode(self, opened: bytes) -> tuple[str, list[LoadReport]]:
-        """Whose figures, and which, of a message that the ring has opened, its form first. MessageError if it is none."""
+        """Decodes an opened message, which begins with its format byte; returns the sender and its reports.
+
+        Raises MessageError if the message is invalid.
+        """
         try:
             body = DECODER.decode(opened[1:])
-        except msgspec.MsgspecError as fault:
-            raise MessageError("malformed") from fault
+        except msgspec.MsgspecError as error:
+            raise MessageError("malformed") from error
         if body.fleet != self.fleet:
             raise MessageError("other fleet")
-        return body.sender, [LoadReport(mark, load / LOAD_SCALE, age * MS) for mark, load, age in body.rows]
+        reports = [LoadReport(process_id, load / LOAD_SCALE, age * MS) for process_id, load, age in body.rows]
+        return body.sender, reports
--- a/oakcroft/peerwire/membership_codec.py
+++ b/oakcroft/peerwire/membership_codec.py
@@ -1,11 +1,12 @@
-"""The membership messages of peers as MessagePack under a seal.
+"""Codec of membership messages: sealed MessagePack.
 
 message = seal:16 format:1 body       body: an array [fleet, sender, kind, sequence, to, to generation, target, updates]
 update = [name, generation, incarnation, state, host, port, zone, version, proof, reported by]
 
-Neighbouring formats understand each other: a later format may add fields at the end of an array and kinds of message;
-the earlier one ignores them, and the later one does without them. Anything else is told apart by its reason and dropped.
-What is decoded goes on as typed values of the decisions; the structures here are the wire's own.
+Neighbouring formats are compatible: a later format may add fields at the end of an array and kinds of messages; a
+program of the earlier format ignores them, and one of the later format does not need them. All other messages are
+dropped, with a reason that is counted. The structures here are only used on the wire; decoded messages are types of
+`oakcroft.decisions.membership`.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 
 FORMAT = 1
 FORMATS_READ = (FORMAT, FORMAT + 1)
-"""Formats that are read. There is none before the first."""
+"""Formats that are decoded; there is none before the first."""
 
 MAX_DATAGRAM_BYTES = 1_400
-"""Octets, seal included: what crosses an Ethernet path whole, with room for tunnels."""
+"""Including the seal; crosses an Ethernet path unfragmented, with room for tunnel headers."""
 
 MAX_TEXT_LENGTH = MAX_NAME_LENGTH
-"""Of host, zone, version and reporter."""
+"""For host, zone, version and reporter."""
 
 STATES = {state.value: state for state in MemberState}
 KINDS = {kind.value: kind for kind in MessageKind}
@@ -56,7 +57,7 @@
 
 
 class WireBody(msgspec.Struct, array_like=True):
-    """A message on the wire; `more`: of a push-pull, whether another part follows."""
+    """The body of a message; `more` says whether another part of a push-pull follows."""
 
     fleet: str
     sender: WireUpdate
@@ -74,7 +75,7 @@
 
 
 def to_wire(update: MemberUpdate) -> WireUpdate:
-    """An update as it goes on the wire."""
+    """Converts an update to its wire structure."""
     return WireUpdate(
         update.name,
         update.generation,
@@ -90,7 +91,7 @@
 
 
 def from_wire(wire: WireUpdate) -> MemberUpdate | None:
-    """An update that has been read; None where this format can't say it, such as one of an unknown state."""
+    """Converts a wire structure to an update; None if this format cannot express it, such as an unknown state."""
     longest = max(len(text) for text in (wire.host, wire.zone, wire.version, wire.reported_by))
     if longest > MAX_TEXT_LENGTH or wire.state not in STATES or not is_numeric_host(wire.host):
         return None
@@ -109,8 +110,7 @@
 
 
 def is_numeric_host(host: str) -> bool:
-    """Whether a host is an IP address. Guards the front's turns against names that would have to be looked up: a name in
-    a peer's update held the whole process for seconds, as the resolver was asked for it."""
+    """Whether a host is an IP address. A host name would block the whole process for seconds while it is resolved."""
     try:
         ip_address(host)
     except ValueError:
@@ -119,15 +119,15 @@
 
 
 class MembershipCodec:
-    """Writes and reads the membership messages of one fleet."""
+    """Encodes and decodes the membership messages of one fleet."""
 
     def __init__(self, fleet: str, ring: KeyRing) -> None:
-        """`fleet` names the fleet, `ring` seals and opens."""
+        """`fleet` is the fleet's name; `ring` has the keys to seal and open messages."""
         self.fleet = fleet
         self.ring = ring
 
     def encode(self, sender: MemberUpdate, message: Message) -> bytes:
-        """One datagram. Updates that do not fit stay out, the last first."""
+        """Encodes one datagram. Leaves out the last updates if not all fit."""
         updates = [to_wire(update) for update in message.updates]
         while True:
             body = self._body(sender, message, updates)
@@ -150,28 +150,28 @@
         )
 
     def seal(self, body: WireBody) -> bytes:
-        """A body as sealed octets."""
+        """Encodes and seals a body."""
         return self.ring.seal(bytes((FORMAT,)) + ENCODER.encode(body))
 
     def open(self, octets: bytes, now: int) -> bytes:
-        """What a datagram's seal holds, its format first. MessageError where no holder of a key sealed it."""
+        """Returns the content of a sealed datagram, format byte first. Raises MessageError if it is not authentic."""
         if len(octets) > MAX_DATAGRAM_BYTES:
             raise MessageError("too long")
         return self.unseal(octets, now)
 
     def unseal(self, octets: bytes, now: int) -> bytes:
-        """What a seal holds, whatever its length. MessageError where no holder of a key sealed it."""
+        """Returns sealed content of any length. Raises MessageError if it is not authentic."""
         opened = self.ring.open(octets, now)
         if opened is None:
             raise MessageError("not sealed")
         return opened
 
     def decode(self, octets: bytes, now: int) -> ReceivedMessage:
-        """What a datagram says. MessageError where it is none of this fleet's."""
+        """Opens and decodes a datagram. Raises MessageError if it is invalid."""
         return self.read(self.open(octets, now))
 
     def read(self, opened: bytes) -> ReceivedMessage:
-        """What an opened datagram says. MessageError where it is none of this fleet's."""
+        """Decodes an opened datagram. Raises MessageError if it is invalid."""
         body = self.read_body(opened)
         kind = KINDS.get(body.kind)
         if kind is None or kind is MessageKind.PUSH_PULL:
@@ -179,12 +179,12 @@
         sender = from_wire(body.sender)
         if sender is None:
             raise MessageError("malformed")
-        updates = [update for w in body.updates[:MAX_UPDATES] if (update := from_wire(w)) is not None]
+        updates = [update for wire in body.updates[:MAX_UPDATES] if (update := from_wire(wire)) is not None]
         to = MemberId(body.to, body.to_generation)
         return ReceivedMessage(sender, kind, body.sequence, to, _target(body), updates)
 
     def read_body(self, opened: bytes) -> WireBody:
-        """The body of opened octets. MessageError where it is none of this fleet's."""
+        """Decodes the body of an opened message. Raises MessageError if it is not one of this fleet."""
         if not opened or opened[0] not in FORMATS_READ:
             raise MessageError("other form")
         try:
--- a/oakcroft/peerwire/push_pull_stream.py
+++ b/oakcroft/peerwire/push_pull_stream.py
@@ -1,4 +1,4 @@
-"""Full states over a stream, for push-pull: parts in order, each behind its length in two octets."""
+"""Encoding of full states over a stream, for push-pull: parts in order, each preceded by its length in two octets."""
 
 from __future__ import annotations
 
@@ -11,23 +11,22 @@
 from oakcroft.peerwire.sealing import SEAL_LENGTH
 
 MAX_PART_BYTES = 16_384
-"""Octets of one part."""
-
 MAX_PARTS = 64
-"""Of one full state, each way."""
+"""For one full state, in each direction."""
 
 UPDATES_PER_PART = 96
 LENGTH_OCTETS = 2
 
 
 def frame(octets: bytes) -> bytes:
-    """Octets behind their length."""
+    """Prepends the length of `octets`."""
     return len(octets).to_bytes(LENGTH_OCTETS, "big") + octets
 
 
 def write_full_state(codec: MembershipCodec, updates: Sequence[MemberUpdate]) -> bytes:
-    """A full state, its sender's own update first. What is over `MAX_PARTS` stays out."""
-    sender, rest = updates[0], updates[1 : 1 + MAX_PARTS * UPDATES_PER_PART]
+    """Encodes a full state; the first update is the sender's own. Updates beyond `MAX_PARTS` are left out."""
+    sender = updates[0]
+    rest = updates[1 : 1 + MAX_PARTS * UPDATES_PER_PART]
     parts = [rest[i : i + UPDATES_PER_PART] for i in range(0, len(rest), UPDATES_PER_PART)] or [[]]
     octets = bytearray()
     for number, part in enumerate(parts):
@@ -40,10 +39,10 @@
 
 
 class FullStateReader:
-    """Reads another's full state from a stream, in any pieces. `done` once it is whole."""
+    """Incremental decoder of a full state. `done` is set once it is complete."""
 
     def __init__(self, codec: MembershipCodec) -> None:
-        """Starts before the first octet."""
+        """Starts with an empty buffer."""
         self.codec = codec
         self.buffer = bytearray()
         self.sender: MemberUpdate | None = None
@@ -52,7 +51,7 @@
         self.done = False
 
     def receive_data(self, octets: bytes, now: int) -> None:
-        """Takes octets in. MessageError where they are no full state of this fleet."""
+        """Decodes received data. Raises MessageError if it is not a full state of this fleet."""
         self.buffer += octets
         while not self.done and len(self.buffer) >= LENGTH_OCTETS:
             length = int.from_bytes(self.buffer[:LENGTH_OCTETS], "big")
@@ -65,9 +64,9 @@
                 return
             opened = self.codec.unseal(bytes(self.buffer[LENGTH_OCTETS:end]), now)
             del self.buffer[:end]
-            self._take_part(self.codec.read_body(opened))
+            self._add_part(self.codec.read_body(opened))
 
-    def _take_part(self, body: WireBody) -> None:
+    def _add_part(self, body: WireBody) -> None:
         sender = from_wire(body.sender)
         if body.kind != MessageKind.PUSH_PULL.value or body.sequence != self.parts or sender is None:
             raise MessageError("malformed")
@@ -75,7 +74,9 @@
             raise MessageError("malformed")
         self.sender = sender
         self.parts += 1
-        self.updates += [u for w in body.updates[:UPDATES_PER_PART] if (u := from_wire(w)) is not None]
+        self.updates += [
+            update for wire in body.updates[:UPDATES_PER_PART] if (update := from_wire(wire)) is not None
+        ]
         if self.parts >= MAX_PARTS and body.more:
             raise MessageError("too long")
         self.done = not body.more
--- a/oakcroft/peerwire/sealing.py
+++ b/oakcroft/peerwire/sealing.py
@@ -1,9 +1,10 @@
-"""Seals: only holders of the fleet's key may speak, and nobody else is listened to.
+"""Authentication of messages between peers by a keyed hash, the seal, with the keys that all fronts of a fleet share.
 
-A key file holds one key a line, 32 octets in hexadecimal. The first seals; all open. So a key is changed while
-serving by adding the new one below the old on every front, then putting it first, then taking the old one out; one
-that is taken out still opens for `RETIRED_KEY_LIFETIME`, for the fronts that have not read their files yet. This is no
-encryption: what peers say of each other is no secret, but nobody else may say it.
+A key file has one key per line, 32 octets in hexadecimal. The first key seals messages, and all keys open them. So a
+key can be replaced while the fleet is serving: add the new key below the old one on every front, then move it to the
+first line, then remove the old one. A removed key still opens messages for `RETIRED_KEY_LIFETIME`, for fronts that have
+not read their files yet. Messages are not encrypted, since their content is not secret, but only holders of a key can
+send them.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 MAX_KEYS = 4
 RETIRED_KEY_LIFETIME = 120 * SECOND
 SEAL_PERSONALIZATION = b"oakcroft-peers"
-"""Domain of the keyed BLAKE2b (RFC 7693), so that a seal is good for nothing else."""
+"""Personalization of the keyed BLAKE2b (RFC 7693), so that seals are not valid for any other purpose."""
 
 FINGERPRINT_LENGTH = 4
 
 
 class KeyFileError(Exception):
-    """A key file that can't be used; says why, never what stands in it."""
+    """A key file cannot be used; the text has the reason, but never the file's content."""
 
 
 def parse_keys(text: str) -> tuple[bytes, ...]:
-    """The keys of a file's text, the sealing one first. KeyFileError where there is none, or one is no key."""
+    """Parses a key file, the sealing key first. Raises KeyFileError if there is no key or an invalid one."""
     keys = list[bytes]()
     for number, line in enumerate(text.splitlines(), 1):
         digits = line.split("#")[0].strip()
@@ -47,37 +48,42 @@
 
 
 class KeyRing:
-    """The keys in force."""
+    """The current keys, and removed ones that are still accepted."""
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
-        """The first of `keys` seals; all open."""
+        """The first of `keys` seals messages; all of them open messages."""
         self.keys = keys
-        self.former: dict[bytes, int] = {}  # until when they still open
+        self.retired: dict[bytes, int] = {}  # expiry time of removed keys
 
     def change(self, keys: tuple[bytes, ...], now: int) -> None:
-        """Other keys from now on."""
-        self.former = {k: until for k, until in self.former.items() if until > now and k not in keys}
-        self.former |= {k: now + RETIRED_KEY_LIFETIME for k in self.keys if k not in keys}
-        while len(self.former) > MAX_KEYS:
-            del self.former[min(self.former, key=lambda k: self.former[k])]
+        """Replaces the keys; removed ones remain valid for opening for `RETIRED_KEY_LIFETIME`."""
+        self.retired = {
+            key: expires_at
+            for key, expires_at in self.retired.items()
+            if expires_at > now and key not in keys
+        }
+        self.retired |= {key: now + RETIRED_KEY_LIFETIME for key in self.keys if key not in keys}
+        while len(self.retired) > MAX_KEYS:
+            del self.retired[min(self.retired, key=lambda key: self.retired[key])]
         self.keys = keys
 
     def fingerprints(self) -> list[str]:
-        """Of each key in force, the sealing one first, for operators to compare; no key follows from it."""
+        """Fingerprints of the current keys, the sealing key's first, for operators to compare."""
         return [
             hashlib.blake2b(key, digest_size=FINGERPRINT_LENGTH, person=b"oakcroft-mark").hexdigest()
             for key in self.keys
         ]
 
     def seal(self, body: bytes) -> bytes:
-        """A body under its seal."""
+        """Prepends a body's seal."""
         return _mac(self.keys[0], body) + body
 
     def open(self, sealed: bytes, now: int) -> bytes | None:
-        """The body of what a holder of a key has sealed; None for all else."""
-        seal, body = sealed[:SEAL_LENGTH], sealed[SEAL_LENGTH:]
-        lingering = (key for key, until in self.former.items() if until > now)
-        for key in (*self.keys, *lingering):
+        """Returns the body of a message that is sealed with a valid key; None otherwise."""
+        seal = sealed[:SEAL_LENGTH]
+        body = sealed[SEAL_LENGTH:]
+        retired = (key for key, expires_at in self.retired.items() if expires_at > now)
+        for key in (*self.keys, *retired):
             if hmac.compare_digest(seal, _mac(key, body)):
                 return body
         return None
--- a/oakcroft/peerwire/zone_codec.py
+++ b/oakcroft/peerwire/zone_codec.py
@@ -1,11 +1,12 @@
-"""The messages between zones as MessagePack under a seal; each is one datagram.
+"""Codec of messages between zones: sealed MessagePack, one datagram each.
 
 message = seal:16 format:1 body       body: an array [fleet, sender, kind, payload]
 sender = [name, generation, zone, host, port]
 
-The payload is an array by kind. The format differs from that of the flat membership, so a program that knows
-no zones drops them as `other form`. Whether a message that was read is plausible is for the decisions to say; here it is
-made sure that it is well formed and that hosts are addresses, so that nobody has to look a name up.
+The payload is an array whose fields depend on the kind. The format byte differs from that of flat membership messages,
+so a program without zones drops these messages as `other form`. This module checks that messages are well formed and
+that hosts are IP addresses, which need no name resolution; `oakcroft.decisions.membership` checks whether they are
+plausible.
 """
 
 from __future__ import annotations
@@ -61,22 +62,22 @@
 
 @dataclass(frozen=True)
 class ReceivedZoneMessage:
-    """A datagram between zones as it was read."""
+    """A decoded datagram between zones."""
 
     sender: ZoneContact
     message: ZoneMessage
 
 
 class ZoneCodec:
-    """Writes and reads the messages between zones of one fleet."""
+    """Encodes and decodes the messages between zones of one fleet."""
 
     def __init__(self, fleet: str, ring: KeyRing) -> None:
-        """`fleet` names the fleet, `ring` seals and opens."""
+        """`fleet` is the fleet's name; `ring` has the keys to seal and open messages."""
         self.fleet = fleet
         self.ring = ring
 
     def encode(self, sender: ZoneContact, message: ZoneMessage) -> bytes:
-        """One datagram. MessageError where it is too long for one."""
+        """Encodes one datagram. Raises MessageError if the message does not fit."""
         kind, payload = _to_wire(message)
         wire_sender = WireSender(sender.name, sender.generation, sender.zone, sender.host, sender.port)
         body = WireBody(self.fleet, wire_sender, kind.value, msgspec.Raw(ENCODER.encode(payload)))
@@ -86,7 +87,7 @@
         return octets
 
     def read(self, opened: bytes) -> ReceivedZoneMessage:
-        """What an opened datagram says, its format first. MessageError where it is none of this fleet's."""
+        """Decodes an opened datagram, which begins with its format byte. Raises MessageError if it is invalid."""
         if opened[:1] != bytes((ZONE_FORMAT,)):
             raise MessageError("other form")
         try:
@@ -110,7 +111,7 @@
     return host
 
 
-# To the wire.
+# Encoding.
 
 
 def _to_wire(message: ZoneMessage) -> tuple[ZoneMessageKind, msgspec.Struct]:
@@ -154,7 +155,7 @@
     )
 
 
-# From the wire.
+# Decoding.
 
 
 def _decoder(wire_type: type[T]) -> Callable[[bytes], T]:
--- a/oakcroft/peerwire/zone_wire.py
+++ b/oakcroft/peerwire/zone_wire.py
@@ -1,6 +1,6 @@
-"""The structures that messages between zones have on the wire; `zone_codec` turns them into the decisions' own.
+"""Wire structures of messages between zones; `zone_codec` converts them to and from decision types.
 
-Numbers and names are bounded by the decisions (`is_plausible`); here types are checked, and that no text is long.
+Decoding checks types and the length of names; `is_plausible` of the decision types checks the bounds of numbers.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ZoneMessageKind(Enum):
-    """Which message the payload is; the value is its number on the wire."""
+    """Kind of the payload; the value is its number on the wire."""
 
     DIGEST = 1
     REQUEST = 2
@@ -41,7 +41,7 @@
 
 
 class WireDelegate(msgspec.Struct, array_like=True, frozen=True):
-    """A delegate of the zone whose summary it stands in."""
+    """A delegate on the wire; its zone is that of the summary."""
 
     name: Name
     generation: Number
@@ -82,7 +82,7 @@
 
 
 class WireSummary(msgspec.Struct, array_like=True, frozen=True):
-    """A `ZoneSummary` on the wire; `counts` are present, failed, left."""
+    """A `ZoneSummary` on the wire; `counts` are the present, failed and left members."""
 
     zone: Name
     region: Name
@@ -131,7 +131,7 @@
 
 
 class WireBody(msgspec.Struct, array_like=True, frozen=True):
-    """A datagram under its seal and format."""
+    """The body of a datagram, after seal and format byte."""
 
     fleet: str
     sender: WireSender
