--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -186,7 +186,7 @@
         path, other_fronts = location[location.index("/") :], {n for n in rig.names if n != "f1"}
         rig.signal(front_name := "f1", signal.SIGSTOP)
         # While nodes have its event stream, none of its sessions is taken over, whatever the other front ends see.
-        await rig.see(sorted(other_fronts), {front_name: "gone"}, 12)
+        await rig.wait_for_states(sorted(other_fronts), {front_name: "gone"}, 12)
         with trio.fail_after(10):
             while not any([(await rig.status(n))["adopting"]["asking"] for n in sorted(other_fronts)]):
                 await trio.sleep(0.05)
@@ -197,7 +197,7 @@
             rig.lose_streams(front_name)
             await rig.wait_until_held_by([*keys, "mine"], other_fronts)
             rig.signal(front_name, signal.SIGCONT)
-            await rig.see(sorted(other_fronts), {front_name: "alive"}, 12)
+            await rig.wait_for_states(sorted(other_fronts), {front_name: "alive"}, 12)
             # The viewer's call may be handled before the nodes' report on the ninth session.
             with trio.fail_after(10):
                 while (await rig.status(front_name))["adopting"]["passed_on"] < 8:
@@ -217,13 +217,13 @@
         halves = {"f0", "f1"}, {"f2", "f3", "f4"}
         for one, other in (halves, halves[::-1]):
             rig.between.cut(one, other)
-        await rig.see(["f0", "f1"], dict.fromkeys(halves[1], "gone"), 12)
-        await rig.see(sorted(halves[1]), dict.fromkeys(halves[0], "gone"), 12)
+        await rig.wait_for_states(["f0", "f1"], dict.fromkeys(halves[1], "gone"), 12)
+        await rig.wait_for_states(sorted(halves[1]), dict.fromkeys(halves[0], "gone"), 12)
         with trio.fail_after(10):
             while not any([(await rig.status(n))["adopting"]["asking"] for n in rig.names]):
                 await trio.sleep(0.05)
         rig.between.heal()
-        await rig.see(rig.names, dict.fromkeys(rig.names, "alive"), 12)
+        await rig.wait_for_states(rig.names, dict.fromkeys(rig.names, "alive"), 12)
         assert not rig.facts("passed")
         assert all([await rig.wait_until_held_by(keys[n], {n}) for n in rig.names])
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -204,7 +204,7 @@
             await rig.processes[name].wait()
         for name in ("f0", "f1"):
             await rig.start(name, full_disk=True)
-        await rig.see(rig.names, dict.fromkeys(rig.names, "alive"))
+        await rig.wait_for_states(rig.names, dict.fromkeys(rig.names, "alive"))
         with trio.fail_after(4 * TERM):
             while sum([await rig.owns(n) for n in rig.names]):
                 await trio.sleep(0.05)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -233,7 +233,7 @@
             # A front that probes is killed: the others get the loads from another one.
             first = f"f{sorted(askers)[0]}"
             rig.signal(first, signal.SIGKILL)
-            await rig.see([n for n in rig.names if n != first], {first: "gone"}, 12)
+            await rig.wait_for_states([n for n in rig.names if n != first], {first: "gone"}, 12)
             for name in rig.names:
                 if name != first:
                     await rig.knows(name)
