--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,5 +1,7 @@
-"""The fleet's view without sockets: the order of news, every order of messages of three members, and fleets on a
-simulated network, seeded, with what befalls them."""
+"""Flat membership without sockets: precedence of updates, all message orders of three members, and whole fleets.
+
+Fleets run on a simulated network with seeded faults.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +39,7 @@
 
 ALIVE, SUSPECTED, FAILED, LEFT = MemberState
 SECRET = b"s" * 16
-word = st.builds(
+member_updates = st.builds(
     lambda generation, incarnation, state, by: MemberUpdate(
         "x", generation, incarnation, state, "h", 1, "w", "1", SECRET if state is LEFT else commitment(SECRET), by
     ),
@@ -52,36 +54,41 @@
     return MemberUpdate(name, generation, incarnation, state, f"host-{name}", 1, "w", "1", proof, by)
 
 
-def told(net: Net, state: MemberState) -> set[str]:
-    """Whom anybody has seen so."""
+def reported(net: Net, state: MemberState) -> set[str]:
+    """Members that any front has reported in a state."""
     return {about for _, _, about, _, now in net.told if now == state.label}
 
 
-@given(st.lists(word, max_size=6))
-def test_what_holds_does_not_depend_on_the_order_of_news(some: list[MemberUpdate]) -> None:
-    ends = set[tuple[int, bool, int, int]]()
-    for order in list(permutations(some))[:60]:
+@given(st.lists(member_updates, max_size=6))
+def test_the_resulting_state_does_not_depend_on_the_order_of_updates(updates: list[MemberUpdate]) -> None:
+    results = set[tuple[int, bool, int, int]]()
+    for order in list(permutations(updates))[:60]:
         known: MemberUpdate | None = None
-        for one in order:
-            if supersedes(one, known):
-                known = one
-        ends.add(known.precedence if known is not None else (0, False, 0, 0))
-    assert len(ends) == 1
-    assert not some or ends == {max(n.precedence for n in some)}
+        for received in order:
+            if supersedes(received, known):
+                known = received
+        results.add(known.precedence if known is not None else (0, False, 0, 0))
+    assert len(results) == 1
+    assert not updates or results == {max(each.precedence for each in updates)}
 
 
-@given(st.lists(word.filter(lambda n: n.state in (ALIVE, SUSPECTED, LEFT)), max_size=6), st.randoms())
-def test_views_that_were_told_the_same_are_the_same(some: list[MemberUpdate], rng: Random) -> None:
+@given(
+    st.lists(member_updates.filter(lambda each: each.state in (ALIVE, SUSPECTED, LEFT)), max_size=6),
+    st.randoms(),
+)
+def test_memberships_that_received_the_same_updates_are_equal(
+    updates: list[MemberUpdate], rng: Random
+) -> None:
     views = [Membership(update("me"), SECRET, Random(1), 0) for _ in range(2)]
     for view in views:
-        rng.shuffle(some)
-        for one in some:
-            view.receive_message(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [one], 0)
-    held = [{n: m.latest.precedence for n, m in v.members.items()} for v in views]
+        rng.shuffle(updates)
+        for received in updates:
+            view.receive_message(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [received], 0)
+    held = [{name: member.latest.precedence for name, member in view.members.items()} for view in views]
     assert held[0] == held[1]
 
 
-def test_only_a_member_itself_can_say_that_it_leaves() -> None:
+def test_only_a_member_itself_can_announce_that_it_leaves() -> None:
     view = Membership(update("me"), SECRET, Random(1), 0)
     view.receive_message(update("x"), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
     forged = replace(update("x", LEFT), proof=b"f" * 16)
@@ -92,7 +99,7 @@
     assert view.state_of("x") is LEFT
 
 
-def test_words_that_nobody_could_outbid_are_none() -> None:
+def test_updates_that_no_later_one_could_supersede_are_dropped() -> None:
     view = Membership(update("me"), SECRET, Random(1), 0)
     for bad in (
         update("x", incarnation=MAX_INCARNATION),
@@ -104,16 +111,21 @@
     assert view.counts.unsound == 3
 
 
-def test_the_number_of_a_start_grows_without_file_or_with_the_clock_back() -> None:
+def test_the_generation_grows_without_a_file_or_if_the_clock_goes_back() -> None:
     assert next_generation(1_000, 0) == 1_000
     assert next_generation(500, 1_000) == 1_001  # the clock went back
-    assert next_generation(500, 0, 2_000) == 2_001  # the file is lost as well: peers know
+    assert next_generation(500, 0, 2_000) == 2_001  # the file is lost too, but peers know the generation
 
 
 def test_every_order_of_messages_of_three_members_to_a_depth() -> None:
-    """Three members, each message delivered, lost or left waiting, time passing between: news of an older start or
-    incarnation never wins, nobody is gone by hearsay, tables stay within bounds."""
-    names, seen, states = ("a", "b", "c"), set[str](), 0
+    """Each message of three members is delivered, lost or delayed, with time passing in between.
+
+    An update of an older generation or incarnation never replaces a newer one, no member fails only because another says
+    so, and tables stay within their bounds.
+    """
+    names = ("a", "b", "c")
+    seen = set[str]()
+    state_count = 0
 
     def start() -> tuple[dict[str, Membership], list[tuple[str, MemberUpdate, Message]]]:
         views = {n: Membership(update(n), SECRET, Random(ord(n)), 0) for n in names}
@@ -126,134 +138,150 @@
         )
         return views, []
 
-    def collect(views: dict[str, Membership], flying: list[tuple[str, MemberUpdate, Message]]) -> None:
+    def collect(views: dict[str, Membership], in_flight: list[tuple[str, MemberUpdate, Message]]) -> None:
         for view in views.values():
-            for out in view.out:
-                to = out.address[0].removeprefix("host-")
-                if out.kind is not MessageKind.PUSH_PULL and len(flying) < 6:
-                    flying.append((to, view.me, out))
-            view.out, view.changes = [], []
-
-    def shape(views: dict[str, Membership], flying: list[tuple[str, MemberUpdate, Message]], now: int) -> str:
-        held = [sorted((n, m.latest.precedence) for n, m in v.members.items()) for v in views.values()]
-        return repr((held, sorted((t, s.precedence, repr(o)) for t, s, o in flying), now))
+            for message in view.out:
+                to = message.address[0].removeprefix("host-")
+                if message.kind is not MessageKind.PUSH_PULL and len(in_flight) < 6:
+                    in_flight.append((to, view.me, message))
+            view.out = []
+            view.changes = []
+
+    def fingerprint(
+        views: dict[str, Membership], in_flight: list[tuple[str, MemberUpdate, Message]], now: int
+    ) -> str:
+        held = [
+            sorted((name, member.latest.precedence) for name, member in view.members.items())
+            for view in views.values()
+        ]
+        messages = sorted((to, sender.precedence, repr(message)) for to, sender, message in in_flight)
+        return repr((held, messages, now))
+
+    def precedences(view: Membership) -> dict[str, tuple[int, bool, int, int]]:
+        return {name: member.latest.precedence for name, member in view.members.items()}
 
     first = start()
     collect(*first)
-    front = [(first, 0)]
+    frontier = [(first, 0)]
     for _depth in range(6):
-        ahead = []
-        for (views, flying), now in front:
-            steps: list[int | str] = [*range(len(flying)), "time", *(f"lose {i}" for i in range(len(flying)))]
+        next_frontier = []
+        for (known_views, known_in_flight), now in frontier:
+            positions = range(len(known_in_flight))
+            steps: list[int | str] = [*positions, "time", *(f"lose {i}" for i in positions)]
             for step in steps:
-                v, f = copy.deepcopy((views, flying))
+                views, in_flight = copy.deepcopy((known_views, known_in_flight))
                 then = now
-                before = {
-                    n: {m: x.latest.precedence for m, x in view.members.items()} for n, view in v.items()
-                }
+                before = {name: precedences(view) for name, view in views.items()}
                 if step == "time":
                     then = now + 700 * MS
-                    for view in v.values():
+                    for view in views.values():
                         view.tick(then)
                 elif isinstance(step, str):
-                    f.pop(int(step.split()[1]))
+                    in_flight.pop(int(step.split()[1]))
                 else:
-                    to, sender, out = f.pop(step)
-                    v[to].receive_message(
-                        sender, out.kind, out.sequence, out.to, out.target, out.updates, then
+                    to, sender, sent = in_flight.pop(step)
+                    views[to].receive_message(
+                        sender, sent.kind, sent.sequence, sent.to, sent.target, sent.updates, then
                     )
-                for n, view in v.items():
-                    for m, x in view.members.items():
-                        assert x.latest.precedence >= before[n].get(m, (0, False, 0, 0)), "an older word won"
-                        assert x.latest.state is not FAILED or then >= suspicion.MIN_TIMEOUT, (
-                            "gone by hearsay"
+                for name, view in views.items():
+                    for about, member in view.members.items():
+                        latest = member.latest
+                        assert latest.precedence >= before[name].get(about, (0, False, 0, 0)), (
+                            "an older update replaced a newer one"
+                        )
+                        assert latest.state is not FAILED or then >= suspicion.MIN_TIMEOUT, (
+                            "failed before any suspicion could end"
                         )
                     assert len(view.members) == 3
                     assert len(view.prober.probes) <= 32
-                collect(v, f)
-                states += 1
-                if (key := shape(v, f, then)) not in seen:
+                collect(views, in_flight)
+                state_count += 1
+                if (key := fingerprint(views, in_flight, then)) not in seen:
                     seen.add(key)
-                    ahead.append(((v, f), then))
-        front = ahead[:400]
-    assert states > 5_000
+                    next_frontier.append(((views, in_flight), then))
+        frontier = next_frontier[:400]
+    assert state_count > 5_000
 
 
-def test_a_crash_is_known_to_all_and_nobody_else_is_gone() -> None:
+def test_all_detect_a_crash_and_no_other_member_fails() -> None:
     net = fleet(24, 1, loss=0.05)
     net.told.clear()
-    began = net.now
+    killed_at = net.now
     net.kill("f7")
     assert net.run(10 * SECOND, lambda: net.agree({"f7"}, FAILED))
-    assert net.now - began < 6 * SECOND
+    assert net.now - killed_at < 6 * SECOND
     net.run(10 * SECOND)
-    assert told(net, FAILED) == {"f7"}
+    assert reported(net, FAILED) == {"f7"}
     net.add("f7", (("host-f0", 1),))
     assert net.run(3 * SECOND, net.settled)
 
 
-def test_seven_in_ten_killed_in_one_moment_and_back() -> None:
+def test_seven_in_ten_crash_at_once_and_restart() -> None:
     net = fleet(30, 2, loss=0.05)
     victims = {f"f{i}" for i in range(9, 30)}
     net.told.clear()
     for name in victims:
         net.kill(name)
     assert net.run(15 * SECOND, net.settled)
-    assert told(net, FAILED) == victims
+    assert reported(net, FAILED) == victims
     for name in victims:
         net.add(name, (("host-f0", 1), ("host-f20", 1)))
     assert net.run(5 * SECOND, net.settled)
 
 
-def test_one_that_stood_still_for_half_a_minute_declares_nobody_dead_and_is_taken_back() -> None:
+def test_a_front_paused_for_half_a_minute_declares_nobody_failed_and_is_alive_again() -> None:
     net = fleet(12, 3)
     net.stop("f4")
     assert net.run(10 * SECOND, lambda: net.agree({"f4"}, FAILED))
     net.run(30 * SECOND)
     net.told.clear()
     net.go_on("f4")
-    began = net.now
+    resumed_at = net.now
     assert net.run(5 * SECOND, net.settled)
-    assert net.now - began < 3 * SECOND
+    assert net.now - resumed_at < 3 * SECOND
     net.run(10 * SECOND)
-    assert told(net, FAILED) == set()
+    assert reported(net, FAILED) == set()
     assert net.processes["f4"].view.counts.stood_still == 1
 
 
-def test_a_link_that_is_broken_one_way_costs_nobody_its_standing() -> None:
+def test_no_member_fails_by_a_link_that_is_broken_one_way() -> None:
     net = fleet(8, 4)
     net.told.clear()
     net.cut = lambda one, other: (one, other) == ("f1", "f2")
     net.run(60 * SECOND)
-    assert told(net, FAILED) == set()
+    assert reported(net, FAILED) == set()
     net.cut = lambda one, other: "f2" in (one, other) and "f5" not in (one, other)
-    net.run(60 * SECOND)  # f2 is reached through f5 only
-    assert told(net, FAILED) == set()
+    net.run(60 * SECOND)  # f2 is reachable only through f5
+    assert reported(net, FAILED) == set()
 
 
-def test_a_third_lost_doubled_late_and_out_of_order() -> None:
+def test_no_member_fails_by_lost_duplicate_late_and_reordered_messages() -> None:
     net = fleet(10, 5)
     net.told.clear()
-    net.loss, net.double, net.latency = 0.33, 0.2, (MS, 150 * MS)
+    net.loss = 0.33
+    net.double = 0.2
+    net.latency = (MS, 150 * MS)
     net.run(120 * SECOND)
-    assert told(net, FAILED) == set()
+    assert reported(net, FAILED) == set()
 
 
 @pytest.mark.parametrize("many", [2, 5])
-def test_a_partition_longer_than_the_dead_are_kept_heals_without_a_person(many: int) -> None:
+def test_a_partition_longer_than_the_retention_of_failed_members_heals_without_an_operator(many: int) -> None:
     net = fleet(10, 6)
     part = {f"f{i}": i % many for i in range(10)}
     net.cut = lambda one, other: part[one] != part[other]
     net.run(FAILED_RETENTION + 60 * SECOND)
     view = net.processes["f3"].view
-    assert all(view.state_of(n) is None for n in part if part[n] != part["f3"])  # forgotten
+    assert all(
+        view.state_of(name) is None for name in part if part[name] != part["f3"]
+    )  # removed from the table
     net.cut = lambda _one, _other: False
-    began = net.now
+    healed_at = net.now
     assert net.run(30 * SECOND, net.settled)
-    assert net.now - began < 20 * SECOND
+    assert net.now - healed_at < 20 * SECOND
 
 
-def test_a_restart_while_news_of_the_death_travels() -> None:
+def test_a_restart_while_updates_of_the_failure_spread() -> None:
     net = fleet(12, 7)
     net.kill("f5")
     net.run(2 * SECOND)
@@ -261,10 +289,10 @@
     assert net.run(5 * SECOND, net.settled)
     net.told.clear()
     net.run(15 * SECOND)
-    assert told(net, FAILED) == set()
+    assert reported(net, FAILED) == set()
 
 
-def test_a_start_with_a_lower_number_learns_the_higher_from_its_peers() -> None:
+def test_a_start_with_a_lower_generation_learns_the_higher_one_from_its_peers() -> None:
     net = fleet(5, 8)
     net.kill("f3")
     net.run(1 * SECOND)
@@ -274,26 +302,29 @@
     assert not net.processes["f3"].view.displaced
 
 
-def test_two_processes_under_one_name_are_told_and_leave_the_view_stable() -> None:
+def test_two_processes_under_one_name_are_reported_and_do_not_destabilize_the_membership() -> None:
     net = fleet(6, 9)
     first = net.processes["f2"]
     other = net.add("f2", (("host-f0", 1),), host="host-other")
-    first.alive = True  # it runs on, at its own address
+    first.alive = True  # keeps running at its own address
     net.processes["f2 before"] = first
     net.run(10 * SECOND)
     assert first.view.displaced
     assert not other.view.displaced
-    told_to = {
+    reporters = {
         at
         for _, at, about, _, now in net.told
         if about == "f2" and at == "f2" and now in ("displaced", "alive")
     }
-    assert told_to == {"f2"}
+    assert reporters == {"f2"}
     net.told.clear()
     net.run(30 * SECOND)
-    assert [t for t in net.told if t[2] == "f2" and t[4] in ("gone", "suspected")] == []
+    accusations = [
+        (at, now) for _, at, about, _, now in net.told if about == "f2" and now in ("gone", "suspected")
+    ]
+    assert accusations == []
     other.alive = False
-    net.run(40 * SECOND)  # the one that was displaced comes back when the other has gone
+    net.run(40 * SECOND)  # the displaced process takes the name back after the other has ended
     assert not first.view.displaced
     assert net.processes["f0"].view.state_of("f2") is ALIVE
 
@@ -314,14 +345,14 @@
     assert lonely.run(5 * SECOND, lonely.settled)
 
 
-def test_an_address_that_has_passed_to_another_front() -> None:
+def test_an_address_that_another_front_has_taken_over() -> None:
     net = fleet(6, 12)
     net.kill("f4")
     net.add("new", (("host-f0", 1),), host="host-f4")
     assert net.run(10 * SECOND, lambda: net.agree({"f4"}, FAILED) and net.agree({"new"}, ALIVE))
 
 
-def test_a_front_that_crashes_every_two_seconds_does_not_flood_the_rest() -> None:
+def test_a_front_that_crashes_every_two_seconds_does_not_flood_the_others() -> None:
     net = fleet(8, 13)
     net.run(30 * SECOND)
     for process in net.processes.values():
@@ -332,10 +363,10 @@
         net.run(SECOND // 2)
         net.add("f7", (("host-f0", 1),))
         net.run(3 * SECOND // 2)
-    quiet = [p for n, p in net.processes.items() if n != "f7"]
-    assert max(p.octets for p in quiet) / 60 < 4_000
-    lines = [t for t in net.told if t[1] == "f0" and t[2] == "f7"]
-    assert len(lines) < 30
+    others = [process for name, process in net.processes.items() if name != "f7"]
+    assert max(process.octets for process in others) / 60 < 4_000
+    reports = [now for _, at, about, _, now in net.told if at == "f0" and about == "f7"]
+    assert len(reports) < 30
 
 
 def test_a_rolling_restart_of_all() -> None:
@@ -349,11 +380,11 @@
         net.add(f"f{i}", (("host-f0", 1), ("host-f5", 1)))
         net.run(SECOND)
     assert net.run(5 * SECOND, net.settled)
-    assert told(net, FAILED) == set()  # they left, each by its own word
-    assert told(net, LEFT) == {f"f{i}" for i in range(10)}
+    assert reported(net, FAILED) == set()  # each announced that it left
+    assert reported(net, LEFT) == {f"f{i}" for i in range(10)}
 
 
-def test_the_worst_of_one_liar_is_refutations_and_no_standing() -> None:
+def test_false_accusations_by_one_member_cause_refutations_and_no_failed_member() -> None:
     net = fleet(16, 15, loss=0.05)
     net.told.clear()
     liar = net.processes["f3"]
@@ -371,30 +402,31 @@
                     there.receive_message(view.me, MessageKind.GOSSIP, 0, ANYONE, None, lies, net.now)
                     net._after(net.processes[to])
         net.run(100 * MS)
-    assert told(net, FAILED) == set()
+    assert reported(net, FAILED) == set()
     assert sum(p.view.counts.refuted for p in net.living()) > 0
     assert net.run(10 * SECOND, net.settled)
 
 
 @pytest.mark.parametrize("state", [ALIVE, SUSPECTED, FAILED])
-def test_the_highest_incarnation_that_can_be_claimed_is_refuted_too(state: MemberState) -> None:
-    """One message of one liar: without a way out the accused could say nothing any more that others would take."""
+def test_an_accusation_with_the_highest_plausible_incarnation_is_refuted(state: MemberState) -> None:
+    """The accused cannot raise its incarnation further, so without a new generation others would drop its updates."""
     net = fleet(8, 17)
     net.told.clear()
-    claim = replace(net.processes["f5"].view.me.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1)
+    accusation = replace(net.processes["f5"].view.me.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1)
     for process in net.living():
         if process.name not in ("f3", "f5"):
             liar = net.processes["f3"].view.me
-            process.view.receive_message(liar, MessageKind.GOSSIP, 0, ANYONE, None, [claim], net.now)
+            process.view.receive_message(liar, MessageKind.GOSSIP, 0, ANYONE, None, [accusation], net.now)
             net._after(process)
     net.run(30 * SECOND)
-    assert told(net, FAILED) == set()
+    assert reported(net, FAILED) == set()
     assert net.settled()
     assert all(p.view.members["f5"].latest.is_plausible() for p in net.living())
 
 
 def test_tables_stay_within_their_bounds() -> None:
-    view, now = Membership(update("me"), SECRET, Random(1), 0), 0
+    view = Membership(update("me"), SECRET, Random(1), 0)
+    now = 0
     for i in range(3 * MAX_MEMBERS):
         view.receive_message(
             update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50, now
@@ -418,48 +450,48 @@
     assert len(view.table.former_addresses) <= MAX_FORMER_ADDRESSES
 
 
-def test_a_share_passes_on_only_from_one_that_left_and_within_the_stated_bound() -> None:
-    """A partition, with one that left on one side and comes back there unheard by the other: both sides' rates summed."""
-    fronts, rate = 10, 100.0
+def test_shares_of_fronts_that_left_are_taken_over_within_the_stated_overshoot() -> None:
+    """A front leaves and returns on one side of a partition; the rates of both sides together stay within the bound."""
+    fronts = 10
+    rate = 100.0
     net = fleet(fronts, 16)
     limit = RequestLimit("all", LimitScope.ALL, "", rate=rate)
 
-    def total() -> float:
-        whole = 0.0
+    def total_rate() -> float:
+        total = 0.0
         for process in net.living():
             ledger = LimitLedger(int(process.name[1:]), fronts)
             ledger.set_limits([limit])
             ledger.set_rate_shares(rate_divisor(fronts, process.view.left_count()))
-            whole += ledger.limits["all"].rate or 0.0
-        return whole
+            total += ledger.limits["all"].rate or 0.0
+        return total
 
     net.kill("f8")
     assert net.run(10 * SECOND, lambda: net.agree({"f8"}, FAILED))
-    assert total() == pytest.approx(
-        rate * 9 / 10
-    )  # gone: its share stays its own, for it may serve elsewhere
+    # A failed front keeps its share, since it may still be serving on the other side of a partition.
+    assert total_rate() == pytest.approx(rate * 9 / 10)
     net.processes["f9"].view.leave()
     net._after(net.processes["f9"])
     net.kill("f9")
     assert net.run(5 * SECOND, lambda: net.agree({"f9"}, LEFT))
-    assert total() == pytest.approx(rate * 8 / 9)
+    assert total_rate() == pytest.approx(rate * 8 / 9)
     side = {"f0", "f1", "f2", "f9"}
     net.cut = lambda one, other: (one in side) != (other in side)
     net.add("f9", (("host-f0", 1),))
     net.add("f8", (("host-f0", 1),))
     for _ in range(40):
         net.run(SECOND)
-        assert total() <= rate * (1 + max_overshoot(fronts, 1)) + 1e-9
+        assert total_rate() <= rate * (1 + max_overshoot(fronts, 1)) + 1e-9
     net.cut = lambda _one, _other: False
     assert net.run(20 * SECOND, net.settled)
-    assert total() == pytest.approx(rate)
+    assert total_rate() == pytest.approx(rate)
 
 
-# The check from outside, and faults that it must find.
+# The external check of membership, and planted faults that it must find.
 
 
-def asked(net: Net, seconds: int) -> list[dict[str, Any]]:
-    """Plays on, and asks every process twice a second how it sees the others."""
+def observe(net: Net, seconds: int) -> list[dict[str, Any]]:
+    """Runs the simulation and records twice a second how each process sees the others."""
     facts = []
     for _ in range(2 * seconds):
         net.run(SECOND // 2)
@@ -471,91 +503,91 @@
     return facts
 
 
-def judged(plant: Callable[[Net], None]) -> dict[int, int]:
-    """A fleet of six, one of which dies and comes back, two cut off for a while: breaches by property."""
+def breaches_by_rule(plant_fault: Callable[[Net], None]) -> dict[int, int]:
+    """Runs a fleet of six with a planted fault through a crash, a restart and a partition; counts breaches by rule."""
     net = fleet(6, 20)
-    plant(net)
-    facts = asked(net, 5)
+    plant_fault(net)
+    facts = observe(net, 5)
     facts.append({"t": net.now, "kind": "front killed", "front": 5})
     net.kill("f5")
-    facts += asked(net, 25)
+    facts += observe(net, 25)
     facts.append({"t": net.now, "kind": "front started", "front": 5})
     net.add("f5", (("host-f0", 1),))
-    facts += asked(net, 15)
+    facts += observe(net, 15)
     facts.append({"t": net.now, "kind": "cut", "phase": "begins", "fronts": [0, 1], "one_way": False})
     net.cut = lambda one, other: (one in ("f0", "f1")) != (other in ("f0", "f1"))
-    facts += asked(net, 15)
+    facts += observe(net, 15)
     facts.append({"t": net.now, "kind": "cut", "phase": "ends", "fronts": [0, 1], "one_way": False})
     net.cut = lambda _one, _other: False
-    facts += asked(net, 30)
+    facts += observe(net, 30)
     found = judge_view(facts, {i: f"f{i}" for i in range(6)})
-    assert all(f.cases for f in found if f.rule != 13)
-    return {f.rule: len(f.breaches) for f in found if f.breaches}
+    assert all(finding.cases for finding in found if finding.rule != 13)
+    return {finding.rule: len(finding.breaches) for finding in found if finding.breaches}
 
 
-def test_a_sound_fleet_is_found_sound() -> None:
-    assert judged(lambda _: None) == {}
+def test_the_check_finds_no_breach_in_a_correct_fleet() -> None:
+    assert breaches_by_rule(lambda _: None) == {}
 
 
-def test_a_front_that_never_forgets_is_found() -> None:
-    def plant(net: Net) -> None:
+def test_the_check_finds_a_front_that_never_declares_a_member_failed() -> None:
+    def plant_fault(net: Net) -> None:
         net.processes["f3"].view._expire_suspicions = lambda now: None  # type: ignore[method-assign]
 
-    assert judged(plant).keys() >= {12}
+    assert breaches_by_rule(plant_fault).keys() >= {12}
 
 
-def test_a_front_that_resurrects_the_dead_is_found() -> None:
-    def plant(net: Net) -> None:
+def test_the_check_finds_a_front_that_makes_failed_members_alive_again() -> None:
+    def plant_fault(net: Net) -> None:
         view = net.processes["f2"].view
         tick = view.tick
 
-        def ticks(now: int) -> None:
+        def faulty_tick(now: int) -> None:
             tick(now)
             for member in view.members.values():
                 if member.latest.state is FAILED and now - member.since > 3 * SECOND:
                     member.latest = replace(member.latest, state=ALIVE)
 
-        view.tick = ticks  # type: ignore[method-assign]
+        view.tick = faulty_tick  # type: ignore[method-assign]
 
-    assert judged(plant).keys() >= {13}
+    assert breaches_by_rule(plant_fault).keys() >= {13}
 
 
-def test_a_front_that_calls_the_living_gone_is_found() -> None:
-    def plant(net: Net) -> None:
+def test_the_check_finds_a_front_that_declares_a_living_member_failed() -> None:
+    def plant_fault(net: Net) -> None:
         view = net.processes["f2"].view
         tick = view.tick
 
-        def ticks(now: int) -> None:
+        def faulty_tick(now: int) -> None:
             tick(now)
             view.members["f4"].latest = replace(view.members["f4"].latest, state=FAILED)
 
-        view.tick = ticks  # type: ignore[method-assign]
+        view.tick = faulty_tick  # type: ignore[method-assign]
 
-    assert judged(plant).keys() >= {11}
+    assert breaches_by_rule(plant_fault).keys() >= {11}
 
 
-def test_nothing_asked_is_nothing_shown() -> None:
+def test_the_check_fails_without_observations() -> None:
     assert judge_view([], {0: "f0"})[0].breaches
 
 
-def test_a_log_on_a_full_disk_fails_nothing_and_says_what_was_lost() -> None:
-    class Full(io.BytesIO):
-        full = True
+def test_a_log_on_a_full_disk_fails_nothing_and_counts_lost_lines() -> None:
+    class FullDisk(io.BytesIO):
+        is_full = True
 
         def write(self, text: Any) -> int:
-            if self.full:
+            if self.is_full:
                 raise OSError(28, "No space left on device")
             return super().write(text)
 
-    out = Full()
-    spared = LossyOutput(out)
+    disk = FullDisk()
+    output = LossyOutput(disk)
     processors: list[Any] = [
-        spared.add_lost_count,
+        output.add_lost_count,
         structlog.processors.JSONRenderer(serializer=orjson.dumps),
     ]
-    log = structlog.wrap_logger(structlog.BytesLogger(cast(BinaryIO, spared)), processors=processors)
+    log = structlog.wrap_logger(structlog.BytesLogger(cast(BinaryIO, output)), processors=processors)
     log.info("first")
     log.info("second")
-    out.full = False
+    disk.is_full = False
     log.info("third")
-    assert orjson.loads(out.getvalue()) == {"event": "third", "unwritten": 2}
+    assert orjson.loads(disk.getvalue()) == {"event": "third", "unwritten": 2}
