--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -1,12 +1,11 @@
-"""Membership by zone: what is known where and when, under faults and liars. Simulated, pure and seeded.
+"""Membership with zones under faults and false messages, in seeded simulations without I/O.
 
-For each claim of safety a planted fault, a defence taken out, which the same check has to find.
+For each safety property there is also a test with a protection disabled, which the same check must find.
 """
 
 from __future__ import annotations
 
 import pickle
-from collections.abc import Callable
 from dataclasses import replace
 from random import Random
 
@@ -52,25 +51,25 @@
 
 KNOWN_IN_ZONE = 6 * SECOND
 KNOWN_EVERYWHERE = 20 * SECOND
-TOLD_AFTER_RETURN = 6 * SECOND
-"""Some three contents of an author, with gossip."""
+RETURN_KNOWN = 6 * SECOND
+"""About three publications of an author, with the time for gossip."""
 
 BUDGET = 8_000
-"""Octets a second, in any ten seconds of any front."""
+"""Octets a second, averaged over any ten seconds of any front."""
 
 PEAK_OVER_MEAN = 3.0
-"""Of the octets that all fronts send in a second after a heal, over a quiet second."""
+"""Maximum ratio of the octets that all fronts send in a second after a partition heals to those in a quiet second."""
 
 VICTIM = "r1z0f3"
 LATEST = 1 << 50
 
-# Summaries, and which of two holds.
+# Summaries and their precedence.
 
 
 def summary(version: int = 0, **changed: object) -> ZoneSummary:
     """A plausible summary of the zone `z`."""
-    plain = ZoneSummary("z", "r", "author", 1_000, version, 0, StateCounts(3, 0, 0), (), 7, ())
-    return replace(plain, **changed)  # type: ignore[arg-type]
+    base = ZoneSummary("z", "r", "author", 1_000, version, 0, StateCounts(3, 0, 0), (), 7, ())
+    return replace(base, **changed)  # type: ignore[arg-type]
 
 
 def change(name: str, state: MemberState, incarnation: int = 0, generation: int = 5) -> MemberChange:
@@ -95,33 +94,34 @@
 
 
 def latest_changes(directory: ZoneDirectory) -> dict[str, MemberChange]:
-    """What a directory holds of the members of the zone `z`."""
+    """Latest changes that a directory holds of members of the zone `z`."""
     return {name: member.change for name, member in directory.records["z"].members.items()}
 
 
 @given(st.lists(SUMMARIES, min_size=1, max_size=12), st.randoms(use_true_random=False))
 @settings(max_examples=200, deadline=None)
-def test_whatever_the_order_and_repeats_of_summaries_readers_end_with_the_same(
-    told: list[ZoneSummary], random: Random
+def test_readers_agree_whatever_the_order_and_duplicates_of_summaries(
+    received: list[ZoneSummary], random: Random
 ) -> None:
     """The greatest summary holds at every reader."""
-    one, other = ZoneDirectory("own"), ZoneDirectory("own")
-    shuffled = told + random.choices(told, k=3)
+    one = ZoneDirectory("own")
+    other = ZoneDirectory("own")
+    shuffled = received + random.choices(received, k=3)
     random.shuffle(shuffled)
-    for each in told:
+    for each in received:
         one.merge_summary(each, 0)
     for each in shuffled:
         other.merge_summary(each, 0)
     assert one.digest() == other.digest()
-    assert one.digest()[0].precedence == max(each.entry.precedence for each in told)
+    assert one.digest()[0].precedence == max(each.entry.precedence for each in received)
 
 
 @given(st.lists(CHANGES, min_size=1, max_size=8), st.randoms(use_true_random=False))
 @settings(max_examples=100, deadline=None)
-def test_of_each_member_the_greatest_change_holds_however_summaries_list_them(
+def test_the_greatest_change_of_each_member_holds_whatever_summaries_list(
     changes: list[MemberChange], random: Random
 ) -> None:
-    """A later summary that does not list a change does not take it back."""
+    """A later summary that does not list a change does not revert it."""
     directory = ZoneDirectory("own")
     random.shuffle(changes)
     for version, each in enumerate(changes):
@@ -145,12 +145,12 @@
 
 
 @given(PLAUSIBLE_ENTRIES)
-def test_every_plausible_summary_can_be_outbid(entry: DigestEntry) -> None:
-    """Nobody can claim a version after which the true author would not be heard."""
+def test_every_plausible_summary_can_be_superseded(entry: DigestEntry) -> None:
+    """Otherwise a false summary with the highest version would block the correct author's."""
     epoch, version = next_key(entry, 1)
-    outbid = DigestEntry("z", epoch, version, 0, 0)
-    assert outbid.precedence > entry.precedence
-    assert outbid.is_plausible(LATEST + 1)  # a microsecond later by the reader's clock
+    superseding = DigestEntry("z", epoch, version, 0, 0)
+    assert superseding.precedence > entry.precedence
+    assert superseding.is_plausible(LATEST + 1)  # a microsecond later by the reader's clock
 
 
 @pytest.mark.parametrize(
@@ -172,14 +172,14 @@
     ],
     ids=str,
 )
-def test_a_summary_that_no_author_could_write_is_not_plausible(changed: dict[str, object]) -> None:
-    """Absurd numbers, names without end, delegates of other zones, more than fits."""
+def test_a_summary_that_no_correct_author_could_write_is_not_plausible(changed: dict[str, object]) -> None:
+    """Numbers out of bounds, long names, delegates of other zones, too many entries."""
     assert summary().is_plausible(LATEST)
     assert not summary(**changed).is_plausible(LATEST)  # type: ignore[arg-type]
 
 
-def test_an_old_life_after_a_new_one_changes_nothing() -> None:
-    """A summary or a change of an earlier generation is not taken."""
+def test_summaries_and_changes_of_earlier_generations_are_ignored() -> None:
+    """They may arrive after those of a later generation."""
     directory = ZoneDirectory("own")
     directory.merge_summary(summary(4, changes=(change("a", MemberState.ALIVE, generation=9),)), 0)
     assert not directory.merge_summary(
@@ -190,7 +190,7 @@
 
 
 def test_a_failure_that_its_zone_no_longer_lists_is_not_confirmed() -> None:
-    """The later summary of the zone took it back."""
+    """A later summary of the zone no longer contains the failure."""
     directory = ZoneDirectory("own")
     directory.merge_summary(summary(1, changes=(change("a", MemberState.FAILED),)), 0)
     assert directory.state("z", "a") is RemoteState.SUSPECTED
@@ -201,7 +201,7 @@
 
 
 def test_a_failure_waits_while_its_zone_is_unreachable() -> None:
-    """A zone that cannot be heard cannot take anything back."""
+    """An unreachable zone cannot take the failure back, so it must not be confirmed meanwhile."""
     directory = ZoneDirectory("own")
     directory.merge_summary(summary(1), 0)
     directory.merge_summary(summary(2, changes=(change("a", MemberState.FAILED),)), UNREACHABLE_TIME - SECOND)
@@ -217,21 +217,21 @@
     assert directory.state("z", "a") is RemoteState.FAILED
 
 
-def test_a_summary_fits_a_datagram_whatever_the_names_and_however_many_fail() -> None:
-    """Failures go first; what does not fit is in the counts."""
+def test_a_summary_fits_a_datagram_with_the_longest_names_and_many_failures() -> None:
+    """Failures are listed first; changes that do not fit appear only in the counts."""
     contacts = tuple(ZoneContact(f"{i}".zfill(64), 1, "z" * 32, "h" * 39, 1) for i in range(3))
     author = ZoneAuthor(contacts[0], "r" * 32, 0)
     for i in range(100):
         author.record_change(change(f"{i}".zfill(64), MemberState.FAILED if i % 2 else MemberState.LEFT), 0)
     local = LocalState(StateCounts(1, 50, 50), contacts, 1)
-    told = author.next_summary(local, None, SECOND)
-    assert told is not None
-    assert summary_size(told) <= MAX_PAYLOAD_BYTES
-    assert {each.state for each in told.changes} == {MemberState.FAILED}
+    published = author.next_summary(local, None, SECOND)
+    assert published is not None
+    assert summary_size(published) <= MAX_PAYLOAD_BYTES
+    assert {each.state for each in published.changes} == {MemberState.FAILED}
 
 
-def test_past_the_bound_of_a_summary_the_first_failures_and_the_latest_returns_are_listed() -> None:
-    """Failures wait to be confirmed, so they stay; a return that was listed before makes room for one that was not."""
+def test_a_full_summary_lists_the_first_failures_and_the_latest_returns() -> None:
+    """Failures stay listed until readers have confirmed them; older returns make room for newer ones."""
     author = ZoneAuthor(ZoneContact("author", 1, "z", "h", 1), "r", 0)
     for second in range(40):
         if second % 10 == 0:
@@ -241,30 +241,31 @@
             listed = author.changes(MAX_PAYLOAD_BYTES, second * SECOND)
             assert change(f"back{second:02}", state) in listed
             assert len(listed) <= MAX_CHANGES
-    told = author.changes(MAX_PAYLOAD_BYTES, 40 * SECOND)
-    failures = [each.name for each in told if each.state is MemberState.FAILED]
+    listed = author.changes(MAX_PAYLOAD_BYTES, 40 * SECOND)
+    failures = [each.name for each in listed if each.state is MemberState.FAILED]
     assert failures == ["failed00", "failed10", "failed20", "failed30"]
-    returns = [each.name for each in told if each.state is MemberState.ALIVE]
+    returns = [each.name for each in listed if each.state is MemberState.ALIVE]
     assert returns == [f"back{second:02}" for second in range(12, 40)]
 
 
-def test_an_author_outbids_a_content_that_it_has_only_heard_of() -> None:
-    """It follows an author whose last contents have not reached it: what it writes has to be taken all the same."""
-    behind, elsewhere = ZoneDirectory("z"), ZoneDirectory("own")
+def test_an_author_supersedes_a_content_that_it_knows_only_from_a_digest() -> None:
+    """The previous author's last contents have not reached it, but other zones must accept what it publishes."""
+    behind = ZoneDirectory("z")
+    elsewhere = ZoneDirectory("own")
     behind.merge_summary(summary(2), 0)
     for version in range(2, 10):
         elsewhere.merge_summary(summary(version), 0)
     author = ZoneAuthor(ZoneContact("author", 1, "z", "h", 1), "r", 0)
     author.record_change(change("a", MemberState.LEFT), SECOND)
     behind.advance(summary(9).entry, SECOND)
-    told = author.next_summary(LocalState(StateCounts(2, 0, 1), (), 1), behind.records["z"], SECOND)
-    assert told is not None
-    assert elsewhere.merge_summary(told, SECOND)
+    published = author.next_summary(LocalState(StateCounts(2, 0, 1), (), 1), behind.records["z"], SECOND)
+    assert published is not None
+    assert elsewhere.merge_summary(published, SECOND)
     assert elsewhere.state("z", "a") is RemoteState.LEFT
 
 
-def test_a_heartbeat_of_a_content_that_has_not_come_yet_is_a_sign_of_life() -> None:
-    """A zone that lives is not unreachable because nobody has tokens to send its content; nor for good after a lie."""
+def test_a_heartbeat_of_a_content_that_has_not_arrived_keeps_the_zone_reachable() -> None:
+    """Its content may be delayed by traffic budgets. A false entry must not hide later heartbeats for good."""
     directory = ZoneDirectory("own")
     directory.merge_summary(summary(1), 0)
     for heartbeat in range(1, 9):
@@ -283,51 +284,51 @@
 
 
 def settled_zone() -> tuple[DelegateSelection, dict[str, int]]:
-    """A zone of forty that has long run."""
+    """A zone of forty members that have all settled."""
     selection = DelegateSelection("z")
     generations = {f"f{i}": 1 + i for i in range(40)}
     selection.observe(generations)
     return selection, generations
 
 
-def test_a_newcomer_moves_no_delegate_for_thirty_seconds() -> None:
-    """Hysteresis: members that come and go do not change who speaks; a newcomer itself sees the same."""
-    began = 10 * SETTLING_TIME_US
+def test_a_restarted_member_changes_no_delegate_for_thirty_seconds() -> None:
+    """Members that restart often must not change the delegates; a front that has just started computes the same."""
+    started_at = 10 * SETTLING_TIME_US
     first, generations = settled_zone()
-    before = first.delegates(began)
-    without = {name: g for name, g in generations.items() if name not in before}
+    before = first.delegates(started_at)
+    without = {name: generation for name, generation in generations.items() if name not in before}
     first.observe(without)
-    others = first.delegates(began)
-    restarted = without | dict.fromkeys(before, began)
-    newcomer = DelegateSelection("z")
-    for selection in (first, newcomer):
+    others = first.delegates(started_at)
+    restarted = without | dict.fromkeys(before, started_at)
+    just_started = DelegateSelection("z")
+    for selection in (first, just_started):
         selection.observe(restarted)
-        assert selection.delegates(began + SETTLING_TIME_US - 1) == others
-        assert selection.delegates(began + SETTLING_TIME_US) == before
+        assert selection.delegates(started_at + SETTLING_TIME_US - 1) == others
+        assert selection.delegates(started_at + SETTLING_TIME_US) == before
 
 
-def test_a_zone_that_starts_as_a_whole_has_its_delegates_at_once_and_keeps_them() -> None:
-    """They are not displaced when the first members settle."""
+def test_a_zone_that_starts_as_a_whole_has_delegates_at_once_and_keeps_them() -> None:
+    """The delegates do not change when the first members settle."""
     selection, _ = settled_zone()
     assert len({selection.delegates(SETTLING_TIME_US * i // 10) for i in range(1, 30)}) == 1
 
 
-def test_of_those_that_fail_only_delegates_are_replaced() -> None:
-    """The delegates that remain keep their order."""
-    began = 10 * SETTLING_TIME_US
+def test_only_a_failed_delegate_is_replaced() -> None:
+    """The remaining delegates keep their order, and the failure of another member changes nothing."""
+    started_at = 10 * SETTLING_TIME_US
     selection, generations = settled_zone()
-    first, second, third = selection.delegates(began)
+    first, second, third = selection.delegates(started_at)
     del generations[second]
     selection.observe(generations)
-    before = selection.delegates(began)
+    before = selection.delegates(started_at)
     assert before[:2] == (first, third)
     del generations[next(name for name in generations if name not in before)]
     selection.observe(generations)
-    assert selection.delegates(began) == before
+    assert selection.delegates(started_at) == before
 
 
-def test_a_restarted_delegate_does_not_speak_before_it_has_settled() -> None:
-    """It would author without the recent changes, and failures that wait elsewhere would be dropped."""
+def test_a_restarted_delegate_does_not_author_before_it_has_settled() -> None:
+    """Its summaries would lack recent changes, so other zones would drop failures that they have not confirmed yet."""
     fleet = small_fleet(21)
     fleet.run(40 * SECOND)
     first = fleet.fronts["r1z0f0"].membership
@@ -344,37 +345,39 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, SECOND), st.integers(1, 3_000), st.booleans()), max_size=200))
-def test_what_can_wait_never_passes_the_rate(asked: list[tuple[int, int, bool]]) -> None:
-    """Over any time: the burst, the rate, and one message that was allowed to overdraw."""
-    budget, now, spent = TrafficBudget(0), 0, 0
-    for wait, octets, must_go in asked:
+def test_deferrable_traffic_never_exceeds_the_rate(messages: list[tuple[int, int, bool]]) -> None:
+    """At any time it is within the burst, the rate, and one message that may overdraw the budget."""
+    budget = TrafficBudget(0)
+    now = 0
+    spent = 0
+    for wait, octets, is_urgent in messages:
         now += wait
         budget.advance(now)
-        if must_go:
+        if is_urgent:
             budget.charge(octets)
         elif budget.spend(octets):
             spent += octets
         assert spent <= BURST_BYTES + RATE_BYTES_PER_S * now // SECOND + BURST_BYTES
 
 
-# A fleet: four regions of two zones of six.
+# A fleet of four regions with two zones of six members each.
 
 
 def small_fleet(seed: int = 1, loss: float = 0.02) -> ZoneFleet:
-    """A settled fleet."""
+    """A fleet in which all fronts know each other."""
     fleet = ZoneFleet(seed, regions=4, zones=2, members=6, loss=loss)
     fleet.settle()
     return fleet
 
 
 def zone_knows(fleet: ZoneFleet, name: str) -> bool:
-    """Whether all living members of a front's own zone call it failed."""
+    """Whether all living members of a front's own zone see it as failed."""
     zone = fleet.fronts[name].zone
     return all(fleet.sees_failed(front, name) for front in fleet.living() if front.zone == zone)
 
 
 def zone_changes(fleet: ZoneFleet, now: str) -> list[tuple[str, str]]:
-    """Who told of which zone that it became so."""
+    """The fronts that reported a zone's change to a state, with the zone."""
     return [
         (front.name, change.zone)
         for front in fleet.fronts.values()
@@ -385,35 +388,35 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_crash_is_known_in_its_zone_in_six_seconds_and_everywhere_in_twenty(seed: int) -> None:
-    """And nobody else is called failed."""
+    """No other front is reported as failed."""
     fleet = small_fleet(seed)
     fleet.kill(VICTIM)
-    began = fleet.now
+    started_at = fleet.now
     assert fleet.run(KNOWN_IN_ZONE, lambda: zone_knows(fleet, VICTIM))
-    assert fleet.run(KNOWN_EVERYWHERE - (fleet.now - began), lambda: fleet.known_failed(VICTIM))
-    assert {name for _, _, name in fleet.called_failed()} == {VICTIM}
+    assert fleet.run(KNOWN_EVERYWHERE - (fleet.now - started_at), lambda: fleet.known_failed(VICTIM))
+    assert {name for _, _, name in fleet.failure_reports()} == {VICTIM}
 
 
-def test_nobody_that_lives_is_called_failed_at_two_percent_loss() -> None:
-    """Five simulated minutes; also nobody is reachable and unreachable by turns."""
+def test_no_living_front_fails_at_two_percent_loss() -> None:
+    """In five simulated minutes; no zone becomes unreachable either."""
     fleet = small_fleet(5)
     fleet.run(300 * SECOND)
-    assert fleet.called_failed() == []
+    assert fleet.failure_reports() == []
     assert zone_changes(fleet, "unreachable") == []
 
 
 def test_a_whole_start_stays_within_the_budget_with_sixty_in_a_zone() -> None:
-    """Every front in any ten seconds, until all see all."""
+    """Holds for every front in any ten seconds, until all know each other."""
     fleet = ZoneFleet(1, regions=2, zones=1, members=60, loss=0.02)
     fleet.start_all()
     assert fleet.run(60 * SECOND, fleet.is_settled)
     fleet.run(10 * SECOND)
     assert fleet.worst_rate() <= BUDGET
-    assert fleet.called_failed() == []
+    assert fleet.failure_reports() == []
 
 
-def test_a_front_that_starts_with_nothing_learns_of_all_zones() -> None:
-    """By its seeds; its return after a crash is told to all."""
+def test_a_restarted_front_learns_of_all_zones() -> None:
+    """It starts with only its seeds, and all zones learn that it is alive again."""
     fleet = small_fleet()
     fleet.kill(VICTIM)
     assert fleet.run(KNOWN_EVERYWHERE, lambda: fleet.known_failed(VICTIM))
@@ -427,10 +430,10 @@
 
 
 def test_all_delegates_of_a_zone_crash_at_once() -> None:
-    """The next in rank speak: the zone stays reachable, its failures are known everywhere."""
+    """Members of the next ranks take over: the zone stays reachable, and its failures are known everywhere."""
     fleet = small_fleet(2)
-    speaker = next(front for front in fleet.living() if front.zone == "r1z0")
-    delegates = speaker.membership.selection.delegates(speaker.membership._clock(fleet.now))
+    membership = next(front for front in fleet.living() if front.zone == "r1z0").membership
+    delegates = membership.selection.delegates(membership._clock(fleet.now))
     for name in delegates:
         fleet.kill(name)
     assert fleet.run(KNOWN_EVERYWHERE, lambda: all(fleet.known_failed(name) for name in delegates))
@@ -438,14 +441,14 @@
     assert zone_changes(fleet, "unreachable") == []
 
 
-def test_a_zone_that_is_lost_is_unreachable_and_none_of_it_called_failed() -> None:
-    """By time-out, at every front of the others."""
+def test_a_zone_that_crashes_as_a_whole_is_unreachable_and_none_of_its_members_failed() -> None:
+    """Every front of the other zones finds it unreachable by timeout."""
     fleet = small_fleet(3)
     for name in fleet.names("r1z0"):
         fleet.kill(name)
     assert fleet.run(UNREACHABLE_TIME + 15 * SECOND, lambda: sees_unreachable(fleet, "r1z0"))
     assert all(f.membership.remote_state("r1z0", VICTIM) is RemoteState.UNKNOWN for f in fleet.living())
-    assert [c for c in fleet.called_failed() if c[2] in fleet.names("r1z0")] == []
+    assert [c for c in fleet.failure_reports() if c[2] in fleet.names("r1z0")] == []
     assert fleet.worst_rate() <= BUDGET
 
 
@@ -468,12 +471,12 @@
 
 
 def heal(fleet: ZoneFleet) -> None:
-    """Ends a cut."""
+    """Ends a partition."""
     fleet.cut = lambda _one, _other: False
 
 
 def octets_each_second(fleet: ZoneFleet, seconds: int) -> list[int]:
-    """What all fronts send in each of so many seconds to come."""
+    """Octets that all fronts send, for each of the next `seconds` seconds."""
     sent = []
     for _ in range(seconds):
         before = sum(front.sent.total for front in fleet.fronts.values())
@@ -482,8 +485,8 @@
     return sent
 
 
-def test_a_region_is_cut_off_and_healed_without_a_stampede() -> None:
-    """Nobody is called failed over the cut; ten seconds after the heal all zones are reachable."""
+def test_a_region_is_partitioned_and_healed_without_a_traffic_peak() -> None:
+    """No front is reported as failed, and all zones are reachable soon after the partition heals."""
     fleet = small_fleet(4)
     fleet.run(30 * SECOND)
     quiet = octets_each_second(fleet, 10)
@@ -494,12 +497,12 @@
     after = octets_each_second(fleet, 15)
     assert all_reachable(fleet)
     assert max(after) <= PEAK_OVER_MEAN * sum(quiet) / len(quiet)
-    assert fleet.called_failed() == []
+    assert fleet.failure_reports() == []
     assert fleet.worst_rate() <= BUDGET
 
 
 def test_a_region_that_returns_after_an_hour_learns_what_it_missed() -> None:
-    """A crash, a crash with a return, on either side of the cut."""
+    """Crashes on both sides of the partition, one of them with a restart."""
     fleet = ZoneFleet(6, regions=3, zones=1, members=4)
     fleet.settle()
     cut_region(fleet, "r1")
@@ -512,24 +515,19 @@
     fleet.run(1_740 * SECOND)
     heal(fleet)
     assert fleet.run(30 * SECOND, lambda: all(others_call_failed(fleet, n) for n in ("r0z0f3", "r1z0f2")))
-    far = fleet.fronts["r1z0f0"].membership
-    assert far.remote_state("r0z0", "r0z0f2") is RemoteState.ALIVE
-    assert fleet.run(10 * SECOND, all_reachable_after_heal(fleet))
+    remote = fleet.fronts["r1z0f0"].membership
+    assert remote.remote_state("r0z0", "r0z0f2") is RemoteState.ALIVE
+    assert fleet.run(10 * SECOND, lambda: all_reachable(fleet))
 
 
 def others_call_failed(fleet: ZoneFleet, name: str) -> bool:
-    """Whether all fronts of other zones do; its own zone has forgotten it after ten minutes."""
+    """Whether all fronts of other zones see a front as failed; its own zone forgets it after ten minutes."""
     zone = fleet.fronts[name].zone
     return all(fleet.sees_failed(front, name) for front in fleet.living() if front.zone != zone)
 
 
-def all_reachable_after_heal(fleet: ZoneFleet) -> Callable[[], bool]:
-    """As a condition to wait for."""
-    return lambda: all_reachable(fleet)
-
-
-def test_a_zone_is_split_in_itself_and_nobody_elsewhere_calls_its_members_failed_for_long() -> None:
-    """Both halves speak for it; each of their members refutes what the other half says, by way of other zones."""
+def test_other_zones_see_no_member_of_a_partitioned_zone_as_failed_for_long() -> None:
+    """Both halves author summaries; members refute the other half's accusations, which reach them by other zones."""
     fleet = small_fleet(18)
     half = set(fleet.names("r1z0")[:3])
     fleet.cut = lambda one, other: (
@@ -537,15 +535,20 @@
     )
     fleet.run(90 * SECOND)
     others = [front for front in fleet.living() if front.zone != "r1z0"]
-    called = [(f.name, n) for f in others for n in fleet.names("r1z0") if fleet.sees_failed(f, n)]
-    assert called == []
+    failed = [
+        (front.name, name)
+        for front in others
+        for name in fleet.names("r1z0")
+        if fleet.sees_failed(front, name)
+    ]
+    assert failed == []
     heal(fleet)
     assert fleet.run(60 * SECOND, fleet.is_settled)
     assert fleet.worst_rate() <= BUDGET
 
 
-def test_a_front_that_leaves_in_order_is_known_to_have_left_everywhere() -> None:
-    """And is nowhere called failed; its share passes on in its own zone only."""
+def test_all_zones_know_that_a_front_has_left() -> None:
+    """It is not reported as failed, and its rate share is taken over only in its own zone."""
     fleet = small_fleet(19)
     fleet.leave(VICTIM)
     others = [front for front in fleet.living() if front.zone != "r1z0"]
@@ -553,13 +556,13 @@
         KNOWN_EVERYWHERE,
         lambda: all(f.membership.remote_state("r1z0", VICTIM) is RemoteState.LEFT for f in others),
     )
-    assert fleet.called_failed() == []
+    assert fleet.failure_reports() == []
     assert {front.membership.left_count() for front in others} == {0}
     assert {f.membership.left_count() for f in fleet.living() if f.zone == "r1z0"} == {1}
 
 
-def test_a_release_of_more_members_than_a_summary_lists_is_known_elsewhere_as_it_goes() -> None:
-    """A whole zone is restarted, a member a second: none is taken to have left for long after it is back."""
+def test_other_zones_follow_a_release_of_more_members_than_a_summary_lists() -> None:
+    """A whole zone is restarted, one member a second: none is seen as having left for long after its return."""
     fleet = ZoneFleet(23, regions=1, zones=2, members=MAX_CHANGES + 8, loss=0.02)
     fleet.settle()
     others = [front for front in fleet.living() if front.zone == "r0z1"]
@@ -572,12 +575,12 @@
         states = {f.membership.remote_state("r0z0", name) for f in others for name in released}
         return states == {RemoteState.ALIVE}
 
-    assert fleet.run(TOLD_AFTER_RETURN, all_are_back)
-    assert fleet.called_failed() == []
+    assert fleet.run(RETURN_KNOWN, all_are_back)
+    assert fleet.failure_reports() == []
 
 
-def test_a_front_whose_clock_is_days_behind_harms_itself_only() -> None:
-    """It refuses what others' epochs say and sees no other zone; its own zone and the others go on."""
+def test_a_front_whose_clock_is_days_behind_affects_only_itself() -> None:
+    """It rejects summaries by their epochs and sees no other zone; all others are not affected."""
     fleet = ZoneFleet(20, regions=4, zones=2, members=6)
     fleet.now = 30 * 86_400 * SECOND
     fleet.settle()
@@ -586,26 +589,25 @@
     assert late.membership.zones() == []
     assert late.membership.present() == [*fleet.names("r1z0"), "r1z0f9"]
     assert all_reachable(fleet)
-    assert fleet.called_failed() == []
+    assert fleet.failure_reports() == []
 
 
-def test_a_front_alone_with_no_zone_in_reach_goes_on() -> None:
-    """It sees itself, calls nobody failed, and sends next to nothing."""
+def test_a_front_without_any_reachable_member_keeps_running() -> None:
+    """It sees only itself, reports no failures, and sends little."""
     fleet = ZoneFleet(7, regions=4, zones=2, members=6)
     fleet.start("r0z0f5")
     fleet.run(120 * SECOND)
     alone = fleet.fronts["r0z0f5"]
     assert alone.membership.present() == ["r0z0f5"]
-    assert fleet.called_failed() == []
+    assert fleet.failure_reports() == []
     assert alone.worst_window <= BUDGET
 
 
-# Liars. Each check is run with the defences, and with one taken out, which it has to find.
+# False summaries. Each check runs with the protections, and with one disabled, which it must find.
 
 
 def forged(fleet: ZoneFleet, reader: Front, state: MemberState, author: str = "") -> ZoneSummary:
-    """A summary that outbids what a reader holds of the victim's zone, and says that the victim is in a state; by default
-    in the true author's name."""
+    """A summary with a state of the victim that supersedes the reader's; by default in the correct author's name."""
     record = reader.membership.directory.records["r1z0"]
     latest = fleet.fronts[VICTIM].membership.local.me
     accusation = MemberChange(VICTIM, latest.generation, latest.incarnation, state)
@@ -619,8 +621,8 @@
     )
 
 
-def lie(fleet: ZoneFleet, state: MemberState, times: int, author: str = "") -> None:
-    """A delegate of another zone tells all of its zone a lie about the victim, again and again."""
+def send_forged(fleet: ZoneFleet, state: MemberState, times: int, author: str = "") -> None:
+    """A delegate of another zone repeatedly sends its zone a false state of the victim."""
     liar = contact(fleet.fronts["r0z0f0"])
     for _ in range(times):
         for front in fleet.living():
@@ -631,13 +633,13 @@
 
 
 def contact(front: Front) -> ZoneContact:
-    """How a front names itself."""
+    """The contact of a front."""
     me = front.membership.local.me
     return ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
 
 
-def called_gone(fleet: ZoneFleet) -> list[tuple[str, str]]:
-    """Who called the victim failed or left, and how."""
+def absence_reports(fleet: ZoneFleet) -> list[tuple[str, str]]:
+    """The fronts that reported the victim as failed or left, with the reported state."""
     return [
         (front.name, change.now)
         for front in fleet.fronts.values()
@@ -648,58 +650,58 @@
 
 @pytest.fixture(params=["once", "again and again"])
 def times(request: pytest.FixtureRequest) -> int:
-    """How often the liar speaks."""
+    """How often the false state is sent."""
     return 1 if request.param == "once" else 10
 
 
 @pytest.mark.parametrize("author", ["", "liar"], ids=["in the author's name", "in another's"])
-def test_a_lying_delegate_makes_no_living_member_of_another_zone_failed(times: int, author: str) -> None:
-    """Its zone takes the lie back before anybody believes it."""
+def test_false_summaries_make_no_living_member_of_another_zone_failed(times: int, author: str) -> None:
+    """The member's zone takes the false failure back before any front confirms it."""
     fleet = small_fleet(8)
-    lie(fleet, MemberState.FAILED, times, author)
-    assert called_gone(fleet) == []
+    send_forged(fleet, MemberState.FAILED, times, author)
+    assert absence_reports(fleet) == []
 
 
 @pytest.fixture
 def no_confirmation(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: a failure told by another zone counts at once."""
+    """Planted fault: a failure reported by another zone counts at once."""
     monkeypatch.setattr(zone_directory, "CONFIRMATION_TIME", 0)
 
 
 def test_planted_failures_that_count_at_once_are_found(no_confirmation: None) -> None:
-    """The check above sees the liar succeed."""
+    """The check above finds that the victim failed."""
     fleet = small_fleet(8)
-    lie(fleet, MemberState.FAILED, 1)
-    assert called_gone(fleet) != []
+    send_forged(fleet, MemberState.FAILED, 1)
+    assert absence_reports(fleet) != []
 
 
-def test_planted_a_zone_that_does_not_look_at_what_is_said_of_it_is_found(
+def test_planted_a_zone_that_does_not_examine_summaries_of_it_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without the accused's own refutation a liar that repeats itself wins."""
+    """Without a refutation by the accused, a repeated false state is confirmed."""
     monkeypatch.setattr(ZoneReporter, "examine", lambda *_: None)
     fleet = small_fleet(8)
-    lie(fleet, MemberState.FAILED, 10)
-    assert called_gone(fleet) != []
+    send_forged(fleet, MemberState.FAILED, 10)
+    assert absence_reports(fleet) != []
 
 
-def test_a_member_that_was_said_to_have_left_is_told_of_as_alive_again() -> None:
-    """A false leaving is refuted, since its proof can't be checked outside the zone."""
+def test_a_false_leave_is_refuted() -> None:
+    """Other zones cannot check the proof of a leave, so a false one must be refutable."""
     fleet = small_fleet(9)
-    lie(fleet, MemberState.LEFT, 1)
+    send_forged(fleet, MemberState.LEFT, 1)
     states = {f.membership.remote_state("r1z0", VICTIM) for f in fleet.living() if f.zone != "r1z0"}
     assert states == {RemoteState.ALIVE}
 
 
-def test_what_summaries_say_of_members_that_left_passes_on_no_share_of_a_rate() -> None:
-    """Shares pass on by proof inside a zone only."""
+def test_leaves_in_summaries_do_not_affect_rate_shares() -> None:
+    """Rate shares are taken over only with proof, inside a zone."""
     fleet = small_fleet(10)
-    lie(fleet, MemberState.LEFT, 3)
+    send_forged(fleet, MemberState.LEFT, 3)
     assert {front.membership.left_count() for front in fleet.living()} == {0}
 
 
-def test_a_version_of_the_far_future_is_refused_and_the_true_author_heard() -> None:
-    """An epoch over a day past the reader's clock changes nothing."""
+def test_an_epoch_far_in_the_future_is_rejected() -> None:
+    """An epoch more than a day ahead of the reader's clock changes nothing."""
     fleet = small_fleet(11)
     reader = fleet.fronts["r0z0f1"]
     before = reader.membership.directory.records["r1z0"].summary
@@ -710,7 +712,7 @@
 
 
 def test_planted_a_front_without_the_bound_on_epochs_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It would take what nobody can outbid."""
+    """It accepts a summary that no correct author can supersede."""
     monkeypatch.setattr(hierarchy, "CLOCK_TOLERANCE_US", 1 << 60)
     fleet = small_fleet(11)
     reader = fleet.fronts["r0z0f1"]
@@ -719,8 +721,8 @@
     assert reader.membership.directory.records["r1z0"].summary.author == "liar"
 
 
-def test_the_greatest_plausible_version_is_outbid_by_the_true_author() -> None:
-    """Within some heartbeats every front holds the author's own word again."""
+def test_the_correct_author_supersedes_the_greatest_plausible_version() -> None:
+    """Within some heartbeats every front holds a summary by a correct author again."""
     fleet = small_fleet(12)
     reader = fleet.fronts["r0z0f1"]
     known = reader.membership.directory.records["r1z0"].summary
@@ -736,7 +738,7 @@
 
 
 def join_by_wrong_seed(fleet: ZoneFleet) -> set[str]:
-    """A front of another zone speaks the flat protocol to a zone; whom that zone then lists."""
+    """A front of another zone joins a zone by the flat protocol; returns the members that the zone then lists."""
     stranger = fleet.fronts["r2z0f0"].membership
     insider = fleet.fronts["r0z0f0"]
     insider.membership.receive_full_state(stranger.local.me, stranger.local.full_state(), fleet.now)
@@ -744,14 +746,14 @@
     return {name for f in fleet.living() if f.zone == "r0z0" for name in f.membership.present()}
 
 
-def test_members_of_other_zones_are_kept_out_of_a_zones_pool() -> None:
-    """A seed in the wrong list joins no two pools."""
+def test_members_of_other_zones_are_not_added_to_a_zone() -> None:
+    """A seed in the wrong list must not join two zones."""
     fleet = small_fleet(13)
     assert join_by_wrong_seed(fleet) == set(fleet.names("r0z0"))
 
 
-def test_planted_a_pool_that_takes_everybody_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check above sees the strangers."""
+def test_planted_a_zone_that_accepts_all_members_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The check above finds members of the other zone."""
     fleet = small_fleet(13)
     monkeypatch.setattr(PacedPool, "_is_own", lambda *_: True)
     assert join_by_wrong_seed(fleet) > set(fleet.names("r0z0"))
@@ -761,11 +763,13 @@
 
 
 def test_bounds_hold_under_a_flood() -> None:
-    """Zones, members and what is sent; and the front's own zone stays as it is."""
+    """Zones, members and sent traffic are bounded, and the front's own zone is not affected."""
     fleet = small_fleet(14)
-    front, rng = fleet.fronts["r0z0f0"], Random(1)
+    front = fleet.fronts["r0z0f0"]
+    rng = Random(1)
     sender = contact(fleet.fronts["r2z0f0"])
-    sent_before, began = front.sent.total, fleet.now
+    sent_before = front.sent.total
+    started_at = fleet.now
     for version in range(3_000):
         zone = f"fake{rng.randrange(200)}"
         changes = tuple(
@@ -780,13 +784,14 @@
     assert all(zone in directory.records for zone in fleet.layout)
     assert all(len(record.members) <= MAX_REMEMBERED_CHANGES for record in directory.records.values())
     assert (
-        front.sent.total - sent_before <= 2 * BURST_BYTES + RATE_BYTES_PER_S * (fleet.now - began) // SECOND
+        front.sent.total - sent_before
+        <= 2 * BURST_BYTES + RATE_BYTES_PER_S * (fleet.now - started_at) // SECOND
     )
     assert len(front.membership.present()) == fleet.members
 
 
 def test_the_state_of_a_front_pickles() -> None:
-    """So that its memory can be measured and a simulation kept."""
+    """Benchmarks measure its memory and store simulations this way."""
     membership = small_fleet(15).fronts["r0z0f0"].membership
     copy = pickle.loads(pickle.dumps(membership))
     assert copy.directory.digest() == membership.directory.digest()
@@ -796,8 +801,8 @@
 # Lookups.
 
 
-def test_a_member_of_another_zone_is_found_by_asking_its_zone() -> None:
-    """With address and state; one that the zone does not know is answered so."""
+def test_a_lookup_finds_a_member_of_another_zone() -> None:
+    """The result has its address and state; a member that the zone does not know gives an answer without one."""
     fleet = small_fleet(16, loss=0)
     front = fleet.fronts["r0z0f0"]
     fleet.look_up(front, "r1z0", VICTIM)
@@ -810,8 +815,8 @@
     assert unknown.member is None
 
 
-def test_a_lookup_that_nobody_answers_ends_in_time_and_their_number_is_bounded() -> None:
-    """Past the bound the answer is unknown at once."""
+def test_unanswered_lookups_time_out_and_their_number_is_bounded() -> None:
+    """A lookup beyond the bound ends at once without an answer."""
     fleet = small_fleet(17)
     cut_region(fleet, "r0")
     front = fleet.fronts["r0z0f0"]
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -1,6 +1,6 @@
-"""Two zones of three fronts over real datagrams and streams on loopback, with a network between them that cuts.
+"""Two zones of three fronts over real datagrams and streams on loopback, through a relay that can cut links.
 
-The fronts' clocks run `SPEED` times as fast as the machine's, so that half a minute of silence is ten seconds of test.
+The fronts' clocks run `SPEED` times as fast as the machine's, so that timeouts of half a minute take ten seconds.
 """
 
 from __future__ import annotations
@@ -36,19 +36,21 @@
 from oakcroft.standins.between import Between
 
 SPEED = 3
-KEY, OTHER_KEY = b"k" * 32, b"o" * 32
+KEY = b"k" * 32
+OTHER_KEY = b"o" * 32
 FLEET = "one"
 REGIONS = {"north": "europe", "south": "africa"}
 NAMES = [f"{zone}-{i}" for zone in REGIONS for i in range(3)]
-NORTH, SOUTH = set(NAMES[:3]), set(NAMES[3:])
+NORTH = set(NAMES[:3])
+SOUTH = set(NAMES[3:])
 START_SECONDS = 30
-"""Of the machine's, for both zones to be known everywhere; by the fronts' clocks three times as many."""
+"""By the machine's clock, until both zones are known everywhere."""
 
 FAILED_IN_ZONE_SECONDS = 8 / SPEED
-"""As wanted of a crash (6 s), and two for a busy machine."""
+"""The required detection time (6 s) and 2 s for a busy machine."""
 
 FAILED_EVERYWHERE_SECONDS = 22 / SPEED
-"""As wanted of a crash (20 s), and two for a busy machine."""
+"""The required detection time (20 s) and 2 s for a busy machine."""
 
 UNREACHABLE_SECONDS = 45 / SPEED
 HEAL_SECONDS = 20 / SPEED
@@ -58,17 +60,17 @@
     """A front's clock that runs `SPEED` times as fast as the machine's."""
 
     def now(self) -> int:
-        """Now."""
+        """Current time, in nanoseconds."""
         return self.offset_ns + round(trio.current_time() * SPEED * 1e9)
 
     def trio_time(self, at: int) -> float:
-        """A time of this clock as trio's."""
+        """Converts a time of this clock to trio's clock."""
         return (at - self.offset_ns) / SPEED / 1e9
 
 
 @dataclass
 class Zones:
-    """Six fronts in one event loop, and the network between them."""
+    """Six fronts in one event loop, and the relay between them."""
 
     folder: Path
     between: Between
@@ -79,10 +81,10 @@
     ended: dict[str, trio.Event] = field(default_factory=dict)
     logs: dict[str, io.BytesIO] = field(default_factory=dict)
 
-    def place(self, name: str) -> PeerSettings:
-        """Where a front stands: two seeds of its zone, two addresses of the other."""
+    def settings(self, name: str) -> PeerSettings:
+        """Settings of a front, with two seeds of its own zone and two of the other."""
         zone = name.split("-")[0]
-        other = next(z for z in REGIONS if z != zone)
+        other = next(each for each in REGIONS if each != zone)
         relays = self.between.relays
         seeds = tuple(relays[f"{zone}-{i}"] for i in (0, 1))
         others = (OtherZone(other, REGIONS[other], tuple(relays[f"{other}-{i}"] for i in (0, 1))),)
@@ -91,15 +93,17 @@
             region=REGIONS[zone], other_zones=others,
         )  # fmt: skip
 
-    async def start(self, name: str, place: PeerSettings | None = None) -> None:
-        """Starts a front, again or for the first time."""
+    async def start(self, name: str, settings: PeerSettings | None = None) -> None:
+        """Starts or restarts a front."""
         self.logs[name] = io.BytesIO()
         log = structlog.wrap_logger(
             structlog.BytesLogger(self.logs[name]),
             processors=[structlog.processors.JSONRenderer(serializer=orjson.dumps)],
         )
         zone, number = name.split("-")
-        self.endpoints[name] = PeerEndpoint(place or self.place(name), zone, int(number), self.clock, log)
+        self.endpoints[name] = PeerEndpoint(
+            settings or self.settings(name), zone, int(number), self.clock, log
+        )
         await self.nursery.start(self._host, name)
 
     async def _host(self, name: str, task_status: trio.TaskStatus[None]) -> None:
@@ -109,28 +113,28 @@
         self.ended[name].set()
 
     async def kill(self, name: str) -> None:
-        """The front ends without a word; its sockets are closed then."""
+        """Stops a front without a leave; its sockets are closed on return."""
         self.scopes[name].cancel()
         await self.ended[name].wait()
         del self.endpoints[name]
 
     def zoned(self, name: str) -> ZonedMembership:
-        """What a front hosts."""
+        """The zoned membership of a front."""
         hosted = self.endpoints[name].hosted
         assert isinstance(hosted, ZonedMembership)
         return hosted
 
     def in_zone(self, zone: set[str]) -> list[str]:
-        """The fronts of a zone that run."""
+        """The running fronts of a zone."""
         return [name for name in self.endpoints if name in zone]
 
     def remote_states(self, at: set[str], name: str) -> set[RemoteState]:
-        """How the fronts of one zone see a front of the other."""
+        """States of a front of one zone as seen by the fronts of the other."""
         zone = name.split("-")[0]
-        return {self.zoned(n).remote_state(zone, name) for n in self.in_zone(at)}
+        return {self.zoned(front).remote_state(zone, name) for front in self.in_zone(at)}
 
     def know_each_other(self) -> bool:
-        """Whether each front sees all of its zone, and the other zone reachable with all of its fronts."""
+        """Whether each front sees all fronts of its zone, and the other zone as reachable with all of its fronts."""
         for name in self.endpoints:
             zones = self.zoned(name).zones()
             own, other = (NORTH, SOUTH) if name in NORTH else (SOUTH, NORTH)
@@ -141,22 +145,22 @@
         return True
 
     def lines(self, name: str, event: str) -> list[dict[str, Any]]:
-        """What a front has logged under an event."""
+        """Log entries of a front with an event name."""
         lines = [orjson.loads(line) for line in self.logs[name].getvalue().splitlines()]
         return [line for line in lines if line["event"] == event]
 
-    def called_failed(self) -> set[str]:
-        """Everybody whom a running front has logged as failed, in its own zone or in the other."""
-        called = set[str]()
+    def reported_failed(self) -> set[str]:
+        """Fronts that any running front has logged as failed, in its own or in the other zone."""
+        reported = set[str]()
         for name in self.endpoints:
-            called |= {line["name"] for line in self.lines(name, "member") if line["now"] == "gone"}
-            called |= {line["name"] for line in self.lines(name, "zone member") if line["now"] == "failed"}
-        return called
+            reported |= {line["name"] for line in self.lines(name, "member") if line["now"] == "gone"}
+            reported |= {line["name"] for line in self.lines(name, "zone member") if line["now"] == "failed"}
+        return reported
 
 
 @asynccontextmanager
 async def zones(folder: Path) -> AsyncIterator[Zones]:
-    """Two zones that know each other."""
+    """Starts two zones and waits until they know each other."""
     (folder / "key").write_text(KEY.hex())
     with socket.socket() as probe:
         probe.bind(("127.0.75.1", 0))
@@ -176,15 +180,15 @@
 def on_zones(folder: Path, test: Callable[[Zones], Awaitable[None]]) -> None:
     """Runs a test on two zones that know each other."""
 
-    async def whole() -> None:
+    async def run_test() -> None:
         async with zones(folder) as rig:
             await test(rig)
 
-    run_async_test(whole, 120)
+    run_async_test(run_test, 120)
 
 
-def test_a_crash_is_known_in_its_zone_and_in_the_other_and_nobody_else_failed(tmp_path: Path) -> None:
-    """And the one that comes back is seen alive again in both."""
+def test_both_zones_detect_a_crash_and_no_other_front_fails(tmp_path: Path) -> None:
+    """After a restart the front is alive again in both zones."""
 
     async def test(rig: Zones) -> None:
         await rig.kill("south-1")
@@ -195,7 +199,7 @@
         await wait_until(
             lambda: rig.remote_states(NORTH, "south-1") == {RemoteState.FAILED}, FAILED_EVERYWHERE_SECONDS
         )
-        assert rig.called_failed() == {"south-1"}
+        assert rig.reported_failed() == {"south-1"}
         await rig.start("south-1")
         await wait_until(
             lambda: rig.remote_states(NORTH, "south-1") == {RemoteState.ALIVE}, FAILED_EVERYWHERE_SECONDS
@@ -205,12 +209,12 @@
     on_zones(tmp_path, test)
 
 
-def test_a_zone_whose_first_delegate_is_killed_still_speaks(tmp_path: Path) -> None:
-    """The author ends; the next in rank tells of it and of one more that leaves, and the zone is not lost."""
+def test_a_zone_whose_first_delegate_is_killed_has_another_author(tmp_path: Path) -> None:
+    """The next delegate reports the failure and a later leave, and the zone stays reachable."""
 
     async def test(rig: Zones) -> None:
         now = rig.clock.now()
-        first = next(n for n in rig.in_zone(SOUTH) if rig.zoned(n).rank(now) == 0)
+        first = next(name for name in rig.in_zone(SOUTH) if rig.zoned(name).rank(now) == 0)
         await rig.kill(first)
         await wait_until(
             lambda: rig.remote_states(NORTH, first) == {RemoteState.FAILED}, FAILED_EVERYWHERE_SECONDS
@@ -221,15 +225,15 @@
         await wait_until(
             lambda: rig.remote_states(NORTH, leaver) == {RemoteState.LEFT}, FAILED_EVERYWHERE_SECONDS
         )
-        assert rig.called_failed() == {first}
+        assert rig.reported_failed() == {first}
         for name in rig.in_zone(NORTH):
             assert [line["now"] for line in rig.lines(name, "zone")] == ["reachable"]
 
     on_zones(tmp_path, test)
 
 
-def test_a_zone_that_is_cut_off_is_unreachable_and_never_failed_and_is_found_again(tmp_path: Path) -> None:
-    """What crashed meanwhile is known after the heal; shares of rates rest on the own zone's proofs alone."""
+def test_a_partitioned_zone_is_unreachable_and_not_failed_until_the_partition_heals(tmp_path: Path) -> None:
+    """A crash during the partition is known after it; rate shares do not change, since no front of the zone left."""
 
     async def test(rig: Zones) -> None:
         rig.between.cut(NORTH, SOUTH)
@@ -239,7 +243,7 @@
             UNREACHABLE_SECONDS,
         )
         assert rig.remote_states(NORTH, "south-0") == {RemoteState.UNKNOWN}
-        assert rig.called_failed() == set()
+        assert rig.reported_failed() == set()
         await rig.kill("south-2")
         await wait_until(
             lambda: all(rig.zoned(n).state_of("south-2") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
@@ -250,17 +254,17 @@
         await wait_until(
             lambda: rig.remote_states(NORTH, "south-2") == {RemoteState.FAILED}, FAILED_EVERYWHERE_SECONDS
         )
-        assert rig.called_failed() == {"south-2"}
+        assert rig.reported_failed() == {"south-2"}
         for name in rig.in_zone(NORTH):
-            told = [line["now"] for line in rig.lines(name, "zone")]
-            assert told == ["reachable", "unreachable", "reachable"]
+            zone_states = [line["now"] for line in rig.lines(name, "zone")]
+            assert zone_states == ["reachable", "unreachable", "reachable"]
             assert rig.zoned(name).left_count() == 0
 
     on_zones(tmp_path, test)
 
 
-def test_garbage_a_wrong_key_and_strangers_of_another_zone_are_dropped_and_counted(tmp_path: Path) -> None:
-    """Nothing of it changes what is known."""
+def test_invalid_datagrams_and_members_of_other_zones_are_dropped_and_counted(tmp_path: Path) -> None:
+    """They do not change the membership."""
 
     async def test(rig: Zones) -> None:
         endpoint = rig.endpoints["north-0"]
@@ -269,18 +273,18 @@
         digest = ZoneDigest((DigestEntry("south", 1, 1, 1, 1),), wants_answer=True)
         forged = ZoneCodec(FLEET, KeyRing((OTHER_KEY,))).encode(stranger, digest)
         of_another_fleet = ZoneCodec("two", ring).encode(stranger, digest)
-        spoilt = ring.seal(bytes((ZONE_FORMAT,)) + os.urandom(64))
+        malformed = ring.seal(bytes((ZONE_FORMAT,)) + os.urandom(64))
         update = MemberUpdate(
             "south-9", 1, 0, MemberState.ALIVE, "127.0.75.9", 1, "south", "1", commitment(b"s")
         )
         message = Message(MessageKind.PING, ("127.0.75.9", 1), 1)
         of_another_zone = MembershipCodec(FLEET, ring).encode(update, message)
-        octets = [forged, of_another_fleet, spoilt, of_another_zone, os.urandom(1_400)]
+        datagrams = [forged, of_another_fleet, malformed, of_another_zone, os.urandom(1_400)]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind(("127.0.75.9", 0))
-            for one in octets:
-                sock.sendto(one, endpoint.settings.listen)
-        unsealed = {forged, octets[-1]}
+            for datagram in datagrams:
+                sock.sendto(datagram, endpoint.settings.listen)
+        unsealed = {forged, datagrams[-1]}
         await wait_until(lambda: endpoint.dropped["not sealed"] >= len(unsealed))
         await wait_until(lambda: endpoint.dropped["other fleet"] >= 1 and endpoint.dropped["malformed"] >= 1)
         await wait_until(lambda: rig.zoned("north-0").pool.counts.other_zone >= 1)
@@ -290,15 +294,15 @@
     on_zones(tmp_path, test)
 
 
-def test_a_front_without_zones_and_its_zone_see_each_other_while_a_fleet_goes_over(tmp_path: Path) -> None:
-    """It was started with the file of before; it drops what is between zones, and its zone lists it."""
+def test_a_front_without_zones_works_in_its_zone_while_a_fleet_is_migrated(tmp_path: Path) -> None:
+    """A front started with the old configuration drops messages between zones, and its zone lists it as a member."""
 
     async def test(rig: Zones) -> None:
         await rig.kill("north-2")
-        flat = replace(rig.place("north-2"), region="", other_zones=())
+        flat = replace(rig.settings("north-2"), region="", other_zones=())
         await rig.start("north-2", flat)
-        seen = rig.endpoints["north-2"].membership
-        await wait_until(lambda: set(seen.present()) >= NORTH, START_SECONDS)
+        membership = rig.endpoints["north-2"].membership
+        await wait_until(lambda: set(membership.present()) >= NORTH, START_SECONDS)
         await wait_until(
             lambda: all(set(rig.zoned(n).present()) == NORTH for n in ("north-0", "north-1")), START_SECONDS
         )
@@ -309,7 +313,7 @@
 
 
 def test_operators_see_zones_with_counts(tmp_path: Path) -> None:
-    """In the status that `fleet view` shows, beside the members of the own zone."""
+    """The status that `fleet view` prints has them beside the members of the own zone."""
 
     async def test(rig: Zones) -> None:
         status: dict[str, Any] = rig.endpoints["north-0"].status()
--- a/tests/test_zone_wire.py
+++ b/tests/test_zone_wire.py
@@ -1,4 +1,4 @@
-"""The messages between zones as octets: they come back as they were, and whatever is none of them is dropped."""
+"""Codec of messages between zones: round trips, and invalid messages."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 @st.composite
 def summaries(draw: st.DrawFn) -> ZoneSummary:
-    """A summary whose delegates are of its zone, as all that are plausible."""
+    """Summaries whose delegates are of their zone, as in all plausible summaries."""
     zone = draw(names)
     delegate = st.builds(ZoneContact, names, generations, st.just(zone), hosts, ports)
     return ZoneSummary(
@@ -80,93 +80,93 @@
 
 
 def opened(octets: bytes) -> bytes:
-    """What the seal of a datagram holds."""
-    found = RING.open(octets, 0)
-    assert found is not None
-    return found
+    """The content of a sealed datagram."""
+    content = RING.open(octets, 0)
+    assert content is not None
+    return content
 
 
 @given(messages)
-def test_each_message_comes_back_as_it_was(message: ZoneMessage) -> None:
-    """Round trip; a summary keeps its fingerprint, by which fronts tell contents apart."""
+def test_messages_survive_encoding_and_decoding(message: ZoneMessage) -> None:
+    """A decoded summary has the same fingerprint, which identifies its content."""
     octets = CODEC.encode(SENDER, message)
     assert len(octets) <= MAX_DATAGRAM_BYTES
     received = CODEC.read(opened(octets))
     assert received.sender == SENDER
     assert received.message == message
     if isinstance(message, ZoneRecords) and isinstance(received.message, ZoneRecords):
-        told = [summary.fingerprint for summary in received.message.summaries]
-        assert told == [summary.fingerprint for summary in message.summaries]
+        decoded = [summary.fingerprint for summary in received.message.summaries]
+        assert decoded == [summary.fingerprint for summary in message.summaries]
 
 
 @settings(max_examples=300)
 @given(messages, st.data())
-def test_whatever_comes_of_spoilt_octets_is_a_message_or_dropped(
+def test_corrupted_messages_are_decoded_or_raise_message_error(
     message: ZoneMessage, data: st.DataObject
 ) -> None:
-    """A holder of the key that is broken: no other error leaves the codec."""
+    """A faulty holder of the key may send anything; the codec raises no other error."""
     octets = bytearray(opened(CODEC.encode(SENDER, message)))
     for _ in range(data.draw(st.integers(1, FEW))):
         octets[data.draw(st.integers(1, len(octets) - 1))] = data.draw(st.integers(0, 255))
     cut = data.draw(st.integers(1, len(octets)))
-    for spoilt in (bytes(octets), bytes(octets[:cut])):
+    for corrupted in (bytes(octets), bytes(octets[:cut])):
         with suppress(MessageError):
-            CODEC.read(spoilt)
+            CODEC.read(corrupted)
 
 
 @given(st.binary(max_size=200))
-def test_garbage_under_the_key_is_dropped(octets: bytes) -> None:
-    """Whatever the format says, what follows is no message."""
+def test_random_octets_after_the_format_byte_are_rejected(octets: bytes) -> None:
+    """The format byte alone does not make a valid message."""
     with pytest.raises(MessageError):
         CODEC.read(bytes((ZONE_FORMAT,)) + octets)
 
 
-def test_reasons_are_told_apart() -> None:
-    """Operators see by the count which it was."""
+def test_drop_reasons_are_distinguished() -> None:
+    """Dropped messages are counted by reason, for operators."""
     digest = ZoneDigest((DigestEntry("north-1", GENERATION, 1, 2, 3),), wants_answer=True)
-    sound = opened(CODEC.encode(SENDER, digest))
+    valid = opened(CODEC.encode(SENDER, digest))
     with pytest.raises(MessageError, match="other form"):
-        CODEC.read(bytes((ZONE_FORMAT + 1,)) + sound[1:])
+        CODEC.read(bytes((ZONE_FORMAT + 1,)) + valid[1:])
     with pytest.raises(MessageError, match="other fleet"):
         CODEC.read(opened(ZoneCodec("two", RING).encode(SENDER, digest)))
     with pytest.raises(MessageError, match="malformed"):
-        CODEC.read(sound[:-1])
-    by_name = ZoneContact("a", GENERATION, "z", "host-a", 1)
+        CODEC.read(valid[:-1])
+    sender_with_host_name = ZoneContact("a", GENERATION, "z", "host-a", 1)
     with pytest.raises(MessageError, match="malformed"):
-        CODEC.read(opened(CODEC.encode(by_name, digest)))
+        CODEC.read(opened(CODEC.encode(sender_with_host_name, digest)))
 
 
-def test_a_delegate_at_a_name_is_dropped() -> None:
-    """Nobody may have to look a name up."""
+def test_a_delegate_with_a_host_name_is_rejected() -> None:
+    """A host name would have to be resolved, which blocks the process."""
     delegate = ZoneContact("a", GENERATION, "z", "host-a", 1)
     summary = ZoneSummary("z", "r", "a", GENERATION, 1, 1, StateCounts(1, 0, 0), (delegate,), 0, ())
     with pytest.raises(MessageError, match="malformed"):
         CODEC.read(opened(CODEC.encode(SENDER, ZoneRecords((summary,)))))
 
 
-def test_what_does_not_fit_a_datagram_is_not_written() -> None:
-    """The decisions pack what fits; a message that is too long all the same is an error here, never cut."""
+def test_a_message_that_does_not_fit_a_datagram_is_an_error() -> None:
+    """Senders split messages to fit; the codec never truncates one."""
     zones = tuple("z" * MAX_ZONE_NAME_LENGTH + str(i) for i in range(64))
     with pytest.raises(MessageError, match="too long"):
         CODEC.encode(SENDER, ZoneRequest(zones))
 
 
-def test_a_program_that_knows_no_zones_drops_them_as_another_form() -> None:
-    """A fleet in the middle of an upgrade: the flat codec counts them and goes on."""
+def test_a_program_without_zones_drops_zone_messages_as_another_format() -> None:
+    """During an upgrade of a fleet the flat codec rejects them with a reason that is counted."""
     octets = CODEC.encode(SENDER, ZoneRequest(("north-1",)))
     with pytest.raises(MessageError, match="other form"):
         MembershipCodec("one", RING).decode(octets, 0)
 
 
-def test_the_budget_reckons_with_true_sizes() -> None:
-    """What the decisions charge for a message is what its datagram takes, within a tenth."""
+def test_estimated_sizes_match_encoded_sizes() -> None:
+    """The traffic budget charges the estimated size of a message, which must be within a tenth of its datagram's."""
     delegates = tuple(
         ZoneContact(f"front-{i:04}", GENERATION + i, "north-01", "127.10.20.30", 7_946) for i in range(3)
     )
-    told = tuple(MemberChange(f"front-{i:04}", GENERATION + i, 2, MemberState.FAILED) for i in range(12))
+    listed = tuple(MemberChange(f"front-{i:04}", GENERATION + i, 2, MemberState.FAILED) for i in range(12))
     summary = ZoneSummary(
         "north-01", "north", "front-0001", GENERATION, 300, 4_000, StateCounts(84, 2, 1), delegates,
-        MAX_FINGERPRINT - 1, told,
+        MAX_FINGERPRINT - 1, listed,
     )  # fmt: skip
     entry = DigestEntry("north-01", GENERATION, 300, MAX_FINGERPRINT - 1, 4_000)
     sender = ZoneContact("front-0001", GENERATION, "north-01", "127.10.20.30", 7_946)
@@ -182,7 +182,7 @@
 
 
 def test_the_longest_names_fit() -> None:
-    """A summary of nothing but the longest names, with one change, goes out all the same."""
+    """A summary with only the longest names and one change fits in a datagram."""
     name = "n" * MAX_NAME_LENGTH
     zone = "z" * MAX_ZONE_NAME_LENGTH
     delegate = ZoneContact(name, GENERATION, zone, "255.255.255.255", MAX_PORT)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -1,4 +1,4 @@
-"""A rig: fronts of several zones in one process, on a simulated network; seeded, the same every time."""
+"""Simulation of fronts of several zones in one process, on a simulated network; deterministic for each seed."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from oakcroft.decisions.membership.zone_summary import ZoneContact
 from oakcroft.interface import MS, SECOND
 
-IP_HEADERS = 28
-FLAT_SIZE = 130
-UPDATE_SIZE = 78
-STREAM_SIZE = 400
+IP_HEADERS_BYTES = 28
+FLAT_MESSAGE_BYTES = 130
+UPDATE_BYTES = 78
+STREAM_BYTES = 400
 PORT = 7946
 WINDOW = 10 * SECOND
 LOCAL_LATENCY = (200_000, MS)
 REMOTE_LATENCY = (20 * MS, 60 * MS)
-SEEDS_A_ZONE = 2
-RESTART_TAKES = 2 * SECOND
+SEEDS_PER_ZONE = 2
+RESTART_DURATION = 2 * SECOND
 
 
 @dataclass
 class Traffic:
-    """Octets one way: all, in the last ten seconds, and the most in any ten seconds."""
+    """Octets in one direction: in total, in the last ten seconds, and the maximum in any ten seconds."""
 
     total: int = 0
     in_window: int = 0
@@ -65,19 +65,19 @@
 
     @property
     def worst_window(self) -> int:
-        """The most octets in any ten seconds, of the busier way."""
+        """Maximum octets in any ten seconds, in the busier direction."""
         return max(self.sent.worst_window, self.received.worst_window)
 
 
 class ZoneFleet:
-    """Fronts and the network between them. `now` in ns from 0."""
+    """Fronts and the network between them. `now` is in nanoseconds and starts at 0."""
 
     def __init__(self, seed: int, regions: int, zones: int, members: int, loss: float = 0.0) -> None:
-        """Nobody has started. `regions` of so many `zones` each, of so many `members`."""
+        """Starts no fronts. There are `zones` zones per region and `members` fronts per zone."""
         self.rng = Random(seed)
         self.loss = loss
         self.now = 0
-        self.number = 0
+        self.event_count = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.fronts: dict[str, Front] = {}
         self.at: dict[Address, Front] = {}
@@ -88,16 +88,16 @@
     # Fronts.
 
     def names(self, zone: str) -> list[str]:
-        """All names of a zone's fronts."""
+        """Names of all fronts of a zone."""
         return [f"{zone}f{i}" for i in range(self.members)]
 
     @staticmethod
     def address(name: str) -> Address:
-        """Where a front stands."""
+        """Address of a front."""
         return f"host-{name}", PORT
 
     def start(self, name: str, generation: int = 0) -> Front:
-        """Starts a front, again or for the first time."""
+        """Starts or restarts a front."""
         zone = name[: name.index("f")]
         secret = self.rng.randbytes(16)
         host, port = self.address(name)
@@ -121,10 +121,10 @@
         return ZonePlacement(self.layout[zone], self._seeds(zone), others)
 
     def _seeds(self, zone: str) -> tuple[Address, ...]:
-        return tuple(self.address(name) for name in self.names(zone)[:SEEDS_A_ZONE])
+        return tuple(self.address(name) for name in self.names(zone)[:SEEDS_PER_ZONE])
 
     def start_all(self, within: int = 500 * MS) -> None:
-        """All start at random times within so long."""
+        """Schedules the start of all fronts at random times within a duration."""
         for zone in self.layout:
             for name in self.names(zone):
                 self.later(self.now + self.rng.randrange(within), self._starting(name))
@@ -136,14 +136,14 @@
         return event
 
     def settle(self) -> None:
-        """Starts all and plays until every front sees all of its zone and all zones."""
+        """Starts all fronts and runs until all know each other."""
         self.start_all()
         assert self.run(120 * SECOND, self.is_settled), "the fleet does not settle"
         for front in self.fronts.values():
             front.changes.clear()
 
     def is_settled(self) -> bool:
-        """Whether every living front sees its zone whole and all zones reachable and rightly counted."""
+        """Whether every living front sees all of its zone, and the other zones as reachable with the right counts."""
         if len(self.fronts) < self.members * len(self.layout):
             return False
         sizes = {zone: sum(f.alive for f in self.fronts.values() if f.zone == zone) for zone in self.layout}
@@ -151,50 +151,50 @@
             if len(front.membership.present()) != sizes[front.zone] or front.membership.local.suspects:
                 return False
             seen = {s.zone: s.counts.present for s in front.membership.zones() if s.is_reachable}
-            wanted = {z: n for z, n in sizes.items() if z != front.zone and n}
-            if seen != wanted:
+            expected = {zone: size for zone, size in sizes.items() if zone != front.zone and size}
+            if seen != expected:
                 return False
         return True
 
     def kill(self, name: str) -> None:
-        """A front ends without a word."""
+        """Stops a front without a leave."""
         self.fronts[name].alive = False
 
     def leave(self, name: str) -> None:
-        """A front leaves in order."""
+        """A front leaves the fleet, and stops a second later."""
         front = self.fronts[name]
         front.membership.leave(self.now)
         self._after(front)
         self.later(self.now + SECOND, lambda: setattr(front, "alive", False))
 
     def restart_at(self, at: int, name: str) -> None:
-        """A front leaves in order then, and starts again under its name."""
+        """Schedules that a front leaves at a time and then starts again."""
         self.later(at, lambda: self.leave(name))
-        self.later(at + RESTART_TAKES, self._starting(name))
+        self.later(at + RESTART_DURATION, self._starting(name))
 
     def living(self) -> list[Front]:
-        """Those that run."""
+        """The running fronts."""
         return [front for front in self.fronts.values() if front.alive]
 
     # Time.
 
     def later(self, at: int, event: Callable[[], None]) -> None:
-        """Does something at a time."""
-        self.number += 1
-        heapq.heappush(self.heap, (max(at, self.now), self.number, event))
+        """Schedules an event."""
+        self.event_count += 1
+        heapq.heappush(self.heap, (max(at, self.now), self.event_count, event))
 
     def run(self, duration: int, until: Callable[[], bool] | None = None) -> bool:
-        """Plays on for so long, or until something holds, looked at every 100 ms; whether it does."""
+        """Runs for a duration, or until a condition holds, checked every 100 ms; returns whether it holds."""
         end = self.now + duration
-        look = self.now
+        next_check_at = self.now
         while self.heap and self.heap[0][0] <= end:
             at, _, event = heapq.heappop(self.heap)
             self.now = at
             event()
-            if until is not None and self.now >= look:
+            if until is not None and self.now >= next_check_at:
                 if until():
                     return True
-                look = self.now + 100 * MS
+                next_check_at = self.now + 100 * MS
         self.now = end
         return until is not None and until()
 
@@ -202,10 +202,12 @@
 
     def _after(self, front: Front) -> None:
         membership = front.membership
-        out, membership.out = membership.out, []
-        for message in out:
-            self._carry(front, message)
-        changes, membership.changes = membership.changes, []
+        messages = membership.out
+        membership.out = []
+        for message in messages:
+            self._send(front, message)
+        changes = membership.changes
+        membership.changes = []
         front.changes += [(self.now, change) for change in changes]
         due = max(membership.due, self.now + MS)
         if front.scheduled < self.now or due < front.scheduled:
@@ -220,23 +222,23 @@
             front.membership.tick(self.now)
             self._after(front)
 
-    def _carry(self, sender: Front, message: Message | OutgoingZoneMessage) -> None:
+    def _send(self, sender: Front, message: Message | OutgoingZoneMessage) -> None:
         receiver = self.at.get(message.address)
         if isinstance(message, Message) and message.kind is MessageKind.PUSH_PULL:
             self._exchange(sender, receiver)
             return
         if isinstance(message, Message):
-            octets = FLAT_SIZE + UPDATE_SIZE * len(message.updates)
+            octets = FLAT_MESSAGE_BYTES + UPDATE_BYTES * len(message.updates)
         else:
             octets = estimated_size(message.message)
-        sender.sent.count(self.now, octets + IP_HEADERS)
+        sender.sent.count(self.now, octets + IP_HEADERS_BYTES)
         if receiver is None or self.rng.random() < self.loss:
             return
         me = sender.membership.local.me
 
         def arrive() -> None:
             if receiver.alive and not self.cut(sender, receiver):
-                receiver.received.count(self.now, octets + IP_HEADERS)
+                receiver.received.count(self.now, octets + IP_HEADERS_BYTES)
                 self._deliver(me, receiver, message)
 
         self.later(self.now + self._latency(sender, receiver), arrive)
@@ -255,60 +257,60 @@
             self.tell(sender, receiver, message.message)
 
     def tell(self, sender: ZoneContact, receiver: Front, message: ZoneMessage) -> None:
-        """Hands a message of the zone layer to a front, whoever wrote it."""
+        """Delivers a message between zones to a front, from any sender."""
         receiver.membership.receive_zone_message(sender, message, self.now)
         self._after(receiver)
 
     def look_up(self, front: Front, zone: str, name: str) -> None:
-        """A front asks another zone for one of its members."""
+        """Starts a front's lookup of a member of another zone."""
         front.membership.lookup(zone, name, self.now)
         self._after(front)
 
     def _exchange(self, one: Front, other: Front | None) -> None:
         if other is None or not other.alive or self.cut(one, other) or self.cut(other, one):
             return
-        mine = one.membership.full_state()
-        self._count_table(one, other, mine)
+        request = one.membership.full_state()
+        self._count_state(one, other, request)
         if not other.membership.accepts_exchange(self.now):
             return
-        theirs = other.membership.full_state(mine)
-        self._count_table(other, one, theirs)
+        answer = other.membership.full_state(request)
+        self._count_state(other, one, answer)
 
-        def swap() -> None:
-            for receiver, table in ((other, mine), (one, theirs)):
+        def deliver() -> None:
+            for receiver, state in ((other, request), (one, answer)):
                 if receiver.alive:
-                    receiver.membership.receive_full_state(table[0], table, self.now)
+                    receiver.membership.receive_full_state(state[0], state, self.now)
                     self._after(receiver)
 
-        self.later(self.now + 4 * LOCAL_LATENCY[1], swap)
+        self.later(self.now + 4 * LOCAL_LATENCY[1], deliver)
 
-    def _count_table(self, sender: Front, receiver: Front, table: list[MemberUpdate]) -> None:
-        octets = STREAM_SIZE + UPDATE_SIZE * len(table)
+    def _count_state(self, sender: Front, receiver: Front, state: list[MemberUpdate]) -> None:
+        octets = STREAM_BYTES + UPDATE_BYTES * len(state)
         sender.sent.count(self.now, octets)
         receiver.received.count(self.now, octets)
 
-    # What the fronts say.
+    # Reported states.
 
     def sees_failed(self, front: Front, name: str) -> bool:
-        """Whether a front takes another to have failed."""
+        """Whether a front sees another as failed."""
         zone = name[: name.index("f")]
         if front.zone == zone:
             return front.membership.state_of(name) is MemberState.FAILED
         return front.membership.remote_state(zone, name) is RemoteState.FAILED
 
     def known_failed(self, name: str) -> bool:
-        """Whether all living fronts do."""
+        """Whether all living fronts see a front as failed."""
         return all(self.sees_failed(front, name) for front in self.living())
 
-    def called_failed(self) -> list[tuple[int, str, str]]:
-        """Each time that a front called another failed: when, who, whom."""
-        called = []
+    def failure_reports(self) -> list[tuple[int, str, str]]:
+        """All reports that a front failed: the time, the reporting front and the failed one."""
+        reports = []
         for front in self.fronts.values():
             for at, change in front.changes:
                 if change.now in (MemberState.FAILED.label, RemoteState.FAILED.value):
-                    called.append((at, front.name, change.name))
-        return called
+                    reports.append((at, front.name, change.name))
+        return reports
 
     def worst_rate(self) -> float:
-        """Octets a second in the worst ten seconds of any front."""
+        """Octets a second in the busiest ten seconds of any front."""
         return max(front.worst_window for front in self.fronts.values()) * SECOND / WINDOW
