--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,4 @@
-"""A host that records what the decision module asks for, and stubs of the platform's peers over real
-connections.
-"""
+"""A host that records the decision module's calls, and stubs of the platform's peers over real connections."""
 
 from __future__ import annotations
 
@@ -37,16 +35,40 @@
 
 START_NS = 100 * SECOND
 TERMS = DeploymentSettings(
-    front_count=2, front_index=0, must_subscribe=False, subscribe_within_ns=10 * SECOND, cell_count=4, rack_count=2,
-    rung_rates=(200.0, 400.0, 800.0), rung_revenue_shares=(0.3, 0.6, 1.0), uplink_capacity=20000.0, join_rate_share=1.0,
-    report_delay_ns=SECOND, report_interval_ns=3 * SECOND, max_tries=3, max_retry_after_ns=2 * SECOND,
-    cold_pace_share=0.4, cold_duration_ns=10 * SECOND, overload_multiple=2.5, overload_window_ns=SECOND,
-    retry_budget_base=None, retry_budget_share=0.0, retry_budget_window_ns=10 * SECOND,
-)  # fmt: skip
+    front_count=2,
+    front_index=0,
+    must_subscribe=False,
+    subscribe_within_ns=10 * SECOND,
+    cell_count=4,
+    rack_count=2,
+    rung_rates=(200.0, 400.0, 800.0),
+    rung_revenue_shares=(0.3, 0.6, 1.0),
+    uplink_capacity=20000.0,
+    join_rate_share=1.0,
+    report_delay_ns=SECOND,
+    report_interval_ns=3 * SECOND,
+    max_tries=3,
+    max_retry_after_ns=2 * SECOND,
+    cold_pace_share=0.4,
+    cold_duration_ns=10 * SECOND,
+    overload_multiple=2.5,
+    overload_window_ns=SECOND,
+    retry_budget_base=None,
+    retry_budget_share=0.0,
+    retry_budget_window_ns=10 * SECOND,
+)
 FREE = Plan(
-    effect=Effect.FREE, key_scope=KeyScope.ALL, key_ttl_ns=SECOND, startup_target_ns=SECOND, revenue=1.0,
-    floor=0, top_rung=2, seats=0, rate_factor=1.0, shares_stream=False,
-)  # fmt: skip
+    effect=Effect.FREE,
+    key_scope=KeyScope.ALL,
+    key_ttl_ns=SECOND,
+    startup_target_ns=SECOND,
+    revenue=1.0,
+    floor=0,
+    top_rung=2,
+    seats=0,
+    rate_factor=1.0,
+    shares_stream=False,
+)
 PAID = replace(FREE, effect=Effect.PAID)
 KEYED = replace(FREE, effect=Effect.KEYED, key_scope=KeyScope.ZONE)
 
@@ -61,7 +83,8 @@
         self.controller = Controller(terms, 7, self, START_NS)
         self.nodes = [Node(f"n{i}") for i in range(nodes)]
         for i, node in enumerate(self.nodes):
-            node.cell, node.zone = i, "east" if i % 2 else "west"
+            node.cell = i
+            node.zone = "east" if i % 2 else "west"
         self.apply_list(NodeListKind.KEPT)
         if warm:
             self.now += 20 * SECOND
@@ -70,22 +93,22 @@
         self, kind: NodeListKind, started_at: int = 0, listing: NodeStatus = NodeStatus.READY
     ) -> None:
         """Gives the module the whole list, with every node in one status."""
-        lines = [NodeEntry(n, listing, started_at, 4000.0, 12.0) for n in self.nodes]
-        self.controller.on_node_list(kind, lines, self.now)
+        entries = [NodeEntry(node, listing, started_at, 4000.0, 12.0) for node in self.nodes]
+        self.controller.on_node_list(kind, entries, self.now)
 
     def request(self, plan: Plan = FREE, title: Title | None = None, wait: int = 4 * SECOND) -> Playback:
         """A viewer's request that waits for so long."""
-        pb = Playback(title or Title("t", 0, 0), plan, 2, self.now + wait, False)
-        self.controller.on_request(pb, self.now)
-        return pb
+        playback = Playback(title or Title("t", 0, 0), plan, 2, self.now + wait, False)
+        self.controller.on_request(playback, self.now)
+        return playback
 
     def sent_nodes(self) -> list[Node]:
         """The nodes that setup tries were sent to, in order."""
         return [call[2] for call in self.calls if call[0] == "send"]
 
-    def final_answers(self, pb: Playback) -> list[str]:
+    def final_answers(self, playback: Playback) -> list[str]:
         """The kinds of final answers to a playback."""
-        return [c[0] for c in self.calls if c[0] in ("reject", "abort") and c[1] is pb]
+        return [call[0] for call in self.calls if call[0] in ("reject", "abort") and call[1] is playback]
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Records a setup try; its abandon time must not be later than the playback's."""
@@ -121,21 +144,48 @@
 # Stubs of the platform's peers: a playout node, the command channel and a viewer.
 
 SETTINGS: dict[str, Any] = {
-    "balancers": 1, "me": 0, "membershipMode": "automatic", "models": ["k"],
+    "balancers": 1,
+    "me": 0,
+    "membershipMode": "automatic",
+    "models": ["k"],
     "classes": [
         {"name": "paid", "effect": "single_shot", "objectiveMs": 300.0, "deadlineMs": 1200.0, "worth": 2.0},
         {"name": "free", "effect": "free", "objectiveMs": 400.0, "deadlineMs": 1500.0, "worth": 1.0},
     ],
     "familyInfo": {
-        "cells": 2, "classSeats": [0, 0], "classTop": [2, 2], "floorByClass": [0, 0], "groups": 1, "joinAdds": 1.0,
-        "kindSlots": [400], "live": [False, False], "rateFactor": [1.0, 1.0], "ratesKb": [100.0, 200.0, 400.0],
-        "reportsEveryMs": 1000.0, "rungWorth": [0.3, 0.6, 1.0], "seenAfterMs": 50.0, "uplinkKb": 0.0,
+        "cells": 2,
+        "classSeats": [0, 0],
+        "classTop": [2, 2],
+        "floorByClass": [0, 0],
+        "groups": 1,
+        "joinAdds": 1.0,
+        "kindSlots": [400],
+        "live": [False, False],
+        "rateFactor": [1.0, 1.0],
+        "ratesKb": [100.0, 200.0, 400.0],
+        "reportsEveryMs": 1000.0,
+        "rungWorth": [0.3, 0.6, 1.0],
+        "seenAfterMs": 50.0,
+        "uplinkKb": 0.0,
         "weightKb": 400000.0,
     },
-    "permissions": {"maxAttempts": 3, "maxRetryAfterMs": 1000.0, "retryAfter": True, "connIdleMs": 15000.0,
-                    "dialTimeoutMs": 250.0, "streamsPerConn": 1024, "maxOpen": 1000},
-    "rules": {"coldMs": 200.0, "coldShare": 0.5, "drainGraceMs": 250.0, "fallMultiple": 50.0, "overloadForMs": 1000.0},
-}  # fmt: skip
+    "permissions": {
+        "maxAttempts": 3,
+        "maxRetryAfterMs": 1000.0,
+        "retryAfter": True,
+        "connIdleMs": 15000.0,
+        "dialTimeoutMs": 250.0,
+        "streamsPerConn": 1024,
+        "maxOpen": 1000,
+    },
+    "rules": {
+        "coldMs": 200.0,
+        "coldShare": 0.5,
+        "drainGraceMs": 250.0,
+        "fallMultiple": 50.0,
+        "overloadForMs": 1000.0,
+    },
+}
 
 
 class StubNode:
@@ -143,7 +193,8 @@
 
     def __init__(self, name: str, facts: list[dict[str, Any]]) -> None:
         """A node that records what happens there in `facts`."""
-        self.name, self.facts = name, facts
+        self.name = name
+        self.facts = facts
         self.script: list[str | int] = []
         self.received: list[dict[str, Any]] = []
         self.streams: list[trio.SocketStream] = []
@@ -178,12 +229,21 @@
         self.streams.remove(stream)
         await trio.aclose_forcefully(stream)
 
-    async def handle_setup(self, stream: trio.SocketStream, said: dict[str, Any]) -> None:
-        """Treats a set-up as the script says."""
-        sid, plan = said["sid"], said["attrs"]["class"]
+    async def handle_setup(self, stream: trio.SocketStream, request: dict[str, Any]) -> None:
+        """Handles a set-up as the script says."""
+        sid = request["sid"]
+        attributes = request["attrs"]
+        plan = attributes["class"]
         number = f"{self.name}.{sid}"
-        self.record_fact("setup", id=number, front="front-0-a", key=sid, plan=plan, title=said["attrs"]["key"],
-                  rung=int(said["attrs"]["rung"]))  # fmt: skip
+        self.record_fact(
+            "setup",
+            id=number,
+            front="front-0-a",
+            key=sid,
+            plan=plan,
+            title=attributes["key"],
+            rung=int(attributes["rung"]),
+        )
         action = self.script.pop(0) if self.script else "ready"
         if action in ("ready", "more"):
             self.record_fact("ran", key=sid, plan=plan, front="front-0-a", session=sid)
@@ -192,7 +252,7 @@
                 await self.send(stream, msg="ready", sid="ff" * 8, attrs={}, text="of another")
             for _ in range(2 if action == "more" else 1):
                 await self.send(stream, msg="ready", sid=sid, attrs={}, text=f"{self.name} é\r\n{sid}")
-        elif action == "brief":  # it has played and is already over
+        elif action == "brief":  # the playback has already ended
             self.record_fact("answer", id=number, key=sid, status=201, problem="")
             await self.send(
                 stream,
@@ -214,13 +274,13 @@
             self.record_fact("broken", id=number, key=sid)
             await trio.aclose_forcefully(stream)
 
-    async def send(self, stream: trio.SocketStream, **said: Any) -> None:
+    async def send(self, stream: trio.SocketStream, **message: Any) -> None:
         """Sends a message."""
-        await stream.send_all(orjson.dumps(said) + b"\n")
+        await stream.send_all(orjson.dumps(message) + b"\n")
 
     def received_messages(self, msg: str, sid: str = "") -> list[dict[str, Any]]:
         """The messages of a kind received, of one session or of all."""
-        return [h for h in self.received if h["msg"] == msg and sid in ("", h["sid"])]
+        return [message for message in self.received if message["msg"] == msg and sid in ("", message["sid"])]
 
 
 class StubChannel:
@@ -230,7 +290,10 @@
         """A channel without events."""
         self.cmds: list[dict[str, Any]] = []
         self.polls: list[int] = []
-        self.is_silent, self.closes_after_answer, self.truncated_answers, self.port = False, False, 0, 0
+        self.is_silent = False
+        self.closes_after_answer = False
+        self.truncated_answers = 0
+        self.port = 0
         self.corruptions = list[str]()  # how the next answers are damaged: "half", "break", "again", "back"
         self.corrupted_count = 0
         self.stream: trio.SocketStream | None = None  # connection of the newest poll
@@ -264,7 +327,8 @@
                         {"cursor": after if corruption == "again" else 1, "cmds": undone[:after]}
                     )
                 if self.truncated_answers:
-                    self.truncated_answers, body = self.truncated_answers - 1, body[: len(body) // 2]
+                    self.truncated_answers -= 1
+                    body = body[: len(body) // 2]
                 close = b"Connection: close\r\n" if self.closes_after_answer else b""
                 head = b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n" % (close, len(body))
                 await stream.send_all(
@@ -278,14 +342,24 @@
 
 
 class StubViewer:
-    """One connection of viewers."""
+    """A connection that carries viewers' sessions."""
 
     def __init__(self, stream: trio.SocketStream, facts: list[dict[str, Any]]) -> None:
         """Records requests and answers in `facts`."""
-        self.stream, self.facts, self.frames = stream, facts, framing.FrameDecoder()
-
-    def encode_setup(self, sid: str, plan: str = "free", title: str = "t", wait: str = "1000", at: str = "",
-               text: bytes = b"offer\r\n", **odd: bytes) -> bytes:  # fmt: skip
+        self.stream = stream
+        self.facts = facts
+        self.frames = framing.FrameDecoder()
+
+    def encode_setup(
+        self,
+        sid: str,
+        plan: str = "free",
+        title: str = "t",
+        wait: str = "1000",
+        at: str = "",
+        text: bytes = b"offer\r\n",
+        **odd: bytes,
+    ) -> bytes:
         """The bytes of a set-up request; `odd` replaces parameters by their code, as in `p101`."""
         extras = "home:0;copies:0;top:2;viewer:1" + (f";at:{at}" if at else "")
         params = {
@@ -295,10 +369,19 @@
             105: extras.encode(),
             115: text,
         }
-        params |= {int(k[1:]): v for k, v in odd.items()}
+        params |= {int(name[1:]): value for name, value in odd.items()}
         if not at and not odd:
-            self.facts.append({"t": time.time_ns(), "kind": "ask", "key": sid, "front": 0, "plan": plan, "title": title,
-                               "wait": round(float(wait) * MS)})  # fmt: skip
+            self.facts.append(
+                {
+                    "t": time.time_ns(),
+                    "kind": "ask",
+                    "key": sid,
+                    "front": 0,
+                    "plan": plan,
+                    "title": title,
+                    "wait": round(float(wait) * MS),
+                }
+            )
         return framing.encode(framing.SET_UP, sid, *params.items())
 
     async def send_setup(self, sid: str, plan: str = "free", **odd: Any) -> None:
@@ -306,9 +389,7 @@
         await self.stream.send_all(self.encode_setup(sid, plan, **odd))
 
     def leave(self, how: str, sid: str = "") -> None:
-        """Leaves without a turn of the event loop: a full close, a reset, a half-close, or the release of a
-        set-up.
-        """
+        """Leaves without a turn of the event loop: "close", "reset", "half-close", or the "release" of a set-up."""
         sock: socket.socket = self.stream.socket._sock  # type: ignore[attr-defined]
         if how == "release":
             sock.send(framing.encode(framing.RELEASE, sid, (framing.CAUSE, b"\x10")))
@@ -342,12 +423,19 @@
         kind, sid, params = event
         cause = params.get(framing.CAUSE, b"\xff")[0]
         was_answered = any(f["kind"] == "got" and f["key"] == sid and f["status"] == 201 for f in self.facts)
-        if kind == framing.ANSWER or (
-            kind == framing.RELEASE and not was_answered
-        ):  # a release after the answer is the end
+        # A release after the answer is the end of the playback, not an answer.
+        if kind == framing.ANSWER or (kind == framing.RELEASE and not was_answered):
             status = 201 if kind == framing.ANSWER else 503 if cause in (34, 42, 102) else 504
-            self.facts.append({"t": time.time_ns(), "kind": "got", "key": sid, "status": status, "extra": False,
-                               "type": "urn:oakcroft:problem:rejected" if status == 503 else ""})  # fmt: skip
+            self.facts.append(
+                {
+                    "t": time.time_ns(),
+                    "kind": "got",
+                    "key": sid,
+                    "status": status,
+                    "extra": False,
+                    "type": "urn:oakcroft:problem:rejected" if status == 503 else "",
+                }
+            )
         return kind, sid, cause, params.get(framing.TEXT, b"")
 
 
@@ -356,15 +444,18 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         """Nothing runs before `start`."""
-        self.nursery, self.facts = nursery, list[dict[str, Any]]()
+        self.nursery = nursery
+        self.facts = list[dict[str, Any]]()
         self.nodes = [StubNode("n0", self.facts), StubNode("n1", self.facts)]
         self.channel = StubChannel()
-        self.stop, self.ended, self.port = trio.Event(), trio.Event(), 0
+        self.stop = trio.Event()
+        self.ended = trio.Event()
+        self.port = 0
         self.platform: PlatformFrontEnd
         self.info: dict[str, Any] = dict(SETTINGS["familyInfo"])
 
     @property
-    def owner(self) -> SessionCoordinator:
+    def coordinator(self) -> SessionCoordinator:
         """The front end's session coordinator."""
         assert self.platform.coordinator is not None
         return self.platform.coordinator
@@ -377,25 +468,39 @@
 
     def member(self, node: StubNode, phase: str = "up", name: str = "") -> dict[str, Any]:
         """A node as the command channel lists it."""
-        return {"id": name or node.name, "host_port": f"127.0.0.1:{node.port}", "locality": "w", "flavor": "k",
-                "cell": int(node.name[1]), "phase": phase, "size": 1, "up_since_ms": 0}  # fmt: skip
+        return {
+            "id": name or node.name,
+            "host_port": f"127.0.0.1:{node.port}",
+            "locality": "w",
+            "flavor": "k",
+            "cell": int(node.name[1]),
+            "phase": phase,
+            "size": 1,
+            "up_since_ms": 0,
+        }
 
     def configuration(self) -> dict[str, Any]:
         """The front end's configuration, with both nodes on the known list."""
         members = [self.member(n) for n in self.nodes]
         known = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"complete": True, "members": members}}]}
-        return {"name": "n0", "listen": "127.0.0.1:1", "seed": "07", "limits": {"sockets": 64, "memory_mb": 64},
-                "channel": f"127.0.0.1:{self.channel.port}", "known": known,
-                "settings": SETTINGS | {"familyInfo": self.info}}  # fmt: skip
+        return {
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "seed": "07",
+            "limits": {"sockets": 64, "memory_mb": 64},
+            "channel": f"127.0.0.1:{self.channel.port}",
+            "known": known,
+            "settings": SETTINGS | {"familyInfo": self.info},
+        }
 
     async def start(self, dead: int = -1) -> None:
         """Starts the stubs and the front end, and waits until it listens. Nothing listens at the node `dead`."""
         self.channel.port = await self.listen(self.channel.serve)
         for i, node in enumerate(self.nodes):
             node.port = 1 if i == dead else await self.listen(node.serve)
-        told = configuration.decode(orjson.dumps(self.configuration()))
-        told.listen_address = ("127.0.0.1", 0)
-        self.platform = PlatformFrontEnd(told, structlog.wrap_logger(structlog.ReturnLogger()))
+        settings = configuration.decode(orjson.dumps(self.configuration()))
+        settings.listen_address = ("127.0.0.1", 0)
+        self.platform = PlatformFrontEnd(settings, structlog.wrap_logger(structlog.ReturnLogger()))
         listening = trio.Event()
 
         async def ready(port: int) -> None:
@@ -419,9 +524,12 @@
 
 
 def run_on_platform(
-    test: Callable[[PlatformRig], Awaitable[None]], dead: int = -1, started: bool = True, within: float = 30,
+    test: Callable[[PlatformRig], Awaitable[None]],
+    dead: int = -1,
+    started: bool = True,
+    within: float = 30,
     info: dict[str, Any] | None = None,
-) -> None:  # fmt: skip
+) -> None:
     """Runs a test against one front end, within a time. With `started` false the test starts it itself."""
 
     async def bounded() -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -76,8 +76,8 @@
     site_text: str
     front_end: FrontEnd | None = None
     exited: trio.Event = field(default_factory=trio.Event)
-    # Set when `port` is that of the running front end.
     serving: trio.Event = field(default_factory=trio.Event)
+    """Set when `port` is that of the running front end."""
 
     def node(self, name: str) -> PlayoutNode:
         """Node by name."""
@@ -90,7 +90,7 @@
     def recorded(self, kind: str) -> list[dict[str, Any]]:
         """Recorded facts of one kind, in order."""
         self.record.out.flush()
-        return [f for f in read_record(self.directory / "fleet.jsonl") if f["kind"] == kind]
+        return [fact for fact in read_record(self.directory / "fleet.jsonl") if fact["kind"] == kind]
 
     def log_entries(self) -> list[dict[str, Any]]:
         """Log entries of the front end so far."""
@@ -99,7 +99,7 @@
     async def request(self, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
         """Sends one HTTP request on a connection of its own; header names have underscores for hyphens."""
         peer = Peer("127.0.0.1", self.port)
-        fields = [(k.replace("_", "-"), v) for k, v in headers.items()]
+        fields = [(name.replace("_", "-"), value) for name, value in headers.items()]
         response = await peer.ask(method, path, fields, body)
         await peer.close()
         return response
@@ -135,11 +135,11 @@
         return response
 
     def rule_breaches(self) -> dict[int, list[str]]:
-        """Violations of the six rules, by rule, judged from what passed on the sockets."""
+        """Breaches of the six rules, by rule, judged from the recorded facts."""
         self.record.out.flush()
         found = judge(read_record(self.directory / "fleet.jsonl"), self.fleet.day.site)
-        assert [f.rule for f in found] == [1, 2, 3, 4, 5, 6]
-        return {f.rule: f.breaches for f in found if f.breaches}
+        assert [finding.rule for finding in found] == [1, 2, 3, 4, 5, 6]
+        return {finding.rule: finding.breaches for finding in found if finding.breaches}
 
     def assert_rules_hold(self) -> None:
         """Asserts that all six rules held."""
@@ -189,15 +189,24 @@
 
 async def wait_until_recovered(rig: Rig) -> None:
     """Waits until the front end has recovered and stores promises."""
-    await wait_until(lambda: rig.front_end and rig.front_end.coordinator and rig.front_end.coordinator.durable_state
-                and rig.front_end.coordinator.durable_state.recovery.phase is RecoveryPhase.SERVING)  # fmt: skip
+
+    def is_serving() -> bool:
+        coordinator = rig.front_end.coordinator if rig.front_end is not None else None
+        state = coordinator.durable_state if coordinator is not None else None
+        return state is not None and state.recovery.phase is RecoveryPhase.SERVING
+
+    await wait_until(is_serving)
 
 
 async def start_front_end(
-    nursery: trio.Nursery, rig: Rig, list_port: int | None = None, port: int = 0, with_state: bool = False,
+    nursery: trio.Nursery,
+    rig: Rig,
+    list_port: int | None = None,
+    port: int = 0,
+    with_state: bool = False,
     open_state_file: Callable[[str], StateFile] | None = None,
-) -> None:  # fmt: skip
-    """Starts a front end, for the first time or again."""
+) -> None:
+    """Starts or restarts a front end."""
     service = rig.fleet.list_port if list_port is None else list_port
     places = f'(listen "127.0.0.1:{port}") (list-service "127.0.0.1:{service}") (kept "{rig.directory}/kept")'
     if with_state:
@@ -206,15 +215,19 @@
     found, problems = check_file("front", lambda _: f"{text}\n{rig.site_text}")
     assert found is not None, [problems.format(p) for p in problems.errors]
     log = structlog.wrap_logger(
-        structlog.BytesLogger(rig.log_output), wrapper_class=structlog.make_filtering_bound_logger(10),
-        processors=[structlog.processors.add_log_level, structlog.processors.JSONRenderer(serializer=orjson.dumps)],
-    )  # fmt: skip
+        structlog.BytesLogger(rig.log_output),
+        wrapper_class=structlog.make_filtering_bound_logger(10),
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.JSONRenderer(serializer=orjson.dumps),
+        ],
+    )
     rig.serving = trio.Event()
     stop = trio.Event()
     scope = trio.CancelScope()
 
-    async def ready(number: int) -> None:
-        rig.port = number
+    async def ready(listen_port: int) -> None:
+        rig.port = listen_port
         rig.serving.set()
 
     rig.front_end = front = FrontEnd(build_deployment(found), log)
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -104,7 +104,7 @@
 
 def empty(rig: PlatformRig) -> bool:
     """Whether no table holds anything of an open set-up."""
-    owner = rig.owner
+    owner = rig.coordinator
     links = [connection for pool in owner.pools.values() for connection in pool.connections]
     held: list[Any] = [owner.queued_requests, *(p.waiting_setups for p in owner.pools.values())]
     held += [
@@ -137,7 +137,7 @@
         viewer = await rig.viewer()
         viewer.send_setup_now(A, plan)
         viewer.leave(how, A)
-        await wait_until(lambda: rig.owner.counts.get("try:_viewer_gone", 0) or empty(rig))
+        await wait_until(lambda: rig.coordinator.counts.get("try:_viewer_gone", 0) or empty(rig))
         if how == "half-close":  # it still reads, so it is answered at once
             assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)
         await after(rig)
@@ -160,20 +160,20 @@
         await other.receive()
         owner.shut()
         for _ in range(1_000):
-            rig.owner.event_sender.send_nowait(lambda: None)
+            rig.coordinator.event_sender.send_nowait(lambda: None)
         await viewer.send_setup(A, "paid")
-        await wait_until(lambda: A in rig.owner.queued_requests)
+        await wait_until(lambda: A in rig.coordinator.queued_requests)
         if not read:
             readers.shut()
         viewer.leave(how, A)
         if read:
-            await wait_until(lambda: rig.owner.queued_requests[A].withdrawn)
+            await wait_until(lambda: rig.coordinator.queued_requests[A].withdrawn)
         owner.open()
-        await wait_until(lambda: not rig.owner.queued_requests and not rig.owner.setup_count)
+        await wait_until(lambda: not rig.coordinator.queued_requests and not rig.coordinator.setup_count)
         readers.open()
         await after(rig)
         assert opens(rig) == 0
-        assert rig.owner.sessions[B].playback.state is PlaybackState.PLAYING  # other playbacks go on
+        assert rig.coordinator.sessions[B].playback.state is PlaybackState.PLAYING  # other playbacks go on
 
     run_on_platform(test)
 
@@ -189,11 +189,11 @@
         viewer = await rig.viewer()
         dials.shut()
         await viewer.send_setup(A, "paid")
-        await wait_until(lambda: any(pool.waiting_setups for pool in rig.owner.pools.values()))
+        await wait_until(lambda: any(pool.waiting_setups for pool in rig.coordinator.pools.values()))
         readers.shut()
         viewer.leave(how, A)
         dials.open()
-        await wait_until(lambda: rig.owner.counts.get("try:_viewer_gone"))
+        await wait_until(lambda: rig.coordinator.counts.get("try:_viewer_gone"))
         readers.open()
         await after(rig)
         assert opens(rig) == 0
@@ -217,7 +217,7 @@
         viewer.leave(how, A)
         # The node is full, so another try would be allowed.
         await first.send(first.streams[0], msg="close", sid=A, attrs={}, code=34)
-        await wait_until(lambda: rig.owner.counts.get("try:_viewer_gone"))
+        await wait_until(lambda: rig.coordinator.counts.get("try:_viewer_gone"))
         readers.open()
         for node in rig.nodes:
             node.script.clear()
@@ -248,8 +248,8 @@
     node = next(n for n in rig.nodes if n.received_messages("open"))
     other = next(n for n in rig.nodes if n is not node)
     rig.add_list_change(2, rig.member(other, "draining"))
-    await wait_until(lambda: rig.owner.pools[other.name].node.status is NodeStatus.DRAINING)
-    pool = rig.owner.pools[node.name]
+    await wait_until(lambda: rig.coordinator.pools[other.name].node.status is NodeStatus.DRAINING)
+    pool = rig.coordinator.pools[node.name]
     node.may_read = trio.Event()
     pool.max_connections = 1
     await fill(pool.connections[0], b'{"msg":"trying","sid":"","attrs":{"x":"%b"}}\n' % (b"x" * 8_000))
@@ -275,7 +275,7 @@
             rig.add_list_change(3, rig.member(node, "draining"))
         elif how != "late":
             viewer.leave(how, A)
-        await wait_until(lambda: A not in rig.owner.sessions)
+        await wait_until(lambda: A not in rig.coordinator.sessions)
         assert len(connection.pending_setups) == (0 if how == "drains" else 1)
         node.may_read.set()
         if how == "late" or how == "drains":
@@ -283,7 +283,7 @@
         if how != "drains":
             assert (await later.receive() or (0,))[0] == framing.ANSWER
         assert opens(rig) == 0
-        assert B in rig.owner.sessions
+        assert B in rig.coordinator.sessions
 
     run_on_platform(test)
 
@@ -322,7 +322,7 @@
         owner.shut()
         viewer.send_setup_now(A, at="n0", wait="0")
         viewer.leave("release", A)
-        await wait_until(lambda: A in rig.owner.queued_requests and rig.owner.queued_requests[A].withdrawn)
+        await wait_until(lambda: A in rig.coordinator.queued_requests and rig.coordinator.queued_requests[A].withdrawn)
         owner.open()
         await wait_until(lambda: rig.nodes[0].received_messages("close", A))
 
@@ -350,7 +350,7 @@
         await wait_until(lambda: node.received_messages("close", A))
         readers.open()
         await wait_until(lambda: empty(rig))
-        assert not rig.owner.sessions
+        assert not rig.coordinator.sessions
 
     run_on_platform(test)
 
@@ -366,12 +366,12 @@
         viewer = await rig.viewer()
         owner.shut()
         await viewer.send_setup(A, at="n0", wait="0")
-        await wait_until(lambda: A in rig.owner.queued_requests)
+        await wait_until(lambda: A in rig.coordinator.queued_requests)
         viewer.leave(how)
-        await wait_until(lambda: not rig.owner.viewer_connections)
+        await wait_until(lambda: not rig.coordinator.viewer_connections)
         owner.open()
-        await wait_until(lambda: A in rig.owner.sessions and rig.nodes[0].streams)
-        assert rig.owner.sessions[A].playback.state is PlaybackState.PLAYING
+        await wait_until(lambda: A in rig.coordinator.sessions and rig.nodes[0].streams)
+        assert rig.coordinator.sessions[A].playback.state is PlaybackState.PLAYING
         assert not rig.nodes[0].received_messages("close")
 
     run_on_platform(test)
@@ -394,13 +394,13 @@
             await (first := await rig.viewer()).send_setup(B)
             await first.receive()
         viewer = await rig.viewer()
-        await wait_until(lambda: viewer is not None and len(rig.owner.viewer_connections) == 1 + plays)
+        await wait_until(lambda: viewer is not None and len(rig.coordinator.viewer_connections) == 1 + plays)
         (readers if where == "socket" else owner).shut()
         if where == "kernel":
             assert rig.platform.viewer_server is not None
             owner.open()
             rig.stop.set()
-            await wait_until(lambda: rig.owner.setups_close_at < owning.NEVER)
+            await wait_until(lambda: rig.coordinator.setups_close_at < owning.NEVER)
             raw = socket.create_connection(("127.0.0.1", rig.port))  # in one step with closing the listener
             raw.send(viewer.encode_setup(A))
             rig.platform.viewer_server.stop()
@@ -408,7 +408,7 @@
             viewer = StubViewer(trio.SocketStream(trio.socket.from_stdlib_socket(raw)), rig.facts)
         else:
             viewer.send_setup_now(A)
-            await wait_until(lambda: where == "socket" or A in rig.owner.queued_requests)
+            await wait_until(lambda: where == "socket" or A in rig.coordinator.queued_requests)
             rig.stop.set()
             with trio.move_on_after(0.5):  # the front end must not exit meanwhile
                 await rig.ended.wait()
@@ -428,15 +428,15 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await wait_until(lambda: rig.owner.viewer_connections)
-        connection = next(iter(rig.owner.viewer_connections))
+        await wait_until(lambda: rig.coordinator.viewer_connections)
+        connection = next(iter(rig.coordinator.viewer_connections))
         await fill(connection, framing.encode(framing.PROGRESS, C, (framing.TEXT, b"x" * 8_000)))
         # The final answer is queued behind the data above.
         await viewer.send_setup(A, "paid", p115=b"x", p101=b"nan")
-        await wait_until(lambda: rig.owner.counts)
+        await wait_until(lambda: rig.coordinator.counts)
         queued = len(connection.send_buffer)
         rig.stop.set()
-        await wait_until(lambda: rig.owner.setups_close_at < owning.NEVER)
+        await wait_until(lambda: rig.coordinator.setups_close_at < owning.NEVER)
         assert queued
         with trio.move_on_after(serve.FLUSH_TIMEOUT_NS / SECOND / 2):  # nothing else is due or plays
             await rig.ended.wait()
@@ -502,11 +502,11 @@
             node.script = ["silence"] * 4
         viewer = await rig.viewer()
         rig.stop.set()
-        await wait_until(lambda: rig.owner.setups_close_at < owning.NEVER)
+        await wait_until(lambda: rig.coordinator.setups_close_at < owning.NEVER)
         await viewer.send_setup(A, wait="1500")
-        await wait_until(lambda: A in rig.owner.sessions)
-        assert rig.owner.sessions[A].playback.abandon_at <= rig.owner.last_answer_at
-        await wait_until(lambda: rig.owner.clock.now() > rig.owner.setups_close_at)
+        await wait_until(lambda: A in rig.coordinator.sessions)
+        assert rig.coordinator.sessions[A].playback.abandon_at <= rig.coordinator.last_answer_at
+        await wait_until(lambda: rig.coordinator.clock.now() > rig.coordinator.setups_close_at)
         await viewer.send_setup(B)
         assert (await viewer.receive() or ())[:3] == (framing.RELEASE, B, REFUSED)
         assert (await viewer.receive() or ())[:2] == (framing.RELEASE, A)
@@ -549,14 +549,14 @@
 
     async def test(rig: PlatformRig) -> None:
         rig.add_list_change(2, rig.member(rig.nodes[1], "removed"))
-        await wait_until(lambda: rig.owner.pools["n0"].node.status and set(rig.owner.pools) == {"n0"})
+        await wait_until(lambda: rig.coordinator.pools["n0"].node.status and set(rig.coordinator.pools) == {"n0"})
         node, viewer = rig.nodes[0], await rig.viewer()
         node.script = ["silence"]
         await viewer.send_setup(A)
         await wait_until(lambda: opens(rig))
         dials.shut()
         await viewer.send_setup(B)
-        await wait_until(lambda: rig.owner.pools["n0"].waiting_setups)
+        await wait_until(lambda: rig.coordinator.pools["n0"].waiting_setups)
         await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="answer")
         assert (await viewer.receive() or ())[:2] == (framing.ANSWER, A)
         # B is sent on the connection that A has freed, while its own connect is still held back.
@@ -644,11 +644,11 @@
         viewer, node = await plays(rig, A)
         other, _ = await plays(rig, B)
         await viewer.stream.aclose()
-        await wait_until(lambda: len(rig.owner.viewer_connections) == 2)
+        await wait_until(lambda: len(rig.coordinator.viewer_connections) == 2)
         await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
         assert await other.receive() == (framing.RELEASE, A, OVER, b"")
         await other.send(framing.RELEASE_CONFIRMED, A)
-        await wait_until(lambda: len(rig.owner.releases.unconfirmed) == 0)
+        await wait_until(lambda: len(rig.coordinator.releases.unconfirmed) == 0)
         await first.send(framing.TEST, C, 0)
         assert (await first.receive() or (0,))[0] == framing.TESTED  # and no release before it
 
@@ -663,17 +663,17 @@
         strangers = [] if owed else [await stranger(rig), await stranger(rig)]
         viewer, node = await plays(rig, A)
         await viewer.stream.aclose()
-        await wait_until(lambda: len(rig.owner.viewer_connections) == len(strangers))
+        await wait_until(lambda: len(rig.coordinator.viewer_connections) == len(strangers))
         await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
         if owed:
-            await wait_until(lambda: rig.owner.releases.unsent)
+            await wait_until(lambda: rig.coordinator.releases.unsent)
             strangers = [await rig.viewer(), await rig.viewer()]
         for client in strangers:
             assert await client.receive() == (framing.RELEASE, A, OVER, b"")
         late = await rig.viewer()
         assert await late.receive() == (framing.RELEASE, A, OVER, b"")
         await late.send(framing.RELEASE_CONFIRMED, A)
-        await wait_until(lambda: len(rig.owner.releases.unconfirmed) == 0)
+        await wait_until(lambda: len(rig.coordinator.releases.unconfirmed) == 0)
 
     run_on_platform(test)
 
@@ -686,9 +686,9 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await wait_until(lambda: rig.owner.viewer_connections)
+        await wait_until(lambda: rig.coordinator.viewer_connections)
         readers.shut()
-        next(iter(rig.owner.viewer_connections)).idle_since = 0
+        next(iter(rig.coordinator.viewer_connections)).idle_since = 0
         viewer.send_setup_now(A)
         with trio.move_on_after(0.3):
             await rig.ended.wait()
@@ -717,13 +717,13 @@
         await wait_until(lambda: asked_node.received_messages("close", B))
         await asked_node.send(asked_node.streams[-1], msg=again, sid=B, attrs={}, text="late", code=47)
         await viewer.send_setup(C, at=other.name, wait="0")  # connects to the other node
-        await wait_until(lambda: other.streams and C in rig.owner.sessions)
+        await wait_until(lambda: other.streams and C in rig.coordinator.sessions)
         await other.send(other.streams[0], msg=again, sid=A, attrs={}, text="of another node", code=16)
         await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="twice")
         await node.send(node.streams[0], msg=again, sid="f" * 16, attrs={}, text="of nobody", code=34)
         await viewer.send(framing.TEST, "e" * 16, 0)
         assert (await viewer.receive() or ())[:2] == (framing.TESTED, "e" * 16)
-        assert rig.owner.sessions[A].playback.state is PlaybackState.PLAYING
+        assert rig.coordinator.sessions[A].playback.state is PlaybackState.PLAYING
         assert opens(rig, B) == 1
 
     run_on_platform(test)
@@ -737,8 +737,8 @@
         await viewer.send_setup(A)
         await viewer.receive()
         node = next(n for n in rig.nodes if n.received_messages("open"))
-        pool = rig.owner.pools[node.name]
-        session = rig.owner.sessions[A]
+        pool = rig.coordinator.pools[node.name]
+        session = rig.coordinator.sessions[A]
         node.streams[0].socket.close()  # the check follows without a turn of the event loop
         assert pool._least_used_connection() is None
         assert session.playback.state is PlaybackState.PLAYING
@@ -767,7 +767,7 @@
         rig.channel.corruptions = [spoil]
         rig.add_list_change(3, rig.member(rig.nodes[1], "draining"))
         await wait_until(lambda: rig.channel.corrupted_count and follower.last_cursor == 3, 6)
-        assert all(pool.node.status is NodeStatus.DRAINING for pool in rig.owner.pools.values())
+        assert all(pool.node.status is NodeStatus.DRAINING for pool in rig.coordinator.pools.values())
         assert rig.channel.polls[-1] == 3
 
     run_on_platform(test)
@@ -787,8 +787,8 @@
             rig.channel.answer_now(2, rig.member(rig.nodes[0], "draining"))
         rig.channel.stream = newest
         rig.channel.answer_now(2, rig.member(rig.nodes[1], "draining"))
-        await wait_until(lambda: rig.owner.pools["n1"].node.status is NodeStatus.DRAINING)
-        assert rig.owner.pools["n0"].node.status is NodeStatus.READY
+        await wait_until(lambda: rig.coordinator.pools["n1"].node.status is NodeStatus.DRAINING)
+        assert rig.coordinator.pools["n0"].node.status is NodeStatus.READY
 
     run_on_platform(test)
 
@@ -802,12 +802,12 @@
     async def test(rig: PlatformRig) -> None:
         viewer, (left, other) = await rig.viewer(), rig.nodes
         rig.add_list_change(2, rig.member(other, "removed"))
-        await wait_until(lambda: set(rig.owner.pools) == {"n0"})
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n0"})
         dials.shut()
         await viewer.send_setup(A, "paid")
-        await wait_until(lambda: rig.owner.pools["n0"].waiting_setups)
+        await wait_until(lambda: rig.coordinator.pools["n0"].waiting_setups)
         rig.add_list_change(3, rig.member(other, "up", "n0") | {"up_since_ms": 1})
-        await wait_until(lambda: rig.owner.pools["n0"].address[1] == other.port)
+        await wait_until(lambda: rig.coordinator.pools["n0"].address[1] == other.port)
         dials.open()
         assert (await viewer.receive() or ())[:2] in ((framing.ANSWER, A), (framing.RELEASE, A))
         assert not left.received_messages("open")
@@ -827,9 +827,9 @@
         await wait_until(lambda: opens(rig))
         node = next(n for n in rig.nodes if n.received_messages("open"))
         node.streams[0].socket._sock.send(b'{"msg":"ready","sid":"%b","attrs":{},"text":"x"}\n' % A.encode())  # type: ignore[attr-defined]
-        session = rig.owner.sessions[A]
-        rig.owner._handle_event(
-            partial(rig.owner._try_timed_out, session, len(session.playback.tries))
+        session = rig.coordinator.sessions[A]
+        rig.coordinator._handle_event(
+            partial(rig.coordinator._try_timed_out, session, len(session.playback.tries))
         )  # in one step with the answer
         for n in rig.nodes:
             n.script.clear()
@@ -852,8 +852,8 @@
         viewer = await rig.viewer()
         await viewer.send_setup(A)
         await viewer.receive()
-        pool = next(p for p in rig.owner.pools.values() if p.playing_sessions)
-        now, pool.last_connect_at = rig.owner.clock.now(), 0
+        pool = next(p for p in rig.coordinator.pools.values() if p.playing_sessions)
+        now, pool.last_connect_at = rig.coordinator.clock.now(), 0
         for quiet in (silent - 100, silent + 100):
             pool.last_heard_at = now - quiet * MS
             pool.maintain(now)
@@ -869,12 +869,12 @@
     """Connections to many nodes share a bounded number of descriptors, and all set-ups are still served."""
 
     async def test(rig: PlatformRig) -> None:
-        rig.owner.node_pools.max_connections = 1
+        rig.coordinator.node_pools.max_connections = 1
         viewer = await rig.viewer()
         for i in range(12):
             await viewer.send_setup(f"{i + 1:016x}", title=f"t{i}")
             assert (await viewer.receive() or (0,))[0] == framing.ANSWER
-            assert sum(p.descriptor_count for p in rig.owner.pools.values()) <= 1
+            assert sum(p.descriptor_count for p in rig.coordinator.pools.values()) <= 1
         assert all(node.received_messages("open") for node in rig.nodes)
 
     run_on_platform(test)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -68,7 +68,7 @@
         assert message["text"] == 'é\u2028"\r\n'
         assert message["attrs"]["class"] == "paid"
         assert 0 < int(message["attrs"]["left"]) <= 1000
-        ticket = rig.owner.sessions[A]
+        ticket = rig.coordinator.sessions[A]
         assert ticket.playback.node is not None
         await node.send(node.streams[0], msg="event", sid=A, attrs={"note": "local", "value": "0.75"})
         await wait_until(
@@ -80,7 +80,7 @@
         assert (
             ticket.playback.node.reported_load == 0.75
         )  # the load report in the close is older than the note
-        assert not rig.owner.sessions
+        assert not rig.coordinator.sessions
         assert broken(rig) == []
 
     run_on_platform(test)
@@ -112,7 +112,7 @@
         assert sum(len(node.received_messages("open", A)) for node in rig.nodes) == tries
         if does == "silence":
             await wait_until(lambda: any(node.received_messages("close", A) for node in rig.nodes))
-        assert rig.owner.setup_count == 0
+        assert rig.coordinator.setup_count == 0
         assert broken(rig) == []
 
     run_on_platform(test)
@@ -131,7 +131,7 @@
         assert answer == (framing.ANSWER, A, 255, f"{node.name} é\r\n{A}".encode())
         assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
         assert sum(len(n.received_messages("open")) for n in rig.nodes) == 1
-        assert not rig.owner.sessions
+        assert not rig.coordinator.sessions
         assert broken(rig) == []
 
     run_on_platform(test)
@@ -174,19 +174,19 @@
     async def test(rig: PlatformRig) -> None:
         viewer, (node, _) = await rig.viewer(), rig.nodes
         await viewer.send_setup(A, at="n0", wait="0")
-        await wait_until(lambda: A in rig.owner.sessions and node.streams)
+        await wait_until(lambda: A in rig.coordinator.sessions and node.streams)
         connection = node.streams[0]
         await node.send(connection, msg="event", sid=B, attrs={"note": "grade", "value": "2"})
         await node.send(connection, msg="close", sid=C, attrs={}, code=16)
-        await wait_until(lambda: len(rig.owner.early_messages) == 2)
+        await wait_until(lambda: len(rig.coordinator.early_messages) == 2)
         await viewer.send_setup(B, at="n0", wait="0")
         await viewer.send_setup(C, at="n0", wait="0")
         assert await viewer.receive() == (framing.RELEASE, C, OVER, b"")
-        assert rig.owner.sessions[B].playback.rung == 2
+        assert rig.coordinator.sessions[B].playback.rung == 2
         await viewer.send_setup(A, at="n0", wait="0")  # handed over already
         await viewer.send_setup("0" * 15 + "d", at="nowhere", wait="0")
         assert await viewer.receive() == (framing.RELEASE, "0" * 15 + "d", FAILED, b"")
-        assert len(rig.owner.sessions) == 2
+        assert len(rig.coordinator.sessions) == 2
 
     run_on_platform(test)
 
@@ -205,10 +205,10 @@
         await other.send(framing.RELEASE, A)  # another connection's set-up, which it may not cancel
         await other.send_setup(B)
         assert (await other.receive() or (0,))[0] == framing.ANSWER
-        assert rig.owner.sessions[A].playback.state is PlaybackState.SETTING_UP
+        assert rig.coordinator.sessions[A].playback.state is PlaybackState.SETTING_UP
         await one.send_setup(A, "paid", p115=b"another")
         assert await one.receive() is None
-        await wait_until(lambda: A not in rig.owner.sessions)
+        await wait_until(lambda: A not in rig.coordinator.sessions)
         assert sum(len(n.received_messages("open", A)) for n in rig.nodes) == 1
 
     run_on_platform(test)
@@ -229,8 +229,8 @@
         else:
             await viewer.send(framing.RELEASE, A)
         await wait_until(lambda: any(n.received_messages("close", A) for n in rig.nodes))
-        assert not rig.owner.sessions
-        assert rig.owner.setup_count == 0
+        assert not rig.coordinator.sessions
+        assert rig.coordinator.setup_count == 0
 
     run_on_platform(test)
 
@@ -247,13 +247,13 @@
             sid: next(node for node in rig.nodes if node.received_messages("open", sid)) for sid in (A, B)
         }
         await one.stream.aclose()
-        await wait_until(lambda: len(rig.owner.viewer_connections) == 1)
+        await wait_until(lambda: len(rig.coordinator.viewer_connections) == 1)
         await places[A].send(places[A].streams[0], msg="close", sid=A, attrs={}, code=41)
         assert await other.receive() == (framing.RELEASE, A, FAILED, b"")
         await other.stream.aclose()
-        await wait_until(lambda: not rig.owner.viewer_connections)
+        await wait_until(lambda: not rig.coordinator.viewer_connections)
         await places[B].send(places[B].streams[0], msg="close", sid=B, attrs={}, code=16)
-        await wait_until(lambda: rig.owner.releases.unsent)
+        await wait_until(lambda: rig.coordinator.releases.unsent)
         assert await (await rig.viewer()).receive() == (framing.RELEASE, B, OVER, b"")
 
     run_on_platform(test)
@@ -268,11 +268,11 @@
         await one.receive()
         node = next(n for n in rig.nodes if n.received_messages("open"))
         await trio.aclose_forcefully(node.streams[0])  # the node's connection breaks meanwhile
-        await wait_until(lambda: not rig.owner.pools[node.name].connections)
+        await wait_until(lambda: not rig.coordinator.pools[node.name].connections)
         await other.send(framing.RELEASE, A)
         await wait_until(lambda: node.received_messages("close", A))
         await node.send(node.streams[-1], msg="close", sid=A, attrs={}, code=31)
-        await wait_until(lambda: not rig.owner.sessions)
+        await wait_until(lambda: not rig.coordinator.sessions)
         await one.send(framing.TEST, C, 0)
         assert (await one.receive() or (0,))[0] == framing.TESTED
 
@@ -303,7 +303,7 @@
         assert await silent.receive() is None
         assert await half.receive() is None
         assert not any(node.received for node in rig.nodes)
-        assert not rig.owner.sessions
+        assert not rig.coordinator.sessions
 
     run_on_platform(test)
 
@@ -358,11 +358,11 @@
     async def test(rig: PlatformRig) -> None:
         viewer, (gone, stays) = await rig.viewer(), rig.nodes
         await viewer.send_setup(A, at="n0", wait="0")
-        await wait_until(lambda: A in rig.owner.sessions and rig.owner.pools["n0"].connections)
+        await wait_until(lambda: A in rig.coordinator.sessions and rig.coordinator.pools["n0"].connections)
         rig.channel.truncated_answers = 1
         rig.add_list_change(2, rig.member(gone, "removed"), rig.member(gone, "up", "n0b"))
         assert await viewer.receive() == (framing.RELEASE, A, FAILED, b"")
-        await wait_until(lambda: set(rig.owner.pools) == {"n0b", "n1"})
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n0b", "n1"})
         rig.channel.is_silent = True
         await wait_until(lambda: rig.channel.polls.count(2) >= 2)
         rig.channel.is_silent = False
@@ -371,12 +371,12 @@
         await viewer.send_setup(B)
         assert (await viewer.receive() or (0,))[0] == framing.ANSWER
         assert not stays.received_messages("open")
-        assert rig.owner.pools["n0b"].playing_sessions
+        assert rig.coordinator.pools["n0b"].playing_sessions
         rig.add_list_change(
             4, rig.member(stays, "removed"), rig.member(gone, "up", "n0b") | {"up_since_ms": 10**13}
         )
         assert await viewer.receive() == (framing.RELEASE, B, FAILED, b"")  # its node was restarted
-        await wait_until(lambda: set(rig.owner.pools) == {"n0b"})
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n0b"})
 
     run_on_platform(test)
 
@@ -399,7 +399,7 @@
         assert rig.platform.channel_follower is not None
         assert rig.platform.channel_follower.address[1] == old.port
         rig.add_list_change(2, rig.member(rig.nodes[0], "removed"))
-        await wait_until(lambda: set(rig.owner.pools) == {"n1"})
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n1"})
 
     run_on_platform(test)
 
@@ -428,10 +428,10 @@
         viewer, node = await rig.viewer(), rig.nodes[0]
         await viewer.send_setup(A, at="n0", wait="0")
         await wait_until(lambda: node.streams)
-        rig.owner.pools["n0"].address = ("127.0.0.1", 1)
+        rig.coordinator.pools["n0"].address = ("127.0.0.1", 1)
         await trio.aclose_forcefully(node.streams[0])
         assert await viewer.receive() == (framing.RELEASE, A, FAILED, b"")
-        assert not rig.owner.sessions
+        assert not rig.coordinator.sessions
 
     run_on_platform(test)
 
@@ -440,7 +440,7 @@
     """Guards against tables that grow with every session, title or connection."""
 
     async def test(rig: PlatformRig) -> None:
-        owner = rig.owner
+        owner = rig.coordinator
         for batch in range(30):
             viewer = await rig.viewer()
             for i in range(batch * 100, batch * 100 + 100):
@@ -515,10 +515,10 @@
     async def test(rig: PlatformRig) -> None:
         viewer, node = await rig.viewer(), rig.nodes[0]
         await viewer.send_setup(A, at="n0", wait="0")
-        await wait_until(lambda: node.streams and rig.owner.pools["n0"].connections)
-        pool, stream = rig.owner.pools["n0"], node.streams[0]
+        await wait_until(lambda: node.streams and rig.coordinator.pools["n0"].connections)
+        pool, stream = rig.coordinator.pools["n0"], node.streams[0]
         pool.connections[0].last_used_at = 0
-        pool.maintain(rig.owner.clock.now())
+        pool.maintain(rig.coordinator.clock.now())
         assert not pool.connections
         # The node sends this before it has seen the half-close.
         await node.send(stream, msg="close", sid=A, attrs={}, code=16)
@@ -537,10 +537,10 @@
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await viewer.send_setup(A, "paid")
-        await wait_until(lambda: any(pool.waiting_setups for pool in rig.owner.pools.values()))
+        await wait_until(lambda: any(pool.waiting_setups for pool in rig.coordinator.pools.values()))
         rig.add_list_change(2, *(rig.member(node, "draining") for node in rig.nodes))
-        await wait_until(lambda: all(p.node.status is NodeStatus.DRAINING for p in rig.owner.pools.values()))
-        assert not any(pool.waiting_setups for pool in rig.owner.pools.values())
+        await wait_until(lambda: all(p.node.status is NodeStatus.DRAINING for p in rig.coordinator.pools.values()))
+        assert not any(pool.waiting_setups for pool in rig.coordinator.pools.values())
         assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)
         assert not any(node.received for node in rig.nodes)
         assert broken(rig) == []
@@ -566,7 +566,7 @@
     """Set-ups that are released at once release their timers and descriptions."""
 
     async def test(rig: PlatformRig) -> None:
-        owner, viewer = rig.owner, await rig.viewer()
+        owner, viewer = rig.coordinator, await rig.viewer()
         for node in rig.nodes:
             node.script = ["silence"] * 400
         for i in range(400):
@@ -586,7 +586,7 @@
     """The memory for descriptions is bounded and is released when set-ups end."""
 
     async def test(rig: PlatformRig) -> None:
-        owner, viewer = rig.owner, await rig.viewer()
+        owner, viewer = rig.coordinator, await rig.viewer()
         owner.max_held_chars = 50_000
         for node in rig.nodes:
             node.script = ["silence"] * 10
@@ -662,8 +662,8 @@
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
-        await wait_until(lambda: rig.owner.viewer_connections)
-        connection, owner = next(iter(rig.owner.viewer_connections)), rig.owner
+        await wait_until(lambda: rig.coordinator.viewer_connections)
+        connection, owner = next(iter(rig.coordinator.viewer_connections)), rig.coordinator
         for i in range(100, 124):
             await viewer.send_setup(f"{i:016x}", title=f"t{i}")
             await viewer.receive()
@@ -697,7 +697,7 @@
         for cursor in (2, 3, 4):
             rig.add_list_change(cursor, rig.member(rig.nodes[0], "draining" if cursor % 2 == 0 else "up"))
             await wait_until(lambda expected=cursor: rig.platform.channel_follower.last_cursor == expected)  # type: ignore[misc,union-attr]
-        assert rig.owner.pools["n0"].node.status is NodeStatus.DRAINING
+        assert rig.coordinator.pools["n0"].node.status is NodeStatus.DRAINING
         assert rig.platform.channel_follower is not None
         assert rig.platform.channel_follower.freshness.is_current
 
