--- a/oakcroft/decisions/membership/own_identity.py
+++ b/oakcroft/decisions/membership/own_identity.py
@@ -107,7 +107,7 @@
             self._answer_earlier(sender, kind, sequence, now)
             return False
         if sender.address == self.me.address:
-            self._supersede(sender, "an earlier life here had a later number")
+            self._supersede(sender, "an earlier process here had a later generation")
             return False
         is_newly_displaced = not self.displaced
         if is_newly_displaced:
--- a/oakcroft/decisions/membership/suspicion_tracker.py
+++ b/oakcroft/decisions/membership/suspicion_tracker.py
@@ -40,7 +40,7 @@
         elif member.latest.state is MemberState.ALIVE:
             suspected = member.latest.with_state(MemberState.SUSPECTED, own_name)
             self.table.set_suspicion(member, Suspicion(now, own_name, self.health.multiplier))
-            self.table.transition(member, suspected, now, "no answer, through others neither")
+            self.table.transition(member, suspected, now, "no answer, directly or through other members")
 
     def confirm(self, member: Member, update: MemberUpdate, by: str) -> None:
         """Counts another member's accusation, suspected or failed, as a confirmation of an existing suspicion."""
--- a/oakcroft/decisions/membership/update_merger.py
+++ b/oakcroft/decisions/membership/update_merger.py
@@ -131,4 +131,4 @@
 
 def _source(update: MemberUpdate, by: str) -> str:
     """Source of an update, for the reason of a change."""
-    return f"told by {by}" if by != update.name else "by its own word"
+    return f"told by {by}" if by != update.name else "by its own message"
--- a/oakcroft/peers/generations.py
+++ b/oakcroft/peers/generations.py
@@ -32,7 +32,7 @@
     except (OSError, ValueError) as error:
         return 0, str(error)
     if not 0 < stored < MAX_GENERATION:
-        return 0, "no number stands in it"
+        return 0, "it does not contain a valid number"
     return stored, ""
 
 
