--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -552,7 +552,7 @@
                     )
                     break
                 self.duties.request_token_floor(CATALOGUE_LEASE)  # the acceptors' answers name the owner
-                if owner := self.duties.holder(CATALOGUE_LEASE):
+                if owner := self.duties.current_term(CATALOGUE_LEASE):
                     self.duties.order(
                         owner.holder, Order(REQUEST_ORDER, owner.fencing_token, 0, ENCODER.encode(request))
                     )
@@ -648,7 +648,7 @@
         """The last roll-out as this front end knows it, for operators."""
         rollout = self.rollout
         plan = rollout.plan if rollout is not None else self.ordered_plan
-        owner = self.duties.holder(CATALOGUE_LEASE)
+        owner = self.duties.current_term(CATALOGUE_LEASE)
         told: dict[str, object] = {
             "owner": owner.holder if owner else None,
             "number": owner.fencing_token if owner else 0,
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -26,7 +26,7 @@
     wanted: set[str]
     dropped: Counter[str]
 
-    def holder(self, duty: str) -> LeaseTerm | None:
+    def current_term(self, duty: str) -> LeaseTerm | None:
         """Current term of a lease, as far as this front knows."""
 
 
@@ -49,7 +49,7 @@
 
 def _one_lease(host: LeaseStatusSource, duty: str, now: int) -> dict[str, object]:
     candidate = host.candidates.get(duty)
-    holder = host.holder(duty)
+    holder = host.current_term(duty)
     acceptor = host.acceptor_host
     return {
         "duty": duty,
--- a/oakcroft/peers/leases.py
+++ b/oakcroft/peers/leases.py
@@ -135,7 +135,7 @@
             await trio.sleep(RECORD_CHECK_INTERVAL / SECOND)
         return False
 
-    def holder(self, duty: str) -> LeaseTerm | None:
+    def current_term(self, duty: str) -> LeaseTerm | None:
         """Current term of a lease, as far as this front's candidate and acceptor know."""
         candidate = self.candidates.get(duty)
         now = boot_time()
