--- a/oakcroft/decisions/membership/zone_gossip.py
+++ b/oakcroft/decisions/membership/zone_gossip.py
@@ -57,8 +57,7 @@
 
 @dataclass
 class LocalZone:
-    """The own zone as far as gossip needs it: addresses of the other present members, and whether this front acts as a
-    delegate."""
+    """The own zone: addresses of the other present members, and whether this front acts as a delegate."""
 
     peers: Sequence[Address] = ()
     is_delegate: bool = False
@@ -196,8 +195,7 @@
     # Sending.
 
     def _is_overdue(self, zone: str, now: int) -> bool:
-        """Whether forwarding should have delivered a newer content by now; before, all zones would request it at
-        once."""
+        """Whether forwarding should have delivered a newer content by now; earlier, all zones would request it."""
         if zone not in self.directory.records:
             return True
         return now - self._offered_at.setdefault(zone, now) >= FORWARDING_TIME
--- a/oakcroft/peers/leases.py
+++ b/oakcroft/peers/leases.py
@@ -81,9 +81,8 @@
         self.report_handlers: dict[str, Callable[[str, OrderReport], None]] = {}
         self.holder_handlers: dict[str, Callable[[LeaseTerm | None], None]] = {}
         self.highest_promised: dict[str, dict[str, int]] = {}  # fencing token by lease and acceptor
-        self.find_text: Callable[[str], bytes | None] = lambda _: (
-            None
-        )  # text that this front holds, by digest
+        # Returns a text that this front holds, by its digest.
+        self.find_text: Callable[[str], bytes | None] = lambda _: None
         self.nursery: trio.Nursery | None = None
 
     def _make_acceptor(self, record: NamedValueStore | None) -> AcceptorHost | None:
@@ -238,9 +237,8 @@
     def _send_to(self, to: str, octets: bytes) -> None:
         if to != self.membership.me.name:
             self.send(to, octets)
-        elif (
-            self.nursery is not None
-        ):  # messages to itself do not use the network, but arrive asynchronously too
+        elif self.nursery is not None:
+            # A message to itself does not use the network, but arrives asynchronously too.
             self.nursery.start_soon(self._receive_own, octets)
 
     async def _receive_own(self, octets: bytes) -> None:
