--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -285,9 +285,8 @@
         accusation = known if known.precedence > sender.precedence else None
         is_for_other_name = to[0] not in ("", self.me.name)
         is_for_other_generation = to[1] not in (0, self.me.generation)
-        if (
-            is_for_other_name
-        ):  # another member had this address: replies with the own update, but not with an answer
+        if is_for_other_name:
+            # Another member had this address: the sender learns who has it now, but gets no answer to its probe.
             self.counts.misaddressed += 1
         elif is_for_other_generation:
             self.counts.other_start += 1
--- a/oakcroft/decisions/membership/own_identity.py
+++ b/oakcroft/decisions/membership/own_identity.py
@@ -91,7 +91,7 @@
         self.table.record_own_change(ALIVE, ALIVE, f"start {self.me.generation}: {why}")
 
     def _ping_other(self, other: MemberUpdate, now: int, missed: int = 0) -> None:
-        """Pings the address of the process that is said to use this front's name with a later generation."""
+        """Pings the address of a process that is reported to use this front's name with a later generation."""
         sequence = self.outbox.new_sequence()
         self.conflict = NameConflict(other, sequence, now + CONFLICT_ANSWER_TIMEOUT, missed)
         to = MemberId(other.name, other.generation)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -189,7 +189,7 @@
 
 
 class StubNode:
-    """A playout node. `script` says how it treats the next set-ups, in order; without an entry it answers."""
+    """A playout node. `script` has the reactions to the next set-ups, in order; without an entry it answers."""
 
     def __init__(self, name: str, facts: list[dict[str, Any]]) -> None:
         """A node that records what happens there in `facts`."""
@@ -230,7 +230,7 @@
         await trio.aclose_forcefully(stream)
 
     async def handle_setup(self, stream: trio.SocketStream, request: dict[str, Any]) -> None:
-        """Handles a set-up as the script says."""
+        """Handles a set-up according to the script."""
         sid = request["sid"]
         attributes = request["attrs"]
         plan = attributes["class"]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -152,7 +152,7 @@
         return self.front_end.coordinator
 
     async def request_playback_ignoring_errors(self, path: str, headers: dict[str, Any]) -> None:
-        """Requests a playback from a front end that may die meanwhile."""
+        """Requests a playback from a front end that may be killed meanwhile."""
         with suppress(Ended, OSError):
             await self.request_playback(path, **headers)
 
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -322,7 +322,9 @@
         owner.shut()
         viewer.send_setup_now(A, at="n0", wait="0")
         viewer.leave("release", A)
-        await wait_until(lambda: A in rig.coordinator.queued_requests and rig.coordinator.queued_requests[A].withdrawn)
+        await wait_until(
+            lambda: A in rig.coordinator.queued_requests and rig.coordinator.queued_requests[A].withdrawn
+        )
         owner.open()
         await wait_until(lambda: rig.nodes[0].received_messages("close", A))
 
@@ -549,7 +551,9 @@
 
     async def test(rig: PlatformRig) -> None:
         rig.add_list_change(2, rig.member(rig.nodes[1], "removed"))
-        await wait_until(lambda: rig.coordinator.pools["n0"].node.status and set(rig.coordinator.pools) == {"n0"})
+        await wait_until(
+            lambda: rig.coordinator.pools["n0"].node.status and set(rig.coordinator.pools) == {"n0"}
+        )
         node, viewer = rig.nodes[0], await rig.viewer()
         node.script = ["silence"]
         await viewer.send_setup(A)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -539,7 +539,9 @@
         await viewer.send_setup(A, "paid")
         await wait_until(lambda: any(pool.waiting_setups for pool in rig.coordinator.pools.values()))
         rig.add_list_change(2, *(rig.member(node, "draining") for node in rig.nodes))
-        await wait_until(lambda: all(p.node.status is NodeStatus.DRAINING for p in rig.coordinator.pools.values()))
+        await wait_until(
+            lambda: all(p.node.status is NodeStatus.DRAINING for p in rig.coordinator.pools.values())
+        )
         assert not any(pool.waiting_setups for pool in rig.coordinator.pools.values())
         assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)
         assert not any(node.received for node in rig.nodes)
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -85,7 +85,9 @@
         again = {"complete": True, "members": [rig.member(n) for n in rig.nodes]}
         rig.channel.cmds.append({"cursor": 3, "nodes": again})
         await wait_until(
-            lambda: len(rig.coordinator.pools) == len(rig.nodes) and listed(rig, node.name) is NodeStatus.READY
+            lambda: (
+                len(rig.coordinator.pools) == len(rig.nodes) and listed(rig, node.name) is NodeStatus.READY
+            )
         )
 
     run_on_platform(test)
@@ -114,7 +116,8 @@
         await viewer.send_setup(A, plan)
         await wait_until(
             lambda: any(
-                pool.connections and pool.connections[0].pending_setups for pool in rig.coordinator.pools.values()
+                pool.connections and pool.connections[0].pending_setups
+                for pool in rig.coordinator.pools.values()
             )
         )
         for number, node in enumerate(rig.nodes):
@@ -167,7 +170,9 @@
         request = viewer.encode_setup(A, "paid")
         await viewer.stream.send_all(request[:-1])
         await wait_until(
-            lambda: any(connection.frames.has_partial_message for connection in rig.coordinator.viewer_connections)
+            lambda: any(
+                connection.frames.has_partial_message for connection in rig.coordinator.viewer_connections
+            )
         )
         await viewer.stream.send_all(
             request[-1:] + framing.encode(framing.RELEASE, A, (framing.CAUSE, b"\x10"))
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -272,9 +272,8 @@
     net.cut = lambda one, other: part[one] != part[other]
     net.run(FAILED_RETENTION + 60 * SECOND)
     view = net.processes["f3"].view
-    assert all(
-        view.state_of(name) is None for name in part if part[name] != part["f3"]
-    )  # removed from the table
+    # Members of the other parts have been removed from the table.
+    assert all(view.state_of(name) is None for name in part if part[name] != part["f3"])
     net.cut = lambda _one, _other: False
     healed_at = net.now
     assert net.run(30 * SECOND, net.settled)
@@ -387,23 +386,25 @@
 def test_false_accusations_by_one_member_cause_refutations_and_no_failed_member() -> None:
     net = fleet(16, 15, loss=0.05)
     net.told.clear()
-    liar = net.processes["f3"]
+    faulty_member = net.processes["f3"]
     for _ in range(100):
-        view = liar.view
+        view = faulty_member.view
         for name in sorted(view.members):
             if name != "f3":
                 known = view.members[name].latest
-                lies = [
+                accusations = [
                     known.with_state(FAILED, "f3"),
                     replace(known.with_state(SUSPECTED, "f3"), incarnation=known.incarnation + 1),
                 ]
                 for to in view.table.sample(3):
-                    there = net.processes[to].view
-                    there.receive_message(view.me, MessageKind.GOSSIP, 0, ANYONE, None, lies, net.now)
-                    net._after(net.processes[to])
+                    receiver = net.processes[to]
+                    receiver.view.receive_message(
+                        view.me, MessageKind.GOSSIP, 0, ANYONE, None, accusations, net.now
+                    )
+                    net._after(receiver)
         net.run(100 * MS)
     assert reported(net, FAILED) == set()
-    assert sum(p.view.counts.refuted for p in net.living()) > 0
+    assert sum(process.view.counts.refuted for process in net.living()) > 0
     assert net.run(10 * SECOND, net.settled)
 
 
@@ -413,10 +414,10 @@
     net = fleet(8, 17)
     net.told.clear()
     accusation = replace(net.processes["f5"].view.me.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1)
+    sender = net.processes["f3"].view.me
     for process in net.living():
         if process.name not in ("f3", "f5"):
-            liar = net.processes["f3"].view.me
-            process.view.receive_message(liar, MessageKind.GOSSIP, 0, ANYONE, None, [accusation], net.now)
+            process.view.receive_message(sender, MessageKind.GOSSIP, 0, ANYONE, None, [accusation], net.now)
             net._after(process)
     net.run(30 * SECOND)
     assert reported(net, FAILED) == set()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,22 +8,60 @@
 from typing import Any
 
 SETTINGS: dict[str, Any] = {
-    "balancers": 1, "me": 0, "membershipMode": "automatic", "models": ["k"],
+    "balancers": 1,
+    "me": 0,
+    "membershipMode": "automatic",
+    "models": ["k"],
     "classes": [{"deadlineMs": 4000.0, "effect": "free", "name": "p", "objectiveMs": 800.0, "worth": 1.0}],
     "familyInfo": {
-        "cells": 1, "classSeats": [0], "classTop": [2], "floorByClass": [0], "groups": 1, "joinAdds": 1.0,
-        "kindSlots": [10], "live": [False], "rateFactor": [1.0], "ratesKb": [100.0, 200.0, 400.0],
-        "reportsEveryMs": 3000.0, "rungWorth": [0.3, 0.6, 1.0], "seenAfterMs": 900.0, "uplinkKb": 9000.0,
+        "cells": 1,
+        "classSeats": [0],
+        "classTop": [2],
+        "floorByClass": [0],
+        "groups": 1,
+        "joinAdds": 1.0,
+        "kindSlots": [10],
+        "live": [False],
+        "rateFactor": [1.0],
+        "ratesKb": [100.0, 200.0, 400.0],
+        "reportsEveryMs": 3000.0,
+        "rungWorth": [0.3, 0.6, 1.0],
+        "seenAfterMs": 900.0,
+        "uplinkKb": 9000.0,
         "weightKb": 4000.0,
     },
     "permissions": {"maxAttempts": 3, "maxRetryAfterMs": 1000.0, "retryAfter": True},
-    "rules": {"coldMs": 8000.0, "coldShare": 0.4, "drainGraceMs": 250.0, "fallMultiple": 2.5,
-              "overloadForMs": 1000.0},
-}  # fmt: skip
-NODE = {"classOfHost": "k", "share": 1, "startedAtMs": None, "node": "n", "cell": 0, "zone": "z",
-        "availability": 1}  # fmt: skip
-REQUEST = {"op": "accept", "who": "e", "rid": "r", "programme": "t", "partitionKey": "k", "budgetMs": 4000.0,
-       "profile": "p", "backFromMove": False, "home": 0, "copies": 1, "topRung": 2, "extra": 1}  # fmt: skip
+    "rules": {
+        "coldMs": 8000.0,
+        "coldShare": 0.4,
+        "drainGraceMs": 250.0,
+        "fallMultiple": 2.5,
+        "overloadForMs": 1000.0,
+    },
+}
+NODE = {
+    "classOfHost": "k",
+    "share": 1,
+    "startedAtMs": None,
+    "node": "n",
+    "cell": 0,
+    "zone": "z",
+    "availability": 1,
+}
+REQUEST = {
+    "op": "accept",
+    "who": "e",
+    "rid": "r",
+    "programme": "t",
+    "partitionKey": "k",
+    "budgetMs": 4000.0,
+    "profile": "p",
+    "backFromMove": False,
+    "home": 0,
+    "copies": 1,
+    "topRung": 2,
+    "extra": 1,
+}
 
 
 def run_adapter(*lines: str) -> tuple[list[Any], int, str]:
@@ -52,8 +90,17 @@
         {"op": "page", "rosterId": 0, "nodesList": [NODE]},
         {"op": "registry", "who": "e", "how": 2, "index": 1, "rosterId": 0},
     )
-    end = {"op": "reply", "who": "e", "rid": "r", "doneFlag": True, "delaySeenMs": 9.0, "outcome": "GOOD",
-           "node": "n", "sendNo": 0, "report": {"x0": 0.2, "new": 1.0}}  # fmt: skip
+    end = {
+        "op": "reply",
+        "who": "e",
+        "rid": "r",
+        "doneFlag": True,
+        "delaySeenMs": 9.0,
+        "outcome": "GOOD",
+        "node": "n",
+        "sendNo": 0,
+        "report": {"x0": 0.2, "new": 1.0},
+    }
     gone = {"op": "gone", "who": "e", "rid": "r"}
     replies, code, _ = run_adapter(
         start, batch(9001.0, REQUEST), batch(9900.0, end, gone), batch(9901.0, gone)
@@ -68,8 +115,16 @@
     """A duplicate outcome must not end the try that followed."""
 
     def reply(number: int) -> dict[str, Any]:
-        return {"op": "reply", "who": "e", "rid": "r", "doneFlag": False, "delaySeenMs": 9.0, "outcome": "NOCONN",
-                "node": "n", "sendNo": number}  # fmt: skip
+        return {
+            "op": "reply",
+            "who": "e",
+            "rid": "r",
+            "doneFlag": False,
+            "delaySeenMs": 9.0,
+            "outcome": "NOCONN",
+            "node": "n",
+            "sendNo": number,
+        }
 
     nodes = [NODE, NODE | {"node": "m"}, NODE | {"node": "o"}]
     start = batch(
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -209,8 +209,10 @@
     directory.tick(UNREACHABLE_TIME + 10 * SECOND)
     assert directory.state("z", "a") is RemoteState.UNKNOWN
     assert not any(c.now == RemoteState.FAILED.value for c in directory.changes)
-    directory.advance(replace(summary(2, changes=(change("a", MemberState.FAILED),)).entry, heartbeat=1),
-                      UNREACHABLE_TIME + 11 * SECOND)  # fmt: skip
+    directory.advance(
+        replace(summary(2, changes=(change("a", MemberState.FAILED),)).entry, heartbeat=1),
+        UNREACHABLE_TIME + 11 * SECOND,
+    )
     directory.tick(UNREACHABLE_TIME + 12 * SECOND)
     assert directory.state("z", "a") is RemoteState.SUSPECTED
     directory.tick(UNREACHABLE_TIME + 17 * SECOND)
@@ -623,11 +625,11 @@
 
 def send_forged(fleet: ZoneFleet, state: MemberState, times: int, author: str = "") -> None:
     """A delegate of another zone repeatedly sends its zone a false state of the victim."""
-    liar = contact(fleet.fronts["r0z0f0"])
+    sender = contact(fleet.fronts["r0z0f0"])
     for _ in range(times):
         for front in fleet.living():
             if front.zone == "r0z0":
-                fleet.tell(liar, front, ZoneRecords((forged(fleet, front, state, author),)))
+                fleet.tell(sender, front, ZoneRecords((forged(fleet, front, state, author),)))
         fleet.run(2 * SECOND)
     fleet.run(20 * SECOND)
 
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -89,9 +89,16 @@
         seeds = tuple(relays[f"{zone}-{i}"] for i in (0, 1))
         others = (OtherZone(other, REGIONS[other], tuple(relays[f"{other}-{i}"] for i in (0, 1))),)
         return PeerSettings(
-            name, self.between.fronts[name], relays[name], seeds, str(self.folder / "key"), FLEET, "",
-            region=REGIONS[zone], other_zones=others,
-        )  # fmt: skip
+            name,
+            self.between.fronts[name],
+            relays[name],
+            seeds,
+            str(self.folder / "key"),
+            FLEET,
+            "",
+            region=REGIONS[zone],
+            other_zones=others,
+        )
 
     async def start(self, name: str, settings: PeerSettings | None = None) -> None:
         """Starts or restarts a front."""
--- a/tests/test_zone_wire.py
+++ b/tests/test_zone_wire.py
@@ -63,11 +63,17 @@
     zone = draw(names)
     delegate = st.builds(ZoneContact, names, generations, st.just(zone), hosts, ports)
     return ZoneSummary(
-        zone, draw(names), draw(names), draw(generations), draw(counters), draw(counters),
+        zone,
+        draw(names),
+        draw(names),
+        draw(generations),
+        draw(counters),
+        draw(counters),
         draw(st.builds(StateCounts, counts, counts, counts)),
-        tuple(draw(st.lists(delegate, max_size=MAX_DELEGATES))), draw(fingerprints),
+        tuple(draw(st.lists(delegate, max_size=MAX_DELEGATES))),
+        draw(fingerprints),
         tuple(draw(st.lists(changes, max_size=FEW))),
-    )  # fmt: skip
+    )
 
 
 messages: st.SearchStrategy[ZoneMessage] = st.one_of(
@@ -165,9 +171,17 @@
     )
     listed = tuple(MemberChange(f"front-{i:04}", GENERATION + i, 2, MemberState.FAILED) for i in range(12))
     summary = ZoneSummary(
-        "north-01", "north", "front-0001", GENERATION, 300, 4_000, StateCounts(84, 2, 1), delegates,
-        MAX_FINGERPRINT - 1, listed,
-    )  # fmt: skip
+        "north-01",
+        "north",
+        "front-0001",
+        GENERATION,
+        300,
+        4_000,
+        StateCounts(84, 2, 1),
+        delegates,
+        MAX_FINGERPRINT - 1,
+        listed,
+    )
     entry = DigestEntry("north-01", GENERATION, 300, MAX_FINGERPRINT - 1, 4_000)
     sender = ZoneContact("front-0001", GENERATION, "north-01", "127.10.20.30", 7_946)
     codec = ZoneCodec("oakcroft", RING)
