--- a/oakcroft/peerwire/zone_codec.py
+++ b/oakcroft/peerwire/zone_codec.py
@@ -1,11 +1,12 @@
-"""The messages between zones as MessagePack under a seal; each is one datagram.
+"""Codec of messages between zones: sealed MessagePack, one datagram each.
 
 message = seal:16 format:1 body       body: an array [fleet, sender, kind, payload]
 sender = [name, generation, zone, host, port]
 
-The payload is an array by kind. The format differs from that of the flat membership, so a program that knows
-no zones drops them as `other form`. Whether a message that was read is plausible is for the decisions to say; here it is
-made sure that it is well formed and that hosts are addresses, so that nobody has to look a name up.
+The payload is an array whose fields depend on the kind. The format byte differs from that of flat membership messages,
+so a program without zones drops these messages as `other form`. This module checks that messages are well formed and
+that hosts are IP addresses, which need no name resolution; `oakcroft.decisions.membership` checks whether they are
+plausible.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
     ZoneSummary,
 )
 from oakcroft.peerwire.errors import MessageError
-from oakcroft.peerwire.membership_codec import MAX_DATAGRAM, is_numeric_host
+from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES, is_numeric_host
 from oakcroft.peerwire.sealing import KeyRing
 from oakcroft.peerwire.zone_wire import (
     KINDS,
@@ -61,32 +62,32 @@
 
 @dataclass(frozen=True)
 class ReceivedZoneMessage:
-    """A datagram between zones as it was read."""
+    """A decoded datagram between zones."""
 
     sender: ZoneContact
     message: ZoneMessage
 
 
 class ZoneCodec:
-    """Writes and reads the messages between zones of one fleet."""
+    """Encodes and decodes the messages between zones of one fleet."""
 
     def __init__(self, fleet: str, ring: KeyRing) -> None:
-        """`fleet` names the fleet, `ring` seals and opens."""
+        """`fleet` is the fleet's name; `ring` has the keys to seal and open messages."""
         self.fleet = fleet
         self.ring = ring
 
     def encode(self, sender: ZoneContact, message: ZoneMessage) -> bytes:
-        """One datagram. MessageError where it is too long for one."""
+        """Encodes one datagram. Raises MessageError if the message does not fit."""
         kind, payload = _to_wire(message)
         wire_sender = WireSender(sender.name, sender.generation, sender.zone, sender.host, sender.port)
         body = WireBody(self.fleet, wire_sender, kind.value, msgspec.Raw(ENCODER.encode(payload)))
         octets = self.ring.seal(bytes((ZONE_FORMAT,)) + ENCODER.encode(body))
-        if len(octets) > MAX_DATAGRAM:
+        if len(octets) > MAX_DATAGRAM_BYTES:
             raise MessageError("too long")
         return octets
 
     def read(self, opened: bytes) -> ReceivedZoneMessage:
-        """What an opened datagram says, its format first. MessageError where it is none of this fleet's."""
+        """Decodes an opened datagram, which begins with its format byte. Raises MessageError if it is invalid."""
         if opened[:1] != bytes((ZONE_FORMAT,)):
             raise MessageError("other form")
         try:
@@ -110,7 +111,7 @@
     return host
 
 
-# To the wire.
+# Encoding.
 
 
 def _to_wire(message: ZoneMessage) -> tuple[ZoneMessageKind, msgspec.Struct]:
@@ -135,9 +136,17 @@
     delegates = [WireDelegate(d.name, d.generation, d.host, d.port) for d in summary.delegates]
     changes = [WireChange(c.name, c.generation, c.incarnation, c.state) for c in summary.changes]
     return WireSummary(
-        summary.zone, summary.region, summary.author, summary.epoch, summary.version, summary.heartbeat,
-        counts, delegates, summary.member_digest, changes,
-    )  # fmt: skip
+        summary.zone,
+        summary.region,
+        summary.author,
+        summary.epoch,
+        summary.version,
+        summary.heartbeat,
+        counts,
+        delegates,
+        summary.member_digest,
+        changes,
+    )
 
 
 def _wire_member(member: MemberRecord) -> WireMember:
@@ -146,7 +155,7 @@
     )
 
 
-# From the wire.
+# Decoding.
 
 
 def _decoder(wire_type: type[T]) -> Callable[[bytes], T]:
@@ -200,9 +209,17 @@
     )
     changes = tuple(MemberChange(c.name, c.generation, c.incarnation, c.state) for c in wire.changes)
     return ZoneSummary(
-        wire.zone, wire.region, wire.author, wire.epoch, wire.version, wire.heartbeat,
-        StateCounts(*wire.counts), delegates, wire.member_digest, changes,
-    )  # fmt: skip
+        wire.zone,
+        wire.region,
+        wire.author,
+        wire.epoch,
+        wire.version,
+        wire.heartbeat,
+        StateCounts(*wire.counts),
+        delegates,
+        wire.member_digest,
+        changes,
+    )
 
 
 def _member(wire: WireMember) -> MemberRecord:
