--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -89,11 +89,17 @@
 @click.command(name="stand-in", hidden=True)
 @click.argument("file", type=EXISTING_FILE)
 @click.option("--seed", type=int, required=True)
-@click.option("--start", type=int, required=True, help="When the day begins, ns since the epoch.")
+@click.option(
+    "--start", type=int, help="When the day begins, ns since the epoch; by default read from standard input."
+)
 @click.option("--record", type=click.Path(dir_okay=False, path_type=Path), required=True)
-def stand_in(file: Path, seed: int, start: int, record: Path) -> None:
+def stand_in(file: Path, seed: int, start: int | None, record: Path) -> None:
     """Run the fleet of a day: its nodes, its list service and its faults."""
     from oakcroft.standins import program
     from oakcroft.standins.day import load as load_day
 
-    trio.run(program.main, load_day(file).seeded(seed), start, record)
+    try:
+        trio.run(program.main, load_day(file).seeded(seed), start, record)
+    except program.InvalidStartError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_INVALID_INPUT)
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -9,6 +9,7 @@
 import sys
 import tempfile
 from collections.abc import Callable
+from contextlib import suppress
 from pathlib import Path
 from random import Random
 
@@ -34,9 +35,6 @@
 SETTLE_SECONDS = 6.5
 """A front paces every node for its first six seconds, as it cannot know which are warm."""
 
-START_SECONDS = 2.5
-"""In which all processes have to be up, before they settle."""
-
 FLEET_END_WITHIN_SECONDS = 10
 PROGRESS_EVERY_SECONDS = 5
 ANSWERS_SHOWN = 5
@@ -68,25 +66,22 @@
 
     async def run(self) -> Outcome:
         """Plays the day and judges it."""
-        clock = Clock()
         for place in self.day.nodes:
             self.record.note("place", node=place.name, places=place.places)
-        begin = trio.current_time() + SETTLE_SECONDS + START_SECONDS
-        start = clock.now() + round((SETTLE_SECONDS + START_SECONDS) * SECOND)
-        fleet = await self._start_fleet(start)
+        fleet = await self._start_fleet()
         async with trio.open_nursery() as net:
             if self.between is not None:
                 await net.start(self.between.run)
-            await self._play(fleet, begin, net)
+            await self._play(fleet, net)
             net.cancel_scope.cancel()
         self.record.close()
         return self._outcome()
 
-    async def _start_fleet(self, start: int) -> trio.Process:
-        """Starts the emulated nodes and their list service, for a day that begins at `start`."""
+    async def _start_fleet(self) -> trio.Process:
+        """Starts the emulated nodes and their list service, which wait on standard input for the begin of the day."""
         command = [
             sys.executable, "-m", "oakcroft", "stand-in", str(self.folder / "day.oak"), "--seed", str(self.day.seed),
-            "--start", str(start), "--record", str(self.folder / "fleet.jsonl"),
+            "--record", str(self.folder / "fleet.jsonl"),
         ]  # fmt: skip
         log = self.folder / "fleet.log"
         process = await trio.lowlevel.open_process(
@@ -99,14 +94,21 @@
         self.fronts.list_port = orjson.loads(line)["list"]
         return process
 
-    async def _play(self, fleet: trio.Process, begin: float, net: trio.Nursery) -> None:
+    async def _set_begin(self, fleet: trio.Process) -> float:
+        """Sets the begin of the day one settle time from now and sends it to the fleet; returns it by trio's clock."""
+        clock = Clock()
+        begin_ns = clock.now() + round(SETTLE_SECONDS * SECOND)
+        assert fleet.stdin is not None
+        with suppress(trio.BrokenResourceError):  # the fleet ended early, which _end_fleet reports
+            await fleet.stdin.send_all(b"%d\n" % begin_ns)
+        return clock.trio_time(begin_ns)
+
+    async def _play(self, fleet: trio.Process, net: trio.Nursery) -> None:
         try:
             await self.fronts.boot_all()
             if self.between is not None:
                 net.start_soon(self.observer.run)
-            late = trio.current_time() + SETTLE_SECONDS - begin
-            if late > 0:
-                self.failures.append(f"the fronts were up {late:.1f} s too late for this machine")
+            begin = await self._set_begin(fleet)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._show_progress, begin)
                 for fault in self.day.faults:
--- a/oakcroft/standins/program.py
+++ b/oakcroft/standins/program.py
@@ -1,13 +1,16 @@
 """The emulated fleet as a program: it runs a day's nodes and list service and injects the day's faults.
 
-It prints one JSON line with its ports when it is ready, plays from the given start, and ends on SIGTERM or when its
-standard input ends, so that it never outlives who started it.
+It prints one JSON line with its ports when it is ready and plays from the given start. Without one it serves and waits
+for the start on the first line of its standard input, since front ends need its ports before the start can be known.
+It ends on SIGTERM or when its standard input ends, so that it never outlives who started it.
 """
 
 from __future__ import annotations
 
 import signal
 import sys
+from collections.abc import AsyncIterator
+from contextlib import suppress
 from pathlib import Path
 
 import orjson
@@ -24,33 +27,70 @@
 """The descriptor that whoever started the program holds the other end of."""
 
 
-async def main(day: Day, start: int, path: Path) -> None:
-    """Plays a day that begins at `start` (ns since the epoch); `path` is where the record goes."""
+START_LINE_MAX_BYTES = 32
+"""Longer than any time in ns since the epoch."""
+
+
+class InvalidStartError(Exception):
+    """The first line of standard input is missing or no time."""
+
+
+async def main(day: Day, start: int | None, path: Path) -> None:
+    """Plays a day that begins at `start` (ns since the epoch); `path` is where the record goes.
+
+    Without `start`, the first line of standard input gives it; raises InvalidStartError if that line does not.
+    """
     record = Record(path)
     fleet = Fleet(day, record, Clock())
+    start_error: InvalidStartError | None = None
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             ready = trio.Event()
             nursery.start_soon(fleet.run, ready)
             await ready.wait()
-            nursery.start_soon(inject_all, fleet, start)
+            nursery.start_soon(_cancel_on_signal, signals, nursery.cancel_scope)
             ports = {"list": fleet.list_port, "nodes": [node.port for node in fleet.nodes.values()]}
             print(orjson.dumps(ports).decode(), flush=True)
-            nursery.start_soon(_cancel_when_orphaned, nursery.cancel_scope)
-            async for _ in signals:
-                nursery.cancel_scope.cancel()
-                break
+            standard_input = trio.lowlevel.FdStream(STANDARD_INPUT)
+            try:
+                begin = await _read_start(standard_input) if start is None else start
+            except InvalidStartError as error:
+                start_error = error
+            else:
+                nursery.start_soon(inject_all, fleet, begin)
+                await _wait_until_closed(standard_input)
+            nursery.cancel_scope.cancel()
     record.note("earned", plans=fleet.summary())
     record.close()
     sys.stdout.flush()
+    if start_error is not None:
+        raise start_error
+
+
+async def _cancel_on_signal(signals: AsyncIterator[int], scope: trio.CancelScope) -> None:
+    async for _ in signals:
+        scope.cancel()
+        return
+
+
+async def _read_start(stream: trio.abc.ReceiveStream) -> int:
+    """Reads the line that gives the start of the day, ns since the epoch."""
+    line = b""
+    with suppress(OSError, trio.BrokenResourceError):
+        while not line.endswith(b"\n") and len(line) < START_LINE_MAX_BYTES:
+            byte = await stream.receive_some(1)
+            if not byte:
+                break
+            line += byte
+    if not line.endswith(b"\n") or not line.strip().isdigit():
+        raise InvalidStartError(
+            f"the first line of standard input is no start in ns since the epoch: {line!r}"
+        )
+    return int(line)
 
 
-async def _cancel_when_orphaned(scope: trio.CancelScope) -> None:
-    """Guards against a fleet that goes on alone after whoever started it was killed."""
-    stream = trio.lowlevel.FdStream(STANDARD_INPUT)
-    try:
+async def _wait_until_closed(stream: trio.abc.ReceiveStream) -> None:
+    """Returns when whoever started the program has closed its end or was killed."""
+    with suppress(OSError):
         while await stream.receive_some(1):
             pass
-    except OSError:
-        pass
-    scope.cancel()
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -2,9 +2,15 @@
 
 from __future__ import annotations
 
+import subprocess
+import sys
+from pathlib import Path
+
 import orjson
 import pytest
 
+from oakcroft.interface import SECOND
+from oakcroft.rehearsal import front_processes
 from oakcroft.rehearsal.bench_day import KINDS, translate
 from oakcroft.rehearsal.viewers import plan_visits
 from oakcroft.rehearsal import report, runner
@@ -31,6 +37,12 @@
   (fault front-kill (at 4500ms) (for 500ms) (on 0) (extra 0.3)))"""
 
 
+QUIET = SHORT[: SHORT.index("(fault")].replace("(length 7s)", "(length 2s)") + "{faults})"
+AT_ONCE = QUIET.format(faults="(fault crash (at 0ms) (for 1s) (on n2))")
+CLOCK_SLACK_SECONDS = 0.05
+"""Between the event loop's clock, by which the day begins, and the wall clock of the record."""
+
+
 def plot(body: str) -> Day:
     return parse(body, "day")
 
@@ -46,6 +58,66 @@
     assert said
 
 
+def slow_start(monkeypatch: pytest.MonkeyPatch, folder: Path, cases: str) -> None:
+    """Runs a shell `case` over the arguments of every Python process that the rehearsal starts, before it starts."""
+    script = folder / "python"
+    script.write_text(f'#!/bin/sh\ncase "$*" in\n{cases}\nesac\nexec "{sys.executable}" "$@"\n')
+    script.chmod(0o755)
+    monkeypatch.setattr(sys, "executable", str(script))
+
+
+def test_a_day_on_a_machine_that_starts_processes_slowly_begins_settled(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    """Guards against a begin that is fixed before the processes are up: a slow machine then failed the day."""
+    slow_start(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
+    outcome = runner.play(plot(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
+    assert outcome.failures == []
+    assert outcome.kept, report.whole(outcome, None)
+
+    def times(kind: str) -> list[int]:
+        return [fact["t"] for fact in outcome.facts if fact["kind"] == kind]
+
+    assert len(times("front started")) == 2
+    settled = max(times("front started")) + round((runner.SETTLE_SECONDS - CLOCK_SLACK_SECONDS) * SECOND)
+    assert min(times("ask")) >= settled
+    assert len(times("fault")) == 2
+    assert min(times("fault")) >= settled
+
+
+def test_a_front_that_is_not_up_in_time_fails_the_day(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    monkeypatch.setattr(front_processes, "START_WITHIN_SECONDS", 5)
+    slow_start(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
+    outcome = runner.play(plot(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
+    assert any("front 1 did not start" in failure for failure in outcome.failures)
+    assert not outcome.kept
+
+
+def run_fleet(folder: Path, standard_input: bytes, *options: str) -> subprocess.CompletedProcess[bytes]:
+    """Runs the fleet of a day until its standard input ends."""
+    (folder / "day.oak").write_text(AT_ONCE)
+    command = [sys.executable, "-m", "oakcroft", "stand-in", str(folder / "day.oak"), "--seed", "3",
+               "--record", str(folder / "fleet.jsonl"), *options]  # fmt: skip
+    return subprocess.run(command, input=standard_input, capture_output=True, timeout=60, check=False)
+
+
+@pytest.mark.parametrize("line", [b"", b"\n", b"soon\n", b"17", b"-5\n", b"1.5\n", b"7" * 100 + b"\n"])
+def test_a_fleet_that_is_told_no_valid_start_ends_with_a_plain_error(tmp_path: Path, line: bytes) -> None:
+    ended = run_fleet(tmp_path, line)
+    assert ended.returncode == 2
+    assert b"is no start in ns since the epoch" in ended.stderr
+    assert b"Traceback" not in ended.stderr
+
+
+def test_a_fleet_takes_its_start_from_its_option_or_from_standard_input(tmp_path: Path) -> None:
+    for standard_input, options in ((b"1\n", ()), (b"", ("--start", "1"))):
+        ended = run_fleet(tmp_path, standard_input, *options)
+        assert (ended.returncode, ended.stderr) == (0, b"")
+        assert orjson.loads(ended.stdout)["list"] > 0
+
+
 def test_the_viewers_of_a_day_come_from_its_seed_alone() -> None:
     one = plot(SHORT)
     assert plan_visits(one) == plan_visits(one)
