--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -14,7 +14,7 @@
 
 from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.many_adopters import ManyAdopters, Net
+from oakcroft.rehearsal.takeover_simulation import ManyAdopters, Net
 
 ROWS = [
     (7, 5, 100, 1, 0.0),
@@ -64,7 +64,7 @@
     import test_adopting
     import test_peers
 
-    from oakcroft.rulecheck.holding import taken_after
+    from oakcroft.rulecheck.session_ownership import taken_after
 
     class Fronts(test_adopting.TakeoverFronts):
         pass
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -26,7 +26,7 @@
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.sealing import KeyRing
-from oakcroft.rehearsal.many_owners import Fleet
+from oakcroft.rehearsal.lease_simulation import Fleet
 
 LOSS = 0.01
 LEASE_SIZES = (25, 50, 100, 200, 400)
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -18,7 +18,7 @@
 
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.interface import MS, SECOND
-from oakcroft.rehearsal.many_views import HEADER, Net, fleet
+from oakcroft.rehearsal.membership_simulation import HEADER, Net, fleet
 
 BEAT = SECOND  # of the plain heartbeat; with 20% loss five missed in a row are a chance of 3 in 10,000
 MISSED = 5
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.owners [--kills 200] [--term 6] [--loss 0 0.05 0.2] [--sizes 7 50 200]
 
-Pure keepers and candidates on a simulated network (oakcroft/rehearsal/many_owners.py), seeded, the same every time. The
-killed come back after ten terms.
+Pure keepers and candidates on a simulated network (oakcroft/rehearsal/lease_simulation.py), seeded, the same every
+time. The killed come back after ten terms.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import argparse
 
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.many_owners import Fleet
+from oakcroft.rehearsal.lease_simulation import Fleet
 
 HEADER = "| fronts | keepers | term, s | loss | no owner after a crash, s (p50, p99, most) | messages a second, all |"
 
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -50,7 +50,7 @@
     FILE may be the name of a shipped day, bad-day, split-fleet or late-owner; without it the bad day is played.
     """
     from oakcroft.rehearsal import report, runner
-    from oakcroft.rehearsal.mixed import Mixed
+    from oakcroft.rehearsal.mixed_audience import Mixed
     from oakcroft.rehearsal.viewers import Audience
 
     try:
--- a/oakcroft/rehearsal/report.py
+++ b/oakcroft/rehearsal/report.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from oakcroft.rehearsal.outcome import Outcome
-from oakcroft.rulecheck.holding import outlived, taken_after
+from oakcroft.rulecheck.session_ownership import outlived, taken_after
 
 
 def rules(outcome: Outcome) -> list[str]:
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -23,8 +23,8 @@
 from oakcroft.rehearsal.outcome import Outcome
 from oakcroft.rehearsal.viewers import Audience
 from oakcroft.rulecheck.facts import Fact, Finding
-from oakcroft.rulecheck.fleet import judge_view
-from oakcroft.rulecheck.holding import judge_holding
+from oakcroft.rulecheck.membership import judge_view
+from oakcroft.rulecheck.session_ownership import judge_holding
 from oakcroft.rulecheck.owners import judge_owners
 from oakcroft.rulecheck.rules import judge
 from oakcroft.running.clock import Clock
--- a/oakcroft/rulecheck/owners.py
+++ b/oakcroft/rulecheck/owners.py
@@ -1,8 +1,8 @@
 """Whether the fleet's duties had one owner at a time, judged from outside: by what fronts said when they were asked, by
 the orders that took effect on each, in the order of its own log over all its lives, and by what was done to them.
 
-Facts, beside those of fleet.py: `owners` (front, asked: when it was asked, duties: name to number of those that it takes
-for its own), `stands` (front, fence: number and step, in_force, stage of the last roll-out) and `effect` (front, place:
+Facts, beside those of membership.py: `owners` (front, asked: when it was asked, duties: name to number of those that it
+takes for its own), `stands` (front, fence: number and step, in_force, stage of the last roll-out) and `effect` (front, place:
 its line in the front's log, number, step).
 """
 
@@ -13,7 +13,7 @@
 from itertools import pairwise
 
 from oakcroft.interface import SECOND
-from oakcroft.rulecheck.fleet import KNOWN_WITHIN, Span, spans
+from oakcroft.rulecheck.membership import KNOWN_WITHIN, Span, spans
 from oakcroft.rulecheck.facts import Fact, Finding
 
 ASKED_EVERY = SECOND  # between two looks at the same front, on a busy machine
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -22,7 +22,7 @@
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.rulecheck.holding import judge_holding, outlived
+from oakcroft.rulecheck.session_ownership import judge_holding, outlived
 from oakcroft.rulecheck.rules import judge
 from oakcroft.signalling import handing, sdp
 
--- a/tests/test_handing.py
+++ b/tests/test_handing.py
@@ -32,7 +32,7 @@
     check_takeover,
 )
 from oakcroft.interface import MS, SECOND
-from oakcroft.rehearsal.many_adopters import ManyAdopters, Net
+from oakcroft.rehearsal.takeover_simulation import ManyAdopters, Net
 from oakcroft.signalling import handing
 
 BOUNDS = TakeoverBounds(200 * MS, 15 * SECOND, 1_000)
--- a/tests/test_many_owners.py
+++ b/tests/test_lease_simulation.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.many_owners import Fleet
+from oakcroft.rehearsal.lease_simulation import Fleet
 
 TERM = 2 * SECOND
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -31,8 +31,8 @@
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, MessageKind
 from oakcroft.interface import MS, SECOND
-from oakcroft.rehearsal.many_views import Net, fleet
-from oakcroft.rulecheck.fleet import judge_view
+from oakcroft.rehearsal.membership_simulation import Net, fleet
+from oakcroft.rulecheck.membership import judge_view
 from oakcroft.running.logs import LossyOutput
 
 ALIVE, SUSPECTED, FAILED, LEFT = MemberState
