--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -14,7 +14,7 @@
 
 from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.takeover_simulation import ManyAdopters, Net
+from oakcroft.rehearsal.takeover_simulation import NetworkConditions, TakeoverSimulation
 
 ROWS = [
     (7, 5, 100, 1, 0.0),
@@ -37,22 +37,23 @@
     """A row for each size of loss."""
     print(" | ".join(HEAD))
     for fronts, nodes, each, killed, lose in ROWS:
-        fleet = ManyAdopters(
-            fronts, nodes, each, 1, TakeoverBounds(SECOND, 15 * SECOND, 1_000), Net(lose=lose)
+        fleet = TakeoverSimulation(
+            fronts, nodes, each, 1, TakeoverBounds(SECOND, 15 * SECOND, 1_000), NetworkConditions(loss=lose)
         )
-        fleet.play(2)
-        fleet.cost = 0.0
+        fleet.run(2)
+        fleet.processor_seconds = 0.0
         fleet.kill([f"f{i}" for i in range(killed)])
-        fleet.play(20)
+        fleet.run(20)
         theirs = killed * each
         living = fronts - killed
         held = [sum(h.member == f.name for n in fleet.nodes for h in n.holder.values())
-                for f in fleet.fronts.values() if not f.dead]  # fmt: skip
+                for f in fleet.fronts.values() if not f.is_dead]  # fmt: skip
         mean = sum(held) / living
         assert not fleet.breaches, fleet.breaches[:3]
-        print(f"{fronts} | {nodes} | {each} | {killed} | {lose:.0%} | {100 * len(fleet.taken) / theirs:.1f}% | "
-              f"{at(fleet.taken, 0.5):.1f}, {at(fleet.taken, 0.99):.1f}, {at(fleet.taken, 1):.1f} | {fleet.busiest()} | "
-              f"{max(held)} to {mean:.0f} | {1000 * fleet.cost / living / 20:.2f}")  # fmt: skip
+        delays, most_asks = fleet.takeover_delays, fleet.max_requests_per_second()
+        print(f"{fronts} | {nodes} | {each} | {killed} | {lose:.0%} | {100 * len(delays) / theirs:.1f}% | "
+              f"{at(delays, 0.5):.1f}, {at(delays, 0.99):.1f}, {at(delays, 1):.1f} | {most_asks} | "
+              f"{max(held)} to {mean:.0f} | {1000 * fleet.processor_seconds / living / 20:.2f}")  # fmt: skip
 
 
 async def killed(form: str, victims: list[str]) -> tuple[int, int, float]:
@@ -64,7 +65,7 @@
     import test_adopting
     import test_peers
 
-    from oakcroft.rulecheck.session_ownership import taken_after
+    from oakcroft.rulecheck.session_ownership import takeover_delays
 
     class Fronts(test_adopting.TakeoverFronts):
         pass
@@ -80,7 +81,7 @@
                 rig.signal(name, signal.SIGKILL)
             await trio.sleep(20)
             left = sum(k in rig.holders_by_key() for k in keys)
-            after = taken_after(rig.facts("listens", "passed"))
+            after = takeover_delays(rig.facts("listens", "passed"))
             return left, len(keys), after[-1] if after else 0.0
 
 
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -26,7 +26,7 @@
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.sealing import KeyRing
-from oakcroft.rehearsal.lease_simulation import Fleet
+from oakcroft.rehearsal.lease_simulation import LeaseSimulation
 
 LOSS = 0.01
 LEASE_SIZES = (25, 50, 100, 200, 400)
@@ -49,13 +49,13 @@
 
 def leases(size: int, seed: int) -> Sequence[float]:
     """One lease under five quorum members in a quiet time: messages a second of all."""
-    some = Fleet(size, KEEPERS, TERM, LOSS, seed)
-    if not some.run(20 * SECOND, lambda: bool(some.began)):
+    some = LeaseSimulation(size, KEEPERS, TERM, LOSS, seed)
+    if not some.run(20 * SECOND, lambda: bool(some.terms_begun)):
         raise RuntimeError("nobody took the lease")
     some.run(5 * TERM)
-    some.messages = 0
+    some.message_count = 0
     some.run(10 * TERM)
-    messages = some.messages / (10 * TERM / SECOND)
+    messages = some.message_count / (10 * TERM / SECOND)
     return messages, messages / KEEPERS * lease_message_octets() / KB
 
 
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -18,7 +18,7 @@
 
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.interface import MS, SECOND
-from oakcroft.rehearsal.membership_simulation import HEADER, Net, fleet
+from oakcroft.rehearsal.membership_simulation import HEADER_BYTES, SimulatedNetwork, settled_network
 
 BEAT = SECOND  # of the plain heartbeat; with 20% loss five missed in a row are a chance of 3 in 10,000
 MISSED = 5
@@ -67,38 +67,38 @@
     return some[min(len(some) - 1, int(share * len(some)))]
 
 
-def crash(net: Net, name: str) -> tuple[float, float]:
+def crash(net: SimulatedNetwork, name: str) -> tuple[float, float]:
     """Seconds until the first and until all know that one is gone."""
-    net.told.clear()
+    net.state_changes.clear()
     began = net.now
     net.kill(name)
-    if not net.run(60 * SECOND, lambda: net.agree({name}, MemberState.FAILED)):
+    if not net.run(60 * SECOND, lambda: net.all_see({name}, MemberState.FAILED)):
         raise click.ClickException(f"{name} was not seen as gone by all within a minute")
-    first = min(t for t, _, about, _, now in net.told if about == name and now == "gone")
+    first = min(t for t, _, about, _, now in net.state_changes if about == name and now == "gone")
     return (first - began) / SECOND, (net.now - began) / SECOND
 
 
-def settle(net: Net) -> float:
+def settle(net: SimulatedNetwork) -> float:
     """Seconds until all see just those alive that run; infinite where they do not within two minutes."""
     began = net.now
-    if not net.run(120 * SECOND, net.settled):
+    if not net.run(120 * SECOND, net.is_settled):
         return float("inf")
     return (net.now - began) / SECOND
 
 
-def wrong(net: Net, dead: set[str]) -> int:
+def wrong(net: SimulatedNetwork, dead: set[str]) -> int:
     """How many living members were called gone by somebody."""
-    return sum(now == "gone" and about not in dead for _, _, about, _, now in net.told)
+    return sum(now == "gone" and about not in dead for _, _, about, _, now in net.state_changes)
 
 
 def measure(size: int, loss: float, crashes: int, seed: int, hours: float) -> Row:
     """One row of the table."""
-    net = fleet(size, seed, loss)
+    net = settled_network(size, seed, loss)
     rng = Random(seed)
     net.run(60 * SECOND)  # what the start had to tell has gone round
     for process in net.processes.values():
         process.messages = process.octets = 0
-    net.told.clear()
+    net.state_changes.clear()
     quiet, cpu = max(60.0, hours * 3600), time.process_time()
     net.run(round(quiet * SECOND))
     cpu = (time.process_time() - cpu) / quiet / size
@@ -117,25 +117,27 @@
         net.run(5 * SECOND)
     net.run(10 * SECOND)
     victims = set(rng.sample([f"f{i}" for i in range(2, size)], max(1, round(0.7 * size) - 1)))
-    net.told.clear()
+    net.state_changes.clear()
     for name in victims:
         net.kill(name)
     mass = settle(net)
     false += wrong(net, victims)
     net.run(5 * SECOND)
-    net.told.clear()
+    net.state_changes.clear()
     for name in sorted(victims):
         net.add(name, seeds)
     back = settle(net)
     net.run(10 * SECOND)
     half = {f"f{i}" for i in range(size // 2)}
-    net.told.clear()
+    net.state_changes.clear()
     net.cut = lambda one, other: (one in half) != (other in half)
     net.run(40 * SECOND)
     net.cut = lambda _one, _other: False
     heal = settle(net)
-    false += sum(now == "gone" and (who in half) == (about in half) for _, who, about, _, now in net.told)
-    join = fleet(size, seed + 1, loss)
+    false += sum(
+        now == "gone" and (who in half) == (about in half) for _, who, about, _, now in net.state_changes
+    )
+    join = settled_network(size, seed + 1, loss)
     joined = (join.now - 500 * MS) / SECOND
     return Row(
         size, loss, firsts, alls, false, quiet / 3600, joined, mass, back, heal, datagrams, octets, cpu
@@ -156,7 +158,7 @@
             seen.append(last + MISSED * BEAT / SECOND - died)
         firsts.append(min(seen))
         alls.append(max(seen))
-    octets = (size - 1) * HEADER * SECOND / BEAT
+    octets = (size - 1) * HEADER_BYTES * SECOND / BEAT
     wrong = f"{loss**MISSED * size * (size - 1) * 3600:.0f} an hour, reckoned"
     beats = (size - 1) * SECOND / BEAT
     return cells(size, f"{loss:.0%}", spread(firsts), spread(alls), wrong, "", "", "", "", f"{beats:.0f}",
--- a/benchmarks/moving.py
+++ b/benchmarks/moving.py
@@ -17,7 +17,7 @@
 from oakcroft.rehearsal import report, runner
 from oakcroft.rehearsal.outcome import Outcome
 from oakcroft.rehearsal.players import MODES, Players
-from oakcroft.rulecheck.repeated_set_ups import base
+from oakcroft.rulecheck.repeated_set_ups import playback_key
 from oakcroft.standins.day import parse
 
 NODES = 8
@@ -67,10 +67,10 @@
     kind = type("These", (Players,), {"mode": mode})
     outcome = runner.play(parse(body, scene).seeded(seed), body, "oakcroft", lambda _: None, keep, kind)
     assert isinstance(outcome.audience, Players)
-    seen = outcome.audience.seen
+    seen = outcome.audience.results
     gaps = HdrHistogram(1, 60_000_000, 3)
     for one in seen.playbacks:
-        gaps.record_value(max(1, one.longest // 1000))
+        gaps.record_value(max(1, one.longest_gap_ns // 1000))
     kept = "kept" if outcome.kept else "BROKEN"
     print(f"scene {scene}, players {mode}, seed {seed}: {len(seen.playbacks)} playbacks, rules {kept}")
     for plan in sorted({w.plan for w in seen.playbacks}):
@@ -86,13 +86,13 @@
         )
     figures = "  ".join(f"p{p:g} {gaps.get_value_at_percentile(p) / 1000:.0f}" for p in (50, 90, 99, 100))
     print(f"  longest gap of each playback, ms: {figures}")
-    if seen.gaps_of_moves:
-        some_gaps = sorted(seen.gaps_of_moves)
+    if seen.move_gaps_ns:
+        some_gaps = sorted(seen.move_gaps_ns)
         over = sum(g > 80_000_000 for g in some_gaps)
         print(f"  longest gap around each of {len(some_gaps)} moves, ms: p50 {some_gaps[len(some_gaps) // 2] / 1e6:.0f}"
               f"  max {some_gaps[-1] / 1e6:.0f}, over two intervals {over}")  # fmt: skip
     print(f"  both copies played for {overlap(outcome):.2%} of all playing time")
-    for line in report.rules(outcome):
+    for line in report.rule_lines(outcome):
         print(line)
     for failure in outcome.failures:
         print(f"  failed: {failure}")
@@ -105,7 +105,7 @@
     whole = 0
     for fact in outcome.facts:
         if fact["kind"] == "ran":
-            ran[fact["session"]] = (base(fact["key"]), fact["t"])
+            ran[fact["session"]] = (playback_key(fact["key"]), fact["t"])
         elif fact["kind"] == "over" and fact["session"] in ran:
             key, since = ran.pop(fact["session"])
             spans.setdefault(key, []).append((since, fact["t"]))
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -11,28 +11,28 @@
 import argparse
 
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.lease_simulation import Fleet
+from oakcroft.rehearsal.lease_simulation import LeaseSimulation
 
 HEADER = "| fronts | keepers | term, s | loss | no owner after a crash, s (p50, p99, most) | messages a second, all |"
 
 
 def measure(fronts: int, keepers: int, term: int, loss: float, kills: int) -> str:
     """One row: crashes of the owner, and the messages of a quiet time."""
-    fleet = Fleet(fronts, keepers, term, loss)
-    assert fleet.run(20 * SECOND, lambda: bool(fleet.began))
+    fleet = LeaseSimulation(fronts, keepers, term, loss)
+    assert fleet.run(20 * SECOND, lambda: bool(fleet.terms_begun))
     fleet.run(5 * term)
-    fleet.messages = 0
+    fleet.message_count = 0
     fleet.run(10 * term)
-    quiet = fleet.messages / (10 * term / SECOND)
+    quiet = fleet.message_count / (10 * term / SECOND)
     gaps = list[float]()
     while len(gaps) < kills:
         fleet.run(fleet.rng.randrange(term))
-        owner, count = fleet.owner(), len(fleet.began)
+        owner, count = fleet.owner(), len(fleet.terms_begun)
         if owner is None:  # a term ended by loss just now
             continue
         began = fleet.now
         fleet.kill(owner, 10 * term)
-        assert fleet.run(30 * term, lambda n=count: len(fleet.began) > n)  # type: ignore[misc]
+        assert fleet.run(30 * term, lambda n=count: len(fleet.terms_begun) > n)  # type: ignore[misc]
         gaps.append((fleet.now - began) / SECOND)
         fleet.run(11 * term)
     gaps.sort()
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -30,7 +30,7 @@
 from oakcroft.running.clock import Clock
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.rulecheck.rules import judge
+from oakcroft.rulecheck.rules import check_rules
 from oakcroft.signalling import sdp, words
 from oakcroft.standins.record import read
 from oakcroft.store.file import PutPromise, StateFile
@@ -159,7 +159,7 @@
         assert found is not None
         rules = {
             f.rule: f.breaches
-            for f in judge(facts, build_deployment(found).shared)
+            for f in check_rules(facts, build_deployment(found).shared)
             if f.rule in (2, 3, 4, 5, 6)
         }
     ran = Counter(f["key"] for f in facts if f["kind"] == "ran" and f["plan"] == "paid")
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -50,7 +50,7 @@
     FILE may be the name of a shipped day, bad-day, split-fleet or late-owner; without it the bad day is played.
     """
     from oakcroft.rehearsal import report, runner
-    from oakcroft.rehearsal.mixed_audience import Mixed
+    from oakcroft.rehearsal.mixed_audience import MixedAudience
     from oakcroft.rehearsal.viewers import Audience
 
     try:
@@ -60,13 +60,13 @@
         sys.exit(EXIT_INVALID_INPUT)
     if seed is not None:
         day = day.seeded(seed)
-    audience = Mixed if mixed else Audience
+    audience = MixedAudience if mixed else Audience
     outcome = runner.play(day, body, "oakcroft", click.echo, keep, audience, with_state, patient)
     baseline_outcome = None
     if baseline:
         click.echo("the naive baseline on the same day:")
         baseline_outcome = runner.play(day, body, "naive", click.echo, keep and keep / "naive")
-    click.echo(report.whole(outcome, baseline_outcome))
+    click.echo(report.render_report(outcome, baseline_outcome))
     sys.exit(0 if outcome.kept else EXIT_FAILURE)
 
 
--- a/oakcroft/rehearsal/baseline.py
+++ b/oakcroft/rehearsal/baseline.py
@@ -23,7 +23,7 @@
 )
 
 
-class Naive:
+class NaiveController:
     """Decides by lot."""
 
     def __init__(self, terms: DeploymentSettings, seed: int, host: Host, now: int) -> None:
@@ -110,4 +110,4 @@
 
     from oakcroft.cli import serve_file
 
-    sys.exit(serve_file(Path(sys.argv[1]), Naive))
+    sys.exit(serve_file(Path(sys.argv[1]), NaiveController))
--- a/oakcroft/rehearsal/bench_day.py
+++ b/oakcroft/rehearsal/bench_day.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-KINDS = {
+FAULT_KINDS = {
     "crash": "crash", "vanish": "vanish", "slow": "slow", "hang": "hang", "neighbour": "neighbour",
     "report_late": "report-late", "hot_key": "crowd", "zone_loss": "zone-loss", "zone_cut": "zone-cut",
     "deploy": "deploy", "balancer_roll": "front-kill", "shared_slow": "shared-slow", "ageing": "ageing",
@@ -65,7 +65,7 @@
         raise ValueError(f"{name}: not a day as the bench draws it: {type(fault).__name__} {fault}") from None
 
 
-def us(value: float) -> str:
+def as_ms(value: float) -> str:
     """Microseconds as a time of ours."""
     return f"{max(1, round(value / US_PER_MS))}ms"
 
@@ -136,10 +136,10 @@
     uplinks = " ".join(f"{uplink:.0f}kB/s" for uplink in scale.uplinks)
     return [
         "(day",
-        f"  (length {us(day['length'])}) (seed {day['noise'] % SEEDS + 1})",
+        f"  (length {as_ms(day['length'])}) (seed {day['noise'] % SEEDS + 1})",
         f"  (fronts {fronts})",
         f"  (uplinks {uplinks})",
-        f"  (late {us(late['add'])} {us(late['notice'])}) (guard {family['guard']})",
+        f"  (late {as_ms(late['add'])} {as_ms(late['notice'])}) (guard {family['guard']})",
         f"  (stall {family['stall']})",
     ]
 
@@ -147,7 +147,7 @@
 def _site_lines(day: dict[str, Any], scale: Scale) -> list[str]:
     family, allowed, kind = day["fam"], day["allow"], _kinds(day)[0]
     copies = max(LEAST_COPIES, round(family["copies"] * 4)) if family["copies"] else 0
-    stay = us(day["clients"]["max_retry_after"]) if allowed["retry_after"] else "0ms"
+    stay = as_ms(day["clients"]["max_retry_after"]) if allowed["retry_after"] else "0ms"
     uplink = sum(scale.uplinks) / len(scale.uplinks)
     wings = " ".join(f'"{zone}"' for zone in scale.zones)
     rates = " ".join(f"{rate}kB/s" for rate in family["rates"])
@@ -156,11 +156,11 @@
         "  (site (fleet",
         f"      (fronts {len(scale.fronts)}) (cells {len(scale.picked)}) (racks {len(scale.uplinks)})"
         f" (uplink {uplink:.0f}kB/s)",
-        f"      (wings {wings}) (copies {copies}) (seen-after {us(family['see'])})",
-        f"      (reports-every {us(family['tell'])}) (most-tries {allowed['max_attempts']}) (stay-away-most {stay})",
-        f"      (cold-share {kind['cold_from']:.3f}) (cold-for {us(kind['cold'])})",
-        f"      (fall-multiple {day['fall_multiple']}) (fall-window {us(day['fall_for'])})",
-        f"      (drain-grace {us(day['drain_grace'])}))",
+        f"      (wings {wings}) (copies {copies}) (seen-after {as_ms(family['see'])})",
+        f"      (reports-every {as_ms(family['tell'])}) (most-tries {allowed['max_attempts']}) (stay-away-most {stay})",
+        f"      (cold-share {kind['cold_from']:.3f}) (cold-for {as_ms(kind['cold'])})",
+        f"      (fall-multiple {day['fall_multiple']}) (fall-window {as_ms(day['fall_for'])})",
+        f"      (drain-grace {as_ms(day['drain_grace'])}))",
         "    (nodes (lost-after 6s) (silent-after 2s))",
         f"    (ladder (rates {rates})",
         f"      (worth {worth}))",
@@ -172,10 +172,10 @@
 def _plan_lines(day: dict[str, Any]) -> list[str]:
     lines, last = [], len(day["fam"]["rates"]) - 1
     for use, one in zip(day["fam"]["uses"], day["classes"], strict=False):
-        name, lasts = one["name"], f"(key-lasts {us(one['window'])}) (group {one['group']})"
+        name, lasts = one["name"], f"(key-lasts {as_ms(one['window'])}) (group {one['group']})"
         lines.append(
-            f"    (plan {name} (effect {EFFECTS[one['effect']]}) {lasts} (startup-target {us(one['aim'])}) "
-            f"(abandon {us(one['deadline'])}) (revenue {one['worth']}) (rate-factor {use['scale']}) "
+            f"    (plan {name} (effect {EFFECTS[one['effect']]}) {lasts} (startup-target {as_ms(one['aim'])}) "
+            f"(abandon {as_ms(one['deadline'])}) (revenue {one['worth']}) (rate-factor {use['scale']}) "
             f"(floor {use['floor']}) (top {min(use['top'], last)}) (seats {use['seats']}))"
         )
         lines.append(f'    (route {name} (path "/{name}/") (plan {name}))')
@@ -195,14 +195,14 @@
 
 def _viewer_lines(day: dict[str, Any], scale: Scale) -> list[str]:
     family = day["fam"]
-    soon, late = (us(family["rejoin_us"] * part) for part in REJOIN_SPREAD)
+    soon, late = (as_ms(family["rejoin_us"] * part) for part in REJOIN_SPREAD)
     lines = [
         f"  (viewers (rate {scale.rate:.2f}/s) (titles {min(MOST_TITLES, family['titles'])}) "
         f"(zipf {family['title_zipf']:.3f}) (returns {family['returns']:.3f}) (back-after {soon} {late}) "
         f"(small-screens {family['small_screens']:.3f}) (uneven {UNEVEN})"
     ]
     for use, one in zip(family["uses"], day["classes"], strict=False):
-        life = us(family["life_s"] * use["life"] * scale.shorter * US_PER_SECOND)
+        life = as_ms(family["life_s"] * use["life"] * scale.shorter * US_PER_SECOND)
         lines.append(f"    (plan {one['name']} (share {one['share']}) (life {life}))")
     return [*lines, "  )"]
 
@@ -218,10 +218,10 @@
 ) -> tuple[str, str]:
     """The line of a fault and a note on how it was mapped; no line where it was not."""
     drawn, size, extra = trouble["kind"], float(trouble["size"]), float(trouble["extra"])
-    kind = KINDS.get(drawn)
+    kind = FAULT_KINDS.get(drawn)
     if kind is None:
         return "", f"not mapped: {drawn}"
-    head = f"(fault {kind} (at {us(trouble['at'])}) (for {us(trouble['len'])})"
+    head = f"(fault {kind} (at {as_ms(trouble['at'])}) (for {as_ms(trouble['len'])})"
     if kind in ("zone-loss", "zone-cut"):
         zone = zones[int(trouble["which"]) % len(zones)]
         return f'{head} (on "{zone}") (size {size}) (extra {extra}))', f"mapped: {drawn} on {zone}"
--- a/oakcroft/rehearsal/firstcome.py
+++ b/oakcroft/rehearsal/firstcome.py
@@ -12,10 +12,10 @@
 from oakcroft.decisions.admission.load_shedding import ConcurrencyWindow
 from oakcroft.front import session_service
 
-ENDLESS = 1 << 40
+UNLIMITED = 1 << 40
 
 if __name__ == "__main__":
     session_service.ConcurrencyWindow = lambda: ConcurrencyWindow(  # type: ignore[assignment, misc, attr-defined]
-        min_size=ENDLESS, max_size=ENDLESS, size=float(ENDLESS)
+        min_size=UNLIMITED, max_size=UNLIMITED, size=float(UNLIMITED)
     )
     sys.exit(serve_file(Path(sys.argv[1])))
--- a/oakcroft/rehearsal/front_faults.py
+++ b/oakcroft/rehearsal/front_faults.py
@@ -30,7 +30,7 @@
 HAND_ANSWER_WITHIN_SECONDS = 14.0
 
 
-def befalls_fronts(fault: Fault) -> bool:
+def affects_fronts(fault: Fault) -> bool:
     """Whether a fault is one of the fronts, or of them as well."""
     return fault.kind in FRONT_FAULTS or (fault.kind == "zone-loss" and fault.size > MORE_THAN_HALF)
 
@@ -41,7 +41,7 @@
     def __init__(self, fronts: FrontProcesses, observer: Observer) -> None:
         """`observer`: tells which front owns a duty."""
         self.fronts, self.observer = fronts, observer
-        self.between, self.record = fronts.between, fronts.record
+        self.peer_network, self.record = fronts.peer_network, fronts.record
         self.injectors: dict[str, Callable[[list[FrontProcess], Fault], Awaitable[None]]] = {
             "zone-loss": self._lose_zone, "front-stall": self._stall, "front-kill": self._kill,
             "roll-out": self._roll_out, "owner-stand": self._fail_owner, "owner-kill": self._fail_owner,
@@ -62,7 +62,7 @@
             self.fronts.kill(front)
         await trio.sleep(fault.length / SECOND)
         for front in chosen:
-            await self.fronts.boot(front)
+            await self.fronts.start(front)
 
     async def _kill(self, chosen: list[FrontProcess], fault: Fault) -> None:
         """All in one moment, or one after the other, each down for `extra` seconds."""
@@ -73,13 +73,13 @@
             await trio.sleep(down)
             async with trio.open_nursery() as nursery:
                 for front in chosen:
-                    nursery.start_soon(self.fronts.boot, front)
+                    nursery.start_soon(self.fronts.start, front)
             return
         gap = fault.length / SECOND / max(1, len(chosen))
         for front in chosen:
             self.fronts.kill(front)
             await trio.sleep(down)
-            await self.fronts.boot(front)
+            await self.fronts.start(front)
             await trio.sleep(max(0.0, gap - fault.extra))
 
     async def _stall(self, chosen: list[FrontProcess], fault: Fault) -> None:
@@ -90,7 +90,7 @@
             await trio.sleep(after)
             while trio.current_time() < until:
                 if front.running and front.process is not None:
-                    await self.fronts.stand_still(front, front.process, fault.size)
+                    await self.fronts.pause(front, front.process, fault.size)
                 await trio.sleep(max(SHORTEST_PAUSE_SECONDS, fault.extra))
 
         async with trio.open_nursery() as nursery:
@@ -109,24 +109,24 @@
         for front in chosen:
             self._begin(front, fault.kind)
         await trio.sleep(fault.length / SECOND)
-        if fault.kind in ("cut", "lose") and self.between is not None:
-            self.between.heal()
+        if fault.kind in ("cut", "lose") and self.peer_network is not None:
+            self.peer_network.heal()
         for front in chosen:
             self._end(front, fault.kind)
         self.record.note(fault.kind, fronts=numbers, phase="ends", one_way=one_way)
 
     def _cut(self, chosen: list[FrontProcess], one_way: bool) -> None:
-        if self.between is not None:
+        if self.peer_network is not None:
             names = {f"f{front.number}" for front in chosen}
             others = {f"f{front.number}" for front in self.fronts.all if front not in chosen}
-            self.between.cut(names, others)
-            self.between.cut(others, names, not one_way)
+            self.peer_network.cut(names, others)
+            self.peer_network.cut(others, names, not one_way)
 
     def _lose(self, chosen: list[FrontProcess], fault: Fault) -> None:
-        for one in chosen if self.between is not None else ():
+        for one in chosen if self.peer_network is not None else ():
             for other in self.fronts.all:
-                assert self.between is not None
-                way = self.between.on(f"f{one.number}", f"f{other.number}")
+                assert self.peer_network is not None
+                way = self.peer_network.on(f"f{one.number}", f"f{other.number}")
                 way.lose, way.late = fault.size, (0.0, fault.extra)
 
     def _begin(self, front: FrontProcess, kind: str) -> None:
@@ -136,7 +136,7 @@
                 self.record.note("front stands still", front=front.number)
                 front.process.send_signal(signal.SIGSTOP)
             case "fill":
-                self.fronts.fill(front, True)
+                self.fronts.set_disk_full(front, True)
             case "wipe":
                 self.fronts.wipe(front)
 
@@ -146,7 +146,7 @@
                 front.process.send_signal(signal.SIGCONT)
                 self.record.note("front goes on", front=front.number)
             case "fill":
-                self.fronts.fill(front, False)
+                self.fronts.set_disk_full(front, False)
 
     async def _roll_out(self, chosen: list[FrontProcess], fault: Fault) -> None:
         """An operator hands a front the so-many-th version, again until it is taken."""
@@ -171,16 +171,16 @@
         if fault.kind == "owner-kill":
             self.fronts.kill(front)
             await trio.sleep(fault.length / SECOND)
-            await self.fronts.boot(front)
+            await self.fronts.start(front)
             return
-        if self.between is not None:
+        if self.peer_network is not None:
             for other in self.fronts.all:
-                way = self.between.on(f"f{front.number}", f"f{other.number}")
+                way = self.peer_network.on(f"f{front.number}", f"f{other.number}")
                 way.late = (fault.size, fault.size + OWNER_LATE_SPREAD_SECONDS)
         await trio.sleep(OWNER_SPEAKS_SECONDS)
-        await self.fronts.stand_still(front, front.process, fault.length / SECOND)
-        if self.between is not None:
-            self.between.heal()
+        await self.fronts.pause(front, front.process, fault.length / SECOND)
+        if self.peer_network is not None:
+            self.peer_network.heal()
 
     async def _find_owner(self) -> FrontProcess | None:
         with trio.move_on_after(OWNER_WITHIN_SECONDS):
--- a/oakcroft/rehearsal/front_processes.py
+++ b/oakcroft/rehearsal/front_processes.py
@@ -48,7 +48,7 @@
     process: trio.Process | None = None
     port: int = 0
     running: bool = False
-    full: bool = False
+    disk_full: bool = False
     """Whether its disk is full."""
 
 
@@ -60,7 +60,7 @@
     folder: Path
     policy: str
     record: Record
-    between: Between | None
+    peer_network: Between | None
     keeps_state: bool
     ports: dict[int, int]
     failures: list[str]
@@ -77,13 +77,13 @@
         """The fronts that stand in any of some wings."""
         return [front for front in self.all if self.day.fronts[front.number] in wings]
 
-    async def boot_all(self) -> None:
+    async def start_all(self) -> None:
         """Starts all, side by side."""
         async with trio.open_nursery() as nursery:
             for front in self.all:
-                nursery.start_soon(self.boot, front)
+                nursery.start_soon(self.start, front)
 
-    async def boot(self, front: FrontProcess) -> None:
+    async def start(self, front: FrontProcess) -> None:
         """Writes a front's file and starts it; returns once it listens, or has failed to."""
         front.file.write_text(self._text(front))
         module = ["oakcroft", "serve"] if self.policy == "oakcroft" else ["oakcroft.rehearsal.baseline"]
@@ -93,15 +93,15 @@
             stderr=front.log.open("ab"),
         )
         assert front.process.stdout is not None
-        line = await first_line(front.process.stdout, START_WITHIN_SECONDS)
+        line = await read_first_line(front.process.stdout, START_WITHIN_SECONDS)
         if not line:
             tail = front.log.read_text()[-LOG_TAIL:]
             self.failures.append(f"front {front.number} did not start: {tail}")
             return
         front.port = int(line.split(b":")[-1])
         front.running = True
-        if front.full:
-            self.fill(front, True)
+        if front.disk_full:
+            self.set_disk_full(front, True)
         self.ports[front.number] = front.port
         self.record.note("front started", front=front.number)
 
@@ -117,14 +117,14 @@
         )
 
     def _peers_text(self, front: FrontProcess) -> str:
-        if self.between is None:
+        if self.peer_network is None:
             return ""
         name = f"f{front.number}"
-        (host, port), (relay, _) = self.between.fronts[name], self.between.relays[name]
+        (host, port), (relay, _) = self.peer_network.fronts[name], self.peer_network.relays[name]
         key, start = self.folder / "peers.key", self.folder / f"front-{front.number}.start"
         key.write_text(PEERS_KEY)
         seeds = " ".join(
-            f'"{address}:{number}"' for address, number in [*self.between.relays.values()][:SEEDS]
+            f'"{address}:{number}"' for address, number in [*self.peer_network.relays.values()][:SEEDS]
         )
         return (
             f'(operators (secret "{OPERATORS_TOKEN}"))'
@@ -151,7 +151,7 @@
             self.record.note("front killed", front=front.number)
             front.process.kill()
 
-    async def stand_still(self, front: FrontProcess, process: trio.Process, seconds: float) -> None:
+    async def pause(self, front: FrontProcess, process: trio.Process, seconds: float) -> None:
         """One process is stopped for so long, and woken."""
         self.record.note("front stands still", front=front.number)
         process.send_signal(signal.SIGSTOP)
@@ -159,9 +159,9 @@
         process.send_signal(signal.SIGCONT)
         self.record.note("front goes on", front=front.number)
 
-    def fill(self, front: FrontProcess, full: bool) -> None:
+    def set_disk_full(self, front: FrontProcess, full: bool) -> None:
         """No file of a front may grow, its log's neither, in this life and those that follow; or they may again."""
-        front.full = full
+        front.disk_full = full
         if front.running and front.process is not None:
             most = resource.getrlimit(resource.RLIMIT_FSIZE)[1]
             resource.prlimit(front.process.pid, resource.RLIMIT_FSIZE, (0 if full else most, most))
@@ -171,7 +171,7 @@
         for ending in KEPT_FILES:
             (self.folder / f"front-{front.number}.{ending}").unlink(missing_ok=True)
 
-    async def end_all(self) -> None:
+    async def stop_all(self) -> None:
         """Ends all, by SIGTERM or else by SIGKILL; one that had ended by itself is a failure."""
         for front in self.all:
             if front.process is not None and front.process.poll() is None:
@@ -188,7 +188,7 @@
             await front.process.wait()
 
 
-async def first_line(stream: trio.abc.ReceiveStream, seconds: float) -> bytes:
+async def read_first_line(stream: trio.abc.ReceiveStream, seconds: float) -> bytes:
     """The first line of a process, b"" if none came in time."""
     got = b""
     with trio.move_on_after(seconds):
--- a/oakcroft/rehearsal/lease_simulation.py
+++ b/oakcroft/rehearsal/lease_simulation.py
@@ -1,7 +1,7 @@
 """Many fronts with their candidates and keepers in one process, on a simulated network: seeded, the same every time.
 
-Time is simulated. A word takes 1 to 5 ms, or is lost, or does not pass a cut. Fronts learn of a crash `KNOWN` seconds
-after it (docs/fleet.md: what all know at p99); until then the dead stand in line for the duty.
+Time is simulated. A word takes 1 to 5 ms, or is lost, or does not pass a cut. Fronts learn of a crash
+`CRASH_KNOWN_SECONDS` after it (docs/fleet.md: what all know at p99); until then the dead stand in line for the duty.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from oakcroft.interface import MS, SECOND
 
 DUTY = "catalogue"
-KNOWN = 4.4
-LOOK = 50 * MS
-IN_LINE = 5
-LEARN_EVERY = 500 * MS
+CRASH_KNOWN_SECONDS = 4.4
+TICK_NS = 50 * MS
+CANDIDATE_COUNT = 5
+LEARN_INTERVAL_NS = 500 * MS
 
 
-class Fleet:
+class LeaseSimulation:
     """So many fronts, the first of them keepers, one duty, and what befalls them. `now` in ns from 0."""
 
     def __init__(self, fronts: int, keepers: int, term: int, loss: float = 0.0, seed: int = 1) -> None:
@@ -38,11 +38,11 @@
         self.dead, self.known_dead = set[str](), set[str]()
         self.cut: Callable[[str, str], bool] = lambda _a, _b: False
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.now = self.count = self.messages = self.lives = 0
-        self.began: list[tuple[int, int, str]] = []  # terms: when, number, owner
+        self.now = self.count = self.message_count = self.lives = 0
+        self.terms_begun: list[tuple[int, int, str]] = []  # terms: when, number, owner
         self.in_line: list[str] | None = None
         for i, name in enumerate(self.names):
-            self.later(i * MS % LOOK, lambda n=name: self._look(n))  # type: ignore[misc]
+            self.later(i * MS % TICK_NS, lambda n=name: self._look(n))  # type: ignore[misc]
 
     def _candidate(self, name: str, start: int, floor: int) -> LeaseCandidate:
         rng = Random(f"{name}/{start}")
@@ -69,19 +69,21 @@
     # Words.
 
     def _pass(self, one: str, other: str, event: Callable[[], None]) -> None:
-        self.messages += 1
+        self.message_count += 1
         if not self.cut(one, other) and self.rng.random() >= self.loss:
             self.later(self.rng.randrange(MS, 5 * MS), event)
 
     def _look(self, name: str) -> None:
-        self.later(LOOK, lambda: self._look(name))
+        self.later(TICK_NS, lambda: self._look(name))
         if name in self.dead:
             return
         if self.in_line is None:
-            self.in_line = line(DUTY, [n for n in self.names if n not in self.known_dead])[:IN_LINE]
+            self.in_line = line(DUTY, [n for n in self.names if n not in self.known_dead])[:CANDIDATE_COUNT]
         one = self.candidates[name]
-        one.rank = self.in_line.index(name) if name in self.in_line else IN_LINE
-        self._say(name, one.set_wanted(one.rank < IN_LINE or one.held_term(self.now) is not None, self.now))
+        one.rank = self.in_line.index(name) if name in self.in_line else CANDIDATE_COUNT
+        self._say(
+            name, one.set_wanted(one.rank < CANDIDATE_COUNT or one.held_term(self.now) is not None, self.now)
+        )
         self._say(name, one.tick(self.now))
         self._owners(name)
 
@@ -104,11 +106,13 @@
     def _owners(self, name: str) -> None:
         """Notes a term that began, and that there is one owner at most, with a number over all before."""
         term = self.candidates[name].held_term(self.now)
-        if term is None or (self.began and self.began[-1][1] == term.fencing_token):
+        if term is None or (self.terms_begun and self.terms_begun[-1][1] == term.fencing_token):
             return
         assert not [n for n in self.candidates if n != name and self._owns(n)], "two owners"
-        assert not self.began or term.fencing_token > self.began[-1][1], f"{term} after {self.began[-1]}"
-        self.began.append((self.now, term.fencing_token, name))
+        assert not self.terms_begun or term.fencing_token > self.terms_begun[-1][1], (
+            f"{term} after {self.terms_begun[-1]}"
+        )
+        self.terms_begun.append((self.now, term.fencing_token, name))
 
     def _owns(self, name: str) -> bool:
         one = self.candidates[name]
@@ -128,7 +132,7 @@
         """A front ends with no word and starts again after `away` ns, without its candidate's memory; as a keeper with
         its record or without. `floor`: the number that its clock gives it."""
         self.dead.add(name)
-        self.later(round(KNOWN * SECOND), lambda: self._known(name, name in self.dead))
+        self.later(round(CRASH_KNOWN_SECONDS * SECOND), lambda: self._known(name, name in self.dead))
         self.later(away, lambda: self._back(name, record, floor))
 
     def _known(self, name: str, dead: bool) -> None:
@@ -152,7 +156,7 @@
     def _learn(self, name: str, keeper: LeaseAcceptor) -> None:
         if keeper.has_full_record or self.keepers[name] is not keeper or name in self.dead:
             return
-        self.later(LEARN_EVERY, lambda: self._learn(name, keeper))
+        self.later(LEARN_INTERVAL_NS, lambda: self._learn(name, keeper))
         if not keeper.peers_to_ask():
             keeper.peer_records.clear()
         for other in keeper.peers_to_ask():
--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -17,13 +17,13 @@
 from oakcroft.decisions.membership.messages import Message, MessageKind
 from oakcroft.interface import MS, SECOND
 
-HEADER = 28 + 80  # octets of IP and UDP, and of a message without news, as sealed by peerwire
-MAX_WAITING = 256  # messages that wait for a process that stands still, as in its socket's buffer
-WORD = 78  # of one word of news, as measured of the codec for names of 9 octets
+HEADER_BYTES = 28 + 80  # octets of IP and UDP, and of a message without news, as sealed by peerwire
+MAX_WAITING_MESSAGES = 256  # messages that wait for a process that stands still, as in its socket's buffer
+UPDATE_BYTES = 78  # of one word of news, as measured of the codec for names of 9 octets
 
 
 @dataclass
-class Process:
+class SimulatedProcess:
     """One simulated front."""
 
     name: str
@@ -37,7 +37,7 @@
     scheduled: int = -1
 
 
-class Net:
+class SimulatedNetwork:
     """Processes and the network between them. `now` in ns from 0."""
 
     def __init__(
@@ -47,16 +47,16 @@
         self.rng, self.loss, self.double, self.latency = Random(seed), loss, double, latency
         self.now, self.number = 0, 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.processes: dict[str, Process] = {}
-        self.at: dict[tuple[str, int], Process] = {}
+        self.processes: dict[str, SimulatedProcess] = {}
+        self.at: dict[tuple[str, int], SimulatedProcess] = {}
         self.cut: Callable[[str, str], bool] = lambda _a, _b: False  # from, to
-        self.told: list[tuple[int, str, str, str, str]] = []  # when, at whom, about whom, was, now
+        self.state_changes: list[tuple[int, str, str, str, str]] = []  # when, at whom, about whom, was, now
 
     # Processes.
 
     def add(
         self, name: str, seeds: tuple[tuple[str, int], ...] = (), start: int = 0, host: str = ""
-    ) -> Process:
+    ) -> SimulatedProcess:
         """Starts a process under a name, again or for the first time."""
         known = self.processes.get(name)
         lives = known.lives + 1 if known is not None else 1
@@ -73,7 +73,7 @@
             commitment(secret),
         )
         view = Membership(me, secret, Random(self.rng.getrandbits(64)), self.now, seeds)
-        process = Process(name, view, lives=lives)
+        process = SimulatedProcess(name, view, lives=lives)
         if known is not None:
             process.messages, process.octets = known.messages, known.octets
             known.alive = False
@@ -89,11 +89,11 @@
         """The process ends with no word."""
         self.processes[name].alive = False
 
-    def stop(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         """It stands still."""
         self.processes[name].stopped = True
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """It runs again: its timers first, then what has waited."""
         process = self.processes[name]
         process.stopped = False
@@ -103,7 +103,7 @@
         for event in waiting:
             event()
 
-    def living(self) -> list[Process]:
+    def running_processes(self) -> list[SimulatedProcess]:
         """Those that run."""
         return [p for p in self.processes.values() if p.alive and not p.stopped]
 
@@ -132,20 +132,20 @@
 
     # The network.
 
-    def _after(self, process: Process) -> None:
+    def _after(self, process: SimulatedProcess) -> None:
         """Carries out what a process has asked for, and sets its clock."""
         view = process.view
         out, view.out = view.out, []
         for message in out:
             self._carry(process, message)
         changes, view.changes = view.changes, []
-        self.told += [(self.now, process.name, c.name, c.was, c.now) for c in changes]
+        self.state_changes += [(self.now, process.name, c.name, c.was, c.now) for c in changes]
         due = max(view.due, self.now + MS)
         if process.scheduled < self.now or due < process.scheduled:
             process.scheduled = due
             self.later(due, lambda: self._tick(process, due))
 
-    def _tick(self, process: Process, due: int) -> None:
+    def _tick(self, process: SimulatedProcess, due: int) -> None:
         if process.scheduled != due:
             return  # there is an earlier one
         process.scheduled = -1
@@ -153,12 +153,12 @@
             process.view.tick(self.now)
             self._after(process)
 
-    def _carry(self, sender: Process, message: Message) -> None:
+    def _carry(self, sender: SimulatedProcess, message: Message) -> None:
         if message.kind is MessageKind.PUSH_PULL:
             self._exchange(sender, message.address)
             return
         sender.messages += 1
-        sender.octets += HEADER + WORD * (1 + len(message.updates))
+        sender.octets += HEADER_BYTES + UPDATE_BYTES * (1 + len(message.updates))
         me, times = sender.view.me, 2 if self.rng.random() < self.double else 1
         for _ in range(times):
             if self.rng.random() >= self.loss:
@@ -166,7 +166,7 @@
                     self.now + self.rng.randint(*self.latency), lambda: self._arrive(sender, me, message)
                 )
 
-    def _arrive(self, sender: Process, me: MemberUpdate, message: Message) -> None:
+    def _arrive(self, sender: SimulatedProcess, me: MemberUpdate, message: Message) -> None:
         there = self.at.get(message.address)
         if there is None or not there.alive or self.cut(sender.name, there.name):
             return
@@ -178,12 +178,12 @@
             self._after(there)
 
         if there.stopped:
-            if len(there.waiting) < MAX_WAITING:
+            if len(there.waiting) < MAX_WAITING_MESSAGES:
                 there.waiting.append(hear)
         else:
             hear()
 
-    def _exchange(self, one: Process, address: tuple[str, int]) -> None:
+    def _exchange(self, one: SimulatedProcess, address: tuple[str, int]) -> None:
         other = self.at.get(address)
         if (
             other is None
@@ -195,7 +195,7 @@
             return
         mine, theirs = one.view.whole(), other.view.whole()
         for process, whole in ((one, mine), (other, theirs)):
-            process.octets += HEADER * (2 + len(whole) // 15) + WORD * len(whole)
+            process.octets += HEADER_BYTES * (2 + len(whole) // 15) + UPDATE_BYTES * len(whole)
 
         def swap() -> None:
             for process, sender, whole in ((other, mine[0], mine), (one, theirs[0], theirs)):
@@ -207,14 +207,16 @@
 
     # What the views say.
 
-    def agree(self, names: set[str], standing: MemberState) -> bool:
+    def all_see(self, names: set[str], standing: MemberState) -> bool:
         """Whether all that run see all these so."""
-        return all(p.view.standing(n) is standing for p in self.living() for n in names if n != p.name)
+        return all(
+            p.view.standing(n) is standing for p in self.running_processes() for n in names if n != p.name
+        )
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether all that run see just those as alive that run, and suspect nobody."""
-        living = {p.name for p in self.living()}
-        return all(self._sees(p.view, living) for p in self.living())
+        living = {p.name for p in self.running_processes()}
+        return all(self._sees(p.view, living) for p in self.running_processes())
 
     @staticmethod
     def _sees(view: Membership, living: set[str]) -> bool:
@@ -223,11 +225,11 @@
         return all(view.standing(n) is MemberState.ALIVE for n in living)
 
 
-def fleet(size: int, seed: int, loss: float = 0.0, double: float = 0.0) -> Net:
+def settled_network(size: int, seed: int, loss: float = 0.0, double: float = 0.0) -> SimulatedNetwork:
     """So many fronts that know each other and have settled."""
-    net = Net(seed, loss, double)
+    net = SimulatedNetwork(seed, loss, double)
     seeds = (("host-f0", 1), ("host-f1", 1))
     for i in range(size):
         net.later(net.rng.randrange(500 * MS), partial(net.start, f"f{i}", seeds))
-    net.run(60 * SECOND, lambda: len(net.processes) == size and net.settled())
+    net.run(60 * SECOND, lambda: len(net.processes) == size and net.is_settled())
     return net
--- a/oakcroft/rehearsal/mixed_audience.py
+++ b/oakcroft/rehearsal/mixed_audience.py
@@ -19,7 +19,7 @@
 """Of all viewers: which ask over HTTP as well, under the key that they have asked by."""
 
 
-class Mixed(Audience):
+class MixedAudience(Audience):
     """Half and half; what passes is recorded alike, so that the rules are judged over both ways."""
 
     async def _visit(self, visit: Visit) -> None:
--- a/oakcroft/rehearsal/outcome.py
+++ b/oakcroft/rehearsal/outcome.py
@@ -23,7 +23,7 @@
     """Kinds that befell the day."""
     failures: list[str] = field(default_factory=list)
     """Parts that did not work, so that the day shows nothing."""
-    falls: int = 0
+    overloaded_cold_nodes: int = 0
     """Cold nodes that were pushed over."""
     audience: Audience | None = None
     facts: list[Fact] = field(default_factory=list)
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -18,34 +18,34 @@
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
-STALL = 2 * rtp.INTERVAL
+STALL_NS = 2 * rtp.INTERVAL
 MODES = ("move", "break", "stay")
 
 
 @dataclass
-class Watched:
+class WatchedPlayback:
     """What one player saw of one playback, from its first packet to its end."""
 
     plan: str
-    longest: int = 0
+    longest_gap_ns: int = 0
     moves: int = 0
     refused: int = 0
-    whole: bool = True  # played to the end its viewer wanted
-    played: int = 0
-    doubles: int = 0
+    complete: bool = True  # played to the end its viewer wanted
+    packets_played: int = 0
+    duplicate_packets: int = 0
 
     @property
     def stalled(self) -> bool:
         """Whether any gap was over two packet intervals, or the playback broke off."""
-        return self.longest > STALL or not self.whole
+        return self.longest_gap_ns > STALL_NS or not self.complete
 
 
 @dataclass
-class Seen:
+class PlayerResults:
     """What all players saw."""
 
-    playbacks: list[Watched] = field(default_factory=list)
-    gaps_of_moves: list[int] = field(default_factory=list)  # the longest gap around each move, ns
+    playbacks: list[WatchedPlayback] = field(default_factory=list)
+    move_gaps_ns: list[int] = field(default_factory=list)  # the longest gap around each move, ns
 
 
 class Players(Audience):
@@ -56,7 +56,7 @@
 
     def __init__(self, day: Day, record: Record) -> None:
         super().__init__(day, record)
-        self.seen = Seen()
+        self.results = PlayerResults()
 
     async def run(self, start: float) -> None:
         async with trio.open_nursery() as nursery:
@@ -70,7 +70,7 @@
     async def _play(self, visit: Visit) -> None:
         rng, ends = Random(visit.seed), trio.current_time() + visit.life / 1e9
         tries = 0
-        seen: Watched | None = None
+        seen: WatchedPlayback | None = None
         self.tally.asked[visit.plan.name] += 1
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as media:
             await media.bind(("127.0.0.1", 0))
@@ -84,17 +84,17 @@
                     await trio.sleep(rng.uniform(*self.day.crowd.back_after) / 1e9)
                     continue
                 if seen is None:
-                    seen = Watched(visit.plan.name)
-                    self.seen.playbacks.append(seen)
+                    seen = WatchedPlayback(visit.plan.name)
+                    self.results.playbacks.append(seen)
                 await self._watch_media(visit, front, sat, key, media, port, screen, seen, ends)
                 if seen is not None and trio.current_time() < ends - 0.05 and not self.stopped:
-                    seen.whole = seen.whole and self.mode == "break"
+                    seen.complete = seen.complete and self.mode == "break"
                     await trio.sleep(
                         0 if self.mode == "break" else rng.uniform(*self.day.crowd.back_after) / 1e9
                     )
             if seen is not None:
-                seen.longest, seen.played, seen.doubles = (
-                    max(seen.longest, screen.longest),
+                seen.longest_gap_ns, seen.packets_played, seen.duplicate_packets = (
+                    max(seen.longest_gap_ns, screen.longest),
                     screen.played,
                     screen.doubles,
                 )
@@ -130,7 +130,7 @@
 
     async def _watch_media(
         self, visit: Visit, front: int, sat: Response, key: str, media: trio.socket.SocketType, port: int,
-        screen: rtp.Playout, seen: Watched, ends: float,
+        screen: rtp.Playout, seen: WatchedPlayback, ends: float,
     ) -> None:  # fmt: skip
         here = sat.header("location") or ""
         peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
@@ -156,7 +156,7 @@
                 if around and played:
                     around[1] = max(around[1], gap)
                     if now > around[0]:
-                        self.seen.gaps_of_moves.append(around[1])
+                        self.results.move_gaps_ns.append(around[1])
                         around.clear()
 
         async def follow(moves: int = 0) -> None:
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -17,16 +17,16 @@
 import trio
 
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.front_faults import FrontFaults, befalls_fronts
-from oakcroft.rehearsal.front_processes import START_WITHIN_SECONDS, FrontProcesses, first_line
+from oakcroft.rehearsal.front_faults import FrontFaults, affects_fronts
+from oakcroft.rehearsal.front_processes import START_WITHIN_SECONDS, FrontProcesses, read_first_line
 from oakcroft.rehearsal.observer import Observer, orders_in_effect
 from oakcroft.rehearsal.outcome import Outcome
 from oakcroft.rehearsal.viewers import Audience
 from oakcroft.rulecheck.facts import Fact, Finding
-from oakcroft.rulecheck.membership import judge_view
-from oakcroft.rulecheck.session_ownership import judge_holding
-from oakcroft.rulecheck.owners import judge_owners
-from oakcroft.rulecheck.rules import judge
+from oakcroft.rulecheck.membership import check_membership
+from oakcroft.rulecheck.session_ownership import check_session_ownership
+from oakcroft.rulecheck.owners import check_owners
+from oakcroft.rulecheck.rules import check_rules
 from oakcroft.running.clock import Clock
 from oakcroft.standins.between import Between
 from oakcroft.standins.day import Day
@@ -41,24 +41,30 @@
 FLEET_LOG_TAIL, FLEET_START_LOG_TAIL = 300, 2000
 """Characters of the emulated fleet's log that are shown where it ended early, or did not start."""
 
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class Rehearsal:
     """One run of one day."""
 
     def __init__(
-        self, day: Day, folder: Path, policy: str, say: Say, audience: type[Audience] = Audience, state: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        day: Day,
+        folder: Path,
+        policy: str,
+        say: ProgressCallback,
+        audience: type[Audience] = Audience,
+        state: bool = False,
+    ) -> None:
         """`folder`: for records, files and logs; `say`: told how the day goes on; `state`: fronts remember over their
         death, which they do anyway where some are keepers."""
         self.day, self.folder, self.policy, self.say = day, folder, policy, say
         self.record = Record(folder / "viewers.jsonl")
         self.audience = audience(day, self.record)
         self.failures: list[str] = []
-        self.between = network(len(day.fronts), day.seed) if day.peers else None
+        self.peer_network = peer_network(len(day.fronts), day.seed) if day.peers else None
         self.fronts = FrontProcesses(
-            day, folder, policy, self.record, self.between, state or bool(day.keepers), self.audience.ports,
+            day, folder, policy, self.record, self.peer_network, state or bool(day.keepers), self.audience.ports,
             self.failures,
         )  # fmt: skip
         self.observer = Observer(self.fronts, self.record)
@@ -70,8 +76,8 @@
             self.record.note("place", node=place.name, places=place.places)
         fleet = await self._start_fleet()
         async with trio.open_nursery() as net:
-            if self.between is not None:
-                await net.start(self.between.run)
+            if self.peer_network is not None:
+                await net.start(self.peer_network.run)
             await self._play(fleet, net)
             net.cancel_scope.cancel()
         self.record.close()
@@ -88,7 +94,7 @@
             command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log.open("wb")
         )
         assert process.stdout is not None
-        line = await first_line(process.stdout, START_WITHIN_SECONDS)
+        line = await read_first_line(process.stdout, START_WITHIN_SECONDS)
         if not line:
             raise RuntimeError(f"the fleet did not start: {log.read_text()[-FLEET_START_LOG_TAIL:]}")
         self.fronts.list_port = orjson.loads(line)["list"]
@@ -105,21 +111,21 @@
 
     async def _play(self, fleet: trio.Process, net: trio.Nursery) -> None:
         try:
-            await self.fronts.boot_all()
-            if self.between is not None:
+            await self.fronts.start_all()
+            if self.peer_network is not None:
                 net.start_soon(self.observer.run)
             begin = await self._set_begin(fleet)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._show_progress, begin)
                 for fault in self.day.faults:
-                    if befalls_fronts(fault):
+                    if affects_fronts(fault):
                         nursery.start_soon(self.faults.inject, fault, begin)
                 await trio.sleep_until(begin)
                 await self.audience.run(begin)
                 nursery.cancel_scope.cancel()
         finally:
             with trio.CancelScope(shield=True):
-                await self.fronts.end_all()
+                await self.fronts.stop_all()
                 await self._end_fleet(fleet)
 
     async def _show_progress(self, begin: float) -> None:
@@ -151,26 +157,32 @@
         self.failures += [f"{fact['path']}: {fact['error']}" for fact in failed]
         befell = {fact["what"] for fact in facts if fact["kind"] == "fault"}
         return Outcome(
-            self.day, self.policy, self._judge(facts), self.audience.tally, earned,
-            faults=sorted(befell | {fault.kind for fault in self.day.faults}), failures=self.failures,
-            falls=sum(fact["kind"] == "fell" for fact in facts), facts=sorted(facts, key=lambda fact: fact["t"]),
-        )  # fmt: skip
+            self.day,
+            self.policy,
+            self._judge(facts),
+            self.audience.tally,
+            earned,
+            faults=sorted(befell | {fault.kind for fault in self.day.faults}),
+            failures=self.failures,
+            overloaded_cold_nodes=sum(fact["kind"] == "fell" for fact in facts),
+            facts=sorted(facts, key=lambda fact: fact["t"]),
+        )
 
     def _judge(self, facts: list[Fact]) -> list[Finding]:
         """The six rules, and the properties of what the day has besides."""
-        findings = judge(facts, self.day.site)
+        findings = check_rules(facts, self.day.site)
         names = {number: f"f{number}" for number in range(len(self.day.fronts))}
         if self.day.peers:
-            findings += judge_view(facts, names)
+            findings += check_membership(facts, names)
         if self.day.keepers:
             with_orders = facts + orders_in_effect(self.fronts)
-            findings += judge_owners(with_orders, names, frozenset(self.day.keepers), self.day.term)
+            findings += check_owners(with_orders, names, frozenset(self.day.keepers), self.day.term)
         if self.day.adopting:
-            findings += judge_holding(facts)
+            findings += check_session_ownership(facts)
         return findings
 
 
-def network(fronts: int, seed: int) -> Between:
+def peer_network(fronts: int, seed: int) -> Between:
     """A network between so many fronts, on addresses of this machine that differ by front."""
     with socket.socket() as probe:
         probe.bind(("127.0.71.1", 0))
@@ -181,9 +193,15 @@
 
 
 def play(
-    day: Day, body: str, policy: str, say: Say, keep: Path | None = None, audience: type[Audience] = Audience,
-    state: bool = False, patient: bool = False,
-) -> Outcome:  # fmt: skip
+    day: Day,
+    body: str,
+    policy: str,
+    say: ProgressCallback,
+    keep: Path | None = None,
+    audience: type[Audience] = Audience,
+    state: bool = False,
+    patient: bool = False,
+) -> Outcome:
     """Plays a day whose text is `body`. `keep`: the folder for records and logs, else a temporary one. `audience`: who
     comes. `state`: fronts remember over their death; `patient`: players look for their sessions after it."""
     with tempfile.TemporaryDirectory(prefix="oakcroft-") as temporary:
--- a/oakcroft/rehearsal/takeover_simulation.py
+++ b/oakcroft/rehearsal/takeover_simulation.py
@@ -2,7 +2,7 @@
 over simulated time, with words that are late, doubled or lost, fronts that die, sleep and are seen as gone wrongly.
 
 What is modelled here and not decided by the program: the view (each front sees a death some seconds late, and now and
-then one that is none), the network, and what a front's room is. All of it comes from one seed.
+then one that is none), the network, and what a front's capacity is. All of it comes from one seed.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 )
 from oakcroft.interface import MS, SECOND
 
-STEP = 50 * MS
-OWN_LEASE = 3 * SECOND
+STEP_NS = 50 * MS
+NODE_LEASE_NS = 3 * SECOND
 PAGE = 32
 
 
 @dataclass
-class Net:
+class NetworkConditions:
     """How words travel. Times in ns."""
 
-    late: tuple[int, int] = (MS, 20 * MS)
-    lose: float = 0.0
-    double: float = 0.0
-    much_later: float = 0.0  # share of words that come up to ten seconds late
+    latency_ns: tuple[int, int] = (MS, 20 * MS)
+    loss: float = 0.0
+    duplication: float = 0.0
+    long_delay_share: float = 0.0  # share of words that come up to ten seconds late
 
 
 @dataclass
@@ -45,12 +45,12 @@
 
     name: str
     start: int
-    course: SessionTakeover
-    room: int
+    takeover: SessionTakeover
+    capacity: int
     held: dict[str, int] = field(default_factory=dict)  # session -> node
     gone: dict[str, int] = field(default_factory=dict)  # whom it sees as gone
-    dead: bool = False
-    asleep: bool = False
+    is_dead: bool = False
+    is_paused: bool = False
 
     @property
     def caller(self) -> Caller:
@@ -59,11 +59,11 @@
 
 
 @dataclass
-class Ear:
+class EventStream:
     """One front's stream at one node."""
 
-    open: bool = True
-    away: int = 0
+    is_open: bool = True
+    closed_at: int = 0
 
 
 @dataclass
@@ -71,31 +71,47 @@
     """One node: who holds what."""
 
     holder: dict[str, Caller] = field(default_factory=dict)
-    ears: dict[str, Ear] = field(default_factory=dict)  # by pseudonym
-    asked: Counter[int] = field(default_factory=Counter)  # by second
-    turned_away: int = 0
+    streams: dict[str, EventStream] = field(default_factory=dict)  # by pseudonym
+    requests_by_second: Counter[int] = field(default_factory=Counter)  # by second
+    rejected_changes: int = 0
 
 
-class ManyAdopters:
+class TakeoverSimulation:
     """The whole."""
 
-    def __init__(self, fronts: int, nodes: int, each: int, seed: int, bounds: TakeoverBounds, net: Net | None = None,
-                 room: int = 10_000, checks: bool = True) -> None:  # fmt: skip
-        """`each`: sessions that a front begins with; `room`: that it takes; `checks`: whether nodes check who asks."""
-        self.rng, self.net, self.bounds, self.now, self.checks = Random(seed), net or Net(), bounds, 0, checks
+    def __init__(
+        self,
+        fronts: int,
+        nodes: int,
+        each: int,
+        seed: int,
+        bounds: TakeoverBounds,
+        net: NetworkConditions | None = None,
+        capacity: int = 10_000,
+        checks: bool = True,
+    ) -> None:
+        """`each`: sessions that a front begins with; `capacity`: sessions that it takes; `checks`: whether nodes check
+        who asks."""
+        self.rng, self.net, self.bounds, self.now, self.checks = (
+            Random(seed),
+            net or NetworkConditions(),
+            bounds,
+            0,
+            checks,
+        )
         self.nodes = [Node() for _ in range(nodes)]
         self.fronts: dict[str, Front] = {}
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.number = 0
         self.orphaned: dict[str, int] = {}  # sessions whose front died, and when
-        self.taken: list[int] = []  # how long each was without a front, ns
-        self.ended = 0  # by a lease
+        self.takeover_delays: list[int] = []  # how long each was without a front, ns
+        self.ended_by_lease = 0  # by a lease
         self.breaches: list[str] = []
-        self.moved = 0
-        self.cost = 0.0  # seconds of processor time in the courses
+        self.takeover_count = 0
+        self.processor_seconds = 0.0  # seconds of processor time in the courses
         self.names = [f"f{i}" for i in range(fronts)]
         for name in self.names:
-            self._begin(name, 1, room)
+            self._begin(name, 1, capacity)
         for i, name in enumerate(self.names):
             for j in range(each):
                 at = self.rng.randrange(nodes)
@@ -103,25 +119,25 @@
                 self.nodes[at].holder[session] = self.fronts[name].caller
                 self.fronts[name].held[session] = at
 
-    def _begin(self, name: str, start: int, room: int) -> None:
+    def _begin(self, name: str, start: int, capacity: int) -> None:
         course = SessionTakeover(name, self.bounds)
-        self.fronts[name] = front = Front(name, start, course, room)
+        self.fronts[name] = front = Front(name, start, course, capacity)
         course.update_nodes(map(str, range(len(self.nodes))), self.now)
         course.update_fronts((), self.names, self.now)
         for node in self.nodes:
-            node.ears[front.caller.pseudonym] = Ear()
+            node.streams[front.caller.pseudonym] = EventStream()
 
     # The network.
 
     def _send(self, word: Callable[[], None], lost: Callable[[], None] = lambda: None) -> None:
         """A word that comes late, twice or never; `lost`: what its sender makes of no answer."""
-        if self.rng.random() < self.net.lose:
+        if self.rng.random() < self.net.loss:
             self.at(self.now + 2 * SECOND, lost)
             return
-        times = 2 if self.rng.random() < self.net.double else 1
+        times = 2 if self.rng.random() < self.net.duplication else 1
         for _ in range(times):
-            late = self.rng.randint(*self.net.late)
-            if self.rng.random() < self.net.much_later:
+            late = self.rng.randint(*self.net.latency_ns)
+            if self.rng.random() < self.net.long_delay_share:
                 late += self.rng.randint(0, 10 * SECOND)
             self.at(self.now + late, word)
 
@@ -136,27 +152,27 @@
         """These die now; nodes lose their streams at once or later. All others see it in their own time."""
         for name in some:
             front = self.fronts[name]
-            front.dead = True
+            front.is_dead = True
             for session, at in front.held.items():
                 if self.nodes[at].holder.get(session) == front.caller:
                     self.orphaned.setdefault(session, self.now)
             self._lose_streams(front, heard_after)
             self._seen(name, (2500 * MS, 4500 * MS))
 
-    def sleep(self, name: str, seconds: float, loses_streams: bool) -> None:
+    def pause(self, name: str, seconds: float, loses_streams: bool) -> None:
         """This one stands still, its words under way with it, and wakes."""
         front = self.fronts[name]
-        front.asleep = True
+        front.is_paused = True
         if loses_streams:
             self._lose_streams(front, 200 * MS)
         self._seen(name, (2500 * MS, 4500 * MS))
 
         def wake() -> None:
-            front.asleep = False
+            front.is_paused = False
             for other in self.fronts.values():
                 self._back(other, name)
             for node in self.nodes:
-                node.ears[front.caller.pseudonym] = Ear()
+                node.streams[front.caller.pseudonym] = EventStream()
             # What it believes to hold it changes now, before any node has told it otherwise.
             for session, at in list(front.held.items()):
                 self._send(lambda s=session, n=at: self._change(front, n, s))  # type: ignore[misc]
@@ -172,10 +188,10 @@
     def _lose_streams(self, front: Front, after: int) -> None:
         def lose() -> None:
             for node in self.nodes:
-                if (ear := node.ears.get(front.caller.pseudonym)) is not None and (
-                    front.dead or front.asleep
+                if (ear := node.streams.get(front.caller.pseudonym)) is not None and (
+                    front.is_dead or front.is_paused
                 ):
-                    ear.open, ear.away = False, self.now
+                    ear.is_open, ear.closed_at = False, self.now
 
         self.at(self.now + after, lose)
 
@@ -185,7 +201,7 @@
                 self.at(self.now + self.rng.randint(*within), lambda o=other: self._sees(o, name))  # type: ignore[misc]
 
     def _sees(self, other: Front, name: str) -> None:
-        if self.fronts[name].dead or self.fronts[name].asleep:
+        if self.fronts[name].is_dead or self.fronts[name].is_paused:
             other.gone[name] = self.fronts[name].start
             self._look(other)
 
@@ -195,7 +211,7 @@
 
     def _look(self, front: Front) -> None:
         present = [n for n in self.names if n not in front.gone]
-        front.course.update_fronts(front.gone, present, self.now)
+        front.takeover.update_fronts(front.gone, present, self.now)
 
     def _errand(self, front: Front, errand: TakeoverRequest) -> None:
         told: dict[str, TakeoverAnswer] = {}
@@ -204,34 +220,34 @@
         def failed() -> None:
             if not answered[0]:
                 answered[0] = True
-                front.course.request_finished(errand, None, self.now)
+                front.takeover.request_finished(errand, None, self.now)
 
         def node_takes(mine: list[str]) -> None:
             given = self._take(front.caller, at, mine)
             self._send(lambda: front_hears(given), failed)
 
         def front_hears(given: list[str]) -> None:
-            if front.dead or front.asleep:
+            if front.is_dead or front.is_paused:
                 return
             for session in set(told_mine) - set(given):
                 front.held.pop(session, None)
             if not answered[0]:
                 answered[0] = True
-                front.course.request_finished(errand, told, self.now)
+                front.takeover.request_finished(errand, told, self.now)
 
         def node_tells() -> None:
             second = self.now // SECOND
-            self.nodes[at].asked[second] += 1
+            self.nodes[at].requests_by_second[second] += 1
             words, some = self._offer(front.caller, at, errand.front_names)
             self._send(lambda: front_chooses(words, some), failed)
 
         def front_chooses(words: dict[str, TakeoverAnswer], some: list[tuple[str, str]]) -> None:
-            if front.dead or front.asleep or answered[0]:
+            if front.is_dead or front.is_paused or answered[0]:
                 return
             told.update(words)
-            mine = [s for s, of in some if errand.is_own(of, s)][: max(0, front.room - len(front.held))]
+            mine = [s for s, of in some if errand.is_own(of, s)][: max(0, front.capacity - len(front.held))]
             told_mine.extend(mine)
-            front.held.update(dict.fromkeys(mine, at))  # its room is taken before it asks for them
+            front.held.update(dict.fromkeys(mine, at))  # its capacity is taken before it asks for them
             if mine:
                 self._send(lambda: node_takes(mine), failed)
             else:
@@ -258,9 +274,11 @@
         return told, some
 
     def _word(self, node: Node, held: Caller, caller: Caller) -> TakeoverAnswer:
-        ear, mine = node.ears.get(held.pseudonym), node.ears.get(caller.pseudonym)
-        away = None if ear is not None and ear.open else self.now - (ear.away if ear is not None else 0)
-        return check_takeover(held, caller, away, mine is not None and mine.open)
+        ear, mine = node.streams.get(held.pseudonym), node.streams.get(caller.pseudonym)
+        away = (
+            None if ear is not None and ear.is_open else self.now - (ear.closed_at if ear is not None else 0)
+        )
+        return check_takeover(held, caller, away, mine is not None and mine.is_open)
 
     def _take(self, caller: Caller, at: int, sessions: list[str]) -> list[str]:
         node, given = self.nodes[at], []
@@ -271,16 +289,16 @@
             if self._listens(node, held):
                 self.breaches.append(f"{session} taken from {held.member}, which listens")
             node.holder[session] = caller
-            self.moved += 1
+            self.takeover_count += 1
             given.append(session)
             if (since := self.orphaned.pop(session, None)) is not None:
-                self.taken.append(self.now - since)
+                self.takeover_delays.append(self.now - since)
         return given
 
     @staticmethod
     def _listens(node: Node, held: Caller) -> bool:
-        ear = node.ears.get(held.pseudonym)
-        return ear is not None and ear.open
+        ear = node.streams.get(held.pseudonym)
+        return ear is not None and ear.is_open
 
     def _change(self, front: Front, at: int, session: str) -> None:
         """A front's word on a session: a rung, a release."""
@@ -289,46 +307,46 @@
         if held is None:
             return
         if self.checks and not may_control(held, front.caller):
-            node.turned_away += 1
+            node.rejected_changes += 1
         elif held.member != front.name:
             self.breaches.append(f"{session}: {front.name} changed what {held.member} has")
 
     def _leases(self) -> None:
-        keeps = effective_lease(self.bounds.session_lease, OWN_LEASE)
+        keeps = effective_lease(self.bounds.session_lease, NODE_LEASE_NS)
         for node in self.nodes:
             for session, held in list(node.holder.items()):
-                ear = node.ears.get(held.pseudonym)
-                if ear is not None and not ear.open and self.now - ear.away > keeps:
+                ear = node.streams.get(held.pseudonym)
+                if ear is not None and not ear.is_open and self.now - ear.closed_at > keeps:
                     del node.holder[session]
-                    self.ended += 1
+                    self.ended_by_lease += 1
                     self.orphaned.pop(session, None)
 
     # Time.
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         """So much time passes."""
         until = self.now + round(seconds * SECOND)
         while self.now < until:
-            then = self.now + STEP
+            then = self.now + STEP_NS
             while self.heap and self.heap[0][0] <= then:
                 self.now, _, what = heapq.heappop(self.heap)
                 what()
             self.now = then
             self._leases()
             for front in self.fronts.values():
-                if front.dead or front.asleep:
+                if front.is_dead or front.is_paused:
                     continue
                 began = time.perf_counter()
-                errands = front.course.due_requests(self.now)
-                front.course.take_finished(self.now)
-                self.cost += time.perf_counter() - began
+                errands = front.takeover.due_requests(self.now)
+                front.takeover.take_finished(self.now)
+                self.processor_seconds += time.perf_counter() - began
                 for errand in errands:
                     self._errand(front, errand)
 
-    def held(self) -> int:
+    def session_count(self) -> int:
         """Sessions that run."""
         return sum(len(n.holder) for n in self.nodes)
 
-    def busiest(self) -> int:
+    def max_requests_per_second(self) -> int:
         """Most questions that any node had in a second."""
-        return max((max(n.asked.values(), default=0) for n in self.nodes), default=0)
+        return max((max(n.requests_by_second.values(), default=0) for n in self.nodes), default=0)
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -114,8 +114,10 @@
     waits: list[int] = field(default_factory=list)  # of every 201, ns
 
 
-GIVES_UP_AFTER = 30.0  # seconds after its first request, a viewer that was turned away asks no more
-PATIENCE = 8.0  # seconds for which a patient player looks for its front again, while its node plays on
+GIVE_UP_AFTER_SECONDS = 30.0  # seconds after its first request, a viewer that was turned away asks no more
+RECONNECT_WITHIN_SECONDS = (
+    8.0  # seconds for which a patient player looks for its front again, while its node plays on
+)
 
 
 class Audience:
@@ -165,7 +167,7 @@
                 if (
                     not again
                     or rng.random() > self.day.crowd.returns
-                    or trio.current_time() - began > GIVES_UP_AFTER
+                    or trio.current_time() - began > GIVE_UP_AFTER_SECONDS
                 ):
                     return
                 wait = rng.uniform(*self.day.crowd.back_after) / 1e9
@@ -229,7 +231,7 @@
 
     async def _listens(self, front: int, here: str) -> bool:
         """Listens to a session until it ends; True where the front went instead, and the media may play on."""
-        reader, until = words.EventReader(), trio.current_time() + PATIENCE
+        reader, until = words.EventReader(), trio.current_time() + RECONNECT_WITHIN_SECONDS
         while True:
             try:
                 peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
--- a/oakcroft/rulecheck/answers.py
+++ b/oakcroft/rulecheck/answers.py
@@ -9,10 +9,10 @@
 from oakcroft.interface import MS, SECOND
 from oakcroft.rulecheck.facts import Fact, Finding
 
-AWAKE_NS = 150 * MS
+RESUME_GRACE_NS = 150 * MS
 """A front that stood still answers what fell due meanwhile within this."""
 
-DEATH_BEFORE_NS = SECOND
+REQUEST_BEFORE_DEATH_NS = SECOND
 """A request that came so shortly after a front's death may have reached it as it died."""
 
 Pauses = dict[int, list[tuple[int, int]]]
@@ -32,11 +32,11 @@
     pauses: Pauses = field(default_factory=dict)
 
 
-def one_answer(facts: list[Fact], site: SharedSettings) -> Finding:
+def check_answers(facts: list[Fact], site: SharedSettings) -> Finding:
     """1: each request that a running front took has one final answer before its abandon time.
 
     A front that was made to stand still is not running: where the abandon time falls into such a pause, the answer
-    is due `AWAKE_NS` after its end, and every such case is counted in `excused`; so is one whose client cut its
+    is due `RESUME_GRACE_NS` after its end, and every such case is counted in `excused`; so is one whose client cut its
     connection after that time and within the pause, when nobody was there to answer or to cut.
     """
     found = Finding(1, "no playback lost")
@@ -83,14 +83,14 @@
     key, pauses = request["key"], record.pauses[request["front"]]
     given = record.answers[key]
     if given and given[0]["t"] > until:
-        late = next((end for begin, end in pauses if begin <= until <= end + AWAKE_NS), None)
+        late = next((end for begin, end in pauses if begin <= until <= end + RESUME_GRACE_NS), None)
         if late is not None:
-            until = late + AWAKE_NS
+            until = late + RESUME_GRACE_NS
             found.excused += 1
     if len(given) > 1 or any(answer.get("extra") for answer in given):
-        found.breach(f"{key}: {len(given)} answers, or bytes after one")
+        found.add_breach(f"{key}: {len(given)} answers, or bytes after one")
     elif given and given[0]["t"] > until:
-        found.breach(f"{key}: answered {(given[0]['t'] - until) / MS:.0f} ms after its abandon time")
+        found.add_breach(f"{key}: answered {(given[0]['t'] - until) / MS:.0f} ms after its abandon time")
     elif not given:
         _judge_unanswered(request, until, record, found)
 
@@ -101,6 +101,6 @@
     if cut > until and any(begin <= until and cut < end for begin, end in record.pauses[front]):
         found.excused += 1
         return
-    killed = any(request["t"] - DEATH_BEFORE_NS <= death <= until for death in record.deaths[front])
+    killed = any(request["t"] - REQUEST_BEFORE_DEATH_NS <= death <= until for death in record.deaths[front])
     if not killed and record.left_at.get(key, until) >= until:
-        found.breach(f"{key}: no answer from front {front}")
+        found.add_breach(f"{key}: no answer from front {front}")
--- a/oakcroft/rulecheck/cold_nodes.py
+++ b/oakcroft/rulecheck/cold_nodes.py
@@ -9,7 +9,7 @@
 from oakcroft.rulecheck.facts import Fact, Finding, SetUp
 
 
-def cold_kept(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
+def check_cold_nodes(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """4: no node that has just started gets more than the stated multiple of its pace over the stated time.
 
     Only set-ups of fronts that could know count: told of the start, or connected to the node when it died, or started
@@ -32,7 +32,7 @@
             began = fall["t"] - site.terms.overload_window_ns
             fronts = {one.front for one in by_node[fall["node"]] if began < one.t <= fall["t"]}
             if fronts & set(knew_of[fall["node"]]):
-                found.breach(f"{fall['node']}: fell over")
+                found.add_breach(f"{fall['node']}: fell over")
     return found
 
 
@@ -72,7 +72,7 @@
         age = last.t - began
         allowed = _allowed(age, places, terms)
         if places and len(window) > allowed and len(fair) * 2 > len(window):
-            found.breach(
+            found.add_breach(
                 f"{node}: {len(window)} set-ups in a window that stands {allowed:.1f}, {age / MS:.0f} ms old"
             )
             return
--- a/oakcroft/rulecheck/drains.py
+++ b/oakcroft/rulecheck/drains.py
@@ -7,9 +7,9 @@
 
 from oakcroft.config.settings import SharedSettings
 from oakcroft.interface import MS
-from oakcroft.rulecheck.facts import TRANSIT_NS, Fact, Finding, SetUp
+from oakcroft.rulecheck.facts import MAX_TRANSIT_NS, Fact, Finding, SetUp
 
-TAKEN_IN_NS = 2500 * MS
+LIST_APPLIED_WITHIN_NS = 2500 * MS
 """A list written to a front counts as heard so much later at the latest."""
 
 
@@ -22,7 +22,7 @@
     ready: frozenset[str]
 
 
-def drains_kept(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
+def check_drains(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """3: nothing new to a draining or gone node later than the grace after the front was told.
 
     A front has been told when it asks for what comes after that list, which it does once it has taken it in.
@@ -34,14 +34,14 @@
         if not lists:
             continue
         found.cases += 1
-        before = one.t - site.drain_grace_ns - TRANSIT_NS
+        before = one.t - site.drain_grace_ns - MAX_TRANSIT_NS
         last_heard = max((index for index, told in enumerate(lists) if told.heard <= before), default=None)
         if last_heard is None:
             continue
         since = lists[last_heard:]
         if all(one.node not in told.ready for told in since if told.written <= one.t):
             late = (one.t - since[0].heard) / MS
-            found.breach(f"{one.key}: sent to {one.node} {late:.0f} ms after it was not ready")
+            found.add_breach(f"{one.key}: sent to {one.node} {late:.0f} ms after it was not ready")
     return found
 
 
@@ -54,7 +54,7 @@
     told: dict[str, list[ListTold]] = defaultdict(list)
     for fact in facts:
         if fact["kind"] == "told":
-            written, latest = fact["t"], fact["t"] + TAKEN_IN_NS
+            written, latest = fact["t"], fact["t"] + LIST_APPLIED_WITHIN_NS
             heard = (t for t, version in polls[fact["front"]] if t >= written and version >= fact["version"])
             told[fact["front"]].append(
                 ListTold(written, min(next(heard, latest), latest), frozenset(fact["ready"]))
--- a/oakcroft/rulecheck/facts.py
+++ b/oakcroft/rulecheck/facts.py
@@ -20,7 +20,7 @@
 CREATED, UNAVAILABLE = 201, 503
 """Status codes by which a set-up succeeded, and by which it was refused for now."""
 
-TRANSIT_NS = 60 * MS
+MAX_TRANSIT_NS = 60 * MS
 """Between a front's send and the stand-in's record of it, on a busy machine."""
 
 
@@ -34,7 +34,7 @@
     breaches: list[str] = field(default_factory=list)
     excused: int = 0
 
-    def breach(self, what: str) -> None:
+    def add_breach(self, what: str) -> None:
         """Notes a breach."""
         self.breaches.append(what)
 
@@ -59,7 +59,7 @@
     """When, and to which front, its session passed on."""
 
 
-def set_ups(facts: list[Fact]) -> list[SetUp]:
+def collect_set_ups(facts: list[Fact]) -> list[SetUp]:
     """All set-ups of a record in order of time, with what became of them."""
     by_id: dict[str, SetUp] = {}
     by_session: dict[str, SetUp] = {}
--- a/oakcroft/rulecheck/owners.py
+++ b/oakcroft/rulecheck/owners.py
@@ -2,8 +2,8 @@
 the orders that took effect on each, in the order of its own log over all its lives, and by what was done to them.
 
 Facts, beside those of membership.py: `owners` (front, asked: when it was asked, duties: name to number of those that it
-takes for its own), `stands` (front, fence: number and step, in_force, stage of the last roll-out) and `effect` (front, place:
-its line in the front's log, number, step).
+takes for its own), `stands` (front, fence: number and step, in_force, stage of the last roll-out) and `effect` (front,
+place: its line in the front's log, number, step).
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from itertools import pairwise
 
 from oakcroft.interface import SECOND
-from oakcroft.rulecheck.membership import KNOWN_WITHIN, Span, spans
+from oakcroft.rulecheck.membership import DEATH_KNOWN_WITHIN_NS, Outage, find_outages
 from oakcroft.rulecheck.facts import Fact, Finding
 
-ASKED_EVERY = SECOND  # between two looks at the same front, on a busy machine
-SITS_OUT = 2  # terms; beside what the view needs to know that the first in line are dead
+POLL_INTERVAL_NS = SECOND  # between two looks at the same front, on a busy machine
+MAX_OWNERLESS_TERMS = 2  # terms; beside what the view needs to know that the first in line are dead
 
 
-def judge_owners(
+def check_owners(
     facts: list[Fact], names: Mapping[int, str], keepers: frozenset[int], term: int
 ) -> list[Finding]:
     """What was found of each property: 21 one owner at a time, 22 no effect of an older number behind a newer, 23 not
     without an owner for long, 24 all fronts stand alike in the end. `term`: its length in ns."""
     facts = sorted(facts, key=lambda f: f["t"])
     last = max((f["t"] for f in facts if f["kind"] == "owners"), default=0)
-    all_ = spans(facts, last)
+    all_ = find_outages(facts, last)
     return [
         _one(facts),
         _effects(facts),
@@ -50,18 +50,18 @@
         found.cases += len(some)
         fronts = {f["front"] for f in some}
         if len(fronts) > 1:
-            found.breach(f"number {number} of {duty} is owned by fronts {sorted(fronts)}")
+            found.add_breach(f"number {number} of {duty} is owned by fronts {sorted(fronts)}")
         # Surely owned from the first answer to the last question.
         by_duty[duty].append((number, min(f["t"] for f in some), max(f["asked"] for f in some), fronts))
     for duty, terms in by_duty.items():
         terms.sort()
         for (one, _, end, who), (other, begin, until, others) in pairwise(terms):
             if min(until, begin) < end and who != others:
-                found.breach(
+                found.add_breach(
                     f"{duty}: fronts {sorted(others)} had {other} while {sorted(who)} still had {one}"
                 )
     if not found.cases:
-        found.breach("nobody ever owned anything")
+        found.add_breach("nobody ever owned anything")
     return found
 
 
@@ -72,7 +72,7 @@
         found.cases += 1
         now = (f["number"], f["step"])
         if now < highest[f["front"]]:
-            found.breach(f"front {f['front']}: {now} took effect after {highest[f['front']]}")
+            found.add_breach(f"front {f['front']}: {now} took effect after {highest[f['front']]}")
         highest[f["front"]] = max(now, highest[f["front"]])
     fences = defaultdict[int, tuple[int, int]](lambda: (0, 0))
     for f in facts:
@@ -80,27 +80,29 @@
             found.cases += 1
             now = tuple(f["fence"])
             if now != (0, 0) and now < fences[f["front"]]:
-                found.breach(f"front {f['front']}: its fence went back from {fences[f['front']]} to {now}")
+                found.add_breach(
+                    f"front {f['front']}: its fence went back from {fences[f['front']]} to {now}"
+                )
             fences[f["front"]] = max(now, fences[f["front"]])
     return found
 
 
-def _gaps(facts: list[Fact], all_: list[Span], keepers: frozenset[int], term: int, last: int) -> Finding:
+def _gaps(facts: list[Fact], all_: list[Outage], keepers: frozenset[int], term: int, last: int) -> Finding:
     """Without an owner for two terms at most, beside what the view needs to know of deaths; not counted are times in
     which fewer than a majority of keepers could be had, or the network was cut."""
     found = Finding(23, "not without an owner for long")
     claims = sorted((f["t"], f["asked"]) for f in facts if f["kind"] == "owners" and f["duties"])
     if not claims:
         return found
-    allowed = SITS_OUT * term + KNOWN_WITHIN + ASKED_EVERY
+    allowed = MAX_OWNERLESS_TERMS * term + DEATH_KNOWN_WITHIN_NS + POLL_INTERVAL_NS
     for (one, _), (other, _) in zip(claims, [*claims[1:], (last, last)], strict=True):
         found.cases += 1
         if other - one > allowed and not _hindered(all_, keepers, one, other, term):
-            found.breach(f"nobody owned it for {(other - one) / SECOND:.1f} s")
+            found.add_breach(f"nobody owned it for {(other - one) / SECOND:.1f} s")
     return found
 
 
-def _hindered(all_: list[Span], keepers: frozenset[int], since: int, until: int, term: int) -> bool:
+def _hindered(all_: list[Outage], keepers: frozenset[int], since: int, until: int, term: int) -> bool:
     away = set[int]()
     for span in all_:
         if span.begin >= until or span.end + 2 * term <= since:  # a keeper that was away sits out a term
@@ -111,7 +113,7 @@
     return 2 * len(keepers & away) >= len(keepers)
 
 
-def _alike(facts: list[Fact], all_: list[Span], names: Mapping[int, str]) -> Finding:
+def _alike(facts: list[Fact], all_: list[Outage], names: Mapping[int, str]) -> Finding:
     found = Finding(24, "all stand alike in the end")
     last = dict[int, Fact]()
     for f in facts:
@@ -122,10 +124,10 @@
     stand = {i: f["in_force"] for i, f in last.items() if i not in down}
     found.cases = len(stand)
     if len(set(stand.values())) > 1:
-        found.breach(f"in force: {stand}")
+        found.add_breach(f"in force: {stand}")
     if set(stand) != set(names) - down:
-        found.breach(f"nothing was heard of fronts {sorted(set(names) - down - set(stand))}")
+        found.add_breach(f"nothing was heard of fronts {sorted(set(names) - down - set(stand))}")
     open_ = sorted(i for i, f in last.items() if f["stage"] not in ("done", "stopped") and i not in down)
     if open_:
-        found.breach(f"the last roll-out is not over on fronts {open_}")
+        found.add_breach(f"the last roll-out is not over on fronts {open_}")
     return found
--- a/oakcroft/rulecheck/plan_terms.py
+++ b/oakcroft/rulecheck/plan_terms.py
@@ -11,7 +11,7 @@
 """By front, plan and title: when it held one more, and one less."""
 
 
-def terms_kept(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
+def check_plan_terms(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """5: no rung under a floor; no more than the seats of a title and plan held by one front."""
     found = Finding(5, "terms kept")
     changes: Changes = defaultdict(list)
@@ -21,17 +21,17 @@
         plan = site.plans[one.plan].plan
         found.cases += 1
         if one.rung < plan.floor:
-            found.breach(f"{one.key}: set up on rung {one.rung} under the floor {plan.floor}")
+            found.add_breach(f"{one.key}: set up on rung {one.rung} under the floor {plan.floor}")
         if plan.seats:
             _note_changes(one, changes)
     for fact in facts:
         if fact["kind"] == "rung" and fact["rung"] < site.plans[fact["plan"]].plan.floor:
-            found.breach(f"{fact['session']}: set to rung {fact['rung']} under its floor")
+            found.add_breach(f"{fact['session']}: set to rung {fact['rung']} under its floor")
     for (front, plan_name, title), steps in changes.items():
         seats = site.plans[plan_name].plan.seats
         held = _first_held_over(seats, steps)
         if held is not None:
-            found.breach(f"{front} held {held} of {title} in {plan_name}: {seats} seats")
+            found.add_breach(f"{front} held {held} of {title} in {plan_name}: {seats} seats")
     return found
 
 
--- a/oakcroft/rulecheck/retry_budget.py
+++ b/oakcroft/rulecheck/retry_budget.py
@@ -7,11 +7,11 @@
 from oakcroft.config.settings import SharedSettings
 from oakcroft.rulecheck.facts import Fact, Finding, SetUp
 
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 """Of the allowed share of the requests, which is a sum of floating-point figures."""
 
 
-def tries_rationed(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
+def check_retry_budget(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """6: tries beyond each playback's first, of one front, within the stated budget over any window."""
     found = Finding(6, "further tries within the budget")
     terms = site.terms
@@ -30,8 +30,8 @@
             allowed = terms.retry_budget_base + terms.retry_budget_share * sum(
                 since < at <= t for at in asked
             )
-            if sent > allowed + ROUNDING:
-                found.breach(f"{front}: {sent} further tries in a window that allows {allowed:.1f}")
+            if sent > allowed + ROUNDING_TOLERANCE:
+                found.add_breach(f"{front}: {sent} further tries in a window that allows {allowed:.1f}")
     return found
 
 
--- a/oakcroft/rulecheck/rules.py
+++ b/oakcroft/rulecheck/rules.py
@@ -7,20 +7,24 @@
 from __future__ import annotations
 
 from oakcroft.config.settings import SharedSettings
-from oakcroft.rulecheck.answers import one_answer
-from oakcroft.rulecheck.cold_nodes import cold_kept
-from oakcroft.rulecheck.drains import drains_kept
-from oakcroft.rulecheck.facts import Fact, Finding, set_ups
-from oakcroft.rulecheck.plan_terms import terms_kept
-from oakcroft.rulecheck.repeated_set_ups import no_set_up_twice
-from oakcroft.rulecheck.retry_budget import tries_rationed
+from oakcroft.rulecheck.answers import check_answers
+from oakcroft.rulecheck.cold_nodes import check_cold_nodes
+from oakcroft.rulecheck.drains import check_drains
+from oakcroft.rulecheck.facts import Fact, Finding, collect_set_ups
+from oakcroft.rulecheck.plan_terms import check_plan_terms
+from oakcroft.rulecheck.repeated_set_ups import check_repeated_set_ups
+from oakcroft.rulecheck.retry_budget import check_retry_budget
 
 
-def judge(facts: list[Fact], site: SharedSettings) -> list[Finding]:
+def check_rules(facts: list[Fact], site: SharedSettings) -> list[Finding]:
     """All six rules."""
     facts = sorted(facts, key=lambda fact: fact["t"])
-    tries = set_ups(facts)
+    tries = collect_set_ups(facts)
     return [
-        one_answer(facts, site), no_set_up_twice(facts, tries, site), drains_kept(facts, tries, site),
-        cold_kept(facts, tries, site), terms_kept(facts, tries, site), tries_rationed(facts, tries, site),
-    ]  # fmt: skip
+        check_answers(facts, site),
+        check_repeated_set_ups(facts, tries, site),
+        check_drains(facts, tries, site),
+        check_cold_nodes(facts, tries, site),
+        check_plan_terms(facts, tries, site),
+        check_retry_budget(facts, tries, site),
+    ]
--- a/oakcroft/rulecheck/session_ownership.py
+++ b/oakcroft/rulecheck/session_ownership.py
@@ -12,7 +12,7 @@
 from oakcroft.rulecheck.facts import Fact, Finding
 
 
-def judge_holding(facts: list[Fact]) -> list[Finding]:
+def check_session_ownership(facts: list[Fact]) -> list[Finding]:
     """What was found of each property: 31 only who holds a session changes or ends it, 32 nothing is taken from a front
     that listens to the node, 33 nothing is taken twice from the same one."""
     facts = sorted(facts, key=lambda f: f["t"])
@@ -29,13 +29,13 @@
         elif f["kind"] == "passed":
             found.cases += 1
             if holder.get(session) != f["before"]:
-                found.breach(f"{session}: taken from {f['before']}, but {holder.get(session)} had it")
+                found.add_breach(f"{session}: taken from {f['before']}, but {holder.get(session)} had it")
             holder[session] = f["front"]
         elif f["kind"] == "rung" or (f["kind"] == "over" and f["why"] == "deleted"):
             found.cases += 1
             who, what = (f["front"], "set") if f["kind"] == "rung" else (f["by"], "ended")
             if session in holder and holder[session] != who:
-                found.breach(f"{session}: {what} by {who}, but {holder[session]} has it")
+                found.add_breach(f"{session}: {what} by {who}, but {holder[session]} has it")
     return found
 
 
@@ -51,7 +51,7 @@
         elif f["kind"] == "passed":
             found.cases += 1
             if (f["node"], f["before"]) in open_:
-                found.breach(f"{f['session']}: taken from {f['before']}, which listened to {f['node']}")
+                found.add_breach(f"{f['session']}: taken from {f['before']}, which listened to {f['node']}")
     return found
 
 
@@ -61,18 +61,18 @@
     for (session, before), times in some.items():
         found.cases += 1
         if times > 1:
-            found.breach(f"{session}: taken from {before} {times} times")
+            found.add_breach(f"{session}: taken from {before} {times} times")
     return found
 
 
-def outlived(facts: list[Fact]) -> tuple[int, int]:
+def count_taken_over_and_ended(facts: list[Fact]) -> tuple[int, int]:
     """How many playbacks passed on from a front to another, and how many nodes ended since their front was gone."""
     passed = {f["session"] for f in facts if f["kind"] == "passed"}
     ended = {f["session"] for f in facts if f["kind"] == "over" and f["why"] == "front gone"}
     return len(passed), len(ended)
 
 
-def taken_after(facts: list[Fact]) -> list[float]:
+def takeover_delays(facts: list[Fact]) -> list[float]:
     """For each playback taken over, how long its node had not heard of its front, in seconds, in order."""
     away = defaultdict[tuple[str, str], int](int)
     out = []
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -21,7 +21,7 @@
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.rulecheck.rules import judge
+from oakcroft.rulecheck.rules import check_rules
 from oakcroft.signalling import sdp, words
 from oakcroft.standins.day import parse
 from oakcroft.standins.fleet import Fleet
@@ -137,7 +137,7 @@
     def rule_breaches(self) -> dict[int, list[str]]:
         """Violations of the six rules, by rule, judged from what passed on the sockets."""
         self.record.out.flush()
-        found = judge(read_record(self.directory / "fleet.jsonl"), self.fleet.day.site)
+        found = check_rules(read_record(self.directory / "fleet.jsonl"), self.fleet.day.site)
         assert [f.rule for f in found] == [1, 2, 3, 4, 5, 6]
         return {f.rule: f.breaches for f in found if f.breaches}
 
--- a/tests/test_adopting.py
+++ b/tests/test_adopting.py
@@ -22,8 +22,8 @@
 from oakcroft.httpwire.client import Ended, Peer
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.rulecheck.session_ownership import judge_holding, outlived
-from oakcroft.rulecheck.rules import judge
+from oakcroft.rulecheck.session_ownership import check_session_ownership, count_taken_over_and_ended
+from oakcroft.rulecheck.rules import check_rules
 from oakcroft.signalling import handing, sdp
 
 FACT_KINDS = ("ran", "passed", "rung", "over", "listens", "death")
@@ -111,7 +111,7 @@
         if self.has_planted_breach:
             return
         facts = self.facts(*FACT_KINDS, "setup", "answer", "broken")
-        found = [*judge_holding(facts), judge(facts, self.nodes.day.site)[4]]
+        found = [*check_session_ownership(facts), check_rules(facts, self.nodes.day.site)[4]]
         assert [rule.breaches for rule in found] == [[]] * 4, found
 
     async def wait_until_held_by(
@@ -344,16 +344,16 @@
         fact(9, "passed", session="s", before="a", front="b"),
         fact(10, "over", session="s", front="b", why="deleted", by="b"),
     ]  # fmt: skip
-    assert [rule.breaches for rule in judge_holding(sound)] == [[], [], []]
-    assert outlived(sound) == (1, 0)
+    assert [rule.breaches for rule in check_session_ownership(sound)] == [[], [], []]
+    assert count_taken_over_and_ended(sound) == (1, 0)
     late = [*sound[:5], fact(10, "rung", session="s", front="a", rung=0)]
-    assert [len(rule.breaches) for rule in judge_holding(late)] == [1, 0, 0]
+    assert [len(rule.breaches) for rule in check_session_ownership(late)] == [1, 0, 0]
     ended = [*sound[:5], fact(10, "over", session="s", front="b", why="deleted", by="a")]
-    assert [len(rule.breaches) for rule in judge_holding(ended)] == [1, 0, 0]
+    assert [len(rule.breaches) for rule in check_session_ownership(ended)] == [1, 0, 0]
     robbed = [fact for fact in sound if not (fact["kind"] == "listens" and not fact["open"])]
-    assert [len(rule.breaches) for rule in judge_holding(robbed)] == [0, 1, 0]
+    assert [len(rule.breaches) for rule in check_session_ownership(robbed)] == [0, 1, 0]
     twice = [*sound[:5], fact(10, "passed", session="s", before="a", front="c")]
-    assert [len(rule.breaches) for rule in judge_holding(twice)] == [1, 0, 1]
+    assert [len(rule.breaches) for rule in check_session_ownership(twice)] == [1, 0, 1]
 
 
 def test_late_words_of_the_one_that_had_it_are_turned_away_and_a_node_that_trusts_all_is_found(
@@ -391,7 +391,7 @@
 
         node.ails.trusts_all = True
         assert await word("DELETE", path) == 200
-        (held, *_) = judge_holding(rig.facts(*FACT_KINDS))
+        (held, *_) = check_session_ownership(rig.facts(*FACT_KINDS))
         assert any("ended by front-1-" in b for b in held.breaches), held
         rig.has_planted_breach = True
 
--- a/tests/test_handing.py
+++ b/tests/test_handing.py
@@ -32,7 +32,7 @@
     check_takeover,
 )
 from oakcroft.interface import MS, SECOND
-from oakcroft.rehearsal.takeover_simulation import ManyAdopters, Net
+from oakcroft.rehearsal.takeover_simulation import NetworkConditions, TakeoverSimulation
 from oakcroft.signalling import handing
 
 BOUNDS = TakeoverBounds(200 * MS, 15 * SECOND, 1_000)
@@ -245,32 +245,32 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_sessions_of_failed_fronts_are_taken_over(seed: int) -> None:
-    fleet = ManyAdopters(12, 6, 20, seed, BOUNDS)
-    fleet.play(1)
+    fleet = TakeoverSimulation(12, 6, 20, seed, BOUNDS)
+    fleet.run(1)
     fleet.kill([f"f{i}" for i in range(1 + 3 * (seed % 3))], heard_after=seed * 100 * MS)
-    fleet.play(25)
-    assert (fleet.held(), fleet.ended, fleet.breaches) == (240, 0, [])
-    assert fleet.moved == 20 * (1 + 3 * (seed % 3))
-    assert max(fleet.taken) < 8 * SECOND
+    fleet.run(25)
+    assert (fleet.session_count(), fleet.ended_by_lease, fleet.breaches) == (240, 0, [])
+    assert fleet.takeover_count == 20 * (1 + 3 * (seed % 3))
+    assert max(fleet.takeover_delays) < 8 * SECOND
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_late_and_duplicated_messages_do_not_break_ownership(seed: int) -> None:
-    rng, net = Random(seed), Net(lose=0.1, double=0.2, much_later=0.2)
-    fleet = ManyAdopters(8, 4, 10, seed, BOUNDS, net)
+    rng, net = Random(seed), NetworkConditions(loss=0.1, duplication=0.2, long_delay_share=0.2)
+    fleet = TakeoverSimulation(8, 4, 10, seed, BOUNDS, net)
     for _ in range(6):
-        fleet.play(rng.random() * 6)
-        up = [f.name for f in fleet.fronts.values() if not f.dead and not f.asleep]
+        fleet.run(rng.random() * 6)
+        up = [f.name for f in fleet.fronts.values() if not f.is_dead and not f.is_paused]
         match rng.randrange(4):
             case 0 if len(up) > 3:
                 fleet.kill([rng.choice(up)], heard_after=rng.randrange(3) * SECOND)
             case 1 if len(up) > 2:
-                fleet.sleep(rng.choice(up), rng.uniform(1, 20), rng.random() < 0.7)
+                fleet.pause(rng.choice(up), rng.uniform(1, 20), rng.random() < 0.7)
             case _ if len(up) > 1:
                 fleet.suspect(*rng.sample(up, 2))
-    fleet.play(40)
+    fleet.run(40)
     assert fleet.breaches == []
-    dead = {f.name for f in fleet.fronts.values() if f.dead}
+    dead = {f.name for f in fleet.fronts.values() if f.is_dead}
     assert not [h for n in fleet.nodes for h in n.holder.values() if h.member in dead]
 
 
@@ -278,17 +278,18 @@
     found = 0
     for seed in range(20):
         rng = Random(seed)
-        fleet = ManyAdopters(8, 4, 10, seed, BOUNDS, Net(lose=0.1, double=0.2, much_later=0.2), checks=False)
-        fleet.sleep("f1", 12, loses_streams=True)
-        fleet.play(rng.uniform(5, 8))
+        net = NetworkConditions(loss=0.1, duplication=0.2, long_delay_share=0.2)
+        fleet = TakeoverSimulation(8, 4, 10, seed, BOUNDS, net, checks=False)
+        fleet.pause("f1", 12, loses_streams=True)
+        fleet.run(rng.uniform(5, 8))
         fleet.kill(["f2"])
-        fleet.play(30)
+        fleet.run(30)
         found += bool(fleet.breaches)
     assert found >= 18
 
 
 def test_sessions_that_no_front_has_room_for_end_with_their_lease() -> None:
-    fleet = ManyAdopters(4, 2, 10, 1, BOUNDS, room=12)
+    fleet = TakeoverSimulation(4, 2, 10, 1, BOUNDS, capacity=12)
     fleet.kill(["f0"])
-    fleet.play(25)
-    assert (fleet.moved, fleet.ended, fleet.breaches) == (6, 4, [])
+    fleet.run(25)
+    assert (fleet.takeover_count, fleet.ended_by_lease, fleet.breaches) == (6, 4, [])
--- a/tests/test_lease_simulation.py
+++ b/tests/test_lease_simulation.py
@@ -8,14 +8,14 @@
 import pytest
 
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.lease_simulation import Fleet
+from oakcroft.rehearsal.lease_simulation import LeaseSimulation
 
 TERM = 2 * SECOND
 
 
-def running(fronts: int = 7, keepers: int = 3, loss: float = 0.0, seed: int = 1) -> Fleet:
-    fleet = Fleet(fronts, keepers, TERM, loss, seed)
-    assert fleet.run(5 * TERM, lambda: bool(fleet.began))
+def running(fronts: int = 7, keepers: int = 3, loss: float = 0.0, seed: int = 1) -> LeaseSimulation:
+    fleet = LeaseSimulation(fronts, keepers, TERM, loss, seed)
+    assert fleet.run(5 * TERM, lambda: bool(fleet.terms_begun))
     return fleet
 
 
@@ -23,7 +23,7 @@
 def test_an_owner_that_nothing_befalls_keeps_its_duty(loss: float) -> None:
     fleet = running(loss=loss)
     fleet.run(300 * TERM)
-    assert len(fleet.began) <= (1 if not loss else 6)
+    assert len(fleet.terms_begun) <= (1 if not loss else 6)
     assert fleet.owner() is not None
 
 
@@ -32,11 +32,11 @@
     fleet = running(9, keepers, 0.05, seed)
     for _ in range(30):
         fleet.run(3 * TERM + fleet.rng.randrange(TERM))
-        owner, count, now = fleet.owner(), len(fleet.began), fleet.now
+        owner, count, now = fleet.owner(), len(fleet.terms_begun), fleet.now
         if owner is None:
             continue
         fleet.kill(owner, 4 * TERM)
-        assert fleet.run(20 * TERM, lambda n=count: len(fleet.began) > n)  # type: ignore[misc]
+        assert fleet.run(20 * TERM, lambda n=count: len(fleet.terms_begun) > n)  # type: ignore[misc]
         assert fleet.now - now <= 2 * TERM
         fleet.run(5 * TERM)
 
@@ -44,13 +44,13 @@
 def test_a_flapping_partition_passes_a_duty_on_once_a_term_at_most() -> None:
     fleet = running(8, 3, 0.0, 4)
     half = {"f000", "f003", "f004", "f005"}
-    began, count = fleet.now, len(fleet.began)
+    began, count = fleet.now, len(fleet.terms_begun)
     for _ in range(100):
         fleet.cut = lambda a, b: (a in half) != (b in half)
         fleet.run(TERM * 3 // 4)
         fleet.cut = lambda _a, _b: False
         fleet.run(TERM // 3)
-    assert len(fleet.began) - count <= (fleet.now - began) // TERM
+    assert len(fleet.terms_begun) - count <= (fleet.now - began) // TERM
     fleet.run(4 * TERM)
     assert fleet.owner() is not None
 
@@ -60,24 +60,24 @@
     for keeper in ("f000", "f001"):
         fleet.kill(keeper, 600 * SECOND)
     fleet.run(2 * TERM)
-    count = len(fleet.began)
+    count = len(fleet.terms_begun)
     fleet.run(600 * SECOND - 3 * TERM)
     assert fleet.owner() is None
-    assert len(fleet.began) == count
-    assert fleet.run(6 * TERM, lambda: len(fleet.began) > count)
+    assert len(fleet.terms_begun) == count
+    assert fleet.run(6 * TERM, lambda: len(fleet.terms_begun) > count)
 
 
 @pytest.mark.parametrize(("keepers", "wiped"), [(3, 1), (4, 2), (5, 2)])
 def test_half_of_the_keepers_lose_their_records_at_once(keepers: int, wiped: int) -> None:
     fleet = running(9, keepers, 0.05, keepers)
     for round_ in range(10):
-        count = len(fleet.began)
+        count = len(fleet.terms_begun)
         for name in [f"f{(round_ + i) % keepers:03}" for i in range(wiped)]:
             fleet.kill(name, TERM // 2, record=False)
         owner = fleet.owner()
         if owner is not None and owner not in fleet.dead:
             fleet.kill(owner, TERM)
-        assert fleet.run(20 * TERM, lambda n=count: len(fleet.began) > n)  # type: ignore[misc]
+        assert fleet.run(20 * TERM, lambda n=count: len(fleet.terms_begun) > n)  # type: ignore[misc]
         fleet.run(5 * TERM)
 
 
@@ -87,10 +87,10 @@
     for name in fleet.names:
         fleet.kill(name, TERM // 4, record=False, floor=1_000)
     end = fleet.now + TERM  # whatever was granted may run until then
-    count = len(fleet.began)
-    assert fleet.run(20 * TERM, lambda: len(fleet.began) > count)
+    count = len(fleet.terms_begun)
+    assert fleet.run(20 * TERM, lambda: len(fleet.terms_begun) > count)
     assert fleet.now >= end
-    assert fleet.began[-1][1] > 1_000
+    assert fleet.terms_begun[-1][1] > 1_000
 
 
 def test_a_candidate_whose_clock_went_back_learns_how_far_numbers_are() -> None:
@@ -101,8 +101,8 @@
     for keeper in fleet.keepers.values():
         keeper.records = {d: type(r)(10**15, r.promised_to, None, r.note) for d, r in keeper.records.items()}
         keeper.running_until.clear()
-    count = len(fleet.began)
+    count = len(fleet.terms_begun)
     for keeper_name in fleet.keepers:
         fleet.candidates[keeper_name].set_wanted(False, fleet.now)
-    assert fleet.run(20 * TERM, lambda: len(fleet.began) > count)
-    assert fleet.began[-1][1] > 10**15
+    assert fleet.run(20 * TERM, lambda: len(fleet.terms_begun) > count)
+    assert fleet.terms_begun[-1][1] > 10**15
--- a/tests/test_owners_check.py
+++ b/tests/test_owners_check.py
@@ -10,7 +10,7 @@
 
 from oakcroft.decisions.fleet.lease import Fence
 from oakcroft.interface import MS, SECOND
-from oakcroft.rulecheck.owners import judge_owners
+from oakcroft.rulecheck.owners import check_owners
 from oakcroft.rulecheck.facts import Fact
 
 TERM = 2 * SECOND
@@ -65,12 +65,12 @@
 
 
 def breaches(facts: list[Fact]) -> dict[int, list[str]]:
-    return {f.rule: f.breaches for f in judge_owners(facts, NAMES, KEEPERS, TERM) if f.breaches}
+    return {f.rule: f.breaches for f in check_owners(facts, NAMES, KEEPERS, TERM) if f.breaches}
 
 
 def test_a_correct_fleet_has_no_breaches() -> None:
     assert breaches(model_records()) == {}
-    assert all(f.cases for f in judge_owners(model_records(), NAMES, KEEPERS, TERM))
+    assert all(f.cases for f in check_owners(model_records(), NAMES, KEEPERS, TERM))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,7 +24,7 @@
 from oakcroft.platform.node_pool import NodePool
 from oakcroft.platform.playback_session import SetupRequest
 from oakcroft.platformwire import framing
-from oakcroft.rulecheck.rules import judge
+from oakcroft.rulecheck.rules import check_rules
 from oakcroft.running.logs import LineRateLimiter
 
 A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
@@ -50,7 +50,7 @@
 
 def broken(rig: PlatformRig) -> list[str]:
     """Breaches of the rules in the recorded facts."""
-    return [breach for finding in judge(rig.facts, site()) for breach in finding.breaches]
+    return [breach for finding in check_rules(rig.facts, site()) for breach in finding.breaches]
 
 
 def test_a_playback_from_set_up_to_its_end() -> None:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -11,7 +11,7 @@
 
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal import front_processes
-from oakcroft.rehearsal.bench_day import KINDS, translate
+from oakcroft.rehearsal.bench_day import FAULT_KINDS, translate
 from oakcroft.rehearsal.viewers import plan_visits
 from oakcroft.rehearsal import report, runner
 from oakcroft.standins.day import FAULTS, Day, parse
@@ -50,7 +50,7 @@
 def test_a_short_bad_day_keeps_every_rule_on_the_sockets() -> None:
     said: list[str] = []
     outcome = runner.play(plot(SHORT), SHORT, "oakcroft", said.append)
-    text = report.whole(outcome, None)
+    text = report.render_report(outcome, None)
     assert outcome.kept, text
     assert outcome.tally.answers["201"] > 30, text
     assert {"crash", "hang", "answer-lost", "preempt", "front-stall", "front-kill"} <= set(outcome.faults)
@@ -73,7 +73,7 @@
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
     outcome = runner.play(plot(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
     assert outcome.failures == []
-    assert outcome.kept, report.whole(outcome, None)
+    assert outcome.kept, report.render_report(outcome, None)
 
     def times(kind: str) -> list[int]:
         return [fact["t"] for fact in outcome.facts if fact["kind"] == kind]
@@ -143,12 +143,12 @@
     })  # fmt: skip
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", FAULT_KINDS)
 def test_every_kind_of_bench_trouble_becomes_one_of_ours(kind: str) -> None:
     body, notes = translate(drawn(kind), "d")
     translated = plot(body)
-    assert [f.kind for f in translated.faults] == [KINDS[kind]]
-    assert KINDS[kind] in FAULTS
+    assert [f.kind for f in translated.faults] == [FAULT_KINDS[kind]]
+    assert FAULT_KINDS[kind] in FAULTS
     assert len(translated.nodes) == 24
     assert any(kind in note for note in notes)
 
--- a/tests/test_rulecheck.py
+++ b/tests/test_rulecheck.py
@@ -7,7 +7,7 @@
 from oakcroft.config import pipeline as compiling
 from oakcroft.decisions.sessions.setup_outcome import PROBLEM_FULL
 from oakcroft.interface import MS, SECOND
-from oakcroft.rulecheck.rules import judge
+from oakcroft.rulecheck.rules import check_rules
 
 FOUND, PROBLEMS = compiling.check_file(
     "s",
@@ -69,12 +69,12 @@
 
 def broken(*more: Any) -> dict[int, int]:
     flat = [f for m in more for f in (m if isinstance(m, list) else [m])]
-    return {f.rule: len(f.breaches) for f in judge([*CLEAN, *flat], SITE) if f.breaches}
+    return {f.rule: len(f.breaches) for f in check_rules([*CLEAN, *flat], SITE) if f.breaches}
 
 
 def test_a_clean_record_has_no_breach_and_counts_its_cases() -> None:
     assert broken() == {}
-    assert [f.cases for f in judge(CLEAN, SITE)] == [4, 2, 3, 0, 3, 1]
+    assert [f.cases for f in check_rules(CLEAN, SITE)] == [4, 2, 3, 0, 3, 1]
 
 
 def test_rule_1_no_answer_late_answer_two_answers() -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -58,9 +58,9 @@
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import MS, SECOND, Effect, KeyScope, NodeStatus, Outcome, Plan
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.rulecheck.facts import set_ups as tries_of
-from oakcroft.rulecheck.plan_terms import terms_kept
-from oakcroft.rulecheck.repeated_set_ups import no_set_up_twice
+from oakcroft.rulecheck.facts import collect_set_ups as tries_of
+from oakcroft.rulecheck.plan_terms import check_plan_terms
+from oakcroft.rulecheck.repeated_set_ups import check_repeated_set_ups
 from oakcroft.signalling import words
 from oakcroft.standins.disk import Disk
 from oakcroft.store.file import (
@@ -693,8 +693,8 @@
     found, _ = check_file("site", lambda _: rig.site_text, False)
     assert found is not None
     site, tries = build_deployment(found).shared, tries_of(facts)
-    assert no_set_up_twice(facts, tries, site).breaches == []
-    assert terms_kept(facts, tries, site).breaches == []
+    assert check_repeated_set_ups(facts, tries, site).breaches == []
+    assert check_plan_terms(facts, tries, site).breaches == []
 
 
 async def restart_front_end(
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -31,8 +31,8 @@
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, MessageKind
 from oakcroft.interface import MS, SECOND
-from oakcroft.rehearsal.membership_simulation import Net, fleet
-from oakcroft.rulecheck.membership import judge_view
+from oakcroft.rehearsal.membership_simulation import SimulatedNetwork, settled_network
+from oakcroft.rulecheck.membership import check_membership
 from oakcroft.running.logs import LossyOutput
 
 ALIVE, SUSPECTED, FAILED, LEFT = MemberState
@@ -52,9 +52,9 @@
     return MemberUpdate(name, generation, incarnation, state, f"host-{name}", 1, "w", "1", proof, by)
 
 
-def told(net: Net, state: MemberState) -> set[str]:
+def told(net: SimulatedNetwork, state: MemberState) -> set[str]:
     """Whom anybody has seen so."""
-    return {about for _, _, about, _, now in net.told if now == state.label}
+    return {about for _, _, about, _, now in net.state_changes if now == state.label}
 
 
 @given(st.lists(word, max_size=6))
@@ -178,40 +178,40 @@
 
 
 def test_a_crash_is_known_to_all_and_nobody_else_is_gone() -> None:
-    net = fleet(24, 1, loss=0.05)
-    net.told.clear()
+    net = settled_network(24, 1, loss=0.05)
+    net.state_changes.clear()
     began = net.now
     net.kill("f7")
-    assert net.run(10 * SECOND, lambda: net.agree({"f7"}, FAILED))
+    assert net.run(10 * SECOND, lambda: net.all_see({"f7"}, FAILED))
     assert net.now - began < 6 * SECOND
     net.run(10 * SECOND)
     assert told(net, FAILED) == {"f7"}
     net.add("f7", (("host-f0", 1),))
-    assert net.run(3 * SECOND, net.settled)
+    assert net.run(3 * SECOND, net.is_settled)
 
 
 def test_seven_in_ten_killed_in_one_moment_and_back() -> None:
-    net = fleet(30, 2, loss=0.05)
+    net = settled_network(30, 2, loss=0.05)
     victims = {f"f{i}" for i in range(9, 30)}
-    net.told.clear()
+    net.state_changes.clear()
     for name in victims:
         net.kill(name)
-    assert net.run(15 * SECOND, net.settled)
+    assert net.run(15 * SECOND, net.is_settled)
     assert told(net, FAILED) == victims
     for name in victims:
         net.add(name, (("host-f0", 1), ("host-f20", 1)))
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
 
 
 def test_one_that_stood_still_for_half_a_minute_declares_nobody_dead_and_is_taken_back() -> None:
-    net = fleet(12, 3)
-    net.stop("f4")
-    assert net.run(10 * SECOND, lambda: net.agree({"f4"}, FAILED))
+    net = settled_network(12, 3)
+    net.pause("f4")
+    assert net.run(10 * SECOND, lambda: net.all_see({"f4"}, FAILED))
     net.run(30 * SECOND)
-    net.told.clear()
-    net.go_on("f4")
+    net.state_changes.clear()
+    net.resume("f4")
     began = net.now
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
     assert net.now - began < 3 * SECOND
     net.run(10 * SECOND)
     assert told(net, FAILED) == set()
@@ -219,8 +219,8 @@
 
 
 def test_a_link_that_is_broken_one_way_costs_nobody_its_standing() -> None:
-    net = fleet(8, 4)
-    net.told.clear()
+    net = settled_network(8, 4)
+    net.state_changes.clear()
     net.cut = lambda one, other: (one, other) == ("f1", "f2")
     net.run(60 * SECOND)
     assert told(net, FAILED) == set()
@@ -230,8 +230,8 @@
 
 
 def test_a_third_lost_doubled_late_and_out_of_order() -> None:
-    net = fleet(10, 5)
-    net.told.clear()
+    net = settled_network(10, 5)
+    net.state_changes.clear()
     net.loss, net.double, net.latency = 0.33, 0.2, (MS, 150 * MS)
     net.run(120 * SECOND)
     assert told(net, FAILED) == set()
@@ -239,7 +239,7 @@
 
 @pytest.mark.parametrize("many", [2, 5])
 def test_a_partition_longer_than_the_dead_are_kept_heals_without_a_person(many: int) -> None:
-    net = fleet(10, 6)
+    net = settled_network(10, 6)
     part = {f"f{i}": i % many for i in range(10)}
     net.cut = lambda one, other: part[one] != part[other]
     net.run(FAILED_RETENTION + 60 * SECOND)
@@ -247,33 +247,33 @@
     assert all(view.standing(n) is None for n in part if part[n] != part["f3"])  # forgotten
     net.cut = lambda _one, _other: False
     began = net.now
-    assert net.run(30 * SECOND, net.settled)
+    assert net.run(30 * SECOND, net.is_settled)
     assert net.now - began < 20 * SECOND
 
 
 def test_a_restart_while_news_of_the_death_travels() -> None:
-    net = fleet(12, 7)
+    net = settled_network(12, 7)
     net.kill("f5")
     net.run(2 * SECOND)
     net.add("f5", (("host-f1", 1),))
-    assert net.run(5 * SECOND, net.settled)
-    net.told.clear()
+    assert net.run(5 * SECOND, net.is_settled)
+    net.state_changes.clear()
     net.run(15 * SECOND)
     assert told(net, FAILED) == set()
 
 
 def test_a_start_with_a_lower_number_learns_the_higher_from_its_peers() -> None:
-    net = fleet(5, 8)
+    net = settled_network(5, 8)
     net.kill("f3")
     net.run(1 * SECOND)
     net.add("f3", (("host-f0", 1),), start=1)  # no file, and the clock went back
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
     assert net.processes["f3"].view.me.generation > 1
     assert not net.processes["f3"].view.displaced
 
 
 def test_two_processes_under_one_name_are_told_and_leave_the_view_stable() -> None:
-    net = fleet(6, 9)
+    net = settled_network(6, 9)
     first = net.processes["f2"]
     other = net.add("f2", (("host-f0", 1),), host="host-other")
     first.alive = True  # it runs on, at its own address
@@ -283,13 +283,13 @@
     assert not other.view.displaced
     told_to = {
         at
-        for _, at, about, _, now in net.told
+        for _, at, about, _, now in net.state_changes
         if about == "f2" and at == "f2" and now in ("displaced", "alive")
     }
     assert told_to == {"f2"}
-    net.told.clear()
+    net.state_changes.clear()
     net.run(30 * SECOND)
-    assert [t for t in net.told if t[2] == "f2" and t[4] in ("gone", "suspected")] == []
+    assert [t for t in net.state_changes if t[2] == "f2" and t[4] in ("gone", "suspected")] == []
     other.alive = False
     net.run(40 * SECOND)  # the one that was displaced comes back when the other has gone
     assert not first.view.displaced
@@ -297,34 +297,34 @@
 
 
 def test_all_seeds_down_at_the_start_and_a_seed_that_is_the_front_itself() -> None:
-    net = Net(10)
+    net = SimulatedNetwork(10)
     seeds = (("host-s", 1), ("host-a", 1))
     net.add("a", seeds)
     net.add("b", seeds)
     net.run(5 * SECOND)
-    assert net.settled()  # b found a
-    lonely = Net(11)
+    assert net.is_settled()  # b found a
+    lonely = SimulatedNetwork(11)
     lonely.add("a", (("host-s", 1), ("host-a", 1)))
     lonely.add("b", (("host-s", 1),))
     lonely.run(30 * SECOND)
-    assert not lonely.settled()
+    assert not lonely.is_settled()
     lonely.add("s")
-    assert lonely.run(5 * SECOND, lonely.settled)
+    assert lonely.run(5 * SECOND, lonely.is_settled)
 
 
 def test_an_address_that_has_passed_to_another_front() -> None:
-    net = fleet(6, 12)
+    net = settled_network(6, 12)
     net.kill("f4")
     net.add("new", (("host-f0", 1),), host="host-f4")
-    assert net.run(10 * SECOND, lambda: net.agree({"f4"}, FAILED) and net.agree({"new"}, ALIVE))
+    assert net.run(10 * SECOND, lambda: net.all_see({"f4"}, FAILED) and net.all_see({"new"}, ALIVE))
 
 
 def test_a_front_that_crashes_every_two_seconds_does_not_flood_the_rest() -> None:
-    net = fleet(8, 13)
+    net = settled_network(8, 13)
     net.run(30 * SECOND)
     for process in net.processes.values():
         process.octets = 0
-    net.told.clear()
+    net.state_changes.clear()
     for _ in range(30):
         net.kill("f7")
         net.run(SECOND // 2)
@@ -332,13 +332,13 @@
         net.run(3 * SECOND // 2)
     quiet = [p for n, p in net.processes.items() if n != "f7"]
     assert max(p.octets for p in quiet) / 60 < 4_000
-    lines = [t for t in net.told if t[1] == "f0" and t[2] == "f7"]
+    lines = [t for t in net.state_changes if t[1] == "f0" and t[2] == "f7"]
     assert len(lines) < 30
 
 
 def test_a_rolling_restart_of_all() -> None:
-    net = fleet(10, 14)
-    net.told.clear()
+    net = settled_network(10, 14)
+    net.state_changes.clear()
     for i in range(10):
         net.processes[f"f{i}"].view.leave()
         net._after(net.processes[f"f{i}"])
@@ -346,14 +346,14 @@
         net.run(SECOND)
         net.add(f"f{i}", (("host-f0", 1), ("host-f5", 1)))
         net.run(SECOND)
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
     assert told(net, FAILED) == set()  # they left, each by its own word
     assert told(net, LEFT) == {f"f{i}" for i in range(10)}
 
 
 def test_the_worst_of_one_liar_is_refutations_and_no_standing() -> None:
-    net = fleet(16, 15, loss=0.05)
-    net.told.clear()
+    net = settled_network(16, 15, loss=0.05)
+    net.state_changes.clear()
     liar = net.processes["f3"]
     for _ in range(100):
         view = liar.view
@@ -370,25 +370,25 @@
                     net._after(net.processes[to])
         net.run(100 * MS)
     assert told(net, FAILED) == set()
-    assert sum(p.view.counts.refuted for p in net.living()) > 0
-    assert net.run(10 * SECOND, net.settled)
+    assert sum(p.view.counts.refuted for p in net.running_processes()) > 0
+    assert net.run(10 * SECOND, net.is_settled)
 
 
 @pytest.mark.parametrize("state", [ALIVE, SUSPECTED, FAILED])
 def test_the_highest_incarnation_that_can_be_claimed_is_refuted_too(state: MemberState) -> None:
     """One message of one liar: without a way out the accused could say nothing any more that others would take."""
-    net = fleet(8, 17)
-    net.told.clear()
+    net = settled_network(8, 17)
+    net.state_changes.clear()
     claim = replace(net.processes["f5"].view.me.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1)
-    for process in net.living():
+    for process in net.running_processes():
         if process.name not in ("f3", "f5"):
             liar = net.processes["f3"].view.me
             process.view.heard(liar, MessageKind.GOSSIP, 0, ANYONE, None, [claim], net.now)
             net._after(process)
     net.run(30 * SECOND)
     assert told(net, FAILED) == set()
-    assert net.settled()
-    assert all(p.view.members["f5"].latest.is_plausible() for p in net.living())
+    assert net.is_settled()
+    assert all(p.view.members["f5"].latest.is_plausible() for p in net.running_processes())
 
 
 def test_tables_stay_within_their_bounds() -> None:
@@ -417,12 +417,12 @@
 def test_a_share_passes_on_only_from_one_that_left_and_within_the_stated_bound() -> None:
     """A partition, with one that left on one side and comes back there unheard by the other: both sides' rates summed."""
     fronts, rate = 10, 100.0
-    net = fleet(fronts, 16)
+    net = settled_network(fronts, 16)
     limit = RequestLimit("all", LimitScope.ALL, "", rate=rate)
 
     def total() -> float:
         whole = 0.0
-        for process in net.living():
+        for process in net.running_processes():
             ledger = LimitLedger(int(process.name[1:]), fronts)
             ledger.set_limits([limit])
             ledger.set_rate_shares(rate_divisor(fronts, process.view.left_count()))
@@ -430,14 +430,14 @@
         return whole
 
     net.kill("f8")
-    assert net.run(10 * SECOND, lambda: net.agree({"f8"}, FAILED))
+    assert net.run(10 * SECOND, lambda: net.all_see({"f8"}, FAILED))
     assert total() == pytest.approx(
         rate * 9 / 10
     )  # gone: its share stays its own, for it may serve elsewhere
     net.processes["f9"].view.leave()
     net._after(net.processes["f9"])
     net.kill("f9")
-    assert net.run(5 * SECOND, lambda: net.agree({"f9"}, LEFT))
+    assert net.run(5 * SECOND, lambda: net.all_see({"f9"}, LEFT))
     assert total() == pytest.approx(rate * 8 / 9)
     side = {"f0", "f1", "f2", "f9"}
     net.cut = lambda one, other: (one in side) != (other in side)
@@ -447,19 +447,19 @@
         net.run(SECOND)
         assert total() <= rate * (1 + max_overshoot(fronts, 1)) + 1e-9
     net.cut = lambda _one, _other: False
-    assert net.run(20 * SECOND, net.settled)
+    assert net.run(20 * SECOND, net.is_settled)
     assert total() == pytest.approx(rate)
 
 
 # The check from outside, and faults that it must find.
 
 
-def asked(net: Net, seconds: int) -> list[dict[str, Any]]:
+def asked(net: SimulatedNetwork, seconds: int) -> list[dict[str, Any]]:
     """Plays on, and asks every process twice a second how it sees the others."""
     facts = []
     for _ in range(2 * seconds):
         net.run(SECOND // 2)
-        for process in net.living():
+        for process in net.running_processes():
             members = {
                 n: [m.latest.state.label, m.latest.generation] for n, m in process.view.members.items()
             }
@@ -467,9 +467,9 @@
     return facts
 
 
-def judged(plant: Callable[[Net], None]) -> dict[int, int]:
+def judged(plant: Callable[[SimulatedNetwork], None]) -> dict[int, int]:
     """A fleet of six, one of which dies and comes back, two cut off for a while: breaches by property."""
-    net = fleet(6, 20)
+    net = settled_network(6, 20)
     plant(net)
     facts = asked(net, 5)
     facts.append({"t": net.now, "kind": "front killed", "front": 5})
@@ -484,7 +484,7 @@
     facts.append({"t": net.now, "kind": "cut", "phase": "ends", "fronts": [0, 1], "one_way": False})
     net.cut = lambda _one, _other: False
     facts += asked(net, 30)
-    found = judge_view(facts, {i: f"f{i}" for i in range(6)})
+    found = check_membership(facts, {i: f"f{i}" for i in range(6)})
     assert all(f.cases for f in found if f.rule != 13)
     return {f.rule: len(f.breaches) for f in found if f.breaches}
 
@@ -494,14 +494,14 @@
 
 
 def test_a_front_that_never_forgets_is_found() -> None:
-    def plant(net: Net) -> None:
+    def plant(net: SimulatedNetwork) -> None:
         net.processes["f3"].view._expire_suspicions = lambda now: None  # type: ignore[method-assign]
 
     assert judged(plant).keys() >= {12}
 
 
 def test_a_front_that_resurrects_the_dead_is_found() -> None:
-    def plant(net: Net) -> None:
+    def plant(net: SimulatedNetwork) -> None:
         view = net.processes["f2"].view
         tick = view.tick
 
@@ -517,7 +517,7 @@
 
 
 def test_a_front_that_calls_the_living_gone_is_found() -> None:
-    def plant(net: Net) -> None:
+    def plant(net: SimulatedNetwork) -> None:
         view = net.processes["f2"].view
         tick = view.tick
 
@@ -531,7 +531,7 @@
 
 
 def test_nothing_asked_is_nothing_shown() -> None:
-    assert judge_view([], {0: "f0"})[0].breaches
+    assert check_membership([], {0: "f0"})[0].breaches
 
 
 def test_a_log_on_a_full_disk_fails_nothing_and_says_what_was_lost() -> None:
