--- a/oakcroft/rulecheck/__init__.py
+++ b/oakcroft/rulecheck/__init__.py
@@ -1,1 +1,1 @@
-"""Judges the six rules from what passed on the sockets."""
+"""Checks the six rules, and the properties of a fleet, against records of what passed on the sockets."""
--- a/oakcroft/rulecheck/answers.py
+++ b/oakcroft/rulecheck/answers.py
@@ -1,4 +1,4 @@
-"""Rule 1: each request that a running front took has one final answer before its abandon time."""
+"""Rule 1: each request that a running front accepted has exactly one final answer before its abandon time."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from oakcroft.rulecheck.facts import Fact, Finding
 
 RESUME_GRACE_NS = 150 * MS
-"""A front that stood still answers what fell due meanwhile within this."""
+"""Within this time after a pause, a front must answer the requests whose abandon time fell into the pause."""
 
 REQUEST_BEFORE_DEATH_NS = SECOND
-"""A request that came so shortly after a front's death may have reached it as it died."""
+"""A request sent this shortly after a front's death may have reached the dying process."""
 
 Pauses = dict[int, list[tuple[int, int]]]
-"""By front: from when to when it was made to stand still."""
+"""Begin and end of the pauses (SIGSTOP to SIGCONT) of each front, by its number."""
 
 
 @dataclass
-class Record:
-    """What the viewers put on record of their requests, by key, and of the fronts, by number."""
+class RequestRecord:
+    """What is on record about requests, by their key, and about fronts, by their number. Times are in ns."""
 
     answers: dict[str, list[Fact]] = field(default_factory=lambda: defaultdict(list))
     left_at: dict[str, int] = field(default_factory=dict)
-    """When a viewer went of its own accord."""
+    """When the viewer gave up."""
     cut_at: dict[str, int] = field(default_factory=dict)
     deaths: dict[int, list[int]] = field(default_factory=lambda: defaultdict(list))
     unreached: set[str] = field(default_factory=set)
@@ -33,24 +33,24 @@
 
 
 def check_answers(facts: list[Fact], site: SharedSettings) -> Finding:
-    """1: each request that a running front took has one final answer before its abandon time.
+    """Checks that each request that a running front accepted has one final answer before its abandon time.
 
-    A front that was made to stand still is not running: where the abandon time falls into such a pause, the answer
-    is due `RESUME_GRACE_NS` after its end, and every such case is counted in `excused`; so is one whose client cut its
-    connection after that time and within the pause, when nobody was there to answer or to cut.
+    A paused front is not running. If the abandon time falls into a pause, the answer is due `RESUME_GRACE_NS` after the
+    pause, and the case is counted as excused. A case is also excused if the client closed its connection after the
+    abandon time but within the pause, as the front could neither answer nor close it.
     """
-    found = Finding(1, "no playback lost")
-    record = _read(facts)
+    finding = Finding(1, "no playback lost")
+    record = _read_requests(facts)
     for fact in facts:
         if fact["kind"] == "ask" and fact["key"] not in record.unreached:
-            found.cases += 1
-            until = fact["t"] + min(fact["wait"], site.plans[fact["plan"]].abandon_ns)
-            _judge_request(fact, until, record, found)
-    return found
+            finding.cases += 1
+            deadline = fact["t"] + min(fact["wait"], site.plans[fact["plan"]].abandon_ns)
+            _check_request(fact, deadline, record, finding)
+    return finding
 
 
-def _read(facts: list[Fact]) -> Record:
-    record = Record(pauses=_pauses(facts))
+def _read_requests(facts: list[Fact]) -> RequestRecord:
+    record = RequestRecord(pauses=_find_pauses(facts))
     for fact in facts:
         match fact["kind"]:
             case "got":
@@ -66,41 +66,48 @@
     return record
 
 
-def _pauses(facts: list[Fact]) -> Pauses:
-    """When each front was made to stand still, from the signals sent to it."""
+def _find_pauses(facts: list[Fact]) -> Pauses:
+    """Returns the pauses of each front, by the signals that were sent to it."""
     pauses: Pauses = defaultdict(list)
-    began: dict[int, int] = {}
+    paused_at: dict[int, int] = {}
     for fact in facts:
         if fact["kind"] == "front stands still":
-            began[fact["front"]] = fact["t"]
-        elif fact["kind"] == "front goes on" and fact["front"] in began:
-            pauses[fact["front"]].append((began.pop(fact["front"]), fact["t"]))
+            paused_at[fact["front"]] = fact["t"]
+        elif fact["kind"] == "front goes on" and fact["front"] in paused_at:
+            pauses[fact["front"]].append((paused_at.pop(fact["front"]), fact["t"]))
     return pauses
 
 
-def _judge_request(request: Fact, until: int, record: Record, found: Finding) -> None:
-    """`until`: when the answer is due."""
-    key, pauses = request["key"], record.pauses[request["front"]]
-    given = record.answers[key]
-    if given and given[0]["t"] > until:
-        late = next((end for begin, end in pauses if begin <= until <= end + RESUME_GRACE_NS), None)
-        if late is not None:
-            until = late + RESUME_GRACE_NS
-            found.excused += 1
-    if len(given) > 1 or any(answer.get("extra") for answer in given):
-        found.add_breach(f"{key}: {len(given)} answers, or bytes after one")
-    elif given and given[0]["t"] > until:
-        found.add_breach(f"{key}: answered {(given[0]['t'] - until) / MS:.0f} ms after its abandon time")
-    elif not given:
-        _judge_unanswered(request, until, record, found)
-
-
-def _judge_unanswered(request: Fact, until: int, record: Record, found: Finding) -> None:
-    key, front = request["key"], request["front"]
-    cut = record.cut_at.get(key, 0)
-    if cut > until and any(begin <= until and cut < end for begin, end in record.pauses[front]):
-        found.excused += 1
+def _check_request(request: Fact, deadline: int, record: RequestRecord, finding: Finding) -> None:
+    """Checks the answers to a request whose answer is due at `deadline`."""
+    key = request["key"]
+    pauses = record.pauses[request["front"]]
+    answers = record.answers[key]
+    if answers and answers[0]["t"] > deadline:
+        pause_end = next((end for begin, end in pauses if begin <= deadline <= end + RESUME_GRACE_NS), None)
+        if pause_end is not None:
+            deadline = pause_end + RESUME_GRACE_NS
+            finding.excused += 1
+    if len(answers) > 1 or any(answer.get("extra") for answer in answers):
+        finding.add_breach(f"{key}: {len(answers)} answers, or bytes after one")
+    elif answers and answers[0]["t"] > deadline:
+        finding.add_breach(
+            f"{key}: answered {(answers[0]['t'] - deadline) / MS:.0f} ms after its abandon time"
+        )
+    elif not answers:
+        _check_unanswered(request, deadline, record, finding)
+
+
+def _check_unanswered(request: Fact, deadline: int, record: RequestRecord, finding: Finding) -> None:
+    """A request may stay unanswered if its front was killed, or if the viewer gave up before the deadline."""
+    key = request["key"]
+    front = request["front"]
+    cut_at = record.cut_at.get(key, 0)
+    if cut_at > deadline and any(begin <= deadline and cut_at < end for begin, end in record.pauses[front]):
+        finding.excused += 1
         return
-    killed = any(request["t"] - REQUEST_BEFORE_DEATH_NS <= death <= until for death in record.deaths[front])
-    if not killed and record.left_at.get(key, until) >= until:
-        found.add_breach(f"{key}: no answer from front {front}")
+    was_killed = any(
+        request["t"] - REQUEST_BEFORE_DEATH_NS <= death <= deadline for death in record.deaths[front]
+    )
+    if not was_killed and record.left_at.get(key, deadline) >= deadline:
+        finding.add_breach(f"{key}: no answer from front {front}")
--- a/oakcroft/rulecheck/drains.py
+++ b/oakcroft/rulecheck/drains.py
@@ -1,4 +1,4 @@
-"""Rule 3: nothing new goes to a node that drains or is gone."""
+"""Rule 3: no new set-up goes to a node that drains or is gone."""
 
 from __future__ import annotations
 
@@ -10,53 +10,57 @@
 from oakcroft.rulecheck.facts import MAX_TRANSIT_NS, Fact, Finding, SetUp
 
 LIST_APPLIED_WITHIN_NS = 2500 * MS
-"""A list written to a front counts as heard so much later at the latest."""
+"""A front counts as having applied a list at the latest this long after the list was written to it."""
 
 
 @dataclass(frozen=True)
-class ListTold:
-    """A list of nodes as one front was told it."""
+class NodeListSent:
+    """A node list as it was sent to one front. Times are in ns."""
 
-    written: int
-    heard: int
-    ready: frozenset[str]
+    written_at: int
+    applied_at: int
+    ready_nodes: frozenset[str]
 
 
 def check_drains(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
-    """3: nothing new to a draining or gone node later than the grace after the front was told.
+    """Checks that no set-up goes to a draining or gone node later than the grace after the front knew of it.
 
-    A front has been told when it asks for what comes after that list, which it does once it has taken it in.
+    A front knows a list when it polls for the next version, which it does once it has applied the list.
     """
-    found = Finding(3, "drains kept")
-    lists_by_front = _lists_told(facts)
+    finding = Finding(3, "drains kept")
+    lists_by_front = _node_lists_sent(facts)
     for one in tries:
         lists = lists_by_front.get(one.front, [])
         if not lists:
             continue
-        found.cases += 1
-        before = one.t - site.drain_grace_ns - MAX_TRANSIT_NS
-        last_heard = max((index for index, told in enumerate(lists) if told.heard <= before), default=None)
-        if last_heard is None:
+        finding.cases += 1
+        applied_before = one.received_at - site.drain_grace_ns - MAX_TRANSIT_NS
+        last_applied = max(
+            (index for index, sent in enumerate(lists) if sent.applied_at <= applied_before), default=None
+        )
+        if last_applied is None:
             continue
-        since = lists[last_heard:]
-        if all(one.node not in told.ready for told in since if told.written <= one.t):
-            late = (one.t - since[0].heard) / MS
-            found.add_breach(f"{one.key}: sent to {one.node} {late:.0f} ms after it was not ready")
-    return found
+        since = lists[last_applied:]
+        if all(one.node not in sent.ready_nodes for sent in since if sent.written_at <= one.received_at):
+            late_ms = (one.received_at - since[0].applied_at) / MS
+            finding.add_breach(f"{one.key}: sent to {one.node} {late_ms:.0f} ms after it was not ready")
+    return finding
 
 
-def _lists_told(facts: list[Fact]) -> dict[str, list[ListTold]]:
-    """By front, in order."""
+def _node_lists_sent(facts: list[Fact]) -> dict[str, list[NodeListSent]]:
+    """The node lists that each front was sent, in order."""
     polls: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for fact in facts:
         if fact["kind"] == "poll":
             polls[fact["front"]].append((fact["t"], fact["version"]))
-    told: dict[str, list[ListTold]] = defaultdict(list)
+    lists: dict[str, list[NodeListSent]] = defaultdict(list)
     for fact in facts:
         if fact["kind"] == "told":
-            written, latest = fact["t"], fact["t"] + LIST_APPLIED_WITHIN_NS
-            heard = (t for t, version in polls[fact["front"]] if t >= written and version >= fact["version"])
-            told[fact["front"]].append(
-                ListTold(written, min(next(heard, latest), latest), frozenset(fact["ready"]))
+            written_at = fact["t"]
+            latest = written_at + LIST_APPLIED_WITHIN_NS
+            next_polls = (
+                t for t, version in polls[fact["front"]] if t >= written_at and version >= fact["version"]
             )
-    return told
+            applied_at = min(next(next_polls, latest), latest)
+            lists[fact["front"]].append(NodeListSent(written_at, applied_at, frozenset(fact["ready"])))
+    return lists
--- a/oakcroft/rulecheck/facts.py
+++ b/oakcroft/rulecheck/facts.py
@@ -1,7 +1,7 @@
-"""What the judges work on: facts of the record, set-ups as they reached the nodes, and findings.
+"""The input and output of the rule checks: recorded facts, set-ups as they reached the nodes, and findings.
 
-A record is a list of facts, each with its time `t` in ns (one machine, one wall clock), its `kind`, and what
-belongs to it.
+A record is a list of facts, each with its time `t` (ns, all by the wall clock of one machine), its `kind`, and the
+fields of that kind.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 Fact = dict[str, Any]
 
-PROOFS = (PROBLEM_FULL, PROBLEM_DRAINING)
-"""Types of problems by which a node proves that it has not run a set-up."""
+NOT_RUN_PROBLEMS = (PROBLEM_FULL, PROBLEM_DRAINING)
+"""Problem types of an answer that prove that the node did not run the set-up."""
 
 CREATED, UNAVAILABLE = 201, 503
-"""Status codes by which a set-up succeeded, and by which it was refused for now."""
+"""Status codes of a set-up that succeeded, and of one that was refused temporarily."""
 
 MAX_TRANSIT_NS = 60 * MS
-"""Between a front's send and the stand-in's record of it, on a busy machine."""
+"""Longest time between a front's send and the emulated node's record of it, on a busy machine."""
 
 
 @dataclass
 class Finding:
-    """One rule's result: how many cases it looked at, and the breaches."""
+    """One rule's result: how many cases were checked, the breaches, and how many cases were excused."""
 
     rule: int
     name: str
@@ -35,32 +35,37 @@
     excused: int = 0
 
     def add_breach(self, what: str) -> None:
-        """Notes a breach."""
+        """Adds a breach, described by a text."""
         self.breaches.append(what)
 
 
 @dataclass
 class SetUp:
-    """One set-up as it reached a node."""
+    """One set-up try as it reached a node. Times are in ns."""
 
-    t: int
+    received_at: int
     node: str
     front: str
     plan: str
     title: str
     key: str
     rung: int
-    ended: int | None = None
+    ended_at: int | None = None
+    """When the node answered or its connection broke; None if neither is on record."""
     status: int = 0
-    proven: bool = False
-    """Whether the node proved that it has not run it."""
-    over: int | None = None
-    passed: list[tuple[int, str]] = field(default_factory=list)
-    """When, and to which front, its session passed on."""
+    """Status code of the node's answer; 0 if there was none."""
+    proved_not_run: bool = False
+    """Whether the node's answer proves that it did not run the set-up."""
+    session_ended_at: int | None = None
+    takeovers: list[tuple[int, str]] = field(default_factory=list)
+    """When and by which front its session was taken over, in order."""
 
 
 def collect_set_ups(facts: list[Fact]) -> list[SetUp]:
-    """All set-ups of a record in order of time, with what became of them."""
+    """Collects all set-ups of a record, with their answers, ends and takeovers, in order of their receipt.
+
+    The facts must be sorted by time.
+    """
     by_id: dict[str, SetUp] = {}
     by_session: dict[str, SetUp] = {}
     for fact in facts:
@@ -70,14 +75,14 @@
                 fact["t"], fact["node"], fact["front"], fact["plan"], fact["title"], fact["key"], fact["rung"]
             )
         elif kind in ("answer", "broken") and fact["id"] in by_id:
-            one = by_id[fact["id"]]
-            one.ended = fact["t"]
+            set_up = by_id[fact["id"]]
+            set_up.ended_at = fact["t"]
             if kind == "answer":
-                one.status = fact["status"]
-                one.proven = fact["status"] == UNAVAILABLE and fact["problem"] in PROOFS
-            by_session[fact["id"].replace(".", "-")] = one
+                set_up.status = fact["status"]
+                set_up.proved_not_run = fact["status"] == UNAVAILABLE and fact["problem"] in NOT_RUN_PROBLEMS
+            by_session[fact["id"].replace(".", "-")] = set_up
         elif kind == "over" and fact["session"] in by_session:
-            by_session[fact["session"]].over = fact["t"]
+            by_session[fact["session"]].session_ended_at = fact["t"]
         elif kind == "passed" and fact["session"] in by_session:
-            by_session[fact["session"]].passed.append((fact["t"], fact["front"]))
+            by_session[fact["session"]].takeovers.append((fact["t"], fact["front"]))
     return list(by_id.values())
--- a/oakcroft/rulecheck/membership.py
+++ b/oakcroft/rulecheck/membership.py
@@ -1,5 +1,7 @@
-"""The properties of the fleet's view, judged from outside: by what fronts said when they were asked, and by what was
-done to them and to the network between them. Nothing that a front believes is taken for granted.
+"""Checks the properties of the fleet's membership view from outside.
+
+The input is what fronts answered when they were asked for their view, and what was done to the fronts and to the network
+between them. What a front believes is not taken as true.
 
 Facts, beside those that the six rules read: `seen` (front, start, members: name to standing and start), `front started`,
 `front killed`, and `cut`, `lose`, `stand` with `phase` begins or ends, `fronts`, `one_way`.
@@ -14,19 +16,20 @@
 from oakcroft.rulecheck.facts import Fact, Finding
 
 DEATH_KNOWN_WITHIN_NS = 8 * SECOND
-"""A death: six seconds as stated for the fleet, half a second between two questions, and what a busy machine takes."""
+"""All fronts must know of a death within this: six seconds as stated for the fleet, half a second between two polls, and
+some slack for a busy machine."""
 
 SETTLED_WITHIN_NS = 12 * SECOND
-"""A heal, a return: ten seconds as stated, and the same."""
+"""The views must agree within this after a partition heals or a front returns: ten seconds as stated for the fleet, and
+the same slack."""
 
-IN_FLIGHT_SLACK_NS = (
-    2 * SECOND
-)  # a front that was cut off or stood still may be called gone by words that were on their way
+IN_FLIGHT_SLACK_NS = 2 * SECOND
+"""For so long, messages still in flight may call a front gone that was cut off or paused."""
 
 
 @dataclass(frozen=True)
 class Outage:
-    """A time in which some fronts were not to be had for the others."""
+    """A time (ns) in which the others could not reach some fronts. Kinds are killed, cut and stand (paused)."""
 
     kind: str
     fronts: frozenset[int]
@@ -35,138 +38,155 @@
 
 
 def find_outages(facts: list[Fact], last: int) -> list[Outage]:
-    """All times of being killed, cut off or standing still."""
-    found, open_ = list[Outage](), dict[tuple[str, frozenset[int]], int]()
-    for f in sorted(facts, key=lambda f: f["t"]):
-        kind = f["kind"]
+    """Returns all times in which fronts were killed, cut off or paused; one that is still open ends after `last`."""
+    outages = list[Outage]()
+    open_outages = dict[tuple[str, frozenset[int]], int]()
+    for fact in sorted(facts, key=lambda fact: fact["t"]):
+        kind = fact["kind"]
         if kind in ("front killed", "front started"):
-            key = ("killed", frozenset((f["front"],)))
+            key = ("killed", frozenset((fact["front"],)))
             if kind == "front killed":
-                open_[key] = f["t"]
-            elif key in open_:
-                found.append(Outage(*key, open_.pop(key), f["t"]))
+                open_outages[key] = fact["t"]
+            elif key in open_outages:
+                outages.append(Outage(*key, open_outages.pop(key), fact["t"]))
         elif kind in ("cut", "stand", "front stands still", "front goes on"):
-            begins = f.get("phase", "begins" if kind == "front stands still" else "ends") == "begins"
-            some = frozenset(f["fronts"] if "fronts" in f else (f["front"],))
-            key = ("cut" if kind == "cut" else "stand", some)
+            begins = fact.get("phase", "begins" if kind == "front stands still" else "ends") == "begins"
+            fronts = frozenset(fact["fronts"] if "fronts" in fact else (fact["front"],))
+            key = ("cut" if kind == "cut" else "stand", fronts)
             if begins:
-                open_[key] = f["t"]
-            elif key in open_:
-                found.append(Outage(*key, open_.pop(key), f["t"]))
-    return found + [Outage(*key, begin, last + 1) for key, begin in open_.items()]
+                open_outages[key] = fact["t"]
+            elif key in open_outages:
+                outages.append(Outage(*key, open_outages.pop(key), fact["t"]))
+    return outages + [Outage(*key, begin, last + 1) for key, begin in open_outages.items()]
 
 
-def were_separated(one: int, other: int, all_: list[Outage], since: int, until: int) -> bool:
-    """Whether in that time anything kept the one from the other, or either from running."""
-    for span in all_:
-        if span.begin >= until or span.end <= since:
+def were_separated(one: int, other: int, outages: list[Outage], since: int, until: int) -> bool:
+    """Whether, at any time from `since` to `until`, two fronts could not reach each other or either did not run."""
+    for outage in outages:
+        if outage.begin >= until or outage.end <= since:
             continue
-        if span.kind == "cut":
-            if (one in span.fronts) != (other in span.fronts):
+        if outage.kind == "cut":
+            if (one in outage.fronts) != (other in outage.fronts):
                 return True
-        elif one in span.fronts or other in span.fronts:
+        elif one in outage.fronts or other in outage.fronts:
             return True
     return False
 
 
 def check_membership(facts: list[Fact], names: Mapping[int, str]) -> list[Finding]:
-    """What was found of each property: 11 the living are not called gone, 12 deaths are known, 13 the dead stay dead,
-    14 all agree in the end."""
-    facts = sorted(facts, key=lambda f: f["t"])
-    seen = [f for f in facts if f["kind"] == "seen"]
-    if not seen:
+    """Checks four properties: 11 no living front is called gone, 12 deaths are known in time, 13 a dead front is not
+    called alive again, 14 all views agree in the end. `names` gives the member name of each front by its number."""
+    facts = sorted(facts, key=lambda fact: fact["t"])
+    views = [fact for fact in facts if fact["kind"] == "seen"]
+    if not views:
         return [Finding(11, "the view was asked for", 1, ["no front said how it sees the others"])]
-    last = seen[-1]["t"]
-    all_, number = find_outages(facts, last), {name: i for i, name in names.items()}
+    last = views[-1]["t"]
+    outages = find_outages(facts, last)
+    numbers = {name: number for number, name in names.items()}
     return [
-        _living(seen, all_, number), _deaths(seen, all_, names), _dead(seen, all_, number),
-        _agreed(seen, all_, names, last),
-    ]  # fmt: skip
-
-
-def _living(seen: list[Fact], all_: list[Outage], number: Mapping[str, int]) -> Finding:
-    found = Finding(11, "the living are not called gone")
-    for f in seen:
-        for name, (standing, _start) in f["members"].items():
-            other = number.get(name)
-            if other is None or other == f["front"]:
+        _check_living(views, outages, numbers),
+        _check_deaths_known(views, outages, names),
+        _check_dead_stay_dead(views, outages, numbers),
+        _check_agreement(views, outages, names, last),
+    ]
+
+
+def _check_living(views: list[Fact], outages: list[Outage], numbers: Mapping[str, int]) -> Finding:
+    finding = Finding(11, "the living are not called gone")
+    for view in views:
+        for name, (standing, _start) in view["members"].items():
+            member = numbers.get(name)
+            if member is None or member == view["front"]:
                 continue
-            found.cases += 1
-            if standing == "gone" and not were_separated(
-                f["front"], other, all_, f["t"] - SETTLED_WITHIN_NS, f["t"]
-            ):
-                found.add_breach(f"front {f['front']} calls {name} gone, and nothing kept them apart")
-    return found
-
-
-def _deaths(seen: list[Fact], all_: list[Outage], names: Mapping[int, str]) -> Finding:
-    found = Finding(12, "deaths are known in time")
-    for span in all_:
-        if span.kind != "killed" or span.end - span.begin <= DEATH_KNOWN_WITHIN_NS + SECOND:
-            continue
-        (dead,) = span.fronts
-        for f in seen:
-            if span.begin + DEATH_KNOWN_WITHIN_NS < f["t"] < span.end and not _hindered(
-                f["front"], all_, span.begin, f["t"]
-            ):
-                found.cases += 1
-                standing = f["members"].get(names[dead], ["unknown"])[0]
-                if standing in ("alive", "suspected"):
-                    late = (f["t"] - span.begin) / SECOND
-                    found.add_breach(
-                        f"front {f['front']} calls {names[dead]} {standing} {late:.1f} s after its death"
-                    )
-    return found
+            finding.cases += 1
+            since = view["t"] - SETTLED_WITHIN_NS
+            if standing == "gone" and not were_separated(view["front"], member, outages, since, view["t"]):
+                finding.add_breach(f"front {view['front']} calls {name} gone, and nothing kept them apart")
+    return finding
 
 
-def _hindered(front: int, all_: list[Outage], since: int, until: int) -> bool:
+def _check_deaths_known(views: list[Fact], outages: list[Outage], names: Mapping[int, str]) -> Finding:
+    finding = Finding(12, "deaths are known in time")
+    for outage in outages:
+        if outage.kind != "killed" or outage.end - outage.begin <= DEATH_KNOWN_WITHIN_NS + SECOND:
+            continue
+        (dead,) = outage.fronts
+        for view in views:
+            if not outage.begin + DEATH_KNOWN_WITHIN_NS < view["t"] < outage.end:
+                continue
+            if _was_down(view["front"], outages, outage.begin, view["t"]):
+                continue
+            finding.cases += 1
+            standing = view["members"].get(names[dead], ["unknown"])[0]
+            if standing in ("alive", "suspected"):
+                late = (view["t"] - outage.begin) / SECOND
+                finding.add_breach(
+                    f"front {view['front']} calls {names[dead]} {standing} {late:.1f} s after its death"
+                )
+    return finding
+
+
+def _was_down(front: int, outages: list[Outage], since: int, until: int) -> bool:
+    """Whether a front was killed or paused in a time, or so shortly before that its view may not have settled."""
     return any(
-        front in s.fronts and s.kind != "cut" and s.begin < until and s.end > since - SETTLED_WITHIN_NS
-        for s in all_
+        front in outage.fronts
+        and outage.kind != "cut"
+        and outage.begin < until
+        and outage.end > since - SETTLED_WITHIN_NS
+        for outage in outages
     )
 
 
-def _dead(seen: list[Fact], all_: list[Outage], number: Mapping[str, int]) -> Finding:
-    found = Finding(13, "the dead stay dead")
-    gone = dict[tuple[int, str, int], int]()  # who said so, of whom, of which start: when first
-    for f in seen:
-        for name, (standing, start) in f["members"].items():
-            other = number.get(name)
-            if other is None or other == f["front"]:
+def _check_dead_stay_dead(views: list[Fact], outages: list[Outage], numbers: Mapping[str, int]) -> Finding:
+    finding = Finding(13, "the dead stay dead")
+    gone_since = dict[tuple[int, str, int], int]()
+    """When a front first called a start of a member gone, by front, member name and start."""
+    for view in views:
+        for name, (standing, start) in view["members"].items():
+            member = numbers.get(name)
+            if member is None or member == view["front"]:
                 continue
-            key = (f["front"], name, start)
+            key = (view["front"], name, start)
             if standing == "gone":
-                gone.setdefault(key, f["t"])
-            elif standing == "alive" and key in gone:
-                found.cases += 1
-                dead = [
-                    s
-                    for s in all_
-                    if s.kind == "killed"
-                    and other in s.fronts
-                    and s.begin < f["t"] - IN_FLIGHT_SLACK_NS < s.end
+                gone_since.setdefault(key, view["t"])
+            elif standing == "alive" and key in gone_since:
+                finding.cases += 1
+                deaths = [
+                    outage
+                    for outage in outages
+                    if outage.kind == "killed"
+                    and member in outage.fronts
+                    and outage.begin < view["t"] - IN_FLIGHT_SLACK_NS < outage.end
                 ]
-                if dead and gone[key] > dead[-1].begin:
-                    found.add_breach(
-                        f"front {f['front']} calls {name} alive again, which is dead since its start {start}"
+                if deaths and gone_since[key] > deaths[-1].begin:
+                    finding.add_breach(
+                        f"front {view['front']} calls {name} alive again, which is dead since its start {start}"
                     )
                 else:
-                    del gone[key]
-    return found
-
-
-def _agreed(seen: list[Fact], all_: list[Outage], names: Mapping[int, str], last: int) -> Finding:
-    found = Finding(14, "all agree in the end")
-    quiet = max((s.end for s in all_ if s.end <= last), default=0) + SETTLED_WITHIN_NS
-    down = {n for s in all_ if s.kind == "killed" and s.end > last for n in s.fronts}
-    for f in seen:
-        if f["t"] <= quiet or f["front"] in down:
+                    del gone_since[key]
+    return finding
+
+
+def _check_agreement(
+    views: list[Fact], outages: list[Outage], names: Mapping[int, str], last: int
+) -> Finding:
+    finding = Finding(14, "all agree in the end")
+    last_end = max((outage.end for outage in outages if outage.end <= last), default=0)
+    settled_at = last_end + SETTLED_WITHIN_NS
+    down = {
+        front
+        for outage in outages
+        if outage.kind == "killed" and outage.end > last
+        for front in outage.fronts
+    }
+    for view in views:
+        if view["t"] <= settled_at or view["front"] in down:
             continue
-        found.cases += 1
-        for i, name in names.items():
-            standing = f["members"].get(name, ["unknown"])[0]
-            if (standing == "alive") == (i in down):
-                found.add_breach(f"front {f['front']} calls {name} {standing}")
-    if not found.cases:
-        found.add_breach("nobody was asked after the last trouble had settled: the day is too short")
-    return found
+        finding.cases += 1
+        for number, name in names.items():
+            standing = view["members"].get(name, ["unknown"])[0]
+            if (standing == "alive") == (number in down):
+                finding.add_breach(f"front {view['front']} calls {name} {standing}")
+    if not finding.cases:
+        finding.add_breach("nobody was asked after the last trouble had settled: the day is too short")
+    return finding
--- a/oakcroft/rulecheck/owners.py
+++ b/oakcroft/rulecheck/owners.py
@@ -1,5 +1,8 @@
-"""Whether the fleet's duties had one owner at a time, judged from outside: by what fronts said when they were asked, by
-the orders that took effect on each, in the order of its own log over all its lives, and by what was done to them.
+"""Checks from outside that each duty of the fleet had one owner at a time.
+
+An owner is the front that holds the lease of a duty. The input is what fronts answered when they were asked which duties
+they own, the orders that took effect on each front, in the order of its own log over all its processes, and what was
+done to the fronts.
 
 Facts, beside those of membership.py: `owners` (front, asked: when it was asked, duties: name to number of those that it
 takes for its own), `stands` (front, fence: number and step, in_force, stage of the last roll-out) and `effect` (front,
@@ -11,123 +14,158 @@
 from collections import defaultdict
 from collections.abc import Mapping
 from itertools import pairwise
+from typing import NamedTuple
 
 from oakcroft.interface import SECOND
-from oakcroft.rulecheck.membership import DEATH_KNOWN_WITHIN_NS, Outage, find_outages
 from oakcroft.rulecheck.facts import Fact, Finding
+from oakcroft.rulecheck.membership import DEATH_KNOWN_WITHIN_NS, Outage, find_outages
+
+POLL_INTERVAL_NS = SECOND
+"""Longest time between two polls of the same front on a busy machine."""
+
+MAX_OWNERLESS_TERMS = 2
+"""Longest time without an owner, in terms, beside the time until the death of the first candidates is known."""
+
 
-POLL_INTERVAL_NS = SECOND  # between two looks at the same front, on a busy machine
-MAX_OWNERLESS_TERMS = 2  # terms; beside what the view needs to know that the first in line are dead
+class OwnedTerm(NamedTuple):
+    """The time (ns) in which fronts surely owned a duty: from the first answer that says so to the last question."""
+
+    number: int
+    begin: int
+    end: int
+    fronts: set[int]
 
 
 def check_owners(
     facts: list[Fact], names: Mapping[int, str], keepers: frozenset[int], term: int
 ) -> list[Finding]:
-    """What was found of each property: 21 one owner at a time, 22 no effect of an older number behind a newer, 23 not
-    without an owner for long, 24 all fronts stand alike in the end. `term`: its length in ns."""
-    facts = sorted(facts, key=lambda f: f["t"])
-    last = max((f["t"] for f in facts if f["kind"] == "owners"), default=0)
-    all_ = find_outages(facts, last)
+    """Checks four properties: 21 one owner at a time, 22 no order of an older term takes effect after one of a newer
+    term, 23 no long time without an owner, 24 all fronts are in the same state in the end.
+
+    `keepers` are the numbers of the fronts that grant leases, and `term` is the length of a lease in ns.
+    """
+    facts = sorted(facts, key=lambda fact: fact["t"])
+    last = max((fact["t"] for fact in facts if fact["kind"] == "owners"), default=0)
+    outages = find_outages(facts, last)
     return [
-        _one(facts),
-        _effects(facts),
-        _gaps(facts, all_, keepers, term, last),
-        _alike(facts, all_, names),
+        _check_one_owner(facts),
+        _check_order_of_effects(facts),
+        _check_ownerless_times(facts, outages, keepers, term, last),
+        _check_same_state(facts, outages, names),
     ]
 
 
-def _one(facts: list[Fact]) -> Finding:
-    """A number is one front's, and what two numbers' owners said of themselves does not overlap in time. A claim holds at
-    some moment between question and answer."""
-    found = Finding(21, "one owner at a time")
-    said = defaultdict[tuple[str, int], list[Fact]](list)
-    for f in facts:
-        if f["kind"] == "owners":
-            for duty, number in f["duties"].items():
-                said[duty, number].append(f)
-    by_duty = defaultdict[str, list[tuple[int, int, int, set[int]]]](list)
-    for (duty, number), some in said.items():
-        found.cases += len(some)
-        fronts = {f["front"] for f in some}
+def _check_one_owner(facts: list[Fact]) -> Finding:
+    """Checks that each number belongs to one front and that the times of two numbers do not overlap.
+
+    A front's claim held at some moment between the question and its answer.
+    """
+    finding = Finding(21, "one owner at a time")
+    claims = defaultdict[tuple[str, int], list[Fact]](list)
+    for fact in facts:
+        if fact["kind"] == "owners":
+            for duty, number in fact["duties"].items():
+                claims[duty, number].append(fact)
+    terms_by_duty = defaultdict[str, list[OwnedTerm]](list)
+    for (duty, number), claims_of_number in claims.items():
+        finding.cases += len(claims_of_number)
+        fronts = {claim["front"] for claim in claims_of_number}
         if len(fronts) > 1:
-            found.add_breach(f"number {number} of {duty} is owned by fronts {sorted(fronts)}")
-        # Surely owned from the first answer to the last question.
-        by_duty[duty].append((number, min(f["t"] for f in some), max(f["asked"] for f in some), fronts))
-    for duty, terms in by_duty.items():
+            finding.add_breach(f"number {number} of {duty} is owned by fronts {sorted(fronts)}")
+        begin = min(claim["t"] for claim in claims_of_number)
+        end = max(claim["asked"] for claim in claims_of_number)
+        terms_by_duty[duty].append(OwnedTerm(number, begin, end, fronts))
+    for duty, terms in terms_by_duty.items():
         terms.sort()
-        for (one, _, end, who), (other, begin, until, others) in pairwise(terms):
-            if min(until, begin) < end and who != others:
-                found.add_breach(
-                    f"{duty}: fronts {sorted(others)} had {other} while {sorted(who)} still had {one}"
+        for earlier, later in pairwise(terms):
+            if min(later.end, later.begin) < earlier.end and earlier.fronts != later.fronts:
+                finding.add_breach(
+                    f"{duty}: fronts {sorted(later.fronts)} had {later.number} "
+                    f"while {sorted(earlier.fronts)} still had {earlier.number}"
                 )
-    if not found.cases:
-        found.add_breach("nobody ever owned anything")
-    return found
+    if not finding.cases:
+        finding.add_breach("nobody ever owned anything")
+    return finding
 
 
-def _effects(facts: list[Fact]) -> Finding:
-    found = Finding(22, "no older number after a newer")
+def _check_order_of_effects(facts: list[Fact]) -> Finding:
+    """Checks that neither the orders in effect on a front nor its fence go back to an older number or step."""
+    finding = Finding(22, "no older number after a newer")
     highest = defaultdict[int, tuple[int, int]](lambda: (0, 0))
-    for f in sorted((f for f in facts if f["kind"] == "effect"), key=lambda f: (f["front"], f["place"])):
-        found.cases += 1
-        now = (f["number"], f["step"])
-        if now < highest[f["front"]]:
-            found.add_breach(f"front {f['front']}: {now} took effect after {highest[f['front']]}")
-        highest[f["front"]] = max(now, highest[f["front"]])
+    effects = (fact for fact in facts if fact["kind"] == "effect")
+    for effect in sorted(effects, key=lambda effect: (effect["front"], effect["place"])):
+        front = effect["front"]
+        finding.cases += 1
+        order = (effect["number"], effect["step"])
+        if order < highest[front]:
+            finding.add_breach(f"front {front}: {order} took effect after {highest[front]}")
+        highest[front] = max(order, highest[front])
     fences = defaultdict[int, tuple[int, int]](lambda: (0, 0))
-    for f in facts:
-        if f["kind"] == "stands":
-            found.cases += 1
-            now = tuple(f["fence"])
-            if now != (0, 0) and now < fences[f["front"]]:
-                found.add_breach(
-                    f"front {f['front']}: its fence went back from {fences[f['front']]} to {now}"
-                )
-            fences[f["front"]] = max(now, fences[f["front"]])
-    return found
-
-
-def _gaps(facts: list[Fact], all_: list[Outage], keepers: frozenset[int], term: int, last: int) -> Finding:
-    """Without an owner for two terms at most, beside what the view needs to know of deaths; not counted are times in
-    which fewer than a majority of keepers could be had, or the network was cut."""
-    found = Finding(23, "not without an owner for long")
-    claims = sorted((f["t"], f["asked"]) for f in facts if f["kind"] == "owners" and f["duties"])
-    if not claims:
-        return found
+    for fact in facts:
+        if fact["kind"] == "stands":
+            front = fact["front"]
+            finding.cases += 1
+            fence = tuple(fact["fence"])
+            if fence != (0, 0) and fence < fences[front]:
+                finding.add_breach(f"front {front}: its fence went back from {fences[front]} to {fence}")
+            fences[front] = max(fence, fences[front])
+    return finding
+
+
+def _check_ownerless_times(
+    facts: list[Fact], outages: list[Outage], keepers: frozenset[int], term: int, last: int
+) -> Finding:
+    """Checks that no time without an owner is longer than two terms and the time until a death is known.
+
+    Times in which no majority of keepers was available, or the network was cut, do not count.
+    """
+    finding = Finding(23, "not without an owner for long")
+    claim_times = sorted(
+        (fact["t"], fact["asked"]) for fact in facts if fact["kind"] == "owners" and fact["duties"]
+    )
+    if not claim_times:
+        return finding
     allowed = MAX_OWNERLESS_TERMS * term + DEATH_KNOWN_WITHIN_NS + POLL_INTERVAL_NS
-    for (one, _), (other, _) in zip(claims, [*claims[1:], (last, last)], strict=True):
-        found.cases += 1
-        if other - one > allowed and not _hindered(all_, keepers, one, other, term):
-            found.add_breach(f"nobody owned it for {(other - one) / SECOND:.1f} s")
-    return found
-
-
-def _hindered(all_: list[Outage], keepers: frozenset[int], since: int, until: int, term: int) -> bool:
-    away = set[int]()
-    for span in all_:
-        if span.begin >= until or span.end + 2 * term <= since:  # a keeper that was away sits out a term
+    for (since, _), (until, _) in zip(claim_times, [*claim_times[1:], (last, last)], strict=True):
+        finding.cases += 1
+        if until - since > allowed and not _is_excused(outages, keepers, since, until, term):
+            finding.add_breach(f"nobody owned it for {(until - since) / SECOND:.1f} s")
+    return finding
+
+
+def _is_excused(outages: list[Outage], keepers: frozenset[int], since: int, until: int, term: int) -> bool:
+    """Whether in a time the network was cut or no majority of keepers was available."""
+    unavailable = set[int]()
+    for outage in outages:
+        # A keeper that was away grants nothing for a term after its return.
+        if outage.begin >= until or outage.end + 2 * term <= since:
             continue
-        if span.kind == "cut":
+        if outage.kind == "cut":
             return True
-        away |= span.fronts
-    return 2 * len(keepers & away) >= len(keepers)
-
-
-def _alike(facts: list[Fact], all_: list[Outage], names: Mapping[int, str]) -> Finding:
-    found = Finding(24, "all stand alike in the end")
-    last = dict[int, Fact]()
-    for f in facts:
-        if f["kind"] == "stands":
-            last[f["front"]] = f
-    end = max((f["t"] for f in last.values()), default=0)
-    down = {n for s in all_ if s.end > end for n in s.fronts}
-    stand = {i: f["in_force"] for i, f in last.items() if i not in down}
-    found.cases = len(stand)
-    if len(set(stand.values())) > 1:
-        found.add_breach(f"in force: {stand}")
-    if set(stand) != set(names) - down:
-        found.add_breach(f"nothing was heard of fronts {sorted(set(names) - down - set(stand))}")
-    open_ = sorted(i for i, f in last.items() if f["stage"] not in ("done", "stopped") and i not in down)
-    if open_:
-        found.add_breach(f"the last roll-out is not over on fronts {open_}")
-    return found
+        unavailable |= outage.fronts
+    return 2 * len(keepers & unavailable) >= len(keepers)
+
+
+def _check_same_state(facts: list[Fact], outages: list[Outage], names: Mapping[int, str]) -> Finding:
+    """Checks that all running fronts end with the same version in force and no roll-out in progress."""
+    finding = Finding(24, "all stand alike in the end")
+    last_states = dict[int, Fact]()
+    for fact in facts:
+        if fact["kind"] == "stands":
+            last_states[fact["front"]] = fact
+    end = max((state["t"] for state in last_states.values()), default=0)
+    down = {front for outage in outages if outage.end > end for front in outage.fronts}
+    in_force = {front: state["in_force"] for front, state in last_states.items() if front not in down}
+    finding.cases = len(in_force)
+    if len(set(in_force.values())) > 1:
+        finding.add_breach(f"in force: {in_force}")
+    if set(in_force) != set(names) - down:
+        finding.add_breach(f"nothing was heard of fronts {sorted(set(names) - down - set(in_force))}")
+    unfinished = sorted(
+        front
+        for front, state in last_states.items()
+        if state["stage"] not in ("done", "stopped") and front not in down
+    )
+    if unfinished:
+        finding.add_breach(f"the last roll-out is not over on fronts {unfinished}")
+    return finding
--- a/oakcroft/rulecheck/repeated_set_ups.py
+++ b/oakcroft/rulecheck/repeated_set_ups.py
@@ -1,4 +1,4 @@
-"""Rule 2: no set-up of a playback beside or after another that may have run, where that would do harm."""
+"""Rule 2: no harmful repeat of a set-up, that is beside or after another one of the playback that may have run."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 REJECTED = "urn:oakcroft:problem:rejected"
 
 MAX_COPIES = 2
-"""A playback and the copy that it moves to."""
+"""A playback, and its copy on the target node while it moves."""
 
 
 def check_repeated_set_ups(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
-    """2: no try beside another; none after one that may have run, nor a rejection, where the plan is paid."""
-    found = Finding(2, "no set-up twice")
-    by_key: dict[str, list[SetUp]] = defaultdict(list)
+    """Checks that no try is open beside another, and, for paid plans, that neither a further try nor a rejection follows
+    a try that may have run."""
+    finding = Finding(2, "no set-up twice")
+    tries_by_key: dict[str, list[SetUp]] = defaultdict(list)
     for one in tries:
-        by_key[one.key].append(one)
-    for some in by_key.values():
-        _judge_tries(some, site, found)
-    _judge_answers(facts, by_key, site, found)
-    _judge_paid_runs(facts, site, found)
-    _judge_moves(tries, site, found)
-    return found
+        tries_by_key[one.key].append(one)
+    for tries_of_key in tries_by_key.values():
+        _check_tries(tries_of_key, site, finding)
+    _check_answers(facts, tries_by_key, site, finding)
+    _check_paid_runs(facts, site, finding)
+    _check_moves(tries, site, finding)
+    return finding
 
 
 def playback_key(key: str) -> str:
-    """The playback that a key speaks of: a player's key for the n-th move of `k` is `k~n`."""
+    """Returns the key of the playback that a key belongs to: a player's key for the n-th move of `k` is `k~n`."""
     return key.partition("~")[0]
 
 
@@ -38,79 +39,82 @@
     return site.plans[plan].plan.effect is Effect.PAID
 
 
-def _is_out_beside(earlier: SetUp, later: SetUp) -> bool:
+def _overlaps(earlier: SetUp, later: SetUp) -> bool:
     """Whether the later try was sent before the earlier one had ended."""
-    return earlier.ended is None or earlier.ended > later.t + MAX_TRANSIT_NS
+    return earlier.ended_at is None or earlier.ended_at > later.received_at + MAX_TRANSIT_NS
 
 
-def _judge_tries(tries: list[SetUp], site: SharedSettings, found: Finding) -> None:
-    """All tries under one key."""
-    found.cases += 1
+def _check_tries(tries: list[SetUp], site: SharedSettings, finding: Finding) -> None:
+    """Checks all tries under one key."""
+    finding.cases += 1
     paid = _is_paid(site, tries[0].plan)
     for earlier, later in pairwise(tries):
-        if _is_out_beside(earlier, later):
-            found.add_breach(f"{earlier.key}: tries on {earlier.node} and {later.node} out at once")
-        if paid and not earlier.proven:
-            found.add_breach(
+        if _overlaps(earlier, later):
+            finding.add_breach(f"{earlier.key}: tries on {earlier.node} and {later.node} out at once")
+        if paid and not earlier.proved_not_run:
+            finding.add_breach(
                 f"{earlier.key}: paid, sent to {later.node} though {earlier.node} may have run it"
             )
 
 
-def _judge_answers(
-    facts: list[Fact], by_key: dict[str, list[SetUp]], site: SharedSettings, found: Finding
+def _check_answers(
+    facts: list[Fact], tries_by_key: dict[str, list[SetUp]], site: SharedSettings, finding: Finding
 ) -> None:
+    """Checks rejections of paid playbacks, and that one key asked over HTTP and WebSocket stands for one playback."""
     for fact in facts:
         kind = fact["kind"]
         if kind == "got" and fact["status"] == UNAVAILABLE and fact.get("type") == REJECTED:
-            some = by_key.get(fact["key"], [])
-            if some and _is_paid(site, some[0].plan) and not all(one.proven for one in some):
-                found.add_breach(f"{fact['key']}: paid and rejected though a try may have run")
+            tries = tries_by_key.get(fact["key"], [])
+            if tries and _is_paid(site, tries[0].plan) and not all(one.proved_not_run for one in tries):
+                finding.add_breach(f"{fact['key']}: paid and rejected though a try may have run")
         elif kind == "both ways" and fact["status"] == CREATED and not fact["same"]:
-            found.add_breach(f"{fact['key']}: asked over both ways, it became two playbacks")
+            finding.add_breach(f"{fact['key']}: asked over both ways, it became two playbacks")
 
 
-def _judge_paid_runs(facts: list[Fact], site: SharedSettings, found: Finding) -> None:
-    """What the nodes say that they ran."""
+def _check_paid_runs(facts: list[Fact], site: SharedSettings, finding: Finding) -> None:
+    """Checks by the nodes' records that no paid key ran twice."""
     runs: dict[str, int] = defaultdict(int)
     for fact in facts:
         if fact["kind"] == "ran" and _is_paid(site, fact["plan"]):
             runs[fact["key"]] += 1
     for key, times in runs.items():
         if times > 1:
-            found.add_breach(f"{key}: paid and set up {times} times")
+            finding.add_breach(f"{key}: paid and set up {times} times")
 
 
-def _judge_moves(tries: list[SetUp], site: SharedSettings, found: Finding) -> None:
-    """The same for a playback and its copies: a paid one has none, no try of one is out beside another's, and never
-    more than two play."""
-    some: dict[str, list[SetUp]] = defaultdict(list)
+def _check_moves(tries: list[SetUp], site: SharedSettings, finding: Finding) -> None:
+    """Checks a playback together with its copies: a paid one has no copies, no try of one copy is open beside a try of
+    another, and never more than two copies play."""
+    tries_by_playback: dict[str, list[SetUp]] = defaultdict(list)
     for one in tries:
-        some[playback_key(one.key)].append(one)
-    for key, mine in some.items():
-        if len({one.key for one in mine}) == 1:
+        tries_by_playback[playback_key(one.key)].append(one)
+    for key, tries_of_playback in tries_by_playback.items():
+        if len({one.key for one in tries_of_playback}) == 1:
             continue
-        found.cases += 1
-        if _is_paid(site, mine[0].plan):
-            found.add_breach(f"{key}: paid and moved")
-        for earlier, later in pairwise(mine):
-            if earlier.key != later.key and _is_out_beside(earlier, later):
-                found.add_breach(f"{key}: a copy's try on {later.node} beside one on {earlier.node}")
-        copies = _most_copies(mine)
+        finding.cases += 1
+        if _is_paid(site, tries_of_playback[0].plan):
+            finding.add_breach(f"{key}: paid and moved")
+        for earlier, later in pairwise(tries_of_playback):
+            if earlier.key != later.key and _overlaps(earlier, later):
+                finding.add_breach(f"{key}: a copy's try on {later.node} beside one on {earlier.node}")
+        copies = _max_playing_copies(tries_of_playback)
         if copies > MAX_COPIES:
-            found.add_breach(f"{key}: {copies} copies play at once")
-
-
-def _most_copies(tries: list[SetUp]) -> int:
-    """How many copies of a playback played at once: the first count over the bound, else the highest."""
-    taken = {
-        one.key: one for one in tries if one.status == CREATED
-    }  # of one key the last: earlier ones came too late
-    steps = [(one.ended or one.t, 1) for one in taken.values()]
-    steps += [(one.over + MAX_TRANSIT_NS, -1) for one in taken.values() if one.over is not None]
-    play = most = 0
-    for _, step in sorted(steps):
-        play += step
-        most = max(most, play)
-        if most > MAX_COPIES:
+            finding.add_breach(f"{key}: {copies} copies play at once")
+
+
+def _max_playing_copies(tries: list[SetUp]) -> int:
+    """Returns how many copies of a playback played at once: the first count over the bound, else the highest."""
+    # Of each key only the last try counts, as the answers to earlier ones came too late.
+    played = {one.key: one for one in tries if one.status == CREATED}.values()
+    changes = [(one.ended_at or one.received_at, 1) for one in played]
+    changes += [
+        (one.session_ended_at + MAX_TRANSIT_NS, -1) for one in played if one.session_ended_at is not None
+    ]
+    playing = 0
+    highest = 0
+    for _, change in sorted(changes):
+        playing += change
+        highest = max(highest, playing)
+        if highest > MAX_COPIES:
             break
-    return most
+    return highest
--- a/oakcroft/rulecheck/retry_budget.py
+++ b/oakcroft/rulecheck/retry_budget.py
@@ -1,4 +1,4 @@
-"""Rule 6: tries beyond each playback's first stay within a budget."""
+"""Rule 6: retries, that is tries beyond a playback's first, stay within the retry budget."""
 
 from __future__ import annotations
 
@@ -8,39 +8,38 @@
 from oakcroft.rulecheck.facts import Fact, Finding, SetUp
 
 ROUNDING_TOLERANCE = 1e-9
-"""Of the allowed share of the requests, which is a sum of floating-point figures."""
+"""Tolerance for the allowed number of retries, which is a floating-point sum."""
 
 
 def check_retry_budget(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
-    """6: tries beyond each playback's first, of one front, within the stated budget over any window."""
-    found = Finding(6, "further tries within the budget")
+    """Checks that the retries of each front are within the configured budget over any window."""
+    finding = Finding(6, "further tries within the budget")
     terms = site.terms
     if terms.retry_budget_base is None:
-        return found
-    taken: dict[str, list[int]] = defaultdict(list)
+        return finding
+    request_times: dict[str, list[int]] = defaultdict(list)
     for fact in facts:
         if fact["kind"] == "ask":
-            taken[str(fact["front"])].append(fact["t"])
-    for front, times in _further_tries(tries).items():
-        asked = taken.get(front.split("-")[1] if "-" in front else front, [])
-        for index, t in enumerate(times):
-            found.cases += 1
-            since = t - terms.retry_budget_window_ns
-            sent = sum(earlier > since for earlier in times[: index + 1])
-            allowed = terms.retry_budget_base + terms.retry_budget_share * sum(
-                since < at <= t for at in asked
-            )
-            if sent > allowed + ROUNDING_TOLERANCE:
-                found.add_breach(f"{front}: {sent} further tries in a window that allows {allowed:.1f}")
-    return found
-
-
-def _further_tries(tries: list[SetUp]) -> dict[str, list[int]]:
+            request_times[str(fact["front"])].append(fact["t"])
+    for front, retry_times in _retry_times(tries).items():
+        requested_at = request_times.get(front.split("-")[1] if "-" in front else front, [])
+        for index, window_end in enumerate(retry_times):
+            finding.cases += 1
+            window_start = window_end - terms.retry_budget_window_ns
+            retries = sum(earlier > window_start for earlier in retry_times[: index + 1])
+            requests = sum(window_start < time <= window_end for time in requested_at)
+            allowed = terms.retry_budget_base + terms.retry_budget_share * requests
+            if retries > allowed + ROUNDING_TOLERANCE:
+                finding.add_breach(f"{front}: {retries} further tries in a window that allows {allowed:.1f}")
+    return finding
+
+
+def _retry_times(tries: list[SetUp]) -> dict[str, list[int]]:
     """By front: when it sent tries beyond a playback's first."""
-    seen: set[str] = set()
-    further: dict[str, list[int]] = defaultdict(list)
+    seen_keys: set[str] = set()
+    times: dict[str, list[int]] = defaultdict(list)
     for one in tries:
-        if one.key in seen:
-            further[one.front].append(one.t)
-        seen.add(one.key)
-    return further
+        if one.key in seen_keys:
+            times[one.front].append(one.received_at)
+        seen_keys.add(one.key)
+    return times
--- a/oakcroft/rulecheck/rules.py
+++ b/oakcroft/rulecheck/rules.py
@@ -1,7 +1,6 @@
-"""The six rules, judged on records of stand-ins and viewers alone; the front's own word is never asked.
+"""Checks the six rules against the records of emulated nodes and viewers alone, and trusts no record of a front.
 
-Each rule is one function over all facts, in a module of its own; each returns how many cases it looked at and the
-breaches.
+Each rule is one function over all facts, in a module of its own, which returns a finding.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 def check_rules(facts: list[Fact], site: SharedSettings) -> list[Finding]:
-    """All six rules."""
+    """Checks all six rules and returns their findings in order."""
     facts = sorted(facts, key=lambda fact: fact["t"])
     tries = collect_set_ups(facts)
     return [
--- a/oakcroft/rulecheck/session_ownership.py
+++ b/oakcroft/rulecheck/session_ownership.py
@@ -1,5 +1,4 @@
-"""Whether each session had one front at a time while fronts died and others took over from them, judged by the nodes'
-records alone.
+"""Checks by the nodes' records alone that each session had one front at a time while fronts died and others took over.
 
 Facts, beside those that the six rules read: `ran` and `over` (session, front, and who ended it), `passed` (session,
 before, front), `rung` (session, front: who set it) and `listens` (node, front, open).
@@ -9,76 +8,87 @@
 
 from collections import Counter, defaultdict
 
+from oakcroft.interface import SECOND
 from oakcroft.rulecheck.facts import Fact, Finding
 
 
 def check_session_ownership(facts: list[Fact]) -> list[Finding]:
-    """What was found of each property: 31 only who holds a session changes or ends it, 32 nothing is taken from a front
-    that listens to the node, 33 nothing is taken twice from the same one."""
-    facts = sorted(facts, key=lambda f: f["t"])
-    return [_held(facts), _listening(facts), _once(facts)]
-
-
-def _held(facts: list[Fact]) -> Finding:
-    found = Finding(31, "one front holds a session")
-    holder: dict[str, str] = {}
-    for f in facts:
-        session = str(f.get("session"))
-        if f["kind"] == "ran":
-            holder[session] = f["front"]
-        elif f["kind"] == "passed":
-            found.cases += 1
-            if holder.get(session) != f["before"]:
-                found.add_breach(f"{session}: taken from {f['before']}, but {holder.get(session)} had it")
-            holder[session] = f["front"]
-        elif f["kind"] == "rung" or (f["kind"] == "over" and f["why"] == "deleted"):
-            found.cases += 1
-            who, what = (f["front"], "set") if f["kind"] == "rung" else (f["by"], "ended")
-            if session in holder and holder[session] != who:
-                found.add_breach(f"{session}: {what} by {who}, but {holder[session]} has it")
-    return found
-
-
-def _listening(facts: list[Fact]) -> Finding:
-    found = Finding(32, "none robbed that listens")
-    open_ = set[tuple[str, str]]()
-    for f in facts:
-        if f["kind"] == "listens":
-            key = f["node"], f["front"]
-            open_.add(key) if f["open"] else open_.discard(key)
-        elif f["kind"] == "death":
-            open_ = {(node, front) for node, front in open_ if node != f["node"]}
-        elif f["kind"] == "passed":
-            found.cases += 1
-            if (f["node"], f["before"]) in open_:
-                found.add_breach(f"{f['session']}: taken from {f['before']}, which listened to {f['node']}")
-    return found
-
-
-def _once(facts: list[Fact]) -> Finding:
-    found = Finding(33, "taken once from each")
-    some = Counter((f["session"], f["before"]) for f in facts if f["kind"] == "passed")
-    for (session, before), times in some.items():
-        found.cases += 1
+    """Checks three properties: 31 only the owner of a session changes or ends it, 32 no session is taken over from a
+    front that listens to the node, 33 no session is taken over twice from the same front."""
+    facts = sorted(facts, key=lambda fact: fact["t"])
+    return [_check_one_owner(facts), _check_listening_owners(facts), _check_single_takeover(facts)]
+
+
+def _check_one_owner(facts: list[Fact]) -> Finding:
+    finding = Finding(31, "one front holds a session")
+    owners: dict[str, str] = {}
+    for fact in facts:
+        session = str(fact.get("session"))
+        if fact["kind"] == "ran":
+            owners[session] = fact["front"]
+        elif fact["kind"] == "passed":
+            finding.cases += 1
+            if owners.get(session) != fact["before"]:
+                finding.add_breach(
+                    f"{session}: taken from {fact['before']}, but {owners.get(session)} had it"
+                )
+            owners[session] = fact["front"]
+        elif fact["kind"] == "rung" or (fact["kind"] == "over" and fact["why"] == "deleted"):
+            finding.cases += 1
+            is_rung = fact["kind"] == "rung"
+            front = fact["front"] if is_rung else fact["by"]
+            action = "set" if is_rung else "ended"
+            if session in owners and owners[session] != front:
+                finding.add_breach(f"{session}: {action} by {front}, but {owners[session]} has it")
+    return finding
+
+
+def _check_listening_owners(facts: list[Fact]) -> Finding:
+    finding = Finding(32, "none robbed that listens")
+    open_streams = set[tuple[str, str]]()
+    """Node and front of each open event stream."""
+    for fact in facts:
+        if fact["kind"] == "listens":
+            stream = fact["node"], fact["front"]
+            if fact["open"]:
+                open_streams.add(stream)
+            else:
+                open_streams.discard(stream)
+        elif fact["kind"] == "death":
+            open_streams = {(node, front) for node, front in open_streams if node != fact["node"]}
+        elif fact["kind"] == "passed":
+            finding.cases += 1
+            if (fact["node"], fact["before"]) in open_streams:
+                finding.add_breach(
+                    f"{fact['session']}: taken from {fact['before']}, which listened to {fact['node']}"
+                )
+    return finding
+
+
+def _check_single_takeover(facts: list[Fact]) -> Finding:
+    finding = Finding(33, "taken once from each")
+    takeovers = Counter((fact["session"], fact["before"]) for fact in facts if fact["kind"] == "passed")
+    for (session, before), times in takeovers.items():
+        finding.cases += 1
         if times > 1:
-            found.add_breach(f"{session}: taken from {before} {times} times")
-    return found
+            finding.add_breach(f"{session}: taken from {before} {times} times")
+    return finding
 
 
 def count_taken_over_and_ended(facts: list[Fact]) -> tuple[int, int]:
-    """How many playbacks passed on from a front to another, and how many nodes ended since their front was gone."""
-    passed = {f["session"] for f in facts if f["kind"] == "passed"}
-    ended = {f["session"] for f in facts if f["kind"] == "over" and f["why"] == "front gone"}
-    return len(passed), len(ended)
+    """Returns how many sessions another front took over, and how many a node ended because their front was gone."""
+    taken_over = {fact["session"] for fact in facts if fact["kind"] == "passed"}
+    ended = {fact["session"] for fact in facts if fact["kind"] == "over" and fact["why"] == "front gone"}
+    return len(taken_over), len(ended)
 
 
 def takeover_delays(facts: list[Fact]) -> list[float]:
-    """For each playback taken over, how long its node had not heard of its front, in seconds, in order."""
-    away = defaultdict[tuple[str, str], int](int)
-    out = []
-    for f in sorted(facts, key=lambda f: f["t"]):
-        if f["kind"] == "listens" and not f["open"]:
-            away[f["node"], f["front"]] = f["t"]
-        elif f["kind"] == "passed" and (f["node"], f["before"]) in away:
-            out.append((f["t"] - away[f["node"], f["before"]]) / 1e9)
-    return sorted(out)
+    """Returns for each takeover how long the node had lost the stream of the front before, in seconds, sorted."""
+    closed_at = defaultdict[tuple[str, str], int](int)
+    delays = []
+    for fact in sorted(facts, key=lambda fact: fact["t"]):
+        if fact["kind"] == "listens" and not fact["open"]:
+            closed_at[fact["node"], fact["front"]] = fact["t"]
+        elif fact["kind"] == "passed" and (fact["node"], fact["before"]) in closed_at:
+            delays.append((fact["t"] - closed_at[fact["node"], fact["before"]]) / SECOND)
+    return sorted(delays)
