--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -78,7 +78,7 @@
             process.messages, process.octets = known.messages, known.octets
             known.alive = False
         self.processes[name] = self.at[me.address] = process
-        self._after(process)
+        self.send_output(process)
         return process
 
     def start(self, name: str, seeds: tuple[tuple[str, int], ...]) -> None:
@@ -99,7 +99,7 @@
         process.stopped = False
         waiting, process.waiting = process.waiting, []
         process.view.tick(self.now)
-        self._after(process)
+        self.send_output(process)
         for event in waiting:
             event()
 
@@ -132,7 +132,7 @@
 
     # The network.
 
-    def _after(self, process: SimulatedProcess) -> None:
+    def send_output(self, process: SimulatedProcess) -> None:
         """Carries out what a process has asked for, and sets its clock."""
         view = process.view
         out, view.out = view.out, []
@@ -151,7 +151,7 @@
         process.scheduled = -1
         if process.alive and not process.stopped:
             process.view.tick(self.now)
-            self._after(process)
+            self.send_output(process)
 
     def _carry(self, sender: SimulatedProcess, message: Message) -> None:
         if message.kind is MessageKind.PUSH_PULL:
@@ -175,7 +175,7 @@
             there.view.heard(
                 me, message.kind, message.sequence, message.to, message.target, message.updates, self.now
             )
-            self._after(there)
+            self.send_output(there)
 
         if there.stopped:
             if len(there.waiting) < MAX_WAITING_MESSAGES:
@@ -201,7 +201,7 @@
             for process, sender, whole in ((other, mine[0], mine), (one, theirs[0], theirs)):
                 if process.alive and not process.stopped:
                     process.view.exchanged(sender, whole, self.now)
-                    self._after(process)
+                    self.send_output(process)
 
         self.later(self.now + 4 * self.latency[1], swap)
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -341,7 +341,7 @@
     net.state_changes.clear()
     for i in range(10):
         net.processes[f"f{i}"].view.leave()
-        net._after(net.processes[f"f{i}"])
+        net.send_output(net.processes[f"f{i}"])
         net.kill(f"f{i}")
         net.run(SECOND)
         net.add(f"f{i}", (("host-f0", 1), ("host-f5", 1)))
@@ -367,7 +367,7 @@
                 for to in view.table.sample(3):
                     there = net.processes[to].view
                     there.heard(view.me, MessageKind.GOSSIP, 0, ANYONE, None, lies, net.now)
-                    net._after(net.processes[to])
+                    net.send_output(net.processes[to])
         net.run(100 * MS)
     assert told(net, FAILED) == set()
     assert sum(p.view.counts.refuted for p in net.running_processes()) > 0
@@ -384,7 +384,7 @@
         if process.name not in ("f3", "f5"):
             liar = net.processes["f3"].view.me
             process.view.heard(liar, MessageKind.GOSSIP, 0, ANYONE, None, [claim], net.now)
-            net._after(process)
+            net.send_output(process)
     net.run(30 * SECOND)
     assert told(net, FAILED) == set()
     assert net.is_settled()
@@ -435,7 +435,7 @@
         rate * 9 / 10
     )  # gone: its share stays its own, for it may serve elsewhere
     net.processes["f9"].view.leave()
-    net._after(net.processes["f9"])
+    net.send_output(net.processes["f9"])
     net.kill("f9")
     assert net.run(5 * SECOND, lambda: net.all_see({"f9"}, LEFT))
     assert total() == pytest.approx(rate * 8 / 9)
