--- a/oakcroft/rehearsal/lease_simulation.py
+++ b/oakcroft/rehearsal/lease_simulation.py
@@ -1,7 +1,8 @@
-"""Many fronts with their candidates and keepers in one process, on a simulated network: seeded, the same every time.
+"""Simulates many fronts with their lease candidates and acceptors in one process, on a simulated network.
 
-Time is simulated. A word takes 1 to 5 ms, or is lost, or does not pass a cut. Fronts learn of a crash
-`CRASH_KNOWN_SECONDS` after it (docs/fleet.md: what all know at p99); until then the dead stand in line for the duty.
+Time is simulated and all chance comes from one seed, so a run can be repeated. A message takes 1 to 5 ms, or is lost, or
+is stopped by a partition. Fronts learn of a crash `CRASH_KNOWN_SECONDS` after it (docs/fleet.md: the time within which
+all know at p99); until then the dead front still ranks among the candidates.
 """
 
 from __future__ import annotations
@@ -20,44 +21,57 @@
 CRASH_KNOWN_SECONDS = 4.4
 TICK_NS = 50 * MS
 CANDIDATE_COUNT = 5
+"""How many fronts, by their rank for the duty, try to become its owner."""
+
 LEARN_INTERVAL_NS = 500 * MS
+"""How often an acceptor that lost its record asks the others for theirs."""
+
+LATENCY_MIN_NS = MS
+LATENCY_MAX_NS = 5 * MS
 
 
 class LeaseSimulation:
-    """So many fronts, the first of them keepers, one duty, and what befalls them. `now` in ns from 0."""
+    """A number of fronts, the first of which are keepers (acceptors), with one duty. `now` is in ns from 0."""
 
     def __init__(self, fronts: int, keepers: int, term: int, loss: float = 0.0, seed: int = 1) -> None:
         """`term`: the length of a lease, ns; `loss`: the share of messages that is lost."""
-        self.rng, self.loss, self.term = Random(seed), loss, term
-        self.names = [f"f{i:03}" for i in range(fronts)]
-        granting = self.names[:keepers]
-        self.keepers = {k: LeaseAcceptor(k, granting, term, 1, -term) for k in granting}
-        for k in self.keepers.values():
-            k.load_record(1, {}, {}, True, 0)
-        self.candidates = {n: self._candidate(n, 1, 0) for n in self.names}
-        self.dead, self.known_dead = set[str](), set[str]()
-        self.cut: Callable[[str, str], bool] = lambda _a, _b: False
+        self.rng = Random(seed)
+        self.loss = loss
+        self.term = term
+        self.names = [f"f{number:03}" for number in range(fronts)]
+        keeper_names = self.names[:keepers]
+        self.keepers = {name: LeaseAcceptor(name, keeper_names, term, 1, -term) for name in keeper_names}
+        for keeper in self.keepers.values():
+            keeper.load_record(1, {}, {}, True, 0)
+        self.candidates = {name: self._create_candidate(name, 1, 0) for name in self.names}
+        self.dead = set[str]()
+        self.known_dead = set[str]()
+        self.cut: Callable[[str, str], bool] = lambda _sender, _receiver: False
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.now = self.count = self.message_count = self.lives = 0
-        self.terms_begun: list[tuple[int, int, str]] = []  # terms: when, number, owner
-        self.in_line: list[str] | None = None
-        for i, name in enumerate(self.names):
-            self.later(i * MS % TICK_NS, lambda n=name: self._look(n))  # type: ignore[misc]
-
-    def _candidate(self, name: str, start: int, floor: int) -> LeaseCandidate:
+        self.now = 0
+        self.event_count = 0
+        self.message_count = 0
+        self.restart_count = 0
+        self.terms_begun: list[tuple[int, int, str]] = []
+        """When each term began, its number and its owner."""
+        self.candidates_by_rank: list[str] | None = None
+        for number, name in enumerate(self.names):
+            self.schedule(number * MS % TICK_NS, lambda name=name: self._tick(name))  # type: ignore[misc]
+
+    def _create_candidate(self, name: str, start: int, min_number: int) -> LeaseCandidate:
         rng = Random(f"{name}/{start}")
         return LeaseCandidate(
-            DUTY, name, start, self.keepers, self.term, rng, floor, self.now if start > 1 else 0
+            DUTY, name, start, self.keepers, self.term, rng, min_number, self.now if start > 1 else 0
         )
 
-    def later(self, after: int, event: Callable[[], None]) -> None:
-        """Does something after a time, ns."""
-        self.count += 1
-        heapq.heappush(self.heap, (self.now + after, self.count, event))
+    def schedule(self, delay: int, event: Callable[[], None]) -> None:
+        """Runs an event after a delay, ns."""
+        self.event_count += 1
+        heapq.heappush(self.heap, (self.now + delay, self.event_count, event))
 
-    def run(self, for_: int, until: Callable[[], bool] = lambda: False) -> bool:
-        """Plays on for so long, or until something holds; whether it does."""
-        end = self.now + for_
+    def run(self, duration: int, until: Callable[[], bool] = lambda: False) -> bool:
+        """Runs for a duration (ns) or until a condition holds, and returns whether it holds."""
+        end = self.now + duration
         while self.heap and self.heap[0][0] <= end:
             self.now, _, event = heapq.heappop(self.heap)
             event()
@@ -66,108 +80,116 @@
         self.now = end
         return False
 
-    # Words.
+    # Messages.
 
-    def _pass(self, one: str, other: str, event: Callable[[], None]) -> None:
+    def _send(self, sender: str, receiver: str, event: Callable[[], None]) -> None:
         self.message_count += 1
-        if not self.cut(one, other) and self.rng.random() >= self.loss:
-            self.later(self.rng.randrange(MS, 5 * MS), event)
+        if not self.cut(sender, receiver) and self.rng.random() >= self.loss:
+            self.schedule(self.rng.randrange(LATENCY_MIN_NS, LATENCY_MAX_NS), event)
 
-    def _look(self, name: str) -> None:
-        self.later(TICK_NS, lambda: self._look(name))
+    def _tick(self, name: str) -> None:
+        self.schedule(TICK_NS, lambda: self._tick(name))
         if name in self.dead:
             return
-        if self.in_line is None:
-            self.in_line = line(DUTY, [n for n in self.names if n not in self.known_dead])[:CANDIDATE_COUNT]
-        one = self.candidates[name]
-        one.rank = self.in_line.index(name) if name in self.in_line else CANDIDATE_COUNT
-        self._say(
-            name, one.set_wanted(one.rank < CANDIDATE_COUNT or one.held_term(self.now) is not None, self.now)
-        )
-        self._say(name, one.tick(self.now))
-        self._owners(name)
-
-    def _say(self, name: str, words: list[AcceptorMessage]) -> None:
-        for word in words:
-            self._pass(name, word.acceptor, lambda w=word: self._asked(name, w))  # type: ignore[misc]
-
-    def _asked(self, name: str, word: AcceptorMessage) -> None:
-        if word.acceptor in self.dead:
+        if self.candidates_by_rank is None:
+            present = [other for other in self.names if other not in self.known_dead]
+            self.candidates_by_rank = line(DUTY, present)[:CANDIDATE_COUNT]
+        candidate = self.candidates[name]
+        is_ranked = name in self.candidates_by_rank
+        candidate.rank = self.candidates_by_rank.index(name) if is_ranked else CANDIDATE_COUNT
+        is_wanted = candidate.rank < CANDIDATE_COUNT or candidate.held_term(self.now) is not None
+        self._send_requests(name, candidate.set_wanted(is_wanted, self.now))
+        self._send_requests(name, candidate.tick(self.now))
+        self._check_owner(name)
+
+    def _send_requests(self, name: str, messages: list[AcceptorMessage]) -> None:
+        for message in messages:
+            self._send(name, message.acceptor, lambda m=message: self._receive_request(name, m))  # type: ignore[misc]
+
+    def _receive_request(self, sender: str, message: AcceptorMessage) -> None:
+        if message.acceptor in self.dead:
             return
-        answer = self.keepers[word.acceptor].handle_request(word.request, self.now)
+        answer = self.keepers[message.acceptor].handle_request(message.request, self.now)
         if answer is not None:
-            self._pass(word.acceptor, name, lambda: self._answered(name, answer))
+            self._send(message.acceptor, sender, lambda: self._receive_answer(sender, answer))
 
-    def _answered(self, name: str, answer: LeaseAnswer) -> None:
+    def _receive_answer(self, name: str, answer: LeaseAnswer) -> None:
         if name not in self.dead:
-            self._say(name, self.candidates[name].receive_answer(answer, self.now))
-            self._owners(name)
+            self._send_requests(name, self.candidates[name].receive_answer(answer, self.now))
+            self._check_owner(name)
 
-    def _owners(self, name: str) -> None:
-        """Notes a term that began, and that there is one owner at most, with a number over all before."""
+    def _check_owner(self, name: str) -> None:
+        """Records a term that began, and asserts that it has the only owner and a higher number than all before."""
         term = self.candidates[name].held_term(self.now)
         if term is None or (self.terms_begun and self.terms_begun[-1][1] == term.fencing_token):
             return
-        assert not [n for n in self.candidates if n != name and self._owns(n)], "two owners"
+        assert not [other for other in self.candidates if other != name and self._owns(other)], "two owners"
         assert not self.terms_begun or term.fencing_token > self.terms_begun[-1][1], (
             f"{term} after {self.terms_begun[-1]}"
         )
         self.terms_begun.append((self.now, term.fencing_token, name))
 
     def _owns(self, name: str) -> bool:
-        one = self.candidates[name]
+        candidate = self.candidates[name]
         return (
             name not in self.dead
-            and one.state is CandidateState.HOLDING
-            and one.held_term(self.now) is not None
+            and candidate.state is CandidateState.HOLDING
+            and candidate.held_term(self.now) is not None
         )
 
     def owner(self) -> str | None:
-        """Whoever takes itself for the owner."""
-        return next((n for n in self.candidates if self._owns(n)), None)
+        """The front that takes itself for the owner, if any."""
+        return next((name for name in self.candidates if self._owns(name)), None)
+
+    # Crashes.
 
-    # What befalls them.
+    def kill(self, name: str, down_for: int, record: bool = True, floor: int = 0) -> None:
+        """A front crashes and starts again after `down_for` ns without its candidate's memory.
 
-    def kill(self, name: str, away: int, record: bool = True, floor: int = 0) -> None:
-        """A front ends with no word and starts again after `away` ns, without its candidate's memory; as a keeper with
-        its record or without. `floor`: the number that its clock gives it."""
+        `record`: whether it keeps its record if it is a keeper; `floor`: its next process numbers its terms above this,
+        which a front takes from its clock.
+        """
         self.dead.add(name)
-        self.later(round(CRASH_KNOWN_SECONDS * SECOND), lambda: self._known(name, name in self.dead))
-        self.later(away, lambda: self._back(name, record, floor))
+        self.schedule(
+            round(CRASH_KNOWN_SECONDS * SECOND), lambda: self._update_known_dead(name, name in self.dead)
+        )
+        self.schedule(down_for, lambda: self._restart(name, record, floor))
 
-    def _known(self, name: str, dead: bool) -> None:
-        self.known_dead = self.known_dead | {name} if dead else self.known_dead - {name}
-        self.in_line = None
+    def _update_known_dead(self, name: str, is_dead: bool) -> None:
+        self.known_dead = self.known_dead | {name} if is_dead else self.known_dead - {name}
+        self.candidates_by_rank = None
 
-    def _back(self, name: str, record: bool, floor: int) -> None:
+    def _restart(self, name: str, has_record: bool, min_number: int) -> None:
         self.dead.discard(name)
-        self._known(name, False)
-        self.lives += 1
-        self.candidates[name] = self._candidate(name, 1 + self.lives, floor)
+        self._update_known_dead(name, False)
+        self.restart_count += 1
+        self.candidates[name] = self._create_candidate(name, 1 + self.restart_count, min_number)
         old = self.keepers.get(name)
         if old is None:
             return
-        new = self.keepers[name] = LeaseAcceptor(name, self.keepers, self.term, 1 + self.lives, self.now)
-        if record:
+        new = LeaseAcceptor(name, self.keepers, self.term, 1 + self.restart_count, self.now)
+        self.keepers[name] = new
+        if has_record:
             new.load_record(old.epoch, old.peer_epochs, old.records, True, self.now)
         else:
-            self._learn(name, new)
+            self._learn_records(name, new)
 
-    def _learn(self, name: str, keeper: LeaseAcceptor) -> None:
+    def _learn_records(self, name: str, keeper: LeaseAcceptor) -> None:
+        """Asks the other keepers for their records until the keeper's own is full again."""
         if keeper.has_full_record or self.keepers[name] is not keeper or name in self.dead:
             return
-        self.later(LEARN_INTERVAL_NS, lambda: self._learn(name, keeper))
+        self.schedule(LEARN_INTERVAL_NS, lambda: self._learn_records(name, keeper))
         if not keeper.peers_to_ask():
             keeper.peer_records.clear()
         for other in keeper.peers_to_ask():
-            self._pass(name, other, lambda o=other: self._told(o, name, keeper))  # type: ignore[misc]
+            self._send(name, other, lambda o=other: self._receive_record_request(o, name, keeper))  # type: ignore[misc]
 
-    def _told(self, other: str, name: str, keeper: LeaseAcceptor) -> None:
-        told: AcceptorRecord | None = (
-            None if other in self.dead else self.keepers[other].record_for_peer(name, keeper.epoch)
-        )
-        if told is not None:
-            self._pass(other, name, lambda: self._hears(keeper, told))
+    def _receive_record_request(self, receiver: str, sender: str, keeper: LeaseAcceptor) -> None:
+        record: AcceptorRecord | None = None
+        if receiver not in self.dead:
+            record = self.keepers[receiver].record_for_peer(sender, keeper.epoch)
+        if record is not None:
+            self._send(receiver, sender, lambda: self._receive_record(keeper, record))
 
-    def _hears(self, keeper: LeaseAcceptor, told: AcceptorRecord) -> None:
-        keeper.receive_peer_record(told, self.now)
+    def _receive_record(self, keeper: LeaseAcceptor, record: AcceptorRecord) -> None:
+        keeper.receive_peer_record(record, self.now)
--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -1,7 +1,7 @@
-"""Many views in one process, on a simulated network: seeded, the same every time.
+"""Simulates the membership views of many fronts in one process, on a simulated network.
 
-Time is simulated and jumps from event to event; a message takes its time, or is lost, doubled or cut off by the link it
-goes over.
+All chance comes from one seed, so a run can be repeated. Time is simulated and jumps from event to event. A message
+takes some time, or is lost, duplicated, or stopped by a partition.
 """
 
 from __future__ import annotations
@@ -17,9 +17,23 @@
 from oakcroft.decisions.membership.messages import Message, MessageKind
 from oakcroft.interface import MS, SECOND
 
-HEADER_BYTES = 28 + 80  # octets of IP and UDP, and of a message without news, as sealed by peerwire
-MAX_WAITING_MESSAGES = 256  # messages that wait for a process that stands still, as in its socket's buffer
-UPDATE_BYTES = 78  # of one word of news, as measured of the codec for names of 9 octets
+HEADER_BYTES = 28 + 80
+"""Of IP and UDP, and of a message without updates as sealed by peerwire."""
+
+MAX_WAITING_MESSAGES = 256
+"""Messages that wait for a paused process, as in the buffer of its socket."""
+
+UPDATE_BYTES = 78
+"""Of one member update, as measured of the codec for names of 9 bytes."""
+
+UPDATES_PER_FRAME = 15
+"""Updates that fit one frame of a full exchange."""
+
+CHECK_INTERVAL_NS = 20 * MS
+"""How often `run` looks at its condition."""
+
+EXCHANGE_LATENCIES = 4
+"""A full exchange over a stream takes so many times the highest latency."""
 
 
 @dataclass
@@ -29,12 +43,13 @@
     name: str
     view: Membership
     alive: bool = True
-    stopped: bool = False  # stands still: nothing is done, what comes waits, bounded
+    is_paused: bool = False
+    """A paused process does nothing, and a bounded number of messages waits for it."""
     waiting: list[Callable[[], None]] = field(default_factory=list)
-    lives: int = 1
     messages: int = 0
     octets: int = 0
-    scheduled: int = -1
+    next_tick_at: int = -1
+    """When its next tick is scheduled, -1 for never."""
 
 
 class SimulatedNetwork:
@@ -43,14 +58,22 @@
     def __init__(
         self, seed: int, loss: float = 0.0, double: float = 0.0, latency: tuple[int, int] = (MS, 5 * MS)
     ) -> None:
-        """A network of nobody. `loss` and `double` are chances for each message, `latency` its least and most in ns."""
-        self.rng, self.loss, self.double, self.latency = Random(seed), loss, double, latency
-        self.now, self.number = 0, 0
+        """Creates a network without processes.
+
+        `loss` and `double` are the chances of each message to be lost or duplicated; `latency` is its range in ns.
+        """
+        self.rng = Random(seed)
+        self.loss = loss
+        self.double = double
+        self.latency = latency
+        self.now = 0
+        self.event_count = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.processes: dict[str, SimulatedProcess] = {}
-        self.at: dict[tuple[str, int], SimulatedProcess] = {}
-        self.cut: Callable[[str, str], bool] = lambda _a, _b: False  # from, to
-        self.state_changes: list[tuple[int, str, str, str, str]] = []  # when, at whom, about whom, was, now
+        self.processes_by_address: dict[tuple[str, int], SimulatedProcess] = {}
+        self.cut: Callable[[str, str], bool] = lambda _sender, _receiver: False
+        self.state_changes: list[tuple[int, str, str, str, str]] = []
+        """Time, observing process, member, state before and state after."""
 
     # Processes.
 
@@ -58,8 +81,7 @@
         self, name: str, seeds: tuple[tuple[str, int], ...] = (), start: int = 0, host: str = ""
     ) -> SimulatedProcess:
         """Starts a process under a name, again or for the first time."""
-        known = self.processes.get(name)
-        lives = known.lives + 1 if known is not None else 1
+        earlier = self.processes.get(name)
         secret = self.rng.randbytes(16)
         me = MemberUpdate(
             name,
@@ -73,58 +95,65 @@
             commitment(secret),
         )
         view = Membership(me, secret, Random(self.rng.getrandbits(64)), self.now, seeds)
-        process = SimulatedProcess(name, view, lives=lives)
-        if known is not None:
-            process.messages, process.octets = known.messages, known.octets
-            known.alive = False
-        self.processes[name] = self.at[me.address] = process
+        process = SimulatedProcess(name, view)
+        if earlier is not None:
+            process.messages = earlier.messages
+            process.octets = earlier.octets
+            earlier.alive = False
+        self.processes[name] = process
+        self.processes_by_address[me.address] = process
         self.send_output(process)
         return process
 
     def start(self, name: str, seeds: tuple[tuple[str, int], ...]) -> None:
-        """The same, as an event."""
+        """Starts a process under a name, as an event."""
         self.add(name, seeds)
 
     def kill(self, name: str) -> None:
-        """The process ends with no word."""
+        """The process crashes: it ends without a message."""
         self.processes[name].alive = False
 
     def pause(self, name: str) -> None:
-        """It stands still."""
-        self.processes[name].stopped = True
+        """Pauses a process."""
+        self.processes[name].is_paused = True
 
     def resume(self, name: str) -> None:
-        """It runs again: its timers first, then what has waited."""
+        """Resumes a process: its timers run first, then it receives the messages that have waited."""
         process = self.processes[name]
-        process.stopped = False
-        waiting, process.waiting = process.waiting, []
+        process.is_paused = False
+        waiting = process.waiting
+        process.waiting = []
         process.view.tick(self.now)
         self.send_output(process)
         for event in waiting:
             event()
 
     def running_processes(self) -> list[SimulatedProcess]:
-        """Those that run."""
-        return [p for p in self.processes.values() if p.alive and not p.stopped]
+        """The processes that run."""
+        return [process for process in self.processes.values() if process.alive and not process.is_paused]
 
     # Time.
 
-    def later(self, at: int, event: Callable[[], None]) -> None:
-        """Does something at a time."""
-        self.number += 1
-        heapq.heappush(self.heap, (max(at, self.now), self.number, event))
+    def schedule(self, at: int, event: Callable[[], None]) -> None:
+        """Runs an event at a time."""
+        self.event_count += 1
+        heapq.heappush(self.heap, (max(at, self.now), self.event_count, event))
+
+    def run(self, duration: int, until: Callable[[], bool] | None = None) -> bool:
+        """Runs for a duration (ns) or until a condition holds, and returns whether it holds.
 
-    def run(self, for_: int, until: Callable[[], bool] | None = None) -> bool:
-        """Plays on for so long, or until something holds, looked at every 20 ms; whether it does."""
-        end, look = self.now + for_, self.now
+        The condition is checked every `CHECK_INTERVAL_NS`.
+        """
+        end = self.now + duration
+        check_at = self.now
         while self.heap and self.heap[0][0] <= end:
             at, _, event = heapq.heappop(self.heap)
-            while until is not None and look <= at:
-                self.now = look
+            while until is not None and check_at <= at:
+                self.now = check_at
                 if until():
                     heapq.heappush(self.heap, (at, 0, event))
                     return True
-                look += 20 * MS
+                check_at += CHECK_INTERVAL_NS
             self.now = at
             event()
         self.now = end
@@ -133,103 +162,119 @@
     # The network.
 
     def send_output(self, process: SimulatedProcess) -> None:
-        """Carries out what a process has asked for, and sets its clock."""
+        """Sends the messages that a process has written, records its state changes and schedules its next tick."""
         view = process.view
-        out, view.out = view.out, []
-        for message in out:
-            self._carry(process, message)
-        changes, view.changes = view.changes, []
-        self.state_changes += [(self.now, process.name, c.name, c.was, c.now) for c in changes]
+        messages = view.out
+        view.out = []
+        for message in messages:
+            self._send(process, message)
+        changes = view.changes
+        view.changes = []
+        self.state_changes += [
+            (self.now, process.name, change.name, change.was, change.now) for change in changes
+        ]
         due = max(view.due, self.now + MS)
-        if process.scheduled < self.now or due < process.scheduled:
-            process.scheduled = due
-            self.later(due, lambda: self._tick(process, due))
+        if process.next_tick_at < self.now or due < process.next_tick_at:
+            process.next_tick_at = due
+            self.schedule(due, lambda: self._tick(process, due))
 
     def _tick(self, process: SimulatedProcess, due: int) -> None:
-        if process.scheduled != due:
-            return  # there is an earlier one
-        process.scheduled = -1
-        if process.alive and not process.stopped:
+        if process.next_tick_at != due:
+            return  # another tick has been scheduled before this one
+        process.next_tick_at = -1
+        if process.alive and not process.is_paused:
             process.view.tick(self.now)
             self.send_output(process)
 
-    def _carry(self, sender: SimulatedProcess, message: Message) -> None:
+    def _send(self, sender: SimulatedProcess, message: Message) -> None:
         if message.kind is MessageKind.PUSH_PULL:
             self._exchange(sender, message.address)
             return
         sender.messages += 1
         sender.octets += HEADER_BYTES + UPDATE_BYTES * (1 + len(message.updates))
-        me, times = sender.view.me, 2 if self.rng.random() < self.double else 1
-        for _ in range(times):
+        sender_update = sender.view.me
+        copies = 2 if self.rng.random() < self.double else 1
+        for _ in range(copies):
             if self.rng.random() >= self.loss:
-                self.later(
-                    self.now + self.rng.randint(*self.latency), lambda: self._arrive(sender, me, message)
-                )
+                latency = self.rng.randint(*self.latency)
+                self.schedule(self.now + latency, lambda: self._receive(sender, sender_update, message))
 
-    def _arrive(self, sender: SimulatedProcess, me: MemberUpdate, message: Message) -> None:
-        there = self.at.get(message.address)
-        if there is None or not there.alive or self.cut(sender.name, there.name):
+    def _receive(self, sender: SimulatedProcess, sender_update: MemberUpdate, message: Message) -> None:
+        receiver = self.processes_by_address.get(message.address)
+        if receiver is None or not receiver.alive or self.cut(sender.name, receiver.name):
             return
 
-        def hear() -> None:
-            there.view.heard(
-                me, message.kind, message.sequence, message.to, message.target, message.updates, self.now
+        def handle() -> None:
+            receiver.view.heard(
+                sender_update,
+                message.kind,
+                message.sequence,
+                message.to,
+                message.target,
+                message.updates,
+                self.now,
             )
-            self.send_output(there)
+            self.send_output(receiver)
 
-        if there.stopped:
-            if len(there.waiting) < MAX_WAITING_MESSAGES:
-                there.waiting.append(hear)
+        if receiver.is_paused:
+            if len(receiver.waiting) < MAX_WAITING_MESSAGES:
+                receiver.waiting.append(handle)
         else:
-            hear()
+            handle()
 
-    def _exchange(self, one: SimulatedProcess, address: tuple[str, int]) -> None:
-        other = self.at.get(address)
+    def _exchange(self, process: SimulatedProcess, address: tuple[str, int]) -> None:
+        """Exchanges the full views of a process and the one at an address, over a stream."""
+        other = self.processes_by_address.get(address)
         if (
             other is None
             or not other.alive
-            or other.stopped
-            or self.cut(one.name, other.name)
-            or self.cut(other.name, one.name)
+            or other.is_paused
+            or self.cut(process.name, other.name)
+            or self.cut(other.name, process.name)
         ):
             return
-        mine, theirs = one.view.whole(), other.view.whole()
-        for process, whole in ((one, mine), (other, theirs)):
-            process.octets += HEADER_BYTES * (2 + len(whole) // 15) + UPDATE_BYTES * len(whole)
+        own_view = process.view.whole()
+        other_view = other.view.whole()
+        for sender, view in ((process, own_view), (other, other_view)):
+            frames = 2 + len(view) // UPDATES_PER_FRAME
+            sender.octets += HEADER_BYTES * frames + UPDATE_BYTES * len(view)
 
-        def swap() -> None:
-            for process, sender, whole in ((other, mine[0], mine), (one, theirs[0], theirs)):
-                if process.alive and not process.stopped:
-                    process.view.exchanged(sender, whole, self.now)
-                    self.send_output(process)
+        def deliver() -> None:
+            for receiver, view in ((other, own_view), (process, other_view)):
+                if receiver.alive and not receiver.is_paused:
+                    receiver.view.exchanged(view[0], view, self.now)
+                    self.send_output(receiver)
 
-        self.later(self.now + 4 * self.latency[1], swap)
+        self.schedule(self.now + EXCHANGE_LATENCIES * self.latency[1], deliver)
 
-    # What the views say.
+    # The state of the views.
 
     def all_see(self, names: set[str], standing: MemberState) -> bool:
-        """Whether all that run see all these so."""
+        """Whether all running processes see all these members in one state."""
         return all(
-            p.view.standing(n) is standing for p in self.running_processes() for n in names if n != p.name
+            process.view.standing(name) is standing
+            for process in self.running_processes()
+            for name in names
+            if name != process.name
         )
 
     def is_settled(self) -> bool:
-        """Whether all that run see just those as alive that run, and suspect nobody."""
-        living = {p.name for p in self.running_processes()}
-        return all(self._sees(p.view, living) for p in self.running_processes())
+        """Whether all running processes see just the running ones as alive, and suspect none."""
+        running = {process.name for process in self.running_processes()}
+        return all(self._sees_only(process.view, running) for process in self.running_processes())
 
     @staticmethod
-    def _sees(view: Membership, living: set[str]) -> bool:
-        if view.suspects or len(view.present()) != len(living):
+    def _sees_only(view: Membership, names: set[str]) -> bool:
+        if view.suspects or len(view.present()) != len(names):
             return False
-        return all(view.standing(n) is MemberState.ALIVE for n in living)
+        return all(view.standing(name) is MemberState.ALIVE for name in names)
 
 
 def settled_network(size: int, seed: int, loss: float = 0.0, double: float = 0.0) -> SimulatedNetwork:
-    """So many fronts that know each other and have settled."""
+    """Returns a network of `size` fronts that know each other and whose views agree."""
     net = SimulatedNetwork(seed, loss, double)
     seeds = (("host-f0", 1), ("host-f1", 1))
-    for i in range(size):
-        net.later(net.rng.randrange(500 * MS), partial(net.start, f"f{i}", seeds))
+    for number in range(size):
+        net.schedule(net.rng.randrange(500 * MS), partial(net.start, f"f{number}", seeds))
     net.run(60 * SECOND, lambda: len(net.processes) == size and net.is_settled())
     return net
--- a/oakcroft/rehearsal/takeover_simulation.py
+++ b/oakcroft/rehearsal/takeover_simulation.py
@@ -1,8 +1,9 @@
-"""Fronts that take over from each other and nodes that hand sessions on, as a pure fleet: the decisions of both sides
-over simulated time, with words that are late, doubled or lost, fronts that die, sleep and are seen as gone wrongly.
+"""Simulates fronts that take over sessions from each other, and the nodes that hold the sessions.
 
-What is modelled here and not decided by the program: the view (each front sees a death some seconds late, and now and
-then one that is none), the network, and what a front's capacity is. All of it comes from one seed.
+The decisions of both sides run over simulated time, with messages that are late, duplicated or lost and fronts that die,
+pause or are wrongly seen as gone. The simulation itself provides the membership view (each front sees a death some
+seconds late, and now and then sees one that did not occur), the network, and the capacity of a front. All chance comes
+from one seed.
 """
 
 from __future__ import annotations
@@ -26,41 +27,59 @@
 
 STEP_NS = 50 * MS
 NODE_LEASE_NS = 3 * SECOND
-PAGE = 32
+MAX_LONG_DELAY_NS = 10 * SECOND
+LOST_MESSAGE_TIMEOUT_NS = 2 * SECOND
+"""When the sender of a lost message gives up."""
+
+REQUEST_TIMEOUT_NS = 4 * SECOND
+"""When a front gives up a takeover request, whatever became of its messages."""
+
+DEATH_SEEN_WITHIN_NS = (2500 * MS, 4500 * MS)
+"""Each front sees the death or pause of another after a time between these."""
+
+PAUSED_STREAMS_LOST_AFTER_NS = 200 * MS
 
 
 @dataclass
 class NetworkConditions:
-    """How words travel. Times in ns."""
+    """What the network does to messages."""
 
     latency_ns: tuple[int, int] = (MS, 20 * MS)
     loss: float = 0.0
     duplication: float = 0.0
-    long_delay_share: float = 0.0  # share of words that come up to ten seconds late
+    long_delay_share: float = 0.0
+    """Share of messages that are up to ten seconds late."""
 
 
 @dataclass
 class Front:
-    """One front: its course, and what it believes to hold."""
+    """One front: its takeover decisions, and the sessions that it believes to own."""
 
     name: str
     start: int
     takeover: SessionTakeover
     capacity: int
-    held: dict[str, int] = field(default_factory=dict)  # session -> node
-    gone: dict[str, int] = field(default_factory=dict)  # whom it sees as gone
+    sessions: dict[str, int] = field(default_factory=dict)
+    """Number of the node of each session."""
+    gone: dict[str, int] = field(default_factory=dict)
+    """Start numbers of the fronts that it sees as gone."""
     is_dead: bool = False
     is_paused: bool = False
 
     @property
     def caller(self) -> Caller:
-        """As nodes know it."""
+        """The front as nodes know it."""
         return Caller(f"{self.name}-{self.start}", self.name, self.start)
 
+    @property
+    def is_stopped(self) -> bool:
+        """Whether it is dead or paused."""
+        return self.is_dead or self.is_paused
+
 
 @dataclass
 class EventStream:
-    """One front's stream at one node."""
+    """One front's event stream at one node."""
 
     is_open: bool = True
     closed_at: int = 0
@@ -68,16 +87,18 @@
 
 @dataclass
 class Node:
-    """One node: who holds what."""
+    """One node: who owns its sessions."""
 
     holder: dict[str, Caller] = field(default_factory=dict)
-    streams: dict[str, EventStream] = field(default_factory=dict)  # by pseudonym
-    requests_by_second: Counter[int] = field(default_factory=Counter)  # by second
+    """The owner of each session."""
+    streams: dict[str, EventStream] = field(default_factory=dict)
+    """Event streams by the pseudonym of the front."""
+    requests_by_second: Counter[int] = field(default_factory=Counter)
     rejected_changes: int = 0
 
 
 class TakeoverSimulation:
-    """The whole."""
+    """The simulated fronts, nodes and network."""
 
     def __init__(
         self,
@@ -92,231 +113,248 @@
     ) -> None:
         """`each`: sessions that a front begins with; `capacity`: sessions that it takes; `checks`: whether nodes check
         who asks."""
-        self.rng, self.net, self.bounds, self.now, self.checks = (
-            Random(seed),
-            net or NetworkConditions(),
-            bounds,
-            0,
-            checks,
-        )
+        self.rng = Random(seed)
+        self.net = net or NetworkConditions()
+        self.bounds = bounds
+        self.now = 0
+        self.checks = checks
         self.nodes = [Node() for _ in range(nodes)]
         self.fronts: dict[str, Front] = {}
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.number = 0
-        self.orphaned: dict[str, int] = {}  # sessions whose front died, and when
-        self.takeover_delays: list[int] = []  # how long each was without a front, ns
-        self.ended_by_lease = 0  # by a lease
+        self.event_count = 0
+        self.orphaned: dict[str, int] = {}
+        """When the front of each session died that has no front now."""
+        self.takeover_delays: list[int] = []
+        """How long each session that was taken over from a dead front had been without a front, ns."""
+        self.ended_by_lease = 0
         self.breaches: list[str] = []
         self.takeover_count = 0
-        self.processor_seconds = 0.0  # seconds of processor time in the courses
-        self.names = [f"f{i}" for i in range(fronts)]
+        self.processor_seconds = 0.0
+        """Processor time of the takeover decisions of all fronts."""
+        self.names = [f"f{number}" for number in range(fronts)]
         for name in self.names:
-            self._begin(name, 1, capacity)
-        for i, name in enumerate(self.names):
-            for j in range(each):
-                at = self.rng.randrange(nodes)
-                session = f"s{i}-{j}"
-                self.nodes[at].holder[session] = self.fronts[name].caller
-                self.fronts[name].held[session] = at
-
-    def _begin(self, name: str, start: int, capacity: int) -> None:
-        course = SessionTakeover(name, self.bounds)
-        self.fronts[name] = front = Front(name, start, course, capacity)
-        course.update_nodes(map(str, range(len(self.nodes))), self.now)
-        course.update_fronts((), self.names, self.now)
+            self._start_front(name, 1, capacity)
+        for front_number, name in enumerate(self.names):
+            for session_number in range(each):
+                node_number = self.rng.randrange(nodes)
+                session = f"s{front_number}-{session_number}"
+                self.nodes[node_number].holder[session] = self.fronts[name].caller
+                self.fronts[name].sessions[session] = node_number
+
+    def _start_front(self, name: str, start: int, capacity: int) -> None:
+        takeover = SessionTakeover(name, self.bounds)
+        front = Front(name, start, takeover, capacity)
+        self.fronts[name] = front
+        takeover.update_nodes(map(str, range(len(self.nodes))), self.now)
+        takeover.update_fronts((), self.names, self.now)
         for node in self.nodes:
             node.streams[front.caller.pseudonym] = EventStream()
 
     # The network.
 
-    def _send(self, word: Callable[[], None], lost: Callable[[], None] = lambda: None) -> None:
-        """A word that comes late, twice or never; `lost`: what its sender makes of no answer."""
+    def _send(self, deliver: Callable[[], None], on_lost: Callable[[], None] = lambda: None) -> None:
+        """Delivers a message late, twice or never; `on_lost` runs at the sender when it gives up a lost message."""
         if self.rng.random() < self.net.loss:
-            self.at(self.now + 2 * SECOND, lost)
+            self.schedule(self.now + LOST_MESSAGE_TIMEOUT_NS, on_lost)
             return
-        times = 2 if self.rng.random() < self.net.duplication else 1
-        for _ in range(times):
-            late = self.rng.randint(*self.net.latency_ns)
+        copies = 2 if self.rng.random() < self.net.duplication else 1
+        for _ in range(copies):
+            delay = self.rng.randint(*self.net.latency_ns)
             if self.rng.random() < self.net.long_delay_share:
-                late += self.rng.randint(0, 10 * SECOND)
-            self.at(self.now + late, word)
+                delay += self.rng.randint(0, MAX_LONG_DELAY_NS)
+            self.schedule(self.now + delay, deliver)
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        """Something happens then."""
-        self.number += 1
-        heapq.heappush(self.heap, (when, self.number, what))
+    def schedule(self, at: int, event: Callable[[], None]) -> None:
+        """Runs an event at a time."""
+        self.event_count += 1
+        heapq.heappush(self.heap, (at, self.event_count, event))
 
     # Fronts.
 
-    def kill(self, some: Iterable[str], heard_after: int = 0) -> None:
-        """These die now; nodes lose their streams at once or later. All others see it in their own time."""
-        for name in some:
+    def kill(self, names: Iterable[str], heard_after: int = 0) -> None:
+        """Kills fronts now. Nodes lose their streams after `heard_after` ns, and the other fronts see it later."""
+        for name in names:
             front = self.fronts[name]
             front.is_dead = True
-            for session, at in front.held.items():
-                if self.nodes[at].holder.get(session) == front.caller:
+            for session, node_number in front.sessions.items():
+                if self.nodes[node_number].holder.get(session) == front.caller:
                     self.orphaned.setdefault(session, self.now)
             self._lose_streams(front, heard_after)
-            self._seen(name, (2500 * MS, 4500 * MS))
+            self._schedule_death_seen(name, DEATH_SEEN_WITHIN_NS)
 
     def pause(self, name: str, seconds: float, loses_streams: bool) -> None:
-        """This one stands still, its words under way with it, and wakes."""
+        """Pauses a front, with its messages still in flight, and resumes it."""
         front = self.fronts[name]
         front.is_paused = True
         if loses_streams:
-            self._lose_streams(front, 200 * MS)
-        self._seen(name, (2500 * MS, 4500 * MS))
+            self._lose_streams(front, PAUSED_STREAMS_LOST_AFTER_NS)
+        self._schedule_death_seen(name, DEATH_SEEN_WITHIN_NS)
 
-        def wake() -> None:
+        def resume() -> None:
             front.is_paused = False
             for other in self.fronts.values():
-                self._back(other, name)
+                self._see_returned(other, name)
             for node in self.nodes:
                 node.streams[front.caller.pseudonym] = EventStream()
-            # What it believes to hold it changes now, before any node has told it otherwise.
-            for session, at in list(front.held.items()):
-                self._send(lambda s=session, n=at: self._change(front, n, s))  # type: ignore[misc]
+            # It changes all sessions that it believes to own before any node has told it otherwise.
+            for session, node_number in list(front.sessions.items()):
+                self._send(lambda s=session, n=node_number: self._change_session(front, n, s))  # type: ignore[misc]
 
-        self.at(self.now + round(seconds * SECOND), wake)
+        self.schedule(self.now + round(seconds * SECOND), resume)
 
     def suspect(self, by: str, whom: str) -> None:
-        """One sees another as gone, which is there."""
+        """Makes one front see another as gone that is running."""
         front = self.fronts[by]
         front.gone[whom] = self.fronts[whom].start
-        self._look(front)
+        self._update_view(front)
 
     def _lose_streams(self, front: Front, after: int) -> None:
-        def lose() -> None:
+        def close_streams() -> None:
             for node in self.nodes:
-                if (ear := node.streams.get(front.caller.pseudonym)) is not None and (
-                    front.is_dead or front.is_paused
-                ):
-                    ear.is_open, ear.closed_at = False, self.now
+                stream = node.streams.get(front.caller.pseudonym)
+                if stream is not None and front.is_stopped:
+                    stream.is_open = False
+                    stream.closed_at = self.now
 
-        self.at(self.now + after, lose)
+        self.schedule(self.now + after, close_streams)
 
-    def _seen(self, name: str, within: tuple[int, int]) -> None:
+    def _schedule_death_seen(self, name: str, within: tuple[int, int]) -> None:
         for other in self.fronts.values():
             if other.name != name:
-                self.at(self.now + self.rng.randint(*within), lambda o=other: self._sees(o, name))  # type: ignore[misc]
+                delay = self.rng.randint(*within)
+                self.schedule(self.now + delay, lambda o=other: self._see_gone(o, name))  # type: ignore[misc]
 
-    def _sees(self, other: Front, name: str) -> None:
-        if self.fronts[name].is_dead or self.fronts[name].is_paused:
+    def _see_gone(self, other: Front, name: str) -> None:
+        if self.fronts[name].is_stopped:
             other.gone[name] = self.fronts[name].start
-            self._look(other)
+            self._update_view(other)
 
-    def _back(self, other: Front, name: str) -> None:
+    def _see_returned(self, other: Front, name: str) -> None:
         if other.gone.pop(name, None) is not None:
-            self._look(other)
+            self._update_view(other)
 
-    def _look(self, front: Front) -> None:
-        present = [n for n in self.names if n not in front.gone]
+    def _update_view(self, front: Front) -> None:
+        present = [name for name in self.names if name not in front.gone]
         front.takeover.update_fronts(front.gone, present, self.now)
 
-    def _errand(self, front: Front, errand: TakeoverRequest) -> None:
-        told: dict[str, TakeoverAnswer] = {}
-        answered, told_mine = [False], list[str]()
-
-        def failed() -> None:
-            if not answered[0]:
-                answered[0] = True
-                front.takeover.request_finished(errand, None, self.now)
-
-        def node_takes(mine: list[str]) -> None:
-            given = self._take(front.caller, at, mine)
-            self._send(lambda: front_hears(given), failed)
-
-        def front_hears(given: list[str]) -> None:
-            if front.is_dead or front.is_paused:
+    def _send_request(self, front: Front, request: TakeoverRequest) -> None:
+        """Runs one takeover request: the front asks the node for sessions, chooses its own, and takes them over."""
+        answers: dict[str, TakeoverAnswer] = {}
+        is_finished = False
+        chosen = list[str]()
+
+        def fail() -> None:
+            nonlocal is_finished
+            if not is_finished:
+                is_finished = True
+                front.takeover.request_finished(request, None, self.now)
+
+        def node_passes_sessions(sessions: list[str]) -> None:
+            passed = self._take_over(front.caller, node_number, sessions)
+            self._send(lambda: front_receives_sessions(passed), fail)
+
+        def front_receives_sessions(passed: list[str]) -> None:
+            nonlocal is_finished
+            if front.is_stopped:
                 return
-            for session in set(told_mine) - set(given):
-                front.held.pop(session, None)
-            if not answered[0]:
-                answered[0] = True
-                front.takeover.request_finished(errand, told, self.now)
+            for session in set(chosen) - set(passed):
+                front.sessions.pop(session, None)
+            if not is_finished:
+                is_finished = True
+                front.takeover.request_finished(request, answers, self.now)
 
-        def node_tells() -> None:
+        def node_offers_sessions() -> None:
             second = self.now // SECOND
-            self.nodes[at].requests_by_second[second] += 1
-            words, some = self._offer(front.caller, at, errand.front_names)
-            self._send(lambda: front_chooses(words, some), failed)
+            self.nodes[node_number].requests_by_second[second] += 1
+            node_answers, offered = self._offer(front.caller, node_number, request.front_names)
+            self._send(lambda: front_chooses(node_answers, offered), fail)
 
-        def front_chooses(words: dict[str, TakeoverAnswer], some: list[tuple[str, str]]) -> None:
-            if front.is_dead or front.is_paused or answered[0]:
+        def front_chooses(node_answers: dict[str, TakeoverAnswer], offered: list[tuple[str, str]]) -> None:
+            if front.is_stopped or is_finished:
                 return
-            told.update(words)
-            mine = [s for s, of in some if errand.is_own(of, s)][: max(0, front.capacity - len(front.held))]
-            told_mine.extend(mine)
-            front.held.update(dict.fromkeys(mine, at))  # its capacity is taken before it asks for them
-            if mine:
-                self._send(lambda: node_takes(mine), failed)
+            answers.update(node_answers)
+            free = max(0, front.capacity - len(front.sessions))
+            own = [session for session, owner in offered if request.is_own(owner, session)][:free]
+            chosen.extend(own)
+            # The sessions count against its capacity before it asks for them.
+            front.sessions.update(dict.fromkeys(own, node_number))
+            if own:
+                self._send(lambda: node_passes_sessions(own), fail)
             else:
-                front_hears([])
+                front_receives_sessions([])
 
-        at = int(errand.node)
-        self._send(node_tells, failed)
-        self.at(self.now + 4 * SECOND, failed)
+        node_number = int(request.node)
+        self._send(node_offers_sessions, fail)
+        self.schedule(self.now + REQUEST_TIMEOUT_NS, fail)
 
     # Nodes.
 
     def _offer(
-        self, caller: Caller, at: int, names: Iterable[str]
+        self, caller: Caller, node_number: int, names: Iterable[str]
     ) -> tuple[dict[str, TakeoverAnswer], list[tuple[str, str]]]:
-        node, told = self.nodes[at], dict.fromkeys(names, TakeoverAnswer.ALLOWED)
-        some = list[tuple[str, str]]()
-        for session, held in node.holder.items():
-            if held.member in told:
-                word = self._word(node, held, caller)
-                if word is TakeoverAnswer.ALLOWED:
-                    some.append((session, held.member))
+        """Returns the node's answer for each front asked about, and the sessions (with their owner) to take over."""
+        node = self.nodes[node_number]
+        answers = dict.fromkeys(names, TakeoverAnswer.ALLOWED)
+        offered = list[tuple[str, str]]()
+        for session, owner in node.holder.items():
+            if owner.member in answers:
+                answer = self._check_takeover(node, owner, caller)
+                if answer is TakeoverAnswer.ALLOWED:
+                    offered.append((session, owner.member))
                 else:
-                    told[held.member] = word
-        return told, some
-
-    def _word(self, node: Node, held: Caller, caller: Caller) -> TakeoverAnswer:
-        ear, mine = node.streams.get(held.pseudonym), node.streams.get(caller.pseudonym)
-        away = (
-            None if ear is not None and ear.is_open else self.now - (ear.closed_at if ear is not None else 0)
-        )
-        return check_takeover(held, caller, away, mine is not None and mine.is_open)
-
-    def _take(self, caller: Caller, at: int, sessions: list[str]) -> list[str]:
-        node, given = self.nodes[at], []
+                    answers[owner.member] = answer
+        return answers, offered
+
+    def _check_takeover(self, node: Node, owner: Caller, caller: Caller) -> TakeoverAnswer:
+        stream = node.streams.get(owner.pseudonym)
+        caller_stream = node.streams.get(caller.pseudonym)
+        silent_for: int | None = None
+        if stream is None or not stream.is_open:
+            silent_for = self.now - (stream.closed_at if stream is not None else 0)
+        is_caller_connected = caller_stream is not None and caller_stream.is_open
+        return check_takeover(owner, caller, silent_for, is_caller_connected)
+
+    def _take_over(self, caller: Caller, node_number: int, sessions: list[str]) -> list[str]:
+        node = self.nodes[node_number]
+        passed = list[str]()
         for session in sessions:
-            held = node.holder.get(session)
-            if held is None or (self.checks and self._word(node, held, caller) is not TakeoverAnswer.ALLOWED):
+            owner = node.holder.get(session)
+            if owner is None:
+                continue
+            if self.checks and self._check_takeover(node, owner, caller) is not TakeoverAnswer.ALLOWED:
                 continue
-            if self._listens(node, held):
-                self.breaches.append(f"{session} taken from {held.member}, which listens")
+            if self._is_listening(node, owner):
+                self.breaches.append(f"{session} taken from {owner.member}, which listens")
             node.holder[session] = caller
             self.takeover_count += 1
-            given.append(session)
-            if (since := self.orphaned.pop(session, None)) is not None:
-                self.takeover_delays.append(self.now - since)
-        return given
+            passed.append(session)
+            orphaned_at = self.orphaned.pop(session, None)
+            if orphaned_at is not None:
+                self.takeover_delays.append(self.now - orphaned_at)
+        return passed
 
     @staticmethod
-    def _listens(node: Node, held: Caller) -> bool:
-        ear = node.streams.get(held.pseudonym)
-        return ear is not None and ear.is_open
-
-    def _change(self, front: Front, at: int, session: str) -> None:
-        """A front's word on a session: a rung, a release."""
-        node = self.nodes[at]
-        held = node.holder.get(session)
-        if held is None:
+    def _is_listening(node: Node, owner: Caller) -> bool:
+        stream = node.streams.get(owner.pseudonym)
+        return stream is not None and stream.is_open
+
+    def _change_session(self, front: Front, node_number: int, session: str) -> None:
+        """A front changes a session: a rung, a release."""
+        node = self.nodes[node_number]
+        owner = node.holder.get(session)
+        if owner is None:
             return
-        if self.checks and not may_control(held, front.caller):
+        if self.checks and not may_control(owner, front.caller):
             node.rejected_changes += 1
-        elif held.member != front.name:
-            self.breaches.append(f"{session}: {front.name} changed what {held.member} has")
+        elif owner.member != front.name:
+            self.breaches.append(f"{session}: {front.name} changed what {owner.member} has")
 
-    def _leases(self) -> None:
-        keeps = effective_lease(self.bounds.session_lease, NODE_LEASE_NS)
+    def _expire_leases(self) -> None:
+        lease = effective_lease(self.bounds.session_lease, NODE_LEASE_NS)
         for node in self.nodes:
-            for session, held in list(node.holder.items()):
-                ear = node.streams.get(held.pseudonym)
-                if ear is not None and not ear.is_open and self.now - ear.closed_at > keeps:
+            for session, owner in list(node.holder.items()):
+                stream = node.streams.get(owner.pseudonym)
+                if stream is not None and not stream.is_open and self.now - stream.closed_at > lease:
                     del node.holder[session]
                     self.ended_by_lease += 1
                     self.orphaned.pop(session, None)
@@ -324,29 +362,29 @@
     # Time.
 
     def run(self, seconds: float) -> None:
-        """So much time passes."""
+        """Runs for a simulated time."""
         until = self.now + round(seconds * SECOND)
         while self.now < until:
-            then = self.now + STEP_NS
-            while self.heap and self.heap[0][0] <= then:
-                self.now, _, what = heapq.heappop(self.heap)
-                what()
-            self.now = then
-            self._leases()
+            step_end = self.now + STEP_NS
+            while self.heap and self.heap[0][0] <= step_end:
+                self.now, _, event = heapq.heappop(self.heap)
+                event()
+            self.now = step_end
+            self._expire_leases()
             for front in self.fronts.values():
-                if front.is_dead or front.is_paused:
+                if front.is_stopped:
                     continue
                 began = time.perf_counter()
-                errands = front.takeover.due_requests(self.now)
+                requests = front.takeover.due_requests(self.now)
                 front.takeover.take_finished(self.now)
                 self.processor_seconds += time.perf_counter() - began
-                for errand in errands:
-                    self._errand(front, errand)
+                for request in requests:
+                    self._send_request(front, request)
 
     def session_count(self) -> int:
-        """Sessions that run."""
-        return sum(len(n.holder) for n in self.nodes)
+        """How many sessions run."""
+        return sum(len(node.holder) for node in self.nodes)
 
     def max_requests_per_second(self) -> int:
-        """Most questions that any node had in a second."""
-        return max((max(n.requests_by_second.values(), default=0) for n in self.nodes), default=0)
+        """The most requests that any node got in a second."""
+        return max((max(node.requests_by_second.values(), default=0) for node in self.nodes), default=0)
