--- a/oakcroft/rehearsal/__init__.py
+++ b/oakcroft/rehearsal/__init__.py
@@ -1,1 +1,4 @@
-"""A day played through real fronts on loopback: viewers, faults, the verdict."""
+"""Plays a day, that is a rehearsed scenario, through real front ends on loopback and checks the rules.
+
+A day has a length, a fleet of emulated nodes, viewers and faults (oakcroft/standins/day.py reads its file).
+"""
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -1,4 +1,4 @@
-"""Players of long lessons: they receive RTP, follow moves, and measure the gaps in what they play."""
+"""Players of long playbacks: they receive RTP, follow moves, and measure the gaps in what they play."""
 
 from __future__ import annotations
 
@@ -21,6 +21,24 @@
 STALL_NS = 2 * rtp.INTERVAL
 MODES = ("move", "break", "stay")
 
+MAX_TRIES = 40
+END_MARGIN_SECONDS = 0.05
+"""A playback that ended this shortly before its viewer's end counts as complete."""
+
+FINISH_WITHIN_SECONDS = 8
+"""How long players may go on after the end of the day."""
+
+LATE_ANSWER_SECONDS = 3
+"""How long after its abandon time a player still waits for the answer, as the record must show a late one."""
+
+END_WITHIN_SECONDS = 2
+CONNECT_WITHIN_SECONDS = 1.0
+MAX_PACKET_BYTES = 2048
+
+OFFERED_KBIT = 50_000
+MOVE_WINDOW_NS = SECOND
+"""The gaps of a move are those within this time from the first packet of its target on."""
+
 
 @dataclass
 class WatchedPlayback:
@@ -30,7 +48,8 @@
     longest_gap_ns: int = 0
     moves: int = 0
     refused: int = 0
-    complete: bool = True  # played to the end its viewer wanted
+    complete: bool = True
+    """Whether it played to the end that its viewer wanted."""
     packets_played: int = 0
     duplicate_packets: int = 0
 
@@ -45,12 +64,16 @@
     """What all players saw."""
 
     playbacks: list[WatchedPlayback] = field(default_factory=list)
-    move_gaps_ns: list[int] = field(default_factory=list)  # the longest gap around each move, ns
+    move_gaps_ns: list[int] = field(default_factory=list)
+    """The longest gap around each move."""
 
 
 class Players(Audience):
-    """An audience of players. `mode`: they follow moves; they break and ask anew when told to move; or they are plain
-    players that cannot be moved."""
+    """An audience of players.
+
+    `mode`: they follow moves ("move"), or break off and request again when told to move ("break"), or are plain players
+    that cannot be moved ("stay").
+    """
 
     mode = "move"
 
@@ -61,61 +84,64 @@
     async def run(self, start: float) -> None:
         async with trio.open_nursery() as nursery:
             for visit in plan_visits(self.day):
-                await trio.sleep_until(start + visit.at / 1e9)
+                await trio.sleep_until(start + visit.at / SECOND)
                 nursery.start_soon(self._play, visit)
-            await trio.sleep_until(start + self.day.length / 1e9)
+            await trio.sleep_until(start + self.day.length / SECOND)
             self.stopped = True
-            nursery.cancel_scope.deadline = trio.current_time() + 8
+            nursery.cancel_scope.deadline = trio.current_time() + FINISH_WITHIN_SECONDS
+
+    def _retry_delay(self, rng: Random) -> float:
+        return rng.uniform(*self.day.crowd.back_after) / SECOND
 
     async def _play(self, visit: Visit) -> None:
-        rng, ends = Random(visit.seed), trio.current_time() + visit.life / 1e9
+        rng = Random(visit.seed)
+        ends = trio.current_time() + visit.life / SECOND
         tries = 0
-        seen: WatchedPlayback | None = None
+        watched: WatchedPlayback | None = None
         self.tally.asked[visit.plan.name] += 1
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as media:
             await media.bind(("127.0.0.1", 0))
             port = media.getsockname()[1]
             screen = rtp.Playout()
-            while not self.stopped and trio.current_time() < ends and tries < 40:
-                front, key = self._front(rng, visit.wing), f"v{visit.number}.{tries}"
+            while not self.stopped and trio.current_time() < ends and tries < MAX_TRIES:
+                front = self._choose_front(rng, visit.wing)
+                key = f"v{visit.number}.{tries}"
                 tries += 1
-                sat = await self._ask_for(visit, front, key, port, f"/whep/{visit.plan.name}/{visit.title}")
-                if sat is None or sat.status != 201:
-                    await trio.sleep(rng.uniform(*self.day.crowd.back_after) / 1e9)
+                path = f"/whep/{visit.plan.name}/{visit.title}"
+                response = await self._send_offer(visit, front, key, port, path)
+                if response is None or response.status != 201:
+                    await trio.sleep(self._retry_delay(rng))
                     continue
-                if seen is None:
-                    seen = WatchedPlayback(visit.plan.name)
-                    self.results.playbacks.append(seen)
-                await self._watch_media(visit, front, sat, key, media, port, screen, seen, ends)
-                if seen is not None and trio.current_time() < ends - 0.05 and not self.stopped:
-                    seen.complete = seen.complete and self.mode == "break"
-                    await trio.sleep(
-                        0 if self.mode == "break" else rng.uniform(*self.day.crowd.back_after) / 1e9
-                    )
-            if seen is not None:
-                seen.longest_gap_ns, seen.packets_played, seen.duplicate_packets = (
-                    max(seen.longest_gap_ns, screen.longest),
-                    screen.played,
-                    screen.doubles,
-                )
-
-    async def _ask_for(self, visit: Visit, front: int, key: str, port: int, path: str) -> Response | None:
-        """One POST of an offer, recorded like any."""
+                if watched is None:
+                    watched = WatchedPlayback(visit.plan.name)
+                    self.results.playbacks.append(watched)
+                await self._watch_media(visit, front, response, key, media, port, screen, watched, ends)
+                if trio.current_time() < ends - END_MARGIN_SECONDS and not self.stopped:
+                    watched.complete = watched.complete and self.mode == "break"
+                    await trio.sleep(0 if self.mode == "break" else self._retry_delay(rng))
+            if watched is not None:
+                watched.longest_gap_ns = max(watched.longest_gap_ns, screen.longest)
+                watched.packets_played = screen.played
+                watched.duplicate_packets = screen.doubles
+
+    async def _send_offer(self, visit: Visit, front: int, key: str, port: int, path: str) -> Response | None:
+        """Sends one POST of an offer that receives media at `port`, and puts it on record as any request."""
         wait = visit.plan.abandon_ns
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key)),
-                   ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
+        headers = [
+            ("Content-Type", sdp.MEDIA_TYPE),
+            ("Idempotency-Key", words.quoted(key)),
+            ("Prefer", f"wait={-(-wait // SECOND)}"),
+        ]
         candidate = f"a=candidate:1 1 udp 2130706431 127.0.0.1 {port} typ host\r\n"
-        body = offer(50_000, visit.number).replace("a=rtcp-mux\r\n", f"a=rtcp-mux\r\n{candidate}", 1)
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
-        self.tally.requests += 1
-        self.tally.waiting += 1
-        self.record.note("ask", key=key, front=front, plan=visit.plan.name, title=visit.title, wait=wait)
+        body = offer(OFFERED_KBIT, visit.number).replace("a=rtcp-mux\r\n", f"a=rtcp-mux\r\n{candidate}", 1)
+        peer = Peer("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
+        self._note_request(visit, front, key)
         try:
-            with trio.fail_after(wait / 1e9 + 3):
+            with trio.fail_after(wait / SECOND + LATE_ANSWER_SECONDS):
                 response = await peer.ask("POST", path, headers, body.encode(), fresh=True)
-        except (Ended, trio.TooSlowError) as fault:
-            refused = isinstance(fault, Ended) and fault.end.name == "UNREACHED"
-            self.record.note("unreached" if refused else "cut", key=key, front=front, why=str(fault))
+        except (Ended, trio.TooSlowError) as error:
+            is_unreached = isinstance(error, Ended) and error.end.name == "UNREACHED"
+            self.record.note("unreached" if is_unreached else "cut", key=key, front=front, why=str(error))
             return None
         except trio.Cancelled:
             self.record.note("left", key=key, front=front)
@@ -123,50 +149,54 @@
         finally:
             self.tally.waiting -= 1
             await peer.close()
-        kind = words.problem_type(response.body) if response.status >= 400 else ""
-        self.record.note("got", key=key, status=response.status, type=kind, extra=False)
-        self.tally.answers[f"{response.status} {kind.rpartition(':')[2]}".strip()] += 1
+        problem = words.problem_type(response.body) if response.status >= 400 else ""
+        self.record.note("got", key=key, status=response.status, type=problem, extra=False)
+        self.tally.answers[f"{response.status} {problem.rpartition(':')[2]}".strip()] += 1
         return response
 
     async def _watch_media(
-        self, visit: Visit, front: int, sat: Response, key: str, media: trio.socket.SocketType, port: int,
-        screen: rtp.Playout, seen: WatchedPlayback, ends: float,
+        self, visit: Visit, front: int, response: Response, key: str, media: trio.socket.SocketType, port: int,
+        screen: rtp.Playout, watched: WatchedPlayback, ends: float,
     ) -> None:  # fmt: skip
-        here = sat.header("location") or ""
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
+        """Receives the media and follows the events of a session until its viewer's end, or until it ends or breaks."""
+        location = response.header("location") or ""
+        peer = Peer("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
         self.tally.playing += 1
         left_early = False
-        around: list[int] = []
-        confirm: list[int] = []  # sources known when a move was answered: a new one is the target
+        is_move_answered = False
+        """Whether a move was answered and its target has sent no packet yet, which would come from a new source."""
+        move_window_end: int | None = None
+        longest_move_gap = 0
 
         async def receive() -> None:
+            nonlocal is_move_answered, move_window_end, longest_move_gap
             while True:
-                data, _ = await media.recvfrom(2048)
+                data, _ = await media.recvfrom(MAX_PACKET_BYTES)
                 packet = rtp.parse(data)
                 if packet is None:
                     continue
-                new = packet.source not in screen.sources
+                is_new_source = packet.source not in screen.sources
                 now = trio_now()
                 gap = now - screen.last_at if screen.last_at else 0
-                played = screen.take(packet, now)
-                if new and confirm:
-                    confirm.clear()
-                    nursery.start_soon(self._done, front, here)
-                    around[:] = [now + SECOND, 0]  # its gaps for a second from the first packet of the target
-                if around and played:
-                    around[1] = max(around[1], gap)
-                    if now > around[0]:
-                        self.results.move_gaps_ns.append(around[1])
-                        around.clear()
+                was_played = screen.take(packet, now)
+                if is_new_source and is_move_answered:
+                    is_move_answered = False
+                    nursery.start_soon(self._confirm_move, front, location)
+                    move_window_end = now + MOVE_WINDOW_NS
+                    longest_move_gap = 0
+                if move_window_end is not None and was_played:
+                    longest_move_gap = max(longest_move_gap, gap)
+                    if now > move_window_end:
+                        self.results.move_gaps_ns.append(longest_move_gap)
+                        move_window_end = None
 
         async def follow(moves: int = 0) -> None:
-            nonlocal left_early
-            reader, kinds = words.EventReader(), "inactive" if self.mode == "stay" else "inactive.move"
+            nonlocal left_early, is_move_answered
+            reader = words.EventReader()
+            kinds = "inactive" if self.mode == "stay" else "inactive.move"
+            events = f"{location}/events?kinds={kinds}"
             try:
-                async with peer.stream("GET", f"{here}/events?kinds={kinds}", [("Accept", words.EVENTS)]) as (
-                    _,
-                    chunks,
-                ):
+                async with peer.stream("GET", events, [("Accept", words.EVENTS)]) as (_, chunks):
                     async for chunk in chunks:
                         for name, data in reader.feed(chunk):
                             if name == "inactive":
@@ -178,12 +208,12 @@
                                 return
                             moves += 1
                             target = orjson.loads(data)["offer"]
-                            moved = await self._ask_for(visit, front, f"{key}~{moves}", port, target)
-                            if moved is not None and moved.status == 201:
-                                seen.moves += 1
-                                confirm.append(1)
+                            answer = await self._send_offer(visit, front, f"{key}~{moves}", port, target)
+                            if answer is not None and answer.status == 201:
+                                watched.moves += 1
+                                is_move_answered = True
                             else:
-                                seen.refused += 1
+                                watched.refused += 1
             except Ended:
                 pass
 
@@ -192,19 +222,20 @@
             with trio.move_on_at(ends) as life:
                 await follow()
             if life.cancelled_caught or left_early:
-                with trio.move_on_after(2):
+                with trio.move_on_after(END_WITHIN_SECONDS):
                     with suppress(Ended):
-                        await peer.ask("DELETE", here, [], b"", fresh=True)
+                        await peer.ask("DELETE", location, [], b"", fresh=True)
             nursery.cancel_scope.cancel()
         self.tally.playing -= 1
 
-    async def _done(self, front: int, here: str) -> None:
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
-        with trio.move_on_after(2):
+    async def _confirm_move(self, front: int, location: str) -> None:
+        """Tells the front that the media of the target arrive."""
+        peer = Peer("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
+        with trio.move_on_after(END_WITHIN_SECONDS):
             with suppress(Ended):
-                await peer.ask("POST", f"{here}/move/done", [], b"", fresh=True)
+                await peer.ask("POST", f"{location}/move/done", [], b"", fresh=True)
 
 
 def trio_now() -> int:
-    """Trio's time in ns."""
-    return round(trio.current_time() * 1e9)
+    """Returns trio's time in ns."""
+    return round(trio.current_time() * SECOND)
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -1,4 +1,4 @@
-"""The viewers of a day: they come open-loop from a seeded plan, ask, watch, leave and come again."""
+"""The viewers of a day: they arrive open-loop by a seeded plan, request playbacks, watch, leave and come back."""
 
 from __future__ import annotations
 
@@ -20,6 +20,33 @@
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
+VISITS_SEED_FACTOR, VISITS_SEED_OFFSET = 104729, 3
+WEIGHTS_SEED_FACTOR, WEIGHTS_SEED_OFFSET = 31, 5
+"""Keep the random numbers of the visits and of the fronts' weights apart from others seeded with the day's seed."""
+
+VISIT_SEEDS = 1 << 30
+
+MIN_LIFE_SHARE, MAX_LIFE_SHARE = 0.1, 4.0
+"""The wanted playing time is distributed exponentially around its plan's mean, and limited by these shares of it."""
+
+BANDWIDTH_MARGIN = 1.02
+"""An offer asks for the rate of its highest rung and a little more, as rates are rounded to whole kbit/s."""
+
+GIVE_UP_AFTER_SECONDS = 30.0
+"""A rejected viewer requests no more this long after its first request."""
+
+RECONNECT_WITHIN_SECONDS = 8.0
+"""A patient player looks for its front again for this long, while its node plays on."""
+
+RECONNECT_INTERVAL_SECONDS = 0.2
+CONNECT_WITHIN_SECONDS = 1.0
+
+LATE_ANSWER_SECONDS = 3
+"""How long after its abandon time a viewer still waits for the answer, as the record must show a late one."""
+
+END_WITHIN_SECONDS = 3
+MIN_WATCH_SECONDS = 0.01
+
 
 @dataclass(frozen=True)
 class Visit:
@@ -31,61 +58,66 @@
     plan: PlanTerms
     title: str
     life: int
+    """How long it wants to watch."""
     top: int
+    """The highest rung that its screen shows."""
     seed: int
 
 
 def plan_visits(day: Day) -> list[Visit]:
-    """Every viewer of the day, from its seed alone."""
-    rng, crowd = Random(day.seed * 104729 + 3), day.crowd
-    weights = [1 / (i + 1) ** crowd.zipf for i in range(crowd.titles)]
-    titles = list(itertools.accumulate(weights))
-    plans, shares = list(crowd.share), list(crowd.share.values())
-    wings, rungs = sorted(set(day.fronts)), len(day.site.terms.rung_rates)
-    crowds = [f for f in day.faults if f.kind == "crowd"]
-    visits, at = list[Visit](), 0.0
+    """Returns every viewer of the day, drawn from its seed alone, in order of their arrival."""
+    rng = Random(day.seed * VISITS_SEED_FACTOR + VISITS_SEED_OFFSET)
+    crowd = day.crowd
+    title_weights = list(itertools.accumulate(1 / (rank + 1) ** crowd.zipf for rank in range(crowd.titles)))
+    visits = list[Visit]()
+    at = 0.0
     while True:
         at += rng.expovariate(crowd.rate)
         if at * SECOND >= day.length:
             break
-        visits.append(
-            _visit(day, rng, round(at * SECOND), len(visits), plans, shares, titles, wings, rungs, None)
-        )
-    for fault in crowds:
-        t, rate = fault.at / SECOND, crowd.rate * fault.size
-        hot = rng.randrange(crowd.titles)
+        visits.append(_draw_visit(day, rng, title_weights, round(at * SECOND), len(visits), None))
+    for fault in day.faults:
+        if fault.kind != "crowd":
+            continue
+        at = fault.at / SECOND
+        rate = crowd.rate * fault.size
+        crowded_title = rng.randrange(crowd.titles)
         while rate > 0:
-            t += rng.expovariate(rate)
-            if t * SECOND >= fault.at + fault.length:
+            at += rng.expovariate(rate)
+            if at * SECOND >= fault.at + fault.length:
                 break
             visits.append(
-                _visit(day, rng, round(t * SECOND), len(visits), plans, shares, titles, wings, rungs, hot)
+                _draw_visit(day, rng, title_weights, round(at * SECOND), len(visits), crowded_title)
             )
-    return sorted(visits, key=lambda v: (v.at, v.number))
+    return sorted(visits, key=lambda visit: (visit.at, visit.number))
 
 
-def _visit(
-    day: Day, rng: Random, at: int, number: int, plans: list[str], shares: list[float], titles: list[float],
-    wings: list[str], rungs: int, hot: int | None,
-) -> Visit:  # fmt: skip
-    plan = day.site.plans[rng.choices(plans, shares)[0]]
-    title = bisect.bisect(titles, rng.random() * titles[-1]) if hot is None else hot
-    top = rng.randrange(1, max(2, rungs - 1)) if rng.random() < day.crowd.small_screens else rungs - 1
-    life = round(day.crowd.life[plan.name] * min(4.0, rng.expovariate(1.0) + 0.1))
+def _draw_visit(
+    day: Day, rng: Random, title_weights: list[float], at: int, number: int, title: int | None
+) -> Visit:
+    """Draws a visit at a time, to a given title or to one by the cumulative weights of the titles."""
+    crowd = day.crowd
+    plan = day.site.plans[rng.choices(list(crowd.share), list(crowd.share.values()))[0]]
+    if title is None:
+        title = bisect.bisect(title_weights, rng.random() * title_weights[-1])
+    rungs = len(day.site.terms.rung_rates)
+    has_small_screen = rng.random() < crowd.small_screens
+    top = rng.randrange(1, max(2, rungs - 1)) if has_small_screen else rungs - 1
+    life = round(crowd.life[plan.name] * min(MAX_LIFE_SHARE, rng.expovariate(1.0) + MIN_LIFE_SHARE))
     return Visit(
-        at,
-        number,
-        rng.choice(wings),
-        plan,
-        f"lesson-{title}",
-        life,
-        min(top, plan.plan.top_rung),
-        rng.randrange(1 << 30),
+        at=at,
+        number=number,
+        wing=rng.choice(sorted(set(day.fronts))),
+        plan=plan,
+        title=f"lesson-{title}",
+        life=life,
+        top=min(top, plan.plan.top_rung),
+        seed=rng.randrange(VISIT_SEEDS),
     )
 
 
 def offer(kbit: int, number: int, publishes: bool = False) -> str:
-    """A browser-like offer with a bandwidth line."""
+    """Returns a browser-like SDP offer with a bandwidth line; `publishes`: it sends media instead of receiving."""
     lines = [
         "v=0", f"o=- {number + 1} 2 IN IP4 127.0.0.1", "s=-", f"b=AS:{kbit}", "t=0 0", "a=group:BUNDLE 0 1",
     ]  # fmt: skip
@@ -100,173 +132,204 @@
 
 @dataclass
 class Tally:
-    """What the viewers met, for each plan."""
+    """What the viewers experienced. Counts by plan name: viewers that came, were served in time, and were served."""
 
     asked: Counter[str] = field(default_factory=Counter)
     in_target: Counter[str] = field(default_factory=Counter)
     served: Counter[str] = field(default_factory=Counter)
     offered: dict[str, float] = field(default_factory=dict)
+    """Revenue-seconds by plan name that all viewers together would have brought."""
     answers: Counter[str] = field(default_factory=Counter)
+    """Answers by their status and problem type."""
     requests: int = 0
     lost: int = 0
+    """Playbacks that broke before their viewer's end."""
     playing: int = 0
     waiting: int = 0
-    waits: list[int] = field(default_factory=list)  # of every 201, ns
-
-
-GIVE_UP_AFTER_SECONDS = 30.0  # seconds after its first request, a viewer that was turned away asks no more
-RECONNECT_WITHIN_SECONDS = (
-    8.0  # seconds for which a patient player looks for its front again, while its node plays on
-)
+    waits: list[int] = field(default_factory=list)
+    """How long every 201 took, ns."""
 
 
 class Audience:
-    """Sends the viewers of a day to the fronts. `patient`: a player whose event stream breaks looks for its session
-    again, as its media come from the node; else it takes its playback as lost."""
+    """Sends the viewers of a day to the fronts.
+
+    A `patient` player whose event stream breaks looks for its session again, as its media come from the node. Others
+    count their playback as lost.
+    """
 
     patient = False
 
     def __init__(self, day: Day, record: Record) -> None:
-        """`record`: told of what is asked and answered."""
-        self.day, self.record, self.tally = day, record, Tally()
+        """`record` gets all requests and answers."""
+        self.day = day
+        self.record = record
+        self.tally = Tally()
         self.ports: dict[int, int] = {}
+        """The port of each front, by its number."""
         self.stopped = False
-        rng = Random(day.seed * 31 + 5)
+        rng = Random(day.seed * WEIGHTS_SEED_FACTOR + WEIGHTS_SEED_OFFSET)
         self.weights = [1 + day.crowd.uneven * rng.uniform(-1, 1) for _ in day.fronts]
 
     async def run(self, start: float) -> None:
-        """All visits, from trio's time `start` on; returns when the day is over and the last answer is in."""
+        """Plays all visits, from trio's time `start` on; returns when the day is over and the last answer is in."""
         async with trio.open_nursery() as nursery:
             for visit in plan_visits(self.day):
-                await trio.sleep_until(start + visit.at / 1e9)
+                await trio.sleep_until(start + visit.at / SECOND)
                 nursery.start_soon(self._visit, visit)
-            await trio.sleep_until(start + self.day.length / 1e9)
+            await trio.sleep_until(start + self.day.length / SECOND)
             self.stopped = True
-            longest = max(p.abandon_ns for p in self.day.site.plans.values()) / 1e9
-            nursery.cancel_scope.deadline = trio.current_time() + longest + 1
+            longest_wait = max(plan.abandon_ns for plan in self.day.site.plans.values()) / SECOND
+            nursery.cancel_scope.deadline = trio.current_time() + longest_wait + 1
+
+    def _choose_front(self, rng: Random, wing: str) -> int:
+        """Draws one of the wing's fronts, or of all where the wing has none."""
+        fronts = [number for number, front_wing in enumerate(self.day.fronts) if front_wing == wing]
+        fronts = fronts or list(range(len(self.day.fronts)))
+        return rng.choices(fronts, [self.weights[number] for number in fronts])[0]
 
-    def _front(self, rng: Random, wing: str) -> int:
-        near = [i for i, w in enumerate(self.day.fronts) if w == wing] or list(range(len(self.day.fronts)))
-        return rng.choices(near, [self.weights[i] for i in near])[0]
+    def _peer(self, front: int) -> Peer:
+        return Peer("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
 
     async def _visit(self, visit: Visit) -> None:
-        rng, plan, name = Random(visit.seed), visit.plan, visit.plan.name
-        began, watched, tries = trio.current_time(), 0.0, 0
-        self.tally.asked[name] += 1
-        worth = plan.plan.revenue * self.day.site.terms.rung_revenue_shares[visit.top]
-        self.tally.offered[name] = self.tally.offered.get(name, 0.0) + visit.life / 1e9 * worth
-        served = False
+        rng = Random(visit.seed)
+        name = visit.plan.name
+        began = trio.current_time()
+        watched = 0.0
+        tries = 0
+        is_served = False
+        self._count_viewer(visit)
         while not self.stopped:
-            left = visit.life / 1e9 - watched
             key = f"v{visit.number}.{tries}"
             tries += 1
-            front = self._front(rng, visit.wing)
-            sat = await self._ask(visit, rng, front, key)
-            if sat is None or sat.status != HTTPStatus.CREATED:
-                again = sat is None or sat.status == HTTPStatus.SERVICE_UNAVAILABLE
+            front = self._choose_front(rng, visit.wing)
+            response = await self._request(visit, front, key)
+            if response is None or response.status != HTTPStatus.CREATED:
+                may_retry = response is None or response.status == HTTPStatus.SERVICE_UNAVAILABLE
                 if (
-                    not again
+                    not may_retry
                     or rng.random() > self.day.crowd.returns
                     or trio.current_time() - began > GIVE_UP_AFTER_SECONDS
                 ):
                     return
-                wait = rng.uniform(*self.day.crowd.back_after) / 1e9
-                if sat is not None and (after := sat.header("retry-after")):
-                    wait = max(wait, float(after))
+                wait = rng.uniform(*self.day.crowd.back_after) / SECOND
+                if response is not None and (retry_after := response.header("retry-after")):
+                    wait = max(wait, float(retry_after))
                 await trio.sleep(wait)
                 continue
-            if not served:
-                served = True
+            if not is_served:
+                is_served = True
                 self.tally.served[name] += 1
-                if trio.current_time() - began <= plan.plan.startup_target_ns / 1e9:
+                if trio.current_time() - began <= visit.plan.plan.startup_target_ns / SECOND:
                     self.tally.in_target[name] += 1
-            sat_down = trio.current_time()
-            whole = await self._watch(front, sat, left)
-            watched += trio.current_time() - sat_down
-            if whole or rng.random() > self.day.crowd.returns:
+            watch_began = trio.current_time()
+            is_complete = await self._watch(front, response, visit.life / SECOND - watched)
+            watched += trio.current_time() - watch_began
+            if is_complete or rng.random() > self.day.crowd.returns:
                 return
             self.tally.lost += 1
-            await trio.sleep(rng.uniform(*self.day.crowd.back_after) / 1e9)
+            await trio.sleep(rng.uniform(*self.day.crowd.back_after) / SECOND)
+
+    def _count_viewer(self, visit: Visit) -> None:
+        name = visit.plan.name
+        self.tally.asked[name] += 1
+        revenue = visit.plan.plan.revenue * self.day.site.terms.rung_revenue_shares[visit.top]
+        self.tally.offered[name] = self.tally.offered.get(name, 0.0) + visit.life / SECOND * revenue
 
-    def _asked(self, visit: Visit) -> tuple[str, str]:
-        """Path before the title, and the offer, that a visit asks with."""
+    def _path_and_offer(self, visit: Visit) -> tuple[str, str]:
+        """Returns the path that a visit requests, and its offer."""
         site = self.day.site
-        prefix = next(r.match.prefix for r in site.route_table.routes.values()
-                      if r.plan == visit.plan.name and r.match.role is ClientRole.WATCH)  # fmt: skip
+        prefix = next(
+            route.match.prefix
+            for route in site.route_table.routes.values()
+            if route.plan == visit.plan.name and route.match.role is ClientRole.WATCH
+        )
         rate = site.terms.rung_rates[visit.top] * visit.plan.plan.rate_factor
-        return prefix, offer(int(rate * 8 * 1.02) + 1, visit.number)
-
-    async def _ask(self, visit: Visit, rng: Random, front: int, key: str) -> Response | None:
-        """One request; None where no front took it or it was cut."""
-        wait, (prefix, text) = visit.plan.abandon_ns, self._asked(visit)
-        headers = [("Content-Type", sdp.MEDIA_TYPE), ("Idempotency-Key", words.quoted(key)),
-                   ("Prefer", f"wait={-(-wait // SECOND)}")]  # fmt: skip
-        peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
-        body = text.encode()
-        asked = {"key": key, "front": front, "plan": visit.plan.name, "title": visit.title, "wait": wait}
+        return prefix + visit.title, offer(int(rate * 8 * BANDWIDTH_MARGIN) + 1, visit.number)
+
+    def _note_request(self, visit: Visit, front: int, key: str) -> None:
+        """Counts a request and puts it on record."""
         self.tally.requests += 1
         self.tally.waiting += 1
+        plan = visit.plan
+        self.record.note("ask", key=key, front=front, plan=plan.name, title=visit.title, wait=plan.abandon_ns)
+
+    async def _request(self, visit: Visit, front: int, key: str) -> Response | None:
+        """Sends one request; returns None if the front was not reached or the connection broke."""
+        wait = visit.plan.abandon_ns
+        path, text = self._path_and_offer(visit)
+        headers = [
+            ("Content-Type", sdp.MEDIA_TYPE),
+            ("Idempotency-Key", words.quoted(key)),
+            ("Prefer", f"wait={-(-wait // SECOND)}"),
+        ]
+        peer = self._peer(front)
         sent = trio.current_time()
-        self.record.note("ask", **asked)
+        self._note_request(visit, front, key)
         try:
-            with trio.fail_after(wait / 1e9 + 3):  # it is impatient, but the record must show a late answer
-                response = await peer.ask("POST", prefix + visit.title, headers, body, fresh=True)
-        except (Ended, trio.TooSlowError) as fault:
-            refused = isinstance(fault, Ended) and fault.end.name == "UNREACHED"
-            self.record.note("unreached" if refused else "cut", key=key, front=front, why=str(fault))
-            self.tally.answers["unreached" if refused else "cut"] += 1
+            with trio.fail_after(wait / SECOND + LATE_ANSWER_SECONDS):
+                response = await peer.ask("POST", path, headers, text.encode(), fresh=True)
+        except (Ended, trio.TooSlowError) as error:
+            is_unreached = isinstance(error, Ended) and error.end.name == "UNREACHED"
+            kind = "unreached" if is_unreached else "cut"
+            self.record.note(kind, key=key, front=front, why=str(error))
+            self.tally.answers[kind] += 1
             return None
         finally:
             self.tally.waiting -= 1
         extra = (
             bool(peer.idle) and readable(peer.idle[-1].stream) and response.header("connection") != "close"
         )
-        kind = words.problem_type(response.body) if response.status >= HTTPStatus.BAD_REQUEST else ""
-        self.record.note("got", key=key, status=response.status, type=kind, extra=extra)
-        self.tally.answers[f"{response.status} {kind.rpartition(':')[2]}".strip()] += 1
+        problem = words.problem_type(response.body) if response.status >= HTTPStatus.BAD_REQUEST else ""
+        self.record.note("got", key=key, status=response.status, type=problem, extra=extra)
+        self.tally.answers[f"{response.status} {problem.rpartition(':')[2]}".strip()] += 1
         if response.status == HTTPStatus.CREATED:
-            self.tally.waits.append(round((trio.current_time() - sent) * 1e9))
+            self.tally.waits.append(round((trio.current_time() - sent) * SECOND))
         await peer.close()
         return response
 
-    async def _listens(self, front: int, here: str) -> bool:
-        """Listens to a session until it ends; True where the front went instead, and the media may play on."""
-        reader, until = words.EventReader(), trio.current_time() + RECONNECT_WITHIN_SECONDS
+    async def _listen(self, front: int, location: str) -> bool:
+        """Listens to a session until it ends; returns True if the front closed the stream, so media may play on."""
+        reader = words.EventReader()
+        give_up_at = trio.current_time() + RECONNECT_WITHIN_SECONDS
+        has_listened = False
         while True:
             try:
-                peer = Peer("127.0.0.1", self.ports.get(front, 1), 1.0)
-                events = f"{here}/events?kinds=inactive"
+                peer = self._peer(front)
+                events = f"{location}/events?kinds=inactive"
                 async with peer.stream("GET", events, [("Accept", words.EVENTS)]) as (head, chunks):
                     if head.status != HTTPStatus.OK:
                         return False
-                    until = 0.0
+                    has_listened = True
                     async for chunk in chunks:
                         if any(name == "inactive" for name, _ in reader.feed(chunk)):
                             return False
                 return True
             except Ended:
-                if not self.patient or trio.current_time() > until > 0:
+                if not self.patient:
                     return False
-                if not until:
+                if has_listened:
                     return True
-                await trio.sleep(0.2)
+                if trio.current_time() > give_up_at:
+                    return False
+                await trio.sleep(RECONNECT_INTERVAL_SECONDS)
 
-    async def _watch(self, front: int, sat: Response, seconds: float) -> bool:
-        """Watches to the end and says so; False when the playback was lost before."""
-        peer, here = Peer("127.0.0.1", self.ports.get(front, 1), 1.0), sat.header("location") or ""
+    async def _watch(self, front: int, response: Response, seconds: float) -> bool:
+        """Watches to the viewer's end and ends the session; returns False if the playback was lost before."""
+        peer = self._peer(front)
+        location = response.header("location") or ""
         self.tally.playing += 1
-        lost = False
+        is_lost = False
         try:
-            with trio.move_on_after(max(0.01, seconds)) as life:
-                while await self._listens(front, here) and self.patient:
+            with trio.move_on_after(max(MIN_WATCH_SECONDS, seconds)) as life:
+                while await self._listen(front, location) and self.patient:
                     pass
-                lost = True
+                is_lost = True
             if life.cancelled_caught and not self.stopped:
-                lost = False
-                with trio.move_on_after(3):
-                    await peer.ask("DELETE", here, [], b"", fresh=True)
+                is_lost = False
+                with trio.move_on_after(END_WITHIN_SECONDS):
+                    await peer.ask("DELETE", location, [], b"", fresh=True)
         except Ended:
             pass
         finally:
             self.tally.playing -= 1
-        return not lost
+        return not is_lost
