--- a/oakcroft/rehearsal/front_processes.py
+++ b/oakcroft/rehearsal/front_processes.py
@@ -1,4 +1,4 @@
-"""The front ends of a day as processes: their files, their starts, and what a machine may do to them."""
+"""The front ends of a day as processes: their files, their starts and ends, and faults of their machine."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 OPERATORS_TOKEN = "rehearsal-operators"
 
 START_WITHIN_SECONDS = 20
-"""A process that has not said its port by then has failed."""
+"""A process that has not printed its port within this has failed."""
 
 END_WITHIN_SECONDS = 0.5
-"""After SIGTERM; a front that is still there then is killed."""
+"""A front that still runs this long after SIGTERM is killed."""
 
 LOG_TAIL = 500
-"""Characters of a log that are shown of a front that did not start."""
+"""Characters of the log that are shown of a front that did not start."""
 
-SEEDS = 2
-"""Fronts that each other one is told of at its start."""
+SEED_MEMBERS = 2
+"""How many fronts each front is configured with as seeds of its membership."""
 
 PEERS_KEY = "5a" * 32
 SEED_STEP = 1000
-"""Keeps seeds of one day's fronts apart from another's."""
+"""Keeps the random seeds of one day's fronts apart from another day's."""
 
-KEPT_FILES = ("start", "state", "state-wal", "state-shm", "list")
-"""Endings of the files by which a front remembers anything."""
+PERSISTENT_FILES = ("start", "state", "state-wal", "state-shm", "list")
+"""Suffixes of the files in which a front keeps data over a restart."""
 
 
 @dataclass
@@ -54,7 +54,7 @@
 
 @dataclass
 class FrontProcesses:
-    """All fronts of a day. `ports`: told where each listens; `failures`: told what did not work."""
+    """All fronts of a day. The port of each is put into `ports`, and errors into `failures`."""
 
     day: Day
     folder: Path
@@ -68,24 +68,24 @@
     all: list[FrontProcess] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """One front for each of the day's, none of which runs yet."""
+        """Creates an entry for each front of the day; none runs yet."""
         for number in range(len(self.day.fronts)):
             name = f"front-{number}"
             self.all.append(FrontProcess(number, self.folder / f"{name}.oak", self.folder / f"{name}.log"))
 
     def in_wings(self, wings: tuple[str, ...]) -> list[FrontProcess]:
-        """The fronts that stand in any of some wings."""
+        """Returns the fronts of some wings."""
         return [front for front in self.all if self.day.fronts[front.number] in wings]
 
     async def start_all(self) -> None:
-        """Starts all, side by side."""
+        """Starts all fronts concurrently; returns once each listens, or has failed to start."""
         async with trio.open_nursery() as nursery:
             for front in self.all:
                 nursery.start_soon(self.start, front)
 
     async def start(self, front: FrontProcess) -> None:
-        """Writes a front's file and starts it; returns once it listens, or has failed to."""
-        front.file.write_text(self._text(front))
+        """Writes a front's configuration and starts it; returns once it listens, or has failed to start."""
+        front.file.write_text(self._configuration(front))
         module = ["oakcroft", "serve"] if self.policy == "oakcroft" else ["oakcroft.rehearsal.baseline"]
         front.process = await trio.lowlevel.open_process(
             [sys.executable, "-m", *module, str(front.file)],
@@ -105,35 +105,37 @@
         self.ports[front.number] = front.port
         self.record.note("front started", front=front.number)
 
-    def _text(self, front: FrontProcess) -> str:
-        """A front's configuration; on the port that it had before, if any."""
-        kept = self.folder / f"front-{front.number}.list"
+    def _configuration(self, front: FrontProcess) -> str:
+        """A front's configuration, with the port that it had before, if any."""
+        kept_list = self.folder / f"front-{front.number}.list"
         state = f'(state "{self.folder / f"front-{front.number}.state"}")' if self.keeps_state else ""
         return (
-            f"{self._peers_text(front)}{self._shared_text()}"
+            f"{self._peers_configuration(front)}{self._shared_configuration()}"
             f"(front (number {front.number}) (seed {self.day.seed * SEED_STEP + front.number})\n"
-            f'  (listen "127.0.0.1:{front.port}") (list-service "127.0.0.1:{self.list_port}") (kept "{kept}") {state}\n'
+            f'  (listen "127.0.0.1:{front.port}") (list-service "127.0.0.1:{self.list_port}")'
+            f' (kept "{kept_list}") {state}\n'
             f'  (zone "{self.day.fronts[front.number]}"))\n{self.day.site_text}\n'
         )
 
-    def _peers_text(self, front: FrontProcess) -> str:
+    def _peers_configuration(self, front: FrontProcess) -> str:
         if self.peer_network is None:
             return ""
         name = f"f{front.number}"
-        (host, port), (relay, _) = self.peer_network.fronts[name], self.peer_network.relays[name]
-        key, start = self.folder / "peers.key", self.folder / f"front-{front.number}.start"
-        key.write_text(PEERS_KEY)
-        seeds = " ".join(
-            f'"{address}:{number}"' for address, number in [*self.peer_network.relays.values()][:SEEDS]
-        )
+        host, port = self.peer_network.fronts[name]
+        relay_host, _ = self.peer_network.relays[name]
+        key_file = self.folder / "peers.key"
+        start_file = self.folder / f"front-{front.number}.start"
+        key_file.write_text(PEERS_KEY)
+        seed_addresses = list(self.peer_network.relays.values())[:SEED_MEMBERS]
+        seeds = " ".join(f'"{seed_host}:{seed_port}"' for seed_host, seed_port in seed_addresses)
         return (
             f'(operators (secret "{OPERATORS_TOKEN}"))'
             f' (peers (name {name}) (listen "{host}:{port}") (seeds {seeds})\n'
-            f'  (advertise "{relay}:{port}") (key-file "{key}") (starts "{start}"))\n'
+            f'  (advertise "{relay_host}:{port}") (key-file "{key_file}") (starts "{start_file}"))\n'
         )
 
-    def _shared_text(self) -> str:
-        """What is the same on all fronts, where the day has it."""
+    def _shared_configuration(self) -> str:
+        """The optional parts of the configuration that are the same on all fronts."""
         text = ""
         if self.day.keepers:
             keepers = " ".join(f"f{number}" for number in self.day.keepers)
@@ -152,7 +154,7 @@
             front.process.kill()
 
     async def pause(self, front: FrontProcess, process: trio.Process, seconds: float) -> None:
-        """One process is stopped for so long, and woken."""
+        """Stops a process of a front for a time by SIGSTOP, and resumes it."""
         self.record.note("front stands still", front=front.number)
         process.send_signal(signal.SIGSTOP)
         await trio.sleep(seconds)
@@ -160,19 +162,23 @@
         self.record.note("front goes on", front=front.number)
 
     def set_disk_full(self, front: FrontProcess, full: bool) -> None:
-        """No file of a front may grow, its log's neither, in this life and those that follow; or they may again."""
+        """Makes the disk of a front seem full, or ends this, for its present process and those that follow.
+
+        A limit on the size of files lets none of them grow, nor its log.
+        """
         front.disk_full = full
         if front.running and front.process is not None:
-            most = resource.getrlimit(resource.RLIMIT_FSIZE)[1]
-            resource.prlimit(front.process.pid, resource.RLIMIT_FSIZE, (0 if full else most, most))
+            hard_limit = resource.getrlimit(resource.RLIMIT_FSIZE)[1]
+            soft_limit = 0 if full else hard_limit
+            resource.prlimit(front.process.pid, resource.RLIMIT_FSIZE, (soft_limit, hard_limit))
 
     def wipe(self, front: FrontProcess) -> None:
-        """Deletes all by which a front remembers anything."""
-        for ending in KEPT_FILES:
-            (self.folder / f"front-{front.number}.{ending}").unlink(missing_ok=True)
+        """Deletes all files in which a front keeps data over a restart."""
+        for suffix in PERSISTENT_FILES:
+            (self.folder / f"front-{front.number}.{suffix}").unlink(missing_ok=True)
 
     async def stop_all(self) -> None:
-        """Ends all, by SIGTERM or else by SIGKILL; one that had ended by itself is a failure."""
+        """Stops all fronts by SIGTERM, or else by SIGKILL; one that had ended by itself with an error is a failure."""
         for front in self.all:
             if front.process is not None and front.process.poll() is None:
                 front.process.send_signal(signal.SIGCONT)
@@ -189,13 +195,13 @@
 
 
 async def read_first_line(stream: trio.abc.ReceiveStream, seconds: float) -> bytes:
-    """The first line of a process, b"" if none came in time."""
-    got = b""
+    """Returns the first line of a process's output, or b"" if none came in time."""
+    line = b""
     with trio.move_on_after(seconds):
-        while not got.endswith(b"\n"):
-            chunk = await stream.receive_some(1)
-            if not chunk:
+        while not line.endswith(b"\n"):
+            byte = await stream.receive_some(1)
+            if not byte:
                 return b""
-            got += chunk
-        return got.strip()
+            line += byte
+        return line.strip()
     return b""
--- a/oakcroft/rehearsal/observer.py
+++ b/oakcroft/rehearsal/observer.py
@@ -1,4 +1,4 @@
-"""What the fronts themselves say of the fleet, asked twice a second by way of their operators' interface."""
+"""Polls the fronts for their view of the fleet twice a second, over their operators' interface."""
 
 from __future__ import annotations
 
@@ -14,39 +14,40 @@
 from oakcroft.rulecheck.facts import Fact
 from oakcroft.standins.record import Record
 
-ASK_EVERY_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 ANSWER_WITHIN_SECONDS = 1.0
 CONNECT_WITHIN_SECONDS = 0.5
 PROBLEM_SHOWN = 200
-"""Characters of a refusal that go on record."""
+"""Characters of a refused answer that go on record."""
 
-FIRST_REFUSAL = 300
-"""Statuses from here on say that the front did not do it."""
+FIRST_REFUSAL_STATUS = 300
+"""Statuses from this one on say that the front did not do what was asked."""
 
 
 class Observer:
-    """Puts on record how each front sees the others and which duties it takes for its own."""
+    """Records how each front sees the others and which duties it believes to own."""
 
     def __init__(self, fronts: FrontProcesses, record: Record) -> None:
-        """Asks nothing yet; `run` does."""
-        self.fronts, self.record = fronts, record
+        """Polls nothing until `run`."""
+        self.fronts = fronts
+        self.record = record
         self.owned: dict[int, dict[str, int]] = {}
-        """By front, the duties that it takes for its own, with the number of its term."""
+        """By front, the duties that it believes to own, with the number of its term."""
 
     async def run(self) -> None:
-        """Asks every front until cancelled."""
+        """Polls every front until cancelled."""
         async with trio.open_nursery() as nursery:
             for front in self.fronts.all:
-                nursery.start_soon(self._ask_again_and_again, front)
+                nursery.start_soon(self._poll, front)
 
-    async def _ask_again_and_again(self, front: FrontProcess) -> None:
+    async def _poll(self, front: FrontProcess) -> None:
         while True:
-            await trio.sleep(ASK_EVERY_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
             if not front.running:
                 self.owned.pop(front.number, None)
                 continue
             if self.fronts.day.keepers:
-                await self._ask_owners(front)
+                await self._record_duties(front)
             view = await ask_operators(front, "GET", "/operators/fleet")
             if "members" in view:
                 members = {
@@ -54,36 +55,46 @@
                 }
                 self.record.note("seen", front=front.number, start=view["start"], members=members)
 
-    async def _ask_owners(self, front: FrontProcess) -> None:
-        asked = time.time_ns()
-        said = await ask_operators(front, "GET", "/operators/fleet/owners")
-        if "duties" in said:
-            mine = {duty["duty"]: duty["number"] for duty in said["duties"] if duty["mine"]}
-            self.owned[front.number] = mine
-            self.record.note("owners", front=front.number, asked=asked, duties=mine)
+    async def _record_duties(self, front: FrontProcess) -> None:
+        asked_at = time.time_ns()
+        owners = await ask_operators(front, "GET", "/operators/fleet/owners")
+        if "duties" in owners:
+            owned = {duty["duty"]: duty["number"] for duty in owners["duties"] if duty["mine"]}
+            self.owned[front.number] = owned
+            self.record.note("owners", front=front.number, asked=asked_at, duties=owned)
         else:
             self.owned.pop(front.number, None)
-        said = await ask_operators(front, "GET", "/operators/fleet/roll-out")
-        if "fence" in said:
-            plan = said.get("roll_out") or {}
-            self.record.note("stands", front=front.number, fence=said["fence"], in_force=said["in_force"],
-                             stage=plan.get("stage", "stopped"), turned_away=said["turned_away"])  # fmt: skip
+        rollout = await ask_operators(front, "GET", "/operators/fleet/roll-out")
+        if "fence" in rollout:
+            plan = rollout.get("roll_out") or {}
+            self.record.note(
+                "stands",
+                front=front.number,
+                fence=rollout["fence"],
+                in_force=rollout["in_force"],
+                stage=plan.get("stage", "stopped"),
+                turned_away=rollout["turned_away"],
+            )
 
 
 async def ask_operators(
     front: FrontProcess, method: str, path: str, body: bytes = b"", within: float = ANSWER_WITHIN_SECONDS
 ) -> dict[str, Any]:
-    """What a front says to its operators; nothing where it does not answer, or another life of it does."""
+    """Sends a request to a front's operators' interface and returns the JSON of its answer.
+
+    Returns status and problem of a refusal, and an empty dict if the front does not answer in time. An answer that comes
+    after the front has moved to another port counts as a refusal.
+    """
     port = front.port
     peer = Peer("127.0.0.1", port, connect_within=CONNECT_WITHIN_SECONDS)
     try:
         with trio.move_on_after(within):
-            fields = [("Authorization", f"Bearer {OPERATORS_TOKEN}"), ("If-Match", "*")]
-            answer = await peer.ask(method, path, fields, body)
-            if port == front.port and answer.status < FIRST_REFUSAL:
-                return dict(orjson.loads(answer.body))
-            problem = answer.body.decode("utf-8", "replace")[:PROBLEM_SHOWN]
-            return {"status": answer.status, "problem": problem}
+            headers = [("Authorization", f"Bearer {OPERATORS_TOKEN}"), ("If-Match", "*")]
+            response = await peer.ask(method, path, headers, body)
+            if port == front.port and response.status < FIRST_REFUSAL_STATUS:
+                return dict(orjson.loads(response.body))
+            problem = response.body.decode("utf-8", "replace")[:PROBLEM_SHOWN]
+            return {"status": response.status, "problem": problem}
     except (Ended, orjson.JSONDecodeError):
         pass
     finally:
@@ -92,15 +103,23 @@
 
 
 def orders_in_effect(fronts: FrontProcesses) -> list[Fact]:
-    """Orders that took effect, in the order of each front's own log over all its lives."""
-    some = list[Fact]()
+    """Returns a fact for each order that took effect, in the order of each front's log over all its processes."""
+    effects = list[Fact]()
     for front in fronts.all:
         for place, line in enumerate(front.log.read_bytes().splitlines()):
             if b'"order"' not in line:
                 continue
             with suppress(orjson.JSONDecodeError):
-                said = orjson.loads(line)
-                if said.get("event") == "order":
-                    some.append({"t": 0, "kind": "effect", "front": front.number, "place": place,
-                                 "number": said["number"], "step": said["step"]})  # fmt: skip
-    return some
+                entry = orjson.loads(line)
+                if entry.get("event") == "order":
+                    effects.append(
+                        {
+                            "t": 0,
+                            "kind": "effect",
+                            "front": front.number,
+                            "place": place,
+                            "number": entry["number"],
+                            "step": entry["step"],
+                        }
+                    )
+    return effects
--- a/oakcroft/rehearsal/outcome.py
+++ b/oakcroft/rehearsal/outcome.py
@@ -1,4 +1,4 @@
-"""What came of a day that was played."""
+"""The outcome of a rehearsed day."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass
 class Outcome:
-    """A day's findings and figures. `policy`: the one that the fronts decided by."""
+    """A day's findings and figures. `policy` names the decisions that the fronts ran: oakcroft or naive."""
 
     day: Day
     policy: str
@@ -20,15 +20,15 @@
     earned: dict[str, float]
     """Revenue-seconds by plan."""
     faults: list[str] = field(default_factory=list)
-    """Kinds that befell the day."""
+    """Kinds of the faults of the day."""
     failures: list[str] = field(default_factory=list)
-    """Parts that did not work, so that the day shows nothing."""
+    """Errors of the rehearsal itself, so that the day proves nothing."""
     overloaded_cold_nodes: int = 0
-    """Cold nodes that were pushed over."""
+    """How many times a cold node was overloaded."""
     audience: Audience | None = None
     facts: list[Fact] = field(default_factory=list)
 
     @property
     def kept(self) -> bool:
-        """Whether every rule was kept and no part failed."""
+        """Whether every rule was kept and the rehearsal itself had no error."""
         return not self.failures and not any(finding.breaches for finding in self.findings)
--- a/oakcroft/rehearsal/report.py
+++ b/oakcroft/rehearsal/report.py
@@ -1,67 +1,76 @@
-"""What a rehearsal has shown, as text."""
+"""The report on a rehearsal, as text."""
 
 from __future__ import annotations
 
+from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.outcome import Outcome
 from oakcroft.rulecheck.session_ownership import count_taken_over_and_ended, takeover_delays
 
+MAX_BREACHES_SHOWN = 8
+
 
 def rule_lines(outcome: Outcome) -> list[str]:
-    """A line for each rule, its breaches below it."""
-    out = []
-    for f in outcome.findings:
-        out.append(
-            f"  {f.rule} {f.name:30} {f.cases:6} cases  {len(f.breaches):3} breaches"
-            + (f"  ({f.excused} fell due while a front stood still)" if f.excused else "")
+    """Returns a line for each rule, followed by its first breaches."""
+    lines = []
+    for finding in outcome.findings:
+        lines.append(
+            f"  {finding.rule} {finding.name:30} {finding.cases:6} cases  {len(finding.breaches):3} breaches"
+            + (f"  ({finding.excused} fell due while a front stood still)" if finding.excused else "")
         )
-        out += [f"      {b}" for b in f.breaches[:8]]
-    return out
+        lines += [f"      {breach}" for breach in finding.breaches[:MAX_BREACHES_SHOWN]]
+    return lines
 
 
 def format_share(part: float, whole: float) -> str:
-    """A share in hundredths."""
+    """Formats a share as a percentage."""
     return f"{100 * part / whole:5.1f}%" if whole else "    -"
 
 
 def figure_lines(outcome: Outcome) -> list[str]:
-    """Answers by kind, and revenue asked and answered within the startup target."""
-    t, plans = outcome.tally, outcome.day.site.plans
-    out = [f"  {n:6}  {what}" for what, n in t.answers.most_common()]
-    asked = sum(n * plans[p].plan.revenue for p, n in t.asked.items())
-    inside = sum(n * plans[p].plan.revenue for p, n in t.in_target.items())
-    out.append(f"  viewers {sum(t.asked.values())}, requests {t.requests}, playbacks broken {t.lost}")
-    part = format_share(inside, asked).strip()
-    out.append(f"  revenue asked {asked:.0f}, answered within the startup target {inside:.0f} ({part})")
-    for plan in sorted(t.asked):
-        earned, offered = outcome.earned.get(plan, 0.0), t.offered.get(plan, 0.0)
-        out.append(
-            f"  {plan:16} in target {format_share(t.in_target[plan], t.asked[plan])}"
-            f"  served {format_share(t.served[plan], t.asked[plan])}"
+    """Returns lines on the answers by kind, the revenue by plan and the time to an answer."""
+    tally = outcome.tally
+    plans = outcome.day.site.plans
+    lines = [f"  {count:6}  {answer}" for answer, count in tally.answers.most_common()]
+    asked = sum(count * plans[name].plan.revenue for name, count in tally.asked.items())
+    in_target = sum(count * plans[name].plan.revenue for name, count in tally.in_target.items())
+    viewers = sum(tally.asked.values())
+    lines.append(f"  viewers {viewers}, requests {tally.requests}, playbacks broken {tally.lost}")
+    share = format_share(in_target, asked).strip()
+    lines.append(f"  revenue asked {asked:.0f}, answered within the startup target {in_target:.0f} ({share})")
+    for name in sorted(tally.asked):
+        earned = outcome.earned.get(name, 0.0)
+        offered = tally.offered.get(name, 0.0)
+        lines.append(
+            f"  {name:16} in target {format_share(tally.in_target[name], tally.asked[name])}"
+            f"  served {format_share(tally.served[name], tally.asked[name])}"
             f"  revenue played {format_share(earned, offered)} of what its viewers could have had"
         )
-    if t.waits:
-        waits = sorted(t.waits)
-        p = [waits[min(len(waits) - 1, int(len(waits) * q))] / 1e6 for q in (0.5, 0.99)]
-        out.append(f"  a 201 took p50 {p[0]:.0f} ms, p99 {p[1]:.0f} ms")
+    if tally.waits:
+        waits = sorted(tally.waits)
+        median, p99 = (waits[min(len(waits) - 1, int(len(waits) * part))] / MS for part in (0.5, 0.99))
+        lines.append(f"  a 201 took p50 {median:.0f} ms, p99 {p99:.0f} ms")
     if outcome.day.adopting:
-        passed, ended = count_taken_over_and_ended(outcome.facts)
-        after = takeover_delays(outcome.facts)
-        when = (
-            f", {after[len(after) // 2]:.1f} s (p50) and {after[-1]:.1f} s at most after its end"
-            if after
-            else ""
-        )
-        out.append(f"  playbacks that outlived their front {passed}{when}; ended with their front {ended}")
+        lines.append(_takeover_line(outcome))
     if outcome.overloaded_cold_nodes:
-        out.append(f"  cold nodes pushed over: {outcome.overloaded_cold_nodes}")
-    return out
+        lines.append(f"  cold nodes pushed over: {outcome.overloaded_cold_nodes}")
+    return lines
+
+
+def _takeover_line(outcome: Outcome) -> str:
+    taken_over, ended = count_taken_over_and_ended(outcome.facts)
+    delays = takeover_delays(outcome.facts)
+    when = ""
+    if delays:
+        when = f", {delays[len(delays) // 2]:.1f} s (p50) and {delays[-1]:.1f} s at most after its end"
+    return f"  playbacks that outlived their front {taken_over}{when}; ended with their front {ended}"
 
 
 def render_report(outcome: Outcome, baseline: Outcome | None) -> str:
-    """The report."""
-    d = outcome.day
-    out = [
-        f"day {d.name}, seed {d.seed}: {len(d.fronts)} fronts, {len(d.nodes)} nodes, {d.length / 1e9:.0f} s",
+    """Returns the report on an outcome, with that of the baseline on the same day if there is one."""
+    day = outcome.day
+    lines = [
+        f"day {day.name}, seed {day.seed}: {len(day.fronts)} fronts, {len(day.nodes)} nodes, "
+        f"{day.length / SECOND:.0f} s",
         f"faults ({len(outcome.faults)} kinds): {', '.join(outcome.faults)}",
         "rules, from the sockets:",
         *rule_lines(outcome),
@@ -69,11 +78,11 @@
         *figure_lines(outcome),
     ]
     if baseline is not None:
-        broken = sum(len(f.breaches) for f in baseline.findings)
-        out += [
-            f"the naive baseline on the same day (random holder, lowest rung; {broken} breaches):",
+        breaches = sum(len(finding.breaches) for finding in baseline.findings)
+        lines += [
+            f"the naive baseline on the same day (random holder, lowest rung; {breaches} breaches):",
             *figure_lines(baseline),
         ]
-    out += [f"failed: {f}" for f in outcome.failures]
-    out.append("kept" if outcome.kept else "NOT KEPT")
-    return "\n".join(out)
+    lines += [f"failed: {failure}" for failure in outcome.failures]
+    lines.append("kept" if outcome.kept else "NOT KEPT")
+    return "\n".join(lines)
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -1,5 +1,6 @@
-"""Plays a day: starts the emulated fleet and the fronts as processes, sends the viewers, orders the fronts' own faults,
-and judges what came of it."""
+"""Plays a day: starts the emulated fleet and the fronts as processes, sends the viewers, injects the faults of the
+fronts, and checks the rules against the records.
+"""
 
 from __future__ import annotations
 
@@ -33,13 +34,16 @@
 from oakcroft.standins.record import Record, read
 
 SETTLE_SECONDS = 6.5
-"""A front paces every node for its first six seconds, as it cannot know which are warm."""
+"""Time from the start of the last front to the begin of the day.
+
+A front limits its pace to every node for its first six seconds, as it cannot know which nodes are warm.
+"""
 
 FLEET_END_WITHIN_SECONDS = 10
-PROGRESS_EVERY_SECONDS = 5
+PROGRESS_INTERVAL_SECONDS = 5
 ANSWERS_SHOWN = 5
 FLEET_LOG_TAIL, FLEET_START_LOG_TAIL = 300, 2000
-"""Characters of the emulated fleet's log that are shown where it ended early, or did not start."""
+"""Characters of the emulated fleet's log that are shown if it ended early, or did not start."""
 
 ProgressCallback = Callable[[str], None]
 
@@ -52,26 +56,37 @@
         day: Day,
         folder: Path,
         policy: str,
-        say: ProgressCallback,
+        report_progress: ProgressCallback,
         audience: type[Audience] = Audience,
-        state: bool = False,
+        keeps_state: bool = False,
     ) -> None:
-        """`folder`: for records, files and logs; `say`: told how the day goes on; `state`: fronts remember over their
-        death, which they do anyway where some are keepers."""
-        self.day, self.folder, self.policy, self.say = day, folder, policy, say
+        """`folder` is for records, configurations and logs.
+
+        With `keeps_state`, fronts keep a state file over a restart, which they do anyway if the day has keepers.
+        """
+        self.day = day
+        self.folder = folder
+        self.policy = policy
+        self.report_progress = report_progress
         self.record = Record(folder / "viewers.jsonl")
         self.audience = audience(day, self.record)
         self.failures: list[str] = []
         self.peer_network = peer_network(len(day.fronts), day.seed) if day.peers else None
         self.fronts = FrontProcesses(
-            day, folder, policy, self.record, self.peer_network, state or bool(day.keepers), self.audience.ports,
-            self.failures,
-        )  # fmt: skip
+            day=day,
+            folder=folder,
+            policy=policy,
+            record=self.record,
+            peer_network=self.peer_network,
+            keeps_state=keeps_state or bool(day.keepers),
+            ports=self.audience.ports,
+            failures=self.failures,
+        )
         self.observer = Observer(self.fronts, self.record)
         self.faults = FrontFaults(self.fronts, self.observer)
 
     async def run(self) -> Outcome:
-        """Plays the day and judges it."""
+        """Plays the day and returns its outcome."""
         for place in self.day.nodes:
             self.record.note("place", node=place.name, places=place.places)
         fleet = await self._start_fleet()
@@ -132,12 +147,12 @@
         await trio.sleep_until(begin)
         while True:
             tally = self.audience.tally
-            top = ", ".join(f"{count} {what}" for what, count in tally.answers.most_common(ANSWERS_SHOWN))
+            top = ", ".join(f"{count} {answer}" for answer, count in tally.answers.most_common(ANSWERS_SHOWN))
             at = trio.current_time() - begin
-            self.say(
+            self.report_progress(
                 f"{at:5.0f} s  {tally.requests} asked, {tally.playing} playing, {tally.waiting} waiting; {top}"
             )
-            await trio.sleep(PROGRESS_EVERY_SECONDS)
+            await trio.sleep(PROGRESS_INTERVAL_SECONDS)
 
     async def _end_fleet(self, fleet: trio.Process) -> None:
         if fleet.poll() is not None:
@@ -153,23 +168,23 @@
     def _outcome(self) -> Outcome:
         facts = read(self.folder / "viewers.jsonl") + read(self.folder / "fleet.jsonl")
         earned: dict[str, float] = next((fact["plans"] for fact in facts if fact["kind"] == "earned"), {})
-        failed = [fact for fact in facts if fact["kind"] == "stand-in failed"]
-        self.failures += [f"{fact['path']}: {fact['error']}" for fact in failed]
-        befell = {fact["what"] for fact in facts if fact["kind"] == "fault"}
+        node_errors = [fact for fact in facts if fact["kind"] == "stand-in failed"]
+        self.failures += [f"{fact['path']}: {fact['error']}" for fact in node_errors]
+        injected = {fact["what"] for fact in facts if fact["kind"] == "fault"}
         return Outcome(
             self.day,
             self.policy,
-            self._judge(facts),
+            self._check(facts),
             self.audience.tally,
             earned,
-            faults=sorted(befell | {fault.kind for fault in self.day.faults}),
+            faults=sorted(injected | {fault.kind for fault in self.day.faults}),
             failures=self.failures,
             overloaded_cold_nodes=sum(fact["kind"] == "fell" for fact in facts),
             facts=sorted(facts, key=lambda fact: fact["t"]),
         )
 
-    def _judge(self, facts: list[Fact]) -> list[Finding]:
-        """The six rules, and the properties of what the day has besides."""
+    def _check(self, facts: list[Fact]) -> list[Finding]:
+        """Checks the six rules, and the properties of the parts that the day uses besides."""
         findings = check_rules(facts, self.day.site)
         names = {number: f"f{number}" for number in range(len(self.day.fronts))}
         if self.day.peers:
@@ -183,7 +198,7 @@
 
 
 def peer_network(fronts: int, seed: int) -> Between:
-    """A network between so many fronts, on addresses of this machine that differ by front."""
+    """Creates a network between a number of fronts, each with a loopback address of its own."""
     with socket.socket() as probe:
         probe.bind(("127.0.71.1", 0))
         port = probe.getsockname()[1]
@@ -196,20 +211,23 @@
     day: Day,
     body: str,
     policy: str,
-    say: ProgressCallback,
-    keep: Path | None = None,
+    report_progress: ProgressCallback,
+    keep_folder: Path | None = None,
     audience: type[Audience] = Audience,
-    state: bool = False,
+    keeps_state: bool = False,
     patient: bool = False,
 ) -> Outcome:
-    """Plays a day whose text is `body`. `keep`: the folder for records and logs, else a temporary one. `audience`: who
-    comes. `state`: fronts remember over their death; `patient`: players look for their sessions after it."""
+    """Plays a day whose text is `body`, and returns its outcome.
+
+    Records and logs are kept in `keep_folder` if it is given. With `keeps_state`, fronts keep a state file over a
+    restart; with `patient`, players look for their sessions again after it.
+    """
     with tempfile.TemporaryDirectory(prefix="oakcroft-") as temporary:
-        folder = keep or Path(temporary)
+        folder = keep_folder or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "day.oak").write_text(body)
         os.environ.setdefault("PYTHONUNBUFFERED", "1")
-        rehearsal = Rehearsal(day, folder, policy, say, audience, state)
+        rehearsal = Rehearsal(day, folder, policy, report_progress, audience, keeps_state)
         rehearsal.audience.patient = patient
         outcome = trio.run(rehearsal.run)
         outcome.audience = rehearsal.audience
