--- a/oakcroft/rehearsal/baseline.py
+++ b/oakcroft/rehearsal/baseline.py
@@ -1,7 +1,7 @@
-"""A naive front to measure against: a random holder, the lowest rung, one try. It keeps no rule on purpose.
+"""A naive front as a baseline: it sends each request to a random holder of the title, on the lowest rung, with one try.
 
-`python -m oakcroft.rehearsal.baseline FILE` serves like `oakcroft serve FILE`, with these decisions in the module's
-place.
+It keeps no rule on purpose. `python -m oakcroft.rehearsal.baseline FILE` serves like `oakcroft serve FILE`, with these
+decisions in place of the decision module.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 from random import Random
 
 from oakcroft.interface import (
+    MS,
     NodeEntry,
     Host,
     NodeStatus,
@@ -23,29 +24,35 @@
 )
 
 
+SETUP_MARGIN_NS = 10 * MS
+"""How long before the abandon time a set-up is given up, so that its answer is in time."""
+
+
 class NaiveController:
-    """Decides by lot."""
+    """Decides at random."""
 
     def __init__(self, terms: DeploymentSettings, seed: int, host: Host, now: int) -> None:
-        """As the module that it stands in for."""
-        self.terms, self.host, self.rng = terms, host, Random(seed)
+        """Takes the same arguments as the decision module that it replaces."""
+        self.terms = terms
+        self.host = host
+        self.rng = Random(seed)
         self.nodes: dict[Node, None] = {}
 
     def on_node_list(self, kind: NodeListKind, entries: Iterable[NodeEntry], now: int) -> None:
-        """Takes a list of nodes on; what is gone is dropped."""
-        for e in entries:
-            e.node.status = e.status
-            self.nodes[e.node] = None
-        self.nodes = {n: None for n in self.nodes if n.status is not NodeStatus.GONE}
+        """Applies a list of nodes and drops those that are gone."""
+        for entry in entries:
+            entry.node.status = entry.status
+            self.nodes[entry.node] = None
+        self.nodes = {node: None for node in self.nodes if node.status is not NodeStatus.GONE}
 
     def on_request(self, playback: Playback, now: int) -> None:
         """Sends a request to any ready holder of its title, or rejects it where there is none."""
         cells = self.terms.cell_count
         copies = playback.title.copies if 0 < playback.title.copies < cells else cells
         ready = [
-            n
-            for n in self.nodes
-            if n.status is NodeStatus.READY and (n.cell - playback.title.home_cell) % cells < copies
+            node
+            for node in self.nodes
+            if node.status is NodeStatus.READY and (node.cell - playback.title.home_cell) % cells < copies
         ]
         if not ready:
             playback.state = PlaybackState.REJECTED
@@ -53,19 +60,21 @@
             return
         node = self.rng.choice(ready)
         playback.tries.append((node, now))
-        playback.state, playback.node = PlaybackState.SETTING_UP, node
+        playback.state = PlaybackState.SETTING_UP
+        playback.node = node
         node.playbacks[playback] = None
-        self.host.send_setup(playback, node, playback.abandon_at - 10_000_000)
+        self.host.send_setup(playback, node, playback.abandon_at - SETUP_MARGIN_NS)
 
     def on_handed_over(self, playback: Playback, node: Node, now: int) -> None:
         """A playback that played before a restart plays on."""
-        playback.state, playback.node = PlaybackState.PLAYING, node
+        playback.state = PlaybackState.PLAYING
+        playback.node = node
         node.playbacks[playback] = None
 
     def on_history_restored(
         self, retry_times: Iterable[int], nodes_with_spent_slot: Iterable[Node], now: int
     ) -> None:
-        """Counts nothing."""
+        """Uses no history."""
 
     def on_playing(self, playback: Playback, now: int) -> None:
         """A set-up succeeded."""
@@ -73,24 +82,30 @@
             playback.state = PlaybackState.PLAYING
 
     def on_metric(self, playback: Playback, metric: PlaybackMetric, value: float, now: int) -> None:
-        """Heeds no note."""
+        """Uses no metrics."""
 
     def on_peer_load(self, node: Node, link_load: float, report_age_ns: int, now: int) -> None:
-        """Heeds no load."""
+        """Uses no load of peers."""
 
     def on_viewer_left(self, playback: Playback, now: int) -> None:
-        """Its viewer went."""
+        """The viewer left."""
         if playback.state in (PlaybackState.SETTING_UP, PlaybackState.PLAYING):
             playback.state = PlaybackState.VIEWER_LEFT
 
     def on_timer(self, now: int) -> None:
-        """Sets no alarm, and so is never woken."""
+        """Sets no timer, so this is never called."""
 
     def on_try_ended(
-        self, playback: Playback, outcome: Outcome, is_closed: bool,
-        link_load: float | None, link_used: float | None, uplink_load: float | None, now: int,
-    ) -> None:  # fmt: skip
-        """A try ended: there is no other."""
+        self,
+        playback: Playback,
+        outcome: Outcome,
+        is_closed: bool,
+        link_load: float | None,
+        link_used: float | None,
+        uplink_load: float | None,
+        now: int,
+    ) -> None:
+        """A try ended; no other follows."""
         if playback.node:
             playback.node.playbacks.pop(playback, None)
         if is_closed or playback.state is not PlaybackState.SETTING_UP:
@@ -100,7 +115,7 @@
             self.host.abort(playback)
 
     def is_over(self, playback: Playback) -> bool:
-        """Whether nothing more comes of a playback."""
+        """Whether a playback has reached a final state."""
         return playback.state in (PlaybackState.ENDED, PlaybackState.REJECTED, PlaybackState.ABORTED)
 
 
--- a/oakcroft/rehearsal/firstcome.py
+++ b/oakcroft/rehearsal/firstcome.py
@@ -1,6 +1,7 @@
-"""A front without the line before the module, to measure it against: requests go on first come, first served.
+"""A front without load shedding, to measure load shedding against: requests are admitted first come, first served.
 
-`python -m oakcroft.rehearsal.firstcome FILE` serves like `oakcroft serve FILE`.
+`python -m oakcroft.rehearsal.firstcome FILE` serves like `oakcroft serve FILE`, with a concurrency window that is never
+full.
 """
 
 from __future__ import annotations
