--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,6 +1,6 @@
 """Every combination of a fault and a stage that can occur, on real sockets.
 
-At the end of each, all six rules are judged from what passed on the sockets, and everything that the playback
+At the end of each, all six rules are checked against what passed on the sockets, and everything that the playback
 held must have been released. docs/review-of-parts.md says why a combination cannot occur.
 """
 
--- a/tests/test_lease_simulation.py
+++ b/tests/test_lease_simulation.py
@@ -1,6 +1,6 @@
-"""Owners over minutes of simulated time: partitions that flap, keepers that lose their records, clocks that went back.
+"""Lease owners over minutes of simulated time: flapping partitions, keepers that lose their records, clocks set back.
 
-The fleet itself asserts at each word that there is one owner at most and that numbers only grow.
+The simulation itself asserts at each message that there is at most one owner and that the numbers of terms only grow.
 """
 
 from __future__ import annotations
@@ -13,15 +13,17 @@
 TERM = 2 * SECOND
 
 
-def running(fronts: int = 7, keepers: int = 3, loss: float = 0.0, seed: int = 1) -> LeaseSimulation:
+def simulation_with_owner(
+    fronts: int = 7, keepers: int = 3, loss: float = 0.0, seed: int = 1
+) -> LeaseSimulation:
     fleet = LeaseSimulation(fronts, keepers, TERM, loss, seed)
     assert fleet.run(5 * TERM, lambda: bool(fleet.terms_begun))
     return fleet
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.2])
-def test_an_owner_that_nothing_befalls_keeps_its_duty(loss: float) -> None:
-    fleet = running(loss=loss)
+def test_an_owner_without_faults_keeps_its_duty(loss: float) -> None:
+    fleet = simulation_with_owner(loss=loss)
     fleet.run(300 * TERM)
     assert len(fleet.terms_begun) <= (1 if not loss else 6)
     assert fleet.owner() is not None
@@ -29,7 +31,7 @@
 
 @pytest.mark.parametrize(("keepers", "seed"), [(3, 1), (3, 2), (5, 3)])
 def test_after_a_crash_another_owns_within_two_terms(keepers: int, seed: int) -> None:
-    fleet = running(9, keepers, 0.05, seed)
+    fleet = simulation_with_owner(9, keepers, 0.05, seed)
     for _ in range(30):
         fleet.run(3 * TERM + fleet.rng.randrange(TERM))
         owner, count, now = fleet.owner(), len(fleet.terms_begun), fleet.now
@@ -42,7 +44,7 @@
 
 
 def test_a_flapping_partition_passes_a_duty_on_once_a_term_at_most() -> None:
-    fleet = running(8, 3, 0.0, 4)
+    fleet = simulation_with_owner(8, 3, 0.0, 4)
     half = {"f000", "f003", "f004", "f005"}
     began, count = fleet.now, len(fleet.terms_begun)
     for _ in range(100):
@@ -55,8 +57,8 @@
     assert fleet.owner() is not None
 
 
-def test_without_a_majority_nobody_owns_it_for_ten_minutes_and_then_soon_again() -> None:
-    fleet = running(7, 3)
+def test_no_front_owns_the_duty_for_ten_minutes_without_a_majority_and_one_does_soon_after() -> None:
+    fleet = simulation_with_owner(7, 3)
     for keeper in ("f000", "f001"):
         fleet.kill(keeper, 600 * SECOND)
     fleet.run(2 * TERM)
@@ -68,8 +70,10 @@
 
 
 @pytest.mark.parametrize(("keepers", "wiped"), [(3, 1), (4, 2), (5, 2)])
-def test_half_of_the_keepers_lose_their_records_at_once(keepers: int, wiped: int) -> None:
-    fleet = running(9, keepers, 0.05, keepers)
+def test_a_duty_gets_an_owner_after_half_of_the_keepers_lose_their_records_at_once(
+    keepers: int, wiped: int
+) -> None:
+    fleet = simulation_with_owner(9, keepers, 0.05, keepers)
     for round_ in range(10):
         count = len(fleet.terms_begun)
         for name in [f"f{(round_ + i) % keepers:03}" for i in range(wiped)]:
@@ -81,20 +85,20 @@
         fleet.run(5 * TERM)
 
 
-def test_all_records_are_lost_at_once_and_terms_do_not_overlap() -> None:
-    """Numbers then go on from the clock: each new life's floor is higher."""
-    fleet = running(7, 3)
+def test_terms_do_not_overlap_after_all_records_are_lost_at_once() -> None:
+    """Numbers then continue from the clock, which gives each new process a higher minimum."""
+    fleet = simulation_with_owner(7, 3)
     for name in fleet.names:
         fleet.kill(name, TERM // 4, record=False, floor=1_000)
-    end = fleet.now + TERM  # whatever was granted may run until then
+    end = fleet.now + TERM  # terms granted so far may run until then
     count = len(fleet.terms_begun)
     assert fleet.run(20 * TERM, lambda: len(fleet.terms_begun) > count)
     assert fleet.now >= end
     assert fleet.terms_begun[-1][1] > 1_000
 
 
-def test_a_candidate_whose_clock_went_back_learns_how_far_numbers_are() -> None:
-    fleet = running(7, 3)
+def test_a_candidate_whose_clock_was_set_back_learns_the_highest_number() -> None:
+    fleet = simulation_with_owner(7, 3)
     for name in fleet.names:
         if name not in fleet.keepers:
             fleet.kill(name, TERM, floor=0)
--- a/tests/test_owners_check.py
+++ b/tests/test_owners_check.py
@@ -54,7 +54,7 @@
                 {"t": t, "kind": "effect", "front": front, "place": place, "number": number, "step": step}
             )
             place += 1
-    last = max(f["t"] for f in facts)
+    last = max(fact["t"] for fact in facts)
     for front in NAMES:
         seen = list(fences[front].highest_seen[DUTY])
         facts.append(
@@ -90,7 +90,9 @@
         facts += [{"t": 9 * SECOND, "kind": "front killed", "front": front},
                   {"t": 150 * SECOND, "kind": "front started", "front": front}]  # fmt: skip
     assert 23 not in breaches(facts)
-    one_only = [f for f in facts if f["kind"] not in ("front killed", "front started") or f["front"] == 0]
+    one_only = [
+        fact for fact in facts if fact["kind"] not in ("front killed", "front started") or fact["front"] == 0
+    ]
     assert 23 in breaches(one_only)
 
 
@@ -110,4 +112,4 @@
     assert "in force" in found[24][0]
     open_ = dict(back, fence=[999, 1], in_force="x", stage="taken")
     assert "not over on fronts [1]" in breaches([*facts, open_])[24][0]
-    assert "nobody ever owned" in breaches([f for f in facts if f["kind"] == "stands"])[21][0]
+    assert "nobody ever owned" in breaches([fact for fact in facts if fact["kind"] == "stands"])[21][0]
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""A short bad day through real processes, and the translation of bench days."""
+"""A short day with faults through real processes, the start of the emulated fleet, and the translation of bench days."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
 """Between the event loop's clock, by which the day begins, and the wall clock of the record."""
 
 
-def plot(body: str) -> Day:
+def parse_day(body: str) -> Day:
     return parse(body, "day")
 
 
 def test_a_short_bad_day_keeps_every_rule_on_the_sockets() -> None:
-    said: list[str] = []
-    outcome = runner.play(plot(SHORT), SHORT, "oakcroft", said.append)
+    progress: list[str] = []
+    outcome = runner.play(parse_day(SHORT), SHORT, "oakcroft", progress.append)
     text = report.render_report(outcome, None)
     assert outcome.kept, text
     assert outcome.tally.answers["201"] > 30, text
     assert {"crash", "hang", "answer-lost", "preempt", "front-stall", "front-kill"} <= set(outcome.faults)
-    assert [f.rule for f in outcome.findings] == [1, 2, 3, 4, 5, 6]
-    assert said
+    assert [finding.rule for finding in outcome.findings] == [1, 2, 3, 4, 5, 6]
+    assert progress
 
 
 def slow_start(monkeypatch: pytest.MonkeyPatch, folder: Path, cases: str) -> None:
@@ -71,7 +71,7 @@
 ) -> None:
     """Guards against a begin that is fixed before the processes are up: a slow machine then failed the day."""
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
-    outcome = runner.play(plot(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
+    outcome = runner.play(parse_day(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
     assert outcome.failures == []
     assert outcome.kept, report.render_report(outcome, None)
 
@@ -90,7 +90,7 @@
 ) -> None:
     monkeypatch.setattr(front_processes, "START_WITHIN_SECONDS", 5)
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
-    outcome = runner.play(plot(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
+    outcome = runner.play(parse_day(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
     assert any("front 1 did not start" in failure for failure in outcome.failures)
     assert not outcome.kept
 
@@ -118,13 +118,13 @@
         assert orjson.loads(ended.stdout)["list"] > 0
 
 
-def test_the_viewers_of_a_day_come_from_its_seed_alone() -> None:
-    one = plot(SHORT)
-    assert plan_visits(one) == plan_visits(one)
-    assert plan_visits(one) != plan_visits(one.seeded(4))
+def test_the_visits_of_a_day_depend_on_its_seed_alone() -> None:
+    day = parse_day(SHORT)
+    assert plan_visits(day) == plan_visits(day)
+    assert plan_visits(day) != plan_visits(day.seeded(4))
 
 
-def drawn(kind: str) -> bytes:
+def bench_day(kind: str) -> bytes:
     plan = {"name": "p", "share": 1.0, "work": 1e5, "aim": 8e5, "deadline": 5e6, "worth": 2.0, "effect": "unsafe",
             "group": "all", "window": 5e6}  # fmt: skip
     return orjson.dumps({
@@ -144,17 +144,17 @@
 
 
 @pytest.mark.parametrize("kind", FAULT_KINDS)
-def test_every_kind_of_bench_trouble_becomes_one_of_ours(kind: str) -> None:
-    body, notes = translate(drawn(kind), "d")
-    translated = plot(body)
-    assert [f.kind for f in translated.faults] == [FAULT_KINDS[kind]]
+def test_every_fault_kind_of_the_bench_is_translated(kind: str) -> None:
+    body, notes = translate(bench_day(kind), "d")
+    translated = parse_day(body)
+    assert [fault.kind for fault in translated.faults] == [FAULT_KINDS[kind]]
     assert FAULT_KINDS[kind] in FAULTS
     assert len(translated.nodes) == 24
     assert any(kind in note for note in notes)
 
 
-def test_unknown_troubles_are_named_and_other_files_refused() -> None:
-    _, notes = translate(drawn("meteor"), "d")
+def test_unknown_fault_kinds_are_noted_and_other_files_rejected() -> None:
+    _, notes = translate(bench_day("meteor"), "d")
     assert "not mapped: meteor" in notes
     with pytest.raises(ValueError, match="not a day"):
         translate(b'{"fam": 1}', "d")
