--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -202,9 +202,9 @@
     with socket.socket() as probe:
         probe.bind(("127.0.71.1", 0))
         port = probe.getsockname()[1]
-    listen = {f"f{i}": (f"127.0.71.{i + 1}", port) for i in range(fronts)}
-    relays = {f"f{i}": (f"127.0.72.{i + 1}", port) for i in range(fronts)}
-    return Between(listen, relays, Random(seed))
+    addresses = {f"f{number}": (f"127.0.71.{number + 1}", port) for number in range(fronts)}
+    relays = {f"f{number}": (f"127.0.72.{number + 1}", port) for number in range(fronts)}
+    return Between(addresses, relays, Random(seed))
 
 
 def play(
--- a/tests/test_owners_check.py
+++ b/tests/test_owners_check.py
@@ -65,12 +65,16 @@
 
 
 def breaches(facts: list[Fact]) -> dict[int, list[str]]:
-    return {f.rule: f.breaches for f in check_owners(facts, NAMES, KEEPERS, TERM) if f.breaches}
+    return {
+        finding.rule: finding.breaches
+        for finding in check_owners(facts, NAMES, KEEPERS, TERM)
+        if finding.breaches
+    }
 
 
 def test_a_correct_fleet_has_no_breaches() -> None:
     assert breaches(model_records()) == {}
-    assert all(f.cases for f in check_owners(model_records(), NAMES, KEEPERS, TERM))
+    assert all(finding.cases for finding in check_owners(model_records(), NAMES, KEEPERS, TERM))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -37,8 +37,11 @@
   (fault front-kill (at 4500ms) (for 500ms) (on 0) (extra 0.3)))"""
 
 
-QUIET = SHORT[: SHORT.index("(fault")].replace("(length 7s)", "(length 2s)") + "{faults})"
-AT_ONCE = QUIET.format(faults="(fault crash (at 0ms) (for 1s) (on n2))")
+EARLY_FAULTS = """(fault crash (at 0ms) (for 1s) (on n2))
+  (fault front-stall (at 0ms) (for 100ms) (on 0) (size 0.1) (extra 1)))"""
+DAY_WITH_EARLY_FAULTS = SHORT[: SHORT.index("(fault")].replace("(length 7s)", "(length 2s)") + EARLY_FAULTS
+"""A node and a front fail as soon as the day begins."""
+
 CLOCK_SLACK_SECONDS = 0.05
 """Between the event loop's clock, by which the day begins, and the wall clock of the record."""
 
@@ -71,7 +74,9 @@
 ) -> None:
     """Guards against a begin that is fixed before the processes are up: a slow machine then failed the day."""
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
-    outcome = runner.play(parse_day(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
+    outcome = runner.play(
+        parse_day(DAY_WITH_EARLY_FAULTS), DAY_WITH_EARLY_FAULTS, "oakcroft", lambda _: None, tmp_path / "kept"
+    )
     assert outcome.failures == []
     assert outcome.kept, report.render_report(outcome, None)
 
@@ -81,8 +86,10 @@
     assert len(times("front started")) == 2
     settled = max(times("front started")) + round((runner.SETTLE_SECONDS - CLOCK_SLACK_SECONDS) * SECOND)
     assert min(times("ask")) >= settled
-    assert len(times("fault")) == 2
+    assert len(times("fault")) == 4  # the begin and the end of each
     assert min(times("fault")) >= settled
+    assert len(times("front stands still")) == 1
+    assert min(times("front stands still")) >= settled
 
 
 def test_a_front_that_is_not_up_in_time_fails_the_day(
@@ -90,14 +97,16 @@
 ) -> None:
     monkeypatch.setattr(front_processes, "START_WITHIN_SECONDS", 5)
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
-    outcome = runner.play(parse_day(AT_ONCE), AT_ONCE, "oakcroft", lambda _: None, tmp_path / "kept")
+    outcome = runner.play(
+        parse_day(DAY_WITH_EARLY_FAULTS), DAY_WITH_EARLY_FAULTS, "oakcroft", lambda _: None, tmp_path / "kept"
+    )
     assert any("front 1 did not start" in failure for failure in outcome.failures)
     assert not outcome.kept
 
 
 def run_fleet(folder: Path, standard_input: bytes, *options: str) -> subprocess.CompletedProcess[bytes]:
     """Runs the fleet of a day until its standard input ends."""
-    (folder / "day.oak").write_text(AT_ONCE)
+    (folder / "day.oak").write_text(DAY_WITH_EARLY_FAULTS)
     command = [sys.executable, "-m", "oakcroft", "stand-in", str(folder / "day.oak"), "--seed", "3",
                "--record", str(folder / "fleet.jsonl"), *options]  # fmt: skip
     return subprocess.run(command, input=standard_input, capture_output=True, timeout=60, check=False)
