--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -50,7 +50,7 @@
     FILE may be the name of a shipped day, bad-day, split-fleet or late-owner; without it the bad day is played.
     """
     from oakcroft.rehearsal import report, runner
-    from oakcroft.rehearsal.mixed import Mixed
+    from oakcroft.rehearsal.mixed_audience import MixedAudience
     from oakcroft.rehearsal.viewers import Audience
 
     try:
@@ -60,13 +60,13 @@
         sys.exit(EXIT_INVALID_INPUT)
     if seed is not None:
         day = day.with_seed(seed)
-    audience = Mixed if mixed else Audience
+    audience = MixedAudience if mixed else Audience
     outcome = runner.play(day, body, "oakcroft", click.echo, keep, audience, with_state, patient)
     baseline_outcome = None
     if baseline:
         click.echo("the naive baseline on the same day:")
         baseline_outcome = runner.play(day, body, "naive", click.echo, keep and keep / "naive")
-    click.echo(report.whole(outcome, baseline_outcome))
+    click.echo(report.render_report(outcome, baseline_outcome))
     sys.exit(0 if outcome.kept else EXIT_FAILURE)
 
 
@@ -89,11 +89,17 @@
 @click.command(name="stand-in", hidden=True)
 @click.argument("file", type=EXISTING_FILE)
 @click.option("--seed", type=int, required=True)
-@click.option("--start", type=int, required=True, help="When the day begins, ns since the epoch.")
+@click.option(
+    "--start", type=int, help="When the day begins, ns since the epoch; by default read from standard input."
+)
 @click.option("--record", type=click.Path(dir_okay=False, path_type=Path), required=True)
-def stand_in(file: Path, seed: int, start: int, record: Path) -> None:
+def stand_in(file: Path, seed: int, start: int | None, record: Path) -> None:
     """Run the fleet of a day: its nodes, its list service and its faults."""
     from oakcroft.standins import program
     from oakcroft.standins.day import load_day
 
-    trio.run(program.main, load_day(file).with_seed(seed), start, record)
+    try:
+        trio.run(program.main, load_day(file).with_seed(seed), start, record)
+    except program.InvalidStartError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_INVALID_INPUT)
--- a/oakcroft/rehearsal/firstcome.py
+++ b/oakcroft/rehearsal/firstcome.py
@@ -1,6 +1,7 @@
-"""A front without the line before the module, to measure it against: requests go on first come, first served.
+"""A front without load shedding, to measure load shedding against: requests are admitted first come, first served.
 
-`python -m oakcroft.rehearsal.firstcome FILE` serves like `oakcroft serve FILE`.
+`python -m oakcroft.rehearsal.firstcome FILE` serves like `oakcroft serve FILE`, with a concurrency window that is never
+full.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 from oakcroft.decisions.admission.load_shedding import ConcurrencyWindow
 from oakcroft.front import session_service
 
-ENDLESS = 1 << 40
+UNLIMITED = 1 << 40
 
 if __name__ == "__main__":
     session_service.ConcurrencyWindow = lambda: ConcurrencyWindow(  # type: ignore[assignment, misc, attr-defined]
-        min_size=ENDLESS, max_size=ENDLESS, size=float(ENDLESS)
+        min_size=UNLIMITED, max_size=UNLIMITED, size=float(UNLIMITED)
     )
     sys.exit(serve_file(Path(sys.argv[1])))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -21,7 +21,7 @@
 from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.rehearsal.viewers import offer
-from oakcroft.rulecheck.rules import judge
+from oakcroft.rulecheck.rules import check_rules
 from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins.day import parse_day
 from oakcroft.standins.fleet import Fleet
@@ -137,7 +137,7 @@
     def rule_breaches(self) -> dict[int, list[str]]:
         """Breaches of the six rules, by rule, judged from the recorded facts."""
         self.record.file.flush()
-        found = judge(read_record(self.directory / "fleet.jsonl"), self.fleet.day.site)
+        found = check_rules(read_record(self.directory / "fleet.jsonl"), self.fleet.day.site)
         assert [finding.rule for finding in found] == [1, 2, 3, 4, 5, 6]
         return {finding.rule: finding.breaches for finding in found if finding.breaches}
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,11 +1,17 @@
-"""A short bad day through real processes, and the translation of bench days."""
+"""A short day with faults through real processes, the start of the emulated fleet, and the translation of bench days."""
 
 from __future__ import annotations
 
+import subprocess
+import sys
+from pathlib import Path
+
 import orjson
 import pytest
 
-from oakcroft.rehearsal.bench_day import KINDS, translate
+from oakcroft.interface import SECOND
+from oakcroft.rehearsal import front_processes
+from oakcroft.rehearsal.bench_day import FAULT_KINDS, translate
 from oakcroft.rehearsal.viewers import plan_visits
 from oakcroft.rehearsal import report, runner
 from oakcroft.standins.day import FAULTS, Day, parse_day
@@ -31,28 +37,111 @@
   (fault front-kill (at 4500ms) (for 500ms) (on 0) (extra 0.3)))"""
 
 
-def plot(body: str) -> Day:
+EARLY_FAULTS = """(fault crash (at 0ms) (for 1s) (on n2))
+  (fault front-stall (at 0ms) (for 100ms) (on 0) (size 0.1) (extra 1)))"""
+DAY_WITH_EARLY_FAULTS = SHORT[: SHORT.index("(fault")].replace("(length 7s)", "(length 2s)") + EARLY_FAULTS
+"""A node and a front fail as soon as the day begins."""
+
+CLOCK_SLACK_SECONDS = 0.05
+"""Between the event loop's clock, by which the day begins, and the wall clock of the record."""
+
+
+def parse_scenario(body: str) -> Day:
     return parse_day(body, "day")
 
 
 def test_a_short_bad_day_keeps_every_rule_on_the_sockets() -> None:
-    said: list[str] = []
-    outcome = runner.play(plot(SHORT), SHORT, "oakcroft", said.append)
-    text = report.whole(outcome, None)
+    progress: list[str] = []
+    outcome = runner.play(parse_scenario(SHORT), SHORT, "oakcroft", progress.append)
+    text = report.render_report(outcome, None)
     assert outcome.kept, text
     assert outcome.tally.answers["201"] > 30, text
     assert {"crash", "hang", "answer-lost", "preempt", "front-stall", "front-kill"} <= set(outcome.faults)
-    assert [f.rule for f in outcome.findings] == [1, 2, 3, 4, 5, 6]
-    assert said
-
-
-def test_the_viewers_of_a_day_come_from_its_seed_alone() -> None:
-    one = plot(SHORT)
-    assert plan_visits(one) == plan_visits(one)
-    assert plan_visits(one) != plan_visits(one.with_seed(4))
-
-
-def drawn(kind: str) -> bytes:
+    assert [finding.rule for finding in outcome.findings] == [1, 2, 3, 4, 5, 6]
+    assert progress
+
+
+def slow_start(monkeypatch: pytest.MonkeyPatch, folder: Path, cases: str) -> None:
+    """Runs a shell `case` over the arguments of every Python process that the rehearsal starts, before it starts."""
+    script = folder / "python"
+    script.write_text(f'#!/bin/sh\ncase "$*" in\n{cases}\nesac\nexec "{sys.executable}" "$@"\n')
+    script.chmod(0o755)
+    monkeypatch.setattr(sys, "executable", str(script))
+
+
+def test_a_day_on_a_machine_that_starts_processes_slowly_begins_settled(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    """Guards against a begin that is fixed before the processes are up: a slow machine then failed the day."""
+    slow_start(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
+    outcome = runner.play(
+        parse_scenario(DAY_WITH_EARLY_FAULTS),
+        DAY_WITH_EARLY_FAULTS,
+        "oakcroft",
+        lambda _: None,
+        tmp_path / "kept",
+    )
+    assert outcome.failures == []
+    assert outcome.kept, report.render_report(outcome, None)
+
+    def times(kind: str) -> list[int]:
+        return [fact["t"] for fact in outcome.facts if fact["kind"] == kind]
+
+    assert len(times("front started")) == 2
+    settled = max(times("front started")) + round((runner.SETTLE_SECONDS - CLOCK_SLACK_SECONDS) * SECOND)
+    assert min(times("ask")) >= settled
+    assert len(times("fault")) == 4  # the begin and the end of each
+    assert min(times("fault")) >= settled
+    assert len(times("front stands still")) == 1
+    assert min(times("front stands still")) >= settled
+
+
+def test_a_front_that_is_not_up_in_time_fails_the_day(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    monkeypatch.setattr(front_processes, "START_WITHIN_SECONDS", 5)
+    slow_start(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
+    outcome = runner.play(
+        parse_scenario(DAY_WITH_EARLY_FAULTS),
+        DAY_WITH_EARLY_FAULTS,
+        "oakcroft",
+        lambda _: None,
+        tmp_path / "kept",
+    )
+    assert any("front 1 did not start" in failure for failure in outcome.failures)
+    assert not outcome.kept
+
+
+def run_fleet(folder: Path, standard_input: bytes, *options: str) -> subprocess.CompletedProcess[bytes]:
+    """Runs the fleet of a day until its standard input ends."""
+    (folder / "day.oak").write_text(DAY_WITH_EARLY_FAULTS)
+    command = [sys.executable, "-m", "oakcroft", "stand-in", str(folder / "day.oak"), "--seed", "3",
+               "--record", str(folder / "fleet.jsonl"), *options]  # fmt: skip
+    return subprocess.run(command, input=standard_input, capture_output=True, timeout=60, check=False)
+
+
+@pytest.mark.parametrize("line", [b"", b"\n", b"soon\n", b"17", b"-5\n", b"1.5\n", b"7" * 100 + b"\n"])
+def test_a_fleet_that_is_told_no_valid_start_ends_with_a_plain_error(tmp_path: Path, line: bytes) -> None:
+    ended = run_fleet(tmp_path, line)
+    assert ended.returncode == 2
+    assert b"is no start in ns since the epoch" in ended.stderr
+    assert b"Traceback" not in ended.stderr
+
+
+def test_a_fleet_takes_its_start_from_its_option_or_from_standard_input(tmp_path: Path) -> None:
+    for standard_input, options in ((b"1\n", ()), (b"", ("--start", "1"))):
+        ended = run_fleet(tmp_path, standard_input, *options)
+        assert (ended.returncode, ended.stderr) == (0, b"")
+        assert orjson.loads(ended.stdout)["list"] > 0
+
+
+def test_the_visits_of_a_day_depend_on_its_seed_alone() -> None:
+    day = parse_scenario(SHORT)
+    assert plan_visits(day) == plan_visits(day)
+    assert plan_visits(day) != plan_visits(day.with_seed(4))
+
+
+def bench_day(kind: str) -> bytes:
     plan = {"name": "p", "share": 1.0, "work": 1e5, "aim": 8e5, "deadline": 5e6, "worth": 2.0, "effect": "unsafe",
             "group": "all", "window": 5e6}  # fmt: skip
     return orjson.dumps({
@@ -71,18 +160,18 @@
     })  # fmt: skip
 
 
-@pytest.mark.parametrize("kind", KINDS)
-def test_every_kind_of_bench_trouble_becomes_one_of_ours(kind: str) -> None:
-    body, notes = translate(drawn(kind), "d")
-    translated = plot(body)
-    assert [f.kind for f in translated.faults] == [KINDS[kind]]
-    assert KINDS[kind] in FAULTS
+@pytest.mark.parametrize("kind", FAULT_KINDS)
+def test_every_fault_kind_of_the_bench_is_translated(kind: str) -> None:
+    body, notes = translate(bench_day(kind), "d")
+    translated = parse_scenario(body)
+    assert [fault.kind for fault in translated.faults] == [FAULT_KINDS[kind]]
+    assert FAULT_KINDS[kind] in FAULTS
     assert len(translated.nodes) == 24
     assert any(kind in note for note in notes)
 
 
-def test_unknown_troubles_are_named_and_other_files_refused() -> None:
-    _, notes = translate(drawn("meteor"), "d")
+def test_unknown_fault_kinds_are_noted_and_other_files_rejected() -> None:
+    _, notes = translate(bench_day("meteor"), "d")
     assert "not mapped: meteor" in notes
     with pytest.raises(ValueError, match="not a day"):
         translate(b'{"fam": 1}', "d")
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -33,8 +33,8 @@
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, Message, MessageKind
 from oakcroft.interface import MS, SECOND
-from oakcroft.rehearsal.many_views import Net, fleet
-from oakcroft.rulecheck.fleet import judge_view
+from oakcroft.rehearsal.membership_simulation import SimulatedNetwork, settled_network
+from oakcroft.rulecheck.membership import check_membership
 from oakcroft.running.logs import LossyOutput
 
 ALIVE, SUSPECTED, FAILED, LEFT = MemberState
@@ -54,9 +54,9 @@
     return MemberUpdate(name, generation, incarnation, state, f"host-{name}", 1, "w", "1", proof, by)
 
 
-def reported(net: Net, state: MemberState) -> set[str]:
+def reported(net: SimulatedNetwork, state: MemberState) -> set[str]:
     """Members that any front has reported in a state."""
-    return {about for _, _, about, _, now in net.told if now == state.label}
+    return {about for _, _, about, _, now in net.state_changes if now == state.label}
 
 
 @given(st.lists(member_updates, max_size=6))
@@ -204,40 +204,40 @@
 
 
 def test_all_detect_a_crash_and_no_other_member_fails() -> None:
-    net = fleet(24, 1, loss=0.05)
-    net.told.clear()
+    net = settled_network(24, 1, loss=0.05)
+    net.state_changes.clear()
     killed_at = net.now
     net.kill("f7")
-    assert net.run(10 * SECOND, lambda: net.agree({"f7"}, FAILED))
+    assert net.run(10 * SECOND, lambda: net.all_see({"f7"}, FAILED))
     assert net.now - killed_at < 6 * SECOND
     net.run(10 * SECOND)
     assert reported(net, FAILED) == {"f7"}
     net.add("f7", (("host-f0", 1),))
-    assert net.run(3 * SECOND, net.settled)
+    assert net.run(3 * SECOND, net.is_settled)
 
 
 def test_seven_in_ten_crash_at_once_and_restart() -> None:
-    net = fleet(30, 2, loss=0.05)
+    net = settled_network(30, 2, loss=0.05)
     victims = {f"f{i}" for i in range(9, 30)}
-    net.told.clear()
+    net.state_changes.clear()
     for name in victims:
         net.kill(name)
-    assert net.run(15 * SECOND, net.settled)
+    assert net.run(15 * SECOND, net.is_settled)
     assert reported(net, FAILED) == victims
     for name in victims:
         net.add(name, (("host-f0", 1), ("host-f20", 1)))
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
 
 
 def test_a_front_paused_for_half_a_minute_declares_nobody_failed_and_is_alive_again() -> None:
-    net = fleet(12, 3)
-    net.stop("f4")
-    assert net.run(10 * SECOND, lambda: net.agree({"f4"}, FAILED))
+    net = settled_network(12, 3)
+    net.pause("f4")
+    assert net.run(10 * SECOND, lambda: net.all_see({"f4"}, FAILED))
     net.run(30 * SECOND)
-    net.told.clear()
-    net.go_on("f4")
+    net.state_changes.clear()
+    net.resume("f4")
     resumed_at = net.now
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
     assert net.now - resumed_at < 3 * SECOND
     net.run(10 * SECOND)
     assert reported(net, FAILED) == set()
@@ -245,8 +245,8 @@
 
 
 def test_no_member_fails_by_a_link_that_is_broken_one_way() -> None:
-    net = fleet(8, 4)
-    net.told.clear()
+    net = settled_network(8, 4)
+    net.state_changes.clear()
     net.cut = lambda one, other: (one, other) == ("f1", "f2")
     net.run(60 * SECOND)
     assert reported(net, FAILED) == set()
@@ -256,8 +256,8 @@
 
 
 def test_no_member_fails_by_lost_duplicate_late_and_reordered_messages() -> None:
-    net = fleet(10, 5)
-    net.told.clear()
+    net = settled_network(10, 5)
+    net.state_changes.clear()
     net.loss = 0.33
     net.double = 0.2
     net.latency = (MS, 150 * MS)
@@ -267,7 +267,7 @@
 
 @pytest.mark.parametrize("many", [2, 5])
 def test_a_partition_longer_than_the_retention_of_failed_members_heals_without_an_operator(many: int) -> None:
-    net = fleet(10, 6)
+    net = settled_network(10, 6)
     part = {f"f{i}": i % many for i in range(10)}
     net.cut = lambda one, other: part[one] != part[other]
     net.run(FAILED_RETENTION + 60 * SECOND)
@@ -276,33 +276,33 @@
     assert all(view.state_of(name) is None for name in part if part[name] != part["f3"])
     net.cut = lambda _one, _other: False
     healed_at = net.now
-    assert net.run(30 * SECOND, net.settled)
+    assert net.run(30 * SECOND, net.is_settled)
     assert net.now - healed_at < 20 * SECOND
 
 
 def test_a_restart_while_updates_of_the_failure_spread() -> None:
-    net = fleet(12, 7)
+    net = settled_network(12, 7)
     net.kill("f5")
     net.run(2 * SECOND)
     net.add("f5", (("host-f1", 1),))
-    assert net.run(5 * SECOND, net.settled)
-    net.told.clear()
+    assert net.run(5 * SECOND, net.is_settled)
+    net.state_changes.clear()
     net.run(15 * SECOND)
     assert reported(net, FAILED) == set()
 
 
 def test_a_start_with_a_lower_generation_learns_the_higher_one_from_its_peers() -> None:
-    net = fleet(5, 8)
+    net = settled_network(5, 8)
     net.kill("f3")
     net.run(1 * SECOND)
     net.add("f3", (("host-f0", 1),), start=1)  # no file, and the clock went back
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
     assert net.processes["f3"].view.me.generation > 1
     assert not net.processes["f3"].view.displaced
 
 
 def test_two_processes_under_one_name_are_reported_and_do_not_destabilize_the_membership() -> None:
-    net = fleet(6, 9)
+    net = settled_network(6, 9)
     first = net.processes["f2"]
     other = net.add("f2", (("host-f0", 1),), host="host-other")
     first.alive = True  # keeps running at its own address
@@ -312,14 +312,16 @@
     assert not other.view.displaced
     reporters = {
         at
-        for _, at, about, _, now in net.told
+        for _, at, about, _, now in net.state_changes
         if about == "f2" and at == "f2" and now in ("displaced", "alive")
     }
     assert reporters == {"f2"}
-    net.told.clear()
+    net.state_changes.clear()
     net.run(30 * SECOND)
     accusations = [
-        (at, now) for _, at, about, _, now in net.told if about == "f2" and now in ("gone", "suspected")
+        (at, now)
+        for _, at, about, _, now in net.state_changes
+        if about == "f2" and now in ("gone", "suspected")
     ]
     assert accusations == []
     other.alive = False
@@ -329,34 +331,34 @@
 
 
 def test_all_seeds_down_at_the_start_and_a_seed_that_is_the_front_itself() -> None:
-    net = Net(10)
+    net = SimulatedNetwork(10)
     seeds = (("host-s", 1), ("host-a", 1))
     net.add("a", seeds)
     net.add("b", seeds)
     net.run(5 * SECOND)
-    assert net.settled()  # b found a
-    lonely = Net(11)
+    assert net.is_settled()  # b found a
+    lonely = SimulatedNetwork(11)
     lonely.add("a", (("host-s", 1), ("host-a", 1)))
     lonely.add("b", (("host-s", 1),))
     lonely.run(30 * SECOND)
-    assert not lonely.settled()
+    assert not lonely.is_settled()
     lonely.add("s")
-    assert lonely.run(5 * SECOND, lonely.settled)
+    assert lonely.run(5 * SECOND, lonely.is_settled)
 
 
 def test_an_address_that_another_front_has_taken_over() -> None:
-    net = fleet(6, 12)
+    net = settled_network(6, 12)
     net.kill("f4")
     net.add("new", (("host-f0", 1),), host="host-f4")
-    assert net.run(10 * SECOND, lambda: net.agree({"f4"}, FAILED) and net.agree({"new"}, ALIVE))
+    assert net.run(10 * SECOND, lambda: net.all_see({"f4"}, FAILED) and net.all_see({"new"}, ALIVE))
 
 
 def test_a_front_that_crashes_every_two_seconds_does_not_flood_the_others() -> None:
-    net = fleet(8, 13)
+    net = settled_network(8, 13)
     net.run(30 * SECOND)
     for process in net.processes.values():
         process.octets = 0
-    net.told.clear()
+    net.state_changes.clear()
     for _ in range(30):
         net.kill("f7")
         net.run(SECOND // 2)
@@ -364,28 +366,28 @@
         net.run(3 * SECOND // 2)
     others = [process for name, process in net.processes.items() if name != "f7"]
     assert max(process.octets for process in others) / 60 < 4_000
-    reports = [now for _, at, about, _, now in net.told if at == "f0" and about == "f7"]
+    reports = [now for _, at, about, _, now in net.state_changes if at == "f0" and about == "f7"]
     assert len(reports) < 30
 
 
 def test_a_rolling_restart_of_all() -> None:
-    net = fleet(10, 14)
-    net.told.clear()
+    net = settled_network(10, 14)
+    net.state_changes.clear()
     for i in range(10):
         net.processes[f"f{i}"].view.leave()
-        net._after(net.processes[f"f{i}"])
+        net.send_output(net.processes[f"f{i}"])
         net.kill(f"f{i}")
         net.run(SECOND)
         net.add(f"f{i}", (("host-f0", 1), ("host-f5", 1)))
         net.run(SECOND)
-    assert net.run(5 * SECOND, net.settled)
+    assert net.run(5 * SECOND, net.is_settled)
     assert reported(net, FAILED) == set()  # each announced that it left
     assert reported(net, LEFT) == {f"f{i}" for i in range(10)}
 
 
 def test_false_accusations_by_one_member_cause_refutations_and_no_failed_member() -> None:
-    net = fleet(16, 15, loss=0.05)
-    net.told.clear()
+    net = settled_network(16, 15, loss=0.05)
+    net.state_changes.clear()
     faulty_member = net.processes["f3"]
     for _ in range(100):
         view = faulty_member.view
@@ -401,28 +403,28 @@
                     receiver.view.receive_message(
                         view.me, MessageKind.GOSSIP, 0, ANYONE, None, accusations, net.now
                     )
-                    net._after(receiver)
+                    net.send_output(receiver)
         net.run(100 * MS)
     assert reported(net, FAILED) == set()
-    assert sum(process.view.counts.refuted for process in net.living()) > 0
-    assert net.run(10 * SECOND, net.settled)
+    assert sum(process.view.counts.refuted for process in net.running_processes()) > 0
+    assert net.run(10 * SECOND, net.is_settled)
 
 
 @pytest.mark.parametrize("state", [ALIVE, SUSPECTED, FAILED])
 def test_an_accusation_with_the_highest_plausible_incarnation_is_refuted(state: MemberState) -> None:
     """The accused cannot raise its incarnation further, so without a new generation others would drop its updates."""
-    net = fleet(8, 17)
-    net.told.clear()
+    net = settled_network(8, 17)
+    net.state_changes.clear()
     accusation = replace(net.processes["f5"].view.me.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1)
     sender = net.processes["f3"].view.me
-    for process in net.living():
+    for process in net.running_processes():
         if process.name not in ("f3", "f5"):
             process.view.receive_message(sender, MessageKind.GOSSIP, 0, ANYONE, None, [accusation], net.now)
-            net._after(process)
+            net.send_output(process)
     net.run(30 * SECOND)
     assert reported(net, FAILED) == set()
-    assert net.settled()
-    assert all(p.view.members["f5"].latest.is_plausible() for p in net.living())
+    assert net.is_settled()
+    assert all(p.view.members["f5"].latest.is_plausible() for p in net.running_processes())
 
 
 def test_tables_stay_within_their_bounds() -> None:
@@ -455,12 +457,12 @@
     """A front leaves and returns on one side of a partition; the rates of both sides together stay within the bound."""
     fronts = 10
     rate = 100.0
-    net = fleet(fronts, 16)
+    net = settled_network(fronts, 16)
     limit = RequestLimit("all", LimitScope.ALL, "", rate=rate)
 
     def total_rate() -> float:
         total = 0.0
-        for process in net.living():
+        for process in net.running_processes():
             ledger = LimitLedger(int(process.name[1:]), fronts)
             ledger.set_limits([limit])
             ledger.set_rate_shares(rate_divisor(fronts, process.view.left_count()))
@@ -468,13 +470,13 @@
         return total
 
     net.kill("f8")
-    assert net.run(10 * SECOND, lambda: net.agree({"f8"}, FAILED))
+    assert net.run(10 * SECOND, lambda: net.all_see({"f8"}, FAILED))
     # A failed front keeps its share, since it may still be serving on the other side of a partition.
     assert total_rate() == pytest.approx(rate * 9 / 10)
     net.processes["f9"].view.leave()
-    net._after(net.processes["f9"])
+    net.send_output(net.processes["f9"])
     net.kill("f9")
-    assert net.run(5 * SECOND, lambda: net.agree({"f9"}, LEFT))
+    assert net.run(5 * SECOND, lambda: net.all_see({"f9"}, LEFT))
     assert total_rate() == pytest.approx(rate * 8 / 9)
     side = {"f0", "f1", "f2", "f9"}
     net.cut = lambda one, other: (one in side) != (other in side)
@@ -484,19 +486,19 @@
         net.run(SECOND)
         assert total_rate() <= rate * (1 + max_overshoot(fronts, 1)) + 1e-9
     net.cut = lambda _one, _other: False
-    assert net.run(20 * SECOND, net.settled)
+    assert net.run(20 * SECOND, net.is_settled)
     assert total_rate() == pytest.approx(rate)
 
 
 # The external check of membership, and planted faults that it must find.
 
 
-def observe(net: Net, seconds: int) -> list[dict[str, Any]]:
+def observe(net: SimulatedNetwork, seconds: int) -> list[dict[str, Any]]:
     """Runs the simulation and records twice a second how each process sees the others."""
     facts = []
     for _ in range(2 * seconds):
         net.run(SECOND // 2)
-        for process in net.living():
+        for process in net.running_processes():
             members = {
                 n: [m.latest.state.label, m.latest.generation] for n, m in process.view.members.items()
             }
@@ -504,9 +506,9 @@
     return facts
 
 
-def breaches_by_rule(plant_fault: Callable[[Net], None]) -> dict[int, int]:
+def breaches_by_rule(plant_fault: Callable[[SimulatedNetwork], None]) -> dict[int, int]:
     """Runs a fleet of six with a planted fault through a crash, a restart and a partition; counts breaches by rule."""
-    net = fleet(6, 20)
+    net = settled_network(6, 20)
     plant_fault(net)
     facts = observe(net, 5)
     facts.append({"t": net.now, "kind": "front killed", "front": 5})
@@ -521,7 +523,7 @@
     facts.append({"t": net.now, "kind": "cut", "phase": "ends", "fronts": [0, 1], "one_way": False})
     net.cut = lambda _one, _other: False
     facts += observe(net, 30)
-    found = judge_view(facts, {i: f"f{i}" for i in range(6)})
+    found = check_membership(facts, {i: f"f{i}" for i in range(6)})
     assert all(finding.cases for finding in found if finding.rule != 13)
     return {finding.rule: len(finding.breaches) for finding in found if finding.breaches}
 
@@ -531,14 +533,14 @@
 
 
 def test_the_check_finds_a_front_that_never_declares_a_member_failed() -> None:
-    def plant_fault(net: Net) -> None:
+    def plant_fault(net: SimulatedNetwork) -> None:
         net.processes["f3"].view._expire_suspicions = lambda now: None  # type: ignore[method-assign]
 
     assert breaches_by_rule(plant_fault).keys() >= {12}
 
 
 def test_the_check_finds_a_front_that_makes_failed_members_alive_again() -> None:
-    def plant_fault(net: Net) -> None:
+    def plant_fault(net: SimulatedNetwork) -> None:
         view = net.processes["f2"].view
         tick = view.tick
 
@@ -554,7 +556,7 @@
 
 
 def test_the_check_finds_a_front_that_declares_a_living_member_failed() -> None:
-    def plant_fault(net: Net) -> None:
+    def plant_fault(net: SimulatedNetwork) -> None:
         view = net.processes["f2"].view
         tick = view.tick
 
@@ -568,7 +570,7 @@
 
 
 def test_the_check_fails_without_observations() -> None:
-    assert judge_view([], {0: "f0"})[0].breaches
+    assert check_membership([], {0: "f0"})[0].breaches
 
 
 def test_a_log_on_a_full_disk_fails_nothing_and_counts_lost_lines() -> None:
