--- a/benchmarks/capacity/fleet_command.py
+++ b/benchmarks/capacity/fleet_command.py
@@ -17,7 +17,7 @@
 from benchmarks.capacity.fleet_simulation import FleetSimulation
 from benchmarks.capacity.fleet_sockets import compare, run_processes, simulated_loads, socket_loads
 from benchmarks.capacity.fleet_zoned import ZonedImplementation
-from benchmarks.capacity.network import DEFAULT_LOSS, Network, NetworkTerms
+from benchmarks.capacity.network import DEFAULT_LOSS, Network, NetworkParameters
 from benchmarks.capacity.network_check import sample_links
 from benchmarks.capacity.topology import Topology, TopologyError
 from oakcroft.interface import SECOND
@@ -43,7 +43,7 @@
     front_ends: int
     seed: int
     duration: int
-    network: NetworkTerms
+    network: NetworkParameters
     fault: FaultTerms
     membership: str
     preloaded: bool
@@ -136,7 +136,7 @@
         return
     fault_terms = FaultTerms(Fault(fault), round(cut_seconds * SECOND), restarts, speed_up)
     duration = round(minutes * 60 * SECOND)
-    network = NetworkTerms.with_loss(*losses(loss))
+    network = NetworkParameters.with_loss(*losses(loss))
     run = FleetRun(fronts, seed, duration, network, fault_terms, membership, preloaded, alone, wall_seconds)
     began = time.monotonic()
     try:
--- a/benchmarks/capacity/fleet_report.py
+++ b/benchmarks/capacity/fleet_report.py
@@ -62,8 +62,8 @@
 
 def link_line(samples: Sequence[LinkSample]) -> Line:
     """What the links did, beside what is stated of them."""
-    wrong = [sample.kind for sample in samples if not sample.as_stated()]
-    text = "; ".join(sample.show() for sample in samples)
+    wrong = [sample.kind for sample in samples if not sample.matches_parameters()]
+    text = "; ".join(sample.describe() for sample in samples)
     if wrong:
         text += f"; not as stated: {', '.join(wrong)}"
     return Line("links", text, not wrong)
--- a/benchmarks/capacity/fleet_simulation.py
+++ b/benchmarks/capacity/fleet_simulation.py
@@ -17,7 +17,7 @@
 from benchmarks.capacity.fleet_membership import Implementation, ObservedState, Outgoing, Transition
 from benchmarks.capacity.fleet_sampling import Sampling
 from benchmarks.capacity.fleet_streams import Streams
-from benchmarks.capacity.network import DATAGRAM_HEADER_OCTETS, EventQueue, Network, NetworkTerms
+from benchmarks.capacity.network import DATAGRAM_HEADER_OCTETS, EventQueue, Network, NetworkParameters
 from benchmarks.capacity.topology import Topology
 from oakcroft.interface import MS, SECOND
 
@@ -56,7 +56,7 @@
     def __init__(
         self,
         topology: Topology,
-        terms: NetworkTerms,
+        terms: NetworkParameters,
         implementation: Implementation,
         seed: int,
         duration: int,
--- a/benchmarks/capacity/fleet_socket_host.py
+++ b/benchmarks/capacity/fleet_socket_host.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity.fleet_memory import resident_octets
 from benchmarks.capacity.fleet_socket_messages import HostResult, HostTask, Reading
 from benchmarks.capacity.fleet_zoned import seed_addresses
-from benchmarks.capacity.topology import LOOPBACK_NETWORK, Site, Topology
+from benchmarks.capacity.topology import LOOPBACK_FIRST_OCTET, Site, Topology
 from oakcroft.config.settings import OtherZone, PeerSettings
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.decisions.membership.messages import MessageKind
@@ -94,7 +94,7 @@
 
 async def host(task: HostTask) -> HostResult:
     """Runs the front ends of a task for its time. OSError where an address is taken."""
-    topology = Topology(task.front_ends, first_octet=LOOPBACK_NETWORK)
+    topology = Topology(task.front_ends, first_octet=LOOPBACK_FIRST_OCTET)
     sites = topology.sites[task.first : task.first + task.count]
     before = reading([])
     clock = Clock()
--- a/benchmarks/capacity/fleet_sockets.py
+++ b/benchmarks/capacity/fleet_sockets.py
@@ -24,8 +24,8 @@
 from benchmarks.capacity.fleet_report import MICROSECOND, Line
 from benchmarks.capacity.fleet_simulation import FleetSimulation
 from benchmarks.capacity.fleet_socket_messages import HostResult, HostTask
-from benchmarks.capacity.network import LinkTerms, NetworkTerms
-from benchmarks.capacity.topology import LOOPBACK_NETWORK, Topology
+from benchmarks.capacity.network import LinkParameters, NetworkParameters
+from benchmarks.capacity.topology import LOOPBACK_FIRST_OCTET, Topology
 from oakcroft.interface import MS, SECOND
 
 MOST_PROCESSES = 64
@@ -35,7 +35,7 @@
 RESULT_SLACK = 60.0
 """Seconds beyond the time that a process's front ends run."""
 
-LOOPBACK = LinkTerms(MS // 20, MS // 2, 0.0)
+LOOPBACK = LinkParameters(MS // 20, MS // 2, 0.0)
 """Loopback between busy processes: some tenths of a millisecond, and nothing is lost."""
 
 DIFFERENCE_ALLOWED = 0.1
@@ -187,8 +187,8 @@
 
 def simulated_loads(make: Callable[[Topology], Implementation], front_ends: int, seed: int) -> FleetLoads:
     """The same fleet on simulated links as fast as loopback."""
-    topology = Topology(front_ends, first_octet=LOOPBACK_NETWORK)
-    terms = NetworkTerms(LOOPBACK, LOOPBACK, LOOPBACK, 0)
+    topology = Topology(front_ends, first_octet=LOOPBACK_FIRST_OCTET)
+    terms = NetworkParameters(LOOPBACK, LOOPBACK, LOOPBACK, 0)
     started_at, ended_at = round(START_SECONDS * SECOND), round((START_SECONDS + QUIET_SECONDS) * SECOND)
     simulation = FleetSimulation(topology, terms, make(topology), seed, ended_at)
     simulation.start_all()
--- a/benchmarks/capacity/network.py
+++ b/benchmarks/capacity/network.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class LinkTerms:
+class LinkParameters:
     """One kind of path. One-way latency: from `latency` to `latency + jitter`, evenly; `loss`: of one datagram."""
 
     latency: int
@@ -44,21 +44,21 @@
 
 
 @dataclass(frozen=True)
-class NetworkTerms:
+class NetworkParameters:
     """The three kinds of path. Between regions, `ring_step` is added for each region that lies between the two."""
 
-    inside_zone: LinkTerms
-    between_zones: LinkTerms
-    between_regions: LinkTerms
+    inside_zone: LinkParameters
+    between_zones: LinkParameters
+    between_regions: LinkParameters
     ring_step: int
 
     @classmethod
-    def with_loss(cls, inside_zone: float, between_zones: float, between_regions: float) -> NetworkTerms:
+    def with_loss(cls, inside_zone: float, between_zones: float, between_regions: float) -> NetworkParameters:
         """The usual latencies with these losses."""
         return cls(
-            LinkTerms(LATENCY_INSIDE_ZONE, JITTER_INSIDE_ZONE, inside_zone),
-            LinkTerms(LATENCY_BETWEEN_ZONES, JITTER_BETWEEN_ZONES, between_zones),
-            LinkTerms(LATENCY_BETWEEN_REGIONS, JITTER_BETWEEN_REGIONS, between_regions),
+            LinkParameters(LATENCY_INSIDE_ZONE, JITTER_INSIDE_ZONE, inside_zone),
+            LinkParameters(LATENCY_BETWEEN_ZONES, JITTER_BETWEEN_ZONES, between_zones),
+            LinkParameters(LATENCY_BETWEEN_REGIONS, JITTER_BETWEEN_REGIONS, between_regions),
             LATENCY_RING_STEP,
         )
 
@@ -121,7 +121,7 @@
 class Network:
     """Latency, loss and partitions between the sites of a topology."""
 
-    def __init__(self, topology: Topology, terms: NetworkTerms, seed: int) -> None:
+    def __init__(self, topology: Topology, terms: NetworkParameters, seed: int) -> None:
         """All links stand; latencies and losses are drawn by the seed."""
         self._random = Random(f"network {seed}")
         self._cut_regions: set[int] = set()
@@ -172,7 +172,7 @@
         )
 
 
-def _path(one: int, other: int, regions: list[int], count: int, terms: NetworkTerms) -> LinkTerms:
+def _path(one: int, other: int, regions: list[int], count: int, terms: NetworkParameters) -> LinkParameters:
     """The path between two zones."""
     if one == other:
         return terms.inside_zone
@@ -181,7 +181,7 @@
         return terms.between_zones
     steps = min(apart, count - apart) - 1
     wide = terms.between_regions
-    return LinkTerms(wide.latency + steps * terms.ring_step, wide.jitter, wide.loss)
+    return LinkParameters(wide.latency + steps * terms.ring_step, wide.jitter, wide.loss)
 
 
 def seconds(duration: int) -> float:
--- a/benchmarks/capacity/network_check.py
+++ b/benchmarks/capacity/network_check.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from benchmarks.capacity.network import LinkTerms, Network, NetworkTerms
+from benchmarks.capacity.network import LinkParameters, Network, NetworkParameters
 from benchmarks.capacity.topology import Site, Topology
 from oakcroft.interface import MS
 
@@ -19,23 +19,23 @@
     """What one kind of path did. `shortest` and `longest`: one-way latency in nanoseconds."""
 
     kind: str
-    stated: LinkTerms
+    stated: LinkParameters
     longest_stated: int
     shortest: int
     longest: int
     loss: float
 
-    def as_stated(self) -> bool:
+    def matches_parameters(self) -> bool:
         """Whether latency and loss are within what is stated."""
         in_time = self.stated.latency <= self.shortest and self.longest <= self.longest_stated
         return in_time and abs(self.loss - self.stated.loss) <= LOSS_TOLERANCE
 
-    def show(self) -> str:
+    def describe(self) -> str:
         """As a part of a line."""
         return f"{self.kind} {self.shortest / MS:.2f} to {self.longest / MS:.2f} ms, loss {self.loss:.2%}"
 
 
-def sample_links(network: Network, topology: Topology, terms: NetworkTerms) -> list[LinkSample]:
+def sample_links(network: Network, topology: Topology, terms: NetworkParameters) -> list[LinkSample]:
     """Sends `SAMPLES` datagrams over each kind of path, spread over all pairs of zones of that kind."""
     firsts = [topology.zone_members(zone)[0] for zone in range(len(topology.region_of_zone))]
     regions = max(topology.region_of_zone) + 1
@@ -63,7 +63,11 @@
 
 
 def _sample(
-    network: Network, kind: str, stated: LinkTerms, longest_stated: int, pairs: Sequence[tuple[Site, Site]]
+    network: Network,
+    kind: str,
+    stated: LinkParameters,
+    longest_stated: int,
+    pairs: Sequence[tuple[Site, Site]],
 ) -> LinkSample:
     delays = [network.datagram_delay(*pairs[number % len(pairs)]) for number in range(SAMPLES)]
     arrived = [delay for delay in delays if delay is not None]
--- a/benchmarks/capacity/topology.py
+++ b/benchmarks/capacity/topology.py
@@ -15,8 +15,8 @@
 here it has four times the front ends of the smallest, 135 of 2,700."""
 
 PEER_PORT = 7_946
-PRIVATE_NETWORK = 10
-LOOPBACK_NETWORK = 127
+PRIVATE_FIRST_OCTET = 10
+LOOPBACK_FIRST_OCTET = 127
 """First octet of the addresses, simulated and real."""
 HOSTS_A_SUBNET = 200
 
@@ -54,7 +54,7 @@
         front_ends: int,
         zones_by_region: Sequence[int] = ZONES_BY_REGION,
         weights: Sequence[int] = ZONE_WEIGHTS,
-        first_octet: int = PRIVATE_NETWORK,
+        first_octet: int = PRIVATE_FIRST_OCTET,
     ) -> None:
         """Places so many front ends. TopologyError where there are fewer than zones."""
         self.region_of_zone = [region for region, zones in enumerate(zones_by_region) for _ in range(zones)]
--- a/tests/test_capacity_counts.py
+++ b/tests/test_capacity_counts.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.fleet_membership import ObservedState
 from benchmarks.capacity.fleet_report import link_line
 from benchmarks.capacity.fleet_traffic import BUCKET, WINDOW, busiest_window
-from benchmarks.capacity.network import Network, NetworkTerms
+from benchmarks.capacity.network import Network, NetworkParameters
 from benchmarks.capacity.network_check import sample_links
 from benchmarks.capacity.topology import Site, Topology, TopologyError, zone_sizes
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate
@@ -33,7 +33,7 @@
 
 FRONT_ENDS = 40
 TARGET_FRONT_ENDS, TARGET_REGIONS, TARGET_ZONES = 2_700, 9, 32
-TWO_PERCENT = NetworkTerms.with_loss(0.02, 0.02, 0.02)
+TWO_PERCENT = NetworkParameters.with_loss(0.02, 0.02, 0.02)
 CODEC = MembershipCodec(FLEET, KeyRing((bytes(32),)))
 
 
@@ -146,7 +146,7 @@
 def test_nothing_crosses_the_border_of_a_region_that_is_cut_off() -> None:
     """Neither way, neither datagram nor stream; inside all goes on."""
     topology = Topology(FRONT_ENDS)
-    network = Network(topology, NetworkTerms.with_loss(0, 0, 0), 1)
+    network = Network(topology, NetworkParameters.with_loss(0, 0, 0), 1)
     inside, outside = topology.region_members(2), topology.region_members(3)
 
     network.cut(2)
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -25,13 +25,13 @@
     compare,
     run_processes,
 )
-from benchmarks.capacity.network import Network, NetworkTerms
+from benchmarks.capacity.network import Network, NetworkParameters
 from benchmarks.capacity.topology import Site, Topology
 from oakcroft.interface import MS, SECOND
 
 FRONT_ENDS = 40
 LINES_AT_LEAST = 5
-TWO_PERCENT = NetworkTerms.with_loss(0.02, 0.02, 0.02)
+TWO_PERCENT = NetworkParameters.with_loss(0.02, 0.02, 0.02)
 
 
 def fault_terms(fault: Fault, lasts: int = 10 * SECOND) -> FaultTerms:
--- a/tests/test_capacity_zoned.py
+++ b/tests/test_capacity_zoned.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity.fleet_knowledge import EventKind
 from benchmarks.capacity.fleet_simulation import FleetSimulation
 from benchmarks.capacity.fleet_zoned import ZonedImplementation, ZoneSizes
-from benchmarks.capacity.network import NetworkTerms
+from benchmarks.capacity.network import NetworkParameters
 from benchmarks.capacity.topology import Topology
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.decisions.membership.zone_messages import (
@@ -77,7 +77,7 @@
 def settled_fleet(seconds: int) -> FleetSimulation:
     """A fleet of zones after a whole start without loss, to be played for so long."""
     topology = Topology(FRONT_ENDS, ZONES_BY_REGION)
-    terms = NetworkTerms.with_loss(0, 0, 0)
+    terms = NetworkParameters.with_loss(0, 0, 0)
     simulation = FleetSimulation(topology, terms, ZonedImplementation(topology), 1, seconds * SECOND)
     simulation.start_all()
     simulation.run(40 * SECOND)
