--- a/benchmarks/capacity/demand.py
+++ b/benchmarks/capacity/demand.py
@@ -7,7 +7,7 @@
 from benchmarks.capacity import assumptions as assumed
 from benchmarks.capacity.targets import DAY_S, HOUR_S, TARGET, Target
 
-EVENTS_A_RESTART = 3
+LIST_CHANGES_PER_RESTART = 3
 """A node that is replaced drains, goes, and is there again: three changes of the list."""
 
 
@@ -58,7 +58,7 @@
     return target.fronts / target.regions * assumed.LARGEST_REGION_OVER_MEAN.value
 
 
-def release_per_s(target: Target = TARGET) -> float:
+def release_restarts_per_s(target: Target = TARGET) -> float:
     """Restarts a second in a release."""
     return target.release_restarts_per_hour / HOUR_S
 
@@ -75,34 +75,34 @@
     return sum(1 - float((1 - weight / whole) ** sessions) for weight in weights)
 
 
-def surviving_share(lost: float, target: Target = TARGET) -> float:
+def survivor_load_factor(lost: float, target: Target = TARGET) -> float:
     """How much more each front that is left carries when so many are lost."""
     return target.fronts / (target.fronts - lost)
 
 
-def lines(target: Target = TARGET) -> list[Demand]:
+def demand_lines(target: Target = TARGET) -> list[Demand]:
     """The derived load, a line a role and quantity."""
     peak = assumed.PEAK_OVER_MEAN.value
     zone, region = fronts_of_largest_zone(target), fronts_of_largest_region(target)
     held, arrivals = connections_per_front(target), arrivals_per_front(target)
-    reconnects = held * (surviving_share(region, target) - 1)
+    reconnects = held * (survivor_load_factor(region, target) - 1)
     missed = changes_per_s(target) * target.region_apart_s
     topic, octets = listeners_per_front(target), assumed.CHANGE_OCTETS.value
     return [
-        Demand("front end", "sessions held", "a front", held, held * surviving_share(region, target),
+        Demand("front end", "sessions held", "a front", held, held * survivor_load_factor(region, target),
                "the largest region lost, its viewers spread over the rest"),
         Demand("front end", "deliveries", "a second a front", deliveries_per_front(target),
-               deliveries_per_front(target) * peak * surviving_share(region, target), "the same at the peak of a day"),
+               deliveries_per_front(target) * peak * survivor_load_factor(region, target), "the same at the peak of a day"),
         Demand("front end", "set-ups", "a second a front", arrivals, arrivals * peak + reconnects / 60,
                "the same, its viewers back within a minute"),
         Demand("front end", "restarts", "a second in the fleet", target.restarts_per_day / DAY_S,
-               release_per_s(target), "a release of 600 in an hour"),
+               release_restarts_per_s(target), "a release of 600 in an hour"),
         Demand("membership", "changes of members", "a second in the fleet",
                (2 * target.restarts_per_day + target.failures_per_day) / DAY_S, zone / 10,
                "the largest zone lost, within ten seconds"),
         Demand("membership", "members cut off at once", "fronts", 0.0, region, "the largest region cut off for an hour"),
-        Demand("lists of nodes", "changes of the list", "a second", EVENTS_A_RESTART * target.restarts_per_day / DAY_S,
-               EVENTS_A_RESTART * release_per_s(target), "a release of 600 nodes in an hour"),
+        Demand("lists of nodes", "changes of the list", "a second", LIST_CHANGES_PER_RESTART * target.restarts_per_day / DAY_S,
+               LIST_CHANGES_PER_RESTART * release_restarts_per_s(target), "a release of 600 nodes in an hour"),
         Demand("configuration", "changes", "a second", changes_per_s(target), burst_changes_per_s(target),
                "a burst of ten times the mean"),
         Demand("configuration", "octets of changes alone", "a second", changes_per_s(target) * octets,
@@ -117,6 +117,6 @@
     ]  # fmt: skip
 
 
-def worst(role: str, quantity: str) -> float:
+def worst_load(role: str, quantity: str) -> float:
     """Of one line, in its worst hour."""
-    return next(line.worst for line in lines() if (line.role, line.quantity) == (role, quantity))
+    return next(line.worst for line in demand_lines() if (line.role, line.quantity) == (role, quantity))
--- a/benchmarks/capacity/experiments.py
+++ b/benchmarks/capacity/experiments.py
@@ -9,14 +9,14 @@
 from pathlib import Path
 from typing import Literal
 
-from benchmarks.capacity.slopes import LEAST_RUNS, Measurement, Slope, record
+from benchmarks.capacity.slopes import MIN_RUNS, Measurement, Slope, store_slope
 
 ROOT = Path(__file__).parents[2]
 MEASURED_CODE = "oakcroft"
-SEEDS = tuple(range(1, LEAST_RUNS + 1))
+SEEDS = tuple(range(1, MIN_RUNS + 1))
 
 
-class DirtyError(Exception):
+class UncommittedChangesError(Exception):
     """The program to be measured is not what its commit says."""
 
 
@@ -43,23 +43,23 @@
     text: Literal["today", "mechanism"] = "today"
 
 
-def commit() -> str:
-    """Of the last change to the program. DirtyError where the working tree differs from it."""
-    changed = git("status", "--porcelain", "--", MEASURED_CODE)
+def measured_commit() -> str:
+    """Of the last change to the program. UncommittedChangesError where the working tree differs from it."""
+    changed = run_git("status", "--porcelain", "--", MEASURED_CODE)
     if changed:
-        raise DirtyError(f"uncommitted: {changed.splitlines()[0].strip()}")
-    return git("log", "-1", "--format=%h", "--abbrev=12", "--", MEASURED_CODE)
+        raise UncommittedChangesError(f"uncommitted: {changed.splitlines()[0].strip()}")
+    return run_git("log", "-1", "--format=%h", "--abbrev=12", "--", MEASURED_CODE)
 
 
-def git(*arguments: str) -> str:
+def run_git(*arguments: str) -> str:
     """What git says."""
     done = subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True)
     return done.stdout.strip()
 
 
-def run(experiment: Experiment, say: Callable[[str], None]) -> list[Slope]:
+def run_experiment(experiment: Experiment, report_line: Callable[[str], None]) -> list[Slope]:
     """Runs it with each seed; the slopes, checked and not yet on record."""
-    text = commit()
+    measured_at = measured_commit()
     runs = []
     for seed in experiment.seeds:
         found = experiment.measure(seed)
@@ -67,13 +67,13 @@
             shown = "  ".join(
                 f"{q.name} {v:.4g} {q.unit}" for q, v in zip(experiment.quantities, values, strict=True)
             )
-            say(f"{experiment.name}: seed {seed}, {size} {experiment.against}: {shown}")
+            report_line(f"{experiment.name}: seed {seed}, {size} {experiment.against}: {shown}")
         runs.append(found)
-    return [slope(experiment, i, runs, text) for i in range(len(experiment.quantities))]
+    return [build_slope(experiment, i, runs, measured_at) for i in range(len(experiment.quantities))]
 
 
-def slope(
-    experiment: Experiment, index: int, runs: Sequence[Mapping[int, Sequence[float]]], text: str
+def build_slope(
+    experiment: Experiment, index: int, runs: Sequence[Mapping[int, Sequence[float]]], measured_at: str
 ) -> Slope:
     """One quantity of all runs."""
     quantity = experiment.quantities[index]
@@ -82,11 +82,11 @@
     command = f"python -m benchmarks.capacity slopes --only {experiment.name}"
     return Slope(
         quantity.name, quantity.quantity, quantity.unit, experiment.against, experiment.kind, experiment.text, command,
-        experiment.seeds, text, os.cpu_count() or 1, measurements, quantity.note,
+        experiment.seeds, measured_at, os.cpu_count() or 1, measurements, quantity.note,
     )  # fmt: skip
 
 
-def run_and_record(experiment: Experiment, say: Callable[[str], None]) -> None:
+def run_and_record(experiment: Experiment, report_line: Callable[[str], None]) -> None:
     """The same, and puts its slopes on record."""
-    for one in run(experiment, say):
-        record(one)
+    for one in run_experiment(experiment, report_line):
+        store_slope(one)
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -13,16 +13,16 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-LEAST_SIZES = 4
-GOOD_PREDICTION = 0.10
+MIN_SIZES = 4
+MAX_LINEAR_PREDICTION_ERROR = 0.10
 """Relative error at the largest size under which a simpler form is kept."""
-WORST_PREDICTION = 0.50
+MAX_PREDICTION_ERROR = 0.50
 """Past it no form describes the points, and none is extended."""
-GUESS_FACTOR = 20.0
+MAX_EXTRAPOLATION_FACTOR = 20.0
 """An estimate further than this beyond the measured sizes is a guess."""
-NEARLY_FLAT = 0.10
+MAX_CONSTANT_SPREAD = 0.10
 """Spread of all values over their mean under which a quantity does not grow with the size."""
-BISECTIONS = 60
+BISECTION_STEPS = 60
 
 Point = tuple[float, float]
 
@@ -43,7 +43,7 @@
     residual: float
     prediction: float
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """The fitted value at a size."""
         return evaluate(self.form, self.coefficients, size)
 
@@ -59,20 +59,20 @@
     form: str
 
     @property
-    def factor(self) -> float:
+    def extrapolation_factor(self) -> float:
         """How many times the size lies beyond the measured ones, at either end; 1 within them."""
         below = self.smallest / self.size if self.size > 0 else 1.0
         return max(1.0, self.size / self.largest, below)
 
     @property
-    def extrapolated(self) -> bool:
+    def is_extrapolated(self) -> bool:
         """Whether the size lies beyond those measured."""
-        return self.factor > 1
+        return self.extrapolation_factor > 1
 
     @property
-    def guess(self) -> bool:
+    def is_guess(self) -> bool:
         """Whether it lies so far beyond them that the value is a guess."""
-        return self.factor > GUESS_FACTOR
+        return self.extrapolation_factor > MAX_EXTRAPOLATION_FACTOR
 
 
 def evaluate(form: str, coefficients: Sequence[float], size: float) -> float:
@@ -86,32 +86,32 @@
 def fit(points: Sequence[Point]) -> Fit:
     """The simplest form that describes the points. FitError where there are under four sizes, or no form does."""
     some = sorted(points)
-    if len({size for size, _ in some}) < LEAST_SIZES:
-        raise FitError(f"{len(some)} sizes; {LEAST_SIZES} at least are wanted")
+    if len({size for size, _ in some}) < MIN_SIZES:
+        raise FitError(f"{len(some)} sizes; {MIN_SIZES} at least are wanted")
     if any(value <= 0 or size <= 0 for size, value in some):
         raise FitError("sizes and values have to be over 0")
-    if flat(some):
-        return candidate("constant", some)
-    linear = candidate("linear", some)
-    if linear.prediction <= GOOD_PREDICTION:
+    if is_constant(some):
+        return fit_form("constant", some)
+    linear = fit_form("linear", some)
+    if linear.prediction <= MAX_LINEAR_PREDICTION_ERROR:
         return linear
-    curved = [candidate("power", some), candidate("quadratic", some)]
+    curved = [fit_form("power", some), fit_form("quadratic", some)]
     # A parabola that opens downwards would say that the cost falls beyond some size.
     rising = [one for one in curved if one.form == "power" or one.coefficients[-1] > 0]
     best = min(rising, key=lambda one: one.prediction)
-    if best.prediction > WORST_PREDICTION:
-        raise FitError(f"no form predicts the largest size within {WORST_PREDICTION:.0%}")
+    if best.prediction > MAX_PREDICTION_ERROR:
+        raise FitError(f"no form predicts the largest size within {MAX_PREDICTION_ERROR:.0%}")
     return best
 
 
-def flat(points: Sequence[Point]) -> bool:
+def is_constant(points: Sequence[Point]) -> bool:
     """Whether the values do not grow with the size."""
     values = [value for _, value in points]
     mean = sum(values) / len(values)
-    return max(values) - min(values) <= NEARLY_FLAT * mean
+    return max(values) - min(values) <= MAX_CONSTANT_SPREAD * mean
 
 
-def candidate(form: str, points: Sequence[Point]) -> Fit:
+def fit_form(form: str, points: Sequence[Point]) -> Fit:
     """One form, fitted to all points, with its residual and its prediction of the largest."""
     coefficients = FORMS[form](points)
     errors = [relative_error(form, coefficients, point) for point in points]
@@ -128,34 +128,34 @@
 
 def estimate(fitted: Fit, size: float) -> Estimate:
     """What a fit says at a size, with the range that it was measured over."""
-    return Estimate(fitted.at(size), size, fitted.smallest, fitted.largest, fitted.form)
+    return Estimate(fitted.value_at(size), size, fitted.smallest, fitted.largest, fitted.form)
 
 
-def largest_within(fitted: Fit, budget: float, most: float) -> float:
-    """The largest size up to `most` whose value stays within a budget; 0 where none does. Growing forms only."""
-    return largest_root(fitted.at, budget, most)
+def largest_size_within(fitted: Fit, budget: float, maximum: float) -> float:
+    """The largest size up to `maximum` whose value stays within a budget; 0 where none does. Growing forms only."""
+    return bisect_largest_size(fitted.value_at, budget, maximum)
 
 
-def largest_over(fitted: Fit, floor: float, most: float) -> float:
-    """The largest size up to `most` whose value is still as large as wanted; 0 where none is. Falling forms only."""
-    return largest_root(lambda size: -fitted.at(size), -floor, most)
+def largest_size_reaching(fitted: Fit, floor: float, maximum: float) -> float:
+    """The largest size up to `maximum` whose value is still as large as wanted; 0 where none is. Falling forms only."""
+    return bisect_largest_size(lambda size: -fitted.value_at(size), -floor, maximum)
 
 
-def largest_root(value: Callable[[float], float], budget: float, most: float) -> float:
-    """The largest size up to `most` at which a growing function is within a budget; 0 where it never is."""
-    if value(most) <= budget:
-        return most
-    low, high = 0.0, most
-    for _ in range(BISECTIONS):
-        middle = (low + high) / 2
-        if value(middle) <= budget:
-            low = middle
+def bisect_largest_size(value: Callable[[float], float], budget: float, maximum: float) -> float:
+    """The largest size up to `maximum` at which a growing function is within a budget; 0 where it never is."""
+    if value(maximum) <= budget:
+        return maximum
+    low, high = 0.0, maximum
+    for _ in range(BISECTION_STEPS):
+        midpoint = (low + high) / 2
+        if value(midpoint) <= budget:
+            low = midpoint
         else:
-            high = middle
+            high = midpoint
     return low
 
 
-def polynomial(degree: int) -> Callable[[Sequence[Point]], tuple[float, ...]]:
+def polynomial_fitter(degree: int) -> Callable[[Sequence[Point]], tuple[float, ...]]:
     """Least squares of the relative error for a polynomial of a degree."""
 
     def solve(points: Sequence[Point]) -> tuple[float, ...]:
@@ -165,12 +165,12 @@
             [sum(row[i] * row[j] for row in rows) for j in range(degree + 1)] for i in range(degree + 1)
         ]
         right = [sum(row[i] for row in rows) for i in range(degree + 1)]
-        return tuple(c / unit**i for i, c in enumerate(solved(matrix, right)))
+        return tuple(c / unit**i for i, c in enumerate(solve_linear_system(matrix, right)))
 
     return solve
 
 
-def power(points: Sequence[Point]) -> tuple[float, ...]:
+def fit_power(points: Sequence[Point]) -> tuple[float, ...]:
     """Least squares in the logarithms: factor and exponent."""
     logs = [(math.log(size), math.log(value)) for size, value in points]
     mean_x = sum(x for x, _ in logs) / len(logs)
@@ -180,7 +180,7 @@
     return math.exp(mean_y - exponent * mean_x), exponent
 
 
-def solved(matrix: list[list[float]], right: list[float]) -> list[float]:
+def solve_linear_system(matrix: list[list[float]], right: list[float]) -> list[float]:
     """The solution of a small linear system, by elimination with pivots."""
     size = len(right)
     rows = [[*row, value] for row, value in zip(matrix, right, strict=True)]
@@ -198,8 +198,8 @@
 
 
 FORMS: dict[str, Callable[[Sequence[Point]], tuple[float, ...]]] = {
-    "constant": polynomial(0),
-    "linear": polynomial(1),
-    "quadratic": polynomial(2),
-    "power": power,
+    "constant": polynomial_fitter(0),
+    "linear": polynomial_fitter(1),
+    "quadratic": polynomial_fitter(2),
+    "power": fit_power,
 }
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -13,46 +13,48 @@
 FLAT_SIZES = (32, 50, 100, 200)
 ZONED_SIZES = (75, 150, 300, 600)
 MINUTES, LOSS = 1.5, 0.01
-WITHIN_S = 170
-FIGURE = r"([\d.]+)"
-PATTERNS = (
-    rf"kB/s sent, whole start .* worst ten seconds {FIGURE}",
-    rf"kB/s sent, quiet +.*?: mean {FIGURE}",
-    rf"kB/s sent +median .*worst ten seconds of any {FIGURE}",
-    rf"kB/s received +median .*worst ten seconds of any {FIGURE}",
-    rf"share of a core +median .*?, worst front {FIGURE}%",
-    rf"MB a front +state of its own: .*largest {FIGURE}",
+FLEET_TIMEOUT_S = 170
+NUMBER_PATTERN = r"([\d.]+)"
+REPORT_PATTERNS = (
+    rf"kB/s sent, whole start .* worst ten seconds {NUMBER_PATTERN}",
+    rf"kB/s sent, quiet +.*?: mean {NUMBER_PATTERN}",
+    rf"kB/s sent +median .*worst ten seconds of any {NUMBER_PATTERN}",
+    rf"kB/s received +median .*worst ten seconds of any {NUMBER_PATTERN}",
+    rf"share of a core +median .*?, worst front {NUMBER_PATTERN}%",
+    rf"MB a front +state of its own: .*largest {NUMBER_PATTERN}",
 )
 """Of the lines of `python -m benchmarks.capacity fleet`, in the order of the quantities."""
 
-Found = dict[int, Sequence[float]]
+ValuesBySize = dict[int, Sequence[float]]
 
 
-class FleetError(Exception):
+class FleetReportError(Exception):
     """A fleet whose report lacks a line."""
 
 
-def read(report: str) -> Sequence[float]:
-    """The figures of a report. FleetError where one is missing."""
+def parse_report(report: str) -> Sequence[float]:
+    """The figures of a report. FleetReportError where one is missing."""
     found = []
-    for pattern in PATTERNS:
+    for pattern in REPORT_PATTERNS:
         match = re.search(pattern, report)
         if match is None:
-            raise FleetError(f"no {pattern} in: {report[-500:]}")
+            raise FleetReportError(f"no {pattern} in: {report[-500:]}")
         found.append(float(match[1]))
     return found
 
 
-def report(fronts: int, seed: int, membership: str, tree: Path) -> str:
+def run_fleet(fronts: int, seed: int, membership: str, tree: Path) -> str:
     """What the fleet prints; a missed budget is no failure here."""
     arguments = {"fronts": fronts, "seed": seed, "minutes": MINUTES, "loss": LOSS, "fault": "region"}
     options = [word for name, value in arguments.items() for word in (f"--{name}", str(value))]
     command = [sys.executable, "-m", "benchmarks.capacity", "fleet", *options, "--membership", membership]
-    done = subprocess.run(command, cwd=tree, capture_output=True, text=True, timeout=WITHIN_S, check=False)
+    done = subprocess.run(
+        command, cwd=tree, capture_output=True, text=True, timeout=FLEET_TIMEOUT_S, check=False
+    )
     return done.stdout + done.stderr
 
 
-def quantities(prefix: str) -> tuple[Quantity, ...]:
+def membership_quantities(prefix: str) -> tuple[Quantity, ...]:
     """The same for each kind of membership."""
     return (
         Quantity(f"{prefix}.start", "sent by the worst front in its worst 10 s of a whole start", "kB/s"),
@@ -72,17 +74,24 @@
     )
 
 
-def flat(seed: int, tree: Path = ROOT) -> Found:
+def measure_flat(seed: int, tree: Path = ROOT) -> ValuesBySize:
     """Today's membership, all front ends in one table."""
-    return {size: read(report(size, seed, "flat", tree)) for size in FLAT_SIZES}
+    return {size: parse_report(run_fleet(size, seed, "flat", tree)) for size in FLAT_SIZES}
 
 
-def zoned(seed: int, tree: Path = ROOT) -> Found:
+def measure_zoned(seed: int, tree: Path = ROOT) -> ValuesBySize:
     """Membership by zone and region."""
-    return {size: read(report(size, seed, "zoned", tree)) for size in ZONED_SIZES}
+    return {size: parse_report(run_fleet(size, seed, "zoned", tree)) for size in ZONED_SIZES}
 
 
 FLEET_EXPERIMENTS = (
-    Experiment("membership-flat", "fronts", "simulated", quantities("membership"), flat),
-    Experiment("membership-zoned", "fronts", "simulated", quantities("zoned"), zoned, text="mechanism"),
+    Experiment("membership-flat", "fronts", "simulated", membership_quantities("membership"), measure_flat),
+    Experiment(
+        "membership-zoned",
+        "fronts",
+        "simulated",
+        membership_quantities("zoned"),
+        measure_zoned,
+        text="mechanism",
+    ),
 )
--- a/benchmarks/capacity/measure_module.py
+++ b/benchmarks/capacity/measure_module.py
@@ -1,4 +1,4 @@
-"""Slopes of the decisions and the list inside one process: the platform's owner and module, without sockets."""
+"""Slopes of the decisions and the list inside one process: the platform's coordinator and module, without sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import trio
 
 from benchmarks.capacity.experiments import Experiment, Quantity
-from benchmarks.capacity.platform_process import SETTINGS, members
+from benchmarks.capacity.platform_process import SETTINGS, node_members
 from oakcroft import terms
 from oakcroft.choice import Controller
 from oakcroft.decisions.routing.title_cache import TitleCache
@@ -35,27 +35,30 @@
 NODES = (100, 200, 400, 800, 1_600, 3_200)
 SESSIONS = (1_000, 2_000, 4_000, 8_000, 16_000)
 TITLES = (1_000, 4_000, 16_000, 64_000)
-SOME_NODES = 300
+NODES_PER_REGION = 300
 """Nodes of one region at the target: 2,700 over nine."""
-SHUFFLED_TITLES = 50
-LISTS, CHANGES, TURNS = 5, 50, 5
-START = 1_000 * SECOND
-LINK, PLACES = 4e8, 4_000.0
+ORDERED_TITLES = 50
+LIST_REPEATS = 5
+CHANGE_REPEATS = 50
+INTERVAL_REPEATS = 5
+START_NS = 1_000 * SECOND
+LINK_CAPACITY = 4e8
+PLAYBACK_CAPACITY = 4_000.0
 MB = 1e6
 
-Found = dict[int, Sequence[float]]
+ValuesBySize = dict[int, Sequence[float]]
 
 
-def told() -> configuration.Configuration:
+def front_configuration() -> configuration.Configuration:
     """The configuration of a front end with an empty list."""
-    said = {
+    settings = {
         "name": "front", "listen": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 18_000, "memory_mb": 4_096},
         "channel": "127.0.0.1:1", "known": {"cursor": 1, "cmds": []}, "settings": SETTINGS,
     }  # fmt: skip
-    return configuration.decode(orjson.dumps(said))
+    return configuration.decode(orjson.dumps(settings))
 
 
-def milliseconds(work: Callable[[], object], times: int) -> float:
+def cpu_milliseconds(work: Callable[[], object], times: int) -> float:
     """Processor time of one turn."""
     began = time.process_time()
     for _ in range(times):
@@ -63,10 +66,10 @@
     return 1e3 * (time.process_time() - began) / times
 
 
-def lists(_seed: int) -> Found:
+def measure_lists(_seed: int) -> ValuesBySize:
     """A whole list, one change of it, the first set-up of a title after it, and a second's rounds over all nodes."""
 
-    async def main() -> Found:
+    async def main() -> ValuesBySize:
         async with trio.open_nursery() as nursery:
             return {count: measure_list(count, nursery) for count in NODES}
 
@@ -75,36 +78,38 @@
 
 def measure_list(count: int, nursery: trio.Nursery) -> Sequence[float]:
     """All of it at one number of nodes."""
-    owner = SessionCoordinator(told(), Clock(), nursery, structlog.wrap_logger(structlog.ReturnLogger()))
-    whole = answer(1, True, members([1], count))
-    change = answer(2, False, members([1], count)[:1])
+    coordinator = SessionCoordinator(
+        front_configuration(), Clock(), nursery, structlog.wrap_logger(structlog.ReturnLogger())
+    )
+    whole = channel_answer(1, True, node_members([1], count))
+    change = channel_answer(2, False, node_members([1], count)[:1])
 
     def take(octets: bytes) -> None:
         for _, complete, some in command_channel.decode_events(octets)[1]:
-            owner.apply_list_immediately(complete, some)
+            coordinator.apply_list_immediately(complete, some)
 
-    whole_ms = milliseconds(lambda: take(whole), LISTS)
-    change_ms = milliseconds(lambda: take(change), CHANGES)
+    whole_ms = cpu_milliseconds(lambda: take(whole), LIST_REPEATS)
+    change_ms = cpu_milliseconds(lambda: take(change), CHANGE_REPEATS)
     names = iter(range(1_000_000))
-    title_ms = milliseconds(
-        lambda: owner.controller._holders(Title(f"title-{next(names)}", 0, 0)), SHUFFLED_TITLES
+    title_ms = cpu_milliseconds(
+        lambda: coordinator.controller._holders(Title(f"title-{next(names)}", 0, 0)), ORDERED_TITLES
     )
 
     def second() -> None:
         for _ in range(10):
-            owner._maintain()
-        owner.controller._end_interval(owner.clock.now())
+            coordinator._maintain()
+        coordinator.controller._end_interval(coordinator.clock.now())
 
-    return whole_ms, change_ms, title_ms, milliseconds(second, TURNS) / 10, len(whole) / 1e3
+    return whole_ms, change_ms, title_ms, cpu_milliseconds(second, INTERVAL_REPEATS) / 10, len(whole) / 1e3
 
 
-def answer(cursor: int, complete: bool, some: list[dict[str, object]]) -> bytes:
+def channel_answer(cursor: int, complete: bool, some: list[dict[str, object]]) -> bytes:
     """An answer of the channel with one event."""
     cmd = {"cursor": cursor, "nodes": {"complete": complete, "members": some}}
     return orjson.dumps({"cursor": cursor, "cmds": [cmd]})
 
 
-class QuietHost:
+class NullHost:
     """A host of the module that answers nothing."""
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
@@ -129,56 +134,61 @@
         """The module has changed its mode."""
 
 
-def held(seed: int) -> Found:
+def measure_held_sessions(seed: int) -> ValuesBySize:
     """Sessions that the module holds on a region's nodes: one interval of its design, and one set-up."""
     rng = Random(seed)
     site, plan = terms.read_settings(SETTINGS), terms.read_plans(SETTINGS)["free"]
-    control = Controller(replace(site, front_count=200), seed, QuietHost(), START)
-    some = [Node(f"node-{i:05}") for i in range(SOME_NODES)]
+    controller = Controller(replace(site, front_count=200), seed, NullHost(), START_NS)
+    some = [Node(f"node-{i:05}") for i in range(NODES_PER_REGION)]
     for i, node in enumerate(some):
         node.cell = i % site.cell_count
-    now = START + 20 * SECOND
-    control.on_node_list(
-        NodeListKind.WHOLE, [NodeEntry(n, NodeStatus.READY, 0, LINK, PLACES) for n in some], now
+    now = START_NS + 20 * SECOND
+    controller.on_node_list(
+        NodeListKind.WHOLE,
+        [NodeEntry(n, NodeStatus.READY, 0, LINK_CAPACITY, PLAYBACK_CAPACITY) for n in some],
+        now,
     )
-    titles, playing, found = [Title(f"title-{i}", 0, 0) for i in range(1_000)], 0, Found()
+    titles, playing, found = [Title(f"title-{i}", 0, 0) for i in range(1_000)], 0, ValuesBySize()
     for count in SESSIONS:
         began = time.process_time()
         before = playing
         while playing < count:
-            pb = Playback(rng.choice(titles), plan, 2, now + 8 * SECOND, False)
-            control.on_request(pb, now)
-            if pb.state is not PlaybackState.SETTING_UP:
-                raise RuntimeError(f"refused with {playing} held: {pb.state}")
-            control.on_playing(pb, now)
+            playback = Playback(rng.choice(titles), plan, 2, now + 8 * SECOND, False)
+            controller.on_request(playback, now)
+            if playback.state is not PlaybackState.SETTING_UP:
+                raise RuntimeError(f"refused with {playing} held: {playback.state}")
+            controller.on_playing(playback, now)
             playing += 1
         set_up = 1e3 * (time.process_time() - began) / (count - before)
         now += SECOND
 
         def interval(at: int = now) -> None:
-            control._end_interval(at)
+            controller._end_interval(at)
 
-        found[count] = milliseconds(interval, TURNS) / 10, set_up
+        found[count] = cpu_milliseconds(interval, INTERVAL_REPEATS) / 10, set_up
         now += MS
     return found
 
 
-def titles(_seed: int) -> Found:
-    """Titles that a front has met, each with its order of a region's nodes: memory."""
+def measure_titles(_seed: int) -> ValuesBySize:
+    """Titles that a front has cached, each with its order of a region's nodes: memory."""
     site = terms.read_settings(SETTINGS)
-    control = Controller(site, 1, QuietHost(), START)
-    some = [NodeEntry(Node(f"node-{i:05}"), NodeStatus.READY, 0, LINK, PLACES) for i in range(SOME_NODES)]
-    control.on_node_list(NodeListKind.WHOLE, some, START)
-    found = Found()
+    controller = Controller(site, 1, NullHost(), START_NS)
+    some = [
+        NodeEntry(Node(f"node-{i:05}"), NodeStatus.READY, 0, LINK_CAPACITY, PLAYBACK_CAPACITY)
+        for i in range(NODES_PER_REGION)
+    ]
+    controller.on_node_list(NodeListKind.WHOLE, some, START_NS)
+    found = ValuesBySize()
     tracemalloc.start()
-    before, met = tracemalloc.get_traced_memory()[0], 0
-    shelf = TitleCache(max(TITLES), site.cell_count, 0, {})
+    before, cached = tracemalloc.get_traced_memory()[0], 0
+    title_cache = TitleCache(max(TITLES), site.cell_count, 0, {})
     for count in TITLES:
-        while met < count:
-            title = shelf.get(f"title-{met}", 0)
+        while cached < count:
+            title = title_cache.get(f"title-{cached}", 0)
             assert title is not None
-            title.holders, title.holders_version = list(control.nodes), control.list_version
-            met += 1
+            title.holders, title.holders_version = list(controller.nodes), controller.list_version
+            cached += 1
         found[count] = ((tracemalloc.get_traced_memory()[0] - before) / MB,)
     tracemalloc.stop()
     return found
@@ -194,7 +204,7 @@
             Quantity("list.rounds", "processor time of the rounds over all nodes, nothing playing", "% of a core"),
             Quantity("list.octets", "a whole list on the command channel", "kB"),
         ),
-        lists,
+        measure_lists,
     ),
     Experiment(
         "module-held", "held sessions", "measured",
@@ -202,11 +212,11 @@
             Quantity("held.interval", "processor time of the module's interval, each second", "% of a core"),
             Quantity("held.set-up", "processor time of the module for one set-up", "ms"),
         ),
-        held,
+        measure_held_sessions,
     ),
     Experiment(
         "module-titles", "titles met", "measured",
         (Quantity("titles.memory", "memory of titles with their holders in order, 300 nodes", "MB"),),
-        titles,
+        measure_titles,
     ),
 )  # fmt: skip
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -10,14 +10,21 @@
 import trio
 
 from benchmarks.capacity.experiments import Experiment, Quantity
-from benchmarks.capacity.platform_process import WARM_S, Emulators, FrontProcess, Viewer, line, running
+from benchmarks.capacity.platform_process import (
+    WARMUP_S,
+    Emulators,
+    FrontProcess,
+    Viewer,
+    encode_line,
+    running_front,
+)
 
 MB = 1e6
 CONNECTIONS = (500, 1_000, 2_000, 4_000, 8_000)
 SESSIONS = (500, 1_000, 2_000, 4_000)
-ENDS = (250, 500, 1_000, 2_000)
+ENDED_SESSIONS = (250, 500, 1_000, 2_000)
 NODES = (100, 200, 400, 800, 1_600, 3_200)
-RATES = (25, 50, 100, 200)
+SETUPS_PER_S = (25, 50, 100, 200)
 FEW_NODES = 40
 IDLE_S = 2.5
 REPORTS_S = 2.5
@@ -25,24 +32,24 @@
 REPORT_TICK_S = 0.02
 ARRIVALS_S = 4.0
 SETTLE_S = 1.0
-AT_ONCE = 32
+CONCURRENT_CONNECTIONS = 32
 TITLES = 500
-ENDS_WITHIN_S = 30.0
-DONE = 16
+ENDS_TIMEOUT_S = 30.0
+CAUSE_DONE = 16
 
-Found = dict[int, Sequence[float]]
-Work = Callable[[FrontProcess, Emulators], Awaitable[Found]]
+ValuesBySize = dict[int, Sequence[float]]
+Measure = Callable[[FrontProcess, Emulators], Awaitable[ValuesBySize]]
 
 
-def with_front(nodes: int, work: Work) -> Found:
+def run_with_front(nodes: int, measure: Measure) -> ValuesBySize:
     """Does something with a front end and its emulators."""
 
-    async def main() -> Found:
+    async def main() -> ValuesBySize:
         async with trio.open_nursery() as nursery:
             emulators = Emulators(nursery)
             await emulators.start()
-            async with running(emulators, nodes) as front:
-                found = await work(front, emulators)
+            async with running_front(emulators, nodes) as front:
+                found = await measure(front, emulators)
             nursery.cancel_scope.cancel()
         return found
 
@@ -60,8 +67,8 @@
 
     more = count - len(viewers)
     async with trio.open_nursery() as nursery:
-        for i in range(AT_ONCE):
-            nursery.start_soon(some, more // AT_ONCE + (i < more % AT_ONCE))
+        for i in range(CONCURRENT_CONNECTIONS):
+            nursery.start_soon(some, more // CONCURRENT_CONNECTIONS + (i < more % CONCURRENT_CONNECTIONS))
 
 
 async def play_more(
@@ -77,87 +84,89 @@
             viewers.append(viewer)
 
     async with trio.open_nursery() as nursery:
-        for i in range(AT_ONCE):
-            nursery.start_soon(some, range(len(viewers) + i, count, AT_ONCE))
+        for i in range(CONCURRENT_CONNECTIONS):
+            nursery.start_soon(some, range(len(viewers) + i, count, CONCURRENT_CONNECTIONS))
 
 
-def connections(_seed: int) -> Found:
+def measure_connections(_seed: int) -> ValuesBySize:
     """Idle connections: memory, share of a core, descriptors."""
 
-    async def work(front: FrontProcess, _emulators: Emulators) -> Found:
-        found, viewers = Found(), list[Viewer]()
+    async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
+        found, viewers = ValuesBySize(), list[Viewer]()
         for count in CONNECTIONS:
             await connect_more(front, viewers, count)
             await trio.sleep(SETTLE_S)
-            share = await front.share_over(IDLE_S)
-            found[count] = front.memory / MB, 100 * share, front.descriptors
+            share = await front.cpu_share_over(IDLE_S)
+            found[count] = front.resident_octets / MB, 100 * share, front.descriptor_count
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
 
 
-def sessions(_seed: int) -> Found:
+def measure_sessions(_seed: int) -> ValuesBySize:
     """Held sessions: memory, share of a core while idle, processor time of a set-up and of a node's report."""
 
-    async def work(front: FrontProcess, emulators: Emulators) -> Found:
-        await trio.sleep(WARM_S)
-        found, viewers = Found(), list[Viewer]()
+    async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        await trio.sleep(WARMUP_S)
+        found, viewers = ValuesBySize(), list[Viewer]()
         for count in SESSIONS:
-            before, held = front.processor_s, len(viewers)
+            before, held = front.cpu_seconds, len(viewers)
             await play_more(front, emulators, viewers, count, "")
-            set_up_ms = 1e3 * (front.processor_s - before) / (count - held)
+            set_up_ms = 1e3 * (front.cpu_seconds - before) / (count - held)
             await trio.sleep(SETTLE_S)
-            idle = await front.share_over(IDLE_S)
-            busy = await report(front, emulators)
+            idle = await front.cpu_share_over(IDLE_S)
+            busy = await send_reports(front, emulators)
             report_us = 1e6 * (busy - idle) / REPORTS_PER_S
-            found[count] = front.memory / MB, 100 * idle, set_up_ms, report_us
+            found[count] = front.resident_octets / MB, 100 * idle, set_up_ms, report_us
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
 
 
-async def report(front: FrontProcess, emulators: Emulators) -> float:
+async def send_reports(front: FrontProcess, emulators: Emulators) -> float:
     """Nodes report so often on their sessions, in turn; the front end's share of a core meanwhile."""
     some, share = list(emulators.sessions.items()), list[float]()
 
-    async def measure() -> None:
-        share.append(await front.share_over(REPORTS_S))
+    async def sample_cpu() -> None:
+        share.append(await front.cpu_share_over(REPORTS_S))
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(measure)
+        nursery.start_soon(sample_cpu)
         each, sent, began = round(REPORTS_PER_S * REPORT_TICK_S), 0, trio.current_time()
         while trio.current_time() < began + REPORTS_S:
             for i in range(each):
                 session, stream = some[(sent + i) % len(some)]
-                await stream.send_all(line(msg="event", sid=session, attrs={"note": "local", "value": "0.3"}))
+                await stream.send_all(
+                    encode_line(msg="event", sid=session, attrs={"note": "local", "value": "0.3"})
+                )
             sent += each
             await trio.sleep_until(began + sent / REPORTS_PER_S)
     return share[0]
 
 
-def ends(_seed: int) -> Found:
+def measure_ends(_seed: int) -> ValuesBySize:
     """Sessions of one title, all ended by their nodes at once: time until the last viewer has heard, and cost."""
 
-    async def work(front: FrontProcess, emulators: Emulators) -> Found:
-        await trio.sleep(WARM_S)
-        found = Found()
-        for count in ENDS:
+    async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        await trio.sleep(WARMUP_S)
+        found = ValuesBySize()
+        for count in ENDED_SESSIONS:
             viewers = list[Viewer]()
             emulators.sessions.clear()
             await play_more(front, emulators, viewers, count, "the-largest")
             await trio.sleep(SETTLE_S)
-            before = front.processor_s
-            took = end_all(emulators, viewers)
-            found[count] = 1e3 * took, 1e6 * (front.processor_s - before) / count
+            before = front.cpu_seconds
+            took = end_all_sessions(emulators, viewers)
+            found[count] = 1e3 * took, 1e6 * (front.cpu_seconds - before) / count
             for viewer in viewers:
                 viewer.close()
             await trio.sleep(SETTLE_S)
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
 
 
-def end_all(emulators: Emulators, viewers: list[Viewer]) -> float:
+def end_all_sessions(emulators: Emulators, viewers: list[Viewer]) -> float:
     """Ends all sessions in one step; seconds until the last viewer has its release. Nothing else runs meanwhile."""
     poll = select.epoll()
     for viewer in viewers:
@@ -166,14 +175,17 @@
     for session, stream in emulators.sessions.items():
         by_link.setdefault(stream, []).append(session)
     messages = [
-        (stream.socket.fileno(), b"".join(line(msg="close", sid=s, attrs={}, code=DONE) for s in some))
+        (
+            stream.socket.fileno(),
+            b"".join(encode_line(msg="close", sid=s, attrs={}, code=CAUSE_DONE) for s in some),
+        )
         for stream, some in by_link.items()
     ]
     began = time.perf_counter()
     for descriptor, octets in messages:
         write_all(descriptor, octets)
     left = len(viewers)
-    while left and time.perf_counter() < began + ENDS_WITHIN_S:
+    while left and time.perf_counter() < began + ENDS_TIMEOUT_S:
         for descriptor, _ in poll.poll(1.0):
             poll.unregister(descriptor)
             left -= 1
@@ -188,22 +200,22 @@
     poll = select.poll()  # select() takes no descriptor past 1,023
     poll.register(descriptor, select.POLLOUT)
     while octets:
-        poll.poll(1e3 * ENDS_WITHIN_S)
+        poll.poll(1e3 * ENDS_TIMEOUT_S)
         octets = octets[os.write(descriptor, octets) :]
 
 
-def nodes(_seed: int) -> Found:
+def measure_nodes(_seed: int) -> ValuesBySize:
     """Nodes on the list: from start to ready, memory, and share of a core while nothing happens."""
 
-    async def work(front: FrontProcess, _emulators: Emulators) -> Found:
+    async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
         await trio.sleep(SETTLE_S)
-        share = await front.share_over(IDLE_S)
-        return {0: (front.ready_s, front.memory / MB, 100 * share)}
+        share = await front.cpu_share_over(IDLE_S)
+        return {0: (front.ready_s, front.resident_octets / MB, 100 * share)}
 
-    return {count: with_front(count, work)[0] for count in NODES}
+    return {count: run_with_front(count, measure)[0] for count in NODES}
 
 
-def arrivals(_seed: int) -> Found:
+def measure_arrivals(_seed: int) -> ValuesBySize:
     """Set-ups at a rate, each ended by its viewer's leaving and its node: share of a core."""
 
     async def one(front: FrontProcess, emulators: Emulators, number: int) -> None:
@@ -211,32 +223,34 @@
         if await viewer.set_up(session, f"title-{number % TITLES}"):
             # Past the stream, whose node may be answering another; so short a message leaves whole.
             stream = emulators.sessions.pop(session)
-            write_all(stream.socket.fileno(), line(msg="close", sid=session, attrs={}, code=DONE))
-            await viewer.hear()
+            write_all(
+                stream.socket.fileno(), encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE)
+            )
+            await viewer.receive()
         viewer.close()
 
     async def at_rate(front: FrontProcess, emulators: Emulators, rate: int, base: int) -> float:
         share, began = list[float](), trio.current_time()
 
-        async def measure() -> None:
-            share.append(await front.share_over(ARRIVALS_S))
+        async def sample_cpu() -> None:
+            share.append(await front.cpu_share_over(ARRIVALS_S))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(measure)
+            nursery.start_soon(sample_cpu)
             for i in range(round(rate * ARRIVALS_S)):
                 await trio.sleep_until(began + i / rate)
                 nursery.start_soon(one, front, emulators, base + i)
         return share[0]
 
-    async def work(front: FrontProcess, emulators: Emulators) -> Found:
-        await trio.sleep(WARM_S)
-        found = Found()
-        for rate in RATES:
+    async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        await trio.sleep(WARMUP_S)
+        found = ValuesBySize()
+        for rate in SETUPS_PER_S:
             found[rate] = (100 * await at_rate(front, emulators, rate, 1_000_000 * rate),)
             await trio.sleep(SETTLE_S)
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
 
 
 PROCESS_EXPERIMENTS = (
@@ -247,7 +261,7 @@
             Quantity("connections.processor", "processor time of a front end, nothing happening", "% of a core"),
             Quantity("connections.descriptors", "open descriptors of a front end", "descriptors"),
         ),
-        connections,
+        measure_connections,
     ),
     Experiment(
         "front-sessions", "held sessions", "measured",
@@ -257,7 +271,7 @@
             Quantity("sessions.set-up", "processor time of one set-up, while so many come to be held", "ms"),
             Quantity("sessions.report", "processor time of one node's report on a session", "us"),
         ),
-        sessions,
+        measure_sessions,
     ),
     Experiment(
         "front-ends", "sessions of one title that end at once", "measured",
@@ -265,7 +279,7 @@
             Quantity("ends.time", "from the nodes' word until the last viewer has its release", "ms"),
             Quantity("ends.processor", "processor time of the front end for each", "us"),
         ),
-        ends,
+        measure_ends,
     ),
     Experiment(
         "front-nodes", "nodes on the list", "measured",
@@ -274,11 +288,11 @@
             Quantity("nodes.memory", "resident memory of a front end", "MB"),
             Quantity("nodes.processor", "processor time of a front end, nothing happening", "% of a core"),
         ),
-        nodes,
+        measure_nodes,
     ),
     Experiment(
         "front-arrivals", "set-ups a second", "measured",
         (Quantity("arrivals.processor", "processor time of a front end, each session ended at once", "% of a core"),),
-        arrivals,
+        measure_arrivals,
     ),
 )  # fmt: skip
--- a/benchmarks/capacity/network.py
+++ b/benchmarks/capacity/network.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.topology import Site, Topology
 from oakcroft.interface import MS, SECOND
 
-WALL_CHECK_EVERY = 4_096
+EVENTS_PER_WALL_CHECK = 4_096
 """Events between two looks at the wall clock."""
 
 SEGMENT_OCTETS = 1_448
@@ -30,7 +30,7 @@
 CONNECTION_SEGMENTS = 4
 """Empty segments each way that open and close a connection: SYN or SYN-ACK, ACK, FIN, ACK."""
 
-RETRANSMISSION_AFTER = 200 * MS
+RETRANSMISSION_TIMEOUT_NS = 200 * MS
 """Linux's least retransmission timeout; a stream that loses anything waits so long once in each flight."""
 
 
@@ -56,24 +56,24 @@
     def with_loss(cls, inside_zone: float, between_zones: float, between_regions: float) -> NetworkParameters:
         """The usual latencies with these losses."""
         return cls(
-            LinkParameters(LATENCY_INSIDE_ZONE, JITTER_INSIDE_ZONE, inside_zone),
-            LinkParameters(LATENCY_BETWEEN_ZONES, JITTER_BETWEEN_ZONES, between_zones),
-            LinkParameters(LATENCY_BETWEEN_REGIONS, JITTER_BETWEEN_REGIONS, between_regions),
-            LATENCY_RING_STEP,
+            LinkParameters(LATENCY_INSIDE_ZONE_NS, JITTER_INSIDE_ZONE_NS, inside_zone),
+            LinkParameters(LATENCY_BETWEEN_ZONES_NS, JITTER_BETWEEN_ZONES_NS, between_zones),
+            LinkParameters(LATENCY_BETWEEN_REGIONS_NS, JITTER_BETWEEN_REGIONS_NS, between_regions),
+            LATENCY_RING_STEP_NS,
         )
 
 
-LATENCY_INSIDE_ZONE = MS // 4
-JITTER_INSIDE_ZONE = MS // 2
+LATENCY_INSIDE_ZONE_NS = MS // 4
+JITTER_INSIDE_ZONE_NS = MS // 2
 """One data hall: under a millisecond, most of it queueing in hosts."""
 
-LATENCY_BETWEEN_ZONES = MS
-JITTER_BETWEEN_ZONES = MS
+LATENCY_BETWEEN_ZONES_NS = MS
+JITTER_BETWEEN_ZONES_NS = MS
 """Halls of one metropolitan area, some 100 km of fibre at most."""
 
-LATENCY_BETWEEN_REGIONS = 20 * MS
-JITTER_BETWEEN_REGIONS = 5 * MS
-LATENCY_RING_STEP = 20 * MS
+LATENCY_BETWEEN_REGIONS_NS = 20 * MS
+JITTER_BETWEEN_REGIONS_NS = 5 * MS
+LATENCY_RING_STEP_NS = 20 * MS
 """Nine regions taken as a ring round the earth: neighbours 20 ms apart one way, opposite ones 80 ms (fibre carries
 200 km in a millisecond, and cables make detours)."""
 
@@ -103,7 +103,7 @@
             self.now, _, action, arguments = heapq.heappop(heap)
             action(*arguments)
             self.handled += 1
-            if self.handled % WALL_CHECK_EVERY == 0 and time.monotonic() > wall_deadline:
+            if self.handled % EVENTS_PER_WALL_CHECK == 0 and time.monotonic() > wall_deadline:
                 return False
         self.now = until
         return True
@@ -121,14 +121,14 @@
 class Network:
     """Latency, loss and partitions between the sites of a topology."""
 
-    def __init__(self, topology: Topology, terms: NetworkParameters, seed: int) -> None:
+    def __init__(self, topology: Topology, parameters: NetworkParameters, seed: int) -> None:
         """All links stand; latencies and losses are drawn by the seed."""
         self._random = Random(f"network {seed}")
         self._cut_regions: set[int] = set()
         regions = topology.region_of_zone
         count = max(regions) + 1
         self._paths = [
-            [_path(one, other, regions, count, terms) for other in range(len(regions))]
+            [_path_parameters(one, other, regions, count, parameters) for other in range(len(regions))]
             for one in range(len(regions))
         ]
 
@@ -150,10 +150,10 @@
         if self._cut_regions and self.separated(sender, receiver):
             return None
         path = self._paths[sender.zone][receiver.zone]
-        chance = self._random.random
-        if chance() < path.loss:
+        draw = self._random.random
+        if draw() < path.loss:
             return None
-        return path.latency + int(chance() * path.jitter)
+        return path.latency + int(draw() * path.jitter)
 
     def stream_transfer(self, sender: Site, receiver: Site, octets: int) -> Transfer | None:
         """One flight of so many octets on an open connection; None across a cut."""
@@ -164,7 +164,7 @@
         lost = sum(self._random.random() < path.loss for _ in range(segments))
         delay = path.latency + int(self._random.random() * path.jitter)
         if lost:
-            delay += RETRANSMISSION_AFTER
+            delay += RETRANSMISSION_TIMEOUT_NS
         acknowledgements = -(-segments // 2)
         again = lost * (SEGMENT_OCTETS + TCP_HEADER_OCTETS)
         return Transfer(
@@ -172,16 +172,18 @@
         )
 
 
-def _path(one: int, other: int, regions: list[int], count: int, terms: NetworkParameters) -> LinkParameters:
+def _path_parameters(
+    one: int, other: int, regions: list[int], count: int, parameters: NetworkParameters
+) -> LinkParameters:
     """The path between two zones."""
     if one == other:
-        return terms.inside_zone
+        return parameters.inside_zone
     apart = abs(regions[one] - regions[other])
     if apart == 0:
-        return terms.between_zones
+        return parameters.between_zones
     steps = min(apart, count - apart) - 1
-    wide = terms.between_regions
-    return LinkParameters(wide.latency + steps * terms.ring_step, wide.jitter, wide.loss)
+    wide = parameters.between_regions
+    return LinkParameters(wide.latency + steps * parameters.ring_step, wide.jitter, wide.loss)
 
 
 def seconds(duration: int) -> float:
--- a/benchmarks/capacity/network_check.py
+++ b/benchmarks/capacity/network_check.py
@@ -1,4 +1,4 @@
-"""Whether a network's links are as its terms state them, by sampling."""
+"""Whether a network's links are as its parameters state them, by sampling."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
         return f"{self.kind} {self.shortest / MS:.2f} to {self.longest / MS:.2f} ms, loss {self.loss:.2%}"
 
 
-def sample_links(network: Network, topology: Topology, terms: NetworkParameters) -> list[LinkSample]:
+def sample_links(network: Network, topology: Topology, parameters: NetworkParameters) -> list[LinkSample]:
     """Sends `SAMPLES` datagrams over each kind of path, spread over all pairs of zones of that kind."""
     firsts = [topology.zone_members(zone)[0] for zone in range(len(topology.region_of_zone))]
     regions = max(topology.region_of_zone) + 1
-    widest = terms.between_regions.latency + terms.between_regions.jitter
-    widest += max(0, regions // 2 - 1) * terms.ring_step
+    widest = parameters.between_regions.latency + parameters.between_regions.jitter
+    widest += max(0, regions // 2 - 1) * parameters.ring_step
     samples = []
     for kind, stated, longest, pairs in (
-        ("inside a zone", terms.inside_zone, None, [(one, one) for one in firsts]),
-        ("between zones", terms.between_zones, None, _pairs(firsts, same_region=True)),
-        ("between regions", terms.between_regions, widest, _pairs(firsts, same_region=False)),
+        ("inside a zone", parameters.inside_zone, None, [(one, one) for one in firsts]),
+        ("between zones", parameters.between_zones, None, _pairs(firsts, same_region=True)),
+        ("between regions", parameters.between_regions, widest, _pairs(firsts, same_region=False)),
     ):
         if pairs:
             longest_stated = stated.latency + stated.jitter if longest is None else longest
--- a/benchmarks/capacity/platform_process.py
+++ b/benchmarks/capacity/platform_process.py
@@ -22,15 +22,15 @@
 from oakcroft.platformwire import framing
 
 HOST = "127.0.0.1"
-SOCKETS = 18_000
+MAX_SOCKETS = 18_000
 """Descriptors granted to the front end: half are for viewers. Under this machine's hard limit (20,000)."""
-MEMORY_MB = 4_096
-READY_WITHIN_S = 30.0
-BLOCK_S = 0.9
+MAX_MEMORY_MB = 4_096
+READY_TIMEOUT_S = 30.0
+LONG_POLL_S = 0.9
 """A poll of the channel is answered by then when there is nothing new."""
 REPORTS_EVERY_MS = 3_000.0
 NS_PER_S = 1e9
-WARM_S = 6.5
+WARMUP_S = 6.5
 """After its start a front end takes all nodes for cold for 6 s."""
 EMULATED_NODES = 40
 
@@ -77,7 +77,7 @@
                 after, block = (
                     head.split(word)[1].split(end)[0] for word, end in ((b"resume=", b"&"), (b"block=", b" "))
                 )
-                await trio.sleep(BLOCK_S if int(block) else 0.0)
+                await trio.sleep(LONG_POLL_S if int(block) else 0.0)
                 body = orjson.dumps({"cursor": int(after), "cmds": []})
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
@@ -91,16 +91,16 @@
                     await stream.send_all(answers)
         await trio.aclose_forcefully(stream)
 
-    def _answer(self, stream: trio.SocketStream, said: dict[str, Any]) -> bytes:
-        if said["msg"] != "open":
+    def _answer(self, stream: trio.SocketStream, message: dict[str, Any]) -> bytes:
+        if message["msg"] != "open":
             return b""
-        self.sessions[said["sid"]] = stream
-        return line(msg="ready", sid=said["sid"], attrs={}, text="answer\r\n")
+        self.sessions[message["sid"]] = stream
+        return encode_line(msg="ready", sid=message["sid"], attrs={}, text="answer\r\n")
 
 
-def line(**said: Any) -> bytes:
+def encode_line(**message: Any) -> bytes:
     """A node's message."""
-    return orjson.dumps(said) + b"\n"
+    return orjson.dumps(message) + b"\n"
 
 
 class FrontProcess:
@@ -111,30 +111,30 @@
         self.child, self.port, self.ready_s = child, port, ready_s
 
     @property
-    def memory(self) -> int:
+    def resident_octets(self) -> int:
         """Resident octets."""
         pages = int(Path(f"/proc/{self.child.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
     @property
-    def processor_s(self) -> float:
+    def cpu_seconds(self) -> float:
         """Processor time so far, of all threads that are there: to the nanosecond, where /proc/PID/stat tells 10 ms."""
         tasks = Path(f"/proc/{self.child.pid}/task").iterdir()
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / NS_PER_S
 
     @property
-    def descriptors(self) -> int:
+    def descriptor_count(self) -> int:
         """Open ones."""
         return len(os.listdir(f"/proc/{self.child.pid}/fd"))
 
-    async def share_over(self, seconds: float) -> float:
+    async def cpu_share_over(self, seconds: float) -> float:
         """Share of a core over so long."""
-        before, began = self.processor_s, time.perf_counter()
+        before, began = self.cpu_seconds, time.perf_counter()
         await trio.sleep(seconds)
-        return (self.processor_s - before) / (time.perf_counter() - began)
+        return (self.cpu_seconds - before) / (time.perf_counter() - began)
 
 
-def members(ports: list[int], nodes: int) -> list[dict[str, Any]]:
+def node_members(ports: list[int], nodes: int) -> list[dict[str, Any]]:
     """So many nodes on the list; those past the emulated ones share their ports and are never asked."""
     return [
         {"id": f"node-{i:05}", "host_port": f"{HOST}:{ports[i % len(ports)]}", "locality": f"zone-{i % 2}",
@@ -153,15 +153,15 @@
 
 
 @asynccontextmanager
-async def running(emulators: Emulators, nodes: int) -> AsyncIterator[FrontProcess]:
+async def running_front(emulators: Emulators, nodes: int) -> AsyncIterator[FrontProcess]:
     """A front end that has this many nodes on its list, from when it answers a test until it is ended."""
     port = free_port()
     known = {
         "cursor": 1,
-        "cmds": [{"cursor": 1, "nodes": {"complete": True, "members": members(emulators.ports, nodes)}}],
+        "cmds": [{"cursor": 1, "nodes": {"complete": True, "members": node_members(emulators.ports, nodes)}}],
     }
     told = {
-        "name": "front", "listen": f"{HOST}:{port}", "seed": "1", "limits": {"sockets": SOCKETS, "memory_mb": MEMORY_MB},
+        "name": "front", "listen": f"{HOST}:{port}", "seed": "1", "limits": {"sockets": MAX_SOCKETS, "memory_mb": MAX_MEMORY_MB},
         "channel": f"{HOST}:{emulators.channel_port}", "known": known, "settings": SETTINGS,
     }  # fmt: skip
     with tempfile.TemporaryDirectory() as folder:
@@ -174,15 +174,15 @@
                 env=os.environ | {"PROXY_CONFIG": str(file)},
             )  # fmt: skip
         try:
-            with trio.fail_after(READY_WITHIN_S):
-                await until_tested(port, child)
+            with trio.fail_after(READY_TIMEOUT_S):
+                await wait_until_ready(port, child)
             yield FrontProcess(child, port, time.perf_counter() - began)
         finally:
             child.kill()
             child.wait()
 
 
-async def until_tested(port: int, child: subprocess.Popen[bytes]) -> None:
+async def wait_until_ready(port: int, child: subprocess.Popen[bytes]) -> None:
     """Until the front end says that it is ready. RuntimeError where it has ended instead."""
     while child.poll() is None:
         with suppress(OSError):
@@ -220,7 +220,7 @@
     async def test(self) -> bool:
         """Asks for a test; whether it passed."""
         await self.sock.send(framing.encode(framing.TEST, "00000000000000ff", (framing.CAUSE, b"\0")))
-        _, _, found = await self.hear()
+        _, _, found = await self.receive()
         return found[framing.CAUSE] == b"\1"
 
     async def set_up(self, session: str, title: str, wait_ms: int = 8_000) -> bool:
@@ -236,10 +236,10 @@
                 framing.SET_UP, session, *fields, (framing.EXTRAS, extras), (framing.TEXT, b"offer\r\n")
             )
         )
-        kind, _, _ = await self.hear()
+        kind, _, _ = await self.receive()
         return kind == framing.ANSWER
 
-    async def hear(self) -> tuple[int, str, dict[int, bytes]]:
+    async def receive(self) -> tuple[int, str, dict[int, bytes]]:
         """The next message. OSError where the connection has ended."""
         while (event := self.frames.next_event()) is None:
             data = await self.sock.recv(4096)
--- a/benchmarks/capacity/roles_control.py
+++ b/benchmarks/capacity/roles_control.py
@@ -4,51 +4,56 @@
 
 from benchmarks.capacity import assumptions as assumed
 from benchmarks.capacity import bounds, demand
-from benchmarks.capacity.readings import NOT_MEASURED, Readings, number
+from benchmarks.capacity.readings import NOT_MEASURED, Readings, format_number
 from benchmarks.capacity.role_parts import (
-    CONTROL_CORE,
-    CONTROL_KB,
-    CONTROL_MB,
-    EIGHT_KB,
-    FRONTS,
+    CONTROL_CPU_PERCENT,
+    CONTROL_KB_PER_S,
+    CONTROL_MEMORY_MB,
+    OVER_TRAFFIC_BUDGET,
+    TARGET_FRONTS,
     MS_PER_S,
-    PER_CENT,
-    THREE_PER_CENT,
-    assuming,
-    constant,
-    derived,
+    PERCENT,
+    OVER_CPU_BUDGET,
+    assumed_limits,
+    constant_limit,
+    derived_limit,
     load_at_both_sizes,
-    within,
+    measured_limit,
 )
 from benchmarks.capacity.rows import Limit, Load, Row
 from benchmarks.capacity.targets import BUDGET, DAY_S, KB, MB, TARGET, TODAY_FRONTS
 
-TITLES = assumed.CATALOGUE_TITLES.value
+TARGET_TITLES = assumed.CATALOGUE_TITLES.value
 TODAY_TITLES = 10_000.0
 """A catalogue as it is tried today."""
-CHANGES = demand.changes_per_s()
-CHANGES_BURST = demand.burst_changes_per_s()
-REGION = demand.fronts_of_largest_region()
-AWAY = 1 - 1 / TARGET.regions
+CHANGES_PER_S = demand.changes_per_s()
+BURST_CHANGES_PER_S = demand.burst_changes_per_s()
+LARGEST_REGION_FRONTS = demand.fronts_of_largest_region()
+OTHER_REGIONS_SHARE = 1 - 1 / TARGET.regions
 """Part of what goes to any front that goes to another region."""
-LEASES = assumed.LEASES.value
+TARGET_LEASES = assumed.LEASES.value
 FLAT_FILES = "`decisions/fleet/view.py`, `peers/speaker.py` (commit 414ace3)"
 ZONED_FILES = "`decisions/membership/hierarchy.py`"
-HOLDER_KB = "8 kB/s of the front that holds the lease"
+HOLDER_OVER_TRAFFIC_BUDGET = "8 kB/s of the front that holds the lease"
 
 
 def by_budget(slopes: Readings, prefix: str) -> tuple[Limit, ...]:
     """The limits of one kind of membership by each budget."""
     named = (
-        ("start", CONTROL_KB, "fronts, whole start, octets sent", EIGHT_KB),
-        ("sent", CONTROL_KB, "fronts, whole start and a region's cut, octets sent", EIGHT_KB),
-        ("received", CONTROL_KB, "the same, octets received", EIGHT_KB),
-        ("processor", CONTROL_CORE, "fronts, by processor time", THREE_PER_CENT),
-        ("memory", CONTROL_MB, "fronts, by memory", "256 MB"),
+        ("start", CONTROL_KB_PER_S, "fronts, whole start, octets sent", OVER_TRAFFIC_BUDGET),
+        (
+            "sent",
+            CONTROL_KB_PER_S,
+            "fronts, whole start and a region's cut, octets sent",
+            OVER_TRAFFIC_BUDGET,
+        ),
+        ("received", CONTROL_KB_PER_S, "the same, octets received", OVER_TRAFFIC_BUDGET),
+        ("processor", CONTROL_CPU_PERCENT, "fronts, by processor time", OVER_CPU_BUDGET),
+        ("memory", CONTROL_MEMORY_MB, "fronts, by memory", "256 MB"),
     )
     return tuple(
-        within(slopes, f"{prefix}.{name}", budget, driver, FRONTS, breaks)
-        for name, budget, driver, breaks in named
+        measured_limit(slopes, f"{prefix}.{name}", budget, driver, TARGET_FRONTS, consequence)
+        for name, budget, driver, consequence in named
     )
 
 
@@ -60,7 +65,7 @@
         "8 kB/s in any ten seconds, 3% of a core, 256 MB with all other control",
         FLAT_FILES + (f"; new: {ZONED_FILES}" if built else ""),
         (
-            Load("state", f"{TODAY_FRONTS} members", f"{number(FRONTS)} members"),
+            Load("state", f"{TODAY_FRONTS} members", f"{format_number(TARGET_FRONTS)} members"),
             Load("messages", NOT_MEASURED, NOT_MEASURED),
             load_at_both_sizes("processor, worst front", slopes["membership.processor"]),
             load_at_both_sizes("memory", slopes["membership.memory"]),
@@ -70,7 +75,7 @@
         ),
         (
             *by_budget(slopes, "membership"),
-            constant(bounds.MEMBERS, "members", FRONTS, "newcomers are not taken in"),
+            constant_limit(bounds.MAX_MEMBERS, "members", TARGET_FRONTS, "newcomers are not taken in"),
         ),
         by_budget(slopes, "zoned") if built else (),
     )
@@ -78,25 +83,29 @@
 
 def leases(slopes: Readings) -> Row:
     """Leases and their quorum."""
-    each = slopes["leases.octets"].value(FRONTS)
-    by_octets = None if each is None else CONTROL_KB / each
+    each = slopes["leases.octets"].value(TARGET_FRONTS)
+    by_octets = None if each is None else CONTROL_KB_PER_S / each
     source = "`leases.octets`, 8 kB/s over that of one"
     return Row(
         "leases and their quorum",
         "8 kB/s and 3% of a core of a quorum member, which is a front",
         "`decisions/fleet/keeping.py`, `decisions/fleet/owning.py`, `peers/duties.py`",
         (
-            Load("state", "1 lease", f"{number(LEASES)} leases (assumed)"),
+            Load("state", "1 lease", f"{format_number(TARGET_LEASES)} leases (assumed)"),
             load_at_both_sizes("messages of all, one lease", slopes["leases.messages"]),
             Load("processor, memory", NOT_MEASURED, NOT_MEASURED),
             load_at_both_sizes("network of a quorum member, one lease", slopes["leases.octets"]),
         ),
         (
-            *assuming(
+            *assumed_limits(
                 assumed.LEASES,
-                constant(bounds.LEASES, "leases", LEASES, "not granted"),
-                derived(
-                    by_octets, source, "leases, by a member's octets", LEASES, "8 kB/s of a quorum member"
+                constant_limit(bounds.MAX_LEASES, "leases", TARGET_LEASES, "not granted"),
+                derived_limit(
+                    by_octets,
+                    source,
+                    "leases, by a member's octets",
+                    TARGET_LEASES,
+                    "8 kB/s of a quorum member",
                 ),
             ),
         ),
@@ -105,16 +114,16 @@
 
 def rollout_limits(slopes: Readings) -> tuple[Limit, ...]:
     """Limits of today's staged rollout, whatever the size of its text."""
-    took = slopes["rollout.time"].value(FRONTS)
-    ended = slopes["rollout.ended"].value(FRONTS)
+    took = slopes["rollout.time"].value(TARGET_FRONTS)
+    ended = slopes["rollout.ended"].value(TARGET_FRONTS)
     a_day = None if ended is None else DAY_S / ended
     source = "`rollout.ended` at 2,700 fronts, one at a time"
     refused = "a change is refused while another is under way"
     in_burst = TARGET.changes_per_day * assumed.BURST_OVER_MEAN.value
     return (
-        derived(a_day, source, "changes a day", TARGET.changes_per_day, refused),
-        derived(a_day, source, "changes a day's rate in a burst of ten times", in_burst, refused),
-        derived(
+        derived_limit(a_day, source, "changes a day", TARGET.changes_per_day, refused),
+        derived_limit(a_day, source, "changes a day's rate in a burst of ten times", in_burst, refused),
+        derived_limit(
             None if took is None else TARGET.change_within_s / took,
             "20 s over `rollout.time` at 2,700 fronts",
             "of the time that a change takes, what it may take",
@@ -126,32 +135,35 @@
 
 def text_limits(slopes: Readings) -> tuple[Limit, ...]:
     """Limits that come of whole texts, if a change is one of a catalogue of all titles."""
-    text_kb, change_ms = slopes["catalogue.octets"].value(TITLES), slopes["catalogue.processor"].value(TITLES)
-    by_octets = None if text_kb is None else CONTROL_KB / text_kb * DAY_S
+    text_kb, change_ms = (
+        slopes["catalogue.octets"].value(TARGET_TITLES),
+        slopes["catalogue.processor"].value(TARGET_TITLES),
+    )
+    by_octets = None if text_kb is None else CONTROL_KB_PER_S / text_kb * DAY_S
     by_processor = None if change_ms is None else BUDGET.core_share * MS_PER_S / change_ms * DAY_S
-    kept = None if text_kb is None else CONTROL_MB / (text_kb * KB / MB)
+    kept = None if text_kb is None else CONTROL_MEMORY_MB / (text_kb * KB / MB)
     a_day = TARGET.changes_per_day
-    return assuming(
+    return assumed_limits(
         assumed.CATALOGUE_TITLES,
-        derived(
+        derived_limit(
             by_octets,
             "`catalogue.octets`, 8 kB/s over one text",
             "changes a day, whole texts",
             a_day,
             "8 kB/s of every front",
         ),
-        derived(
+        derived_limit(
             by_processor,
             "`catalogue.processor`, 3% of a core",
             "changes a day, by processor time",
             a_day,
-            THREE_PER_CENT,
+            OVER_CPU_BUDGET,
         ),
-        derived(
+        derived_limit(
             kept,
             "`catalogue.octets`, 256 MB over one text",
             "versions in memory",
-            bounds.TEXTS_KEPT.value,
+            bounds.KEPT_VERSIONS.value,
             "256 MB",
         ),
     )
@@ -165,23 +177,23 @@
         "in force everywhere in 20 s; 8 kB/s, 3% of a core, 256 MB with all other control",
         "`front/rolling.py`, `decisions/fleet/rollout.py`, `front/catalogues.py`",
         (
-            load_at_both_sizes("state, the whole text", octets, TODAY_TITLES, TITLES),
+            load_at_both_sizes("state, the whole text", octets, TODAY_TITLES, TARGET_TITLES),
             Load(
                 "messages",
                 "one rollout at a time",
-                f"{number(CHANGES)} changes a second, {number(CHANGES_BURST)} in a burst",
+                f"{format_number(CHANGES_PER_S)} changes a second, {format_number(BURST_CHANGES_PER_S)} in a burst",
             ),
             load_at_both_sizes("time of a change, text apart", slopes["rollout.time"]),
             load_at_both_sizes(
-                "processor of a change at a front", slopes["catalogue.processor"], TODAY_TITLES, TITLES
+                "processor of a change at a front", slopes["catalogue.processor"], TODAY_TITLES, TARGET_TITLES
             ),
             load_at_both_sizes(
-                "memory of a version at a front", slopes["catalogue.memory"], TODAY_TITLES, TITLES
+                "memory of a version at a front", slopes["catalogue.memory"], TODAY_TITLES, TARGET_TITLES
             ),
             Load(
                 "network of a front, 14,000 changes a day",
-                octets.cell(TODAY_TITLES, CHANGES, "kB/s"),
-                octets.cell(TITLES, CHANGES, "kB/s"),
+                octets.table_cell(TODAY_TITLES, CHANGES_PER_S, "kB/s"),
+                octets.table_cell(TARGET_TITLES, CHANGES_PER_S, "kB/s"),
             ),
         ),
         (*rollout_limits(slopes), *text_limits(slopes)),
@@ -190,7 +202,7 @@
 
 def control_machine(slopes: Readings) -> Row:
     """Machines set aside for control; today a front that holds the lease does their work."""
-    half_core = BUDGET.control_machine_share * PER_CENT
+    half_core = BUDGET.control_machine_share * PERCENT
     half_link_kb = BUDGET.control_machine_share * assumed.CONTROL_MACHINE_OCTETS_PER_S.value / KB
     holder_core = "3% of a core of the front that holds the lease"
     half = "half of a control machine"
@@ -208,32 +220,47 @@
             load_at_both_sizes("network sent, none under way", slopes["rollout.quiet"]),
         ),
         (
-            within(
+            measured_limit(
                 slopes,
                 "rollout.sent",
-                CONTROL_KB,
+                CONTROL_KB_PER_S,
                 "fronts that one holder orders, by octets",
-                FRONTS,
-                HOLDER_KB,
+                TARGET_FRONTS,
+                HOLDER_OVER_TRAFFIC_BUDGET,
             ),
-            within(
-                slopes, "rollout.quiet", CONTROL_KB, "the same with no rollout under way", FRONTS, HOLDER_KB
+            measured_limit(
+                slopes,
+                "rollout.quiet",
+                CONTROL_KB_PER_S,
+                "the same with no rollout under way",
+                TARGET_FRONTS,
+                HOLDER_OVER_TRAFFIC_BUDGET,
             ),
-            within(
-                slopes, "rollout.processor", CONTROL_CORE, "the same by processor time", FRONTS, holder_core
+            measured_limit(
+                slopes,
+                "rollout.processor",
+                CONTROL_CPU_PERCENT,
+                "the same by processor time",
+                TARGET_FRONTS,
+                holder_core,
             ),
-            *assuming(
+            *assumed_limits(
                 assumed.CONTROL_MACHINE_OCTETS_PER_S,
-                within(
+                measured_limit(
                     slopes,
                     "rollout.processor",
                     half_core,
                     "on a machine of its own, by processor time",
-                    FRONTS,
+                    TARGET_FRONTS,
                     half,
                 ),
-                within(
-                    slopes, "rollout.sent", half_link_kb, "on a machine of its own, by octets", FRONTS, half
+                measured_limit(
+                    slopes,
+                    "rollout.sent",
+                    half_link_kb,
+                    "on a machine of its own, by octets",
+                    TARGET_FRONTS,
+                    half,
                 ),
             ),
         ),
@@ -243,10 +270,12 @@
 def wide_area(slopes: Readings) -> Row:
     """Links between regions."""
     octets, quiet = slopes["catalogue.octets"], slopes["membership.quiet"]
-    text_kb, sent_kb = octets.value(TITLES), quiet.value(FRONTS)
+    text_kb, sent_kb = octets.value(TARGET_TITLES), quiet.value(TARGET_FRONTS)
     link_kb = assumed.WIDE_AREA_OCTETS_PER_S.value / KB
-    by_text = None if text_kb is None else link_kb / (text_kb * REGION * AWAY) * DAY_S
-    fronts = None if sent_kb is None else link_kb / (sent_kb * AWAY)
+    by_text = (
+        None if text_kb is None else link_kb / (text_kb * LARGEST_REGION_FRONTS * OTHER_REGIONS_SHARE) * DAY_S
+    )
+    fronts = None if sent_kb is None else link_kb / (sent_kb * OTHER_REGIONS_SHARE)
     today_region = TODAY_FRONTS / TARGET.regions
     full = "the link is full: what is sent comes late"
     texts_source = "`catalogue.octets`, a link over one text for each front of the largest region"
@@ -260,26 +289,28 @@
             Load("messages, processor, memory", "none of their own", "none of their own"),
             Load(
                 "network, membership in a quiet time",
-                quiet.cell(TODAY_FRONTS, today_region * AWAY),
-                quiet.cell(FRONTS, REGION * AWAY),
+                quiet.table_cell(TODAY_FRONTS, today_region * OTHER_REGIONS_SHARE),
+                quiet.table_cell(TARGET_FRONTS, LARGEST_REGION_FRONTS * OTHER_REGIONS_SHARE),
             ),
             Load(
                 "network, 14,000 whole texts a day",
-                octets.cell(TODAY_TITLES, CHANGES * today_region * AWAY, "kB/s"),
-                octets.cell(TITLES, CHANGES * REGION * AWAY, "kB/s"),
+                octets.table_cell(TODAY_TITLES, CHANGES_PER_S * today_region * OTHER_REGIONS_SHARE, "kB/s"),
+                octets.table_cell(
+                    TARGET_TITLES, CHANGES_PER_S * LARGEST_REGION_FRONTS * OTHER_REGIONS_SHARE, "kB/s"
+                ),
             ),
         ),
         (
-            *assuming(
+            *assumed_limits(
                 assumed.WIDE_AREA_OCTETS_PER_S,
-                derived(
+                derived_limit(
                     by_text,
                     texts_source,
                     "changes a day, whole texts of all titles",
                     TARGET.changes_per_day,
                     full,
                 ),
-                derived(fronts, fronts_source, "fronts of a region", REGION, full),
+                derived_limit(fronts, fronts_source, "fronts of a region", LARGEST_REGION_FRONTS, full),
             ),
         ),
     )
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ENOUGH = 2.0
+SUFFICIENT_RATIO = 2.0
 """Carried over needed past which it does not matter how much more would be; no size is looked for beyond it."""
 
 
@@ -26,7 +26,7 @@
 @dataclass(frozen=True)
 class Limit:
     """One bound that a role meets on its way to the target: the largest value of its driver at which it still does its
-    work within the budget, and the value that is needed in the worst hour. `breaks`: what happens past it. `assumes`: the
+    work within the budget, and the value that is needed in the worst hour. `consequence`: what happens past it. `assumption`: the
     assumption of this page that it rests on, where the users' figures alone do not give it. A bound past which a cache
     only forgets is no limit and has no entry."""
 
@@ -35,8 +35,8 @@
     needed: float
     basis: Basis
     source: str
-    breaks: str
-    assumes: str = ""
+    consequence: str
+    assumption: str = ""
 
     @property
     def ratio(self) -> float | None:
@@ -67,12 +67,12 @@
     @property
     def tightest(self) -> Limit | None:
         """The limit with the lowest ratio of those that the users' figures give; None where none was measured."""
-        return tightest(tuple(limit for limit in self.limits if not limit.assumes))
+        return tightest(tuple(limit for limit in self.limits if not limit.assumption))
 
     @property
     def tightest_assumed(self) -> Limit | None:
         """The same of those that rest on an assumption."""
-        return tightest(tuple(limit for limit in self.limits if limit.assumes))
+        return tightest(tuple(limit for limit in self.limits if limit.assumption))
 
     @property
     def tightest_with_mechanism(self) -> Limit | None:
@@ -86,7 +86,7 @@
     return limits[min(known)[1]] if known else None
 
 
-def by_ratio(rows: list[Row]) -> list[Row]:
+def sorted_by_ratio(rows: list[Row]) -> list[Row]:
     """Rows by carried / needed as the users' figures give it, the lowest first; then those that rest on assumptions
     alone, by theirs; those without a figure last."""
 
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from benchmarks.capacity.fit import LEAST_SIZES, Fit, FitError, Point, fit
+from benchmarks.capacity.fit import MIN_SIZES, Fit, FitError, Point, fit
 
 FILE = Path(__file__).with_name("slopes.json")
-LEAST_RUNS = 3
-COMMIT_DIGITS = 7
+MIN_RUNS = 3
+MIN_COMMIT_DIGITS = 7
 
 
 class SlopeError(Exception):
@@ -26,14 +26,14 @@
     runs: tuple[float, ...]
 
     @property
-    def middle(self) -> float:
+    def median(self) -> float:
         """The median of the runs."""
         return median(self.runs)
 
     @property
     def spread(self) -> float:
         """Largest less smallest run, over the median."""
-        return (max(self.runs) - min(self.runs)) / self.middle if self.middle else 0.0
+        return (max(self.runs) - min(self.runs)) / self.median if self.median else 0.0
 
 
 class Slope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -56,20 +56,20 @@
         """SlopeError where it lacks what makes it a measurement."""
         if not self.command.startswith("python -m "):
             raise SlopeError(f"{self.name}: no command that gives it")
-        if len(self.commit) < COMMIT_DIGITS or not all(c in "0123456789abcdef" for c in self.commit):
+        if len(self.commit) < MIN_COMMIT_DIGITS or not all(c in "0123456789abcdef" for c in self.commit):
             raise SlopeError(f"{self.name}: no commit")
         if self.cores < 1 or not self.seeds:
             raise SlopeError(f"{self.name}: no cores or no seeds")
-        if len({m.size for m in self.measurements}) < LEAST_SIZES:
-            raise SlopeError(f"{self.name}: under {LEAST_SIZES} sizes")
-        short = [m.size for m in self.measurements if len(m.runs) < LEAST_RUNS]
+        if len({m.size for m in self.measurements}) < MIN_SIZES:
+            raise SlopeError(f"{self.name}: under {MIN_SIZES} sizes")
+        short = [m.size for m in self.measurements if len(m.runs) < MIN_RUNS]
         if short:
-            raise SlopeError(f"{self.name}: under {LEAST_RUNS} runs at {short[0]:g}")
+            raise SlopeError(f"{self.name}: under {MIN_RUNS} runs at {short[0]:g}")
 
     @property
     def points(self) -> list[Point]:
         """Size and median of the runs."""
-        return [(m.size, m.middle) for m in self.measurements]
+        return [(m.size, m.median) for m in self.measurements]
 
     @property
     def spread(self) -> float:
@@ -89,7 +89,7 @@
 
     slopes: tuple[Slope, ...] = ()
 
-    def named(self, name: str) -> Slope | None:
+    def find(self, name: str) -> Slope | None:
         """A slope by its name; None where it was not measured."""
         return next((one for one in self.slopes if one.name == name), None)
 
@@ -112,7 +112,7 @@
     return decode(file.read_bytes())
 
 
-def record(new: Slope, file: Path = FILE) -> None:
+def store_slope(new: Slope, file: Path = FILE) -> None:
     """Puts a slope on record in place of the one of its name."""
     new.check()
     before = load(file).slopes if file.exists() else ()
--- a/benchmarks/capacity/topology.py
+++ b/benchmarks/capacity/topology.py
@@ -18,7 +18,7 @@
 PRIVATE_FIRST_OCTET = 10
 LOOPBACK_FIRST_OCTET = 127
 """First octet of the addresses, simulated and real."""
-HOSTS_A_SUBNET = 200
+HOSTS_PER_SUBNET = 200
 
 
 class TopologyError(ValueError):
@@ -68,7 +68,7 @@
 
     def _site(self, zone: int, position: int) -> Site:
         index = len(self.sites)
-        host = f"{self._first_octet}.{zone + 1}.{position // HOSTS_A_SUBNET}.{position % HOSTS_A_SUBNET + 1}"
+        host = f"{self._first_octet}.{zone + 1}.{position // HOSTS_PER_SUBNET}.{position % HOSTS_PER_SUBNET + 1}"
         return Site(index, f"front-{index:04}", self.region_of_zone[zone], zone, (host, PEER_PORT))
 
     def zone_members(self, zone: int) -> list[Site]:
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -13,9 +13,16 @@
 from benchmarks.capacity import demand, experiments, measure_fleet, page, slopes
 from benchmarks.capacity.__main__ import main
 from benchmarks.capacity.assumptions import ASSUMPTIONS, TITLE_SKEW
-from benchmarks.capacity.fit import GUESS_FACTOR, FitError, Point, estimate, fit, largest_within
-from benchmarks.capacity.readings import Readings, number
-from benchmarks.capacity.rows import ENOUGH, Basis, Limit, Row, by_ratio
+from benchmarks.capacity.fit import (
+    MAX_EXTRAPOLATION_FACTOR,
+    FitError,
+    Point,
+    estimate,
+    fit,
+    largest_size_within,
+)
+from benchmarks.capacity.readings import Readings, format_number
+from benchmarks.capacity.rows import SUFFICIENT_RATIO, Basis, Limit, Row, sorted_by_ratio
 from benchmarks.capacity.slopes import Measurement, Slope, SlopeError, SlopeFile
 from benchmarks.capacity.targets import TARGET
 
@@ -60,7 +67,7 @@
     found = fit(noisy([(size, 7 + 0.5 * size) for size in SIZES], part))
     assert found.form == "linear"
     assert found.coefficients[1] == pytest.approx(0.5, rel=0.08)
-    assert found.at(3_200) == pytest.approx(1_607, rel=0.08)
+    assert found.value_at(3_200) == pytest.approx(1_607, rel=0.08)
 
 
 @pytest.mark.parametrize("exponent", [0.5, 1.5, 2.0])
@@ -68,7 +75,7 @@
     """Growth by a power is extended as such."""
     found = fit(noisy([(size, 3 * size**exponent) for size in SIZES], 0.02))
     assert found.form != "linear"
-    assert found.at(3_200) == pytest.approx(3 * 3_200**exponent, rel=0.15)
+    assert found.value_at(3_200) == pytest.approx(3 * 3_200**exponent, rel=0.15)
 
 
 @pytest.mark.parametrize("base", [0.0, 5.0, 500.0])
@@ -76,14 +83,14 @@
     """Not even where it starts from a large base."""
     found = fit([(size, base + 0.001 * size + 0.01 * size**2) for size in SIZES])
     assert found.form in ("power", "quadratic")
-    assert found.at(6_400) == pytest.approx(base + 6.4 + 0.01 * 6_400**2, rel=0.05)
+    assert found.value_at(6_400) == pytest.approx(base + 6.4 + 0.01 * 6_400**2, rel=0.05)
 
 
 def test_what_does_not_grow_is_constant() -> None:
     """A cost that stays the same is not given a slope by its noise."""
     found = fit(noisy([(size, 7.3) for size in SIZES], 0.04))
     assert found.form == "constant"
-    assert found.at(1e6) == pytest.approx(7.3, rel=0.05)
+    assert found.value_at(1e6) == pytest.approx(7.3, rel=0.05)
 
 
 def test_no_parabola_that_turns_down_is_extended() -> None:
@@ -110,24 +117,25 @@
 def test_the_largest_size_within_a_budget_meets_it() -> None:
     """Also where none does, and where all do."""
     found = fit([(size, 7 + 0.5 * size) for size in SIZES])
-    assert largest_within(found, 407, 1e9) == pytest.approx(800)
-    assert largest_within(found, 5, 1e9) == 0
-    assert largest_within(found, 1e12, TARGET.fronts) == TARGET.fronts
+    assert largest_size_within(found, 407, 1e9) == pytest.approx(800)
+    assert largest_size_within(found, 5, 1e9) == 0
+    assert largest_size_within(found, 1e12, TARGET.fronts) == TARGET.fronts
 
 
 def test_an_estimate_far_beyond_the_measured_sizes_is_a_guess() -> None:
     """Beyond a factor of 20; the page says from where to where."""
     found = fit([(size, 2.0 * size) for size in SIZES])
     within, beyond, far = (
-        estimate(found, size) for size in (800, 1_600 * GUESS_FACTOR, 1_601 * GUESS_FACTOR)
+        estimate(found, size)
+        for size in (800, 1_600 * MAX_EXTRAPOLATION_FACTOR, 1_601 * MAX_EXTRAPOLATION_FACTOR)
     )
-    assert (within.extrapolated, within.guess) == (False, False)
-    assert (beyond.extrapolated, beyond.guess) == (True, False)
-    assert far.guess
+    assert (within.is_extrapolated, within.is_guess) == (False, False)
+    assert (beyond.is_extrapolated, beyond.is_guess) == (True, False)
+    assert far.is_guess
     readings = Readings(SlopeFile((slope(),)))
-    assert "a guess" in readings["some"].cell(33_000)
-    assert "from 100..1,600 to 3,200" in readings["some"].cell(3_200)
-    assert readings["some"].cell(800) == "1,600 ms"
+    assert "a guess" in readings["some"].table_cell(33_000)
+    assert "from 100..1,600 to 3,200" in readings["some"].table_cell(3_200)
+    assert readings["some"].table_cell(800) == "1,600 ms"
 
 
 # The file of slopes.
@@ -159,14 +167,14 @@
 def test_a_slope_on_record_replaces_the_one_of_its_name(tmp_path: Path) -> None:
     """And one that may not be used is not put on record."""
     file = tmp_path / "slopes.json"
-    slopes.record(slope("a"), file)
-    slopes.record(slope("b"), file)
-    slopes.record(slope("a", points=[(size, 5.0 * size) for size in SIZES]), file)
+    slopes.store_slope(slope("a"), file)
+    slopes.store_slope(slope("b"), file)
+    slopes.store_slope(slope("a", points=[(size, 5.0 * size) for size in SIZES]), file)
     found = slopes.load(file)
     assert [one.name for one in found.slopes] == ["a", "b"]
     assert found.slopes[0].points[0] == (100, 500.0)
     with pytest.raises(SlopeError):
-        slopes.record(slope("c", runs=1), file)
+        slopes.store_slope(slope("c", runs=1), file)
     assert slopes.load(file) == found
 
 
@@ -174,7 +182,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """With the command that gives them, and the commit of the program."""
-    monkeypatch.setattr(experiments, "commit", lambda: "414ace3")
+    monkeypatch.setattr(experiments, "measured_commit", lambda: "414ace3")
     two = (
         experiments.Quantity("cost.time", "time", "ms"),
         experiments.Quantity("cost.octets", "octets", "kB"),
@@ -184,7 +192,7 @@
         sizes = SIZES if seed > 1 else (*SIZES, 3_200)
         return {size: (float(size * seed), float(size)) for size in sizes}
 
-    found = experiments.run(
+    found = experiments.run_experiment(
         experiments.Experiment("cost", "fronts", "measured", two, measure), lambda _line: None
     )
     assert [one.name for one in found] == ["cost.time", "cost.octets"]
@@ -198,10 +206,12 @@
 def test_a_changed_program_is_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its commit would not say what was measured."""
     monkeypatch.setattr(
-        experiments, "git", lambda *arguments: " M oakcroft/choice.py" if "status" in arguments else "414ace3"
+        experiments,
+        "run_git",
+        lambda *arguments: " M oakcroft/choice.py" if "status" in arguments else "414ace3",
     )
-    with pytest.raises(experiments.DirtyError, match="choice"):
-        experiments.commit()
+    with pytest.raises(experiments.UncommittedChangesError, match="choice"):
+        experiments.measured_commit()
 
 
 REPORT = """
@@ -217,11 +227,11 @@
 
 def test_the_fleet_s_report_is_read_or_refused() -> None:
     """Each figure from its own line; none is made up where a line is missing."""
-    assert measure_fleet.read(REPORT) == [11.19, 1.28, 14.99, 11.52, 0.59, 0.06]
+    assert measure_fleet.parse_report(REPORT) == [11.19, 1.28, 14.99, 11.52, 0.59, 0.06]
     for line in REPORT.strip().splitlines():
         if "region" not in line:
-            with pytest.raises(measure_fleet.FleetError):
-                measure_fleet.read(REPORT.replace(line, ""))
+            with pytest.raises(measure_fleet.FleetReportError):
+                measure_fleet.parse_report(REPORT.replace(line, ""))
 
 
 # Rows and the page.
@@ -236,9 +246,9 @@
 def test_what_was_not_measured_is_said_and_not_left_out() -> None:
     """A row without a run says so."""
     found = page.rows(SlopeFile())
-    made = page.summary(found)
+    made = page.summary_table(found)
     assert all(f"| {role} |" in made for role in ROLES)
-    assert "not measured" in page.loads(found)
+    assert "not measured" in page.loads_table(found)
     unknown = [limit for row in found for limit in row.limits if limit.basis is Basis.NOT_MEASURED]
     assert unknown
     assert all(limit.carried is None and limit.ratio is None for limit in unknown)
@@ -251,7 +261,9 @@
         limits = tuple(Limit("size", one, 100, Basis.MEASURED, "", "") for one in carried)
         return Row(name, "", "", (), limits)
 
-    found = by_ratio([row("unknown", None), row("high", 90, None), row("low", 95, 3), row("middle", 20)])
+    found = sorted_by_ratio(
+        [row("unknown", None), row("high", 90, None), row("low", 95, 3), row("middle", 20)]
+    )
     assert [one.role for one in found] == ["low", "middle", "high", "unknown"]
 
 
@@ -265,8 +277,8 @@
     alone = Row("assumed alone", "", "", (), (limit(2, "a guess"),))
     assert both.tightest == limit(40)
     assert both.tightest_assumed == limit(1, "a guess")
-    assert [row.role for row in by_ratio([alone, both])] == ["both", "assumed alone"]
-    assert "0.01 (size: 1 / 100)" in page.summary([both])
+    assert [row.role for row in sorted_by_ratio([alone, both])] == ["both", "assumed alone"]
+    assert "0.01 (size: 1 / 100)" in page.summary_table([both])
 
 
 def test_the_new_mechanism_stands_beside_today_s_text_and_not_in_its_place() -> None:
@@ -281,8 +293,8 @@
     old, new = (next(row for row in found if row.role == "membership") for found in (before, after))
     assert (old.with_mechanism, old.tightest) == ((), new.tightest)
     assert new.tightest_with_mechanism is not None
-    assert new.tightest_with_mechanism.carried == TARGET.fronts * ENOUGH
-    assert page.summary(after).count("2 or more |\n") == 1
+    assert new.tightest_with_mechanism.carried == TARGET.fronts * SUFFICIENT_RATIO
+    assert page.summary_table(after).count("2 or more |\n") == 1
 
 
 def test_the_page_on_record_is_what_the_arithmetic_makes() -> None:
@@ -294,8 +306,8 @@
 def test_a_planted_difference_is_found(tmp_path: Path) -> None:
     """In each of the tables."""
     copy = tmp_path / "CAPACITY.md"
-    text = page.FILE.read_text()
-    for at, planted in enumerate(page.BLOCK.findall(text)):
+    text = page.PAGE_FILE.read_text()
+    for at, planted in enumerate(page.TABLE_BLOCK.findall(text)):
         name, body = planted
         copy.write_text(
             text.replace(body, body.replace("|", "| 1", 1) if at % 2 else body[: len(body) // 2], 1)
@@ -317,7 +329,7 @@
 ) -> None:
     """And says which table."""
     copy = tmp_path / "CAPACITY.md"
-    copy.write_text(page.FILE.read_text().replace("150,000,000", "160,000,000"))
+    copy.write_text(page.PAGE_FILE.read_text().replace("150,000,000", "160,000,000"))
     monkeypatch.setattr(page, "differences", lambda check=page.differences: check(copy))
     found = CliRunner().invoke(main, ["page", "--check"])
     assert found.exit_code == 1
@@ -327,7 +339,7 @@
 def test_a_page_without_the_place_for_a_table_is_refused(tmp_path: Path) -> None:
     """A table can not get lost."""
     copy = tmp_path / "CAPACITY.md"
-    copy.write_text(page.FILE.read_text().replace("<!-- table: rows -->", ""))
+    copy.write_text(page.PAGE_FILE.read_text().replace("<!-- table: rows -->", ""))
     with pytest.raises(page.PageError):
         page.differences(copy)
 
@@ -354,7 +366,7 @@
     assert demand.changes_per_s() * 86_400 == pytest.approx(14_000)
     double = replace(TARGET, fronts=2 * TARGET.fronts)
     assert demand.connections_per_front(double) == demand.connections_per_front() / 2
-    assert all(line.worst >= line.mean for line in demand.lines())
+    assert all(line.worst >= line.mean for line in demand.demand_lines())
 
 
 @pytest.mark.parametrize(
@@ -363,4 +375,4 @@
 )
 def test_figures_have_three_digits_that_count(value: float, shown: str) -> None:
     """Thousands are parted."""
-    assert number(value) == shown
+    assert format_number(value) == shown
