--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity at the size that is coming: targets, derived load, measured slopes, and the page made from them."""
+"""Capacity at the target size: targets, derived load, measured slopes, and the page that is generated from them."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Capacity from the command line: `python -m benchmarks.capacity page|slopes|fleet`."""
+"""Command line of the capacity model: `python -m benchmarks.capacity page|slopes|fleet`."""
 
 from __future__ import annotations
 
@@ -12,32 +12,44 @@
 
 @click.group()
 def main() -> None:
-    """Slopes, the page made from them, and fleets of front ends."""
+    """Measure slopes, generate the page from them, and simulate fleets of front ends."""
 
 
 def experiments() -> dict[str, Experiment]:
-    """All of them by name. Loaded late: `page` needs none of the program."""
+    """Returns all experiments by name.
+
+    Their modules are imported here, as they import the measured program, which `page` does not need.
+    """
     from benchmarks.capacity.measure_fleet import FLEET_EXPERIMENTS
     from benchmarks.capacity.measure_module import MODULE_EXPERIMENTS
     from benchmarks.capacity.measure_process import PROCESS_EXPERIMENTS
     from benchmarks.capacity.measure_rollout import ROLLOUT_EXPERIMENTS
     from benchmarks.capacity.measure_simulated import SIMULATED_EXPERIMENTS
 
-    every = (
-        *FLEET_EXPERIMENTS, *MODULE_EXPERIMENTS, *PROCESS_EXPERIMENTS, *ROLLOUT_EXPERIMENTS, *SIMULATED_EXPERIMENTS,
-    )  # fmt: skip
-    return {one.name: one for one in every}
+    all_experiments = (
+        *FLEET_EXPERIMENTS,
+        *MODULE_EXPERIMENTS,
+        *PROCESS_EXPERIMENTS,
+        *ROLLOUT_EXPERIMENTS,
+        *SIMULATED_EXPERIMENTS,
+    )
+    return {experiment.name: experiment for experiment in all_experiments}
 
 
 @main.command()
-@click.option("--only", "names", multiple=True, help="Of these names; all without it.")
-@click.option("--list", "listed", is_flag=True, help="The names and what each measures.")
+@click.option("--only", "names", multiple=True, help="Experiment to run, may be repeated; all by default.")
+@click.option(
+    "--list",
+    "listed",
+    is_flag=True,
+    help="Print the names of the experiments and what each measures against, and run none.",
+)
 def slopes(names: tuple[str, ...], listed: bool) -> None:
-    """Measures slopes and puts them on record in slopes.json."""
+    """Measure slopes and store them in slopes.json."""
     known = experiments()
     unknown = [name for name in names if name not in known]
     if unknown:
-        raise click.UsageError(f"no {unknown[0]}; there are {', '.join(known)}")
+        raise click.UsageError(f"unknown experiment {unknown[0]}; known are {', '.join(known)}")
     for name in names or known:
         if listed:
             click.echo(f"{name} ({known[name].kind}, against {known[name].against})")
@@ -46,17 +58,21 @@
 
 
 @main.command()
-@click.option("--check", is_flag=True, help="Write nothing; end with 1 where page and arithmetic differ.")
+@click.option(
+    "--check",
+    is_flag=True,
+    help="Write nothing; exit with 1 if the page differs from what would be generated.",
+)
 def page(check: bool) -> None:
-    """Makes the tables of docs/CAPACITY.md from the arithmetic."""
+    """Generate the tables of docs/CAPACITY.md."""
     from benchmarks.capacity.page import differences, write
 
     if not check:
         write()
         return
     found = differences()
-    for one in found:
-        click.echo(one, err=True)
+    for difference in found:
+        click.echo(difference, err=True)
     sys.exit(1 if found else 0)
 
 
--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -1,6 +1,7 @@
-"""Bounds and paces that stand as constants in today's text, commit 414ace3, as far as rows rest on them.
+"""Limits and delays that rows of the page rest on: constants of the program, with their values at commit 414ace3.
 
-They are typed here, not imported: the rows of today's text stay what they were when that text changes.
+The values are copied, not imported, so that the rows of today's program do not change when the program does. `source`
+names the constant's present module and name.
 """
 
 from __future__ import annotations
@@ -12,23 +13,25 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """One constant, its name and the file that has it."""
+    """The value of a constant, and the file that defines it."""
 
     value: float
     source: str
 
 
-MAX_SESSIONS = Bound(8_192, "`platform/owner.py` MOST_PLAYING")
-MAX_TITLES = Bound(1_024, "`platform/owner.py` MOST_TITLES")
-MAX_LIST_OCTETS = Bound(262_144, "`platformwire/polling.py` MOST_ANSWER")
-MAX_LIST_NODES = Bound(4_096, "`platformwire/channel.py` MOST_NODES")
-MAX_MEMBERS = Bound(1_024, "`decisions/fleet/view.py` MOST_MEMBERS")
-MAX_LEASES = Bound(64, "`decisions/fleet/keeping.py` MOST_DUTIES")
-MAX_TAKEOVER_PAIRS = Bound(65_536, "`decisions/fleet/adopting.py` MOST_PAIRS")
-STAGED_ROLLOUT_S = Bound(30.0, "`decisions/fleet/rollout.py` SHARES, three of them, and 10 s of watch each")
-MAX_LOAD_AGE_S = Bound(20.0, "`decisions/fleet/figures.py` MOST_AGE")
-MAX_LOAD_REPORTS_PER_S = Bound(36.0, "`decisions/fleet/figures.py` A_SECOND")
-KEPT_VERSIONS = Bound(50, "`decisions/routing/catalogue.py`, versions kept")
-SESSION_LEASE_S = Bound(15.0, "docs/adopting.md, the lease of a lost front's sessions")
-CRASH_DETECTION_S = Bound(6.0, "docs/fleet.md, a crash known to all")
+MAX_SESSIONS = Bound(8_192, "`platform/session_coordinator.py` MAX_SESSIONS")
+MAX_TITLES = Bound(1_024, "`platform/session_coordinator.py` MAX_TITLES")
+MAX_LIST_OCTETS = Bound(262_144, "`platformwire/long_poll.py` MAX_ANSWER_BYTES")
+MAX_LIST_NODES = Bound(4_096, "`platformwire/command_channel.py` MAX_NODES")
+MAX_MEMBERS = Bound(1_024, "`decisions/membership/member_table.py` MAX_MEMBERS")
+MAX_LEASES = Bound(64, "`decisions/fleet/acceptor.py` MAX_LEASES")
+MAX_TAKEOVER_PAIRS = Bound(65_536, "`decisions/fleet/session_takeover.py` MAX_TASKS")
+STAGED_ROLLOUT_S = Bound(
+    30.0, "`decisions/fleet/rollout.py` ROLLOUT_SHARES, three of them, each watched for 10 s"
+)
+MAX_LOAD_AGE_S = Bound(20.0, "`decisions/fleet/load_sharing.py` MAX_REPORT_AGE")
+MAX_LOAD_REPORTS_PER_S = Bound(36.0, "`decisions/fleet/load_sharing.py` MAX_FLEET_REPORTS_PER_SECOND")
+KEPT_VERSIONS = Bound(50, "`decisions/routing/catalogue.py` VersionHistory.max_versions")
+SESSION_LEASE_S = Bound(15.0, "docs/adopting.md, the lease of a failed front's sessions")
+CRASH_DETECTION_S = Bound(6.0, "docs/fleet.md, time until all members know of a crash")
 TAKEOVER_DELAY_S = Bound(1.0, "docs/adopting.md, `(after 1s)`")
--- a/benchmarks/capacity/experiments.py
+++ b/benchmarks/capacity/experiments.py
@@ -1,4 +1,4 @@
-"""What an experiment is, and how its runs become slopes on record."""
+"""Experiments: runs of one kind whose values are stored as slopes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class UncommittedChangesError(Exception):
-    """The program to be measured is not what its commit says."""
+    """The measured program has uncommitted changes, so that its commit would not identify it."""
 
 
 @dataclass(frozen=True)
 class Quantity:
-    """One thing that an experiment measures. `name` is the slope's."""
+    """A quantity that an experiment measures. `name` is the name of its slope."""
 
     name: str
     quantity: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Experiment:
-    """Runs of one kind. `measure` takes a seed and gives, for each size, the quantities' values in their order."""
+    """Runs of one kind. `measure` takes a seed and returns the values of `quantities`, in order, for each size."""
 
     name: str
     against: str
@@ -44,7 +44,10 @@
 
 
 def measured_commit() -> str:
-    """Of the last change to the program. UncommittedChangesError where the working tree differs from it."""
+    """Returns the last commit that changed the program.
+
+    Raises UncommittedChangesError if the working tree differs from it.
+    """
     changed = run_git("status", "--porcelain", "--", MEASURED_CODE)
     if changed:
         raise UncommittedChangesError(f"uncommitted: {changed.splitlines()[0].strip()}")
@@ -52,13 +55,13 @@
 
 
 def run_git(*arguments: str) -> str:
-    """What git says."""
+    """Returns the output of a git command, without surrounding whitespace."""
     done = subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True)
     return done.stdout.strip()
 
 
 def run_experiment(experiment: Experiment, report_line: Callable[[str], None]) -> list[Slope]:
-    """Runs it with each seed; the slopes, checked and not yet on record."""
+    """Runs an experiment with each seed and returns its slopes, which are not yet stored."""
     measured_at = measured_commit()
     runs = []
     for seed in experiment.seeds:
@@ -75,7 +78,7 @@
 def build_slope(
     experiment: Experiment, index: int, runs: Sequence[Mapping[int, Sequence[float]]], measured_at: str
 ) -> Slope:
-    """One quantity of all runs."""
+    """Builds the slope of one quantity from all runs, at the sizes that all of them have."""
     quantity = experiment.quantities[index]
     sizes = sorted(set.intersection(*(set(found) for found in runs)))
     measurements = tuple(Measurement(size, tuple(found[size][index] for found in runs)) for size in sizes)
@@ -87,6 +90,6 @@
 
 
 def run_and_record(experiment: Experiment, report_line: Callable[[str], None]) -> None:
-    """The same, and puts its slopes on record."""
-    for one in run_experiment(experiment, report_line):
-        store_slope(one)
+    """Runs an experiment and stores its slopes."""
+    for measured_slope in run_experiment(experiment, report_line):
+        store_slope(measured_slope)
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,10 +1,10 @@
-"""Fits of growth over size, and what may be read off them beyond the sizes that were measured.
+"""Fits of growth over size, and estimates beyond the measured sizes.
 
-Three forms are tried: linear a + b x, quadratic a + b x + c x^2, and power c x^k. Each is fitted by least squares of the
-relative error, so that small sizes count as much as large ones. A form is judged by what it predicts for the largest
-size from the others (one left out, at the end that matters here), since any form with three parameters passes through few
-points.
-A line is kept where it predicts well, else the better of the others is taken; where none does, nothing is extended.
+Three forms are tried: linear a + b x, quadratic a + b x + c x^2, and power c x^k. Each is fitted by least squares of
+the relative error, so that small sizes count as much as large ones. A form is judged by how well it predicts the value
+at the largest size when fitted to the others (leave-one-out, at the end that is extrapolated), since a form with three
+parameters passes through any few points. The linear form is used if it predicts well, else the better of the other two.
+If none predicts well, there is no fit and nothing is extrapolated.
 """
 
 from __future__ import annotations
@@ -15,26 +15,29 @@
 
 MIN_SIZES = 4
 MAX_LINEAR_PREDICTION_ERROR = 0.10
-"""Relative error at the largest size under which a simpler form is kept."""
+"""Relative error at the largest size up to which the linear form is used."""
 MAX_PREDICTION_ERROR = 0.50
-"""Past it no form describes the points, and none is extended."""
+"""Relative error at the largest size beyond which a form does not describe the points."""
 MAX_EXTRAPOLATION_FACTOR = 20.0
-"""An estimate further than this beyond the measured sizes is a guess."""
+"""An estimate at a size further than this factor beyond the measured ones is marked as a guess."""
 MAX_CONSTANT_SPREAD = 0.10
-"""Spread of all values over their mean under which a quantity does not grow with the size."""
+"""Range of the values over their mean up to which a quantity counts as constant."""
 BISECTION_STEPS = 60
 
 Point = tuple[float, float]
 
 
 class FitError(Exception):
-    """Points from which no growth can be read."""
+    """The points cannot be fitted."""
 
 
 @dataclass(frozen=True)
 class Fit:
-    """One fitted form. `residual`: root mean square of the relative errors at all measured sizes; `prediction`: relative
-    error at the largest size when the form is fitted without it."""
+    """One fitted form.
+
+    `residual` is the root mean square of the relative errors at all measured sizes, `prediction` the relative error at
+    the largest size when the form is fitted without it. `smallest` and `largest` are the ends of the measured sizes.
+    """
 
     form: str
     coefficients: tuple[float, ...]
@@ -44,13 +47,13 @@
     prediction: float
 
     def value_at(self, size: float) -> float:
-        """The fitted value at a size."""
+        """Returns the fitted value at a size."""
         return evaluate(self.form, self.coefficients, size)
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """A value read off a fit, with how far it is from what was measured."""
+    """A value of a fit at one size, with the range of sizes that were measured."""
 
     value: float
     size: float
@@ -60,23 +63,23 @@
 
     @property
     def extrapolation_factor(self) -> float:
-        """How many times the size lies beyond the measured ones, at either end; 1 within them."""
+        """The factor by which the size lies outside the measured ones, at either end; 1 within them."""
         below = self.smallest / self.size if self.size > 0 else 1.0
         return max(1.0, self.size / self.largest, below)
 
     @property
     def is_extrapolated(self) -> bool:
-        """Whether the size lies beyond those measured."""
+        """Whether the size lies outside the measured ones."""
         return self.extrapolation_factor > 1
 
     @property
     def is_guess(self) -> bool:
-        """Whether it lies so far beyond them that the value is a guess."""
+        """Whether the size lies so far outside the measured ones that the value is a guess."""
         return self.extrapolation_factor > MAX_EXTRAPOLATION_FACTOR
 
 
 def evaluate(form: str, coefficients: Sequence[float], size: float) -> float:
-    """The value of a form at a size."""
+    """Returns the value of a form at a size."""
     if form == "power":
         factor, exponent = coefficients
         return factor * float(size**exponent)
@@ -84,35 +87,38 @@
 
 
 def fit(points: Sequence[Point]) -> Fit:
-    """The simplest form that describes the points. FitError where there are under four sizes, or no form does."""
-    some = sorted(points)
-    if len({size for size, _ in some}) < MIN_SIZES:
-        raise FitError(f"{len(some)} sizes; {MIN_SIZES} at least are wanted")
-    if any(value <= 0 or size <= 0 for size, value in some):
-        raise FitError("sizes and values have to be over 0")
-    if is_constant(some):
-        return fit_form("constant", some)
-    linear = fit_form("linear", some)
+    """Returns the simplest form that describes the points.
+
+    Raises FitError for fewer than `MIN_SIZES` sizes, sizes or values that are not positive, or if no form fits.
+    """
+    points_by_size = sorted(points)
+    if len({size for size, _ in points_by_size}) < MIN_SIZES:
+        raise FitError(f"{len(points_by_size)} points; at least {MIN_SIZES} different sizes are needed")
+    if any(value <= 0 or size <= 0 for size, value in points_by_size):
+        raise FitError("sizes and values must be positive")
+    if is_constant(points_by_size):
+        return fit_form("constant", points_by_size)
+    linear = fit_form("linear", points_by_size)
     if linear.prediction <= MAX_LINEAR_PREDICTION_ERROR:
         return linear
-    curved = [fit_form("power", some), fit_form("quadratic", some)]
-    # A parabola that opens downwards would say that the cost falls beyond some size.
-    rising = [one for one in curved if one.form == "power" or one.coefficients[-1] > 0]
-    best = min(rising, key=lambda one: one.prediction)
+    curved = [fit_form("power", points_by_size), fit_form("quadratic", points_by_size)]
+    # A parabola that opens downwards would predict that the cost falls beyond some size.
+    rising = [fitted for fitted in curved if fitted.form == "power" or fitted.coefficients[-1] > 0]
+    best = min(rising, key=lambda fitted: fitted.prediction)
     if best.prediction > MAX_PREDICTION_ERROR:
         raise FitError(f"no form predicts the largest size within {MAX_PREDICTION_ERROR:.0%}")
     return best
 
 
 def is_constant(points: Sequence[Point]) -> bool:
-    """Whether the values do not grow with the size."""
+    """Returns whether the values do not depend on the size."""
     values = [value for _, value in points]
     mean = sum(values) / len(values)
     return max(values) - min(values) <= MAX_CONSTANT_SPREAD * mean
 
 
 def fit_form(form: str, points: Sequence[Point]) -> Fit:
-    """One form, fitted to all points, with its residual and its prediction of the largest."""
+    """Fits one form to all points, which are in order of size."""
     coefficients = FORMS[form](points)
     errors = [relative_error(form, coefficients, point) for point in points]
     residual = math.sqrt(sum(e * e for e in errors) / len(errors))
@@ -121,28 +127,28 @@
 
 
 def relative_error(form: str, coefficients: Sequence[float], point: Point) -> float:
-    """Of a form at one point."""
+    """Returns the relative error of a form at one point."""
     size, value = point
     return (evaluate(form, coefficients, size) - value) / value
 
 
 def estimate(fitted: Fit, size: float) -> Estimate:
-    """What a fit says at a size, with the range that it was measured over."""
+    """Returns the estimate of a fit at a size."""
     return Estimate(fitted.value_at(size), size, fitted.smallest, fitted.largest, fitted.form)
 
 
 def largest_size_within(fitted: Fit, budget: float, maximum: float) -> float:
-    """The largest size up to `maximum` whose value stays within a budget; 0 where none does. Growing forms only."""
+    """Returns the largest size up to `maximum` whose value is within a budget, 0 if none is; for growing forms."""
     return bisect_largest_size(fitted.value_at, budget, maximum)
 
 
 def largest_size_reaching(fitted: Fit, floor: float, maximum: float) -> float:
-    """The largest size up to `maximum` whose value is still as large as wanted; 0 where none is. Falling forms only."""
+    """Returns the largest size up to `maximum` whose value is at least `floor`, 0 if none is; for falling forms."""
     return bisect_largest_size(lambda size: -fitted.value_at(size), -floor, maximum)
 
 
 def bisect_largest_size(value: Callable[[float], float], budget: float, maximum: float) -> float:
-    """The largest size up to `maximum` at which a growing function is within a budget; 0 where it never is."""
+    """Returns the largest size up to `maximum` at which a growing function is within a budget, 0 if it never is."""
     if value(maximum) <= budget:
         return maximum
     low, high = 0.0, maximum
@@ -156,7 +162,7 @@
 
 
 def polynomial_fitter(degree: int) -> Callable[[Sequence[Point]], tuple[float, ...]]:
-    """Least squares of the relative error for a polynomial of a degree."""
+    """Returns a function that fits a polynomial of a degree by least squares of the relative error."""
 
     def solve(points: Sequence[Point]) -> tuple[float, ...]:
         unit = max(size for size, _ in points)  # keeps the powers of large sizes near 1
@@ -164,14 +170,14 @@
         matrix = [
             [sum(row[i] * row[j] for row in rows) for j in range(degree + 1)] for i in range(degree + 1)
         ]
-        right = [sum(row[i] for row in rows) for i in range(degree + 1)]
-        return tuple(c / unit**i for i, c in enumerate(solve_linear_system(matrix, right)))
+        right_side = [sum(row[i] for row in rows) for i in range(degree + 1)]
+        return tuple(c / unit**i for i, c in enumerate(solve_linear_system(matrix, right_side)))
 
     return solve
 
 
 def fit_power(points: Sequence[Point]) -> tuple[float, ...]:
-    """Least squares in the logarithms: factor and exponent."""
+    """Returns factor and exponent of a power, fitted by least squares of the logarithms."""
     logs = [(math.log(size), math.log(value)) for size, value in points]
     mean_x = sum(x for x, _ in logs) / len(logs)
     mean_y = sum(y for _, y in logs) / len(logs)
@@ -180,21 +186,21 @@
     return math.exp(mean_y - exponent * mean_x), exponent
 
 
-def solve_linear_system(matrix: list[list[float]], right: list[float]) -> list[float]:
-    """The solution of a small linear system, by elimination with pivots."""
-    size = len(right)
-    rows = [[*row, value] for row, value in zip(matrix, right, strict=True)]
+def solve_linear_system(matrix: list[list[float]], right_side: list[float]) -> list[float]:
+    """Returns the solution of a linear system, by Gaussian elimination with partial pivoting."""
+    size = len(right_side)
+    rows = [[*row, value] for row, value in zip(matrix, right_side, strict=True)]
     for column in range(size):
         pivot = max(range(column, size), key=lambda r: abs(rows[r][column]))
         rows[column], rows[pivot] = rows[pivot], rows[column]
         for r in range(column + 1, size):
             factor = rows[r][column] / rows[column][column]
             rows[r] = [a - factor * b for a, b in zip(rows[r], rows[column], strict=True)]
-    out = [0.0] * size
+    solution = [0.0] * size
     for r in reversed(range(size)):
-        known = sum(rows[r][c] * out[c] for c in range(r + 1, size))
-        out[r] = (rows[r][size] - known) / rows[r][r]
-    return out
+        known = sum(rows[r][c] * solution[c] for c in range(r + 1, size))
+        solution[r] = (rows[r][size] - known) / rows[r][r]
+    return solution
 
 
 FORMS: dict[str, Callable[[Sequence[Point]], tuple[float, ...]]] = {
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -1,4 +1,7 @@
-"""Slopes of membership: what the simulated fleet of hollow front ends prints of a whole start and a region's cut."""
+"""Slopes of membership, taken from the report of the simulated fleet of front ends that run only their membership.
+
+Each run starts the whole fleet and then partitions a region.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,8 @@
 
 FLAT_SIZES = (32, 50, 100, 200)
 ZONED_SIZES = (75, 150, 300, 600)
-MINUTES, LOSS = 1.5, 0.01
+MINUTES = 1.5
+LOSS = 0.01
 FLEET_TIMEOUT_S = 170
 NUMBER_PATTERN = r"([\d.]+)"
 REPORT_PATTERNS = (
@@ -23,30 +27,30 @@
     rf"share of a core +median .*?, worst front {NUMBER_PATTERN}%",
     rf"MB a front +state of its own: .*largest {NUMBER_PATTERN}",
 )
-"""Of the lines of `python -m benchmarks.capacity fleet`, in the order of the quantities."""
+"""Patterns of the report of `python -m benchmarks.capacity fleet`, in the order of the quantities."""
 
 ValuesBySize = dict[int, Sequence[float]]
 
 
 class FleetReportError(Exception):
-    """A fleet whose report lacks a line."""
+    """The report of a fleet lacks a line."""
 
 
 def parse_report(report: str) -> Sequence[float]:
-    """The figures of a report. FleetReportError where one is missing."""
+    """Returns the figures of a report. Raises FleetReportError if one is missing."""
     found = []
     for pattern in REPORT_PATTERNS:
         match = re.search(pattern, report)
         if match is None:
-            raise FleetReportError(f"no {pattern} in: {report[-500:]}")
+            raise FleetReportError(f"the report does not match {pattern}: {report[-500:]}")
         found.append(float(match[1]))
     return found
 
 
 def run_fleet(fronts: int, seed: int, membership: str, tree: Path) -> str:
-    """What the fleet prints; a missed budget is no failure here."""
+    """Runs a fleet and returns its report. The exit status is ignored: an exceeded budget is not an error here."""
     arguments = {"fronts": fronts, "seed": seed, "minutes": MINUTES, "loss": LOSS, "fault": "region"}
-    options = [word for name, value in arguments.items() for word in (f"--{name}", str(value))]
+    options = [argument for name, value in arguments.items() for argument in (f"--{name}", str(value))]
     command = [sys.executable, "-m", "benchmarks.capacity", "fleet", *options, "--membership", membership]
     done = subprocess.run(
         command, cwd=tree, capture_output=True, text=True, timeout=FLEET_TIMEOUT_S, check=False
@@ -55,7 +59,7 @@
 
 
 def membership_quantities(prefix: str) -> tuple[Quantity, ...]:
-    """The same for each kind of membership."""
+    """Returns the quantities of one kind of membership."""
     return (
         Quantity(f"{prefix}.start", "sent by the worst front in its worst 10 s of a whole start", "kB/s"),
         Quantity(f"{prefix}.quiet", "sent by a front in a quiet time, the mean", "kB/s"),
@@ -75,12 +79,12 @@
 
 
 def measure_flat(seed: int, tree: Path = ROOT) -> ValuesBySize:
-    """Today's membership, all front ends in one table."""
+    """Measures today's membership, with all front ends in one table."""
     return {size: parse_report(run_fleet(size, seed, "flat", tree)) for size in FLAT_SIZES}
 
 
 def measure_zoned(seed: int, tree: Path = ROOT) -> ValuesBySize:
-    """Membership by zone and region."""
+    """Measures membership by zones and regions."""
     return {size: parse_report(run_fleet(size, seed, "zoned", tree)) for size in ZONED_SIZES}
 
 
--- a/benchmarks/capacity/measure_module.py
+++ b/benchmarks/capacity/measure_module.py
@@ -1,4 +1,4 @@
-"""Slopes of the decisions and the list inside one process: the platform's coordinator and module, without sockets."""
+"""Slopes of the node list and the decision module in one process, without sockets."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 SESSIONS = (1_000, 2_000, 4_000, 8_000, 16_000)
 TITLES = (1_000, 4_000, 16_000, 64_000)
 NODES_PER_REGION = 300
-"""Nodes of one region at the target: 2,700 over nine."""
+"""Nodes of one region at the target: 2,700 in nine regions."""
 ORDERED_TITLES = 50
 LIST_REPEATS = 5
 CHANGE_REPEATS = 50
@@ -45,12 +45,14 @@
 LINK_CAPACITY = 4e8
 PLAYBACK_CAPACITY = 4_000.0
 MB = 1e6
+MS_PER_S_PER_PERCENT = 10.0
+"""CPU milliseconds per second that are 1% of a core."""
 
 ValuesBySize = dict[int, Sequence[float]]
 
 
 def front_configuration() -> configuration.Configuration:
-    """The configuration of a front end with an empty list."""
+    """Returns the configuration of a front end with an empty node list."""
     settings = {
         "name": "front", "listen": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 18_000, "memory_mb": 4_096},
         "channel": "127.0.0.1:1", "known": {"cursor": 1, "cmds": []}, "settings": SETTINGS,
@@ -59,15 +61,15 @@
 
 
 def cpu_milliseconds(work: Callable[[], object], times: int) -> float:
-    """Processor time of one turn."""
-    began = time.process_time()
+    """Returns the mean CPU time of one call in milliseconds."""
+    started_at = time.process_time()
     for _ in range(times):
         work()
-    return 1e3 * (time.process_time() - began) / times
+    return 1e3 * (time.process_time() - started_at) / times
 
 
 def measure_lists(_seed: int) -> ValuesBySize:
-    """A whole list, one change of it, the first set-up of a title after it, and a second's rounds over all nodes."""
+    """Measures a whole list, a change of it, ordering the holders of a title after it, and the periodic passes."""
 
     async def main() -> ValuesBySize:
         async with trio.open_nursery() as nursery:
@@ -77,119 +79,130 @@
 
 
 def measure_list(count: int, nursery: trio.Nursery) -> Sequence[float]:
-    """All of it at one number of nodes."""
+    """Measures all quantities of `measure_lists` at one number of nodes."""
     coordinator = SessionCoordinator(
         front_configuration(), Clock(), nursery, structlog.wrap_logger(structlog.ReturnLogger())
     )
     whole = channel_answer(1, True, node_members([1], count))
     change = channel_answer(2, False, node_members([1], count)[:1])
 
-    def take(octets: bytes) -> None:
-        for _, complete, some in command_channel.decode_events(octets)[1]:
-            coordinator.apply_list_immediately(complete, some)
+    def apply_answer(octets: bytes) -> None:
+        for _, complete, listed in command_channel.decode_events(octets)[1]:
+            coordinator.apply_list_immediately(complete, listed)
 
-    whole_ms = cpu_milliseconds(lambda: take(whole), LIST_REPEATS)
-    change_ms = cpu_milliseconds(lambda: take(change), CHANGE_REPEATS)
-    names = iter(range(1_000_000))
+    whole_ms = cpu_milliseconds(lambda: apply_answer(whole), LIST_REPEATS)
+    change_ms = cpu_milliseconds(lambda: apply_answer(change), CHANGE_REPEATS)
+    title_numbers = iter(range(1_000_000))
     title_ms = cpu_milliseconds(
-        lambda: coordinator.controller._holders(Title(f"title-{next(names)}", 0, 0)), ORDERED_TITLES
+        lambda: coordinator.controller._holders(Title(f"title-{next(title_numbers)}", 0, 0)), ORDERED_TITLES
     )
 
-    def second() -> None:
+    def run_one_second() -> None:
         for _ in range(10):
             coordinator._maintain()
         coordinator.controller._end_interval(coordinator.clock.now())
 
-    return whole_ms, change_ms, title_ms, cpu_milliseconds(second, INTERVAL_REPEATS) / 10, len(whole) / 1e3
+    return (
+        whole_ms,
+        change_ms,
+        title_ms,
+        cpu_milliseconds(run_one_second, INTERVAL_REPEATS) / MS_PER_S_PER_PERCENT,
+        len(whole) / 1e3,
+    )
 
 
-def channel_answer(cursor: int, complete: bool, some: list[dict[str, object]]) -> bytes:
-    """An answer of the channel with one event."""
-    cmd = {"cursor": cursor, "nodes": {"complete": complete, "members": some}}
+def channel_answer(cursor: int, complete: bool, listed: list[dict[str, object]]) -> bytes:
+    """Encodes an answer of the command channel with one event."""
+    cmd = {"cursor": cursor, "nodes": {"complete": complete, "members": listed}}
     return orjson.dumps({"cursor": cursor, "cmds": [cmd]})
 
 
 class NullHost:
-    """A host of the module that answers nothing."""
+    """A host of the decision module that does nothing."""
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
-        """A set-up leaves."""
+        """Ignores a set-up try."""
 
     def reject(self, playback: Playback, retry_after_ns: int) -> None:
-        """A set-up is refused."""
+        """Ignores a rejection."""
 
     def abort(self, playback: Playback) -> None:
-        """A set-up is given up."""
+        """Ignores an abort."""
 
     def set_rung(self, playback: Playback, rung: int) -> None:
-        """A session changes its rendition."""
+        """Ignores a change of rendition."""
 
     def set_timer(self, at: int) -> None:
-        """The module would be called then."""
+        """Ignores the timer; the caller calls the module itself."""
 
     def subscribe_to_nodes(self) -> None:
-        """The list would be followed."""
+        """Ignores the subscription; the caller supplies the list itself."""
 
     def log(self, message: str) -> None:
-        """The module has changed its mode."""
+        """Ignores a log message."""
 
 
 def measure_held_sessions(seed: int) -> ValuesBySize:
-    """Sessions that the module holds on a region's nodes: one interval of its design, and one set-up."""
+    """Measures the module's interval and a set-up while it holds sessions on a region's nodes."""
     rng = Random(seed)
-    site, plan = terms.read_settings(SETTINGS), terms.read_plans(SETTINGS)["free"]
+    site = terms.read_settings(SETTINGS)
+    plan = terms.read_plans(SETTINGS)["free"]
     controller = Controller(replace(site, front_count=200), seed, NullHost(), START_NS)
-    some = [Node(f"node-{i:05}") for i in range(NODES_PER_REGION)]
-    for i, node in enumerate(some):
+    nodes = [Node(f"node-{i:05}") for i in range(NODES_PER_REGION)]
+    for i, node in enumerate(nodes):
         node.cell = i % site.cell_count
     now = START_NS + 20 * SECOND
     controller.on_node_list(
         NodeListKind.WHOLE,
-        [NodeEntry(n, NodeStatus.READY, 0, LINK_CAPACITY, PLAYBACK_CAPACITY) for n in some],
+        [NodeEntry(node, NodeStatus.READY, 0, LINK_CAPACITY, PLAYBACK_CAPACITY) for node in nodes],
         now,
     )
-    titles, playing, found = [Title(f"title-{i}", 0, 0) for i in range(1_000)], 0, ValuesBySize()
+    titles = [Title(f"title-{i}", 0, 0) for i in range(1_000)]
+    playing = 0
+    found = ValuesBySize()
     for count in SESSIONS:
-        began = time.process_time()
-        before = playing
+        started_at = time.process_time()
+        playing_before = playing
         while playing < count:
             playback = Playback(rng.choice(titles), plan, 2, now + 8 * SECOND, False)
             controller.on_request(playback, now)
             if playback.state is not PlaybackState.SETTING_UP:
-                raise RuntimeError(f"refused with {playing} held: {playback.state}")
+                raise RuntimeError(f"a set-up was not tried with {playing} sessions held: {playback.state}")
             controller.on_playing(playback, now)
             playing += 1
-        set_up = 1e3 * (time.process_time() - began) / (count - before)
+        setup_ms = 1e3 * (time.process_time() - started_at) / (count - playing_before)
         now += SECOND
 
-        def interval(at: int = now) -> None:
+        def end_interval(at: int = now) -> None:
             controller._end_interval(at)
 
-        found[count] = cpu_milliseconds(interval, INTERVAL_REPEATS) / 10, set_up
+        found[count] = cpu_milliseconds(end_interval, INTERVAL_REPEATS) / MS_PER_S_PER_PERCENT, setup_ms
         now += MS
     return found
 
 
 def measure_titles(_seed: int) -> ValuesBySize:
-    """Titles that a front has cached, each with its order of a region's nodes: memory."""
+    """Measures the memory of a front's cached titles, each with an order of a region's nodes."""
     site = terms.read_settings(SETTINGS)
     controller = Controller(site, 1, NullHost(), START_NS)
-    some = [
+    entries = [
         NodeEntry(Node(f"node-{i:05}"), NodeStatus.READY, 0, LINK_CAPACITY, PLAYBACK_CAPACITY)
         for i in range(NODES_PER_REGION)
     ]
-    controller.on_node_list(NodeListKind.WHOLE, some, START_NS)
+    controller.on_node_list(NodeListKind.WHOLE, entries, START_NS)
     found = ValuesBySize()
     tracemalloc.start()
-    before, cached = tracemalloc.get_traced_memory()[0], 0
+    memory_before = tracemalloc.get_traced_memory()[0]
+    cached = 0
     title_cache = TitleCache(max(TITLES), site.cell_count, 0, {})
     for count in TITLES:
         while cached < count:
             title = title_cache.get(f"title-{cached}", 0)
             assert title is not None
-            title.holders, title.holders_version = list(controller.nodes), controller.list_version
+            title.holders = list(controller.nodes)
+            title.holders_version = controller.list_version
             cached += 1
-        found[count] = ((tracemalloc.get_traced_memory()[0] - before) / MB,)
+        found[count] = ((tracemalloc.get_traced_memory()[0] - memory_before) / MB,)
     tracemalloc.stop()
     return found
 
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -1,4 +1,4 @@
-"""Slopes of one real front end process: connections, sessions, reports, ends passed on, nodes, arrivals."""
+"""Slopes of one real front end process: connections, sessions, reports, session ends, listed nodes, set-up rate."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def run_with_front(nodes: int, measure: Measure) -> ValuesBySize:
-    """Does something with a front end and its emulators."""
+    """Runs a measurement with a front end that has `nodes` listed nodes, and with its emulators."""
 
     async def main() -> ValuesBySize:
         async with trio.open_nursery() as nursery:
@@ -57,9 +57,9 @@
 
 
 async def connect_more(front: FrontProcess, viewers: list[Viewer], count: int) -> None:
-    """So many connections in all, each of which has said something."""
+    """Opens viewer connections until there are `count`, and sends a test on each."""
 
-    async def some(share: int) -> None:
+    async def connect_share(share: int) -> None:
         for _ in range(share):
             viewer = await Viewer.connect(front.port)
             await viewer.test()
@@ -68,28 +68,33 @@
     more = count - len(viewers)
     async with trio.open_nursery() as nursery:
         for i in range(CONCURRENT_CONNECTIONS):
-            nursery.start_soon(some, more // CONCURRENT_CONNECTIONS + (i < more % CONCURRENT_CONNECTIONS))
+            nursery.start_soon(
+                connect_share, more // CONCURRENT_CONNECTIONS + (i < more % CONCURRENT_CONNECTIONS)
+            )
 
 
 async def play_more(
     front: FrontProcess, emulators: Emulators, viewers: list[Viewer], count: int, title: str
 ) -> None:
-    """So many sessions in all, one a connection. RuntimeError where one was refused."""
+    """Sets up sessions until there are `count`, each on its own connection.
+
+    The title is `title`, or one of `TITLES` in turn if that is empty. Raises RuntimeError if a set-up is rejected.
+    """
 
-    async def some(numbers: range) -> None:
+    async def set_up_share(numbers: range) -> None:
         for number in numbers:
             viewer = await Viewer.connect(front.port)
             if not await viewer.set_up(f"{number + 1:016x}", title or f"title-{number % TITLES}"):
-                raise RuntimeError(f"session {number} was refused")
+                raise RuntimeError(f"the set-up of session {number} was rejected")
             viewers.append(viewer)
 
     async with trio.open_nursery() as nursery:
         for i in range(CONCURRENT_CONNECTIONS):
-            nursery.start_soon(some, range(len(viewers) + i, count, CONCURRENT_CONNECTIONS))
+            nursery.start_soon(set_up_share, range(len(viewers) + i, count, CONCURRENT_CONNECTIONS))
 
 
 def measure_connections(_seed: int) -> ValuesBySize:
-    """Idle connections: memory, share of a core, descriptors."""
+    """Measures memory, share of a core and descriptors with idle connections."""
 
     async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
         found, viewers = ValuesBySize(), list[Viewer]()
@@ -104,15 +109,16 @@
 
 
 def measure_sessions(_seed: int) -> ValuesBySize:
-    """Held sessions: memory, share of a core while idle, processor time of a set-up and of a node's report."""
+    """Measures memory and share of a core with held sessions, and the CPU time of a set-up and of a node's report."""
 
     async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
         await trio.sleep(WARMUP_S)
         found, viewers = ValuesBySize(), list[Viewer]()
         for count in SESSIONS:
-            before, held = front.cpu_seconds, len(viewers)
+            cpu_before = front.cpu_seconds
+            held_before = len(viewers)
             await play_more(front, emulators, viewers, count, "")
-            set_up_ms = 1e3 * (front.cpu_seconds - before) / (count - held)
+            set_up_ms = 1e3 * (front.cpu_seconds - cpu_before) / (count - held_before)
             await trio.sleep(SETTLE_S)
             idle = await front.cpu_share_over(IDLE_S)
             busy = await send_reports(front, emulators)
@@ -124,28 +130,31 @@
 
 
 async def send_reports(front: FrontProcess, emulators: Emulators) -> float:
-    """Nodes report so often on their sessions, in turn; the front end's share of a core meanwhile."""
-    some, share = list(emulators.sessions.items()), list[float]()
+    """Sends nodes' reports on their sessions at `REPORTS_PER_S`; returns the front end's share of a core meanwhile."""
+    sessions = list(emulators.sessions.items())
+    share = list[float]()
 
     async def sample_cpu() -> None:
         share.append(await front.cpu_share_over(REPORTS_S))
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(sample_cpu)
-        each, sent, began = round(REPORTS_PER_S * REPORT_TICK_S), 0, trio.current_time()
-        while trio.current_time() < began + REPORTS_S:
-            for i in range(each):
-                session, stream = some[(sent + i) % len(some)]
+        reports_per_tick = round(REPORTS_PER_S * REPORT_TICK_S)
+        sent = 0
+        started_at = trio.current_time()
+        while trio.current_time() < started_at + REPORTS_S:
+            for i in range(reports_per_tick):
+                session, stream = sessions[(sent + i) % len(sessions)]
                 await stream.send_all(
                     encode_line(msg="event", sid=session, attrs={"note": "local", "value": "0.3"})
                 )
-            sent += each
-            await trio.sleep_until(began + sent / REPORTS_PER_S)
+            sent += reports_per_tick
+            await trio.sleep_until(started_at + sent / REPORTS_PER_S)
     return share[0]
 
 
 def measure_ends(_seed: int) -> ValuesBySize:
-    """Sessions of one title, all ended by their nodes at once: time until the last viewer has heard, and cost."""
+    """Measures the end of all sessions of a title at once by their nodes: time until the last release, and CPU time."""
 
     async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
         await trio.sleep(WARMUP_S)
@@ -155,9 +164,9 @@
             emulators.sessions.clear()
             await play_more(front, emulators, viewers, count, "the-largest")
             await trio.sleep(SETTLE_S)
-            before = front.cpu_seconds
-            took = end_all_sessions(emulators, viewers)
-            found[count] = 1e3 * took, 1e6 * (front.cpu_seconds - before) / count
+            cpu_before = front.cpu_seconds
+            duration_s = end_all_sessions(emulators, viewers)
+            found[count] = 1e3 * duration_s, 1e6 * (front.cpu_seconds - cpu_before) / count
             for viewer in viewers:
                 viewer.close()
             await trio.sleep(SETTLE_S)
@@ -167,37 +176,40 @@
 
 
 def end_all_sessions(emulators: Emulators, viewers: list[Viewer]) -> float:
-    """Ends all sessions in one step; seconds until the last viewer has its release. Nothing else runs meanwhile."""
+    """Ends all sessions at once and returns the seconds until the last viewer has its release.
+
+    Blocks, so that nothing else runs in this process meanwhile. Raises RuntimeError if a viewer gets no release.
+    """
     poll = select.epoll()
     for viewer in viewers:
         poll.register(viewer.sock.fileno(), select.EPOLLIN)
-    by_link: dict[trio.SocketStream, list[str]] = {}
+    sessions_by_stream: dict[trio.SocketStream, list[str]] = {}
     for session, stream in emulators.sessions.items():
-        by_link.setdefault(stream, []).append(session)
+        sessions_by_stream.setdefault(stream, []).append(session)
     messages = [
         (
             stream.socket.fileno(),
-            b"".join(encode_line(msg="close", sid=s, attrs={}, code=CAUSE_DONE) for s in some),
+            b"".join(encode_line(msg="close", sid=s, attrs={}, code=CAUSE_DONE) for s in sessions),
         )
-        for stream, some in by_link.items()
+        for stream, sessions in sessions_by_stream.items()
     ]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for descriptor, octets in messages:
         write_all(descriptor, octets)
     left = len(viewers)
-    while left and time.perf_counter() < began + ENDS_TIMEOUT_S:
+    while left and time.perf_counter() < started_at + ENDS_TIMEOUT_S:
         for descriptor, _ in poll.poll(1.0):
             poll.unregister(descriptor)
             left -= 1
     poll.close()
     if left:
-        raise RuntimeError(f"{left} viewers heard nothing")
-    return time.perf_counter() - began
+        raise RuntimeError(f"{left} viewers received no release")
+    return time.perf_counter() - started_at
 
 
 def write_all(descriptor: int, octets: bytes) -> None:
-    """Writes to a socket that does not block, waiting where its buffer is full."""
-    poll = select.poll()  # select() takes no descriptor past 1,023
+    """Writes to a non-blocking socket, waiting while its buffer is full."""
+    poll = select.poll()  # select() accepts no descriptor above 1,023
     poll.register(descriptor, select.POLLOUT)
     while octets:
         poll.poll(1e3 * ENDS_TIMEOUT_S)
@@ -205,7 +217,7 @@
 
 
 def measure_nodes(_seed: int) -> ValuesBySize:
-    """Nodes on the list: from start to ready, memory, and share of a core while nothing happens."""
+    """Measures the time from start to ready, memory and idle share of a core with listed nodes."""
 
     async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
         await trio.sleep(SETTLE_S)
@@ -216,12 +228,14 @@
 
 
 def measure_arrivals(_seed: int) -> ValuesBySize:
-    """Set-ups at a rate, each ended by its viewer's leaving and its node: share of a core."""
+    """Measures the share of a core with set-ups at a rate, each session ended by its node at once."""
 
-    async def one(front: FrontProcess, emulators: Emulators, number: int) -> None:
-        viewer, session = await Viewer.connect(front.port), f"{number + 1:016x}"
+    async def play_one(front: FrontProcess, emulators: Emulators, number: int) -> None:
+        viewer = await Viewer.connect(front.port)
+        session = f"{number + 1:016x}"
         if await viewer.set_up(session, f"title-{number % TITLES}"):
-            # Past the stream, whose node may be answering another; so short a message leaves whole.
+            # Writes to the socket itself, as a task of the emulated node may be sending on the stream. A message as
+            # short as this is never split.
             stream = emulators.sessions.pop(session)
             write_all(
                 stream.socket.fileno(), encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE)
@@ -229,8 +243,11 @@
             await viewer.receive()
         viewer.close()
 
-    async def at_rate(front: FrontProcess, emulators: Emulators, rate: int, base: int) -> float:
-        share, began = list[float](), trio.current_time()
+    async def cpu_share_at_rate(
+        front: FrontProcess, emulators: Emulators, rate: int, first_number: int
+    ) -> float:
+        share = list[float]()
+        started_at = trio.current_time()
 
         async def sample_cpu() -> None:
             share.append(await front.cpu_share_over(ARRIVALS_S))
@@ -238,15 +255,15 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(sample_cpu)
             for i in range(round(rate * ARRIVALS_S)):
-                await trio.sleep_until(began + i / rate)
-                nursery.start_soon(one, front, emulators, base + i)
+                await trio.sleep_until(started_at + i / rate)
+                nursery.start_soon(play_one, front, emulators, first_number + i)
         return share[0]
 
     async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
         await trio.sleep(WARMUP_S)
         found = ValuesBySize()
         for rate in SETUPS_PER_S:
-            found[rate] = (100 * await at_rate(front, emulators, rate, 1_000_000 * rate),)
+            found[rate] = (100 * await cpu_share_at_rate(front, emulators, rate, 1_000_000 * rate),)
             await trio.sleep(SETTLE_S)
         return found
 
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -1,6 +1,6 @@
-"""Slopes of today's decisions among front ends, on simulated links: leases, loads told, slow start, takeover.
+"""Slopes of today's decisions among front ends, on simulated links: leases, load sharing, slow start, takeover.
 
-Processor time is this machine's own; octets, times and shares are simulated and the same for the same seed.
+CPU time is measured on this machine. Octets, times and shares are simulated and depend on the seed only.
 """
 
 from __future__ import annotations
@@ -47,15 +47,15 @@
 def measure_each_size(
     sizes: Sequence[int], measure: Callable[[int, int], Sequence[float]]
 ) -> Callable[[int], ValuesBySize]:
-    """An experiment that begins anew at each size."""
+    """Returns a measurement that calls `measure` with each size and the seed."""
     return lambda seed: {size: measure(size, seed) for size in sizes}
 
 
 def measure_leases(size: int, seed: int) -> Sequence[float]:
-    """One lease under five quorum members in a quiet time: messages a second of all."""
+    """Measures the messages for a held lease with five quorum members, and the octets of one member."""
     simulation = LeaseSimulation(size, ACCEPTOR_COUNT, TERM_NS, LOSS, seed)
     if not simulation.run(20 * SECOND, lambda: bool(simulation.terms_begun)):
-        raise RuntimeError("nobody took the lease")
+        raise RuntimeError("no front acquired the lease")
     simulation.run(5 * TERM_NS)
     simulation.message_count = 0
     simulation.run(10 * TERM_NS)
@@ -64,58 +64,70 @@
 
 
 def lease_message_octets() -> float:
-    """A question and its answer on the wire, with a plan on record as a rollout has it: the mean of the two."""
-    codec, note = LeaseCodec("oakcroft", KeyRing((b"k" * 32,))), LeaseNote(7, 1, b"p" * NOTE_OCTETS)
+    """Returns the mean size of a request and its answer on the wire, with a note as long as a rollout plan."""
+    codec = LeaseCodec("oakcroft", KeyRing((b"k" * 32,)))
+    note = LeaseNote(7, 1, b"p" * NOTE_OCTETS)
     term = LeaseTerm(7, "front-0001", 1)
-    question = codec.encode_request(
+    request = codec.encode_request(
         "front-0001", 1, LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", term, 9, TERM_NS, note)
     )
     epochs = tuple((f"front-{i:04}", 1) for i in range(ACCEPTOR_COUNT - 1))
-    reply = LeaseAnswer(
+    answer = LeaseAnswer(
         LeaseMessageKind.ACCEPTED, "catalogue", "front-0002", 1, 7, 9, 7, term, TERM_NS, note, epochs
     )
-    return (len(question) + len(codec.encode_answer("front-0002", 1, reply))) / 2 + IP_UDP_HEADER_OCTETS
+    encoded_answer = codec.encode_answer("front-0002", 1, answer)
+    return (len(request) + len(encoded_answer)) / 2 + IP_UDP_HEADER_OCTETS
 
 
 def measure_load_sharing(size: int, seed: int) -> Sequence[float]:
-    """As many nodes as fronts: what a front sends, age of what it knows, and its processor time."""
+    """Measures load sharing with as many nodes as fronts: sent octets, age of known loads, and CPU time of a front."""
     found = play(size, size, LOSS, seed=seed)
     return found.kilobytes, found.ages[1], found.core_ms / 10
 
 
 def measure_cold_setups(size: int, seed: int) -> Sequence[float]:
-    """Half of the nodes replaced: how much of their cold budget the fronts use, over how much one front alone uses that
-    has the same requests a node."""
-    alone, used = (Day(SETTINGS[0], fronts, LOADS[0], seed).play()[3] for fronts in (1, size))
-    return used / alone, used
+    """Measures which share of the cold budget the fronts use when half of the nodes are replaced.
+
+    The first value is that share over the share that a single front with the same requests per node uses.
+    """
+    used_by_one, used = (Day(SETTINGS[0], fronts, LOADS[0], seed).play()[3] for fronts in (1, size))
+    return used / used_by_one, used
 
 
 def measure_takeover(size: int, seed: int) -> Sequence[float]:
-    """The largest zone's fronts gone, as many nodes as fronts: until one front has asked all that are its to ask."""
+    """Measures the takeover after the loss of the largest zone, with as many nodes as fronts.
+
+    The time ends when one front has asked all nodes that it has to ask.
+    """
     rng = Random(seed)
-    names, nodes = [f"f{i}" for i in range(size)], [f"n{i}" for i in range(size)]
+    names = [f"f{i}" for i in range(size)]
+    nodes = [f"n{i}" for i in range(size)]
     rng.shuffle(names)
-    me, lost = names[-1], names[: max(1, round(size / TARGET.zones * assumed.LARGEST_ZONE_OVER_MEAN.value))]
-    takeover = SessionTakeover(me, TakeoverBounds(0, TAKEOVER_TIMEOUT_S * SECOND, 10_000))
+    own_name = names[-1]
+    zone_size = max(1, round(size / TARGET.zones * assumed.LARGEST_ZONE_OVER_MEAN.value))
+    lost = names[:zone_size]
+    takeover = SessionTakeover(own_name, TakeoverBounds(0, TAKEOVER_TIMEOUT_S * SECOND, 10_000))
     takeover.update_nodes(nodes, 0)
     takeover.update_fronts((), names, 0)
     takeover.update_fronts(lost, [name for name in names if name not in lost], 0)
-    now = last = 0
-    began = time.process_time()
-    while now - last <= scan_time(takeover) and now < TAKEOVER_TIMEOUT_S * SECOND:
+    now = 0
+    last_request_at = 0
+    started_at = time.process_time()
+    while now - last_request_at <= scan_time(takeover) and now < TAKEOVER_TIMEOUT_S * SECOND:
         now += TURN_NS
         for request in takeover.due_requests(now):
             takeover.request_finished(
                 request, {pair.front.name: TakeoverAnswer.CALLER_NOT_ELIGIBLE for pair in request.tasks}, now
             )
-            last = now
-    return last / SECOND, 100 * (time.process_time() - began) / (now / SECOND), len(lost) * size
+            last_request_at = now
+    cpu_percent = 100 * (time.process_time() - started_at) / (now / SECOND)
+    return last_request_at / SECOND, cpu_percent, len(lost) * size
 
 
 def scan_time(takeover: SessionTakeover) -> int:
-    """In what time all pairs that are left have been looked at, and all lines computed."""
-    lines = HASH_SLOTS_PER_NODE * len(takeover.listed_nodes) // MAX_ORDERS_COMPUTED
-    return TURN_NS * (lines + len(takeover.tasks) // MAX_TASKS_SCANNED + 2)
+    """Returns the time in which all remaining tasks are scanned and all orders of fronts computed, in ns."""
+    order_turns = HASH_SLOTS_PER_NODE * len(takeover.listed_nodes) // MAX_ORDERS_COMPUTED
+    return TURN_NS * (order_turns + len(takeover.tasks) // MAX_TASKS_SCANNED + 2)
 
 
 SIMULATED_EXPERIMENTS = (
--- a/benchmarks/capacity/network.py
+++ b/benchmarks/capacity/network.py
@@ -1,7 +1,7 @@
-"""Simulated links between sites, and the queue of events that moves simulated time on.
+"""Simulated links between sites, and the event queue that advances simulated time.
 
-A datagram takes the latency of its path, or is lost. A stream loses nothing and waits for a retransmission instead. A
-region can be cut off: nothing crosses its border until it is healed.
+A datagram is delayed by the latency of its path or lost. A stream loses nothing but is delayed by retransmissions. A
+region can be partitioned from all others until the partition is healed.
 """
 
 from __future__ import annotations
@@ -16,27 +16,31 @@
 from oakcroft.interface import MS, SECOND
 
 EVENTS_PER_WALL_CHECK = 4_096
-"""Events between two looks at the wall clock."""
+"""Events between two checks of the wall clock."""
 
 SEGMENT_OCTETS = 1_448
-"""TCP payload of one segment on an Ethernet of 1,500 octets with timestamps."""
+"""TCP payload of one segment with timestamps at an MTU of 1,500 octets."""
 
 TCP_HEADER_OCTETS = 52
-"""IPv4 and TCP with timestamps, without Ethernet, as for datagrams."""
+"""IPv4 and TCP headers with timestamps; as for datagrams, without Ethernet."""
 
 DATAGRAM_HEADER_OCTETS = 28
-"""IPv4 and UDP."""
+"""IPv4 and UDP headers."""
 
 CONNECTION_SEGMENTS = 4
-"""Empty segments each way that open and close a connection: SYN or SYN-ACK, ACK, FIN, ACK."""
+"""Empty segments in each direction that open and close a connection: SYN or SYN-ACK, ACK, FIN, ACK."""
 
 RETRANSMISSION_TIMEOUT_NS = 200 * MS
-"""Linux's least retransmission timeout; a stream that loses anything waits so long once in each flight."""
+"""Linux's minimum retransmission timeout; a flight that loses any segments is delayed by it once."""
 
 
 @dataclass(frozen=True)
 class LinkParameters:
-    """One kind of path. One-way latency: from `latency` to `latency + jitter`, evenly; `loss`: of one datagram."""
+    """Parameters of one kind of path.
+
+    The one-way latency is uniform between `latency` and `latency + jitter`, in ns. `loss` is the probability that a
+    datagram is lost.
+    """
 
     latency: int
     jitter: int
@@ -45,7 +49,10 @@
 
 @dataclass(frozen=True)
 class NetworkParameters:
-    """The three kinds of path. Between regions, `ring_step` is added for each region that lies between the two."""
+    """Parameters of the three kinds of path.
+
+    Between regions, `ring_step` ns are added to the latency for each region between the two.
+    """
 
     inside_zone: LinkParameters
     between_zones: LinkParameters
@@ -54,7 +61,7 @@
 
     @classmethod
     def with_loss(cls, inside_zone: float, between_zones: float, between_regions: float) -> NetworkParameters:
-        """The usual latencies with these losses."""
+        """Returns the default latencies with the given loss rates."""
         return cls(
             LinkParameters(LATENCY_INSIDE_ZONE_NS, JITTER_INSIDE_ZONE_NS, inside_zone),
             LinkParameters(LATENCY_BETWEEN_ZONES_NS, JITTER_BETWEEN_ZONES_NS, between_zones),
@@ -65,39 +72,39 @@
 
 LATENCY_INSIDE_ZONE_NS = MS // 4
 JITTER_INSIDE_ZONE_NS = MS // 2
-"""One data hall: under a millisecond, most of it queueing in hosts."""
+"""One data hall: under a millisecond, mostly queueing in hosts."""
 
 LATENCY_BETWEEN_ZONES_NS = MS
 JITTER_BETWEEN_ZONES_NS = MS
-"""Halls of one metropolitan area, some 100 km of fibre at most."""
+"""Data halls of one metropolitan area, with at most about 100 km of fibre between them."""
 
 LATENCY_BETWEEN_REGIONS_NS = 20 * MS
 JITTER_BETWEEN_REGIONS_NS = 5 * MS
 LATENCY_RING_STEP_NS = 20 * MS
-"""Nine regions taken as a ring round the earth: neighbours 20 ms apart one way, opposite ones 80 ms (fibre carries
-200 km in a millisecond, and cables make detours)."""
+"""Nine regions modelled as a ring around the earth: one-way latency is 20 ms between neighbours and 80 ms between
+opposite ones (signals travel 200 km per millisecond in fibre, and cables take detours)."""
 
 DEFAULT_LOSS = 0.02
-"""Of each datagram on each path: the rate at which the goals for membership are set."""
+"""Probability of losing a datagram on any path: the loss rate at which the targets of membership are set."""
 
 
 class EventQueue:
-    """Events in order of time, then of being scheduled. `now`: simulated nanoseconds from 0."""
+    """Events in order of time, then of scheduling. `now` is simulated time in ns, starting at 0."""
 
     def __init__(self) -> None:
-        """Empty, at time 0."""
+        """Creates an empty queue at time 0."""
         self.now = 0
         self.handled = 0
         self._number = 0
         self._heap: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
 
     def schedule(self, at: int, action: Callable[..., None], *arguments: object) -> None:
-        """Calls `action(*arguments)` at a time, at once where that has passed."""
+        """Schedules `action(*arguments)` at a time, or now if that has passed."""
         self._number += 1
         heapq.heappush(self._heap, (max(at, self.now), self._number, action, arguments))
 
     def run(self, until: int, wall_deadline: float = float("inf")) -> bool:
-        """Handles all events up to a time. False where the wall clock (`time.monotonic`) ran past its deadline."""
+        """Handles all events up to a time. Returns False if the wall clock (`time.monotonic`) passed its deadline."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, action, arguments = heapq.heappop(heap)
@@ -111,7 +118,7 @@
 
 @dataclass(frozen=True)
 class Transfer:
-    """One flight of a stream: how long it takes and what it puts on the wire, each way, headers included."""
+    """One flight of a stream: its delay in ns and the octets that it sends in each direction, with headers."""
 
     delay: int
     forward_octets: int
@@ -122,7 +129,7 @@
     """Latency, loss and partitions between the sites of a topology."""
 
     def __init__(self, topology: Topology, parameters: NetworkParameters, seed: int) -> None:
-        """All links stand; latencies and losses are drawn by the seed."""
+        """Creates a network without partitions. Latencies and losses are drawn from a generator with the seed."""
         self._random = Random(f"network {seed}")
         self._cut_regions: set[int] = set()
         regions = topology.region_of_zone
@@ -133,20 +140,20 @@
         ]
 
     def cut(self, region: int) -> None:
-        """From now on nothing crosses the border of a region."""
+        """Partitions a region from all others."""
         self._cut_regions.add(region)
 
     def heal(self, region: int) -> None:
-        """Ends the cut of a region."""
+        """Ends the partition of a region."""
         self._cut_regions.discard(region)
 
     def separated(self, one: Site, other: Site) -> bool:
-        """Whether a cut lies between two sites now."""
+        """Returns whether two sites are partitioned from each other."""
         cut = self._cut_regions
         return bool(cut) and one.region != other.region and (one.region in cut or other.region in cut)
 
     def datagram_delay(self, sender: Site, receiver: Site) -> int | None:
-        """How long a datagram takes; None where it is lost."""
+        """Returns the delay of a datagram in ns, None if it is lost."""
         if self._cut_regions and self.separated(sender, receiver):
             return None
         path = self._paths[sender.zone][receiver.zone]
@@ -156,26 +163,26 @@
         return path.latency + int(draw() * path.jitter)
 
     def stream_transfer(self, sender: Site, receiver: Site, octets: int) -> Transfer | None:
-        """One flight of so many octets on an open connection; None across a cut."""
+        """Returns one flight of `octets` on an open connection, None if the sites are partitioned."""
         if self.separated(sender, receiver):
             return None
         path = self._paths[sender.zone][receiver.zone]
         segments = max(1, -(-octets // SEGMENT_OCTETS))
-        lost = sum(self._random.random() < path.loss for _ in range(segments))
+        lost_segments = sum(self._random.random() < path.loss for _ in range(segments))
         delay = path.latency + int(self._random.random() * path.jitter)
-        if lost:
+        if lost_segments:
             delay += RETRANSMISSION_TIMEOUT_NS
         acknowledgements = -(-segments // 2)
-        again = lost * (SEGMENT_OCTETS + TCP_HEADER_OCTETS)
+        retransmitted = lost_segments * (SEGMENT_OCTETS + TCP_HEADER_OCTETS)
         return Transfer(
-            delay, octets + segments * TCP_HEADER_OCTETS + again, acknowledgements * TCP_HEADER_OCTETS
+            delay, octets + segments * TCP_HEADER_OCTETS + retransmitted, acknowledgements * TCP_HEADER_OCTETS
         )
 
 
 def _path_parameters(
     one: int, other: int, regions: list[int], count: int, parameters: NetworkParameters
 ) -> LinkParameters:
-    """The path between two zones."""
+    """Returns the parameters of the path between two zones."""
     if one == other:
         return parameters.inside_zone
     apart = abs(regions[one] - regions[other])
@@ -187,5 +194,5 @@
 
 
 def seconds(duration: int) -> float:
-    """Nanoseconds as seconds."""
+    """Converts nanoseconds to seconds."""
     return duration / SECOND
--- a/benchmarks/capacity/network_check.py
+++ b/benchmarks/capacity/network_check.py
@@ -1,4 +1,4 @@
-"""Whether a network's links are as its parameters state them, by sampling."""
+"""Checks by sampling that the links of a simulated network have the latency and loss of its parameters."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 SAMPLES = 4_000
 LOSS_TOLERANCE = 0.01
-"""Four standard deviations of the share lost, at 2% and `SAMPLES`: 0.9%."""
+"""Above four standard deviations of the observed loss, which are 0.9% at a loss of 2% and `SAMPLES` datagrams."""
 
 
 @dataclass(frozen=True)
 class LinkSample:
-    """What one kind of path did. `shortest` and `longest`: one-way latency in nanoseconds."""
+    """Observed latency and loss of one kind of path. `shortest` and `longest` are one-way latencies in ns."""
 
     kind: str
     stated: LinkParameters
@@ -26,12 +26,12 @@
     loss: float
 
     def matches_parameters(self) -> bool:
-        """Whether latency and loss are within what is stated."""
+        """Returns whether latency and loss agree with the parameters."""
         in_time = self.stated.latency <= self.shortest and self.longest <= self.longest_stated
         return in_time and abs(self.loss - self.stated.loss) <= LOSS_TOLERANCE
 
     def describe(self) -> str:
-        """As a part of a line."""
+        """Formats the sample as a part of a report line."""
         return f"{self.kind} {self.shortest / MS:.2f} to {self.longest / MS:.2f} ms, loss {self.loss:.2%}"
 
 
@@ -71,5 +71,5 @@
 ) -> LinkSample:
     delays = [network.datagram_delay(*pairs[number % len(pairs)]) for number in range(SAMPLES)]
     arrived = [delay for delay in delays if delay is not None]
-    lost = 1 - len(arrived) / SAMPLES
-    return LinkSample(kind, stated, longest_stated, min(arrived, default=0), max(arrived, default=0), lost)
+    loss = 1 - len(arrived) / SAMPLES
+    return LinkSample(kind, stated, longest_stated, min(arrived, default=0), max(arrived, default=0), loss)
--- a/benchmarks/capacity/platform_process.py
+++ b/benchmarks/capacity/platform_process.py
@@ -1,7 +1,7 @@
-"""A real front end process on the platform's protocol, with short emulators of its channel and nodes round it.
+"""A real front end process on the platform's protocol, with minimal emulators of its command channel and nodes.
 
-Everything is on 127.0.0.1. The emulators live in the measuring process, whose own cost is not counted: processor time,
-resident memory and descriptors are read of the front end's process alone.
+Everything is on 127.0.0.1. The emulators run in the measuring process, whose own cost is not counted: CPU time,
+resident memory and descriptors are read for the front end's process only.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 HOST = "127.0.0.1"
 MAX_SOCKETS = 18_000
-"""Descriptors granted to the front end: half are for viewers. Under this machine's hard limit (20,000)."""
+"""Descriptor limit of the front end, half of which is for viewers; below the machine's hard limit of 20,000."""
 MAX_MEMORY_MB = 4_096
 READY_TIMEOUT_S = 30.0
 LONG_POLL_S = 0.9
-"""A poll of the channel is answered by then when there is nothing new."""
+"""Time after which a long poll of the command channel is answered without events."""
 REPORTS_EVERY_MS = 3_000.0
 NS_PER_S = 1e9
 WARMUP_S = 6.5
-"""After its start a front end takes all nodes for cold for 6 s."""
+"""Longer than the 6 s for which a front end treats all nodes as cold after its start."""
 EMULATED_NODES = 40
 
 SETTINGS: dict[str, Any] = {
@@ -51,18 +51,18 @@
 
 
 class Emulators:
-    """The channel, which tells nothing new, and nodes that set up whatever they are asked for."""
+    """A command channel without events, and nodes that accept every set-up."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
-        """Not listening yet; their tasks run in this nursery."""
+        """Creates emulators that do not listen yet and whose tasks run in `nursery`."""
         self.nursery = nursery
         self.channel_port = 0
         self.ports: list[int] = []
         self.sessions: dict[str, trio.SocketStream] = {}
-        """Each session that stands, with a connection of its node."""
+        """The playing sessions, each with the connection of its node."""
 
     async def start(self) -> None:
-        """Listens for the channel and for the nodes."""
+        """Starts listening for the command channel and for the nodes."""
         self.channel_port = await self._listen(self._channel)
         self.ports = [await self._listen(self._node) for _ in range(EMULATED_NODES)]
 
@@ -74,19 +74,18 @@
     async def _channel(self, stream: trio.SocketStream) -> None:
         with suppress(trio.BrokenResourceError):
             while head := await stream.receive_some(4096):
-                after, block = (
-                    head.split(word)[1].split(end)[0] for word, end in ((b"resume=", b"&"), (b"block=", b" "))
-                )
-                await trio.sleep(LONG_POLL_S if int(block) else 0.0)
-                body = orjson.dumps({"cursor": int(after), "cmds": []})
+                cursor = int(head.split(b"resume=")[1].split(b"&")[0])
+                block = int(head.split(b"block=")[1].split(b" ")[0])
+                await trio.sleep(LONG_POLL_S if block else 0.0)
+                body = orjson.dumps({"cursor": cursor, "cmds": []})
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     async def _node(self, stream: trio.SocketStream) -> None:
         rest = b""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             async for data in stream:
-                *whole, rest = (rest + data).split(b"\n")
-                answers = b"".join(self._answer(stream, orjson.loads(line)) for line in whole)
+                *lines, rest = (rest + data).split(b"\n")
+                answers = b"".join(self._answer(stream, orjson.loads(line)) for line in lines)
                 if answers:
                     await stream.send_all(answers)
         await trio.aclose_forcefully(stream)
@@ -99,43 +98,46 @@
 
 
 def encode_line(**message: Any) -> bytes:
-    """A node's message."""
+    """Encodes a message of a node."""
     return orjson.dumps(message) + b"\n"
 
 
 class FrontProcess:
-    """The process under measurement."""
+    """The measured front end process."""
 
     def __init__(self, child: subprocess.Popen[bytes], port: int, ready_s: float) -> None:
-        """A process that listens at a port, and how long it took to be ready."""
-        self.child, self.port, self.ready_s = child, port, ready_s
+        """Wraps a process that listens at `port` and was ready `ready_s` after its start."""
+        self.child = child
+        self.port = port
+        self.ready_s = ready_s
 
     @property
     def resident_octets(self) -> int:
-        """Resident octets."""
+        """Resident memory in octets."""
         pages = int(Path(f"/proc/{self.child.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
     @property
     def cpu_seconds(self) -> float:
-        """Processor time so far, of all threads that are there: to the nanosecond, where /proc/PID/stat tells 10 ms."""
+        """CPU time so far of all present threads, in ns resolution; that of /proc/PID/stat is 10 ms."""
         tasks = Path(f"/proc/{self.child.pid}/task").iterdir()
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / NS_PER_S
 
     @property
     def descriptor_count(self) -> int:
-        """Open ones."""
+        """Number of open descriptors."""
         return len(os.listdir(f"/proc/{self.child.pid}/fd"))
 
     async def cpu_share_over(self, seconds: float) -> float:
-        """Share of a core over so long."""
-        before, began = self.cpu_seconds, time.perf_counter()
+        """Returns the share of a core that the process uses over a time."""
+        cpu_before = self.cpu_seconds
+        started_at = time.perf_counter()
         await trio.sleep(seconds)
-        return (self.cpu_seconds - before) / (time.perf_counter() - began)
+        return (self.cpu_seconds - cpu_before) / (time.perf_counter() - started_at)
 
 
 def node_members(ports: list[int], nodes: int) -> list[dict[str, Any]]:
-    """So many nodes on the list; those past the emulated ones share their ports and are never asked."""
+    """Returns the members of a node list; nodes beyond the emulated ones share their ports and get no set-ups."""
     return [
         {"id": f"node-{i:05}", "host_port": f"{HOST}:{ports[i % len(ports)]}", "locality": f"zone-{i % 2}",
          "flavor": "k", "cell": i % 4, "phase": "up", "size": 1, "up_since_ms": 0}
@@ -144,7 +146,7 @@
 
 
 def free_port() -> int:
-    """A port that was free just now."""
+    """Returns a port that is free at the moment."""
     import socket
 
     with socket.socket() as sock:
@@ -154,20 +156,25 @@
 
 @asynccontextmanager
 async def running_front(emulators: Emulators, nodes: int) -> AsyncIterator[FrontProcess]:
-    """A front end that has this many nodes on its list, from when it answers a test until it is ended."""
+    """Runs a front end with `nodes` listed nodes and yields it once it passes a test."""
     port = free_port()
     known = {
         "cursor": 1,
         "cmds": [{"cursor": 1, "nodes": {"complete": True, "members": node_members(emulators.ports, nodes)}}],
     }
-    told = {
-        "name": "front", "listen": f"{HOST}:{port}", "seed": "1", "limits": {"sockets": MAX_SOCKETS, "memory_mb": MAX_MEMORY_MB},
-        "channel": f"{HOST}:{emulators.channel_port}", "known": known, "settings": SETTINGS,
-    }  # fmt: skip
+    configuration = {
+        "name": "front",
+        "listen": f"{HOST}:{port}",
+        "seed": "1",
+        "limits": {"sockets": MAX_SOCKETS, "memory_mb": MAX_MEMORY_MB},
+        "channel": f"{HOST}:{emulators.channel_port}",
+        "known": known,
+        "settings": SETTINGS,
+    }
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "config.json"
-        file.write_bytes(orjson.dumps(told))
-        began = time.perf_counter()
+        file.write_bytes(orjson.dumps(configuration))
+        started_at = time.perf_counter()
         with (Path(folder) / "log").open("wb") as log:
             child = subprocess.Popen(
                 [sys.executable, "-m", "oakcroft", "platform"], stdin=subprocess.DEVNULL, stdout=log, stderr=log,
@@ -176,14 +183,14 @@
         try:
             with trio.fail_after(READY_TIMEOUT_S):
                 await wait_until_ready(port, child)
-            yield FrontProcess(child, port, time.perf_counter() - began)
+            yield FrontProcess(child, port, time.perf_counter() - started_at)
         finally:
             child.kill()
             child.wait()
 
 
 async def wait_until_ready(port: int, child: subprocess.Popen[bytes]) -> None:
-    """Until the front end says that it is ready. RuntimeError where it has ended instead."""
+    """Waits until the front end passes a test. Raises RuntimeError if it exits instead."""
     while child.poll() is None:
         with suppress(OSError):
             viewer = await Viewer.connect(port)
@@ -192,19 +199,20 @@
             if passed:
                 return
         await trio.sleep(0.005)
-    raise RuntimeError(f"the front end ended with {child.returncode}")
+    raise RuntimeError(f"the front end exited with {child.returncode}")
 
 
 class Viewer:
-    """One connection of a viewer, without a task of its own."""
+    """A viewer's connection, used without a task of its own."""
 
     def __init__(self, sock: trio.socket.SocketType) -> None:
-        """A socket that is connected."""
-        self.sock, self.frames = sock, framing.FrameDecoder()
+        """Wraps a connected socket."""
+        self.sock = sock
+        self.frames = framing.FrameDecoder()
 
     @classmethod
     async def connect(cls, port: int) -> Viewer:
-        """A connection. OSError where there is none to be had."""
+        """Connects to the front end. Raises OSError if that fails."""
         sock = trio.socket.socket()
         try:
             await sock.connect((HOST, port))
@@ -214,17 +222,17 @@
         return cls(sock)
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the connection."""
         self.sock.close()
 
     async def test(self) -> bool:
-        """Asks for a test; whether it passed."""
+        """Requests a test and returns whether it passed."""
         await self.sock.send(framing.encode(framing.TEST, "00000000000000ff", (framing.CAUSE, b"\0")))
         _, _, found = await self.receive()
         return found[framing.CAUSE] == b"\1"
 
     async def set_up(self, session: str, title: str, wait_ms: int = 8_000) -> bool:
-        """Asks for a session; whether it plays."""
+        """Requests a set-up and returns whether it was answered with a playback."""
         extras = b"home:0;copies:0;top:2;viewer:1"
         fields = (
             (framing.PLAN, b"free"),
@@ -240,7 +248,7 @@
         return kind == framing.ANSWER
 
     async def receive(self) -> tuple[int, str, dict[int, bytes]]:
-        """The next message. OSError where the connection has ended."""
+        """Returns the next message. Raises OSError if the connection was closed."""
         while (event := self.frames.next_event()) is None:
             data = await self.sock.recv(4096)
             if not data:
--- a/benchmarks/capacity/roles_nodes.py
+++ b/benchmarks/capacity/roles_nodes.py
@@ -1,4 +1,4 @@
-"""Rows of the roles that rest on the list of playout nodes: the list itself with placement, and slow start."""
+"""Rows of the roles that depend on the node list: the list itself with placement of titles, and slow start."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from benchmarks.capacity.readings import NOT_MEASURED, Readings, format_number
 from benchmarks.capacity.role_parts import (
     CONTROL_CPU_PERCENT,
-    TARGET_FRONTS,
-    WORST_SESSIONS_PER_FRONT,
     MS_PER_S,
-    TARGET_NODES,
-    PERCENT,
     OVER_CPU_BUDGET,
+    PERCENT,
+    TARGET_FRONTS,
+    TARGET_NODES,
     TODAY_NODES,
+    WORST_SESSIONS_PER_FRONT,
     assumed_limits,
     constant_limit,
     derived_limit,
@@ -29,8 +29,11 @@
 
 
 def list_share(slopes: Readings, nodes: float) -> float | None:
-    """% of a core for the rounds over all nodes and for changes of the list in a release, with the orders of titles that
-    each change makes stale: as many a second as there are set-ups, on the mean."""
+    """Returns the % of a core for the periodic passes over all nodes and for changes of the list during a release.
+
+    A change of the list invalidates the order of holders of each title, so that every set-up (counted at the mean rate)
+    computes it again.
+    """
     rounds, change, title = (
         slopes[name].value(nodes) for name in ("list.rounds", "list.change", "list.title")
     )
@@ -41,28 +44,30 @@
 
 
 def share_cell(share: float | None) -> str:
-    """The same for the page."""
+    """Formats a share of a core for the page."""
     return NOT_MEASURED if share is None else f"{format_number(share)} % of a core, derived"
 
 
 def lists(slopes: Readings) -> Row:
-    """The list of nodes, and where titles are placed on it."""
-    today, target = list_share(slopes, TODAY_NODES), list_share(slopes, TARGET_NODES)
+    """The node list, and the placement of titles on its nodes."""
+    today = list_share(slopes, TODAY_NODES)
+    target = list_share(slopes, TARGET_NODES)
     carried = None
     if target is not None:
         carried = bisect_largest_size(
             lambda size: list_share(slopes, size) or 0.0, CONTROL_CPU_PERCENT, SUFFICIENT_RATIO * TARGET_NODES
         )
     in_use = demand.titles_in_use(WORST_SESSIONS_PER_FRONT)
-    whole = slopes["list.octets"].largest_size_within(bounds.MAX_LIST_OCTETS.value / KB)
-    refused = "a whole list is refused, the one before stays"
-    title_refused = "a session of a further title is refused while all others are in use"
+    nodes_per_answer = slopes["list.octets"].largest_size_within(bounds.MAX_LIST_OCTETS.value / KB)
+    list_rejected = "a whole list is rejected and the previous one stays in use"
+    title_rejected = "a session of a further title is rejected while all cached titles are in use"
     within_answer = f"`list.octets` within {bounds.MAX_LIST_OCTETS.source}"
-    in_release = "`list.rounds`, `list.change`, `list.title` in a release"
+    in_release = "`list.rounds`, `list.change`, `list.title` during a release"
     return Row(
         "lists of nodes, placement of titles",
-        "3% of a core with all other control; a list is taken whole",
-        "`platform/follower.py`, `platform/owner.py`, `choice.py` `_holders`, `decisions/routing/titles.py`",
+        "3% of a core, shared with all other control work; a list is applied as a whole",
+        "`platform/channel_follower.py`, `platform/session_coordinator.py`, `choice.py` `_holders`, "
+        "`decisions/routing/title_cache.py`",
         (
             Load(
                 "state",
@@ -72,36 +77,41 @@
             Load(
                 "messages",
                 NOT_MEASURED,
-                f"{format_number(WORST_LIST_CHANGES_PER_S)} changes a second in a release",
+                f"{format_number(WORST_LIST_CHANGES_PER_S)} changes a second during a release",
             ),
-            Load("processor", share_cell(today), share_cell(target)),
+            Load("CPU", share_cell(today), share_cell(target)),
             load_at_both_sizes(
-                "processor, order of one title", slopes["list.title"], TODAY_NODES, TARGET_NODES
+                "CPU, ordering the holders of one title", slopes["list.title"], TODAY_NODES, TARGET_NODES
             ),
             load_at_both_sizes(
-                "memory of titles, 300 nodes' order each", slopes["titles.memory"], TODAY_TITLES, in_use
+                "memory of titles, each with an order of 300 nodes",
+                slopes["titles.memory"],
+                TODAY_TITLES,
+                in_use,
             ),
             load_at_both_sizes(
-                "memory of a front, nothing held", slopes["nodes.memory"], TODAY_NODES, TARGET_NODES
+                "memory of a front without sessions", slopes["nodes.memory"], TODAY_NODES, TARGET_NODES
             ),
             load_at_both_sizes("network, a whole list", slopes["list.octets"], TODAY_NODES, TARGET_NODES),
-            load_at_both_sizes("start to ready", slopes["nodes.ready"], TODAY_NODES, TARGET_NODES),
+            load_at_both_sizes("time from start to ready", slopes["nodes.ready"], TODAY_NODES, TARGET_NODES),
         ),
         (
             *assumed_limits(
                 assumed.TITLE_SKEW,
-                constant_limit(bounds.MAX_TITLES, "titles in use at one front", in_use, title_refused),
+                constant_limit(bounds.MAX_TITLES, "titles in use at one front", in_use, title_rejected),
             ),
             *assumed_limits(
                 assumed.PLAYOUT_NODES,
-                derived_limit(whole, within_answer, "nodes on a whole list", TARGET_NODES, refused),
-                constant_limit(bounds.MAX_LIST_NODES, "nodes on the list", TARGET_NODES, refused),
-                derived_limit(carried, in_release, "nodes, by processor time", TARGET_NODES, OVER_CPU_BUDGET),
+                derived_limit(
+                    nodes_per_answer, within_answer, "nodes on a whole list", TARGET_NODES, list_rejected
+                ),
+                constant_limit(bounds.MAX_LIST_NODES, "nodes on the list", TARGET_NODES, list_rejected),
+                derived_limit(carried, in_release, "nodes, by CPU time", TARGET_NODES, OVER_CPU_BUDGET),
                 measured_limit(
                     slopes,
                     "nodes.processor",
                     CONTROL_CPU_PERCENT,
-                    "nodes, an idle process",
+                    "nodes, by CPU time of an idle process",
                     TARGET_NODES,
                     OVER_CPU_BUDGET,
                 ),
@@ -111,18 +121,18 @@
 
 
 def slow_start(slopes: Readings) -> Row:
-    """Set-ups on nodes that have just started."""
+    """Pacing of set-ups on nodes that have just started."""
     reading = slopes["cold.sent"]
-    unused = "cold nodes stand nearly unused until they are warm; no rule is broken"
+    unused = "cold nodes are hardly used until they are warm; no rule is violated"
     carried = reading.largest_size_reaching(assumed.COLD_BUDGET_USED.value, TARGET_FRONTS)
     return Row(
         "slow start of cold nodes",
-        "half of the set-ups that one front end alone would send to a cold node (assumed)",
+        "half of the set-ups that a single front end would send to a cold node (assumed)",
         "`choice.py` `_warm_enough`",
         (
-            load_at_both_sizes("set-ups on cold nodes, over those of one front alone", reading),
-            load_at_both_sizes("part of cold nodes' budget used", slopes["cold.used"]),
-            Load("messages, processor, memory, network", "none of its own", "none of its own"),
+            load_at_both_sizes("set-ups on cold nodes over those of a single front", reading),
+            load_at_both_sizes("used share of cold nodes' budget", slopes["cold.used"]),
+            Load("messages, CPU, memory, network", "none of its own", "none of its own"),
         ),
         (
             *assumed_limits(
--- a/benchmarks/capacity/roles_sessions.py
+++ b/benchmarks/capacity/roles_sessions.py
@@ -1,4 +1,4 @@
-"""Rows of the roles that rest on a front end's sessions: data path, reports, fan-out, takeover."""
+"""Rows of the roles that depend on a front end's sessions: data path, load reports, fan-out, takeover."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from benchmarks.capacity.role_parts import (
     CONTROL_CPU_PERCENT,
     CONTROL_KB_PER_S,
-    OVER_TRAFFIC_BUDGET,
-    TARGET_FRONTS,
-    SESSIONS_PER_FRONT,
-    WORST_SESSIONS_PER_FRONT,
+    FRONT_CPU_PERCENT,
     LISTENERS_PER_FRONT,
-    WORST_LISTENERS_PER_FRONT,
     MS_PER_S,
-    TARGET_NODES,
-    FRONT_CPU_PERCENT,
-    PERCENT,
     OVER_CPU_BUDGET,
+    OVER_TRAFFIC_BUDGET,
+    PERCENT,
+    SESSIONS_PER_FRONT,
+    TARGET_FRONTS,
+    TARGET_NODES,
     TODAY_NODES,
     TODAY_SESSIONS,
     US_PER_S,
+    WORST_LISTENERS_PER_FRONT,
+    WORST_SESSIONS_PER_FRONT,
     assumed_limits,
     constant_limit,
     core_share,
@@ -38,41 +38,41 @@
 WORST_SETUPS_PER_S = demand.worst_load("front end", "set-ups")
 DELIVERY_MS = TARGET.delivery_within_s * MS_PER_S
 REPORTS_EVERY_S = assumed.REPORTS_EVERY_S.value
-LATE = "a core is full: answers come late"
-LATE_EVENTS = "events wait in the inbox, 260 ms are missed"
-LATE_LISTENERS = "the last listeners hear after 260 ms"
-REFUSED = "further set-ups are refused"
+CORE_SATURATED = "a core is saturated: answers are late"
+LATE_EVENTS = "events queue in the inbox and take more than 260 ms"
+LATE_LISTENERS = "the last listeners receive the event after more than 260 ms"
+SETUPS_REJECTED = "further set-ups are rejected"
 ADOPTERS_PER_NODE = 3
-"""Front ends that ask a node for a lost front's sessions."""
+"""Front ends that ask a node for a failed front's sessions."""
 
 
 def data_path(slopes: Readings) -> Row:
-    """Connections, sessions and deliveries."""
+    """The data path: connections, sessions and deliveries."""
     event_us = slopes["ends.processor"].value(WORST_LISTENERS_PER_FRONT)
     deliveries = None if event_us is None else FRONT_CPU_PERCENT / PERCENT * US_PER_S / event_us
-    by_event = "`ends.processor`, a core over the time of one"
-    at_target = f"{format_number(DELIVERIES_PER_S)} deliveries a second, {format_number(WORST_DELIVERIES_PER_S)} at worst"
+    by_event = "`ends.processor`, a core over the CPU time of one event"
+    mean_deliveries = format_number(DELIVERIES_PER_S)
+    worst_deliveries = format_number(WORST_DELIVERIES_PER_S)
+    deliveries_at_target = f"{mean_deliveries} deliveries a second, {worst_deliveries} at worst"
     return Row(
         "front end's data path",
         "one core (assumed); 260 ms for 99 of 100 deliveries",
-        "`platform/viewers.py`, `platform/owner.py`, `platform/pool.py`, `choice.py`",
+        "`platform/viewers.py`, `platform/session_coordinator.py`, `platform/node_pool.py`, `choice.py`",
         (
             Load(
                 "state",
-                f"{format_number(TODAY_SESSIONS)} sessions (the bound)",
+                f"{format_number(TODAY_SESSIONS)} sessions (the limit)",
                 f"{format_number(SESSIONS_PER_FRONT)} sessions",
             ),
-            Load("messages", NOT_MEASURED, at_target),
-            load_at_both_sizes(
-                "processor, idle", slopes["sessions.processor"], TODAY_SESSIONS, SESSIONS_PER_FRONT
-            ),
+            Load("messages", NOT_MEASURED, deliveries_at_target),
+            load_at_both_sizes("CPU, idle", slopes["sessions.processor"], TODAY_SESSIONS, SESSIONS_PER_FRONT),
             load_at_both_sizes(
-                "processor, the module's interval",
+                "CPU, the decision module's interval",
                 slopes["held.interval"],
                 TODAY_SESSIONS,
                 SESSIONS_PER_FRONT,
             ),
-            Load("processor, deliveries", NOT_MEASURED, core_share(event_us, DELIVERIES_PER_S)),
+            Load("CPU, deliveries", NOT_MEASURED, core_share(event_us, DELIVERIES_PER_S)),
             load_at_both_sizes("memory", slopes["sessions.memory"], TODAY_SESSIONS, SESSIONS_PER_FRONT),
             load_at_both_sizes(
                 "descriptors", slopes["connections.descriptors"], TODAY_SESSIONS, SESSIONS_PER_FRONT
@@ -80,28 +80,31 @@
             Load("network", NOT_MEASURED, NOT_MEASURED),
         ),
         (
-            constant_limit(bounds.MAX_SESSIONS, "sessions held", SESSIONS_PER_FRONT, REFUSED),
+            constant_limit(bounds.MAX_SESSIONS, "sessions held", SESSIONS_PER_FRONT, SETUPS_REJECTED),
             *assumed_limits(
                 assumed.LARGEST_REGION_OVER_MEAN,
                 constant_limit(
-                    bounds.MAX_SESSIONS, "sessions held, a region lost", WORST_SESSIONS_PER_FRONT, REFUSED
+                    bounds.MAX_SESSIONS,
+                    "sessions held after the loss of a region",
+                    WORST_SESSIONS_PER_FRONT,
+                    SETUPS_REJECTED,
                 ),
             ),
             measured_limit(
                 slopes,
                 "sessions.processor",
                 FRONT_CPU_PERCENT,
-                "sessions held, idle processor time",
+                "sessions held, by CPU time while idle",
                 SESSIONS_PER_FRONT,
-                LATE,
+                CORE_SATURATED,
             ),
             measured_limit(
                 slopes,
                 "held.interval",
                 FRONT_CPU_PERCENT,
-                "sessions held, the module's interval",
+                "sessions held, by CPU time of the decision module's interval",
                 SESSIONS_PER_FRONT,
-                LATE,
+                CORE_SATURATED,
             ),
             derived_limit(deliveries, by_event, "deliveries a second", DELIVERIES_PER_S, LATE_EVENTS),
             *assumed_limits(
@@ -122,7 +125,7 @@
                     FRONT_CPU_PERCENT,
                     "set-ups a second",
                     WORST_SETUPS_PER_S,
-                    LATE,
+                    CORE_SATURATED,
                 ),
             ),
         ),
@@ -130,24 +133,24 @@
 
 
 def report_share(slopes: Readings, held: float) -> float:
-    """% of a core for the reports on so many sessions; what one costs grows with them."""
-    each_us = slopes["sessions.report"].value(held) or 0.0
-    return each_us * held / REPORTS_EVERY_S / US_PER_S * PERCENT
+    """Returns the % of a core for the reports on `held` sessions; the cost of each grows with their number."""
+    report_us = slopes["sessions.report"].value(held) or 0.0
+    return report_us * held / REPORTS_EVERY_S / US_PER_S * PERCENT
 
 
 def reports(slopes: Readings) -> Row:
-    """Nodes' reports on sessions, and loads told among front ends."""
+    """Nodes' reports on sessions, and node loads shared among front ends."""
     cost = slopes["sessions.report"]
     carried = None
     if cost.fitted is not None:
         carried = bisect_largest_size(
             lambda held: report_share(slopes, held), CONTROL_CPU_PERCENT, SESSIONS_PER_FRONT
         )
-    too_old = "what is known of a node is too old to use; each front goes by its own traffic"
+    too_old = "known loads are too old to use; each front relies on its own traffic"
     return Row(
         "probing and load reports",
-        "3% of a core and 8 kB/s with all other control; a load known within 20 s",
-        "`platform/owner.py` `_noted`, `choice.py`, `decisions/fleet/figures.py`",
+        "3% of a core and 8 kB/s, shared with all other control work; a load known within 20 s",
+        "`platform/session_coordinator.py` `_apply_note`, `choice.py`, `decisions/fleet/load_sharing.py`",
         (
             Load("state", f"{format_number(TODAY_NODES)} loads", f"{format_number(TARGET_NODES)} loads"),
             Load(
@@ -156,13 +159,15 @@
                 f"{format_number(SESSIONS_PER_FRONT / REPORTS_EVERY_S)} reports a second",
             ),
             Load(
-                "processor, reports",
+                "CPU, reports",
                 core_share(cost.value(TODAY_SESSIONS), TODAY_SESSIONS / REPORTS_EVERY_S),
                 core_share(cost.value(SESSIONS_PER_FRONT), SESSIONS_PER_FRONT / REPORTS_EVERY_S),
             ),
-            load_at_both_sizes("processor, loads told", slopes["loads.processor"], TODAY_NODES, TARGET_NODES),
+            load_at_both_sizes("CPU, sharing of loads", slopes["loads.processor"], TODAY_NODES, TARGET_NODES),
             Load("memory", NOT_MEASURED, NOT_MEASURED),
-            load_at_both_sizes("network, loads told", slopes["loads.octets"], TODAY_NODES, TARGET_NODES),
+            load_at_both_sizes(
+                "network, sharing of loads", slopes["loads.octets"], TODAY_NODES, TARGET_NODES
+            ),
         ),
         (
             *assumed_limits(
@@ -181,7 +186,7 @@
                     slopes,
                     "loads.age",
                     bounds.MAX_LOAD_AGE_S.value,
-                    "nodes, loads told in 20 s",
+                    "nodes whose loads are known within 20 s",
                     TARGET_NODES,
                     too_old,
                 ),
@@ -189,7 +194,7 @@
                     slopes,
                     "loads.octets",
                     CONTROL_KB_PER_S,
-                    "nodes, octets of loads told",
+                    "nodes, by octets of shared loads",
                     TARGET_NODES,
                     OVER_TRAFFIC_BUDGET,
                 ),
@@ -197,7 +202,7 @@
                     slopes,
                     "loads.processor",
                     CONTROL_CPU_PERCENT,
-                    "nodes, by processor time",
+                    "nodes, by CPU time of sharing loads",
                     TARGET_NODES,
                     OVER_CPU_BUDGET,
                 ),
@@ -207,30 +212,27 @@
 
 
 def fan_out(slopes: Readings) -> Row:
-    """One event for all listeners of the largest topic."""
+    """Delivery of one event to all listeners of the largest topic."""
     event_us = slopes["ends.processor"].value(WORST_LISTENERS_PER_FRONT)
-    busy = (
-        "not measured"
+    worst_listeners = format_number(WORST_LISTENERS_PER_FRONT)
+    cpu_time = (
+        NOT_MEASURED
         if event_us is None
         else f"{format_number(event_us * WORST_LISTENERS_PER_FRONT / MS_PER_S)} ms of a core, derived"
     )
     return Row(
         "fan-out of the largest topic",
         "260 ms for 99 of 100",
-        "`platform/owner.py` `_over`: one message a session; an event of a title does not exist",
+        "`platform/session_coordinator.py` `_session_ended`: one message per session; there are no events of a title",
         (
             Load(
                 "state",
-                "not tried",
-                f"{format_number(LISTENERS_PER_FRONT)} sessions a front, {format_number(WORST_LISTENERS_PER_FRONT)} at worst",
-            ),
-            Load(
-                "messages, one event",
-                "not tried",
-                f"{format_number(WORST_LISTENERS_PER_FRONT)} in and out at worst",
+                "not tested",
+                f"{format_number(LISTENERS_PER_FRONT)} sessions per front, {worst_listeners} at worst",
             ),
-            Load("processor, one event", "not tried", busy),
-            Load("time, one event", "not tried", slopes["ends.time"].table_cell(WORST_LISTENERS_PER_FRONT)),
+            Load("messages, one event", "not tested", f"{worst_listeners} in and out at worst"),
+            Load("CPU, one event", "not tested", cpu_time),
+            Load("time, one event", "not tested", slopes["ends.time"].table_cell(WORST_LISTENERS_PER_FRONT)),
             Load("memory, network", NOT_MEASURED, NOT_MEASURED),
         ),
         (
@@ -238,7 +240,7 @@
                 slopes,
                 "ends.time",
                 DELIVERY_MS,
-                "listeners at a front, all within 260 ms",
+                "listeners at a front, all reached within 260 ms",
                 LISTENERS_PER_FRONT,
                 LATE_LISTENERS,
             ),
@@ -248,7 +250,7 @@
                     slopes,
                     "ends.time",
                     DELIVERY_MS,
-                    "the same at the worst front",
+                    "listeners at the worst front, all reached within 260 ms",
                     WORST_LISTENERS_PER_FRONT,
                     LATE_LISTENERS,
                 ),
@@ -258,42 +260,43 @@
 
 
 def takeover(slopes: Readings) -> Row:
-    """Sessions of lost front ends, taken over by the rest."""
+    """Takeover of the sessions of failed front ends by the others."""
     pairs = demand.fronts_of_largest_zone() * TARGET_NODES
-    noticed = bounds.CRASH_DETECTION_S.value + bounds.TAKEOVER_DELAY_S.value
-    left_s = bounds.SESSION_LEASE_S.value - noticed
-    lost = "sessions are left to their lease, and end"
-    in_time = f"fronts and nodes, all asked in the {left_s:g} s that the lease leaves"
-    time, processor = slopes["takeover.time"], slopes["takeover.processor"]
+    takeover_start_s = bounds.CRASH_DETECTION_S.value + bounds.TAKEOVER_DELAY_S.value
+    remaining_s = bounds.SESSION_LEASE_S.value - takeover_start_s
+    sessions_lost = "sessions end when their lease expires"
+    in_time = f"fronts and nodes, all asked in the {remaining_s:g} s that remain of the lease"
     return Row(
         "takeover of sessions",
-        "3% of a core with all other control; within a lease of 15 s",
-        "`decisions/fleet/adopting.py`, `front/adopting.py`",
+        "3% of a core, shared with all other control work; within a lease of 15 s",
+        "`decisions/fleet/session_takeover.py`, `front/session_takeover.py`",
         (
             Load(
                 "state",
                 slopes["takeover.pairs"].table_cell(TODAY_NODES),
-                f"{format_number(pairs)} pairs of lost front and node",
+                f"{format_number(pairs)} pairs of failed front and node",
             ),
             Load(
                 "messages",
                 NOT_MEASURED,
-                f"{format_number(pairs * ADOPTERS_PER_NODE / TARGET_FRONTS)} questions a front",
+                f"{format_number(pairs * ADOPTERS_PER_NODE / TARGET_FRONTS)} requests per front",
             ),
-            load_at_both_sizes("time until all is asked", time),
-            load_at_both_sizes("processor meanwhile", processor),
+            load_at_both_sizes("time until all nodes are asked", slopes["takeover.time"]),
+            load_at_both_sizes("CPU until then", slopes["takeover.processor"]),
             Load("memory, network", NOT_MEASURED, NOT_MEASURED),
         ),
         (
             *assumed_limits(
                 assumed.PLAYOUT_NODES,
-                constant_limit(bounds.MAX_TAKEOVER_PAIRS, "pairs of lost front and node", pairs, lost),
-                measured_limit(slopes, "takeover.time", left_s, in_time, TARGET_FRONTS, lost),
+                constant_limit(
+                    bounds.MAX_TAKEOVER_PAIRS, "pairs of failed front and node", pairs, sessions_lost
+                ),
+                measured_limit(slopes, "takeover.time", remaining_s, in_time, TARGET_FRONTS, sessions_lost),
                 measured_limit(
                     slopes,
                     "takeover.processor",
                     CONTROL_CPU_PERCENT,
-                    "by processor time",
+                    "fronts and nodes, by CPU time",
                     TARGET_FRONTS,
                     OVER_CPU_BUDGET,
                 ),
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,6 +1,6 @@
-"""One row a role: what it takes at today's size and at the target, how much of the target it carries, what breaks first.
+"""Rows of the page, one per role: its resource use today and at the target, and its limits.
 
-Here stand the types; the roles stand in `roles_sessions.py`, `roles_nodes.py` and `roles_control.py`.
+The roles are in `roles_sessions.py`, `roles_nodes.py` and `roles_control.py`.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from enum import Enum
 
 SUFFICIENT_RATIO = 2.0
-"""Carried over needed past which it does not matter how much more would be; no size is looked for beyond it."""
+"""Carried over needed beyond which a larger value makes no difference; no size beyond it is searched."""
 
 
 class Basis(Enum):
-    """How what is carried is known."""
+    """How the carried value is known."""
 
     CONSTANT = "constant in the code"
     MEASURED = "measured"
@@ -25,10 +25,13 @@
 
 @dataclass(frozen=True)
 class Limit:
-    """One bound that a role meets on its way to the target: the largest value of its driver at which it still does its
-    work within the budget, and the value that is needed in the worst hour. `consequence`: what happens past it. `assumption`: the
-    assumption of this page that it rests on, where the users' figures alone do not give it. A bound past which a cache
-    only forgets is no limit and has no entry."""
+    """A limit that a role meets before or beyond the target.
+
+    `carried` is the largest value of the driver at which the role works within its budget, `needed` the value in the
+    worst hour. `consequence` says what happens beyond the limit. `assumption` names the assumption that the limit
+    rests on; it is empty if the users' figures alone give it. A bound beyond which only a cache forgets entries is no
+    limit.
+    """
 
     driver: str
     carried: float | None
@@ -40,13 +43,13 @@
 
     @property
     def ratio(self) -> float | None:
-        """Carried over needed; None where nothing was measured."""
+        """Carried over needed, None if it was not measured."""
         return None if self.carried is None else self.carried / self.needed
 
 
 @dataclass(frozen=True)
 class Load:
-    """What a role takes of one resource at today's size and at the target, as it is to be shown."""
+    """The use of one resource by a role, today and at the target, as shown on the page."""
 
     resource: str
     today: str
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One role. `limits`: of today's text; `with_mechanism`: the same limits once the new mechanism carries the role."""
+    """One role. `limits` are those of today's program, `with_mechanism` the same limits with the new mechanism."""
 
     role: str
     budget: str
@@ -66,29 +69,31 @@
 
     @property
     def tightest(self) -> Limit | None:
-        """The limit with the lowest ratio of those that the users' figures give; None where none was measured."""
+        """The limit with the lowest ratio of those that rest on no assumption, None if none of them was measured."""
         return tightest(tuple(limit for limit in self.limits if not limit.assumption))
 
     @property
     def tightest_assumed(self) -> Limit | None:
-        """The same of those that rest on an assumption."""
+        """The limit with the lowest ratio of those that rest on an assumption."""
         return tightest(tuple(limit for limit in self.limits if limit.assumption))
 
     @property
     def tightest_with_mechanism(self) -> Limit | None:
-        """The same with the new mechanism."""
+        """The limit with the lowest ratio with the new mechanism."""
         return tightest(self.with_mechanism)
 
 
 def tightest(limits: tuple[Limit, ...]) -> Limit | None:
-    """The limit with the lowest carried / needed."""
+    """Returns the limit with the lowest ratio, None if none was measured."""
     known = [(limit.ratio, i) for i, limit in enumerate(limits) if limit.ratio is not None]
     return limits[min(known)[1]] if known else None
 
 
 def sorted_by_ratio(rows: list[Row]) -> list[Row]:
-    """Rows by carried / needed as the users' figures give it, the lowest first; then those that rest on assumptions
-    alone, by theirs; those without a figure last."""
+    """Returns rows with the lowest ratio first.
+
+    Rows with a limit that rests on no assumption come before all others, and rows without a measured limit last.
+    """
 
     def key(row: Row) -> tuple[bool, float]:
         limit = row.tightest or row.tightest_assumed
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""The file of slopes: what was measured, by which command, and how far it spreads. Nothing enters the page but by it."""
+"""The file of measured slopes, with the command, commit and seeds of each: the only source of the page's figures."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 
 class SlopeError(Exception):
-    """A slope that may not be used; says which, and why."""
+    """A slope is invalid; the message says which and why."""
 
 
 class Measurement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One size and what each run gave there."""
+    """One size with the value of each run."""
 
     size: float
     runs: tuple[float, ...]
 
     @property
     def median(self) -> float:
-        """The median of the runs."""
+        """Median of the runs."""
         return median(self.runs)
 
     @property
     def spread(self) -> float:
-        """Largest less smallest run, over the median."""
+        """Range of the runs over their median."""
         return (max(self.runs) - min(self.runs)) / self.median if self.median else 0.0
 
 
 class Slope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One quantity against one size. `text`: the program that was measured, today's or with the new mechanism."""
+    """One quantity against one size. `text`: the program that was measured, today's or that with the new mechanism."""
 
     name: str
     quantity: str
@@ -53,31 +53,31 @@
     note: str = ""
 
     def check(self) -> None:
-        """SlopeError where it lacks what makes it a measurement."""
+        """Raises SlopeError if the command, commit, cores, seeds, sizes or runs are missing or too few."""
         if not self.command.startswith("python -m "):
-            raise SlopeError(f"{self.name}: no command that gives it")
+            raise SlopeError(f"{self.name}: the command is not a `python -m` command")
         if len(self.commit) < MIN_COMMIT_DIGITS or not all(c in "0123456789abcdef" for c in self.commit):
-            raise SlopeError(f"{self.name}: no commit")
+            raise SlopeError(f"{self.name}: the commit is not a hash of at least {MIN_COMMIT_DIGITS} digits")
         if self.cores < 1 or not self.seeds:
-            raise SlopeError(f"{self.name}: no cores or no seeds")
+            raise SlopeError(f"{self.name}: the number of cores or the seeds are missing")
         if len({m.size for m in self.measurements}) < MIN_SIZES:
-            raise SlopeError(f"{self.name}: under {MIN_SIZES} sizes")
+            raise SlopeError(f"{self.name}: fewer than {MIN_SIZES} sizes")
         short = [m.size for m in self.measurements if len(m.runs) < MIN_RUNS]
         if short:
-            raise SlopeError(f"{self.name}: under {MIN_RUNS} runs at {short[0]:g}")
+            raise SlopeError(f"{self.name}: fewer than {MIN_RUNS} runs at size {short[0]:g}")
 
     @property
     def points(self) -> list[Point]:
-        """Size and median of the runs."""
+        """Each size with the median of its runs."""
         return [(m.size, m.median) for m in self.measurements]
 
     @property
     def spread(self) -> float:
-        """The widest of the runs at any size."""
+        """The largest spread of the runs at any size."""
         return max(m.spread for m in self.measurements)
 
     def fitted(self) -> Fit | None:
-        """The fit; None where no form describes the points."""
+        """Returns the fit, None if no form describes the points."""
         try:
             return fit(self.points)
         except FitError:
@@ -85,38 +85,38 @@
 
 
 class SlopeFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All slopes."""
+    """The stored slopes."""
 
     slopes: tuple[Slope, ...] = ()
 
     def find(self, name: str) -> Slope | None:
-        """A slope by its name; None where it was not measured."""
-        return next((one for one in self.slopes if one.name == name), None)
+        """Returns a slope by its name, None if it was not measured."""
+        return next((slope for slope in self.slopes if slope.name == name), None)
 
 
 def decode(octets: bytes) -> SlopeFile:
-    """A file's slopes. SlopeError where one of them may not be used."""
+    """Decodes the contents of a slope file. Raises SlopeError if one of its slopes is invalid."""
     try:
         found = msgspec.json.decode(octets, type=SlopeFile)
-    except msgspec.MsgspecError as fault:
-        raise SlopeError(str(fault)) from fault
-    for one in found.slopes:
-        one.check()
-    if len({one.name for one in found.slopes}) < len(found.slopes):
-        raise SlopeError("two slopes of one name")
+    except msgspec.MsgspecError as error:
+        raise SlopeError(str(error)) from error
+    for slope in found.slopes:
+        slope.check()
+    if len({slope.name for slope in found.slopes}) < len(found.slopes):
+        raise SlopeError("two slopes have the same name")
     return found
 
 
 def load(file: Path = FILE) -> SlopeFile:
-    """The slopes on record."""
+    """Reads a slope file."""
     return decode(file.read_bytes())
 
 
 def store_slope(new: Slope, file: Path = FILE) -> None:
-    """Puts a slope on record in place of the one of its name."""
+    """Adds a slope to the file, replacing the one with the same name. Raises SlopeError if it is invalid."""
     new.check()
     before = load(file).slopes if file.exists() else ()
-    after = [one for one in before if one.name != new.name] + [new]
-    after.sort(key=lambda one: one.name)
+    after = [slope for slope in before if slope.name != new.name] + [new]
+    after.sort(key=lambda slope: slope.name)
     octets = msgspec.json.format(msgspec.json.encode(SlopeFile(tuple(after))), indent=1)
     file.write_bytes(octets + b"\n")
--- a/benchmarks/capacity/targets.py
+++ b/benchmarks/capacity/targets.py
@@ -1,4 +1,4 @@
-"""The users' figures for the size that is coming, as given, with their units in the names."""
+"""The users' figures for the target size, as given, with their units in the names."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """What the fleet has to carry within two years, in the users' words."""
+    """What the fleet has to carry within two years, in the users' terms."""
 
     fronts: int = 2_700
     connections: int = 150_000_000
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class ControlBudget:
-    """What a front end may spend on control as a whole, and the part of a control machine that may be used."""
+    """What a front end may spend on all control work together, and the share of a control machine that may be used."""
 
     core_share: float = 0.03
     memory_octets: int = 256 * MB
@@ -45,4 +45,4 @@
 TARGET = Target()
 BUDGET = ControlBudget()
 TODAY_FRONTS = 200
-"""Front ends of the largest fleet that has been tried, in the whole fleet's trial (docs/platform.md)."""
+"""Front ends of the largest fleet that has been tested (docs/platform.md)."""
--- a/benchmarks/capacity/topology.py
+++ b/benchmarks/capacity/topology.py
@@ -1,4 +1,4 @@
-"""Where the simulated front ends stand: regions, their zones, and the front ends of each zone."""
+"""Placement of the simulated front ends in regions and zones."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 Address = tuple[str, int]
 
 ZONES_BY_REGION = (5, 5, 4, 4, 4, 3, 3, 2, 2)
-"""Zones of each region: 32 in 9, the counts that the target names; the split among regions is an assumption."""
+"""Zones of each region: 32 in 9, as in the target; the split among regions is an assumption."""
 
 ZONE_WEIGHTS = (4, 1, 3, 2)
-"""Relative sizes of successive zones. Real zones are unequal, and the largest decides what the loss of a zone costs:
-here it has four times the front ends of the smallest, 135 of 2,700."""
+"""Relative sizes of successive zones. Real zones differ in size, and the largest one determines the cost of losing a
+zone: here it has four times the front ends of the smallest, 135 of 2,700."""
 
 PEER_PORT = 7_946
 PRIVATE_FIRST_OCTET = 10
 LOOPBACK_FIRST_OCTET = 127
-"""First octet of the addresses, simulated and real."""
+"""First octet of the loopback addresses of fleets over real sockets; simulated ones use that of private addresses."""
 HOSTS_PER_SUBNET = 200
 
 
 class TopologyError(ValueError):
-    """Fewer front ends than zones."""
+    """There are fewer front ends than zones."""
 
 
 @dataclass(frozen=True)
 class Site:
-    """The place of one front end. `zone` counts over all regions."""
+    """One front end with its region and zone. Zones are numbered across all regions."""
 
     index: int
     name: str
@@ -37,17 +37,17 @@
 
     @property
     def region_name(self) -> str:
-        """The name of its region."""
+        """Name of the region."""
         return f"region-{self.region + 1}"
 
     @property
     def zone_name(self) -> str:
-        """The name of its zone."""
+        """Name of the zone."""
         return f"zone-{self.zone + 1:02}"
 
 
 class Topology:
-    """All sites of a fleet."""
+    """The sites of a fleet."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         weights: Sequence[int] = ZONE_WEIGHTS,
         first_octet: int = PRIVATE_FIRST_OCTET,
     ) -> None:
-        """Places so many front ends. TopologyError where there are fewer than zones."""
+        """Places the front ends in zones. Raises TopologyError if there are fewer front ends than zones."""
         self.region_of_zone = [region for region, zones in enumerate(zones_by_region) for _ in range(zones)]
         sizes = zone_sizes(front_ends, len(self.region_of_zone), weights)
         self.sites: list[Site] = []
@@ -68,33 +68,35 @@
 
     def _site(self, zone: int, position: int) -> Site:
         index = len(self.sites)
-        host = f"{self._first_octet}.{zone + 1}.{position // HOSTS_PER_SUBNET}.{position % HOSTS_PER_SUBNET + 1}"
+        host = (
+            f"{self._first_octet}.{zone + 1}.{position // HOSTS_PER_SUBNET}.{position % HOSTS_PER_SUBNET + 1}"
+        )
         return Site(index, f"front-{index:04}", self.region_of_zone[zone], zone, (host, PEER_PORT))
 
     def zone_members(self, zone: int) -> list[Site]:
-        """The sites of one zone."""
+        """Returns the sites of one zone."""
         return [site for site in self.sites if site.zone == zone]
 
     def region_members(self, region: int) -> list[Site]:
-        """The sites of one region."""
+        """Returns the sites of one region."""
         return [site for site in self.sites if site.region == region]
 
     def zone_counts(self) -> list[int]:
-        """The number of front ends of each zone."""
+        """Returns the number of front ends of each zone."""
         return [len(self.zone_members(zone)) for zone in range(len(self.region_of_zone))]
 
     def largest_zone(self) -> int:
-        """The zone whose loss costs most; the first of several."""
+        """Returns the zone with the most front ends, the first of several."""
         counts = self.zone_counts()
         return counts.index(max(counts))
 
     def largest_region(self) -> int:
-        """The region whose loss costs most; the first of several."""
+        """Returns the region with the most front ends, the first of several."""
         regions = sorted(set(self.region_of_zone))
         return max(regions, key=lambda region: (len(self.region_members(region)), -region))
 
     def seeds(self) -> tuple[Address, ...]:
-        """The addresses that every front end is configured with: the first front end of each region."""
+        """Returns the seed addresses of every front end's configuration: the first front end of each region."""
         firsts: dict[int, Address] = {}
         for site in self.sites:
             firsts.setdefault(site.region, site.address)
@@ -102,12 +104,12 @@
 
 
 def zone_sizes(front_ends: int, zones: int, weights: Sequence[int]) -> list[int]:
-    """Divides front ends among zones by weight, one at least to each, the remainders to the largest fractions."""
+    """Divides front ends among zones by weight with the largest-remainder method; each zone has at least one."""
     if front_ends < zones:
-        raise TopologyError(f"{front_ends} front ends do not fill {zones} zones")
-    share = [weights[zone % len(weights)] for zone in range(zones)]
-    spare = front_ends - zones
-    exact = [spare * weight / sum(share) for weight in share]
+        raise TopologyError(f"{front_ends} front ends are too few for {zones} zones")
+    zone_weights = [weights[zone % len(weights)] for zone in range(zones)]
+    remaining = front_ends - zones
+    exact = [remaining * weight / sum(zone_weights) for weight in zone_weights]
     sizes = [1 + int(part) for part in exact]
     by_remainder = sorted(range(zones), key=lambda zone: (int(exact[zone]) - exact[zone], zone))
     for zone in by_remainder[: front_ends - sum(sizes)]:
--- a/tests/test_capacity_counts.py
+++ b/tests/test_capacity_counts.py
@@ -1,4 +1,4 @@
-"""What the hollow fleet counts: octets as encoded, links as stated, and each number against a plain count of it."""
+"""Tests of the simulated fleet: octets against encodings, links against parameters, figures against plain counts."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 def test_counted_octets_of_a_datagram_are_those_of_its_encoding(
     sender: MemberUpdate, message: Message
 ) -> None:
-    """With texts and integers on both sides of each boundary of MessagePack, and with updates that do not fit."""
+    """With strings and integers on both sides of each MessagePack size boundary, and with updates that do not fit."""
     encoded = CODEC.encode(sender, message)
 
     octets, fitting = FlatSizes(FLEET).datagram(sender, message)
@@ -71,38 +71,38 @@
 
 
 @pytest.mark.parametrize("members", [1, 2, 97, 98, 200, 1_500])
-def test_counted_octets_of_a_whole_list_are_those_of_its_encoding(members: int) -> None:
-    """In one part, and in several."""
-    chance = Random(members)
-    whole = [
+def test_counted_octets_of_a_full_state_are_those_of_its_encoding(members: int) -> None:
+    """With one part and with several."""
+    rng = Random(members)
+    full_state = [
         MemberUpdate(
-            f"front-{i}", chance.getrandbits(50), i, MemberState.SUSPECTED, "10.1.2.3", 7_946, "zone-1", "1",
+            f"front-{i}", rng.getrandbits(50), i, MemberState.SUSPECTED, "10.1.2.3", 7_946, "zone-1", "1",
             bytes(16), "by",
         )
         for i in range(members)
     ]  # fmt: skip
-    encoded = write_full_state(CODEC, whole)
+    encoded = write_full_state(CODEC, full_state)
 
-    assert FlatSizes(FLEET).whole(whole) == len(encoded)
-    heard = FullStateReader(CODEC)
-    heard.receive_data(encoded, 0)
-    assert len(heard.updates) == members - 1
+    assert FlatSizes(FLEET).whole(full_state) == len(encoded)
+    reader = FullStateReader(CODEC)
+    reader.receive_data(encoded, 0)
+    assert len(reader.updates) == members - 1
 
 
-# Places and links.
+# Placement and links.
 
 
 @given(st.integers(32, 3_000), st.lists(st.integers(1, 9), min_size=1, max_size=8))
 def test_zones_share_all_front_ends_and_none_is_empty(front_ends: int, weights: list[int]) -> None:
-    """For any number of them and any weights."""
+    """For any number of front ends and any weights."""
     sizes = zone_sizes(front_ends, 32, weights)
 
     assert sum(sizes) == front_ends
     assert min(sizes) >= 1
 
 
-def test_the_target_has_2700_front_ends_in_9_regions_and_32_unequal_zones() -> None:
-    """The users' counts."""
+def test_target_topology_has_2700_front_ends_in_9_regions_and_32_unequal_zones() -> None:
+    """These are the users' figures."""
     topology = Topology(TARGET_FRONT_ENDS)
 
     assert len({site.address for site in topology.sites}) == TARGET_FRONT_ENDS
@@ -114,37 +114,39 @@
 
 
 class LateNetwork(Network):
-    """Planted: each datagram takes three milliseconds more than stated."""
+    """A faulty network in which each datagram takes 3 ms longer than the parameters allow."""
 
     def datagram_delay(self, sender: Site, receiver: Site) -> int | None:
-        """Later than stated."""
+        """Returns the delay with 3 ms added."""
         delay = super().datagram_delay(sender, receiver)
         return None if delay is None else delay + 3 * MS
 
 
 class LossyNetwork(Network):
-    """Planted: twice the stated loss."""
+    """A faulty network with twice the loss of its parameters."""
 
     def datagram_delay(self, sender: Site, receiver: Site) -> int | None:
-        """Lost more often than stated."""
+        """Draws the loss of each datagram twice."""
         first = super().datagram_delay(sender, receiver)
         return None if first is None else super().datagram_delay(sender, receiver)
 
 
 @pytest.mark.parametrize(
-    ("network", "as_stated"), [(Network, True), (LateNetwork, False), (LossyNetwork, False)]
+    ("network", "is_valid"), [(Network, True), (LateNetwork, False), (LossyNetwork, False)]
 )
-def test_links_that_are_not_as_stated_are_found(network: type[Network], as_stated: bool) -> None:
-    """By latency, and by loss."""
+def test_links_that_deviate_from_their_parameters_are_detected(
+    network: type[Network], is_valid: bool
+) -> None:
+    """Both in latency and in loss."""
     topology = Topology(FRONT_ENDS)
 
     found = link_line(sample_links(network(topology, TWO_PERCENT, 1), topology, TWO_PERCENT))
 
-    assert found.met is as_stated
+    assert found.met is is_valid
 
 
-def test_nothing_crosses_the_border_of_a_region_that_is_cut_off() -> None:
-    """Neither way, neither datagram nor stream; inside all goes on."""
+def test_no_traffic_enters_or_leaves_a_partitioned_region() -> None:
+    """Neither datagrams nor streams pass in either direction; traffic inside the region is not affected."""
     topology = Topology(FRONT_ENDS)
     network = Network(topology, NetworkParameters.with_loss(0, 0, 0), 1)
     inside, outside = topology.region_members(2), topology.region_members(3)
@@ -168,39 +170,41 @@
         st.tuples(st.sampled_from(["start", "end", "see", "lose"]), st.integers(0, 4), st.integers(0, 4)), max_size=60
     )
 )  # fmt: skip
-def test_disagreement_counted_change_by_change_is_that_of_all_lists(
+def test_incremental_count_of_disagreement_equals_a_full_count(
     steps: list[tuple[str, int, int]],
 ) -> None:
-    """Against a count of all lists at the end."""
-    agreement, runs, lists = Agreement(5), set[int](), dict[int, set[int]]()
-
-    for what, one, other in steps:
-        if what == "start" and one not in runs:
-            agreement.started(one)
-            runs.add(one)
-            lists[one] = {one}
-        elif what == "end" and one in runs:
-            agreement.ended(one)
-            runs.discard(one)
-            del lists[one]
-        elif what in ("see", "lose") and one in runs and one != other:
-            agreement.seen(one, other, what == "see")
-            lists[one] = lists[one] | {other} if what == "see" else lists[one] - {other}
-
-    assert agreement.wrong == sum(len(own ^ runs) for own in lists.values())
+    """The full count compares all lists with the running front ends at the end."""
+    agreement = Agreement(5)
+    running = set[int]()
+    lists = dict[int, set[int]]()
+
+    for action, observer, member in steps:
+        if action == "start" and observer not in running:
+            agreement.started(observer)
+            running.add(observer)
+            lists[observer] = {observer}
+        elif action == "end" and observer in running:
+            agreement.ended(observer)
+            running.discard(observer)
+            del lists[observer]
+        elif action in ("see", "lose") and observer in running and observer != member:
+            agreement.seen(observer, member, action == "see")
+            lists[observer] = lists[observer] | {member} if action == "see" else lists[observer] - {member}
+
+    assert agreement.wrong == sum(len(listed ^ running) for listed in lists.values())
 
 
 @given(st.lists(st.lists(st.integers(0, 9), min_size=45, max_size=45), min_size=1, max_size=3))
-def test_the_busiest_ten_seconds_are_those_of_a_look_at_each_window(fronts: list[list[int]]) -> None:
-    """Against a sum of each window."""
+def test_busiest_window_is_the_one_with_the_largest_sum(fronts: list[list[int]]) -> None:
+    """Compared with the sum of every window."""
     width = WINDOW // BUCKET
-    most = max(sum(own[begin : begin + width]) for own in fronts for begin in range(45))
+    largest = max(sum(octets[start : start + width]) for octets in fronts for start in range(45))
 
-    assert busiest_window(fronts, 0, 45 * BUCKET).rate == most * SECOND / WINDOW
+    assert busiest_window(fronts, 0, 45 * BUCKET).rate == largest * SECOND / WINDOW
 
 
-def test_a_share_of_durations_that_never_ended_makes_the_quantile_infinite() -> None:
-    """What never ended is the longest."""
+def test_quantile_is_infinite_if_too_many_durations_are_missing() -> None:
+    """A duration that never ended counts as the longest."""
     durations = Durations()
     for _ in range(98):
         durations.add(SECOND)
@@ -211,8 +215,8 @@
     assert durations.most == float("inf")
 
 
-def test_what_is_not_learnt_counts_as_missing_once_it_is_overdue_and_not_before() -> None:
-    """And only of those that run and list another state."""
+def test_unobserved_event_counts_as_missing_only_once_it_is_overdue() -> None:
+    """It counts only for running observers that still list another state."""
     knowledge = Knowledge(lambda index: index // 2, 20 * SECOND)
     knowledge.happened(0, EventKind.CRASH, 0, [1, 2, 3, 4])
     knowledge.happened(5, EventKind.CRASH, 15 * SECOND, [1, 2])
@@ -228,8 +232,8 @@
     assert (knowledge.crash_in_own_zone.count, knowledge.crash_in_own_zone.missing) == (1, 0)
 
 
-def test_octets_of_an_update_do_not_depend_on_what_was_counted_before() -> None:
-    """The cache goes by the update itself."""
+def test_octets_of_an_update_do_not_depend_on_earlier_counts() -> None:
+    """The cache of sizes is keyed by the whole update."""
     sizes = FlatSizes(FLEET)
     short = MemberUpdate("a", 1, 0, MemberState.ALIVE, "10.0.0.1", 1, "z", "1", bytes(16))
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page: its fits, its file of slopes, its rows and its tables."""
+"""Tests of the capacity page: fits, the slope file, rows and generated tables."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
     "regional control machine",
     "wide-area links",
 }
-"""As issue 34 lists them."""
+"""The roles that issue 34 lists."""
 
 
 def slope(name: str = "some", runs: int = 3, points: list[Point] | None = None) -> Slope:
-    """A slope that may be used."""
+    """Returns a valid slope."""
     measured = points if points is not None else [(size, 2.0 * size) for size in SIZES]
     return Slope(
         name, "a cost", "ms", "fronts", "measured", "today", "python -m benchmarks.capacity slopes --only some",
@@ -53,7 +53,7 @@
 
 
 def noisy(points: list[Point], part: float) -> list[Point]:
-    """Points off by up to a part, the same every time."""
+    """Returns the points with relative errors of up to `part`, the same in every run."""
     rng = Random(1)
     return [(size, value * (1 + rng.uniform(-part, part))) for size, value in points]
 
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize("part", [0.0, 0.03])
-def test_a_line_is_recovered(part: float) -> None:
-    """Slope and values of a line come back, also with some noise."""
+def test_linear_growth_is_recovered(part: float) -> None:
+    """The fit of a line has its slope and values, also with noise."""
     found = fit(noisy([(size, 7 + 0.5 * size) for size in SIZES], part))
     assert found.form == "linear"
     assert found.coefficients[1] == pytest.approx(0.5, rel=0.08)
@@ -71,8 +71,8 @@
 
 
 @pytest.mark.parametrize("exponent", [0.5, 1.5, 2.0])
-def test_a_power_is_recovered(exponent: float) -> None:
-    """Growth by a power is extended as such."""
+def test_power_law_is_recovered(exponent: float) -> None:
+    """A power law is extrapolated as one."""
     found = fit(noisy([(size, 3 * size**exponent) for size in SIZES], 0.02))
     assert found.form != "linear"
     assert found.value_at(3_200) == pytest.approx(3 * 3_200**exponent, rel=0.15)
@@ -80,27 +80,27 @@
 
 @pytest.mark.parametrize("base", [0.0, 5.0, 500.0])
 def test_quadratic_growth_is_not_called_linear(base: float) -> None:
-    """Not even where it starts from a large base."""
+    """Not even if it starts from a large base."""
     found = fit([(size, base + 0.001 * size + 0.01 * size**2) for size in SIZES])
     assert found.form in ("power", "quadratic")
     assert found.value_at(6_400) == pytest.approx(base + 6.4 + 0.01 * 6_400**2, rel=0.05)
 
 
-def test_what_does_not_grow_is_constant() -> None:
-    """A cost that stays the same is not given a slope by its noise."""
+def test_quantity_that_does_not_grow_is_constant() -> None:
+    """Noise around a constant cost is not fitted as growth."""
     found = fit(noisy([(size, 7.3) for size in SIZES], 0.04))
     assert found.form == "constant"
     assert found.value_at(1e6) == pytest.approx(7.3, rel=0.05)
 
 
-def test_no_parabola_that_turns_down_is_extended() -> None:
-    """It would say that the cost falls beyond some size."""
+def test_parabola_that_opens_downwards_is_not_extrapolated() -> None:
+    """Such a parabola would predict that the cost falls beyond some size."""
     found = fit([(size, 100 * size - 0.03 * size**2) for size in SIZES])
     assert found.form != "quadratic"
 
 
-def test_points_that_no_form_describes_are_not_extended() -> None:
-    """Nothing is read off such points."""
+def test_points_that_no_form_describes_are_not_extrapolated() -> None:
+    """Points that no form describes have no fit."""
     with pytest.raises(FitError):
         fit([(100, 1.0), (200, 900.0), (400, 3.0), (800, 40_000.0), (1_600, 0.1)])
 
@@ -108,14 +108,14 @@
 @pytest.mark.parametrize(
     "points", [[(1, 1.0), (2, 2.0), (3, 3.0)], [(1, 1.0)] * 5, [(1, 0.0), (2, 1), (3, 1), (4, 1)]]
 )
-def test_too_few_sizes_and_zeros_are_refused(points: list[Point]) -> None:
-    """A fit wants four sizes, and values over 0."""
+def test_too_few_sizes_and_zeros_are_rejected(points: list[Point]) -> None:
+    """A fit needs four sizes and positive values."""
     with pytest.raises(FitError):
         fit(points)
 
 
-def test_the_largest_size_within_a_budget_meets_it() -> None:
-    """Also where none does, and where all do."""
+def test_largest_size_within_a_budget_meets_it() -> None:
+    """It is 0 if no size is within the budget, and the given maximum if all are."""
     found = fit([(size, 7 + 0.5 * size) for size in SIZES])
     assert largest_size_within(found, 407, 1e9) == pytest.approx(800)
     assert largest_size_within(found, 5, 1e9) == 0
@@ -123,7 +123,7 @@
 
 
 def test_an_estimate_far_beyond_the_measured_sizes_is_a_guess() -> None:
-    """Beyond a factor of 20; the page says from where to where."""
+    """The page shows the measured sizes of an extrapolated value, and marks it as a guess beyond a factor of 20."""
     found = fit([(size, 2.0 * size) for size in SIZES])
     within, beyond, far = (
         estimate(found, size)
@@ -138,7 +138,7 @@
     assert readings["some"].table_cell(800) == "1,600 ms"
 
 
-# The file of slopes.
+# The slope file.
 
 
 @pytest.mark.parametrize(
@@ -149,41 +149,41 @@
         ("measurements", slope(runs=2).measurements),
     ],
 )  # fmt: skip
-def test_a_slope_without_what_makes_it_a_measurement_is_refused(field: str, value: object) -> None:
-    """Command, commit, cores, seeds, four sizes, three runs."""
+def test_incomplete_slope_is_rejected(field: str, value: object) -> None:
+    """A slope needs a command, commit, cores, seeds, four sizes and three runs."""
     broken = msgspec.structs.replace(slope(), **{field: value})
     with pytest.raises(SlopeError, match="some"):
         slopes.decode(msgspec.json.encode(SlopeFile((broken,))))
 
 
-def test_a_field_that_is_missing_or_unknown_is_refused() -> None:
-    """The file has the fields that it has."""
+def test_missing_or_unknown_field_is_rejected() -> None:
+    """The file format is strict."""
     fields = msgspec.to_builtins(slope())
-    for odd in ({k: v for k, v in fields.items() if k != "commit"}, fields | {"by": "me"}):
+    for invalid in ({k: v for k, v in fields.items() if k != "commit"}, fields | {"by": "me"}):
         with pytest.raises(SlopeError):
-            slopes.decode(msgspec.json.encode({"slopes": [odd]}))
+            slopes.decode(msgspec.json.encode({"slopes": [invalid]}))
 
 
-def test_a_slope_on_record_replaces_the_one_of_its_name(tmp_path: Path) -> None:
-    """And one that may not be used is not put on record."""
+def test_stored_slope_replaces_the_one_with_its_name(tmp_path: Path) -> None:
+    """An invalid slope is not stored."""
     file = tmp_path / "slopes.json"
     slopes.store_slope(slope("a"), file)
     slopes.store_slope(slope("b"), file)
     slopes.store_slope(slope("a", points=[(size, 5.0 * size) for size in SIZES]), file)
     found = slopes.load(file)
-    assert [one.name for one in found.slopes] == ["a", "b"]
+    assert [stored.name for stored in found.slopes] == ["a", "b"]
     assert found.slopes[0].points[0] == (100, 500.0)
     with pytest.raises(SlopeError):
         slopes.store_slope(slope("c", runs=1), file)
     assert slopes.load(file) == found
 
 
-def test_runs_of_an_experiment_become_slopes_of_the_sizes_that_all_of_them_have(
+def test_slopes_of_an_experiment_have_the_sizes_that_all_runs_have(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With the command that gives them, and the commit of the program."""
+    """They name the command that measures them and the commit of the program."""
     monkeypatch.setattr(experiments, "measured_commit", lambda: "414ace3")
-    two = (
+    quantities = (
         experiments.Quantity("cost.time", "time", "ms"),
         experiments.Quantity("cost.octets", "octets", "kB"),
     )
@@ -193,18 +193,18 @@
         return {size: (float(size * seed), float(size)) for size in sizes}
 
     found = experiments.run_experiment(
-        experiments.Experiment("cost", "fronts", "measured", two, measure), lambda _line: None
+        experiments.Experiment("cost", "fronts", "measured", quantities, measure), lambda _line: None
     )
-    assert [one.name for one in found] == ["cost.time", "cost.octets"]
+    assert [measured.name for measured in found] == ["cost.time", "cost.octets"]
     assert [m.size for m in found[0].measurements] == list(SIZES)
     assert found[0].measurements[0].runs == (100.0, 200.0, 300.0)
     assert found[0].command == "python -m benchmarks.capacity slopes --only cost"
-    for one in found:
-        one.check()
+    for measured in found:
+        measured.check()
 
 
-def test_a_changed_program_is_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its commit would not say what was measured."""
+def test_program_with_uncommitted_changes_is_not_measured(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its commit would not identify the measured program."""
     monkeypatch.setattr(
         experiments,
         "run_git",
@@ -225,8 +225,8 @@
 """  # noqa: E501
 
 
-def test_the_fleet_s_report_is_read_or_refused() -> None:
-    """Each figure from its own line; none is made up where a line is missing."""
+def test_fleet_report_is_parsed_or_rejected() -> None:
+    """Each figure comes from its own line, and a missing line is an error."""
     assert measure_fleet.parse_report(REPORT) == [11.19, 1.28, 14.99, 11.52, 0.59, 0.06]
     for line in REPORT.strip().splitlines():
         if "region" not in line:
@@ -238,40 +238,40 @@
 
 
 def test_every_role_has_a_row_with_and_without_slopes() -> None:
-    """No row is left out, whatever was measured."""
+    """The rows do not depend on what was measured."""
     for file in (slopes.load(), SlopeFile()):
         assert {row.role for row in page.rows(file)} == ROLES
 
 
-def test_what_was_not_measured_is_said_and_not_left_out() -> None:
-    """A row without a run says so."""
+def test_unmeasured_rows_are_shown_as_not_measured() -> None:
+    """Rows and limits without slopes are shown without a figure."""
     found = page.rows(SlopeFile())
-    made = page.summary_table(found)
-    assert all(f"| {role} |" in made for role in ROLES)
+    summary = page.summary_table(found)
+    assert all(f"| {role} |" in summary for role in ROLES)
     assert "not measured" in page.loads_table(found)
     unknown = [limit for row in found for limit in row.limits if limit.basis is Basis.NOT_MEASURED]
     assert unknown
     assert all(limit.carried is None and limit.ratio is None for limit in unknown)
 
 
-def test_rows_stand_by_their_lowest_limit_and_unmeasured_ones_last() -> None:
-    """The first row is what is missing first."""
+def test_rows_are_sorted_by_lowest_ratio_with_unmeasured_ones_last() -> None:
+    """The first row has the lowest ratio."""
 
     def row(name: str, *carried: float | None) -> Row:
-        limits = tuple(Limit("size", one, 100, Basis.MEASURED, "", "") for one in carried)
+        limits = tuple(Limit("size", value, 100, Basis.MEASURED, "", "") for value in carried)
         return Row(name, "", "", (), limits)
 
     found = sorted_by_ratio(
         [row("unknown", None), row("high", 90, None), row("low", 95, 3), row("middle", 20)]
     )
-    assert [one.role for one in found] == ["low", "middle", "high", "unknown"]
+    assert [found_row.role for found_row in found] == ["low", "middle", "high", "unknown"]
 
 
-def test_a_limit_that_rests_on_an_assumption_is_told_apart() -> None:
-    """It moves no row before one that the users' figures give, and is shown beside it."""
+def test_limit_that_rests_on_an_assumption_is_shown_separately() -> None:
+    """Rows with a limit that rests on no assumption come first, and the other limits have their own column."""
 
-    def limit(carried: float, assumes: str = "") -> Limit:
-        return Limit("size", carried, 100, Basis.MEASURED, "", "", assumes)
+    def limit(carried: float, assumption: str = "") -> Limit:
+        return Limit("size", carried, 100, Basis.MEASURED, "", "", assumption)
 
     both = Row("both", "", "", (), (limit(40), limit(1, "a guess")))
     alone = Row("assumed alone", "", "", (), (limit(2, "a guess"),))
@@ -281,15 +281,15 @@
     assert "0.01 (size: 1 / 100)" in page.summary_table([both])
 
 
-def test_the_new_mechanism_stands_beside_today_s_text_and_not_in_its_place() -> None:
-    """Its slopes change the last column alone."""
-    today = [one for one in slopes.load().slopes if one.text == "today"]
+def test_slopes_of_the_new_mechanism_do_not_replace_those_of_today() -> None:
+    """They change the last column only."""
+    today = [stored for stored in slopes.load().slopes if stored.text == "today"]
     names = ("start", "quiet", "sent", "received", "processor", "memory")
     points: list[Point] = [(size, 0.0001 * size) for size in SIZES]
     zoned = [
         msgspec.structs.replace(slope(f"zoned.{name}", points=points), text="mechanism") for name in names
     ]
-    before, after = (page.rows(SlopeFile(tuple(some))) for some in (today, today + zoned))
+    before, after = (page.rows(SlopeFile(tuple(stored))) for stored in (today, today + zoned))
     old, new = (next(row for row in found if row.role == "membership") for found in (before, after))
     assert (old.with_mechanism, old.tightest) == ((), new.tightest)
     assert new.tightest_with_mechanism is not None
@@ -297,26 +297,25 @@
     assert page.summary_table(after).count("2 or more |\n") == 1
 
 
-def test_the_page_on_record_is_what_the_arithmetic_makes() -> None:
-    """The check that CI runs."""
+def test_committed_page_is_up_to_date() -> None:
+    """This is the check that CI runs."""
     assert page.differences() == []
     assert CliRunner().invoke(main, ["page", "--check"]).exit_code == 0
 
 
-def test_a_planted_difference_is_found(tmp_path: Path) -> None:
-    """In each of the tables."""
+def test_changed_table_is_reported(tmp_path: Path) -> None:
+    """A change in any of the tables is reported with its name."""
     copy = tmp_path / "CAPACITY.md"
     text = page.PAGE_FILE.read_text()
-    for at, planted in enumerate(page.TABLE_BLOCK.findall(text)):
-        name, body = planted
+    for i, (name, body) in enumerate(page.TABLE_BLOCK.findall(text)):
         copy.write_text(
-            text.replace(body, body.replace("|", "| 1", 1) if at % 2 else body[: len(body) // 2], 1)
+            text.replace(body, body.replace("|", "| 1", 1) if i % 2 else body[: len(body) // 2], 1)
         )
         assert page.differences(copy) == [f"CAPACITY.md: table {name} differs from the arithmetic"]
 
 
-def test_a_slope_that_changes_is_found_in_the_page() -> None:
-    """A new measurement wants a new page."""
+def test_changed_slope_makes_the_page_differ() -> None:
+    """A new measurement needs a new page."""
     known = slopes.load()
     first = known.slopes[0]
     faster = tuple(Measurement(m.size, tuple(run / 2 for run in m.runs)) for m in first.measurements)
@@ -324,10 +323,8 @@
     assert page.differences(known=other)
 
 
-def test_the_command_ends_with_1_where_the_page_differs(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """And says which table."""
+def test_command_exits_with_1_if_the_page_differs(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The command prints which table differs."""
     copy = tmp_path / "CAPACITY.md"
     copy.write_text(page.PAGE_FILE.read_text().replace("150,000,000", "160,000,000"))
     monkeypatch.setattr(page, "differences", lambda check=page.differences: check(copy))
@@ -336,8 +333,8 @@
     assert "table targets differs" in found.output
 
 
-def test_a_page_without_the_place_for_a_table_is_refused(tmp_path: Path) -> None:
-    """A table can not get lost."""
+def test_page_without_the_markers_of_a_table_is_rejected(tmp_path: Path) -> None:
+    """Otherwise a table could be missing from the page unnoticed."""
     copy = tmp_path / "CAPACITY.md"
     copy.write_text(page.PAGE_FILE.read_text().replace("<!-- table: rows -->", ""))
     with pytest.raises(page.PageError):
@@ -347,21 +344,21 @@
 # Targets and assumptions.
 
 
-def test_each_assumption_says_what_changes_if_it_is_twice_as_large() -> None:
-    """And why it was made."""
-    assert len({one.name for one in ASSUMPTIONS}) == len(ASSUMPTIONS)
-    assert all(one.why and one.doubled for one in ASSUMPTIONS)
+def test_each_assumption_states_its_reason_and_the_effect_of_doubling_it() -> None:
+    """Names are unique, and no reason or effect is empty."""
+    assert len({assumption.name for assumption in ASSUMPTIONS}) == len(ASSUMPTIONS)
+    assert all(assumption.why and assumption.doubled for assumption in ASSUMPTIONS)
 
 
-def test_the_largest_title_has_the_listeners_that_the_users_name() -> None:
-    """By the popularity of titles that is assumed."""
+def test_largest_title_has_the_listeners_that_the_users_give() -> None:
+    """With the assumed popularity of titles."""
     weights = [rank**-TITLE_SKEW.value for rank in range(1, TARGET.topic_shards + 1)]
     largest = TARGET.largest_topic_listeners / TARGET.connections
     assert 1 / sum(weights) == pytest.approx(largest, rel=0.05)
 
 
-def test_the_derived_load_follows_the_target() -> None:
-    """And no worst hour is better than the mean."""
+def test_derived_load_follows_the_target() -> None:
+    """The load of the worst hour is never below the mean."""
     assert demand.connections_per_front() == pytest.approx(55_556, abs=1)
     assert demand.changes_per_s() * 86_400 == pytest.approx(14_000)
     double = replace(TARGET, fronts=2 * TARGET.fronts)
@@ -373,6 +370,6 @@
     ("value", "shown"),
     [(0, "0"), (0.00333, "0.00333"), (27.07, "27.1"), (55_555.6, "55,600"), (100, "100"), (1234.5, "1,230")],
 )
-def test_figures_have_three_digits_that_count(value: float, shown: str) -> None:
-    """Thousands are parted."""
+def test_figures_have_three_significant_digits(value: float, shown: str) -> None:
+    """Thousands are separated by commas."""
     assert format_number(value) == shown
