--- a/benchmarks/capacity/assumptions.py
+++ b/benchmarks/capacity/assumptions.py
@@ -83,7 +83,7 @@
     "cores used by a front end process",
     1.0,
     "cores",
-    "a front end is one process whose work is done in one thread",
+    "a front end is one process with one busy thread",
     "nothing today: the process does not use a second core",
 )
 CONTROL_MACHINE_OCTETS_PER_S = Assumption(
@@ -103,7 +103,7 @@
 COLD_BUDGET_USED = Assumption(
     "set-ups on a cold node over those that a single front end would send",
     0.5,
-    "of it",
+    "",
     "with less, a replaced node is idle for most of its warm-up; no figure is given",
     "the whole budget is required, and two fronts that share a node already send less",
 )
--- a/benchmarks/capacity/demand.py
+++ b/benchmarks/capacity/demand.py
@@ -9,6 +9,10 @@
 
 LIST_CHANGES_PER_RESTART = 3
 """A node that is replaced drains, leaves the list and appears again."""
+RECONNECT_TIME_S = 60
+"""Time in which the viewers of a lost region reconnect."""
+ZONE_LOSS_TIME_S = 10
+"""Time in which the front ends of a lost zone fail."""
 
 
 @dataclass(frozen=True)
@@ -101,12 +105,12 @@
                "loss of the largest region, its viewers spread over the others"),
         Demand("front end", "deliveries", "per second and front", deliveries_per_front(target),
                deliveries_per_front(target) * peak * region_loss_factor, "the same at the daily peak"),
-        Demand("front end", "set-ups", "per second and front", arrivals, arrivals * peak + reconnects / 60,
+        Demand("front end", "set-ups", "per second and front", arrivals, arrivals * peak + reconnects / RECONNECT_TIME_S,
                "the same, with its viewers reconnecting within a minute"),
         Demand("front end", "restarts", "per second in the fleet", target.restarts_per_day / DAY_S,
                release_restarts_per_s(target), "a release that restarts 600 in an hour"),
         Demand("membership", "membership changes", "per second in the fleet",
-               (2 * target.restarts_per_day + target.failures_per_day) / DAY_S, zone_fronts / 10,
+               (2 * target.restarts_per_day + target.failures_per_day) / DAY_S, zone_fronts / ZONE_LOSS_TIME_S,
                "loss of the largest zone within ten seconds"),
         Demand("membership", "members partitioned at once", "fronts", 0.0, region_fronts,
                "the largest region partitioned for an hour"),
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -30,12 +30,14 @@
 REPORTS_S = 2.5
 REPORTS_PER_S = 1_000
 REPORT_TICK_S = 0.02
+"""Interval at which batches of reports are sent."""
 ARRIVALS_S = 4.0
 SETTLE_S = 1.0
 CONCURRENT_CONNECTIONS = 32
 TITLES = 500
 ENDS_TIMEOUT_S = 30.0
 CAUSE_DONE = 16
+"""Code with which a node closes a session that has ended normally."""
 
 ValuesBySize = dict[int, Sequence[float]]
 Measure = Callable[[FrontProcess, Emulators], Awaitable[ValuesBySize]]
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -36,10 +36,14 @@
 ACCEPTOR_COUNT = 5
 TERM_NS = 6 * SECOND
 TURN_NS = 50 * MS
+"""Interval at which a front decides which nodes to ask."""
 TAKEOVER_TIMEOUT_S = 120
 NOTE_OCTETS = 120
+"""Length of a rollout plan in a lease's note."""
 IP_UDP_HEADER_OCTETS = 28
 KB = 1e3
+MS_PER_S_PER_PERCENT = 10.0
+"""CPU milliseconds per second that are 1% of a core."""
 
 ValuesBySize = dict[int, Sequence[float]]
 
@@ -82,7 +86,8 @@
 def measure_load_sharing(size: int, seed: int) -> Sequence[float]:
     """Measures load sharing with as many nodes as fronts: sent octets, age of known loads, and CPU time of a front."""
     found = play(size, size, LOSS, seed=seed)
-    return found.kilobytes, found.ages[1], found.core_ms / 10
+    _median_age, p99_age, _maximum_age = found.ages
+    return found.kilobytes, p99_age, found.core_ms / MS_PER_S_PER_PERCENT
 
 
 def measure_cold_setups(size: int, seed: int) -> Sequence[float]:
@@ -90,7 +95,8 @@
 
     The first value is that share over the share that a single front with the same requests per node uses.
     """
-    used_by_one, used = (Day(SETTINGS[0], fronts, LOADS[0], seed).play()[3] for fronts in (1, size))
+    *_, used_by_one = Day(SETTINGS[0], 1, LOADS[0], seed).play()
+    *_, used = Day(SETTINGS[0], size, LOADS[0], seed).play()
     return used / used_by_one, used
 
 
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+import statistics
 from pathlib import Path
-from statistics import median
 from typing import Literal
 
 import msgspec
@@ -28,7 +28,7 @@
     @property
     def median(self) -> float:
         """Median of the runs."""
-        return median(self.runs)
+        return statistics.median(self.runs)
 
     @property
     def spread(self) -> float:
