--- a/benchmarks/capacity/experiments.py
+++ b/benchmarks/capacity/experiments.py
@@ -1,4 +1,4 @@
-"""What an experiment is, and how its runs become slopes on record."""
+"""Experiments: runs of one kind whose values are stored as slopes."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from pathlib import Path
 from typing import Literal
 
-from benchmarks.capacity.slopes import LEAST_RUNS, Measurement, Slope, record
+from benchmarks.capacity.slopes import MIN_RUNS, Measurement, Slope, store_slope
 
 ROOT = Path(__file__).parents[2]
 MEASURED_CODE = "oakcroft"
-SEEDS = tuple(range(1, LEAST_RUNS + 1))
+SEEDS = tuple(range(1, MIN_RUNS + 1))
 
 
-class DirtyError(Exception):
-    """The program to be measured is not what its commit says."""
+class UncommittedChangesError(Exception):
+    """The measured program has uncommitted changes, so that its commit would not identify it."""
 
 
 @dataclass(frozen=True)
 class Quantity:
-    """One thing that an experiment measures. `name` is the slope's."""
+    """A quantity that an experiment measures. `name` is the name of its slope."""
 
     name: str
     quantity: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Experiment:
-    """Runs of one kind. `measure` takes a seed and gives, for each size, the quantities' values in their order."""
+    """Runs of one kind. `measure` takes a seed and returns the values of `quantities`, in order, for each size."""
 
     name: str
     against: str
@@ -43,23 +43,26 @@
     text: Literal["today", "mechanism"] = "today"
 
 
-def commit() -> str:
-    """Of the last change to the program. DirtyError where the working tree differs from it."""
-    changed = git("status", "--porcelain", "--", MEASURED_CODE)
+def measured_commit() -> str:
+    """Returns the last commit that changed the program.
+
+    Raises UncommittedChangesError if the working tree differs from it.
+    """
+    changed = run_git("status", "--porcelain", "--", MEASURED_CODE)
     if changed:
-        raise DirtyError(f"uncommitted: {changed.splitlines()[0].strip()}")
-    return git("log", "-1", "--format=%h", "--abbrev=12", "--", MEASURED_CODE)
+        raise UncommittedChangesError(f"uncommitted: {changed.splitlines()[0].strip()}")
+    return run_git("log", "-1", "--format=%h", "--abbrev=12", "--", MEASURED_CODE)
 
 
-def git(*arguments: str) -> str:
-    """What git says."""
+def run_git(*arguments: str) -> str:
+    """Returns the output of a git command, without surrounding whitespace."""
     done = subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True, text=True)
     return done.stdout.strip()
 
 
-def run(experiment: Experiment, say: Callable[[str], None]) -> list[Slope]:
-    """Runs it with each seed; the slopes, checked and not yet on record."""
-    text = commit()
+def run_experiment(experiment: Experiment, report_line: Callable[[str], None]) -> list[Slope]:
+    """Runs an experiment with each seed and returns its slopes, which are not yet stored."""
+    measured_at = measured_commit()
     runs = []
     for seed in experiment.seeds:
         found = experiment.measure(seed)
@@ -67,26 +70,26 @@
             shown = "  ".join(
                 f"{q.name} {v:.4g} {q.unit}" for q, v in zip(experiment.quantities, values, strict=True)
             )
-            say(f"{experiment.name}: seed {seed}, {size} {experiment.against}: {shown}")
+            report_line(f"{experiment.name}: seed {seed}, {size} {experiment.against}: {shown}")
         runs.append(found)
-    return [slope(experiment, i, runs, text) for i in range(len(experiment.quantities))]
+    return [build_slope(experiment, i, runs, measured_at) for i in range(len(experiment.quantities))]
 
 
-def slope(
-    experiment: Experiment, index: int, runs: Sequence[Mapping[int, Sequence[float]]], text: str
+def build_slope(
+    experiment: Experiment, index: int, runs: Sequence[Mapping[int, Sequence[float]]], measured_at: str
 ) -> Slope:
-    """One quantity of all runs."""
+    """Builds the slope of one quantity from all runs, at the sizes that all of them have."""
     quantity = experiment.quantities[index]
     sizes = sorted(set.intersection(*(set(found) for found in runs)))
     measurements = tuple(Measurement(size, tuple(found[size][index] for found in runs)) for size in sizes)
     command = f"python -m benchmarks.capacity slopes --only {experiment.name}"
     return Slope(
         quantity.name, quantity.quantity, quantity.unit, experiment.against, experiment.kind, experiment.text, command,
-        experiment.seeds, text, os.cpu_count() or 1, measurements, quantity.note,
+        experiment.seeds, measured_at, os.cpu_count() or 1, measurements, quantity.note,
     )  # fmt: skip
 
 
-def run_and_record(experiment: Experiment, say: Callable[[str], None]) -> None:
-    """The same, and puts its slopes on record."""
-    for one in run(experiment, say):
-        record(one)
+def run_and_record(experiment: Experiment, report_line: Callable[[str], None]) -> None:
+    """Runs an experiment and stores its slopes."""
+    for measured_slope in run_experiment(experiment, report_line):
+        store_slope(measured_slope)
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -1,4 +1,7 @@
-"""Slopes of membership: what the simulated fleet of hollow front ends prints of a whole start and a region's cut."""
+"""Slopes of membership, taken from the report of the simulated fleet of front ends that run only their membership.
+
+Each run starts the whole fleet and then partitions a region.
+"""
 
 from __future__ import annotations
 
@@ -12,48 +15,51 @@
 
 FLAT_SIZES = (32, 50, 100, 200)
 ZONED_SIZES = (75, 150, 300, 600)
-MINUTES, LOSS = 1.5, 0.01
-WITHIN_S = 170
-FIGURE = r"([\d.]+)"
-PATTERNS = (
-    rf"kB/s sent, whole start .* worst ten seconds {FIGURE}",
-    rf"kB/s sent, quiet +.*?: mean {FIGURE}",
-    rf"kB/s sent +median .*worst ten seconds of any {FIGURE}",
-    rf"kB/s received +median .*worst ten seconds of any {FIGURE}",
-    rf"share of a core +median .*?, worst front {FIGURE}%",
-    rf"MB a front +state of its own: .*largest {FIGURE}",
+MINUTES = 1.5
+LOSS = 0.01
+FLEET_TIMEOUT_S = 170
+NUMBER_PATTERN = r"([\d.]+)"
+REPORT_PATTERNS = (
+    rf"kB/s sent, whole start .* worst ten seconds {NUMBER_PATTERN}",
+    rf"kB/s sent, quiet +.*?: mean {NUMBER_PATTERN}",
+    rf"kB/s sent +median .*worst ten seconds of any {NUMBER_PATTERN}",
+    rf"kB/s received +median .*worst ten seconds of any {NUMBER_PATTERN}",
+    rf"share of a core +median .*?, worst front {NUMBER_PATTERN}%",
+    rf"MB a front +state of its own: .*largest {NUMBER_PATTERN}",
 )
-"""Of the lines of `python -m benchmarks.capacity fleet`, in the order of the quantities."""
+"""Patterns of the report of `python -m benchmarks.capacity fleet`, in the order of the quantities."""
 
-Found = dict[int, Sequence[float]]
+ValuesBySize = dict[int, Sequence[float]]
 
 
-class FleetError(Exception):
-    """A fleet whose report lacks a line."""
+class FleetReportError(Exception):
+    """The report of a fleet lacks a line."""
 
 
-def read(report: str) -> Sequence[float]:
-    """The figures of a report. FleetError where one is missing."""
+def parse_report(report: str) -> Sequence[float]:
+    """Returns the figures of a report. Raises FleetReportError if one is missing."""
     found = []
-    for pattern in PATTERNS:
+    for pattern in REPORT_PATTERNS:
         match = re.search(pattern, report)
         if match is None:
-            raise FleetError(f"no {pattern} in: {report[-500:]}")
+            raise FleetReportError(f"the report does not match {pattern}: {report[-500:]}")
         found.append(float(match[1]))
     return found
 
 
-def report(fronts: int, seed: int, membership: str, tree: Path) -> str:
-    """What the fleet prints; a missed budget is no failure here."""
+def run_fleet(fronts: int, seed: int, membership: str, tree: Path) -> str:
+    """Runs a fleet and returns its report. The exit status is ignored: an exceeded budget is not an error here."""
     arguments = {"fronts": fronts, "seed": seed, "minutes": MINUTES, "loss": LOSS, "fault": "region"}
-    options = [word for name, value in arguments.items() for word in (f"--{name}", str(value))]
+    options = [argument for name, value in arguments.items() for argument in (f"--{name}", str(value))]
     command = [sys.executable, "-m", "benchmarks.capacity", "fleet", *options, "--membership", membership]
-    done = subprocess.run(command, cwd=tree, capture_output=True, text=True, timeout=WITHIN_S, check=False)
+    done = subprocess.run(
+        command, cwd=tree, capture_output=True, text=True, timeout=FLEET_TIMEOUT_S, check=False
+    )
     return done.stdout + done.stderr
 
 
-def quantities(prefix: str) -> tuple[Quantity, ...]:
-    """The same for each kind of membership."""
+def membership_quantities(prefix: str) -> tuple[Quantity, ...]:
+    """Returns the quantities of one kind of membership."""
     return (
         Quantity(f"{prefix}.start", "sent by the worst front in its worst 10 s of a whole start", "kB/s"),
         Quantity(f"{prefix}.quiet", "sent by a front in a quiet time, the mean", "kB/s"),
@@ -72,17 +78,24 @@
     )
 
 
-def flat(seed: int, tree: Path = ROOT) -> Found:
-    """Today's membership, all front ends in one table."""
-    return {size: read(report(size, seed, "flat", tree)) for size in FLAT_SIZES}
+def measure_flat(seed: int, tree: Path = ROOT) -> ValuesBySize:
+    """Measures today's membership, with all front ends in one table."""
+    return {size: parse_report(run_fleet(size, seed, "flat", tree)) for size in FLAT_SIZES}
 
 
-def zoned(seed: int, tree: Path = ROOT) -> Found:
-    """Membership by zone and region."""
-    return {size: read(report(size, seed, "zoned", tree)) for size in ZONED_SIZES}
+def measure_zoned(seed: int, tree: Path = ROOT) -> ValuesBySize:
+    """Measures membership by zones and regions."""
+    return {size: parse_report(run_fleet(size, seed, "zoned", tree)) for size in ZONED_SIZES}
 
 
 FLEET_EXPERIMENTS = (
-    Experiment("membership-flat", "fronts", "simulated", quantities("membership"), flat),
-    Experiment("membership-zoned", "fronts", "simulated", quantities("zoned"), zoned, text="mechanism"),
+    Experiment("membership-flat", "fronts", "simulated", membership_quantities("membership"), measure_flat),
+    Experiment(
+        "membership-zoned",
+        "fronts",
+        "simulated",
+        membership_quantities("zoned"),
+        measure_zoned,
+        text="mechanism",
+    ),
 )
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -1,4 +1,4 @@
-"""Slopes of one real front end process: connections, sessions, reports, ends passed on, nodes, arrivals."""
+"""Slopes of one real front end process: connections, sessions, reports, session ends, listed nodes, set-up rate."""
 
 from __future__ import annotations
 
@@ -10,39 +10,48 @@
 import trio
 
 from benchmarks.capacity.experiments import Experiment, Quantity
-from benchmarks.capacity.platform_process import WARM_S, Emulators, FrontProcess, Viewer, line, running
+from benchmarks.capacity.platform_process import (
+    WARMUP_S,
+    Emulators,
+    FrontProcess,
+    Viewer,
+    encode_line,
+    running_front,
+)
 
 MB = 1e6
 CONNECTIONS = (500, 1_000, 2_000, 4_000, 8_000)
 SESSIONS = (500, 1_000, 2_000, 4_000)
-ENDS = (250, 500, 1_000, 2_000)
+ENDED_SESSIONS = (250, 500, 1_000, 2_000)
 NODES = (100, 200, 400, 800, 1_600, 3_200)
-RATES = (25, 50, 100, 200)
+SETUPS_PER_S = (25, 50, 100, 200)
 FEW_NODES = 40
 IDLE_S = 2.5
 REPORTS_S = 2.5
 REPORTS_PER_S = 1_000
 REPORT_TICK_S = 0.02
+"""Interval at which batches of reports are sent."""
 ARRIVALS_S = 4.0
 SETTLE_S = 1.0
-AT_ONCE = 32
+CONCURRENT_CONNECTIONS = 32
 TITLES = 500
-ENDS_WITHIN_S = 30.0
-DONE = 16
+ENDS_TIMEOUT_S = 30.0
+CAUSE_DONE = 16
+"""Code with which a node closes a session that has ended normally."""
 
-Found = dict[int, Sequence[float]]
-Work = Callable[[FrontProcess, Emulators], Awaitable[Found]]
+ValuesBySize = dict[int, Sequence[float]]
+Measure = Callable[[FrontProcess, Emulators], Awaitable[ValuesBySize]]
 
 
-def with_front(nodes: int, work: Work) -> Found:
-    """Does something with a front end and its emulators."""
+def run_with_front(nodes: int, measure: Measure) -> ValuesBySize:
+    """Runs a measurement with a front end that has `nodes` listed nodes, and with its emulators."""
 
-    async def main() -> Found:
+    async def main() -> ValuesBySize:
         async with trio.open_nursery() as nursery:
             emulators = Emulators(nursery)
             await emulators.start()
-            async with running(emulators, nodes) as front:
-                found = await work(front, emulators)
+            async with running_front(emulators, nodes) as front:
+                found = await measure(front, emulators)
             nursery.cancel_scope.cancel()
         return found
 
@@ -50,9 +59,9 @@
 
 
 async def connect_more(front: FrontProcess, viewers: list[Viewer], count: int) -> None:
-    """So many connections in all, each of which has said something."""
+    """Opens viewer connections until there are `count`, and sends a test on each."""
 
-    async def some(share: int) -> None:
+    async def connect_share(share: int) -> None:
         for _ in range(share):
             viewer = await Viewer.connect(front.port)
             await viewer.test()
@@ -60,183 +69,207 @@
 
     more = count - len(viewers)
     async with trio.open_nursery() as nursery:
-        for i in range(AT_ONCE):
-            nursery.start_soon(some, more // AT_ONCE + (i < more % AT_ONCE))
+        for i in range(CONCURRENT_CONNECTIONS):
+            nursery.start_soon(
+                connect_share, more // CONCURRENT_CONNECTIONS + (i < more % CONCURRENT_CONNECTIONS)
+            )
 
 
 async def play_more(
     front: FrontProcess, emulators: Emulators, viewers: list[Viewer], count: int, title: str
 ) -> None:
-    """So many sessions in all, one a connection. RuntimeError where one was refused."""
+    """Sets up sessions until there are `count`, each on its own connection.
 
-    async def some(numbers: range) -> None:
+    The title is `title`, or one of `TITLES` in turn if that is empty. Raises RuntimeError if a set-up is rejected.
+    """
+
+    async def set_up_share(numbers: range) -> None:
         for number in numbers:
             viewer = await Viewer.connect(front.port)
             if not await viewer.set_up(f"{number + 1:016x}", title or f"title-{number % TITLES}"):
-                raise RuntimeError(f"session {number} was refused")
+                raise RuntimeError(f"the set-up of session {number} was rejected")
             viewers.append(viewer)
 
     async with trio.open_nursery() as nursery:
-        for i in range(AT_ONCE):
-            nursery.start_soon(some, range(len(viewers) + i, count, AT_ONCE))
+        for i in range(CONCURRENT_CONNECTIONS):
+            nursery.start_soon(set_up_share, range(len(viewers) + i, count, CONCURRENT_CONNECTIONS))
 
 
-def connections(_seed: int) -> Found:
-    """Idle connections: memory, share of a core, descriptors."""
+def measure_connections(_seed: int) -> ValuesBySize:
+    """Measures memory, share of a core and descriptors with idle connections."""
 
-    async def work(front: FrontProcess, _emulators: Emulators) -> Found:
-        found, viewers = Found(), list[Viewer]()
+    async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
+        found, viewers = ValuesBySize(), list[Viewer]()
         for count in CONNECTIONS:
             await connect_more(front, viewers, count)
             await trio.sleep(SETTLE_S)
-            share = await front.share_over(IDLE_S)
-            found[count] = front.memory / MB, 100 * share, front.descriptors
+            share = await front.cpu_share_over(IDLE_S)
+            found[count] = front.resident_octets / MB, 100 * share, front.descriptor_count
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
 
 
-def sessions(_seed: int) -> Found:
-    """Held sessions: memory, share of a core while idle, processor time of a set-up and of a node's report."""
+def measure_sessions(_seed: int) -> ValuesBySize:
+    """Measures memory and share of a core with held sessions, and the CPU time of a set-up and of a node's report."""
 
-    async def work(front: FrontProcess, emulators: Emulators) -> Found:
-        await trio.sleep(WARM_S)
-        found, viewers = Found(), list[Viewer]()
+    async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        await trio.sleep(WARMUP_S)
+        found, viewers = ValuesBySize(), list[Viewer]()
         for count in SESSIONS:
-            before, held = front.processor_s, len(viewers)
+            cpu_before = front.cpu_seconds
+            held_before = len(viewers)
             await play_more(front, emulators, viewers, count, "")
-            set_up_ms = 1e3 * (front.processor_s - before) / (count - held)
+            set_up_ms = 1e3 * (front.cpu_seconds - cpu_before) / (count - held_before)
             await trio.sleep(SETTLE_S)
-            idle = await front.share_over(IDLE_S)
-            busy = await report(front, emulators)
+            idle = await front.cpu_share_over(IDLE_S)
+            busy = await send_reports(front, emulators)
             report_us = 1e6 * (busy - idle) / REPORTS_PER_S
-            found[count] = front.memory / MB, 100 * idle, set_up_ms, report_us
+            found[count] = front.resident_octets / MB, 100 * idle, set_up_ms, report_us
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
 
 
-async def report(front: FrontProcess, emulators: Emulators) -> float:
-    """Nodes report so often on their sessions, in turn; the front end's share of a core meanwhile."""
-    some, share = list(emulators.sessions.items()), list[float]()
+async def send_reports(front: FrontProcess, emulators: Emulators) -> float:
+    """Sends nodes' reports on their sessions at `REPORTS_PER_S`; returns the front end's share of a core meanwhile."""
+    sessions = list(emulators.sessions.items())
+    share = list[float]()
 
-    async def measure() -> None:
-        share.append(await front.share_over(REPORTS_S))
+    async def sample_cpu() -> None:
+        share.append(await front.cpu_share_over(REPORTS_S))
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(measure)
-        each, sent, began = round(REPORTS_PER_S * REPORT_TICK_S), 0, trio.current_time()
-        while trio.current_time() < began + REPORTS_S:
-            for i in range(each):
-                session, stream = some[(sent + i) % len(some)]
-                await stream.send_all(line(msg="event", sid=session, attrs={"note": "local", "value": "0.3"}))
-            sent += each
-            await trio.sleep_until(began + sent / REPORTS_PER_S)
+        nursery.start_soon(sample_cpu)
+        reports_per_tick = round(REPORTS_PER_S * REPORT_TICK_S)
+        sent = 0
+        started_at = trio.current_time()
+        while trio.current_time() < started_at + REPORTS_S:
+            for i in range(reports_per_tick):
+                session, stream = sessions[(sent + i) % len(sessions)]
+                await stream.send_all(
+                    encode_line(msg="event", sid=session, attrs={"note": "local", "value": "0.3"})
+                )
+            sent += reports_per_tick
+            await trio.sleep_until(started_at + sent / REPORTS_PER_S)
     return share[0]
 
 
-def ends(_seed: int) -> Found:
-    """Sessions of one title, all ended by their nodes at once: time until the last viewer has heard, and cost."""
+def measure_ends(_seed: int) -> ValuesBySize:
+    """Measures the end of all sessions of a title at once by their nodes: time until the last release, and CPU time."""
 
-    async def work(front: FrontProcess, emulators: Emulators) -> Found:
-        await trio.sleep(WARM_S)
-        found = Found()
-        for count in ENDS:
+    async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        await trio.sleep(WARMUP_S)
+        found = ValuesBySize()
+        for count in ENDED_SESSIONS:
             viewers = list[Viewer]()
             emulators.sessions.clear()
             await play_more(front, emulators, viewers, count, "the-largest")
             await trio.sleep(SETTLE_S)
-            before = front.processor_s
-            took = end_all(emulators, viewers)
-            found[count] = 1e3 * took, 1e6 * (front.processor_s - before) / count
+            cpu_before = front.cpu_seconds
+            duration_s = end_all_sessions(emulators, viewers)
+            found[count] = 1e3 * duration_s, 1e6 * (front.cpu_seconds - cpu_before) / count
             for viewer in viewers:
                 viewer.close()
             await trio.sleep(SETTLE_S)
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
+
 
+def end_all_sessions(emulators: Emulators, viewers: list[Viewer]) -> float:
+    """Ends all sessions at once and returns the seconds until the last viewer has its release.
 
-def end_all(emulators: Emulators, viewers: list[Viewer]) -> float:
-    """Ends all sessions in one step; seconds until the last viewer has its release. Nothing else runs meanwhile."""
+    Blocks, so that nothing else runs in this process meanwhile. Raises RuntimeError if a viewer gets no release.
+    """
     poll = select.epoll()
     for viewer in viewers:
         poll.register(viewer.sock.fileno(), select.EPOLLIN)
-    by_link: dict[trio.SocketStream, list[str]] = {}
+    sessions_by_stream: dict[trio.SocketStream, list[str]] = {}
     for session, stream in emulators.sessions.items():
-        by_link.setdefault(stream, []).append(session)
+        sessions_by_stream.setdefault(stream, []).append(session)
     messages = [
-        (stream.socket.fileno(), b"".join(line(msg="close", sid=s, attrs={}, code=DONE) for s in some))
-        for stream, some in by_link.items()
+        (
+            stream.socket.fileno(),
+            b"".join(encode_line(msg="close", sid=s, attrs={}, code=CAUSE_DONE) for s in sessions),
+        )
+        for stream, sessions in sessions_by_stream.items()
     ]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for descriptor, octets in messages:
         write_all(descriptor, octets)
     left = len(viewers)
-    while left and time.perf_counter() < began + ENDS_WITHIN_S:
+    while left and time.perf_counter() < started_at + ENDS_TIMEOUT_S:
         for descriptor, _ in poll.poll(1.0):
             poll.unregister(descriptor)
             left -= 1
     poll.close()
     if left:
-        raise RuntimeError(f"{left} viewers heard nothing")
-    return time.perf_counter() - began
+        raise RuntimeError(f"{left} viewers received no release")
+    return time.perf_counter() - started_at
 
 
 def write_all(descriptor: int, octets: bytes) -> None:
-    """Writes to a socket that does not block, waiting where its buffer is full."""
-    poll = select.poll()  # select() takes no descriptor past 1,023
+    """Writes to a non-blocking socket, waiting while its buffer is full."""
+    poll = select.poll()  # select() accepts no descriptor above 1,023
     poll.register(descriptor, select.POLLOUT)
     while octets:
-        poll.poll(1e3 * ENDS_WITHIN_S)
+        poll.poll(1e3 * ENDS_TIMEOUT_S)
         octets = octets[os.write(descriptor, octets) :]
 
 
-def nodes(_seed: int) -> Found:
-    """Nodes on the list: from start to ready, memory, and share of a core while nothing happens."""
+def measure_nodes(_seed: int) -> ValuesBySize:
+    """Measures the time from start to ready, memory and idle share of a core with listed nodes."""
 
-    async def work(front: FrontProcess, _emulators: Emulators) -> Found:
+    async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
         await trio.sleep(SETTLE_S)
-        share = await front.share_over(IDLE_S)
-        return {0: (front.ready_s, front.memory / MB, 100 * share)}
+        share = await front.cpu_share_over(IDLE_S)
+        return {0: (front.ready_s, front.resident_octets / MB, 100 * share)}
 
-    return {count: with_front(count, work)[0] for count in NODES}
+    return {count: run_with_front(count, measure)[0] for count in NODES}
 
 
-def arrivals(_seed: int) -> Found:
-    """Set-ups at a rate, each ended by its viewer's leaving and its node: share of a core."""
+def measure_arrivals(_seed: int) -> ValuesBySize:
+    """Measures the share of a core with set-ups at a rate, each session ended by its node at once."""
 
-    async def one(front: FrontProcess, emulators: Emulators, number: int) -> None:
-        viewer, session = await Viewer.connect(front.port), f"{number + 1:016x}"
+    async def play_one(front: FrontProcess, emulators: Emulators, number: int) -> None:
+        viewer = await Viewer.connect(front.port)
+        session = f"{number + 1:016x}"
         if await viewer.set_up(session, f"title-{number % TITLES}"):
-            # Past the stream, whose node may be answering another; so short a message leaves whole.
+            # Writes to the socket itself, as a task of the emulated node may be sending on the stream. A message as
+            # short as this is never split.
             stream = emulators.sessions.pop(session)
-            write_all(stream.socket.fileno(), line(msg="close", sid=session, attrs={}, code=DONE))
-            await viewer.hear()
+            write_all(
+                stream.socket.fileno(), encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE)
+            )
+            await viewer.receive()
         viewer.close()
 
-    async def at_rate(front: FrontProcess, emulators: Emulators, rate: int, base: int) -> float:
-        share, began = list[float](), trio.current_time()
+    async def cpu_share_at_rate(
+        front: FrontProcess, emulators: Emulators, rate: int, first_number: int
+    ) -> float:
+        share = list[float]()
+        started_at = trio.current_time()
 
-        async def measure() -> None:
-            share.append(await front.share_over(ARRIVALS_S))
+        async def sample_cpu() -> None:
+            share.append(await front.cpu_share_over(ARRIVALS_S))
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(measure)
+            nursery.start_soon(sample_cpu)
             for i in range(round(rate * ARRIVALS_S)):
-                await trio.sleep_until(began + i / rate)
-                nursery.start_soon(one, front, emulators, base + i)
+                await trio.sleep_until(started_at + i / rate)
+                nursery.start_soon(play_one, front, emulators, first_number + i)
         return share[0]
 
-    async def work(front: FrontProcess, emulators: Emulators) -> Found:
-        await trio.sleep(WARM_S)
-        found = Found()
-        for rate in RATES:
-            found[rate] = (100 * await at_rate(front, emulators, rate, 1_000_000 * rate),)
+    async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        await trio.sleep(WARMUP_S)
+        found = ValuesBySize()
+        for rate in SETUPS_PER_S:
+            found[rate] = (100 * await cpu_share_at_rate(front, emulators, rate, 1_000_000 * rate),)
             await trio.sleep(SETTLE_S)
         return found
 
-    return with_front(FEW_NODES, work)
+    return run_with_front(FEW_NODES, measure)
 
 
 PROCESS_EXPERIMENTS = (
@@ -247,7 +280,7 @@
             Quantity("connections.processor", "processor time of a front end, nothing happening", "% of a core"),
             Quantity("connections.descriptors", "open descriptors of a front end", "descriptors"),
         ),
-        connections,
+        measure_connections,
     ),
     Experiment(
         "front-sessions", "held sessions", "measured",
@@ -257,7 +290,7 @@
             Quantity("sessions.set-up", "processor time of one set-up, while so many come to be held", "ms"),
             Quantity("sessions.report", "processor time of one node's report on a session", "us"),
         ),
-        sessions,
+        measure_sessions,
     ),
     Experiment(
         "front-ends", "sessions of one title that end at once", "measured",
@@ -265,7 +298,7 @@
             Quantity("ends.time", "from the nodes' word until the last viewer has its release", "ms"),
             Quantity("ends.processor", "processor time of the front end for each", "us"),
         ),
-        ends,
+        measure_ends,
     ),
     Experiment(
         "front-nodes", "nodes on the list", "measured",
@@ -274,11 +307,11 @@
             Quantity("nodes.memory", "resident memory of a front end", "MB"),
             Quantity("nodes.processor", "processor time of a front end, nothing happening", "% of a core"),
         ),
-        nodes,
+        measure_nodes,
     ),
     Experiment(
         "front-arrivals", "set-ups a second", "measured",
         (Quantity("arrivals.processor", "processor time of a front end, each session ended at once", "% of a core"),),
-        arrivals,
+        measure_arrivals,
     ),
 )  # fmt: skip
--- a/benchmarks/capacity/measure_rollout.py
+++ b/benchmarks/capacity/measure_rollout.py
@@ -1,4 +1,4 @@
-"""Slopes of configuration distribution: today's staged rollout over simulated links, and the catalogue's text."""
+"""Slopes of configuration distribution: today's staged rollout over simulated links, and the catalogue text."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import time
 import tracemalloc
 from collections.abc import Callable, Sequence
+from functools import partial
 from random import Random
 
 from benchmarks.capacity.experiments import Experiment, Quantity
@@ -28,86 +29,108 @@
 ROLLOUT_SIZES = (10, 25, 50, 100, 200, 400, 800, 1_600, 2_700)
 TITLE_SIZES = (1_000, 10_000, 40_000, 170_000)
 LOSS = 0.01
-LATENCY = (MS, 5 * MS)
-IP_UDP = 28
-GIVE_UP = 300 * SECOND
-QUIET = 60 * SECOND
-HOLDERS, NODES = 4, 2_700
-KB, MB = 1e3, 1e6
+LATENCY_RANGE_NS = (MS, 5 * MS)
+IP_UDP_HEADER_OCTETS = 28
+ROLLOUT_TIMEOUT_NS = 300 * SECOND
+QUIET_TIME_NS = 60 * SECOND
+HOLDERS_PER_TITLE = 4
+NODES = 2_700
+KB = 1e3
+MB = 1e6
 
-Found = dict[int, Sequence[float]]
+ValuesBySize = dict[int, Sequence[float]]
 
 
 class SimulatedRollout:
-    """One lease holder and its fronts. The holder's decisions, codec and pace are the program's; fronts do as they are
-    told at once, and texts take no time: what is left is what staging alone costs."""
+    """A rollout with one lease holder and its fronts.
+
+    The holder's decisions, codec and order interval are the program's. Fronts execute orders at once, and texts are
+    transferred in no time, so that only the cost of staging is measured.
+    """
 
     def __init__(self, fronts: int, seed: int) -> None:
-        """A rollout that begins now."""
-        self.rng, self.now, self.number = Random(seed), 0, 0
+        """Starts a rollout at time 0."""
+        self.rng = Random(seed)
+        self.now = 0
+        self.event_count = 0
         self.names = [f"front-{i:04}" for i in range(fronts)]
-        self.places = {name: i for i, name in enumerate(self.names)}
+        self.index_by_name = {name: i for i, name in enumerate(self.names)}
         self.codec = LeaseCodec("oakcroft", KeyRing((b"k" * 32,)))
         new, base = (format_catalogue([(name, CatalogueTitle())], False) for name in ("new", "base"))
         self.rollout = Rollout(RolloutPlan(1, text_digest(new), text_digest(base), RolloutStage.HANDED, 1, 0))
-        self.in_force = dict.fromkeys(self.names, self.rollout.plan.base_digest)
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.sent = self.received = 0
-        self.processor = 0.0
-
-    def play(self, ended: Callable[[], bool]) -> None:
-        """Until something holds. RuntimeError where it never does."""
-        turn = round(ORDER_INTERVAL_S * SECOND)
-        while not ended():
-            if self.now > GIVE_UP:
+        self.active_digests = dict.fromkeys(self.names, self.rollout.plan.base_digest)
+        self.events: list[tuple[int, int, Callable[[], None]]] = []
+        self.sent_octets = 0
+        self.received_octets = 0
+        self.holder_cpu_seconds = 0.0
+
+    def run_until(self, condition: Callable[[], bool]) -> None:
+        """Runs until a condition holds. Raises RuntimeError if it does not hold by `ROLLOUT_TIMEOUT_NS`."""
+        order_interval = round(ORDER_INTERVAL_S * SECOND)
+        while not condition():
+            if self.now > ROLLOUT_TIMEOUT_NS:
                 raise RuntimeError("the rollout did not end")
-            self._order()
-            until = self.now + turn
-            while self.heap and self.heap[0][0] <= until:
-                self.now, _, event = heapq.heappop(self.heap)
+            self._run_holder_turn()
+            until = self.now + order_interval
+            while self.events and self.events[0][0] <= until:
+                self.now, _, event = heapq.heappop(self.events)
                 event()
             self.now = until
 
-    def everywhere(self) -> bool:
-        """Whether all have the new version in force."""
-        return all(digest == self.rollout.plan.digest for digest in self.in_force.values())
-
-    def _order(self) -> None:
-        """The owner's turn: on to the next stage where it is due, and an order to each front."""
-        began = time.process_time()
-        after = self.rollout.next_plan(self.names, self.now)
-        if after is not None:
-            self.rollout.set_recorded_plan(after)
-        plan, to = self.rollout.plan, self.names
+    def is_active_everywhere(self) -> bool:
+        """Returns whether all fronts have activated the new version."""
+        return all(digest == self.rollout.plan.digest for digest in self.active_digests.values())
+
+    def is_done(self) -> bool:
+        """Returns whether the rollout is complete."""
+        return self.rollout.plan.stage is RolloutStage.DONE
+
+    def is_past(self, at: int) -> bool:
+        """Returns whether simulated time has reached `at`."""
+        return self.now >= at
+
+    def _run_holder_turn(self) -> None:
+        """The holder's work of one order interval: advances the stage if it is due and sends an order to each front."""
+        started_at = time.process_time()
+        next_plan = self.rollout.next_plan(self.names, self.now)
+        if next_plan is not None:
+            self.rollout.set_recorded_plan(next_plan)
+        plan = self.rollout.plan
+        receivers = self.names
         if plan.stage in FINAL_STAGES:
-            to = self.rollout.unconfirmed_fronts(to, self.now)
-        word = Order(CATALOGUE_LEASE, 7, plan.step, encode_plan(plan))
-        orders = [self.codec.encode_order(self.names[0], 1, word) for _ in to]
-        self.processor += time.process_time() - began
-        for name, octets in zip(to, orders, strict=True):
-            self.sent += len(octets) + IP_UDP
-            self._carry(lambda front=self.places[name]: self._obey(front, word))  # type: ignore[misc]
-
-    def _carry(self, event: Callable[[], None]) -> None:
+            receivers = self.rollout.unconfirmed_fronts(receivers, self.now)
+        order = Order(CATALOGUE_LEASE, 7, plan.step, encode_plan(plan))
+        orders = [self.codec.encode_order(self.names[0], 1, order) for _ in receivers]
+        self.holder_cpu_seconds += time.process_time() - started_at
+        for name, octets in zip(receivers, orders, strict=True):
+            self.sent_octets += len(octets) + IP_UDP_HEADER_OCTETS
+            front = self.index_by_name[name]
+            self._deliver(partial(self._execute_order, front, order))
+
+    def _deliver(self, event: Callable[[], None]) -> None:
+        """Schedules an event after the latency of a datagram, or drops it as lost."""
         if self.rng.random() >= LOSS:
-            self.number += 1
-            heapq.heappush(self.heap, (self.now + self.rng.randint(*LATENCY), self.number, event))
-
-    def _obey(self, front: int, order: Order) -> None:
-        """A front's part in `front/catalogue_rollout.py`, without its record and its text."""
-        plan, name = decode_plan(order.body), self.names[front]
-        takes = is_in_share(front, len(self.names), int(plan.digest, 16), plan.target_share)
-        if takes and plan.stage in (RolloutStage.TAKEN, RolloutStage.DONE):
-            self.in_force[name] = plan.digest
-        body = ReportBody(plan.step, True, self.in_force[name], takes, "", 100, 1, False)
+            self.event_count += 1
+            arrives_at = self.now + self.rng.randint(*LATENCY_RANGE_NS)
+            heapq.heappush(self.events, (arrives_at, self.event_count, event))
+
+    def _execute_order(self, front: int, order: Order) -> None:
+        """A front's part in `front/catalogue_rollout.py`, without its state file and the text transfer."""
+        plan = decode_plan(order.body)
+        name = self.names[front]
+        activates = is_in_share(front, len(self.names), int(plan.digest, 16), plan.target_share)
+        if activates and plan.stage in (RolloutStage.TAKEN, RolloutStage.DONE):
+            self.active_digests[name] = plan.digest
+        body = ReportBody(plan.step, True, self.active_digests[name], activates, "", 100, 1, False)
         octets = self.codec.encode_report(
             name, 1, OrderReport(CATALOGUE_LEASE, order.number, order.step, True, ENCODER.encode(body))
         )
-        self._carry(lambda: self._heard(name, octets, body))
+        self._deliver(lambda: self._receive_report(name, octets, body))
 
-    def _heard(self, name: str, octets: bytes, body: ReportBody) -> None:
-        self.received += len(octets) + IP_UDP
-        began = time.process_time()
+    def _receive_report(self, name: str, octets: bytes, body: ReportBody) -> None:
+        """The holder's work for one report."""
+        self.received_octets += len(octets) + IP_UDP_HEADER_OCTETS
+        started_at = time.process_time()
         opened = self.codec.ring.open(octets, self.now)
         assert opened is not None
         self.codec.decode(opened)
@@ -115,54 +138,61 @@
             body.step, body.has_text, body.active_digest, body.is_in_share, "", body.answers, body.failures
         )
         self.rollout.receive_report(name, report, self.now)
-        self.processor += time.process_time() - began
+        self.holder_cpu_seconds += time.process_time() - started_at
 
 
-def rollout(seed: int) -> Found:
-    """One change to all fronts, its watch of 10 s a share kept, and the time after it."""
-    found = Found()
+def measure_rollout(seed: int) -> ValuesBySize:
+    """Measures the rollout of one change to all fronts, with each share watched for 10 s, and the minute after it."""
+    found = ValuesBySize()
     for fronts in ROLLOUT_SIZES:
-        played = SimulatedRollout(fronts, seed)
-        played.play(played.everywhere)
-        in_force = played.now / SECOND
-        played.play(lambda some=played: some.rollout.plan.stage is RolloutStage.DONE)  # type: ignore[misc]
-        ended = played.now / SECOND
-        sent, received, processor = played.sent, played.received, played.processor
-        quiet_until = played.now + QUIET
-        played.play(lambda some=played, until=quiet_until: some.now >= until)  # type: ignore[misc]
-        quiet = (played.sent - sent) / (QUIET / SECOND)
+        simulation = SimulatedRollout(fronts, seed)
+        simulation.run_until(simulation.is_active_everywhere)
+        active_s = simulation.now / SECOND
+        simulation.run_until(simulation.is_done)
+        ended_s = simulation.now / SECOND
+        sent = simulation.sent_octets
+        received = simulation.received_octets
+        cpu_seconds = simulation.holder_cpu_seconds
+        simulation.run_until(partial(simulation.is_past, simulation.now + QUIET_TIME_NS))
+        quiet_octets_per_s = (simulation.sent_octets - sent) / (QUIET_TIME_NS / SECOND)
         found[fronts] = (
-            in_force, ended, sent / ended / KB, received / ended / KB, 100 * processor / ended, quiet / KB,
-        )  # fmt: skip
+            active_s,
+            ended_s,
+            sent / ended_s / KB,
+            received / ended_s / KB,
+            100 * cpu_seconds / ended_s,
+            quiet_octets_per_s / KB,
+        )
     return found
 
 
-def texts(seed: int) -> Found:
-    """One title of a catalogue changed: what travels to each front, and what a front spends on it beside its loop."""
-    rng, found = Random(seed), Found()
+def measure_catalogue(seed: int) -> ValuesBySize:
+    """Measures a change of one title: the text sent to each front, and the CPU time and memory that it takes there."""
+    rng = Random(seed)
+    found = ValuesBySize()
     for count in TITLE_SIZES:
-        titles = {f"lesson-{i}": item(rng) for i in range(count)}
+        titles = {f"lesson-{i}": random_title(rng) for i in range(count)}
         before = Catalogue(1, "before", dict(titles), False)
-        text = format_catalogue((titles | {"lesson-0": item(rng)}).items(), False)
-        began = time.process_time()
-        said = read_catalogue(text)
-        laid_out = format_catalogue(said.titles.items(), said.others)
-        after = Catalogue(2, text_digest(laid_out), said.titles, False)
-        names = changed_titles(before, after)
-        processor = time.process_time() - began
-        assert names == ["lesson-0"]
+        text = format_catalogue((titles | {"lesson-0": random_title(rng)}).items(), False)
+        started_at = time.process_time()
+        parsed = read_catalogue(text)
+        formatted = format_catalogue(parsed.titles.items(), parsed.others)
+        after = Catalogue(2, text_digest(formatted), parsed.titles, False)
+        changed = changed_titles(before, after)
+        cpu_seconds = time.process_time() - started_at
+        assert changed == ["lesson-0"]
         tracemalloc.start()
         held = read_catalogue(text)
-        memory = tracemalloc.get_traced_memory()[0] / MB
+        memory_mb = tracemalloc.get_traced_memory()[0] / MB
         tracemalloc.stop()
         assert len(held.titles) == count
-        found[count] = len(text) / KB, 1e3 * processor, memory
+        found[count] = len(text) / KB, 1e3 * cpu_seconds, memory_mb
     return found
 
 
-def item(rng: Random) -> CatalogueTitle:
-    """A title on some nodes, in three renditions."""
-    holders = tuple(f"node-{n:05}" for n in rng.sample(range(NODES), HOLDERS))
+def random_title(rng: Random) -> CatalogueTitle:
+    """Returns a title with random holders and three renditions."""
+    holders = tuple(f"node-{n:05}" for n in rng.sample(range(NODES), HOLDERS_PER_TITLE))
     return CatalogueTitle(holders, rates=(200.0, 400.0, 800.0))
 
 
@@ -177,7 +207,7 @@
             Quantity("rollout.processor", "processor time of the lease holder meanwhile", "% of a core"),
             Quantity("rollout.quiet", "sent by the lease holder in the minute after a rollout has ended", "kB/s"),
         ),
-        rollout,
+        measure_rollout,
     ),
     Experiment(
         "catalogue", "titles of the catalogue", "measured",
@@ -186,6 +216,6 @@
             Quantity("catalogue.processor", "processor time of a front for a change of one title", "ms"),
             Quantity("catalogue.memory", "memory of one version at a front, without its text", "MB"),
         ),
-        texts,
+        measure_catalogue,
     ),
 )  # fmt: skip
