--- a/benchmarks/capacity/fleet_report.py
+++ b/benchmarks/capacity/fleet_report.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity import fleet_budgets as budgets
 from benchmarks.capacity.fleet_faults import Phase
 from benchmarks.capacity.fleet_front import HollowFront
-from benchmarks.capacity.fleet_knowledge import Durations, EventKind
+from benchmarks.capacity.fleet_propagation import Durations, EventKind
 from benchmarks.capacity.fleet_memory import private_octets
 from benchmarks.capacity.fleet_simulation import SHOWN_FALSE_FAILURES, FleetSimulation
 from benchmarks.capacity.fleet_traffic import BUCKET, WINDOW, busiest_window, mean_rate
--- a/benchmarks/capacity/fleet_simulation.py
+++ b/benchmarks/capacity/fleet_simulation.py
@@ -13,7 +13,7 @@
 
 from benchmarks.capacity.fleet_agreement import Agreement
 from benchmarks.capacity.fleet_front import HollowFront
-from benchmarks.capacity.fleet_knowledge import EventKind, Knowledge
+from benchmarks.capacity.fleet_propagation import EventKind, Knowledge
 from benchmarks.capacity.fleet_membership import Implementation, ObservedState, Outgoing, Transition
 from benchmarks.capacity.fleet_sampling import Sampling
 from benchmarks.capacity.fleet_streams import Streams
--- a/tests/test_capacity_counts.py
+++ b/tests/test_capacity_counts.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity.fleet_agreement import Agreement
 from benchmarks.capacity.fleet_flat import FLEET
 from benchmarks.capacity.fleet_flat_sizes import FlatSizes
-from benchmarks.capacity.fleet_knowledge import Durations, EventKind, Knowledge
+from benchmarks.capacity.fleet_propagation import Durations, EventKind, Knowledge
 from benchmarks.capacity.fleet_membership import ObservedState
 from benchmarks.capacity.fleet_report import link_line
 from benchmarks.capacity.fleet_traffic import BUCKET, WINDOW, busiest_window
--- a/tests/test_capacity_zoned.py
+++ b/tests/test_capacity_zoned.py
@@ -8,7 +8,7 @@
 
 from benchmarks.capacity.fleet_command import fleet
 from benchmarks.capacity.fleet_flat import FLEET, KEY
-from benchmarks.capacity.fleet_knowledge import EventKind
+from benchmarks.capacity.fleet_propagation import EventKind
 from benchmarks.capacity.fleet_simulation import FleetSimulation
 from benchmarks.capacity.fleet_zoned import ZonedImplementation, ZoneSizes
 from benchmarks.capacity.network import NetworkTerms
