--- a/benchmarks/capacity/fleet_command.py
+++ b/benchmarks/capacity/fleet_command.py
@@ -9,13 +9,13 @@
 
 import click
 
-from benchmarks.capacity.fleet_faults import DurationError, Fault, FaultTerms, phases, schedule
+from benchmarks.capacity.fleet_faults import DurationError, Fault, FaultTerms, phases, schedule_fault
 from benchmarks.capacity.fleet_flat import FlatImplementation
 from benchmarks.capacity.fleet_membership import Implementation
 from benchmarks.capacity.fleet_memory import resident_octets
-from benchmarks.capacity.fleet_report import Line, Measured, lines, link_line
+from benchmarks.capacity.fleet_report import ReportLine, RunMeasurements, link_line, report_lines
 from benchmarks.capacity.fleet_simulation import FleetSimulation
-from benchmarks.capacity.fleet_sockets import compare, run_processes, simulated_loads, socket_loads
+from benchmarks.capacity.fleet_sockets import compare_loads, run_processes, simulated_loads, socket_loads
 from benchmarks.capacity.fleet_zoned import ZonedImplementation
 from benchmarks.capacity.network import DEFAULT_LOSS, Network, NetworkTerms
 from benchmarks.capacity.network_check import sample_links
@@ -28,7 +28,7 @@
 }
 
 DEFAULT_CUT_SECONDS = 30.0
-DEFAULT_RESTARTS_A_MINUTE = 60.0
+DEFAULT_RESTARTS_PER_MINUTE = 60.0
 """A release of 600 in an hour is ten a minute; its worst minutes are taken to have six times the mean."""
 
 DEFAULT_SPEED_UP = 100.0
@@ -51,7 +51,7 @@
     wall_seconds: float
 
 
-def play(run: FleetRun) -> tuple[list[str], list[Line], bool]:
+def simulate(run: FleetRun) -> tuple[list[str], list[ReportLine], bool]:
     """Simulates a fleet: what was played, what was found, and whether it came to its end."""
     topology = Topology(run.front_ends)
     parts = phases(run.fault, run.duration, run.preloaded)
@@ -63,11 +63,13 @@
             topology, run.network, IMPLEMENTATIONS[run.membership](topology), run.seed, run.duration
         )
         simulation.preload() if run.preloaded else simulation.start_all()
-        what = schedule(simulation, run.fault, parts)
+        what = schedule_fault(simulation, run.fault, parts)
         finished = simulation.run(run.duration, time.monotonic() + run.wall_seconds)
-        simulation.knowledge.finish(simulation.queue.now)
-        measured = Measured(simulation, parts, simulation.queue.now, resident_octets() - before, run.alone)
-        return _head(run, simulation, what), [links, *lines(measured)], finished
+        simulation.propagation.finish(simulation.queue.now)
+        measured = RunMeasurements(
+            simulation, parts, simulation.queue.now, resident_octets() - before, run.alone
+        )
+        return _head(run, simulation, what), [links, *report_lines(measured)], finished
     finally:
         gc.enable()
 
@@ -85,7 +87,7 @@
     ]
 
 
-def losses(text: str) -> tuple[float, float, float]:
+def parse_losses(text: str) -> tuple[float, float, float]:
     """One loss for all paths, or three: inside a zone, between zones, between regions."""
     values = [float(part) for part in text.split(",")]
     if len(values) not in (1, 3) or not all(0 <= value < 1 for value in values):
@@ -99,7 +101,7 @@
 @click.option("--minutes", default=2.0, help="Simulated.")
 @click.option("--fault", type=click.Choice([fault.value for fault in Fault]), default=Fault.NONE.value)
 @click.option("--cut-seconds", default=DEFAULT_CUT_SECONDS, help="Of a region's cut or a zone's loss.")
-@click.option("--restarts", default=DEFAULT_RESTARTS_A_MINUTE, help="A minute, of a release.")
+@click.option("--restarts", default=DEFAULT_RESTARTS_PER_MINUTE, help="A minute, of a release.")
 @click.option(
     "--speed-up", default=DEFAULT_SPEED_UP, help="Of an ordinary day's failures and restarts (churn)."
 )
@@ -136,11 +138,11 @@
         return
     fault_terms = FaultTerms(Fault(fault), round(cut_seconds * SECOND), restarts, speed_up)
     duration = round(minutes * 60 * SECOND)
-    network = NetworkTerms.with_loss(*losses(loss))
+    network = NetworkTerms.with_loss(*parse_losses(loss))
     run = FleetRun(fronts, seed, duration, network, fault_terms, membership, preloaded, alone, wall_seconds)
     began = time.monotonic()
     try:
-        head, found, finished = play(run)
+        head, found, finished = simulate(run)
     except (DurationError, TopologyError, NotImplementedError) as error:
         raise click.UsageError(str(error)) from error
     for text in (*head, *(line.show() for line in found)):
@@ -155,7 +157,7 @@
 def _compare_with_sockets(membership: str, front_ends: int, seed: int, processes: int) -> None:
     """Prints the fleet over sockets beside the simulated one; exits 1 where octets differ by more than a tenth."""
     real = socket_loads(run_processes(membership, front_ends, processes, seed), front_ends)
-    found = compare(simulated_loads(IMPLEMENTATIONS[membership], front_ends, seed), real)
+    found = compare_loads(simulated_loads(IMPLEMENTATIONS[membership], front_ends, seed), real)
     click.echo(
         f"membership {membership}, {front_ends} front ends in {processes} processes, means a front end, seed {seed}"
     )
--- a/benchmarks/capacity/fleet_faults.py
+++ b/benchmarks/capacity/fleet_faults.py
@@ -6,37 +6,37 @@
 from enum import Enum
 from random import Random
 
-from benchmarks.capacity.fleet_front import HollowFront
+from benchmarks.capacity.fleet_front import SimulatedFront
 from benchmarks.capacity.fleet_simulation import FleetSimulation
 from oakcroft.interface import MS, SECOND
 
-MINUTE = 60 * SECOND
-DAY = 86_400 * SECOND
+MINUTE_NS = 60 * SECOND
+DAY_NS = 86_400 * SECOND
 
-WHOLE_START_TAKES = 20 * SECOND
+WHOLE_START_NS = 20 * SECOND
 """What happens so soon after a whole start is counted to the start."""
 
-FAULT_BEGINS = 45 * SECOND
+FAULT_BEGIN_NS = 45 * SECOND
 """After a whole start, whose last lists settle by then, and a quiet time."""
 
-FAULT_BEGINS_PRELOADED = 12 * SECOND
+PRELOADED_FAULT_BEGIN_NS = 12 * SECOND
 
-AFTER_LAST_EVENT = 25 * SECOND
+OBSERVATION_NS = 25 * SECOND
 """Left at the end, so that the goal of 20 s to be known everywhere can be judged of each event."""
 
-RACK_SHARE = 10
+RACKS_PER_ZONE = 10
 """A rack or switch takes a tenth of its zone with it."""
 
-RESTART_TAKES = 2 * SECOND
+RESTART_NS = 2 * SECOND
 """Between the last word of a front end's process and the start of the next."""
 
-LAST_WORDS_TAKE = 150 * MS
+LEAVE_NOTICES_NS = 150 * MS
 
-REPAIR_TAKES = 60 * SECOND
+REPAIR_NS = 60 * SECOND
 """After which a failed machine's front end is started again (elsewhere, under its name)."""
 
-FAILURES_A_DAY = 25
-RESTARTS_A_DAY = 600
+FAILURES_PER_DAY = 25
+RESTARTS_PER_DAY = 600
 """The users' figures for an ordinary day."""
 
 
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True)
 class FaultTerms:
-    """A fault and its size. `lasts`: of a region's cut or a zone's loss; `restarts_a_minute`: of a release;
+    """A fault and its size. `duration`: of a region's cut or a zone's loss; `restarts_per_minute`: of a release;
     `speed_up`: of an ordinary day's failures and restarts."""
 
     fault: Fault
-    lasts: int
-    restarts_a_minute: float
+    duration: int
+    restarts_per_minute: float
     speed_up: float
 
 
@@ -77,14 +77,14 @@
 
 def phases(terms: FaultTerms, duration: int, preloaded: bool) -> list[Phase]:
     """The parts of a run: whole start, quiet, fault, and after it."""
-    begins = FAULT_BEGINS_PRELOADED if preloaded else FAULT_BEGINS
-    start_ends = 0 if preloaded else min(duration, WHOLE_START_TAKES)
+    begins = PRELOADED_FAULT_BEGIN_NS if preloaded else FAULT_BEGIN_NS
+    start_ends = 0 if preloaded else min(duration, WHOLE_START_NS)
     parts = [] if preloaded else [Phase("whole start", 0, start_ends)]
     if terms.fault is Fault.NONE:
         return [*parts, Phase("quiet", start_ends, duration)]
     ends = _fault_ends(terms, begins, duration)
-    if ends + AFTER_LAST_EVENT > duration or ends <= begins:
-        least = (begins + AFTER_LAST_EVENT + terms.lasts) / MINUTE
+    if ends + OBSERVATION_NS > duration or ends <= begins:
+        least = (begins + OBSERVATION_NS + terms.duration) / MINUTE_NS
         raise DurationError(f"fault {terms.fault.value} needs {least:.2f} minutes at least")
     parts += [Phase("quiet", start_ends, begins), Phase(terms.fault.value, begins, ends)]
     return [*parts, Phase("after it", ends, duration)]
@@ -92,18 +92,18 @@
 
 def _fault_ends(terms: FaultTerms, begins: int, duration: int) -> int:
     if terms.fault in (Fault.REGION, Fault.ZONE):
-        return begins + terms.lasts
+        return begins + terms.duration
     if terms.fault is Fault.RACK:
-        return begins + AFTER_LAST_EVENT
-    return duration - AFTER_LAST_EVENT
+        return begins + OBSERVATION_NS
+    return duration - OBSERVATION_NS
 
 
-def schedule(simulation: FleetSimulation, terms: FaultTerms, parts: list[Phase]) -> str:
+def schedule_fault(simulation: FleetSimulation, terms: FaultTerms, parts: list[Phase]) -> str:
     """Puts a fault on the simulation's queue; says what it is."""
     if terms.fault is Fault.NONE:
         return "no fault"
     part = next(phase for phase in parts if phase.name == terms.fault.value)
-    return _SCHEDULED_BY[terms.fault](simulation, terms, part)
+    return _SCHEDULERS[terms.fault](simulation, terms, part)
 
 
 def _schedule_region(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
@@ -112,7 +112,7 @@
     simulation.queue.schedule(part.begin, simulation.cut, region)
     simulation.queue.schedule(part.end, simulation.heal, region)
     members = len(topology.region_members(region))
-    return f"region {region + 1} of {members} front ends cut off for {terms.lasts / SECOND:g} s"
+    return f"region {region + 1} of {members} front ends cut off for {terms.duration / SECOND:g} s"
 
 
 def _schedule_zone(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
@@ -123,57 +123,57 @@
         simulation.queue.schedule(part.begin, simulation.crash, front)
         later = chance.randrange(SECOND) if front is not members[0] else 0
         simulation.queue.schedule(part.end + later, simulation.start, front)
-    simulation.queue.schedule(part.begin, simulation.disturbed, "loss of a zone")
-    simulation.queue.schedule(part.end, simulation.disturbed, "return of a zone")
-    return f"zone {zone + 1} of {len(members)} front ends lost, and back after {terms.lasts / SECOND:g} s"
+    simulation.queue.schedule(part.begin, simulation.record_disturbance, "loss of a zone")
+    simulation.queue.schedule(part.end, simulation.record_disturbance, "return of a zone")
+    return f"zone {zone + 1} of {len(members)} front ends lost, and back after {terms.duration / SECOND:g} s"
 
 
 def _schedule_rack(simulation: FleetSimulation, _terms: FaultTerms, part: Phase) -> str:
     zone = simulation.topology.largest_zone()
     members = [simulation.fronts[site.index] for site in simulation.topology.zone_members(zone)]
-    rack = Random(f"rack {simulation.seed}").sample(members, max(1, round(len(members) / RACK_SHARE)))
+    rack = Random(f"rack {simulation.seed}").sample(members, max(1, round(len(members) / RACKS_PER_ZONE)))
     for front in rack:
         simulation.queue.schedule(part.begin, simulation.crash, front)
-    simulation.queue.schedule(part.begin, simulation.disturbed, "loss of a rack")
+    simulation.queue.schedule(part.begin, simulation.record_disturbance, "loss of a rack")
     return f"{len(rack)} of the {len(members)} front ends of zone {zone + 1} killed at once"
 
 
 def _schedule_release(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
     """Zone by zone, as a release goes."""
-    apart = round(MINUTE / terms.restarts_a_minute)
+    apart = round(MINUTE_NS / terms.restarts_per_minute)
     times = range(part.begin, part.end, apart)
     for position, at in enumerate(times):
         front = simulation.fronts[position % len(simulation.fronts)]
         _schedule_restart(simulation, front, at)
     simulation.queue.schedule(
-        times[-1] + LAST_WORDS_TAKE + RESTART_TAKES, simulation.disturbed, "last restart"
+        times[-1] + LEAVE_NOTICES_NS + RESTART_NS, simulation.record_disturbance, "last restart"
     )
-    return f"{len(times)} restarts, {terms.restarts_a_minute:g} a minute, zone by zone"
+    return f"{len(times)} restarts, {terms.restarts_per_minute:g} a minute, zone by zone"
 
 
 def _schedule_churn(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
     chance = Random(f"churn {simulation.seed}")
     span = part.end - part.begin
-    failures = max(1, round(FAILURES_A_DAY * terms.speed_up * span / DAY))
-    restarts = max(1, round(RESTARTS_A_DAY * terms.speed_up * span / DAY))
+    failures = max(1, round(FAILURES_PER_DAY * terms.speed_up * span / DAY_NS))
+    restarts = max(1, round(RESTARTS_PER_DAY * terms.speed_up * span / DAY_NS))
     many = min(failures + restarts, len(simulation.fronts))
     for position, front in enumerate(chance.sample(simulation.fronts, many)):
         at = part.begin + chance.randrange(span)
         if position < failures:
             simulation.queue.schedule(at, simulation.crash, front)
-            simulation.queue.schedule(at + REPAIR_TAKES, simulation.start, front)
+            simulation.queue.schedule(at + REPAIR_NS, simulation.start, front)
         else:
             _schedule_restart(simulation, front, at)
-    simulation.queue.schedule(part.end, simulation.disturbed, "end of churn")
+    simulation.queue.schedule(part.end, simulation.record_disturbance, "end of churn")
     return f"{failures} failures and {many - failures} restarts, an ordinary day's rates times {terms.speed_up:g}"
 
 
-def _schedule_restart(simulation: FleetSimulation, front: HollowFront, at: int) -> None:
+def _schedule_restart(simulation: FleetSimulation, front: SimulatedFront, at: int) -> None:
     simulation.queue.schedule(at, simulation.stop, front)
-    simulation.queue.schedule(at + LAST_WORDS_TAKE + RESTART_TAKES, simulation.start, front)
+    simulation.queue.schedule(at + LEAVE_NOTICES_NS + RESTART_NS, simulation.start, front)
 
 
-_SCHEDULED_BY = {
+_SCHEDULERS = {
     Fault.REGION: _schedule_region,
     Fault.ZONE: _schedule_zone,
     Fault.RACK: _schedule_rack,
--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -11,7 +11,7 @@
 from benchmarks.capacity.fleet_membership import ObservedState, Membership, Outgoing, StreamReply, Transition
 from benchmarks.capacity.topology import Site, Topology
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate, commitment
-from oakcroft.decisions.membership.membership import Membership as FlatState
+from oakcroft.decisions.membership.membership import Membership as CoreMembership
 from oakcroft.decisions.membership.messages import Message, MessageKind
 from oakcroft.interface import SECOND
 from oakcroft.peerwire.membership_codec import MembershipCodec
@@ -20,10 +20,10 @@
 FLEET = "fleet"
 KEY = bytes(32)
 VERSION = "0.34.0"
-STREAMS_AT_ONCE = 8  # peers/speaker.py, MOST_STREAMS
-STREAM_WITHIN = 2 * SECOND  # peers/speaker.py
+MAX_STREAMS = 8  # peers/speaker.py, MOST_STREAMS
+STREAM_TIMEOUT_NS = 2 * SECOND  # peers/speaker.py
 
-STATES = {
+OBSERVED_STATES = {
     "alive": ObservedState.ALIVE,
     "suspected": ObservedState.SUSPECTED,
     "gone": ObservedState.FAILED,
@@ -50,10 +50,10 @@
     message: Message
 
 
-class FlatMembership:
+class FlatMembershipAdapter:
     """One front end's flat membership."""
 
-    def __init__(self, view: FlatState, sizes: FlatSizes) -> None:
+    def __init__(self, view: CoreMembership, sizes: FlatSizes) -> None:
         """A view, and the sizes that all front ends share."""
         self.view = view
         self._sizes = sizes
@@ -79,7 +79,7 @@
         """Another's whole list has come: this one's goes back, as it is after taking that in."""
         self.receive_reply(message, now)
         mine = self.view.full_state()
-        return StreamReply(mine, self._sizes.whole(mine))
+        return StreamReply(mine, self._sizes.full_state(mine))
 
     def receive_reply(self, message: object, now: int) -> None:
         """A whole list has come."""
@@ -100,7 +100,7 @@
     def _outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
             mine = self.view.full_state()
-            return Outgoing(message.address, mine, self._sizes.whole(mine), True)
+            return Outgoing(message.address, mine, self._sizes.full_state(mine), True)
         me = self.view.me
         message, octets = self._sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
@@ -111,13 +111,13 @@
             return ()
         changes, self.view.changes = self.view.changes, []
         me = self.view.me.name
-        return [Transition(c.name, STATES[c.now]) for c in changes if c.name != me]
+        return [Transition(c.name, OBSERVED_STATES[c.now]) for c in changes if c.name != me]
 
-    def lists(self, member: str) -> bool:
+    def is_listed(self, member: str) -> bool:
         """Whether a member is taken to be there."""
         return self.view.state_of(member) in (MemberState.ALIVE, MemberState.SUSPECTED)
 
-    def size(self) -> int:
+    def entry_count(self) -> int:
         """Entries in its list of members."""
         return len(self.view.members)
 
@@ -130,8 +130,8 @@
     """Makes flat memberships and knows their encoding."""
 
     name = "flat"
-    streams_at_once = STREAMS_AT_ONCE
-    stream_within = STREAM_WITHIN
+    max_streams = MAX_STREAMS
+    stream_timeout_ns = STREAM_TIMEOUT_NS
 
     def __init__(self, topology: Topology) -> None:
         """For the fleet of a topology, whose seeds are one front end of each region."""
@@ -139,15 +139,15 @@
         self._sizes = FlatSizes(FLEET)
         self._codec = MembershipCodec(FLEET, KeyRing((KEY,)))
 
-    def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembership:
+    def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembershipAdapter:
         """The membership of one process that starts now."""
         secret = random.randbytes(SECRET_OCTETS)
         me = own_update(site, generation, secret)
-        return FlatMembership(FlatState(me, secret, random, now, self._seeds), self._sizes)
+        return FlatMembershipAdapter(CoreMembership(me, secret, random, now, self._seeds), self._sizes)
 
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
         """Each takes the word of all in, and forgets that it would pass it on."""
-        flat = [membership for membership in memberships if isinstance(membership, FlatMembership)]
+        flat = [membership for membership in memberships if isinstance(membership, FlatMembershipAdapter)]
         everybody = [membership.view.me for membership in flat]
         for position, membership in enumerate(flat):
             other = everybody[position - 1]
--- a/benchmarks/capacity/fleet_flat_sizes.py
+++ b/benchmarks/capacity/fleet_flat_sizes.py
@@ -16,42 +16,42 @@
 from oakcroft.peerwire.sealing import SEAL_LENGTH
 
 FORMAT_OCTETS = 1
-FIXED_ARRAY_MOST = 15
-FIXED_STRING_MOST = 31
-ONE_OCTET_MOST = 0xFF
-TWO_OCTETS_MOST = 0xFFFF
-FOUR_OCTETS_MOST = 0xFFFF_FFFF
-POSITIVE_FIXED_INTEGER_MOST = 0x7F
-MOST_CACHED = 200_000
+MAX_FIXARRAY_LENGTH = 15
+MAX_FIXSTR_LENGTH = 31
+MAX_UINT8 = 0xFF
+MAX_UINT16 = 0xFFFF
+MAX_UINT32 = 0xFFFF_FFFF
+MAX_POSITIVE_FIXINT = 0x7F
+MAX_CACHED = 200_000
 
 
 def integer_octets(value: int) -> int:
     """The octets of an unsigned integer in MessagePack."""
-    if value <= POSITIVE_FIXED_INTEGER_MOST:
+    if value <= MAX_POSITIVE_FIXINT:
         return 1
-    if value <= ONE_OCTET_MOST:
+    if value <= MAX_UINT8:
         return 2
-    if value <= TWO_OCTETS_MOST:
+    if value <= MAX_UINT16:
         return 3
-    return 5 if value <= FOUR_OCTETS_MOST else 9
+    return 5 if value <= MAX_UINT32 else 9
 
 
 def string_octets(text: str) -> int:
     """The octets of a string in MessagePack."""
     length = len(text) if text.isascii() else len(text.encode())
-    if length <= FIXED_STRING_MOST:
+    if length <= MAX_FIXSTR_LENGTH:
         return 1 + length
-    return length + (2 if length <= ONE_OCTET_MOST else 3)
+    return length + (2 if length <= MAX_UINT8 else 3)
 
 
 def binary_octets(octets: bytes) -> int:
     """The octets of a binary value in MessagePack."""
-    return len(octets) + (2 if len(octets) <= ONE_OCTET_MOST else 3)
+    return len(octets) + (2 if len(octets) <= MAX_UINT8 else 3)
 
 
 def array_octets(entries: int) -> int:
     """The octets of an array's header in MessagePack."""
-    return 1 if entries <= FIXED_ARRAY_MOST else 3
+    return 1 if entries <= MAX_FIXARRAY_LENGTH else 3
 
 
 class FlatSizes:
@@ -69,7 +69,7 @@
         known = self._by_identity.get(id(news))
         if known is not None:
             return known[1]
-        if len(self._by_identity) >= MOST_CACHED:
+        if len(self._by_identity) >= MAX_CACHED:
             self._by_identity.clear()
         octets = (
             array_octets(10)
@@ -113,7 +113,7 @@
             message = replace(message, updates=message.updates[:fitting])
         return message, octets
 
-    def whole(self, news: Sequence[MemberUpdate]) -> int:
+    def full_state(self, news: Sequence[MemberUpdate]) -> int:
         """The octets of a whole list by stream, the sender's own word first."""
         sender, rest = news[0], news[1 : 1 + MAX_PARTS * UPDATES_PER_PART]
         each = self._base + self.update(sender) + 1 + 1 + 1 + 1 + 1  # kind, to, its start, about, more
--- a/benchmarks/capacity/fleet_membership.py
+++ b/benchmarks/capacity/fleet_membership.py
@@ -78,10 +78,10 @@
     def take_transitions(self) -> Sequence[Transition]:
         """What has changed since the last call."""
 
-    def lists(self, member: str) -> bool:
+    def is_listed(self, member: str) -> bool:
         """Whether a member is taken to be there."""
 
-    def size(self) -> int:
+    def entry_count(self) -> int:
         """Entries in its list of members."""
 
     def state(self) -> object:
@@ -92,10 +92,10 @@
     """Makes memberships and knows their encoding."""
 
     name: str
-    streams_at_once: int
+    max_streams: int
     """Streams of others that one front end serves at a time; further ones are closed."""
 
-    stream_within: int
+    stream_timeout_ns: int
     """Nanoseconds after which a stream is given up."""
 
     def create(self, site: Site, generation: int, random: Random, now: int) -> Membership:
--- a/benchmarks/capacity/fleet_propagation.py
+++ b/benchmarks/capacity/fleet_propagation.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.fleet_membership import ObservedState
 from oakcroft.interface import MS, SECOND
 
-RESOLUTION = 10 * MS
+RESOLUTION_NS = 10 * MS
 
 
 class EventKind(Enum):
@@ -20,7 +20,7 @@
     START = "start"
 
 
-TOLD_BY = {
+STATES_BY_EVENT = {
     EventKind.CRASH: (ObservedState.FAILED, ObservedState.UNREACHABLE),
     EventKind.STOP: (ObservedState.LEFT, ObservedState.FAILED, ObservedState.UNREACHABLE),
     EventKind.START: (ObservedState.ALIVE,),
@@ -28,7 +28,7 @@
 
 
 class Durations:
-    """A distribution of durations in steps of `RESOLUTION`. `missing`: those that did not end in time."""
+    """A distribution of durations in steps of `RESOLUTION_NS`. `missing`: those that did not end in time."""
 
     def __init__(self) -> None:
         """None so far."""
@@ -37,7 +37,7 @@
 
     def add(self, duration: int) -> None:
         """One duration."""
-        self._counts[duration // RESOLUTION] += 1
+        self._counts[duration // RESOLUTION_NS] += 1
 
     @property
     def count(self) -> int:
@@ -51,15 +51,15 @@
         for step in sorted(self._counts):
             passed += self._counts[step]
             if passed > wanted:
-                return (step + 1) * RESOLUTION / SECOND
+                return (step + 1) * RESOLUTION_NS / SECOND
         return float("inf")
 
     @property
-    def most(self) -> float:
+    def longest(self) -> float:
         """The longest, in seconds."""
         if self.missing:
             return float("inf")
-        return (max(self._counts) + 1) * RESOLUTION / SECOND if self._counts else 0.0
+        return (max(self._counts) + 1) * RESOLUTION_NS / SECOND if self._counts else 0.0
 
 
 class _Event:
@@ -72,7 +72,7 @@
         self.waiting = set(waiting)  # only asked for membership and counted: its order tells nothing
 
 
-class Knowledge:
+class PropagationTracker:
     """All events that are not known everywhere yet, the last of each member."""
 
     def __init__(self, zone_of: Callable[[int], int], overdue_after: int) -> None:
@@ -82,15 +82,15 @@
         self.everywhere = {kind: Durations() for kind in EventKind}
         self.crash_in_own_zone = Durations()
 
-    def happened(self, member: int, kind: EventKind, now: int, observers: Iterable[int]) -> None:
+    def record_event(self, member: int, kind: EventKind, now: int, observers: Iterable[int]) -> None:
         """From now on these observers are to learn it."""
         self._close(member, now)
         self._open[member] = _Event(kind, now, self._zone_of(member), observers)
 
-    def learnt(self, observer: int, member: int, state: ObservedState, now: int) -> None:
+    def record_observation(self, observer: int, member: int, state: ObservedState, now: int) -> None:
         """An observer's list says so of a member."""
         event = self._open.get(member)
-        if event is None or state not in TOLD_BY[event.kind] or observer not in event.waiting:
+        if event is None or state not in STATES_BY_EVENT[event.kind] or observer not in event.waiting:
             return
         event.waiting.discard(observer)
         self.everywhere[event.kind].add(now - event.at)
--- a/benchmarks/capacity/fleet_report.py
+++ b/benchmarks/capacity/fleet_report.py
@@ -8,27 +8,27 @@
 
 from benchmarks.capacity import fleet_budgets as budgets
 from benchmarks.capacity.fleet_faults import Phase
-from benchmarks.capacity.fleet_front import HollowFront
+from benchmarks.capacity.fleet_front import SimulatedFront
 from benchmarks.capacity.fleet_propagation import Durations, EventKind
 from benchmarks.capacity.fleet_memory import private_octets
-from benchmarks.capacity.fleet_simulation import SHOWN_FALSE_FAILURES, FleetSimulation
-from benchmarks.capacity.fleet_traffic import BUCKET, WINDOW, busiest_window, mean_rate
+from benchmarks.capacity.fleet_simulation import MAX_SHOWN_FALSE_FAILURES, FleetSimulation
+from benchmarks.capacity.fleet_traffic import BUCKET_NS, WINDOW_NS, busiest_window, mean_rate
 from benchmarks.capacity.network_check import LinkSample
 from oakcroft.interface import SECOND
 
-KILOBYTE = 1_000
-MEGABYTE = 1_000_000
-MICROSECOND = 1_000
-FIRST_SECONDS = 10 * SECOND
+KILOBYTE_OCTETS = 1_000
+MEGABYTE_OCTETS = 1_000_000
+MICROSECOND_NS = 1_000
+PHASE_START_NS = 10 * SECOND
 
-HOST_NANOSECONDS_A_DATAGRAM = 250_000
+HOST_NS_PER_DATAGRAM = 250_000
 """System calls, tasks and timers of one datagram sent or received, which a simulation doesn't have. Measured by
 `fleet --sockets --fronts 120 --processes 6` in its quiet part: 0.392% of a core a front end at 6.67 datagrams a second
 each way, of which decisions and coding are 0.059%; 207,000 in the whole start."""
 
 
 @dataclass(frozen=True)
-class Line:
+class ReportLine:
     """One line of the report. `met`: whether its budget or goal is; None where it has none, or was not judged."""
 
     name: str
@@ -42,17 +42,17 @@
 
 
 @dataclass(frozen=True)
-class Measured:
-    """What a run leaves beside the simulation itself. `ended`: how far it came; `resident`: octets it took."""
+class RunMeasurements:
+    """What a run leaves beside the simulation itself. `ended_at`: how far it came; `resident_octets`: memory it took."""
 
     simulation: FleetSimulation
     phases: Sequence[Phase]
-    ended: int
-    resident: int
+    ended_at: int
+    resident_octets: int
     alone: bool
 
 
-def lines(measured: Measured) -> list[Line]:
+def report_lines(measured: RunMeasurements) -> list[ReportLine]:
     """All lines."""
     found = [*_traffic_lines(measured), *_phase_lines(measured), _processor_line(measured)]
     found += _memory_lines(measured)
@@ -60,95 +60,100 @@
     return [*found, *_settling_lines(measured.simulation), *_failure_lines(measured.simulation)]
 
 
-def link_line(samples: Sequence[LinkSample]) -> Line:
+def link_line(samples: Sequence[LinkSample]) -> ReportLine:
     """What the links did, beside what is stated of them."""
     wrong = [sample.kind for sample in samples if not sample.as_stated()]
     text = "; ".join(sample.show() for sample in samples)
     if wrong:
         text += f"; not as stated: {', '.join(wrong)}"
-    return Line("links", text, not wrong)
+    return ReportLine("links", text, not wrong)
 
 
-def _traffic_lines(measured: Measured) -> list[Line]:
+def _traffic_lines(measured: RunMeasurements) -> list[ReportLine]:
     fronts = measured.simulation.fronts
-    ways = {"sent": [f.traffic.sent for f in fronts], "received": [f.traffic.received for f in fronts]}
+    ways = {
+        "sent": [f.traffic.sent_buckets for f in fronts],
+        "received": [f.traffic.received_buckets for f in fronts],
+    }
     found = []
     for way, buckets in ways.items():
-        rates = [mean_rate(own, 0, measured.ended) for own in buckets]
-        worst = busiest_window(buckets, 0, measured.ended)
-        met = worst.rate <= budgets.OCTETS_A_SECOND
+        rates = [mean_rate(own, 0, measured.ended_at) for own in buckets]
+        worst = busiest_window(buckets, 0, measured.ended_at)
+        met = worst.octets_per_second <= budgets.MAX_OCTETS_PER_SECOND
         text = (
-            f"median {median(rates) / KILOBYTE:.2f}, worst front {max(rates) / KILOBYTE:.2f}, worst ten seconds of any "
-            f"{worst.rate / KILOBYTE:.2f} ({fronts[worst.index].site.name} from {worst.began / SECOND:.1f} s); "
-            f"budget {budgets.OCTETS_A_SECOND / KILOBYTE:g}"
+            f"median {median(rates) / KILOBYTE_OCTETS:.2f}, worst front {max(rates) / KILOBYTE_OCTETS:.2f}, worst ten seconds of any "
+            f"{worst.octets_per_second / KILOBYTE_OCTETS:.2f} ({fronts[worst.front_index].site.name} from {worst.began_at / SECOND:.1f} s); "
+            f"budget {budgets.MAX_OCTETS_PER_SECOND / KILOBYTE_OCTETS:g}"
         )
-        found.append(Line(f"kB/s {way}", text, met))
+        found.append(ReportLine(f"kB/s {way}", text, met))
     sent = sum(sum(own) for own in ways["sent"])
     headers = sum(f.traffic.header_octets for f in fronts)
     datagrams = sum(f.traffic.datagrams_sent for f in fronts)
-    rate = datagrams * SECOND / max(1, measured.ended) / len(fronts)
+    rate = datagrams * SECOND / max(1, measured.ended_at) / len(fronts)
     share = headers / sent if sent else 0.0
     found.append(
-        Line(
+        ReportLine(
             "datagrams", f"{rate:.1f} a second a front; UDP, TCP and IP headers are {share:.0%} of the octets"
         )
     )
     return found
 
 
-def _phase_lines(measured: Measured) -> list[Line]:
+def _phase_lines(measured: RunMeasurements) -> list[ReportLine]:
     fronts = measured.simulation.fronts
-    buckets = [f.traffic.sent for f in fronts]
+    buckets = [f.traffic.sent_buckets for f in fronts]
     found = []
     for phase in measured.phases:
-        end = min(phase.end, measured.ended)
+        end = min(phase.end, measured.ended_at)
         if end <= phase.begin:
             continue
         rates = [mean_rate(own, phase.begin, end) for own in buckets]
-        worst = busiest_window(buckets, phase.begin, max(phase.begin + BUCKET, end - WINDOW + BUCKET))
-        first = [mean_rate(own, phase.begin, min(end, phase.begin + FIRST_SECONDS)) for own in buckets]
+        worst = busiest_window(
+            buckets, phase.begin, max(phase.begin + BUCKET_NS, end - WINDOW_NS + BUCKET_NS)
+        )
+        first = [mean_rate(own, phase.begin, min(end, phase.begin + PHASE_START_NS)) for own in buckets]
         text = (
-            f"{phase.begin / SECOND:g} to {end / SECOND:g} s: mean {sum(rates) / len(rates) / KILOBYTE:.2f}, first ten "
-            f"seconds' mean {sum(first) / len(first) / KILOBYTE:.2f}, worst ten seconds {worst.rate / KILOBYTE:.2f}"
+            f"{phase.begin / SECOND:g} to {end / SECOND:g} s: mean {sum(rates) / len(rates) / KILOBYTE_OCTETS:.2f}, first ten "
+            f"seconds' mean {sum(first) / len(first) / KILOBYTE_OCTETS:.2f}, worst ten seconds {worst.octets_per_second / KILOBYTE_OCTETS:.2f}"
         )
-        found.append(Line(f"  kB/s sent, {phase.name}", text))
+        found.append(ReportLine(f"  kB/s sent, {phase.name}", text))
     return found
 
 
-def _processor_time(front: HollowFront, simulation: FleetSimulation) -> float:
+def _processor_time(front: SimulatedFront, simulation: FleetSimulation) -> float:
     """Nanoseconds of decisions as measured, and of coding and the host's work as reckoned from the datagrams."""
     sent, received = front.traffic.datagrams_sent, front.traffic.datagrams_received
-    coding = simulation.sampling.coding_nanoseconds(sent, received)
-    return front.busy + coding + (sent + received) * HOST_NANOSECONDS_A_DATAGRAM
+    coding = simulation.sampler.coding_ns(sent, received)
+    return front.busy_ns + coding + (sent + received) * HOST_NS_PER_DATAGRAM
 
 
-def _processor_line(measured: Measured) -> Line:
+def _processor_line(measured: RunMeasurements) -> ReportLine:
     simulation = measured.simulation
-    shares = [_processor_time(front, simulation) / max(1, measured.ended) for front in simulation.fronts]
-    decisions = sum(front.busy for front in simulation.fronts) / max(1, measured.ended) / len(shares)
+    shares = [_processor_time(front, simulation) / max(1, measured.ended_at) for front in simulation.fronts]
+    decisions = sum(front.busy_ns for front in simulation.fronts) / max(1, measured.ended_at) / len(shares)
     text = (
         f"median {median(shares):.2%}, worst front {max(shares):.2%}: decisions (mean {decisions:.2%}), coding by "
-        f"{simulation.sampling.samples} samples, and {HOST_NANOSECONDS_A_DATAGRAM / MICROSECOND:g} us of system "
-        f"calls and tasks a datagram; budget {budgets.SHARE_OF_A_CORE:.0%}"
+        f"{simulation.sampler.samples} samples, and {HOST_NS_PER_DATAGRAM / MICROSECOND_NS:g} us of system "
+        f"calls and tasks a datagram; budget {budgets.MAX_CORE_SHARE:.0%}"
     )
     if not measured.alone:
-        return Line("share of a core", f"{text}; not alone, not judged")
-    return Line("share of a core", f"{text}; alone", max(shares) <= budgets.SHARE_OF_A_CORE)
+        return ReportLine("share of a core", f"{text}; not alone, not judged")
+    return ReportLine("share of a core", f"{text}; alone", max(shares) <= budgets.MAX_CORE_SHARE)
 
 
-def _memory_lines(measured: Measured) -> list[Line]:
+def _memory_lines(measured: RunMeasurements) -> list[ReportLine]:
     running = [f.membership for f in measured.simulation.fronts if f.membership is not None]
-    by_size = sorted(running, key=lambda membership: membership.size())
+    by_size = sorted(running, key=lambda membership: membership.entry_count())
     middle, largest = by_size[len(by_size) // 2], by_size[-1]
-    worst = private_octets(largest.state()) / MEGABYTE
+    worst = private_octets(largest.state()) / MEGABYTE_OCTETS
     text = (
-        f"state of its own: median {private_octets(middle.state()) / MEGABYTE:.2f} ({middle.size()} members), largest "
-        f"{worst:.2f} ({largest.size()}); budget {budgets.MEGABYTES:g}"
+        f"state of its own: median {private_octets(middle.state()) / MEGABYTE_OCTETS:.2f} ({middle.entry_count()} members), largest "
+        f"{worst:.2f} ({largest.entry_count()}); budget {budgets.MAX_MEMORY_MEGABYTES:g}"
     )
-    shared = measured.resident / len(measured.simulation.fronts) / MEGABYTE
+    shared = measured.resident_octets / len(measured.simulation.fronts) / MEGABYTE_OCTETS
     return [
-        Line("MB a front", text, worst <= budgets.MEGABYTES),
-        Line(
+        ReportLine("MB a front", text, worst <= budgets.MAX_MEMORY_MEGABYTES),
+        ReportLine(
             "  resident",
             f"{shared:.2f} MB a front in this one process, where they share what they have heard",
         ),
@@ -158,34 +163,34 @@
 def _durations(durations: Durations) -> str:
     missing = f", {durations.missing} never" if durations.missing else ""
     return (
-        f"p50 {durations.quantile(0.5):.2f} s, p99 {durations.quantile(0.99):.2f} s, most {durations.most:.2f} s "
+        f"p50 {durations.quantile(0.5):.2f} s, p99 {durations.quantile(0.99):.2f} s, most {durations.longest:.2f} s "
         f"({durations.count} cases{missing})"
     )
 
 
-def _knowledge_lines(simulation: FleetSimulation) -> list[Line]:
-    own, known = simulation.knowledge.crash_in_own_zone, simulation.knowledge.everywhere
+def _knowledge_lines(simulation: FleetSimulation) -> list[ReportLine]:
+    own, known = simulation.propagation.crash_in_own_zone, simulation.propagation.everywhere
     found = []
     if own.count:
-        met = own.quantile(0.99) <= budgets.OWN_ZONE_WITHIN
-        text = f"{_durations(own)}; goal {budgets.OWN_ZONE_WITHIN:g} s p99"
-        found.append(Line("detection, own zone", text, met))
+        met = own.quantile(0.99) <= budgets.OWN_ZONE_DETECTION_SECONDS
+        text = f"{_durations(own)}; goal {budgets.OWN_ZONE_DETECTION_SECONDS:g} s p99"
+        found.append(ReportLine("detection, own zone", text, met))
     crash = known[EventKind.CRASH]
     if crash.count:
-        met = crash.most <= budgets.EVERYWHERE_WITHIN
-        text = f"{_durations(crash)}; goal {budgets.EVERYWHERE_WITHIN:g} s"
-        found.append(Line("detection, everywhere", text, met))
+        met = crash.longest <= budgets.FLEET_DETECTION_SECONDS
+        text = f"{_durations(crash)}; goal {budgets.FLEET_DETECTION_SECONDS:g} s"
+        found.append(ReportLine("detection, everywhere", text, met))
     else:
-        found.append(Line("detection", "no crash in this run"))
+        found.append(ReportLine("detection", "no crash in this run"))
     for kind in (EventKind.START, EventKind.STOP):
         if known[kind].count:
-            found.append(Line(f"propagation, {kind.value}", _durations(known[kind])))
+            found.append(ReportLine(f"propagation, {kind.value}", _durations(known[kind])))
     if len(found) == 1 and not crash.count:
-        found.append(Line("propagation", "no start and no stop after the whole start"))
+        found.append(ReportLine("propagation", "no start and no stop after the whole start"))
     return found
 
 
-def _settling_lines(simulation: FleetSimulation) -> list[Line]:
+def _settling_lines(simulation: FleetSimulation) -> list[ReportLine]:
     """How long after each disturbance all lists agreed with who ran, and whether they do at the end.
 
     No goal names a time for it; that it happens in the run is wanted. Goals for a crash are those of detection.
@@ -193,24 +198,27 @@
     agreement = simulation.agreement
     found = []
     for disturbance in agreement.disturbances:
-        name = f"settling, {disturbance.what}"
+        name = f"settling, {disturbance.description}"
         if disturbance.settled_at is None:
-            found.append(Line(name, f"not settled since {disturbance.at / SECOND:g} s", False))
+            found.append(ReportLine(name, f"not settled since {disturbance.occurred_at / SECOND:g} s", False))
             continue
-        took = disturbance.settled_at - disturbance.at
-        found.append(Line(name, f"{took / SECOND:.2f} s after {disturbance.at / SECOND:g} s", True))
-    share = agreement.wrong / max(1, agreement.pairs())
-    text = f"{agreement.wrong} entries of lists are wrong ({share:.3%})"
-    return [*found, Line("agreement at the end", text, agreement.wrong == 0)]
+        took = disturbance.settled_at - disturbance.occurred_at
+        found.append(
+            ReportLine(name, f"{took / SECOND:.2f} s after {disturbance.occurred_at / SECOND:g} s", True)
+        )
+    share = agreement.wrong_entries / max(1, agreement.pair_count())
+    text = f"{agreement.wrong_entries} entries of lists are wrong ({share:.3%})"
+    return [*found, ReportLine("agreement at the end", text, agreement.wrong_entries == 0)]
 
 
-def _failure_lines(simulation: FleetSimulation) -> list[Line]:
+def _failure_lines(simulation: FleetSimulation) -> list[ReportLine]:
     false = simulation.false_failures
     shown = "".join(
-        f"; {one.observer} of {one.member} at {one.at / SECOND:.1f} s" for one in false[:SHOWN_FALSE_FAILURES]
+        f"; {one.observer} of {one.member} at {one.at / SECOND:.1f} s"
+        for one in false[:MAX_SHOWN_FALSE_FAILURES]
     )
     text = (
         f"{len(false)} verdicts{shown}; apart from these {simulation.failed_across_cut} across a cut and "
-        f"{simulation.failed_of_former_process} of a process before"
+        f"{simulation.failed_previous_process} of a process before"
     )
-    return [Line("living called failed", text, not false)]
+    return [ReportLine("living called failed", text, not false)]
--- a/benchmarks/capacity/fleet_sockets.py
+++ b/benchmarks/capacity/fleet_sockets.py
@@ -18,27 +18,27 @@
 import msgspec
 
 from benchmarks.capacity.fleet_flat import FlatImplementation
-from benchmarks.capacity.fleet_front import HollowFront
+from benchmarks.capacity.fleet_front import SimulatedFront
 from benchmarks.capacity.fleet_membership import Implementation
 from benchmarks.capacity.fleet_memory import private_octets
-from benchmarks.capacity.fleet_report import MICROSECOND, Line
+from benchmarks.capacity.fleet_report import MICROSECOND_NS, ReportLine
 from benchmarks.capacity.fleet_simulation import FleetSimulation
 from benchmarks.capacity.fleet_socket_messages import HostResult, HostTask
 from benchmarks.capacity.network import LinkTerms, NetworkTerms
 from benchmarks.capacity.topology import LOOPBACK_NETWORK, Topology
 from oakcroft.interface import MS, SECOND
 
-MOST_PROCESSES = 64
+MAX_PROCESSES = 64
 START_SECONDS = 20.0
 QUIET_SECONDS = 20.0
-READY_WITHIN = 60.0
-RESULT_SLACK = 60.0
+READY_TIMEOUT_SECONDS = 60.0
+RESULT_SLACK_SECONDS = 60.0
 """Seconds beyond the time that a process's front ends run."""
 
-LOOPBACK = LinkTerms(MS // 20, MS // 2, 0.0)
+LOOPBACK_LINK = LinkTerms(MS // 20, MS // 2, 0.0)
 """Loopback between busy processes: some tenths of a millisecond, and nothing is lost."""
 
-DIFFERENCE_ALLOWED = 0.1
+MAX_RELATIVE_DIFFERENCE = 0.1
 """Streams of the quiet part are told and not judged by themselves: with some forty of them chance alone makes a
 sixth; all octets together are judged."""
 
@@ -51,15 +51,15 @@
 class Load:
     """Means a front end over one part of a run. `processor`: share of a core."""
 
-    datagrams_a_second: float
-    datagram_octets_a_second: float
-    stream_octets_a_second: float
+    datagrams_per_second: float
+    datagram_octets_per_second: float
+    stream_octets_per_second: float
     processor: float
 
     @property
-    def octets_a_second(self) -> float:
+    def octets_per_second(self) -> float:
         """Datagrams and streams."""
-        return self.datagram_octets_a_second + self.stream_octets_a_second
+        return self.datagram_octets_per_second + self.stream_octets_per_second
 
 
 @dataclass(frozen=True)
@@ -113,8 +113,8 @@
 
 def run_processes(membership: str, front_ends: int, processes: int, seed: int) -> list[HostResult]:
     """Plays the fleet over sockets. SocketFleetError where a process fails."""
-    if not 0 < processes <= MOST_PROCESSES:
-        raise SocketFleetError(f"{processes} processes; 1 to {MOST_PROCESSES} are allowed")
+    if not 0 < processes <= MAX_PROCESSES:
+        raise SocketFleetError(f"{processes} processes; 1 to {MAX_PROCESSES} are allowed")
     with tempfile.TemporaryDirectory() as folder:
         key_file = Path(folder) / "peers.key"
         key_file.write_text(secrets.token_hex(32), encoding="ascii")
@@ -132,7 +132,7 @@
 
 def _result(process: subprocess.Popen[str]) -> HostResult:
     try:
-        text, _ = process.communicate(timeout=START_SECONDS + QUIET_SECONDS + RESULT_SLACK)
+        text, _ = process.communicate(timeout=START_SECONDS + QUIET_SECONDS + RESULT_SLACK_SECONDS)
     except subprocess.TimeoutExpired as late:
         raise SocketFleetError(f"process {process.pid} did not end in time") from late
     if not text.strip():
@@ -168,27 +168,27 @@
         self.datagram_octets = sum(one.datagram_octets for one in traffic)
         self.stream_octets = sum(one.stream_octets for one in traffic)
         received = sum(one.datagrams_received for one in traffic)
-        coding = simulation.sampling.coding_nanoseconds(self.datagrams, received)
-        self.busy = sum(front.busy for front in simulation.fronts) + coding
+        coding = simulation.sampler.coding_ns(self.datagrams, received)
+        self.busy_ns = sum(front.busy_ns for front in simulation.fronts) + coding
 
     def load(self, before: _Totals | None, front_ends: int, took: float) -> Load:
         """The means since an earlier time."""
         base = (0, 0, 0, 0.0)
         if before is not None:
-            base = (before.datagrams, before.datagram_octets, before.stream_octets, before.busy)
+            base = (before.datagrams, before.datagram_octets, before.stream_octets, before.busy_ns)
         each = front_ends * took
         return Load(
             (self.datagrams - base[0]) / each,
             (self.datagram_octets - base[1]) / each,
             (self.stream_octets - base[2]) / each,
-            (self.busy - base[3]) / SECOND / each,
+            (self.busy_ns - base[3]) / SECOND / each,
         )
 
 
 def simulated_loads(make: Callable[[Topology], Implementation], front_ends: int, seed: int) -> FleetLoads:
     """The same fleet on simulated links as fast as loopback."""
     topology = Topology(front_ends, first_octet=LOOPBACK_NETWORK)
-    terms = NetworkTerms(LOOPBACK, LOOPBACK, LOOPBACK, 0)
+    terms = NetworkTerms(LOOPBACK_LINK, LOOPBACK_LINK, LOOPBACK_LINK, 0)
     started_at, ended_at = round(START_SECONDS * SECOND), round((START_SECONDS + QUIET_SECONDS) * SECOND)
     simulation = FleetSimulation(topology, terms, make(topology), seed, ended_at)
     simulation.start_all()
@@ -206,20 +206,20 @@
     )
 
 
-def _state(front: HollowFront) -> object:
+def _state(front: SimulatedFront) -> object:
     assert front.membership is not None
     return front.membership.state()
 
 
-def _listed_in_pool(front: HollowFront, topology: Topology, implementation: Implementation) -> int:
+def _listed_in_pool(front: SimulatedFront, topology: Topology, implementation: Implementation) -> int:
     """How many a front end lists of those that its flat membership is for: the fleet, or its zone."""
     assert front.membership is not None
     is_flat = implementation.name == FlatImplementation.name
     pool = topology.sites if is_flat else topology.zone_members(front.site.zone)
-    return sum(front.membership.lists(site.name) for site in pool)
+    return sum(front.membership.is_listed(site.name) for site in pool)
 
 
-def compare(simulated: FleetLoads, real: FleetLoads) -> list[Line]:
+def compare_loads(simulated: FleetLoads, real: FleetLoads) -> list[ReportLine]:
     """Both beside each other. Octets and datagrams are judged; processor time and memory are told."""
     found = []
     for part, one, other in (
@@ -227,36 +227,39 @@
         ("quiet", simulated.quiet, real.quiet),
     ):
         found += [
-            _line(f"{part}, datagrams/s", one.datagrams_a_second, other.datagrams_a_second, True),
+            _line(f"{part}, datagrams/s", one.datagrams_per_second, other.datagrams_per_second, True),
             _line(
-                f"{part}, datagram B/s", one.datagram_octets_a_second, other.datagram_octets_a_second, True
+                f"{part}, datagram B/s",
+                one.datagram_octets_per_second,
+                other.datagram_octets_per_second,
+                True,
             ),
             _line(
                 f"{part}, stream B/s",
-                one.stream_octets_a_second,
-                other.stream_octets_a_second,
+                one.stream_octets_per_second,
+                other.stream_octets_per_second,
                 part == "start",
             ),
-            _line(f"{part}, all B/s", one.octets_a_second, other.octets_a_second, True),
+            _line(f"{part}, all B/s", one.octets_per_second, other.octets_per_second, True),
             _line(f"{part}, % of a core", 100 * one.processor, 100 * other.processor, False),
             _host_line(f"{part}, host's work", one, other),
         ]
     found.append(_line("memory, kB", simulated.state_octets / 1e3, real.state_octets / 1e3, False))
-    found.append(Line("members listed", f"simulated {simulated.members}, sockets {real.members}"))
+    found.append(ReportLine("members listed", f"simulated {simulated.members}, sockets {real.members}"))
     return found
 
 
-def _host_line(name: str, simulated: Load, real: Load) -> Line:
+def _host_line(name: str, simulated: Load, real: Load) -> ReportLine:
     """What the simulation leaves out: system calls, tasks and timers."""
-    each_way = 2 * real.datagrams_a_second
-    cost = (real.processor - simulated.processor) / each_way * SECOND / MICROSECOND if each_way else 0.0
-    return Line(name, f"{cost:.0f} us a datagram sent or received, which the simulation does not have")
+    each_way = 2 * real.datagrams_per_second
+    cost = (real.processor - simulated.processor) / each_way * SECOND / MICROSECOND_NS if each_way else 0.0
+    return ReportLine(name, f"{cost:.0f} us a datagram sent or received, which the simulation does not have")
 
 
-def _line(name: str, simulated: float, real: float, judged: bool) -> Line:
+def _line(name: str, simulated: float, real: float, judged: bool) -> ReportLine:
     difference = simulated / real - 1 if real else float("inf") if simulated else 0.0
-    within = abs(difference) <= DIFFERENCE_ALLOWED
+    within = abs(difference) <= MAX_RELATIVE_DIFFERENCE
     text = f"simulated {simulated:.3f}, sockets {real:.3f}, difference {difference:+.1%}"
     if not judged:
-        return Line(name, text + ("" if within else "; over 10%, not judged"))
-    return Line(name, text, within)
+        return ReportLine(name, text + ("" if within else "; over 10%, not judged"))
+    return ReportLine(name, text, within)
--- a/benchmarks/capacity/fleet_streams.py
+++ b/benchmarks/capacity/fleet_streams.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from benchmarks.capacity.fleet_front import HollowFront
+from benchmarks.capacity.fleet_front import SimulatedFront
 from benchmarks.capacity.fleet_membership import Implementation, Outgoing, StreamReply
 from benchmarks.capacity.network import CONNECTION_SEGMENTS, TCP_HEADER_OCTETS, EventQueue, Network
 from benchmarks.capacity.topology import Topology
@@ -16,20 +16,20 @@
 class _Stream:
     """One connection, and which process stood at each end when it was opened."""
 
-    client: HollowFront
+    client: SimulatedFront
     client_process: int
-    server: HollowFront
+    server: SimulatedFront
     server_process: int
     deadline: int
 
     def client_runs(self) -> bool:
-        return self.client.membership is not None and self.client.process == self.client_process
+        return self.client.membership is not None and self.client.process_count == self.client_process
 
     def server_runs(self) -> bool:
-        return self.server.membership is not None and self.server.process == self.server_process
+        return self.server.membership is not None and self.server.process_count == self.server_process
 
 
-class Streams:
+class StreamSimulator:
     """Carries all streams of a fleet. `after_call`: what is done after each call of a membership."""
 
     def __init__(
@@ -37,15 +37,15 @@
         queue: EventQueue,
         network: Network,
         topology: Topology,
-        fronts: Sequence[HollowFront],
+        fronts: Sequence[SimulatedFront],
         implementation: Implementation,
-        after_call: Callable[[HollowFront], None],
+        after_call: Callable[[SimulatedFront], None],
     ) -> None:
         """Between these front ends, on this network."""
         self._queue, self._network, self._topology = queue, network, topology
         self._fronts, self._implementation, self._after_call = fronts, implementation, after_call
 
-    def open(self, client: HollowFront, request: Outgoing) -> None:
+    def open(self, client: SimulatedFront, request: Outgoing) -> None:
         """Connects to an address; the request follows once the connection stands."""
         now = self._queue.now
         site = self._topology.by_address.get(request.address)
@@ -60,18 +60,18 @@
         for end in (client, server):
             end.traffic.stream_sent(now, 0, headers)
             end.traffic.stream_received(now, headers)
-        deadline = now + self._implementation.stream_within
-        stream = _Stream(client, client.process, server, server.process, deadline)
+        deadline = now + self._implementation.stream_timeout_ns
+        stream = _Stream(client, client.process_count, server, server.process_count, deadline)
         self._queue.schedule(now + there.delay + back.delay, self._send_request, stream, request)
 
     def _send_request(self, stream: _Stream, request: Outgoing) -> None:
         if not stream.client_runs() or not stream.server_runs():
             return
-        if stream.server.streams >= self._implementation.streams_at_once:
+        if stream.server.open_streams >= self._implementation.max_streams:
             return
         delay = self._transfer(stream.client, stream.server, request.octets)
         if delay is not None and self._queue.now + delay <= stream.deadline:
-            stream.server.streams += 1
+            stream.server.open_streams += 1
             self._queue.schedule(self._queue.now + delay, self._answer, stream, request.message)
 
     def _answer(self, stream: _Stream, message: object) -> None:
@@ -80,7 +80,7 @@
             return
         began = time.perf_counter_ns()
         reply = server.membership.answer_stream(message, now)
-        server.busy += time.perf_counter_ns() - began
+        server.busy_ns += time.perf_counter_ns() - began
         self._after_call(server)
         delay = self._transfer(server, stream.client, reply.octets) if reply is not None else None
         done = stream.deadline if delay is None else min(stream.deadline, now + delay)
@@ -90,7 +90,7 @@
 
     def _close(self, stream: _Stream) -> None:
         if stream.server_runs():
-            stream.server.streams -= 1
+            stream.server.open_streams -= 1
 
     def _receive_reply(self, stream: _Stream, reply: StreamReply) -> None:
         client = stream.client
@@ -98,10 +98,10 @@
             return
         began = time.perf_counter_ns()
         client.membership.receive_reply(reply.message, self._queue.now)
-        client.busy += time.perf_counter_ns() - began
+        client.busy_ns += time.perf_counter_ns() - began
         self._after_call(client)
 
-    def _transfer(self, sender: HollowFront, receiver: HollowFront, octets: int) -> int | None:
+    def _transfer(self, sender: SimulatedFront, receiver: SimulatedFront, octets: int) -> int | None:
         """Sends octets on an open stream; how long they take, None across a cut."""
         transfer = self._network.stream_transfer(sender.site, receiver.site, octets)
         if transfer is None:
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -11,9 +11,9 @@
     FLEET,
     KEY,
     SECRET_OCTETS,
-    STATES,
-    STREAM_WITHIN,
-    STREAMS_AT_ONCE,
+    OBSERVED_STATES,
+    STREAM_TIMEOUT_NS,
+    MAX_STREAMS,
     own_update,
     FlatDatagram,
 )
@@ -31,10 +31,10 @@
 from oakcroft.peerwire.sealing import KeyRing
 from oakcroft.peerwire.zone_codec import ZONE_FORMAT, ZoneCodec
 
-SEEDS_A_ZONE = 4
+SEEDS_PER_ZONE = 4
 """Configured for each zone. In a whole start all of a zone ask its seeds first: with two of them for 135 front ends the
 busiest seed sent 10.3 and received 14.6 kB/s in ten seconds (2,700 front ends, seed 1, simulated)."""
-MOST_CACHED_SIZES = 100_000
+MAX_CACHED_SIZES = 100_000
 
 REMOTE_STATES = {
     RemoteState.ALIVE.value: ObservedState.ALIVE,
@@ -45,7 +45,7 @@
 }
 """A member of another zone that nothing is told of is taken to be there, as one of those that its zone counts."""
 
-ABSENT_REMOTELY = (RemoteState.FAILED, RemoteState.LEFT, RemoteState.UNKNOWN)
+ABSENT_REMOTE_STATES = (RemoteState.FAILED, RemoteState.LEFT, RemoteState.UNKNOWN)
 
 
 class ZoneDatagram(msgspec.Struct, frozen=True, gc=False):
@@ -67,7 +67,7 @@
         """The octets of one datagram, seal included."""
         known = self._by_identity.get(id(message))
         if known is None:
-            if len(self._by_identity) >= MOST_CACHED_SIZES:
+            if len(self._by_identity) >= MAX_CACHED_SIZES:
                 self._by_identity.clear()
             known = (message, len(self._codec.encode(sender, message)) - _sender_octets(sender))
             self._by_identity[id(message)] = known
@@ -79,7 +79,7 @@
     return texts + integer_octets(sender.generation) + integer_octets(sender.port)
 
 
-class HollowZonedMembership:
+class ZonedMembershipAdapter:
     """One front end's membership of two layers."""
 
     def __init__(self, state: ZonedMembership, fleet: ZonedImplementation) -> None:
@@ -117,7 +117,7 @@
         assert isinstance(message, list)
         self.receive_reply(message, now)
         mine = self.membership.full_state(message)
-        return StreamReply(mine, self._fleet.flat_sizes.whole(mine))
+        return StreamReply(mine, self._fleet.flat_sizes.full_state(mine))
 
     def receive_reply(self, message: object, now: int) -> None:
         """A whole table has come."""
@@ -148,7 +148,7 @@
     def _flat_outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
             mine = self.membership.full_state()
-            return Outgoing(message.address, mine, self._fleet.flat_sizes.whole(mine), True)
+            return Outgoing(message.address, mine, self._fleet.flat_sizes.full_state(mine), True)
         me = self.membership.local.me
         message, octets = self._fleet.flat_sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
@@ -168,7 +168,7 @@
 
     @staticmethod
     def _local_transition(change: StateChange) -> Transition:
-        return Transition(change.name, STATES[change.now])
+        return Transition(change.name, OBSERVED_STATES[change.now])
 
     def _remote_transitions(self, change: ZoneChange) -> Iterator[Transition]:
         if change.name:
@@ -179,17 +179,17 @@
             yield from (Transition(name, ObservedState.UNREACHABLE) for name in names)
             return
         for name in names:
-            if self.membership.remote_state(change.zone, name) not in ABSENT_REMOTELY:
+            if self.membership.remote_state(change.zone, name) not in ABSENT_REMOTE_STATES:
                 yield Transition(name, ObservedState.ALIVE)
 
-    def lists(self, member: str) -> bool:
+    def is_listed(self, member: str) -> bool:
         """Whether a member is taken to be there."""
         zone = self._fleet.zone_of_name[member]
         if zone == self._zone:
             return self.membership.state_of(member) in PRESENT_STATES
-        return self.membership.remote_state(zone, member) not in ABSENT_REMOTELY
+        return self.membership.remote_state(zone, member) not in ABSENT_REMOTE_STATES
 
-    def size(self) -> int:
+    def entry_count(self) -> int:
         """Entries in its list of members, and of remembered changes of others."""
         remote = sum(len(record.members) for record in self.membership.directory.records.values())
         return len(self.membership.local.members) + remote
@@ -201,15 +201,15 @@
 
 def seed_addresses(members: Sequence[Site]) -> tuple[Address, ...]:
     """The addresses by which a zone is found, of all its sites."""
-    return tuple(site.address for site in members[:SEEDS_A_ZONE])
+    return tuple(site.address for site in members[:SEEDS_PER_ZONE])
 
 
 class ZonedImplementation:
     """Makes memberships of two layers and knows their encoding."""
 
     name = "zoned"
-    streams_at_once = STREAMS_AT_ONCE
-    stream_within = STREAM_WITHIN
+    max_streams = MAX_STREAMS
+    stream_timeout_ns = STREAM_TIMEOUT_NS
 
     def __init__(self, topology: Topology) -> None:
         """For the fleet of a topology; each zone's first front ends are its seeds."""
@@ -228,13 +228,13 @@
             self.names_of_zone[first.zone_name] = [site.name for site in members]
             self._seeds[first.zone_name] = ZoneSeeds(first.zone_name, first.region_name, addresses)
 
-    def create(self, site: Site, generation: int, random: Random, now: int) -> HollowZonedMembership:
+    def create(self, site: Site, generation: int, random: Random, now: int) -> ZonedMembershipAdapter:
         """The membership of one process that starts now."""
         secret = random.randbytes(SECRET_OCTETS)
         me = own_update(site, generation, secret)
         others = tuple(seeds for zone, seeds in self._seeds.items() if zone != site.zone_name)
         placement = ZonePlacement(site.region_name, self._seeds[site.zone_name].addresses, others)
-        return HollowZonedMembership(ZonedMembership(me, secret, random, now, placement), self)
+        return ZonedMembershipAdapter(ZonedMembership(me, secret, random, now, placement), self)
 
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
         """Not offered: a whole start of this membership is quick to play."""
--- a/tests/test_capacity_counts.py
+++ b/tests/test_capacity_counts.py
@@ -8,13 +8,13 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from benchmarks.capacity.fleet_agreement import Agreement
+from benchmarks.capacity.fleet_agreement import AgreementTracker
 from benchmarks.capacity.fleet_flat import FLEET
 from benchmarks.capacity.fleet_flat_sizes import FlatSizes
-from benchmarks.capacity.fleet_propagation import Durations, EventKind, Knowledge
+from benchmarks.capacity.fleet_propagation import Durations, EventKind, PropagationTracker
 from benchmarks.capacity.fleet_membership import ObservedState
 from benchmarks.capacity.fleet_report import link_line
-from benchmarks.capacity.fleet_traffic import BUCKET, WINDOW, busiest_window
+from benchmarks.capacity.fleet_traffic import BUCKET_NS, WINDOW_NS, busiest_window
 from benchmarks.capacity.network import Network, NetworkTerms
 from benchmarks.capacity.network_check import sample_links
 from benchmarks.capacity.topology import Site, Topology, TopologyError, zone_sizes
@@ -83,7 +83,7 @@
     ]  # fmt: skip
     encoded = write_full_state(CODEC, whole)
 
-    assert FlatSizes(FLEET).whole(whole) == len(encoded)
+    assert FlatSizes(FLEET).full_state(whole) == len(encoded)
     heard = FullStateReader(CODEC)
     heard.receive_data(encoded, 0)
     assert len(heard.updates) == members - 1
@@ -172,7 +172,7 @@
     steps: list[tuple[str, int, int]],
 ) -> None:
     """Against a count of all lists at the end."""
-    agreement, runs, lists = Agreement(5), set[int](), dict[int, set[int]]()
+    agreement, runs, lists = AgreementTracker(5), set[int](), dict[int, set[int]]()
 
     for what, one, other in steps:
         if what == "start" and one not in runs:
@@ -184,19 +184,19 @@
             runs.discard(one)
             del lists[one]
         elif what in ("see", "lose") and one in runs and one != other:
-            agreement.seen(one, other, what == "see")
+            agreement.set_listed(one, other, what == "see")
             lists[one] = lists[one] | {other} if what == "see" else lists[one] - {other}
 
-    assert agreement.wrong == sum(len(own ^ runs) for own in lists.values())
+    assert agreement.wrong_entries == sum(len(own ^ runs) for own in lists.values())
 
 
 @given(st.lists(st.lists(st.integers(0, 9), min_size=45, max_size=45), min_size=1, max_size=3))
 def test_the_busiest_ten_seconds_are_those_of_a_look_at_each_window(fronts: list[list[int]]) -> None:
     """Against a sum of each window."""
-    width = WINDOW // BUCKET
+    width = WINDOW_NS // BUCKET_NS
     most = max(sum(own[begin : begin + width]) for own in fronts for begin in range(45))
 
-    assert busiest_window(fronts, 0, 45 * BUCKET).rate == most * SECOND / WINDOW
+    assert busiest_window(fronts, 0, 45 * BUCKET_NS).octets_per_second == most * SECOND / WINDOW_NS
 
 
 def test_a_share_of_durations_that_never_ended_makes_the_quantile_infinite() -> None:
@@ -208,24 +208,24 @@
 
     assert durations.quantile(0.5) == pytest.approx(1.0, abs=0.02)
     assert durations.quantile(0.99) == float("inf")
-    assert durations.most == float("inf")
+    assert durations.longest == float("inf")
 
 
 def test_what_is_not_learnt_counts_as_missing_once_it_is_overdue_and_not_before() -> None:
     """And only of those that run and list another state."""
-    knowledge = Knowledge(lambda index: index // 2, 20 * SECOND)
-    knowledge.happened(0, EventKind.CRASH, 0, [1, 2, 3, 4])
-    knowledge.happened(5, EventKind.CRASH, 15 * SECOND, [1, 2])
+    propagation = PropagationTracker(lambda index: index // 2, 20 * SECOND)
+    propagation.record_event(0, EventKind.CRASH, 0, [1, 2, 3, 4])
+    propagation.record_event(5, EventKind.CRASH, 15 * SECOND, [1, 2])
 
-    knowledge.learnt(1, 0, ObservedState.FAILED, 4 * SECOND)
-    knowledge.learnt(2, 0, ObservedState.SUSPECTED, 4 * SECOND)
-    knowledge.learnt(3, 0, ObservedState.UNREACHABLE, 5 * SECOND)
-    knowledge.observer_ended(4)
-    knowledge.finish(30 * SECOND)
+    propagation.record_observation(1, 0, ObservedState.FAILED, 4 * SECOND)
+    propagation.record_observation(2, 0, ObservedState.SUSPECTED, 4 * SECOND)
+    propagation.record_observation(3, 0, ObservedState.UNREACHABLE, 5 * SECOND)
+    propagation.observer_ended(4)
+    propagation.finish(30 * SECOND)
 
-    everywhere = knowledge.everywhere[EventKind.CRASH]
+    everywhere = propagation.everywhere[EventKind.CRASH]
     assert (everywhere.count, everywhere.missing) == (3, 1)
-    assert (knowledge.crash_in_own_zone.count, knowledge.crash_in_own_zone.missing) == (1, 0)
+    assert (propagation.crash_in_own_zone.count, propagation.crash_in_own_zone.missing) == (1, 0)
 
 
 def test_octets_of_an_update_do_not_depend_on_what_was_counted_before() -> None:
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -10,19 +10,19 @@
 from click.testing import CliRunner, Result
 
 from benchmarks.capacity import fleet_command
-from benchmarks.capacity.fleet_command import FleetRun, fleet, play
+from benchmarks.capacity.fleet_command import FleetRun, fleet, simulate
 from benchmarks.capacity.fleet_faults import DurationError, Fault, FaultTerms, phases
-from benchmarks.capacity.fleet_flat import FlatImplementation, FlatMembership
+from benchmarks.capacity.fleet_flat import FlatImplementation, FlatMembershipAdapter
 from benchmarks.capacity.fleet_flat_sizes import FlatSizes
 from benchmarks.capacity.fleet_membership import ObservedState, Outgoing, Transition
 from benchmarks.capacity.fleet_sampling import SizeMismatchError
 from benchmarks.capacity.fleet_simulation import FleetSimulation
 from benchmarks.capacity.fleet_sockets import (
-    MOST_PROCESSES,
+    MAX_PROCESSES,
     FleetLoads,
     Load,
     SocketFleetError,
-    compare,
+    compare_loads,
     run_processes,
 )
 from benchmarks.capacity.network import Network, NetworkTerms
@@ -36,7 +36,7 @@
 
 def fault_terms(fault: Fault, lasts: int = 10 * SECOND) -> FaultTerms:
     """A fault of the usual size."""
-    return FaultTerms(fault, lasts, restarts_a_minute=60.0, speed_up=100.0)
+    return FaultTerms(fault, lasts, restarts_per_minute=60.0, speed_up=100.0)
 
 
 def small_run(fault: Fault = Fault.NONE, seconds: int = 15, seed: int = 1) -> FleetRun:
@@ -58,13 +58,13 @@
 
 def observed(simulation: FleetSimulation) -> list[object]:
     """All that a simulation counted."""
-    sent = [front.traffic.sent.tobytes() for front in simulation.fronts]
-    received = [front.traffic.received.tobytes() for front in simulation.fronts]
+    sent = [front.traffic.sent_buckets.tobytes() for front in simulation.fronts]
+    received = [front.traffic.received_buckets.tobytes() for front in simulation.fronts]
     return [
         sent,
         received,
         simulation.queue.handled,
-        simulation.agreement.wrong,
+        simulation.agreement.wrong_entries,
         simulation.agreement.disturbances,
     ]
 
@@ -94,7 +94,7 @@
     """Processor time and memory alone may differ."""
     machine = ("share of a core", "  resident", "MB a front")
 
-    reports = [[found for found in play(small_run())[1] if found.name not in machine] for _ in range(2)]
+    reports = [[found for found in simulate(small_run())[1] if found.name not in machine] for _ in range(2)]
 
     assert reports[0] == reports[1]
     assert len(reports[0]) > LINES_AT_LEAST
@@ -111,7 +111,7 @@
     )
 
     with pytest.raises(SizeMismatchError):
-        play(small_run())
+        simulate(small_run())
 
 
 class LateNetwork(Network):
@@ -136,7 +136,7 @@
 # Faults that are planted in a membership.
 
 
-class TalkativeMembership(FlatMembership):
+class TalkativeMembership(FlatMembershipAdapter):
     """Planted: one front end says everything fifty times."""
 
     def take_outgoing(self) -> Sequence[Outgoing]:
@@ -145,7 +145,7 @@
         return [*messages] * 50 if self.view.me.name == "front-0007" else messages
 
 
-class SlanderousMembership(FlatMembership):
+class SlanderousMembership(FlatMembershipAdapter):
     """Planted: one front end calls a living one failed."""
 
     told = False
@@ -159,7 +159,7 @@
         return [*transitions, Transition("front-0009", ObservedState.FAILED)]
 
 
-class BlindMembership(FlatMembership):
+class BlindMembership(FlatMembershipAdapter):
     """Planted: one front end never finds that another has failed."""
 
     def take_transitions(self) -> Sequence[Transition]:
@@ -170,11 +170,11 @@
         return [transition for transition in transitions if transition.state is not ObservedState.FAILED]
 
 
-def plant(monkeypatch: pytest.MonkeyPatch, planted: type[FlatMembership]) -> None:
+def plant(monkeypatch: pytest.MonkeyPatch, planted: type[FlatMembershipAdapter]) -> None:
     """Has the command run these in place of sound ones."""
 
     class Planted(FlatImplementation):
-        def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembership:
+        def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembershipAdapter:
             sound = super().create(site, generation, random, now)
             return planted(sound.view, self._sizes)
 
@@ -228,7 +228,7 @@
 
 def test_verdicts_across_a_cut_are_told_apart_from_false_ones() -> None:
     """Both sides of a cut find each other failed, and nobody is blamed."""
-    _, found, finished = play(small_run(Fault.REGION, 50))
+    _, found, finished = simulate(small_run(Fault.REGION, 50))
     verdicts = next(one for one in found if one.name == "living called failed")
 
     assert finished
@@ -281,7 +281,7 @@
     """Each kind by itself."""
     simulated, quiet = Load(10.0, 5_000, 3_000, 0.002), Load(6.0, 800, 300, 0.001)
 
-    found = compare(loads(simulated, quiet), loads(real, quiet))
+    found = compare_loads(loads(simulated, quiet), loads(real, quiet))
 
     assert {one.name for one in found if one.met is False} == names
 
@@ -289,4 +289,4 @@
 def test_a_fleet_over_sockets_is_bounded_in_processes() -> None:
     """It is refused before any is started."""
     with pytest.raises(SocketFleetError):
-        run_processes("flat", FRONT_ENDS, MOST_PROCESSES + 1, 1)
+        run_processes("flat", FRONT_ENDS, MAX_PROCESSES + 1, 1)
--- a/tests/test_capacity_zoned.py
+++ b/tests/test_capacity_zoned.py
@@ -81,7 +81,7 @@
     simulation = FleetSimulation(topology, terms, ZonedImplementation(topology), 1, seconds * SECOND)
     simulation.start_all()
     simulation.run(40 * SECOND)
-    assert simulation.agreement.wrong == 0
+    assert simulation.agreement.wrong_entries == 0
     return simulation
 
 
@@ -92,14 +92,14 @@
 
     simulation.crash(victim)
     simulation.run(65 * SECOND)
-    wrong_after_crash = simulation.agreement.wrong
+    wrong_after_crash = simulation.agreement.wrong_entries
     simulation.start(victim)
     simulation.run(100 * SECOND)
 
-    crash = simulation.knowledge.everywhere[EventKind.CRASH]
+    crash = simulation.propagation.everywhere[EventKind.CRASH]
     assert (crash.count, crash.missing) == (FRONT_ENDS - 1, 0)
-    assert simulation.knowledge.crash_in_own_zone.count == len(simulation.topology.zone_members(0)) - 1
-    assert (wrong_after_crash, simulation.agreement.wrong) == (0, 0)
+    assert simulation.propagation.crash_in_own_zone.count == len(simulation.topology.zone_members(0)) - 1
+    assert (wrong_after_crash, simulation.agreement.wrong_entries) == (0, 0)
     assert simulation.false_failures == []
 
 
@@ -111,13 +111,13 @@
 
     simulation.cut(region)
     simulation.run(90 * SECOND)
-    wrong_in_the_cut = simulation.agreement.wrong
+    wrong_in_the_cut = simulation.agreement.wrong_entries
     simulation.heal(region)
     simulation.run(140 * SECOND)
 
     assert wrong_in_the_cut == 2 * inside * (FRONT_ENDS - inside)
     assert simulation.failed_across_cut == 0
-    assert simulation.agreement.wrong == 0
+    assert simulation.agreement.wrong_entries == 0
 
 
 def invoked(*options: str) -> Result:
