--- a/benchmarks/capacity/fleet_command.py
+++ b/benchmarks/capacity/fleet_command.py
@@ -1,4 +1,4 @@
-"""`python -m benchmarks.capacity fleet`: thousands of hollow front ends, simulated, against the budgets."""
+"""`python -m benchmarks.capacity fleet`: simulates thousands of front ends and compares their costs with budgets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 DEFAULT_CUT_SECONDS = 30.0
 DEFAULT_RESTARTS_PER_MINUTE = 60.0
-"""A release of 600 in an hour is ten a minute; its worst minutes are taken to have six times the mean."""
+"""A release restarts 600 front ends in an hour, ten per minute; its worst minutes are assumed at six times the mean."""
 
 DEFAULT_SPEED_UP = 100.0
 DEFAULT_WALL_SECONDS = 900.0
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class FleetRun:
-    """All parameters of one run."""
+    """The parameters of one run. `alone`: nothing else runs on this machine, so that processor time is judged."""
 
     front_ends: int
     seed: int
@@ -52,33 +52,36 @@
 
 
 def simulate(run: FleetRun) -> tuple[list[str], list[ReportLine], bool]:
-    """Simulates a fleet: what was played, what was found, and whether it came to its end."""
+    """Simulates a fleet. Returns a description of the run, the results, and whether the run finished in its wall time."""
     topology = Topology(run.front_ends)
     parts = phases(run.fault, run.duration, run.preloaded)
     links = link_line(sample_links(Network(topology, run.network, run.seed), topology, run.network))
-    gc.disable()  # the simulation makes no cycles, and looking for them takes a third of its time
+    gc.disable()  # the simulation makes no reference cycles, and the search for them takes a third of its time
     try:
         before = resident_octets()
         simulation = FleetSimulation(
             topology, run.network, IMPLEMENTATIONS[run.membership](topology), run.seed, run.duration
         )
-        simulation.preload() if run.preloaded else simulation.start_all()
-        what = schedule_fault(simulation, run.fault, parts)
+        if run.preloaded:
+            simulation.preload()
+        else:
+            simulation.start_all()
+        fault_text = schedule_fault(simulation, run.fault, parts)
         finished = simulation.run(run.duration, time.monotonic() + run.wall_seconds)
         simulation.propagation.finish(simulation.queue.now)
         measured = RunMeasurements(
             simulation, parts, simulation.queue.now, resident_octets() - before, run.alone
         )
-        return _head(run, simulation, what), [links, *report_lines(measured)], finished
+        return _head(run, simulation, fault_text), [links, *report_lines(measured)], finished
     finally:
         gc.enable()
 
 
-def _head(run: FleetRun, simulation: FleetSimulation, what: str) -> list[str]:
+def _head(run: FleetRun, simulation: FleetSimulation, fault_text: str) -> list[str]:
     counts = simulation.topology.zone_counts()
     links = run.network
     return [
-        f"membership {run.membership}, {run.front_ends} front ends, seed {run.seed}, simulated; {what}"
+        f"membership {run.membership}, {run.front_ends} front ends, seed {run.seed}, simulated; {fault_text}"
         + (", preloaded" if run.preloaded else ""),
         f"{len(counts)} zones of {min(counts)} to {max(counts)} front ends in "
         f"{len(set(simulation.topology.region_of_zone))} regions; loss {links.inside_zone.loss:.1%} inside a zone, "
@@ -88,11 +91,13 @@
 
 
 def parse_losses(text: str) -> tuple[float, float, float]:
-    """One loss for all paths, or three: inside a zone, between zones, between regions."""
+    """Parses one loss for all paths, or three: inside a zone, between zones, between regions."""
     values = [float(part) for part in text.split(",")]
     if len(values) not in (1, 3) or not all(0 <= value < 1 for value in values):
         raise click.BadParameter("one share, or three with commas between")
-    return (values[0], values[0], values[0]) if len(values) == 1 else (values[0], values[1], values[2])
+    if len(values) == 1:
+        return values[0], values[0], values[0]
+    return values[0], values[1], values[2]
 
 
 @click.command()
@@ -132,7 +137,10 @@
     sockets: bool,
     processes: int,
 ) -> None:
-    """Simulates a fleet of hollow front ends and judges what control costs. Exits 1 where a budget is missed."""
+    """Simulates a fleet of front ends without viewers and compares the cost of control with its budgets.
+
+    Exits 1 if a budget is missed.
+    """
     if sockets:
         _compare_with_sockets(membership, fronts, seed, processes)
         return
@@ -155,7 +163,7 @@
 
 
 def _compare_with_sockets(membership: str, front_ends: int, seed: int, processes: int) -> None:
-    """Prints the fleet over sockets beside the simulated one; exits 1 where octets differ by more than a tenth."""
+    """Prints a fleet over sockets beside the same fleet simulated; exits 1 if their traffic differs by over a tenth."""
     real = socket_loads(run_processes(membership, front_ends, processes, seed), front_ends)
     found = compare_loads(simulated_loads(IMPLEMENTATIONS[membership], front_ends, seed), real)
     click.echo(
--- a/benchmarks/capacity/fleet_faults.py
+++ b/benchmarks/capacity/fleet_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a simulated fleet, and when."""
+"""Faults of a simulated fleet and their schedule."""
 
 from __future__ import annotations
 
@@ -14,34 +14,35 @@
 DAY_NS = 86_400 * SECOND
 
 WHOLE_START_NS = 20 * SECOND
-"""What happens so soon after a whole start is counted to the start."""
+"""Events within this time of a whole start are reported as part of the start."""
 
 FAULT_BEGIN_NS = 45 * SECOND
-"""After a whole start, whose last lists settle by then, and a quiet time."""
+"""After a whole start, by when the last lists have settled, and a quiet time."""
 
 PRELOADED_FAULT_BEGIN_NS = 12 * SECOND
 
 OBSERVATION_NS = 25 * SECOND
-"""Left at the end, so that the goal of 20 s to be known everywhere can be judged of each event."""
+"""Time left after the last event, so that each event can be judged by the goal to be known everywhere within 20 s."""
 
 RACKS_PER_ZONE = 10
-"""A rack or switch takes a tenth of its zone with it."""
+"""The failure of a rack or its switch takes down a tenth of the zone."""
 
 RESTART_NS = 2 * SECOND
-"""Between the last word of a front end's process and the start of the next."""
+"""Between the end of a process and the start of the next one at its site."""
 
 LEAVE_NOTICES_NS = 150 * MS
+"""Time that a process takes to announce that it leaves."""
 
 REPAIR_NS = 60 * SECOND
-"""After which a failed machine's front end is started again (elsewhere, under its name)."""
+"""Time until the front end of a failed machine is started again, on another machine under the same name."""
 
+# The users' figures for an ordinary day.
 FAILURES_PER_DAY = 25
 RESTARTS_PER_DAY = 600
-"""The users' figures for an ordinary day."""
 
 
 class Fault(Enum):
-    """What goes wrong."""
+    """The kind of fault to simulate."""
 
     NONE = "none"
     REGION = "region"
@@ -53,8 +54,11 @@
 
 @dataclass(frozen=True)
 class FaultTerms:
-    """A fault and its size. `duration`: of a region's cut or a zone's loss; `restarts_per_minute`: of a release;
-    `speed_up`: of an ordinary day's failures and restarts."""
+    """A fault and its size.
+
+    `duration`: of a region's cut or a zone's loss. `restarts_per_minute`: of a release. `speed_up`: factor on the
+    failures and restarts of an ordinary day.
+    """
 
     fault: Fault
     duration: int
@@ -64,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Phase:
-    """A part of a run that is reported by itself."""
+    """A part of a run that has lines of its own in the report."""
 
     name: str
     begin: int
@@ -72,76 +76,80 @@
 
 
 class DurationError(ValueError):
-    """A run too short for its fault."""
+    """The run is too short for its fault."""
 
 
 def phases(terms: FaultTerms, duration: int, preloaded: bool) -> list[Phase]:
-    """The parts of a run: whole start, quiet, fault, and after it."""
-    begins = PRELOADED_FAULT_BEGIN_NS if preloaded else FAULT_BEGIN_NS
-    start_ends = 0 if preloaded else min(duration, WHOLE_START_NS)
-    parts = [] if preloaded else [Phase("whole start", 0, start_ends)]
+    """The phases of a run: whole start, quiet, fault, and after the fault."""
+    fault_begin = PRELOADED_FAULT_BEGIN_NS if preloaded else FAULT_BEGIN_NS
+    start_end = 0 if preloaded else min(duration, WHOLE_START_NS)
+    start_phases = [] if preloaded else [Phase("whole start", 0, start_end)]
     if terms.fault is Fault.NONE:
-        return [*parts, Phase("quiet", start_ends, duration)]
-    ends = _fault_ends(terms, begins, duration)
-    if ends + OBSERVATION_NS > duration or ends <= begins:
-        least = (begins + OBSERVATION_NS + terms.duration) / MINUTE_NS
-        raise DurationError(f"fault {terms.fault.value} needs {least:.2f} minutes at least")
-    parts += [Phase("quiet", start_ends, begins), Phase(terms.fault.value, begins, ends)]
-    return [*parts, Phase("after it", ends, duration)]
-
-
-def _fault_ends(terms: FaultTerms, begins: int, duration: int) -> int:
+        return [*start_phases, Phase("quiet", start_end, duration)]
+    fault_end = _fault_end(terms, fault_begin, duration)
+    if fault_end + OBSERVATION_NS > duration or fault_end <= fault_begin:
+        required_minutes = (fault_begin + OBSERVATION_NS + terms.duration) / MINUTE_NS
+        raise DurationError(f"fault {terms.fault.value} needs {required_minutes:.2f} minutes at least")
+    return [
+        *start_phases,
+        Phase("quiet", start_end, fault_begin),
+        Phase(terms.fault.value, fault_begin, fault_end),
+        Phase("after it", fault_end, duration),
+    ]
+
+
+def _fault_end(terms: FaultTerms, fault_begin: int, duration: int) -> int:
     if terms.fault in (Fault.REGION, Fault.ZONE):
-        return begins + terms.duration
+        return fault_begin + terms.duration
     if terms.fault is Fault.RACK:
-        return begins + OBSERVATION_NS
+        return fault_begin + OBSERVATION_NS
     return duration - OBSERVATION_NS
 
 
-def schedule_fault(simulation: FleetSimulation, terms: FaultTerms, parts: list[Phase]) -> str:
-    """Puts a fault on the simulation's queue; says what it is."""
+def schedule_fault(simulation: FleetSimulation, terms: FaultTerms, run_phases: list[Phase]) -> str:
+    """Schedules the events of a fault on the simulation's queue and returns a description for the report."""
     if terms.fault is Fault.NONE:
         return "no fault"
-    part = next(phase for phase in parts if phase.name == terms.fault.value)
-    return _SCHEDULERS[terms.fault](simulation, terms, part)
+    phase = next(phase for phase in run_phases if phase.name == terms.fault.value)
+    return _SCHEDULERS[terms.fault](simulation, terms, phase)
 
 
-def _schedule_region(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
+def _schedule_region(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
     topology = simulation.topology
     region = topology.largest_region()
-    simulation.queue.schedule(part.begin, simulation.cut, region)
-    simulation.queue.schedule(part.end, simulation.heal, region)
+    simulation.queue.schedule(phase.begin, simulation.cut, region)
+    simulation.queue.schedule(phase.end, simulation.heal, region)
     members = len(topology.region_members(region))
     return f"region {region + 1} of {members} front ends cut off for {terms.duration / SECOND:g} s"
 
 
-def _schedule_zone(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
+def _schedule_zone(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
     zone = simulation.topology.largest_zone()
     members = [simulation.fronts[site.index] for site in simulation.topology.zone_members(zone)]
-    chance = Random(f"zone {simulation.seed}")
+    random = Random(f"zone {simulation.seed}")
     for front in members:
-        simulation.queue.schedule(part.begin, simulation.crash, front)
-        later = chance.randrange(SECOND) if front is not members[0] else 0
-        simulation.queue.schedule(part.end + later, simulation.start, front)
-    simulation.queue.schedule(part.begin, simulation.record_disturbance, "loss of a zone")
-    simulation.queue.schedule(part.end, simulation.record_disturbance, "return of a zone")
+        simulation.queue.schedule(phase.begin, simulation.crash, front)
+        delay = random.randrange(SECOND) if front is not members[0] else 0
+        simulation.queue.schedule(phase.end + delay, simulation.start, front)
+    simulation.queue.schedule(phase.begin, simulation.record_disturbance, "loss of a zone")
+    simulation.queue.schedule(phase.end, simulation.record_disturbance, "return of a zone")
     return f"zone {zone + 1} of {len(members)} front ends lost, and back after {terms.duration / SECOND:g} s"
 
 
-def _schedule_rack(simulation: FleetSimulation, _terms: FaultTerms, part: Phase) -> str:
+def _schedule_rack(simulation: FleetSimulation, _terms: FaultTerms, phase: Phase) -> str:
     zone = simulation.topology.largest_zone()
     members = [simulation.fronts[site.index] for site in simulation.topology.zone_members(zone)]
     rack = Random(f"rack {simulation.seed}").sample(members, max(1, round(len(members) / RACKS_PER_ZONE)))
     for front in rack:
-        simulation.queue.schedule(part.begin, simulation.crash, front)
-    simulation.queue.schedule(part.begin, simulation.record_disturbance, "loss of a rack")
+        simulation.queue.schedule(phase.begin, simulation.crash, front)
+    simulation.queue.schedule(phase.begin, simulation.record_disturbance, "loss of a rack")
     return f"{len(rack)} of the {len(members)} front ends of zone {zone + 1} killed at once"
 
 
-def _schedule_release(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
-    """Zone by zone, as a release goes."""
-    apart = round(MINUTE_NS / terms.restarts_per_minute)
-    times = range(part.begin, part.end, apart)
+def _schedule_release(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
+    """Restarts front ends zone by zone."""
+    interval = round(MINUTE_NS / terms.restarts_per_minute)
+    times = range(phase.begin, phase.end, interval)
     for position, at in enumerate(times):
         front = simulation.fronts[position % len(simulation.fronts)]
         _schedule_restart(simulation, front, at)
@@ -151,21 +159,21 @@
     return f"{len(times)} restarts, {terms.restarts_per_minute:g} a minute, zone by zone"
 
 
-def _schedule_churn(simulation: FleetSimulation, terms: FaultTerms, part: Phase) -> str:
-    chance = Random(f"churn {simulation.seed}")
-    span = part.end - part.begin
+def _schedule_churn(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
+    random = Random(f"churn {simulation.seed}")
+    span = phase.end - phase.begin
     failures = max(1, round(FAILURES_PER_DAY * terms.speed_up * span / DAY_NS))
     restarts = max(1, round(RESTARTS_PER_DAY * terms.speed_up * span / DAY_NS))
-    many = min(failures + restarts, len(simulation.fronts))
-    for position, front in enumerate(chance.sample(simulation.fronts, many)):
-        at = part.begin + chance.randrange(span)
+    affected = min(failures + restarts, len(simulation.fronts))
+    for position, front in enumerate(random.sample(simulation.fronts, affected)):
+        at = phase.begin + random.randrange(span)
         if position < failures:
             simulation.queue.schedule(at, simulation.crash, front)
             simulation.queue.schedule(at + REPAIR_NS, simulation.start, front)
         else:
             _schedule_restart(simulation, front, at)
-    simulation.queue.schedule(part.end, simulation.record_disturbance, "end of churn")
-    return f"{failures} failures and {many - failures} restarts, an ordinary day's rates times {terms.speed_up:g}"
+    simulation.queue.schedule(phase.end, simulation.record_disturbance, "end of churn")
+    return f"{failures} failures and {affected - failures} restarts, an ordinary day's rates times {terms.speed_up:g}"
 
 
 def _schedule_restart(simulation: FleetSimulation, front: SimulatedFront, at: int) -> None:
--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -1,4 +1,4 @@
-"""The flat membership, in which each front end lists all others, as the hollow fleet runs it."""
+"""Runs the flat membership, in which each front end lists all others, in the simulated fleet."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 FLEET = "fleet"
 KEY = bytes(32)
 VERSION = "0.34.0"
-MAX_STREAMS = 8  # peers/speaker.py, MOST_STREAMS
-STREAM_TIMEOUT_NS = 2 * SECOND  # peers/speaker.py
+MAX_STREAMS = 8  # as oakcroft.peers.streams.MAX_STREAMS
+STREAM_TIMEOUT_NS = 2 * SECOND  # as oakcroft.peers.push_pull_service.PUSH_PULL_TIMEOUT_S
 
 OBSERVED_STATES = {
     "alive": ObservedState.ALIVE,
@@ -30,12 +30,11 @@
     "left": ObservedState.LEFT,
 }
 
-
 SECRET_OCTETS = 16
 
 
 def own_update(site: Site, generation: int, secret: bytes) -> MemberUpdate:
-    """What a process says of itself when it starts at a site."""
+    """The first update of a process about itself."""
     host, port = site.address
     proof = commitment(secret)
     return MemberUpdate(
@@ -44,125 +43,143 @@
 
 
 class FlatDatagram(msgspec.Struct, frozen=True, gc=False):
-    """A datagram with the sender's own word at the time of sending."""
+    """A datagram with the sender's update about itself at the time of sending."""
 
     sender: MemberUpdate
     message: Message
 
 
 class FlatMembershipAdapter:
-    """One front end's flat membership."""
+    """Adapts the flat membership of one front end to the simulation."""
 
     def __init__(self, view: CoreMembership, sizes: FlatSizes) -> None:
-        """A view, and the sizes that all front ends share."""
+        """Wraps a membership; `sizes` is shared by all front ends."""
         self.view = view
         self._sizes = sizes
 
     @property
     def due(self) -> int:
-        """When `tick` has something to do at the latest."""
+        """The time at which `tick` must be called next."""
         return self.view.due
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Runs the timers that are due."""
         self.view.tick(now)
 
     def receive(self, message: object, now: int) -> None:
-        """A datagram has come."""
+        """Handles a received datagram."""
         assert isinstance(message, FlatDatagram)
-        out = message.message
+        received = message.message
         self.view.receive_message(
-            message.sender, out.kind, out.sequence, out.to, out.target, out.updates, now
+            message.sender,
+            received.kind,
+            received.sequence,
+            received.to,
+            received.target,
+            received.updates,
+            now,
         )
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
-        """Another's whole list has come: this one's goes back, as it is after taking that in."""
+        """Merges the full state of another front end and replies with the full state after the merge."""
         self.receive_reply(message, now)
-        mine = self.view.full_state()
-        return StreamReply(mine, self._sizes.full_state(mine))
+        own_state = self.view.full_state()
+        return StreamReply(own_state, self._sizes.full_state(own_state))
 
     def receive_reply(self, message: object, now: int) -> None:
-        """A whole list has come."""
+        """Merges a received full state."""
         assert isinstance(message, list)
         self.view.receive_full_state(message[0], message, now)
 
     def leave(self, now: int) -> None:
-        """Says that this front end leaves."""
+        """Starts an orderly stop."""
         self.view.leave()
 
     def take_outgoing(self) -> Sequence[Outgoing]:
-        """What is to be sent since the last call."""
+        """Returns and removes the messages to send since the last call."""
         if not self.view.out:
             return ()
-        messages, self.view.out = self.view.out, []
+        messages = self.view.out
+        self.view.out = []
         return [self._outgoing(message) for message in messages]
 
     def _outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
-            mine = self.view.full_state()
-            return Outgoing(message.address, mine, self._sizes.full_state(mine), True)
+            own_state = self.view.full_state()
+            return Outgoing(message.address, own_state, self._sizes.full_state(own_state), stream=True)
         me = self.view.me
         message, octets = self._sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
 
     def take_transitions(self) -> Sequence[Transition]:
-        """What has changed since the last call."""
+        """Returns and removes the changes of the list since the last call."""
         if not self.view.changes:
             return ()
-        changes, self.view.changes = self.view.changes, []
-        me = self.view.me.name
-        return [Transition(c.name, OBSERVED_STATES[c.now]) for c in changes if c.name != me]
+        changes = self.view.changes
+        self.view.changes = []
+        own_name = self.view.me.name
+        return [
+            Transition(change.name, OBSERVED_STATES[change.now])
+            for change in changes
+            if change.name != own_name
+        ]
 
     def is_listed(self, member: str) -> bool:
-        """Whether a member is taken to be there."""
+        """Whether the list holds the member as present."""
         return self.view.state_of(member) in (MemberState.ALIVE, MemberState.SUSPECTED)
 
     def entry_count(self) -> int:
-        """Entries in its list of members."""
+        """The number of entries in the list of members."""
         return len(self.view.members)
 
     def state(self) -> object:
-        """All that it holds."""
+        """The whole state."""
         return self.view
 
 
 class FlatImplementation:
-    """Makes flat memberships and knows their encoding."""
+    """Creates flat memberships and encodes their datagrams."""
 
     name = "flat"
     max_streams = MAX_STREAMS
     stream_timeout_ns = STREAM_TIMEOUT_NS
 
     def __init__(self, topology: Topology) -> None:
-        """For the fleet of a topology, whose seeds are one front end of each region."""
+        """Prepares the fleet of a topology. Its seeds are one front end of each region."""
         self._seeds = topology.seeds()
         self._sizes = FlatSizes(FLEET)
         self._codec = MembershipCodec(FLEET, KeyRing((KEY,)))
 
     def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembershipAdapter:
-        """The membership of one process that starts now."""
+        """Creates the membership of a process that starts now."""
         secret = random.randbytes(SECRET_OCTETS)
         me = own_update(site, generation, secret)
         return FlatMembershipAdapter(CoreMembership(me, secret, random, now, self._seeds), self._sizes)
 
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
-        """Each takes the word of all in, and forgets that it would pass it on."""
+        """Merges the updates of all into each, and drops the pending dissemination and full-state exchanges."""
         flat = [membership for membership in memberships if isinstance(membership, FlatMembershipAdapter)]
-        everybody = [membership.view.me for membership in flat]
+        all_updates = [membership.view.me for membership in flat]
         for position, membership in enumerate(flat):
-            other = everybody[position - 1]
-            membership.view.receive_full_state(other, everybody, now)
+            sender = all_updates[position - 1]
+            membership.view.receive_full_state(sender, all_updates, now)
             membership.view.table.queue.pending.clear()
             membership.view.push_pull.wanted.clear()
 
     def encode(self, message: object) -> bytes:
-        """A datagram as it would go on the wire."""
+        """Encodes and seals a datagram."""
         assert isinstance(message, FlatDatagram)
-        out = message.message
-        return self._codec.encode(message.sender, out)
+        return self._codec.encode(message.sender, message.message)
 
     def decode(self, octets: bytes) -> FlatDatagram:
-        """A datagram as it was sent."""
-        got = self._codec.decode(octets, 0)
-        message = Message(got.kind, got.sender.address, got.sequence, got.to, got.target, got.updates)
-        return FlatDatagram(got.sender, message)
+        """Opens and decodes a datagram."""
+        received = self._codec.decode(octets, 0)
+        message = Message(
+            received.kind,
+            received.sender.address,
+            received.sequence,
+            received.to,
+            received.target,
+            received.updates,
+        )
+        return FlatDatagram(received.sender, message)
--- a/benchmarks/capacity/fleet_flat_sizes.py
+++ b/benchmarks/capacity/fleet_flat_sizes.py
@@ -1,7 +1,7 @@
-"""The octets of the flat membership's messages, counted without encoding them.
+"""Counts the octets of the flat membership's messages without encoding them.
 
-A word of news goes out many times; its size is counted once. `tests/test_capacity_fleet.py` compares the counts with
-the real encoding, and each run of the simulation does so for a sample of its messages.
+An update is sent many times, and its size is counted once. `tests/test_capacity_counts.py` compares the counts with the
+real encoding, and each run of the simulation does so for a sample of its messages.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 MAX_UINT16 = 0xFFFF
 MAX_UINT32 = 0xFFFF_FFFF
 MAX_POSITIVE_FIXINT = 0x7F
-MAX_CACHED = 200_000
+MAX_CACHED_UPDATES = 200_000
 
 
 def integer_octets(value: int) -> int:
-    """The octets of an unsigned integer in MessagePack."""
+    """Octets of an unsigned integer in MessagePack."""
     if value <= MAX_POSITIVE_FIXINT:
         return 1
     if value <= MAX_UINT8:
@@ -37,7 +37,7 @@
 
 
 def string_octets(text: str) -> int:
-    """The octets of a string in MessagePack."""
+    """Octets of a string in MessagePack."""
     length = len(text) if text.isascii() else len(text.encode())
     if length <= MAX_FIXSTR_LENGTH:
         return 1 + length
@@ -45,50 +45,49 @@
 
 
 def binary_octets(octets: bytes) -> int:
-    """The octets of a binary value in MessagePack."""
+    """Octets of a binary value in MessagePack."""
     return len(octets) + (2 if len(octets) <= MAX_UINT8 else 3)
 
 
 def array_octets(entries: int) -> int:
-    """The octets of an array's header in MessagePack."""
+    """Octets of an array header in MessagePack."""
     return 1 if entries <= MAX_FIXARRAY_LENGTH else 3
 
 
 class FlatSizes:
-    """Sizes of one fleet's messages."""
+    """Sizes of the messages of one fleet."""
 
     def __init__(self, fleet: str) -> None:
-        """For the fleet of this name, which goes with each message."""
+        """`fleet`: the name of the fleet, which each message carries."""
         self._base = SEAL_LENGTH + FORMAT_OCTETS + array_octets(9) + string_octets(fleet)
-        self._by_identity: dict[
-            int, tuple[MemberUpdate, int]
-        ] = {}  # keeps the update, so that no other gets its identity
-
-    def update(self, news: MemberUpdate) -> int:
-        """One word of news."""
-        known = self._by_identity.get(id(news))
-        if known is not None:
-            return known[1]
-        if len(self._by_identity) >= MAX_CACHED:
+        # Holds a reference to each update, so that no other object can get its id.
+        self._by_identity: dict[int, tuple[MemberUpdate, int]] = {}
+
+    def update(self, update: MemberUpdate) -> int:
+        """Octets of one update."""
+        cached = self._by_identity.get(id(update))
+        if cached is not None:
+            return cached[1]
+        if len(self._by_identity) >= MAX_CACHED_UPDATES:
             self._by_identity.clear()
         octets = (
             array_octets(10)
-            + string_octets(news.name)
-            + integer_octets(news.generation)
-            + integer_octets(news.incarnation)
-            + integer_octets(news.state.value)
-            + string_octets(news.host)
-            + integer_octets(news.port)
-            + string_octets(news.zone)
-            + string_octets(news.version)
-            + binary_octets(news.proof)
-            + string_octets(news.reported_by)
+            + string_octets(update.name)
+            + integer_octets(update.generation)
+            + integer_octets(update.incarnation)
+            + integer_octets(update.state.value)
+            + string_octets(update.host)
+            + integer_octets(update.port)
+            + string_octets(update.zone)
+            + string_octets(update.version)
+            + binary_octets(update.proof)
+            + string_octets(update.reported_by)
         )
-        self._by_identity[id(news)] = (news, octets)
+        self._by_identity[id(update)] = (update, octets)
         return octets
 
     def datagram(self, sender: MemberUpdate, message: Message) -> tuple[int, int]:
-        """The octets of one datagram, and how many of its words of news fit into it."""
+        """Octets of one datagram, and how many of its updates fit into it."""
         octets = (
             self._base
             + self.update(sender)
@@ -97,30 +96,32 @@
             + string_octets(message.to[0])
             + integer_octets(message.to[1])
             + _target_octets(message)
-            + 1  # whether another part follows
+            + 1  # the flag that another part follows
         )
         fitting = len(message.updates)
-        updates = sum(map(self.update, message.updates))
-        while fitting and octets + array_octets(fitting) + updates > MAX_DATAGRAM_BYTES:
+        update_octets = sum(map(self.update, message.updates))
+        while fitting and octets + array_octets(fitting) + update_octets > MAX_DATAGRAM_BYTES:
             fitting -= 1
-            updates -= self.update(message.updates[fitting])
-        return octets + array_octets(fitting) + updates, fitting
+            update_octets -= self.update(message.updates[fitting])
+        return octets + array_octets(fitting) + update_octets, fitting
 
     def fitted(self, sender: MemberUpdate, message: Message) -> tuple[Message, int]:
-        """A message without the words of news that do not fit into its datagram, and the datagram's octets."""
+        """The message without the updates that do not fit into its datagram, and the octets of the datagram."""
         octets, fitting = self.datagram(sender, message)
         if fitting < len(message.updates):
             message = replace(message, updates=message.updates[:fitting])
         return message, octets
 
-    def full_state(self, news: Sequence[MemberUpdate]) -> int:
-        """The octets of a whole list by stream, the sender's own word first."""
-        sender, rest = news[0], news[1 : 1 + MAX_PARTS * UPDATES_PER_PART]
-        each = self._base + self.update(sender) + 1 + 1 + 1 + 1 + 1  # kind, to, its start, about, more
+    def full_state(self, updates: Sequence[MemberUpdate]) -> int:
+        """Octets of a full state on a stream; the first update is the sender's."""
+        sender = updates[0]
+        rest = updates[1 : 1 + MAX_PARTS * UPDATES_PER_PART]
+        # One octet each: kind, receiver's name, receiver's generation, target, flag that another part follows.
+        fixed = self._base + self.update(sender) + 1 + 1 + 1 + 1 + 1
         octets = 0
         for number in range(max(1, -(-len(rest) // UPDATES_PER_PART))):
             part = rest[number * UPDATES_PER_PART : (number + 1) * UPDATES_PER_PART]
-            octets += LENGTH_OCTETS + each + integer_octets(number) + array_octets(len(part))
+            octets += LENGTH_OCTETS + fixed + integer_octets(number) + array_octets(len(part))
             octets += sum(map(self.update, part))
         return octets
 
--- a/benchmarks/capacity/fleet_front.py
+++ b/benchmarks/capacity/fleet_front.py
@@ -1,4 +1,4 @@
-"""The place of one hollow front end in a simulated fleet."""
+"""One front end of a simulated fleet."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SimulatedFront:
-    """One front end's place, and the process that runs there now, if any."""
+    """A site of the topology and the process that runs there, if any. It has a membership and no viewers."""
 
     __slots__ = (
         "busy_ns",
@@ -22,12 +22,12 @@
     )
 
     def __init__(self, site: Site, duration: int) -> None:
-        """No process runs yet; traffic is counted for so many nanoseconds."""
+        """Starts without a process; traffic is counted for `duration` nanoseconds."""
         self.site = site
         self.membership: Membership | None = None
-        self.process_count = 0  # counts the processes that ran here
+        self.process_count = 0  # processes started at this site so far
         self.started_at = 0
-        self.timer_at = -1
-        self.open_streams = 0  # of others, served now
-        self.busy_ns = 0  # wall nanoseconds in membership code
+        self.timer_at = -1  # when the timer fires; -1: not set
+        self.open_streams = 0  # opened by other front ends and served here
+        self.busy_ns = 0  # wall-clock time spent in membership code
         self.traffic = Traffic(duration)
--- a/benchmarks/capacity/fleet_membership.py
+++ b/benchmarks/capacity/fleet_membership.py
@@ -1,8 +1,8 @@
-"""What the hollow fleet asks of a membership implementation.
+"""The interface between the simulated fleet and a membership implementation.
 
-An implementation is a state machine without sockets, clock or threads. The simulation passes it time, datagrams and
-streams, and takes from it what it would send, each message with the octets of its real encoding, and what has changed
-in its list of members.
+A membership is a state machine without sockets, clock or threads. The simulation passes it the time, datagrams and
+streams. It takes from it the outgoing messages, each with the octets of its real encoding, and the changes in its list
+of members.
 """
 
 from __future__ import annotations
@@ -18,94 +18,94 @@
 
 
 class ObservedState(Enum):
-    """How one member stands in the list of another."""
+    """The state of one member in the list of another."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
     FAILED = "failed"
     LEFT = "left"
-    UNREACHABLE = "unreachable"  # with its whole zone: nothing is said of it
+    UNREACHABLE = "unreachable"  # its whole zone is; whether the member runs is unknown
 
 
 class Outgoing(msgspec.Struct, frozen=True, gc=False):
-    """A message to be sent. `octets`: as encoded, seal included, without headers of UDP, TCP and IP."""
+    """A message to send. `octets`: its encoded size with the seal, without UDP, TCP and IP headers."""
 
     address: Address
     message: object
     octets: int
-    stream: bool = False  # a request on a connection of its own, which the other end answers
+    stream: bool = False  # a request on a TCP connection of its own, which the receiver answers
 
 
 class Transition(msgspec.Struct, frozen=True, gc=False):
-    """A change in a list of members: this member stands so from now on."""
+    """A change in a list of members: the new state of one member."""
 
     member: str
     state: ObservedState
 
 
 class StreamReply(msgspec.Struct, frozen=True, gc=False):
-    """The answer on a stream."""
+    """The reply to a request on a stream."""
 
     message: object
     octets: int
 
 
 class Membership(Protocol):
-    """One front end's membership."""
+    """The membership of one process of a front end."""
 
     @property
     def due(self) -> int:
-        """When `tick` has something to do at the latest."""
+        """The time at which `tick` must be called next."""
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Runs the timers that are due."""
 
     def receive(self, message: object, now: int) -> None:
-        """A datagram has come."""
+        """Handles a received datagram."""
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
-        """A stream has been opened with this request; None closes it."""
+        """Answers the request on a stream that another front end opened; None closes the stream."""
 
     def receive_reply(self, message: object, now: int) -> None:
-        """The answer to this front end's own stream has come."""
+        """Handles the reply on a stream that this front end opened."""
 
     def leave(self, now: int) -> None:
-        """The front end stops in order."""
+        """Starts an orderly stop."""
 
     def take_outgoing(self) -> Sequence[Outgoing]:
-        """What is to be sent since the last call."""
+        """Returns and removes the messages to send since the last call."""
 
     def take_transitions(self) -> Sequence[Transition]:
-        """What has changed since the last call."""
+        """Returns and removes the changes of the list since the last call."""
 
     def is_listed(self, member: str) -> bool:
-        """Whether a member is taken to be there."""
+        """Whether the list holds the member as present."""
 
     def entry_count(self) -> int:
-        """Entries in its list of members."""
+        """The number of entries in the list of members."""
 
     def state(self) -> object:
-        """All that it holds, without what the simulation shares among all; it can be pickled."""
+        """The whole state without the objects that the simulation shares among all; it can be pickled."""
 
 
 class Implementation(Protocol):
-    """Makes memberships and knows their encoding."""
+    """Creates memberships and encodes their datagrams."""
 
     name: str
     max_streams: int
-    """Streams of others that one front end serves at a time; further ones are closed."""
+    """Streams of other front ends that one front end serves at a time; further ones are closed."""
 
     stream_timeout_ns: int
-    """Nanoseconds after which a stream is given up."""
+    """Nanoseconds after which a stream times out."""
 
     def create(self, site: Site, generation: int, random: Random, now: int) -> Membership:
-        """The membership of one process that starts now."""
+        """Creates the membership of a process that starts now."""
 
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
-        """Makes all of them list each other with nothing left to disseminate, as long after a quiet start."""
+        """Makes all of them list each other, with no updates left to disseminate, as in a fleet that runs for long."""
 
     def encode(self, message: object) -> bytes:
-        """A datagram as it would go on the wire."""
+        """Encodes and seals a datagram."""
 
     def decode(self, octets: bytes) -> object:
-        """A datagram as it was sent."""
+        """Opens and decodes a datagram."""
--- a/benchmarks/capacity/fleet_memory.py
+++ b/benchmarks/capacity/fleet_memory.py
@@ -1,4 +1,4 @@
-"""Memory of hollow front ends."""
+"""Memory of simulated front ends."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def resident_octets() -> int:
-    """Resident memory of this process."""
+    """The resident memory of this process."""
     return int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1]) * PAGE_OCTETS
 
 
 def private_octets(state: object) -> int:
-    """Memory of a copy of a state that shares nothing with others, as it is in a process of its own.
+    """The memory of a copy of a state that shares no objects with other states.
 
-    Many front ends in one process share what they have heard, which front ends in processes of their own can't; so
-    resident memory divided by the front ends is too low where they are simulated.
+    Simulated front ends in one process share the objects that they received from each other. Front ends in processes of
+    their own cannot, so that resident memory divided by the number of simulated front ends is too low.
     """
     pickled = pickle.dumps(state)
     tracemalloc.start()
--- a/benchmarks/capacity/fleet_sampling.py
+++ b/benchmarks/capacity/fleet_sampling.py
@@ -1,4 +1,4 @@
-"""Really encodes a sample of the simulated datagrams: checks their counted octets, and what coding them costs."""
+"""Encodes a sample of the simulated datagrams to check their counted octets and to measure the cost of coding."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from benchmarks.capacity.fleet_membership import Implementation, Outgoing
 
 SAMPLE_INTERVAL = 256
-"""One datagram in so many is encoded, sealed, opened and decoded: often enough for a mean, and under a tenth of a
-run's time."""
+"""One datagram in this many is encoded, sealed, opened and decoded: enough for a mean, at under a tenth of the
+run time."""
 
 
 class SizeMismatchError(AssertionError):
-    """A datagram whose counted octets are not those of its encoding."""
+    """The counted octets of a datagram differ from those of its encoding."""
 
 
 class EncodingSampler:
-    """The sample of one run."""
+    """Samples the datagrams of one run."""
 
     def __init__(self, implementation: Implementation) -> None:
-        """Messages are coded by this implementation."""
+        """Encodes and decodes with the codec of this implementation."""
         self._implementation = implementation
-        self._seen = 0
+        self._datagram_count = 0
         self.samples = 0
-        self.encoding_ns = 0  # wall nanoseconds of all samples
+        self.encoding_ns = 0  # wall-clock time over all samples
         self.decoding_ns = 0
 
     def count_datagram(self, message: Outgoing) -> None:
-        """A datagram leaves."""
-        self._seen += 1
-        if self._seen % SAMPLE_INTERVAL == 0:
+        """Counts a sent datagram and samples it if its turn has come."""
+        self._datagram_count += 1
+        if self._datagram_count % SAMPLE_INTERVAL == 0:
             self._sample(message)
 
     def _sample(self, message: Outgoing) -> None:
@@ -44,7 +44,7 @@
             raise SizeMismatchError(f"{message.octets} octets counted, {len(octets)} encoded: {message}")
 
     def coding_ns(self, sent: int, received: int) -> float:
-        """What so many datagrams cost to encode and to decode."""
+        """The estimated time to encode the sent and decode the received datagrams."""
         if not self.samples:
             return 0.0
         return (sent * self.encoding_ns + received * self.decoding_ns) / self.samples
--- a/benchmarks/capacity/fleet_simulation.py
+++ b/benchmarks/capacity/fleet_simulation.py
@@ -1,7 +1,7 @@
-"""Hollow front ends on simulated links: the real membership code of each, without viewers.
+"""A simulated fleet: front ends without viewers that run the real membership code on simulated links.
 
-Seeded and without threads: the same parameters give the same events each run. What is measured of this machine, the
-processor time, decides nothing.
+The simulation is seeded and has no threads, so the same parameters give the same events in each run. The processor time
+that is measured has no effect on the events.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 from oakcroft.interface import MS, SECOND
 
 EPOCH_US = 1_790_000_000_000_000
-"""Generations are microseconds since 1970, whose encoding has nine octets."""
+"""Simulated time 0. Generations are microseconds since 1970, so that they are encoded in nine octets as in service."""
 
 START_SPREAD_NS = 500 * MS
-"""Of a whole start: the processes of a fleet come up so far apart."""
+"""In a whole start, all processes start within this time."""
 
 LEAVE_NOTICE_COUNT = 3
 LEAVE_NOTICE_INTERVAL_NS = 50 * MS
-"""How often a front end that stops in order says so (peers/speaker.py)."""
+"""A front end that stops in order announces it this many times at this interval (oakcroft.peers.peer_endpoint)."""
 
 DETECTION_DEADLINE_NS = 20 * SECOND
-"""The goal for a crash to be known everywhere; what is not known by then counts as missing."""
+"""The goal for a crash to be known everywhere. Observations that are later count as missing."""
 
 STALE_STATE_NS = 30 * SECOND
-"""After a cut heals, or a member starts anew, a verdict may rest on what was seen before: a probe of 1 s and a
-suspicion of 6 s, four times as long where a front end finds itself slow, make 28 s."""
+"""After a cut heals or a member restarts, a failure verdict may rest on the state before for up to 28 s: a probe of 1 s
+and a suspicion of 6 s, both four times as long on a front end that finds itself slow."""
 
 MAX_SHOWN_FALSE_FAILURES = 3
 
 
 @dataclass(frozen=True)
 class FalseFailure:
-    """A running front end that another called failed, with no cut between them."""
+    """A verdict that a member failed although it runs and is not cut off from the observer."""
 
     at: int
     observer: str
@@ -61,8 +61,10 @@
         seed: int,
         duration: int,
     ) -> None:
-        """A fleet in which no process runs yet; `duration`: the most nanoseconds that it is played."""
-        self.topology, self.seed, self.duration = topology, seed, duration
+        """Starts with no process running; `duration`: the maximum simulated time in nanoseconds."""
+        self.topology = topology
+        self.seed = seed
+        self.duration = duration
         self.implementation = implementation
         self.queue = EventQueue()
         self.network = Network(topology, terms, seed)
@@ -79,17 +81,17 @@
         self._healed_at: dict[int, int] = {}
         self._index = {site.name: site.index for site in topology.sites}
 
-    # Processes.
+    # Processes
 
     def start_all(self) -> None:
-        """All processes come up within `START_SPREAD_NS`, and know nothing but the seeds."""
+        """Starts all processes within `START_SPREAD_NS`; each knows the seeds only."""
         self.queue.schedule(START_SPREAD_NS, self.record_disturbance, "whole start")
-        chance = Random(f"start {self.seed}")
+        random = Random(f"start {self.seed}")
         for front in self.fronts:
-            self.queue.schedule(chance.randrange(START_SPREAD_NS), self.start, front)
+            self.queue.schedule(random.randrange(START_SPREAD_NS), self.start, front)
 
     def preload(self) -> None:
-        """All run and list each other: a fleet that started long ago."""
+        """Creates all processes such that they list each other, as in a fleet that started long ago."""
         for front in self.fronts:
             self._create(front)
         memberships = [front.membership for front in self.fronts if front.membership is not None]
@@ -103,7 +105,7 @@
             self._after_call(front)
 
     def start(self, front: SimulatedFront) -> None:
-        """A process starts; nothing where one runs already."""
+        """Starts a process unless one runs already."""
         if front.membership is not None:
             return
         if self.queue.now > START_SPREAD_NS:
@@ -114,8 +116,9 @@
         self._after_call(front)
 
     def _observers_of_start(self, front: SimulatedFront) -> list[int]:
-        """Its own zone, and whoever else does not take it to be there already."""
-        index, sites = front.site.index, self.topology.sites
+        """The other front ends of its zone, and those of other zones that do not list it yet."""
+        index = front.site.index
+        sites = self.topology.sites
         return [
             observer
             for observer in self.agreement.running_indexes()
@@ -126,35 +129,39 @@
     def _create(self, front: SimulatedFront) -> None:
         now = self.queue.now
         front.process_count += 1
-        front.started_at, front.timer_at, front.open_streams = now, -1, 0
+        front.started_at = now
+        front.timer_at = -1
+        front.open_streams = 0
         random = Random(f"{self.seed} {front.site.name} {front.process_count}")
         generation = EPOCH_US + now // 1_000 + 1
         front.membership = self.implementation.create(front.site, generation, random, now)
         self.agreement.started(front.site.index)
 
     def crash(self, front: SimulatedFront) -> None:
-        """The process ends without a word."""
+        """Ends the process without notice."""
         if front.membership is not None:
-            self._happened_to(front, EventKind.CRASH)
+            self._record_end(front, EventKind.CRASH)
             self._end(front)
 
     def stop(self, front: SimulatedFront) -> None:
-        """The process says that it leaves, and ends."""
+        """Ends the process after it announced that it leaves."""
         if front.membership is None:
             return
-        self._happened_to(front, EventKind.STOP)
+        self._record_end(front, EventKind.STOP)
         front.membership.leave(self.queue.now)
-        last_words = list(front.membership.take_outgoing())
+        leave_notices = list(front.membership.take_outgoing())
         self._end(front)
-        for time_said in range(LEAVE_NOTICE_COUNT):
-            at = self.queue.now + time_said * LEAVE_NOTICE_INTERVAL_NS
-            self.queue.schedule(at, self._send_all, front, last_words)
+        for repetition in range(LEAVE_NOTICE_COUNT):
+            at = self.queue.now + repetition * LEAVE_NOTICE_INTERVAL_NS
+            self.queue.schedule(at, self._send_all, front, leave_notices)
 
-    def _happened_to(self, front: SimulatedFront, kind: EventKind) -> None:
-        """Those that list a member are to learn that it is gone."""
+    def _record_end(self, front: SimulatedFront, kind: EventKind) -> None:
+        """Records a crash or stop that all observers that list the member have to learn."""
         index = front.site.index
         observers = [
-            o for o in self.agreement.running_indexes() if o != index and self.agreement.is_listed(o, index)
+            observer
+            for observer in self.agreement.running_indexes()
+            if observer != index and self.agreement.is_listed(observer, index)
         ]
         self.propagation.record_event(index, kind, self.queue.now, observers)
 
@@ -164,32 +171,32 @@
         self.agreement.ended(front.site.index)
         self.propagation.observer_ended(front.site.index)
 
-    # Partitions.
+    # Partitions
 
     def cut(self, region: int) -> None:
-        """A region loses all others."""
+        """Cuts a region off from all others."""
         self.network.cut(region)
 
     def heal(self, region: int) -> None:
-        """The region has them back."""
+        """Reconnects a region with all others."""
         self.network.heal(region)
         self._healed_at[region] = self.queue.now
         self.record_disturbance("heal")
 
-    def record_disturbance(self, what: str) -> None:
-        """Settling is counted from now."""
-        self.agreement.record_disturbance(what, self.queue.now)
+    def record_disturbance(self, description: str) -> None:
+        """Starts to measure the settling time of a disturbance."""
+        self.agreement.record_disturbance(description, self.queue.now)
         self.agreement.record_settling(self.queue.now)
 
-    # Time.
+    # Time
 
     def run(self, until: int, wall_deadline: float = float("inf")) -> bool:
-        """Plays on to a time. False where the wall clock ran past its deadline first."""
+        """Runs the simulation until a simulated time. Returns False if the wall clock passed its deadline before."""
         return self.queue.run(min(until, self.duration), wall_deadline)
 
     def _tick(self, front: SimulatedFront, due: int) -> None:
         if front.timer_at != due or front.membership is None:
-            return  # there is an earlier one, or the process has ended
+            return  # an earlier timer replaced this one, or the process ended
         front.timer_at = -1
         began = time.perf_counter_ns()
         front.membership.tick(self.queue.now)
@@ -197,8 +204,9 @@
         self._after_call(front)
 
     def _after_call(self, front: SimulatedFront) -> None:
-        """Carries out what a membership asks for, and sets its timer."""
-        membership, now = front.membership, self.queue.now
+        """Sends the messages of a membership, records its transitions and sets its timer."""
+        membership = front.membership
+        now = self.queue.now
         assert membership is not None
         began = time.perf_counter_ns()
         outgoing = membership.take_outgoing()
@@ -216,28 +224,31 @@
             self.queue.schedule(due, self._tick, front, due)
 
     def _transition(self, front: SimulatedFront, transition: Transition) -> None:
-        observer, member = front.site.index, self._index[transition.member]
+        observer = front.site.index
+        member = self._index[transition.member]
         listed = transition.state in (ObservedState.ALIVE, ObservedState.SUSPECTED)
         self.agreement.set_listed(observer, member, listed)
         self.propagation.record_observation(observer, member, transition.state, self.queue.now)
         if transition.state is ObservedState.FAILED:
-            self._called_failed(front, self.fronts[member])
+            self._count_failure_verdict(front, self.fronts[member])
 
-    def _called_failed(self, observer: SimulatedFront, member: SimulatedFront) -> None:
-        """Judges a verdict on a member that runs."""
+    def _count_failure_verdict(self, observer: SimulatedFront, member: SimulatedFront) -> None:
+        """Counts the verdict that a member failed, if it runs, by its likely cause."""
         now = self.queue.now
         if member.membership is None:
             return
-        healed = max(self._healed_at.get(f.site.region, -STALE_STATE_NS) for f in (observer, member))
-        across = observer.site.region != member.site.region and now - healed < STALE_STATE_NS
-        if across or self.network.separated(observer.site, member.site):
+        healed_at = max(
+            self._healed_at.get(front.site.region, -STALE_STATE_NS) for front in (observer, member)
+        )
+        recently_cut = observer.site.region != member.site.region and now - healed_at < STALE_STATE_NS
+        if recently_cut or self.network.separated(observer.site, member.site):
             self.failed_across_cut += 1
         elif member.process_count > 1 and now - member.started_at < STALE_STATE_NS:
             self.failed_previous_process += 1
         else:
             self.false_failures.append(FalseFailure(now, observer.site.name, member.site.name))
 
-    # Datagrams.
+    # Datagrams
 
     def _send_all(self, front: SimulatedFront, outgoing: Sequence[Outgoing]) -> None:
         for message in outgoing:
--- a/benchmarks/capacity/fleet_socket_host.py
+++ b/benchmarks/capacity/fleet_socket_host.py
@@ -1,7 +1,7 @@
-"""One process of the fleet over real sockets: dozens of hollow front ends in one loop.
+"""One process of the fleet over real sockets, which hosts dozens of front ends without viewers in one event loop.
 
-Each is the peers' part of a front end as it serves, with its own UDP socket and TCP listener on 127.0.0.0/8, and no
-viewers. The driver (`fleet_sockets.py`) writes the task to standard input, then a line that starts it.
+Each front end runs the peer endpoint that it has in service, with its own UDP socket and TCP listener on 127.0.0.0/8.
+The driver (`fleet_sockets.py`) writes the task to standard input, then a line that starts it.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 
 
 class CountingCodec(MembershipCodec):
-    """Counts the octets of whole lists, which go by stream."""
+    """Counts the octets of full states, which are sent on streams."""
 
     def __init__(self, fleet: str, ring: KeyRing) -> None:
-        """Nothing is counted yet."""
+        """Starts to count at 0."""
         super().__init__(fleet, ring)
         self.stream_octets = 0
 
     def seal(self, body: WireBody) -> bytes:
-        """A body as sealed octets."""
+        """Encodes and seals a body, and counts its octets if it goes on a stream."""
         octets = super().seal(body)
         if body.kind == MessageKind.PUSH_PULL.value:
             self.stream_octets += LENGTH_OCTETS + len(octets)
@@ -48,41 +48,49 @@
 
 
 class HostedFront:
-    """One front end's peers."""
+    """The peer endpoint of one front end."""
 
     def __init__(self, site: Site, topology: Topology, task: HostTask, clock: Clock) -> None:
-        """Listens at the address of its site once it runs."""
-        place = _place(site, topology, task)
-        log = structlog.wrap_logger(None, processors=[_drop])
+        """Creates an endpoint that listens at the address of its site once it runs."""
+        settings = _peer_settings(site, topology, task)
+        log = structlog.wrap_logger(None, processors=[_drop_event])
         seed = task.seed * task.front_ends + site.index
-        self.peers = PeerEndpoint(place, site.zone_name, seed, clock, log)
+        self.peers = PeerEndpoint(settings, site.zone_name, seed, clock, log)
         self.codec = CountingCodec(FLEET, self.peers.codec.ring)
-        self.peers.codec = self.peers.push_pulls.codec = self.codec
+        self.peers.codec = self.codec
+        self.peers.push_pulls.codec = self.codec
 
 
-def _place(site: Site, topology: Topology, task: HostTask) -> PeerSettings:
-    """What a front end of this fleet is configured with."""
+def _peer_settings(site: Site, topology: Topology, task: HostTask) -> PeerSettings:
+    """The peer settings of one front end of the fleet."""
     if task.membership == "flat":
         return PeerSettings(site.name, site.address, site.address, topology.seeds(), task.key_file, FLEET, "")
     zones = [topology.zone_members(zone) for zone in range(len(topology.region_of_zone))]
-    others = tuple(
+    other_zones = tuple(
         OtherZone(members[0].zone_name, members[0].region_name, seed_addresses(members))
         for members in zones
         if members[0].zone != site.zone
     )
     seeds = seed_addresses(zones[site.zone])
     return PeerSettings(
-        site.name, site.address, site.address, seeds, task.key_file, FLEET, "",
-        region=site.region_name, other_zones=others,
-    )  # fmt: skip
+        site.name,
+        site.address,
+        site.address,
+        seeds,
+        task.key_file,
+        FLEET,
+        "",
+        region=site.region_name,
+        other_zones=other_zones,
+    )
 
 
-def _drop(_logger: object, _method: str, _event: object) -> structlog.typing.ProcessorReturnValue:
+def _drop_event(_logger: object, _method: str, _event: object) -> structlog.typing.ProcessorReturnValue:
     raise structlog.DropEvent
 
 
-def reading(fronts: Sequence[HostedFront]) -> Reading:
-    """The totals of these front ends now."""
+def read_totals(fronts: Sequence[HostedFront]) -> Reading:
+    """The current totals over these front ends."""
     return Reading(
         sum(front.peers.datagrams.sent for front in fronts),
         sum(front.peers.datagrams.octets_sent for front in fronts),
@@ -93,10 +101,10 @@
 
 
 async def host(task: HostTask) -> HostResult:
-    """Runs the front ends of a task for its time. OSError where an address is taken."""
+    """Runs the front ends of a task for its time. Raises OSError if an address is in use."""
     topology = Topology(task.front_ends, first_octet=LOOPBACK_NETWORK)
     sites = topology.sites[task.first : task.first + task.count]
-    before = reading([])
+    before = read_totals([])
     clock = Clock()
     fronts = [HostedFront(site, topology, task, clock) for site in sites]
     began = trio.current_time()
@@ -104,9 +112,9 @@
         for front in fronts:
             await nursery.start(front.peers.run)
         await trio.sleep_until(began + task.start_seconds)
-        started = reading(fronts)
+        started = read_totals(fronts)
         await trio.sleep_until(began + task.start_seconds + task.quiet_seconds)
-        ended = reading(fronts)
+        ended = read_totals(fronts)
         listed = [len(front.peers.membership.present()) for front in fronts]
         nursery.cancel_scope.cancel()
     dropped = sum((front.peers.dropped for front in fronts), Counter[str]())
@@ -114,7 +122,7 @@
 
 
 def main() -> None:
-    """Reads the task, says that it is ready, waits for the word to start, and prints the result."""
+    """Reads the task, reports that it is ready, waits for the start line, and prints the result."""
     task = msgspec.json.decode(sys.stdin.readline(), type=HostTask)
     print("ready", flush=True)
     if sys.stdin.readline():
--- a/benchmarks/capacity/fleet_socket_messages.py
+++ b/benchmarks/capacity/fleet_socket_messages.py
@@ -1,4 +1,4 @@
-"""What the driver of a fleet over real sockets and its processes tell each other, one JSON line each."""
+"""Messages between the driver of a fleet over real sockets and its processes, each encoded as one line of JSON."""
 
 from __future__ import annotations
 
@@ -6,8 +6,10 @@
 
 
 class HostTask(msgspec.Struct, frozen=True):
-    """Which front ends a process hosts: `count` from `first` of a fleet of `front_ends`, with a flat membership or one of
-    zones; and for how long."""
+    """The front ends that a process hosts, and for how long.
+
+    It hosts `count` front ends from index `first` of a fleet of `front_ends`. `membership`: flat or zoned.
+    """
 
     membership: str
     front_ends: int
@@ -20,7 +22,7 @@
 
 
 class Reading(msgspec.Struct, frozen=True):
-    """Totals of one process's front ends since their start; octets without headers of UDP, TCP and IP."""
+    """Totals over the front ends of one process since their start; octets without UDP, TCP and IP headers."""
 
     datagrams: int
     datagram_octets: int
@@ -30,8 +32,11 @@
 
 
 class HostResult(msgspec.Struct, frozen=True):
-    """What a process measured: before its front ends were there, after the whole start, and at the end. `members`: the
-    fewest and the most that any of them listed at the end; `dropped`: messages that were not taken, by reason."""
+    """Readings of a process before its front ends were created, after the whole start, and at the end.
+
+    `members`: the fewest and the most members that any front end listed at the end. `dropped`: messages dropped, by
+    reason.
+    """
 
     before: Reading
     started: Reading
--- a/benchmarks/capacity/fleet_sockets.py
+++ b/benchmarks/capacity/fleet_sockets.py
@@ -1,7 +1,8 @@
-"""The fleet over real datagrams and streams on 127.0.0.0/8, beside the same fleet simulated.
+"""Compares a fleet over real datagrams and streams on 127.0.0.0/8 with the same fleet simulated.
 
-A check of the simulation: its octets, datagrams, processor time and memory a front end against those of real processes
-with dozens of front ends each. Bounded in processes and in time; the children are ended by their own handles.
+This checks the simulation: its octets, datagrams, processor time and memory per front end against those of real
+processes that host dozens of front ends each. The number of processes and the run time are bounded, and each child
+process is killed by its own handle.
 """
 
 from __future__ import annotations
@@ -33,23 +34,23 @@
 QUIET_SECONDS = 20.0
 READY_TIMEOUT_SECONDS = 60.0
 RESULT_SLACK_SECONDS = 60.0
-"""Seconds beyond the time that a process's front ends run."""
+"""Time allowed for a process's result beyond the run time of its front ends."""
 
 LOOPBACK_LINK = LinkTerms(MS // 20, MS // 2, 0.0)
-"""Loopback between busy processes: some tenths of a millisecond, and nothing is lost."""
+"""Loopback between busy processes: some tenths of a millisecond and no loss."""
 
 MAX_RELATIVE_DIFFERENCE = 0.1
-"""Streams of the quiet part are told and not judged by themselves: with some forty of them chance alone makes a
-sixth; all octets together are judged."""
+"""Octets of streams alone are not judged in the quiet part: it has some forty streams, whose random variation alone is a
+sixth. The sum of all octets is judged."""
 
 
 class SocketFleetError(RuntimeError):
-    """A process of the fleet did not start, or did not end in time."""
+    """A process of the fleet failed to start, or did not end in time."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """Means a front end over one part of a run. `processor`: share of a core."""
+    """Means per front end over one part of a run. `processor`: share of a core."""
 
     datagrams_per_second: float
     datagram_octets_per_second: float
@@ -58,13 +59,13 @@
 
     @property
     def octets_per_second(self) -> float:
-        """Datagrams and streams."""
+        """Octets of datagrams and streams per second."""
         return self.datagram_octets_per_second + self.stream_octets_per_second
 
 
 @dataclass(frozen=True)
 class FleetLoads:
-    """The parts of a run, and memory a front end at its end."""
+    """The loads of the parts of a run, and at its end the memory per front end and the range of listed members."""
 
     start: Load
     quiet: Load
@@ -74,7 +75,7 @@
 
 @contextmanager
 def _processes(tasks: Sequence[HostTask]) -> Iterator[list[subprocess.Popen[str]]]:
-    """A process for each task; all are ended on the way out."""
+    """Starts a process for each task, and kills those that still run at the end of the context."""
     running: list[subprocess.Popen[str]] = []
     try:
         for task in tasks:
@@ -95,24 +96,24 @@
 
 
 def _tasks(membership: str, front_ends: int, processes: int, seed: int, key_file: str) -> list[HostTask]:
-    each = -(-front_ends // processes)
+    fronts_per_process = -(-front_ends // processes)
     return [
         HostTask(
             membership,
             front_ends,
             first,
-            min(each, front_ends - first),
+            min(fronts_per_process, front_ends - first),
             seed,
             key_file,
             START_SECONDS,
             QUIET_SECONDS,
         )
-        for first in range(0, front_ends, each)
+        for first in range(0, front_ends, fronts_per_process)
     ]
 
 
 def run_processes(membership: str, front_ends: int, processes: int, seed: int) -> list[HostResult]:
-    """Plays the fleet over sockets. SocketFleetError where a process fails."""
+    """Runs the fleet over sockets. Raises SocketFleetError if a process fails."""
     if not 0 < processes <= MAX_PROCESSES:
         raise SocketFleetError(f"{processes} processes; 1 to {MAX_PROCESSES} are allowed")
     with tempfile.TemporaryDirectory() as folder:
@@ -133,133 +134,150 @@
 def _result(process: subprocess.Popen[str]) -> HostResult:
     try:
         text, _ = process.communicate(timeout=START_SECONDS + QUIET_SECONDS + RESULT_SLACK_SECONDS)
-    except subprocess.TimeoutExpired as late:
-        raise SocketFleetError(f"process {process.pid} did not end in time") from late
+    except subprocess.TimeoutExpired as error:
+        raise SocketFleetError(f"process {process.pid} did not end in time") from error
     if not text.strip():
         raise SocketFleetError(f"process {process.pid} ended with {process.returncode} and no result")
     return msgspec.json.decode(text.strip().splitlines()[-1], type=HostResult)
 
 
 def socket_loads(results: Sequence[HostResult], front_ends: int) -> FleetLoads:
-    """The means of all processes' front ends."""
+    """The mean loads over the front ends of all processes."""
 
-    def load(begin: str, end: str, took: float) -> Load:
-        def grown(field: str) -> float:
-            total = sum(getattr(getattr(r, end), field) - getattr(getattr(r, begin), field) for r in results)
-            return float(total) / front_ends / took
+    def load(begin: str, end: str, seconds: float) -> Load:
+        def rate(field: str) -> float:
+            total = sum(
+                getattr(getattr(result, end), field) - getattr(getattr(result, begin), field)
+                for result in results
+            )
+            return float(total) / front_ends / seconds
 
         return Load(
-            grown("datagrams"), grown("datagram_octets"), grown("stream_octets"), grown("processor_seconds")
+            rate("datagrams"), rate("datagram_octets"), rate("stream_octets"), rate("processor_seconds")
         )
 
-    resident = sum(r.ended.resident_octets - r.before.resident_octets for r in results) / front_ends
-    members = (min(r.members[0] for r in results), max(r.members[1] for r in results))
+    resident = sum(result.ended.resident_octets - result.before.resident_octets for result in results)
+    fewest_members = min(result.members[0] for result in results)
+    most_members = max(result.members[1] for result in results)
     return FleetLoads(
-        load("before", "started", START_SECONDS), load("started", "ended", QUIET_SECONDS), resident, members
+        load("before", "started", START_SECONDS),
+        load("started", "ended", QUIET_SECONDS),
+        resident / front_ends,
+        (fewest_members, most_members),
     )
 
 
 class _Totals:
-    """Totals of a simulated fleet at one time."""
+    """Totals of a simulated fleet at one simulated time."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
-        traffic = [front.traffic for front in simulation.fronts]
-        self.datagrams = sum(one.datagrams_sent for one in traffic)
-        self.datagram_octets = sum(one.datagram_octets for one in traffic)
-        self.stream_octets = sum(one.stream_octets for one in traffic)
-        received = sum(one.datagrams_received for one in traffic)
+        traffics = [front.traffic for front in simulation.fronts]
+        self.datagrams = sum(traffic.datagrams_sent for traffic in traffics)
+        self.datagram_octets = sum(traffic.datagram_octets for traffic in traffics)
+        self.stream_octets = sum(traffic.stream_octets for traffic in traffics)
+        received = sum(traffic.datagrams_received for traffic in traffics)
         coding = simulation.sampler.coding_ns(self.datagrams, received)
         self.busy_ns = sum(front.busy_ns for front in simulation.fronts) + coding
 
-    def load(self, before: _Totals | None, front_ends: int, took: float) -> Load:
-        """The means since an earlier time."""
+    def load(self, before: _Totals | None, front_ends: int, seconds: float) -> Load:
+        """The means since an earlier time, or since the start of the simulation."""
         base = (0, 0, 0, 0.0)
         if before is not None:
             base = (before.datagrams, before.datagram_octets, before.stream_octets, before.busy_ns)
-        each = front_ends * took
+        front_seconds = front_ends * seconds
         return Load(
-            (self.datagrams - base[0]) / each,
-            (self.datagram_octets - base[1]) / each,
-            (self.stream_octets - base[2]) / each,
-            (self.busy_ns - base[3]) / SECOND / each,
+            (self.datagrams - base[0]) / front_seconds,
+            (self.datagram_octets - base[1]) / front_seconds,
+            (self.stream_octets - base[2]) / front_seconds,
+            (self.busy_ns - base[3]) / SECOND / front_seconds,
         )
 
 
-def simulated_loads(make: Callable[[Topology], Implementation], front_ends: int, seed: int) -> FleetLoads:
-    """The same fleet on simulated links as fast as loopback."""
+def simulated_loads(
+    make_implementation: Callable[[Topology], Implementation], front_ends: int, seed: int
+) -> FleetLoads:
+    """The loads of the same fleet on simulated links as fast as loopback."""
     topology = Topology(front_ends, first_octet=LOOPBACK_NETWORK)
     terms = NetworkTerms(LOOPBACK_LINK, LOOPBACK_LINK, LOOPBACK_LINK, 0)
-    started_at, ended_at = round(START_SECONDS * SECOND), round((START_SECONDS + QUIET_SECONDS) * SECOND)
-    simulation = FleetSimulation(topology, terms, make(topology), seed, ended_at)
+    started_at = round(START_SECONDS * SECOND)
+    ended_at = round((START_SECONDS + QUIET_SECONDS) * SECOND)
+    simulation = FleetSimulation(topology, terms, make_implementation(topology), seed, ended_at)
     simulation.start_all()
     simulation.run(started_at)
     started = _Totals(simulation)
     simulation.run(ended_at)
     ended = _Totals(simulation)
     running = [front for front in simulation.fronts if front.membership is not None]
-    listed = [_listed_in_pool(front, topology, simulation.implementation) for front in running]
+    listed = [_listed_count(front, topology, simulation.implementation) for front in running]
     return FleetLoads(
         started.load(None, front_ends, START_SECONDS),
         ended.load(started, front_ends, QUIET_SECONDS),
-        private_octets(_state(running[len(running) // 2])),
+        private_octets(_membership_state(running[len(running) // 2])),
         (min(listed), max(listed)),
     )
 
 
-def _state(front: SimulatedFront) -> object:
+def _membership_state(front: SimulatedFront) -> object:
     assert front.membership is not None
     return front.membership.state()
 
 
-def _listed_in_pool(front: SimulatedFront, topology: Topology, implementation: Implementation) -> int:
-    """How many a front end lists of those that its flat membership is for: the fleet, or its zone."""
+def _listed_count(front: SimulatedFront, topology: Topology, implementation: Implementation) -> int:
+    """How many members a front end lists within the scope of its flat membership: the fleet, or its zone."""
     assert front.membership is not None
     is_flat = implementation.name == FlatImplementation.name
-    pool = topology.sites if is_flat else topology.zone_members(front.site.zone)
-    return sum(front.membership.is_listed(site.name) for site in pool)
+    sites = topology.sites if is_flat else topology.zone_members(front.site.zone)
+    return sum(front.membership.is_listed(site.name) for site in sites)
 
 
 def compare_loads(simulated: FleetLoads, real: FleetLoads) -> list[ReportLine]:
-    """Both beside each other. Octets and datagrams are judged; processor time and memory are told."""
-    found = []
-    for part, one, other in (
-        ("start", simulated.start, real.start),
-        ("quiet", simulated.quiet, real.quiet),
-    ):
-        found += [
-            _line(f"{part}, datagrams/s", one.datagrams_per_second, other.datagrams_per_second, True),
-            _line(
-                f"{part}, datagram B/s",
-                one.datagram_octets_per_second,
-                other.datagram_octets_per_second,
-                True,
-            ),
-            _line(
-                f"{part}, stream B/s",
-                one.stream_octets_per_second,
-                other.stream_octets_per_second,
-                part == "start",
-            ),
-            _line(f"{part}, all B/s", one.octets_per_second, other.octets_per_second, True),
-            _line(f"{part}, % of a core", 100 * one.processor, 100 * other.processor, False),
-            _host_line(f"{part}, host's work", one, other),
-        ]
-    found.append(_line("memory, kB", simulated.state_octets / 1e3, real.state_octets / 1e3, False))
-    found.append(ReportLine("members listed", f"simulated {simulated.members}, sockets {real.members}"))
-    return found
+    """Compares the loads. Octets and datagrams are judged, processor time and memory only reported."""
+    return [
+        *_part_lines("start", simulated.start, real.start, judge_streams=True),
+        *_part_lines("quiet", simulated.quiet, real.quiet, judge_streams=False),
+        _line("memory, kB", simulated.state_octets / 1e3, real.state_octets / 1e3, judged=False),
+        ReportLine("members listed", f"simulated {simulated.members}, sockets {real.members}"),
+    ]
+
+
+def _part_lines(part: str, simulated: Load, real: Load, judge_streams: bool) -> list[ReportLine]:
+    return [
+        _line(f"{part}, datagrams/s", simulated.datagrams_per_second, real.datagrams_per_second, judged=True),
+        _line(
+            f"{part}, datagram B/s",
+            simulated.datagram_octets_per_second,
+            real.datagram_octets_per_second,
+            judged=True,
+        ),
+        _line(
+            f"{part}, stream B/s",
+            simulated.stream_octets_per_second,
+            real.stream_octets_per_second,
+            judged=judge_streams,
+        ),
+        _line(f"{part}, all B/s", simulated.octets_per_second, real.octets_per_second, judged=True),
+        _line(f"{part}, % of a core", 100 * simulated.processor, 100 * real.processor, judged=False),
+        _host_line(f"{part}, host's work", simulated, real),
+    ]
 
 
 def _host_line(name: str, simulated: Load, real: Load) -> ReportLine:
-    """What the simulation leaves out: system calls, tasks and timers."""
-    each_way = 2 * real.datagrams_per_second
-    cost = (real.processor - simulated.processor) / each_way * SECOND / MICROSECOND_NS if each_way else 0.0
+    """The cost per datagram that is not simulated: system calls, tasks and timers."""
+    both_ways = 2 * real.datagrams_per_second
+    cost = (real.processor - simulated.processor) / both_ways * SECOND / MICROSECOND_NS if both_ways else 0.0
     return ReportLine(name, f"{cost:.0f} us a datagram sent or received, which the simulation does not have")
 
 
 def _line(name: str, simulated: float, real: float, judged: bool) -> ReportLine:
-    difference = simulated / real - 1 if real else float("inf") if simulated else 0.0
+    difference = _relative_difference(simulated, real)
     within = abs(difference) <= MAX_RELATIVE_DIFFERENCE
     text = f"simulated {simulated:.3f}, sockets {real:.3f}, difference {difference:+.1%}"
     if not judged:
         return ReportLine(name, text + ("" if within else "; over 10%, not judged"))
     return ReportLine(name, text, within)
+
+
+def _relative_difference(simulated: float, real: float) -> float:
+    if real:
+        return simulated / real - 1
+    return float("inf") if simulated else 0.0
--- a/benchmarks/capacity/fleet_streams.py
+++ b/benchmarks/capacity/fleet_streams.py
@@ -1,4 +1,4 @@
-"""Streams between simulated front ends: one request and its answer, each on a connection of its own."""
+"""Streams between simulated front ends: a request and its reply on a TCP connection of its own."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class _Stream:
-    """One connection, and which process stood at each end when it was opened."""
+    """One connection, and the process at each end when it was opened."""
 
     client: SimulatedFront
     client_process: int
@@ -30,7 +30,7 @@
 
 
 class StreamSimulator:
-    """Carries all streams of a fleet. `after_call`: what is done after each call of a membership."""
+    """Simulates all streams of a fleet. `after_call` is called after each call of a membership."""
 
     def __init__(
         self,
@@ -41,20 +41,24 @@
         implementation: Implementation,
         after_call: Callable[[SimulatedFront], None],
     ) -> None:
-        """Between these front ends, on this network."""
-        self._queue, self._network, self._topology = queue, network, topology
-        self._fronts, self._implementation, self._after_call = fronts, implementation, after_call
+        """Simulates streams between these front ends on this network."""
+        self._queue = queue
+        self._network = network
+        self._topology = topology
+        self._fronts = fronts
+        self._implementation = implementation
+        self._after_call = after_call
 
     def open(self, client: SimulatedFront, request: Outgoing) -> None:
-        """Connects to an address; the request follows once the connection stands."""
+        """Connects to an address and sends the request once the connection is established."""
         now = self._queue.now
         site = self._topology.by_address.get(request.address)
-        there = self._network.stream_transfer(client.site, site, 0) if site is not None else None
-        if site is None or there is None or self._fronts[site.index].membership is None:
-            client.traffic.stream_sent(now, 0, TCP_HEADER_OCTETS)  # a SYN that nobody answers
+        syn = self._network.stream_transfer(client.site, site, 0) if site is not None else None
+        if site is None or syn is None or self._fronts[site.index].membership is None:
+            client.traffic.stream_sent(now, 0, TCP_HEADER_OCTETS)  # an unanswered SYN
             return
-        back = self._network.stream_transfer(site, client.site, 0)
-        assert back is not None
+        syn_ack = self._network.stream_transfer(site, client.site, 0)
+        assert syn_ack is not None
         server = self._fronts[site.index]
         headers = CONNECTION_SEGMENTS * TCP_HEADER_OCTETS
         for end in (client, server):
@@ -62,7 +66,7 @@
             end.traffic.stream_received(now, headers)
         deadline = now + self._implementation.stream_timeout_ns
         stream = _Stream(client, client.process_count, server, server.process_count, deadline)
-        self._queue.schedule(now + there.delay + back.delay, self._send_request, stream, request)
+        self._queue.schedule(now + syn.delay + syn_ack.delay, self._send_request, stream, request)
 
     def _send_request(self, stream: _Stream, request: Outgoing) -> None:
         if not stream.client_runs() or not stream.server_runs():
@@ -75,7 +79,8 @@
             self._queue.schedule(self._queue.now + delay, self._answer, stream, request.message)
 
     def _answer(self, stream: _Stream, message: object) -> None:
-        server, now = stream.server, self._queue.now
+        server = stream.server
+        now = self._queue.now
         if not stream.server_runs() or server.membership is None:
             return
         began = time.perf_counter_ns()
@@ -83,8 +88,8 @@
         server.busy_ns += time.perf_counter_ns() - began
         self._after_call(server)
         delay = self._transfer(server, stream.client, reply.octets) if reply is not None else None
-        done = stream.deadline if delay is None else min(stream.deadline, now + delay)
-        self._queue.schedule(done, self._close, stream)
+        closed_at = stream.deadline if delay is None else min(stream.deadline, now + delay)
+        self._queue.schedule(closed_at, self._close, stream)
         if reply is not None and delay is not None and now + delay <= stream.deadline:
             self._queue.schedule(now + delay, self._receive_reply, stream, reply)
 
@@ -102,7 +107,7 @@
         self._after_call(client)
 
     def _transfer(self, sender: SimulatedFront, receiver: SimulatedFront, octets: int) -> int | None:
-        """Sends octets on an open stream; how long they take, None across a cut."""
+        """Sends octets on an open stream and returns their delay, or None across a cut."""
         transfer = self._network.stream_transfer(sender.site, receiver.site, octets)
         if transfer is None:
             return None
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -1,4 +1,4 @@
-"""The membership of two layers, flat inside a zone and by summaries between zones, as the hollow fleet runs it."""
+"""Runs the zoned membership in the simulated fleet: flat inside a zone, by summaries between zones."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from oakcroft.peerwire.zone_codec import ZONE_FORMAT, ZoneCodec
 
 SEEDS_PER_ZONE = 4
-"""Configured for each zone. In a whole start all of a zone ask its seeds first: with two of them for 135 front ends the
-busiest seed sent 10.3 and received 14.6 kB/s in ten seconds (2,700 front ends, seed 1, simulated)."""
+"""In a whole start, all front ends of a zone contact its seeds first. With two seeds for 135 front ends, the busiest seed
+sent 10.3 and received 14.6 kB/s over ten seconds (2,700 front ends, seed 1, simulated), above the budget of 8 kB/s."""
 MAX_CACHED_SIZES = 100_000
 
 REMOTE_STATES = {
@@ -43,64 +43,65 @@
     RemoteState.FAILED.value: ObservedState.FAILED,
     RemoteState.LEFT.value: ObservedState.LEFT,
 }
-"""A member of another zone that nothing is told of is taken to be there, as one of those that its zone counts."""
+"""A member of another zone without a record is assumed alive, as one of those that its zone counts."""
 
 ABSENT_REMOTE_STATES = (RemoteState.FAILED, RemoteState.LEFT, RemoteState.UNKNOWN)
 
 
 class ZoneDatagram(msgspec.Struct, frozen=True, gc=False):
-    """A datagram between zones."""
+    """A datagram between zones, with its sender."""
 
     sender: ZoneContact
     message: ZoneMessage
 
 
 class ZoneSizes:
-    """Octets of messages between zones: each message is encoded once, whoever sends it on."""
+    """Octets of messages between zones. Each message is encoded once, also if several front ends send it."""
 
     def __init__(self, codec: ZoneCodec) -> None:
-        """Measures by this codec."""
+        """Measures the encoding of this codec."""
         self._codec = codec
-        self._by_identity: dict[int, tuple[ZoneMessage, int]] = {}  # keeps the message, and so its identity
+        # Holds a reference to each message, so that no other object can get its id.
+        self._by_identity: dict[int, tuple[ZoneMessage, int]] = {}
 
     def datagram(self, sender: ZoneContact, message: ZoneMessage) -> int:
-        """The octets of one datagram, seal included."""
-        known = self._by_identity.get(id(message))
-        if known is None:
+        """Octets of one datagram, including its seal."""
+        cached = self._by_identity.get(id(message))
+        if cached is None:
             if len(self._by_identity) >= MAX_CACHED_SIZES:
                 self._by_identity.clear()
-            known = (message, len(self._codec.encode(sender, message)) - _sender_octets(sender))
-            self._by_identity[id(message)] = known
-        return known[1] + _sender_octets(sender)
+            cached = (message, len(self._codec.encode(sender, message)) - _sender_octets(sender))
+            self._by_identity[id(message)] = cached
+        return cached[1] + _sender_octets(sender)
 
 
 def _sender_octets(sender: ZoneContact) -> int:
-    texts = sum(string_octets(text) for text in (sender.name, sender.zone, sender.host))
-    return texts + integer_octets(sender.generation) + integer_octets(sender.port)
+    strings = sum(string_octets(text) for text in (sender.name, sender.zone, sender.host))
+    return strings + integer_octets(sender.generation) + integer_octets(sender.port)
 
 
 class ZonedMembershipAdapter:
-    """One front end's membership of two layers."""
+    """Adapts the zoned membership of one front end to the simulation."""
 
-    def __init__(self, state: ZonedMembership, fleet: ZonedImplementation) -> None:
-        """The state machine, and what all front ends of the fleet share."""
-        self.membership = state
+    def __init__(self, membership: ZonedMembership, fleet: ZonedImplementation) -> None:
+        """Wraps a membership; `fleet` is shared by all front ends."""
+        self.membership = membership
         self._fleet = fleet
-        me = state.local.me
+        me = membership.local.me
         self._zone = me.zone
         self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
 
     @property
     def due(self) -> int:
-        """When `tick` has something to do at the latest."""
+        """The time at which `tick` must be called next."""
         return self.membership.due
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Runs the timers that are due."""
         self.membership.tick(now)
 
     def receive(self, message: object, now: int) -> None:
-        """A datagram has come, of the zone or from another."""
+        """Handles a datagram from its own zone or from another zone."""
         if isinstance(message, ZoneDatagram):
             self.membership.receive_zone_message(message.sender, message.message, now)
             return
@@ -111,28 +112,29 @@
         )
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
-        """Another's whole table has come: this one's goes back, where the budget allows it."""
+        """Merges the full state of another front end and replies with its own, if the budget for exchanges allows it."""
         if not self.membership.accepts_exchange(now):
             return None
         assert isinstance(message, list)
         self.receive_reply(message, now)
-        mine = self.membership.full_state(message)
-        return StreamReply(mine, self._fleet.flat_sizes.full_state(mine))
+        own_state = self.membership.full_state(message)
+        return StreamReply(own_state, self._fleet.flat_sizes.full_state(own_state))
 
     def receive_reply(self, message: object, now: int) -> None:
-        """A whole table has come."""
+        """Merges a received full state."""
         assert isinstance(message, list)
         self.membership.receive_full_state(message[0], message, now)
 
     def leave(self, now: int) -> None:
-        """Says that this front end leaves."""
+        """Starts an orderly stop."""
         self.membership.leave(now)
 
     def take_outgoing(self) -> Sequence[Outgoing]:
-        """What is to be sent since the last call."""
+        """Returns and removes the messages to send since the last call."""
         if not self.membership.out:
             return ()
-        messages, self.membership.out = self.membership.out, []
+        messages = self.membership.out
+        self.membership.out = []
         return [
             self._flat_outgoing(message) if isinstance(message, Message) else self._zone_outgoing(message)
             for message in messages
@@ -147,17 +149,20 @@
 
     def _flat_outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
-            mine = self.membership.full_state()
-            return Outgoing(message.address, mine, self._fleet.flat_sizes.full_state(mine), True)
+            own_state = self.membership.full_state()
+            return Outgoing(
+                message.address, own_state, self._fleet.flat_sizes.full_state(own_state), stream=True
+            )
         me = self.membership.local.me
         message, octets = self._fleet.flat_sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
 
     def take_transitions(self) -> Sequence[Transition]:
-        """What has changed since the last call, in the own zone and of others."""
+        """Returns and removes the changes since the last call, of members of its own zone and of others."""
         if not self.membership.changes:
             return ()
-        changes, self.membership.changes = self.membership.changes, []
+        changes = self.membership.changes
+        self.membership.changes = []
         transitions = list[Transition]()
         for change in changes:
             if isinstance(change, ZoneChange):
@@ -183,36 +188,36 @@
                 yield Transition(name, ObservedState.ALIVE)
 
     def is_listed(self, member: str) -> bool:
-        """Whether a member is taken to be there."""
+        """Whether the member is taken to be present."""
         zone = self._fleet.zone_of_name[member]
         if zone == self._zone:
             return self.membership.state_of(member) in PRESENT_STATES
         return self.membership.remote_state(zone, member) not in ABSENT_REMOTE_STATES
 
     def entry_count(self) -> int:
-        """Entries in its list of members, and of remembered changes of others."""
-        remote = sum(len(record.members) for record in self.membership.directory.records.values())
-        return len(self.membership.local.members) + remote
+        """The number of members of its own zone and of remembered member changes of other zones."""
+        remote_entries = sum(len(record.members) for record in self.membership.directory.records.values())
+        return len(self.membership.local.members) + remote_entries
 
     def state(self) -> object:
-        """All that it holds."""
+        """The whole state."""
         return self.membership
 
 
 def seed_addresses(members: Sequence[Site]) -> tuple[Address, ...]:
-    """The addresses by which a zone is found, of all its sites."""
+    """The seed addresses of a zone with these sites."""
     return tuple(site.address for site in members[:SEEDS_PER_ZONE])
 
 
 class ZonedImplementation:
-    """Makes memberships of two layers and knows their encoding."""
+    """Creates zoned memberships and encodes their datagrams."""
 
     name = "zoned"
     max_streams = MAX_STREAMS
     stream_timeout_ns = STREAM_TIMEOUT_NS
 
     def __init__(self, topology: Topology) -> None:
-        """For the fleet of a topology; each zone's first front ends are its seeds."""
+        """Prepares the fleet of a topology. The first front ends of each zone are its seeds."""
         ring = KeyRing((KEY,))
         self._flat_codec = MembershipCodec(FLEET, ring)
         self._zone_codec = ZoneCodec(FLEET, ring)
@@ -229,7 +234,7 @@
             self._seeds[first.zone_name] = ZoneSeeds(first.zone_name, first.region_name, addresses)
 
     def create(self, site: Site, generation: int, random: Random, now: int) -> ZonedMembershipAdapter:
-        """The membership of one process that starts now."""
+        """Creates the membership of a process that starts now."""
         secret = random.randbytes(SECRET_OCTETS)
         me = own_update(site, generation, secret)
         others = tuple(seeds for zone, seeds in self._seeds.items() if zone != site.zone_name)
@@ -237,18 +242,18 @@
         return ZonedMembershipAdapter(ZonedMembership(me, secret, random, now, placement), self)
 
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
-        """Not offered: a whole start of this membership is quick to play."""
+        """Not supported: the simulation of a whole start takes little time with this membership."""
         raise NotImplementedError("--preloaded is for the flat membership")
 
     def encode(self, message: object) -> bytes:
-        """A datagram as it would go on the wire."""
+        """Encodes and seals a datagram."""
         if isinstance(message, ZoneDatagram):
             return self._zone_codec.encode(message.sender, message.message)
         assert isinstance(message, FlatDatagram)
         return self._flat_codec.encode(message.sender, message.message)
 
     def decode(self, octets: bytes) -> object:
-        """A datagram as it was sent."""
+        """Opens and decodes a datagram."""
         opened = self._flat_codec.open(octets, 0)
         if opened[0] == ZONE_FORMAT:
             received = self._zone_codec.read(opened)
