--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -1,4 +1,4 @@
-"""The hollow fleet: the same result each run, and each planted fault found."""
+"""The simulated fleet: runs are reproducible, and the report shows each injected fault."""
 
 from __future__ import annotations
 
@@ -27,6 +27,8 @@
 )
 from benchmarks.capacity.network import Network, NetworkTerms
 from benchmarks.capacity.topology import Site, Topology
+from oakcroft.decisions.membership.member import MemberUpdate
+from oakcroft.decisions.membership.messages import Message
 from oakcroft.interface import MS, SECOND
 
 FRONT_ENDS = 40
@@ -34,20 +36,28 @@
 TWO_PERCENT = NetworkTerms.with_loss(0.02, 0.02, 0.02)
 
 
-def fault_terms(fault: Fault, lasts: int = 10 * SECOND) -> FaultTerms:
-    """A fault of the usual size."""
-    return FaultTerms(fault, lasts, restarts_per_minute=60.0, speed_up=100.0)
+def fault_terms(fault: Fault, duration: int = 10 * SECOND) -> FaultTerms:
+    """A fault with the command's default rates."""
+    return FaultTerms(fault, duration, restarts_per_minute=60.0, speed_up=100.0)
 
 
 def small_run(fault: Fault = Fault.NONE, seconds: int = 15, seed: int = 1) -> FleetRun:
-    """A short run of a small fleet at 2% loss."""
+    """A short run of a small fleet at 2% loss, preloaded if it has a fault."""
     return FleetRun(
-        FRONT_ENDS, seed, seconds * SECOND, TWO_PERCENT, fault_terms(fault), "flat", fault is not Fault.NONE, False, 60.0
-    )  # fmt: skip
+        front_ends=FRONT_ENDS,
+        seed=seed,
+        duration=seconds * SECOND,
+        network=TWO_PERCENT,
+        fault=fault_terms(fault),
+        membership="flat",
+        preloaded=fault is not Fault.NONE,
+        alone=False,
+        wall_seconds=60.0,
+    )
 
 
 def simulated(seed: int) -> FleetSimulation:
-    """A small fleet after a whole start and one crash."""
+    """A simulated small fleet after a whole start and one crash."""
     topology = Topology(FRONT_ENDS)
     simulation = FleetSimulation(topology, TWO_PERCENT, FlatImplementation(topology), seed, 12 * SECOND)
     simulation.start_all()
@@ -57,7 +67,7 @@
 
 
 def observed(simulation: FleetSimulation) -> list[object]:
-    """All that a simulation counted."""
+    """The events, traffic and disagreement that a simulation counted."""
     sent = [front.traffic.sent_buckets.tobytes() for front in simulation.fronts]
     received = [front.traffic.received_buckets.tobytes() for front in simulation.fronts]
     return [
@@ -70,20 +80,20 @@
 
 
 def invoked(*options: str) -> Result:
-    """The command with a small fleet and these options."""
+    """Runs the command with a small fleet and these options."""
     return CliRunner().invoke(fleet, ["--fronts", str(FRONT_ENDS), *options])
 
 
 def line(result: Result, name: str) -> str:
-    """The line of a report that begins with a name."""
+    """The first line of a report that begins with this name."""
     return next(text for text in result.output.splitlines() if text.startswith(name))
 
 
-# The same each run.
+# Reproducibility
 
 
 def test_the_same_seed_gives_the_same_events_and_another_seed_others() -> None:
-    """Octets by time of each front end, events and lists repeat."""
+    """Compares the traffic of each front end, the number of events and the disagreement of lists."""
     first = observed(simulated(1))
 
     assert observed(simulated(1)) == first
@@ -91,7 +101,7 @@
 
 
 def test_the_report_of_a_run_repeats_but_for_what_is_measured_of_the_machine() -> None:
-    """Processor time and memory alone may differ."""
+    """Only processor time and memory may differ."""
     machine = ("share of a core", "  resident", "MB a front")
 
     reports = [[found for found in simulate(small_run())[1] if found.name not in machine] for _ in range(2)]
@@ -100,31 +110,34 @@
     assert len(reports[0]) > LINES_AT_LEAST
 
 
-# Counted wrong, or on other links than stated.
+# Wrong sizes and links
 
 
 def test_a_size_that_is_counted_wrong_stops_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: one octet too few."""
+    """Injects a count that is one octet too small."""
     exact = FlatSizes.datagram
-    monkeypatch.setattr(
-        FlatSizes, "datagram", lambda self, *given: (exact(self, *given)[0] - 1, exact(self, *given)[1])
-    )
+
+    def one_octet_less(sizes: FlatSizes, sender: MemberUpdate, message: Message) -> tuple[int, int]:
+        octets, fitting = exact(sizes, sender, message)
+        return octets - 1, fitting
+
+    monkeypatch.setattr(FlatSizes, "datagram", one_octet_less)
 
     with pytest.raises(SizeMismatchError):
         simulate(small_run())
 
 
 class LateNetwork(Network):
-    """Planted: each datagram takes three milliseconds more than stated."""
+    """Injects a fault: each datagram is delayed by three milliseconds more than stated."""
 
     def datagram_delay(self, sender: Site, receiver: Site) -> int | None:
-        """Later than stated."""
+        """The stated delay plus three milliseconds."""
         delay = super().datagram_delay(sender, receiver)
         return None if delay is None else delay + 3 * MS
 
 
 def test_a_run_on_links_that_are_not_as_stated_exits_1(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The command checks its own links."""
+    """The command samples the links of its own network."""
     monkeypatch.setattr(fleet_command, "Network", LateNetwork)
 
     result = invoked("--minutes", "0.1")
@@ -133,56 +146,56 @@
     assert "not as stated" in line(result, "links")
 
 
-# Faults that are planted in a membership.
+# Faults injected into a membership
 
 
-class TalkativeMembership(FlatMembershipAdapter):
-    """Planted: one front end says everything fifty times."""
+class FloodingMembership(FlatMembershipAdapter):
+    """Injects a fault: one front end sends each message fifty times."""
 
     def take_outgoing(self) -> Sequence[Outgoing]:
-        """Fifty times over."""
+        """The messages, fifty times each on the faulty front end."""
         messages = super().take_outgoing()
         return [*messages] * 50 if self.view.me.name == "front-0007" else messages
 
 
-class SlanderousMembership(FlatMembershipAdapter):
-    """Planted: one front end calls a living one failed."""
+class FalseVerdictMembership(FlatMembershipAdapter):
+    """Injects a fault: one front end reports once that a running one failed."""
 
-    told = False
+    is_reported = False
 
     def take_transitions(self) -> Sequence[Transition]:
-        """With a verdict of its own, once."""
+        """The transitions, with the false verdict once on the faulty front end."""
         transitions = super().take_transitions()
-        if self.view.me.name != "front-0007" or self.told or self.view.last_tick_at < 5 * SECOND:
+        if self.view.me.name != "front-0007" or self.is_reported or self.view.last_tick_at < 5 * SECOND:
             return transitions
-        self.told = True
+        self.is_reported = True
         return [*transitions, Transition("front-0009", ObservedState.FAILED)]
 
 
-class BlindMembership(FlatMembershipAdapter):
-    """Planted: one front end never finds that another has failed."""
+class NoDetectionMembership(FlatMembershipAdapter):
+    """Injects a fault: one front end never detects a failure."""
 
     def take_transitions(self) -> Sequence[Transition]:
-        """Without any failure."""
+        """The transitions, without failures on the faulty front end."""
         transitions = super().take_transitions()
         if self.view.me.name != "front-0039":
             return transitions
         return [transition for transition in transitions if transition.state is not ObservedState.FAILED]
 
 
-def plant(monkeypatch: pytest.MonkeyPatch, planted: type[FlatMembershipAdapter]) -> None:
-    """Has the command run these in place of sound ones."""
+def inject_membership(monkeypatch: pytest.MonkeyPatch, membership: type[FlatMembershipAdapter]) -> None:
+    """Makes the command use this class for flat memberships."""
 
-    class Planted(FlatImplementation):
+    class FaultyImplementation(FlatImplementation):
         def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembershipAdapter:
-            sound = super().create(site, generation, random, now)
-            return planted(sound.view, self._sizes)
+            correct = super().create(site, generation, random, now)
+            return membership(correct.view, self._sizes)
 
-    monkeypatch.setitem(fleet_command.IMPLEMENTATIONS, "flat", Planted)
+    monkeypatch.setitem(fleet_command.IMPLEMENTATIONS, "flat", FaultyImplementation)
 
 
-def test_a_sound_small_fleet_is_within_all_budgets() -> None:
-    """So that what the planted ones miss is theirs."""
+def test_a_small_fleet_without_injected_faults_is_within_all_budgets() -> None:
+    """A budget missed by a fleet with an injected fault is then due to that fault."""
     result = invoked("--minutes", "1.1", "--fault", "rack", "--preloaded", "--loss", "0.01")
 
     assert result.exit_code == 0, result.output
@@ -191,9 +204,9 @@
     assert line(result, "detection, everywhere").endswith("within")
 
 
-def test_a_front_end_that_talks_too_much_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """By name, in the line of what is sent."""
-    plant(monkeypatch, TalkativeMembership)
+def test_a_front_end_that_sends_too_much_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The line of sent traffic names it."""
+    inject_membership(monkeypatch, FloodingMembership)
 
     result = invoked("--minutes", "0.2")
 
@@ -202,9 +215,9 @@
     assert "front-0007" in line(result, "kB/s sent")
 
 
-def test_a_living_front_end_that_is_called_failed_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With who said it of whom; and the list that is wrong at the end."""
-    plant(monkeypatch, SlanderousMembership)
+def test_a_running_front_end_that_is_called_failed_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The report names observer and member, and counts the entry that is wrong at the end."""
+    inject_membership(monkeypatch, FalseVerdictMembership)
 
     result = invoked("--minutes", "0.2")
 
@@ -215,8 +228,8 @@
 
 
 def test_a_crash_that_one_front_end_never_learns_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One observer of one crash is enough."""
-    plant(monkeypatch, BlindMembership)
+    """A single observer that misses one crash is enough."""
+    inject_membership(monkeypatch, NoDetectionMembership)
 
     result = invoked("--minutes", "1.1", "--fault", "rack", "--preloaded", "--loss", "0.01")
 
@@ -226,10 +239,10 @@
     assert line(result, "settling, loss of a rack").endswith("MISSED")
 
 
-def test_verdicts_across_a_cut_are_told_apart_from_false_ones() -> None:
-    """Both sides of a cut find each other failed, and nobody is blamed."""
+def test_verdicts_across_a_cut_are_counted_apart_from_false_ones() -> None:
+    """Both sides of a cut call each other failed, which is correct."""
     _, found, finished = simulate(small_run(Fault.REGION, 50))
-    verdicts = next(one for one in found if one.name == "living called failed")
+    verdicts = next(report_line for report_line in found if report_line.name == "living called failed")
 
     assert finished
     assert verdicts.text.startswith("0 verdicts")
@@ -237,7 +250,7 @@
 
 
 def test_a_run_whose_wall_time_runs_out_says_so_and_exits_1() -> None:
-    """What was played is reported all the same."""
+    """The part that was simulated is reported nevertheless."""
     result = invoked("--minutes", "30", "--wall-seconds", "0.2")
 
     assert result.exit_code == 1
@@ -246,21 +259,21 @@
 
 @pytest.mark.parametrize("fault", [fault for fault in Fault if fault is not Fault.NONE])
 def test_a_run_too_short_for_its_fault_is_refused(fault: Fault) -> None:
-    """Before anything is played."""
+    """The run is refused before the simulation starts."""
     with pytest.raises(DurationError):
         phases(fault_terms(fault), 30 * SECOND, preloaded=True)
 
 
 @pytest.mark.parametrize("options", [["--fronts", "31"], ["--minutes", "0.5", "--fault", "zone"]])
 def test_a_fleet_or_a_time_that_is_too_small_is_a_usage_error(options: list[str]) -> None:
-    """Told in a line, without a trace."""
+    """The command prints one line and no traceback."""
     result = invoked(*options)
 
     assert result.exit_code == click.UsageError.exit_code
     assert result.output.splitlines()[-1].startswith("Error: ")
 
 
-# Over sockets.
+# Over sockets
 
 
 def loads(start: Load, quiet: Load) -> FleetLoads:
@@ -278,15 +291,15 @@
     ],
 )
 def test_octets_over_sockets_that_differ_by_a_tenth_are_found(real: Load, names: set[str]) -> None:
-    """Each kind by itself."""
+    """Each measured quantity is judged separately."""
     simulated, quiet = Load(10.0, 5_000, 3_000, 0.002), Load(6.0, 800, 300, 0.001)
 
     found = compare_loads(loads(simulated, quiet), loads(real, quiet))
 
-    assert {one.name for one in found if one.met is False} == names
+    assert {report_line.name for report_line in found if report_line.met is False} == names
 
 
 def test_a_fleet_over_sockets_is_bounded_in_processes() -> None:
-    """It is refused before any is started."""
+    """Too many processes are refused before any is started."""
     with pytest.raises(SocketFleetError):
         run_processes("flat", FRONT_ENDS, MAX_PROCESSES + 1, 1)
--- a/tests/test_capacity_zoned.py
+++ b/tests/test_capacity_zoned.py
@@ -1,4 +1,4 @@
-"""The membership of zones in the hollow fleet: octets as encoded, and what other zones know told as it is."""
+"""The zoned membership in the simulated fleet: counted octets match the encoding, and other zones learn of events."""
 
 from __future__ import annotations
 
@@ -44,14 +44,28 @@
 contacts = st.builds(ZoneContact, names, integers, names, st.just("10.0.0.1"), st.integers(1, 65_535))
 changes = st.builds(MemberChange, names, integers, integers, st.sampled_from(MemberState))
 summaries = st.builds(
-    ZoneSummary, names, names, names, integers, integers, integers,
-    st.builds(StateCounts, integers, integers, integers), st.lists(contacts, max_size=3).map(tuple), integers,
+    ZoneSummary,
+    names,
+    names,
+    names,
+    integers,
+    integers,
+    integers,
+    st.builds(StateCounts, integers, integers, integers),
+    st.lists(contacts, max_size=3).map(tuple),
+    integers,
     st.lists(changes, max_size=5).map(tuple),
-)  # fmt: skip
+)
 entries = st.builds(DigestEntry, names, integers, integers, integers, integers)
 members = st.none() | st.builds(
-    MemberRecord, names, integers, integers, st.sampled_from(MemberState), st.just("10.0.0.2"), st.integers(1, 65_535)
-)  # fmt: skip
+    MemberRecord,
+    names,
+    integers,
+    integers,
+    st.sampled_from(MemberState),
+    st.just("10.0.0.2"),
+    st.integers(1, 65_535),
+)
 messages = st.one_of(
     st.builds(ZoneDigest, st.lists(entries, max_size=12).map(tuple), st.booleans()),
     st.builds(ZoneRequest, st.lists(names, max_size=20).map(tuple)),
@@ -66,7 +80,7 @@
 def test_counted_octets_of_a_message_between_zones_are_those_of_its_encoding(
     first: ZoneContact, second: ZoneContact, message: ZoneMessage
 ) -> None:
-    """Whoever sends it on."""
+    """The cached size of a message is correct for each sender."""
     sizes = ZoneSizes(CODEC)
 
     counted = [sizes.datagram(sender, message) for sender in (first, second, first)]
@@ -75,7 +89,7 @@
 
 
 def settled_fleet(seconds: int) -> FleetSimulation:
-    """A fleet of zones after a whole start without loss, to be played for so long."""
+    """A zoned fleet after a whole start without loss, for at most this many simulated seconds."""
     topology = Topology(FRONT_ENDS, ZONES_BY_REGION)
     terms = NetworkTerms.with_loss(0, 0, 0)
     simulation = FleetSimulation(topology, terms, ZonedImplementation(topology), 1, seconds * SECOND)
@@ -86,14 +100,14 @@
 
 
 def test_a_crash_is_learnt_by_each_front_end_of_each_zone() -> None:
-    """By the flat membership in its own zone, by its zone's word in others; and a new start takes it back."""
+    """Its own zone learns by the flat membership, others by the zone's summary. All list it again after a restart."""
     simulation = settled_fleet(100)
-    victim = simulation.fronts[1]
+    crashed = simulation.fronts[1]
 
-    simulation.crash(victim)
+    simulation.crash(crashed)
     simulation.run(65 * SECOND)
     wrong_after_crash = simulation.agreement.wrong_entries
-    simulation.start(victim)
+    simulation.start(crashed)
     simulation.run(100 * SECOND)
 
     crash = simulation.propagation.everywhere[EventKind.CRASH]
@@ -104,29 +118,29 @@
 
 
 def test_members_of_a_region_that_is_cut_off_are_unreachable_and_not_called_failed() -> None:
-    """Each side lists the other no more once its zones are silent, and lists it again after the heal."""
+    """Each side removes the other once its zones time out, and lists it again after the heal."""
     simulation = settled_fleet(140)
     region = simulation.topology.largest_region()
     inside = len(simulation.topology.region_members(region))
 
     simulation.cut(region)
     simulation.run(90 * SECOND)
-    wrong_in_the_cut = simulation.agreement.wrong_entries
+    wrong_during_cut = simulation.agreement.wrong_entries
     simulation.heal(region)
     simulation.run(140 * SECOND)
 
-    assert wrong_in_the_cut == 2 * inside * (FRONT_ENDS - inside)
+    assert wrong_during_cut == 2 * inside * (FRONT_ENDS - inside)
     assert simulation.failed_across_cut == 0
     assert simulation.agreement.wrong_entries == 0
 
 
 def invoked(*options: str) -> Result:
-    """The command with a small fleet of zones and these options."""
+    """Runs the command with a small zoned fleet and these options."""
     return CliRunner().invoke(fleet, ["--membership", "zoned", "--fronts", str(COMMAND_FRONT_ENDS), *options])
 
 
-def test_the_command_plays_a_fleet_of_zones_and_repeats_its_result() -> None:
-    """All lines but those of processor time, memory and wall time."""
+def test_the_command_simulates_a_zoned_fleet_and_repeats_its_result() -> None:
+    """Compares all lines but those of processor time, memory and wall time."""
     machine = ("share of a core", "MB a front", "  resident", "took")
 
     reports = [
@@ -139,6 +153,6 @@
 
 
 def test_a_preloaded_start_is_refused_for_zones() -> None:
-    """It would have to invent what zones tell each other."""
+    """It would need made-up summaries that zones send to each other."""
     with pytest.raises(NotImplementedError):
         ZonedImplementation(Topology(FRONT_ENDS, ZONES_BY_REGION)).preload([], 0)
