--- a/benchmarks/capacity/fleet_command.py
+++ b/benchmarks/capacity/fleet_command.py
@@ -54,7 +54,7 @@
 def simulate(run: FleetRun) -> tuple[list[str], list[ReportLine], bool]:
     """Simulates a fleet. Returns a description of the run, the results, and whether the run finished in its wall time."""
     topology = Topology(run.front_ends)
-    parts = phases(run.fault, run.duration, run.preloaded)
+    run_phases = phases(run.fault, run.duration, run.preloaded)
     links = link_line(sample_links(Network(topology, run.network, run.seed), topology, run.network))
     gc.disable()  # the simulation makes no reference cycles, and the search for them takes a third of its time
     try:
@@ -66,11 +66,11 @@
             simulation.preload()
         else:
             simulation.start_all()
-        fault_text = schedule_fault(simulation, run.fault, parts)
+        fault_text = schedule_fault(simulation, run.fault, run_phases)
         finished = simulation.run(run.duration, time.monotonic() + run.wall_seconds)
         simulation.propagation.finish(simulation.queue.now)
         measured = RunMeasurements(
-            simulation, parts, simulation.queue.now, resident_octets() - before, run.alone
+            simulation, run_phases, simulation.queue.now, resident_octets() - before, run.alone
         )
         return _head(run, simulation, fault_text), [links, *report_lines(measured)], finished
     finally:
