--- a/benchmarks/capacity/fleet_report.py
+++ b/benchmarks/capacity/fleet_report.py
@@ -1,4 +1,4 @@
-"""What a run of the hollow fleet found, as lines, each beside its budget or goal."""
+"""The report of a simulated fleet: one line per result, compared with its budget or goal."""
 
 from __future__ import annotations
 
@@ -8,209 +8,230 @@
 
 from benchmarks.capacity import fleet_budgets as budgets
 from benchmarks.capacity.fleet_faults import Phase
-from benchmarks.capacity.fleet_front import HollowFront
-from benchmarks.capacity.fleet_knowledge import Durations, EventKind
+from benchmarks.capacity.fleet_front import SimulatedFront
+from benchmarks.capacity.fleet_propagation import Durations, EventKind
 from benchmarks.capacity.fleet_memory import private_octets
-from benchmarks.capacity.fleet_simulation import SHOWN_FALSE_FAILURES, FleetSimulation
-from benchmarks.capacity.fleet_traffic import BUCKET, WINDOW, busiest_window, mean_rate
+from benchmarks.capacity.fleet_simulation import MAX_SHOWN_FALSE_FAILURES, FleetSimulation
+from benchmarks.capacity.fleet_traffic import BUCKET_NS, WINDOW_NS, busiest_window, mean_rate
 from benchmarks.capacity.network_check import LinkSample
 from oakcroft.interface import SECOND
 
-KILOBYTE = 1_000
-MEGABYTE = 1_000_000
-MICROSECOND = 1_000
-FIRST_SECONDS = 10 * SECOND
+KILOBYTE_OCTETS = 1_000
+MEGABYTE_OCTETS = 1_000_000
+MICROSECOND_NS = 1_000
+PHASE_START_NS = 10 * SECOND
+"""Part of each phase whose mean rate is reported by itself."""
 
-HOST_NANOSECONDS_A_DATAGRAM = 250_000
-"""System calls, tasks and timers of one datagram sent or received, which a simulation doesn't have. Measured by
-`fleet --sockets --fronts 120 --processes 6` in its quiet part: 0.392% of a core a front end at 6.67 datagrams a second
-each way, of which decisions and coding are 0.059%; 207,000 in the whole start."""
+HOST_NS_PER_DATAGRAM = 250_000
+"""Estimated time of the system calls, tasks and timers for one datagram sent or received, which are not simulated.
+
+Measured with `fleet --sockets --fronts 120 --processes 6`: in its quiet part, a front end used 0.392% of a core at 6.67
+datagrams per second each way, of which decisions and coding are 0.059%. In its whole start the value was 207,000.
+"""
 
 
 @dataclass(frozen=True)
-class Line:
-    """One line of the report. `met`: whether its budget or goal is; None where it has none, or was not judged."""
+class ReportLine:
+    """One line of the report. `met`: whether the budget or goal is met; None if there is none or it was not judged."""
 
     name: str
     text: str
     met: bool | None = None
 
     def show(self) -> str:
-        """The line as printed."""
+        """Formats the line for the report."""
         verdict = {True: "  within", False: "  MISSED", None: ""}[self.met]
         return f"{self.name:<28} {self.text}{verdict}"
 
 
 @dataclass(frozen=True)
-class Measured:
-    """What a run leaves beside the simulation itself. `ended`: how far it came; `resident`: octets it took."""
+class RunMeasurements:
+    """A finished simulation and its measurements.
+
+    `ended_at`: the simulated time that the run reached. `resident_octets`: the resident memory that it added. `alone`:
+    nothing else ran on the machine, so that processor time is judged.
+    """
 
     simulation: FleetSimulation
     phases: Sequence[Phase]
-    ended: int
-    resident: int
+    ended_at: int
+    resident_octets: int
     alone: bool
 
 
-def lines(measured: Measured) -> list[Line]:
-    """All lines."""
+def report_lines(measured: RunMeasurements) -> list[ReportLine]:
+    """All lines of the report but that of the links."""
     found = [*_traffic_lines(measured), *_phase_lines(measured), _processor_line(measured)]
     found += _memory_lines(measured)
-    found += _knowledge_lines(measured.simulation)
+    found += _propagation_lines(measured.simulation)
     return [*found, *_settling_lines(measured.simulation), *_failure_lines(measured.simulation)]
 
 
-def link_line(samples: Sequence[LinkSample]) -> Line:
-    """What the links did, beside what is stated of them."""
+def link_line(samples: Sequence[LinkSample]) -> ReportLine:
+    """Compares sampled links with their stated latency and loss."""
     wrong = [sample.kind for sample in samples if not sample.matches_parameters()]
     text = "; ".join(sample.describe() for sample in samples)
     if wrong:
         text += f"; not as stated: {', '.join(wrong)}"
-    return Line("links", text, not wrong)
+    return ReportLine("links", text, not wrong)
+
 
+def _kilobytes(octets: float) -> str:
+    return f"{octets / KILOBYTE_OCTETS:.2f}"
 
-def _traffic_lines(measured: Measured) -> list[Line]:
+
+def _traffic_lines(measured: RunMeasurements) -> list[ReportLine]:
     fronts = measured.simulation.fronts
-    ways = {"sent": [f.traffic.sent for f in fronts], "received": [f.traffic.received for f in fronts]}
+    buckets_by_direction = {
+        "sent": [front.traffic.sent_buckets for front in fronts],
+        "received": [front.traffic.received_buckets for front in fronts],
+    }
     found = []
-    for way, buckets in ways.items():
-        rates = [mean_rate(own, 0, measured.ended) for own in buckets]
-        worst = busiest_window(buckets, 0, measured.ended)
-        met = worst.rate <= budgets.OCTETS_A_SECOND
+    for direction, buckets in buckets_by_direction.items():
+        rates = [mean_rate(own, 0, measured.ended_at) for own in buckets]
+        worst = busiest_window(buckets, 0, measured.ended_at)
+        met = worst.octets_per_second <= budgets.MAX_OCTETS_PER_SECOND
+        worst_name = fronts[worst.front_index].site.name
         text = (
-            f"median {median(rates) / KILOBYTE:.2f}, worst front {max(rates) / KILOBYTE:.2f}, worst ten seconds of any "
-            f"{worst.rate / KILOBYTE:.2f} ({fronts[worst.index].site.name} from {worst.began / SECOND:.1f} s); "
-            f"budget {budgets.OCTETS_A_SECOND / KILOBYTE:g}"
+            f"median {_kilobytes(median(rates))}, worst front {_kilobytes(max(rates))}, worst ten seconds of any "
+            f"{_kilobytes(worst.octets_per_second)} ({worst_name} from {worst.began_at / SECOND:.1f} s); "
+            f"budget {budgets.MAX_OCTETS_PER_SECOND / KILOBYTE_OCTETS:g}"
         )
-        found.append(Line(f"kB/s {way}", text, met))
-    sent = sum(sum(own) for own in ways["sent"])
-    headers = sum(f.traffic.header_octets for f in fronts)
-    datagrams = sum(f.traffic.datagrams_sent for f in fronts)
-    rate = datagrams * SECOND / max(1, measured.ended) / len(fronts)
+        found.append(ReportLine(f"kB/s {direction}", text, met))
+    sent = sum(sum(own) for own in buckets_by_direction["sent"])
+    headers = sum(front.traffic.header_octets for front in fronts)
+    datagrams = sum(front.traffic.datagrams_sent for front in fronts)
+    rate = datagrams * SECOND / max(1, measured.ended_at) / len(fronts)
     share = headers / sent if sent else 0.0
-    found.append(
-        Line(
-            "datagrams", f"{rate:.1f} a second a front; UDP, TCP and IP headers are {share:.0%} of the octets"
-        )
-    )
-    return found
+    text = f"{rate:.1f} a second a front; UDP, TCP and IP headers are {share:.0%} of the octets"
+    return [*found, ReportLine("datagrams", text)]
 
 
-def _phase_lines(measured: Measured) -> list[Line]:
+def _phase_lines(measured: RunMeasurements) -> list[ReportLine]:
     fronts = measured.simulation.fronts
-    buckets = [f.traffic.sent for f in fronts]
+    buckets = [front.traffic.sent_buckets for front in fronts]
     found = []
     for phase in measured.phases:
-        end = min(phase.end, measured.ended)
+        end = min(phase.end, measured.ended_at)
         if end <= phase.begin:
             continue
         rates = [mean_rate(own, phase.begin, end) for own in buckets]
-        worst = busiest_window(buckets, phase.begin, max(phase.begin + BUCKET, end - WINDOW + BUCKET))
-        first = [mean_rate(own, phase.begin, min(end, phase.begin + FIRST_SECONDS)) for own in buckets]
+        last_window_begin = max(phase.begin + BUCKET_NS, end - WINDOW_NS + BUCKET_NS)
+        worst = busiest_window(buckets, phase.begin, last_window_begin)
+        start_end = min(end, phase.begin + PHASE_START_NS)
+        start_rates = [mean_rate(own, phase.begin, start_end) for own in buckets]
         text = (
-            f"{phase.begin / SECOND:g} to {end / SECOND:g} s: mean {sum(rates) / len(rates) / KILOBYTE:.2f}, first ten "
-            f"seconds' mean {sum(first) / len(first) / KILOBYTE:.2f}, worst ten seconds {worst.rate / KILOBYTE:.2f}"
+            f"{phase.begin / SECOND:g} to {end / SECOND:g} s: mean {_kilobytes(sum(rates) / len(rates))}, first ten "
+            f"seconds' mean {_kilobytes(sum(start_rates) / len(start_rates))}, "
+            f"worst ten seconds {_kilobytes(worst.octets_per_second)}"
         )
-        found.append(Line(f"  kB/s sent, {phase.name}", text))
+        found.append(ReportLine(f"  kB/s sent, {phase.name}", text))
     return found
 
 
-def _processor_time(front: HollowFront, simulation: FleetSimulation) -> float:
-    """Nanoseconds of decisions as measured, and of coding and the host's work as reckoned from the datagrams."""
-    sent, received = front.traffic.datagrams_sent, front.traffic.datagrams_received
-    coding = simulation.sampling.coding_nanoseconds(sent, received)
-    return front.busy + coding + (sent + received) * HOST_NANOSECONDS_A_DATAGRAM
+def _processor_time(front: SimulatedFront, simulation: FleetSimulation) -> float:
+    """Measured nanoseconds of decisions, plus estimates for coding and for the host's work, by datagrams."""
+    sent = front.traffic.datagrams_sent
+    received = front.traffic.datagrams_received
+    coding = simulation.sampler.coding_ns(sent, received)
+    return front.busy_ns + coding + (sent + received) * HOST_NS_PER_DATAGRAM
 
 
-def _processor_line(measured: Measured) -> Line:
+def _processor_line(measured: RunMeasurements) -> ReportLine:
     simulation = measured.simulation
-    shares = [_processor_time(front, simulation) / max(1, measured.ended) for front in simulation.fronts]
-    decisions = sum(front.busy for front in simulation.fronts) / max(1, measured.ended) / len(shares)
+    shares = [_processor_time(front, simulation) / max(1, measured.ended_at) for front in simulation.fronts]
+    decisions = sum(front.busy_ns for front in simulation.fronts) / max(1, measured.ended_at) / len(shares)
     text = (
         f"median {median(shares):.2%}, worst front {max(shares):.2%}: decisions (mean {decisions:.2%}), coding by "
-        f"{simulation.sampling.samples} samples, and {HOST_NANOSECONDS_A_DATAGRAM / MICROSECOND:g} us of system "
-        f"calls and tasks a datagram; budget {budgets.SHARE_OF_A_CORE:.0%}"
+        f"{simulation.sampler.samples} samples, and {HOST_NS_PER_DATAGRAM / MICROSECOND_NS:g} us of system "
+        f"calls and tasks a datagram; budget {budgets.MAX_CORE_SHARE:.0%}"
     )
     if not measured.alone:
-        return Line("share of a core", f"{text}; not alone, not judged")
-    return Line("share of a core", f"{text}; alone", max(shares) <= budgets.SHARE_OF_A_CORE)
+        return ReportLine("share of a core", f"{text}; not alone, not judged")
+    return ReportLine("share of a core", f"{text}; alone", max(shares) <= budgets.MAX_CORE_SHARE)
 
 
-def _memory_lines(measured: Measured) -> list[Line]:
-    running = [f.membership for f in measured.simulation.fronts if f.membership is not None]
-    by_size = sorted(running, key=lambda membership: membership.size())
-    middle, largest = by_size[len(by_size) // 2], by_size[-1]
-    worst = private_octets(largest.state()) / MEGABYTE
+def _memory_lines(measured: RunMeasurements) -> list[ReportLine]:
+    memberships = [front.membership for front in measured.simulation.fronts if front.membership is not None]
+    by_size = sorted(memberships, key=lambda membership: membership.entry_count())
+    middle = by_size[len(by_size) // 2]
+    largest = by_size[-1]
+    largest_megabytes = private_octets(largest.state()) / MEGABYTE_OCTETS
+    median_megabytes = private_octets(middle.state()) / MEGABYTE_OCTETS
     text = (
-        f"state of its own: median {private_octets(middle.state()) / MEGABYTE:.2f} ({middle.size()} members), largest "
-        f"{worst:.2f} ({largest.size()}); budget {budgets.MEGABYTES:g}"
+        f"state of its own: median {median_megabytes:.2f} ({middle.entry_count()} members), largest "
+        f"{largest_megabytes:.2f} ({largest.entry_count()}); budget {budgets.MAX_MEMORY_MEGABYTES:g}"
     )
-    shared = measured.resident / len(measured.simulation.fronts) / MEGABYTE
+    shared_megabytes = measured.resident_octets / len(measured.simulation.fronts) / MEGABYTE_OCTETS
     return [
-        Line("MB a front", text, worst <= budgets.MEGABYTES),
-        Line(
+        ReportLine("MB a front", text, largest_megabytes <= budgets.MAX_MEMORY_MEGABYTES),
+        ReportLine(
             "  resident",
-            f"{shared:.2f} MB a front in this one process, where they share what they have heard",
+            f"{shared_megabytes:.2f} MB a front in this one process, where they share what they have heard",
         ),
     ]
 
 
-def _durations(durations: Durations) -> str:
+def _durations_text(durations: Durations) -> str:
     missing = f", {durations.missing} never" if durations.missing else ""
     return (
-        f"p50 {durations.quantile(0.5):.2f} s, p99 {durations.quantile(0.99):.2f} s, most {durations.most:.2f} s "
+        f"p50 {durations.quantile(0.5):.2f} s, p99 {durations.quantile(0.99):.2f} s, most {durations.longest:.2f} s "
         f"({durations.count} cases{missing})"
     )
 
 
-def _knowledge_lines(simulation: FleetSimulation) -> list[Line]:
-    own, known = simulation.knowledge.crash_in_own_zone, simulation.knowledge.everywhere
+def _propagation_lines(simulation: FleetSimulation) -> list[ReportLine]:
+    everywhere = simulation.propagation.everywhere
+    own_zone = simulation.propagation.crash_in_own_zone
     found = []
-    if own.count:
-        met = own.quantile(0.99) <= budgets.OWN_ZONE_WITHIN
-        text = f"{_durations(own)}; goal {budgets.OWN_ZONE_WITHIN:g} s p99"
-        found.append(Line("detection, own zone", text, met))
-    crash = known[EventKind.CRASH]
+    if own_zone.count:
+        met = own_zone.quantile(0.99) <= budgets.OWN_ZONE_DETECTION_SECONDS
+        text = f"{_durations_text(own_zone)}; goal {budgets.OWN_ZONE_DETECTION_SECONDS:g} s p99"
+        found.append(ReportLine("detection, own zone", text, met))
+    crash = everywhere[EventKind.CRASH]
     if crash.count:
-        met = crash.most <= budgets.EVERYWHERE_WITHIN
-        text = f"{_durations(crash)}; goal {budgets.EVERYWHERE_WITHIN:g} s"
-        found.append(Line("detection, everywhere", text, met))
+        met = crash.longest <= budgets.FLEET_DETECTION_SECONDS
+        text = f"{_durations_text(crash)}; goal {budgets.FLEET_DETECTION_SECONDS:g} s"
+        found.append(ReportLine("detection, everywhere", text, met))
     else:
-        found.append(Line("detection", "no crash in this run"))
+        found.append(ReportLine("detection", "no crash in this run"))
     for kind in (EventKind.START, EventKind.STOP):
-        if known[kind].count:
-            found.append(Line(f"propagation, {kind.value}", _durations(known[kind])))
+        if everywhere[kind].count:
+            found.append(ReportLine(f"propagation, {kind.value}", _durations_text(everywhere[kind])))
     if len(found) == 1 and not crash.count:
-        found.append(Line("propagation", "no start and no stop after the whole start"))
+        found.append(ReportLine("propagation", "no start and no stop after the whole start"))
     return found
 
 
-def _settling_lines(simulation: FleetSimulation) -> list[Line]:
-    """How long after each disturbance all lists agreed with who ran, and whether they do at the end.
+def _settling_lines(simulation: FleetSimulation) -> list[ReportLine]:
+    """The settling time of each disturbance, and whether all lists agree with the running processes at the end.
 
-    No goal names a time for it; that it happens in the run is wanted. Goals for a crash are those of detection.
+    There is no goal for the settling time, only that each disturbance settles within the run. The goals for a crash are
+    those of its detection.
     """
     agreement = simulation.agreement
     found = []
     for disturbance in agreement.disturbances:
-        name = f"settling, {disturbance.what}"
+        name = f"settling, {disturbance.description}"
         if disturbance.settled_at is None:
-            found.append(Line(name, f"not settled since {disturbance.at / SECOND:g} s", False))
+            found.append(ReportLine(name, f"not settled since {disturbance.occurred_at / SECOND:g} s", False))
             continue
-        took = disturbance.settled_at - disturbance.at
-        found.append(Line(name, f"{took / SECOND:.2f} s after {disturbance.at / SECOND:g} s", True))
-    share = agreement.wrong / max(1, agreement.pairs())
-    text = f"{agreement.wrong} entries of lists are wrong ({share:.3%})"
-    return [*found, Line("agreement at the end", text, agreement.wrong == 0)]
+        duration = disturbance.settled_at - disturbance.occurred_at
+        text = f"{duration / SECOND:.2f} s after {disturbance.occurred_at / SECOND:g} s"
+        found.append(ReportLine(name, text, True))
+    share = agreement.wrong_entries / max(1, agreement.pair_count())
+    text = f"{agreement.wrong_entries} entries of lists are wrong ({share:.3%})"
+    return [*found, ReportLine("agreement at the end", text, agreement.wrong_entries == 0)]
 
 
-def _failure_lines(simulation: FleetSimulation) -> list[Line]:
-    false = simulation.false_failures
+def _failure_lines(simulation: FleetSimulation) -> list[ReportLine]:
+    false_failures = simulation.false_failures
     shown = "".join(
-        f"; {one.observer} of {one.member} at {one.at / SECOND:.1f} s" for one in false[:SHOWN_FALSE_FAILURES]
+        f"; {failure.observer} of {failure.member} at {failure.at / SECOND:.1f} s"
+        for failure in false_failures[:MAX_SHOWN_FALSE_FAILURES]
     )
     text = (
-        f"{len(false)} verdicts{shown}; apart from these {simulation.failed_across_cut} across a cut and "
-        f"{simulation.failed_of_former_process} of a process before"
+        f"{len(false_failures)} verdicts{shown}; apart from these {simulation.failed_across_cut} across a cut and "
+        f"{simulation.failed_previous_process} of a process before"
     )
-    return [Line("living called failed", text, not false)]
+    return [ReportLine("living called failed", text, not false_failures)]
--- a/tests/test_capacity_counts.py
+++ b/tests/test_capacity_counts.py
@@ -8,13 +8,13 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from benchmarks.capacity.fleet_agreement import Agreement
+from benchmarks.capacity.fleet_agreement import AgreementTracker
 from benchmarks.capacity.fleet_flat import FLEET
 from benchmarks.capacity.fleet_flat_sizes import FlatSizes
-from benchmarks.capacity.fleet_knowledge import Durations, EventKind, Knowledge
+from benchmarks.capacity.fleet_propagation import Durations, EventKind, PropagationTracker
 from benchmarks.capacity.fleet_membership import ObservedState
 from benchmarks.capacity.fleet_report import link_line
-from benchmarks.capacity.fleet_traffic import BUCKET, WINDOW, busiest_window
+from benchmarks.capacity.fleet_traffic import BUCKET_NS, WINDOW_NS, busiest_window
 from benchmarks.capacity.network import Network, NetworkParameters
 from benchmarks.capacity.network_check import sample_links
 from benchmarks.capacity.topology import Site, Topology, TopologyError, zone_sizes
@@ -83,7 +83,7 @@
     ]  # fmt: skip
     encoded = write_full_state(CODEC, full_state)
 
-    assert FlatSizes(FLEET).whole(full_state) == len(encoded)
+    assert FlatSizes(FLEET).full_state(full_state) == len(encoded)
     reader = FullStateReader(CODEC)
     reader.receive_data(encoded, 0)
     assert len(reader.updates) == members - 1
@@ -174,7 +174,7 @@
     steps: list[tuple[str, int, int]],
 ) -> None:
     """The full count compares all lists with the running front ends at the end."""
-    agreement = Agreement(5)
+    agreement = AgreementTracker(5)
     running = set[int]()
     lists = dict[int, set[int]]()
 
@@ -188,19 +188,19 @@
             running.discard(observer)
             del lists[observer]
         elif action in ("see", "lose") and observer in running and observer != member:
-            agreement.seen(observer, member, action == "see")
+            agreement.set_listed(observer, member, action == "see")
             lists[observer] = lists[observer] | {member} if action == "see" else lists[observer] - {member}
 
-    assert agreement.wrong == sum(len(listed ^ running) for listed in lists.values())
+    assert agreement.wrong_entries == sum(len(listed ^ running) for listed in lists.values())
 
 
 @given(st.lists(st.lists(st.integers(0, 9), min_size=45, max_size=45), min_size=1, max_size=3))
 def test_busiest_window_is_the_one_with_the_largest_sum(fronts: list[list[int]]) -> None:
     """Compared with the sum of every window."""
-    width = WINDOW // BUCKET
+    width = WINDOW_NS // BUCKET_NS
     largest = max(sum(octets[start : start + width]) for octets in fronts for start in range(45))
 
-    assert busiest_window(fronts, 0, 45 * BUCKET).rate == largest * SECOND / WINDOW
+    assert busiest_window(fronts, 0, 45 * BUCKET_NS).octets_per_second == largest * SECOND / WINDOW_NS
 
 
 def test_quantile_is_infinite_if_too_many_durations_are_missing() -> None:
@@ -212,24 +212,24 @@
 
     assert durations.quantile(0.5) == pytest.approx(1.0, abs=0.02)
     assert durations.quantile(0.99) == float("inf")
-    assert durations.most == float("inf")
+    assert durations.longest == float("inf")
 
 
 def test_unobserved_event_counts_as_missing_only_once_it_is_overdue() -> None:
     """It counts only for running observers that still list another state."""
-    knowledge = Knowledge(lambda index: index // 2, 20 * SECOND)
-    knowledge.happened(0, EventKind.CRASH, 0, [1, 2, 3, 4])
-    knowledge.happened(5, EventKind.CRASH, 15 * SECOND, [1, 2])
+    propagation = PropagationTracker(lambda index: index // 2, 20 * SECOND)
+    propagation.record_event(0, EventKind.CRASH, 0, [1, 2, 3, 4])
+    propagation.record_event(5, EventKind.CRASH, 15 * SECOND, [1, 2])
 
-    knowledge.learnt(1, 0, ObservedState.FAILED, 4 * SECOND)
-    knowledge.learnt(2, 0, ObservedState.SUSPECTED, 4 * SECOND)
-    knowledge.learnt(3, 0, ObservedState.UNREACHABLE, 5 * SECOND)
-    knowledge.observer_ended(4)
-    knowledge.finish(30 * SECOND)
+    propagation.record_observation(1, 0, ObservedState.FAILED, 4 * SECOND)
+    propagation.record_observation(2, 0, ObservedState.SUSPECTED, 4 * SECOND)
+    propagation.record_observation(3, 0, ObservedState.UNREACHABLE, 5 * SECOND)
+    propagation.observer_ended(4)
+    propagation.finish(30 * SECOND)
 
-    everywhere = knowledge.everywhere[EventKind.CRASH]
+    everywhere = propagation.everywhere[EventKind.CRASH]
     assert (everywhere.count, everywhere.missing) == (3, 1)
-    assert (knowledge.crash_in_own_zone.count, knowledge.crash_in_own_zone.missing) == (1, 0)
+    assert (propagation.crash_in_own_zone.count, propagation.crash_in_own_zone.missing) == (1, 0)
 
 
 def test_octets_of_an_update_do_not_depend_on_earlier_counts() -> None:
