--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,6 +1,7 @@
-"""The tests that KNOWN-RED.txt lists: prints it, and the arguments that pass over just these.
+"""Verifies the tests listed in KNOWN-RED.txt and prints the pytest arguments that deselect exactly these.
 
-Each line is `TEST: cause: issue`. Fails when there are more than three, or when a listed test does not exist or passes.
+Each line of the file is `TEST: cause: issue`. Exits with an error when the file lists more than three tests, or when a
+listed test does not exist or passes.
 """
 
 from __future__ import annotations
@@ -9,26 +10,27 @@
 import sys
 from pathlib import Path
 
-MOST = 3
+MAX_LISTED_TESTS = 3
 
 
-def main(command: list[str], listed: Path) -> int:
-    """Runs each listed test by the command, and writes the arguments to standard output."""
-    lines = [line for line in listed.read_text().splitlines() if line.strip()] if listed.exists() else []
-    if len(lines) > MOST:
-        print(f"{listed.name} lists {len(lines)} tests, {MOST} at most", file=sys.stderr)
+def main(test_command: list[str], list_file: Path) -> int:
+    """Runs each listed test with the test command and writes the `--deselect` arguments to standard output."""
+    lines = (
+        [line for line in list_file.read_text().splitlines() if line.strip()] if list_file.exists() else []
+    )
+    if len(lines) > MAX_LISTED_TESTS:
+        print(f"{list_file.name} lists {len(lines)} tests, {MAX_LISTED_TESTS} at most", file=sys.stderr)
         return 1
     for line in lines:
-        test, *why = line.split(": ")
-        if len(why) != 2 or not all(part.strip() for part in why):
-            print(f"{listed.name}: not `TEST: cause: issue`: {line}", file=sys.stderr)
+        test, *cause_and_issue = line.split(": ")
+        if len(cause_and_issue) != 2 or not all(part.strip() for part in cause_and_issue):
+            print(f"{list_file.name}: not `TEST: cause: issue`: {line}", file=sys.stderr)
             return 1
-        done = subprocess.run([*command, test], capture_output=True, text=True, check=False)
-        if (
-            done.returncode != 1 or " failed" not in done.stdout.splitlines()[-1]
-        ):  # pytest's 1: tests ran, some failed
-            said = "passes" if done.returncode == 0 else "does not exist or does not run"
-            print(f"{listed.name}: {test} {said}\n{done.stdout[-400:]}", file=sys.stderr)
+        completed = subprocess.run([*test_command, test], capture_output=True, text=True, check=False)
+        # pytest's exit code 1: tests ran and some failed.
+        if completed.returncode != 1 or " failed" not in completed.stdout.splitlines()[-1]:
+            result = "passes" if completed.returncode == 0 else "does not exist or does not run"
+            print(f"{list_file.name}: {test} {result}\n{completed.stdout[-400:]}", file=sys.stderr)
             return 1
         print(f"known red: {line}", file=sys.stderr)
         print("--deselect", test)
