--- a/benchmarks/untold_loads.py
+++ b/benchmarks/untold_loads.py
@@ -1,11 +1,11 @@
-"""A fleet whose nodes report no loads, simulated: the real module in each front, a plain model of links and uplinks.
+"""Simulates a fleet whose nodes report no loads: the real decision module in each front, a simple model of the links.
 
 python -m benchmarks.untold_loads [SEEDS]
 
-Fronts hear of nothing but shares delivered, once a second on one session a node while it gives too little. A day has a
-burst in its middle third. The figure is revenue earned over revenue wanted, second by second; a session that gets under
-98% of its rate loses seven points for each that is missing. It is a model: only differences between two texts of the
-module mean anything.
+Fronts receive only delivered shares: once a second, for one session per node, while the node delivers too little. The
+middle third of a simulated day has a burst of requests. The result is the revenue earned divided by the revenue wanted;
+a session that gets less than 98% of its rate loses 7% of its revenue for each missing percent. As this is a model, only
+differences between two versions of the module are meaningful.
 """
 
 from __future__ import annotations
@@ -28,176 +28,225 @@
     Node,
     PlaybackMetric,
     Outcome,
+    Plan,
+    Playback,
+    PlaybackState,
+    DeploymentSettings,
+    Title,
 )
-from oakcroft.interface import Plan, Playback, PlaybackState, DeploymentSettings, Title
-
-DAY, STEP, SHOWS = 45 * SECOND, 100 * MS, 5 * SECOND
-SET_UP, SEEN_AFTER = 60 * MS, SECOND
-LIFE = 40.0  # seconds, mean
-RATES, WORTH = (231.0, 486.0, 1041.0, 2198.0), (0.22, 0.5, 0.75, 1.0)  # kB a second
-MIDDLE = 745.0  # kB a second
-SESSIONS_A_CORE, PLACES_A_SESSION, CORES = 4.5, 2.6, (2, 4)
-UPLINK_SHARE, SPREAD = 0.66, 0.2  # of a rack's links; sigma of true links and uplinks
-NODES_A_RACK = 5.5
-ENOUGH, STALL, LEAVES_UNDER, LEAVES = 0.98, 7.0, 0.75, 0.03  # the last: chance in a step
-REFUSES_AT = 1.3  # asked over given at which a node answers that it is full
-RETURNS, RETURNS_AFTER = 0.92, (800 * MS, 2100 * MS)
-SMALL_SCREENS, SMALL_TOP = 0.25, 1
-BURST = 1.5
+
+DAY_NS = 45 * SECOND
+STEP_NS = 100 * MS
+SETUP_DELAY_NS = 60 * MS
+REPORT_DELAY_NS = SECOND
+MEAN_SESSION_S = 40.0
+RUNG_RATES = (231.0, 486.0, 1041.0, 2198.0)
+"""kB/s."""
+RUNG_REVENUE_SHARES = (0.22, 0.5, 0.75, 1.0)
+MEAN_RATE = 745.0
+"""kB/s of a session, from which the capacity of links and the request rate follow."""
+SESSIONS_PER_CORE = 4.5
+CORE_COUNTS = (2, 4)
+CAPACITY_PER_SESSION = 2.6
+"""Listed capacity of a node per session that its link carries."""
+UPLINK_SHARE = 0.66
+"""Capacity of a rack's uplink as a share of the capacity of its links."""
+CAPACITY_SIGMA = 0.2
+"""Relative standard deviation of the true capacity of links and uplinks."""
+NODES_PER_RACK = 5.5
+FULL_DELIVERY_SHARE = 0.98
+STALL_PENALTY = 7.0
+"""Revenue lost per missing share of delivery, as a multiple."""
+LEAVE_BELOW_SHARE = 0.75
+LEAVE_CHANCE = 0.03
+"""Chance in each step that a session with less than `LEAVE_BELOW_SHARE` is withdrawn."""
+FULL_AT_LOAD = 1.3
+"""Requested rate over link capacity at which a node answers that it is full."""
+RETRY_CHANCE = 0.92
+RETRY_DELAY_NS = (800 * MS, 2100 * MS)
+SMALL_SCREEN_SHARE = 0.25
+SMALL_SCREEN_TOP_RUNG = 1
+BURST_FACTOR = 1.5
+BACKGROUND_RATE_SHARE = 0.92
+"""Share of the target load that is requested outside of the burst."""
+INITIAL_SESSION_SHARE = 0.9
+SMOOTHING = 0.3
+"""Weight of the newest delivered share in its moving average."""
 
 
 def plan(effect: Effect, revenue: float, rate_factor: float) -> Plan:
-    """One plan without seats or floor."""
+    """Returns a plan without seats or floor."""
     return Plan(
-        effect=effect, key_scope=KeyScope.ALL, key_ttl_ns=SECOND, startup_target_ns=1500 * MS, revenue=revenue,
-        floor=0, top_rung=len(RATES) - 1, seats=0, rate_factor=rate_factor, shares_stream=False,
-    )  # fmt: skip
+        effect=effect,
+        key_scope=KeyScope.ALL,
+        key_ttl_ns=SECOND,
+        startup_target_ns=1500 * MS,
+        revenue=revenue,
+        floor=0,
+        top_rung=len(RUNG_RATES) - 1,
+        seats=0,
+        rate_factor=rate_factor,
+        shares_stream=False,
+    )
 
 
-PLANS, PLAN_SHARES = (plan(Effect.FREE, 1.0, 0.7), plan(Effect.PAID, 2.0, 1.4)), (0.75, 0.25)
+PLANS = (plan(Effect.FREE, 1.0, 0.7), plan(Effect.PAID, 2.0, 1.4))
+PLAN_SHARES = (0.75, 0.25)
 
 
 @dataclass
 class ModelNode:
-    """A node as it is, which no front is told."""
+    """The true state of a node, which is unknown to the fronts. Capacities and rates are in kB/s."""
 
-    link: float  # as listed, kB a second
-    gives: float
-    places: float
+    listed_link_capacity: float
+    true_link_capacity: float
+    capacity: float
     rack: int
     sessions: dict[Session, None] = field(default_factory=dict)
-    share: float = 1.0
-    smooth: float = 1.0
+    delivered_share: float = 1.0
+    smoothed_share: float = 1.0
     was_short: dict[Front, bool] = field(default_factory=dict)
 
-    def asked(self) -> float:
-        """kB a second."""
-        return sum(RATES[s.rung] * s.pb.plan.rate_factor for s in self.sessions)
+    def requested_rate(self) -> float:
+        """Returns the rate that all sessions together would take."""
+        return sum(RUNG_RATES[session.rung] * session.playback.plan.rate_factor for session in self.sessions)
 
 
 @dataclass(eq=False)
 class Session:
-    """What one viewer wants until `ends`."""
+    """One viewer's session, which is wanted until `ends_at`."""
 
-    pb: Playback
-    top: int
-    ends: int
+    playback: Playback
+    top_rung: int
+    ends_at: int
     node: ModelNode | None = None
     rung: int = 0
 
 
 class Front:
-    """One front: the module's host."""
+    """One front: the host of a decision module."""
 
     def __init__(self, day: Day, number: int) -> None:
-        """The front of this number on a day."""
+        """Creates the front with this index."""
         self.day = day
         self.nodes = {Node(f"n{i}"): node for i, node in enumerate(day.nodes)}
         self.sessions: dict[Playback, Session] = {}
-        self.control = Controller(replace(day.terms, front_index=number), day.rng.getrandbits(50), self, 0)
+        self.controller = Controller(
+            replace(day.settings, front_index=number), day.rng.getrandbits(50), self, 0
+        )
         entries = list[NodeEntry]()
         for i, (node, model) in enumerate(self.nodes.items()):
             node.cell = i
-            entries.append(NodeEntry(node, NodeStatus.READY, 0, model.link, model.places))
-        self.control.on_node_list(NodeListKind.KEPT, entries, 0)
+            entries.append(NodeEntry(node, NodeStatus.READY, 0, model.listed_link_capacity, model.capacity))
+        self.controller.on_node_list(NodeListKind.KEPT, entries, 0)
 
-    def ask(self, terms: Plan, top: int, ends: int) -> None:
-        """A viewer comes."""
+    def request(self, plan: Plan, top_rung: int, ends_at: int) -> None:
+        """Handles a viewer's request for a playback."""
         title = Title(str(self.day.rng.random()), 0, 0)  # on all nodes
-        pb = Playback(title, terms, top, self.day.now + 3 * SECOND, False)
-        self.sessions[pb] = Session(pb, top, ends)
-        self.day.asks += 1
-        self.control.on_request(pb, self.day.now)
-
-    def hand_over(self, terms: Plan, top: int, ends: int, node: Node, rung: int) -> None:
-        """A session plays from before the start."""
-        pb = Playback(Title(str(self.day.rng.random()), 0, 0), terms, top, 0, False)
-        session = self.sessions[pb] = Session(pb, top, ends, self.nodes[node], rung)
+        playback = Playback(title, plan, top_rung, self.day.now + 3 * SECOND, False)
+        self.sessions[playback] = Session(playback, top_rung, ends_at)
+        self.day.request_count += 1
+        self.controller.on_request(playback, self.day.now)
+
+    def hand_over(self, plan: Plan, top_rung: int, ends_at: int, node: Node, rung: int) -> None:
+        """Adds a session that has been playing since before the start."""
+        playback = Playback(Title(str(self.day.rng.random()), 0, 0), plan, top_rung, 0, False)
+        session = Session(playback, top_rung, ends_at, self.nodes[node], rung)
+        self.sessions[playback] = session
         self.nodes[node].sessions[session] = None
-        self.control.on_handed_over(pb, node, 0)
-        self.control.on_metric(pb, PlaybackMetric.RUNG, rung, 0)
-        self.day.at(ends, lambda: self.over(session, Outcome.DONE))
+        self.controller.on_handed_over(playback, node, 0)
+        self.controller.on_metric(playback, PlaybackMetric.RUNG, rung, 0)
+        self.day.schedule(ends_at, lambda: self.end_session(session, Outcome.DONE))
 
-    def over(self, session: Session, how: Outcome) -> None:
-        """A session that played is over."""
-        if session.node is not None and self.sessions.pop(session.pb, None) is not None:
+    def end_session(self, session: Session, outcome: Outcome) -> None:
+        """Ends a session that played."""
+        if session.node is not None and self.sessions.pop(session.playback, None) is not None:
             del session.node.sessions[session]
-            self.control.on_try_ended(session.pb, how, True, None, None, None, self.day.now)
+            self.controller.on_try_ended(session.playback, outcome, True, None, None, None, self.day.now)
 
-    def _set_up(self, pb: Playback, model: ModelNode) -> None:
-        if pb.state is not PlaybackState.SETTING_UP:
+    def _set_up(self, playback: Playback, model: ModelNode) -> None:
+        if playback.state is not PlaybackState.SETTING_UP:
             return
-        if len(model.sessions) >= model.places or model.asked() > REFUSES_AT * model.gives:
-            self.control.on_try_ended(pb, Outcome.FULL, False, None, None, None, self.day.now)
+        is_overloaded = model.requested_rate() > FULL_AT_LOAD * model.true_link_capacity
+        if len(model.sessions) >= model.capacity or is_overloaded:
+            self.controller.on_try_ended(playback, Outcome.FULL, False, None, None, None, self.day.now)
             return
-        session = self.sessions[pb]
-        session.node, session.rung = model, pb.rung
+        session = self.sessions[playback]
+        session.node = model
+        session.rung = playback.rung
         model.sessions[session] = None
-        self.control.on_playing(pb, self.day.now)
-        self.day.at(session.ends, lambda: self.over(session, Outcome.DONE))
+        self.controller.on_playing(playback, self.day.now)
+        self.day.schedule(session.ends_at, lambda: self.end_session(session, Outcome.DONE))
 
-    # What the module asks for.
+    # The host interface that the decision module calls.
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
-        """A set-up leaves."""
+        """Sends a set-up to a node."""
         model = self.nodes[node]
-        self.day.at(self.day.now + SET_UP, lambda: self._set_up(playback, model))
+        self.day.schedule(self.day.now + SETUP_DELAY_NS, lambda: self._set_up(playback, model))
 
     def reject(self, playback: Playback, retry_after_ns: int) -> None:
-        """A viewer is refused; most come again, to any front."""
-        session, day = self.sessions.pop(playback), self.day
-        day.refused += 1
-        if day.rng.random() < RETURNS:
-            back = day.now + day.rng.randrange(*RETURNS_AFTER)
-            if back < session.ends:
+        """Rejects a request; most viewers retry on any front."""
+        session = self.sessions.pop(playback)
+        day = self.day
+        day.rejected_count += 1
+        if day.rng.random() < RETRY_CHANCE:
+            retry_at = day.now + day.rng.randrange(*RETRY_DELAY_NS)
+            if retry_at < session.ends_at:
                 front = day.rng.choice(day.fronts)
-                day.at(back, lambda: front.ask(playback.plan, session.top, session.ends))
+                day.schedule(
+                    retry_at, lambda: front.request(playback.plan, session.top_rung, session.ends_at)
+                )
 
     def abort(self, playback: Playback) -> None:
-        """The same to a viewer."""
+        """Handled like a rejection: the viewer cannot tell the difference."""
         self.reject(playback, 0)
 
     def set_rung(self, playback: Playback, rung: int) -> None:
-        """A rung comes into force at once."""
+        """Applies a rung at once."""
         if playback in self.sessions:
             self.sessions[playback].rung = rung
 
     def set_timer(self, at: int) -> None:
-        """The end of an interval."""
-        self.day.at(at, lambda: self.control.on_timer(self.day.now))
+        """Schedules the end of an interval."""
+        self.day.schedule(at, lambda: self.controller.on_timer(self.day.now))
 
     def subscribe_to_nodes(self) -> None:
-        """The list does not change."""
+        """Does nothing, as the node list does not change."""
 
     def log(self, message: str) -> None:
-        """Nobody reads it."""
+        """Discards the message."""
 
 
 class Day:
-    """One simulated day. `load`: of what links and uplinks give, at the middle rate."""
+    """One simulated day. `load` is the requested share of what links and uplinks carry, at the mean rate."""
 
     def __init__(self, fronts: int, nodes: int, load: float, seed: int) -> None:
-        """A day with so many fronts and nodes."""
-        self.rng, self.now, self.refused, self.asks = Random(seed), 0, 0, 0
-        self.earned = self.wanted = 0.0
-        self.heap = list[tuple[int, int, Callable[[], None]]]()
-        self.pushed = 0
-        racks = max(1, round(nodes / NODES_A_RACK))
-        self.nodes = [self._node(i % racks) for i in range(nodes)]
-        uplink = UPLINK_SHARE * sum(n.link for n in self.nodes) / racks
-        self.uplinks = [uplink * self._spread() for _ in range(racks)]
-        self.terms = DeploymentSettings(
+        """Creates the fronts and nodes and the sessions that play at the start."""
+        self.rng = Random(seed)
+        self.now = 0
+        self.rejected_count = 0
+        self.request_count = 0
+        self.earned_revenue = 0.0
+        self.wanted_revenue = 0.0
+        self.event_heap = list[tuple[int, int, Callable[[], None]]]()
+        self.scheduled_count = 0
+        racks = max(1, round(nodes / NODES_PER_RACK))
+        self.nodes = [self._create_node(i % racks) for i in range(nodes)]
+        uplink = UPLINK_SHARE * sum(node.listed_link_capacity for node in self.nodes) / racks
+        self.uplinks = [uplink * self._draw_capacity_factor() for _ in range(racks)]
+        self.settings = DeploymentSettings(
             front_count=fronts,
             front_index=0,
             must_subscribe=False,
             subscribe_within_ns=0,
             cell_count=nodes,
             rack_count=racks,
-            rung_rates=RATES,
-            rung_revenue_shares=WORTH,
+            rung_rates=RUNG_RATES,
+            rung_revenue_shares=RUNG_REVENUE_SHARES,
             uplink_capacity=uplink,
             join_rate_share=1.0,
-            report_delay_ns=SEEN_AFTER,
+            report_delay_ns=REPORT_DELAY_NS,
             report_interval_ns=0,
             max_tries=4,
             max_retry_after_ns=500 * MS,
@@ -210,106 +259,121 @@
             retry_budget_window_ns=0,
         )
         self.fronts = [Front(self, i) for i in range(fronts)]
-        self.weights = [self.rng.lognormvariate(0, 0.5) for _ in range(fronts)]
-        mean = MIDDLE * sum(s * p.rate_factor for s, p in zip(PLAN_SHARES, PLANS, strict=True))
-        gives = min(sum(n.gives for n in self.nodes), sum(self.uplinks))
-        self.rate = 0.92 * load * gives / mean / LIFE  # sessions a second
-        self._begin()
-
-    def _spread(self) -> float:
-        return max(0.4, self.rng.gauss(1, SPREAD))
-
-    def _node(self, rack: int) -> ModelNode:
-        sessions = SESSIONS_A_CORE * self.rng.choice(CORES)
-        link = sessions * MIDDLE
-        return ModelNode(link, link * self._spread(), sessions * PLACES_A_SESSION, rack)
-
-    def _begin(self) -> None:
-        for _ in range(round(self.rate * LIFE * 0.9)):
-            front, terms, top, ends = self._viewer()
-            node = self.rng.choices(list(front.nodes), [n.link for n in self.nodes])[0]
-            front.hand_over(terms, top, ends, node, min(top, self.rng.choice((0, 1, 1, 2))))
-        self._next()
-        self.at(0, self._step)
-
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        """Does something then."""
-        self.pushed += 1
-        heapq.heappush(self.heap, (when, self.pushed, what))
-
-    def _viewer(self) -> tuple[Front, Plan, int, int]:
-        terms = self.rng.choices(PLANS, PLAN_SHARES)[0]
-        top = SMALL_TOP if self.rng.random() < SMALL_SCREENS else terms.top_rung
-        ends = self.now + round(max(1.0, self.rng.expovariate(1 / LIFE)) * SECOND)
-        self.wanted += terms.revenue * WORTH[top] * (min(ends, DAY) - self.now) / SECOND
-        return self.rng.choices(self.fronts, self.weights)[0], terms, top, ends
-
-    def _next(self) -> None:
-        def come() -> None:
-            front, terms, top, ends = self._viewer()
-            front.ask(terms, top, ends)
-            self._next()
-
-        rate = self.rate * (BURST if DAY // 3 < self.now < DAY * 2 // 3 else 1)
-        self.at(self.now + round(self.rng.expovariate(rate) * SECOND), come)
+        self.front_weights = [self.rng.lognormvariate(0, 0.5) for _ in range(fronts)]
+        mean_rate = MEAN_RATE * sum(
+            share * plan.rate_factor for share, plan in zip(PLAN_SHARES, PLANS, strict=True)
+        )
+        total_capacity = min(sum(node.true_link_capacity for node in self.nodes), sum(self.uplinks))
+        self.sessions_per_second = BACKGROUND_RATE_SHARE * load * total_capacity / mean_rate / MEAN_SESSION_S
+        self._start()
+
+    def _draw_capacity_factor(self) -> float:
+        return max(0.4, self.rng.gauss(1, CAPACITY_SIGMA))
+
+    def _create_node(self, rack: int) -> ModelNode:
+        sessions = SESSIONS_PER_CORE * self.rng.choice(CORE_COUNTS)
+        link = sessions * MEAN_RATE
+        return ModelNode(link, link * self._draw_capacity_factor(), sessions * CAPACITY_PER_SESSION, rack)
+
+    def _start(self) -> None:
+        for _ in range(round(self.sessions_per_second * MEAN_SESSION_S * INITIAL_SESSION_SHARE)):
+            front, plan, top_rung, ends_at = self._draw_viewer()
+            node = self.rng.choices(list(front.nodes), [n.listed_link_capacity for n in self.nodes])[0]
+            front.hand_over(plan, top_rung, ends_at, node, min(top_rung, self.rng.choice((0, 1, 1, 2))))
+        self._schedule_next_request()
+        self.schedule(0, self._step)
+
+    def schedule(self, at: int, event: Callable[[], None]) -> None:
+        """Schedules an event."""
+        self.scheduled_count += 1
+        heapq.heappush(self.event_heap, (at, self.scheduled_count, event))
+
+    def _draw_viewer(self) -> tuple[Front, Plan, int, int]:
+        """Returns the front, plan, top rung and end of a new viewer's session."""
+        plan = self.rng.choices(PLANS, PLAN_SHARES)[0]
+        top_rung = SMALL_SCREEN_TOP_RUNG if self.rng.random() < SMALL_SCREEN_SHARE else plan.top_rung
+        ends_at = self.now + round(max(1.0, self.rng.expovariate(1 / MEAN_SESSION_S)) * SECOND)
+        wanted_ns = min(ends_at, DAY_NS) - self.now
+        self.wanted_revenue += plan.revenue * RUNG_REVENUE_SHARES[top_rung] * wanted_ns / SECOND
+        return self.rng.choices(self.fronts, self.front_weights)[0], plan, top_rung, ends_at
+
+    def _schedule_next_request(self) -> None:
+        def request() -> None:
+            front, plan, top_rung, ends_at = self._draw_viewer()
+            front.request(plan, top_rung, ends_at)
+            self._schedule_next_request()
+
+        is_burst = DAY_NS // 3 < self.now < DAY_NS * 2 // 3
+        rate = self.sessions_per_second * (BURST_FACTOR if is_burst else 1)
+        self.schedule(self.now + round(self.rng.expovariate(rate) * SECOND), request)
 
     def _step(self) -> None:
-        carried = [0.0] * len(self.uplinks)
+        rack_traffic = [0.0] * len(self.uplinks)
         for node in self.nodes:
-            carried[node.rack] += min(node.asked(), node.gives)
+            rack_traffic[node.rack] += min(node.requested_rate(), node.true_link_capacity)
         for node in self.nodes:
-            over = max(node.asked() / node.gives, carried[node.rack] / self.uplinks[node.rack])
-            node.share = 1 / max(1.0, over)
-            node.smooth += 0.3 * (node.share - node.smooth)
-            self._earn(node)
+            link_load = node.requested_rate() / node.true_link_capacity
+            uplink_load = rack_traffic[node.rack] / self.uplinks[node.rack]
+            node.delivered_share = 1 / max(1.0, link_load, uplink_load)
+            node.smoothed_share += SMOOTHING * (node.delivered_share - node.smoothed_share)
+            self._count_revenue(node)
             if self.now % SECOND == 0:
-                self._tell(node)
-        self.at(self.now + STEP, self._step)
+                self._report_short_delivery(node)
+        self.schedule(self.now + STEP_NS, self._step)
 
-    def _earn(self, node: ModelNode) -> None:
-        kept = max(0.0, 1 - STALL * max(0.0, ENOUGH - node.share))
+    def _count_revenue(self, node: ModelNode) -> None:
+        missing_share = max(0.0, FULL_DELIVERY_SHARE - node.delivered_share)
+        earned_share = max(0.0, 1 - STALL_PENALTY * missing_share)
         for session in list(node.sessions):
-            revenue = session.pb.plan.revenue * WORTH[min(session.rung, session.top)]
-            self.earned += revenue * kept * STEP / SECOND
-            if node.share < LEAVES_UNDER and self.rng.random() < LEAVES:
-                front = next(f for f in self.fronts if session.pb in f.sessions)
-                front.over(session, Outcome.WITHDRAWN)
-
-    def _tell(self, node: ModelNode) -> None:
-        """Notes of short delivery, one a front, and one more when it is over."""
+            rung_share = RUNG_REVENUE_SHARES[min(session.rung, session.top_rung)]
+            revenue = session.playback.plan.revenue * rung_share
+            self.earned_revenue += revenue * earned_share * STEP_NS / SECOND
+            if node.delivered_share < LEAVE_BELOW_SHARE and self.rng.random() < LEAVE_CHANCE:
+                front = next(front for front in self.fronts if session.playback in front.sessions)
+                front.end_session(session, Outcome.WITHDRAWN)
+
+    def _report_short_delivery(self, node: ModelNode) -> None:
+        """Reports short delivery to each front that has a session on the node, and once more after it has ended."""
         for front in self.fronts:
-            mine = next((s for s in node.sessions if s.pb in front.sessions), None)
-            short = node.smooth < ENOUGH
-            if mine is not None and (short or node.was_short.get(front, False)):
-                self.at(self.now + SEEN_AFTER, self._note(front, mine.pb, min(1.0, node.smooth)))
-            node.was_short[front] = short
+            session = next((s for s in node.sessions if s.playback in front.sessions), None)
+            is_short = node.smoothed_share < FULL_DELIVERY_SHARE
+            if session is not None and (is_short or node.was_short.get(front, False)):
+                report = self._create_report(front, session.playback, min(1.0, node.smoothed_share))
+                self.schedule(self.now + REPORT_DELAY_NS, report)
+            node.was_short[front] = is_short
 
-    def _note(self, front: Front, pb: Playback, value: float) -> Callable[[], None]:
-        return lambda: front.control.on_metric(pb, PlaybackMetric.DELIVERED_SHARE, value, self.now)
+    def _create_report(self, front: Front, playback: Playback, share: float) -> Callable[[], None]:
+        return lambda: front.controller.on_metric(playback, PlaybackMetric.DELIVERED_SHARE, share, self.now)
 
     def play(self) -> tuple[float, float, float]:
-        """Revenue earned over wanted, refusals over asks, and the mean x of the fronts at the end."""
-        while self.heap[0][0] < DAY:
-            self.now, _, what = heapq.heappop(self.heap)
-            what()
-        x = sum(f.control.x for f in self.fronts) / len(self.fronts)
-        return self.earned / self.wanted, self.refused / max(1, self.asks), x
+        """Returns earned over wanted revenue, rejections over requests, and the mean x of the fronts at the end."""
+        while self.event_heap[0][0] < DAY_NS:
+            self.now, _, event = heapq.heappop(self.event_heap)
+            event()
+        x = sum(front.controller.x for front in self.fronts) / len(self.fronts)
+        rejected_share = self.rejected_count / max(1, self.request_count)
+        return self.earned_revenue / self.wanted_revenue, rejected_share, x
 
 
 CASES = ((40, 40, 0.47), (40, 40, 0.9), (40, 40, 1.4), (200, 60, 0.47), (3, 16, 0.47), (3, 16, 1.2))
+"""Fronts, nodes and load of each row."""
 
 
 def main() -> None:
-    """Prints a table."""
+    """Prints the table."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 3
     print("| fronts | nodes | load | earned of wanted | lowest, highest | refused | x at the end |")
     print("| --- " * 7 + "|")
     for fronts, nodes, load in CASES:
         days = [Day(fronts, nodes, load, seed).play() for seed in range(seeds)]
-        earned = [d[0] for d in days]
-        refused, x = (sum(d[i] for d in days) / seeds for i in (1, 2))
-        print(f"| {fronts} | {nodes} | {load} | {sum(earned) / seeds:.3f} | {min(earned):.3f}, {max(earned):.3f}",
-              f"| {refused:.0%} | {x:.2f} |", flush=True)  # fmt: skip
+        earned = [day[0] for day in days]
+        rejected = sum(day[1] for day in days) / seeds
+        x = sum(day[2] for day in days) / seeds
+        earned_cells = f"{sum(earned) / seeds:.3f} | {min(earned):.3f}, {max(earned):.3f}"
+        print(
+            f"| {fronts} | {nodes} | {load} | {earned_cells} | {rejected:.0%} | {x:.2f} |",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
