--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: speeds and sizes, as ratios in one run. Not part of CI."""
+"""Benchmarks of speed and size, compared within one run. Not part of CI."""
--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -1,6 +1,6 @@
-"""What taking over costs and gains: a whole fleet's decisions over simulated time, and processes with a front killed.
+"""Measures session takeover: the decisions of a whole simulated fleet, and real processes of which some are killed.
 
-python -m benchmarks.adopting            simulated: 200 fronts, 200 nodes, 1 to 140 killed in one moment
+python -m benchmarks.adopting            simulated: up to 200 fronts and 200 nodes, 1 to 140 fronts killed at once
 python -m benchmarks.adopting processes  five fronts, two nodes, one and two killed, with and without (adopting …)
 """
 
@@ -24,41 +24,77 @@
     (200, 200, 40, 140, 0.0),
     (200, 200, 40, 140, 0.05),
 ]
-HEAD = ("fronts", "nodes", "playbacks each", "killed", "words lost", "outlive", "s without a front (p50, p99, most)",
-        "most asks a node a second", "most held, and the mean", "ms of a core a front a second")  # fmt: skip
-
-
-def at(some: list[int], part: float) -> float:
-    """A quantile, in seconds."""
-    return sorted(some)[min(len(some) - 1, int(part * len(some)))] / 1e9 if some else 0.0
+"""Fronts, nodes, playbacks of each front, killed fronts and message loss of each row."""
+HEAD = (
+    "fronts",
+    "nodes",
+    "playbacks each",
+    "killed",
+    "words lost",
+    "outlive",
+    "s without a front (p50, p99, most)",
+    "most asks a node a second",
+    "most held, and the mean",
+    "ms of a core a front a second",
+)
+OBSERVED_S = 20
+"""How long takeovers are observed after the kill."""
+
+
+def quantile_s(values_ns: list[int], share: float) -> float:
+    """Returns a quantile, in seconds."""
+    if not values_ns:
+        return 0.0
+    return sorted(values_ns)[min(len(values_ns) - 1, int(share * len(values_ns)))] / 1e9
 
 
 def simulated() -> None:
-    """A row for each size of loss."""
+    """Prints a row for each case."""
     print(" | ".join(HEAD))
-    for fronts, nodes, each, killed, lose in ROWS:
+    for fronts, nodes, playbacks_each, killed_count, loss in ROWS:
         fleet = TakeoverSimulation(
-            fronts, nodes, each, 1, TakeoverBounds(SECOND, 15 * SECOND, 1_000), NetworkConditions(loss=lose)
+            fronts,
+            nodes,
+            playbacks_each,
+            1,
+            TakeoverBounds(SECOND, 15 * SECOND, 1_000),
+            NetworkConditions(loss=loss),
         )
         fleet.run(2)
         fleet.processor_seconds = 0.0
-        fleet.kill([f"f{i}" for i in range(killed)])
-        fleet.run(20)
-        theirs = killed * each
-        living = fronts - killed
-        held = [sum(h.member == f.name for n in fleet.nodes for h in n.holder.values())
-                for f in fleet.fronts.values() if not f.is_dead]  # fmt: skip
-        mean = sum(held) / living
+        fleet.kill([f"f{i}" for i in range(killed_count)])
+        fleet.run(OBSERVED_S)
+        orphan_count = killed_count * playbacks_each
+        live_count = fronts - killed_count
+        held = [
+            sum(holder.member == front.name for node in fleet.nodes for holder in node.holder.values())
+            for front in fleet.fronts.values()
+            if not front.is_dead
+        ]
+        mean_held = sum(held) / live_count
         assert not fleet.breaches, fleet.breaches[:3]
-        delays, most_asks = fleet.takeover_delays, fleet.max_requests_per_second()
-        print(f"{fronts} | {nodes} | {each} | {killed} | {lose:.0%} | {100 * len(delays) / theirs:.1f}% | "
-              f"{at(delays, 0.5):.1f}, {at(delays, 0.99):.1f}, {at(delays, 1):.1f} | {most_asks} | "
-              f"{max(held)} to {mean:.0f} | {1000 * fleet.processor_seconds / living / 20:.2f}")  # fmt: skip
+        delays = fleet.takeover_delays
+        cells = (
+            f"{fronts}",
+            f"{nodes}",
+            f"{playbacks_each}",
+            f"{killed_count}",
+            f"{loss:.0%}",
+            f"{100 * len(delays) / orphan_count:.1f}%",
+            ", ".join(f"{quantile_s(delays, share):.1f}" for share in (0.5, 0.99, 1)),
+            f"{fleet.max_requests_per_second()}",
+            f"{max(held)} to {mean_held:.0f}",
+            f"{1000 * fleet.processor_seconds / live_count / OBSERVED_S:.2f}",
+        )
+        print(" | ".join(cells))
+
 
+async def kill_fronts(form: str, victims: list[str]) -> tuple[int, int, float]:
+    """Kills some of five fronts.
 
-async def killed(form: str, victims: list[str]) -> tuple[int, int, float]:
-    """Kills fronts of five with 40 playbacks each: how many of theirs play 20 s later, of how many; and the longest time
-    that one was without a front."""
+    Returns how many of their playbacks play 20 s later, how many there were, and the longest time in seconds that a
+    playback had no front.
+    """
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
     import signal
 
@@ -76,22 +112,24 @@
             assert isinstance(rig, Fronts)
             for node in rig.nodes.nodes.values():
                 node.machine.playback_capacity = 400
-            keys = [k for name in victims for k in await rig.start_playbacks(name, 14)]
+            keys = [key for name in victims for key in await rig.start_playbacks(name, 14)]
             for name in victims:
                 rig.signal(name, signal.SIGKILL)
-            await trio.sleep(20)
-            left = sum(k in rig.holders_by_key() for k in keys)
-            after = takeover_delays(rig.facts("listens", "passed"))
-            return left, len(keys), after[-1] if after else 0.0
+            await trio.sleep(OBSERVED_S)
+            playing_count = sum(key in rig.holders_by_key() for key in keys)
+            delays = takeover_delays(rig.facts("listens", "passed"))
+            return playing_count, len(keys), delays[-1] if delays else 0.0
 
 
 def processes() -> None:
-    """With and without, one and two killed."""
+    """Prints the results with and without takeover, for one and two killed fronts."""
     for form in ("", "(adopting (after 200ms) (lease 15s))"):
         for victims in (["f1"], ["f1", "f2"]):
-            left, of, longest = trio.run(killed, form, victims)
-            said = f"{left} of {of} play on after 20 s, longest without a front {longest:.1f} s"
-            print(f"{form or 'without':40} {len(victims)} killed: {said}")
+            playing_count, count, longest_s = trio.run(kill_fronts, form, victims)
+            result = (
+                f"{playing_count} of {count} play on after 20 s, longest without a front {longest_s:.1f} s"
+            )
+            print(f"{form or 'without':40} {len(victims)} killed: {result}")
 
 
 if __name__ == "__main__":
