--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,12 +1,13 @@
-"""A front at two, five and ten times what it can do: revenue answered within the startup target, with the line before the
-module and first come first served.
+"""Measures a front at 2, 5 and 10 times its capacity: the revenue that is answered within the startup target.
+
+Compares the fair queue before the decision module with first come, first served.
 
     python -m benchmarks.overload [--capacity 200] [--times 2 5 10]
 
-The fleet is three processes of ten nodes each, behind one list that joins theirs, so that the front is what saturates;
-the share of a core that the front and each of them took is printed. Four load processes send requests open-loop over
-kept-alive connections; a third of them are for a plan of nine times the revenue. An answer counts when a 201 comes within
-the startup target (1 s) of when its request was due.
+The fleet is three processes of ten nodes each behind one joined node list, so that the front is the bottleneck; the share
+of a core that the front and each of these processes used is printed. Four load processes send requests open-loop over
+persistent connections; a third of the requests are for a plan with nine times the revenue. An answer counts if a 201
+comes within the startup target (1 s) after its request was due.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 import orjson
 import trio
 
-from benchmarks.front_cost import SITE, WARM, Process, day
+from benchmarks.front_cost import SITE, WARM_UP_S, Process, day_text, start_front
 from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
 from oakcroft.running.clock import Clock
 from oakcroft.front.node_list_client import DISCOVERY_PATH
@@ -33,71 +34,106 @@
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import sdp
 
-PLANS = (
+SITE_WITH_PLANS = (
     SITE
     + """
   (plan dear (effect free) (startup-target 1s) (abandon 3s) (revenue 9)) (route dear (path "/whep/dear/") (plan dear))
   (plan cheap (effect free) (startup-target 1s) (abandon 3s) (revenue 1))
   (route cheap (path "/whep/cheap/") (plan cheap))"""
 )
-
-
-async def load(port: int, rate: float, seconds: float, seed: int) -> None:
-    """One load process; prints what was asked and answered in time, by plan."""
-    rng, asked, served = Random(seed), {"dear": 0, "cheap": 0}, {"dear": 0, "cheap": 0}
-    peer, body = HttpClient("127.0.0.1", port, max_concurrent=4000, max_idle=4000), offer(20_000, 1).encode()
-
-    async def one(at: float) -> None:
-        plan = "dear" if rng.random() < 1 / 3 else "cheap"
-        asked[plan] += 1
+HIGH_REVENUE_PLAN = "dear"
+LOW_REVENUE_PLAN = "cheap"
+PLANS = (HIGH_REVENUE_PLAN, LOW_REVENUE_PLAN)
+HIGH_REVENUE = 9
+"""Revenue of the one plan, as a multiple of the other's."""
+HIGH_REVENUE_SHARE = 1 / 3
+"""Share of the requests."""
+STARTUP_TARGET_S = 1.0
+ABANDON_S = 3
+LOAD_PROCESSES = 4
+FLEETS = 3
+NODES_PER_FLEET = 10
+LONG_POLL_S = 20
+
+
+async def send_requests(port: int, rate: float, seconds: float, seed: int) -> None:
+    """Runs one load process; prints the numbers of requests and of answers in time, by plan."""
+    rng = Random(seed)
+    requested = dict.fromkeys(PLANS, 0)
+    in_time = dict.fromkeys(PLANS, 0)
+    client = HttpClient("127.0.0.1", port, max_concurrent=4000, max_idle=4000)
+    body = offer(20_000, 1).encode()
+
+    async def play_once(due_at: float) -> None:
+        plan = HIGH_REVENUE_PLAN if rng.random() < HIGH_REVENUE_SHARE else LOW_REVENUE_PLAN
+        requested[plan] += 1
         try:
-            with trio.move_on_at(at + 3):
-                sat = await peer.request(
+            with trio.move_on_at(due_at + ABANDON_S):
+                response = await client.request(
                     "POST", f"/whep/{plan}/t{rng.randrange(50)}", [("Content-Type", sdp.MEDIA_TYPE)], body
                 )
-                if sat.status == 201:
-                    served[plan] += trio.current_time() - at <= 1.0
-                    await peer.request("DELETE", sat.header("location") or "", [], b"")
+                if response.status == 201:
+                    in_time[plan] += trio.current_time() - due_at <= STARTUP_TARGET_S
+                    await client.request("DELETE", response.header("location") or "", [], b"")
         except ExchangeError:
             pass
 
     async with trio.open_nursery() as nursery:
-        start, due = trio.current_time(), 0.0
+        start = trio.current_time()
+        due = 0.0
         while due < seconds:
             await trio.sleep_until(start + due)
-            nursery.start_soon(one, start + due)
+            nursery.start_soon(play_once, start + due)
             due += rng.expovariate(rate)
-    print(orjson.dumps([asked, served]).decode())
-
-
-async def fleets(
-    folder: Path, site: str, each: int, many: int
-) -> tuple[list[Process], int, trio.CancelScope]:
-    """So many fleets of so many nodes, and the port of a list service that names all of their nodes."""
-    some, lists = list[Process](), list[bytes]()
-    for i in range(many):
-        body = day(each).replace(SITE.format(nodes=each), site)
-        for n in reversed(range(each)):
-            body = body.replace(
-                f"(node n{n} (wing a) (cell {n})", f"(node n{i * each + n} (wing a) (cell {i * each + n})"
-            )
-        (folder / f"day-{i}.oak").write_text(body)
-        fleet = Process("stand-in", str(folder / f"day-{i}.oak"), "--seed", str(i), "--start", str(1 << 62),
-                        "--record", str(folder / f"record-{i}"))  # fmt: skip
+    print(orjson.dumps([requested, in_time]).decode())
+
+
+def fleet_day(site: str, fleet: int) -> str:
+    """Returns the day of one fleet, with node names and cells that are unique over all fleets."""
+    day = day_text(NODES_PER_FLEET).replace(SITE.format(nodes=NODES_PER_FLEET), site)
+    for node in range(NODES_PER_FLEET):
+        number = fleet * NODES_PER_FLEET + node
+        day = day.replace(
+            f"(node n{node} (wing a) (cell {node})", f"(node n{number} (wing a) (cell {number})"
+        )
+    return day
+
+
+async def start_fleets(folder: Path, site: str) -> tuple[list[Process], int, trio.CancelScope]:
+    """Starts the fleets and a discovery service that lists all of their nodes.
+
+    Returns the processes, the service's port and the scope that stops it.
+    """
+    fleets = list[Process]()
+    lists = list[bytes]()
+    for i in range(FLEETS):
+        day_file = folder / f"day-{i}.oak"
+        day_file.write_text(fleet_day(site, i))
+        fleet = Process(
+            "stand-in",
+            str(day_file),
+            "--seed",
+            str(i),
+            "--start",
+            str(1 << 62),
+            "--record",
+            str(folder / f"record-{i}"),
+        )
         port = orjson.loads(await fleet.start(folder / f"fleet-{i}.log"))["list"]
-        asked = await HttpClient("127.0.0.1", port).request("POST", DISCOVERY_PATH, [], b"{}")
-        some.append(fleet)
-        lists.append(asked.body)
-    whole, known = orjson.loads(lists[0]), orjson.loads(lists[0])["version_info"]
+        response = await HttpClient("127.0.0.1", port).request("POST", DISCOVERY_PATH, [], b"{}")
+        fleets.append(fleet)
+        lists.append(response.body)
+    joined_list = orjson.loads(lists[0])
+    version = joined_list["version_info"]
     for other in lists[1:]:
-        whole["resources"][0]["endpoints"] += orjson.loads(other)["resources"][0]["endpoints"]
-    joined = orjson.dumps(whole)
+        joined_list["resources"][0]["endpoints"] += orjson.loads(other)["resources"][0]["endpoints"]
+    joined_body = orjson.dumps(joined_list)
 
     async def handle(request: Request) -> Response:
-        if orjson.loads(request.body).get("version_info") == known:
-            await trio.sleep(20)
+        if orjson.loads(request.body).get("version_info") == version:
+            await trio.sleep(LONG_POLL_S)
             return Response(304)
-        return Response(200, [("Content-Type", "application/json")], joined)
+        return Response(200, [("Content-Type", "application/json")], joined_body)
 
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     server = Server(
@@ -110,60 +146,70 @@
             await server.run(listeners)
 
     trio.lowlevel.spawn_system_task(serve)
-    return some, listeners[0].socket.getsockname()[1], scope
+    return fleets, listeners[0].socket.getsockname()[1], scope
 
 
 async def measure(
     module: list[str], rate: float, seconds: float
 ) -> tuple[dict[str, int], dict[str, int], list[float]]:
-    """One front under one load; what was asked and served in time, and the cores that front and fleets took."""
+    """Measures one front under one load.
+
+    Returns the numbers of requests and of answers in time by plan, and the cores that the front and each fleet used.
+    """
     with tempfile.TemporaryDirectory() as name:
-        folder, site = Path(name), PLANS.format(nodes=30)
-        some, list_port, scope = await fleets(folder, site, 10, 3)
-        own = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{list_port}"))'
-        (folder / "front.oak").write_text(f"{own}\n{site}")
-        front = Process("serve", str(folder / "front.oak"))
+        folder = Path(name)
+        site = SITE_WITH_PLANS.format(nodes=FLEETS * NODES_PER_FLEET)
+        fleets, list_port, scope = await start_fleets(folder, site)
+        front_form = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{list_port}"))'
+        (folder / "front.oak").write_text(f"{front_form}\n{site}")
+        front = Process()
         front.command = [sys.executable, "-m", *module, str(folder / "front.oak")]
-        port = int((await front.start(folder / "front.log")).split(b":")[-1])
-        asked, served = {"dear": 0, "cheap": 0}, {"dear": 0, "cheap": 0}
+        port = await start_front(front, folder / "front.log")
+        requested = dict.fromkeys(PLANS, 0)
+        in_time = dict.fromkeys(PLANS, 0)
         try:
-            await trio.sleep(WARM)
+            await trio.sleep(WARM_UP_S)
 
-            async def part(seed: int) -> None:
+            async def run_load_process(seed: int) -> None:
                 command = [
                     sys.executable,
                     "-m",
                     "benchmarks.overload",
                     "--load",
                     str(port),
-                    str(rate / 4),
+                    str(rate / LOAD_PROCESSES),
                     str(seconds),
                     str(seed),
                 ]
-                done = await trio.run_process(command, capture_stdout=True, stderr=subprocess.DEVNULL)
-                for total, mine in zip((asked, served), orjson.loads(done.stdout), strict=True):
-                    for plan, n in mine.items():
-                        total[plan] += n
-
-            before, began = [p.cpu() for p in (front, *some)], trio.current_time()
+                completed = await trio.run_process(command, capture_stdout=True, stderr=subprocess.DEVNULL)
+                for total, counts in zip((requested, in_time), orjson.loads(completed.stdout), strict=True):
+                    for plan, count in counts.items():
+                        total[plan] += count
+
+            processes = (front, *fleets)
+            processor_before = [process.processor_seconds() for process in processes]
+            began = trio.current_time()
             async with trio.open_nursery() as nursery:
-                for seed in range(4):
-                    nursery.start_soon(part, seed)
-            took = trio.current_time() - began
-            cores = [(p.cpu() - b) / took for p, b in zip((front, *some), before, strict=True)]
-            keep = os.environ.get("KEEP_LOG")
-            if keep:
-                Path(keep).write_bytes((folder / "front.log").read_bytes())
+                for seed in range(LOAD_PROCESSES):
+                    nursery.start_soon(run_load_process, seed)
+            elapsed = trio.current_time() - began
+            cores = [
+                (process.processor_seconds() - before) / elapsed
+                for process, before in zip(processes, processor_before, strict=True)
+            ]
+            log_copy = os.environ.get("KEEP_LOG")
+            if log_copy:
+                Path(log_copy).write_bytes((folder / "front.log").read_bytes())
         finally:
             await front.stop()
-            for fleet in some:
+            for fleet in fleets:
                 await fleet.stop()
             scope.cancel()
-        return asked, served, cores
+        return requested, in_time, cores
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments and runs the benchmark, or a load process that it starts."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -171,23 +217,28 @@
     parser.add_argument("--times", type=float, nargs="+", default=[2, 5, 10])
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--load", nargs=4, help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.load:
-        port, rate, seconds, seed = given.load
-        trio.run(load, int(port), float(rate), float(seconds), int(seed))
+    arguments = parser.parse_args()
+    if arguments.load:
+        port, rate, seconds, seed = arguments.load
+        trio.run(send_requests, int(port), float(rate), float(seconds), int(seed))
         return
     where = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
-    print(f"{where}; capacity taken as {given.capacity:.0f} a second")
-    for times in given.times:
-        for what, module in (
+    print(f"{where}; capacity taken as {arguments.capacity:.0f} a second")
+    for times in arguments.times:
+        for variant, module in (
             ("line", ["oakcroft", "serve"]),
             ("first come", ["oakcroft.rehearsal.firstcome"]),
         ):
-            asked, served, cores = trio.run(measure, module, given.capacity * times, given.seconds)
-            revenue = 9 * served["dear"] + served["cheap"]
-            print(f"{times:4.0f} times, {what:10}: revenue in time {revenue:6}, dear {served['dear']}/{asked['dear']}, "
-                  f"cheap {served['cheap']}/{asked['cheap']}; cores {' '.join(f'{c:.2f}' for c in cores)}",
-                  flush=True)  # fmt: skip
+            requested, in_time, cores = trio.run(
+                measure, module, arguments.capacity * times, arguments.seconds
+            )
+            revenue = HIGH_REVENUE * in_time[HIGH_REVENUE_PLAN] + in_time[LOW_REVENUE_PLAN]
+            answered = ", ".join(f"{plan} {in_time[plan]}/{requested[plan]}" for plan in PLANS)
+            core_shares = " ".join(f"{share:.2f}" for share in cores)
+            print(
+                f"{times:4.0f} times, {variant:10}: revenue in time {revenue:6}, {answered}; cores {core_shares}",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/peers_lag.py
+++ b/benchmarks/peers_lag.py
@@ -1,10 +1,10 @@
-"""What a fleet's talk costs the answers of one front: set-ups through it with peers off, on, and while they come and go.
+"""Measures how peer traffic delays the answers of one front: set-ups with peers off, on, and while peers come and go.
 
     python -m benchmarks.peers_lag [--peers 199] [--rate 100] [--seconds 20] [--rounds 2]
 
-The peers are this program's own tasks, each with its sockets, in one process beside the front, on addresses of
-127.75.0.0/16. In the last case seven in ten of them end at once every eight seconds, and start again two seconds later.
-Set-ups come open-loop, each measured from the time at which it was due; the cases take turns, `rounds` times.
+The peers are tasks of one process beside the front, each with its own sockets, on addresses of 127.75.0.0/16. In the
+last case, 70% of them stop at once every 8 s and start again 2 s later. Set-ups are sent open-loop, each measured from
+the time at which it was due; the cases run in turn, `rounds` times.
 """
 
 from __future__ import annotations
@@ -23,104 +23,141 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.front_cost import SITE, WARM, Load, Process, day, line
+from benchmarks.front_cost import (
+    SITE,
+    WARM_UP_S,
+    LoadGenerator,
+    Process,
+    day_text,
+    format_percentiles,
+    new_latencies,
+    stand_in_process,
+    start_front,
+)
 from oakcroft.config.settings import PeerSettings
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.running.clock import Clock
 
-PORT, KEY = 7946, "5a" * 32
-CASES = ("off", "on", "coming and going")
-EVERY, AWAY, PART = 8.0, 2.0, 0.7
+PORT = 7946
+KEY = "5a" * 32
+CHURN_CASE = "coming and going"
+CASES = ("off", "on", CHURN_CASE)
+CHURN_INTERVAL_S = 8.0
+CHURN_DOWN_S = 2.0
+CHURN_SHARE = 0.7
+DISCOVERY_S = 8
+"""After this time all peers know each other."""
+NODES = 20
 
 
 def address(number: int) -> tuple[str, int]:
-    """Where the so-many-th peer listens; 0 is the front."""
+    """Returns the listen address of the peer of this number; 0 is the front."""
     return f"127.75.{number // 250}.{number % 250 + 1}", PORT
 
 
-async def talk(many: int, key_file: str, churn: bool) -> None:
-    """So many peers, until the process is ended."""
+async def run_peers(count: int, key_file: str, churn: bool) -> None:
+    """Runs this number of peers until the process is killed."""
     log = structlog.wrap_logger(
         structlog.ReturnLogger(), processors=[], wrapper_class=structlog.make_filtering_bound_logger(50)
     )
-    place = PeerSettings("", address(0), address(0), (address(0), address(1)), key_file, "oakcroft", "")
+    settings = PeerSettings("", address(0), address(0), (address(0), address(1)), key_file, "oakcroft", "")
     rng = Random(1)
 
-    async def one(number: int, scope: trio.CancelScope) -> None:
+    async def run_peer(number: int, scope: trio.CancelScope) -> None:
         with scope:
-            at = address(number)
-            peers = PeerEndpoint(
-                replace(place, name=f"peer{number:03}", listen=at, advertise=at), "west", number, Clock(), log
+            own_settings = replace(
+                settings, name=f"peer{number:03}", listen=address(number), advertise=address(number)
             )
-            await peers.run()
+            await PeerEndpoint(own_settings, "west", number, Clock(), log).run()
 
     async with trio.open_nursery() as nursery:
-        scopes = {n: trio.CancelScope() for n in range(1, many + 1)}
+        scopes = {number: trio.CancelScope() for number in range(1, count + 1)}
         for number, scope in scopes.items():
-            nursery.start_soon(one, number, scope)
+            nursery.start_soon(run_peer, number, scope)
         print("talking", flush=True)
         while True:
-            await trio.sleep(EVERY)
+            await trio.sleep(CHURN_INTERVAL_S)
             if churn:
-                some = rng.sample(sorted(scopes), round(PART * many))
-                for number in some:
+                stopped = rng.sample(sorted(scopes), round(CHURN_SHARE * count))
+                for number in stopped:
                     scopes[number].cancel()
-                await trio.sleep(AWAY)
-                for number in some:
+                await trio.sleep(CHURN_DOWN_S)
+                for number in stopped:
                     scopes[number] = trio.CancelScope()
-                    nursery.start_soon(one, number, scopes[number])
-
-
-async def case(what: str, peers: int, rate: float, seconds: float, found: HdrHistogram) -> str:
-    """One case; its answers' times go into `found`."""
+                    nursery.start_soon(run_peer, number, scopes[number])
+
+
+def peers_command(key_file: Path, count: int, churn: bool) -> list[str]:
+    """Returns the command that runs the peers."""
+    return [
+        sys.executable,
+        "-m",
+        "benchmarks.peers_lag",
+        "--talk",
+        str(key_file),
+        "--peers",
+        str(count),
+        *(["--churn"] if churn else []),
+    ]
+
+
+async def measure_case(
+    case: str, peer_count: int, rate: float, seconds: float, latencies: HdrHistogram
+) -> str:
+    """Measures one case, adds its latencies, and returns what was used and failed."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        (folder / "day.oak").write_text(day(20))
-        (folder / "key").write_text(KEY)
-        fleet = Process("stand-in", str(folder / "day.oak"), "--seed", "1", "--start", str(1 << 62),
-                        "--record", str(folder / "record"))  # fmt: skip
+        key_file = folder / "key"
+        key_file.write_text(KEY)
+        fleet = stand_in_process(folder, day_text(NODES))
         greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
         host, port = address(0)
-        form = f'(peers (name front) (listen "{host}:{port}") (seeds "{address(1)[0]}:{PORT}") (key-file "{folder}/key"))'
+        seeds = f"{address(1)[0]}:{PORT}"
+        peers_form = (
+            f'(peers (name front) (listen "{host}:{port}") (seeds "{seeds}") (key-file "{key_file}"))'
+        )
+        front_form = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
         (folder / "front.oak").write_text(
-            f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))\n{SITE.format(nodes=20)}'
-            + ("" if what == "off" else form)
+            f"{front_form}\n{SITE.format(nodes=NODES)}" + ("" if case == "off" else peers_form)
         )
-        front, talker = Process("serve", str(folder / "front.oak")), Process()
-        own = int((await front.start(folder / "front.log")).split(b":")[-1])
+        front = Process("serve", str(folder / "front.oak"))
+        peers = Process()
+        front_port = await start_front(front, folder / "front.log")
         try:
-            if what != "off":
-                talker.command = [sys.executable, "-m", "benchmarks.peers_lag", "--talk", str(folder / "key"),
-                                  "--peers", str(peers), *(["--churn"] if what == CASES[2] else [])]  # fmt: skip
-                await talker.start(folder / "talk.log")
-            load = Load(own, greeting["nodes"])
-            await trio.sleep(WARM + 8)  # all have met
-            load.failed, cpu, began = 0, front.cpu(), trio.current_time()
-            await load.timed(rate, seconds, False, found)
-            used = (front.cpu() - cpu) / (trio.current_time() - began)
-            return f"front {used:.0%} of a core, failed {load.failed}"
+            if case != "off":
+                peers.command = peers_command(key_file, peer_count, case == CHURN_CASE)
+                await peers.start(folder / "talk.log")
+            load = LoadGenerator(front_port, greeting["nodes"])
+            await trio.sleep(WARM_UP_S + DISCOVERY_S)
+            load.failed_count = 0
+            processor_before = front.processor_seconds()
+            began = trio.current_time()
+            await load.run_open_loop(rate, seconds, False, latencies)
+            core_share = (front.processor_seconds() - processor_before) / (trio.current_time() - began)
+            return f"front {core_share:.0%} of a core, failed {load.failed_count}"
         finally:
             await front.stop()
-            await talker.stop()
+            await peers.stop()
             await fleet.stop()
 
 
 async def measure(peers: int, rate: float, seconds: float, rounds: int) -> None:
-    """All cases in turn."""
-    found = {what: HdrHistogram(1, 60_000_000, 3) for what in CASES}
+    """Measures all cases in turn."""
+    latencies_by_case = {case: new_latencies() for case in CASES}
     for _ in range(rounds):
-        for what in CASES:
-            said = await case(what, peers, rate, seconds, found[what])
-            print(f"  {what}: {said}", flush=True)
-    for what, times in found.items():
-        most = times.get_max_value() / 1000
+        for case in CASES:
+            result = await measure_case(case, peers, rate, seconds, latencies_by_case[case])
+            print(f"  {case}: {result}", flush=True)
+    for case, latencies in latencies_by_case.items():
+        max_ms = latencies.get_max_value() / 1000
         print(
-            f"peers {what:16}  answers in ms  {line(times)}  most {most:7.2f}  of {times.get_total_count()}"
+            f"peers {case:16}  answers in ms  {format_percentiles(latencies)}  most {max_ms:7.2f}  "
+            f"of {latencies.get_total_count()}"
         )
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments and runs the benchmark, or the peers in the process that it starts."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -130,14 +167,14 @@
     parser.add_argument("--rounds", type=int, default=2)
     parser.add_argument("--talk", default="", help=argparse.SUPPRESS)
     parser.add_argument("--churn", action="store_true", help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.talk:
-        trio.run(talk, given.peers, given.talk, given.churn)
+    arguments = parser.parse_args()
+    if arguments.talk:
+        trio.run(run_peers, arguments.peers, arguments.talk, arguments.churn)
         return
     print(
-        f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; {given.peers} peers"
+        f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; {arguments.peers} peers"
     )
-    trio.run(measure, given.peers, given.rate, given.seconds, given.rounds)
+    trio.run(measure, arguments.peers, arguments.rate, arguments.seconds, arguments.rounds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -1,10 +1,10 @@
-"""The session API at size: idle and busy connections on one front, beside WHEP in the same run.
+"""Measures the session API with many connections on one front: idle, busy and slow ones, beside WHEP in the same run.
 
     python -m benchmarks.sessions [--idle 10000] [--busy 1000] [--rate 120] [--slow 200]
 
-Idle connections say hello and take nothing more from their sockets. Slow readers, in a second measurement beside them,
-call twenty times a second and read nothing, over a receive buffer of a few kB. Busy ones ask for a playback and end it,
-open-loop at the given rate over all, each measured from when it was due; half of the set-ups go by WHEP meanwhile.
+Idle connections send a hello and read nothing after its answer. Busy connections request a playback and end it, open-loop
+at the given rate over all of them, each request measured from when it was due; half of the set-ups use WHEP. In a second
+measurement, slow readers are added, which send 20 calls per second and read nothing, with a receive buffer of 4 kB.
 """
 
 from __future__ import annotations
@@ -23,126 +23,156 @@
 from hdrh.histogram import HdrHistogram
 from wsproto import events
 
-from benchmarks.front_cost import SITE, WARM, Load, Process, day, line
+from benchmarks.front_cost import (
+    SITE,
+    WARM_UP_S,
+    LoadGenerator,
+    Process,
+    day_text,
+    format_percentiles,
+    new_latencies,
+    record_latency,
+    stand_in_process,
+    start_front,
+)
 from oakcroft.client import Retries, SessionClient
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import session_api as api
 
 
-async def hello(port: int) -> trio.SocketStream:
-    """One connection that says hello and no more."""
+NODES = 10
+SLOW_RECEIVE_BUFFER_BYTES = 4096
+SLOW_CALL_INTERVAL_S = 0.05
+
+
+async def connect_websocket(stream: trio.SocketStream) -> wsproto.WSConnection:
+    """Runs the WebSocket handshake."""
+    websocket = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
+    request = events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])
+    await stream.send_all(websocket.send(request))
+    is_accepted = False
+    while not is_accepted:
+        websocket.receive_data(await stream.receive_some(4096))
+        is_accepted = any(isinstance(event, events.AcceptConnection) for event in websocket.events())
+    return websocket
+
+
+async def send_hello(stream: trio.SocketStream, websocket: wsproto.WSConnection) -> None:
+    """Sends the hello; its answer is not read."""
+    hello = api.Codec(api.JSON).encode(api.Hello()).decode()
+    await stream.send_all(websocket.send(events.TextMessage(data=hello)))
+
+
+async def open_idle_connection(port: int) -> trio.SocketStream:
+    """Opens a connection that reads nothing after the answer to its hello."""
     stream = await trio.open_tcp_stream("127.0.0.1", port)
-    ws = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
-    await stream.send_all(ws.send(events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])))
-    greeted = False
-    while not greeted:
-        ws.receive_data(await stream.receive_some(4096))
-        greeted = any(isinstance(e, events.AcceptConnection) for e in ws.events())
-    text = api.Codec(api.JSON).encode(api.Hello()).decode()
-    await stream.send_all(ws.send(events.TextMessage(data=text)))
+    await send_hello(stream, await connect_websocket(stream))
     await stream.receive_some(4096)
     return stream
 
 
-async def slow_reader(port: int, seconds: float, gone: list[float]) -> None:
-    """Calls and reads nothing, until the front has had enough; notes when that was."""
-    raw = trio.socket.socket()
-    raw.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_RCVBUF, 4096)
-    await raw.connect(("127.0.0.1", port))
-    stream, ws = trio.SocketStream(raw), wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
-    await stream.send_all(ws.send(events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])))
-    greeted = False
-    while not greeted:
-        ws.receive_data(await stream.receive_some(4096))
-        greeted = any(isinstance(e, events.AcceptConnection) for e in ws.events())
-    codec, began = api.Codec(api.JSON), trio.current_time()
-    await stream.send_all(ws.send(events.TextMessage(data=codec.encode(api.Hello()).decode())))
+async def run_slow_reader(port: int, seconds: float, closed_after: list[float]) -> None:
+    """Sends calls and reads nothing until the front closes the connection; adds the time until then, in seconds."""
+    raw_socket = trio.socket.socket()
+    raw_socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_RCVBUF, SLOW_RECEIVE_BUFFER_BYTES)
+    await raw_socket.connect(("127.0.0.1", port))
+    stream = trio.SocketStream(raw_socket)
+    websocket = await connect_websocket(stream)
+    codec = api.Codec(api.JSON)
+    began = trio.current_time()
+    await send_hello(stream, websocket)
     with trio.move_on_after(seconds):
         try:
-            for number in range(1, 1 << 30):
-                call = codec.encode(api.Layer("x" * 400, 0, number)).decode()
-                await stream.send_all(ws.send(events.TextMessage(data=call)))
-                await trio.sleep(0.05)
+            for call_id in range(1, 1 << 30):
+                call = codec.encode(api.Layer("x" * 400, 0, call_id)).decode()
+                await stream.send_all(websocket.send(events.TextMessage(data=call)))
+                await trio.sleep(SLOW_CALL_INTERVAL_S)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            gone.append(trio.current_time() - began)
+            closed_after.append(trio.current_time() - began)
     await trio.aclose_forcefully(stream)
 
 
-async def busy(
-    port: int, connections: int, rate: float, seconds: float, load: Load
+async def run_busy_connections(
+    port: int, connections: int, rate: float, seconds: float, load: LoadGenerator
 ) -> tuple[HdrHistogram, HdrHistogram]:
-    """Set-ups over WebSocket and, at the same rate, over WHEP."""
-    sockets, whep, rng = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3), Random(3)
+    """Sends set-ups over WebSocket and, at the same rate, over WHEP; returns the latencies of both."""
+    websocket_latencies = new_latencies()
+    whep_latencies = new_latencies()
+    rng = Random(3)
     clients: list[SessionClient] = []
-    body = offer(20_000, 1)
+    sdp_offer = offer(20_000, 1)
 
-    async def keep(task_status: Any) -> None:
+    async def keep_open(task_status: Any) -> None:
         async with SessionClient.open(f"http://127.0.0.1:{port}", retries=Retries(rng, most=1)) as client:
             task_status.started(client)
             await trio.sleep_forever()
 
-    async def one(client: SessionClient, at: float) -> None:
-        ask = api.Ask(next(client.call_ids), f"/whep/open/t{rng.randrange(50)}", body)
-        answer = await client.call(ask)
-        sockets.record_value(round((trio.current_time() - at) * 1e6))
+    async def play_once(client: SessionClient, due_at: float) -> None:
+        request = api.Ask(next(client.call_ids), f"/whep/open/t{rng.randrange(50)}", sdp_offer)
+        answer = await client.call(request)
+        record_latency(websocket_latencies, due_at)
         if isinstance(answer, api.Answer) and answer.status == 201:
             await client.call(api.End(answer.playback, next(client.call_ids)))
         else:
-            load.failed += 1
+            load.failed_count += 1
 
     async with trio.open_nursery() as nursery:
         for _ in range(connections):
-            clients.append(await nursery.start(keep))
-        async with trio.open_nursery() as work:
-            work.start_soon(load.timed, rate / 2, seconds, False, whep)
-            start, due = trio.current_time(), 0.0
+            clients.append(await nursery.start(keep_open))
+        async with trio.open_nursery() as requests:
+            requests.start_soon(load.run_open_loop, rate / 2, seconds, False, whep_latencies)
+            start = trio.current_time()
+            due = 0.0
             while due < seconds:
                 await trio.sleep_until(start + due)
-                work.start_soon(one, rng.choice(clients), start + due)
+                requests.start_soon(play_once, rng.choice(clients), start + due)
                 due += rng.expovariate(rate / 2)
         nursery.cancel_scope.cancel()
-    return sockets, whep
+    return websocket_latencies, whep_latencies
+
+
+def print_latencies(websocket: HdrHistogram, whep: HdrHistogram) -> None:
+    """Prints the percentiles of both protocols."""
+    print(f"  WebSocket {format_percentiles(websocket)}\n  WHEP      {format_percentiles(whep)}", flush=True)
 
 
-async def measure(idle: int, busy_ones: int, rate: float, seconds: float, slow: int) -> None:
-    """One front."""
+async def measure(idle_count: int, busy_count: int, rate: float, seconds: float, slow_count: int) -> None:
+    """Measures one front."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        (folder / "day.oak").write_text(day(10))
-        fleet = Process("stand-in", str(folder / "day.oak"), "--seed", "1", "--start", str(1 << 62),
-                        "--record", str(folder / "record"))  # fmt: skip
+        fleet = stand_in_process(folder, day_text(NODES))
         greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
-        own = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
-        (folder / "front.oak").write_text(f"{own}\n{SITE.format(nodes=10)}")
+        front_form = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
+        (folder / "front.oak").write_text(f"{front_form}\n{SITE.format(nodes=NODES)}")
         front = Process("serve", str(folder / "front.oak"))
-        port = int((await front.start(folder / "front.log")).split(b":")[-1])
+        port = await start_front(front, folder / "front.log")
         try:
-            await trio.sleep(WARM)
-            load, base, streams = Load(port, greeting["nodes"]), front.memory(), list[trio.SocketStream]()
-            for _ in range(idle):
-                streams.append(await hello(port))
-            each = (front.memory() - base) / max(1, idle) / 1000
-            print(
-                f"{idle} idle connections: {(front.memory() - base) / 1e6:.0f} MB, {each:.1f} kB each",
-                flush=True,
-            )
-            sockets, whep = await busy(port, busy_ones, rate, seconds, load)
+            await trio.sleep(WARM_UP_S)
+            load = LoadGenerator(port, greeting["nodes"])
+            initial_bytes = front.resident_bytes()
+            streams = [await open_idle_connection(port) for _ in range(idle_count)]
+            each_kb = (front.resident_bytes() - initial_bytes) / max(1, idle_count) / 1000
+            all_mb = (front.resident_bytes() - initial_bytes) / 1e6
+            print(f"{idle_count} idle connections: {all_mb:.0f} MB, {each_kb:.1f} kB each", flush=True)
+            latencies = await run_busy_connections(port, busy_count, rate, seconds, load)
             print(
-                f"{busy_ones} busy ones beside them, {rate:.0f} set-ups a second, half each way; failed {load.failed}"
+                f"{busy_count} busy ones beside them, {rate:.0f} set-ups a second, half each way; "
+                f"failed {load.failed_count}"
             )
-            print(f"  WebSocket {line(sockets)}\n  WHEP      {line(whep)}", flush=True)
-            gone = list[float]()
+            print_latencies(*latencies)
+            closed_after = list[float]()
             async with trio.open_nursery() as nursery:
-                for _ in range(slow):
-                    nursery.start_soon(slow_reader, port, seconds + 8, gone)
+                for _ in range(slow_count):
+                    nursery.start_soon(run_slow_reader, port, seconds + 8, closed_after)
                 await trio.sleep(1)
-                sockets, whep = await busy(port, busy_ones, rate, seconds, load)
+                latencies = await run_busy_connections(port, busy_count, rate, seconds, load)
                 nursery.cancel_scope.cancel()
-            first = f", the first after {min(gone):.1f} s" if gone else ""
+            first = f", the first after {min(closed_after):.1f} s" if closed_after else ""
             print(
-                f"the same beside {slow} slow readers; {len(gone)} of them were cut off{first}; failed {load.failed}"
+                f"the same beside {slow_count} slow readers; {len(closed_after)} of them were cut off{first}; "
+                f"failed {load.failed_count}"
             )
-            print(f"  WebSocket {line(sockets)}\n  WHEP      {line(whep)}", flush=True)
+            print_latencies(*latencies)
             for stream in streams:
                 await trio.aclose_forcefully(stream)
         finally:
@@ -151,7 +181,7 @@
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments and runs the benchmark."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -160,9 +190,9 @@
     parser.add_argument("--rate", type=float, default=120)
     parser.add_argument("--slow", type=int, default=200)
     parser.add_argument("--seconds", type=float, default=12)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; times in ms")
-    trio.run(measure, given.idle, given.busy, given.rate, given.seconds, given.slow)
+    trio.run(measure, arguments.idle, arguments.busy, arguments.rate, arguments.seconds, arguments.slow)
 
 
 if __name__ == "__main__":
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -1,10 +1,10 @@
-"""What keeping state costs a front, and what catalogues cost, swapped under load and by their size, each in one run.
+"""Measures the cost of a front's state file, of catalogue changes under load, and of catalogues by size, each in one run.
 
     python -m benchmarks.state_cost [--rate 80] [--seconds 10] [--titles 100 1000 10000 100000]
 
-The same paid set-ups, open-loop and each measured from when it was due, go to a front without a state file, with one
-that leaves syncing to the operating system, and with one that syncs each commit. Then set-ups go as fast as 16 at once
-allow. Bytes written are the process's own count of what went to storage, over the playbacks set up.
+The same paid set-ups, open-loop and each measured from when it was due, are sent to a front without a state file, to one
+that leaves syncing to the operating system, and to one that syncs each commit. Then the maximum rate with 16 concurrent
+requests is measured. Bytes written are the process's storage writes as counted by the kernel, per playback set up.
 """
 
 from __future__ import annotations
@@ -19,9 +19,18 @@
 
 import orjson
 import trio
-from hdrh.histogram import HdrHistogram
 
-from benchmarks.front_cost import SITE, WARM, Load, Process, day, line
+from benchmarks.front_cost import (
+    SITE,
+    WARM_UP_S,
+    LoadGenerator,
+    Process,
+    day_text,
+    format_percentiles,
+    new_latencies,
+    stand_in_process,
+    start_front,
+)
 from oakcroft.catalogue.text import text_digest, read_catalogue, format_catalogue
 from oakcroft.decisions.routing.catalogue import (
     Catalogue,
@@ -33,140 +42,146 @@
 from oakcroft.decisions.routing.title_cache import TitleCache
 from oakcroft.httpwire.client import HttpClient
 
-PAID = SITE.replace("(effect free)", "(effect paid)")
+SITE_PAID = SITE.replace("(effect free)", "(effect paid)")
+NODES = 10
+SECRET = "operators-secret"
+STARTUP_TARGET_US = 1_000_000
+FLEET_NODES = 200
+CACHED_TITLES = 50_000
 
 
-def written(process: Process) -> int:
-    """Bytes that a process has had written to storage."""
+def written_bytes(process: Process) -> int:
+    """Returns the bytes that a process has caused to be written to storage."""
     assert process.child is not None
-    fields = dict(x.split(": ") for x in Path(f"/proc/{process.child.pid}/io").read_text().splitlines())
-    return int(fields["write_bytes"])
+    lines = Path(f"/proc/{process.child.pid}/io").read_text().splitlines()
+    return int(dict(line.split(": ") for line in lines)["write_bytes"])
 
 
-async def state(kind: str, rate: float, seconds: float) -> None:
-    """One front of one kind."""
+async def measure_state(kind: str, rate: float, seconds: float) -> None:
+    """Measures a front without a state file ("off"), or with one that is "unsynced" or "synced"."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        (folder / "day.oak").write_text(day(10).replace(SITE.format(nodes=10), PAID.format(nodes=10)))
-        fleet = Process("stand-in", str(folder / "day.oak"), "--seed", "1", "--start", str(1 << 62),
-                        "--record", str(folder / "record"))  # fmt: skip
+        site = SITE_PAID.format(nodes=NODES)
+        fleet = stand_in_process(folder, day_text(NODES).replace(SITE.format(nodes=NODES), site))
         greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
-        own = f'(listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}")'
+        settings = f'(listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}")'
         if kind != "off":
-            own += f' (state "{folder}/state") (state-sync {"yes" if kind == "synced" else "no"})'
-        (folder / "front.oak").write_text(f"(front {own})\n{PAID.format(nodes=10)}")
+            settings += f' (state "{folder}/state") (state-sync {"yes" if kind == "synced" else "no"})'
+        (folder / "front.oak").write_text(f"(front {settings})\n{site}")
         front = Process("serve", str(folder / "front.oak"))
-        port = int((await front.start(folder / "front.log")).split(b":")[-1])
+        port = await start_front(front, folder / "front.log")
         try:
-            await trio.sleep(WARM)
-            load, found, before, cpu = (
-                Load(port, greeting["nodes"]),
-                HdrHistogram(1, 60_000_000, 3),
-                written(front),
-                front.cpu(),
+            await trio.sleep(WARM_UP_S)
+            load = LoadGenerator(port, greeting["nodes"])
+            latencies = new_latencies()
+            written_before = written_bytes(front)
+            processor_before = front.processor_seconds()
+            await load.run_open_loop(rate, seconds, False, latencies)
+            count = latencies.get_total_count()
+            written_each = (written_bytes(front) - written_before) / max(1, count)
+            cores = (front.processor_seconds() - processor_before) / seconds
+            max_rate = await load.measure_max_rate(16, 6)
+            print(
+                f"{kind:7} {format_percentiles(latencies)}; {written_each / 1000:5.1f} kB written a playback; "
+                f"{cores:.2f} cores at {rate:.0f}/s; "
+                f"at most {max_rate:.0f} a second; failed {load.failed_count}",
+                flush=True,
             )
-            await load.timed(rate, seconds, False, found)
-            count = found.get_total_count()
-            each, cores = (written(front) - before) / max(1, count), (front.cpu() - cpu) / seconds
-            most = await load.most(16, 6)
-            print(f"{kind:7} {line(found)}; {each / 1000:5.1f} kB written a playback; {cores:.2f} cores at {rate:.0f}/s; "
-                  f"at most {most:.0f} a second; failed {load.failed}", flush=True)  # fmt: skip
         finally:
             await front.stop()
             await fleet.stop()
 
 
-async def swaps(titles: int, rate: float, seconds: float) -> None:
-    """Set-ups while the whole catalogue is swapped each second, and without."""
+async def measure_catalogue_changes(titles: int, rate: float, seconds: float) -> None:
+    """Measures set-ups without catalogue changes, and while the whole catalogue is replaced each second."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        (folder / "day.oak").write_text(day(10))
-        fleet = Process("stand-in", str(folder / "day.oak"), "--seed", "1", "--start", str(1 << 62),
-                        "--record", str(folder / "record"))  # fmt: skip
+        fleet = stand_in_process(folder, day_text(NODES))
         greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
-        own = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
-        ops = '(operators (secret "operators-secret"))'
-        (folder / "front.oak").write_text(f"{own}\n{SITE.format(nodes=10)}\n{ops}")
+        front_form = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
+        operators_form = f'(operators (secret "{SECRET}"))'
+        (folder / "front.oak").write_text(f"{front_form}\n{SITE.format(nodes=NODES)}\n{operators_form}")
         front = Process("serve", str(folder / "front.oak"))
-        port = int((await front.start(folder / "front.log")).split(b":")[-1])
-        load, taken = Load(port, greeting["nodes"]), 0
+        port = await start_front(front, folder / "front.log")
+        load = LoadGenerator(port, greeting["nodes"])
+        accepted_count = 0
 
-        async def swap() -> None:
-            nonlocal taken
-            peer = HttpClient("127.0.0.1", port)
+        async def replace_catalogue() -> None:
+            nonlocal accepted_count
+            client = HttpClient("127.0.0.1", port)
             for n in range(1 << 30):
-                some = {f"t{i}": CatalogueTitle(("n0", f"n{1 + (i + n) % 9}")) for i in range(50)}
-                some |= {f"lesson-{i}": CatalogueTitle((f"n{(i + n) % 10}",)) for i in range(titles)}
-                text = format_catalogue(some.items(), False).encode()
-                headers = [("Authorization", "Bearer operators-secret"), ("If-Match", "*")]
-                sat = await peer.request("PUT", "/operators/catalogue", headers, text)
-                taken += sat.status == 200
+                entries = {f"t{i}": CatalogueTitle(("n0", f"n{1 + (i + n) % 9}")) for i in range(50)}
+                entries |= {f"lesson-{i}": CatalogueTitle((f"n{(i + n) % NODES}",)) for i in range(titles)}
+                text = format_catalogue(entries.items(), False).encode()
+                headers = [("Authorization", f"Bearer {SECRET}"), ("If-Match", "*")]
+                response = await client.request("PUT", "/operators/catalogue", headers, text)
+                accepted_count += response.status == 200
                 await trio.sleep(1)
 
         try:
-            await trio.sleep(WARM)
-            for what in ("alone", "swapped"):
-                found = HdrHistogram(1, 60_000_000, 3)
+            await trio.sleep(WARM_UP_S)
+            for case in ("alone", "swapped"):
+                latencies = new_latencies()
                 async with trio.open_nursery() as nursery:
-                    if what == "swapped":
-                        nursery.start_soon(swap)
-                    await load.timed(rate, seconds, False, found)
+                    if case == "swapped":
+                        nursery.start_soon(replace_catalogue)
+                    await load.run_open_loop(rate, seconds, False, latencies)
                     nursery.cancel_scope.cancel()
-                late = found.get_max_value() > 1_000_000
-                print(f"{what:8} {line(found)}; longest {found.get_max_value() / 1e3:.0f}; failed {load.failed}; "
-                      f"{taken} swaps of {titles} titles{'; some late' if late else ''}", flush=True)  # fmt: skip
+                some_late = "; some late" if latencies.get_max_value() > STARTUP_TARGET_US else ""
+                print(
+                    f"{case:8} {format_percentiles(latencies)}; longest {latencies.get_max_value() / 1e3:.0f}; "
+                    f"failed {load.failed_count}; {accepted_count} swaps of {titles} titles{some_late}",
+                    flush=True,
+                )
         finally:
             await front.stop()
             await fleet.stop()
 
 
-def catalogues(sizes: list[int]) -> None:
-    """Catalogues of different sizes: reading, one change, and what it takes."""
-    fleet = FleetSnapshot(
-        frozenset(f"n{i}" for i in range(200)), frozenset(f"n{i}" for i in range(200)), 5, 200, {}
-    )
-    for size in sizes:
-        titles = {
-            f"lesson-{i}": CatalogueTitle(
-                tuple(f"n{(i + k) % 200}" for k in range(4)), rates=(200.0, 400.0, 800.0)
-            )
-            for i in range(size)
-        }
-        text = format_catalogue(titles.items(), False)
-        began = time.perf_counter()
-        said = read_catalogue(text)
-        took = time.perf_counter() - began
-        began = time.perf_counter()
-        read_catalogue("; by its forms\n" + text)
-        slowly = time.perf_counter() - began
-        tracemalloc.start()
-        held = read_catalogue(text)
-        memory = tracemalloc.get_traced_memory()[0]
-        tracemalloc.stop()
-        old = Catalogue(1, text_digest(text), said.titles, False)
-        new = Catalogue(
-            2,
-            "new",
-            held.titles | {"lesson-0": CatalogueTitle(("n7",)), "another": CatalogueTitle(("n9",))},
-            False,
+def measure_catalogue_size(size: int) -> None:
+    """Measures reading, comparing and applying a catalogue of this size, and its memory."""
+    node_names = frozenset(f"n{i}" for i in range(FLEET_NODES))
+    fleet = FleetSnapshot(node_names, node_names, 5, FLEET_NODES, {})
+    titles = {
+        f"lesson-{i}": CatalogueTitle(
+            tuple(f"n{(i + k) % FLEET_NODES}" for k in range(4)), rates=(200.0, 400.0, 800.0)
         )
-        shelf = TitleCache(50_000, 200, 6, {})
-        for name in list(titles)[:50_000]:
-            shelf.get(name, 0)
-        began = time.perf_counter()
-        names = changed_titles(old, new)
-        differ = time.perf_counter() - began
-        began = time.perf_counter()
-        verdict, _ = evaluate_change(old, new, names, old.digest, fleet)
-        shelf.apply_catalogue(new.titles, names)
-        taken = time.perf_counter() - began
-        print(f"{size:7} titles, {len(text) / 1e6:6.2f} MB: read in {took * 1e3:7.1f} ms ({slowly * 1e3:.1f} else), "
-              f"compared in {differ * 1e3:5.1f} ms, both beside the loop; judged and taken in {taken * 1e3:6.3f} ms; "
-              f"{memory / 1e6:6.1f} MB; {verdict.name.lower()}", flush=True)  # fmt: skip
+        for i in range(size)
+    }
+    text = format_catalogue(titles.items(), False)
+    began = time.perf_counter()
+    old_content = read_catalogue(text)
+    read_s = time.perf_counter() - began
+    began = time.perf_counter()
+    read_catalogue("; by its forms\n" + text)  # the comment makes it use the slower parser of any layout
+    slow_read_s = time.perf_counter() - began
+    tracemalloc.start()
+    new_content = read_catalogue(text)
+    memory = tracemalloc.get_traced_memory()[0]
+    tracemalloc.stop()
+    old = Catalogue(1, text_digest(text), old_content.titles, False)
+    changes = {"lesson-0": CatalogueTitle(("n7",)), "another": CatalogueTitle(("n9",))}
+    new = Catalogue(2, "new", new_content.titles | changes, False)
+    cache = TitleCache(CACHED_TITLES, FLEET_NODES, 6, {})
+    for name in list(titles)[:CACHED_TITLES]:
+        cache.get(name, 0)
+    began = time.perf_counter()
+    names = changed_titles(old, new)
+    compare_s = time.perf_counter() - began
+    began = time.perf_counter()
+    verdict, _ = evaluate_change(old, new, names, old.digest, fleet)
+    cache.apply_catalogue(new.titles, names)
+    apply_s = time.perf_counter() - began
+    print(
+        f"{size:7} titles, {len(text) / 1e6:6.2f} MB: read in {read_s * 1e3:7.1f} ms ({slow_read_s * 1e3:.1f} else), "
+        f"compared in {compare_s * 1e3:5.1f} ms, both beside the loop; judged and taken in {apply_s * 1e3:6.3f} ms; "
+        f"{memory / 1e6:6.1f} MB; {verdict.name.lower()}",
+        flush=True,
+    )
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments and runs the chosen measurements."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -174,15 +189,16 @@
     parser.add_argument("--seconds", type=float, default=10)
     parser.add_argument("--titles", type=int, nargs="*", default=[100, 1000, 10_000, 100_000])
     parser.add_argument("--only", choices=("state", "catalogue", "swaps"))
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; times in ms")
-    if given.only in ("state", None):
+    if arguments.only in ("state", None):
         for kind in ("off", "unsynced", "synced"):
-            trio.run(state, kind, given.rate, given.seconds)
-    if given.only == "swaps" or not given.only:
-        trio.run(swaps, 5_000, 60, 20)
-    if given.only in ("catalogue", None):
-        catalogues(given.titles)
+            trio.run(measure_state, kind, arguments.rate, arguments.seconds)
+    if arguments.only == "swaps" or not arguments.only:
+        trio.run(measure_catalogue_changes, 5_000, 60, 20)
+    if arguments.only in ("catalogue", None):
+        for size in arguments.titles:
+            measure_catalogue_size(size)
 
 
 if __name__ == "__main__":
