--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -1,9 +1,9 @@
-"""What the configuration costs: checking it, finding a route, and changing it while a front serves.
+"""Measures the cost of the configuration: checking it, finding a route, and changing it while a front serves.
 
     python -m benchmarks.config_cost [--routes 10 1000 10000]
 
-Check and look-up are timed in this process. The reload runs a front and a node in one event loop, as the tests do, with
-requests open-loop at a fixed rate, first alone and then with a change every 100 ms, in one run.
+Check and lookup are timed in this process. For changes, a front and a node run in one event loop, as in the tests, with
+requests sent open-loop at a fixed rate, first without changes and then with a change every 100 ms, in one run.
 """
 
 from __future__ import annotations
@@ -18,48 +18,63 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
+from benchmarks.front_cost import new_latencies, record_latency
 from oakcroft.config.pipeline import check_file, build_deployment
 from oakcroft.decisions.routing.route_table import RouteRequest, ClientRole
 from oakcroft.front.front_end import FrontEnd
 
-BASE = """(front (number 0) (zone west) (listen "127.0.0.1:0") (list-service "127.0.0.1:1"))
+BASE_TEXT = """(front (number 0) (zone west) (listen "127.0.0.1:0") (list-service "127.0.0.1:1"))
 (fleet (fronts 4) (wings west east) (cells 12) (racks 3))
 (ladder (rates 200kB/s 400kB/s 800kB/s) (worth 0.3 0.6 1))
 (plan course (effect paid) (startup-target 1s) (abandon 5s) (revenue 2))
 """
 
 
-def text(routes: int) -> str:
-    """A configuration with so many routes, under fifty paths."""
+PATH_COUNT = 50
+MAX_DIFFERENT_REQUESTS = 1000
+LOOKUP_COUNT = 20_000
+REQUESTS_PER_SECOND = 60
+MEASURED_S = 8
+CHANGE_INTERVAL_S = 0.1
+
+
+def configuration_text(route_count: int) -> str:
+    """Returns a configuration with this number of routes, spread over the paths."""
     lines = [
-        f'(route r{i} (path "/p{i % 50}/") (titles "lesson-{i}" "live-{i}-*") (plan course))'
-        for i in range(routes)
+        f'(route r{i} (path "/p{i % PATH_COUNT}/") (titles "lesson-{i}" "live-{i}-*") (plan course))'
+        for i in range(route_count)
     ]
-    return BASE + "\n".join(lines)
+    return BASE_TEXT + "\n".join(lines)
 
 
-def timed(some: int) -> None:
-    """Check and look-up at one size."""
-    body = text(some)
+def measure_size(route_count: int) -> None:
+    """Measures check, compilation and lookup with this number of routes."""
+    text = configuration_text(route_count)
+    began = time.perf_counter()
+    configuration, problems = check_file("f", lambda _: text)
+    check_s = time.perf_counter() - began
+    assert configuration is not None, [problems.format(problem) for problem in problems.errors[:3]]
     began = time.perf_counter()
-    found, problems = check_file("f", lambda _: body)
-    took = time.perf_counter() - began
-    assert found is not None, [problems.format(p) for p in problems.errors[:3]]
+    site = build_deployment(configuration).shared
+    compile_s = time.perf_counter() - began
+    requests = [
+        RouteRequest(ClientRole.WATCH, f"/p{i % PATH_COUNT}/live-{i}-x", "west", {})
+        for i in range(min(route_count, MAX_DIFFERENT_REQUESTS))
+    ]
+    rounds = max(1, LOOKUP_COUNT // len(requests))
     began = time.perf_counter()
-    site = build_deployment(found).shared
-    compiled = time.perf_counter() - began
-    asks = [RouteRequest(ClientRole.WATCH, f"/p{i % 50}/live-{i}-x", "west", {}) for i in range(some)][:1000]
-    began, rounds = time.perf_counter(), max(1, 20_000 // len(asks))
     for _ in range(rounds):
-        for asked in asks:
-            site.route_table.find(asked)
-    each = (time.perf_counter() - began) / rounds / len(asks)
-    figures = f"check {took * 1000:8.1f} ms, compile {compiled * 1000:7.1f} ms, look-up {each * 1e6:5.2f} us"
-    print(f"{some:6} routes: {figures}")
+        for request in requests:
+            site.route_table.find(request)
+    lookup_s = (time.perf_counter() - began) / rounds / len(requests)
+    print(
+        f"{route_count:6} routes: check {check_s * 1000:8.1f} ms, compile {compile_s * 1000:7.1f} ms, "
+        f"look-up {lookup_s * 1e6:5.2f} us"
+    )
 
 
-async def reloads() -> None:
-    """Answers with and without changes beside them."""
+async def measure_changes() -> None:
+    """Measures answers with and without configuration changes at the same time."""
     import sys
 
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
@@ -72,51 +87,53 @@
             assert isinstance(front, FrontEnd)
             versions = [version(i, own(rig)) for i in range(6)]
 
-            async def load(found: HdrHistogram, seconds: float) -> None:
+            async def send_requests(latencies: HdrHistogram) -> None:
                 start = trio.current_time()
 
-                async def one(at: float, number: int) -> None:
-                    sat = await rig.request_playback(f"/whep/open/t{number % 5}")
-                    found.record_value(round((trio.current_time() - at) * 1e6))
-                    if sat.status == 201:
-                        await rig.request("DELETE", sat.header("location") or "")
+                async def play_once(due_at: float, number: int) -> None:
+                    response = await rig.request_playback(f"/whep/open/t{number % 5}")
+                    record_latency(latencies, due_at)
+                    if response.status == 201:
+                        await rig.request("DELETE", response.header("location") or "")
 
                 async with trio.open_nursery() as nursery:
-                    for i in range(int(seconds * 60)):
-                        await trio.sleep_until(start + i / 60)
-                        nursery.start_soon(one, start + i / 60, i)
-
-            quiet, busy = HdrHistogram(1, 60_000_000, 3), HdrHistogram(1, 60_000_000, 3)
-            await load(quiet, 8)
+                    for i in range(MEASURED_S * REQUESTS_PER_SECOND):
+                        due_at = start + i / REQUESTS_PER_SECOND
+                        await trio.sleep_until(due_at)
+                        nursery.start_soon(play_once, due_at, i)
+
+            without_changes = new_latencies()
+            with_changes = new_latencies()
+            await send_requests(without_changes)
             async with trio.open_nursery() as nursery:
 
-                async def change() -> None:
+                async def change_configuration() -> None:
                     for i in range(1, 10_000):
-                        await front.apply_configuration(i, versions[i % 6])
-                        await trio.sleep(0.1)
+                        await front.apply_configuration(i, versions[i % len(versions)])
+                        await trio.sleep(CHANGE_INTERVAL_S)
 
-                nursery.start_soon(change)
-                await load(busy, 8)
+                nursery.start_soon(change_configuration)
+                await send_requests(with_changes)
                 nursery.cancel_scope.cancel()
-            for what, found in (("no change", quiet), ("a change every 100 ms", busy)):
-                figures = "  ".join(
-                    f"p{p:g} {found.get_value_at_percentile(p) / 1000:.2f}" for p in (50, 99, 99.9)
+            for case, latencies in (("no change", without_changes), ("a change every 100 ms", with_changes)):
+                percentiles = "  ".join(
+                    f"p{p:g} {latencies.get_value_at_percentile(p) / 1000:.2f}" for p in (50, 99, 99.9)
                 )
-                print(f"answers with {what}: {figures} ms")
+                print(f"answers with {case}: {percentiles} ms")
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments and runs the benchmark."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--routes", type=int, nargs="+", default=[10, 1000, 10_000])
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}")
-    timed(10)  # the parser's tables are made once a process
-    for some in given.routes:
-        timed(some)
-    trio.run(reloads)
+    measure_size(10)  # the parser's tables are built once per process
+    for route_count in arguments.routes:
+        measure_size(route_count)
+    trio.run(measure_changes)
 
 
 if __name__ == "__main__":
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -1,14 +1,15 @@
-"""How long a duty is without an owner after its owner's crash, and what keeping it costs.
+"""Measures how long a lease has no holder after its holder's crash, and how many messages keeping the lease takes.
 
     python -m benchmarks.owners [--kills 200] [--term 6] [--loss 0 0.05 0.2] [--sizes 7 50 200]
 
-Pure keepers and candidates on a simulated network (oakcroft/rehearsal/lease_simulation.py), seeded, the same every
-time. The killed come back after ten terms.
+The acceptors and candidates run on a simulated network (oakcroft/rehearsal/lease_simulation.py); the same seed gives the
+same result. A killed front restarts after ten terms. The printed table calls an acceptor a keeper and a holder an owner.
 """
 
 from __future__ import annotations
 
 import argparse
+from functools import partial
 
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.lease_simulation import LeaseSimulation
@@ -17,32 +18,38 @@
 
 
 def measure(fronts: int, keepers: int, term: int, loss: float, kills: int) -> str:
-    """One row: crashes of the owner, and the messages of a quiet time."""
+    """Measures crashes of the holder, and messages without crashes; returns one row."""
     fleet = LeaseSimulation(fronts, keepers, term, loss)
     assert fleet.run(20 * SECOND, lambda: bool(fleet.terms_begun))
     fleet.run(5 * term)
     fleet.message_count = 0
     fleet.run(10 * term)
-    quiet = fleet.message_count / (10 * term / SECOND)
-    gaps = list[float]()
-    while len(gaps) < kills:
+    messages_per_second = fleet.message_count / (10 * term / SECOND)
+    gaps_s = list[float]()
+    while len(gaps_s) < kills:
         fleet.run(fleet.rng.randrange(term))
-        owner, count = fleet.owner(), len(fleet.terms_begun)
-        if owner is None:  # a term ended by loss just now
+        holder = fleet.owner()
+        terms_before = len(fleet.terms_begun)
+        if holder is None:  # message loss has just ended a term
             continue
-        began = fleet.now
-        fleet.kill(owner, 10 * term)
-        assert fleet.run(30 * term, lambda n=count: len(fleet.terms_begun) > n)  # type: ignore[misc]
-        gaps.append((fleet.now - began) / SECOND)
+        killed_at = fleet.now
+        fleet.kill(holder, 10 * term)
+        assert fleet.run(30 * term, partial(has_new_term, fleet, terms_before))
+        gaps_s.append((fleet.now - killed_at) / SECOND)
         fleet.run(11 * term)
-    gaps.sort()
-    p = [gaps[min(len(gaps) - 1, int(q * len(gaps)))] for q in (0.5, 0.99)]
-    times = f"{p[0]:.1f}, {p[1]:.1f}, {gaps[-1]:.1f}"
-    return f"| {fronts} | {keepers} | {term / SECOND:g} | {loss:.0%} | {times} | {quiet:.1f} |"
+    gaps_s.sort()
+    p50, p99 = (gaps_s[min(len(gaps_s) - 1, int(q * len(gaps_s)))] for q in (0.5, 0.99))
+    gaps = f"{p50:.1f}, {p99:.1f}, {gaps_s[-1]:.1f}"
+    return f"| {fronts} | {keepers} | {term / SECOND:g} | {loss:.0%} | {gaps} | {messages_per_second:.1f} |"
+
+
+def has_new_term(fleet: LeaseSimulation, terms_before: int) -> bool:
+    """Returns whether a term has begun since the count was taken."""
+    return len(fleet.terms_begun) > terms_before
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments and prints the table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -50,13 +57,16 @@
     parser.add_argument("--term", type=float, default=6)
     parser.add_argument("--loss", type=float, nargs="+", default=[0.0, 0.05, 0.2])
     parser.add_argument("--sizes", type=int, nargs="+", default=[7, 50, 200])
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     print(HEADER)
     print("| --- | --- | --- | --- | --- | --- |")
-    for fronts in given.sizes:
+    for fronts in arguments.sizes:
         for keepers in (3, 5):
-            for loss in given.loss:
-                print(measure(fronts, keepers, round(given.term * SECOND), loss, given.kills), flush=True)
+            for loss in arguments.loss:
+                print(
+                    measure(fronts, keepers, round(arguments.term * SECOND), loss, arguments.kills),
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
