--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,10 +1,10 @@
-"""How soon a fleet knows of a crash, settles after joins, mass crashes and partitions, and what that costs.
+"""Measures how soon a fleet detects a crash and agrees after joins, mass crashes and partitions, and what that costs.
 
-Pure views on a simulated network, seeded, the same every time; beside them a plain heartbeat from all to all.
+The members run on a simulated network; the same seed gives the same result. Compared with an all-to-all heartbeat.
 
     python -m benchmarks.fleet_view [--sizes 5,50,200] [--losses 0,0.05,0.2] [--crashes 20] [--hours 0] [--plot FILE]
 
-All figures are simulated but the processor time, which is what the views took of this machine.
+All results are simulated except the processor time, which the members used on this machine.
 """
 
 from __future__ import annotations
@@ -20,182 +20,254 @@
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.membership_simulation import HEADER_BYTES, SimulatedNetwork, settled_network
 
-BEAT = SECOND  # of the plain heartbeat; with 20% loss five missed in a row are a chance of 3 in 10,000
-MISSED = 5
+HEARTBEAT_INTERVAL_NS = SECOND
+MISSED_HEARTBEATS = 5
+"""After so many a member is taken for failed. With 20% loss the chance to miss five in a row is 3 in 10,000."""
+KILLED_SHARE = 0.7
+SEEDS = (("host-f0", 1), ("host-f1", 1))
 
 
 @dataclass
 class Row:
-    """What was measured of one size and loss; seconds, and per front."""
+    """The results of one size and loss. Times in seconds; traffic and processor time per front and second."""
 
     size: int
     loss: float
-    first: list[float]
-    all_: list[float]
-    false: int
-    hours: float
+    first_detections: list[float]
+    """Time from each crash until the first member sees it."""
+    full_detections: list[float]
+    """Time from each crash until all members see it."""
+    false_failures: int
+    quiet_hours: float
     join: float
-    mass: float
-    back: float
-    heal: float
+    mass_failure: float
+    """Time to agree after most members were killed."""
+    mass_rejoin: float
+    """Time to agree after these were restarted."""
+    partition_heal: float
     datagrams: float
     octets: float
-    cpu: float
-
-    def show(self) -> str:
-        """The row as a line of the table."""
-        return cells(
-            self.size, f"{self.loss:.0%}", spread(self.first), spread(self.all_), f"{self.false} in {self.hours:.2f} h",
-            *(f"{s:.1f}" for s in (self.join, self.mass, self.back, self.heal, self.datagrams)),
-            f"{self.octets / 1e3:.2f}", f"{self.cpu * 1e3:.1f}",
-        )  # fmt: skip
+    processor_seconds: float
+
+    def format(self) -> str:
+        """Returns the row as a line of the table."""
+        settle_times = (self.join, self.mass_failure, self.mass_rejoin, self.partition_heal)
+        return format_cells(
+            self.size,
+            f"{self.loss:.0%}",
+            format_distribution(self.first_detections),
+            format_distribution(self.full_detections),
+            f"{self.false_failures} in {self.quiet_hours:.2f} h",
+            *(f"{seconds:.1f}" for seconds in settle_times),
+            f"{self.datagrams:.1f}",
+            f"{self.octets / 1e3:.2f}",
+            f"{self.processor_seconds * 1e3:.1f}",
+        )
 
 
-def cells(*some: object) -> str:
-    """A line of a table."""
-    return "| " + " | ".join(str(one) for one in some) + " |"
+def format_cells(*cells: object) -> str:
+    """Returns a line of the table."""
+    return "| " + " | ".join(str(cell) for cell in cells) + " |"
 
 
-def spread(values: list[float]) -> str:
-    """p50, p99 and the most."""
-    return f"{at(values, 0.5):.1f}, {at(values, 0.99):.1f}, {max(values):.1f}"
+def format_distribution(values: list[float]) -> str:
+    """Returns the median, the 99th percentile and the maximum."""
+    return f"{quantile(values, 0.5):.1f}, {quantile(values, 0.99):.1f}, {max(values):.1f}"
 
 
-def at(values: list[float], share: float) -> float:
-    """A value that this share of all lies at or under."""
-    some = sorted(values)
-    return some[min(len(some) - 1, int(share * len(some)))]
+def quantile(values: list[float], share: float) -> float:
+    """Returns a quantile of the values."""
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def crash(net: SimulatedNetwork, name: str) -> tuple[float, float]:
-    """Seconds until the first and until all know that one is gone."""
-    net.state_changes.clear()
-    began = net.now
-    net.kill(name)
-    if not net.run(60 * SECOND, lambda: net.all_see({name}, MemberState.FAILED)):
+def measure_crash(network: SimulatedNetwork, name: str) -> tuple[float, float]:
+    """Kills a member; returns the seconds until the first member and until all members see it as failed."""
+    network.state_changes.clear()
+    killed_at = network.now
+    network.kill(name)
+    if not network.run(60 * SECOND, lambda: network.all_see({name}, MemberState.FAILED)):
         raise click.ClickException(f"{name} was not seen as gone by all within a minute")
-    first = min(t for t, _, about, _, now in net.state_changes if about == name and now == "gone")
-    return (first - began) / SECOND, (net.now - began) / SECOND
+    first_seen_at = min(
+        at for at, _, member, _, state in network.state_changes if member == name and state == "gone"
+    )
+    return (first_seen_at - killed_at) / SECOND, (network.now - killed_at) / SECOND
 
 
-def settle(net: SimulatedNetwork) -> float:
-    """Seconds until all see just those alive that run; infinite where they do not within two minutes."""
-    began = net.now
-    if not net.run(120 * SECOND, net.is_settled):
+def measure_settling(network: SimulatedNetwork) -> float:
+    """Returns the seconds until all members see exactly the running ones as alive; infinite after two minutes."""
+    began = network.now
+    if not network.run(120 * SECOND, network.is_settled):
         return float("inf")
-    return (net.now - began) / SECOND
+    return (network.now - began) / SECOND
+
+
+def count_false_failures(network: SimulatedNetwork, dead: set[str]) -> int:
+    """Returns how often a member saw a running one as failed."""
+    return sum(state == "gone" and member not in dead for _, _, member, _, state in network.state_changes)
 
 
-def wrong(net: SimulatedNetwork, dead: set[str]) -> int:
-    """How many living members were called gone by somebody."""
-    return sum(now == "gone" and about not in dead for _, _, about, _, now in net.state_changes)
+@dataclass
+class QuietTraffic:
+    """The cost of a time without changes, per front and second."""
+
+    datagrams: float
+    octets: float
+    processor_seconds: float
+
+
+def measure_quiet_time(network: SimulatedNetwork, seconds: float) -> QuietTraffic:
+    """Measures a time without crashes and joins."""
+    size = len(network.processes)
+    for process in network.processes.values():
+        process.messages = 0
+        process.octets = 0
+    network.state_changes.clear()
+    processor_before = time.process_time()
+    network.run(round(seconds * SECOND))
+    processor_seconds = time.process_time() - processor_before
+    return QuietTraffic(
+        datagrams=sum(process.messages for process in network.processes.values()) / size / seconds,
+        octets=sum(process.octets for process in network.processes.values()) / size / seconds,
+        processor_seconds=processor_seconds / seconds / size,
+    )
 
 
 def measure(size: int, loss: float, crashes: int, seed: int, hours: float) -> Row:
-    """One row of the table."""
-    net = settled_network(size, seed, loss)
+    """Measures one row of the table."""
+    network = settled_network(size, seed, loss)
     rng = Random(seed)
-    net.run(60 * SECOND)  # what the start had to tell has gone round
-    for process in net.processes.values():
-        process.messages = process.octets = 0
-    net.state_changes.clear()
-    quiet, cpu = max(60.0, hours * 3600), time.process_time()
-    net.run(round(quiet * SECOND))
-    cpu = (time.process_time() - cpu) / quiet / size
-    false = wrong(net, set())
-    datagrams = sum(p.messages for p in net.processes.values()) / size / quiet
-    octets = sum(p.octets for p in net.processes.values()) / size / quiet
-    firsts, alls = list[float](), list[float]()
-    seeds = (("host-f0", 1), ("host-f1", 1))
+    network.run(60 * SECOND)  # until the gossip of the joins has ended
+    quiet_seconds = max(60.0, hours * 3600)
+    quiet = measure_quiet_time(network, quiet_seconds)
+    false_failures = count_false_failures(network, set())
+
+    first_detections = list[float]()
+    full_detections = list[float]()
     for _ in range(crashes):
-        name = f"f{rng.randrange(2, size)}"
-        first, all_ = crash(net, name)
-        firsts.append(first)
-        alls.append(all_)
-        false += wrong(net, {name})
-        net.add(name, seeds)
-        net.run(5 * SECOND)
-    net.run(10 * SECOND)
-    victims = set(rng.sample([f"f{i}" for i in range(2, size)], max(1, round(0.7 * size) - 1)))
-    net.state_changes.clear()
-    for name in victims:
-        net.kill(name)
-    mass = settle(net)
-    false += wrong(net, victims)
-    net.run(5 * SECOND)
-    net.state_changes.clear()
-    for name in sorted(victims):
-        net.add(name, seeds)
-    back = settle(net)
-    net.run(10 * SECOND)
+        name = f"f{rng.randrange(len(SEEDS), size)}"
+        first, full = measure_crash(network, name)
+        first_detections.append(first)
+        full_detections.append(full)
+        false_failures += count_false_failures(network, {name})
+        network.add(name, SEEDS)
+        network.run(5 * SECOND)
+
+    network.run(10 * SECOND)
+    candidates = [f"f{i}" for i in range(len(SEEDS), size)]
+    killed = set(rng.sample(candidates, max(1, round(KILLED_SHARE * size) - 1)))
+    network.state_changes.clear()
+    for name in killed:
+        network.kill(name)
+    mass_failure = measure_settling(network)
+    false_failures += count_false_failures(network, killed)
+    network.run(5 * SECOND)
+    network.state_changes.clear()
+    for name in sorted(killed):
+        network.add(name, SEEDS)
+    mass_rejoin = measure_settling(network)
+
+    network.run(10 * SECOND)
     half = {f"f{i}" for i in range(size // 2)}
-    net.state_changes.clear()
-    net.cut = lambda one, other: (one in half) != (other in half)
-    net.run(40 * SECOND)
-    net.cut = lambda _one, _other: False
-    heal = settle(net)
-    false += sum(
-        now == "gone" and (who in half) == (about in half) for _, who, about, _, now in net.state_changes
+    network.state_changes.clear()
+    network.cut = lambda one, other: (one in half) != (other in half)
+    network.run(40 * SECOND)
+    network.cut = lambda _one, _other: False
+    partition_heal = measure_settling(network)
+    false_failures += sum(
+        state == "gone" and (observer in half) == (member in half)
+        for _, observer, member, _, state in network.state_changes
     )
-    join = settled_network(size, seed + 1, loss)
-    joined = (join.now - 500 * MS) / SECOND
+
+    joined = settled_network(size, seed + 1, loss)
     return Row(
-        size, loss, firsts, alls, false, quiet / 3600, joined, mass, back, heal, datagrams, octets, cpu
+        size=size,
+        loss=loss,
+        first_detections=first_detections,
+        full_detections=full_detections,
+        false_failures=false_failures,
+        quiet_hours=quiet_seconds / 3600,
+        join=(joined.now - 500 * MS) / SECOND,
+        mass_failure=mass_failure,
+        mass_rejoin=mass_rejoin,
+        partition_heal=partition_heal,
+        datagrams=quiet.datagrams,
+        octets=quiet.octets,
+        processor_seconds=quiet.processor_seconds,
     )
 
 
-def heartbeat(size: int, loss: float, crashes: int, seed: int) -> str:
-    """The plain way: each tells all others that it lives, every second; one that is not heard five times is gone."""
-    rng, firsts, alls = Random(seed), list[float](), list[float]()
+def heartbeat_row(size: int, loss: float, crashes: int, seed: int) -> str:
+    """Returns the row of the compared heartbeat.
+
+    Each member sends a heartbeat to all others every second; one that misses five in a row is taken for failed.
+    """
+    rng = Random(seed)
+    first_detections = list[float]()
+    full_detections = list[float]()
+    interval_s = HEARTBEAT_INTERVAL_NS / SECOND
     for _ in range(crashes):
-        died, seen = rng.random(), list[float]()
+        crashed_at = rng.random()
+        detections = list[float]()
         for _other in range(size - 1):
-            phase, last = rng.random(), 0.0
-            for k in range(13):  # the last beat before the death that arrived
-                if phase - k <= died and rng.random() >= loss:
-                    last = phase - k
+            phase = rng.random()
+            last_received_at = 0.0
+            for k in range(13):  # backwards to the last heartbeat before the crash that was received
+                if phase - k <= crashed_at and rng.random() >= loss:
+                    last_received_at = phase - k
                     break
-            seen.append(last + MISSED * BEAT / SECOND - died)
-        firsts.append(min(seen))
-        alls.append(max(seen))
-    octets = (size - 1) * HEADER_BYTES * SECOND / BEAT
-    wrong = f"{loss**MISSED * size * (size - 1) * 3600:.0f} an hour, reckoned"
-    beats = (size - 1) * SECOND / BEAT
-    return cells(size, f"{loss:.0%}", spread(firsts), spread(alls), wrong, "", "", "", "", f"{beats:.0f}",
-                 f"{octets / 1e3:.1f}", "")  # fmt: skip
+            detections.append(last_received_at + MISSED_HEARTBEATS * interval_s - crashed_at)
+        first_detections.append(min(detections))
+        full_detections.append(max(detections))
+    datagrams = (size - 1) / interval_s
+    false_failures = f"{loss**MISSED_HEARTBEATS * size * (size - 1) * 3600:.0f} an hour, reckoned"
+    return format_cells(
+        size,
+        f"{loss:.0%}",
+        format_distribution(first_detections),
+        format_distribution(full_detections),
+        false_failures,
+        *[""] * 4,
+        f"{datagrams:.0f}",
+        f"{datagrams * HEADER_BYTES / 1e3:.1f}",
+        "",
+    )
 
 
-COLUMNS = ("fronts", "loss", "crash known to the first, s (p50, p99, most)", "to all", "living called gone", "join",
-           "70% killed", "all back", "heal", "datagrams/s", "kB/s", "ms of a core a s")  # fmt: skip
-HEAD = cells(*COLUMNS) + "\n" + cells(*["---"] * len(COLUMNS))
+COLUMNS = (
+    "fronts",
+    "loss",
+    "crash known to the first, s (p50, p99, most)",
+    "to all",
+    "living called gone",
+    "join",
+    "70% killed",
+    "all back",
+    "heal",
+    "datagrams/s",
+    "kB/s",
+    "ms of a core a s",
+)
+HEAD = format_cells(*COLUMNS) + "\n" + format_cells(*["---"] * len(COLUMNS))
 
 
 def plot(rows: list[Row], file: Path) -> None:
-    """Settling times over size; needs matplotlib, which serving does not."""
+    """Draws the settling times over the size. Needs matplotlib, which is no requirement of the project."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots()
-    for loss in sorted({r.loss for r in rows}):
-        mine = [r for r in rows if r.loss == loss]
-        axes.plot(
-            [r.size for r in mine],
-            [at(r.all_, 0.99) for r in mine],
-            marker="o",
-            label=f"crash, p99, loss {loss:.0%}",
-        )
-        axes.plot(
-            [r.size for r in mine],
-            [r.mass for r in mine],
-            marker="s",
-            ls="--",
-            label=f"70% killed, loss {loss:.0%}",
-        )
-        axes.plot(
-            [r.size for r in mine], [r.heal for r in mine], marker="^", ls=":", label=f"heal, loss {loss:.0%}"
-        )
+    for loss in sorted({row.loss for row in rows}):
+        rows_of_loss = [row for row in rows if row.loss == loss]
+        sizes = [row.size for row in rows_of_loss]
+        crash_times = [quantile(row.full_detections, 0.99) for row in rows_of_loss]
+        mass_failure_times = [row.mass_failure for row in rows_of_loss]
+        heal_times = [row.partition_heal for row in rows_of_loss]
+        axes.plot(sizes, crash_times, marker="o", label=f"crash, p99, loss {loss:.0%}")
+        axes.plot(sizes, mass_failure_times, marker="s", ls="--", label=f"70% killed, loss {loss:.0%}")
+        axes.plot(sizes, heal_times, marker="^", ls=":", label=f"heal, loss {loss:.0%}")
     axes.set_xscale("log")
     axes.set_xlabel("fronts")
     axes.set_ylabel("seconds until all agree (simulated)")
@@ -211,17 +283,17 @@
 @click.option("--hours", default=0.0, help="Simulated, quiet, in each row; a minute at least.")
 @click.option("--plot", "file", type=click.Path(path_type=Path), help="Draw into this file (matplotlib).")
 def main(sizes: str, losses: str, crashes: int, seed: int, hours: float, file: Path | None) -> None:
-    """Prints the table."""
+    """Measures and prints the tables."""
     click.echo(HEAD)
     rows = []
     for size in map(int, sizes.split(",")):
         for loss in map(float, losses.split(",")):
             rows.append(measure(size, loss, crashes, seed, hours))
-            click.echo(rows[-1].show())
+            click.echo(rows[-1].format())
     click.echo("\nPlain heartbeat, every second from all to all, gone after five:\n\n" + HEAD)
     for size in map(int, sizes.split(",")):
         for loss in map(float, losses.split(",")):
-            click.echo(heartbeat(size, loss, crashes, seed))
+            click.echo(heartbeat_row(size, loss, crashes, seed))
     if file is not None:
         plot(rows, file)
 
