--- a/benchmarks/mass_drain.py
+++ b/benchmarks/mass_drain.py
@@ -1,11 +1,11 @@
-"""A fifth of the fleet drains at once before two hundred fronts: set-ups at each target, by the pure modules alone.
+"""Simulates many fronts when a fifth of the nodes drains at once, and counts the set-ups that each target node gets.
 
     python -m benchmarks.mass_drain [--fronts 200] [--nodes 60] [--playbacks 1800] [--notice 15]
 
-Every front is a Controller of `choice.py` and a Mover with its own seed; nodes are the link model; a clock of our own
-runs in steps of 20 ms. Drained nodes are replaced by cold ones two seconds after the drain is known. Prints, for warm
-and cold targets, the busiest second of set-ups beside what a node can take, and what became of the playbacks. The same
-from the same seed.
+Each front is a Controller of `choice.py` and a MoveScheduler with its own seed, nodes are the link model, and the
+simulated clock runs in steps of 20 ms. Drained nodes are replaced by cold ones 2 s after the drain begins. Prints, for
+warm and cold target nodes, the set-ups in the busiest second beside what a node can take, and the outcome of the
+playbacks. The same seed gives the same result.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 import time
 from collections import Counter
 from random import Random
+from typing import NamedTuple
 
 from oakcroft.choice import Controller
 from oakcroft.decisions.moving.move_scheduler import MoveScheduler, MoveLimits, MoveReason
@@ -30,16 +31,34 @@
     Outcome,
     Plan,
     Playback,
+    DeploymentSettings,
+    Title,
 )
-from oakcroft.interface import DeploymentSettings, Title
 from oakcroft.standins.links import Machine, Rack, Stream, WarmUp
 
 PLAN = Plan(Effect.FREE, KeyScope.ALL, SECOND, SECOND, 1.0, 0, 2, 0, 1.0, False)
-STEP, COLD_FOR, WINDOW = 20 * MS, 8 * SECOND, 2 * SECOND
-
-
-def terms(fronts: int, front: int, cells: int) -> DeploymentSettings:
-    """The site, as one front is told it."""
+STEP_NS = 20 * MS
+COLD_DURATION_NS = 8 * SECOND
+COLD_PACE_SHARE = 0.4
+OVERLOAD_MULTIPLE = 4.0
+OVERLOAD_WINDOW_NS = 2 * SECOND
+NODE_CAPACITY = 60
+LINK_CAPACITY = 24_000.0
+"""kB/s."""
+RUNG_RATES = (200.0, 400.0, 800.0)
+RUNG_REVENUE_SHARES = (0.3, 0.6, 1.0)
+STREAM_RATE = 400.0
+TITLE_COUNT = 60
+TITLE_COPIES = 12
+SETUP_DELAY_NS = 15 * MS
+MAX_LIST_DELAY_NS = 2 * SECOND
+"""A front knows of the drain after a random time up to this one."""
+REPLACEMENT_DELAY_NS = 2 * SECOND
+MAX_STARTS_PER_STEP = 8
+
+
+def front_settings(fronts: int, front: int, cells: int) -> DeploymentSettings:
+    """Returns the deployment settings of one front."""
     return DeploymentSettings(
         front_count=fronts,
         front_index=front,
@@ -47,207 +66,268 @@
         subscribe_within_ns=0,
         cell_count=cells,
         rack_count=1,
-        rung_rates=(200.0, 400.0, 800.0),
-        rung_revenue_shares=(0.3, 0.6, 1.0),
+        rung_rates=RUNG_RATES,
+        rung_revenue_shares=RUNG_REVENUE_SHARES,
         uplink_capacity=0.0,
         join_rate_share=1.0,
         report_delay_ns=600 * MS,
         report_interval_ns=2500 * MS,
         max_tries=3,
         max_retry_after_ns=SECOND,
-        cold_pace_share=0.4,
-        cold_duration_ns=COLD_FOR,
-        overload_multiple=4.0,
-        overload_window_ns=WINDOW,
+        cold_pace_share=COLD_PACE_SHARE,
+        cold_duration_ns=COLD_DURATION_NS,
+        overload_multiple=OVERLOAD_MULTIPLE,
+        overload_window_ns=OVERLOAD_WINDOW_NS,
         retry_budget_base=10.0,
         retry_budget_share=0.2,
         retry_budget_window_ns=5 * SECOND,
     )
 
 
+class ListedNode(NamedTuple):
+    """An entry of the node list."""
+
+    name: str
+    cell: int
+    status: NodeStatus
+    started_at: int
+
+
+class PendingSetup(NamedTuple):
+    """A set-up that a node will answer."""
+
+    answered_at: int
+    front: Front
+    copy: Playback
+    node: Node
+
+
 class Front:
-    """One front: the module and a mover, told of nodes by name, each with objects of its own."""
+    """One front: a decision module and a move scheduler, with their own objects for nodes and titles."""
 
-    def __init__(self, world: World, number: int) -> None:
-        self.world, self.number = world, number
+    def __init__(self, simulation: DrainSimulation, number: int) -> None:
+        """Creates the front without a node list."""
+        self.simulation = simulation
         self.nodes: dict[str, Node] = {}
-        self.control = Controller(terms(world.fronts, number, world.cells), number, self, 0)
-        self.mover = MoveScheduler(MoveLimits(), Random(number))
+        cell_count = simulation.cell_count
+        self.controller = Controller(
+            front_settings(simulation.front_count, number, cell_count), number, self, 0
+        )
+        self.scheduler = MoveScheduler(MoveLimits(), Random(number))
         self.playing: dict[str, Playback] = {}
-        self.copies: dict[Playback, str] = {}
-        self.titles = [Title(f"t{i}", i * 7 % world.cells, 12) for i in range(60)]
+        self.keys_by_copy: dict[Playback, str] = {}
+        self.titles = [Title(f"t{i}", i * 7 % cell_count, TITLE_COPIES) for i in range(TITLE_COUNT)]
 
-    def hear(self, kind: NodeListKind, lines: list[tuple[str, int, NodeStatus, int]], now: int) -> None:
-        """A list, or its changes: name, cell, listing, start."""
+    def receive_node_list(self, kind: NodeListKind, listed_nodes: list[ListedNode], now: int) -> None:
+        """Passes a node list, or changes of it, to the module."""
         entries = []
-        for name, cell, listing, started in lines:
+        for name, cell, status, started_at in listed_nodes:
             node = self.nodes.setdefault(name, Node(name))
-            node.cell, node.zone = cell, "w"
-            entries.append(NodeEntry(node, listing, started, 24_000.0, 60.0))
-        self.control.on_node_list(kind, entries, now)
+            node.cell = cell
+            node.zone = "w"
+            entries.append(NodeEntry(node, status, started_at, LINK_CAPACITY, float(NODE_CAPACITY)))
+        self.controller.on_node_list(kind, entries, now)
+
+    # The host interface that the decision module calls.
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
-        self.world.sent(self, playback, node)
+        """Sends the set-up of a copy."""
+        self.simulation.receive_setup(self, playback, node)
 
     def reject(self, playback: Playback, retry_after_ns: int) -> None:
-        self._stays(playback)
+        """Ends the move of a copy that was rejected."""
+        self._fail_move(playback)
 
     def abort(self, playback: Playback) -> None:
-        self._stays(playback)
+        """Ends the move of a copy that was aborted."""
+        self._fail_move(playback)
 
-    def _stays(self, pb: Playback) -> None:
-        key = self.copies.pop(pb, None)
+    def _fail_move(self, copy: Playback) -> None:
+        key = self.keys_by_copy.pop(copy, None)
         if key is not None:
-            self.world.count["refused"] += 1
-            self.mover.finish(key, False, self.world.now, self.world.notice_left())
+            self.simulation.outcome_counts["refused"] += 1
+            self.scheduler.finish(key, False, self.simulation.now, self.simulation.remaining_notice())
 
     def set_rung(self, playback: Playback, rung: int) -> None:
-        pass
+        """Does nothing, as rungs do not matter here."""
 
     def set_timer(self, at: int) -> None:
-        pass
+        """Does nothing, as the simulation calls the timer each second."""
 
     def subscribe_to_nodes(self) -> None:
-        pass
+        """Does nothing, as list changes are sent to all fronts."""
 
     def log(self, message: str) -> None:
-        pass
+        """Discards the message."""
 
 
-class World:
+class DrainSimulation:
     """Fronts, nodes and the clock."""
 
-    def __init__(self, fronts: int, nodes: int, playbacks: int, notice: int, seed: int) -> None:
-        self.now, self.fronts, self.cells, self.rng = 0, fronts, nodes, Random(seed)
-        warmth = WarmUp(0.4, COLD_FOR, 4.0, WINDOW)
-        self.machines = {f"n{i}": Machine(f"n{i}", Rack(0.0), 24_000.0, 60, warmth) for i in range(nodes)}
-        self.cell = {f"n{i}": i for i in range(nodes)}
-        self.count: Counter[str] = Counter()
-        self.setups: dict[str, Counter[int]] = {n: Counter() for n in self.machines}
-        self.due: list[tuple[int, Front, Playback, Node]] = []
-        self.notice, self.drained_at, self.number = notice, 0, 0
-        self.all = [Front(self, i) for i in range(fronts)]
-        lines = [(n, c, NodeStatus.READY, 0) for n, c in self.cell.items()]
-        for front in self.all:
-            front.hear(NodeListKind.KEPT, lines, 0)
+    def __init__(
+        self, front_count: int, node_count: int, playback_count: int, notice: int, seed: int
+    ) -> None:
+        """Creates the fleet with playbacks that are running. `notice`: time from the drain until nodes stop, in ns."""
+        self.now = 0
+        self.front_count = front_count
+        self.cell_count = node_count
+        self.rng = Random(seed)
+        warm_up = WarmUp(COLD_PACE_SHARE, COLD_DURATION_NS, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_NS)
+        self.machines = {f"n{i}": new_machine(f"n{i}", warm_up) for i in range(node_count)}
+        self.cells = {f"n{i}": i for i in range(node_count)}
+        self.outcome_counts: Counter[str] = Counter()
+        self.setups_by_second: dict[str, Counter[int]] = {name: Counter() for name in self.machines}
+        self.pending_setups: list[PendingSetup] = []
+        self.notice = notice
+        self.drained_at = 0
+        self.fronts = [Front(self, i) for i in range(front_count)]
+        listed_nodes = [ListedNode(name, cell, NodeStatus.READY, 0) for name, cell in self.cells.items()]
+        for front in self.fronts:
+            front.receive_node_list(NodeListKind.KEPT, listed_nodes, 0)
         self.now = 20 * SECOND
-        for _ in range(playbacks):
-            front = self.rng.choice(self.all)
-            title = self.rng.choice(front.titles)
-            name = f"n{(title.home_cell + self.rng.randrange(12)) % nodes}"
-            pb = Playback(title, PLAN, 2, self.now, False)
-            front.control.on_handed_over(pb, front.nodes[name], self.now)
-            self.number += 1
-            front.playing[f"p{self.number}"] = pb
-            self.machines[name].add_stream(f"p{self.number}", Stream(400.0, 1, (0.3, 0.6, 1.0), 0))
-
-    def notice_left(self) -> int:
-        """Time that the draining nodes are good for."""
+        for number in range(1, playback_count + 1):
+            self._add_playback(f"p{number}")
+
+    def _add_playback(self, key: str) -> None:
+        front = self.rng.choice(self.fronts)
+        title = self.rng.choice(front.titles)
+        node_name = f"n{(title.home_cell + self.rng.randrange(TITLE_COPIES)) % self.cell_count}"
+        playback = Playback(title, PLAN, 2, self.now, False)
+        front.controller.on_handed_over(playback, front.nodes[node_name], self.now)
+        front.playing[key] = playback
+        self.machines[node_name].add_stream(key, Stream(STREAM_RATE, 1, RUNG_REVENUE_SHARES, 0))
+
+    def remaining_notice(self) -> int:
+        """Returns how long the draining nodes will still run."""
         return max(0, self.drained_at + self.notice - self.now)
 
-    def sent(self, front: Front, pb: Playback, node: Node) -> None:
-        """A set-up reaches a node, which answers 15 ms later."""
-        machine = self.machines[node.name]
-        self.setups[node.name][self.now // SECOND] += 1
-        if not machine.admit_setup(self.now):
-            self.count["pushed over"] += 1
-        front.mover.set_target(front.copies[pb], node.name)
-        self.due.append((self.now + 15 * MS, front, pb, node))
+    def receive_setup(self, front: Front, copy: Playback, node: Node) -> None:
+        """Counts a set-up at a node, which answers after a delay."""
+        self.setups_by_second[node.name][self.now // SECOND] += 1
+        if not self.machines[node.name].admit_setup(self.now):
+            self.outcome_counts["pushed over"] += 1
+        front.scheduler.set_target(front.keys_by_copy[copy], node.name)
+        self.pending_setups.append(PendingSetup(self.now + SETUP_DELAY_NS, front, copy, node))
 
     def run(self, drained: list[str]) -> None:
-        """The drain and the notice."""
-        replaced = {n: f"{n}+1" for n in drained}
+        """Drains nodes and runs until their notice has ended."""
+        replacements = {name: f"{name}+1" for name in drained}
         self.drained_at = self.now
-        heard = {f: self.now + self.rng.randrange(2 * SECOND) for f in self.all}
-        ready = {f: heard[f] + 2 * SECOND + self.rng.randrange(SECOND) for f in self.all}
-        cold_at = self.now + 2 * SECOND
-        for old, new in replaced.items():
-            self.machines[new] = Machine(new, Rack(0.0), 24_000.0, 60, self.machines[old].warm_up)
-            self.machines[new].restart(cold_at)
-            self.setups[new], self.cell[new] = Counter(), self.cell[old]
-        ticks = {f: self.now + self.rng.randrange(SECOND) for f in self.all}
+        drain_known_at = {front: self.now + self.rng.randrange(MAX_LIST_DELAY_NS) for front in self.fronts}
+        replacements_known_at = {
+            front: drain_known_at[front] + REPLACEMENT_DELAY_NS + self.rng.randrange(SECOND)
+            for front in self.fronts
+        }
+        started_at = self.now + REPLACEMENT_DELAY_NS
+        for old, new in replacements.items():
+            self.machines[new] = new_machine(new, self.machines[old].warm_up)
+            self.machines[new].restart(started_at)
+            self.setups_by_second[new] = Counter()
+            self.cells[new] = self.cells[old]
+        replacement_list = [
+            ListedNode(name, self.cells[name], NodeStatus.READY, started_at) for name in replacements.values()
+        ]
+        next_timer_at = {front: self.now + self.rng.randrange(SECOND) for front in self.fronts}
         while self.now < self.drained_at + self.notice:
-            for front in self.all:
-                if heard.get(front, self.now + 1) <= self.now:
-                    del heard[front]
+            for front in self.fronts:
+                if drain_known_at.get(front, self.now + 1) <= self.now:
+                    del drain_known_at[front]
                     self._drain(front, drained)
-                if ready.get(front, self.now + 1) <= self.now:
-                    del ready[front]
-                    lines = [(new, self.cell[new], NodeStatus.READY, cold_at) for new in replaced.values()]
-                    front.hear(NodeListKind.CHANGES, lines, self.now)
-                if ticks[front] <= self.now:
-                    ticks[front] += SECOND
-                    front.control.on_timer(self.now)
-                for wish in front.mover.start_due(self.now, 8):
-                    self._copy(front, wish.key)
-            for at, front, pb, node in [d for d in self.due if d[0] <= self.now]:
-                self.due.remove((at, front, pb, node))
-                self._placed(front, pb, node)
-            self.now += STEP
+                if replacements_known_at.get(front, self.now + 1) <= self.now:
+                    del replacements_known_at[front]
+                    front.receive_node_list(NodeListKind.CHANGES, replacement_list, self.now)
+                if next_timer_at[front] <= self.now:
+                    next_timer_at[front] += SECOND
+                    front.controller.on_timer(self.now)
+                for move in front.scheduler.start_due(self.now, MAX_STARTS_PER_STEP):
+                    self._request_copy(front, move.key)
+            self._answer_setups()
+            self.now += STEP_NS
 
     def _drain(self, front: Front, drained: list[str]) -> None:
-        front.hear(
-            NodeListKind.CHANGES, [(n, self.cell[n], NodeStatus.DRAINING, 0) for n in drained], self.now
-        )
+        listed_nodes = [ListedNode(name, self.cells[name], NodeStatus.DRAINING, 0) for name in drained]
+        front.receive_node_list(NodeListKind.CHANGES, listed_nodes, self.now)
         for name in drained:
-            some = [(k, 1.0) for k, pb in front.playing.items() if pb.node is front.nodes[name]]
-            self.count["to move"] += front.mover.plan_node(
-                name, some, self.notice_left(), MoveReason.DRAIN, self.now
+            node = front.nodes[name]
+            to_move = [(key, 1.0) for key, playback in front.playing.items() if playback.node is node]
+            self.outcome_counts["to move"] += front.scheduler.plan_node(
+                name, to_move, self.remaining_notice(), MoveReason.DRAIN, self.now
             )
 
-    def _copy(self, front: Front, key: str) -> None:
-        old = front.playing[key]
-        copy = Playback(old.title, PLAN, 2, self.now + 4 * SECOND, True)
-        copy.copy_of = old
-        copy.node_filter = lambda node: front.mover.has_room_on(key, node.name)
-        front.copies[copy] = key
-        front.control.on_request(copy, self.now)
-
-    def _placed(self, front: Front, pb: Playback, node: Node) -> None:
-        key = front.copies.pop(pb)
-        machine, old = self.machines[node.name], front.playing[key]
-        front.control.on_playing(pb, self.now)
-        front.control.on_metric(pb, PlaybackMetric.LINK_LOAD, machine.link_load(), self.now)
-        assert old.node is not None
-        self.machines[old.node.name].remove_stream(key)
-        machine.add_stream(key, Stream(400.0, pb.rung, (0.3, 0.6, 1.0), self.now))
-        front.control.on_viewer_left(old, self.now)
-        front.control.on_try_ended(old, Outcome.WITHDRAWN, True, None, None, None, self.now)
-        front.playing[key] = pb
-        front.mover.finish(key, True, self.now, None)
-        self.count["moved"] += 1
+    def _request_copy(self, front: Front, key: str) -> None:
+        original = front.playing[key]
+        copy = Playback(original.title, PLAN, 2, self.now + 4 * SECOND, True)
+        copy.copy_of = original
+        copy.node_filter = lambda node: front.scheduler.has_room_on(key, node.name)
+        front.keys_by_copy[copy] = key
+        front.controller.on_request(copy, self.now)
+
+    def _answer_setups(self) -> None:
+        for setup in [setup for setup in self.pending_setups if setup.answered_at <= self.now]:
+            self.pending_setups.remove(setup)
+            self._finish_move(setup.front, setup.copy, setup.node)
+
+    def _finish_move(self, front: Front, copy: Playback, node: Node) -> None:
+        key = front.keys_by_copy.pop(copy)
+        machine = self.machines[node.name]
+        original = front.playing[key]
+        front.controller.on_playing(copy, self.now)
+        front.controller.on_metric(copy, PlaybackMetric.LINK_LOAD, machine.link_load(), self.now)
+        assert original.node is not None
+        self.machines[original.node.name].remove_stream(key)
+        machine.add_stream(key, Stream(STREAM_RATE, copy.rung, RUNG_REVENUE_SHARES, self.now))
+        front.controller.on_viewer_left(original, self.now)
+        front.controller.on_try_ended(original, Outcome.WITHDRAWN, True, None, None, None, self.now)
+        front.playing[key] = copy
+        front.scheduler.finish(key, True, self.now, None)
+        self.outcome_counts["moved"] += 1
+
+
+def new_machine(name: str, warm_up: WarmUp) -> Machine:
+    """Returns a node of the link model."""
+    return Machine(name, Rack(0.0), LINK_CAPACITY, NODE_CAPACITY, warm_up)
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments, runs the simulation and prints the result."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     for name, value in (("fronts", 200), ("nodes", 60), ("playbacks", 1800), ("notice", 15), ("seed", 1)):
         parser.add_argument(f"--{name}", type=int, default=value)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     began = time.perf_counter()
-    world = World(given.fronts, given.nodes, given.playbacks, given.notice * SECOND, given.seed)
-    drained = [f"n{i}" for i in range(0, given.nodes, 5)]
-    world.run(drained)
-    warm = [n for n in world.machines if n not in drained and "+" not in n]
-    cold = [n for n in world.machines if "+" in n]
-    left = sum(len(world.machines[n].streams) for n in drained)
-    where = f"{given.fronts} fronts, {given.nodes} nodes, {len(drained)} drain in {given.notice} s"
-    print(f"{where}, seed {given.seed}")
-    print(f"  {dict(world.count)}; left on draining nodes {left}")
-    for what, some in (("warm", warm), ("cold", cold)):
-        peaks = sorted(max(world.setups[n].values(), default=0) for n in some)
-        total = sum(sum(world.setups[n].values()) for n in some)
+    simulation = DrainSimulation(
+        arguments.fronts, arguments.nodes, arguments.playbacks, arguments.notice * SECOND, arguments.seed
+    )
+    drained = [f"n{i}" for i in range(0, arguments.nodes, 5)]
+    simulation.run(drained)
+    warm = [name for name in simulation.machines if name not in drained and "+" not in name]
+    cold = [name for name in simulation.machines if "+" in name]
+    left = sum(len(simulation.machines[name].streams) for name in drained)
+    where = (
+        f"{arguments.fronts} fronts, {arguments.nodes} nodes, {len(drained)} drain in {arguments.notice} s"
+    )
+    print(f"{where}, seed {arguments.seed}")
+    print(f"  {dict(simulation.outcome_counts)}; left on draining nodes {left}")
+    for kind, names in (("warm", warm), ("cold", cold)):
+        counts = [simulation.setups_by_second[name] for name in names]
+        peaks = sorted(max(count.values(), default=0) for count in counts)
+        total = sum(count.total() for count in counts)
         print(
-            f"  {what} targets: {total} set-ups; busiest second: median {peaks[len(peaks) // 2]}, most {peaks[-1]}"
+            f"  {kind} targets: {total} set-ups; busiest second: median {peaks[len(peaks) // 2]}, most {peaks[-1]}"
         )
-    pace = 0.4 * 60 / (COLD_FOR / SECOND) * 4
-    print(f"  a node that has just started stands {pace:.0f} set-ups a second for {WINDOW // SECOND} s")
-    full = max(len(world.machines[n].streams) for n in warm + cold)
-    asked = max(world.machines[n].link_load() for n in warm + cold)
-    took = time.perf_counter() - began
-    print(f"  fullest target: {full} of 60 places, {asked:.2f} of its link; {took:.1f} s of computing")
+    pace = COLD_PACE_SHARE * NODE_CAPACITY / (COLD_DURATION_NS / SECOND) * OVERLOAD_MULTIPLE
+    window_s = OVERLOAD_WINDOW_NS // SECOND
+    print(f"  a node that has just started stands {pace:.0f} set-ups a second for {window_s} s")
+    targets = [simulation.machines[name] for name in warm + cold]
+    max_streams = max(len(machine.streams) for machine in targets)
+    max_load = max(machine.link_load() for machine in targets)
+    elapsed_s = time.perf_counter() - began
+    print(
+        f"  fullest target: {max_streams} of {NODE_CAPACITY} places, {max_load:.2f} of its link; "
+        f"{elapsed_s:.1f} s of computing"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/moving.py
+++ b/benchmarks/moving.py
@@ -1,9 +1,9 @@
-"""What moving does for viewers of long lessons when nodes drain: gaps by packets, in one run a mode.
+"""Measures what moves do for viewers of long lessons when nodes drain: gaps between packets, in one run per mode.
 
     python -m benchmarks.moving [--mode move break stay] [--scene drains deploy deaths] [--seed N] [--keep FOLDER]
 
-Real fronts and stand-in nodes on loopback; players receive RTP and measure. `drains`: nodes taken away one after the
-other. `deploy`: the whole fleet replaced in waves. `deaths`: drains while nodes die, hang and lose answers.
+Runs real fronts and stand-in nodes on loopback; players receive RTP and measure. `drains`: nodes drain one after the
+other. `deploy`: the whole fleet is replaced in waves. `deaths`: drains while nodes crash, hang and lose answers.
 """
 
 from __future__ import annotations
@@ -21,7 +21,9 @@
 from oakcroft.standins.day import parse_day
 
 NODES = 8
-ALL = " ".join(f"n{i + 1}" for i in range(NODES))
+NODE_NAMES = " ".join(f"n{i + 1}" for i in range(NODES))
+TWO_PACKET_INTERVALS_NS = 80_000_000
+PERCENTILES = (50, 90, 99, 100)
 SITE = """(site
     (fleet (fronts 2) (wings west east) (cells 8) (racks 2) (copies 8) (seen-after 300ms) (reports-every 1s)
       (cold-share 0.4) (cold-for 4s) (fall-multiple 4) (fall-window 1s) (stay-away-most 1s) (drain-grace 250ms)
@@ -37,7 +39,7 @@
     "drains": "".join(
         f"(fault preempt (at {6 + 4 * i}s) (for 1s) (on n{i + 1}) (size 4) (extra 1))" for i in range(6)
     ),
-    "deploy": f"(fault deploy (at 6s) (for 24s) (on {ALL}) (size 0.25) (extra 4))",
+    "deploy": f"(fault deploy (at 6s) (for 24s) (on {NODE_NAMES}) (size 0.25) (extra 4))",
     "deaths": "".join(
         f"(fault preempt (at {6 + 4 * i}s) (for 1s) (on n{i + 1}) (size 3) (extra 1))" for i in range(6)
     )
@@ -47,8 +49,8 @@
 }
 
 
-def day(scene: str, rate: float) -> str:
-    """A day of long lessons."""
+def day_text(scene: str, rate: float) -> str:
+    """Returns a day of long lessons with the faults of a scene."""
     nodes = "".join(
         f"(node n{i + 1} (wing {'west' if i % 2 else 'east'}) (cell {i}) (link 24MB/s) (places 60))"
         for i in range(NODES)
@@ -62,65 +64,73 @@
 
 
 def play(scene: str, mode: str, seed: int, rate: float, keep: Path | None) -> None:
-    """One run."""
-    body = day(scene, rate)
-    kind = type("These", (Players,), {"mode": mode})
+    """Plays a scene and prints the results."""
+    text = day_text(scene, rate)
+    players_type = type("PlayersOfMode", (Players,), {"mode": mode})
     outcome = runner.play(
-        parse_day(body, scene).with_seed(seed), body, "oakcroft", lambda _: None, keep, kind
+        parse_day(text, scene).with_seed(seed), text, "oakcroft", lambda _: None, keep, players_type
     )
     assert isinstance(outcome.audience, Players)
-    seen = outcome.audience.results
-    gaps = HdrHistogram(1, 60_000_000, 3)
-    for one in seen.playbacks:
-        gaps.record_value(max(1, one.longest_gap_ns // 1000))
-    kept = "kept" if outcome.kept else "BROKEN"
-    print(f"scene {scene}, players {mode}, seed {seed}: {len(seen.playbacks)} playbacks, rules {kept}")
-    for plan in sorted({w.plan for w in seen.playbacks}):
-        some = [w for w in seen.playbacks if w.plan == plan]
-        moved = [w for w in some if w.moves]
-        still = sum(not w.stalled for w in some)
-        moves, refused = sum(w.moves for w in some), sum(w.refused for w in some)
-        smooth = sum(not w.stalled for w in moved)
+    results = outcome.audience.results
+    rules = "kept" if outcome.kept else "BROKEN"
+    print(f"scene {scene}, players {mode}, seed {seed}: {len(results.playbacks)} playbacks, rules {rules}")
+    for plan in sorted({playback.plan for playback in results.playbacks}):
+        playbacks = [playback for playback in results.playbacks if playback.plan == plan]
+        moved = [playback for playback in playbacks if playback.moves]
+        smooth_count = sum(not playback.stalled for playback in playbacks)
+        smooth_moved_count = sum(not playback.stalled for playback in moved)
+        move_count = sum(playback.moves for playback in playbacks)
+        refused_count = sum(playback.refused for playback in playbacks)
         print(
-            f"  {plan:8} {len(some):4} playbacks, {still / len(some):6.1%} without a stall; "
-            f"{moves} moves of {len(moved)}, "
-            f"of these {smooth} without a stall; {refused} told to stay"
+            f"  {plan:8} {len(playbacks):4} playbacks, {smooth_count / len(playbacks):6.1%} without a stall; "
+            f"{move_count} moves of {len(moved)}, "
+            f"of these {smooth_moved_count} without a stall; {refused_count} told to stay"
         )
-    figures = "  ".join(f"p{p:g} {gaps.get_value_at_percentile(p) / 1000:.0f}" for p in (50, 90, 99, 100))
-    print(f"  longest gap of each playback, ms: {figures}")
-    if seen.move_gaps_ns:
-        some_gaps = sorted(seen.move_gaps_ns)
-        over = sum(g > 80_000_000 for g in some_gaps)
-        print(f"  longest gap around each of {len(some_gaps)} moves, ms: p50 {some_gaps[len(some_gaps) // 2] / 1e6:.0f}"
-              f"  max {some_gaps[-1] / 1e6:.0f}, over two intervals {over}")  # fmt: skip
-    print(f"  both copies played for {overlap(outcome):.2%} of all playing time")
+    print_gaps([playback.longest_gap_ns for playback in results.playbacks], results.move_gaps_ns)
+    print(f"  both copies played for {overlap_share(outcome):.2%} of all playing time")
     for line in report.rule_lines(outcome):
         print(line)
     for failure in outcome.failures:
         print(f"  failed: {failure}")
 
 
-def overlap(outcome: Outcome) -> float:
-    """The share of playing time in which a playback and its copy both played, from the nodes' records."""
-    spans: dict[str, list[tuple[int, int]]] = {}
-    ran: dict[str, tuple[str, int]] = {}
-    whole = 0
+def print_gaps(playback_gaps_ns: list[int], move_gaps_ns: list[int]) -> None:
+    """Prints the longest gaps of playbacks and those around moves."""
+    gaps_us = HdrHistogram(1, 60_000_000, 3)
+    for gap_ns in playback_gaps_ns:
+        gaps_us.record_value(max(1, gap_ns // 1000))
+    percentiles = "  ".join(f"p{p:g} {gaps_us.get_value_at_percentile(p) / 1000:.0f}" for p in PERCENTILES)
+    print(f"  longest gap of each playback, ms: {percentiles}")
+    if move_gaps_ns:
+        gaps_ns = sorted(move_gaps_ns)
+        long_count = sum(gap_ns > TWO_PACKET_INTERVALS_NS for gap_ns in gaps_ns)
+        print(
+            f"  longest gap around each of {len(gaps_ns)} moves, ms: p50 {gaps_ns[len(gaps_ns) // 2] / 1e6:.0f}"
+            f"  max {gaps_ns[-1] / 1e6:.0f}, over two intervals {long_count}"
+        )
+
+
+def overlap_share(outcome: Outcome) -> float:
+    """Returns the share of playing time in which a playback and its copy both played, by the nodes' records."""
+    spans_by_key: dict[str, list[tuple[int, int]]] = {}
+    running: dict[str, tuple[str, int]] = {}
+    total_ns = 0
     for fact in outcome.facts:
         if fact["kind"] == "ran":
-            ran[fact["session"]] = (playback_key(fact["key"]), fact["t"])
-        elif fact["kind"] == "over" and fact["session"] in ran:
-            key, since = ran.pop(fact["session"])
-            spans.setdefault(key, []).append((since, fact["t"]))
-            whole += fact["t"] - since
-    both = 0
-    for some in spans.values():
-        some.sort()
-        both += sum(max(0, a[1] - b[0]) for a, b in pairwise(some))
-    return both / max(1, whole)
+            running[fact["session"]] = (playback_key(fact["key"]), fact["t"])
+        elif fact["kind"] == "over" and fact["session"] in running:
+            key, started_at = running.pop(fact["session"])
+            spans_by_key.setdefault(key, []).append((started_at, fact["t"]))
+            total_ns += fact["t"] - started_at
+    overlap_ns = 0
+    for spans in spans_by_key.values():
+        spans.sort()
+        overlap_ns += sum(max(0, first[1] - second[0]) for first, second in pairwise(spans))
+    return overlap_ns / max(1, total_ns)
 
 
 def main() -> None:
-    """Runs and prints."""
+    """Parses the arguments and plays each scene in each mode with each seed."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -129,11 +139,11 @@
     parser.add_argument("--seed", type=int, nargs="+", default=[1])
     parser.add_argument("--rate", type=float, default=5)
     parser.add_argument("--keep", type=Path)
-    given = parser.parse_args()
-    for scene in given.scene:
-        for mode in given.mode:
-            for seed in given.seed:
-                play(scene, mode, seed, given.rate, given.keep)
+    arguments = parser.parse_args()
+    for scene in arguments.scene:
+        for mode in arguments.mode:
+            for seed in arguments.seed:
+                play(scene, mode, seed, arguments.rate, arguments.keep)
 
 
 if __name__ == "__main__":
