--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Decisions that both the decision module and a later component could make: one makes each, and no cause counts twice."""
+"""Decisions that the decision module and another component could both make: one makes each, and a cause counts once."""
 
 from __future__ import annotations
 
@@ -19,20 +19,15 @@
 from oakcroft.front.playback_session import PlaybackSession
 from oakcroft.decisions.fleet.backoff import RetryPolicy
 from oakcroft.decisions.sessions.event_stream_health import StreamState
-from oakcroft.decisions.routing.configuration_version import ConfigurationVerdict as Taken
+from oakcroft.decisions.routing.configuration_version import ConfigurationVerdict
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.interface import MS
 from oakcroft.standins.playout import PlayoutNode
 
 PREFERENCE = "(preference (spill 50%) (window 60s) (hold 300ms) (ramp 2s) (room 2))"
-TWO, ONE, THREE = (
-    f"(catalogue (title t {rates}) (others yes))"
-    for rates in (
-        "(renditions 200kB/s 400kB/s)",
-        "(renditions 200kB/s)",
-        "(renditions 200kB/s 400kB/s 800kB/s)",
-    )
-)
+ONE_RENDITION = "(catalogue (title t (renditions 200kB/s)) (others yes))"
+TWO_RENDITIONS = "(catalogue (title t (renditions 200kB/s 400kB/s)) (others yes))"
+THREE_RENDITIONS = "(catalogue (title t (renditions 200kB/s 400kB/s 800kB/s)) (others yes))"
 
 
 def catalogues(rig: Rig) -> CatalogueVersions:
@@ -54,22 +49,39 @@
 
 async def set_rung(rig: Rig, answer: Response, rung: int) -> int:
     layer_path = f"{answer.header('location')}/layer"
-    return (
-        await rig.request("POST", layer_path, b'{"encodingId": "%d"}' % rung, Content_Type="application/json")
-    ).status
+    body = b'{"encodingId": "%d"}' % rung
+    response = await rig.request("POST", layer_path, body, Content_Type="application/json")
+    return response.status
+
+
+async def wait_until_stream_is_alive(rig: Rig) -> None:
+    """Waits until the event stream of the node in use is established."""
+
+    def is_alive() -> bool:
+        node_client = rig.coordinator().node_clients[rig.nodes_in_use()[0].name]
+        return node_client.stream_health.state is StreamState.ALIVE
+
+    await wait_until(is_alive)
+
+
+async def drain_node(rig: Rig, name: str) -> None:
+    """Drains a node and waits until the front knows it."""
+    rig.node(name).faults.is_draining = True
+    rig.fleet.publish_list()
+    await wait_until(lambda: rig.coordinator().node_list.listed_nodes[name].listing.value == "draining")
 
 
-def test_a_viewers_wish_stays_within_the_catalogue_and_outlives_its_changes(tmp_path: Path) -> None:
+def test_a_requested_rung_stays_within_the_catalogue_and_outlives_its_changes(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
-            await replace_catalogue(rig, TWO)
+            await replace_catalogue(rig, TWO_RENDITIONS)
             answer, session = await start_playback(rig)
             assert await set_rung(rig, answer, 2) == 200  # a rung that exists, but not for this title
             await wait_until(lambda: session.requested_top == 2)
             assert session.playback.top_rung == 1
             assert await set_rung(rig, answer, 0) == 200
             await wait_until(lambda: session.playback.top_rung == 0)
-            await replace_catalogue(rig, THREE)
+            await replace_catalogue(rig, THREE_RENDITIONS)
             assert session.playback.top_rung == 0
             assert await set_rung(rig, answer, 2) == 200
             await wait_until(lambda: session.playback.top_rung == 2)
@@ -78,58 +90,54 @@
     run_async_test(test)
 
 
-def test_a_step_down_that_a_later_catalogue_takes_back_is_not_carried_out(tmp_path: Path) -> None:
+def test_a_step_down_that_a_later_catalogue_revokes_is_not_carried_out(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
             _, session = await start_playback(rig)
             session.playback.rung = 2
             # No batch is due yet.
             catalogues(rig).step_downs.last_batch_at = rig.coordinator().clock.now() + 10**12
-            await replace_catalogue(rig, ONE)
+            await replace_catalogue(rig, ONE_RENDITION)
             assert len(catalogues(rig).step_downs.waiting) == 1
-            await replace_catalogue(rig, THREE)
+            await replace_catalogue(rig, THREE_RENDITIONS)
             catalogues(rig).step_downs.last_batch_at = 0
             await wait_until(lambda: not catalogues(rig).step_downs.waiting)
             assert (await rig.request("GET", "/operators/status", **AUTH)).status == 200
             assert session.playback.top_rung == 2
-            assert not any(f["rung"] == 0 for f in rig.recorded("rung"))
+            assert not any(fact["rung"] == 0 for fact in rig.recorded("rung"))
 
     run_async_test(test)
 
 
-def test_a_level_bounds_no_playback_that_plays_and_no_wish_beyond_what_it_is(tmp_path: Path) -> None:
+def test_a_service_level_bounds_only_playbacks_that_start_after_it(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             core = rig.front_end.service if rig.front_end else None
             assert core is not None
             assert core.service_levels is not None
-            earlier, before = await start_playback(rig)
+            first_answer, first = await start_playback(rig)
             core.service_levels.controller.levels[0] = ServiceLevel("careful", (), LevelEffects(max_rung=1))
-            later, after = await start_playback(rig)
-            assert (before.playback.top_rung, after.playback.top_rung) == (2, 1)
-            for answer in (earlier, later):
+            second_answer, second = await start_playback(rig)
+            assert (first.playback.top_rung, second.playback.top_rung) == (2, 1)
+            for answer in (first_answer, second_answer):
                 assert await set_rung(rig, answer, 2) == 200
             await trio.testing.wait_all_tasks_blocked()
-            assert (before.playback.top_rung, after.playback.top_rung) == (2, 1)
+            assert (first.playback.top_rung, second.playback.top_rung) == (2, 1)
 
     run_async_test(test)
 
 
-def test_the_loss_of_a_node_speaks_once_against_it_however_many_play_there(tmp_path: Path) -> None:
+def test_a_lost_node_counts_as_one_failure_however_many_playbacks_it_has(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             node, *_ = rig.fleet.nodes.values()
-            rig.node("n2").faults.is_draining = True
-            rig.fleet.publish_list()
-            await wait_until(
-                lambda: rig.coordinator().node_list.listed_nodes["n2"].listing.value == "draining"
-            )
+            await drain_node(rig, "n2")
             for n in range(6):
                 assert (await rig.request_playback(f"/whep/open/t{n}")).status == 201
             node.faults.is_silent = True
-            known = rig.coordinator().node_list.nodes["n1"]
-            await wait_until(lambda: any(e["event"] == "node lost" for e in rig.log_entries()))
-            assert 0 < known.failure_score.value <= 1.5
+            known_node = rig.coordinator().node_list.nodes["n1"]
+            await wait_until(lambda: any(entry["event"] == "node lost" for entry in rig.log_entries()))
+            assert 0 < known_node.failure_score.value <= 1.5
             node.faults.is_silent = False
             node.notify_changed()
             await wait_until(lambda: not rig.coordinator().sessions_by_playback)
@@ -138,7 +146,7 @@
     run_async_test(test)
 
 
-def test_a_new_configuration_weighs_plans_in_the_line_too(tmp_path: Path) -> None:
+def test_a_new_configuration_updates_plan_weights_in_the_fair_queue(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             core = rig.front_end.service if rig.front_end else None
@@ -147,13 +155,15 @@
             site = rig.coordinator().site
             plan = site.plans["course"]
             costly_plan = replace(plan, plan=replace(plan.plan, revenue=8.0, startup_target_ns=5))
-            found = replace(
+            configuration = replace(
                 rig.coordinator().active_configuration.version.compiled,
                 shared=replace(site, plans=site.plans | {"course": costly_plan}),
             )
-            meaning = dict(found.resolved) | {"plan": {"course": {"revenue": 8.0}}}
+            resolved = dict(configuration.resolved) | {"plan": {"course": {"revenue": 8.0}}}
+            configuration = replace(configuration, resolved=resolved)
             assert rig.front_end is not None
-            assert await rig.front_end.apply_configuration(1, replace(found, resolved=meaning)) is Taken.TAKEN
+            verdict = await rig.front_end.apply_configuration(1, configuration)
+            assert verdict is ConfigurationVerdict.TAKEN
             assert core.fair_queue.plans["course"].weight == 0.8
             assert core.fair_queue.startup_targets["course"] == 5
 
@@ -170,7 +180,8 @@
 
 def reject_rung_changes(monkeypatch: pytest.MonkeyPatch, status: int) -> RejectedCalls:
     """Makes all nodes answer each rung change with `status`."""
-    rejected_calls, handle = RejectedCalls(), PlayoutNode.handle
+    rejected_calls = RejectedCalls()
+    handle = PlayoutNode.handle
 
     async def answer(node: PlayoutNode, request: Request) -> Response:
         if rejected_calls.is_active and request.path.endswith("/layer"):
@@ -182,7 +193,7 @@
     return rejected_calls
 
 
-def test_the_module_learns_what_is_in_force_where_a_step_down_found_no_answer(
+def test_the_module_learns_the_rung_in_force_when_a_step_down_gets_no_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rejected_calls = reject_rung_changes(monkeypatch, 503)
@@ -192,12 +203,7 @@
             answer, session = await start_playback(rig)
             before = session.playback.rung
             assert before > 0
-            await wait_until(
-                lambda: (
-                    rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
-                    is StreamState.ALIVE
-                )
-            )
+            await wait_until_stream_is_alive(rig)
             assert await set_rung(rig, answer, 0) == 200
             await wait_until(lambda: len(rejected_calls.paths) > 1)
             await wait_until(lambda: session.playback.rung == before)
@@ -206,21 +212,17 @@
     run_async_test(test)
 
 
-def test_a_request_goes_to_another_wing_while_its_own_drains(tmp_path: Path) -> None:
+def test_a_request_goes_to_another_zone_while_its_own_drains(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_front_end(tmp_path, PREFERENCE, two_zones=True) as rig:
-            rig.node("n1").faults.is_draining = True
-            rig.fleet.publish_list()
-            await wait_until(
-                lambda: rig.coordinator().node_list.listed_nodes["n1"].listing.value == "draining"
-            )
-            answers = [(await rig.request_playback(f"/whep/open/u{n}")).status for n in range(8)]
-            assert 201 in answers
+            await drain_node(rig, "n1")
+            statuses = [(await rig.request_playback(f"/whep/open/u{n}")).status for n in range(8)]
+            assert 201 in statuses
 
     run_async_test(test)
 
 
-def test_a_wish_that_its_node_refused_is_carried_out_once_the_node_takes_it(
+def test_a_refused_rung_change_is_made_once_the_node_accepts_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rejected_calls = reject_rung_changes(monkeypatch, 409)
@@ -229,14 +231,9 @@
         async with running_front_end(tmp_path) as rig:
             answer, session = await start_playback(rig)
             before = session.playback.rung
-            await wait_until(
-                lambda: (
-                    rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
-                    is StreamState.ALIVE
-                )
-            )
+            await wait_until_stream_is_alive(rig)
             assert await set_rung(rig, answer, 0) == 200
-            # The node's event has told the rung in force.
+            # The node's event has reported the rung in force.
             await wait_until(lambda: session.playback.top_rung == 0 and session.playback.rung == before)
             rejected_calls.is_active = False
             for node_client in rig.coordinator().node_clients.values():
@@ -258,24 +255,24 @@
         async with running_front_end(tmp_path) as rig:
             answer, session = await start_playback(rig)
             before = session.playback.rung
-            await wait_until(
-                lambda: (
-                    rig.coordinator().node_clients[rig.nodes_in_use()[0].name].stream_health.state
-                    is StreamState.ALIVE
-                )
-            )
+            await wait_until_stream_is_alive(rig)
             assert await set_rung(rig, answer, 0) == 200
             await wait_until(
-                lambda: [e for e in rig.log_entries() if e["event"] == "rendition bound not in force"]
+                lambda: any(entry["event"] == "rendition bound not in force" for entry in rig.log_entries())
             )
             assert 3 <= len(rejected_calls.paths) <= 12
             # It plays on, and the decision module knows the rung in force.
             assert (session.playback.rung, session.playback.top_rung) == (before, 0)
             node_client = rig.coordinator().node_clients[rig.nodes_in_use()[0].name]
-            rejected_calls.is_active, asked_at = False, node_client.stream_requested_at
+            rejected_calls.is_active = False
+            earlier_request_at = node_client.stream_requested_at
             node_client.reopen_stream()
             await wait_until(
-                lambda: node_client.stream_health.last_heard_at > node_client.stream_requested_at > asked_at
+                lambda: (
+                    node_client.stream_health.last_heard_at
+                    > node_client.stream_requested_at
+                    > earlier_request_at
+                )
             )
             await trio.testing.wait_all_tasks_blocked()
             assert not session.bound_retry_pending  # the node's event alone does not restart the attempts
@@ -287,7 +284,7 @@
     run_async_test(test)
 
 
-def test_a_playback_moves_to_another_wing_when_its_own_drains(tmp_path: Path) -> None:
+def test_a_playback_moves_to_another_zone_when_its_own_drains(tmp_path: Path) -> None:
     async def test() -> None:
         async with (
             running_front_end(tmp_path, PREFERENCE, two_zones=True) as rig,
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Staged rollouts: when a version advances, when it is rolled back, by whose orders, and the messages; no sockets."""
+"""Staged rollouts, without sockets: when a version advances or is rolled back, fencing of orders, and the messages."""
 
 from __future__ import annotations
 
@@ -50,156 +50,159 @@
     return Rollout(plan)
 
 
-def report_as_planned(one: Rollout, now: int, some: list[str] = FRONTS, **more: object) -> None:
-    """The fronts report as the plan wants: those of the share have the new version in force, the others the old."""
-    share = round(one.plan.target_share * len(FRONTS))
-    for front in some:
-        part = FRONTS.index(front) < share
-        report = FrontReport(one.plan.step, True, NEW if part else OLD, part)
-        one.receive_report(front, replace(report, **more), now)  # type: ignore[arg-type]
+def report_as_planned(rollout: Rollout, now: int, fronts: list[str] = FRONTS, **changes: object) -> None:
+    """Makes fronts report what the plan demands: the new version in force on its share of the fronts, else the old."""
+    updated_count = round(rollout.plan.target_share * len(FRONTS))
+    for front in fronts:
+        is_included = FRONTS.index(front) < updated_count
+        report = FrontReport(rollout.plan.step, True, NEW if is_included else OLD, is_included)
+        rollout.receive_report(front, replace(report, **changes), now)  # type: ignore[arg-type]
 
 
 def test_a_version_is_rolled_out_share_by_share() -> None:
-    one, now, seen = begun_rollout(), 0, []
-    while one.plan.stage is not RolloutStage.DONE:
-        assert one.next_plan(FRONTS, now) is None  # no front has reported
-        report_as_planned(one, now)
-        after = one.next_plan(FRONTS, now)
-        if one.plan.stage is RolloutStage.TAKEN:
-            assert after is None
-            assert one.next_plan(FRONTS, now + one.plan.watch_time - 1) is None
-            now += one.plan.watch_time
-            report_as_planned(one, now)
-            after = one.next_plan(FRONTS, now)
-        assert after is not None
-        assert after.step == one.plan.step + 1
-        seen.append((after.stage, after.target_share))
-        one.set_recorded_plan(after)
-    assert seen == [(RolloutStage.TAKEN, s) for s in ROLLOUT_SHARES] + [(RolloutStage.DONE, 1.0)]
-    assert one.next_plan(FRONTS, now + 100 * SECOND) is None
+    rollout = begun_rollout()
+    now = 0
+    seen = []
+    while rollout.plan.stage is not RolloutStage.DONE:
+        assert rollout.next_plan(FRONTS, now) is None  # no front has reported
+        report_as_planned(rollout, now)
+        next_plan = rollout.next_plan(FRONTS, now)
+        if rollout.plan.stage is RolloutStage.TAKEN:
+            assert next_plan is None
+            assert rollout.next_plan(FRONTS, now + rollout.plan.watch_time - 1) is None
+            now += rollout.plan.watch_time
+            report_as_planned(rollout, now)
+            next_plan = rollout.next_plan(FRONTS, now)
+        assert next_plan is not None
+        assert next_plan.step == rollout.plan.step + 1
+        seen.append((next_plan.stage, next_plan.target_share))
+        rollout.set_recorded_plan(next_plan)
+    assert seen == [(RolloutStage.TAKEN, share) for share in ROLLOUT_SHARES] + [(RolloutStage.DONE, 1.0)]
+    assert rollout.next_plan(FRONTS, now + 100 * SECOND) is None
 
 
 @pytest.mark.parametrize("stage", [RolloutStage.HANDED, RolloutStage.TAKEN])
 def test_one_refusal_stops_a_rollout(stage: RolloutStage) -> None:
-    one = begun_rollout()
+    rollout = begun_rollout()
     if stage is RolloutStage.TAKEN:
-        report_as_planned(one, 0)
-        after = one.next_plan(FRONTS, 0)
-        assert after is not None
-        one.set_recorded_plan(after)
-    report_as_planned(one, 1, ["f3"], refused="no ready holder")
-    after = one.next_plan(FRONTS, 1)
-    assert after is not None
+        report_as_planned(rollout, 0)
+        next_plan = rollout.next_plan(FRONTS, 0)
+        assert next_plan is not None
+        rollout.set_recorded_plan(next_plan)
+    report_as_planned(rollout, 1, ["f3"], refused="no ready holder")
+    next_plan = rollout.next_plan(FRONTS, 1)
+    assert next_plan is not None
     # In the first stage no front has the version in force; later some may.
-    assert after.stage is (RolloutStage.STOPPED if stage is RolloutStage.HANDED else RolloutStage.BACK)
-    assert "f3 refused it: no ready holder" in after.end_reason
+    assert next_plan.stage is (RolloutStage.STOPPED if stage is RolloutStage.HANDED else RolloutStage.BACK)
+    assert "f3 refused it: no ready holder" in next_plan.end_reason
 
 
-def activated_rollout(share: int = 0) -> Rollout:
-    one = begun_rollout()
-    one.set_recorded_plan(replace(one.plan, stage=RolloutStage.TAKEN, share_index=share, step=7))
-    return one
+def activated_rollout(share_index: int = 0) -> Rollout:
+    rollout = begun_rollout()
+    rollout.set_recorded_plan(
+        replace(rollout.plan, stage=RolloutStage.TAKEN, share_index=share_index, step=7)
+    )
+    return rollout
 
 
 def test_failures_are_compared_with_fronts_without_the_version() -> None:
-    one = activated_rollout(1)
-    report_as_planned(one, 1, FRONTS[:5], answers=100, failures=20)
-    report_as_planned(one, 1, FRONTS[5:], answers=100, failures=18)
-    assert one.next_plan(FRONTS, 1) is None  # failures rise on all fronts alike
-    report_as_planned(one, 2, FRONTS[5:], answers=100, failures=2)
-    after = one.next_plan(FRONTS, 2)
-    assert after is not None
-    assert after.stage is RolloutStage.BACK
-    assert "20% of 500 answers failed with it, 2% without" in after.end_reason
-    few = activated_rollout()
-    report_as_planned(few, 1, FRONTS[:1], answers=10, failures=10)
-    assert few.next_plan(FRONTS[:1], 1) is None  # too few answers to judge
+    rollout = activated_rollout(1)
+    report_as_planned(rollout, 1, FRONTS[:5], answers=100, failures=20)
+    report_as_planned(rollout, 1, FRONTS[5:], answers=100, failures=18)
+    assert rollout.next_plan(FRONTS, 1) is None  # failures rise on all fronts alike
+    report_as_planned(rollout, 2, FRONTS[5:], answers=100, failures=2)
+    next_plan = rollout.next_plan(FRONTS, 2)
+    assert next_plan is not None
+    assert next_plan.stage is RolloutStage.BACK
+    assert "20% of 500 answers failed with it, 2% without" in next_plan.end_reason
+    low_traffic = activated_rollout()
+    report_as_planned(low_traffic, 1, FRONTS[:1], answers=10, failures=10)
+    assert low_traffic.next_plan(FRONTS[:1], 1) is None  # too few answers to judge
     # 7 of 60 failures against 3 of 60 is over MIN_FAILURE_INCREASE but within MIN_STANDARD_ERRORS.
-    chance = activated_rollout()
-    report_as_planned(chance, 1, FRONTS[:1], answers=60, failures=7)
-    report_as_planned(chance, 1, FRONTS[1:2], answers=60, failures=3)
-    assert chance.next_plan(FRONTS[:2], 1) is None
+    within_chance = activated_rollout()
+    report_as_planned(within_chance, 1, FRONTS[:1], answers=60, failures=7)
+    report_as_planned(within_chance, 1, FRONTS[1:2], answers=60, failures=3)
+    assert within_chance.next_plan(FRONTS[:2], 1) is None
 
 
 def test_a_front_without_a_catalogue_is_waited_for() -> None:
-    one = begun_rollout()
-    report_as_planned(one, 0)
-    one.receive_report("f4", FrontReport(one.plan.step, True, "none", has_no_catalogue=True), 0)
-    assert one.next_plan(FRONTS, 0) is None
-    assert one.unconfirmed_fronts(FRONTS, 0) == ["f4"]
-    one.set_recorded_plan(replace(one.plan, stage=RolloutStage.STOPPED, step=2))
-    report_as_planned(one, 0)
-    one.receive_report("f4", FrontReport(2, True, "none", has_no_catalogue=True), 0)
-    assert one.unconfirmed_fronts(FRONTS, 0) == ["f4"]
-    assert one.unconfirmed_fronts(FRONTS, 11 * SECOND) == FRONTS  # any front may have restarted since
+    rollout = begun_rollout()
+    report_as_planned(rollout, 0)
+    rollout.receive_report("f4", FrontReport(rollout.plan.step, True, "none", has_no_catalogue=True), 0)
+    assert rollout.next_plan(FRONTS, 0) is None
+    assert rollout.unconfirmed_fronts(FRONTS, 0) == ["f4"]
+    rollout.set_recorded_plan(replace(rollout.plan, stage=RolloutStage.STOPPED, step=2))
+    report_as_planned(rollout, 0)
+    rollout.receive_report("f4", FrontReport(2, True, "none", has_no_catalogue=True), 0)
+    assert rollout.unconfirmed_fronts(FRONTS, 0) == ["f4"]
+    assert rollout.unconfirmed_fronts(FRONTS, 11 * SECOND) == FRONTS  # any front may have restarted since
 
 
 def test_absent_fronts_are_not_waited_for_and_silent_present_ones_roll_back() -> None:
-    one = activated_rollout()
-    report_as_planned(one, 1, FRONTS[:9])
-    assert one.unconfirmed_fronts(FRONTS, 1) == ["f9"]
-    assert one.next_plan(FRONTS[:9], 1) is None
-    assert one.complete_since == 1
-    report_as_planned(one, 5 * SECOND, FRONTS[:9])
-    assert one.next_plan(FRONTS, 5 * SECOND) is None  # f9 is back and sends no report
-    report_as_planned(one, 20 * SECOND, FRONTS[:9])
-    assert one.next_plan(FRONTS, 25 * SECOND) is None
-    after = one.next_plan(FRONTS, 25 * SECOND + 1)
-    assert after is not None
-    assert after.stage is RolloutStage.BACK
-    assert "f9 did not take it" in after.end_reason
+    rollout = activated_rollout()
+    report_as_planned(rollout, 1, FRONTS[:9])
+    assert rollout.unconfirmed_fronts(FRONTS, 1) == ["f9"]
+    assert rollout.next_plan(FRONTS[:9], 1) is None
+    assert rollout.complete_since == 1
+    report_as_planned(rollout, 5 * SECOND, FRONTS[:9])
+    assert rollout.next_plan(FRONTS, 5 * SECOND) is None  # f9 is back and sends no report
+    report_as_planned(rollout, 20 * SECOND, FRONTS[:9])
+    assert rollout.next_plan(FRONTS, 25 * SECOND) is None
+    next_plan = rollout.next_plan(FRONTS, 25 * SECOND + 1)
+    assert next_plan is not None
+    assert next_plan.stage is RolloutStage.BACK
+    assert "f9 did not take it" in next_plan.end_reason
 
 
 def test_a_rollback_ends_when_no_front_has_the_version() -> None:
-    one = activated_rollout(1)
-    back = one.roll_back("by hand")
-    assert back is not None
-    one.set_recorded_plan(back)
-    assert one.roll_back("again") is None
-    report_as_planned(one, 2, FRONTS[:9])
-    one.receive_report("f9", FrontReport(back.step, True, NEW), 2)
-    assert one.next_plan(FRONTS, 2) is None
-    one.receive_report("f9", FrontReport(back.step - 1, True, OLD), 3)  # on the step before
-    assert one.next_plan(FRONTS, 3) is None
-    one.receive_report("f9", FrontReport(back.step, True, OLD), 3)
-    after = one.next_plan(FRONTS, 3)
-    assert after is not None
-    assert after.stage is RolloutStage.STOPPED
-    assert after.end_reason == "by hand"
+    rollout = activated_rollout(1)
+    rollback_plan = rollout.roll_back("by hand")
+    assert rollback_plan is not None
+    rollout.set_recorded_plan(rollback_plan)
+    assert rollout.roll_back("again") is None
+    report_as_planned(rollout, 2, FRONTS[:9])
+    rollout.receive_report("f9", FrontReport(rollback_plan.step, True, NEW), 2)
+    assert rollout.next_plan(FRONTS, 2) is None
+    rollout.receive_report("f9", FrontReport(rollback_plan.step - 1, True, OLD), 3)  # on the step before
+    assert rollout.next_plan(FRONTS, 3) is None
+    rollout.receive_report("f9", FrontReport(rollback_plan.step, True, OLD), 3)
+    next_plan = rollout.next_plan(FRONTS, 3)
+    assert next_plan is not None
+    assert next_plan.stage is RolloutStage.STOPPED
+    assert next_plan.end_reason == "by hand"
 
 
 def test_one_rollout_at_a_time_with_growing_numbers() -> None:
     assert new_plan(begun_rollout().plan, "x", OLD, 0, False, "") == "roll-out 1 is under way"
     for stage in FINAL_STAGES:
-        after = new_plan(replace(begun_rollout().plan, stage=stage, step=9), "x", NEW, 0, False, "")
-        assert isinstance(after, RolloutPlan)
-        assert (after.number, after.step, after.stage) == (2, 10, RolloutStage.HANDED)
+        next_plan = new_plan(replace(begun_rollout().plan, stage=stage, step=9), "x", NEW, 0, False, "")
+        assert isinstance(next_plan, RolloutPlan)
+        assert (next_plan.number, next_plan.step, next_plan.stage) == (2, 10, RolloutStage.HANDED)
 
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 4)), max_size=30))
-def test_work_behind_a_fence_never_goes_back(orders: list[tuple[int, int]]) -> None:
-    fence, effects = Fence(), list[tuple[int, int]]()
-    for number, step in orders:
-        if fence.admits("d", number, step):
-            fence.record("d", number, step)
-            effects.append((number, step))
-    assert effects == sorted(effects)
-    assert fence.rejected_count == len(orders) - len(effects)
+def test_a_fence_admits_no_earlier_order(orders: list[tuple[int, int]]) -> None:
+    fence = Fence()
+    admitted = list[tuple[int, int]]()
+    for token, step in orders:
+        if fence.admits("d", token, step):
+            fence.record("d", token, step)
+            admitted.append((token, step))
+    assert admitted == sorted(admitted)
+    assert fence.rejected_count == len(orders) - len(admitted)
 
 
 @given(st.sets(st.text(min_size=1, max_size=8), min_size=2, max_size=30), st.text(max_size=8), st.data())
-def test_only_the_work_of_a_front_that_goes_passes_on(
-    names: set[str], work: str, data: st.DataObject
-) -> None:
-    order = rank_order(work, names)
-    gone = data.draw(st.sampled_from(order))
-    assert rank_order(work, names - {gone}) == [n for n in order if n != gone]
-    assert [rank(work, n, names) for n in order] == list(range(len(order)))
+def test_only_the_leases_of_a_removed_front_pass_on(names: set[str], duty: str, data: st.DataObject) -> None:
+    order = rank_order(duty, names)
+    removed = data.draw(st.sampled_from(order))
+    assert rank_order(duty, names - {removed}) == [name for name in order if name != removed]
+    assert [rank(duty, name, names) for name in order] == list(range(len(order)))
 
 
 def test_leases_are_spread_over_the_fronts() -> None:
-    firsts = [rank_order(f"duty-{i}", FRONTS)[0] for i in range(1_000)]
-    assert all(60 < firsts.count(n) < 140 for n in FRONTS)
+    first_ranked = [rank_order(f"duty-{i}", FRONTS)[0] for i in range(1_000)]
+    assert all(60 < first_ranked.count(front) < 140 for front in FRONTS)
 
 
 # Messages.
@@ -213,51 +216,56 @@
     return LeaseCodec(fleet, KeyRing((key,)))
 
 
-def opened(octets: bytes) -> bytes:
-    found = KeyRing((KEY,)).open(octets, 0)
-    assert found is not None
-    return found
+def unsealed(datagram: bytes) -> bytes:
+    message = KeyRing((KEY,)).open(datagram, 0)
+    assert message is not None
+    return message
 
 
 def test_messages_survive_encoding_and_decoding() -> None:
-    one = codec()
-    ask = LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
+    lease_codec = codec()
+    request = LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
     answer = LeaseAnswer(LeaseMessageKind.REFUSED, "catalogue", "f1", 5, 6, 7, 8, TERM, 9, NOTE, (("f2", 3),))
-    got = one.decode(opened(one.encode_request("f1", 99, ask)))
-    assert (got.sender, got.generation, got.message) == ("f1", 99, ask)
-    assert one.decode(opened(one.encode_answer("f1", 99, answer))).message == answer
-    order, report = Order("catalogue", 5, 2, b"x" * 900), OrderReport("catalogue", 5, 2, True, b"y")
-    assert one.decode(opened(one.encode_order("f1", 1, order))).message == order
-    assert one.decode(opened(one.encode_report("f1", 1, report))).message == report
-    rows = tuple((f"d{i}", LeaseRecord(i + 1, "f1/9", TERM, NOTE)) for i in range(64))
+    decoded = lease_codec.decode(unsealed(lease_codec.encode_request("f1", 99, request)))
+    assert (decoded.sender, decoded.generation, decoded.message) == ("f1", 99, request)
+    assert lease_codec.decode(unsealed(lease_codec.encode_answer("f1", 99, answer))).message == answer
+    order = Order("catalogue", 5, 2, b"x" * 900)
+    report = OrderReport("catalogue", 5, 2, True, b"y")
+    assert lease_codec.decode(unsealed(lease_codec.encode_order("f1", 1, order))).message == order
+    assert lease_codec.decode(unsealed(lease_codec.encode_report("f1", 1, report))).message == report
+    records = tuple((f"d{i}", LeaseRecord(i + 1, "f1/9", TERM, NOTE)) for i in range(64))
     parts = [
-        one.decode(opened(p)).message for p in one.encode_record("f1", 1, AcceptorRecord("f1", 4, True, rows))
+        lease_codec.decode(unsealed(p)).message
+        for p in lease_codec.encode_record("f1", 1, AcceptorRecord("f1", 4, True, records))
     ]
     assert len(parts) == 64
     assert (
         tuple((p.row.duty, row_from_wire(p.row)) for p in parts if isinstance(p, RecordPart) and p.row)
-        == rows
+        == records
     )
-    assert len(one.encode_record("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
+    assert len(lease_codec.encode_record("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
 
 
 def test_the_largest_messages_fit_a_datagram() -> None:
     name = "n" * 64
-    big = LeaseNote((1 << 62) - 1, (1 << 62) - 1, b"x" * MAX_NOTE_OCTETS)
-    row = LeaseTerm((1 << 62) - 1, name, (1 << 62) - 1)
+    largest_note = LeaseNote((1 << 62) - 1, (1 << 62) - 1, b"x" * MAX_NOTE_OCTETS)
+    term = LeaseTerm((1 << 62) - 1, name, (1 << 62) - 1)
     epochs = tuple((f"{i:02}" + "e" * 62, 1 << 60) for i in range(7))
-    words = [
+    messages = [
         codec().encode_request(
-            name, 1 << 60, LeaseRequest(LeaseMessageKind.PROPOSE, name, row, 1 << 60, 1 << 60, big)
+            name, 1 << 60, LeaseRequest(LeaseMessageKind.PROPOSE, name, term, 1 << 60, 1 << 60, largest_note)
         ),
         codec().encode_answer(
-            name, 1 << 60, LeaseAnswer(LeaseMessageKind.REFUSED, name, name, 1, 1, 1, 1, row, 1, big, epochs)
+            name,
+            1 << 60,
+            LeaseAnswer(LeaseMessageKind.REFUSED, name, name, 1, 1, 1, 1, term, 1, largest_note, epochs),
         ),
     ]
-    assert all(len(w) <= MAX_DATAGRAM_BYTES for w in words), [len(w) for w in words]
+    sizes = [len(message) for message in messages]
+    assert max(sizes) <= MAX_DATAGRAM_BYTES, sizes
 
 
-def test_a_plan_fits_its_record_whatever_was_written_into_it() -> None:
+def test_a_plan_fits_its_record_whatever_the_reasons_are() -> None:
     plan = replace(
         begun_rollout().plan,
         digest="d" * 64,
@@ -265,17 +273,17 @@
         change_reason="\u20ac" * 120,
         end_reason="\U0001f600" * 120,
     )
-    word = encode_plan(plan)
-    assert len(word) <= MAX_NOTE_OCTETS
-    again = PLAN_DECODER.decode(word).to_plan()
-    assert (again.digest, again.base_digest, again.step, again.stage) == (
+    encoded = encode_plan(plan)
+    assert len(encoded) <= MAX_NOTE_OCTETS
+    decoded = PLAN_DECODER.decode(encoded).to_plan()
+    assert (decoded.digest, decoded.base_digest, decoded.step, decoded.stage) == (
         plan.digest,
         plan.base_digest,
         plan.step,
         plan.stage,
     )
-    small = replace(plan, change_reason="why", end_reason="reason")
-    assert PLAN_DECODER.decode(encode_plan(small)).to_plan() == small
+    short_plan = replace(plan, change_reason="why", end_reason="reason")
+    assert PLAN_DECODER.decode(encode_plan(short_plan)).to_plan() == short_plan
 
 
 INVALID_FIELDS: list[dict[str, Any]] = [
@@ -289,29 +297,31 @@
 ]
 
 
-@pytest.mark.parametrize("wrong", INVALID_FIELDS)
-def test_an_invalid_plan_is_rejected(wrong: dict[str, Any]) -> None:
-    sound = replace(begun_rollout().plan, digest="ab" * 12, base_digest="01" * 12)
-    assert decode_plan(encode_plan(sound)) == sound
+@pytest.mark.parametrize("invalid_fields", INVALID_FIELDS)
+def test_an_invalid_plan_is_rejected(invalid_fields: dict[str, Any]) -> None:
+    valid_plan = replace(begun_rollout().plan, digest="ab" * 12, base_digest="01" * 12)
+    assert decode_plan(encode_plan(valid_plan)) == valid_plan
     with pytest.raises(ValueError, match=r"digest|range"):
-        decode_plan(encode_plan(replace(sound, **wrong)))
+        decode_plan(encode_plan(replace(valid_plan, **invalid_fields)))
     with pytest.raises(ValueError, match=r"."):
         decode_plan(b"no plan")
 
 
 def test_texts_are_sent_in_chunks() -> None:
-    one, text = codec(), Random(1).randbytes(50_000)
-    stream, parts = b"".join(one.encode_text("f1", 1, text)), list[TextChunk]()
+    lease_codec = codec()
+    text = Random(1).randbytes(50_000)
+    stream = b"".join(lease_codec.encode_text("f1", 1, text))
+    chunks = list[TextChunk]()
     while stream:
         end = 2 + int.from_bytes(stream[:2], "big")
-        parts.append(one.decode_text_chunk(opened(stream[2:end])))
+        chunks.append(lease_codec.decode_text_chunk(unsealed(stream[2:end])))
         stream = stream[end:]
-    assert b"".join(p.octets for p in parts) == text
-    assert [p.more for p in parts] == [True] * (len(parts) - 1) + [False]
-    asked = one.encode_text_request("f1", 1, "abc")
-    assert one.decode_text_request(opened(asked[2:])) == "abc"
+    assert b"".join(chunk.octets for chunk in chunks) == text
+    assert [chunk.more for chunk in chunks] == [True] * (len(chunks) - 1) + [False]
+    request = lease_codec.encode_text_request("f1", 1, "abc")
+    assert lease_codec.decode_text_request(unsealed(request[2:])) == "abc"
     with pytest.raises(MessageError):
-        one.decode_text_chunk(opened(asked[2:]))
+        lease_codec.decode_text_chunk(unsealed(request[2:]))
 
 
 @given(st.binary(max_size=200))
@@ -321,20 +331,22 @@
 
 
 @given(st.integers(0, 2_000), st.integers(0, 255))
-def test_a_changed_octet_raises_no_other_error(at: int, value: int) -> None:
+def test_a_changed_octet_raises_no_other_error(index: int, value: int) -> None:
     octets = bytearray(
-        opened(
+        unsealed(
             codec().encode_request(
                 "f1", 99, LeaseRequest(LeaseMessageKind.PROPOSE, "catalogue", TERM, 3, 6 * SECOND, NOTE)
             )
         )
     )
-    octets[at % len(octets)] = value
+    octets[index % len(octets)] = value
     with suppress(MessageError):
         codec().decode(bytes(octets))
-    other = codec("other").encode_request("f1", 99, LeaseRequest(LeaseMessageKind.PREPARE, "d", TERM))
+    of_other_fleet = codec("other").encode_request(
+        "f1", 99, LeaseRequest(LeaseMessageKind.PREPARE, "d", TERM)
+    )
     with pytest.raises(MessageError):
-        codec().decode(opened(other))
+        codec().decode(unsealed(of_other_fleet))
 
 
 # A holder that fails in the middle of each step.
@@ -343,78 +355,88 @@
 class SimulatedRollout:
     """Ten fronts with their fences, the plan on record, and lease holders that fail at a chosen point."""
 
-    def __init__(self, refuses: str = "") -> None:
-        self.record = begun_rollout(0).plan
-        self.fences = {f: Fence() for f in FRONTS}
+    def __init__(self, refusing_front: str = "") -> None:
+        self.recorded_plan = begun_rollout(0).plan
+        self.fences = {front: Fence() for front in FRONTS}
         self.in_force = dict.fromkeys(FRONTS, OLD)
-        self.held = dict.fromkeys(FRONTS, False)
-        self.changes: dict[str, list[str]] = {f: [] for f in FRONTS}
-        self.under_way: list[tuple[str, int, RolloutPlan]] = []
-        self.refuses, self.number, self.now = refuses, 0, 0
-        self.one = Rollout(self.record)
-
-    def owner(self) -> None:
-        """The next holder continues from what is on record."""
-        self.number += 1
-        self.one = Rollout(self.record)
-
-    def order(self, front: str, number: int, plan: RolloutPlan) -> None:
-        if not self.fences[front].admits("d", number, plan.step):
+        self.has_text = dict.fromkeys(FRONTS, False)
+        self.changes: dict[str, list[str]] = {front: [] for front in FRONTS}
+        self.delayed_orders: list[tuple[str, int, RolloutPlan]] = []
+        self.refusing_front = refusing_front
+        self.token = 0
+        self.now = 0
+        self.rollout = Rollout(self.recorded_plan)
+
+    def start_holder(self) -> None:
+        """Starts the next holder, which continues from the recorded plan."""
+        self.token += 1
+        self.rollout = Rollout(self.recorded_plan)
+
+    def deliver_order(self, front: str, token: int, plan: RolloutPlan) -> None:
+        """Makes a front carry out an order that its fence admits, and report to the holder that sent it."""
+        if not self.fences[front].admits("d", token, plan.step):
             return
-        self.fences[front].record("d", number, plan.step)
-        share, was, refused = round(plan.target_share * len(FRONTS)), self.in_force[front], ""
+        self.fences[front].record("d", token, plan.step)
+        is_included = FRONTS.index(front) < round(plan.target_share * len(FRONTS))
+        earlier = self.in_force[front]
+        refused = ""
         if plan.stage is RolloutStage.HANDED:
-            self.held[front] = True
+            self.has_text[front] = True
         elif plan.stage in (RolloutStage.BACK, RolloutStage.STOPPED):
             self.in_force[front] = OLD
-        elif FRONTS.index(front) < share:
-            refused = "broken" if front == self.refuses else ""
+        elif is_included:
+            refused = "broken" if front == self.refusing_front else ""
             self.in_force[front] = self.in_force[front] if refused else NEW
-        if self.in_force[front] != was:
+        if self.in_force[front] != earlier:
             self.changes[front].append(self.in_force[front])
-        if number == self.number:
-            part = FRONTS.index(front) < share
-            report = FrontReport(plan.step, self.held[front], self.in_force[front], part, refused)
-            self.one.receive_report(front, report, self.now)
+        if token == self.token:
+            report = FrontReport(plan.step, self.has_text[front], self.in_force[front], is_included, refused)
+            self.rollout.receive_report(front, report, self.now)
 
-    def round(self, fails_at: str = "") -> bool:
+    def run_round(self, fails_at: str = "") -> bool:
         """Runs one round of the holder; returns True where it failed at the point `fails_at`."""
         self.now += SECOND
-        after = self.one.next_plan(FRONTS, self.now)
-        if after is not None:
+        next_plan = self.rollout.next_plan(FRONTS, self.now)
+        if next_plan is not None:
             if fails_at == "before the record":
                 return True
-            self.record = after
+            self.recorded_plan = next_plan
             if fails_at == "after the record":
                 return True
-            self.one.set_recorded_plan(after)
+            self.rollout.set_recorded_plan(next_plan)
         for i, front in enumerate(FRONTS):
-            if fails_at == "between orders" and after is not None and i >= 5:
-                self.under_way.append((front, self.number, self.one.plan))
+            if fails_at == "between orders" and next_plan is not None and i >= 5:
+                self.delayed_orders.append((front, self.token, self.rollout.plan))
             else:
-                self.order(front, self.number, self.one.plan)
-        return fails_at == "between orders" and after is not None
+                self.deliver_order(front, self.token, self.rollout.plan)
+        return fails_at == "between orders" and next_plan is not None
 
 
-@pytest.mark.parametrize("refuses", ["", "f4"])
+@pytest.mark.parametrize("refusing_front", ["", "f4"])
 @pytest.mark.parametrize("point", ["before the record", "after the record", "between orders"])
-def test_a_holder_fails_in_the_middle_of_each_step(point: str, refuses: str) -> None:
-    failures = 0
-    for at in range(1, 8):  # at which change of the plan the holder fails
-        played, changes, failed = SimulatedRollout(refuses), 0, False
-        played.owner()
+def test_a_holder_fails_in_the_middle_of_each_step(point: str, refusing_front: str) -> None:
+    failure_count = 0
+    for failing_change in range(1, 8):  # at which change of the plan the holder fails
+        simulation = SimulatedRollout(refusing_front)
+        change_count = 0
+        has_failed = False
+        simulation.start_holder()
         for _ in range(60):
-            before = played.record.step
-            soon = not failed and changes + 1 == at
-            if played.round(point if soon else ""):
-                failed = True
-                failures += 1
-                played.owner()
-            changes += played.record.step > before
-        for front, number, plan in played.under_way:  # late orders of the failed holder arrive
-            played.order(front, number, plan)
-        ends, stage = (OLD, RolloutStage.STOPPED) if refuses else (NEW, RolloutStage.DONE)
-        assert played.record.stage is stage
-        assert set(played.in_force.values()) == {ends}
-        assert all(seen in ([], [NEW], [NEW, OLD]) for seen in played.changes.values()), played.changes
-    assert failures >= 4  # once at each step that a rollout has
+            step_before = simulation.recorded_plan.step
+            fails_now = not has_failed and change_count + 1 == failing_change
+            if simulation.run_round(point if fails_now else ""):
+                has_failed = True
+                failure_count += 1
+                simulation.start_holder()
+            change_count += simulation.recorded_plan.step > step_before
+        for front, token, plan in simulation.delayed_orders:  # late orders of the failed holder arrive
+            simulation.deliver_order(front, token, plan)
+        final_version, final_stage = (
+            (OLD, RolloutStage.STOPPED) if refusing_front else (NEW, RolloutStage.DONE)
+        )
+        assert simulation.recorded_plan.stage is final_stage
+        assert set(simulation.in_force.values()) == {final_version}
+        assert all(versions in ([], [NEW], [NEW, OLD]) for versions in simulation.changes.values()), (
+            simulation.changes
+        )
+    assert failure_count >= 4  # once at each step that a rollout has
--- a/tests/test_untold_loads.py
+++ b/tests/test_untold_loads.py
@@ -1,4 +1,4 @@
-"""Fleets whose nodes report no loads: the load assumed for links, and what a full link says about the others."""
+"""Fleets whose nodes report no loads: the load assumed for links, and that a full link does not change it."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
     report_interval_ns=0,
     uplink_capacity=0.65 * NODES / TERMS.rack_count * LINK_CAPACITY,
 )
-"""Nodes send no reports, and a rack's uplink has two thirds of the capacity of its links."""
-# One such playback on each of 40 front ends takes a twentieth of the links' capacity.
+"""Nodes send no reports, and a rack's uplink has 65% of the capacity of its links."""
 LIGHT_PLAN = replace(FREE, rate_factor=0.1)
+"""One playback of this plan on each of 40 front ends takes 5% of the links' capacity."""
 
 
 def end_intervals(harness: ControllerHarness, seconds: int) -> None:
-    """Lets sample intervals end."""
+    """Advances the time in steps of one sample interval."""
     for _ in range(seconds):
         harness.now += SECOND
         harness.controller.on_timer(harness.now)
 
 
 def hand_over(harness: ControllerHarness, node: Node) -> Playback:
-    """Hands a playback on a node over to the front end."""
+    """Adds a running playback on a node, as after a takeover."""
     playback = Playback(Title(f"on {node.name}", 0, 0), FREE, 2, harness.now + SECOND, False)
     harness.controller.on_handed_over(playback, node, harness.now)
     return playback
 
 
 def test_racks_do_not_look_full_by_assumption_alone() -> None:
-    """The load assumed for each link must not add up to a full uplink: requests are placed, above the lowest rung."""
+    """Guards against assumed link loads that add up to a full uplink: requests are placed, above the lowest rung."""
     harness = ControllerHarness(NODES, NO_REPORTS)
     end_intervals(harness, 3)
     playing = []
-    for second in range(3):
-        playback = harness.request(LIGHT_PLAN, Title(f"t{second}", 0, 0))
+    for number in range(3):
+        playback = harness.request(LIGHT_PLAN, Title(f"t{number}", 0, 0))
         assert not harness.final_answers(playback)
         harness.controller.on_playing(playback, harness.now)
         playing.append(playback)
@@ -53,29 +53,27 @@
 
 
 def test_assumed_load_is_limited_by_the_uplink() -> None:
-    """The assumption is made for the narrower of link and uplink, before the first request."""
-    wide = ControllerHarness(NODES, replace(NO_REPORTS, uplink_capacity=NODES * LINK_CAPACITY))
-    without = ControllerHarness(NODES, replace(NO_REPORTS, uplink_capacity=0.0))
-    assert wide.controller.assumed_load == without.controller.assumed_load == DEFAULT_ASSUMED_LOAD
-    narrow = ControllerHarness(NODES, NO_REPORTS)
-    assert narrow.controller.assumed_load == pytest.approx(0.65 * DEFAULT_ASSUMED_LOAD)
-    assert all(
-        node.estimated_load < DEFAULT_ASSUMED_LOAD for node in narrow.nodes
-    )  # from the first request on
-
-
-@pytest.mark.parametrize("sign", ["short delivery", "full answer"])
-def test_one_full_link_says_nothing_about_the_others(sign: str) -> None:
-    """Where nothing reports, only full links are noticed; they must not stand for the other links."""
+    """The assumed load follows the smaller capacity of link and uplink, already before the first request."""
+    wide_uplink = ControllerHarness(NODES, replace(NO_REPORTS, uplink_capacity=NODES * LINK_CAPACITY))
+    unlimited_uplink = ControllerHarness(NODES, replace(NO_REPORTS, uplink_capacity=0.0))
+    assert wide_uplink.controller.assumed_load == DEFAULT_ASSUMED_LOAD
+    assert unlimited_uplink.controller.assumed_load == DEFAULT_ASSUMED_LOAD
+    narrow_uplink = ControllerHarness(NODES, NO_REPORTS)
+    assert narrow_uplink.controller.assumed_load == pytest.approx(0.65 * DEFAULT_ASSUMED_LOAD)
+    assert all(node.estimated_load < DEFAULT_ASSUMED_LOAD for node in narrow_uplink.nodes)
+
+
+@pytest.mark.parametrize("evidence", ["short delivery", "full answer"])
+def test_one_full_link_does_not_raise_the_load_assumed_for_others(evidence: str) -> None:
+    """Guards against a biased sample: without reports only full links are noticed, which must not stand for all links."""
     harness = ControllerHarness(NODES, NO_REPORTS)
     end_intervals(harness, 3)
     assumed_load = harness.controller.assumed_load
-    if sign == "short delivery":
+    if evidence == "short delivery":
         hand_over(harness, harness.nodes[2])  # in the same rack, with full delivery
         node = harness.nodes[0]
-        harness.controller.on_metric(
-            hand_over(harness, node), PlaybackMetric.DELIVERED_SHARE, 0.7, harness.now
-        )
+        playback = hand_over(harness, node)
+        harness.controller.on_metric(playback, PlaybackMetric.DELIVERED_SHARE, 0.7, harness.now)
     else:
         playback = harness.request()
         node = harness.sent_nodes()[-1]
@@ -90,9 +88,10 @@
 def test_inferred_loads_count_beside_reported_ones() -> None:
     """Where nodes report, the load inferred from short delivery is one sample among others."""
     harness = ControllerHarness(NODES, replace(NO_REPORTS, report_interval_ns=3 * SECOND))
-    reporting, short_of_delivery = hand_over(harness, harness.nodes[0]), hand_over(harness, harness.nodes[2])
-    harness.controller.on_metric(reporting, PlaybackMetric.LINK_LOAD, 0.5, harness.now)
-    harness.controller.on_metric(short_of_delivery, PlaybackMetric.DELIVERED_SHARE, 0.7, harness.now)
+    with_report = hand_over(harness, harness.nodes[0])
+    with_short_delivery = hand_over(harness, harness.nodes[2])
+    harness.controller.on_metric(with_report, PlaybackMetric.LINK_LOAD, 0.5, harness.now)
+    harness.controller.on_metric(with_short_delivery, PlaybackMetric.DELIVERED_SHARE, 0.7, harness.now)
     end_intervals(harness, 1)
     assert harness.controller.assumed_load == pytest.approx((0.5 + 1 / 0.7) / 2, abs=0.1)
 
@@ -100,9 +99,8 @@
 def test_a_reported_mean_stays_when_the_list_changes() -> None:
     """Once a link has reported, a new node list must not bring back the default."""
     harness = ControllerHarness(NODES, NO_REPORTS)
-    harness.controller.on_metric(
-        hand_over(harness, harness.nodes[0]), PlaybackMetric.LINK_LOAD, 0.2, harness.now
-    )
+    playback = hand_over(harness, harness.nodes[0])
+    harness.controller.on_metric(playback, PlaybackMetric.LINK_LOAD, 0.2, harness.now)
     end_intervals(harness, 1)
     assumed_load = harness.controller.assumed_load
     harness.apply_list(NodeListKind.WHOLE)
