--- a/benchmarks/untold_loads.py
+++ b/benchmarks/untold_loads.py
@@ -74,7 +74,7 @@
 """Weight of the newest delivered share in its moving average."""
 
 
-def plan(effect: Effect, revenue: float, rate_factor: float) -> Plan:
+def create_plan(effect: Effect, revenue: float, rate_factor: float) -> Plan:
     """Returns a plan without seats or floor."""
     return Plan(
         effect=effect,
@@ -90,7 +90,7 @@
     )
 
 
-PLANS = (plan(Effect.FREE, 1.0, 0.7), plan(Effect.PAID, 2.0, 1.4))
+PLANS = (create_plan(Effect.FREE, 1.0, 0.7), create_plan(Effect.PAID, 2.0, 1.4))
 PLAN_SHARES = (0.75, 0.25)
 
 
