--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -940,7 +940,7 @@
                     response.header("location") or str(response.status)
                 )
 
-            for kill_point in range(0, 64, 2):
+            for kill_point in range(0, 112, 2):
                 token = trio.lowlevel.current_trio_token()
 
                 def kill_at_point(
@@ -970,9 +970,18 @@
                 await wait_until_recovered(rig)
                 for path, name in paths:
                     await request(path, name)
+                # Playbacks that went on would leave no room for the requests of later kill points.
+                locations = {answer for _, name in paths for answer in answers_by_key[name]}
+                for location in sorted(locations):
+                    if location.startswith("/"):
+                        await rig.request("DELETE", location)
+                for node in rig.nodes_in_use():  # sessions whose answer was cut off
+                    for session in list(node.sessions):
+                        node.end_session(session, "ended by the test")
+                await wait_until(lambda: not rig.nodes_in_use())
             response = Counter(answers[0][:1] for answers in answers_by_key.values())
             assert response["c"]  # some were cut off
-            assert response["/"]  # and some were answered before the kill
+            assert response["/"] >= 10  # and some were answered before the kill
             for name, (first, second) in answers_by_key.items():
                 if first.startswith("/") or first == "504":
                     assert second == first, f"{name}: {first} and then {second}"
