--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -12,6 +12,7 @@
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal import front_processes
 from oakcroft.rehearsal.bench_day import FAULT_KINDS, translate
+from oakcroft.rehearsal.outcome import Outcome
 from oakcroft.rehearsal.viewers import plan_visits
 from oakcroft.rehearsal import report, runner
 from oakcroft.standins.day import FAULTS, Day, parse_day
@@ -69,18 +70,18 @@
     monkeypatch.setattr(sys, "executable", str(script))
 
 
+def play_day_with_early_faults(folder: Path) -> Outcome:
+    """Plays the day whose faults begin at once; its records stay below the folder."""
+    day = parse_scenario(DAY_WITH_EARLY_FAULTS)
+    return runner.play(day, DAY_WITH_EARLY_FAULTS, "oakcroft", lambda _: None, folder / "kept")
+
+
 def test_a_day_on_a_machine_that_starts_processes_slowly_begins_settled(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     """Guards against a begin that is fixed before the processes are up: a slow machine then failed the day."""
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
-    outcome = runner.play(
-        parse_scenario(DAY_WITH_EARLY_FAULTS),
-        DAY_WITH_EARLY_FAULTS,
-        "oakcroft",
-        lambda _: None,
-        tmp_path / "kept",
-    )
+    outcome = play_day_with_early_faults(tmp_path)
     assert outcome.failures == []
     assert outcome.kept, report.render_report(outcome, None)
 
@@ -101,13 +102,7 @@
 ) -> None:
     monkeypatch.setattr(front_processes, "START_WITHIN_SECONDS", 5)
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
-    outcome = runner.play(
-        parse_scenario(DAY_WITH_EARLY_FAULTS),
-        DAY_WITH_EARLY_FAULTS,
-        "oakcroft",
-        lambda _: None,
-        tmp_path / "kept",
-    )
+    outcome = play_day_with_early_faults(tmp_path)
     assert any("front 1 did not start" in failure for failure in outcome.failures)
     assert not outcome.kept
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -692,6 +692,18 @@
     return http_formats.problem_type(response.body).rpartition(":")[2]
 
 
+async def wait_until_state_file_is_healthy(rig: Rig) -> None:
+    """Waits until the front end's state file takes records again."""
+    await wait_until(
+        lambda: (
+            rig.front_end
+            and rig.front_end.coordinator
+            and rig.front_end.coordinator.durable_state
+            and rig.front_end.coordinator.durable_state.store.health.state is FileState.HEALTHY
+        )
+    )
+
+
 def check_rules_2_and_5(rig: Rig) -> None:
     """Checks rules 2 and 5 on the nodes' records."""
     facts = [f for kind in ("setup", "ran", "answer", "broken", "over") for f in rig.recorded(kind)]
@@ -900,14 +912,7 @@
             # The earlier answer still holds.
             assert (await rig.request_playback("/whep/course/a", **key_header("k1"))).status == 201
             disk.repair()
-            await wait_until(
-                lambda: (
-                    rig.front_end
-                    and rig.front_end.coordinator
-                    and rig.front_end.coordinator.durable_state
-                    and rig.front_end.coordinator.durable_state.store.health.state is FileState.HEALTHY
-                )
-            )
+            await wait_until_state_file_is_healthy(rig)
             assert (await rig.request_playback("/whep/course/a", **key_header("k4"))).status == 201
             disk = disk.cut_power(Random(1))
             await restart_front_end(rig, nursery, open_state_file)
@@ -1042,14 +1047,7 @@
                         {first.status} if first.status in (201, 504) else {201, 503, 504}
                     ), name
                 disk.repair()
-                await wait_until(
-                    lambda: (
-                        rig.front_end
-                        and rig.front_end.coordinator
-                        and rig.front_end.coordinator.durable_state
-                        and rig.front_end.coordinator.durable_state.store.health.state is FileState.HEALTHY
-                    )
-                )
+                await wait_until_state_file_is_healthy(rig)
             check_rules_2_and_5(rig)
             nursery.cancel_scope.cancel()
 
@@ -1078,14 +1076,7 @@
             db = apsw.Connection(path)
             db.pragma("user_version", SCHEMA_VERSION)
             db.close()
-            await wait_until(
-                lambda: (
-                    rig.front_end
-                    and rig.front_end.coordinator
-                    and rig.front_end.coordinator.durable_state
-                    and rig.front_end.coordinator.durable_state.store.health.state is FileState.HEALTHY
-                )
-            )
+            await wait_until_state_file_is_healthy(rig)
             await wait_until_recovered(rig)
             same = await rig.request_playback("/whep/course/a", **key_header("k1"))
             assert (same.status, same.header("location")) == (201, paid.header("location"))
--- a/tests/test_takeover_records.py
+++ b/tests/test_takeover_records.py
@@ -14,13 +14,19 @@
 import pytest
 import trio
 from rig import Rig, run_async_test, running_front_end, start_front_end, wait_until, wait_until_recovered
-from test_state import key_header, make_disk, make_promise, problem_name, restart_front_end
+from test_state import (
+    key_header,
+    make_disk,
+    make_promise,
+    problem_name,
+    restart_front_end,
+    wait_until_state_file_is_healthy,
+)
 from test_view import SECRET, update
 
 from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.state.promise import PromiseState, Promise, after_failed_takeover
-from oakcroft.decisions.state.state_file_health import FileState
 from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.node_client import FrontIdentity, NodeClient
 from oakcroft.front.session_takeover import TakeoverRunner
@@ -319,8 +325,7 @@
             assert is_held_here(rig)
             assert any(entry["event"] == "answer not on record" for entry in rig.log_entries())
             power.disk.repair()
-            health = durable_state_of(rig).store.health
-            await wait_until(lambda: health.state is FileState.HEALTHY)
+            await wait_until_state_file_is_healthy(rig)
             assert [p.key for p in power.synced_promises()] == ["k1"]
             power.cut()
             await restart_front_end(rig, nursery, power.open)
