--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -136,7 +136,7 @@
 """Number of front ends at which the assumed load weighs as much as one front end's extrapolation."""
 OWN_CHANGES_KEPT_NS = 8 * SECOND
 """Own changes of a node's load are kept for so long; older than any report in use."""
-HELD_RATE_HISTORY_LENGTH = 12
+OWN_RATE_HISTORY_LENGTH = 12
 """Number of interval ends for which the rate of own playbacks is kept."""
 
 # Short delivery.
@@ -221,8 +221,8 @@
         self.unreported_weight = 0.0  # near 0 if most nodes report their load, near 1 if most do not
         # Own playbacks and requests.
         self.mean_rung = self._middle_rung()
-        self.held_rate = 0.0
-        self.held_rate_history = deque([(now, 0.0)], maxlen=HELD_RATE_HISTORY_LENGTH)
+        self.own_rate = 0.0
+        self.own_rate_history = deque([(now, 0.0)], maxlen=OWN_RATE_HISTORY_LENGTH)
         self.recent_requests = DecayingSum()
         self.request_times = deque[int]()
         self.retry_times = deque[int]()
@@ -333,9 +333,9 @@
         still says full: any change that all front ends see alike. Drawback: viewers that move from one front end to
         another count as new.
         """
-        history = self.held_rate_history
+        history = self.own_rate_history
         earlier_rate = next((rate for at, rate in reversed(history) if at <= since), history[0][1])
-        change = self.held_rate - earlier_rate
+        change = self.own_rate - earlier_rate
         typical_rate = self.settings.rung_rates[len(self.settings.rung_rates) // 2]
         confidence = abs(change) / (abs(change) + typical_rate)  # a single playback may be chance
         return confidence * change * (self.settings.front_count - 1) / self.total_link_capacity
@@ -349,7 +349,7 @@
 
     def _effective_load(self, node: Node, now: int, added_rate: float = 0.0) -> float:
         """Load that affects a playback on this node, link or uplink, with `added_rate` kB/s on top."""
-        peer_load = self._unreported_load_of_peers(self.held_rate_history[-1][0])
+        peer_load = self._unreported_load_of_peers(self.own_rate_history[-1][0])
         load = node.estimated_load + added_rate / node.link_capacity + peer_load
         if self.settings.uplink_capacity > 0:
             uplink_rate = (node.rack.carried_rate + added_rate) * node.rack.uplink_correction
@@ -524,8 +524,8 @@
     def _refresh_estimates(self, now: int) -> None:
         """Records the rate of own playbacks and estimates the loads of all nodes and racks anew."""
         if now - self.started_at <= UPTIME_UNKNOWN_NS:
-            self.held_rate_history.clear()
-        self.held_rate_history.append((now, self.held_rate))
+            self.own_rate_history.clear()
+        self.own_rate_history.append((now, self.own_rate))
         for node in self.nodes:
             if now - node.load_reported_at > self.max_report_age_ns:  # its reports have stopped
                 node.load_known = False
@@ -684,7 +684,7 @@
             self.retry_times if is_copy else self.request_times, now
         )  # a copy counts as a retry
         self.recent_requests.add(1.0, now, self.settings.overload_window_ns)
-        if not playback.comes_from_move and self.rng.random() < refusal_probability(self.x, self.t2):
+        if not playback.comes_from_move and self.rng.random() < rejection_probability(self.x, self.t2):
             self._give_up(playback, now)
         else:
             self._place(playback, now)
@@ -920,18 +920,18 @@
             return
         playback.tries.append((node, now))
         node.has_handed_over_playback = True
-        self.held_rate_history[0] = (now, self.held_rate + self._playback_rate(playback, playback.rung))
+        self.own_rate_history[0] = (now, self.own_rate + self._playback_rate(playback, playback.rung))
         self._set_state(playback, PlaybackState.PLAYING, now, node)
 
     def on_history_restored(
-        self, retry_times: Iterable[int], nodes_with_spent_slot: Iterable[Node], now: int
+        self, retry_times: Iterable[int], nodes_with_used_slot: Iterable[Node], now: int
     ) -> None:
         """Takes over what an earlier process of this front end did.
 
-        `retry_times` count in the retry budget; the running time slot of `nodes_with_spent_slot` is used up.
+        `retry_times` count in the retry budget; the running time slot of `nodes_with_used_slot` is used up.
         """
         self.retry_times.extend(retry_times)
-        for node in nodes_with_spent_slot:
+        for node in nodes_with_used_slot:
             node.cold_slot = self._cold_slot(node, now)[0]
             node.cold_slot_setups = SLOT_USED_UP
 
@@ -943,12 +943,12 @@
 
     def on_try_ended(
         self, playback: Playback, outcome: Outcome, is_closed: bool,
-        link_load: float | None, link_used: float | None, uplink_load: float | None, now: int,
+        link_load: float | None, capped_link_load: float | None, uplink_load: float | None, now: int,
     ) -> None:  # fmt: skip
         """Handles the end of a setup try or of the playback that it started.
 
         `is_closed` says that no more comes of the playback. `link_load` is the demand on the link over its capacity,
-        `link_used` the same capped at 1, `uplink_load` that of the rack's uplink. Ignored where no try is out and
+        `capped_link_load` the same capped at 1, `uplink_load` that of the rack's uplink. Ignored where no try is out and
         nothing plays: the event is a duplicate or late.
         """
         node = playback.node
@@ -957,9 +957,11 @@
             return
         if link_load is not None:
             self._record_link_load(node, link_load, TRY_REPORT_AGE_NS, now)
-        elif link_used is not None and (link_used < CAPPED_LOAD_TOLERANCE or node.estimated_load < 1):
+        elif capped_link_load is not None and (
+            capped_link_load < CAPPED_LOAD_TOLERANCE or node.estimated_load < 1
+        ):
             # Capped at 1, so it does not replace a higher known load.
-            self._record_link_load(node, link_used, TRY_REPORT_AGE_NS, now)
+            self._record_link_load(node, capped_link_load, TRY_REPORT_AGE_NS, now)
         if uplink_load is not None:
             self._record_uplink_load(node.rack, uplink_load)
         self._record_outcome(playback, node, outcome, now)
@@ -1035,7 +1037,7 @@
         else:
             current_node.playbacks[playback] = None
         rate_change = sign * self._playback_rate(playback, playback.rung)
-        self.held_rate += rate_change
+        self.own_rate += rate_change
         self._add_own_rate_change(current_node, rate_change, now)
 
 
@@ -1071,7 +1073,7 @@
     return (1 - prediction_error) * predicted + prediction_error * measured
 
 
-def refusal_probability(load: float, t2: float) -> float:
+def rejection_probability(load: float, t2: float) -> float:
     """Probability of a rejection: 0 up to T1, 1 from T2 on, linear in the band between them."""
     if load <= T1:
         return 0.0
--- a/oakcroft/front/protocols.py
+++ b/oakcroft/front/protocols.py
@@ -45,7 +45,7 @@
         """Takes over a playback that plays on a node already."""
 
     def on_history_restored(
-        self, retry_times: Iterable[int], nodes_with_spent_slot: Iterable[Node], now: int
+        self, retry_times: Iterable[int], nodes_with_used_slot: Iterable[Node], now: int
     ) -> None:
         """Restores what an earlier process did: times of retries, and nodes whose cold slot is used up."""
 
@@ -69,7 +69,7 @@
 
     def on_try_ended(
         self, playback: Playback, outcome: Outcome, is_closed: bool,
-        link_load: float | None, link_used: float | None, uplink_load: float | None, now: int,
+        link_load: float | None, capped_link_load: float | None, uplink_load: float | None, now: int,
     ) -> None:  # fmt: skip
         """Handles the end of a setup try, or of the playback that it started."""
 
--- a/oakcroft/rehearsal/baseline.py
+++ b/oakcroft/rehearsal/baseline.py
@@ -72,7 +72,7 @@
         node.playbacks[playback] = None
 
     def on_history_restored(
-        self, retry_times: Iterable[int], nodes_with_spent_slot: Iterable[Node], now: int
+        self, retry_times: Iterable[int], nodes_with_used_slot: Iterable[Node], now: int
     ) -> None:
         """Uses no history."""
 
@@ -101,7 +101,7 @@
         outcome: Outcome,
         is_closed: bool,
         link_load: float | None,
-        link_used: float | None,
+        capped_link_load: float | None,
         uplink_load: float | None,
         now: int,
     ) -> None:
--- a/tests/test_formulas.py
+++ b/tests/test_formulas.py
@@ -29,9 +29,9 @@
 def test_refusals_rise_between_the_thresholds() -> None:
     """The probability of a rejection rises from T1 to T2."""
     t1, t2 = choice.T1, choice.T2
-    assert choice.refusal_probability(t1, t2) == 0.0
-    assert choice.refusal_probability((t1 + t2) / 2, t2) == pytest.approx(0.5)
-    assert choice.refusal_probability(t2, t2) == 1.0
+    assert choice.rejection_probability(t1, t2) == 0.0
+    assert choice.rejection_probability((t1 + t2) / 2, t2) == pytest.approx(0.5)
+    assert choice.rejection_probability(t2, t2) == 1.0
 
 
 def test_step_down_probability_is_highest_at_both_ends() -> None:
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -63,7 +63,7 @@
     ]
     return [
         node_states,
-        controller.held_rate,
+        controller.own_rate,
         controller.x,
         list(controller.request_times),
         list(controller.retry_times),
@@ -199,4 +199,4 @@
         assert harness.controller.is_over(playback)
     assert not any(title.seats_taken.values())
     assert not any(node.playbacks or node.pending_setups for node in harness.nodes)
-    assert abs(harness.controller.held_rate) < 1e6
+    assert abs(harness.controller.own_rate) < 1e6
