--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -1,4 +1,6 @@
-"""Decision module of a front end: who plays, on which playout node and at which rung of the quality ladder.
+"""Decision module of a front end: admits playbacks, places them on playout nodes and sets their rungs.
+
+A rung is one rate of the quality ladder.
 
 A host (types and protocols in `oakcroft/interface.py`) creates one `Controller` per front end from its
 `DeploymentSettings`, a seed and itself, and calls the controller's event methods as things happen. The controller
@@ -12,7 +14,7 @@
 - `on_request` rejects a request with a probability that rises from 0 to 1 while x is in the band from T1 to T2.
 - `_place` picks the holder of the title and the start rung.
 
-Mechanisms beyond the paper, six at most:
+Mechanisms beyond the paper, of which there are to be no more than six:
 
 1. Failure score: a node with failed or unanswered set-ups gets no more of them until its score has decayed.
 2. Cold pace: a node that may have just started gets set-ups only in this front end's time slots, or with a small
@@ -36,17 +38,22 @@
 from oakcroft.interface import (
     MS,
     SECOND,
-    Effect,
-    NodeEntry,
     DecayingSum,
-    KeyScope,
+    DeploymentSettings,
+    Effect,
     Host,
-    NodeStatus,
-    NodeListKind,
+    KeyScope,
     Node,
+    NodeEntry,
+    NodeListKind,
+    NodeStatus,
+    Outcome,
+    Playback,
     PlaybackMetric,
+    PlaybackState,
+    Rack,
+    Title,
 )
-from oakcroft.interface import Outcome, Playback, Rack, PlaybackState, DeploymentSettings, Title
 
 # Parameters that the paper leaves open.
 
@@ -67,9 +74,9 @@
 MAX_THRESHOLD_MOVE = 0.10
 """Largest move of T2 or T3 per interval, as a share of its distance to T1."""
 LINK_LOAD_LIMIT = 0.90
-"""Set-ups keep a link's load under it."""
+"""Largest load that a set-up may bring a link to."""
 UPPER_RUNG_LOAD_LIMIT = 0.70
-"""The same for starts in the upper half of the ladder and for steps up; well below T3, so that they are not undone."""
+"""The same for starts in the upper half of the ladder and for steps up; well below T3, so that no step down follows."""
 STEP_UP_DELAY_NS = 8 * SECOND
 """Least time from a playback's change of rung to its next step up."""
 MAX_STEP_UP_SHARE = 0.15
@@ -86,9 +93,9 @@
 FAILURE_SCORE_LIMIT = 0.7
 """Score from which a node gets no set-ups."""
 FAILED_TRY_SCORE = 1.0
-"""Added for a try that failed or got no answer, and for a node that stopped delivering."""
+"""Added to the score for a try that failed or got no answer, and for a node that stopped delivering."""
 ERROR_SCORE = 0.4
-"""Added for a try that was answered with an error."""
+"""Added to the score for a try that was answered with an error."""
 RESTART_SUSPECT_SCORE = 1
 """Score past which an unanswered try counts as a sign that the node has restarted."""
 MAX_ANSWER_DELAY_NS = 600 * MS
@@ -99,26 +106,26 @@
 RETRYABLE_TRY_SHARE = 0.4
 """Time limit of a try that another may follow, as a share of the startup target."""
 TRY_END_MARGIN_NS = 10 * MS
-"""A try ends so long before its viewer gives up."""
+"""Time left for the answer between the end of a try and the moment its viewer gives up."""
 RETRY_MARGIN_NS = 20 * MS
-"""No retry starts in so short a time before its viewer gives up."""
+"""Time before the viewer gives up in which no retry starts."""
 HOLDERS_COMPARED = 2
 """Number of holders with room of which the less loaded one is chosen."""
 MIN_PLAYBACKS_FOR_MEAN_RUNG = 3
-"""Fewer playbacks on a node say nothing of its usual rung."""
+"""Playbacks on a node from which their mean rung counts; with fewer, that of this front end does."""
 
 # Cold pace.
 
 UPTIME_UNKNOWN_NS = 6 * SECOND
-"""Time after its start in which a front end can't know which nodes are warm."""
+"""Time after its start in which a front end can't know which nodes are warm (no longer cold)."""
 COLD_SLOT_BUDGET_SHARE = 0.45
-"""Share of the overload budget that a time slot gets: a window may overlap two slots."""
+"""Share of the overload budget that a time slot gets; under half, since an overload window may overlap two slots."""
 MIN_SETUP_PACE = 1e-15
 """Set-ups per ns: lower bound that avoids a division by zero."""
-MIN_CHANCE_SETUPS = 4
-"""Set-ups in a slot from which random ones are allowed besides."""
+MIN_BUDGET_FOR_RANDOM_SETUPS = 4
+"""Set-ups allowed in a time slot from which front ends may also send at random outside their own slots."""
 DEMAND_SKEW = 3
-"""How much more a node may be asked for than the mean node."""
+"""Assumed demand for the node in question, as a multiple of the mean over the title's holders."""
 SLOT_USED_UP = 1 << 30
 """Recorded as the number of set-ups in a slot that is used up."""
 
@@ -127,44 +134,44 @@
 TRY_REPORT_AGE_NS = 300 * MS
 """Age of a load report that comes with the outcome of a try."""
 REPORT_TOLERANCE_NS = 2 * SECOND
-"""A load report may be late by so much before it is stale."""
-CAPPED_LOAD_TOLERANCE = 0.99
-"""A load that is reported capped at 1 may stand for any higher load from here on."""
+"""Lateness from which a load report is stale."""
+CAPPED_LOAD_THRESHOLD = 0.99
+"""Load from which a report that is capped at 1 may stand for any higher load."""
 DEFAULT_ASSUMED_LOAD = 0.7
 """Load assumed for a link while no link has reported its load."""
 MEAN_LOAD_WEIGHT_FRONTS = 4
 """Number of front ends at which the assumed load weighs as much as one front end's extrapolation."""
 OWN_CHANGES_KEPT_NS = 8 * SECOND
-"""Own changes of a node's load are kept for so long; older than any report in use."""
+"""How long own changes of a node's load are kept; longer than the age of any report in use."""
 OWN_RATE_HISTORY_LENGTH = 12
 """Number of interval ends for which the rate of own playbacks is kept."""
 
 # Short delivery.
 
 SHORT_DELIVERY_SHARE = 0.98
-"""Delivered shares under it are short."""
+"""Delivered share under which delivery is short."""
 STALLED_DELIVERY_SHARE = 0.2
-"""Under it, the node has stopped delivering."""
+"""Delivered share under which a node counts as having stopped delivering."""
 SHORT_DELIVERY_VALID_NS = 2 * SECOND
-"""A report of short delivery is valid for so long."""
+"""How long a report of short delivery is valid."""
 INFERRED_LOAD_MARGIN = 0.05
-"""A load inferred from short delivery counts if it exceeds the known one by this."""
+"""Excess over the known load from which a load inferred from short delivery counts."""
 EXPLAINED_LOAD_MARGIN = 0.1
-"""A link's load explains short delivery if it is at most this much too low."""
+"""Largest gap between a link's load and the load inferred from short delivery at which the link explains it."""
 MIN_NODES_TO_COMPARE = 2
 """Nodes of a rack that have to play before their shares are compared."""
 RECENT_SAMPLES = 3
-"""Interval ends before the present that a late report of short delivery may describe."""
+"""Number of recent interval ends that a late report of short delivery may describe."""
 MAX_CARRIED_LOAD = 1.2
-"""A link loaded above it has lost capacity: it loads its rack's uplink with no more."""
+"""Cap of a link's load in the load of its rack's uplink; a link above it has lost capacity and carries no more."""
 MAX_UPLINK_CORRECTION = 2.0
 """Upper bound of a rack's uplink correction."""
 MIN_UPLINK_CORRECTION = 0.5
 """Lower bound of a rack's uplink correction."""
 LOGGED_UPLINK_CORRECTION = 1.1
-"""An uplink correction above it is logged."""
+"""Uplink correction from which the rack is logged as overloaded."""
 UPLINK_CORRECTION_DECAY = 0.94
-"""Factor per interval on the correction of a loaded uplink without short delivery."""
+"""Factor by which each interval lowers the correction of a loaded uplink without short delivery."""
 
 
 STATE_TRANSITIONS = {
@@ -203,7 +210,7 @@
         # Node list.
         self.racks = [Rack() for _ in range(settings.rack_count)]
         self.nodes: dict[Node, None] = {}
-        self.list_version = 0  # counts the lists and changes taken over
+        self.list_version = 0  # incremented with each list or change applied
         self.subscribed_at = now  # time of the last request to subscribe
         self.is_subscribed = False
         self.total_link_capacity = 1.0
@@ -213,7 +220,7 @@
         self.x = 0.0
         self.prediction_error = 1.0
         self.predicted_load = 0.0
-        self.mode = "open"
+        self.mode = "open"  # as last logged
         # Load of links without reports.
         self.assumed_load = DEFAULT_ASSUMED_LOAD  # the mean of the links with reports, once there are any
         self.assumed_load_is_measured = False
@@ -233,7 +240,7 @@
     # Node list.
 
     def on_node_list(self, kind: NodeListKind, entries: Iterable[NodeEntry], now: int) -> None:
-        """Takes over the node list, or changes of it."""
+        """Applies the node list, or changes of it."""
         self.is_subscribed = kind in (NodeListKind.CHANGES, NodeListKind.WHOLE)
         if kind is NodeListKind.FAILED:
             return  # `on_timer` subscribes again
@@ -243,11 +250,11 @@
             self._apply_entry(entry, now)
         for node in missing:
             node.status = NodeStatus.GONE
-        self.nodes = {n: None for n in self.nodes if n.status is not NodeStatus.GONE}
+        self.nodes = {node: None for node in self.nodes if node.status is not NodeStatus.GONE}
         for index, rack in enumerate(self.racks):
-            rack.nodes = [n for n in self.nodes if n.cell % self.settings.rack_count == index]
+            rack.nodes = [node for node in self.nodes if node.cell % self.settings.rack_count == index]
         self.list_version += 1
-        self.total_link_capacity = max(1.0, sum(n.link_capacity for n in self.nodes))
+        self.total_link_capacity = max(1.0, sum(node.link_capacity for node in self.nodes))
         if not self.assumed_load_is_measured:
             self.assumed_load = self._initial_assumed_load()
             for node in self.nodes:
@@ -255,15 +262,15 @@
         self._update_carried_rates()
 
     def _apply_entry(self, entry: NodeEntry, now: int) -> None:
-        """Takes over one entry of the node list."""
+        """Applies one entry of the node list."""
         node = entry.node
         # The start time never goes back, so that a late list can't make a node warm, and is never in the future, so
         # that a clock ahead of ours can't keep it cold for ever.
         started_at = min(entry.started_at, now)
-        if started_at > node.started_at:  # a new process: what is known of the old one is void
+        if started_at > node.started_at:  # a new process; nothing known of the old one applies to it
             node.failure_score.clear()
-            # It is empty. Where most nodes report nothing, all front ends would choose it for that, so only some of
-            # them take its load as known.
+            # The new process has no load. Where most nodes report nothing, all front ends would choose it for that,
+            # so only some of them take its load as known.
             node.load_known = self.rng.random() >= self.unreported_weight
             node.reported_load = 0.0
             node.load_reported_at = now
@@ -277,14 +284,14 @@
         self.nodes[node] = None
 
     def _holders(self, title: Title) -> list[Node]:
-        """Nodes that hold a title, in a hash order that is the same on all front ends."""
+        """Nodes that hold a title, sorted by a hash so that the order is the same on all front ends."""
         if title.holders_version != self.list_version:
             cells = self.settings.cell_count
             copies = title.copies if 0 < title.copies < cells else cells
-            holders = [n for n in self.nodes if (n.cell - title.home_cell) % cells < copies]
+            holders = [node for node in self.nodes if (node.cell - title.home_cell) % cells < copies]
             if (names := title.holder_names) is not None:
-                holders = [n for n in self.nodes if n.name.partition("+")[0] in names]
-            holders.sort(key=lambda n: stable_hash(f"{title.name}\0{n.name}"))
+                holders = [node for node in self.nodes if node.name.partition("+")[0] in names]
+            holders.sort(key=lambda node: stable_hash(f"{title.name}\0{node.name}"))
             title.holders = holders
             title.holders_version = self.list_version
         return title.holders
@@ -344,11 +351,11 @@
         """Recomputes the rate that the links of each rack carry."""
         for rack in self.racks:
             rack.carried_rate = sum(
-                min(n.estimated_load, MAX_CARRIED_LOAD) * n.link_capacity for n in rack.nodes
+                min(node.estimated_load, MAX_CARRIED_LOAD) * node.link_capacity for node in rack.nodes
             )
 
     def _effective_load(self, node: Node, now: int, added_rate: float = 0.0) -> float:
-        """Load that affects a playback on this node, link or uplink, with `added_rate` kB/s on top."""
+        """Load that limits a playback on this node (the higher of link and uplink), with `added_rate` kB/s on top."""
         peer_load = self._unreported_load_of_peers(self.own_rate_history[-1][0])
         load = node.estimated_load + added_rate / node.link_capacity + peer_load
         if self.settings.uplink_capacity > 0:
@@ -384,10 +391,10 @@
         node.rack.carried_rate += change * node.link_capacity
 
     def on_peer_load(self, node: Node, link_load: float, report_age_ns: int, now: int) -> None:
-        """Takes over the load of a link that another front end heard `report_age_ns` ago.
+        """Records the load of a link that was reported to another front end `report_age_ns` ago.
 
-        It counts only where this front end's own traffic brings no reports of the link any more, and the next own
-        report replaces it.
+        It counts only where this front end's own traffic no longer brings reports of the link, and the next own report
+        replaces it.
         """
         max_age_ns = self.settings.report_interval_ns + REPORT_TOLERANCE_NS
         has_own_report = (
@@ -404,9 +411,9 @@
             rack.uplink_correction = min(MAX_UPLINK_CORRECTION, max(MIN_UPLINK_CORRECTION, correction))
 
     def on_metric(self, playback: Playback, metric: PlaybackMetric, value: float, now: int) -> None:
-        """Takes over a reported value about one playback, most of which describe its node.
+        """Records a reported value of one playback; all but its rung describe its node or rack.
 
-        Ignored where the playback holds no place on a node: the report is late or early and can't be trusted.
+        Ignored where the playback holds no seat on a node: the report is late or early and can't be trusted.
         """
         node = playback.node
         if node is None or playback.state not in SEAT_HOLDING_STATES:
@@ -427,7 +434,7 @@
     def _record_delivered_share(self, node: Node, share: float, now: int) -> None:
         """Records what share of its playbacks' streams a node delivers, and the loads that follow from it."""
         if share < STALLED_DELIVERY_SHARE:
-            # A full link still delivers some of it; this node has stopped.
+            # A full link still delivers part of the streams, so this node has stopped.
             node.failure_score.add(FAILED_TRY_SCORE, now, FAILURE_SCORE_HALF_LIFE_NS)
             return
         is_short = share < SHORT_DELIVERY_SHARE
@@ -452,9 +459,9 @@
         """
         rack = node.rack
         shares = [
-            n.delivered_share if now - n.short_delivery_at < SHORT_DELIVERY_VALID_NS else 1.0
-            for n in rack.nodes
-            if n.playbacks
+            listed.delivered_share if now - listed.short_delivery_at < SHORT_DELIVERY_VALID_NS else 1.0
+            for listed in rack.nodes
+            if listed.playbacks
         ]
         best_share = max(shares, default=1.0)
         # The report is late and describes an earlier moment.
@@ -489,11 +496,11 @@
 
     def _end_interval(self, now: int) -> None:
         """Samples the loads, updates x and the thresholds, and steps rungs."""
-        ready = [n for n in self.nodes if n.status is NodeStatus.READY]
+        ready = [node for node in self.nodes if node.status is NodeStatus.READY]
         if not ready:
             return
         # A node that does not answer carries no load; counted as full, it would cause rejections elsewhere.
-        healthy = [n for n in ready if self._is_healthy(n, now)] or ready
+        healthy = [node for node in ready if self._is_healthy(node, now)] or ready
         self._log_health(ready, now)
         reporting = self._reporting_nodes(healthy, now)
         self._update_assumed_load(reporting, healthy)
@@ -507,22 +514,26 @@
 
     def _reporting_nodes(self, nodes: list[Node], now: int) -> list[Node]:
         """Nodes with a fresh load report, or none where all known loads are inferred."""
-        fresh = [n for n in nodes if n.load_known and now - n.load_reported_at <= self.max_report_age_ns]
+        fresh = [
+            node
+            for node in nodes
+            if node.load_known and now - node.load_reported_at <= self.max_report_age_ns
+        ]
         # Where no node reports its load, the only known loads are those of links found full, which must not stand
-        # for all others. Drawback: that the whole fleet is full is learnt there node by node.
-        return fresh if any(n.has_reported_load for n in fresh) else []
+        # for all others. Drawback: a fleet that is full as a whole is then discovered node by node.
+        return fresh if any(node.has_reported_load for node in fresh) else []
 
     def _update_assumed_load(self, reporting: list[Node], nodes: list[Node]) -> None:
         """Updates the weight of missing reports, and the load assumed for links without one."""
-        silent_share = 1 - len(reporting) / len(nodes)
+        unreported_share = 1 - len(reporting) / len(nodes)
         # Near 0 if few nodes are without reports, near 1 if many are.
-        self.unreported_weight = silent_share**3 / (silent_share**3 + (1 - silent_share) ** 3)
+        self.unreported_weight = unreported_share**3 / (unreported_share**3 + (1 - unreported_share) ** 3)
         if reporting:
-            self.assumed_load = sum(n.estimated_load for n in reporting) / len(reporting)
+            self.assumed_load = sum(node.estimated_load for node in reporting) / len(reporting)
             self.assumed_load_is_measured = True
 
     def _refresh_estimates(self, now: int) -> None:
-        """Records the rate of own playbacks and estimates the loads of all nodes and racks anew."""
+        """Records the rate of own playbacks and recomputes the estimated loads of all nodes and racks."""
         if now - self.started_at <= UPTIME_UNKNOWN_NS:
             self.own_rate_history.clear()
         self.own_rate_history.append((now, self.own_rate))
@@ -548,18 +559,18 @@
             if self.settings.uplink_capacity > 0:
                 uplink_load = rack.carried_rate * rack.uplink_correction / self.settings.uplink_capacity
             quiet_ns = SHORT_DELIVERY_VALID_NS + SAMPLE_INTERVAL_NS
-            if uplink_load > T1 and all(now - n.short_delivery_at > quiet_ns for n in rack.nodes):
+            if uplink_load > T1 and all(now - node.short_delivery_at > quiet_ns for node in rack.nodes):
                 factor = UPLINK_CORRECTION_DECAY if uplink_load < 1 else 1 / uplink_load
                 rack.uplink_correction = max(MIN_UPLINK_CORRECTION, rack.uplink_correction * factor)
 
     def _update_x(self, sampled: list[Node], has_reports: bool) -> None:
         """Blends measured and predicted cluster load into x and predicts the next cluster load."""
-        measured_load = cluster_load([n.load_samples[-1] for n in sampled])
+        measured_load = cluster_load([node.load_samples[-1] for node in sampled])
         if has_reports and measured_load > 0:
             self.prediction_error = min(1.0, abs(self.predicted_load / measured_load - 1))
         else:
             self.prediction_error = 1.0
-        self.predicted_load = cluster_load([n.load_forecast for n in sampled])
+        self.predicted_load = cluster_load([node.load_forecast for node in sampled])
         self.x = blend_loads(self.prediction_error, self.predicted_load, measured_load)
 
     def _log_health(self, nodes: list[Node], now: int) -> None:
@@ -598,23 +609,30 @@
         """Steps the rungs of playing playbacks down past T3 and up under T1, a bounded share of them per interval."""
         rungs = [playback.rung for node in nodes for playback in node.playbacks]
         self.mean_rung = sum(rungs) / len(rungs) if rungs else self._middle_rung()
-        for node in [n for n in nodes if n.playbacks]:
-            playing = [p for p in node.playbacks if p.state is PlaybackState.PLAYING]
+        playing_nodes = [node for node in nodes if node.playbacks]
+        for node in playing_nodes:
+            playing = [playback for playback in node.playbacks if playback.state is PlaybackState.PLAYING]
             load = self._effective_load(node, now)
-            # Short delivery is reported without noise, so a lower load is enough.
+            # Reports of short delivery are free of noise, so with one a lower load suffices for steps down.
             is_short = now - node.short_delivery_at < SHORT_DELIVERY_VALID_NS
             limit = T1 if is_short else self.t3
             if load > limit:
                 probability = step_down_probability(max(self.x, load), self.t3)
-                candidates = [p for p in playing if p.rung > p.plan.floor]
-                candidates.sort(key=lambda p: self._revenue_per_kb(p, p.rung - 1))
+                candidates = [playback for playback in playing if playback.rung > playback.plan.floor]
+                candidates.sort(key=lambda playback: self._revenue_per_kb(playback, playback.rung - 1))
                 rate_gap = (load - limit) * node.link_capacity
                 self._step_rungs(node, candidates, -1, rate_gap, probability, now)
             elif self.x < T1 and load < UPPER_RUNG_LOAD_LIMIT:
                 max_rung = self.mean_rung + STEP_UP_RUNG_MARGIN
-                rested = [p for p in playing if now - p.rung_changed_at > STEP_UP_DELAY_NS]
-                candidates = [p for p in rested if p.rung < p.top_rung and p.rung <= max_rung]
-                candidates.sort(key=lambda p: -self._revenue_per_kb(p, p.rung))
+                settled = [
+                    playback for playback in playing if now - playback.rung_changed_at > STEP_UP_DELAY_NS
+                ]
+                candidates = [
+                    playback
+                    for playback in settled
+                    if playback.rung < playback.top_rung and playback.rung <= max_rung
+                ]
+                candidates.sort(key=lambda playback: -self._revenue_per_kb(playback, playback.rung))
                 rate_gap = (UPPER_RUNG_LOAD_LIMIT - load) * node.link_capacity
                 self._step_rungs(node, candidates, 1, rate_gap, 1.0, now)
 
@@ -634,9 +652,9 @@
         that is alone on a link may take longer.
         """
         own_rate = sum(self._playback_rate(playback, playback.rung) for playback in node.playbacks)
-        # Front ends that have playbacks on the node, as estimated from its load.
-        fronts = max(1.0, node.estimated_load * node.link_capacity / max(own_rate, 1.0))
-        fronts = min(fronts, self.settings.front_count)
+        # Number of front ends with playbacks on the node, estimated from its load.
+        fronts_on_node = max(1.0, node.estimated_load * node.link_capacity / max(own_rate, 1.0))
+        fronts_on_node = min(fronts_on_node, self.settings.front_count)
         max_share = MAX_STEP_UP_SHARE if direction > 0 else MAX_STEP_DOWN_SHARE
         steps_left = max_share * len(node.playbacks)
         for playback in candidates:
@@ -644,12 +662,12 @@
             step_rate = abs(
                 self._playback_rate(playback, new_rung) - self._playback_rate(playback, playback.rung)
             )
-            step_share = min(1.0, steps_left, rate_gap / max(1.0, step_rate * fronts))
+            step_share = min(1.0, steps_left, rate_gap / max(1.0, step_rate * fronts_on_node))
             if step_share <= 0:
                 break
-            rate_gap -= step_share * step_rate * fronts
+            rate_gap -= step_share * step_rate * fronts_on_node
             steps_left -= step_share
-            peer_change = direction * step_rate * (fronts - 1) * step_share * probability
+            peer_change = direction * step_rate * (fronts_on_node - 1) * step_share * probability
             self._add_own_rate_change(node, peer_change, now)
             if self.rng.random() < step_share * probability:
                 self._add_own_rate_change(node, direction * step_rate, now)
@@ -676,13 +694,12 @@
         if now >= playback.abandon_at:  # the viewer has given up
             self._give_up(playback, now)
             return
-        if playback.copy_of is not None and not self._may_retry(playback, now):
+        is_copy = playback.copy_of is not None
+        if is_copy and not self._may_retry(playback, now):
             self._give_up(playback, now)
             return
-        is_copy = playback.copy_of is not None
-        self._record_time(
-            self.retry_times if is_copy else self.request_times, now
-        )  # a copy counts as a retry
+        # The set-up of a copy counts as a retry.
+        self._record_time(self.retry_times if is_copy else self.request_times, now)
         self.recent_requests.add(1.0, now, self.settings.overload_window_ns)
         if not playback.comes_from_move and self.rng.random() < rejection_probability(self.x, self.t2):
             self._give_up(playback, now)
@@ -710,7 +727,7 @@
         self.rng.shuffle(last_candidates)
         candidates = [*candidates, *last_candidates][:HOLDERS_COMPARED]
         if candidates:
-            node = min(candidates, key=lambda n: (self._effective_load(n, now), self.rng.random()))
+            node = min(candidates, key=lambda holder: (self._effective_load(holder, now), self.rng.random()))
             self._send_try(playback, node, self._start_rung(playback, node, now), now)
         else:
             self._give_up(playback, now)
@@ -772,12 +789,12 @@
 
     def _may_try(self, playback: Playback, node: Node, now: int) -> bool:
         """Whether the rules, the failure score and the cold pace allow a try on this node now."""
-        if node.status is not NodeStatus.READY or any(n is node for n, _ in playback.tries):
+        if node.status is not NodeStatus.READY or any(tried_node is node for tried_node, _ in playback.tries):
             return False
         if playback.node_filter is not None and not playback.node_filter(node):
             return False
         if not all(
-            self._repeats_safely(playback, earlier_node, sent_at, node, now)
+            self._may_repeat_on(playback, earlier_node, sent_at, node, now)
             for earlier_node, sent_at in playback.may_have_run
         ):
             return False
@@ -802,8 +819,11 @@
 
     def _is_healthy(self, node: Node, now: int) -> bool:
         """Whether a node answers in time and its failure score is under the limit."""
-        answers = all(now - sent_at <= MAX_ANSWER_DELAY_NS for sent_at in node.pending_setups.values())
-        return answers and node.failure_score.read(now, FAILURE_SCORE_HALF_LIFE_NS) < FAILURE_SCORE_LIMIT
+        answers_in_time = all(
+            now - sent_at <= MAX_ANSWER_DELAY_NS for sent_at in node.pending_setups.values()
+        )
+        score = node.failure_score
+        return answers_in_time and score.read(now, FAILURE_SCORE_HALF_LIFE_NS) < FAILURE_SCORE_LIMIT
 
     def _known_uptime_ns(self, node: Node, now: int) -> int:
         """Time for which a node has certainly been up without a failure seen here.
@@ -841,24 +861,24 @@
             return True
         slot, allowed = self._cold_slot(node, now)
         settings = self.settings
-        # One time slot in so many is this front end's.
+        # One of every `slots_per_turn` time slots is this front end's own.
         slots_per_turn = -(-settings.front_count // allowed) if allowed else 0
         if slots_per_turn and not (slot + settings.front_index + stable_hash(node.name)) % slots_per_turn:
             setups = node.cold_slot_setups if slot == node.cold_slot else 0
             return setups < max(1, allowed // settings.front_count)
         # The front end whose slot it is seldom has a request. Where the budget is large enough for random set-ups to stay
-        # under it, the others may send as well, at a probability with which all of them, if as busy as this one and
-        # asked for this title, use half the slot's budget.
+        # under it, the others may send as well, with a probability at which all of them together use half the slot's
+        # budget, if they are as busy as this one and get requests for this title.
         # Shortly after its start a front end has counted only part of its usual requests. The count is scaled up for
         # that; a single first request is not yet a rate.
         counted_share: float = 1 - 0.5 ** max(1.0, (now - self.started_at) / settings.overload_window_ns)
         requests = self.recent_requests.read(now, settings.overload_window_ns) / counted_share
         requests_per_holder = DEMAND_SKEW * requests / len(self._holders(playback.title))
-        if allowed < MIN_CHANCE_SETUPS:
+        if allowed < MIN_BUDGET_FOR_RANDOM_SETUPS:
             return False
         return self.rng.random() * requests_per_holder * settings.front_count < allowed / 2
 
-    def _repeats_safely(
+    def _may_repeat_on(
         self, playback: Playback, earlier_node: Node, earlier_sent_at: int, node: Node, now: int
     ) -> bool:
         """Whether a set-up may be repeated on `node` although one sent to another node may have run."""
@@ -902,10 +922,10 @@
     def _give_up(self, playback: Playback, now: int) -> None:
         """Gives the final answer: a rejection, or an abort where a set-up may have run that must not be repeated."""
         plan = playback.plan
-        may_come_again = plan.effect is Effect.FREE or (
+        is_safe_to_repeat = plan.effect is Effect.FREE or (
             plan.effect is Effect.KEYED and plan.key_scope is KeyScope.ALL
         )
-        if playback.may_have_run and not may_come_again:
+        if playback.may_have_run and not is_safe_to_repeat:
             self._set_state(playback, PlaybackState.ABORTED, now)
             self.host.abort(playback)
         else:
@@ -926,7 +946,7 @@
     def on_history_restored(
         self, retry_times: Iterable[int], nodes_with_used_slot: Iterable[Node], now: int
     ) -> None:
-        """Takes over what an earlier process of this front end did.
+        """Restores what an earlier process of this front end did.
 
         `retry_times` count in the retry budget; the running time slot of `nodes_with_used_slot` is used up.
         """
@@ -947,9 +967,9 @@
     ) -> None:  # fmt: skip
         """Handles the end of a setup try or of the playback that it started.
 
-        `is_closed` says that no more comes of the playback. `link_load` is the demand on the link over its capacity,
-        `capped_link_load` the same capped at 1, `uplink_load` that of the rack's uplink. Ignored where no try is out and
-        nothing plays: the event is a duplicate or late.
+        `is_closed`: no further event of the playback follows. `link_load` is the demand on the link over its capacity,
+        `capped_link_load` the same capped at 1, `uplink_load` that of the rack's uplink. Ignored where no try is pending
+        and nothing plays: the event is a duplicate or late.
         """
         node = playback.node
         state = playback.state
@@ -958,7 +978,7 @@
         if link_load is not None:
             self._record_link_load(node, link_load, TRY_REPORT_AGE_NS, now)
         elif capped_link_load is not None and (
-            capped_link_load < CAPPED_LOAD_TOLERANCE or node.estimated_load < 1
+            capped_link_load < CAPPED_LOAD_THRESHOLD or node.estimated_load < 1
         ):
             # Capped at 1, so it does not replace a higher known load.
             self._record_link_load(node, capped_link_load, TRY_REPORT_AGE_NS, now)
@@ -996,7 +1016,7 @@
             self._record_link_load(node, max(node.estimated_load, T1), 0, now, is_inferred=True)
 
     def on_viewer_left(self, playback: Playback, now: int) -> None:
-        """Handles the leaving of a viewer; the end of a try that is out is still reported."""
+        """Handles a viewer that leaves; the end of a pending try is still reported."""
         if playback.state in (PlaybackState.SETTING_UP, PlaybackState.PLAYING):
             self._set_state(playback, PlaybackState.VIEWER_LEFT, now)
         elif playback.state is PlaybackState.ARRIVED:
@@ -1009,7 +1029,7 @@
     def _set_state(
         self, playback: Playback, state: PlaybackState, now: int, node: Node | None = None
     ) -> None:
-        """Changes the state of a playback, and the seats and loads with it; nothing else does.
+        """Changes the state of a playback, and its seat and load with it; the only place that does.
 
         Raises ValueError for a transition that is not allowed.
         """
@@ -1056,8 +1076,8 @@
     if count == 1:
         return mean
     middle = (count - 1) / 2
-    covariance = sum((i - middle) * sample for i, sample in enumerate(samples))
-    variance = sum((i - middle) ** 2 for i in range(count))
+    covariance = sum((position - middle) * sample for position, sample in enumerate(samples))
+    variance = sum((position - middle) ** 2 for position in range(count))
     slope = covariance / variance
     return max(0.0, mean + slope * (count - middle))
 
@@ -1081,6 +1101,9 @@
 
 
 def step_down_probability(load: float, t3: float) -> float:
-    """The paper's max(pu, 1 - pu), where pu = 1 - |(x - T3) / (C - T3)|, kept within 0 and 1."""
-    pu = 1 - min(1.0, abs((load - t3) / (MAX_SAMPLED_LOAD - t3)))
-    return max(pu, 1 - pu)
+    """The paper's max(pu, 1 - pu), where pu = 1 - |(x - T3) / (C - T3)|, kept within 0 and 1.
+
+    pu is the closeness of the load to T3.
+    """
+    closeness = 1 - min(1.0, abs((load - t3) / (MAX_SAMPLED_LOAD - t3)))
+    return max(closeness, 1 - closeness)
