--- a/oakcroft/decisions/admission/client_limits.py
+++ b/oakcroft/decisions/admission/client_limits.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from oakcroft.decisions.admission.request_limits import TokenBucket, RequestLimit, LimitScope
+from oakcroft.decisions.admission.request_limits import LimitScope, RequestLimit, TokenBucket
 
 
 @dataclass(frozen=True)
--- a/oakcroft/decisions/admission/resume_tokens.py
+++ b/oakcroft/decisions/admission/resume_tokens.py
@@ -16,7 +16,6 @@
 
 from oakcroft.interface import SECOND
 
-
 MIN_KEY_BYTES = 32
 MAX_TOKEN_LENGTH = 300
 TOKEN_PARTS = 4  # key number, expiry, client session and signature
--- a/oakcroft/decisions/sessions/event_stream_health.py
+++ b/oakcroft/decisions/sessions/event_stream_health.py
@@ -9,7 +9,6 @@
 from dataclasses import dataclass
 from enum import Enum
 
-
 MAX_REFUSALS = 2
 """Refused connections in a row that prove that the node's process is gone."""
 
--- a/oakcroft/terms.py
+++ b/oakcroft/terms.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from oakcroft.interface import MS, Effect, KeyScope, PlaybackMetric, Outcome, Plan, DeploymentSettings
+from oakcroft.interface import MS, DeploymentSettings, Effect, KeyScope, Outcome, Plan, PlaybackMetric
 
 OUTCOMES_BY_WIRE_CODE = {
     "GOOD": Outcome.DONE,
--- a/oakcroft/wirehost/codec.py
+++ b/oakcroft/wirehost/codec.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oakcroft.interface import NodeStatus, NodeListKind
+from oakcroft.interface import NodeListKind, NodeStatus
 
 NODE_STATUSES_BY_WIRE_CODE = {0: NodeStatus.GONE, 1: NodeStatus.READY, 2: NodeStatus.DRAINING}
 NODE_LIST_KINDS_BY_WIRE_CODE = {
--- a/oakcroft/wirehost/instance.py
+++ b/oakcroft/wirehost/instance.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from oakcroft.choice import Controller
-from oakcroft.interface import NodeEntry, NodeListKind, Node, Playback, Title
 from oakcroft import terms
+from oakcroft.choice import Controller
+from oakcroft.interface import Node, NodeEntry, NodeListKind, Playback, Title
 from oakcroft.wirehost import codec
 
 Message = dict[str, Any]
--- a/oakcroft/wirehost/loop.py
+++ b/oakcroft/wirehost/loop.py
@@ -7,7 +7,7 @@
 import orjson
 
 from oakcroft import terms
-from oakcroft.wirehost.instance import WireFrontEnd, Message
+from oakcroft.wirehost.instance import Message, WireFrontEnd
 
 
 class BatchProcessor:
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -11,32 +11,35 @@
 import pytest
 import trio
 from click.testing import CliRunner, Result
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 from rig import Rig, run_async_test, running_front_end, start_front_end, wait_until
 
 from oakcroft.catalogue.text import (
     CatalogueContent,
     CatalogueError,
     apply_change,
-    text_digest,
+    format_catalogue,
     read_catalogue,
     read_formatted,
-    format_catalogue,
+    text_digest,
 )
 from oakcroft.cli import main
 from oakcroft.decisions.routing.catalogue import (
     Catalogue,
-    PlaybackEffect,
-    FleetSnapshot,
-    VersionHistory,
     CatalogueTitle,
-    VersionEntry,
-    StepDownQueue,
     CatalogueVerdict,
+    FleetSnapshot,
+    PlaybackEffect,
+    StepDownQueue,
+    VersionEntry,
+    VersionHistory,
     changed_titles,
+    effect_on_playback,
     evaluate_change,
+    highest_rung,
+    is_in_share,
 )
-from oakcroft.decisions.routing.catalogue import highest_rung, effect_on_playback, is_in_share
 from oakcroft.decisions.routing.title_cache import TitleCache
 from oakcroft.httpwire.message import Response
 
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -17,7 +17,7 @@
     target_order,
 )
 from oakcroft.interface import SECOND
-from oakcroft.platform.idle_connections import MAX_CANDIDATES, CANDIDATES_VALID_NS, IdleConnections
+from oakcroft.platform.idle_connections import CANDIDATES_VALID_NS, MAX_CANDIDATES, IdleConnections
 
 NOW = 100 * SECOND
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,56 +8,57 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakcroft.decisions.sessions import answers
-from oakcroft.decisions.routing import ladder
 from oakcroft.decisions.admission import deadlines
-from oakcroft.decisions.fleet.backoff import (
-    EVENT_STREAM_RETRY,
-    RENDITION_BOUND_RETRY,
-    RUNG_CHANGE_RETRY,
-    RetryBackoff,
-)
-from oakcroft.decisions.sessions.answers import FinalAnswer, Refusal
-from oakcroft.decisions.sessions.node_sessions import NodeSessions
 from oakcroft.decisions.admission.connection_limits import (
     ConnectionLimits,
     ConnectionTable,
+    ConnectionVerdict,
     ExchangePhase,
     PendingRequests,
-    ConnectionVerdict,
     body_error_status,
     head_error_status,
     is_slow_reader,
+    phase_timeout,
+    timeout_status,
 )
-from oakcroft.decisions.admission.connection_limits import timeout_status, phase_timeout
-from oakcroft.decisions.sessions.setup_outcome import (
-    PROBLEM_FULL,
-    RequestEnd,
-    RequestStage,
-    RequestProgress,
-    proves_not_run,
-    setup_outcome,
+from oakcroft.decisions.admission.deadlines import HEARTBEAT_INTERVAL_NS, PauseDetector
+from oakcroft.decisions.fleet.backoff import (
+    EVENT_STREAM_RETRY,
+    RENDITION_BOUND_RETRY,
+    RUNG_CHANGE_RETRY,
+    RetryBackoff,
 )
+from oakcroft.decisions.fleet.node_list import ListedNode, ListRejection, NodeList
+from oakcroft.decisions.fleet.shutdown import FrontState, Shutdown
+from oakcroft.decisions.routing import ladder
+from oakcroft.decisions.routing.title_cache import TitleCache
+from oakcroft.decisions.sessions import answers
+from oakcroft.decisions.sessions.answers import FinalAnswer, Refusal
 from oakcroft.decisions.sessions.event_stream_health import (
-    StreamBreak,
-    StreamState,
     EventStreamHealth,
     LossCertainty,
+    StreamBreak,
+    StreamState,
     StreamTimeouts,
 )
-from oakcroft.decisions.admission.deadlines import HEARTBEAT_INTERVAL_NS, PauseDetector
 from oakcroft.decisions.sessions.idempotency import IdempotencyStore, KeyDecision
+from oakcroft.decisions.sessions.node_sessions import NodeSessions
 from oakcroft.decisions.sessions.session_resource import (
     SDPFRAG_MEDIA_TYPE,
     ResourceAction,
+    ResourceError,
     ResourcePhase,
     SessionResource,
-    ResourceError,
 )
-from oakcroft.decisions.fleet.node_list import ListedNode, ListRejection, NodeList
-from oakcroft.decisions.fleet.shutdown import FrontState, Shutdown
-from oakcroft.decisions.routing.title_cache import TitleCache
-from oakcroft.interface import MS, SECOND, Effect, NodeStatus, NodeListKind, Outcome
+from oakcroft.decisions.sessions.setup_outcome import (
+    PROBLEM_FULL,
+    RequestEnd,
+    RequestProgress,
+    RequestStage,
+    proves_not_run,
+    setup_outcome,
+)
+from oakcroft.interface import MS, SECOND, Effect, NodeListKind, NodeStatus, Outcome
 
 STAGES = [
     RequestStage.CONNECTING,
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -12,25 +12,26 @@
 
 import pytest
 import trio
-from hypothesis import given, settings, strategies as st
 from helpers import ControllerHarness
+from hypothesis import given, settings
+from hypothesis import strategies as st
 from rig import run_async_test
 from test_adopting import TakeoverFronts
 from test_peers import KEY, fronts
 
 from oakcroft.decisions.fleet.load_sharing import (
-    MAX_CONCURRENT_PROBES,
+    BACKUP_PROBE_INTERVALS,
     GOSSIP_FANOUT,
+    MAX_CONCURRENT_PROBES,
     MAX_REPORT_AGE,
     MAX_REPORTS_PER_MESSAGE,
-    BACKUP_PROBE_INTERVALS,
-    LoadSharing,
     LoadReport,
+    LoadSharing,
     process_id,
 )
 from oakcroft.interface import MS, SECOND, Outcome
-from oakcroft.peerwire.load_codec import LoadCodec
 from oakcroft.peerwire.errors import MessageError
+from oakcroft.peerwire.load_codec import LoadCodec
 from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 from oakcroft.peerwire.sealing import KeyRing
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -10,19 +10,20 @@
 
 import orjson
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 from rig import run_async_test, running_front_end, wait_until
 
 from oakcroft.config.pipeline import check_file
 from oakcroft.decisions.admission.service_levels import (
-    LevelEffects,
-    LevelBounds,
     AdmissionGate,
-    ServiceLevel,
+    LevelBounds,
     LevelController,
-    SignalThreshold,
+    LevelEffects,
     LoadSignal,
     RecentAnswers,
+    ServiceLevel,
+    SignalThreshold,
 )
 from oakcroft.interface import MS, SECOND
 
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -7,19 +7,19 @@
 from typing import Any
 
 import pytest
+from helpers import FREE, KEYED, PAID, TERMS, ControllerHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from helpers import FREE, KEYED, PAID, TERMS, ControllerHarness
 from oakcroft.interface import (
     MS,
     SECOND,
     NodeEntry,
-    NodeStatus,
     NodeListKind,
-    PlaybackMetric,
+    NodeStatus,
     Outcome,
     Playback,
+    PlaybackMetric,
     Title,
 )
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from oakcroft.interface import MS, SECOND, Effect, NodeStatus, NodeListKind, Node, Outcome, Playback, Title
+from oakcroft.interface import MS, SECOND, Effect, Node, NodeListKind, NodeStatus, Outcome, Playback, Title
 
 NEVER_RAN = {Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT}
 PLANS = [FREE, PAID, KEYED, replace(FREE, floor=1, seats=2)]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,12 +18,12 @@
 from oakcroft.decisions.fleet import acceptor, lease
 from oakcroft.decisions.fleet import candidate as candidate_module
 from oakcroft.decisions.fleet.acceptor import MAX_LEASES, LeaseAcceptor
-from oakcroft.decisions.fleet.candidate import LeaseCandidate, CandidateState, AcceptorMessage
+from oakcroft.decisions.fleet.candidate import AcceptorMessage, CandidateState, LeaseCandidate
 from oakcroft.decisions.fleet.lease import (
-    LeaseRequest,
     Fence,
-    LeaseNote,
     LeaseMessageKind,
+    LeaseNote,
+    LeaseRequest,
     LeaseTerm,
     safe_term_length,
 )
--- a/tests/test_untold_loads.py
+++ b/tests/test_untold_loads.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import FREE, TERMS, ControllerHarness
 
-from oakcroft.choice import T1, DEFAULT_ASSUMED_LOAD
-from oakcroft.interface import SECOND, NodeListKind, Node, PlaybackMetric, Outcome, Playback, Title
+from oakcroft.choice import DEFAULT_ASSUMED_LOAD, T1
+from oakcroft.interface import SECOND, Node, NodeListKind, Outcome, Playback, PlaybackMetric, Title
 
 NODES = 8
 LINK_CAPACITY = 4000.0  # kB/s of each node's link, as listed by `ControllerHarness`
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,7 +11,7 @@
 from rig import SITE_TEMPLATE, Rig, run_async_test, running_front_end, wait_until
 
 from oakcroft.cli import read_deployment_in_subprocess
-from oakcroft.config.pipeline import check_file, build_deployment
+from oakcroft.config.pipeline import build_deployment, check_file
 from oakcroft.config.settings import Deployment
 from oakcroft.decisions.routing.configuration_version import ConfigurationVerdict
 from oakcroft.interface import Effect
--- a/tests/test_wings.py
+++ b/tests/test_wings.py
@@ -8,18 +8,19 @@
 from typing import Any
 
 import orjson
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 from rig import run_async_test, running_front_end, wait_until
 
 from oakcroft.decisions.routing.zone_preference import (
-    TRANSITIONS,
     NO_READY_NODE,
-    ZonePreferenceBounds,
-    ZoneHealth,
+    TRANSITIONS,
     NodeEvidence,
     OverflowWindow,
-    ZoneState,
+    ZoneHealth,
     ZonePreference,
+    ZonePreferenceBounds,
+    ZoneState,
     zone_load,
 )
 from oakcroft.interface import SECOND
