--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -79,7 +79,7 @@
 
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
     from rig import running_front_end  # type: ignore[import-not-found,unused-ignore]
-    from test_versions import version, own  # type: ignore[import-not-found,unused-ignore]
+    from test_configuration_reload import version, own  # type: ignore[import-not-found,unused-ignore]
 
     with tempfile.TemporaryDirectory() as name:
         async with running_front_end(Path(name)) as rig:
--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -23,7 +23,7 @@
 from oakcroft.config.settings import Deployment
 from oakcroft.front.front_end import FrontEnd
 from oakcroft.front.protocols import PolicyFactory
-from oakcroft.running.collections import reduce_gc_frequency
+from oakcroft.running.garbage_collection import reduce_gc_frequency
 from oakcroft.running.logs import configure_logging
 
 CHECK_TIMEOUT_SECONDS = 120
--- a/oakcroft/decisions/fleet/acceptor.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -1,7 +1,8 @@
 """The acceptor of fleet leases, one member of the quorum: a state machine without disk, sockets or clock.
 
 `unsaved` names what must be durable before an answer is sent: the host saves it first. The proof in docs/owners.md rests
-on the following rules. tests/test_terms.py disables each of them in turn and checks that its random walk then fails.
+on the following rules. tests/test_lease_protocol.py disables each of them in turn and checks that its random walk then
+fails.
 
 - A promise binds: requests under a lower fencing token are refused, and so are those of another process under the same.
 - While a term runs here, no other process is promised anything.
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -22,7 +22,7 @@
 from oakcroft.platform.viewers import LISTEN_BACKLOG, ViewerServer
 from oakcroft.platformwire.configuration import Configuration, ConfigurationError, decode
 from oakcroft.running.clock import Clock
-from oakcroft.running.collections import reduce_gc_frequency
+from oakcroft.running.garbage_collection import reduce_gc_frequency
 from oakcroft.running.logs import configure_logging
 
 EXIT_CONFIGURATION_ERROR = 2
--- a/oakcroft/wirehost/instance.py
+++ b/oakcroft/wirehost/front_end.py
@@ -7,7 +7,7 @@
 from oakcroft import terms
 from oakcroft.choice import Controller
 from oakcroft.interface import Node, NodeEntry, NodeListKind, Playback, Title
-from oakcroft.wirehost import codec
+from oakcroft.wirehost import codes
 
 Message = dict[str, Any]
 
@@ -90,7 +90,7 @@
             case "timeoutFired":
                 self.controller.on_timer(now)
             case "registry":
-                kind = codec.NODE_LIST_KINDS_BY_WIRE_CODE[event["how"]]
+                kind = codes.NODE_LIST_KINDS_BY_WIRE_CODE[event["how"]]
                 entries = lists[event["rosterId"]] if kind is not NodeListKind.FAILED else []
                 self.controller.on_node_list(kind, [self._entry(entry) for entry in entries], now)
             case _:
@@ -130,7 +130,7 @@
         weight = fields.get("share")
         return NodeEntry(
             node,
-            codec.NODE_STATUSES_BY_WIRE_CODE[fields["availability"]],
+            codes.NODE_STATUSES_BY_WIRE_CODE[fields["availability"]],
             terms.ms_to_ns(fields["startedAtMs"]),
             self.link_capacity_per_weight * (1.0 if weight is None else weight),
             self.playback_capacity_by_model.get(fields["classOfHost"], 0.0),
--- a/oakcroft/wirehost/loop.py
+++ b/oakcroft/wirehost/loop.py
@@ -7,7 +7,7 @@
 import orjson
 
 from oakcroft import terms
-from oakcroft.wirehost.instance import Message, WireFrontEnd
+from oakcroft.wirehost.front_end import Message, WireFrontEnd
 
 
 class BatchProcessor:
