--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -58,7 +58,7 @@
         return False
     if names and names[0] != ANY_NAME:
         known = _names_in_scope(scope, records)
-        if scope != LimitScope.WING.value or known:
+        if scope != LimitScope.ZONE.value or known:
             check_defined(record, "on", known, scope, diagnostics, names[0])
     return True
 
--- a/oakcroft/decisions/admission/request_limits.py
+++ b/oakcroft/decisions/admission/request_limits.py
@@ -21,7 +21,7 @@
     TOKEN = "token"
     ROUTE = "route"
     PLAN = "plan"
-    WING = "wing"
+    ZONE = "wing"
     ALL = "all"
 
 
@@ -104,7 +104,7 @@
     token: str
     route: str
     plan: str
-    wing: str
+    zone: str
 
     def name_in(self, scope: LimitScope) -> str:
         """Returns the name that the request has in a scope."""
@@ -112,7 +112,7 @@
             LimitScope.TOKEN: self.token,
             LimitScope.ROUTE: self.route,
             LimitScope.PLAN: self.plan,
-            LimitScope.WING: self.wing,
+            LimitScope.ZONE: self.zone,
         }.get(scope, "")
 
 
--- a/oakcroft/decisions/admission/service_levels.py
+++ b/oakcroft/decisions/admission/service_levels.py
@@ -28,8 +28,8 @@
     """A figure that levels are entered and left by; higher is worse. The values are configuration keys."""
 
     X = "x"  # load of all links, as admission control (SA2C) estimates it
-    BLIND = "blind"  # share of the nodes that do not report, 0 to 1
-    REFUSED = "refused"  # share of recent answers that were rejections
+    UNREPORTED = "blind"  # share of the nodes that do not report, 0 to 1
+    REJECTED = "refused"  # share of recent answers that were rejections
     LATE = "late"  # share of recent revenue that was not answered within its startup target
     LAG = "lag"  # lag of the front end's event loop, ns
 
@@ -333,6 +333,6 @@
         self._decay(now)
         has_enough = self.answers >= MIN_ANSWERS
         return {
-            LoadSignal.REFUSED: self.rejected / self.answers if has_enough else 0.0,
+            LoadSignal.REJECTED: self.rejected / self.answers if has_enough else 0.0,
             LoadSignal.LATE: self.late_revenue / self.revenue if has_enough and self.revenue > 0 else 0.0,
         }
--- a/oakcroft/decisions/moving/drain_notice.py
+++ b/oakcroft/decisions/moving/drain_notice.py
@@ -22,10 +22,10 @@
 class Drain:
     """Drain of one node. Times in ns.
 
-    `heard_at`: when this front end heard of it. `ends_at`: until when the node stays, if stated.
+    `known_since`: when this front end heard of it. `ends_at`: until when the node stays, if stated.
     """
 
-    heard_at: int
+    known_since: int
     ends_at: int | None
 
 
@@ -57,7 +57,7 @@
         drain = self.drains.pop(node, None)
         if drain is None or drain.ends_at is not None:
             return
-        duration = min(max(now - drain.heard_at, MIN_NOTICE_NS), MAX_NOTICE_NS)
+        duration = min(max(now - drain.known_since, MIN_NOTICE_NS), MAX_NOTICE_NS)
         weight = DECREASE_WEIGHT if duration < self.expected_duration else INCREASE_WEIGHT
         change = weight * (duration - self.expected_duration)
         self.expected_duration = round(self.expected_duration + change)
@@ -69,5 +69,5 @@
             return None
         ends_at = drain.ends_at
         if ends_at is None:
-            ends_at = drain.heard_at + round(self.expected_duration * SAFETY_FACTOR)
+            ends_at = drain.known_since + round(self.expected_duration * SAFETY_FACTOR)
         return max(0, ends_at - now)
--- a/oakcroft/decisions/routing/configuration_version.py
+++ b/oakcroft/decisions/routing/configuration_version.py
@@ -37,7 +37,7 @@
     number: int
     """Grows with each text that is read."""
 
-    meaning: Mapping[str, Mapping[str, object]]
+    resolved: Mapping[str, Mapping[str, object]]
     """Its values by form, by which versions are compared."""
 
     compiled: T
@@ -61,12 +61,12 @@
         if version.number <= self.version.number:
             return ConfigurationVerdict.OLDER, []
         restart_parts = [
-            p for p in RESTART_ONLY_PARTS if version.meaning.get(p) != self.version.meaning.get(p)
+            p for p in RESTART_ONLY_PARTS if version.resolved.get(p) != self.version.resolved.get(p)
         ]
         if restart_parts:
             return ConfigurationVerdict.NEEDS_RESTART, restart_parts
-        if version.meaning == self.version.meaning:
-            self.version = ConfigurationVersion(version.number, self.version.meaning, self.version.compiled)
+        if version.resolved == self.version.resolved:
+            self.version = ConfigurationVersion(version.number, self.version.resolved, self.version.compiled)
             return ConfigurationVerdict.SAME, []
         self.version = version
         return ConfigurationVerdict.TAKEN, []
--- a/oakcroft/decisions/routing/route_table.py
+++ b/oakcroft/decisions/routing/route_table.py
@@ -236,12 +236,12 @@
     )
 
 
-def can_both_match(a: Match, b: Match) -> bool:
+def can_both_match(first: Match, second: Match) -> bool:
     """Returns whether one request can meet the zone and claims of both."""
-    if a.zone and b.zone and a.zone != b.zone:
+    if first.zone and second.zone and first.zone != second.zone:
         return False
-    claims = dict(a.claims)
-    return all(claims.get(name, value) == value for name, value in b.claims)
+    claims = dict(first.claims)
+    return all(claims.get(name, value) == value for name, value in second.claims)
 
 
 def ambiguous_routes(routes: Sequence[Route]) -> list[tuple[Route, Route, str]]:
--- a/oakcroft/decisions/sessions/event_stream_health.py
+++ b/oakcroft/decisions/sessions/event_stream_health.py
@@ -69,7 +69,7 @@
         self.timeouts = timeouts
         self.state = StreamState.UNOPENED
         self.process = ""
-        self.last_heard_at = now
+        self.last_message_at = now
         self.broken_at = 0
         self.refusals = 0
         self.loss: LossCertainty | None = None  # until the node is heard again
@@ -84,7 +84,7 @@
         """Silence counts from now on, not from when the node was first listed. `now`: ns."""
         if self.state in (StreamState.UNOPENED, StreamState.LOST):
             self._set_state(StreamState.UNOPENED)
-            self.last_heard_at = now
+            self.last_message_at = now
             self.broken_at = 0
             self.refusals = 0
 
@@ -92,7 +92,7 @@
         """The stream is open and names the node's process; a loss if that is another than before. `now`: ns."""
         is_another = bool(self.process) and process != self.process
         self.process = process
-        self.last_heard_at = now
+        self.last_message_at = now
         self.broken_at = 0
         self.refusals = 0
         self.loss = None
@@ -101,7 +101,7 @@
 
     def message_received(self, now: int) -> None:
         """A message arrived on the stream. `now`: ns."""
-        self.last_heard_at = now
+        self.last_message_at = now
         self.broken_at = 0
         self._set_state(StreamState.ALIVE)
 
@@ -121,7 +121,7 @@
 
         This guards against a front end that ends all its playbacks after a pause longer than `lost_after`.
         """
-        self.last_heard_at += pause_ns
+        self.last_message_at += pause_ns
         if self.broken_at:
             self.broken_at += pause_ns
 
@@ -129,9 +129,9 @@
         """Checks the timeouts; returns the loss of the playbacks, if they have passed. `now`: ns."""
         if self.state is StreamState.LOST:
             return None
-        if now - self.last_heard_at > self.timeouts.silent_after:
+        if now - self.last_message_at > self.timeouts.silent_after:
             self._set_state(StreamState.SILENT)
-        since = self.broken_at or self.last_heard_at
+        since = self.broken_at or self.last_message_at
         return self._mark_lost(LossCertainty.PRESUMED) if now - since > self.timeouts.lost_after else None
 
     def _mark_lost(self, loss: LossCertainty) -> LossCertainty | None:
--- a/oakcroft/decisions/sessions/idempotency.py
+++ b/oakcroft/decisions/sessions/idempotency.py
@@ -31,7 +31,7 @@
     fingerprint: str  # title, plan and a digest of the offer; a repeat must have the same
     updated_at: int
     is_paid: bool
-    final: FinalAnswer | None = None
+    final_answer: FinalAnswer | None = None
     is_playing: bool = False
     answer: object = None
     was_replayed: bool = False  # to a later request
@@ -61,10 +61,10 @@
             return KeyDecision.NEW, None, None
         if record.fingerprint != fingerprint:
             return KeyDecision.REFUSE, Refusal.KEY_REUSED, None
-        if record.final is None:
+        if record.final_answer is None:
             return KeyDecision.REFUSE, Refusal.OUTSTANDING, None
         if self._must_replay(record):
-            record.was_replayed = record.was_replayed or record.final is FinalAnswer.ABORTED
+            record.was_replayed = record.was_replayed or record.final_answer is FinalAnswer.ABORTED
             return KeyDecision.REPLAY, None, record.answer
         return KeyDecision.NEW, None, None
 
@@ -76,8 +76,8 @@
     @staticmethod
     def _must_replay(record: KeyRecord) -> bool:
         """Whether a request must not run again: it plays, or is paid and may have run."""
-        return (record.final is FinalAnswer.PLAYS and (record.is_playing or record.is_paid)) or (
-            record.final is FinalAnswer.ABORTED and record.is_paid
+        return (record.final_answer is FinalAnswer.PLAYS and (record.is_playing or record.is_paid)) or (
+            record.final_answer is FinalAnswer.ABORTED and record.is_paid
         )
 
     def begin(self, key: str, fingerprint: str, is_paid: bool, now: int) -> bool:
@@ -92,7 +92,7 @@
     def record_answer(self, key: str, final: FinalAnswer, answer: object, now: int) -> None:
         """Keeps the final answer of a request. `now`: ns."""
         if record := self.records.get(key):
-            record.final = final
+            record.final_answer = final
             record.answer = answer
             record.updated_at = now
             record.is_playing = final is FinalAnswer.PLAYS
@@ -137,7 +137,7 @@
         """Drops keys past their retention; those in progress or playing stay."""
         while self.records:
             key, oldest = next(iter(self.records.items()))
-            if oldest.final is None or oldest.is_playing:
+            if oldest.final_answer is None or oldest.is_playing:
                 if now - oldest.updated_at <= self.retention:
                     return
                 oldest.updated_at = now  # still in progress or playing: moves to the end of the queue
@@ -155,7 +155,7 @@
     def _update_evictable(self, key: str, record: KeyRecord) -> None:
         """Updates whether a key may be evicted."""
         self.evictable.pop(key, None)
-        if record.final is not None and not self._must_replay(record):
+        if record.final_answer is not None and not self._must_replay(record):
             self.evictable[key] = None
 
     def _evict_oldest(self) -> bool:
--- a/oakcroft/front/service_levels.py
+++ b/oakcroft/front/service_levels.py
@@ -63,7 +63,7 @@
         policy = self.coordinator.policy
         own_signals = {
             LoadSignal.X: getattr(policy, "x", 0.0),
-            LoadSignal.BLIND: getattr(policy, "unreported_weight", 0.0),
+            LoadSignal.UNREPORTED: getattr(policy, "unreported_weight", 0.0),
             LoadSignal.LAG: float(self.loop_lag_ns),
         }
         return own_signals | self.recent_answers.signals(now)
--- a/oakcroft/wirehost/front_end.py
+++ b/oakcroft/wirehost/front_end.py
@@ -12,7 +12,7 @@
 Message = dict[str, Any]
 
 
-class WireFrontEnd:
+class SimulatorFrontEnd:
     """Host of the decision module for one front end; maps the ids on the wire to objects."""
 
     def __init__(self, front_id: str, event: Message, now: int, actions: list[Message]) -> None:
--- a/oakcroft/wirehost/loop.py
+++ b/oakcroft/wirehost/loop.py
@@ -7,7 +7,7 @@
 import orjson
 
 from oakcroft import terms
-from oakcroft.wirehost.front_end import Message, WireFrontEnd
+from oakcroft.wirehost.front_end import Message, SimulatorFrontEnd
 
 
 class BatchProcessor:
@@ -15,7 +15,7 @@
 
     def __init__(self) -> None:
         """Starts without front ends and lists."""
-        self.front_ends: dict[str, WireFrontEnd] = {}
+        self.front_ends: dict[str, SimulatorFrontEnd] = {}
         self.node_lists: dict[int, list[Message]] = {}
 
     def process(self, batch: dict[str, Any]) -> list[Message]:
@@ -44,7 +44,7 @@
         if op == "kill":
             self.front_ends.pop(front_id, None)
         elif op == "powerOn":
-            self.front_ends[front_id] = WireFrontEnd(front_id, event, now, actions)
+            self.front_ends[front_id] = SimulatorFrontEnd(front_id, event, now, actions)
         elif front_id in self.front_ends:
             front_end = self.front_ends[front_id]
             front_end.actions = actions
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -435,7 +435,7 @@
             "keys": [
                 key
                 for key, record in coordinator.idempotency_store.records.items()
-                if record.final is None or record.is_playing
+                if record.final_answer is None or record.is_playing
             ],
             "held": coordinator.durable_state.uncertain if coordinator.durable_state else None,
             "guests": front.connection_table.connections if front.connection_table else None,
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -269,7 +269,7 @@
             node_client.reopen_stream()
             await wait_until(
                 lambda: (
-                    node_client.stream_health.last_heard_at
+                    node_client.stream_health.last_message_at
                     > node_client.stream_requested_at
                     > earlier_request_at
                 )
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -161,11 +161,11 @@
 def test_recent_answers_yield_their_shares() -> None:
     """The shares of recent answers are those of the sums, and 0 once too few answers are left."""
     answers = RecentAnswers()
-    assert answers.signals(0)[LoadSignal.REFUSED] == 0.0
+    assert answers.signals(0)[LoadSignal.REJECTED] == 0.0
     for n in range(10):
         answers.record_answer(n % 2 == 0, 2.0, n >= 5, 0)
-    assert answers.signals(0) == {LoadSignal.REFUSED: 0.5, LoadSignal.LATE: 0.5}
-    assert answers.signals(60 * SECOND)[LoadSignal.REFUSED] == 0.0  # too few recent answers
+    assert answers.signals(0) == {LoadSignal.REJECTED: 0.5, LoadSignal.LATE: 0.5}
+    assert answers.signals(60 * SECOND)[LoadSignal.REJECTED] == 0.0  # too few recent answers
 
 
 SITE = """(operators (secret "operators-secret"))
