--- a/oakcroft/decisions/admission/client_limits.py
+++ b/oakcroft/decisions/admission/client_limits.py
@@ -37,7 +37,7 @@
 
 
 CLOSE_CODES = {ClientVerdict.MESSAGE_RATE_EXCEEDED: 1008, ClientVerdict.TOO_MANY_CONNECTIONS: 1013}
-"""WebSocket close code (RFC 6455 7.4.1 and its registry) by verdict.
+"""WebSocket close codes (RFC 6455 7.4.1 and its registry) by verdict.
 
 Any other verdict is sent as an answer, and the connection stays open.
 """
@@ -73,7 +73,7 @@
         return ClientVerdict.ALLOWED
 
     def receive_message(self, now: int) -> ClientVerdict:
-        """Charges one message to the message bucket. `now`: ns.
+        """Takes one token for a message from the message bucket. `now`: ns.
 
         The bucket holds a burst, so that a client that resumes its session may send many messages at once.
         """
@@ -85,7 +85,7 @@
     def request_playback(self, is_repeat: bool = False) -> ClientVerdict:
         """Counts a request for a playback as pending, unless a limit is reached.
 
-        A request whose answer is known already (`is_repeat`) is never rejected here.
+        A repeated request whose answer is already known (`is_repeat`) is never rejected here.
         """
         if not is_repeat and self.pending_requests >= self.limits.pending_requests:
             return ClientVerdict.TOO_MANY_REQUESTS
@@ -95,7 +95,7 @@
         return ClientVerdict.ALLOWED
 
     def finish_request(self, is_playing: bool) -> None:
-        """Ends a pending request. `is_playing`: whether the answer is a playback."""
+        """Ends a pending request. `is_playing`: whether it was answered with a playback."""
         self.pending_requests -= 1
         self.playbacks += is_playing
 
--- a/oakcroft/decisions/admission/connection_limits.py
+++ b/oakcroft/decisions/admission/connection_limits.py
@@ -56,14 +56,14 @@
 
     When the table is full, the connection that has been idle between requests for longest is closed for the
     new one, since its client has no request to repeat. If none is idle, the new connection is answered with
-    503: the requests on the others are still owed an answer. One source may hold only its share of the
-    connections.
+    503, because the requests on the others still have to be answered. One source may hold only its share of
+    the connections.
     """
 
     MIN_IDLE_NS = SECOND
 
     def __init__(self, limits: ConnectionLimits) -> None:
-        """Starts with no connections."""
+        """Starts without connections."""
         self.limits = limits
         self.connections: dict[int, Connection] = {}
         self.idle_numbers: dict[int, None] = {}  # longest idle first
@@ -166,12 +166,12 @@
     """Requests for playbacks that have no answer yet.
 
     A full queue rejects new requests at once. This guards against a queue in which every request waits until
-    it is too late; in particular against a fleet that does not answer, where each try holds a place until it
+    it is too late, in particular with a fleet that does not answer, where each try holds a place until it
     times out. Drawback: a short burst on a slow fleet is rejected although it would have been served.
     """
 
     def __init__(self, limits: ConnectionLimits) -> None:
-        """Starts with no requests."""
+        """Starts without requests."""
         self.limits = limits
         self.pending: dict[int, None] = {}
 
@@ -201,4 +201,4 @@
 
 
 MIN_SETUP_TIME_NS = 15 * MS
-"""Least time left in which a set-up is begun: two round trips and the node's processing."""
+"""Time left below which no set-up is started: two round trips and the node's processing."""
--- a/oakcroft/decisions/admission/deadlines.py
+++ b/oakcroft/decisions/admission/deadlines.py
@@ -1,8 +1,8 @@
 """Deadlines of requests: how long a viewer waits, as far as the front end can know.
 
 A viewer's time starts when it writes its request; the front end sees the request when it reads it. Between
-the two lies the time in the socket buffer, which is long when the process was paused. `PauseDetector` tells
-how far back a request read now may have been written.
+the two lies the time in the socket buffer, which is long when the process was paused. `PauseDetector` gives
+the earliest time at which a request that is read now may have been written.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 """Missed heartbeats that count as a pause; fewer are scheduling jitter."""
 
 PAUSE_COUNTS_FOR_NS = SECOND
-"""Time after a pause in which a request read may have been in the buffer throughout the pause."""
+"""Time after a pause in which a request that is read may have been in the buffer throughout the pause."""
 
 MAX_PAUSES = 16
 """Number of recent pauses that are kept."""
@@ -63,7 +63,7 @@
         """
         gap = read_at - self.last_heartbeat_at
         since = read_at
-        if gap > PAUSE_HEARTBEATS * HEARTBEAT_INTERVAL_NS:  # the heartbeat after the pause has not run yet
+        if gap > PAUSE_HEARTBEATS * HEARTBEAT_INTERVAL_NS:  # a pause whose end no heartbeat has recorded yet
             since = self.last_heartbeat_at
         else:
             for start, end in reversed(self.pauses):
@@ -102,8 +102,8 @@
     """Returns the deadline of a request. Times in ns.
 
     The client waits for as long as it asked for, at most for the plan's abandon time. The margin is time kept
-    for the way back: an answer written at the last moment still has to cross the network and the client's own
-    queue. It is at most half of the wait, for clients that wait for less than two margins.
+    for the way back: an answer written at the last moment still has to pass through the network and the
+    client's own queue. It is at most half of the wait, for clients that wait for less than two margins.
     """
     preferred = preferred_wait(prefer)
     wait = abandon_time if preferred is None else min(preferred, abandon_time)
@@ -124,7 +124,7 @@
 def is_too_late(deadline: Deadline, now: int, min_setup_time: int) -> bool:
     """Whether no set-up can end in the time that is left, so that the request is answered at once.
 
-    This guards against set-ups, paid ones among them, for viewers that will be gone, such as when a front end
-    returns from a pause to a queue of old requests. Drawback: a very fast node is never tried.
+    This guards against set-ups, paid ones among them, for viewers that will have left, for example when a
+    front end resumes after a pause with a queue of old requests. Drawback: a very fast node is never tried.
     """
     return deadline.time_left(now) < min_setup_time
--- a/oakcroft/decisions/admission/eviction.py
+++ b/oakcroft/decisions/admission/eviction.py
@@ -1,8 +1,8 @@
 """Which connection is closed for a new one when the limit on connections is reached.
 
-A front end may close a connection on which no request is open. A client that has its answer and plays nothing
-loses least by that. A client that is about to send a request loses most, since a request that crosses the
-close has to be sent again on a new connection.
+A front end may close a connection on which no request is open. That costs least for a client that has its
+answer and plays nothing, and most for one that is about to send a request: a request sent while the connection
+is being closed has to be sent again on a new one.
 """
 
 from __future__ import annotations
@@ -45,15 +45,15 @@
 
 
 def eviction_order(connection: IdleConnection, now: int) -> tuple[EvictionClass, int]:
-    """Returns the sort key of a connection: the least is closed first. `now`: ns.
+    """Returns the sort key of a connection: the lowest is closed first. `now`: ns.
 
     The order is by class and, within a class, by idle time, longest first.
 
     This guards against clients that open hundreds of connections and send nothing, and against crowds that
-    send one request and stay connected. When connections without a request always went first, however new
-    they were, such a crowd filled every place but one for good: each new connection closed the one before it,
-    and among the others the oldest went first, which were those with sessions. Drawback: a client that is
-    equally idle has to open another connection for its next request.
+    send one request and stay connected. If connections without a request were always closed first, however new
+    they are, such a crowd would fill every place but one for good: each new connection would close the one
+    before it, and among the others the oldest, those with sessions, would be closed first. Drawback: a client
+    that is equally idle has to open another connection for its next request.
     """
     return _eviction_class(connection, now), connection.idle_since
 
--- a/oakcroft/decisions/admission/load_shedding.py
+++ b/oakcroft/decisions/admission/load_shedding.py
@@ -1,14 +1,14 @@
 """Load shedding when the process nears its own capacity: a fair queue before admission control.
 
 While the front end keeps up, every request is processed at once. When its event loop lags, fewer requests are
-processed at a time and the rest wait here. Requests that can no longer be answered in time are answered at
-once. So is a new request whose plan already has as many waiting as get their turn within its startup target
-(`should_shed`), since rejecting is cheapest before the request is read.
-
-Among the rest, plans share turns in proportion to their revenue, each with a least share, so that plans of
-high revenue do not starve the others. Within a plan clients take turns, and the requests of one client go by
-deadline. Admission control never sees what is shed here: it learns load from the nodes, so its estimates stay
-correct.
+processed at a time and the rest wait here. Requests that can no longer be answered in time are rejected at
+once. So is a new request whose plan already has as many waiting as are processed within half its startup
+target (`should_shed`), since rejecting is cheapest before the request is read.
+
+Among the rest, plans get turns (requests processed) in proportion to their revenue, each with a minimum share,
+so that plans of high revenue do not starve the others. Within a plan clients take turns, and the requests of
+one client are ordered by deadline. Admission control never sees what is shed here; as it learns load from the
+nodes, its estimates stay correct.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from oakcroft.interface import MS, SECOND
 
 MIN_PLAN_SHARE = 0.1
-MIN_QUEUE_LENGTH = 4  # requests of a plan that may always wait
-THROUGHPUT_SMOOTHING = 0.8  # weight of the old estimate at each heartbeat
-MIN_FULL_QUEUE = 64  # waiting requests under which the queue is never full
-QUEUE_PER_WINDOW = 4  # waiting requests for each one that may be in progress, when the queue is full
-WINDOW_INCREASE = 8  # requests, at each heartbeat in time
+MIN_QUEUE_LENGTH = 4  # waiting requests of a plan below which none is shed, unless the whole queue is full
+THROUGHPUT_SMOOTHING = 0.8  # weight of the previous estimate at each heartbeat
+MIN_FULL_QUEUE = 64  # waiting requests below which the queue is never full
+QUEUE_PER_WINDOW = 4  # waiting requests of a full queue per request that may be in progress
+WINDOW_INCREASE = 8  # requests, at each heartbeat that is on time
 WINDOW_DECREASE = 0.8  # factor, at each late heartbeat
 
 
@@ -33,8 +33,8 @@
 class ConcurrencyWindow:
     """Number of requests that may be processed at one time, adapted to the lag of the event loop.
 
-    Additive increase, multiplicative decrease: 8 more with each heartbeat in time, a fifth less with each
-    late one.
+    Additive increase, multiplicative decrease: 8 more with each heartbeat that is on time, a fifth less with
+    each late one.
     """
 
     min_size: int = 16
@@ -72,7 +72,7 @@
 
 @dataclass
 class FairQueue:
-    """Weighted fair queue of requests by plan. `min_answer_time`: least time that an answer needs, ns."""
+    """Weighted fair queue of requests by plan. `min_answer_time`: shortest time that an answer takes, ns."""
 
     weights: Mapping[str, float]
     window: ConcurrencyWindow
@@ -87,14 +87,14 @@
     virtual_clock: float = 0.0
 
     def __post_init__(self) -> None:
-        """Makes the queues of the plans."""
+        """Creates the queues of the plans."""
         self.set_plans(self.weights, self.startup_targets)
 
     def set_plans(self, weights: Mapping[str, float], startup_targets: Mapping[str, int]) -> None:
         """Sets revenue (`weights`) and startup target (ns) by plan.
 
-        Each plan gets its share of turns, none less than the least share. A plan that is gone stays until its
-        last request has left.
+        Each plan gets its share of turns, none less than the minimum share. A removed plan stays until its last
+        request has left.
         """
         self.weights = weights
         self.startup_targets = startup_targets
@@ -146,10 +146,11 @@
     def should_shed(self, plan_name: str) -> bool:
         """Whether a new request of a plan is to be rejected at once.
 
-        It is if the plan's turns, at the recent throughput and against the plans that wait beside it, are
-        taken for half its startup target. This guards against answers that come late to all instead of in
-        time to some, without letting a crowd of one plan shut out the others. Drawback: if the throughput was
-        low for lack of demand, a few requests wait for less time than they could have.
+        It is if the plan has as many requests waiting as it gets turns within half its startup target, at the
+        recent throughput and beside the other plans with waiting requests. This guards against late answers to
+        all requests instead of timely answers to some, without letting a crowd of one plan shut out the
+        others. Drawback: if the throughput was low for lack of demand, a few requests wait for less time than
+        they could have.
         """
         if self.is_full:
             return True
@@ -181,7 +182,7 @@
         return expired
 
     def remove(self, number: int) -> None:
-        """Removes a request without its turn."""
+        """Removes a waiting request without processing it; an unknown one is ignored."""
         request = self.waiting.pop(number, None)
         if request is None:
             return
@@ -194,7 +195,7 @@
             del plan.requests_by_client[request.client]
 
     def next_request(self) -> QueuedRequest | None:
-        """Takes the request whose turn it is; None if none waits or too many are in progress."""
+        """Starts the request whose turn it is and returns it; None if none waits or too many are in progress."""
         if not self.waiting or self.in_progress >= self.window.size:
             return None
         plan_name = min(
--- a/oakcroft/decisions/admission/request_limits.py
+++ b/oakcroft/decisions/admission/request_limits.py
@@ -1,9 +1,9 @@
 """Rate and concurrency limits on requests; a front end enforces its share of the limits of the fleet.
 
-A limit applies to a token, a route, a plan, a wing (zone) or to all requests. A request passes if every limit
-that applies to it has room. Limits are checked in that order; all of them are charged or none, and the first
-that refuses names itself and, where it can, the time after which to try again. Limits are checked before
-admission control, which never sees what they refuse.
+A limit applies to a token, a route, a plan, a zone or to all requests, and limits are checked in that order. A
+request passes if every limit that applies to it has room; either all of them are charged or none. The refusal
+names the first limit without room and, where known, the time after which to retry. Limits are checked before
+admission control, which never sees the requests that they refuse.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class LimitScope(Enum):
-    """What a limit applies to, in the order in which limits are checked."""
+    """What a limit applies to, in the order in which limits are checked; the values are configuration words."""
 
     TOKEN = "token"
     ROUTE = "route"
@@ -26,7 +26,7 @@
 
 
 SCOPE_ORDER = list(LimitScope)
-ROUNDING_TOLERANCE = 1e-9  # part of a token that floating-point rounding may take
+ROUNDING_TOLERANCE = 1e-9  # part of a token that may be missing because of floating-point rounding
 
 
 @dataclass(frozen=True)
@@ -56,9 +56,9 @@
 
     Rates may be divided into fewer shares (`rate_shares`) than there are front ends if some have left for
     good (decisions/membership/shares.py). Concurrency limits are always divided by the number of front ends,
-    because playbacks that were let in by a front end that has left still play. Whole places are dealt out so
-    that the shares of all front ends sum to the limit exactly; a front end whose share is 0 admits none. So
-    the sum holds without any communication between front ends.
+    because playbacks that were let in by a front end that has left still play. Places are distributed so that
+    the shares of all front ends sum to the limit exactly, without any communication between them; a front end
+    whose share is 0 admits none.
     """
     if not limit.is_fleet_wide or front_count <= 1:
         return limit
@@ -83,7 +83,7 @@
         """Returns the tokens at a time, ns.
 
         A clock that goes back neither adds nor removes tokens. A clock that jumps ahead, or a pause of the
-        process, fills the bucket to its burst at most.
+        process, fills the bucket up to its burst at most.
         """
         if now > self.updated_at and limit.rate is not None:
             self.tokens = min(burst_size(limit), self.tokens + (now - self.updated_at) / SECOND * limit.rate)
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True)
 class RequestSubject:
-    """The token, route, plan and wing (zone) that a request is charged to."""
+    """The token, route, plan and zone that a request is charged to."""
 
     token: str
     route: str
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True)
 class LimitExceeded:
-    """A limit that refuses a request: its name, what of it is used up, and when to try again.
+    """A limit that refuses a request: its name, the figure that is used up, and when to retry.
 
     `retry_after_ns`: time until it has room; None if it is not known.
     """
--- a/oakcroft/decisions/admission/resume_tokens.py
+++ b/oakcroft/decisions/admission/resume_tokens.py
@@ -2,8 +2,8 @@
 
 A resume token names the client session and its expiry. It is signed with HMAC-SHA256 (RFC 2104) over these
 and the client that it was issued to. The signing key is replaced every `rotation_interval`; the previous key
-still verifies. A front end that restarts has new keys, so an older token is refused with a defined error, and
-the client sends its requests again with their Idempotency-Keys.
+still verifies. A front end that restarts has new keys: it refuses older tokens with a defined error, and the
+client sends its requests again with their Idempotency-Keys.
 """
 
 from __future__ import annotations
@@ -55,7 +55,11 @@
         """
         if number <= self.newest_key_number or len(key) < MIN_KEY_BYTES:
             raise ValueError("a signing key needs a number above the last one and at least 32 bytes")
-        previous = {n: k for n, k in self.keys.items() if n == self.newest_key_number}
+        previous = {
+            key_number: key_bytes
+            for key_number, key_bytes in self.keys.items()
+            if key_number == self.newest_key_number
+        }
         self.keys = previous | {number: key}
         self.newest_key_number = number
         self.rotated_at = now
--- a/oakcroft/decisions/admission/service_levels.py
+++ b/oakcroft/decisions/admission/service_levels.py
@@ -1,16 +1,16 @@
-"""Levels of reduced service: named, in order, with defined entries and exits and a bounded rate of changes.
+"""Levels of reduced service: named and ordered, with entry and exit thresholds and a bounded rate of changes.
 
 Level 0 is full service. Each further level is entered once one of its load signals has been over its entry
 threshold for a while, and left once all of them have been under their exit thresholds for longer. Nothing
-changes in the gap between the two, so a load that hovers at a threshold stays on one side of it. The bound on
-changes does not depend on the thresholds: a change is made only if fewer than `most_changes` were made in the
-`window` before it, whatever the signals say. The last place in a window is kept for a change to more
-reduction, since reducing late costs more than returning late.
+changes in the gap between the two thresholds (hysteresis), so a load that hovers at one of them causes no
+further changes. The bound on changes does not depend on the thresholds: a change is made only if fewer than
+`most_changes` were made in the `window` before it, whatever the signals say. The last change allowed in a
+window is reserved for more reduction, since reducing late costs more than returning late.
 
 This guards against flapping; against service that stays reduced for ever, since exits are checked all the
-time and a window passes; and against hundreds of front ends that change in step: each draws once how long a
-signal must hold, and lengthens its least time in a level and its window by a factor of its own. Drawback:
-after many changes the level lags behind the load by up to one and a half windows.
+time and a window passes; and against hundreds of front ends that change at the same moment: each draws once
+at random how long a signal must hold, and the factors that lengthen its least time in a level and its window.
+Drawback: after many changes the level lags behind the load by up to one and a half windows.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 class LoadSignal(Enum):
-    """A figure that levels are entered and left by; higher is worse. The values are configuration keys."""
+    """A figure by which levels are entered and left; higher is worse. The values are configuration keys."""
 
     X = "x"  # load of all links, as admission control (SA2C) estimates it
     UNREPORTED = "blind"  # share of the nodes that do not report, 0 to 1
-    REJECTED = "refused"  # share of recent answers that were rejections
-    LATE = "late"  # share of recent revenue that was not answered within its startup target
+    REJECTED = "refused"  # share of recent answers that were rejections, 0 to 1
+    LATE = "late"  # share of recent revenue whose requests were not answered within their startup target
     LAG = "lag"  # lag of the front end's event loop, ns
 
 
@@ -48,9 +48,9 @@
     """What a level restricts.
 
     - `max_rung`: highest rung of new playbacks, None for no restriction.
-    - `admitted_shares`: share of requests let in, by plan, for plans of which some are rejected.
-    - `moves_allowed`: whether moves begin.
-    - `maintenance_allowed`: whether background work goes on.
+    - `admitted_shares`: share of requests admitted, by plan, for plans of which some are rejected.
+    - `moves_allowed`: whether moves may start.
+    - `maintenance_allowed`: whether background work may run.
     """
 
     max_rung: int | None = None
@@ -87,8 +87,8 @@
     strong: float = 1.5
 
 
-MIN_ANSWERS = 3  # recent answers that the shares of answers are based on at least
-HOLD_SPREAD = 4  # range of the hold times of front ends, in configured hold times
+MIN_ANSWERS = 3  # recent answers below which the shares of answers count as 0
+HOLD_SPREAD = 4  # width of the range of random hold times, in configured hold times
 FULL_SERVICE = ServiceLevel("full", (), LevelEffects())
 
 
@@ -104,7 +104,7 @@
 
 @dataclass
 class LevelPin:
-    """A level set by an operator, in force until a time (ns) whatever the load signals say."""
+    """A level set by an operator, active until a time (ns) whatever the load signals say."""
 
     level: int
     until: int
@@ -133,11 +133,11 @@
         self.window = round(bounds.window * (1 + rng.random() / 2))
         self.entry_met_since: dict[int, int] = {}  # by level, since when an entry threshold is exceeded
         self.exits_met_since: dict[int, int] = {}  # by level, since when all exits hold
-        self.suppressed_changes = 0  # changes that the limits forbade
+        self.suppressed_changes = 0  # changes that the limits on changes have prevented
 
     @property
     def level(self) -> ServiceLevel:
-        """The level in force."""
+        """The active level."""
         return self.levels[self.current]
 
     # Load signals.
@@ -177,7 +177,7 @@
         """Returns the highest level that may be entered, or None.
 
         That is the highest level whose entry threshold has been exceeded for long enough. If any signal
-        exceeds its threshold by the factor `strong`, the time is not waited for.
+        exceeds its threshold by the factor `strong`, there is no waiting time.
         """
         held = [level for level, since in self.entry_met_since.items() if now - since >= self.enter_hold]
         is_far_over = any(
@@ -210,26 +210,26 @@
     # Changes of level.
 
     def change_allowed(self, reduces: bool, now: int) -> bool:
-        """Whether a change may be made now. `reduces`: it is a change to more reduction. `now`: ns."""
+        """Whether a change may be made now. `reduces`: whether it reduces service further. `now`: ns."""
         while self.change_times and self.change_times[0] <= now - self.window:
             self.change_times.popleft()
-        most = self.bounds.most_changes if reduces else self.bounds.most_changes - 1
-        return now - self.changed_at >= self.min_dwell and len(self.change_times) < most
+        max_changes = self.bounds.most_changes if reduces else self.bounds.most_changes - 1
+        return now - self.changed_at >= self.min_dwell and len(self.change_times) < max_changes
 
-    def _change_level(self, to: int, reason: str, now: int, pinned: bool = False) -> LevelChange | None:
-        """Puts a level in force, unless it is in force already or the limits on changes forbid it.
+    def _change_level(self, target: int, reason: str, now: int, pinned: bool = False) -> LevelChange | None:
+        """Activates a level, unless it is active already or the limits on changes forbid it.
 
         This is the only place where the level changes. A pinned level is not subject to the limits.
         """
-        if to == self.current:
+        if target == self.current:
             return None
-        if not pinned and not self.change_allowed(to > self.current, now):
+        if not pinned and not self.change_allowed(target > self.current, now):
             self.suppressed_changes += 1
             return None
         if not pinned:
             self.change_times.append(now)
-        change = LevelChange(now, self.level.name, self.levels[to].name, reason)
-        self.current = to
+        change = LevelChange(now, self.level.name, self.levels[target].name, reason)
+        self.current = target
         self.changed_at = now
         self.reason = reason
         self.history.append(change)
@@ -277,7 +277,7 @@
 
 
 class AdmissionGate:
-    """Lets in a fixed share of a plan's requests, evenly spread; a plan is shut out only by a share of 0."""
+    """Admits a fixed share of a plan's requests, evenly spread; only a share of 0 admits none."""
 
     def __init__(self) -> None:
         """Starts without counts."""
@@ -285,7 +285,7 @@
         self.rejected_counts: dict[str, int] = {}
 
     def admit(self, effects: LevelEffects, plan: str) -> bool:
-        """Whether to let this request of a plan in."""
+        """Whether to admit this request of a plan."""
         share = effects.admitted_shares.get(plan)
         if share is None:
             self.credit.pop(plan, None)
@@ -329,7 +329,7 @@
         self.late_revenue += 0.0 if in_time else revenue
 
     def signals(self, now: int) -> dict[LoadSignal, float]:
-        """Returns the shares as load signals; 0 while there are too few answers to tell. `now`: ns."""
+        """Returns the shares as load signals, 0 while there are too few answers. `now`: ns."""
         self._decay(now)
         has_enough = self.answers >= MIN_ANSWERS
         return {
--- a/oakcroft/decisions/sessions/answers.py
+++ b/oakcroft/decisions/sessions/answers.py
@@ -1,8 +1,8 @@
 """The final answer of a request for a playback, as an HTTP response.
 
 201 means that it plays. A rejection is 503 (RFC 9110 15.6.4): nothing ran, or a repeat is harmless, and the
-client may try again, after Retry-After if the deployment allows one. An abort is 504 (15.6.5): a set-up may
-have run without the front end's knowledge. For a plan paid at set-up its problem body says `retry: false`. No
+client may retry, after Retry-After if the deployment allows one. An abort is 504 (15.6.5): a set-up may have
+run without the front end's knowledge. For a plan paid at set-up its problem body says `retry: false`. No
 Retry-After is sent with a 504, since well-behaved clients repeat a 503 by themselves but not a POST that
 ended in 504. docs/front.md gives the reasons for these codes.
 """
@@ -25,7 +25,7 @@
 
 
 class Refusal(Enum):
-    """Why the front end refused a request before it became a playback."""
+    """Why the front end refused a request without a decision of admission control."""
 
     BUSY = "too many requests wait"
     TOO_LATE = "it cannot be answered in time"
@@ -54,7 +54,7 @@
 
 
 def rejected_reply(wait_ns: int) -> Reply:
-    """Returns the answer of a rejection by admission control. `wait_ns`: how long the client is to stay away."""
+    """Returns the answer of a rejection by admission control. `wait_ns`: how long the client should wait."""
     title = "No room for this playback now"
     return Reply(503, "urn:oakcroft:problem:rejected", title, retry_after_seconds(wait_ns))
 
@@ -71,7 +71,7 @@
 def limit_reply(exceeded: LimitExceeded) -> Reply:
     """Returns the answer of a limit that is reached: 429 (RFC 6585 4).
 
-    It has a Retry-After if the limit knows when it will have room.
+    It has a Retry-After if it is known when the limit will have room.
     """
     title = f"Limit {exceeded.limit} is reached: {exceeded.detail}"
     return Reply(429, "urn:oakcroft:problem:limit", title, retry_after_seconds(exceeded.retry_after_ns or 0))
--- a/oakcroft/decisions/sessions/client_session.py
+++ b/oakcroft/decisions/sessions/client_session.py
@@ -1,8 +1,9 @@
 """A client's session of the session API, which outlives its connections.
 
-Every message to the client is numbered. The client acknowledges what it has, and after a break it receives
-the rest, in order and without duplicates. The outbox is bounded: a client that acknowledges nothing for too
-long loses its session, and sends its requests again with their Idempotency-Keys.
+Every message to the client is numbered. The client acknowledges what it has received, and after a broken
+connection it receives the rest, in order and without duplicates. The outbox is bounded: a client that
+acknowledges nothing for too long loses its session, and has to send its requests again with their
+Idempotency-Keys.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 T = TypeVar("T")
 
 MAX_UNANSWERED_PINGS = 2
-"""Pings in a row without an answer after which a connection counts as dead."""
+"""Pings in a row that may be unanswered; with one more the connection counts as dead."""
 
 
 class ClientSessionState(Enum):
@@ -57,7 +58,7 @@
     unacknowledged: deque[tuple[int, T]] = field(default_factory=deque)
 
     def append(self, message: T) -> int | None:
-        """Keeps a message and returns its number; None if the outbox is full."""
+        """Adds a message and returns its number; None if the outbox is full."""
         if len(self.unacknowledged) >= self.capacity:
             return None
         number = self.next_number
@@ -66,10 +67,10 @@
         return number
 
     def acknowledge(self, number: int) -> bool:
-        """Drops the messages up to a number, which the client has.
+        """Drops the messages up to a number, which the client has received.
 
-        False for a number that was never sent: a client that acknowledges it is faulty, and believing it
-        would lose messages.
+        False for a number that was never sent: a client that acknowledges it is faulty, and messages would be
+        lost if it were believed.
         """
         if number >= self.next_number:
             return False
@@ -83,7 +84,9 @@
             return None
         if not self.unacknowledged and number + 1 < self.next_number:
             return None
-        return [(kept, message) for kept, message in self.unacknowledged if kept > number]
+        return [
+            (kept_number, message) for kept_number, message in self.unacknowledged if kept_number > number
+        ]
 
 
 @dataclass
@@ -91,10 +94,10 @@
     """One client's session: its outbox, its state and its connection. Times in ns.
 
     This guards against a dead connection that looks alive, which would hold its playbacks for ever, and
-    against two connections for one client: the later one wins, since only the client itself can have opened
-    it with its resume token, and the earlier one is told. After its connection broke, the client has
-    `resume_timeout` to come back. Drawback: viewers behind a network that is down for longer lose their
-    playbacks though they would have come back.
+    against two connections for one client: the later one replaces the earlier one, which is notified, since
+    only the client itself can have opened it with its resume token. After its connection broke, the client has
+    `resume_timeout` to resume the session. Drawback: viewers behind a network that is down for longer lose
+    their playbacks although they would have resumed.
     """
 
     resume_timeout: int
@@ -104,7 +107,7 @@
     changed_at: int = 0
 
     def _set_state(self, state: ClientSessionState, now: int) -> None:
-        """Changes the state; the only place where it changes. Raises ValueError for an invalid step."""
+        """Changes the state; the only place that does. Raises ValueError for an invalid transition."""
         if state not in NEXT_STATES[self.state]:
             raise ValueError(f"a client session cannot go from {self.state.value!r} to {state.value!r}")
         self.state = state
@@ -112,7 +115,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether it has ended for good."""
+        """Whether the session has ended and cannot be resumed."""
         return self.state in END_STATES
 
     def enqueue(self, message: T, now: int) -> int | None:
@@ -130,7 +133,7 @@
     def attach(
         self, connection: int, last_seen: int, now: int
     ) -> tuple[list[tuple[int, T]], int | None] | None:
-        """A connection resumes the session and names the last message that the client has. `now`: ns.
+        """Resumes the session on a connection; `last_seen` is the last message that the client has. `now`: ns.
 
         Returns the messages that it lacks, and the connection that it replaces, if any; None if the session
         has ended or some of the messages are no longer kept.
@@ -148,21 +151,21 @@
         return missed, earlier
 
     def detach(self, connection: int, now: int) -> bool:
-        """A connection broke; returns whether it was the session's connection. `now`: ns."""
+        """Handles a broken connection; returns whether it was the session's connection. `now`: ns."""
         if self.state is not ClientSessionState.ATTACHED or connection != self.connection:
             return False
         self._set_state(ClientSessionState.DETACHED, now)
         return True
 
     def leave(self, connection: int, now: int) -> bool:
-        """A client said goodbye on a connection; returns whether it was the session's connection. `now`: ns."""
+        """Handles a client that ends the session; returns whether it did so on its connection. `now`: ns."""
         if self.state is not ClientSessionState.ATTACHED or connection != self.connection:
             return False
         self._set_state(ClientSessionState.LEFT, now)
         return True
 
     def check_expiry(self, now: int) -> bool:
-        """Ends the session if its time to come back is over; True if this call ended it. `now`: ns."""
+        """Ends the session if its resume timeout is over; True if this call ended it. `now`: ns."""
         if self.state is ClientSessionState.DETACHED and now - self.changed_at > self.resume_timeout:
             self._set_state(ClientSessionState.EXPIRED, now)
             return True
@@ -173,19 +176,19 @@
 class KeepaliveProbe:
     """Keepalive of one connection, by pings.
 
-    A ping is sent when nothing arrived for `interval` ns. The connection counts as dead when two pings in a
-    row stay without an answer.
+    A ping is sent when nothing has arrived for `interval` ns. The connection counts as dead when more than
+    `MAX_UNANSWERED_PINGS` pings in a row are unanswered.
     """
 
     interval: int = 30 * SECOND
     unanswered_pings: int = 0
 
     def message_received(self) -> None:
-        """A message arrived."""
+        """Resets the count of unanswered pings; called for each message that arrives."""
         self.unanswered_pings = 0
 
     def ping_sent(self) -> None:
-        """Nothing arrived for `interval`: a ping is sent."""
+        """Counts a ping, which is sent when nothing has arrived for `interval`."""
         self.unanswered_pings += 1
 
     @property
--- a/oakcroft/decisions/sessions/event_stream_health.py
+++ b/oakcroft/decisions/sessions/event_stream_health.py
@@ -1,7 +1,7 @@
 """Health of a node's event stream, by which a front end judges whether the playbacks on the node are lost.
 
-A node's entry on the list comes seconds late and knows only of processes. The event stream is the front end's
-own: it names the node's process and carries heartbeats.
+A node's entry on the node list is seconds late and covers only processes. The event stream is a direct
+connection to the node: it names the node's process and carries heartbeats.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
 class EventStreamHealth:
     """Health of the event stream from one node to one front end.
 
-    This guards against playbacks that are kept as playing on a node that died, which would hold places, and
-    against ending them all because of a stream that broke while the node played on.
+    This guards against playbacks that count as playing on a node that has died, which would keep their seats
+    taken, and against ending them all because of a stream that broke while the node played on.
 
     - Proven loss: the node names a new process, refuses two connections in a row (nothing listens there), or
       says that it knows no session of this front end.
@@ -72,16 +72,16 @@
         self.last_message_at = now
         self.broken_at = 0
         self.refusals = 0
-        self.loss: LossCertainty | None = None  # until the node is heard again
+        self.loss: LossCertainty | None = None  # reset when a stream of the node opens again
 
     def _set_state(self, state: StreamState) -> bool:
-        """Changes the state; True if it is another. The only place where the state changes."""
+        """Changes the state; the only place that does. Returns whether the new state differs."""
         has_changed = self.state is not state
         self.state = state
         return has_changed
 
     def start(self, now: int) -> None:
-        """Silence counts from now on, not from when the node was first listed. `now`: ns."""
+        """Starts to watch the node: silence counts from now on, not from when it was first listed. `now`: ns."""
         if self.state in (StreamState.UNOPENED, StreamState.LOST):
             self._set_state(StreamState.UNOPENED)
             self.last_message_at = now
@@ -89,24 +89,24 @@
             self.refusals = 0
 
     def stream_opened(self, process: str, now: int) -> LossCertainty | None:
-        """The stream is open and names the node's process; a loss if that is another than before. `now`: ns."""
-        is_another = bool(self.process) and process != self.process
+        """Handles an opened stream, which names the node's process; a new process is a loss. `now`: ns."""
+        is_new_process = bool(self.process) and process != self.process
         self.process = process
         self.last_message_at = now
         self.broken_at = 0
         self.refusals = 0
         self.loss = None
         self._set_state(StreamState.ALIVE)
-        return LossCertainty.PROVEN if is_another else None
+        return LossCertainty.PROVEN if is_new_process else None
 
     def message_received(self, now: int) -> None:
-        """A message arrived on the stream. `now`: ns."""
+        """Handles a message on the stream. `now`: ns."""
         self.last_message_at = now
         self.broken_at = 0
         self._set_state(StreamState.ALIVE)
 
     def stream_broken(self, cause: StreamBreak, now: int) -> LossCertainty | None:
-        """The stream ended or could not be opened; returns the loss of the playbacks, if it proves one."""
+        """Handles a stream that ended or could not be opened; returns the loss of the playbacks, if any."""
         if self.state is StreamState.LOST:
             return None
         self.broken_at = self.broken_at or now
@@ -117,7 +117,7 @@
         return self.check(now)
 
     def discount_pause(self, pause_ns: int) -> None:
-        """Discounts a pause of the front end, during which the node could not be heard.
+        """Discounts a pause of the front end, during which it read no messages of the node.
 
         This guards against a front end that ends all its playbacks after a pause longer than `lost_after`.
         """
@@ -126,7 +126,7 @@
             self.broken_at += pause_ns
 
     def check(self, now: int) -> LossCertainty | None:
-        """Checks the timeouts; returns the loss of the playbacks, if they have passed. `now`: ns."""
+        """Checks the timeouts; returns the presumed loss of the playbacks after `lost_after`. `now`: ns."""
         if self.state is StreamState.LOST:
             return None
         if now - self.last_message_at > self.timeouts.silent_after:
@@ -135,7 +135,7 @@
         return self._mark_lost(LossCertainty.PRESUMED) if now - since > self.timeouts.lost_after else None
 
     def _mark_lost(self, loss: LossCertainty) -> LossCertainty | None:
-        """Marks the node as lost; returns the loss unless it was marked before."""
+        """Marks the node as lost; returns the loss, or None if it was marked before."""
         if loss is LossCertainty.PROVEN:
             self.process = ""
         self.refusals = 0
--- a/oakcroft/decisions/sessions/idempotency.py
+++ b/oakcroft/decisions/sessions/idempotency.py
@@ -1,10 +1,10 @@
 """Requests repeated under one Idempotency-Key (draft-ietf-httpapi-idempotency-key-header-07).
 
-A viewer whose connection broke does not know whether its playback runs. With its key it may ask again. While
-the first request is in progress, whether or not its viewer has gone, the repeat is answered with 409. An
-answer that binds the fleet is given again. A request that ran nothing starts anew. So a paid playback is set
-up once, however often its viewer asks. Its answer is given again even after its end, when the session that it
-names is a 404.
+A viewer whose connection broke does not know whether its playback runs, and may repeat its request with the
+same key. While the first request is in progress, whether or not its viewer has gone, the repeat is answered
+with 409. If the first request plays, or is paid and has or may have run, its answer is replayed; otherwise the
+repeat is a new request. So a paid playback is set up once, however often its viewer repeats the request. Its
+answer is replayed even after its end, when the session that it names is answered with 404.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 class KeyRecord:
     """What is kept of one key. `updated_at`: ns."""
 
-    fingerprint: str  # title, plan and a digest of the offer; a repeat must have the same
+    fingerprint: str  # title, plan and a digest of the offer; must be the same in a repeated request
     updated_at: int
     is_paid: bool
     final_answer: FinalAnswer | None = None
     is_playing: bool = False
     answer: object = None
-    was_replayed: bool = False  # to a later request
+    was_replayed: bool = False  # whether an abort was replayed to a later request
 
 
 class IdempotencyStore:
     """The keys of one front end, a bounded number, oldest dropped first.
 
-    When the store is full, the oldest key that binds nothing is evicted: it has an answer, no running
-    playback, and is not of a paid request that may have run. If there is none, the new key is not kept, as
-    `begin` reports. A free request is served all the same, since a full store must not reject viewers; a paid
-    one must not be begun.
+    When the store is full, the oldest key whose answer need not be replayed is evicted: it has an answer, no
+    running playback, and is not of a paid request that may have run. If there is none, `begin` returns False
+    and the new key is not kept. A free request is served all the same, since a full store must not reject
+    viewers; a paid one must not be started.
     """
 
     def __init__(self, capacity: int, retention: int) -> None:
@@ -51,10 +51,12 @@
         self.capacity = capacity
         self.retention = retention
         self.records: OrderedDict[str, KeyRecord] = OrderedDict()
-        self.evictable: OrderedDict[str, None] = OrderedDict()  # keys that bind nothing, oldest first
+        self.evictable: OrderedDict[str, None] = (
+            OrderedDict()
+        )  # keys whose answers need not be replayed, oldest first
 
     def decide(self, key: str, fingerprint: str, now: int) -> tuple[KeyDecision, Refusal | None, object]:
-        """Decides on a request with a key; returns the refusal or the answer to give with it. `now`: ns."""
+        """Decides on a request with a key; returns also the refusal, or the answer to replay. `now`: ns."""
         self._expire(now)
         record = self.records.get(key)
         if record is None:
@@ -69,19 +71,19 @@
         return KeyDecision.NEW, None, None
 
     def has_replay(self, key: str) -> bool:
-        """Whether a request with this key gets an answer that is kept."""
+        """Whether a request with this key gets the answer of an earlier one."""
         record = self.records.get(key)
         return record is not None and self._must_replay(record)
 
     @staticmethod
     def _must_replay(record: KeyRecord) -> bool:
-        """Whether a request must not run again: it plays, or is paid and may have run."""
+        """Whether a request must not run again: it plays, or is paid and has or may have run."""
         return (record.final_answer is FinalAnswer.PLAYS and (record.is_playing or record.is_paid)) or (
             record.final_answer is FinalAnswer.ABORTED and record.is_paid
         )
 
     def begin(self, key: str, fingerprint: str, is_paid: bool, now: int) -> bool:
-        """A request with this key has become a playback; False if there is no room for the key. `now`: ns."""
+        """Keeps the key of a request that becomes a playback; False if there is no room for it. `now`: ns."""
         self._expire(now)
         self._drop(key)
         if len(self.records) >= self.capacity and not self._evict_oldest():
@@ -100,10 +102,10 @@
             self._update_evictable(key, record)
 
     def playback_ended(self, key: str, answer: object, now: int) -> None:
-        """The playback of an answer is over. `now`: ns.
+        """Handles the end of the playback of an answer. `now`: ns.
 
-        A later request with the key of a free playback is a new one. The end of an earlier playback under the
-        same key may come late; it does not end the later one.
+        A later request with the key of a free playback is then a new one. A late end of an earlier playback
+        under the same key does not end the later one.
         """
         record = self.records.get(key)
         if record is not None and record.is_playing and record.answer is answer:
@@ -125,7 +127,7 @@
     def forget(self, key: str) -> bool:
         """Drops a key whose set-up provably never ran, so that a request with it is a new one.
 
-        False, and nothing changes, if its answer has been given again already.
+        Does nothing and returns False if its answer was replayed already.
         """
         record = self.records.get(key)
         if record is not None and record.was_replayed:
@@ -134,7 +136,7 @@
         return True
 
     def _expire(self, now: int) -> None:
-        """Drops keys past their retention; those in progress or playing stay."""
+        """Drops keys past their retention, except for those in progress or playing."""
         while self.records:
             key, oldest = next(iter(self.records.items()))
             if oldest.final_answer is None or oldest.is_playing:
@@ -148,7 +150,7 @@
                 return
 
     def _drop(self, key: str) -> None:
-        """Drops a key."""
+        """Removes a key, whether or not it may be evicted."""
         self.records.pop(key, None)
         self.evictable.pop(key, None)
 
@@ -159,7 +161,7 @@
             self.evictable[key] = None
 
     def _evict_oldest(self) -> bool:
-        """Evicts the oldest key that may be; False if there is none."""
+        """Evicts the oldest evictable key; False if there is none."""
         if not self.evictable:
             return False
         self._drop(next(iter(self.evictable)))
--- a/oakcroft/decisions/sessions/node_sessions.py
+++ b/oakcroft/decisions/sessions/node_sessions.py
@@ -1,7 +1,8 @@
-"""Sessions of this front end on one node: its own view compared with the node's reports.
+"""Sessions of this front end on one node: its own view reconciled with the node's reports.
 
-A set-up whose answer was lost leaves a session that belongs to no playback; an event stream that broke hides
-ends. The node's reports, sent when an event stream opens and at each start and end, settle both.
+A set-up whose answer was lost leaves a session that belongs to no playback, and while an event stream is broken,
+ends of sessions are missed. The node's reports, sent when an event stream opens and at each start and end of a
+session, reveal both.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
     This guards against orphans. A session that the node started for this front end and that no try has
     claimed within `claim_timeout` (longer than any try may take) is to be ended, as its viewer was told that
     the set-up failed. Causes are lost answers, timeouts, viewers that left meanwhile, and a node that reports
-    sessions without end: past `max_unclaimed`, far more than the tries that can be in progress on one node,
-    the oldest are ended at once. It also guards against playbacks kept here that the node has ended without
-    the front end's knowledge.
+    ever more sessions: past `max_unclaimed`, far more than the tries that can be in progress on one node, the
+    oldest are ended at once. It also guards against playbacks kept here that the node has ended without the
+    front end's knowledge.
 
-    A front end that is paused for longer than `claim_timeout` would end sessions whose answers wait in its
-    buffers, so pauses are not counted (`discount_pause`).
+    A front end that was paused for longer than `claim_timeout` would end sessions whose answers are still in
+    its receive buffers, so pauses do not count (`discount_pause`).
     """
 
     def __init__(self, claim_timeout: int, max_unclaimed: int = 4096) -> None:
@@ -42,12 +43,12 @@
         return True
 
     def session_started(self, session: str, now: int) -> None:
-        """The node reports that it started a session for this front end. `now`: ns."""
+        """Handles the node's report that it started a session for this front end. `now`: ns."""
         if session not in self.claimed and session not in self.ended_unclaimed:
             self.unclaimed.setdefault(session, now)
 
     def session_ended(self, session: str) -> bool:
-        """The node reports the end of a session; returns whether it was claimed."""
+        """Handles the node's report that a session ended; returns whether the session was claimed."""
         self.unclaimed.pop(session, None)
         if self.claimed.pop(session, None) is not None:
             return True
@@ -57,15 +58,15 @@
         return False
 
     def session_released(self, session: str) -> None:
-        """This front end ended a session itself."""
+        """Forgets a session that this front end ended itself."""
         self.claimed.pop(session, None)
         self.unclaimed.pop(session, None)
 
     def reconcile(self, sessions: Iterable[str], requested_at: int, now: int) -> list[str]:
-        """Takes the node's list of all sessions of this front end; returns the claimed ones that it lacks.
+        """Compares with the node's list of all sessions of this front end; returns the claimed ones missing there.
 
         `requested_at`: when the list was requested, ns. A session claimed since then may be missing from the
-        list and play all the same, because it began between the node's report and the report's arrival.
+        list although it plays, because it started between the node's report and the report's arrival.
         """
         running = set(sessions)
         lost = [
@@ -91,7 +92,7 @@
         return orphans
 
     def discount_pause(self, pause_ns: int) -> None:
-        """Discounts a pause of the front end: it counts against no unclaimed session."""
+        """Discounts a pause of the front end from the age of all unclaimed sessions."""
         for session in self.unclaimed:
             self.unclaimed[session] += pause_ns
 
@@ -100,7 +101,7 @@
         return list(self.claimed)
 
     def lose_all(self) -> list[str]:
-        """The node is lost: forgets all sessions and returns the claimed ones."""
+        """Forgets all sessions of a lost node and returns the claimed ones."""
         lost = list(self.claimed)
         self.claimed = {}
         self.unclaimed.clear()
--- a/oakcroft/decisions/sessions/release_delivery.py
+++ b/oakcroft/decisions/sessions/release_delivery.py
@@ -1,8 +1,9 @@
 """How the end of a session reaches its viewer: on which connection it is sent, and when it is sent again.
 
-A session belongs to no connection, so its release may be sent on any connection from viewers. Who holds such
-a connection is not known, though: a client that sends requests but no viewer's traffic passes nothing on. A
-viewer confirms each release that it receives; one that is not confirmed is sent again on another connection.
+A session belongs to no connection, so its release (the message that ends it) may be sent on any connection from
+viewers. It is not known, though, who is at the other end: a client that sends requests but serves no viewers
+passes no release on. A viewer confirms each release that it receives; an unconfirmed release is sent again on
+another connection.
 """
 
 from __future__ import annotations
@@ -37,10 +38,10 @@
 
 
 def target_order(target: ReleaseTarget) -> tuple[bool, bool, bool]:
-    """Returns the sort key of a connection: the least is tried first.
+    """Returns the sort key of a connection: the lowest is tried first.
 
-    This guards against releases that go to clients which are no viewers. On a day with a crowd, none of 231
-    releases sent on connections that had never been served was confirmed, and all of 1,813 on others were.
+    This guards against releases that are sent to clients without viewers. In a run with a crowd of clients, none
+    of 231 releases sent on connections that had never been served was confirmed, and all of 1,813 on others were.
     """
     return not target.carried_setup, not target.has_served, not target.session_count
 
@@ -56,8 +57,8 @@
 class UnconfirmedReleases:
     """Releases that were sent and that no viewer has confirmed.
 
-    Past `MAX_UNCONFIRMED` the oldest counts as confirmed. A release that is sent twice costs some bytes only,
-    since a viewer ignores sessions that it does not know.
+    Past `MAX_UNCONFIRMED` the oldest counts as confirmed. A duplicate release costs only some bytes, since a
+    viewer ignores sessions that it does not know.
     """
 
     def __init__(self) -> None:
@@ -73,7 +74,7 @@
         return session in self._attempts
 
     def record_sent(self, session: str, now: int) -> None:
-        """Notes that a release was sent, for the first time or again. `now`: ns."""
+        """Records that a release was sent, for the first time or again. `now`: ns."""
         attempt = self._attempts.setdefault(session, _Attempt(now, 0))
         attempt.sent_at = now
         attempt.attempts += 1
@@ -81,17 +82,17 @@
             self._attempts.popitem(last=False)
 
     def confirm(self, session: str) -> None:
-        """Notes that a viewer has confirmed a release; unknown ones are ignored."""
+        """Records that a viewer has confirmed a release; unknown ones are ignored."""
         self._attempts.pop(session, None)
 
     def overdue(self, now: int) -> list[str]:
         """Returns the releases to send again; drops those without attempts left. `now`: ns."""
-        again = []
+        overdue = []
         for session, attempt in list(self._attempts.items()):
             if now - attempt.sent_at < CONFIRM_TIMEOUT_NS:
                 continue
             if attempt.attempts < MAX_ATTEMPTS:
-                again.append(session)
+                overdue.append(session)
             else:
                 del self._attempts[session]
-        return again
+        return overdue
--- a/oakcroft/decisions/sessions/session_resource.py
+++ b/oakcroft/decisions/sessions/session_resource.py
@@ -1,7 +1,7 @@
-"""State machine of one WHIP or WHEP session resource: what a PATCH, a DELETE or a layer selection on it gets.
+"""State machine of one WHIP or WHEP session resource: the response to a PATCH, a DELETE or a layer selection.
 
-It follows RFC 9725 4.3 and 4.2 and draft-ietf-wish-whep 4. The ETag names the ICE session. Trickled
-candidates must name the one in force; a restart makes a new one. A step that a playout node has to take is
+It follows RFC 9725 4.3 and 4.2 and draft-ietf-wish-whep 4. The ETag identifies the ICE session. Trickled
+candidates must name the current one; a restart creates a new one. A step that a playout node has to take is
 returned as a `ResourceAction`, and the resource changes once the node has answered.
 """
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ResourceError:
-    """An error answer that needs no node: status, problem type and title (RFC 9457)."""
+    """An error response that needs no node: status, problem type and title (RFC 9457)."""
 
     status: int
     problem_type: str
@@ -51,8 +51,8 @@
 class SessionResource:
     """One session resource.
 
-    `etag` is the entity tag in force, without quotes. `ufrag` is the ICE user fragment of the client's offer,
-    by which trickled candidates are told from a restart.
+    `etag` is the current entity tag, without quotes. `ufrag` is the ICE user fragment of the client's offer,
+    which distinguishes trickled candidates from a restart.
     """
 
     etag: str
@@ -62,7 +62,7 @@
     candidate_count: int = 0
 
     def _set_phase(self, phase: ResourcePhase) -> None:
-        """Changes the phase; the only place where it changes. Raises ValueError for an invalid step."""
+        """Changes the phase; the only place that does. Raises ValueError for an invalid transition."""
         if phase not in NEXT_PHASES[self.phase]:
             raise ValueError(f"a session cannot go from {self.phase.value} to {phase.value}")
         self.phase = phase
@@ -79,7 +79,7 @@
         """Checks a PATCH with a fragment that names `ufrag` and carries `candidate_count` candidates.
 
         A precondition is required (428, RFC 6585 3) and checked (412, RFC 9110 15.5.13) as RFC 9725 4.3.1
-        defines: a restart has `If-Match: *`, trickled candidates have the entity tag in force.
+        defines: a restart has `If-Match: *`, trickled candidates have the current entity tag.
         """
         if media_type != SDPFRAG_MEDIA_TYPE:
             return ResourceError(
@@ -111,13 +111,13 @@
         return ResourceAction.TRICKLE
 
     def restart_succeeded(self, etag: str, ufrag: str) -> None:
-        """The node has a new ICE session."""
+        """Handles the node's new ICE session."""
         if self.phase is ResourcePhase.RESTARTING:
             self._set_phase(ResourcePhase.LIVE)
             self.etag, self.ufrag, self.candidate_count = etag, ufrag, 0
 
     def restart_failed(self) -> None:
-        """The node refused or did not answer: the old ICE session stays in force (RFC 9725 4.3.3)."""
+        """Handles a restart that the node refused or did not answer: the old ICE session stays (RFC 9725 4.3.3)."""
         if self.phase is ResourcePhase.RESTARTING:
             self._set_phase(ResourcePhase.LIVE)
 
@@ -129,6 +129,6 @@
         return ResourceAction.END
 
     def end(self) -> None:
-        """The playback is over; may be called more than once."""
+        """Handles the end of the playback; may be called more than once."""
         if self.phase is not ResourcePhase.ENDED:
             self._set_phase(ResourcePhase.ENDED)
--- a/oakcroft/decisions/sessions/setup_outcome.py
+++ b/oakcroft/decisions/sessions/setup_outcome.py
@@ -1,7 +1,7 @@
 """Outcome of a setup try, from how far its request got on its connection.
 
-Admission control must know "provably never ran" from "may have run"; RFC 9110 9.2.2 leaves it to the client
-to know whether a request was applied. A try moves through defined stages, and the stage at its end together
+Admission control must distinguish "provably never ran" from "may have run"; RFC 9110 9.2.2 leaves it to the
+client to know whether a request was applied. A try moves through defined stages, and the stage at its end together
 with the kind of end decide the outcome. docs/front.md shows the same as a table.
 """
 
@@ -23,7 +23,7 @@
 
 
 class RequestStage(Enum):
-    """How far a request has got."""
+    """How far a request has progressed on its connection."""
 
     QUEUED = "waiting for its turn"
     CONNECTING = "connecting"
@@ -49,10 +49,8 @@
     RequestStage.QUEUED: {RequestStage.CONNECTING, RequestStage.CONNECTED},
     RequestStage.CONNECTING: {RequestStage.CONNECTED},
     RequestStage.CONNECTED: {RequestStage.PARTLY_WRITTEN},
-    RequestStage.PARTLY_WRITTEN: {
-        RequestStage.WRITTEN,
-        RequestStage.RESPONSE_STARTED,
-    },  # a node may answer before it has read the whole request
+    # A node may answer before it has read the whole request.
+    RequestStage.PARTLY_WRITTEN: {RequestStage.WRITTEN, RequestStage.RESPONSE_STARTED},
     RequestStage.WRITTEN: {RequestStage.RESPONSE_STARTED},
     RequestStage.RESPONSE_STARTED: {RequestStage.RESPONSE_READ},
     RequestStage.RESPONSE_READ: set[RequestStage](),
@@ -72,7 +70,7 @@
     def advance(self, stage: RequestStage) -> None:
         """Moves to the next stage; the only place where the stage changes.
 
-        Raises ValueError for a step that cannot happen on a connection.
+        Raises ValueError for a transition that cannot happen on a connection.
         """
         if stage not in NEXT_STAGES[self.stage]:
             raise ValueError(f"a try cannot go from {self.stage.value!r} to {stage.value!r}")
@@ -83,10 +81,10 @@
 def setup_outcome(progress: RequestProgress, end: RequestEnd) -> Outcome:
     """Returns the outcome of a setup try for admission control.
 
-    This guards against a paid playback that is set up twice: only what the connection proves counts as never
-    run. A request written in part counts as run, since a node may act on what it has (only the end of the
-    body is marked), and so does one on a kept-alive connection that closed under it. Drawback: a paid
-    playback is aborted that might have been tried again.
+    This guards against a paid playback that is set up twice: a request counts as never run only if the
+    connection proves it. A request written in part counts as run, since a node may act on what it has (only
+    the end of the body is marked), and so does one on a kept-alive connection that the node closed meanwhile.
+    Drawback: a paid playback is aborted that could have been retried.
 
     Raises ValueError for an answer that was not read whole.
     """
@@ -106,7 +104,7 @@
 
 
 def _answered_outcome(progress: RequestProgress) -> Outcome:
-    """Returns the outcome of a whole response."""
+    """Returns the outcome of a try whose response was read whole."""
     if progress.status == STATUS_CREATED:
         return Outcome.DONE
     if progress.status == STATUS_UNAVAILABLE and progress.problem_type in (
@@ -117,6 +115,6 @@
     return Outcome.ERROR
 
 
-def proves_not_run(result: Outcome) -> bool:
+def proves_not_run(outcome: Outcome) -> bool:
     """Whether an outcome proves that nothing ran."""
-    return result in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
+    return outcome in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
