--- a/oakcroft/decisions/moving/degrading_nodes.py
+++ b/oakcroft/decisions/moving/degrading_nodes.py
@@ -1,8 +1,8 @@
 """Detection of nodes whose delivery degrades before they fail: the evidence that suffices to leave one early.
 
-A node that ages delivers less and less while its list entry stays ready. Each report of a short delivery is
-one piece of evidence. Another program that takes the node's link for a while looks alike for seconds, and so
-does congestion that many nodes share.
+A degrading node delivers less and less while its list entry stays ready. Each report of short delivery is one
+piece of evidence. Another program that uses the node's link for a while looks the same for seconds, and so does
+congestion that many nodes share.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 REPORT_COUNT = 4
 REPORT_SPAN_NS = 12 * SECOND
-MIN_FALL_PER_REPORT = 0.06  # of the delivered share, on average
-RECOVERED_SHARE = 0.98  # delivered share from which a node counts as sound again
-MAX_SHARE_OF_FLEET = 0.75  # of what the other nodes deliver
-WEAK_SHARE = 0.75  # of the last report; viewers begin to leave at this share
+MIN_FALL_PER_REPORT = 0.06  # fall of the delivered share from one report to the next, on average
+RECOVERED_SHARE = 0.98  # delivered share from which a node no longer counts as degrading
+MAX_SHARE_OF_FLEET = 0.75  # a degrading node delivers less than this part of what the other nodes deliver
+WEAK_SHARE = 0.75  # a degrading node delivers less than this; viewers begin to leave at this share
 
 
 @dataclass
@@ -32,14 +32,14 @@
 class DegradingNodes:
     """Which nodes degrade.
 
-    A node degrades if its last four reports within twelve seconds fall each time, by at least 0.06 a report
-    on average, to under three quarters, and it delivers less than three quarters of what the other nodes
-    deliver. Congestion of all nodes is no reason to move, as no other node is better.
+    A node degrades if the delivered share falls with each of its last four reports within twelve seconds, by
+    at least 0.06 a report on average, to under three quarters, and is less than three quarters of what the
+    other nodes deliver. Congestion of all nodes is no reason to move, as no other node is better.
 
-    This guards against viewers that stall for the ten seconds between a node's first weakness and its
+    This guards against viewers that stall for the ten seconds between the start of a node's degradation and its
     failure. A false alarm costs one further try and a second copy for some hundred milliseconds for each free
-    playback there, so at most `max_concurrent` nodes of a front end are left early at one time. Drawback:
-    another program whose use of the node grows slowly empties a node that would have recovered.
+    playback there, so a front end leaves at most `max_concurrent` nodes early at one time. Drawback: another
+    program whose use of the node's link grows slowly causes a node to be left that would have recovered.
     """
 
     max_concurrent: int = 1
@@ -47,7 +47,7 @@
     leaving_since: dict[str, int] = field(default_factory=dict)  # nodes being left and since when, ns
 
     def report(self, node: str, share: float, fleet_share: float, now: int) -> bool:
-        """Takes a report of the share delivered at a node; True if the node is to be left from now on.
+        """Records a report of the share that a node delivers; True if the node is to be left from now on.
 
         `fleet_share` is the share that the other nodes deliver on average. `now`: ns.
         """
@@ -77,6 +77,6 @@
         return is_falling and is_steep and is_weak
 
     def forget(self, node: str) -> None:
-        """Drops a node that delivers again, has failed, or drains by the list."""
+        """Forgets a node that delivers again, has failed, or is listed as draining."""
         self.trends.pop(node, None)
         self.leaving_since.pop(node, None)
--- a/oakcroft/decisions/moving/drain_notice.py
+++ b/oakcroft/decisions/moving/drain_notice.py
@@ -1,8 +1,7 @@
-"""How long a draining node stays, stated or estimated.
+"""Drain notices: how long a draining node stays, as stated in the node list or estimated from earlier drains.
 
-Some lists state until when a node stays; most say only that it drains. The duration of earlier drains is kept
-as a low estimate that follows quickly downwards, since a move that comes too late is a stall, and slowly
-upwards.
+Some lists state until when a node stays; most say only that it drains. The estimate falls quickly and rises
+slowly, so that it stays low: a move that comes too late stalls the playback.
 """
 
 from __future__ import annotations
@@ -11,18 +10,18 @@
 
 from oakcroft.interface import MS, SECOND
 
-DECREASE_WEIGHT = 0.5  # of a drain shorter than the estimate
-INCREASE_WEIGHT = 0.1  # of a drain longer than the estimate
+DECREASE_WEIGHT = 0.5  # weight of a drain that was shorter than the estimate
+INCREASE_WEIGHT = 0.1  # weight of a drain that was longer than the estimate
 MIN_NOTICE_NS = 200 * MS
 MAX_NOTICE_NS = 600 * SECOND
-SAFETY_FACTOR = 0.8  # part of the estimate that is relied on, since nodes go early as well as late
+SAFETY_FACTOR = 0.8  # part of the estimate that is relied on, since some nodes leave earlier
 
 
 @dataclass
 class Drain:
     """Drain of one node. Times in ns.
 
-    `known_since`: when this front end heard of it. `ends_at`: until when the node stays, if stated.
+    `known_since`: when this front end learned of it. `ends_at`: until when the node stays, if stated.
     """
 
     known_since: int
@@ -37,7 +36,7 @@
     drains: dict[str, Drain] = field(default_factory=dict)
 
     def start_drain(self, node: str, now: int, ends_at: int | None) -> bool:
-        """A node drains; False if that was known already. A later statement of its end is taken over."""
+        """Records that a node drains; False if that was known already, then only a stated end is updated."""
         drain = self.drains.get(node)
         if drain is not None:
             drain.ends_at = ends_at if ends_at is not None else drain.ends_at
@@ -46,13 +45,13 @@
         return True
 
     def cancel_drain(self, node: str) -> bool:
-        """The node is ready again; returns whether it was draining."""
+        """Records that a node is ready again; returns whether it was draining."""
         return self.drains.pop(node, None) is not None
 
     def node_gone(self, node: str, now: int) -> None:
-        """The node has gone or failed: the duration of its drain updates the estimate.
+        """Records that a node has left or failed, and updates the estimate by the duration of its drain.
 
-        A drain whose end was stated says nothing about those whose end is not.
+        A drain whose end was stated is no evidence for drains without a stated end.
         """
         drain = self.drains.pop(node, None)
         if drain is None or drain.ends_at is not None:
--- a/oakcroft/decisions/moving/handover.py
+++ b/oakcroft/decisions/moving/handover.py
@@ -1,12 +1,12 @@
-"""State machine of one move: a playback leaves its node while it plays, by make before break.
+"""State machine of one move: a playing playback leaves its node, by make before break.
 
 `TRANSITIONS` defines the next state for every pair of state and event; at worst the playback goes on at its
-source. What the front end has to do with a step is a `MoveAction`. tests/test_moves.py checks every reachable
+source. What the front end has to do after a transition is a `MoveAction`. tests/test_moves.py checks every reachable
 state, with all faults.
 
 The usual sequence is PLANNED, ASKED (the player was told to make an offer), PLACING (its offer has arrived,
-admission control looks for a place and the set-up is sent), BESIDE (it plays on both nodes), SWITCHED (the
-player has the target; the source is being ended), DONE. In STAYED it plays on at its source and the move is
+admission control looks for a node and the set-up is sent), BESIDE (it plays on both nodes), SWITCHED (the
+player uses the target; the source is being ended), DONE. In STAYED it plays on at its source and the move is
 over. In LOST it plays nowhere.
 """
 
@@ -50,7 +50,7 @@
 
 
 class MoveAction(Enum):
-    """What the front end does with a step."""
+    """What the front end has to do after a transition."""
 
     NONE = "nothing"
     REQUEST_OFFER = "tell the player to make an offer"
@@ -78,14 +78,14 @@
     (S.PLANNED, E.SOURCE_ENDED): (S.LOST, A.NONE),
     (S.PLANNED, E.CANCELLED): (S.STAYED, A.NONE),
     (S.PLANNED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # ASKED: a player that does not support moves never answers; its playback stays.
+    # ASKED: a player that does not support moves never answers, so its playback stays.
     (S.ASKED, E.OFFER_RECEIVED): (S.PLACING, A.PLACE_TARGET),
     (S.ASKED, E.OFFER_TIMEOUT): (S.STAYED, A.NONE),
     (S.ASKED, E.SOURCE_LOST): (S.LOST, A.REPORT_LOST),
     (S.ASKED, E.SOURCE_ENDED): (S.LOST, A.NONE),
     (S.ASKED, E.CANCELLED): (S.STAYED, A.NONE),
     (S.ASKED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # PLACING: a set-up may have been sent, which cannot be undone, only awaited.
+    # PLACING: a set-up may have been sent; it cannot be undone, so its outcome is awaited.
     (S.PLACING, E.TARGET_PLAYS): (S.BESIDE, A.ACCEPT_OFFER),
     (S.PLACING, E.TARGET_FAILED): (S.STAYED, A.REJECT_OFFER),
     (S.PLACING, E.SOURCE_LOST): (S.ORPHANED, A.NONE),
@@ -106,7 +106,7 @@
     (S.ORPHANED, E.TARGET_FAILED): (S.LOST, A.REPORT_LOST),
     (S.ORPHANED, E.TARGET_LOST): (S.LOST, A.REPORT_LOST),
     (S.ORPHANED, E.VIEWER_LEFT): (S.LOST, A.END_ALL),
-    # BESIDE: the player has the target's answer. No confirmation counts as one, or both would play for ever.
+    # BESIDE: the player has the target's answer. The timeout counts as a confirmation, or both would play for ever.
     (S.BESIDE, E.CONFIRMED): (S.SWITCHED, A.END_SOURCE),
     (S.BESIDE, E.CONFIRM_TIMEOUT): (S.SWITCHED, A.END_SOURCE),
     (S.BESIDE, E.SOURCE_LOST): (S.DONE, A.SWITCH_TO_TARGET),
@@ -122,14 +122,14 @@
 }
 """Next state and action by state and event.
 
-Other pairs change nothing: late timers, second offers, drains of a node that was left already.
+Other pairs change nothing: late timers, second offers, drains of a node that was already left.
 """
 
 TIMEOUTS = {
     MoveState.ASKED: MoveEvent.OFFER_TIMEOUT,
     MoveState.BESIDE: MoveEvent.CONFIRM_TIMEOUT,
 }
-"""Event of the timer that runs in a state."""
+"""Event of the timer that runs in a state, if one does."""
 
 
 @dataclass
--- a/oakcroft/decisions/moving/move_rules.py
+++ b/oakcroft/decisions/moving/move_rules.py
@@ -1,17 +1,17 @@
 """Which playbacks may move at all, and how; this follows from the six rules alone.
 
-A move is a second set-up of a playback that plays.
+A move needs a second set-up of a playback that plays.
 
-- Paid (rule 2): the first set-up has run, so a second one would be paid for again. Never, whatever happens to
-  its node.
-- Keyed (rule 2): only while the node's group still recognises the key, counted from the first set-up, and
-  only to nodes of that group; later a second set-up has an effect of its own.
-- Free: always.
+- Paid (rule 2): never moves, whatever happens to its node. The first set-up has run, and a second one would be
+  charged again.
+- Keyed (rule 2): moves only while the nodes that share the key still recognise it, counted from the first
+  set-up, and only to those nodes; elsewhere or later a second set-up would count as a new one.
+- Free: always moves.
 - Seats (rule 5): a playback and its copy take two. If a seat is left, the copy is set up first. At the limit
   the move waits for a seat, and breaks before it makes only when the notice runs out, since a short gap is
   better than an end.
-- Tries (rule 6): the set-up of the copy is a further try of its playback and is charged to that budget.
-- Players: one that has not said that it can be moved stays and finishes where it is.
+- Tries (rule 6): the set-up of the copy is a further try of its playback and counts in the retry budget.
+- Players: a player that has not announced that it can be moved stays and finishes where it is.
 """
 
 from __future__ import annotations
--- a/oakcroft/decisions/moving/move_scheduler.py
+++ b/oakcroft/decisions/moving/move_scheduler.py
@@ -1,10 +1,10 @@
-"""When each playback on a node that is to be left begins to move: order, pace and spread.
+"""Schedule of moves: when each playback on a node that is to be left starts to move.
 
-Two hundred front ends learn of the same drain within a second or two and share no state. Each spreads its own
-moves at random over the part of the notice in which a move can still be completed, those of most value first.
-It keeps few moves in progress at a time, few of them to one target, and stays within the budget of further
-tries. What a target can take is known to admission control; if it rejects a move, the playback is retried
-after a delay rather than at once on the next node.
+Up to two hundred front ends learn of the same drain within a second or two and share no state. Each spreads its
+own moves at random over the part of the notice in which a move can still be completed, those of highest value
+first. It keeps few moves in progress at a time, few of them to one target, and stays within the retry budget.
+Admission control decides what a target can take; a move that it rejects is retried after a delay rather than at
+once on the next node.
 """
 
 from __future__ import annotations
@@ -16,6 +16,11 @@
 from oakcroft.decisions.moving.move_rules import MoveMethod
 from oakcroft.interface import MS, SECOND
 
+OFFER_TIMEOUT_NS = 2 * SECOND
+CONFIRM_TIMEOUT_NS = 1500 * MS
+SEAT_RETRY_DELAY_NS = 250 * MS
+"""Mean delay after which a move that waits for a seat is attempted again."""
+
 
 @dataclass(frozen=True)
 class MoveLimits:
@@ -44,7 +49,7 @@
 
 @dataclass
 class PlannedMove:
-    """One playback that is to move: `key` names it, `value` is revenue still to come, `due_at` is in ns."""
+    """A playback that is to move: `key` identifies it, `value` is its expected revenue, `due_at` is in ns."""
 
     key: str
     node: str
@@ -69,10 +74,10 @@
     ) -> int:
         """Plans the moves of a node's playbacks (key and value) over the notice; returns how many are new.
 
-        They begin at times drawn evenly over the part of the notice in which a move can still be completed,
-        those of most value at the earliest. A front end with one playback there begins anywhere in it, so
-        that all front ends together load the targets evenly. If the notice is shorter than one move needs,
-        all begin at once, since a late move is a stall.
+        They start at random times, drawn uniformly from the part of the notice in which a move can still be
+        completed, those of highest value first. A front end with a single playback there may start at any of
+        these times, so that all front ends together load the targets evenly. If the notice is shorter than
+        one move needs, all start at once, since a late move stalls the playback.
         """
         span = max(0, round(notice * self.limits.notice_fraction) - self.limits.move_duration)
         new = [(key, value) for key, value in playbacks if key not in self.planned]
@@ -83,7 +88,7 @@
         return len(new)
 
     def cancel_node(self, node: str) -> list[str]:
-        """The node need not be left any more: drops its planned moves, returns those in progress."""
+        """Drops the planned moves of a node that need not be left any more; returns those in progress."""
         moves = [move for move in self.planned.values() if move.node == node]
         for move in moves:
             if not move.in_progress:
@@ -91,15 +96,15 @@
         return [move.key for move in moves if move.in_progress]
 
     def next_due_at(self, now: int) -> int | None:
-        """Returns when the next move is due; None if none waits."""
+        """Returns when the next move is due; None if no move is waiting."""
         waiting = [move.due_at for move in self.planned.values() if not move.in_progress]
         return min(waiting, default=None)
 
     def start_due(self, now: int, tries_left: int) -> list[PlannedMove]:
-        """Returns the moves to begin now, those of most value first.
+        """Returns the moves to start now, those of highest value first.
 
-        They are due, fewer than `max_concurrent` are in progress, and `tries_left` further tries are left in
-        the budget. Moves that are due but find no room are put off for a random time.
+        They are due and stay within `max_concurrent` moves in progress and the `tries_left` of the retry budget.
+        Due moves beyond these limits are postponed by a random time.
         """
         running = sum(move.in_progress for move in self.planned.values())
         room = max(0, min(self.limits.max_concurrent - running, tries_left))
@@ -116,19 +121,19 @@
         return chosen
 
     def has_room_on(self, key: str, node: str) -> bool:
-        """Whether a target takes one more move, among this front end's own."""
+        """Whether the limit on this front end's moves to one target allows one more."""
         moves = sum(target == node for other, target in self.targets.items() if other != key)
         return moves < self.limits.max_per_target
 
     def set_target(self, key: str, node: str) -> None:
-        """Notes the target that admission control has chosen."""
+        """Records the target that admission control has chosen."""
         self.targets[key] = node
 
     def finish(self, key: str, has_moved: bool, now: int, notice_left: int | None) -> bool:
-        """Ends a move; True if the playback is planned again.
+        """Ends a move; returns whether the playback is scheduled again.
 
-        It is if it stayed, attempts are left, and its node is still to be left and stays long enough for one
-        more move.
+        It is if it has not moved, attempts are left, and its node is still to be left and stays long enough for
+        one more move.
         """
         self.targets.pop(key, None)
         move = self.planned.get(key)
@@ -143,15 +148,13 @@
         return True
 
     def forget(self, key: str) -> None:
-        """Drops a playback that has ended."""
+        """Forgets a playback that has ended."""
         self.planned.pop(key, None)
         self.targets.pop(key, None)
 
 
 def next_attempt_at(method: MoveMethod, now: int, rng: Random) -> int:
-    """Returns when a playback that may have to wait for a seat is looked at again, ns."""
-    return now + round(250 * MS * (0.5 + rng.random())) if method is MoveMethod.WAIT_FOR_SEAT else now
-
-
-OFFER_TIMEOUT_NS = 2 * SECOND
-CONFIRM_TIMEOUT_NS = 1500 * MS
+    """Returns when to attempt a move, ns: now, or after a random delay if it waits for a seat."""
+    return (
+        now + round(SEAT_RETRY_DELAY_NS * (0.5 + rng.random())) if method is MoveMethod.WAIT_FOR_SEAT else now
+    )
