--- a/oakcroft/decisions/routing/catalogue.py
+++ b/oakcroft/decisions/routing/catalogue.py
@@ -1,8 +1,9 @@
-"""The catalogue in force and its changes while the front serves: which titles there are, on which nodes and rungs.
+"""The active catalogue (which titles exist, on which nodes and rungs) and its changes while the front end serves.
 
-A change is applied as a whole between two events of the task that owns the module, or rejected as a whole with its
-reasons. Each set-up is decided under the version in force when it is sent, and carries its number. A change ends no
-playback: playbacks finish, or step down to a rung that is left, a few at a time and never below their floor.
+A change is applied as a whole, between two events of the task that owns the decision module, or rejected as a whole
+with its reasons. Each set-up is decided under the version that is active when it is sent, and carries its number. A
+change ends no playback: playbacks finish, or step down to a rung that is left, a few at a time and never below their
+floor.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from oakcroft.interface import MS
 
 MAX_REASONS = 20
-"""Reasons listed for one rejection."""
+"""Reasons after which the search for further ones ends."""
 
 
 @dataclass(frozen=True)
@@ -23,13 +24,13 @@
     """One title of the catalogue."""
 
     holders: tuple[str, ...] = ()
-    """Names of the nodes that hold it; empty where its cells say which do."""
+    """Names of the nodes that hold it; empty where `home` and `copies` define them."""
 
     home: int = -1
-    """The first cell that holds it; -1 where the catalogue names none."""
+    """First cell that holds it; -1 where the catalogue names none."""
 
     copies: int = 0
-    """Cells that hold it; 0 for all."""
+    """Number of cells that hold it, from `home` on; 0 for all."""
 
     rates: tuple[float, ...] = ()
     """Rate of each of its rungs in kB a second, lowest first; empty for those of the ladder."""
@@ -44,12 +45,12 @@
     """A version of the catalogue."""
 
     number: int = 0
-    """0 stands for no catalogue: every title is served, by the default placement."""
+    """0: there is no catalogue, and every title is served, with the default placement."""
 
     digest: str = ""
     titles: Mapping[str, CatalogueTitle] = field(default_factory=dict)
     serves_unlisted: bool = True
-    """Whether titles that it does not name are served too."""
+    """Whether titles that are not in the catalogue are served too."""
 
     def serves(self, title: str) -> bool:
         """Returns whether the title is served."""
@@ -72,11 +73,11 @@
 def changed_titles(old: Catalogue, new: Catalogue) -> list[str]:
     """Returns the names of the titles in which two versions differ, sorted."""
     names = old.titles.keys() | new.titles.keys()
-    return sorted(n for n in names if old.titles.get(n) != new.titles.get(n))
+    return sorted(name for name in names if old.titles.get(name) != new.titles.get(name))
 
 
 class CatalogueVerdict(Enum):
-    """Result of an offered change; logs and operators show the names in lower case."""
+    """Result of a submitted change; logs and the operators' API show the member names in lower case."""
 
     TAKEN = "taken"
     SAME = "it says what is in force"
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True)
 class FleetSnapshot:
-    """What a change is checked against."""
+    """State of the fleet that a change is checked against."""
 
     ready_nodes: frozenset[str]
     """Names of the ready nodes."""
@@ -102,22 +103,22 @@
 
 
 def base_name(node: str) -> str:
-    """Returns the name of a node without the suffix that a replacement carries, as in NAME+1."""
+    """Returns the name of a node without the suffix of a replacement, as in NAME+1."""
     return node.partition("+")[0]
 
 
 def rejection_reasons(
     changed_names: Iterable[str], new: Catalogue, fleet: FleetSnapshot, force: bool = False
 ) -> list[str]:
-    """Returns why a change cannot be applied, `MAX_REASONS` or a few more; none where it can.
+    """Returns why a change cannot be applied, `MAX_REASONS` or a few more; an empty list where it can.
 
-    Only titles that differ from the version in force are checked, so a title that has lost its nodes does not block a
-    change of another. A title without a ready holder is rejected, as it looks like an outage to its viewers. The cost: a
-    title added before its nodes are up is rejected too, unless `force` is set.
+    Only titles that differ from the active version are checked, so a title that has lost its nodes does not block a
+    change of another. A title without a ready holder is rejected, as its viewers would see an outage. Drawback: a title
+    that is added before its nodes are up is rejected too, unless `force` is set.
     """
     reasons = list[str]()
-    ready_names = {base_name(n) for n in fleet.ready_nodes}
-    listed_names = {base_name(n) for n in fleet.listed_nodes}
+    ready_names = {base_name(node) for node in fleet.ready_nodes}
+    listed_names = {base_name(node) for node in fleet.listed_nodes}
     highest_floor = max(fleet.plan_floors.values(), default=0)
     for name in changed_names:
         title = new.titles.get(name)
@@ -131,16 +132,16 @@
             reasons.append(f"title {name} is at cell {title.home}, there are {fleet.cell_count}")
         if title.top_rung(fleet.rung_count) < highest_floor and not force:
             plan = next(
-                p
-                for p, floor in sorted(fleet.plan_floors.items())
+                plan_name
+                for plan_name, floor in sorted(fleet.plan_floors.items())
                 if floor > title.top_rung(fleet.rung_count)
             )
             reasons.append(
                 f"title {name} goes up to rung {title.top_rung(fleet.rung_count)}, under the floor of plan {plan}"
             )
         if title.holders and not force:
-            unknown = [n for n in title.holders if base_name(n) not in listed_names]
-            if not ready_names & {base_name(n) for n in title.holders}:
+            unknown = [node for node in title.holders if base_name(node) not in listed_names]
+            if not ready_names & {base_name(node) for node in title.holders}:
                 reasons.append(
                     f"title {name} would have no ready holder"
                     + (f"; not listed: {unknown[0]}" if unknown else "")
@@ -158,11 +159,11 @@
     fleet: FleetSnapshot,
     force: bool = False,
 ) -> tuple[CatalogueVerdict, list[str]]:
-    """Decides on an offered change.
+    """Decides on a submitted change.
 
-    `changed_names` are the `changed_titles`, which the caller computes off the event loop. `base_digest` is the digest
-    of the version that the change was made from, None for any. Of two changes made from one version the first is
-    accepted and the second is stale, whatever they change.
+    `changed_names` are the `changed_titles`, which the caller computes outside the event loop. `base_digest` is the
+    digest of the version that the change is based on, None for any. Of two changes based on the same version the first
+    is accepted and the second is stale, whatever they change.
     """
     if base_digest is not None and base_digest != old.digest:
         return CatalogueVerdict.STALE, [f"version {old.number} is in force"]
@@ -173,7 +174,7 @@
 
 
 class PlaybackEffect(Enum):
-    """What a change does to a playback of a changed title; logs show the names in lower case."""
+    """What a change does to a playback of a changed title; logs show the member names in lower case."""
 
     STAYS = "goes on as it is"
     STEPS_DOWN = "goes down to the highest rung that is left"
@@ -185,12 +186,12 @@
 ) -> tuple[PlaybackEffect, int]:
     """Returns what a change does to a playback, and the highest rung for it from now on.
 
-    Playbacks of a removed title, or on a node that does not hold the title any more, finish. So do those whose title has
-    no rung left from their floor up.
+    Playbacks of a removed title, or on a node that no longer holds the title, finish. So do those whose title has no
+    rung left at or above their floor.
     """
     if title is None:
         return (PlaybackEffect.STAYS, rung_count - 1) if serves_unlisted else (PlaybackEffect.FINISHES, rung)
-    if title.holders and base_name(node) not in {base_name(n) for n in title.holders}:
+    if title.holders and base_name(node) not in {base_name(holder) for holder in title.holders}:
         return PlaybackEffect.FINISHES, rung
     top = title.top_rung(rung_count)
     if rung <= top:
@@ -202,9 +203,9 @@
 class StepDownQueue:
     """Playbacks that a change steps down, in batches.
 
-    Otherwise a change could send thousands of layer calls to nodes at one moment. The host skips playbacks that have
-    ended or were stepped down meanwhile. The cost: the last of many playbacks stays for seconds on a rendition that is
-    gone.
+    Without batches a change could send thousands of layer selections to nodes at the same moment. The host skips
+    playbacks that have ended or were stepped down meanwhile. Drawback: the last of many playbacks stays for seconds on a
+    rendition that was removed.
     """
 
     batch_size: int = 50
@@ -212,7 +213,7 @@
     """Time between two batches, in ns."""
 
     waiting: deque[str] = field(default_factory=deque)
-    """Ids of sessions."""
+    """Ids of the sessions to step down."""
 
     last_batch_at: int = -(1 << 62)
     """When the last batch was due, in ns."""
@@ -222,7 +223,7 @@
         self.waiting.extend(session_ids)
 
     def next_batch(self, now: int) -> list[str]:
-        """Returns the sessions to step down now, none before the next batch is due. `now` in ns."""
+        """Returns the sessions to step down now; an empty list before the next batch is due. `now`: ns."""
         if not self.waiting or now - self.last_batch_at < self.interval:
             return []
         self.last_batch_at = now
@@ -230,10 +231,10 @@
 
 
 def is_in_share(front_number: int, front_count: int, digest: int, share: float) -> bool:
-    """Returns whether a front activates a version that is rolled out to a share (0 to 1) of all fronts.
+    """Returns whether a front end activates a version that is rolled out to a share (0 to 1) of all front ends.
 
-    The choice is the same each time for one version, and fronts stay in as the share grows. `digest` is that of the
-    version, as a number.
+    The choice depends only on the version, whose digest is given as a number, and front ends stay included as the share
+    grows.
     """
     if share >= 1:
         return True
@@ -251,26 +252,26 @@
     """In ns."""
 
     reason: str
-    """Why the version was made, as the operator says."""
+    """Why the version was made, as given by the operator."""
 
 
 @dataclass
 class VersionHistory:
-    """The last `max_versions` versions that a front activated; a rollback is a new version with an old text."""
+    """The last `max_versions` versions that a front end activated; a rollback is a new version with an old text."""
 
     max_versions: int = 50
     versions: list[VersionEntry] = field(default_factory=list)
 
     def add(self, entry: VersionEntry) -> list[int]:
-        """Adds the version in force and returns the numbers of those that are dropped for it."""
+        """Adds the active version and returns the numbers of the versions that are dropped for it."""
         self.versions.append(entry)
         dropped = self.versions[: -self.max_versions]
         self.versions = self.versions[-self.max_versions :]
-        return [k.number for k in dropped]
+        return [entry.number for entry in dropped]
 
     def find(self, number: int) -> VersionEntry | None:
         """Returns a version by its number, None where it is not in the history."""
-        return next((k for k in self.versions if k.number == number), None)
+        return next((entry for entry in self.versions if entry.number == number), None)
 
     @property
     def next_number(self) -> int:
--- a/oakcroft/decisions/routing/ladder.py
+++ b/oakcroft/decisions/routing/ladder.py
@@ -4,17 +4,20 @@
 
 from collections.abc import Sequence
 
+MAX_RUNG_DIGITS = 3
+"""Longest rung number in a layer selection; longer ones are rejected before they are converted."""
+
 
 def best_rung(rates: Sequence[float], rate_factor: float, max_rate: float | None) -> int:
-    """Returns the highest rung whose rate is within `max_rate` bytes a second, the lowest rung where none is.
+    """Returns the highest rung whose rate is within `max_rate` bytes a second, or the lowest rung where none is.
 
     `rates` are those of the ladder in kB a second, to be multiplied by the plan's `rate_factor`. Without a `max_rate`
     every rung is allowed.
     """
     if max_rate is None:
         return len(rates) - 1
-    fits = [i for i, rate in enumerate(rates) if rate * rate_factor * 1000 <= max_rate]
-    return fits[-1] if fits else 0
+    fitting_rungs = [rung for rung, rate in enumerate(rates) if rate * rate_factor * 1000 <= max_rate]
+    return fitting_rungs[-1] if fitting_rungs else 0
 
 
 def offered_rate(application_kbit: int | None, tias_bit: int | None) -> float | None:
@@ -30,7 +33,7 @@
 
 def requested_rung(requested: str, floor: int, top: int) -> int | None:
     """Returns the rung that a layer selection requests, None where it is no rung from `floor` to `top`."""
-    if not requested.isascii() or not requested.isdigit() or len(requested) > 3:
+    if not requested.isascii() or not requested.isdigit() or len(requested) > MAX_RUNG_DIGITS:
         return None
     rung = int(requested)
     return rung if floor <= rung <= top else None
--- a/oakcroft/decisions/routing/pools.py
+++ b/oakcroft/decisions/routing/pools.py
@@ -1,7 +1,7 @@
 """Pools of playout nodes: which nodes the playbacks of a route may go to.
 
-A pool filters nodes by their properties and does not place playbacks. The module tries the holders of a title in its own
-order and skips those that the pool does not admit.
+A pool filters nodes by their properties and does not place playbacks. The decision module tries the holders of a title
+in its own order and skips those that the pool does not admit.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
     kinds: tuple[str, ...] = ()
     tags: tuple[str, ...] = ()
-    """A node must have all of them."""
+    """Tags that a node must have, all of them."""
 
     nodes: tuple[str, ...] = ()
     """Names of nodes; a name covers the node's replacements NAME+1 too."""
@@ -42,7 +42,7 @@
         )
 
     def empty_reason(self) -> str | None:
-        """Returns why the pool can admit no node, as far as its own conditions show; None where it may admit some."""
+        """Returns why the pool's own conditions admit no node; None where they may admit some."""
         if self.nodes and all(node in self.excluded_nodes for node in self.nodes):
             return "every node that it names is taken out again"
         return None
--- a/oakcroft/decisions/routing/route_table.py
+++ b/oakcroft/decisions/routing/route_table.py
@@ -1,8 +1,8 @@
 """The route table: finds the route of a request, looking only at routes that can match.
 
-Routes have no order, so configuration text can be moved and split into files without a change of meaning. The most
-specific route that matches takes the request: an exact title before a title prefix, a longer prefix before a shorter
-one, any title pattern before none; then more claims before fewer, then a zone before none. Two routes of the same
+Routes have no order, so configuration text can be moved and split into files without a change of meaning. Of the routes
+that match a request, the most specific one is chosen: an exact title precedes a title prefix, a longer prefix a shorter
+one, any title pattern none; then more claims precede fewer, then a zone precedes none. Two routes of the same
 specificity that could both match one request are a fault of the configuration (`ambiguous_routes`), so the result is
 unique.
 """
@@ -15,7 +15,7 @@
 
 
 class ClientRole(Enum):
-    """Who a route is for; the values are those of the configuration."""
+    """Clients that a route is for; the values are configuration words."""
 
     WATCH = "watch"
     PUBLISH = "publish"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A route by name: its conditions and what applies to the requests that it takes."""
+    """A route by name: its conditions and what applies to the requests that match them."""
 
     name: str
     match: Match
@@ -63,13 +63,13 @@
     claims: Mapping[str, str]
 
     def split_path(self) -> tuple[str, str]:
-        """Returns the path up to and with the last slash, and the title after it."""
-        at = self.path.rfind("/") + 1
-        return self.path[:at], self.path[at:]
+        """Returns the path up to and including the last slash, and the title after it."""
+        title_start = self.path.rfind("/") + 1
+        return self.path[:title_start], self.path[title_start:]
 
 
 class RouteMismatch(Enum):
-    """Why a route does not match a request; operators read the values."""
+    """Why a route does not match a request; the values are shown to operators."""
 
     ROLE = "it is for the other side"
     PATH = "its path is another"
@@ -79,7 +79,7 @@
 
 
 def find_mismatch(match: Match, request: RouteRequest) -> RouteMismatch | None:
-    """Returns the first condition that a request does not meet, None where it meets all."""
+    """Returns the first condition that a request does not meet; None where it meets all."""
     prefix, title = request.split_path()
     if match.role is not request.role:
         return RouteMismatch.ROLE
@@ -103,7 +103,7 @@
 
 
 def specificity(title_pattern: str | None, match: Match) -> Specificity:
-    """Returns how specific a route is where one of its title patterns matched, None for any title; larger goes first."""
+    """Returns the specificity of a route by the title pattern that matched, None for any title; higher precedes."""
     depth = 0 if title_pattern is None else len(title_pattern) if title_pattern.endswith("*") else 1_000_000
     return depth, len(match.claims), 1 if match.zone else 0
 
@@ -120,11 +120,12 @@
     """All routes of one role and path prefix, indexed by title pattern."""
 
     def __init__(self) -> None:
-        """Begins without routes."""
+        """Starts without routes."""
         self.exact: dict[str, list[Route]] = {}
         self.root = _TrieNode([], {})  # trie of title prefixes; the root holds the routes for any title
 
     def add(self, route: Route) -> None:
+        """Adds a route under each of its title patterns."""
         if not route.match.title_patterns:
             self.root.routes.append(route)
         for pattern in route.match.title_patterns:
@@ -141,10 +142,10 @@
         nodes = [self.root]
         while nodes:
             node = nodes.pop()
-            node.routes.sort(key=lambda r: (-len(r.match.claims), not r.match.zone, r.name))
+            node.routes.sort(key=lambda route: (-len(route.match.claims), not route.match.zone, route.name))
             nodes += node.children.values()
         for routes in self.exact.values():
-            routes.sort(key=lambda r: (-len(r.match.claims), not r.match.zone, r.name))
+            routes.sort(key=lambda route: (-len(route.match.claims), not route.match.zone, route.name))
 
     def candidates(self, title: str) -> list[list[Route]]:
         """Returns the lists of routes whose title pattern matches a title, most specific first."""
@@ -166,13 +167,13 @@
 class RouteTable:
     """All routes, indexed for look-up.
 
-    The time of a look-up grows with the length of the title and with the routes of the same pattern, not with the number
-    of routes.
+    The time of a look-up depends on the length of the title and on the routes with the same pattern, not on the number of
+    all routes.
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
         """`routes` must be free of `ambiguous_routes`."""
-        self.routes = {r.name: r for r in routes}
+        self.routes = {route.name: route for route in routes}
         self.by_prefix: dict[tuple[ClientRole, str], _PrefixRoutes] = {}
         self.plans: dict[str, set[str]] = {}  # plans of all routes of a path prefix, for both roles
         for route in self.routes.values():
@@ -183,7 +184,7 @@
             bucket.sort()
 
     def find(self, request: RouteRequest) -> Route | None:
-        """Returns the route that takes a request, None where no route matches."""
+        """Returns the most specific route that matches a request; None where none does."""
         prefix, title = request.split_path()
         bucket = self.by_prefix.get((request.role, prefix))
         if bucket is None or not title:
@@ -207,7 +208,9 @@
         preceding = []
         own_specificity = max(matching_specificities(route, request), default=(0, 0, 0))
         for other in sorted(
-            self.routes.values(), key=lambda r: (highest_specificity(r), r.name), reverse=True
+            self.routes.values(),
+            key=lambda candidate: (highest_specificity(candidate), candidate.name),
+            reverse=True,
         ):
             mismatch = find_mismatch(other.match, request)
             if (
@@ -225,19 +228,23 @@
     title = request.split_path()[1]
     if not route.match.title_patterns:
         return [specificity(None, route.match)]
-    return [specificity(p, route.match) for p in route.match.title_patterns if pattern_matches(p, title)]
+    return [
+        specificity(pattern, route.match)
+        for pattern in route.match.title_patterns
+        if pattern_matches(pattern, title)
+    ]
 
 
 def highest_specificity(route: Route) -> Specificity:
     """Returns the highest specificity that a route can have."""
     return max(
-        (specificity(p, route.match) for p in route.match.title_patterns),
+        (specificity(pattern, route.match) for pattern in route.match.title_patterns),
         default=specificity(None, route.match),
     )
 
 
 def can_both_match(first: Match, second: Match) -> bool:
-    """Returns whether one request can meet the zone and claims of both."""
+    """Returns whether one request can meet the zone and claims of both matches."""
     if first.zone and second.zone and first.zone != second.zone:
         return False
     claims = dict(first.claims)
@@ -245,7 +252,7 @@
 
 
 def ambiguous_routes(routes: Sequence[Route]) -> list[tuple[Route, Route, str]]:
-    """Returns the pairs of routes that are equally specific for some request, each with an example of a title."""
+    """Returns the pairs of routes that are equally specific for some request, each with an example title."""
     by_pattern: dict[tuple[ClientRole, str, str | None], list[Route]] = {}
     for route in routes:
         patterns: Iterable[str | None] = route.match.title_patterns or (None,)
@@ -263,7 +270,7 @@
 
 
 def example_request(route: Route, zone: str) -> RouteRequest:
-    """Returns a request that a route takes, unless a more specific route does. `zone` is that of the front."""
+    """Returns a request that matches a route; a more specific route may precede it. `zone`: of the front end."""
     pattern = route.match.title_patterns[0] if route.match.title_patterns else "example"
     title = pattern[:-1] + "1" if pattern.endswith("*") else pattern
     return RouteRequest(
--- a/oakcroft/decisions/routing/title_cache.py
+++ b/oakcroft/decisions/routing/title_cache.py
@@ -1,4 +1,4 @@
-"""A bounded cache of the titles that were requested from one front."""
+"""A bounded cache of the titles that were requested from one front end."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 class TitleCache:
-    """Titles by name. The module keeps seats and holders on them, so a title in use must stay the same object.
+    """Titles by name.
 
-    The bound protects against clients that request ever new names. When the cache is full, the title unused for longest
-    that has no seat taken is evicted; where all are in use, a new title is refused. The cost: the holder order of a
-    rarely used title is computed again.
+    The decision module stores seats and holders on a title, so a title in use must stay the same object. The bound
+    protects against clients that request ever new names. When the cache is full, the least recently used title without
+    a seat taken is evicted; where all are in use, a new title is refused. Drawback: the holder order of a rarely used
+    title is computed again.
     """
 
     def __init__(
@@ -30,12 +31,12 @@
         self.default_copies = default_copies
         self.configured_placements = configured_placements
         self.titles: OrderedDict[str, Title] = OrderedDict()
-        # (home cell, copies) by title, as `get` was called.
+        # (home cell, copies) by title, as passed to `get`.
         self.requested_placements: dict[str, tuple[int, int | None]] = {}
-        self.catalogue_titles: Mapping[str, CatalogueTitle] = {}  # of the catalogue in force
+        self.catalogue_titles: Mapping[str, CatalogueTitle] = {}  # of the active catalogue
 
     def get(self, name: str, home: int, copies: int | None = None) -> Title | None:
-        """Returns a title, None where it is new and the cache is full of titles in use.
+        """Returns a title; None where it is new and the cache is full of titles in use.
 
         `home` is the first cell that holds it and `copies` the number of cells, None for the default. A placement in the
         configuration or the catalogue takes precedence.
@@ -67,7 +68,7 @@
                 self._update_placement(title)
 
     def _update_placement(self, title: Title) -> None:
-        """Sets where a title is held and its rates: by the catalogue, else the configuration, else the default.
+        """Sets the placement and rates of a title: from the catalogue, else the configuration, else the default.
 
         The object stays the same, with its seats.
         """
@@ -82,7 +83,7 @@
             home = catalogue_title.home
             copies = catalogue_title.copies
         holder_names = (
-            frozenset(h.partition("+")[0] for h in catalogue_title.holders)
+            frozenset(holder.partition("+")[0] for holder in catalogue_title.holders)
             if catalogue_title is not None and catalogue_title.holders
             else None
         )
@@ -94,6 +95,7 @@
         title.rung_rates = catalogue_title.rates if catalogue_title is not None else ()
 
     def _evict_unused(self) -> bool:
+        """Evicts the least recently used title without a seat taken; False if there is none."""
         for name, title in self.titles.items():
             if not any(title.seats_taken.values()):
                 del self.titles[name]
--- a/oakcroft/decisions/routing/zone_preference.py
+++ b/oakcroft/decisions/routing/zone_preference.py
@@ -1,14 +1,15 @@
-"""Zone preference: a new session goes to the front's own zone, with failover and bounded overflow to others.
+"""Zone preference: new sessions go to the front end's own zone, with failover and bounded overflow to others.
 
-Each front keeps a state machine of each zone's health, from what it observes itself (refused connections, ended
-processes, silence) and from the node list. A zone whose nodes are silent while they are listed as ready is *cut* off from
-this front, as far as it can tell, and its nodes may be warm and busy. A zone whose processes are gone is *lost* and comes
-back cold. In both cases the front sends nothing there until the zone answers again, and then a share of its requests that
-grows with the square of time. A zone that fails again while it returns takes twice as long the next time, up to a bound;
-time in service takes that back.
+Each front end keeps a state machine of each zone's health, from what it observes itself (refused connections, ended
+processes, silence) and from the node list. A zone whose nodes are silent while they are listed as ready counts as *cut*
+off from this front end; its nodes may be warm and busy. A zone whose processes are gone counts as *lost*; its nodes will
+be cold when they return. In both cases the front end sends nothing there until the zone answers again, and then a share
+of its requests that grows with the square of time. A zone that fails again during this ramp (a relapse) gets a ramp of
+twice the length, up to a bound; time in service reduces it again.
 
-Where the own zone takes nothing, other zones do, for a bounded part of the front's requests in any window and only while
-their links have room. Requests past that bound are rejected at once, before they overload the remaining zone.
+Where the own zone accepts nothing, requests overflow to other zones, a bounded part of the front end's requests in any
+window and only while the links there have room. Requests past that bound are rejected at once, before they overload the
+remaining zone.
 
 A draining node accepts nothing new and is expected to leave. It does not count as evidence for or against its zone. A
 zone without a ready node has no room, whatever the load of its links.
@@ -34,7 +35,7 @@
 
 
 class NodeEvidence(Enum):
-    """How one node appears to this front; logs show the names in lower case."""
+    """How one node appears to this front end; logs show the member names in lower case."""
 
     ANSWERS = "answers"
     SILENT = "silent, though the list has it"
@@ -44,7 +45,7 @@
 
 
 class ZoneState(Enum):
-    """Health of a zone as one front sees it; logs and operators show the values."""
+    """Health of a zone as one front end sees it; logs and the operators' API show the values."""
 
     SOUND = "sound"
     CUT = "cut off from this front"
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True)
 class ZonePreferenceBounds:
-    """Configured bounds; the fields are named as the configuration's fields. Times in ns."""
+    """Configured bounds; the field names are those of the configuration. Times in ns."""
 
     most: float = 0.6
     """Share of a zone's nodes that must be out for the zone to be out."""
@@ -75,10 +76,10 @@
 
     window: int = 10 * SECOND
     room: float = 0.9
-    """Mean load under which another zone accepts requests, and over which the own zone is full."""
+    """Mean load up to which another zone gets requests, and over which the own zone is full."""
 
     ramp: int = 30 * SECOND
-    """Time in which a lost zone gets its full share back."""
+    """Time in which the share of a returning zone grows from 0 to 1, if the zone was lost."""
 
     longest: int = 300 * SECOND
     """Upper bound of the ramp after repeated failures."""
@@ -86,21 +87,21 @@
 
 @dataclass
 class ZoneHealth:
-    """Health of one zone as this front sees it. Times in ns."""
+    """Health of one zone as this front end sees it. Times in ns."""
 
     bounds: ZonePreferenceBounds
     state: ZoneState = ZoneState.SOUND
     state_since: int = 0
-    """When the present state began; in SOUND also when a relapse was last taken back."""
+    """When the present state began; in SOUND also when a relapse was last removed from the count."""
 
     relapses: int = 0
-    """How often the zone failed again while it returned, less what time in service took back."""
+    """How often the zone failed again while it returned; decremented with time in service."""
 
     was_lost: bool = False
     """Whether the zone was lost, and not only cut off, so that its nodes are cold when it returns."""
 
     pending: tuple[ZoneState, int] | None = None
-    """The state that the evidence asks for, and since when; None where it agrees with the present state."""
+    """The state that the evidence indicates, and since when; None where it is the present state."""
 
     def _set_state(self, new_state: ZoneState, now: int) -> ZoneState:
         """Sets the state. ValueError for a transition that is not in `TRANSITIONS`."""
@@ -118,10 +119,11 @@
         return new_state
 
     def assess(self, nodes: Mapping[NodeEvidence, int]) -> ZoneState:
-        """Returns the state that the numbers of nodes by evidence ask for: sound, cut or lost.
+        """Returns the state that the numbers of nodes by evidence indicate: sound, cut or lost.
 
-        Draining nodes do not count: otherwise a zone would look sound while most of its nodes drain and answer but its
-        ready nodes are out. The cost: a zone whose few ready nodes are out while the rest drain returns by its ramp.
+        Draining nodes do not count: otherwise a zone would look sound while most of its nodes drain and answer, although
+        its ready nodes are out. Drawback: a zone whose few ready nodes fail while the rest drain has to return by its
+        ramp.
         """
         node_count = sum(nodes.values()) - nodes.get(NodeEvidence.DRAINS, 0)
         ended = nodes.get(NodeEvidence.REFUSES, 0) + nodes.get(NodeEvidence.GONE, 0)
@@ -131,9 +133,9 @@
         return ZoneState.LOST if ended >= self.bounds.most * node_count else ZoneState.CUT
 
     def update(self, nodes: Mapping[NodeEvidence, int], now: int) -> ZoneState | None:
-        """Takes fresh evidence a few times a second and returns the new state where it changes.
+        """Takes fresh evidence and returns the new state if it changes; called a few times a second.
 
-        Evidence must hold for `hold` ns; that of the node list too, as lists can be wrong.
+        Evidence must hold for `hold` ns, also that of the node list, as lists can be wrong.
         """
         assessed = self.assess(nodes)
         if (
@@ -159,9 +161,9 @@
 
     @property
     def ramp_time(self) -> int:
-        """Time in which the zone gets its full share back, in ns.
+        """Time in which the zone's share of requests grows from 0 to 1, in ns.
 
-        It is a quarter for a zone that was only cut off, as its nodes are warm, and doubles with each relapse.
+        It is a quarter of `ramp` for a zone that was only cut off, as its nodes are warm, and doubles with each relapse.
         """
         full_time = self.bounds.ramp if self.was_lost else self.bounds.ramp // 4
         return min(self.bounds.longest, full_time << min(self.relapses, 10))
@@ -177,7 +179,7 @@
 
 @dataclass
 class OverflowWindow:
-    """Requests of this front in the present window, and how many of them overflowed to other zones."""
+    """Requests of this front end in the present window, and how many of them overflowed to other zones."""
 
     bounds: ZonePreferenceBounds
     requests: deque[tuple[int, bool]] = field(default_factory=deque)
@@ -187,11 +189,12 @@
     """Requests in the window that went to another zone."""
 
     def _expire(self, now: int) -> None:
+        """Drops requests that have left the window."""
         while self.requests and self.requests[0][0] <= now - self.bounds.window:
             self.overflowed -= self.requests.popleft()[1]
 
     def allows_overflow(self, now: int) -> bool:
-        """Returns whether one more request may go to another zone, itself counted in the window."""
+        """Returns whether one more request may go to another zone, counting itself in the window."""
         self._expire(now)
         return self.overflowed + 1 <= self.bounds.spill * (len(self.requests) + 1)
 
@@ -203,10 +206,10 @@
 
 
 class ZonePreference:
-    """The zones of one front: their health, and which of them a request may go to."""
+    """The zones as seen by one front end: their health, and which of them a request may go to."""
 
     def __init__(self, zones: Sequence[str], bounds: ZonePreferenceBounds) -> None:
-        """`zones` begins with the front's own, then come the others in order of preference."""
+        """`zones` starts with the front end's own; the others follow in order of preference."""
         self.zones = tuple(zones)
         self.bounds = bounds
         self.health = {zone: ZoneHealth(bounds) for zone in zones}
@@ -225,7 +228,7 @@
         return changes
 
     def choose_zones(self, zone_loads: Mapping[str, float], draw: float, now: int) -> frozenset[str]:
-        """Returns the zones that a request may go to, none where it is to be rejected.
+        """Returns the zones that a request may go to; an empty set where it is to be rejected.
 
         `zone_loads` gives the `zone_load` of each zone; `draw` is a random number from 0 to 1.
         """
@@ -243,6 +246,6 @@
                     return frozenset({zone})
         self.overflow.record_request(False, now)
         if self.health[own].state is ZoneState.SOUND:
-            return frozenset({own})  # the own zone is full but in service, so the module decides
+            return frozenset({own})  # the own zone is full but in service, so admission control decides
         self.rejected_count += 1
         return frozenset()
