--- a/oakcroft/interface.py
+++ b/oakcroft/interface.py
@@ -1,7 +1,8 @@
 """Types shared by the decision module and its hosts.
 
-A host reads its settings into `DeploymentSettings` and passes them, a seed and itself as `Host` to the decision module.
-From then on it calls the module for every event. Times are whole nanoseconds, rates are in kB/s.
+A host reads its settings into `DeploymentSettings` and creates the controller of the decision module (choice.py) from
+them, a seed and itself as `Host`. From then on it calls the controller for every event. Times are whole nanoseconds,
+rates are in kB/s.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 
 
 class Effect(Enum):
-    """What it means if a set-up of a plan runs twice.
+    """Effect of a second run of a set-up.
 
-    FREE: nothing, it may be repeated. KEYED: nothing where the same key is recognised, see `KeyScope`. PAID: the viewer
-    is charged again, so it must not be repeated.
+    FREE: none, so it may be repeated. KEYED: none on nodes that recognise its key, see `KeyScope`. PAID: the viewer is
+    charged again, so it must not be repeated.
     """
 
     FREE = "free"
@@ -47,7 +48,7 @@
 
 
 class NodeListKind(Enum):
-    """How a node list came: as changes, whole, as kept from an earlier run, or not at all."""
+    """Kind of a received node list: changes, a whole list, one kept from an earlier run, or a failed subscription."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -58,7 +59,7 @@
 class Outcome(Enum):
     """How a setup try, or the playback that it started, ended.
 
-    After FULL, NO_CONNECTION and NOT_SENT it is certain that the try did not run.
+    FULL, NO_CONNECTION and NOT_SENT prove that the try did not run.
     """
 
     DONE = "done"
@@ -72,7 +73,7 @@
 
 
 class PlaybackMetric(Enum):
-    """Kind of a value that is reported about a playing playback."""
+    """Kind of a value that is reported for a playing playback."""
 
     DELIVERED_SHARE = "delivered share"
     RUNG = "rung in force"
@@ -82,19 +83,19 @@
 
 @dataclass(frozen=True, eq=False)
 class Plan:
-    """A plan, with the terms its viewers were promised.
+    """A version of a plan: the service that its viewers get.
 
-    Two plans are equal if they are versions of the same plan, so that their seats count together.
+    Two plans are equal if they are versions of the same plan, so that their seats are counted together.
     """
 
     effect: Effect
-    key_scope: KeyScope  # which nodes recognise a key
-    key_ttl_ns: int  # how long nodes recognise a key
+    key_scope: KeyScope  # nodes that recognise the key of a set-up sent to one of them
+    key_ttl_ns: int  # how long they recognise it
     startup_target_ns: int  # time within which a set-up should succeed
-    revenue: float  # earned by a playback on the highest rung
+    revenue: float  # revenue of a playback on the highest rung
     floor: int  # lowest rung
     top_rung: int  # highest rung
-    seats: int  # playbacks of the plan on one title at the same time; 0: any number
+    seats: int  # limit of concurrent playbacks of the plan on one title; 0: none
     rate_factor: float  # factor on the rates of the rungs
     shares_stream: bool  # whether playbacks of one title on one node share a stream
     family_id: int = -1  # the same for all versions of a plan; -1: it has only one
@@ -114,33 +115,32 @@
 
     front_count: int  # number of front ends
     front_index: int  # index of this front end, from 0
-    must_subscribe: bool  # whether the module has to subscribe to the node list
+    must_subscribe: bool  # whether the decision module has to subscribe to the node list
     subscribe_within_ns: int  # time limit for renewing a lost subscription
-    cell_count: int  # number of cells
+    cell_count: int  # number of cells, the groups of nodes by which titles are placed
     rack_count: int  # number of racks; the rack of a node is its cell modulo this
-    rung_rates: tuple[float, ...]  # rates of the ladder's rungs, kB/s, lowest first
+    rung_rates: tuple[float, ...]  # rates of the rungs of the quality ladder, kB/s, lowest first
     rung_revenue_shares: tuple[float, ...]  # share of a plan's revenue earned at each rung
     uplink_capacity: float  # capacity of a rack's uplink, kB/s; 0: unlimited
-    join_rate_share: float  # share of its rate that a playback adds when it joins a running stream
+    join_rate_share: float  # share of its rate that a playback adds to the load if it joins a running stream
     report_delay_ns: int  # age of a node's reports on arrival
     report_interval_ns: int  # time between two load reports of a node; 0: it sends none
-    max_tries: int  # setup tries per playback
-    max_retry_after_ns: int  # longest time for which a rejected viewer is asked to stay away
-    cold_pace_share: float  # share of the full setup pace that a node bears at its start
+    max_tries: int  # setup tries allowed per playback
+    max_retry_after_ns: int  # longest Retry-After of a rejection
+    cold_pace_share: float  # share of the full setup pace that a node can take at its start
     cold_duration_ns: int  # how long a node is cold after its start
-    overload_multiple: (
-        float  # setup rate that overloads a warm node, in its playback capacity per cold duration
-    )
-    overload_window_ns: int  # window over which that rate is taken
+    # Setup rate that overloads a warm node, as a multiple of its playback capacity per cold duration.
+    overload_multiple: float
+    overload_window_ns: int  # window over which that rate is measured
     retry_budget_base: float | None  # retries allowed in a window in any case; None: no budget
-    retry_budget_share: float  # retries allowed besides, per request in the window
+    retry_budget_share: float  # additional retries allowed per request in the window
     retry_budget_window_ns: int  # window of the retry budget
 
 
 class DecayingSum:
     """Sum with exponential decay, updated on access.
 
-    All calls on one instance have to pass the same half-life.
+    Every call on one instance has to pass the same half-life.
     """
 
     def __init__(self) -> None:
@@ -181,19 +181,19 @@
     """Nodes behind one uplink, the rate that they carry, and how far the uplink's load is underestimated."""
 
     def __init__(self) -> None:
-        """An empty rack without load."""
+        """Starts without nodes and load."""
         self.nodes: list[Node] = []
         self.carried_rate = 0.0  # estimated rate that the links of its nodes carry, kB/s
-        self.recent_carried_rates = [0.0]  # the same at the ends of the last sample intervals
+        self.recent_carried_rates = [0.0]  # `carried_rate` at the ends of the last sample intervals
         self.uplink_correction = 1.0  # factor on the estimated load of the uplink
-        self.logged_as_overloaded = False  # whether the log last called its uplink overloaded
+        self.logged_as_overloaded = False  # whether its uplink was last logged as overloaded
 
 
 class Node:
-    """A playout node, with what one front end was told and has inferred about it."""
+    """A playout node, with what is reported to one front end and what the front end infers about it."""
 
     def __init__(self, name: str) -> None:
-        """A node that is not listed yet."""
+        """Starts as a node that is not listed yet."""
         # From the node list.
         self.name = name
         self.zone = ""
@@ -203,29 +203,31 @@
         self.status = NodeStatus.GONE
         self.started_at = 0
         self.link_capacity = 1.0  # kB/s
-        self.playback_capacity = 0.0  # playbacks that it can hold
+        self.playback_capacity = 0.0  # number of playbacks
         self.rack = Rack()
         # Own playbacks.
         self.playbacks: dict[Playback, None] = {}
-        self.pending_setups: dict[Playback, int] = {}  # set-ups without an answer, by when they were sent
-        self.own_rate_changes: deque[tuple[int, float]] = deque()  # time and kB/s of own changes of its load
+        self.pending_setups: dict[Playback, int] = {}  # send time of each set-up without an answer
+        self.own_rate_changes: deque[tuple[int, float]] = (
+            deque()
+        )  # time and kB/s of each own change of its load
         self.has_handed_over_playback = False  # whether one handed over at the front end's start plays here
         # Load of its link: demand over capacity.
         self.load_known = False  # whether a report of it is fresh
         self.reported_load = 0.0
         self.load_reported_at = 0
-        self.load_from_peer = False  # the last report came from another front end
-        self.has_reported_load = False  # its load was reported at some time, not only inferred
-        self.estimated_load = 0.0  # for now
+        self.load_from_peer = False  # whether the last report came from another front end
+        self.has_reported_load = False  # whether its load was ever reported and not only inferred
+        self.estimated_load = 0.0  # for the present moment
         self.load_samples: list[float] = []  # load at the ends of the last sample intervals
-        self.load_forecast = 0.0  # for the end of the next one
+        self.load_forecast = 0.0  # for the end of the next sample interval
         # Delivery.
-        self.delivered_share = 1.0  # as last reported
+        self.delivered_share = 1.0  # delivered share of the streams' rate, as last reported
         self.short_delivery_at = 0  # time of the last report of short delivery
         # Failures and the cold pace.
         self.failure_score = DecayingSum()
         self.failed_at = 0  # time of the last failure that suggests a restart
-        self.logged_as_unhealthy = False  # whether the log last called it out
+        self.logged_as_unhealthy = False  # whether it was last logged as unhealthy
         self.cold_slot = -1  # last time slot of the cold pace with set-ups
         self.cold_slot_setups = 0  # set-ups sent in it
 
@@ -234,14 +236,16 @@
     """A title that viewers watch, the cells that hold it, and the seats taken in each plan."""
 
     def __init__(self, name: str, home_cell: int, copies: int) -> None:
-        """A title held by `copies` cells from `home_cell` on; 0 copies: by all cells."""
+        """Creates a title that is held by `copies` cells from `home_cell` on, or by all cells with 0 copies."""
         self.name = name
         self.home_cell = home_cell
         self.copies = copies
         self.seats_taken: dict[Plan, int] = {}  # seats taken in each plan
-        self.has_played = False  # on any node; proves that the title exists
+        self.has_played = False  # whether it ever played, which proves that it exists
         self.holders: list[Node] = []
-        self.holders_version = -1  # version of the node list that `holders` was computed from; -1: none
+        self.holders_version = (
+            -1
+        )  # version of the node list that `holders` was computed from; -1: not computed
         self.holder_names: frozenset[str] | None = None  # names of its holders; None: the nodes in its cells
         self.rung_rates: tuple[float, ...] = ()  # of its own rungs, kB/s; empty: those of the deployment
 
@@ -252,10 +256,10 @@
     def __init__(
         self, title: Title, plan: Plan, top_rung: int, abandon_at: int, comes_from_move: bool
     ) -> None:
-        """A request that has arrived.
+        """Creates the playback of a request that has arrived.
 
         Its highest rung is `top_rung` within the plan's bounds; the viewer gives up at `abandon_at`. A request that
-        `comes_from_move` is not rejected in the band.
+        `comes_from_move` is not rejected in the band (T1 to T2, see choice.py).
         """
         self.title = title
         self.plan = plan
@@ -266,10 +270,10 @@
         self.rung = plan.floor
         self.node: Node | None = None
         self.tries: list[tuple[Node, int]] = []  # node and send time of each setup try
-        self.may_have_run: list[tuple[Node, int]] = []  # the failed tries that may have run all the same
+        self.may_have_run: list[tuple[Node, int]] = []  # failed tries that may have run on the node
         self.rung_changed_at = 0  # time of the last change of its rung
         self.next_link_load_is_current = False  # the next report of its link's load is not delayed
-        # The playback that this one, a copy on another node, is to replace; it plays on meanwhile.
+        # The playback that this one, a copy on another node, will replace; it continues to play meanwhile.
         self.copy_of: Playback | None = None
         self.node_filter: Callable[[Node], bool] | None = None  # the nodes it may use; None: all holders
 
@@ -286,14 +290,14 @@
 
 
 class Host(Protocol):
-    """What the decision module asks of its host; the calls come while the host is calling the module."""
+    """Host of the decision module; its methods are called while the host calls the module."""
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
-        """Sends a setup try; one that is unanswered at `abandon_at` has to end as LATE."""
+        """Sends a setup try; if it is unanswered at `abandon_at`, it has to end as LATE."""
         ...
 
     def reject(self, playback: Playback, retry_after_ns: int) -> None:
-        """Rejects a request; the viewer should not come back for `retry_after_ns`."""
+        """Rejects a request; the viewer should not retry for `retry_after_ns`."""
         ...
 
     def abort(self, playback: Playback) -> None:
@@ -301,11 +305,11 @@
         ...
 
     def set_rung(self, playback: Playback, rung: int) -> None:
-        """Changes the rung of a playback, or of the set-up to come."""
+        """Changes the rung of a playback, or of its next set-up."""
         ...
 
     def set_timer(self, at: int) -> None:
-        """Has `Controller.on_timer` called at a time."""
+        """Schedules a call of `Controller.on_timer` at a time."""
         ...
 
     def subscribe_to_nodes(self) -> None:
--- a/oakcroft/running/clock.py
+++ b/oakcroft/running/clock.py
@@ -11,7 +11,7 @@
     """Whole nanoseconds since the epoch, advanced by trio's clock.
 
     The wall clock is read only once, at the start, so a later step of it has no effect. The cold pace assigns time
-    slots to front ends by this clock; differences between their clocks only use up some of its margin.
+    slots to front ends by this clock; differences between their clocks only reduce its safety margin.
     """
 
     def __init__(self, epoch_ns: int | None = None) -> None:
--- a/oakcroft/running/inbox.py
+++ b/oakcroft/running/inbox.py
@@ -1,4 +1,4 @@
-"""Event queue of the one task that owns a decision module."""
+"""Event queue of the one task that owns the decision module."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 Event = Callable[[], None]
 """A queued call, run by the owning task."""
 MAX_BATCH_SECONDS = 0.005
-"""For so long, events are handled before the other tasks get a turn."""
+"""Longest time for which events are handled before other tasks may run."""
 
 
 async def handle_events(inbox: trio.MemoryReceiveChannel[Event], handle: Callable[[Event], None]) -> None:
@@ -18,7 +18,7 @@
         handle(event)
         batch_ends_at = trio.current_time() + MAX_BATCH_SECONDS
         while trio.current_time() < batch_ends_at:
-            # An awaited receive lets all other tasks run first; one event per round would be too slow.
+            # An awaited receive lets all other tasks run first, so one event per receive would be too slow.
             try:
                 event = inbox.receive_nowait()
             except trio.WouldBlock:
--- a/oakcroft/running/logs.py
+++ b/oakcroft/running/logs.py
@@ -1,4 +1,7 @@
-"""Structured logs: one line per event, as JSON or for a console. Offers, answers, tokens and keys are never logged."""
+"""Structured logs: one line per event, as JSON or for a console.
+
+SDP offers and answers, tokens and keys are never logged.
+"""
 
 from __future__ import annotations
 
@@ -33,10 +36,10 @@
 
 
 class LineRateLimiter:
-    """Log processor that drops lines over a number per second, and adds the count of dropped lines to the next one.
+    """Log processor that limits the lines per second and adds the number of dropped lines to the next line.
 
-    Keeps an event that repeats quickly, whatever its cause, from spending more on its log lines than on its work.
-    Drawback: unrelated lines of the same second are dropped, too.
+    Without it, an event that repeats quickly would spend more time on its log lines than on its work. Drawback:
+    unrelated lines of the same second are dropped, too.
     """
 
     def __init__(self, max_lines_per_second: int) -> None:
@@ -66,10 +69,10 @@
 
 
 class LossyOutput:
-    """Output that drops what can't be written, and counts it for the next line that can.
+    """Output that drops lines that can't be written, and counts them for the next line that can.
 
-    A full disk under the log, or a pipe without a reader, would otherwise fail the work that logs a line. Drawback: the
-    dropped lines are lost.
+    Otherwise a full disk, or a pipe without a reader, would raise in the code that logs a line. Drawback: the dropped
+    lines are lost.
     """
 
     def __init__(self, out: Any) -> None:
@@ -78,7 +81,7 @@
         self.lost_writes = 0
 
     def write(self, text: Any) -> int:
-        """Writes a text; returns 0 and counts it as lost if that fails."""
+        """Writes a text; if that fails, counts it as lost and returns 0."""
         try:
             written = int(self.out.write(text) or 0)
         except (OSError, ValueError):
@@ -106,7 +109,7 @@
 def unbuffered_output(out: TextIO) -> Any:
     """Returns the raw file under a text stream.
 
-    A buffered stream would keep what could not be written, and fail again with each later line.
+    A buffered stream would keep the text that could not be written, and fail again with each later line.
     """
     return getattr(out.buffer, "raw", out.buffer)
 
@@ -116,8 +119,8 @@
 ) -> structlog.typing.FilteringBoundLogger:
     """Configures structlog and returns the program's logger.
 
-    `log_format` is "console", or anything else for JSON. By default it writes to standard error, practically without a
-    limit on the lines per second.
+    `log_format` is "console", or anything else for JSON. `front` is the number of the front end, which is added to each
+    line. By default it writes to standard error, practically without a limit on the lines per second.
     """
     output = LossyOutput(out if log_format == "console" else unbuffered_output(out))
     processors: list[Any] = [
--- a/oakcroft/terms.py
+++ b/oakcroft/terms.py
@@ -27,9 +27,9 @@
 
 
 REFUSALS_BY_CAUSE = {34: Outcome.FULL, 47: Outcome.ERROR, 102: Outcome.NOT_SENT}
-"""Outcomes of a refused set-up by the node's cause; with any other cause it may have run."""
+"""Outcomes of a refused set-up by the cause that the node gives; with any other cause it may have run."""
 ENDS_BY_CAUSE = {16: Outcome.DONE, 31: Outcome.WITHDRAWN}
-"""Outcomes of a playback's end by its cause; any other cause means that it was cut off."""
+"""Outcomes of a playback's end by its cause; with any other cause it was cut off."""
 METRICS_BY_NAME = {
     "fill": PlaybackMetric.DELIVERED_SHARE,
     "grade": PlaybackMetric.RUNG,
@@ -50,7 +50,7 @@
 
 
 def load_report_values(report: dict[str, float] | None) -> tuple[float | None, float | None, float | None]:
-    """Returns the link's load, the link's load capped at 1, and the uplink's load; None for what is not reported."""
+    """Returns the link's load, the link's load capped at 1, and the uplink's load; None where not reported."""
     if not report:
         return None, None, None
     return report.get("x0"), report.get("utilization"), report.get("x1")
@@ -59,7 +59,7 @@
 def read_plans(settings: dict[str, Any]) -> dict[str, Plan]:
     """Reads the plans, by name.
 
-    Raises KeyError where a setting is missing or has an unknown word.
+    Raises KeyError where a setting is missing or has an unknown value.
     """
     family = settings["familyInfo"]
     highest_rung = len(family["ratesKb"]) - 1
--- a/oakcroft/wirehost/codes.py
+++ b/oakcroft/wirehost/codes.py
@@ -1,4 +1,4 @@
-"""Codes of node lists in the simulator's protocol; all others are in `oakcroft/terms.py`."""
+"""Codes of node lists in the simulator's protocol; all its other codes are in `oakcroft/terms.py`."""
 
 from __future__ import annotations
 
--- a/oakcroft/wirehost/front_end.py
+++ b/oakcroft/wirehost/front_end.py
@@ -1,4 +1,4 @@
-"""Front end of the simulator: translates events to calls of the decision module, and its calls to actions."""
+"""Front end of the simulator: translates events to calls of the decision module, and its calls of the host to actions."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
         """Handles one event; events have to come in order of arrival."""
         playback = self.playbacks.get(event.get("rid", ""))
         if playback and event.get("sendNo") not in (None, len(playback.tries) - 1):
-            return  # belongs to an earlier try, whose outcome was handled
+            return  # belongs to an earlier try, whose outcome was already handled
         match event["op"]:
             case "accept":
                 playback = self._new_playback(event, now)
@@ -117,7 +117,7 @@
                 self.controller.on_viewer_left(playback, now)
 
     def _node(self, name: str) -> Node:
-        """Returns the node of a name, a new one at its first use."""
+        """Returns the node with a name, which is created at its first use."""
         if name not in self.nodes:
             self.nodes[name] = Node(name)
         return self.nodes[name]
