--- a/tests/test_connection_selection.py
+++ b/tests/test_connection_selection.py
@@ -1,4 +1,4 @@
-"""Which connection is closed for a new one, and on which connection the release of a session is sent."""
+"""Selection of connections: the one that is closed for a new one, and the one on which a release is sent."""
 
 from __future__ import annotations
 
@@ -23,33 +23,37 @@
 
 
 def connection(
-    since: int = NOW, has_asked: bool = True, sessions: int = 0, partial: bool = False, unsent: bool = False
+    since: int = NOW,
+    has_sent_request: bool = True,
+    sessions: int = 0,
+    partial: bool = False,
+    unsent: bool = False,
 ) -> IdleConnection:
-    """Makes a connection that has sent one request and plays nothing, except for what a test states."""
-    return IdleConnection(since, has_asked, sessions, partial, unsent)
+    """Returns an idle connection; by default it has sent one request and has no session."""
+    return IdleConnection(since, has_sent_request, sessions, partial, unsent)
 
 
 def test_eviction_classes_are_in_order() -> None:
-    """The classes are closed in their order: connections without a request first, new ones late."""
+    """Connections are closed in the order of their classes: those without a request first, new ones late."""
     connections = [
-        connection(since=NOW - FIRST_REQUEST_EXPECTED_NS - 1, has_asked=False),
+        connection(since=NOW - FIRST_REQUEST_EXPECTED_NS - 1, has_sent_request=False),
         connection(),
         connection(sessions=1),
-        connection(since=NOW - FIRST_REQUEST_EXPECTED_NS, has_asked=False),
-        connection(since=0, has_asked=False, partial=True),
+        connection(since=NOW - FIRST_REQUEST_EXPECTED_NS, has_sent_request=False),
+        connection(since=0, has_sent_request=False, partial=True),
         connection(since=0, sessions=1, unsent=True),
     ]
-    classes = [eviction_order(one, NOW)[0] for one in connections]
+    classes = [eviction_order(idle, NOW)[0] for idle in connections]
     assert classes == list(EvictionClass)
 
 
 def test_within_a_class_the_longest_idle_is_evicted_first() -> None:
-    """Within a class the connection that was idle for longest is closed first, in whatever order they came."""
+    """Within a class the connection that was idle for longest is closed first, whatever the order of the input."""
     older, newer = connection(since=NOW - 2), connection(since=NOW - 1)
-    assert min((newer, older), key=lambda one: eviction_order(one, NOW)) is older
+    assert min((newer, older), key=lambda idle: eviction_order(idle, NOW)) is older
 
 
-class HeldClock:
+class ManualClock:
     """A clock that a test sets."""
 
     def __init__(self) -> None:
@@ -57,7 +61,7 @@
         self.at = NOW
 
     def now(self) -> int:
-        """Returns its time, ns."""
+        """Returns the time, ns."""
         return self.at
 
 
@@ -78,21 +82,21 @@
     return found
 
 
-def test_eviction_order_holds_beyond_one_search() -> None:
-    """The order of eviction holds beyond the candidates that one search finds."""
+def test_connections_are_evicted_in_order_over_several_searches() -> None:
+    """The order of eviction holds when the candidates of one search are used up."""
     connections = [FakeConnection(since) for since in range(3 * MAX_CANDIDATES)]
-    idle = IdleConnections(connections, HeldClock())  # type: ignore[arg-type]
+    idle = IdleConnections(connections, ManualClock())  # type: ignore[arg-type]
     evicted = [evict(idle) for _ in connections]
     assert evicted == connections
 
 
-def test_a_candidate_that_is_in_use_by_now_is_kept() -> None:
-    """A candidate that is in use by now is not closed.
+def test_a_candidate_that_is_in_use_again_is_kept() -> None:
+    """A candidate is skipped if it is in use again or already closed.
 
-    It has a request in progress, an unread message, a partial message or a session, or it is closed already.
+    It has a request in progress, an unread message, a partial message or a session.
     """
     connections = [FakeConnection(since) for since in range(7)]
-    idle = IdleConnections(connections, HeldClock())  # type: ignore[arg-type]
+    idle = IdleConnections(connections, ManualClock())  # type: ignore[arg-type]
     assert evict(idle) is connections[0]
     connections[1].is_idle = False
     connections[2].unread_count = 1
@@ -103,8 +107,8 @@
 
 
 def test_old_candidates_are_searched_again() -> None:
-    """Old candidates are searched again, so that one that was idle for longer is found."""
-    connections, clock = [FakeConnection(since) for since in range(10, 20)], HeldClock()
+    """The search is repeated once its candidates are old, so that connections idle for longer are found."""
+    connections, clock = [FakeConnection(since) for since in range(10, 20)], ManualClock()
     idle = IdleConnections(connections, clock)  # type: ignore[arg-type]
     assert evict(idle) is connections[0]
     connections.append(FakeConnection(since=5))
@@ -112,8 +116,8 @@
     assert evict(idle) is connections[-1]
 
 
-def test_a_release_is_sent_on_its_own_connection_then_on_served_ones() -> None:
-    """A connection that was never served is the last choice."""
+def test_a_release_is_sent_on_its_own_connection_first_then_on_served_ones() -> None:
+    """A connection on which no set-up was ever answered with a session is the last choice."""
     targets = [
         ReleaseTarget(carried_setup=True, has_served=False, session_count=0),
         ReleaseTarget(carried_setup=False, has_served=True, session_count=2),
@@ -128,14 +132,14 @@
 def test_a_release_is_repeated_until_confirmed_or_out_of_attempts() -> None:
     """Each attempt has its timeout; a release that is confirmed is not sent again."""
     releases, now = UnconfirmedReleases(), NOW
-    for session in ("heard", "never heard"):
+    for session in ("confirmed", "unconfirmed"):
         releases.record_sent(session, now)
     assert releases.overdue(now + CONFIRM_TIMEOUT_NS - 1) == []
-    releases.confirm("heard")
+    releases.confirm("confirmed")
     for _ in range(MAX_ATTEMPTS - 1):
         now += CONFIRM_TIMEOUT_NS
-        assert releases.overdue(now) == ["never heard"]
-        releases.record_sent("never heard", now)
+        assert releases.overdue(now) == ["unconfirmed"]
+        releases.record_sent("unconfirmed", now)
     assert releases.overdue(now + CONFIRM_TIMEOUT_NS) == []
     assert len(releases) == 0
 
--- a/tests/test_controller_rules.py
+++ b/tests/test_controller_rules.py
@@ -1,4 +1,4 @@
-"""The decision module against a simple model of the six rules, on generated sequences of events."""
+"""The controller of the decision module against a simple model of the six rules, on generated sequences of events."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Model:
-    """What the rules allow, derived from the module's calls of its host one by one."""
+    """Model of the rules, which checks each call of the controller to its host."""
 
     def __init__(self, harness: ControllerHarness, has_budget: bool) -> None:
-        """Watches the calls that the fleet records."""
+        """Checks the calls that the harness records; `has_budget`: whether the settings have a retry budget."""
         self.harness = harness
         self.has_budget = has_budget
         self.calls_checked = 0
--- a/tests/test_duplicate_and_late_events.py
+++ b/tests/test_duplicate_and_late_events.py
@@ -1,4 +1,4 @@
-"""Duplicate, late and misordered events: the decision module neither raises nor leaks nor changes its state."""
+"""Duplicate, late and reordered events: the controller ignores them, without exceptions, leaks or changed state."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("final_state", ["rejected", "aborted", "ended"])
 @pytest.mark.parametrize("event", EVENTS)
 def test_an_event_on_a_playback_that_has_ended_changes_nothing(event: str, final_state: str) -> None:
-    """Late events must not change seats, loads or scores."""
+    """Guards against late events that change seats, loads or failure scores."""
     harness = ControllerHarness(terms=BUDGETED)
     playback = ended_playback(harness, final_state)
     before = decision_state(harness)
@@ -103,7 +103,7 @@
 
 
 def test_a_duplicate_event_counts_once() -> None:
-    """Duplicates of an event are ignored."""
+    """Guards against duplicates of an event that change seats, loads or failure scores."""
     harness = ControllerHarness(terms=BUDGETED)
     playback = harness.request()
     assert playback.node is not None
@@ -117,7 +117,7 @@
 
 
 def test_a_duplicate_timer_runs_one_interval() -> None:
-    """A duplicate timer must not start a second chain of intervals."""
+    """Guards against a duplicate timer that starts a second chain of sample intervals."""
     harness = ControllerHarness()
     for _ in range(5):
         harness.now += SECOND
@@ -128,8 +128,8 @@
     assert timers == sorted(set(timers))
 
 
-def test_a_late_list_makes_no_node_warm_and_a_clock_ahead_keeps_none_cold() -> None:
-    """A node's start time neither goes back nor lies in the future."""
+def test_a_late_list_makes_no_node_warm_and_a_fast_clock_keeps_none_cold() -> None:
+    """A node's start time never goes back, and never lies in the future."""
     for listed_start_s in (0, 50):
         harness = ControllerHarness(nodes=1, terms=replace(TERMS, front_count=1))
         started = harness.now
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("terms", [TERMS, BUDGETED])
 def test_request_and_retry_times_are_bounded_by_the_budget_window(terms: Any) -> None:
-    """The history of the retry budget must not grow without bound."""
+    """Guards against a history of the retry budget that grows without bound."""
     harness = ControllerHarness(terms=replace(terms, uplink_capacity=0.0))
     for _ in range(2_000):  # each request needs a retry, as if one node was full
         playback = harness.request()
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -1,4 +1,4 @@
-"""Service levels: the controller, its bound on changes under any load, and a front end that changes its level."""
+"""Service levels: the controller, its limit on changes under any load, and a front end that changes its level."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
 
 
 def test_all_short_load_sequences_keep_the_limit_on_changes() -> None:
-    """All sequences of six loads keep the limit on changes and return to full service."""
+    """Every sequence of six loads keeps the limit on changes and returns to full service."""
     bounds = LevelBounds(least=2, most_changes=3, window=9, hold=1)
     seen: Counter[str] = Counter()
     for loads in product((0.2, 1.1, 1.3, 2.4), repeat=6):
@@ -159,7 +159,7 @@
 
 
 def test_recent_answers_yield_their_shares() -> None:
-    """The shares of recent answers are those of the sums, and 0 once too few answers are left."""
+    """The load signals are shares of recent answers, and 0 when too few answers are left."""
     answers = RecentAnswers()
     assert answers.signals(0)[LoadSignal.REJECTED] == 0.0
     for n in range(10):
@@ -197,7 +197,7 @@
 
 
 def test_a_front_end_reduces_service_by_its_level_and_reports_it(tmp_path: Path) -> None:
-    """A front end rejects and lowers by its level, and its status reports the level and the reason."""
+    """A front end rejects plans and lowers rungs as its level demands; its status reports the level and the reason."""
     auth: dict[str, Any] = {"Authorization": "Bearer operators-secret"}
 
     async def test() -> None:
--- a/tests/test_unreported_loads.py
+++ b/tests/test_unreported_loads.py
@@ -1,4 +1,4 @@
-"""Fleets whose nodes report no loads: the load assumed for links, and that a full link does not change it."""
+"""Fleets whose nodes report no loads: the load assumed for links, and that one full link does not change it."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def test_inferred_loads_count_beside_reported_ones() -> None:
-    """Where nodes report, the load inferred from short delivery is one sample among others."""
+    """Where nodes report, a load inferred from short delivery counts as one sample among others."""
     harness = ControllerHarness(NODES, replace(NO_REPORTS, report_interval_ns=3 * SECOND))
     with_report = hand_over(harness, harness.nodes[0])
     with_short_delivery = hand_over(harness, harness.nodes[2])
@@ -96,8 +96,8 @@
     assert harness.controller.assumed_load == pytest.approx((0.5 + 1 / 0.7) / 2, abs=0.1)
 
 
-def test_a_reported_mean_stays_when_the_list_changes() -> None:
-    """Once a link has reported, a new node list must not bring back the default."""
+def test_the_mean_of_reported_loads_survives_a_change_of_the_node_list() -> None:
+    """Guards against a new node list that resets the assumed load to its default after a link has reported."""
     harness = ControllerHarness(NODES, NO_REPORTS)
     playback = hand_over(harness, harness.nodes[0])
     harness.controller.on_metric(playback, PlaybackMetric.LINK_LOAD, 0.2, harness.now)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""Exchanges with the simulator adapter, run as a process."""
+"""The simulator adapter (oakcroft/wirehost), run as a process: exchanges over its line protocol."""
 
 from __future__ import annotations
 
@@ -78,12 +78,12 @@
 
 
 def batch(ms: float, *news: dict[str, Any]) -> str:
-    """A line of input: events at a time."""
+    """Returns a line of input: events at one time."""
     return json.dumps({"momentMs": ms, "news": news})
 
 
 def test_a_playback_from_start_to_end() -> None:
-    """A request is sent to a node, and its end needs no further action."""
+    """A request causes a set-up on a node; the end of its playback causes no further action."""
     start = batch(
         1.0,
         {"op": "powerOn", "who": "e", "seed": 3, "env": SETTINGS},
@@ -112,7 +112,7 @@
 
 
 def test_a_duplicate_outcome_does_not_end_the_next_try() -> None:
-    """A duplicate outcome must not end the try that followed."""
+    """Guards against a duplicate outcome of one try that ends the try after it."""
 
     def reply(number: int) -> dict[str, Any]:
         return {
@@ -146,7 +146,7 @@
 
 
 def test_an_exception_is_reported_with_its_cause() -> None:
-    """An exception becomes an action that names it."""
+    """An exception is reported as an action that names it."""
     replies, code, _ = run_adapter(batch(1.0, {"op": "powerOn", "who": "e", "seed": 3, "env": {}}))
     assert replies[0][-1]["op"] == "giveIn"
     assert "KeyError" in replies[0][-1]["message"]
@@ -154,7 +154,7 @@
 
 
 def test_malformed_input_ends_the_adapter_with_one_error_line() -> None:
-    """Malformed input ends the process with one line of error."""
+    """Malformed input ends the process with an exit status and a single error line."""
     for line in ("nonsense", "[]", '{"momentMs": 1}'):
         replies, code, errors = run_adapter(line)
         assert replies == []
