--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Unit tests of the decisions on sessions, connections, deadlines, node lists and stopping."""
+"""Unit tests of the decisions on set-ups, sessions, connections, deadlines, node lists and shutdown."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def progress_at(stage: RequestStage, status: int = 0, problem: str = "") -> RequestProgress:
-    """Makes the progress of a request that has got to a stage."""
+    """Returns the progress of a request that has reached a stage."""
     progress = RequestProgress(status=status, problem_type=problem)
     for step in STAGES[: STAGES.index(stage) + 1] if stage is not RequestStage.QUEUED else []:
         progress.advance(step)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("stage", "end", "wanted"),
+    ("stage", "end", "expected"),
     [
         (RequestStage.CONNECTING, RequestEnd.UNREACHED, Outcome.NO_CONNECTION),
         (RequestStage.CONNECTING, RequestEnd.TIMED_OUT, Outcome.NO_CONNECTION),
@@ -96,9 +96,9 @@
         (RequestStage.WRITTEN, RequestEnd.WITHDRAWN, Outcome.WITHDRAWN),
     ],
 )
-def test_stage_and_end_decide_the_outcome(stage: RequestStage, end: RequestEnd, wanted: Outcome) -> None:
+def test_stage_and_end_decide_the_outcome(stage: RequestStage, end: RequestEnd, expected: Outcome) -> None:
     """The stage of the request and the kind of its end decide the outcome of the try."""
-    assert setup_outcome(progress_at(stage), end) is wanted
+    assert setup_outcome(progress_at(stage), end) is expected
 
 
 @given(
@@ -165,8 +165,8 @@
     assert detector.earliest_written_at(resumed_at + MS, 0) == now
     # Its connection was accepted during the pause.
     assert detector.earliest_written_at(resumed_at + MS, resumed_at - SECOND) == resumed_at - SECOND
-    for at in range(resumed_at, resumed_at + 2 * SECOND, HEARTBEAT_INTERVAL_NS):
-        detector.heartbeat(at)
+    for time in range(resumed_at, resumed_at + 2 * SECOND, HEARTBEAT_INTERVAL_NS):
+        detector.heartbeat(time)
     assert detector.earliest_written_at(resumed_at + 2 * SECOND, 0) == resumed_at + 2 * SECOND
 
 
@@ -220,14 +220,14 @@
     assert store.decide("a", "", 200 * SECOND)[0] is KeyDecision.NEW
 
 
-def test_the_viewers_best_rung_comes_from_its_bandwidth() -> None:
-    """The best rung is the highest whose rate fits the bandwidth; an invalid wish is ignored."""
+def test_the_best_rung_follows_from_the_viewers_bandwidth() -> None:
+    """The best rung is the highest whose rate fits the bandwidth; an invalid layer selection is ignored."""
     rates = (200.0, 400.0, 800.0)
     assert ladder.best_rung(rates, 1.0, None) == 2
     assert ladder.best_rung(rates, 1.0, ladder.offered_rate(3300, None)) == 1
     assert ladder.best_rung(rates, 2.0, ladder.offered_rate(None, 3_300_000)) == 0
     assert ladder.best_rung(rates, 1.0, 5.0) == 0
-    assert [ladder.requested_rung(w, 1, 2) for w in ("0", "1", "2", "3", "-1", "²", "")] == [
+    assert [ladder.requested_rung(selection, 1, 2) for selection in ("0", "1", "2", "3", "-1", "²", "")] == [
         None,
         1,
         2,
@@ -262,9 +262,7 @@
 
 
 def test_a_full_connection_table_evicts_the_longest_idle_and_never_a_busy_connection() -> None:
-    """A full connection table closes the connection that was idle for longest, never one with an open
-    request.
-    """
+    """A full table closes the connection that was idle for longest, never one with an open request."""
     table = ConnectionTable(ConnectionLimits(connections=2))
     assert table.accept(1, "a", 0)[0] is ConnectionVerdict.ACCEPT
     assert table.accept(2, "b", 0)[0] is ConnectionVerdict.ACCEPT
@@ -281,8 +279,8 @@
     assert table.connections_by_source == {"c": 1}
 
 
-def test_one_source_has_a_limit_and_slow_or_large_requests_get_their_status() -> None:
-    """One source gets no more than its connections; slow and oversized requests get their status."""
+def test_connections_per_source_are_limited_and_slow_or_large_requests_get_an_error_status() -> None:
+    """A source gets no more than its share of connections; slow and oversized requests get an error status."""
     limits = ConnectionLimits(connections_from_one=1)
     table = ConnectionTable(limits)
     table.accept(1, "a", 0)
@@ -305,26 +303,30 @@
     assert queue.add(2)
 
 
-def line(name: str, port: int = 1, listing: NodeStatus = NodeStatus.READY, started: int = 0) -> ListedNode:
-    """Makes an entry of a node list."""
-    return ListedNode(name, "127.0.0.1", port, "w", 0, listing, started, 1000.0, 10.0)
+def listed_node(
+    name: str, port: int = 1, status: NodeStatus = NodeStatus.READY, started_at: int = 0
+) -> ListedNode:
+    """Returns an entry of a node list."""
+    return ListedNode(name, "127.0.0.1", port, "w", 0, status, started_at, 1000.0, 10.0)
 
 
 def test_an_invalid_node_list_changes_nothing() -> None:
     """An empty, ambiguous, invalid or outdated node list is refused and changes nothing."""
-    roster = NodeList()
-    assert roster.apply([line("a", 1), line("b", 2)], 5, "s", 0)
-    for bad in (
+    node_list = NodeList()
+    assert node_list.apply([listed_node("a", 1), listed_node("b", 2)], 5, "s", 0)
+    for invalid_list in (
         [],
-        [line("a", 1), line("a", 2)],
-        [line("a", 1), line("b", 1)],
-        [line("", 1)],
-        [line("a", 0)],
+        [listed_node("a", 1), listed_node("a", 2)],
+        [listed_node("a", 1), listed_node("b", 1)],
+        [listed_node("", 1)],
+        [listed_node("a", 0)],
     ):
-        assert isinstance(roster.apply(bad, 6, "s", 1), ListRejection)
-    assert isinstance(roster.apply([line("a", 1)], 4, "s", 1), ListRejection)  # its version is older
-    assert sorted(roster.listed_nodes) == ["a", "b"]
-    assert roster.apply([line("a", 1)], 5, "s", 1) is None
+        assert isinstance(node_list.apply(invalid_list, 6, "s", 1), ListRejection)
+    assert isinstance(
+        node_list.apply([listed_node("a", 1)], 4, "s", 1), ListRejection
+    )  # its version is older
+    assert sorted(node_list.listed_nodes) == ["a", "b"]
+    assert node_list.apply([listed_node("a", 1)], 5, "s", 1) is None
 
 
 def test_a_node_list_yields_only_its_changes_and_keeps_node_objects() -> None:
@@ -332,54 +334,54 @@
 
     A node that is gone is forgotten a minute later.
     """
-    roster = NodeList()
-    first = roster.apply([line("a", 1), line("b", 2)], 1, "s", 0, is_cached=True)
+    node_list = NodeList()
+    first = node_list.apply([listed_node("a", 1), listed_node("b", 2)], 1, "s", 0, is_cached=True)
     assert not isinstance(first, ListRejection)
     assert first is not None
     assert first[0] is NodeListKind.KEPT
-    a = roster.nodes["a"]
-    second = roster.apply([line("a", 1, NodeStatus.DRAINING)], 1, "s", 1)
+    a = node_list.nodes["a"]
+    second = node_list.apply([listed_node("a", 1, NodeStatus.DRAINING)], 1, "s", 1)
     assert not isinstance(second, ListRejection)
     assert second is not None
     kind, entries = second
     assert kind is NodeListKind.CHANGES
     assert [(e.node.name, e.status) for e in entries] == [("a", NodeStatus.DRAINING), ("b", NodeStatus.GONE)]
-    roster.apply([line("a", 1), line("b", 2, started=9)], 2, "s", 2)
-    assert roster.nodes["a"] is a
-    roster.apply([line("a", 1)], 3, "s", 3)
-    roster.apply([line("a", 1, NodeStatus.DRAINING)], 4, "s", 3 + 61 * SECOND)
-    assert "b" not in roster.nodes
+    node_list.apply([listed_node("a", 1), listed_node("b", 2, started_at=9)], 2, "s", 2)
+    assert node_list.nodes["a"] is a
+    node_list.apply([listed_node("a", 1)], 3, "s", 3)
+    node_list.apply([listed_node("a", 1, NodeStatus.DRAINING)], 4, "s", 3 + 61 * SECOND)
+    assert "b" not in node_list.nodes
 
 
 def test_a_stopping_front_end_answers_open_requests_and_ends_in_bounded_time() -> None:
-    """A stopping front end answers open requests first, and ends in bounded time all the same."""
-    stop = Shutdown(10 * SECOND, 2 * SECOND, 5 * SECOND)
-    stop.start_serving(0)
-    assert stop.accepts_requests()
-    assert stop.handle_stop_signal(1)
-    assert not stop.accepts_requests()
-    assert not stop.handle_stop_signal(2)  # an answer may still be owed
-    assert stop.advance(1, 0, 0, 3 * SECOND) is FrontState.DRAINING
-    assert stop.advance(0, 1, 0, 4 * SECOND) is FrontState.DRAINING
-    assert stop.advance(0, 1, 1, 11 * SECOND) is FrontState.LEAVING
-    assert stop.advance(0, 0, 1, 12 * SECOND) is FrontState.LEAVING
-    assert stop.advance(0, 0, 1, 13 * SECOND) is FrontState.GONE
+    """A stopping front end answers open requests first, but ends in bounded time even if one stays open."""
+    shutdown = Shutdown(10 * SECOND, 2 * SECOND, 5 * SECOND)
+    shutdown.start_serving(0)
+    assert shutdown.accepts_requests()
+    assert shutdown.handle_stop_signal(1)
+    assert not shutdown.accepts_requests()
+    assert not shutdown.handle_stop_signal(2)  # an open request may still need its answer
+    assert shutdown.advance(1, 0, 0, 3 * SECOND) is FrontState.DRAINING
+    assert shutdown.advance(0, 1, 0, 4 * SECOND) is FrontState.DRAINING
+    assert shutdown.advance(0, 1, 1, 11 * SECOND) is FrontState.LEAVING
+    assert shutdown.advance(0, 0, 1, 12 * SECOND) is FrontState.LEAVING
+    assert shutdown.advance(0, 0, 1, 13 * SECOND) is FrontState.GONE
     stuck = Shutdown(SECOND, SECOND, 5 * SECOND)
     stuck.start_serving(0)
     stuck.handle_stop_signal(0)
-    # An unanswered request does not hold it for ever.
+    # An unanswered request does not delay it for ever.
     assert stuck.advance(1, 0, 1, 11 * SECOND) is FrontState.LEAVING
 
 
 def test_a_session_resource_checks_its_preconditions() -> None:
-    """PATCH and DELETE get the status that RFC 9725 defines; a failed ICE restart keeps the old session."""
+    """PATCH and DELETE get the status that RFC 9725 defines; a failed ICE restart keeps the old ICE session."""
     resource = SessionResource("1", "abcd", max_candidates=2)
-    codes = [
+    errors = [
         resource.patch("text/plain", ['"1"'], "abcd", 1), resource.patch(SDPFRAG_MEDIA_TYPE, None, "abcd", 1),
         resource.patch(SDPFRAG_MEDIA_TYPE, ['"9"'], "abcd", 1), resource.patch(SDPFRAG_MEDIA_TYPE, ["*"], "abcd", 1),
         resource.patch(SDPFRAG_MEDIA_TYPE, ['"1"'], "other", 1), resource.patch(SDPFRAG_MEDIA_TYPE, ['"1"'], "abcd", 3),
     ]  # fmt: skip
-    assert [reply.status for reply in codes if isinstance(reply, ResourceError)] == [
+    assert [error.status for error in errors if isinstance(error, ResourceError)] == [
         415,
         428,
         412,
@@ -398,18 +400,17 @@
     resource.restart_failed()
     assert (resource.etag, resource.ufrag, resource.phase) == ("2", "fresh", ResourcePhase.LIVE)
     assert resource.delete() is ResourceAction.END
-    twice = resource.delete()
-    assert isinstance(twice, ResourceError)
-    assert twice.status == 404
+    second_delete = resource.delete()
+    assert isinstance(second_delete, ResourceError)
+    assert second_delete.status == 404
     resource.end()
     resource.end()
 
 
 def test_a_node_is_lost_after_a_restart_two_refusals_or_silence() -> None:
-    """A new process name, two refused connections and an unknown session prove the loss of a node's
-    playbacks.
+    """A new process name, two refused connections and unknown sessions prove the loss of a node's playbacks.
 
-    Silence makes the loss presumed only, and a broken stream alone is none.
+    After silence the loss is only presumed, and a broken stream alone is no loss.
     """
     timeouts = StreamTimeouts(SECOND, 4 * SECOND)
     health = EventStreamHealth(timeouts, 0)
@@ -428,7 +429,7 @@
     assert silent.state is StreamState.SILENT
     assert silent.check(5 * SECOND) is LossCertainty.PRESUMED
     assert silent.check(6 * SECOND) is None
-    assert silent.stream_opened("q", 7 * SECOND) is LossCertainty.PROVEN  # it failed while it was silent
+    assert silent.stream_opened("q", 7 * SECOND) is LossCertainty.PROVEN  # it restarted while it was silent
     gone = EventStreamHealth(timeouts, 0)
     gone.stream_opened("p", 0)
     assert gone.stream_broken(StreamBreak.SESSIONS_UNKNOWN, 1) is LossCertainty.PROVEN
@@ -457,7 +458,7 @@
 
 
 def test_unclaimed_sessions_are_ended_and_missed_ends_are_found() -> None:
-    """Guards against orphaned sessions on a node and against playbacks that the node has ended unnoticed.
+    """Guards against orphaned sessions on a node, and against playbacks whose end on the node was missed.
 
     A pause of the front end does not count towards the claim timeout.
     """
@@ -482,7 +483,7 @@
 
 
 def test_a_full_title_cache_evicts_no_title_in_use() -> None:
-    """A full title cache evicts only titles without seats taken."""
+    """A full title cache evicts only titles without taken seats; if there are none, a new title is refused."""
     cache = TitleCache(2, 4, 3, {"stated": (1, 2)})
     a, b = cache.get("a", 9), cache.get("stated", 9)
     assert a is not None
--- a/tests/test_zone_preference.py
+++ b/tests/test_zone_preference.py
@@ -1,4 +1,4 @@
-"""Zone preference: evidence, the ramp of a returning zone, and the bound on overflow."""
+"""Zone preference: evidence of a zone's health, the ramp of a returning zone, and the limit on overflow."""
 
 from __future__ import annotations
 
@@ -32,16 +32,18 @@
 
 
 def states_over(
-    health: ZoneHealth, seconds: int, nodes: dict[NodeEvidence, int], now: int = 0
+    health: ZoneHealth, seconds: int, nodes: dict[NodeEvidence, int], start_s: int = 0
 ) -> list[ZoneState]:
+    """Updates a zone twice a second with the same evidence; returns the states that it enters."""
     states = []
     for half_second in range(seconds * 2):
-        if (state := health.update(nodes, now * SECOND + half_second * SECOND // 2)) is not None:
+        if (state := health.update(nodes, start_s * SECOND + half_second * SECOND // 2)) is not None:
             states.append(state)
     return states
 
 
 def test_a_cut_differs_from_a_loss_and_both_from_a_few_failed_nodes() -> None:
+    """A cut zone is silent, a lost zone has no processes; evidence that does not hold changes nothing."""
     health = ZoneHealth(ZonePreferenceBounds())
     assert states_over(health, 10, SOME_REFUSE) == []
     assert states_over(health, 1, MOSTLY_SILENT, 10) == []  # the evidence did not hold for long enough
@@ -54,6 +56,7 @@
 
 
 def test_the_ramp_rises_and_takes_longer_with_each_relapse() -> None:
+    """A zone that fails again while it returns gets a longer ramp, up to a limit, until it has been sound for long."""
     health = ZoneHealth(ZonePreferenceBounds())
     ramps: list[int] = []
     now = 0
@@ -63,7 +66,7 @@
         assert health.state is ZoneState.RETURNING
         ramps.append(health.ramp_time // SECOND)
         shares = [health.traffic_share(health.state_since + t * SECOND) for t in range(400)]
-        assert all(b >= a for a, b in pairwise(shares))
+        assert all(later >= earlier for earlier, later in pairwise(shares))
         assert shares[0] < 0.01
         assert shares[-1] == 1.0
         now += 8
@@ -77,6 +80,7 @@
 
 
 def test_every_short_history_makes_allowed_transitions_and_recovers() -> None:
+    """Every sequence of six pieces of evidence keeps to the state machine, and good evidence makes the zone sound."""
     for history in product((ALL_ANSWER, MOSTLY_SILENT, MOSTLY_FAILED, SOME_REFUSE), repeat=6):
         health = ZoneHealth(ZonePreferenceBounds(hold=1, ramp=4, longest=16))
         states = [health.state]
@@ -89,13 +93,16 @@
             states.append(health.state)
         assert states[-1] is ZoneState.SOUND
         assert all(
-            a is b or b in TRANSITIONS[a] or any(b in TRANSITIONS[m] for m in TRANSITIONS[a])
-            for a, b in pairwise(states)
+            after is before
+            or after in TRANSITIONS[before]
+            or any(after in TRANSITIONS[between] for between in TRANSITIONS[before])
+            for before, after in pairwise(states)
         )
 
 
 @given(st.integers(0, 1 << 30), st.floats(0, 1), st.lists(st.integers(0, 3_000), max_size=150))
-def test_overflow_stays_within_its_bound(seed: int, spill_share: float, gaps: list[int]) -> None:
+def test_overflow_stays_within_its_limit(seed: int, spill_share: float, gaps: list[int]) -> None:
+    """No sequence of requests sends more than the configured share of any window to the other zone."""
     bounds, rng = ZonePreferenceBounds(spill=spill_share), Random(seed)
     preference = ZonePreference(("west", "east"), bounds)
     choices: list[tuple[int, bool]] = []
@@ -112,14 +119,15 @@
         assert sum(window) <= spill_share * len(window) + 1e-9 or not window[-1]
 
 
-def test_own_zone_first_others_within_the_bound_and_the_rest_rejected() -> None:
+def test_own_zone_first_others_within_the_limit_and_the_rest_rejected() -> None:
+    """Requests go to the own zone, then to others up to the overflow limit; the rest is rejected."""
     preference = ZonePreference(("west", "east"), ZonePreferenceBounds(spill=0.5))
     assert preference.choose_zones({}, 0.99, 0) == {"west"}
     for n in range(8):
         preference.update({"west": MOSTLY_FAILED, "east": ALL_ANSWER}, n * SECOND)
     chosen = [preference.choose_zones({"east": 0.5}, 0.5, 8 * SECOND + n) for n in range(100)]
-    assert sum(c == {"east"} for c in chosen) == 50
-    assert sum(not c for c in chosen) == preference.rejected_count == 50
+    assert sum(chosen_zones == {"east"} for chosen_zones in chosen) == 50
+    assert sum(not chosen_zones for chosen_zones in chosen) == preference.rejected_count == 50
     assert preference.choose_zones({"east": 0.95}, 0.5, 60 * SECOND) == set()  # the other zone has no room
     full = ZonePreference(("west", "east"), ZonePreferenceBounds(spill=1.0))
     assert full.choose_zones({"west": 0.95, "east": 0.5}, 0.5, 0) == {"east"}  # the own zone is full
@@ -127,7 +135,8 @@
     assert full.choose_zones({"west": 0.95, "east": 0.95}, 0.5, 0) == {"west"}
 
 
-def test_a_zone_without_a_ready_node_has_no_room_at_any_bound() -> None:
+def test_a_zone_without_a_ready_node_has_no_room() -> None:
+    """Guards against requests to a zone without ready nodes, whatever the configured `room`."""
     assert zone_load([0.5, 0.7]) == 0.6
     assert zone_load([]) == NO_READY_NODE
     zones = ZonePreference(("west", "east"), ZonePreferenceBounds(spill=1.0, room=1_000.0))
@@ -137,12 +146,13 @@
     assert zones.choose_zones(nowhere, 0.5, 0) == {"west"}  # the decision module decides
 
 
-def test_requests_of_a_draining_zone_overflow_within_the_bound_and_return_at_once() -> None:
+def test_requests_of_a_draining_zone_overflow_within_the_limit_and_return_at_once() -> None:
+    """A drained zone counts as sound: its requests overflow, and return without a ramp."""
     zones = ZonePreference(("west", "east"), ZonePreferenceBounds(spill=0.5))
     drained = {NodeEvidence.DRAINS: 10}
     zones.update({"west": drained, "east": ALL_ANSWER}, 0)
     chosen = [zones.choose_zones({"west": NO_READY_NODE, "east": 0.5}, 0.5, n) for n in range(100)]
-    assert sum(c == {"east"} for c in chosen) == 50
+    assert sum(chosen_zones == {"east"} for chosen_zones in chosen) == 50
     zones.update({"west": drained, "east": ALL_ANSWER}, 9 * SECOND)
     # A drain is no failure, so there is no ramp after it.
     assert zones.health["west"].state is ZoneState.SOUND
@@ -150,6 +160,7 @@
 
 
 def test_draining_nodes_do_not_count_as_evidence() -> None:
+    """Only the nodes that do not drain decide on the health of their zone."""
     assert states_over(ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 10}) == []
     assert (
         states_over(ZoneHealth(ZonePreferenceBounds()), 10, {NodeEvidence.DRAINS: 8, NodeEvidence.ANSWERS: 2})
@@ -171,7 +182,8 @@
     ) == [ZoneState.LOST]
 
 
-def test_a_returning_zone_gets_its_share_of_two_hundred_fronts_gradually() -> None:
+def test_two_hundred_front_ends_return_to_a_zone_gradually() -> None:
+    """Guards against front ends that all return to a zone at the same moment and overload it."""
     fronts = [ZonePreference(("west", "east"), ZonePreferenceBounds(spill=1.0)) for _ in range(200)]
     rng = Random(5)
     requests_by_second: list[int] = []
@@ -183,22 +195,26 @@
             requests += sum(preference.choose_zones({}, rng.random(), now) == {"west"} for _ in range(2))
         requests_by_second.append(requests)
     assert sum(requests_by_second[3:12]) <= 4
-    # Of 400 requests a second: the front ends do not return all at once.
-    assert max(b - a for a, b in pairwise(requests_by_second[12:42])) <= 60
+    # There are 400 requests a second, so the front ends return gradually.
+    assert max(later - earlier for earlier, later in pairwise(requests_by_second[12:42])) <= 60
     assert requests_by_second[-1] == 400
 
 
 def test_the_overflow_window_expires() -> None:
+    """Requests that have left the window count no more, neither as requests nor as overflow."""
     window = OverflowWindow(ZonePreferenceBounds(spill=0.5, window=10))
     assert not window.allows_overflow(0)
     window.record_request(False, 0)
     assert window.allows_overflow(0)
     window.record_request(True, 0)
     assert not window.allows_overflow(5)
-    assert not window.allows_overflow(11)  # the window is empty, so one request alone would be all of it
+    assert not window.allows_overflow(
+        11
+    )  # the window is empty: one request to another zone would be all of it
 
 
-def test_a_front_prefers_its_zone_overflows_within_the_bound_and_returns(tmp_path: Path) -> None:
+def test_a_front_end_prefers_its_zone_overflows_within_the_limit_and_returns(tmp_path: Path) -> None:
+    """A front end leaves its zone when the only node there dies, and returns by the ramp once the node is back."""
     form = """(operators (secret "operators-secret"))
       (preference (spill 50%) (window 60s) (hold 300ms) (ramp 2s) (room 2))"""
 
@@ -214,7 +230,7 @@
             answers = [(await rig.request_playback(f"/whep/open/u{n}")).status for n in range(20)]
             overflowed = [f for f in rig.recorded("setup") if f["node"] == "n2"]
             request_count = len(rig.recorded("setup")) + answers.count(503)
-            # Overflow stays within the bound; the rest is rejected at once.
+            # Overflow stays within the limit; the rest is rejected at once.
             assert 5 <= len(overflowed) <= request_count / 2 + 1
             assert answers.count(503) >= 5
             rig.node("n1").machine.restart(rig.fleet.clock.now())
