--- a/tests/test_lease_protocol.py
+++ b/tests/test_lease_protocol.py
@@ -1,8 +1,8 @@
 """Fleet leases have one holder at a time: a model check of acceptors and candidates.
 
-The tests try every order of events up to a depth and long seeded random walks. They also disable one rule at a time and
-require that the same checks then fail. There are no sockets and no clock: a world consists of three to seven acceptors,
-some candidates, and the messages between them.
+The tests try every order of events up to a depth, and long seeded random walks. They also disable one rule of the
+protocol at a time and require that the same checks then fail. There are no sockets and no clock: a world consists of
+three to seven acceptors, some candidates, and the messages between them.
 """
 
 from __future__ import annotations
@@ -34,20 +34,23 @@
 
 
 class ShortestDelay(Random):
-    """Draws the shortest delay each time."""
+    """Random numbers with which every delay is the shortest one."""
 
     def randrange(self, *_: Any) -> int:
+        """Returns 0 for any range."""
         return 0
 
 
 class MessageLog:
-    """All messages ever sent, each once, so that worlds refer to them by number."""
+    """All messages ever sent, each stored once, so that worlds refer to them by number."""
 
     def __init__(self) -> None:
+        """Starts without messages."""
         self.messages: list[tuple[str, Any]] = []
         self.known: dict[tuple[str, Any], int] = {}
 
     def number(self, message: tuple[str, Any]) -> int:
+        """Returns the number of a message, which is added if it is new."""
         if message not in self.known:
             self.known[message] = len(self.messages)
             self.messages.append(message)
@@ -61,7 +64,7 @@
 class World:
     """Acceptors, candidates and the messages in flight.
 
-    An acceptor that restarts with its record has everything that was saved before an answer was sent.
+    An acceptor that restarts with its record has everything that was saved before it sent an answer.
     """
 
     acceptors: dict[str, LeaseAcceptor]
@@ -71,49 +74,51 @@
     now: int = 0
     epoch: int = 1
     terms: list[tuple[int, str]] = field(default_factory=list)  # terms in the order in which they began
-    recorded_note: LeaseNote = field(
-        default_factory=LeaseNote
-    )  # the last note that its holder knew to be on record
+    # The last note that a holder knew to be recorded by a quorum.
+    recorded_note: LeaseNote = field(default_factory=LeaseNote)
     tokens: set[int] = field(default_factory=set)
-    used_budgets: tuple[int, ...] = (0, 0, 0, 0)  # used up of the budgets of a walk
+    used_budgets: tuple[int, ...] = (0, 0, 0, 0)  # used parts of the budgets, see BUDGET_OF
 
-    def send(self, name: str, words: list[AcceptorMessage]) -> None:
-        self.requests += [MESSAGES.number((name, w)) for w in words]
+    def send(self, name: str, messages: list[AcceptorMessage]) -> None:
+        """Adds the requests of a candidate to those in flight and checks the invariants."""
+        self.requests += [MESSAGES.number((name, message)) for message in messages]
         self.check()
 
     def tick(self) -> None:
+        """Lets every candidate do what is due now."""
         for name, candidate in self.candidates.items():
             self.send(name, candidate.tick(self.now))
 
-    def deliver(self, which: int) -> int | None:
+    def deliver(self, number: int) -> int | None:
         """Delivers a request to its acceptor and returns the number of the answer, which is not sent yet."""
-        name, word = MESSAGES.messages[which]
-        answer = self.acceptors[word.acceptor].handle_request(word.request, self.now)
+        name, message = MESSAGES.messages[number]
+        answer = self.acceptors[message.acceptor].handle_request(message.request, self.now)
         return None if answer is None else MESSAGES.number((name, answer))
 
-    def answer(self, which: int) -> None:
-        name, answer = MESSAGES.messages[which]
+    def answer(self, number: int) -> None:
+        """Delivers an answer to its candidate."""
+        name, answer = MESSAGES.messages[number]
         self.send(name, self.candidates[name].receive_answer(answer, self.now))
 
-    def restart(self, name: str, record: bool) -> None:
+    def restart(self, name: str, keeps_record: bool) -> None:
         """Restarts an acceptor. Without its record it asks all others, which answer at once."""
         old, self.epoch = self.acceptors[name], self.epoch + 1
         new = LeaseAcceptor(name, self.acceptors, TERM_LENGTH, self.epoch, self.now)
-        if record:
+        if keeps_record:
             new.load_record(old.epoch, old.peer_epochs, old.records, True, self.now)
         self.acceptors[name] = new
         for other in new.peers_to_ask():
-            told = self.acceptors[other].record_for_peer(name, new.epoch)
-            if told is not None:
-                new.receive_peer_record(told, self.now)
+            peer_record = self.acceptors[other].record_for_peer(name, new.epoch)
+            if peer_record is not None:
+                new.receive_peer_record(peer_record, self.now)
 
     def due_times(self) -> list[int]:
-        """Returns the future times at which something ends or is due."""
-        some = {c.due_at for c in self.candidates.values() if c.state is not CandidateState.IDLE}
-        some |= {c.held_until for c in self.candidates.values()}
+        """Returns the future times at which a term or a wait ends, or a candidate is due."""
+        times = {c.due_at for c in self.candidates.values() if c.state is not CandidateState.IDLE}
+        times |= {c.held_until for c in self.candidates.values()}
         for member in self.acceptors.values():
-            some |= {member.silent_until, *member.running_until.values()}
-        return sorted(t for t in some if t > self.now)
+            times |= {member.silent_until, *member.running_until.values()}
+        return sorted(time for time in times if time > self.now)
 
     def check(self) -> None:
         """Checks the invariants: one holder, growing fencing tokens, no lost note."""
@@ -127,7 +132,7 @@
                     f"{one.term} after {self.terms}"
                 )
                 assert one.note.body == self.recorded_note.body or one.note.body > self.recorded_note.body, (
-                    "a note on record is lost"
+                    "a recorded note is lost"
                 )
                 self.terms.append((one.term.fencing_token, one.me))
             if one.note.version == one.recorded_version and one.note.body >= self.recorded_note.body:
@@ -172,9 +177,10 @@
         )
 
 
-def world(
+def make_world(
     acceptor_count: int, candidates: int, rng: Callable[[int], Random] = lambda _: ShortestDelay()
 ) -> World:
+    """Returns a world in which every candidate wants the lease and its first requests are in flight."""
     names = [f"k{i}" for i in range(acceptor_count)]
     acceptors = {n: LeaseAcceptor(n, names, TERM_LENGTH, 1, -TERM_LENGTH) for n in names}
     for member in acceptors.values():
@@ -223,79 +229,82 @@
     """Returns all events that may come next.
 
     A request is answered, its answer is lost or late, a request is delivered twice, an acceptor restarts with or without
-    its record, or time advances to the next due time. Requests that are never delivered are lost.
+    its record, or time advances to the next due time. A lost request is one that is never delivered.
     """
-    able = {kind for kind, part in BUDGET_OF.items() if at.used_budgets[part] < budgets[part]}
-    for which in sorted(set(at.requests)):
-        yield "answered", which
+    allowed = {kind for kind, part in BUDGET_OF.items() if at.used_budgets[part] < budgets[part]}
+    for number in sorted(set(at.requests)):
+        yield "answered", number
         for kind in ("lost", "late", "twice"):
-            if kind in able:
-                yield kind, which
-    for which in sorted(set(at.answers)):
-        yield "answer", which
+            if kind in allowed:
+                yield kind, number
+    for number in sorted(set(at.answers)):
+        yield "answer", number
     if times := at.due_times():
         yield "time", times[0]
     for kind in ("restart", "wiped"):
-        if kind in able:
+        if kind in allowed:
             for name in at.acceptors:
                 yield kind, name
 
 
-def apply_event(at: World, what: Event) -> World:
+def apply_event(at: World, event: Event) -> World:
     """Returns the world after one event."""
-    new, (kind, which) = copied(at), what
+    new, (kind, subject) = copied(at), event
     if kind in BUDGET_OF:
         new.used_budgets = tuple(n + (i == BUDGET_OF[kind]) for i, n in enumerate(at.used_budgets))
     if kind == "time":
-        new.now = which
+        new.now = subject
         new.tick()
     elif kind in ("restart", "wiped"):
-        new.restart(which, kind == "restart")
+        new.restart(subject, kind == "restart")
     elif kind == "answer":
-        new.answers.remove(which)
-        new.answer(which)
+        new.answers.remove(subject)
+        new.answer(subject)
     else:
         if kind != "twice":
-            new.requests.remove(which)
-        back = new.deliver(which)
-        if back is not None and kind == "late":
-            new.answers.append(back)
-        elif back is not None and kind != "lost":
-            new.answer(back)
+            new.requests.remove(subject)
+        answer = new.deliver(subject)
+        if answer is not None and kind == "late":
+            new.answers.append(answer)
+        elif answer is not None and kind != "lost":
+            new.answer(answer)
     new.check()
     return new
 
 
 def explore(start: World, depth: int, budgets: tuple[int, ...]) -> int:
     """Tries every order of events up to a depth and returns the number of distinct worlds."""
-    seen, here = {start.key()}, [start]
+    seen, frontier = {start.key()}, [start]
     for _ in range(depth):
-        later = list[World]()
-        for at in here:
-            for what in next_events(at, budgets):
-                new = apply_event(at, what)
+        next_frontier = list[World]()
+        for at in frontier:
+            for event in next_events(at, budgets):
+                new = apply_event(at, event)
                 key = new.key()
                 if key not in seen:
                     seen.add(key)
-                    later.append(new)
-        here = later
+                    next_frontier.append(new)
+        frontier = next_frontier
     return len(seen)
 
 
 def held_by_two_of_three() -> World:
-    """c0 holds the lease by k0 and k1; its requests to k2 are still in flight, and c1 has sent none."""
-    start = world(3, 2)
+    """Returns a world in which c0 holds the lease by k0 and k1.
+
+    The requests of c0 to k2 are still in flight, and c1 has sent none.
+    """
+    start = make_world(3, 2)
     start.requests = [n for n in start.requests if MESSAGES.messages[n][0] == "c0"]
     for _ in range(2):
         for name in ("k0", "k1"):
-            which = next(n for n in start.requests if MESSAGES.messages[n][1].acceptor == name)
-            start = apply_event(start, ("answered", which))
+            number = next(n for n in start.requests if MESSAGES.messages[n][1].acceptor == name)
+            start = apply_event(start, ("answered", number))
     assert start.candidates["c0"].held_term(start.now)
     return start
 
 
 def ended_and_requested_by_another() -> World:
-    """The same later: c0 has received nothing more and its term has ended, and c1 may request one."""
+    """Returns the world of `held_by_two_of_three` after the term of c0 has ended; c1 may request one."""
     start = held_by_two_of_three()
     until = max(start.acceptors["k0"].running_until.values())
     late = next(n for n in start.requests if MESSAGES.messages[n][1].request.kind is LeaseMessageKind.PROPOSE)
@@ -307,13 +316,13 @@
 
 @pytest.mark.parametrize(
     ("start", "depth", "budgets"),
-    [(lambda: world(3, 2), 6, (0, 0, 0, 0)), (lambda: world(3, 2), 3, (1, 1, 1, 1)),
+    [(lambda: make_world(3, 2), 6, (0, 0, 0, 0)), (lambda: make_world(3, 2), 3, (1, 1, 1, 1)),
      (held_by_two_of_three, 4, (1, 1, 1, 1)), (ended_and_requested_by_another, 4, (1, 1, 1, 1))],
 )  # fmt: skip
 def test_every_order_of_events_to_a_depth(
     start: Callable[[], World], depth: int, budgets: tuple[int, ...], record_property: Any
 ) -> None:
-    """One holder at most, tokens that only grow, and no lost note, in every world that can be reached."""
+    """Guards against two holders, fencing tokens that do not grow and lost notes, in every reachable world."""
     count = explore(start(), depth, budgets)
     record_property("worlds", count)
     assert count > 2_000, count
@@ -325,66 +334,73 @@
 def random_walk(seed: int, acceptor_count: int, wipes: int, events: int = 4_000) -> World:
     """A seeded random walk: messages are lost, late or duplicated, candidates are suspended, acceptors restart."""
     rng = Random(seed)
-    at = world(acceptor_count, 3, lambda i: Random(seed * 10 + i))
-    wiped_until, asleep = dict[str, int](), dict[str, int]()
+    at = make_world(acceptor_count, 3, lambda i: Random(seed * 10 + i))
+    record_lost_until, suspended_until = dict[str, int](), dict[str, int]()
     for _ in range(events):
-        dice = rng.random()
-        quiet = 1 - 0.3 / acceptor_count  # a round with many acceptors takes more messages
-        if at.requests and dice < 0.6 * quiet:
-            which = at.requests.pop(rng.randrange(len(at.requests)))
-            fate = rng.random()
-            if fate < 0.08:
+        draw = rng.random()
+        message_share = 1 - 0.3 / acceptor_count  # a round with many acceptors takes more messages
+        if at.requests and draw < 0.6 * message_share:
+            number = at.requests.pop(rng.randrange(len(at.requests)))
+            delivery = rng.random()
+            if delivery < 0.08:  # the request is lost
                 continue
-            back = at.deliver(which)
-            if fate < 0.16:
-                at.requests.append(which)
-            if back is not None:
-                at.answers.append(back)
-        elif at.answers and dice < quiet:
-            which = at.answers.pop(rng.randrange(len(at.answers)))
-            if rng.random() < 0.08:
+            answer = at.deliver(number)
+            if delivery < 0.16:  # it is delivered twice
+                at.requests.append(number)
+            if answer is not None:
+                at.answers.append(answer)
+        elif at.answers and draw < message_share:
+            number = at.answers.pop(rng.randrange(len(at.answers)))
+            if rng.random() < 0.08:  # the answer is lost
                 continue
-            at.answer(which)
-        elif dice < 1 - 0.09 / acceptor_count:
+            at.answer(number)
+        elif draw < 1 - 0.09 / acceptor_count:
             times = at.due_times()
             if times:
                 at.now = times[0] if rng.random() < 0.9 else times[-1]
             for name, candidate in at.candidates.items():
-                if asleep.get(name, 0) <= at.now:
+                if suspended_until.get(name, 0) <= at.now:
                     at.send(name, candidate.tick(at.now))
                 if rng.random() < 0.03:
-                    asleep[name] = at.now + rng.randrange(3 * TERM_LENGTH)
+                    suspended_until[name] = at.now + rng.randrange(3 * TERM_LENGTH)
             for name, candidate in at.candidates.items():
                 if candidate.held_term(at.now) is not None and rng.random() < 0.3:
                     body = f"{len(at.tokens):05}-{rng.randrange(100_000):05}".encode()
                     at.send(name, candidate.record_note(max(body, candidate.note.body + b"+"), at.now))
-        elif dice < 1 - 0.03 / acceptor_count:
+        elif draw < 1 - 0.03 / acceptor_count:
             at.restart(rng.choice(sorted(at.acceptors)), True)
         elif wipes:
-            mute = {n for n, t in wiped_until.items() if t > at.now or not at.acceptors[n].has_full_record}
+            unable = {
+                n for n, t in record_lost_until.items() if t > at.now or not at.acceptors[n].has_full_record
+            }
             name = rng.choice(sorted(at.acceptors))
-            if len(mute | {name}) <= wipes:
+            if len(unable | {name}) <= wipes:
                 at.restart(name, False)
-                wiped_until[name] = at.now + TERM_LENGTH
+                record_lost_until[name] = at.now + TERM_LENGTH
         at.check()
     return at
 
 
 @pytest.mark.parametrize(("acceptor_count", "wipes"), [(3, 1), (5, 2), (7, 3)])
 def test_random_walks(acceptor_count: int, wipes: int) -> None:
+    """The invariants of `World.check` hold on long random walks in which acceptors lose their records, too."""
     terms_begun = 0
     for seed in range(40):
         terms_begun += len(random_walk(seed, acceptor_count, wipes).terms)
-    assert terms_begun > 100, terms_begun  # otherwise the walks test nothing
+    assert terms_begun > 100, terms_begun  # with few terms the walks would test nothing
 
 
-def forgets(self: LeaseAcceptor, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
-    """An acceptor that takes part right after a restart, without what it had promised."""
+def load_record_without_promises(
+    self: LeaseAcceptor, epoch: int, epochs: Any, rows: Any, whole: bool, now: int
+) -> None:
+    """Replaces `load_record`: the acceptor answers right after a restart, without its promises."""
     self.has_full_record, self.silent_until = True, now
 
 
-def ends_term(self: LeaseAcceptor, epoch: int, epochs: Any, rows: Any, whole: bool, now: int) -> None:
-    """An acceptor that restarts with its record and lets the term on it end at once."""
+def load_record_and_end_term(
+    self: LeaseAcceptor, epoch: int, epochs: Any, rows: Any, whole: bool, now: int
+) -> None:
+    """Replaces `load_record`: the acceptor keeps its record but lets the term on it end at once."""
     self.records, self.peer_epochs, self.epoch, self.has_full_record, self.silent_until = (
         dict(rows),
         dict(epochs),
@@ -395,24 +411,32 @@
 
 
 def accepts_all(row: Any, term: LeaseTerm) -> bool:
+    """Replaces `_may_accept`: the acceptor accepts every term."""
     return True
 
 
 WEAKENED_RULES: dict[str, list[tuple[Any, str, Any]]] = {
     "a promise binds": [(LeaseAcceptor, "_may_accept", staticmethod(accepts_all))],
     "nothing is promised while a term runs": [(LeaseAcceptor, "running_term", lambda self, duty, now: None)],
-    "an acceptor remembers": [(LeaseAcceptor, "load_record", forgets)],
-    "a term on record runs anew": [(LeaseAcceptor, "load_record", ends_term)],
-    "a term counts from the asking": [(candidate_module, "safe_term_length", lambda length: 2 * length)],
-    "it takes a majority": [(candidate_module, "majority", lambda of: 1)],
-    "one that forgot learns from a majority": [(acceptor, "majority", lambda of: 0)],
+    "an acceptor keeps its promises over a restart": [
+        (LeaseAcceptor, "load_record", load_record_without_promises)
+    ],
+    "a recorded term runs its whole length after a restart": [
+        (LeaseAcceptor, "load_record", load_record_and_end_term)
+    ],
+    "a holder counts its term from its request": [
+        (candidate_module, "safe_term_length", lambda length: 2 * length)
+    ],
+    "a lease needs a majority": [(candidate_module, "majority", lambda of: 1)],
+    "an acceptor without a record asks a majority": [(acceptor, "majority", lambda of: 0)],
 }
 
 
 @pytest.mark.parametrize("rule", WEAKENED_RULES)
 def test_random_walks_fail_without_a_rule(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    for where, name, weaker in WEAKENED_RULES[rule]:
-        monkeypatch.setattr(where, name, weaker)
+    """Guards against random walks that cannot find a violation: each rule is necessary and is checked."""
+    for target, name, replacement in WEAKENED_RULES[rule]:
+        monkeypatch.setattr(target, name, replacement)
 
     def walks() -> None:
         for seed in range(40):
@@ -427,16 +451,19 @@
 
 
 def term(number: int, owner: str = "c0") -> LeaseTerm:
+    """Returns a term with a fencing token and a holder."""
     return LeaseTerm(number, owner, 1)
 
 
 def make_acceptor(name: str = "k0", acceptor_count: int = 3) -> LeaseAcceptor:
+    """Returns an acceptor of a fleet with its record loaded, so that it answers at once."""
     one = LeaseAcceptor(name, [f"k{i}" for i in range(acceptor_count)], TERM_LENGTH, 1, -TERM_LENGTH)
     one.load_record(1, {}, {}, True, 0)
     return one
 
 
 def test_a_repeated_proposal_does_not_renew_a_term() -> None:
+    """Guards against a duplicate proposal that prolongs a term beyond what its holder counts."""
     one, ask = make_acceptor(), LeaseRequest(LeaseMessageKind.PROPOSE, LEASE_NAME, term(5), 1, TERM_LENGTH)
     assert one.handle_request(ask, 0) is not None
     again = one.handle_request(ask, TERM_LENGTH - 1)
@@ -449,6 +476,7 @@
 
 
 def test_an_acceptor_names_what_is_unsaved() -> None:
+    """Promises and new terms have to be saved before the answer is sent; a renewal does not."""
     one = make_acceptor()
     one.handle_request(LeaseRequest(LeaseMessageKind.PREPARE, LEASE_NAME, term(1)), 0)
     assert one.unsaved == {LEASE_NAME}
@@ -461,6 +489,7 @@
 
 
 def test_an_acceptor_bounds_its_records_and_refuses_invalid_requests() -> None:
+    """Guards against unbounded records, exhausted tokens, oversized notes and terms that are too long."""
     one = make_acceptor()
     for i in range(MAX_LEASES + 5):
         one.handle_request(LeaseRequest(LeaseMessageKind.PREPARE, f"d{i}", term(1)), 0)
@@ -482,7 +511,8 @@
     assert refused.kind is LeaseMessageKind.REFUSED  # a longer term than the acceptor grants
 
 
-def test_of_two_acceptors_under_one_name_the_older_record_does_not_count() -> None:
+def test_of_two_acceptors_under_one_name_the_older_one_does_not_count() -> None:
+    """Guards against a lease by two acceptors with one name, after one of them lost its record."""
     old, names = make_acceptor("k2"), ["k0", "k1", "k2"]
     others = [make_acceptor("k0"), make_acceptor("k1")]
     new = LeaseAcceptor("k2", names, TERM_LENGTH, 7, 0)
@@ -492,17 +522,17 @@
         is None
     )  # it has no record yet
     for one in others:
-        told = one.record_for_peer("k2", new.epoch)
-        assert told is not None
-        new.receive_peer_record(told, 0)
+        peer_record = one.record_for_peer("k2", new.epoch)
+        assert peer_record is not None
+        new.receive_peer_record(peer_record, 0)
     assert new.has_full_record
     assert not new.can_answer(TERM_LENGTH - 1)  # it waits for the longest term to end
     assert new.can_answer(TERM_LENGTH)
     candidate = LeaseCandidate(LEASE_NAME, "c0", 1, names, TERM_LENGTH, ShortestDelay(), 0, 0)
     candidate.set_wanted(True, 0)
-    words = candidate.tick(0)
+    messages = candidate.tick(0)
     for at in (old, others[0]):
-        answer = at.handle_request(next(w for w in words if w.acceptor == at.me).request, 0)
+        answer = at.handle_request(next(w for w in messages if w.acceptor == at.me).request, 0)
         assert answer is not None
         candidate.receive_answer(answer, 0)
     assert candidate.state is CandidateState.PREPARING
@@ -510,19 +540,23 @@
     assert others[0].record_for_peer("k2", 1) is None  # the older record gets no answer either
 
 
-def test_a_new_fleet_begins_where_no_acceptor_has_a_record() -> None:
+def test_a_new_fleet_starts_if_no_acceptor_has_a_record() -> None:
+    """In a new fleet, an acceptor has a full record once all others have answered that they have none."""
     names = ["k0", "k1", "k2"]
-    some = {n: LeaseAcceptor(n, names, TERM_LENGTH, 5, 0) for n in names}
-    told = some["k1"].record_for_peer("k0", 5)
-    assert told is not None
-    assert not some["k0"].receive_peer_record(told, 0)  # one of two others, which has no record either
-    told = some["k2"].record_for_peer("k0", 5)
-    assert told is not None
-    assert some["k0"].receive_peer_record(told, 0)
-    assert not some["k0"].can_answer(TERM_LENGTH - 1)
+    acceptors = {n: LeaseAcceptor(n, names, TERM_LENGTH, 5, 0) for n in names}
+    peer_record = acceptors["k1"].record_for_peer("k0", 5)
+    assert peer_record is not None
+    assert not acceptors["k0"].receive_peer_record(
+        peer_record, 0
+    )  # one of the two others, which has no record either
+    peer_record = acceptors["k2"].record_for_peer("k0", 5)
+    assert peer_record is not None
+    assert acceptors["k0"].receive_peer_record(peer_record, 0)
+    assert not acceptors["k0"].can_answer(TERM_LENGTH - 1)
 
 
 def test_a_fence_rejects_older_tokens_and_steps() -> None:
+    """Guards against steps of an earlier holder, also after the fence is restored from what it has seen."""
     fence = Fence()
     for number, step in ((3, 1), (3, 1), (3, 2), (5, 1)):
         assert fence.admits(LEASE_NAME, number, step)
@@ -535,6 +569,7 @@
 
 
 def test_a_holder_counts_its_term_shorter_than_any_acceptor() -> None:
+    """Guards against a holder whose clock runs slowly and that acts after its term has ended at an acceptor."""
     for length in (SECOND, TERM_LENGTH, 60 * SECOND):
         assert safe_term_length(length) < length - length // 100
     at = held_by_two_of_three()
