--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -79,13 +79,13 @@
 
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
     from rig import running_front_end  # type: ignore[import-not-found,unused-ignore]
-    from test_configuration_reload import version, own  # type: ignore[import-not-found,unused-ignore]
+    from test_configuration_reload import build_version, front_form  # type: ignore[import-not-found,unused-ignore]
 
     with tempfile.TemporaryDirectory() as name:
         async with running_front_end(Path(name)) as rig:
             front = rig.front_end
             assert isinstance(front, FrontEnd)
-            versions = [version(i, own(rig)) for i in range(6)]
+            versions = [build_version(i, front_form(rig)) for i in range(6)]
 
             async def send_requests(latencies: HdrHistogram) -> None:
                 start = trio.current_time()
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -19,14 +19,14 @@
 CHANGES = 50
 
 
-def own(rig: Rig) -> str:
+def front_form(rig: Rig) -> str:
     service = f"127.0.0.1:{rig.fleet.list_port}"
     return (
         f'(front (zone west) (listen "127.0.0.1:0") (list-service "{service}") (kept "{rig.directory}/kept"))'
     )
 
 
-def version(i: int, front: str) -> Deployment | list[str]:
+def build_version(i: int, front: str) -> Deployment | list[str]:
     """Even versions send requests to n1 on rung 0, odd ones to n2 on rung 1; every seventh is invalid."""
     pool, floor = ("n1", 0) if i % 2 == 0 else ("n2", 1)
     site = (
@@ -63,7 +63,7 @@
         async with running_front_end(tmp_path) as rig:
             front = rig.front_end
             assert front is not None
-            versions = [version(i, own(rig)) for i in range(CHANGES)]
+            versions = [build_version(i, front_form(rig)) for i in range(CHANGES)]
             first = versions[0]
             assert isinstance(first, Deployment)
             verdicts[await front.apply_configuration(1, first)] += 1
@@ -109,15 +109,15 @@
             file = tmp_path / "front.oak"
             front.source = partial(read_deployment_in_subprocess, file)
             sound = front.configuration.resolved
-            file.write_text(f"{own(rig)}\n{rig.site_text}")
+            file.write_text(f"{front_form(rig)}\n{rig.site_text}")
             assert await front.reload() is ConfigurationVerdict.SAME
-            file.write_text(f"{own(rig)}\n{rig.site_text}\n(token t (secret secret-one))")
+            file.write_text(f"{front_form(rig)}\n{rig.site_text}\n(token t (secret secret-one))")
             assert await front.reload() is ConfigurationVerdict.TAKEN
             assert (await rig.request_playback()).status == 401
-            file.write_text(f"{own(rig)}\n{rig.site_text}\n(token t (secret short))")
+            file.write_text(f"{front_form(rig)}\n{rig.site_text}\n(token t (secret short))")
             assert await front.reload() is ConfigurationVerdict.INVALID
             assert (await rig.request_playback(Authorization="Bearer secret-one")).status == 201
-            file.write_text(f"{own(rig)}\n{rig.site_text.replace('800kB/s', '900kB/s')}")
+            file.write_text(f"{front_form(rig)}\n{rig.site_text.replace('800kB/s', '900kB/s')}")
             assert await front.reload() is ConfigurationVerdict.NEEDS_RESTART
             assert sound["ladder"] == front.configuration.resolved["ladder"]
             assert b"secret-one" not in rig.log_output.getvalue()
@@ -138,7 +138,7 @@
             ]
             assert [s.status for s in answers] == [201] * 3
             site = rig.site_text.replace("(revenue 2)", "(revenue 2) (seats 2)")
-            found, _ = check_file("f", lambda _: f"{own(rig)}\n{site}")
+            found, _ = check_file("f", lambda _: f"{front_form(rig)}\n{site}")
             assert found is not None
             families = {name: p.plan.family_id for name, p in helm.site.plans.items()}
             assert (
