--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""Configuration changes while the front serves: fifty under load on real sockets, invalid ones among them."""
+"""Configuration changes while the front end serves: under load on real sockets, with invalid versions among them."""
 
 from __future__ import annotations
 
@@ -20,15 +20,19 @@
 
 
 def front_form(rig: Rig) -> str:
+    """Returns the `front` form of a rig's configuration."""
     service = f"127.0.0.1:{rig.fleet.list_port}"
     return (
         f'(front (zone west) (listen "127.0.0.1:0") (list-service "{service}") (kept "{rig.directory}/kept"))'
     )
 
 
-def build_version(i: int, front: str) -> Deployment | list[str]:
-    """Even versions send requests to n1 on rung 0, odd ones to n2 on rung 1; every seventh is invalid."""
-    pool, floor = ("n1", 0) if i % 2 == 0 else ("n2", 1)
+def build_version(number: int, front: str) -> Deployment | list[str]:
+    """Builds a numbered version, or returns its errors.
+
+    Even versions send requests to n1 on rung 0, odd ones to n2 on rung 1; every seventh is invalid.
+    """
+    pool, floor = ("n1", 0) if number % 2 == 0 else ("n2", 1)
     site = (
         SITE_TEMPLATE.replace("EXTRA", "")
         .replace("(revenue 1) (floor 0))", f"(revenue 1) (floor {floor}) (top {floor}))")
@@ -37,18 +41,19 @@
             '(route open (path "/whep/open/") (plan open) (pool p))',
         )
     )
-    site += f"\n(pool p (nodes {pool}))\n(limit everyone (on all) (at-once {12 + i % 3}))"
-    if i % 7 == 6:
+    site += f"\n(pool p (nodes {pool}))\n(limit everyone (on all) (at-once {12 + number % 3}))"
+    if number % 7 == 6:
         site += "\n(route broken (path nowhere) (plan nothing))"
     found, problems = check_file("front", lambda _: f"{front}\n{site}")
     return (
-        [problems.format(p) for p in problems.errors]
+        [problems.format(problem) for problem in problems.errors]
         if found is None
         else build_deployment(found, {"course": 0, "open": 1, "seats": 2})
     )
 
 
-async def viewer(rig: Rig, number: int, answers: Counter[int]) -> None:
+async def run_viewer(rig: Rig, number: int, answers: Counter[int]) -> None:
+    """Requests a playback, counts the answer and ends the playback after a moment."""
     answer = await rig.request_playback(f"/whep/open/t{number % 5}", Idempotency_Key=f'"k{number}"')
     answers[answer.status] += 1
     if answer.status == 201:
@@ -57,6 +62,7 @@
 
 
 def test_fifty_changes_under_load(tmp_path: Path) -> None:
+    """Guards against set-ups under a half-applied version, and against limits that are lost in a change."""
     answers, verdicts = Counter[int](), Counter[ConfigurationVerdict]()
 
     async def test() -> None:
@@ -68,29 +74,31 @@
             assert isinstance(first, Deployment)
             verdicts[await front.apply_configuration(1, first)] += 1
 
-            async def change() -> None:
+            async def apply_versions() -> None:
                 for i, found in enumerate(versions[1:], 2):
                     await trio.sleep(0.06)
                     verdicts[await front.apply_configuration(i, found)] += 1
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(change)
+                nursery.start_soon(apply_versions)
                 for number in range(280):
-                    nursery.start_soon(viewer, rig, number, answers)
+                    nursery.start_soon(run_viewer, rig, number, answers)
                     await trio.sleep(0.0125)
             await wait_until(lambda: not rig.nodes_in_use())
             for fact in rig.recorded("setup"):
                 assert (fact["node"], fact["rung"]) in (("n1", 0), ("n2", 1)), "a half-applied version"
             assert {f["node"] for f in rig.recorded("setup")} == {"n1", "n2"}
-            held = 0
+            running_playbacks = 0
             for _, step in sorted(
                 [(f["t"], 1) for f in rig.recorded("ran")] + [(f["t"], -1) for f in rig.recorded("over")]
             ):
-                held += step
-                assert held <= 14
-            helm = front.coordinator
-            assert helm is not None
-            await wait_until(lambda: not helm.limit_ledger.concurrent and not helm.sessions_by_playback)
+                running_playbacks += step
+                assert running_playbacks <= 14
+            coordinator = front.coordinator
+            assert coordinator is not None
+            await wait_until(
+                lambda: not coordinator.limit_ledger.concurrent and not coordinator.sessions_by_playback
+            )
 
     run_async_test(test, 60)
     assert verdicts[ConfigurationVerdict.TAKEN] + verdicts[ConfigurationVerdict.INVALID] == CHANGES
@@ -101,14 +109,16 @@
     assert answers[201] > 70
 
 
-def test_a_reload_applies_valid_versions_and_names_what_needs_a_restart(tmp_path: Path) -> None:
+def test_a_reload_applies_valid_versions_and_rejects_what_needs_a_restart(tmp_path: Path) -> None:
+    """A reload applies only a valid version that needs no restart, and no secret gets into the log."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             front = rig.front_end
             assert front is not None
             file = tmp_path / "front.oak"
             front.source = partial(read_deployment_in_subprocess, file)
-            sound = front.configuration.resolved
+            first_resolved = front.configuration.resolved
             file.write_text(f"{front_form(rig)}\n{rig.site_text}")
             assert await front.reload() is ConfigurationVerdict.SAME
             file.write_text(f"{front_form(rig)}\n{rig.site_text}\n(token t (secret secret-one))")
@@ -119,7 +129,7 @@
             assert (await rig.request_playback(Authorization="Bearer secret-one")).status == 201
             file.write_text(f"{front_form(rig)}\n{rig.site_text.replace('800kB/s', '900kB/s')}")
             assert await front.reload() is ConfigurationVerdict.NEEDS_RESTART
-            assert sound["ladder"] == front.configuration.resolved["ladder"]
+            assert first_resolved["ladder"] == front.configuration.resolved["ladder"]
             assert b"secret-one" not in rig.log_output.getvalue()
             assert b"(secret" not in rig.log_output.getvalue()
 
@@ -127,20 +137,22 @@
 
 
 def test_playbacks_keep_their_terms_and_seats_count_across_a_change(tmp_path: Path) -> None:
+    """Guards against seats that are counted by version, and against playbacks that a lower limit ends."""
+
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
             front = rig.front_end
             assert front is not None
-            helm = front.coordinator
-            assert helm is not None
+            coordinator = front.coordinator
+            assert coordinator is not None
             answers = [
                 await rig.request_playback("/whep/course/t", Idempotency_Key=f'"s{i}"') for i in range(3)
             ]
-            assert [s.status for s in answers] == [201] * 3
+            assert [answer.status for answer in answers] == [201] * 3
             site = rig.site_text.replace("(revenue 2)", "(revenue 2) (seats 2)")
             found, _ = check_file("f", lambda _: f"{front_form(rig)}\n{site}")
             assert found is not None
-            families = {name: p.plan.family_id for name, p in helm.site.plans.items()}
+            families = {name: plan.plan.family_id for name, plan in coordinator.site.plans.items()}
             assert (
                 await front.apply_configuration(1, build_deployment(found, families))
                 is ConfigurationVerdict.TAKEN
@@ -148,11 +160,11 @@
             taken = next(e for e in rig.log_entries() if e["event"] == "configuration taken")
             assert taken["over_seats"] == ["t: 3 of 2"]
             assert (await rig.request_playback("/whep/course/t")).status == 503
-            for s in answers[:2]:
-                assert (await rig.request("DELETE", s.header("location") or "")).status == 200
-            await wait_until(lambda: len(helm.sessions_by_id) == 1)
+            for answer in answers[:2]:
+                assert (await rig.request("DELETE", answer.header("location") or "")).status == 200
+            await wait_until(lambda: len(coordinator.sessions_by_id) == 1)
             assert (await rig.request_playback("/whep/course/t")).status == 201
-            assert helm.site.plans["course"].plan.effect is Effect.PAID
+            assert coordinator.site.plans["course"].plan.effect is Effect.PAID
             limited = found | {
                 "limit": {"l": {"on": ("all",), "rate": 0.01, "burst": 1.0, "at-once": None, "of": "whole"}}
             }
