--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -51,16 +51,18 @@
 
 
 def evaluate(
-    old: Catalogue, new: Catalogue, made_from: str | None, fleet: FleetSnapshot, force: bool = False
+    old: Catalogue, new: Catalogue, base_digest: str | None, fleet: FleetSnapshot, force: bool = False
 ) -> Any:
-    return evaluate_change(old, new, changed_titles(old, new), made_from, fleet, force)
+    """Evaluates a change of all titles in which two versions differ."""
+    return evaluate_change(old, new, changed_titles(old, new), base_digest, fleet, force)
 
 
 def make_catalogue(number: int = 1, others: bool = False, **titles: CatalogueTitle) -> Catalogue:
+    """Returns a version; `others`: whether titles that it does not name are served too."""
     return Catalogue(number, text_digest(format_catalogue(titles.items(), others)), titles, others)
 
 
-@pytest.mark.parametrize(("text", "line", "says"), [
+@pytest.mark.parametrize(("text", "line", "message"), [
     ("(catalogue\n (title a (home 0)", 2, "never closed"),
     ("(catalogue))", 1, "never opened"),
     ('(catalogue\n(title "a', 2, "cannot be read"),
@@ -82,12 +84,13 @@
     ("(catalogue (title a (holders)))", 1, "one at least"),
     ("((((((((", 1, "six deep"),
 ])  # fmt: skip
-def test_each_fault_of_a_text_is_named_with_its_line(text: str, line: int, says: str) -> None:
+def test_each_error_in_a_text_is_reported_with_its_line(text: str, line: int, message: str) -> None:
+    """An error in a catalogue text is reported with a message and its line."""
     with pytest.raises(CatalogueError) as found:
         read_catalogue(text)
-    shown = [f for f in found.value.faults if says in f.format()]
-    assert shown, [f.format() for f in found.value.faults]
-    assert shown[0].line == line
+    matching = [fault for fault in found.value.faults if message in fault.format()]
+    assert matching, [fault.format() for fault in found.value.faults]
+    assert matching[0].line == line
 
 
 letters = st.characters(
@@ -102,57 +105,63 @@
 
 
 @given(st.dictionaries(names, items, max_size=6), st.booleans())
-def test_what_is_written_reads_as_the_same(titles: dict[str, CatalogueTitle], others: bool) -> None:
+def test_a_formatted_catalogue_reads_as_the_same(titles: dict[str, CatalogueTitle], others: bool) -> None:
+    """Guards against titles that are lost or changed when a catalogue is written and read again."""
     text = format_catalogue(titles.items(), others)
     assert read_catalogue(text) == CatalogueContent(titles, others)
     assert format_catalogue(read_catalogue(text).titles.items(), others) == text
 
 
 @given(st.text(max_size=80))
-def test_any_text_reads_or_is_refused_with_a_line(text: str) -> None:
+def test_any_text_is_read_or_rejected_with_a_line(text: str) -> None:
+    """Guards against input that raises any other exception, or an error without line and message."""
     for reader in (read_catalogue, lambda t: apply_change(t, CatalogueContent({}))):
         faults = []
         try:
             reader(text)
-        except CatalogueError as fault:
-            faults = fault.faults
+        except CatalogueError as error:
+            faults = error.faults
             assert len(faults) > 0
-        assert all(f.line >= 1 and f.message for f in faults)
+        assert all(fault.line >= 1 and fault.message for fault in faults)
 
 
-def test_the_quick_reader_says_the_same_or_nothing() -> None:
+def test_the_fast_reader_agrees_with_the_full_reader_or_returns_none() -> None:
+    """Guards against a text that the fast reader accepts and the full reader rejects or reads differently."""
     good = format_catalogue(
         {"a": CatalogueTitle(("n1",)), "b": CatalogueTitle((), 1, 2, (200.0, 400.0))}.items(), True
     )
     assert read_formatted(good) == read_catalogue(good.replace("(title", " (title"))
-    for worse in (
+    for faulty in (
         good.replace("(others yes)", "(others so)"), good.replace("holders n1", "holders n1 n1"), good + "x",
         good.replace("(home 1)", "(home one)"), good.replace("title b", "title a"), good.replace("title a", "title a/b"),
         good.replace("(copies 2)", "(copies 2) (copies 3)"), good.replace("holders", "folders"), good[:-3],
         good.replace("200kB/s 400kB/s", "400kB/s 200kB/s"), good.replace("title a ", "title (a) "),
     ):  # fmt: skip
-        assert read_formatted(worse) is None, worse
+        assert read_formatted(faulty) is None, faulty
 
 
-def test_a_change_is_applied_whole_or_not_at_all() -> None:
-    said = read_catalogue("(catalogue (title a (home 0) (copies 2)) (title b (home 1) (copies 2)))")
-    after = apply_change("(put (title c (holders n1))) (drop a)", said)
+def test_a_change_is_applied_as_a_whole_or_not_at_all() -> None:
+    """Guards against a change with an error of which a part is applied."""
+    before = read_catalogue("(catalogue (title a (home 0) (copies 2)) (title b (home 1) (copies 2)))")
+    after = apply_change("(put (title c (holders n1))) (drop a)", before)
     assert sorted(after.titles) == ["b", "c"]
-    assert sorted(said.titles) == ["a", "b"]
+    assert sorted(before.titles) == ["a", "b"]
     with pytest.raises(CatalogueError, match="no title z"):
-        apply_change("(drop b) (drop z)", said)
-    assert sorted(said.titles) == ["a", "b"]
+        apply_change("(drop b) (drop z)", before)
+    assert sorted(before.titles) == ["a", "b"]
 
 
-def test_a_request_is_bound_by_the_version_in_force() -> None:
+def test_the_active_version_limits_the_rung_of_a_request() -> None:
+    """The highest rung is that of the title, and none where the title is not served or under the floor."""
     catalogue = make_catalogue(2, a=CatalogueTitle(rates=(1.0, 2.0)), b=CatalogueTitle())
-    tops = [highest_rung(catalogue, t, top, floor, 4) for t, top, floor in
+    tops = [highest_rung(catalogue, title, top, floor, 4) for title, top, floor in
             (("a", 9, 0), ("a", 0, 0), ("a", 9, 2), ("b", 9, 0), ("c", 9, 0))]  # fmt: skip
     assert tops == [1, 0, None, 3, None]
     assert highest_rung(Catalogue(), "c", 1 << 30, 0, 4) == 3
 
 
-def test_what_becomes_of_a_change() -> None:
+def test_the_verdicts_on_a_change() -> None:
+    """A change is taken, the same as the active version, stale or refused with its reasons."""
     old = make_catalogue(1, a=CatalogueTitle(("n1",)), gone=CatalogueTitle(("n9",)))
     assert evaluate(
         old, make_catalogue(2, a=CatalogueTitle(("n1",)), gone=CatalogueTitle(("n9",))), old.digest, SNAPSHOT
@@ -164,31 +173,34 @@
     assert evaluate(old, good, old.digest, SNAPSHOT) == (CatalogueVerdict.TAKEN, [])
     assert evaluate(old, good, "other", SNAPSHOT)[0] is CatalogueVerdict.STALE
     assert evaluate(old, good, None, SNAPSHOT)[0] is CatalogueVerdict.TAKEN
-    for bad, says in (
+    for title, reason in (
         (CatalogueTitle(("n3",)), "no ready holder"),
         (CatalogueTitle(("n7",)), "not listed: n7"),
         (CatalogueTitle((), 4, 1), "there are 4"),
         (CatalogueTitle(rates=(1.0, 2.0, 3.0, 4.0)), "ladder has 3"),
     ):
-        verdict, reasons = evaluate(old, make_catalogue(2, a=bad), old.digest, SNAPSHOT)
+        verdict, reasons = evaluate(old, make_catalogue(2, a=title), old.digest, SNAPSHOT)
         assert verdict is CatalogueVerdict.REFUSED
-        assert says in reasons[0]
+        assert reason in reasons[0]
     assert (
         evaluate(old, make_catalogue(2, a=CatalogueTitle(("n3",))), None, SNAPSHOT, force=True)[0]
         is CatalogueVerdict.TAKEN
     )
-    floored = FleetSnapshot(SNAPSHOT.ready_nodes, SNAPSHOT.listed_nodes, 3, 4, {"course": 2})
+    with_high_floor = FleetSnapshot(SNAPSHOT.ready_nodes, SNAPSHOT.listed_nodes, 3, 4, {"course": 2})
     assert (
         "under the floor of plan course"
-        in evaluate(old, make_catalogue(2, a=CatalogueTitle(("n1",), rates=(1.0, 2.0))), None, floored)[1][0]
+        in evaluate(
+            old, make_catalogue(2, a=CatalogueTitle(("n1",), rates=(1.0, 2.0))), None, with_high_floor
+        )[1][0]
     )
 
 
-def test_what_plays_finishes_or_steps_down_and_never_under_its_floor() -> None:
-    two = CatalogueTitle(rates=(200.0, 400.0))
-    assert effect_on_playback(0, 2, two, False, 3, "n1") == (PlaybackEffect.STEPS_DOWN, 1)
-    assert effect_on_playback(0, 1, two, False, 3, "n1") == (PlaybackEffect.STAYS, 1)
-    assert effect_on_playback(2, 2, two, False, 3, "n1") == (PlaybackEffect.FINISHES, 2)
+def test_playbacks_finish_or_step_down_and_never_under_their_floor() -> None:
+    """Guards against a change that ends a playback, or steps it down under its floor or all at one moment."""
+    two_rungs = CatalogueTitle(rates=(200.0, 400.0))
+    assert effect_on_playback(0, 2, two_rungs, False, 3, "n1") == (PlaybackEffect.STEPS_DOWN, 1)
+    assert effect_on_playback(0, 1, two_rungs, False, 3, "n1") == (PlaybackEffect.STAYS, 1)
+    assert effect_on_playback(2, 2, two_rungs, False, 3, "n1") == (PlaybackEffect.FINISHES, 2)
     assert effect_on_playback(0, 2, None, False, 3, "n1") == (PlaybackEffect.FINISHES, 2)
     assert effect_on_playback(0, 1, None, True, 3, "n1") == (PlaybackEffect.STAYS, 2)
     assert effect_on_playback(0, 2, CatalogueTitle(("n2",)), False, 3, "n1") == (PlaybackEffect.FINISHES, 2)
@@ -204,34 +216,37 @@
 
 
 @given(st.integers(1, 200), st.integers(0, 1 << 60), st.floats(0, 1), st.floats(0, 1))
-def test_a_share_of_the_fronts_takes_a_version_and_grows(
-    fronts: int, number: int, a: float, b: float
+def test_front_ends_stay_included_while_the_share_of_a_rollout_grows(
+    front_count: int, digest: int, first_share: float, second_share: float
 ) -> None:
-    low, high = sorted((a, b))
-    first = {f for f in range(fronts) if is_in_share(f, fronts, number, low)}
-    assert first <= {f for f in range(fronts) if is_in_share(f, fronts, number, high)}
-    assert abs(len(first) - low * fronts) <= 1
-    assert all(is_in_share(f, fronts, number, 1.0) for f in range(fronts))
+    """Guards against front ends that leave a staged rollout when its share grows, and against a wrong share."""
+    low, high = sorted((first_share, second_share))
+    fronts = range(front_count)
+    included = {front for front in fronts if is_in_share(front, front_count, digest, low)}
+    assert included <= {front for front in fronts if is_in_share(front, front_count, digest, high)}
+    assert abs(len(included) - low * front_count) <= 1
+    assert all(is_in_share(front, front_count, digest, 1.0) for front in fronts)
 
 
-def test_history_forgets_the_oldest_and_the_shelf_looks_only_at_what_changed() -> None:
+def test_the_history_drops_the_oldest_version_and_the_title_cache_updates_changed_titles() -> None:
+    """The history is bounded; cached titles change only where the catalogue differs."""
     history = VersionHistory(max_versions=3)
-    gone = [history.add(VersionEntry(n, str(n), n, "")) for n in range(1, 6)]
-    assert gone == [[], [], [], [1], [2]]
+    dropped = [history.add(VersionEntry(n, str(n), n, "")) for n in range(1, 6)]
+    assert dropped == [[], [], [], [1], [2]]
     assert (history.next_number, history.find(2), history.find(4)) == (6, None, VersionEntry(4, "4", 4, ""))
-    shelf = TitleCache(10, 4, 2, {"stated": (3, 1)})
-    plain, stated = shelf.get("plain", 9), shelf.get("stated", 0)
+    cache = TitleCache(10, 4, 2, {"stated": (3, 1)})
+    plain, stated = cache.get("plain", 9), cache.get("stated", 0)
     assert plain
     assert stated
     old, new = (
         Catalogue(),
         make_catalogue(1, plain=CatalogueTitle(("n1+2",), rates=(1.0,)), other=CatalogueTitle((), 1, 1)),
     )
-    shelf.apply_catalogue(new.titles, changed_titles(old, new))
+    cache.apply_catalogue(new.titles, changed_titles(old, new))
     assert (plain.holder_names, plain.rung_rates, plain.holders_version) == (frozenset({"n1"}), (1.0,), -1)
     assert (stated.home_cell, stated.copies, stated.holder_names) == (3, 1, None)
     stated.holders_version = 5
-    shelf.apply_catalogue({}, changed_titles(new, Catalogue()))
+    cache.apply_catalogue({}, changed_titles(new, Catalogue()))
     assert (plain.holder_names, plain.rung_rates, plain.home_cell, plain.copies) == (None, (), 1, 2)
     assert stated.holders_version == 5
 
@@ -239,15 +254,18 @@
 async def send_catalogue(
     rig: Rig, text: str, match: str | None = "*", query: str = "", method: str = "PUT"
 ) -> Response:
+    """Sends a catalogue, or a change of it, as an operator."""
     headers = AUTH | ({"If_Match": match} if match else {})
     return await rig.request(method, f"/operators/catalogue{query}", text.encode(), **headers)
 
 
-def response_body(sat: Response) -> dict[str, Any]:
-    return dict(orjson.loads(sat.body))
+def response_body(response: Response) -> dict[str, Any]:
+    """Returns the JSON object in a response."""
+    return dict(orjson.loads(response.body))
 
 
-def test_the_operators_interface(tmp_path: Path) -> None:
+def test_the_operators_api(tmp_path: Path) -> None:
+    """Operators read, replace, change and roll back the catalogue, with preconditions and after a restart."""
     one = "(catalogue (title a (holders n1)) (title b (home 0) (copies 2)))"
 
     async def test() -> None:
@@ -321,15 +339,16 @@
     run_async_test(test)
 
 
-def test_a_removed_rendition_a_removed_title_and_a_holder_taken_away_under_what_plays(tmp_path: Path) -> None:
+def test_playbacks_continue_when_their_rendition_title_or_holder_is_removed(tmp_path: Path) -> None:
+    """Guards against a change that ends playbacks; a lower ladder steps them down where their floor allows it."""
     full = "(title a (home 0) (copies 2) (renditions 200kB/s 400kB/s 800kB/s))"
 
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM + HIGH_PLAN_FORM) as rig:
             assert (await send_catalogue(rig, f"(catalogue {full} (title b (holders n1)))")).status == 200
             high, low = await rig.request_playback("/whep/high/a"), await rig.request_playback("/whep/open/a")
-            held = await rig.request_playback("/whep/open/b")
-            assert [high.status, low.status, held.status] == [201, 201, 201]
+            other = await rig.request_playback("/whep/open/b")
+            assert [high.status, low.status, other.status] == [201, 201, 201]
             refused = await send_catalogue(
                 rig, "(put (title a (home 0) (copies 2) (renditions 200kB/s)))", "*", "", "PATCH"
             )
@@ -340,12 +359,14 @@
             session = (low.header("location") or "").rpartition("/")[2]
             assert rig.front_end is not None
             assert rig.front_end.coordinator is not None
-            low_one = rig.front_end.coordinator.sessions_by_id[session]
-            await wait_until(lambda: low_one.playback.rung == 0)
-            high_one = rig.front_end.coordinator.sessions_by_id[
+            low_session = rig.front_end.coordinator.sessions_by_id[session]
+            await wait_until(lambda: low_session.playback.rung == 0)
+            high_session = rig.front_end.coordinator.sessions_by_id[
                 (high.header("location") or "").rpartition("/")[2]
             ]
-            assert high_one.playback.rung == 2  # no rung from its floor up is left: it finishes at its own
+            assert (
+                high_session.playback.rung == 2
+            )  # no rung at or above its floor is left, so it stays at its own
             assert (await send_catalogue(rig, "(drop a)", "*", "", "PATCH")).status == 200
             assert len([n for p in rig.nodes_in_use() for n in p.sessions]) == 3  # no session was ended
             assert (await rig.request_playback("/whep/open/b")).status == 201
@@ -355,23 +376,25 @@
     run_async_test(test)
 
 
-def test_fifty_swaps_under_load_and_every_set_up_is_of_one_version(tmp_path: Path) -> None:
+def test_fifty_changes_under_load_and_every_set_up_belongs_to_one_version(tmp_path: Path) -> None:
+    """Guards against a set-up that mixes two versions: its node and rung must be those of the version that it names."""
+
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
             rng, versions, answers = Random(4), dict[int, dict[str, CatalogueTitle]](), Counter[int]()
             stop, longest = trio.Event(), [0.0]
 
-            async def viewers(seed: int) -> None:
-                mine = Random(seed)
+            async def run_viewer(seed: int) -> None:
+                viewer_rng = Random(seed)
                 while not stop.is_set():
-                    began = trio.current_time()
-                    answer = await rig.request_playback(f"/whep/open/t{mine.randrange(4)}")
-                    longest[0] = max(longest[0], trio.current_time() - began)
+                    started_at = trio.current_time()
+                    answer = await rig.request_playback(f"/whep/open/t{viewer_rng.randrange(4)}")
+                    longest[0] = max(longest[0], trio.current_time() - started_at)
                     answers[answer.status] += 1
                     if answer.status == 201:
                         await rig.request("DELETE", answer.header("location") or "")
 
-            def some() -> str:
+            def random_catalogue() -> str:
                 titles = {}
                 for n in range(4):
                     if rng.random() < 0.8:
@@ -381,24 +404,23 @@
 
             async with trio.open_nursery() as nursery:
                 for seed in range(4):
-                    nursery.start_soon(viewers, seed)
+                    nursery.start_soon(run_viewer, seed)
                 verdicts = Counter[int]()
                 for n in range(50):
-                    text = some()
+                    text = random_catalogue()
                     if n % 10 == 3:
                         text = text.replace("(title", "(tilte", 1) + "("
                     if n % 10 == 7:
                         text = text.replace("n1", "n8").replace("n2", "n9")
                     tag = (await rig.request("GET", "/operators/catalogue", **AUTH)).header("etag") or ""
                     received = [await send_catalogue(rig, text, tag)]
-                    if (
-                        n % 10 == 5 and received[0].status == 200
-                    ):  # a second change made from the same version
-                        received.append(await send_catalogue(rig, some(), tag))
-                    for one in received:
-                        verdicts[one.status] += 1
-                        if one.status == 200 and response_body(one)["verdict"] == "taken":
-                            versions[response_body(one)["version"]] = dict(read_catalogue(text).titles)
+                    if n % 10 == 5 and received[0].status == 200:
+                        # A second change based on the same version.
+                        received.append(await send_catalogue(rig, random_catalogue(), tag))
+                    for response in received:
+                        verdicts[response.status] += 1
+                        if response.status == 200 and response_body(response)["verdict"] == "taken":
+                            versions[response_body(response)["version"]] = dict(read_catalogue(text).titles)
                     await trio.sleep(0.02)
                 stop.set()
             assert verdicts[422] == 5
@@ -408,20 +430,22 @@
             assert set(answers) <= {201, 404, 503}
             assert answers[201] > 50
             seen = Counter[int]()
-            for f in rig.recorded("setup"):
-                if f["catalogue"]:
+            for fact in rig.recorded("setup"):
+                if fact["catalogue"]:
                     # A KeyError would mean that the version has no such title.
-                    item = versions[f["catalogue"]][f["title"]]
-                    assert f["node"] in item.holders, f
-                    assert f["rung"] < len(item.rates), f
-                    seen[f["catalogue"]] += 1
+                    title = versions[fact["catalogue"]][fact["title"]]
+                    assert fact["node"] in title.holders, fact
+                    assert fact["rung"] < len(title.rates), fact
+                    seen[fact["catalogue"]] += 1
             assert len(seen) > 15
             nursery.cancel_scope.cancel()
 
     run_async_test(test, 60)
 
 
-def test_a_further_try_after_a_swap_goes_by_the_new_version(tmp_path: Path) -> None:
+def test_a_retry_after_a_change_uses_the_new_version(tmp_path: Path) -> None:
+    """Guards against a retry on a node that the catalogue no longer names as a holder."""
+
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
             both = "(catalogue (title a (holders n1 n2)))"
@@ -430,14 +454,14 @@
                 node.faults.is_silent = True
             first = list[Response]()
 
-            async def watch() -> None:
+            async def request() -> None:
                 first.append(await rig.request_playback("/whep/open/a"))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(watch)
+                nursery.start_soon(request)
                 await wait_until(lambda: rig.recorded("setup"))
-                taken_away = rig.recorded("setup")[0]["node"]
-                other = "n2" if taken_away == "n1" else "n1"
+                removed_holder = rig.recorded("setup")[0]["node"]
+                other = "n2" if removed_holder == "n1" else "n1"
                 assert (
                     await send_catalogue(rig, f"(put (title a (holders {other})))", "*", "", "PATCH")
                 ).status == 200
@@ -445,12 +469,13 @@
                 rig.node(other).notify_changed()
             assert first[0].status == 201
             tries = [(f["node"], f["catalogue"]) for f in rig.recorded("setup")]
-            assert tries == [(taken_away, 1), (other, 2)]
+            assert tries == [(removed_holder, 1), (other, 2)]
 
     run_async_test(test)
 
 
-def test_commands_on_a_catalogue_and_on_a_front(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_catalogue_commands(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The commands check and format files, and read and change the catalogue of a running front end."""
     good, bad = tmp_path / "good.oak", tmp_path / "bad.oak"
     good.write_text("(catalogue (title b (holders n2))\n (title a))")
     bad.write_text("(catalogue (title a)\n (title a))")
@@ -465,11 +490,11 @@
 
     async def test() -> None:
         async with running_front_end(tmp_path, OPERATORS_FORM) as rig:
-            there = ["--front", f"127.0.0.1:{rig.port}"]
+            front_options = ["--front", f"127.0.0.1:{rig.port}"]
 
             async def command(*words: str) -> Result:
                 return await trio.to_thread.run_sync(
-                    lambda: runner.invoke(main, ["catalogue", *words, *there])
+                    lambda: runner.invoke(main, ["catalogue", *words, *front_options])
                 )
 
             taken = await command("put", str(good), "--why", "first lessons")
@@ -479,7 +504,7 @@
             assert (await command("put", str(bad), "--change")).exit_code == 1
             assert orjson.loads((await command("versions")).output)[0]["why"] == "first lessons"
             assert (await command("roll-back", "7")).exit_code == 1
-            status = await trio.to_thread.run_sync(lambda: runner.invoke(main, ["status", *there]))
+            status = await trio.to_thread.run_sync(lambda: runner.invoke(main, ["status", *front_options]))
             assert orjson.loads(status.output)["catalogue"] == 1
 
     run_async_test(test)
