--- a/oakcroft/front/service_levels.py
+++ b/oakcroft/front/service_levels.py
@@ -12,13 +12,9 @@
 import trio
 
 from oakcroft.config.settings import PlanTerms
-from oakcroft.decisions.admission.service_levels import (
-    LevelChange,
-    AdmissionGate,
-    LevelController,
-    LoadSignal,
-    RecentAnswers,
-)
+from oakcroft.decisions.admission.admission_gate import AdmissionGate
+from oakcroft.decisions.admission.recent_answers import RecentAnswers
+from oakcroft.decisions.admission.service_levels import LevelChange, LevelController, LoadSignal
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.interface import MS
 
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -15,13 +15,13 @@
 from rig import run_async_test, running_front_end, wait_until
 
 from oakcroft.config.pipeline import check_file
+from oakcroft.decisions.admission.admission_gate import AdmissionGate
+from oakcroft.decisions.admission.recent_answers import RecentAnswers
 from oakcroft.decisions.admission.service_levels import (
-    AdmissionGate,
     LevelBounds,
     LevelController,
     LevelEffects,
     LoadSignal,
-    RecentAnswers,
     ServiceLevel,
     SignalThreshold,
 )
