--- a/oakcroft/choice.py
+++ b/oakcroft/choice.py
@@ -3,7 +3,7 @@
 A rung is one rate of the quality ladder.
 
 A host (types and protocols in `oakcroft/interface.py`) creates one `Controller` per front end from its
-`DeploymentSettings`, a seed and itself, and calls the controller's event methods as things happen. The controller
+`DeploymentSettings`, a seed and itself, and calls the controller's event methods for every event. The controller
 answers by calling the host within the same call. Times are whole nanoseconds, rates are in kB/s.
 
 Admission follows the paper's SA2C (session-aware admission control, docs/design.md):
@@ -337,7 +337,7 @@
         """Link load that the other front ends have added since `since`, extrapolated from this one's own change.
 
         Covers crowds that arrive between two reports, and links that a loss has emptied while their last report
-        still says full: any change that all front ends see alike. Drawback: viewers that move from one front end to
+        reports them as full: any change that all front ends see alike. Drawback: viewers that move from one front end to
         another count as new.
         """
         history = self.own_rate_history
@@ -752,7 +752,7 @@
         """Highest rung that keeps the load under its limit, which is lower for the upper half of the ladder.
 
         It is at most one above the mean of what plays on the node, or on this front end where few play on the node:
-        otherwise the first viewers would take what later ones lack. Also protects front ends that know no load yet.
+        otherwise the first viewers would use capacity that later ones lack. Also limits front ends that know no load yet.
         Drawback: a lone viewer starts low.
         """
         rungs = [other.rung for other in node.playbacks]
--- a/oakcroft/decisions/admission/connection_limits.py
+++ b/oakcroft/decisions/admission/connection_limits.py
@@ -91,13 +91,13 @@
         return ConnectionVerdict.EVICT_IDLE, evicted
 
     def mark_busy(self, number: int) -> None:
-        """Notes that a request has begun to arrive on a connection."""
+        """Records that a request has begun to arrive on a connection."""
         if connection := self.connections.get(number):
             connection.is_busy = True
             self.idle_numbers.pop(number, None)
 
     def mark_idle(self, number: int, now: int) -> None:
-        """Notes that the response is written and the connection waits for its next request. `now`: ns."""
+        """Records that the response is written and the connection waits for its next request. `now`: ns."""
         if connection := self.connections.get(number):
             connection.is_busy = False
             connection.idle_since = now
--- a/oakcroft/decisions/admission/deadlines.py
+++ b/oakcroft/decisions/admission/deadlines.py
@@ -45,7 +45,7 @@
         self.pauses = deque[tuple[int, int]](maxlen=MAX_PAUSES)  # start and end of each, ns
 
     def heartbeat(self, now: int) -> int:
-        """Notes a heartbeat; returns the length of the pause before it in ns, 0 if there was none."""
+        """Records a heartbeat; returns the length of the pause before it in ns, 0 if there was none."""
         gap = now - self.last_heartbeat_at
         pause = gap if gap > PAUSE_HEARTBEATS * HEARTBEAT_INTERVAL_NS else 0
         if pause:
--- a/oakcroft/decisions/admission/service_levels.py
+++ b/oakcroft/decisions/admission/service_levels.py
@@ -166,7 +166,7 @@
 
     @staticmethod
     def _track_condition(since: dict[int, int], level: int, holds: bool, now: int) -> None:
-        """Notes since when a condition of a level holds, or that it does not hold."""
+        """Records since when a condition of a level holds, or that it does not hold."""
         if not holds:
             since.pop(level, None)
         else:
