--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -70,7 +70,7 @@
     changes = feed(controller, [2.4] + [0.2] * 200)
     assert [name for _, name in changes] == ["core", "full"]
     assert changes[0][0] == 0
-    assert all(b - a >= BOUNDS.least for (a, _), (b, _) in pairwise(changes))
+    assert all(later - earlier >= BOUNDS.least for (earlier, _), (later, _) in pairwise(changes))
     controller = level_controller()
     assert [name for _, name in feed(controller, [2.4] + [0.95] * 100 + [0.2] * 100)] == [
         "core",
@@ -93,10 +93,10 @@
     No load causes more changes than the limit in any window, and low load always brings full service back.
     """
     controller = level_controller(seed)
-    times = [t for t, _ in feed(controller, loads, step_ms * MS)]
+    times = [changed_at for changed_at, _ in feed(controller, loads, step_ms * MS)]
     for i, first in enumerate(times):
-        assert sum(first <= t < first + BOUNDS.window for t in times[i:]) <= BOUNDS.most_changes
-    assert all(b - a >= BOUNDS.least for a, b in pairwise(times))
+        assert sum(first <= time < first + BOUNDS.window for time in times[i:]) <= BOUNDS.most_changes
+    assert all(later - earlier >= BOUNDS.least for earlier, later in pairwise(times))
     now = len(loads) * step_ms * MS
     for step_number in range(900):
         controller.update({LoadSignal.X: 0.1}, now + step_number * 500 * MS)
@@ -115,7 +115,7 @@
                 times.append(n * 2)
             seen[controller.level.name] += 1
         for i, first in enumerate(times):
-            assert sum(t < first + 9 for t in times[i:]) <= 3
+            assert sum(time < first + 9 for time in times[i:]) <= 3
         for n in range(6, 60):
             controller.update({LoadSignal.X: 0.2}, n * 2)
         assert controller.current == 0, loads
@@ -132,7 +132,10 @@
         for controller in controllers:
             if controller.update({LoadSignal.X: load + rng.gauss(0, 0.04)}, step_number * 500 * MS):
                 change_times.append(step_number * 500 * MS)
-    assert max(sum(t <= u < t + SECOND for u in change_times) for t in set(change_times)) <= 120
+    assert (
+        max(sum(start <= time < start + SECOND for time in change_times) for start in set(change_times))
+        <= 120
+    )
     assert max(len(controller.history) for controller in controllers) <= BOUNDS.most_changes * 10
     swings = 0
     for step_number in range(1, 1200):
@@ -142,7 +145,7 @@
 
 
 def test_a_pin_expires_and_the_gate_admits_the_configured_share() -> None:
-    """A pinned level holds until its time; the admission gate lets the configured share in."""
+    """A pinned level holds until its time; the admission gate admits the configured share of requests."""
     controller = level_controller()
     assert not controller.pin_to("nothing", 9)
     assert controller.pin_to("low", 20 * SECOND)
@@ -184,16 +187,15 @@
     ("(level a (rank 1) (lag 40 10ms))", "has no unit"),
     ("(levels (most-changes 1))", "most-changes"),
 ])  # fmt: skip
-def test_a_faulty_level_is_reported(form: str, message: str) -> None:
-    """A faulty level in the configuration is reported."""
+def test_an_invalid_level_is_reported(form: str, message: str) -> None:
+    """An error in a level of the configuration is reported with its reason."""
     text = """(fleet (cells 2)) (ladder (rates 200kB/s 400kB/s) (worth 0.5 1))
       (plan open (effect free) (startup-target 1s) (abandon 5s) (revenue 1))
       (route open (path "/whep/open/") (plan open))"""
     found, problems = check_file("site", lambda _: text + form, False)
     assert found is None
-    assert any(message in problems.format(p) for p in problems.errors), [
-        problems.format(p) for p in problems.errors
-    ]
+    reported = [problems.format(error) for error in problems.errors]
+    assert any(message in error for error in reported), reported
 
 
 def test_a_front_end_reduces_service_by_its_level_and_reports_it(tmp_path: Path) -> None:
