--- a/tests/test_lease_protocol.py
+++ b/tests/test_lease_protocol.py
@@ -331,54 +331,99 @@
 # Random walks.
 
 
-def random_walk(seed: int, acceptor_count: int, wipes: int, events: int = 4_000) -> World:
+class RandomWalk:
     """A seeded random walk: messages are lost, late or duplicated, candidates are suspended, acceptors restart."""
-    rng = Random(seed)
-    at = make_world(acceptor_count, 3, lambda i: Random(seed * 10 + i))
-    record_lost_until, suspended_until = dict[str, int](), dict[str, int]()
+
+    LOST_SHARE = 0.08
+    """Share of the requests, and of the answers, that are lost."""
+    DUPLICATED_SHARE = 0.08
+    """Share of the requests that are delivered twice."""
+
+    def __init__(self, seed: int, acceptor_count: int, wipes: int) -> None:
+        """`wipes`: number of acceptors that may be without their records at one time."""
+        self.rng = Random(seed)
+        self.acceptor_count = acceptor_count
+        self.wipes = wipes
+        self.world = make_world(acceptor_count, 3, lambda i: Random(seed * 10 + i))
+        self.record_lost_until = dict[str, int]()
+        self.suspended_until = dict[str, int]()
+
+    def step(self) -> None:
+        """Lets one random event happen and checks the invariants."""
+        draw = self.rng.random()
+        message_share = 1 - 0.3 / self.acceptor_count  # a round with many acceptors takes more messages
+        if self.world.requests and draw < 0.6 * message_share:
+            self.deliver_request()
+        elif self.world.answers and draw < message_share:
+            self.deliver_answer()
+        elif draw < 1 - 0.09 / self.acceptor_count:
+            self.advance_time()
+            self.record_notes()
+        elif draw < 1 - 0.03 / self.acceptor_count:
+            self.world.restart(self.rng.choice(sorted(self.world.acceptors)), True)
+        elif self.wipes:
+            self.wipe_acceptor()
+        self.world.check()
+
+    def deliver_request(self) -> None:
+        """Delivers a random request, unless it is lost; it may be delivered again later."""
+        requests = self.world.requests
+        number = requests.pop(self.rng.randrange(len(requests)))
+        fate = self.rng.random()
+        if fate < self.LOST_SHARE:
+            return
+        answer = self.world.deliver(number)
+        if fate < self.LOST_SHARE + self.DUPLICATED_SHARE:
+            requests.append(number)
+        if answer is not None:
+            self.world.answers.append(answer)
+
+    def deliver_answer(self) -> None:
+        """Delivers a random answer, unless it is lost."""
+        answers = self.world.answers
+        number = answers.pop(self.rng.randrange(len(answers)))
+        if self.rng.random() >= self.LOST_SHARE:
+            self.world.answer(number)
+
+    def advance_time(self) -> None:
+        """Advances the time to a due time; suspended candidates miss what is due."""
+        world = self.world
+        if times := world.due_times():
+            world.now = times[0] if self.rng.random() < 0.9 else times[-1]
+        for name, candidate in world.candidates.items():
+            if self.suspended_until.get(name, 0) <= world.now:
+                world.send(name, candidate.tick(world.now))
+            if self.rng.random() < 0.03:
+                self.suspended_until[name] = world.now + self.rng.randrange(3 * TERM_LENGTH)
+
+    def record_notes(self) -> None:
+        """Lets holders record notes, each greater than those before it."""
+        world = self.world
+        for name, candidate in world.candidates.items():
+            if candidate.held_term(world.now) is not None and self.rng.random() < 0.3:
+                body = f"{len(world.tokens):05}-{self.rng.randrange(100_000):05}".encode()
+                world.send(name, candidate.record_note(max(body, candidate.note.body + b"+"), world.now))
+
+    def wipe_acceptor(self) -> None:
+        """Restarts an acceptor without its record, unless too many are without theirs."""
+        world = self.world
+        without_record = {
+            name
+            for name, until in self.record_lost_until.items()
+            if until > world.now or not world.acceptors[name].has_full_record
+        }
+        name = self.rng.choice(sorted(world.acceptors))
+        if len(without_record | {name}) <= self.wipes:
+            world.restart(name, False)
+            self.record_lost_until[name] = world.now + TERM_LENGTH
+
+
+def random_walk(seed: int, acceptor_count: int, wipes: int, events: int = 4_000) -> World:
+    """Returns the world after a random walk."""
+    walk = RandomWalk(seed, acceptor_count, wipes)
     for _ in range(events):
-        draw = rng.random()
-        message_share = 1 - 0.3 / acceptor_count  # a round with many acceptors takes more messages
-        if at.requests and draw < 0.6 * message_share:
-            number = at.requests.pop(rng.randrange(len(at.requests)))
-            delivery = rng.random()
-            if delivery < 0.08:  # the request is lost
-                continue
-            answer = at.deliver(number)
-            if delivery < 0.16:  # it is delivered twice
-                at.requests.append(number)
-            if answer is not None:
-                at.answers.append(answer)
-        elif at.answers and draw < message_share:
-            number = at.answers.pop(rng.randrange(len(at.answers)))
-            if rng.random() < 0.08:  # the answer is lost
-                continue
-            at.answer(number)
-        elif draw < 1 - 0.09 / acceptor_count:
-            times = at.due_times()
-            if times:
-                at.now = times[0] if rng.random() < 0.9 else times[-1]
-            for name, candidate in at.candidates.items():
-                if suspended_until.get(name, 0) <= at.now:
-                    at.send(name, candidate.tick(at.now))
-                if rng.random() < 0.03:
-                    suspended_until[name] = at.now + rng.randrange(3 * TERM_LENGTH)
-            for name, candidate in at.candidates.items():
-                if candidate.held_term(at.now) is not None and rng.random() < 0.3:
-                    body = f"{len(at.tokens):05}-{rng.randrange(100_000):05}".encode()
-                    at.send(name, candidate.record_note(max(body, candidate.note.body + b"+"), at.now))
-        elif draw < 1 - 0.03 / acceptor_count:
-            at.restart(rng.choice(sorted(at.acceptors)), True)
-        elif wipes:
-            unable = {
-                n for n, t in record_lost_until.items() if t > at.now or not at.acceptors[n].has_full_record
-            }
-            name = rng.choice(sorted(at.acceptors))
-            if len(unable | {name}) <= wipes:
-                at.restart(name, False)
-                record_lost_until[name] = at.now + TERM_LENGTH
-        at.check()
-    return at
+        walk.step()
+    return walk.world
 
 
 @pytest.mark.parametrize(("acceptor_count", "wipes"), [(3, 1), (5, 2), (7, 3)])
