--- a/oakcroft/front/service_levels.py
+++ b/oakcroft/front/service_levels.py
@@ -12,13 +12,9 @@
 import trio
 
 from oakcroft.config.settings import PlanTerms
-from oakcroft.decisions.admission.service_levels import (
-    LevelChange,
-    AdmissionGate,
-    LevelController,
-    LoadSignal,
-    RecentAnswers,
-)
+from oakcroft.decisions.admission.admission_gate import AdmissionGate
+from oakcroft.decisions.admission.recent_answers import RecentAnswers
+from oakcroft.decisions.admission.service_levels import LevelChange, LevelController, LoadSignal
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.interface import MS
 
@@ -63,7 +59,7 @@
         policy = self.coordinator.policy
         own_signals = {
             LoadSignal.X: getattr(policy, "x", 0.0),
-            LoadSignal.BLIND: getattr(policy, "unreported_weight", 0.0),
+            LoadSignal.UNREPORTED: getattr(policy, "unreported_weight", 0.0),
             LoadSignal.LAG: float(self.loop_lag_ns),
         }
         return own_signals | self.recent_answers.signals(now)
--- a/tests/test_levels.py
+++ b/tests/test_service_levels.py
@@ -1,4 +1,4 @@
-"""Service levels: the controller, its bound on changes under any load, and a front end that changes its level."""
+"""Service levels: the controller, its limit on changes under any load, and a front end that changes its level."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 import orjson
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 from rig import run_async_test, running_front_end, wait_until
 
 from oakcroft.config.pipeline import check_file
+from oakcroft.decisions.admission.admission_gate import AdmissionGate
+from oakcroft.decisions.admission.recent_answers import RecentAnswers
 from oakcroft.decisions.admission.service_levels import (
-    LevelEffects,
     LevelBounds,
-    AdmissionGate,
-    ServiceLevel,
     LevelController,
-    SignalThreshold,
+    LevelEffects,
     LoadSignal,
-    RecentAnswers,
+    ServiceLevel,
+    SignalThreshold,
 )
 from oakcroft.interface import MS, SECOND
 
@@ -69,7 +70,7 @@
     changes = feed(controller, [2.4] + [0.2] * 200)
     assert [name for _, name in changes] == ["core", "full"]
     assert changes[0][0] == 0
-    assert all(b - a >= BOUNDS.least for (a, _), (b, _) in pairwise(changes))
+    assert all(later - earlier >= BOUNDS.least for (earlier, _), (later, _) in pairwise(changes))
     controller = level_controller()
     assert [name for _, name in feed(controller, [2.4] + [0.95] * 100 + [0.2] * 100)] == [
         "core",
@@ -92,10 +93,10 @@
     No load causes more changes than the limit in any window, and low load always brings full service back.
     """
     controller = level_controller(seed)
-    times = [t for t, _ in feed(controller, loads, step_ms * MS)]
+    times = [changed_at for changed_at, _ in feed(controller, loads, step_ms * MS)]
     for i, first in enumerate(times):
-        assert sum(first <= t < first + BOUNDS.window for t in times[i:]) <= BOUNDS.most_changes
-    assert all(b - a >= BOUNDS.least for a, b in pairwise(times))
+        assert sum(first <= time < first + BOUNDS.window for time in times[i:]) <= BOUNDS.most_changes
+    assert all(later - earlier >= BOUNDS.least for earlier, later in pairwise(times))
     now = len(loads) * step_ms * MS
     for step_number in range(900):
         controller.update({LoadSignal.X: 0.1}, now + step_number * 500 * MS)
@@ -103,7 +104,7 @@
 
 
 def test_all_short_load_sequences_keep_the_limit_on_changes() -> None:
-    """All sequences of six loads keep the limit on changes and return to full service."""
+    """Every sequence of six loads keeps the limit on changes and returns to full service."""
     bounds = LevelBounds(least=2, most_changes=3, window=9, hold=1)
     seen: Counter[str] = Counter()
     for loads in product((0.2, 1.1, 1.3, 2.4), repeat=6):
@@ -114,7 +115,7 @@
                 times.append(n * 2)
             seen[controller.level.name] += 1
         for i, first in enumerate(times):
-            assert sum(t < first + 9 for t in times[i:]) <= 3
+            assert sum(time < first + 9 for time in times[i:]) <= 3
         for n in range(6, 60):
             controller.update({LoadSignal.X: 0.2}, n * 2)
         assert controller.current == 0, loads
@@ -131,7 +132,10 @@
         for controller in controllers:
             if controller.update({LoadSignal.X: load + rng.gauss(0, 0.04)}, step_number * 500 * MS):
                 change_times.append(step_number * 500 * MS)
-    assert max(sum(t <= u < t + SECOND for u in change_times) for t in set(change_times)) <= 120
+    assert (
+        max(sum(start <= time < start + SECOND for time in change_times) for start in set(change_times))
+        <= 120
+    )
     assert max(len(controller.history) for controller in controllers) <= BOUNDS.most_changes * 10
     swings = 0
     for step_number in range(1, 1200):
@@ -141,7 +145,7 @@
 
 
 def test_a_pin_expires_and_the_gate_admits_the_configured_share() -> None:
-    """A pinned level holds until its time; the admission gate lets the configured share in."""
+    """A pinned level holds until its time; the admission gate admits the configured share of requests."""
     controller = level_controller()
     assert not controller.pin_to("nothing", 9)
     assert controller.pin_to("low", 20 * SECOND)
@@ -158,13 +162,13 @@
 
 
 def test_recent_answers_yield_their_shares() -> None:
-    """The shares of recent answers are those of the sums, and 0 once too few answers are left."""
+    """The load signals are shares of recent answers, and 0 when too few answers are left."""
     answers = RecentAnswers()
-    assert answers.signals(0)[LoadSignal.REFUSED] == 0.0
+    assert answers.signals(0)[LoadSignal.REJECTED] == 0.0
     for n in range(10):
         answers.record_answer(n % 2 == 0, 2.0, n >= 5, 0)
-    assert answers.signals(0) == {LoadSignal.REFUSED: 0.5, LoadSignal.LATE: 0.5}
-    assert answers.signals(60 * SECOND)[LoadSignal.REFUSED] == 0.0  # too few recent answers
+    assert answers.signals(0) == {LoadSignal.REJECTED: 0.5, LoadSignal.LATE: 0.5}
+    assert answers.signals(60 * SECOND)[LoadSignal.REJECTED] == 0.0  # too few recent answers
 
 
 SITE = """(operators (secret "operators-secret"))
@@ -183,20 +187,19 @@
     ("(level a (rank 1) (lag 40 10ms))", "has no unit"),
     ("(levels (most-changes 1))", "most-changes"),
 ])  # fmt: skip
-def test_a_faulty_level_is_reported(form: str, message: str) -> None:
-    """A faulty level in the configuration is reported."""
+def test_an_invalid_level_is_reported(form: str, message: str) -> None:
+    """An error in a level of the configuration is reported with its reason."""
     text = """(fleet (cells 2)) (ladder (rates 200kB/s 400kB/s) (worth 0.5 1))
       (plan open (effect free) (startup-target 1s) (abandon 5s) (revenue 1))
       (route open (path "/whep/open/") (plan open))"""
     found, problems = check_file("site", lambda _: text + form, False)
     assert found is None
-    assert any(message in problems.format(p) for p in problems.errors), [
-        problems.format(p) for p in problems.errors
-    ]
+    reported = [problems.format(error) for error in problems.errors]
+    assert any(message in error for error in reported), reported
 
 
 def test_a_front_end_reduces_service_by_its_level_and_reports_it(tmp_path: Path) -> None:
-    """A front end rejects and lowers by its level, and its status reports the level and the reason."""
+    """A front end rejects plans and lowers rungs as its level demands; its status reports the level and the reason."""
     auth: dict[str, Any] = {"Authorization": "Bearer operators-secret"}
 
     async def test() -> None:
