--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -344,10 +344,16 @@
 class StubViewer:
     """A connection that carries viewers' sessions."""
 
-    def __init__(self, stream: trio.SocketStream, facts: list[dict[str, Any]]) -> None:
-        """Records requests and answers in `facts`."""
+    def __init__(
+        self, stream: trio.SocketStream, facts: list[dict[str, Any]], answered_ids: set[str]
+    ) -> None:
+        """Records requests and answers in `facts`, and the ids of answered sessions in `answered_ids`.
+
+        All connections of a rig share both, since a release may arrive on another connection than the answer.
+        """
         self.stream = stream
         self.facts = facts
+        self.answered_ids = answered_ids
         self.frames = framing.FrameDecoder()
 
     def encode_setup(
@@ -422,7 +428,7 @@
                 self.frames.receive_data(data)
         kind, sid, params = event
         cause = params.get(framing.CAUSE, b"\xff")[0]
-        was_answered = any(f["kind"] == "got" and f["key"] == sid and f["status"] == 201 for f in self.facts)
+        was_answered = sid in self.answered_ids
         # A release after the answer is the end of the playback, not an answer.
         if kind == framing.ANSWER or (kind == framing.RELEASE and not was_answered):
             status = 201 if kind == framing.ANSWER else 503 if cause in (34, 42, 102) else 504
@@ -436,6 +442,8 @@
                     "type": "urn:oakcroft:problem:rejected" if status == 503 else "",
                 }
             )
+        if kind == framing.ANSWER:
+            self.answered_ids.add(sid)
         return kind, sid, cause, params.get(framing.TEXT, b"")
 
 
@@ -446,6 +454,7 @@
         """Nothing runs before `start`."""
         self.nursery = nursery
         self.facts = list[dict[str, Any]]()
+        self.answered_ids = set[str]()  # sessions whose viewers got an answer
         self.nodes = [StubNode("n0", self.facts), StubNode("n1", self.facts)]
         self.channel = StubChannel()
         self.stop = trio.Event()
@@ -516,7 +525,8 @@
 
     async def viewer(self) -> StubViewer:
         """Opens a viewer's connection."""
-        return StubViewer(await trio.open_tcp_stream("127.0.0.1", self.port), self.facts)
+        stream = await trio.open_tcp_stream("127.0.0.1", self.port)
+        return StubViewer(stream, self.facts, self.answered_ids)
 
     def add_list_change(self, cursor: int, *members: dict[str, Any]) -> None:
         """Adds an event with changes of the list to the command channel."""
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -407,7 +407,8 @@
             raw.send(viewer.encode_setup(A))
             rig.platform.viewer_server.stop()
             raw.setblocking(False)
-            viewer = StubViewer(trio.SocketStream(trio.socket.from_stdlib_socket(raw)), rig.facts)
+            stream = trio.SocketStream(trio.socket.from_stdlib_socket(raw))
+            viewer = StubViewer(stream, rig.facts, rig.answered_ids)
         else:
             viewer.send_setup_now(A)
             await wait_until(lambda: where == "socket" or A in rig.coordinator.queued_requests)
