--- a/oakcroft/httpwire/server.py
+++ b/oakcroft/httpwire/server.py
@@ -164,7 +164,7 @@
         self.source = source
         self.limits = server.connection_table.limits
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.head_bytes)
-        self.emptied_at = server.clock()
+        self.known_empty_at = server.clock()
         self.client_closed = False
 
     async def reject(self) -> None:
@@ -205,8 +205,8 @@
                 await self._close_gracefully()
                 return
             self.http.start_next_cycle()
-            self.emptied_at = self.server.clock()
-            self.server.connection_table.mark_idle(self.number, self.emptied_at)
+            self.known_empty_at = self.server.clock()
+            self.server.connection_table.mark_idle(self.number, self.known_empty_at)
 
     async def _event(self, phase: ExchangePhase) -> object:
         """Returns the next h11 event, within the timeout of the phase."""
@@ -250,7 +250,7 @@
             await self.stream.send_all(self.http.send(continue_response) or b"")
         body = await self._read_body(limits)
         return Request(
-            head.method.decode("latin-1"), target, headers, body, self.source, read_at, self.emptied_at
+            head.method.decode("latin-1"), target, headers, body, self.source, read_at, self.known_empty_at
         )
 
     async def _wait_for_request(self) -> bool:
@@ -265,7 +265,7 @@
                 self.http.receive_data(data)
                 return True
             await self._send_in_time(response)
-            self.emptied_at = self.server.clock()
+            self.known_empty_at = self.server.clock()
         return True
 
     def _early_response(self, data: bytes) -> bytes | None:
--- a/oakcroft/platform/channel_follower.py
+++ b/oakcroft/platform/channel_follower.py
@@ -33,16 +33,16 @@
         last_cursor: int,
         coordinator: SessionCoordinator,
         log: structlog.typing.FilteringBoundLogger,
-        start_took_ns: int = 0,
+        startup_duration_ns: int = 0,
     ) -> None:
-        """Sets up the follower; `last_cursor` is the last event already known, `start_took_ns` the time the
+        """Sets up the follower; `last_cursor` is the last event already known, `startup_duration_ns` the time the
         process has spent starting.
         """
         self.address = address
         self.last_cursor = last_cursor
         self.coordinator = coordinator
         self.log = log
-        self.freshness = NodeListFreshness(coordinator.clock.now(), start_took_ns)
+        self.freshness = NodeListFreshness(coordinator.clock.now(), startup_duration_ns)
         self.confirmed = trio.Event()  # the first answer since the start has been applied
         self.connection: BufferedConnection | None = None
         self.long_poll = LongPollConnection(*address)
--- a/oakcroft/platform/node_pool.py
+++ b/oakcroft/platform/node_pool.py
@@ -17,13 +17,12 @@
 from oakcroft.interface import MS, SECOND, NodeStatus, Node, Outcome
 from oakcroft.platform.connection import BufferedConnection, connect
 from oakcroft.platform.playback_session import NodeEndpoint, PlaybackSession
-from oakcroft.platformwire import json_lines
+from oakcroft.platformwire import cause_codes, json_lines
 from oakcroft.platformwire.framing import ProtocolError
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
 
 RETIRE_AFTER_IDLE_SHARE = 0.6  # of the idle timeout, so that the node does not close it first
-CAUSE_CANCELLED = 16
 # Consecutive connects that show a node's process to be gone.
 REFUSALS_UNTIL_LOST = 2
 FAILURES_UNTIL_LOST = 5
@@ -88,7 +87,7 @@
         self.consecutive_refusals = 0
         self.consecutive_failures = 0
         self.last_connect_at = 0
-        self.last_heard_at = 0
+        self.last_activity_at = 0
         # Connections that are only read, and since when.
         self.retired_connections: dict[NodeConnection, int] = {}
         self.needs_resync = False  # messages may be lost; the node repeats them on the next connection
@@ -168,7 +167,7 @@
         connection = session.node_connection
         never_received = connection is None or self._retract_setup(connection, session)
         if connection is not None and not never_received:
-            connection.write(json_lines.encode("close", session.id, {}, CAUSE_CANCELLED))
+            connection.write(json_lines.encode("close", session.id, {}, cause_codes.CANCELLED))
         self.setup_finished(session)
         return never_received
 
@@ -263,7 +262,7 @@
         self.opening_count -= 1
         self.consecutive_refusals = 0
         self.consecutive_failures = 0
-        self.last_heard_at = self.clock.now()
+        self.last_activity_at = self.clock.now()
         if self.is_removed and not self.playing_sessions and not self.waiting_setups:
             connection.close()
             return
@@ -300,7 +299,7 @@
                     )
         is_alive = (
             any(candidate.is_open for candidate in self.connections)
-            and self.clock.now() - self.last_heard_at <= self.silence_timeout_ns
+            and self.clock.now() - self.last_activity_at <= self.silence_timeout_ns
         )
         if not is_alive and (
             self.consecutive_refusals >= REFUSALS_UNTIL_LOST
@@ -367,7 +366,7 @@
         if (
             not self.connections
             or self.needs_resync
-            or (self.consecutive_failures or now - self.last_heard_at > self.silence_timeout_ns)
+            or (self.consecutive_failures or now - self.last_activity_at > self.silence_timeout_ns)
         ):
             unused_connections = [candidate for candidate in self.connections if not candidate.pending_setups]
             if unused_connections and len(self.connections) >= max(2, self.max_connections):
--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -82,12 +82,12 @@
         node = pool.node
         if not is_gone:
             node.cell = member.cell
-            node.zone = member.wing
+            node.zone = member.zone
             node.kind = member.kind
         if node.started_at < member.started_at:
             self.events.node_restarted(pool, member.started_at)
         link_capacity = self.configuration.link_rate_per_size * member.size
-        places = self.configuration.places_by_kind.get(member.kind, 0.0)
+        places = self.configuration.playback_capacity_by_kind.get(member.kind, 0.0)
         return NodeEntry(node, member.status, member.started_at, link_capacity, places)
 
     def _replace(self, name: str, old_pool: NodePool | None, address: tuple[str, int]) -> NodePool:
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -46,15 +46,15 @@
         configuration: Configuration,
         log: structlog.typing.FilteringBoundLogger,
         configuration_file: Path | None = None,
-        start_took_ns: int = 0,
+        startup_duration_ns: int = 0,
     ) -> None:
-        """`configuration_file` is read again on reload; `start_took_ns` is the time the process has spent
+        """`configuration_file` is read again on reload; `startup_duration_ns` is the time the process has spent
         starting.
         """
         self.configuration = configuration
         self.log = log
         self.configuration_file = configuration_file
-        self.start_took_ns = start_took_ns
+        self.startup_duration_ns = startup_duration_ns
         self.serving = trio.Event()
         self.coordinator: SessionCoordinator | None = None
         self.viewer_server: ViewerServer | None = None
@@ -82,32 +82,37 @@
         self.kill_after_ns = (
             max(MIN_LONGEST_ABANDON_NS, *self.configuration.abandon_ns_by_plan.values()) + KILL_DELAY_NS
         )
-        stopping = Shutdown(longest, FLUSH_TIMEOUT_NS, longest, self.kill_after_ns - EXIT_BEFORE_KILL_NS)
+        shutdown = Shutdown(longest, FLUSH_TIMEOUT_NS, longest, self.kill_after_ns - EXIT_BEFORE_KILL_NS)
         async with trio.open_nursery() as nursery:
-            self.coordinator = owner = SessionCoordinator(self.configuration, clock, nursery, self.log)
+            self.coordinator = coordinator = SessionCoordinator(self.configuration, clock, nursery, self.log)
             self.viewer_server = ViewerServer(
-                listener, self.configuration.max_sockets // 2, owner, clock, nursery, self.log
+                listener, self.configuration.max_sockets // 2, coordinator, clock, nursery, self.log
             )
             last, changes = self.configuration.known_events
             self.channel_follower = ChannelFollower(
-                self.configuration.channel_address, last, owner, self.log, self.start_took_ns
+                self.configuration.channel_address, last, coordinator, self.log, self.startup_duration_ns
             )
             if signals:
-                nursery.start_soon(self._handle_signals, stopping, clock)
+                nursery.start_soon(self._handle_signals, shutdown, clock)
             if stop is not None:
-                nursery.start_soon(self._wait_for_stop, stop, stopping, clock)
-            for task in (owner.run, owner.monitor_lag, owner.timers.run, owner.run_maintenance):
+                nursery.start_soon(self._wait_for_stop, stop, shutdown, clock)
+            for task in (
+                coordinator.run,
+                coordinator.monitor_lag,
+                coordinator.timers.run,
+                coordinator.run_maintenance,
+            ):
                 nursery.start_soon(task)
             for _, complete, members in changes:
-                owner.apply_list_immediately(complete, members)
+                coordinator.apply_list_immediately(complete, members)
             nursery.start_soon(self.channel_follower.run)
-            nursery.start_soon(self._open_listener, listener, stopping, clock, nursery, ready)
-            await self._run_until_gone(stopping, clock)
-            self.log.info("gone", open=owner.setup_count, playing=len(owner.sessions))
+            nursery.start_soon(self._open_listener, listener, shutdown, clock, nursery, ready)
+            await self._run_until_gone(shutdown, clock)
+            self.log.info("gone", open=coordinator.setup_count, playing=len(coordinator.sessions))
             nursery.cancel_scope.cancel()
 
     async def _open_listener(
-        self, listener: socket.socket, stopping: Shutdown, clock: Clock, nursery: trio.Nursery,
+        self, listener: socket.socket, shutdown: Shutdown, clock: Clock, nursery: trio.Nursery,
         ready: Callable[[int], Awaitable[None]] | None,
     ) -> None:  # fmt: skip
         """Starts to listen once the node list may be used; until then connections are refused."""
@@ -118,13 +123,13 @@
             await self.channel_follower.confirmed.wait()
         if not freshness.is_confirmed:
             self.log.warning("opened on the kept list", after=self.channel_follower.last_cursor)
-        await self.coordinator.submit(partial(self._start_serving, listener, stopping, clock, nursery))
+        await self.coordinator.submit(partial(self._start_serving, listener, shutdown, clock, nursery))
         await self.serving.wait()
         if ready is not None:
             await ready(self.port)
 
     def _start_serving(
-        self, listener: socket.socket, stopping: Shutdown, clock: Clock, nursery: trio.Nursery
+        self, listener: socket.socket, shutdown: Shutdown, clock: Clock, nursery: trio.Nursery
     ) -> None:
         """Starts to listen and to pass the platform's tests; runs after the known list has been applied.
 
@@ -132,65 +137,65 @@
         nobody can have reached, or one that owes answers.
         """
         assert self.viewer_server is not None
-        if stopping.state is not FrontState.STARTING:
+        if shutdown.state is not FrontState.STARTING:
             return
         listener.listen(LISTEN_BACKLOG)
-        stopping.start_serving(clock.now())
+        shutdown.start_serving(clock.now())
         self.viewer_server.is_ready = True
         nursery.start_soon(self.viewer_server.run)
         self.serving.set()
         self.log.info(
             "serving",
             sockets=self.configuration.max_sockets,
-            fronts=self.configuration.terms.front_count,
-            front=self.configuration.terms.front_index,
+            fronts=self.configuration.deployment_settings.front_count,
+            front=self.configuration.deployment_settings.front_index,
         )
 
-    async def _run_until_gone(self, stopping: Shutdown, clock: Clock) -> None:
+    async def _run_until_gone(self, shutdown: Shutdown, clock: Clock) -> None:
         """Returns when the front end has shut down. The shutdown itself ends no playback."""
         assert self.coordinator is not None
         assert self.viewer_server is not None
         while True:
             await trio.sleep(0.05)
             now = clock.now()
-            if self.viewer_server.was_tested and not self.coordinator.first_tested_at:
-                self.coordinator.first_tested_at = now
-            if stopping.state in (FrontState.STARTING, FrontState.SERVING):
+            if self.viewer_server.was_health_checked and not self.coordinator.first_health_check_at:
+                self.coordinator.first_health_check_at = now
+            if shutdown.state in (FrontState.STARTING, FrontState.SERVING):
                 continue
-            if stopping.state is FrontState.DRAINING and now - stopping.state_since < ACCEPT_AFTER_STOP_NS:
+            if shutdown.state is FrontState.DRAINING and now - shutdown.state_since < ACCEPT_AFTER_STOP_NS:
                 continue
             self.viewer_server.stop()
             unanswered = self.coordinator.setup_count + self.viewer_server.unanswered_count
             unsent = self.viewer_server.unsent_count + self.coordinator.unsent_count
             if (
-                stopping.advance(unanswered, self.coordinator.playing_count, unanswered + unsent, now)
+                shutdown.advance(unanswered, self.coordinator.playing_count, unanswered + unsent, now)
                 is FrontState.GONE
             ):
                 return
 
-    async def _handle_signals(self, stopping: Shutdown, clock: Clock) -> None:
+    async def _handle_signals(self, shutdown: Shutdown, clock: Clock) -> None:
         """Reloads on SIGHUP, and stops on SIGTERM and SIGINT."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             async for number in received:
                 if number == signal.SIGHUP:
                     self.reload()
                 else:
-                    self._begin_stop(stopping, clock, signal.Signals(number).name)
+                    self._begin_stop(shutdown, clock, signal.Signals(number).name)
 
-    async def _wait_for_stop(self, stop: trio.Event, stopping: Shutdown, clock: Clock) -> None:
+    async def _wait_for_stop(self, stop: trio.Event, shutdown: Shutdown, clock: Clock) -> None:
         """Stops when the event is set."""
         await stop.wait()
-        self._begin_stop(stopping, clock, "none")
+        self._begin_stop(shutdown, clock, "none")
 
-    def _begin_stop(self, stopping: Shutdown, clock: Clock, signal_name: str) -> None:
+    def _begin_stop(self, shutdown: Shutdown, clock: Clock, signal_name: str) -> None:
         """Starts the shutdown. Requests that arrive in time are still served, but must be answered before the
         process ends.
         """
         assert self.coordinator is not None
         now = clock.now()
-        if stopping.handle_stop_signal(now):
-            self.log.info("stop signal", signal=signal_name, course=stopping.state.value)
-        if stopping.state is FrontState.DRAINING and stopping.state_since == now:
+        if shutdown.handle_stop_signal(now):
+            self.log.info("stop signal", signal=signal_name, course=shutdown.state.value)
+        if shutdown.state is FrontState.DRAINING and shutdown.state_since == now:
             self.coordinator.setups_close_at = now + ACCEPT_AFTER_STOP_NS
             self.coordinator.last_answer_at = now + self.kill_after_ns - LAST_ANSWER_BEFORE_KILL_NS
 
@@ -208,7 +213,7 @@
         except (OSError, ConfigurationError) as error:
             self.log.warning("configuration not taken", why=str(error)[:200])
             return
-        settings_unchanged = configuration.settings == self.configuration.settings
+        settings_unchanged = configuration.raw_settings == self.configuration.raw_settings
         self.log.info(
             "configuration taken",
             after=self.channel_follower.last_cursor,
@@ -228,8 +233,10 @@
     except (OSError, ConfigurationError) as error:
         print(f"oakcroft: configuration: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION_ERROR
-    log = configure_logging("json", configuration.terms.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND)
+    log = configure_logging(
+        "json", configuration.deployment_settings.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND
+    )
     reduce_gc_frequency()
-    start_took_ns = time.process_time_ns() / max(configuration.cores, 0.01)  # with its share of a core
-    trio.run(PlatformFrontEnd(configuration, log, Path(file_name), round(start_took_ns)).run)
+    startup_duration_ns = time.process_time_ns() / max(configuration.cores, 0.01)  # with its share of a core
+    trio.run(PlatformFrontEnd(configuration, log, Path(file_name), round(startup_duration_ns)).run)
     return 0
--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -28,17 +28,11 @@
 from oakcroft.interface import PlaybackState
 from oakcroft.platform.timers import TimerQueue
 from oakcroft.platform.node_pools import MAX_CONNECTIONS_PER_NODE, NodePools
-from oakcroft.platform.node_pool import CAUSE_CANCELLED, NodeConnection, NodePool
+from oakcroft.platform.node_pool import NodeConnection, NodePool
 from oakcroft.platform.releases import Releases
 from oakcroft.platform.playback_session import SetupRequest, PlaybackSession, ViewerEndpoint
-from oakcroft.platform.viewers import (
-    CAUSE_FAILED,
-    CAUSE_ENDED,
-    CAUSE_REJECTED,
-    ViewerConnection,
-    encode_release,
-)
-from oakcroft.platformwire import command_channel, framing, json_lines
+from oakcroft.platform.viewers import ViewerConnection, encode_release
+from oakcroft.platformwire import cause_codes, command_channel, framing, json_lines
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.platformwire.number_parsing import parse_finite
 from oakcroft.running.clock import Clock
@@ -53,13 +47,13 @@
 ANSWER_MARGIN_NS = 15 * MS  # part of a viewer's wait that is reserved for the answer's way back
 HANDOVER_WINDOW_NS = 15 * SECOND  # after the platform's first test; viewers hand over older playbacks by then
 EARLY_MESSAGES_PER_SESSION = 4
-MAX_SPENT_IDS = 4_096
+MAX_NON_REPEATABLE_IDS = 4_096
 NO_CAUSE = -1  # stands for a close without a cause
 NEVER = 1 << 62
 MAX_COUNT_NAMES = 64
 MAX_COUNT_NAME_LENGTH = 60
 MAINTENANCE_INTERVAL_S = 0.1
-ROUNDS_PER_FIGURES_LINE = 50
+MAINTENANCE_ROUNDS_PER_LOG = 50
 # Leaves time for the connects that show a node to be gone: the ends of its sessions are due within 8 s.
 SILENCE_WITHOUT_REPORTS_NS = 4 * SECOND
 CLOSE_CONFIRMATION_TIMEOUT_NS = 2 * SECOND  # for a node to confirm a close
@@ -82,9 +76,9 @@
         self.logger = log
         self.event_sender, self.inbox = trio.open_memory_channel[Event](MAX_QUEUED_EVENTS)
         self.timers = TimerQueue(clock, self.submit)
-        self.stillness = PauseDetector(clock.now())
+        self.pause_detector = PauseDetector(clock.now())
         self.lag_ns = 0
-        self.titles = TitleCache(MAX_TITLES, configuration.terms.cell_count, 0, {})
+        self.titles = TitleCache(MAX_TITLES, configuration.deployment_settings.cell_count, 0, {})
         self.sessions: dict[str, PlaybackSession] = {}
         self.sessions_by_playback: dict[Playback, PlaybackSession] = {}
         self.node_pools = NodePools(configuration, clock, self, self._make_pool)
@@ -93,25 +87,27 @@
         # By session id, for sessions that are not handed over yet.
         self.early_messages: dict[str, deque[Event]] = {}
         self.setup_count = 0
-        self.held_chars = 0  # characters in the descriptions of open and queued set-ups
-        self.max_held_chars = configuration.memory_bytes // DESCRIPTION_MEMORY_DIVISOR
+        self.description_chars = 0  # characters in the descriptions of open and queued set-ups
+        self.max_description_chars = configuration.memory_bytes // DESCRIPTION_MEMORY_DIVISOR
         self.counts: dict[str, int] = {}
         # Nodes report the link load of each playback at a fixed interval, so one that is silent for longer may be
         # gone. Where nodes do not report unasked, silence says little, and an occasional connect checks the node.
-        report_interval_ns = configuration.terms.report_interval_ns
+        report_interval_ns = configuration.deployment_settings.report_interval_ns
         self.silence_timeout_ns = (
-            3 * report_interval_ns // 2 + configuration.terms.report_delay_ns + SECOND // 4
+            3 * report_interval_ns // 2 + configuration.deployment_settings.report_delay_ns + SECOND // 4
             if report_interval_ns
             else SILENCE_WITHOUT_REPORTS_NS
         )
-        self.first_tested_at = 0
+        self.first_health_check_at = 0
         self.pending_decisions: deque[Event] = deque()
         self.queued_requests: dict[str, SetupRequest] = {}  # set-up requests that wait in the inbox
-        self.spent_ids = OrderedDict[str, None]()  # ids whose set-up was sent and must not be repeated
+        self.non_repeatable_ids = OrderedDict[
+            str, None
+        ]()  # ids whose set-up was sent and must not be repeated
         # Both are set when the front end is told to stop.
         self.setups_close_at = NEVER
         self.last_answer_at = NEVER
-        self.controller = Controller(configuration.terms, configuration.seed, self, clock.now())
+        self.controller = Controller(configuration.deployment_settings, configuration.seed, self, clock.now())
 
     @property
     def unsent_count(self) -> int:
@@ -178,7 +174,7 @@
             now = self.clock.now()
             late_ns = max(0, now - before - HEARTBEAT_INTERVAL_NS)
             self.lag_ns = max(late_ns, self.lag_ns * 7 // 8)
-            if paused_ns := self.stillness.heartbeat(now):
+            if paused_ns := self.pause_detector.heartbeat(now):
                 self.logger.warning("stood still", ms=paused_ns // MS, open=self.setup_count)
 
     async def run_maintenance(self) -> None:
@@ -188,7 +184,7 @@
             await trio.sleep(MAINTENANCE_INTERVAL_S)
             await self.submit(self._maintain)
             rounds += 1
-            if rounds % ROUNDS_PER_FIGURES_LINE == 0:
+            if rounds % MAINTENANCE_ROUNDS_PER_LOG == 0:
                 self.logger.info("figures", open=self.setup_count, playing=self.playing_count,
                                  viewers=len(self.viewer_connections), node_links=self.node_pools.connection_count,
                                  titles=len(self.titles.titles), nodes=len(self.pools), x=round(self.controller.x, 3),
@@ -229,7 +225,7 @@
     def node_restarted(self, pool: NodePool, started_at: int) -> None:
         """Another process has the node's name: ends the sessions that played in the previous one."""
         for session in [session for session in pool.playing_sessions if session.began_at < started_at]:
-            self._session_ended(session, Outcome.RESET, CAUSE_FAILED, None)
+            self._session_ended(session, Outcome.RESET, cause_codes.FAILED, None)
 
     def node_lost(self, pool: NodePool, reason: str) -> None:
         """A node's process is gone: ends all sessions that played there."""
@@ -238,8 +234,8 @@
                 "node lost", node=pool.node.name, why=reason, playing=len(pool.playing_sessions)
             )
         for session in list(pool.playing_sessions):
-            pool.send_message("close", session.id, {}, CAUSE_CANCELLED)
-            self._session_ended(session, Outcome.RESET, CAUSE_FAILED, None)
+            pool.send_message("close", session.id, {}, cause_codes.CANCELLED)
+            self._session_ended(session, Outcome.RESET, cause_codes.FAILED, None)
 
     def make_room_for_connection(self, pool: NodePool, min_idle_ns: int) -> bool:
         """Whether a descriptor is free for one more connection to a node; see `NodePools`."""
@@ -271,7 +267,7 @@
             return
         self.queued_requests[request.session_id] = request
         request.connection.queued_requests[request.session_id] = request
-        self.held_chars += len(request.description)
+        self.description_chars += len(request.description)
 
     def _reject_at_capacity(self, request: SetupRequest) -> None:
         """Rejects a request because a limit is reached."""
@@ -279,14 +275,14 @@
         request.connection.write(
             encode_release(
                 request.session_id,
-                CAUSE_FAILED if request.playing_node else CAUSE_REJECTED,
-                self.configuration.terms.max_retry_after_ns,
+                cause_codes.FAILED if request.playing_node else cause_codes.REJECTED,
+                self.configuration.deployment_settings.max_retry_after_ns,
             )
         )
 
     def _remove_from_queue(self, request: SetupRequest) -> None:
         """Removes a request from the tables of queued ones, unless a later one has taken its id there."""
-        self.held_chars -= len(request.description)
+        self.description_chars -= len(request.description)
         if self.queued_requests.get(request.session_id) is request:
             del self.queued_requests[request.session_id]
         if request.connection.queued_requests.get(request.session_id) is request:
@@ -308,7 +304,9 @@
         if title is None or not self._has_room_for(request):
             self._reject_at_capacity(request)
             return
-        if request.session_id in self.spent_ids:  # its set-up has been sent once and must not be repeated
+        if (
+            request.session_id in self.non_repeatable_ids
+        ):  # its set-up has been sent once and must not be repeated
             self._reject_duplicate(request, None)
             return
         margin_ns = response_margin(ANSWER_MARGIN_NS, self.lag_ns)
@@ -330,7 +328,7 @@
         self.sessions_by_playback[session.playback] = session
         request.connection.open_setups[request.session_id] = session
         self.setup_count += 1
-        self.held_chars += len(request.description)
+        self.description_chars += len(request.description)
         self.controller.on_request(session.playback, now)
 
     def _has_room_for(self, request: SetupRequest) -> bool:
@@ -347,7 +345,7 @@
         if first_connection is request.connection:
             request.connection.close()  # a release here would be taken for the answer to the first request
         else:
-            request.connection.write(encode_release(request.session_id, CAUSE_FAILED))
+            request.connection.write(encode_release(request.session_id, cause_codes.FAILED))
 
     def _accept_handed_over(
         self, session: PlaybackSession, connection: ViewerEndpoint, node_name: str, now: int
@@ -358,7 +356,7 @@
         pool = self.pools.get(node_name)
         if pool is None or pool.is_removed or self._is_handover_window_over(now):
             self.count("handed over in vain")
-            connection.write(encode_release(session.id, CAUSE_FAILED))
+            connection.write(encode_release(session.id, cause_codes.FAILED))
             return
         session.pool, session.began_at = pool, now
         connection.session_count += 1
@@ -371,7 +369,7 @@
 
     def _is_handover_window_over(self, now: int) -> bool:
         """Whether the time is over in which viewers hand over playbacks from before the start."""
-        return bool(self.first_tested_at) and now - self.first_tested_at > HANDOVER_WINDOW_NS
+        return bool(self.first_health_check_at) and now - self.first_health_check_at > HANDOVER_WINDOW_NS
 
     def release_received(self, connection: ViewerEndpoint, session_id: str) -> None:
         """A viewer cancels a set-up or ends a playback. Takes effect at once; never called from within an
@@ -392,7 +390,7 @@
         if session.playback.state is PlaybackState.PLAYING:
             self.controller.on_viewer_left(session.playback, self.clock.now())
             if session.pool is not None:
-                session.pool.send_message("close", session.id, {}, CAUSE_CANCELLED)
+                session.pool.send_message("close", session.id, {}, cause_codes.CANCELLED)
             self.timers.schedule(
                 self.clock.now() + CLOSE_CONFIRMATION_TIMEOUT_NS,
                 partial(self._end_unconfirmed_close, session),
@@ -450,14 +448,18 @@
                 request.withdrawn = True
                 connection.write(
                     encode_release(
-                        request.session_id, CAUSE_REJECTED, self.configuration.terms.max_retry_after_ns
+                        request.session_id,
+                        cause_codes.REJECTED,
+                        self.configuration.deployment_settings.max_retry_after_ns,
                     )
                 )
         for session in list(connection.open_setups.values()):
             nothing_ran = not session.playback.tries
-            retry_after_ns = self.configuration.terms.max_retry_after_ns if nothing_ran else 0
+            retry_after_ns = self.configuration.deployment_settings.max_retry_after_ns if nothing_ran else 0
             connection.write(
-                encode_release(session.id, CAUSE_REJECTED if nothing_ran else CAUSE_FAILED, retry_after_ns)
+                encode_release(
+                    session.id, cause_codes.REJECTED if nothing_ran else cause_codes.FAILED, retry_after_ns
+                )
             )
             self._cancel_setup(session)
 
@@ -477,14 +479,14 @@
             elif session.viewer is not None:
                 session.viewer.session_count -= 1
             if session.playback.tries and session.playback.plan.effect is not Effect.FREE:
-                self.spent_ids[session.id] = None
-                if len(self.spent_ids) > MAX_SPENT_IDS:
-                    self.spent_ids.popitem(last=False)
+                self.non_repeatable_ids[session.id] = None
+                if len(self.non_repeatable_ids) > MAX_NON_REPEATABLE_IDS:
+                    self.non_repeatable_ids.popitem(last=False)
 
     def _setup_finished(self, session: PlaybackSession) -> None:
         """An open set-up became a playback or ended: releases its description and its timer."""
         self.setup_count -= 1
-        self.held_chars -= len(session.description)
+        self.description_chars -= len(session.description)
         session.description = ""
         self.timers.cancel(session.timer_id)
 
@@ -499,7 +501,7 @@
         text: str | None,
     ) -> None:
         """Handles a message of a node. Drops it if it is for no session there, repeated, or too late."""
-        pool.last_heard_at = now = self.clock.now()
+        pool.last_activity_at = now = self.clock.now()
         session = self.sessions.get(session_id)
         if session is None and kind in ("event", "close") and not self._is_handover_window_over(now):
             early = partial(
@@ -519,7 +521,7 @@
             self._handle_setup_reply(session, pool, kind, json_lines.load_report(attributes), code, text, now)
         elif session.began_at and kind == "close":
             outcome = terms.ENDS_BY_CAUSE.get(code if code is not None else NO_CAUSE, Outcome.RESET)
-            cause = {Outcome.DONE: CAUSE_ENDED, Outcome.WITHDRAWN: 0}.get(outcome, CAUSE_FAILED)
+            cause = {Outcome.DONE: cause_codes.ENDED, Outcome.WITHDRAWN: 0}.get(outcome, cause_codes.FAILED)
             self._session_ended(session, outcome, cause, json_lines.load_report(attributes))
         elif session.began_at and kind == "event":
             self._apply_note(session, attributes, now)
@@ -550,7 +552,7 @@
             # A close with a description is an answer as well: the playback was set up and is already over.
             self._setup_answered(session, text, now)
             if kind == "close" and session.began_at:
-                self._session_ended(session, Outcome.DONE, CAUSE_ENDED, load_report)
+                self._session_ended(session, Outcome.DONE, cause_codes.ENDED, load_report)
         elif kind == "close":
             pool.setup_finished(session)
             cause = code if code is not None else NO_CAUSE
@@ -590,7 +592,7 @@
         if metric is None or value is None or value < 0:
             return
         if metric is PlaybackMetric.RUNG and not (
-            value == math.floor(value) and value < len(self.configuration.terms.rung_rates)
+            value == math.floor(value) and value < len(self.configuration.deployment_settings.rung_rates)
         ):
             return
         self.controller.on_metric(session.playback, metric, value, now)
@@ -654,14 +656,17 @@
         """Answers that the playback is rejected; the viewer is not to ask again for that long."""
         self.pending_decisions.append(
             partial(
-                self._send_final_answer, self.sessions_by_playback[playback], CAUSE_REJECTED, retry_after_ns
+                self._send_final_answer,
+                self.sessions_by_playback[playback],
+                cause_codes.REJECTED,
+                retry_after_ns,
             )
         )
 
     def abort(self, playback: Playback) -> None:
         """Answers that the playback is aborted."""
         self.pending_decisions.append(
-            partial(self._send_final_answer, self.sessions_by_playback[playback], CAUSE_FAILED, 0)
+            partial(self._send_final_answer, self.sessions_by_playback[playback], cause_codes.FAILED, 0)
         )
 
     def _send_final_answer(self, session: PlaybackSession, cause: int, retry_after_ns: int) -> None:
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -15,15 +15,12 @@
 from oakcroft.platform.idle_connections import IdleConnections
 from oakcroft.platform.connection import RECEIVE_BYTES, BufferedConnection, configure_socket
 from oakcroft.platform.playback_session import SetupRequest, PlaybackSession
-from oakcroft.platformwire import framing
+from oakcroft.platformwire import cause_codes, framing
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.platformwire.framing import FrameDecoder, ProtocolError
 from oakcroft.platformwire.setup_request import SetupRequestError, parse_setup_request
 from oakcroft.running.clock import Clock
 
-CAUSE_FAILED = 41
-CAUSE_REJECTED = 42
-CAUSE_ENDED = 16
 MESSAGE_TIMEOUT_NS = 2 * SECOND  # for the first message and any that has begun; a close is due within 3 s
 MAX_SETUPS_PER_CONNECTION = 256
 MESSAGES_PER_TURN = 32  # messages of one connection before other tasks run
@@ -35,9 +32,9 @@
     """What the viewers' side needs of the session coordinator. Calls take effect in the same step."""
 
     configuration: Configuration
-    stillness: PauseDetector
-    held_chars: int
-    max_held_chars: int
+    pause_detector: PauseDetector
+    description_chars: int
+    max_description_chars: int
 
     def connection_opened(self, connection: ViewerConnection) -> None:
         """A connection opened."""
@@ -66,12 +63,12 @@
     """
 
     def __init__(
-        self, sock: socket.socket, nursery: trio.Nursery, clock: Clock, stillness: PauseDetector
+        self, sock: socket.socket, nursery: trio.Nursery, clock: Clock, pause_detector: PauseDetector
     ) -> None:
         """Wraps an accepted socket."""
         super().__init__(sock, nursery)
         self.clock = clock
-        self.stillness = stillness
+        self.pause_detector = pause_detector
         self.frames = FrameDecoder()
         self.open_setups: dict[str, PlaybackSession] = {}
         self.queued_requests: dict[str, SetupRequest] = {}  # queued in the coordinator's inbox
@@ -102,7 +99,7 @@
             has_received, now = True, self.clock.now()
             self.has_peer_left = not data
             if self.written_at is None:
-                self.written_at = self.stillness.earliest_written_at(now, self.known_empty_at)
+                self.written_at = self.pause_detector.earliest_written_at(now, self.known_empty_at)
             if self.has_sent_message and not self.frames.has_partial_message:
                 self.idle_since = now
             self.frames.receive_data(data)
@@ -173,7 +170,7 @@
         self.log = log
         self.connections: dict[ViewerConnection, None] = {}
         self.idle_connections = IdleConnections(self.connections, clock)
-        self.was_tested = False
+        self.was_health_checked = False
         self.is_ready = False
         self.is_accepting = True
         self.shed_count = 0
@@ -203,7 +200,7 @@
             self.shed_count += 1
             return
         connection = ViewerConnection(
-            configure_socket(sock), self.nursery, self.clock, self.coordinator.stillness
+            configure_socket(sock), self.nursery, self.clock, self.coordinator.pause_detector
         )
         self.connections[connection] = None
         self.nursery.start_soon(self._serve_connection, connection)
@@ -295,7 +292,7 @@
         """Handles one message. A test is answered here, without the coordinator."""
         coordinator = self.coordinator
         if kind == framing.TEST:
-            self.was_tested = self.was_tested or self.is_ready
+            self.was_health_checked = self.was_health_checked or self.is_ready
             connection.write(
                 framing.encode(framing.TESTED, session_id, (framing.CAUSE, bytes((int(self.is_ready),))))
             )
@@ -311,7 +308,7 @@
     ) -> None:
         """Queues a set-up request, or rejects it if it is invalid or a limit is reached."""
         coordinator = self.coordinator
-        settings = coordinator.configuration.terms
+        settings = coordinator.configuration.deployment_settings
         try:
             setup = parse_setup_request(
                 session_id,
@@ -322,16 +319,16 @@
             )
         except SetupRequestError as error:
             coordinator.count("unusable set-up", str(error))
-            self.reject_request(connection, session_id, CAUSE_FAILED)
+            self.reject_request(connection, session_id, cause_codes.FAILED)
             return
         # A playback that is set up already needs no description.
         description = "" if setup.playing_node else setup.description
         # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
         open_and_queued = len(connection.open_setups) + len(connection.queued_requests)
         is_crowded = open_and_queued >= MAX_SETUPS_PER_CONNECTION
-        is_full = coordinator.held_chars + len(description) > coordinator.max_held_chars
+        is_full = coordinator.description_chars + len(description) > coordinator.max_description_chars
         if not setup.playing_node and (is_crowded or is_full):
-            self.reject_request(connection, session_id, CAUSE_REJECTED, settings.max_retry_after_ns)
+            self.reject_request(connection, session_id, cause_codes.REJECTED, settings.max_retry_after_ns)
             return
         coordinator.request_received(
             SetupRequest(
--- /dev/null
+++ b/oakcroft/platformwire/cause_codes.py
@@ -0,0 +1,11 @@
+"""Cause codes that the front end sends in releases to viewers and in closes to playout nodes."""
+
+from __future__ import annotations
+
+# Releases to viewers.
+ENDED = 16  # the playback ended in order
+FAILED = 41  # the set-up was aborted, or the playback was cut off
+REJECTED = 42  # the set-up was rejected, and nothing ran
+
+# Closes to nodes.
+CANCELLED = 16  # nobody waits for the set-up any more, or the viewer ended the playback
--- a/oakcroft/platformwire/command_channel.py
+++ b/oakcroft/platformwire/command_channel.py
@@ -1,4 +1,4 @@
-"""Documents of the command channel: numbered events that change the list of playout nodes."""
+"""Parses documents of the command channel: numbered events that change the list of playout nodes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from oakcroft.interface import MS, NodeStatus
 from oakcroft.platformwire.number_parsing import parse_finite
 
-LISTING_BY_PHASE = {"up": NodeStatus.READY, "draining": NodeStatus.DRAINING, "removed": NodeStatus.GONE}
+STATUS_BY_PHASE = {"up": NodeStatus.READY, "draining": NodeStatus.DRAINING, "removed": NodeStatus.GONE}
 MAX_NODES = 4_096
 MAX_NODE_ID_LENGTH = 128
 MAX_PORT = 65_535
@@ -22,16 +22,16 @@
 
     name: str
     address: tuple[str, int]
-    wing: str
+    zone: str
     kind: str
     cell: int
     status: NodeStatus
-    size: float
+    size: float  # relative capacity of its link
     started_at: int  # ns
 
 
 class ListChange(NamedTuple):
-    """One event with changes of the node list, or the whole list."""
+    """One event with the whole node list or changes to it."""
 
     cursor: int
     is_complete: bool
@@ -39,7 +39,7 @@
 
 
 class ChannelError(Exception):
-    """A document that cannot be read; none of its events applies."""
+    """A document is invalid; none of its events is applied."""
 
 
 def parse_address(raw: object) -> tuple[str, int]:
@@ -49,60 +49,63 @@
         host = str(ip_address(host.strip("[]")))
         number = int(port) if port.isdecimal() and len(port) <= MAX_PORT_DIGITS else 0
     except ValueError as error:
-        raise ChannelError(f"{raw!r} is no address") from error
+        raise ChannelError(f"{raw!r} is not an address") from error
     if not 0 < number <= MAX_PORT:
-        raise ChannelError(f"{raw!r} has no port")
+        raise ChannelError(f"{raw!r} has no valid port")
     return host, number
 
 
 def parse_whole_number(raw: object, field: str) -> int:
-    """A whole number that is not negative; raises ChannelError otherwise."""
+    """Checks that a value is a non-negative whole number; raises ChannelError otherwise."""
     if isinstance(raw, bool) or not isinstance(raw, int) or raw < 0:
-        raise ChannelError(f"{field} is no number")
+        raise ChannelError(f"{field} is not a whole number")
     return raw
 
 
 def parse_member(raw: object) -> NodeMember:
     """Parses one node of a list; raises ChannelError if a field is missing or invalid."""
     if not isinstance(raw, dict):
-        raise ChannelError("a node is no object")
+        raise ChannelError("a node is not an object")
     name, phase = raw.get("id"), raw.get("phase")
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NODE_ID_LENGTH:
-        raise ChannelError("a node without an id")
-    if not isinstance(phase, str) or phase not in LISTING_BY_PHASE:
-        raise ChannelError(f"phase of {name}")
+        raise ChannelError("a node has no valid id")
+    if not isinstance(phase, str) or phase not in STATUS_BY_PHASE:
+        raise ChannelError(f"node {name} has an unknown phase")
     size = parse_finite(raw.get("size", 1.0))
     if size is None or size < 0:
-        raise ChannelError(f"size of {name}")
-    wing, kind = raw.get("locality") or "", raw.get("flavor") or ""
-    if not isinstance(wing, str) or not isinstance(kind, str):
-        raise ChannelError(f"place of {name}")
-    needs_no_address = LISTING_BY_PHASE[phase] is NodeStatus.GONE and "host_port" not in raw
+        raise ChannelError(f"node {name} has an invalid size")
+    zone, kind = raw.get("locality") or "", raw.get("flavor") or ""
+    if not isinstance(zone, str) or not isinstance(kind, str):
+        raise ChannelError(f"node {name} has an invalid locality or flavor")
+    needs_no_address = STATUS_BY_PHASE[phase] is NodeStatus.GONE and "host_port" not in raw
     return NodeMember(
         name=name,
         address=("", 0) if needs_no_address else parse_address(raw.get("host_port")),
-        wing=wing,
+        zone=zone,
         kind=kind,
         cell=parse_whole_number(raw.get("cell", 0), "cell"),
-        status=LISTING_BY_PHASE[phase],
+        status=STATUS_BY_PHASE[phase],
         size=size,
         started_at=parse_whole_number(raw.get("up_since_ms") or 0, "up_since_ms") * MS,
     )
 
 
 def parse_events(raw: object) -> tuple[int, list[ListChange]]:
-    """The cursor of the last event, and the events; raises ChannelError unless all of them can be read."""
+    """Parses a document into the cursor of its last event and its events.
+
+    Raises ChannelError unless all events are valid.
+    """
     if not isinstance(raw, dict) or not isinstance(raw.get("cmds"), list):
-        raise ChannelError("no events")
+        raise ChannelError("the list of events is missing")
     changes = list[ListChange]()
     for raw_event in raw["cmds"]:
         if not isinstance(raw_event, dict):
-            raise ChannelError("an event is no object")
+            raise ChannelError("an event is not an object")
         nodes = raw_event.get("nodes")
         if nodes is None:  # an event that does not concern nodes
             continue
         if not isinstance(nodes, dict) or not isinstance(nodes.get("members"), list):
-            raise ChannelError("an event without nodes")
+            raise ChannelError("the nodes of an event are not a list")
         if len(nodes["members"]) > MAX_NODES:
             raise ChannelError("too many nodes")
         complete = nodes.get("complete", False)
@@ -119,9 +122,9 @@
 
 
 def decode_events(body: bytes) -> tuple[int, list[ListChange]]:
-    """The same, from the body of an answer."""
+    """Parses the body of a channel answer; see `parse_events`."""
     try:
         raw = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise ChannelError("no JSON") from error
+        raise ChannelError("not valid JSON") from error
     return parse_events(raw)
--- a/oakcroft/platformwire/long_poll.py
+++ b/oakcroft/platformwire/long_poll.py
@@ -24,19 +24,19 @@
     """
 
     def __init__(self, host: str, port: int) -> None:
-        """The connection to an address; nothing has been sent."""
+        """Prepares a connection to an address; nothing has been sent yet."""
         self.host = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.body = bytearray()
         self.status = 0
 
     def poll(self, after_cursor: int, wait_ms: int) -> bytes:
-        """The bytes of a poll for the events after `after_cursor`, which the channel may hold for `wait_ms`.
+        """Encodes a poll for the events after `after_cursor`, which the channel may hold for `wait_ms`.
 
         Raises ChannelError if the previous answer has not been read.
         """
         if self.http.our_state is not h11.IDLE:
-            raise command_channel.ChannelError("the answer before has not been read")
+            raise command_channel.ChannelError("the previous answer has not been read")
         request = h11.Request(
             method="GET",
             target=f"{POLL_PATH}?resume={after_cursor}&block={wait_ms}",
@@ -52,10 +52,10 @@
             raise command_channel.ChannelError(str(error)) from error
 
     def next_answer(self) -> tuple[int, list[command_channel.ListChange]] | None:
-        """The answer to the open poll: the cursor of the last event, and the events. None if it is not
-        complete.
+        """Returns the answer to the open poll, the cursor of the last event and the events; None if the answer
+        is incomplete.
 
-        Raises ChannelError if it cannot be read.
+        Raises ChannelError if the answer is invalid.
         """
         try:
             while True:
--- a/oakcroft/platformwire/settings.py
+++ b/oakcroft/platformwire/settings.py
@@ -8,7 +8,7 @@
 
 from oakcroft import terms
 
-NOT_A_NUMBER = -1.0  # below every range
+NOT_A_NUMBER = -1.0  # stands for a value that is not a number; below every range
 LEAST_POSITIVE = 1e-9  # for fields that must be more than 0
 NUMBER_RANGES: dict[str, tuple[float, float]] = {
     "balancers": (0, inf),
@@ -30,7 +30,7 @@
     "permissions.streamsPerConn": (1, inf),
     "permissions.maxOpen": (1, inf),
 }
-NUMBER_LISTS = {  # lists of numbers: the least value of each, and the list that must have the same length
+NUMBER_LISTS = {  # lists of numbers: minimum of each element, and the list that must have the same length
     "familyInfo.classSeats": (0, "classes"), "familyInfo.classTop": (0, "classes"),
     "familyInfo.floorByClass": (0, "classes"), "familyInfo.rateFactor": (LEAST_POSITIVE, "classes"),
     "familyInfo.live": (0, "classes"), "familyInfo.ratesKb": (LEAST_POSITIVE, "familyInfo.rungWorth"),
@@ -42,11 +42,11 @@
 
 
 class SettingsError(Exception):
-    """Settings that cannot be served; the message names the field and the reason."""
+    """Settings are invalid; the message names the field and the reason."""
 
 
 def field_at(settings: Any, path: str) -> Any:
-    """A field by its path; raises SettingsError if it is missing."""
+    """Returns the field at a dotted path; raises SettingsError if it is missing."""
     for name in path.split("."):
         if not isinstance(settings, dict) or name not in settings:
             raise SettingsError(f"settings.{path} is missing")
@@ -55,24 +55,24 @@
 
 
 def check_number(raw: object, path: str, minimum: float, maximum: float = inf) -> None:
-    """Raises SettingsError if a field is not a number in a range."""
+    """Raises SettingsError if a field is not a number within a range."""
     value = float(raw) if isinstance(raw, int | float) else NOT_A_NUMBER
     if not minimum <= value <= maximum:
-        wanted = "more than 0" if minimum == LEAST_POSITIVE else f"{minimum:g} at least"
-        raise SettingsError(f"settings.{path}: {str(raw)[:40]!r} where a figure is wanted, {wanted}"
-                       + (f" and {maximum:g} at most" if maximum < inf else ""))  # fmt: skip
+        lower_bound = "greater than 0" if minimum == LEAST_POSITIVE else f"at least {minimum:g}"
+        upper_bound = f" and at most {maximum:g}" if maximum < inf else ""
+        raise SettingsError(f"settings.{path}: {str(raw)[:40]!r} is not a number {lower_bound}{upper_bound}")
 
 
 def non_empty_list(settings: Any, path: str) -> list[Any]:
-    """A list that is not empty; raises SettingsError otherwise."""
+    """Returns the list at a dotted path; raises SettingsError if it is missing or empty."""
     values = field_at(settings, path)
     if not isinstance(values, list) or not values:
-        raise SettingsError(f"settings.{path}: a list with something in it is wanted")
+        raise SettingsError(f"settings.{path}: a non-empty list is required")
     return values
 
 
 def checked_classes(settings: Any) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Each class with its path; raises SettingsError if one has no name or the name of another."""
+    """Yields each class with its path; raises SettingsError for a missing or repeated name."""
     names = set[str]()
     for i, raw_class in enumerate(non_empty_list(settings, "classes")):
         path = f"classes[{i}]"
@@ -83,13 +83,13 @@
         ):
             raise SettingsError(f"settings.{path}.name is missing")
         if raw_class["name"] in names:
-            raise SettingsError(f"settings.{path}.name: {raw_class['name']!r} stands twice")
+            raise SettingsError(f"settings.{path}.name: {raw_class['name']!r} is used twice")
         names.add(raw_class["name"])
         yield path, raw_class
 
 
 def check(settings: Any) -> None:
-    """Raises SettingsError for the first field that cannot be served."""
+    """Raises SettingsError for the first invalid field."""
     _check_numbers(settings)
     for path, raw_class in checked_classes(settings):
         _check_class(path, raw_class)
@@ -121,7 +121,7 @@
             continue
         if not isinstance(value, str) or value not in known_values:
             raise SettingsError(
-                f"settings.{path}.{name}: {str(value)[:40]!r} is none of {', '.join(known_values)}"
+                f"settings.{path}.{name}: {str(value)[:40]!r} is not one of {', '.join(known_values)}"
             )
     if raw_class.get("keyTtlMs") is not None:
         check_number(raw_class["keyTtlMs"], f"{path}.keyTtlMs", 0)
@@ -135,6 +135,6 @@
             check_number(raw, f"{path}[{i}]", minimum)
         if len(values) != len(non_empty_list(settings, same_length_as)):
             raise SettingsError(
-                f"settings.{path}: {len(values)} figures"
-                f" where {same_length_as} has {len(field_at(settings, same_length_as))}"
+                f"settings.{path}: length {len(values)}, but {same_length_as}"
+                f" has length {len(field_at(settings, same_length_as))}"
             )
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -107,17 +107,17 @@
 
 def has_no_open_setups(rig: PlatformRig) -> bool:
     """Returns whether no table holds anything of an open set-up."""
-    owner = rig.coordinator
-    connections = [connection for pool in owner.pools.values() for connection in pool.connections]
-    held: list[Any] = [owner.queued_requests, *(p.waiting_setups for p in owner.pools.values())]
+    coordinator = rig.coordinator
+    connections = [connection for pool in coordinator.pools.values() for connection in pool.connections]
+    held: list[Any] = [coordinator.queued_requests, *(p.waiting_setups for p in coordinator.pools.values())]
     held += [
-        [session for session in owner.sessions.values() if not session.began_at],
-        [session for session in owner.sessions_by_playback.values() if not session.began_at],
+        [session for session in coordinator.sessions.values() if not session.began_at],
+        [session for session in coordinator.sessions_by_playback.values() if not session.began_at],
     ]
     held += [connection.pending_setups for connection in connections] + [
-        connection.queued_requests or connection.open_setups for connection in owner.viewer_connections
+        connection.queued_requests or connection.open_setups for connection in coordinator.viewer_connections
     ]
-    return not any(held) and owner.setup_count == owner.held_chars == 0
+    return not any(held) and coordinator.setup_count == coordinator.description_chars == 0
 
 
 async def check_cleaned_up(rig: PlatformRig) -> None:
@@ -859,7 +859,7 @@
         pool = next(p for p in rig.coordinator.pools.values() if p.playing_sessions)
         now, pool.last_connect_at = rig.coordinator.clock.now(), 0
         for silent_ms in (tolerated_ms - 100, tolerated_ms + 100):
-            pool.last_heard_at = now - silent_ms * MS
+            pool.last_activity_at = now - silent_ms * MS
             pool.maintain(now)
             assert pool.opening_count == (silent_ms > tolerated_ms)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -440,7 +440,7 @@
     """Guards against tables that grow with every session, title or connection."""
 
     async def test(rig: PlatformRig) -> None:
-        owner = rig.coordinator
+        coordinator = rig.coordinator
         for batch in range(30):
             viewer = await rig.viewer()
             for i in range(batch * 100, batch * 100 + 100):
@@ -454,20 +454,20 @@
                     assert await viewer.receive() == (framing.RELEASE, sid, OVER, b"")
                     node.received.clear()
             await viewer.stream.aclose()
-        await wait_until(lambda: not owner.viewer_connections)
-        assert not owner.sessions
-        assert not owner.sessions_by_playback
-        assert owner.setup_count == 0
-        assert len(owner.titles.titles) <= limits.MAX_TITLES
-        assert not owner.releases.unsent
-        assert not owner.pending_decisions
-        for pool in owner.pools.values():
+        await wait_until(lambda: not coordinator.viewer_connections)
+        assert not coordinator.sessions
+        assert not coordinator.sessions_by_playback
+        assert coordinator.setup_count == 0
+        assert len(coordinator.titles.titles) <= limits.MAX_TITLES
+        assert not coordinator.releases.unsent
+        assert not coordinator.pending_decisions
+        for pool in coordinator.pools.values():
             assert not pool.playing_sessions
             assert not pool.waiting_setups
             assert len(pool.connections) <= pool.max_connections
             assert not pool.node.playbacks
         # What is left are the decision module's timer and that of the last set-up.
-        await wait_until(lambda: len(owner.timers.heap) <= 2, 4)
+        await wait_until(lambda: len(coordinator.timers.heap) <= 2, 4)
 
     run_on_platform(test)
 
@@ -568,7 +568,7 @@
     """Set-ups that are released at once release their timers and descriptions."""
 
     async def test(rig: PlatformRig) -> None:
-        owner, viewer = rig.coordinator, await rig.viewer()
+        coordinator, viewer = rig.coordinator, await rig.viewer()
         for node in rig.nodes:
             node.script = ["silence"] * 400
         for i in range(400):
@@ -577,9 +577,9 @@
         await viewer.send(framing.TEST, C, 0)
         while (await viewer.receive() or (0,))[0] != framing.TESTED:
             pass  # some were rejected
-        await wait_until(lambda: not owner.sessions)
-        assert owner.held_chars == 0
-        assert len(owner.timers.heap) < 100
+        await wait_until(lambda: not coordinator.sessions)
+        assert coordinator.description_chars == 0
+        assert len(coordinator.timers.heap) < 100
 
     run_on_platform(test)
 
@@ -588,26 +588,26 @@
     """The memory for descriptions is bounded and is released when set-ups end."""
 
     async def test(rig: PlatformRig) -> None:
-        owner, viewer = rig.coordinator, await rig.viewer()
-        owner.max_held_chars = 50_000
+        coordinator, viewer = rig.coordinator, await rig.viewer()
+        coordinator.max_description_chars = 50_000
         for node in rig.nodes:
             node.script = ["silence"] * 10
         for i in range(3):
             await viewer.send_setup(f"{i + 1:016x}", text=b"o" * 15_000)
-        await wait_until(lambda: owner.setup_count == 3)
-        assert owner.held_chars == 45_000
+        await wait_until(lambda: coordinator.setup_count == 3)
+        assert coordinator.description_chars == 45_000
         await viewer.send_setup(A, text=b"o" * 15_000)
         assert await viewer.receive() == (framing.RELEASE, A, REFUSED, b"")
-        assert len(owner.sessions) == 3
+        assert len(coordinator.sessions) == 3
         await viewer.stream.aclose()
-        await wait_until(lambda: not owner.sessions)
-        assert owner.held_chars == 0
+        await wait_until(lambda: not coordinator.sessions)
+        assert coordinator.description_chars == 0
         for node in rig.nodes:
             node.script.clear()
         other = await rig.viewer()
         await other.send_setup(B, text=b"o" * 15_000)
         assert (await other.receive() or (0,))[0] == framing.ANSWER
-        assert owner.held_chars == 0
+        assert coordinator.description_chars == 0
 
     run_on_platform(test)
 
@@ -665,21 +665,21 @@
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
         await wait_until(lambda: rig.coordinator.viewer_connections)
-        connection, owner = next(iter(rig.coordinator.viewer_connections)), rig.coordinator
+        connection, coordinator = next(iter(rig.coordinator.viewer_connections)), rig.coordinator
         for i in range(100, 124):
             await viewer.send_setup(f"{i:016x}", title=f"t{i}")
             await viewer.receive()
         before = [len(node.received_messages("open")) for node in rig.nodes]
         assert all(before)  # an open connection to each node, so that a set-up is sent at once
-        for pool in owner.pools.values():
+        for pool in coordinator.pools.values():
             pool.max_connections = 1
         rig.channel.is_silent = True
         rig.channel.polls.clear()
         await wait_until(lambda: rig.channel.polls)
-        now = owner.clock.now()
+        now = coordinator.clock.now()
         for i in range(24):  # half a second of work, and the requests that arrive meanwhile
-            owner.event_sender.send_nowait(partial(time.sleep, 0.02))
-            owner.request_received(
+            coordinator.event_sender.send_nowait(partial(time.sleep, 0.02))
+            coordinator.request_received(
                 SetupRequest(connection, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", "")
             )
         rig.channel.answer_now(2, rig.member(rig.nodes[0], "draining"))
