--- a/oakcroft/httpwire/client.py
+++ b/oakcroft/httpwire/client.py
@@ -1,7 +1,7 @@
-"""HTTP client: kept-alive connections to one address, and the observed progress of each exchange.
+"""HTTP client: persistent connections to one address, and the observed progress of each exchange.
 
-An exchange is never repeated here. This module reports each stage as the socket reaches it; what a failed exchange proves
-is decided in decisions/sessions/setup_outcome.py.
+An exchange is never retried here. This module reports each stage as the socket reaches it; whether a failed exchange may
+have taken effect is decided in decisions/sessions/setup_outcome.py.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import h11
 import trio
@@ -21,6 +22,7 @@
 MAX_RESPONSE_BYTES = 262_144
 MAX_HEAD_BYTES = 32_768
 READ_BYTES = 65_536
+METHODS_WITH_BODY = ("POST", "PATCH", "PUT")  # their requests state a length even if the body is empty
 
 CONNECTION_REFUSED = "connection refused"
 """Cause of an `ExchangeError` where nothing listens at the address."""
@@ -30,7 +32,7 @@
     """An exchange ended without a complete response."""
 
     def __init__(self, end: RequestEnd, cause: str) -> None:
-        """`end`: how it ended; `cause`: the error as text."""
+        """Creates the error; `end` is how the exchange ended, `cause` the underlying error as text."""
         super().__init__(f"{end.value}: {cause}")
         self.end = end
         self.cause = cause
@@ -38,13 +40,22 @@
 
 @dataclass
 class PooledConnection:
-    """One open connection; `idle_since` is its last use in trio's clock, seconds."""
+    """One open connection; `idle_since` is the end of its last exchange on trio's clock, in seconds."""
 
     stream: trio.SocketStream
     http: h11.Connection
     idle_since: float
 
 
+class OutgoingRequest(NamedTuple):
+    """A request that has not been sent yet."""
+
+    method: str
+    target: str
+    headers: Headers
+    body: bytes
+
+
 class HttpClient:
     """HTTP client for one address, with a pool of idle connections.
 
@@ -62,7 +73,7 @@
         max_idle: int = 32,
         idle_timeout_s: float = 10.0,
     ) -> None:
-        """Opens no connection yet."""
+        """Creates a client without connections."""
         self.host = host
         self.port = port
         self.connect_timeout_s = connect_timeout_s
@@ -82,17 +93,18 @@
     ) -> Response:
         """Runs one exchange and returns its response; raises ExchangeError if there is none.
 
-        `progress` records the stages reached, also where the exchange is cancelled. `new_connection`: uses no idle
-        connection.
+        `progress` records the stages reached, also if the exchange is cancelled. With `new_connection` no idle
+        connection is reused.
         """
         progress = progress or RequestProgress()
+        outgoing = OutgoingRequest(method, target, headers, body)
         async with self.limiter:
             progress.advance(RequestStage.CONNECTING)
             connection = await self._connection(new_connection)
             progress.advance(RequestStage.CONNECTED)
             is_done = False
             try:
-                response = await self._exchange(connection, method, target, headers, body, progress)
+                response = await self._exchange(connection, outgoing, progress)
                 is_done = True
             finally:
                 if is_done and self._is_reusable(connection):
@@ -106,12 +118,12 @@
     async def stream(
         self, method: str, target: str, headers: Headers, body: bytes = b""
     ) -> AsyncIterator[tuple[Response, AsyncIterator[bytes]]]:
-        """Runs an exchange with a streamed response on a new connection; gives the head and the body's chunks."""
+        """Runs an exchange with a streamed response on a new connection; yields its head and its body's chunks."""
         connection = await self._connection(new_connection=True)
         try:
             progress = RequestProgress()
             progress.advance(RequestStage.CONNECTED)
-            await self._write(connection, method, target, headers, body, progress)
+            await self._write(connection, OutgoingRequest(method, target, headers, body), progress)
             head = await self._read_head(connection, progress)
 
             async def chunks() -> AsyncIterator[bytes]:
@@ -133,7 +145,7 @@
             await trio.aclose_forcefully(self.idle.popleft().stream)
 
     async def _keep(self, connection: PooledConnection) -> None:
-        """Returns a connection to the pool and closes those over the limit, the oldest first."""
+        """Returns a connection to the pool; closes the least recently used ones over the limit."""
         connection.http.start_next_cycle()
         connection.idle_since = trio.current_time()
         self.idle.append(connection)
@@ -153,22 +165,17 @@
             with trio.fail_after(self.connect_timeout_s):
                 stream = await trio.open_tcp_stream(self.host, self.port)
         except (OSError, trio.TooSlowError) as error:
-            cause = CONNECTION_REFUSED if was_refused(error) else str(error) or "no connection in time"
+            cause = CONNECTION_REFUSED if was_refused(error) else str(error) or "connect timed out"
             raise ExchangeError(RequestEnd.UNREACHED, cause) from error
         return PooledConnection(
             stream, h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES), now
         )
 
     async def _exchange(
-        self,
-        connection: PooledConnection,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes,
-        progress: RequestProgress,
+        self, connection: PooledConnection, request: OutgoingRequest, progress: RequestProgress
     ) -> Response:
-        await self._write(connection, method, target, headers, body, progress)
+        """Sends a request on a connection and reads the complete response."""
+        await self._write(connection, request, progress)
         response = await self._read_head(connection, progress)
         response_body = bytearray()
         while True:
@@ -176,28 +183,23 @@
             if isinstance(event, h11.Data):
                 response_body += event.data
                 if len(response_body) > MAX_RESPONSE_BYTES:
-                    raise ExchangeError(RequestEnd.INVALID_RESPONSE, "the answer is too large")
+                    raise ExchangeError(RequestEnd.INVALID_RESPONSE, "the response is too large")
             elif isinstance(event, h11.EndOfMessage):
                 progress.advance(RequestStage.RESPONSE_READ)
                 response.body = bytes(response_body)
                 return response
             else:
-                raise ExchangeError(RequestEnd.CONNECTION_LOST, "the answer broke off")
+                raise ExchangeError(RequestEnd.CONNECTION_LOST, "the response ended early")
 
     async def _write(
-        self,
-        connection: PooledConnection,
-        method: str,
-        target: str,
-        headers: Headers,
-        body: bytes,
-        progress: RequestProgress,
+        self, connection: PooledConnection, request: OutgoingRequest, progress: RequestProgress
     ) -> None:
-        fields = [("Host", f"{self.host}:{self.port}"), *headers]
-        if body or method in ("POST", "PATCH", "PUT"):
-            fields.append(("Content-Length", str(len(body))))
+        """Sends a request with the header fields that the connection requires."""
+        headers = [("Host", f"{self.host}:{self.port}"), *request.headers]
+        if request.body or request.method in METHODS_WITH_BODY:
+            headers.append(("Content-Length", str(len(request.body))))
         try:
-            data = _encode_request(connection.http, method, target, fields, body)
+            data = _encode_request(connection.http, request, headers)
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
             # HTTP cannot represent the request, and nothing of it was sent.
             raise ExchangeError(RequestEnd.WITHDRAWN, str(error)) from error
@@ -210,18 +212,20 @@
         progress.advance(RequestStage.WRITTEN)
 
     async def _read_head(self, connection: PooledConnection, progress: RequestProgress) -> Response:
+        """Reads the head of the final response; skips informational ones."""
         while True:
             event = await self._next_event(connection)
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise ExchangeError(RequestEnd.CONNECTION_LOST, "closed without an answer")
+                raise ExchangeError(RequestEnd.CONNECTION_LOST, "the connection was closed without a response")
             progress.advance(RequestStage.RESPONSE_STARTED)
             progress.status = event.status_code
             headers = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in event.headers]
             return Response(event.status_code, headers)
 
     async def _next_event(self, connection: PooledConnection) -> object:
+        """Returns the next h11 event; raises ExchangeError if the connection fails or the response is invalid."""
         is_closed = False
         try:
             while (event := connection.http.next_event()) is h11.NEED_DATA:
@@ -237,21 +241,23 @@
 
     @staticmethod
     def _is_reusable(connection: PooledConnection) -> bool:
+        """Returns whether both directions of the exchange are complete and the connection may stay open."""
         return connection.http.our_state is h11.DONE and connection.http.their_state is h11.DONE
 
 
-def _encode_request(http: h11.Connection, method: str, target: str, fields: Headers, body: bytes) -> bytes:
+def _encode_request(http: h11.Connection, request: OutgoingRequest, headers: Headers) -> bytes:
+    """Encodes a request with complete header fields."""
     # Values are encoded as servers decode them (RFC 9110 5.5).
-    headers = [(name.encode(), value.encode("latin-1")) for name, value in fields]
-    data = http.send(h11.Request(method=method, target=target, headers=headers)) or b""
-    if body:
-        data += http.send(h11.Data(data=body)) or b""
+    encoded = [(name.encode(), value.encode("latin-1")) for name, value in headers]
+    data = http.send(h11.Request(method=request.method, target=request.target, headers=encoded)) or b""
+    if request.body:
+        data += http.send(h11.Data(data=request.body)) or b""
     data += http.send(h11.EndOfMessage()) or b""
     return data
 
 
 def was_refused(error: BaseException) -> bool:
-    """Returns whether a connection was refused; trio hides that in an exception group behind the error it raises."""
+    """Returns whether a connect was refused; trio reports that as an exception group that is the error's cause."""
     if isinstance(error, BaseExceptionGroup):
         return any(was_refused(inner) for inner in error.exceptions)
     if isinstance(error, ConnectionRefusedError):
