--- a/oakcroft/httpwire/client.py
+++ b/oakcroft/httpwire/client.py
@@ -218,7 +218,9 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise ExchangeError(RequestEnd.CONNECTION_LOST, "the connection was closed without a response")
+                raise ExchangeError(
+                    RequestEnd.CONNECTION_LOST, "the connection was closed without a response"
+                )
             progress.advance(RequestStage.RESPONSE_STARTED)
             progress.status = event.status_code
             headers = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in event.headers]
--- a/oakcroft/httpwire/message.py
+++ b/oakcroft/httpwire/message.py
@@ -1,7 +1,8 @@
-"""HTTP requests and responses."""
+"""HTTP requests and responses, independent of any connection."""
 
 from __future__ import annotations
 
+import re
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
 from urllib.parse import unquote
@@ -10,6 +11,9 @@
 
 Headers = list[tuple[str, str]]
 
+CONTENT_LENGTH_PATTERN = re.compile(rb"\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*(?=\r\n)", re.IGNORECASE)
+UNSUPPORTED_HEADER_PATTERN = re.compile(rb"\r\n(transfer-encoding|expect|connection)[ \t]*:", re.IGNORECASE)
+
 
 @dataclass
 class Request:
@@ -71,3 +75,17 @@
     def header_values(self, name: str) -> list[str]:
         """Returns all values of a header field, by its lower-case name."""
         return [value for key, value in self.headers if key.lower() == name]
+
+
+def is_whole_post(data: bytes) -> bool:
+    """Returns whether the bytes are exactly one complete POST; False for any request that needs a full parse."""
+    if not data.startswith(b"POST /"):
+        return False
+    head_end = data.find(b"\r\n\r\n")
+    if head_end <= 0:
+        return False
+    head = data[: head_end + 2]
+    lengths = CONTENT_LENGTH_PATTERN.findall(head)
+    if len(lengths) != 1 or UNSUPPORTED_HEADER_PATTERN.search(head):
+        return False
+    return len(data) == head_end + 4 + int(lengths[0])
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -27,7 +27,7 @@
 from oakcroft.front.playback_session import PlaybackSession
 from oakcroft.httpwire.client import ExchangeError
 from oakcroft.httpwire.message import Request, Response
-from oakcroft.httpwire.server import Connection
+from oakcroft.httpwire.connection import Connection
 from oakcroft.interface import NodeStatus, Playback
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import session_api as api
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -28,7 +28,7 @@
     ClientSessionState,
 )
 from oakcroft.decisions.admission.load_shedding import FairQueue, QueuedRequest, ConcurrencyWindow
-from oakcroft.httpwire.server import is_whole_post
+from oakcroft.httpwire.message import is_whole_post
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.websocket_api import SessionApi
 from oakcroft.interface import MS, SECOND
