--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -27,14 +27,16 @@
 
 EXIT_CONFIGURATION_ERROR = 2
 MAX_LOG_LINES_PER_SECOND = 50
-ACCEPT_AFTER_STOP_NS = 750 * MS  # connections and requests still arrive for a while after the stop signal
-MIN_DRAIN_NS = 3 * SECOND + 300 * MS  # playbacks continue for so long
+MIN_CORES = 0.01  # a smaller share of a core, or 0, counts as this one
+ACCEPT_AFTER_STOP_NS = 750 * MS  # after the stop signal; connections and requests still arrive for a while
+MIN_DRAIN_NS = 3 * SECOND + 300 * MS  # playbacks continue for at least this long
 # The platform kills the process a fixed delay after the longest abandon time, which counts as 3 s at least.
 MIN_LONGEST_ABANDON_NS = 3 * SECOND
 KILL_DELAY_NS = 700 * MS
 # How long before the platform's kill the process ends, and the last answer is given.
 EXIT_BEFORE_KILL_NS = 200 * MS
 LAST_ANSWER_BEFORE_KILL_NS = 350 * MS
+SHUTDOWN_CHECK_INTERVAL_S = 0.05
 FLUSH_TIMEOUT_NS = 500 * MS  # for answers and releases that wait for a slow reader
 
 
@@ -48,8 +50,10 @@
         configuration_file: Path | None = None,
         startup_duration_ns: int = 0,
     ) -> None:
-        """`configuration_file` is read again on reload; `startup_duration_ns` is the time the process has spent
-        starting.
+        """Creates a front end that does not run yet.
+
+        `configuration_file` is read again on reload; `startup_duration_ns` is the time that the process has
+        taken to start.
         """
         self.configuration = configuration
         self.log = log
@@ -60,6 +64,7 @@
         self.viewer_server: ViewerServer | None = None
         self.channel_follower: ChannelFollower | None = None
         self.port = 0
+        self.kill_after_ns = 0  # after the stop signal; set when it runs
 
     async def run(
         self,
@@ -72,45 +77,60 @@
         `ready` receives the port once the front end listens; setting `stop` acts like a stop signal. Raises
         OSError if the address cannot be bound.
         """
-        family = socket.AF_INET6 if ":" in self.configuration.listen_address[0] else socket.AF_INET
-        listener = socket.socket(family, socket.SOCK_STREAM)
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        configure_socket(listener).bind(self.configuration.listen_address)
-        self.port = listener.getsockname()[1]
+        listener = self._bind_listener()
         clock = Clock()
-        longest = max(MIN_DRAIN_NS, *self.configuration.abandon_ns_by_plan.values())
-        self.kill_after_ns = (
-            max(MIN_LONGEST_ABANDON_NS, *self.configuration.abandon_ns_by_plan.values()) + KILL_DELAY_NS
-        )
-        shutdown = Shutdown(longest, FLUSH_TIMEOUT_NS, longest, self.kill_after_ns - EXIT_BEFORE_KILL_NS)
+        shutdown = self._create_shutdown()
         async with trio.open_nursery() as nursery:
-            self.coordinator = coordinator = SessionCoordinator(self.configuration, clock, nursery, self.log)
-            self.viewer_server = ViewerServer(
-                listener, self.configuration.max_sockets // 2, coordinator, clock, nursery, self.log
-            )
-            last, changes = self.configuration.known_events
-            self.channel_follower = ChannelFollower(
-                self.configuration.channel_address, last, coordinator, self.log, self.startup_duration_ns
-            )
+            coordinator, channel_follower = self._create_parts(listener, clock, nursery)
             if signals:
                 nursery.start_soon(self._handle_signals, shutdown, clock)
             if stop is not None:
                 nursery.start_soon(self._wait_for_stop, stop, shutdown, clock)
-            for task in (
-                coordinator.run,
-                coordinator.monitor_lag,
-                coordinator.timers.run,
-                coordinator.run_maintenance,
-            ):
-                nursery.start_soon(task)
-            for _, complete, members in changes:
+            nursery.start_soon(coordinator.run)
+            nursery.start_soon(coordinator.monitor_lag)
+            nursery.start_soon(coordinator.timers.run)
+            nursery.start_soon(coordinator.run_maintenance)
+            _, known_changes = self.configuration.known_events
+            for _, complete, members in known_changes:
                 coordinator.apply_list_immediately(complete, members)
-            nursery.start_soon(self.channel_follower.run)
+            nursery.start_soon(channel_follower.run)
             nursery.start_soon(self._open_listener, listener, shutdown, clock, nursery, ready)
             await self._run_until_gone(shutdown, clock)
             self.log.info("gone", open=coordinator.setup_count, playing=len(coordinator.sessions))
             nursery.cancel_scope.cancel()
 
+    def _bind_listener(self) -> socket.socket:
+        """Binds the listener's socket, which does not listen yet; raises OSError if that fails."""
+        host, _ = self.configuration.listen_address
+        family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        listener = socket.socket(family, socket.SOCK_STREAM)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        configure_socket(listener).bind(self.configuration.listen_address)
+        self.port = listener.getsockname()[1]
+        return listener
+
+    def _create_shutdown(self) -> Shutdown:
+        """Creates the lifecycle, with time limits that follow from the longest abandon time."""
+        abandon_times_ns = self.configuration.abandon_ns_by_plan.values()
+        drain_ns = max(MIN_DRAIN_NS, *abandon_times_ns)
+        self.kill_after_ns = max(MIN_LONGEST_ABANDON_NS, *abandon_times_ns) + KILL_DELAY_NS
+        return Shutdown(drain_ns, FLUSH_TIMEOUT_NS, drain_ns, self.kill_after_ns - EXIT_BEFORE_KILL_NS)
+
+    def _create_parts(
+        self, listener: socket.socket, clock: Clock, nursery: trio.Nursery
+    ) -> tuple[SessionCoordinator, ChannelFollower]:
+        """Creates the parts, none of which runs yet; returns the coordinator and the channel follower."""
+        configuration = self.configuration
+        self.coordinator = SessionCoordinator(configuration, clock, nursery, self.log)
+        self.viewer_server = ViewerServer(
+            listener, configuration.max_sockets // 2, self.coordinator, clock, nursery, self.log
+        )
+        last_cursor, _ = configuration.known_events
+        self.channel_follower = ChannelFollower(
+            configuration.channel_address, last_cursor, self.coordinator, self.log, self.startup_duration_ns
+        )
+        return self.coordinator, self.channel_follower
+
     async def _open_listener(
         self, listener: socket.socket, shutdown: Shutdown, clock: Clock, nursery: trio.Nursery,
         ready: Callable[[int], Awaitable[None]] | None,
@@ -131,10 +151,10 @@
     def _start_serving(
         self, listener: socket.socket, shutdown: Shutdown, clock: Clock, nursery: trio.Nursery
     ) -> None:
-        """Starts to listen and to pass the platform's tests; runs after the known list has been applied.
+        """Starts to listen and to pass health checks; runs after the known list has been applied.
 
-        Listening and the change of state happen in one step, so a stop signal finds either a front end that
-        nobody can have reached, or one that owes answers.
+        Listening and the change of state happen in one step, so a stop signal finds either a front end that no
+        viewer can have reached, or one that answers what it has received.
         """
         assert self.viewer_server is not None
         if shutdown.state is not FrontState.STARTING:
@@ -156,7 +176,7 @@
         assert self.coordinator is not None
         assert self.viewer_server is not None
         while True:
-            await trio.sleep(0.05)
+            await trio.sleep(SHUTDOWN_CHECK_INTERVAL_S)
             now = clock.now()
             if self.viewer_server.was_health_checked and not self.coordinator.first_health_check_at:
                 self.coordinator.first_health_check_at = now
@@ -237,6 +257,7 @@
         "json", configuration.deployment_settings.front_index, sys.stdout, MAX_LOG_LINES_PER_SECOND
     )
     reduce_gc_frequency()
-    startup_duration_ns = time.process_time_ns() / max(configuration.cores, 0.01)  # with its share of a core
-    trio.run(PlatformFrontEnd(configuration, log, Path(file_name), round(startup_duration_ns)).run)
+    # The time that the start took by the clock, estimated from its processor time and the share of a core.
+    startup_duration_ns = round(time.process_time_ns() / max(configuration.cores, MIN_CORES))
+    trio.run(PlatformFrontEnd(configuration, log, Path(file_name), startup_duration_ns).run)
     return 0
