--- a/oakcroft/platform/channel_follower.py
+++ b/oakcroft/platform/channel_follower.py
@@ -1,8 +1,8 @@
 """Follows the command channel by long polls, starting after the last event that was received completely.
 
-List changes take precedence over all other events: they are read and applied in one step and do not pass
-through the inbox. However many events wait in the inbox, a front end that is late or was paused decides for
-at most one turn of its loop (5 ms of events) on a node list whose update lies unread in its own socket.
+List changes take precedence over all other events: they are read and applied in one step and bypass the
+inbox. So even a front end that is overloaded or was paused uses an outdated node list for at most one batch
+of events (5 ms) after the update has reached its socket.
 """
 
 from __future__ import annotations
@@ -16,8 +16,10 @@
 from oakcroft.platformwire import command_channel
 from oakcroft.platformwire.long_poll import LongPollConnection
 
-POLL_WAIT_MS = 1_000  # the channel may hold a poll for so long
-POLL_OVERDUE_S = 0.4  # past the poll's wait; then the channel counts as silent
+POLL_WAIT_MS = 1_000  # longest time for which the channel may hold a poll
+POLL_OVERDUE_S = 0.4  # after that time; a channel that has not answered by then counts as silent
+RECEIVE_BYTES = 65_536
+MAX_LOGGED_ERROR_LENGTH = 200
 CONNECT_TIMEOUT_S = 0.5
 # Between connection attempts; the delay doubles with each failure.
 MIN_RETRY_DELAY_S = 0.02
@@ -35,8 +37,10 @@
         log: structlog.typing.FilteringBoundLogger,
         startup_duration_ns: int = 0,
     ) -> None:
-        """Sets up the follower; `last_cursor` is the last event already known, `startup_duration_ns` the time the
-        process has spent starting.
+        """Creates a follower without a connection.
+
+        `last_cursor` is the cursor of the last event already known, `startup_duration_ns` the time that the
+        process has taken to start.
         """
         self.address = address
         self.last_cursor = last_cursor
@@ -47,7 +51,7 @@
         self.connection: BufferedConnection | None = None
         self.long_poll = LongPollConnection(*address)
         self.poll_overdue_at = 0.0  # trio time at which the open poll is overdue
-        self.failure = ""  # why the connection can no longer be used; empty while it can
+        self.failure = ""  # error that made the connection unusable; empty while it is usable
         self.connection_scope = trio.CancelScope()
 
     def switch_address(self, address: tuple[str, int]) -> None:
@@ -67,7 +71,9 @@
                     silent = await self._follow_connection()
                 except (OSError, trio.TooSlowError, command_channel.ChannelError) as error:
                     if self.freshness.is_current or not was_reported:
-                        self.log.warning("channel broken", after=self.last_cursor, why=str(error)[:200])
+                        self.log.warning(
+                            "channel broken", after=self.last_cursor, why=str(error)[:MAX_LOGGED_ERROR_LENGTH]
+                        )
                         retry_delay_s, was_reported = MIN_RETRY_DELAY_S, True
                     self.freshness.record_loss()
                     await trio.sleep(retry_delay_s)
@@ -85,11 +91,9 @@
         """
         address = self.address
         sock = await connect(address, CONNECT_TIMEOUT_S)
-        self.connection, self.long_poll, self.failure = (
-            BufferedConnection(sock, self.coordinator.nursery),
-            LongPollConnection(*address),
-            "",
-        )
+        self.connection = BufferedConnection(sock, self.coordinator.nursery)
+        self.long_poll = LongPollConnection(*address)
+        self.failure = ""
         try:
             self._send_poll()
             while self.connection.is_open and trio.current_time() < self.poll_overdue_at:
@@ -115,7 +119,7 @@
         """Reads and applies everything that has arrived, and polls again. Never waits."""
         while self.connection is not None and self.connection.is_open:
             try:
-                data = self.connection.sock.recv(65_536)
+                data = self.connection.sock.recv(RECEIVE_BYTES)
                 self.long_poll.receive_data(data)
                 while self.connection.is_open and (answer := self.long_poll.next_answer()) is not None:
                     self._apply_answer(*answer)
--- a/oakcroft/platform/connection.py
+++ b/oakcroft/platform/connection.py
@@ -15,8 +15,8 @@
 
     A set-up is written in the same step in which it is decided, so it is always known what has been sent: the
     kernel has accepted `sent_bytes` of `queued_bytes`. A peer that does not read is disconnected when more
-    than `max_buffered_bytes` wait for it. This bounds the memory, and the time taken from other connections,
-    that clients which only send can cost.
+    than `max_buffered_bytes` wait for it. This bounds the memory and the processing time that a client which
+    sends without reading can use up.
     """
 
     def __init__(self, sock: socket.socket, nursery: trio.Nursery, max_buffered_bytes: int = 65_536) -> None:
@@ -31,9 +31,7 @@
         self.is_flushing = False
 
     def write(self, data: bytes) -> bool:
-        """Sends the data, or buffers what the kernel does not accept; returns whether the connection is still
-        usable.
-        """
+        """Sends the data and buffers what the kernel does not accept; returns whether the connection is usable."""
         if not self.is_open:
             return False
         if len(self.send_buffer) + len(data) > self.max_buffered_bytes:
@@ -71,9 +69,7 @@
             self.is_flushing = False
 
     async def read(self) -> bytes:
-        """Waits for data; returns an empty result at the end of the connection, whether it was closed or
-        failed.
-        """
+        """Waits for data and returns it; returns no bytes once the connection was closed or has failed."""
         while self.is_open:
             try:
                 return self.sock.recv(RECEIVE_BYTES)
@@ -132,9 +128,7 @@
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
-    """Makes a socket non-blocking and turns off Nagle's algorithm so that small messages leave at once;
-    returns it.
-    """
+    """Makes a socket non-blocking, turns off Nagle's algorithm, and returns the socket."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
--- a/oakcroft/platform/idle_connections.py
+++ b/oakcroft/platform/idle_connections.py
@@ -1,4 +1,4 @@
-"""Chooses which viewers' connection to close when a new one needs its place."""
+"""Chooses which viewer connection to close when the limit on connections is reached."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
 from oakcroft.running.clock import Clock
 
 MAX_CANDIDATES = 16
-"""Found by one scan of all connections. In a crowd every new connection needs one, and scanning 256 takes 0.3 ms."""
+"""Kept from one scan of all connections.
+
+With many clients each new connection needs a candidate, and a scan of 256 connections takes 0.3 ms.
+"""
 
 CANDIDATES_VALID_NS = 50 * MS
+"""Age at which the remaining candidates are dropped and the connections are scanned again."""
 
 
 class EvictableConnection(Protocol):
-    """What is needed of a connection that may be evicted."""
+    """A connection that may be evicted while it is idle."""
 
     is_open: bool  # False once this side has closed it
 
@@ -42,16 +46,14 @@
     """The idle ones among the open connections, in the order in which they are evicted."""
 
     def __init__(self, connections: Iterable[ConnectionT], clock: Clock) -> None:
-        """`connections` is a live view of the open connections."""
+        """Creates the queue; `connections` is a live view of the open connections."""
         self._connections = connections
         self._clock = clock
         self._candidates = deque[tuple[ConnectionT, tuple[EvictionClass, int]]]()
         self._candidates_found_at = 0
 
     def next_to_evict(self) -> ConnectionT | None:
-        """The connection to evict next; None if each has an open set-up or a message that has not been
-        handled.
-        """
+        """Returns the connection to evict next; None if each has an open set-up or an unhandled message."""
         now = self._clock.now()
         if now - self._candidates_found_at > CANDIDATES_VALID_NS:
             self._candidates.clear()
@@ -84,9 +86,7 @@
 
     @staticmethod
     def _is_unchanged(connection: ConnectionT, order: tuple[EvictionClass, int], now: int) -> bool:
-        """Whether a candidate is unchanged since the scan; otherwise it would be closed for a state that is
-        out of date.
-        """
+        """Whether a candidate is unchanged since the scan, so that its place in the order is still valid."""
         return (
             connection.is_open and connection.is_idle and eviction_order(connection.idle_state, now) == order
         )
--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -38,13 +38,13 @@
         events: PoolEvents,
         make_pool: Callable[[Node, tuple[str, int]], NodePool],
     ) -> None:
-        """Starts without pools; `make_pool` creates the pool of a node at an address."""
+        """Creates no pools yet; `make_pool` creates the pool of a node at an address."""
         self.configuration = configuration
         self.clock = clock
         self.events = events
         self.make_pool = make_pool
         self.by_name: dict[str, NodePool] = {}
-        self.replaced: dict[NodePool, None] = {}  # pools of nodes whose address has changed
+        self.replaced: dict[NodePool, None] = {}  # pools of former addresses of nodes
         self.max_connections = max(1, configuration.max_sockets // DESCRIPTOR_SHARE_DIVISOR)
 
     def __iter__(self) -> Iterator[NodePool]:
@@ -72,7 +72,7 @@
         return [entry for entry in found if entry is not None]
 
     def _list_entry(self, member: command_channel.NodeMember) -> NodeEntry | None:
-        """Converts one node; None for the removal of a node that is not known."""
+        """Converts one node; returns None for the removal of an unknown node."""
         is_gone = member.status is NodeStatus.GONE
         pool = self.by_name.get(member.name)
         if is_gone and pool is None:
@@ -87,8 +87,8 @@
         if node.started_at < member.started_at:
             self.events.node_restarted(pool, member.started_at)
         link_capacity = self.configuration.link_rate_per_size * member.size
-        places = self.configuration.playback_capacity_by_kind.get(member.kind, 0.0)
-        return NodeEntry(node, member.status, member.started_at, link_capacity, places)
+        playback_capacity = self.configuration.playback_capacity_by_kind.get(member.kind, 0.0)
+        return NodeEntry(node, member.status, member.started_at, link_capacity, playback_capacity)
 
     def _replace(self, name: str, old_pool: NodePool | None, address: tuple[str, int]) -> NodePool:
         """Creates the pool of a new node or of a changed address; sessions at the former address are lost."""
@@ -102,10 +102,10 @@
         return pool
 
     def list_applied(self) -> None:
-        """Called when the decision module has taken the list.
+        """Follows a list that the decision module has applied.
 
-        Set-ups that wait for nodes which are no longer ready come back, and the connections are divided among
-        the listed nodes again.
+        Set-ups that wait for nodes which are no longer ready are cancelled, and the connections are divided
+        among the listed nodes again.
         """
         for pool in self.by_name.values():
             if pool.node.status is NodeStatus.GONE and not pool.is_removed:
@@ -115,9 +115,9 @@
                 pool.cancel_unsent_setups()
         for pool in self.replaced:
             pool.cancel_unsent_setups()
-        shared_out = self.max_connections // max(1, len(self.by_name))
+        fair_share = self.max_connections // max(1, len(self.by_name))
         for pool in self.by_name.values():
-            pool.max_connections = max(1, min(MAX_CONNECTIONS_PER_NODE, shared_out))
+            pool.max_connections = max(1, min(MAX_CONNECTIONS_PER_NODE, fair_share))
 
     def maintain(self, now: int) -> None:
         """Maintains each pool's connections and closes pools that are no longer needed."""
@@ -127,24 +127,21 @@
                 self._remove_pool(pool)
 
     def _remove_pool(self, pool: NodePool) -> None:
-        """Closes a pool and forgets it."""
+        """Closes a pool and removes it."""
         pool.close()
         self.replaced.pop(pool, None)
         if self.by_name.get(pool.node.name) is pool:
             del self.by_name[pool.node.name]
 
     def make_room_for_connection(self, pool: NodePool, min_idle_ns: int) -> bool:
-        """Whether a descriptor is free for one more connection to a node; closes an idle connection to free
-        one if needed.
+        """Returns whether a descriptor is free for one more connection to a node.
 
-        This protects the descriptors of the listener and of the command channel: each node gets at least one
-        connection, and there may be more nodes than the limit allows. Past the limit one node's connection is
-        closed for another's, and what the first node reports comes later. Only a connection that has been
-        idle for `min_idle_ns` may be closed.
+        If none is free, closes a connection to another node that has been idle for at least `min_idle_ns`. This
+        leaves enough descriptors for viewers and the command channel even if there are more nodes than
+        connections allowed. The drawback: reports of the node whose connection was closed arrive later.
         """
-        if (
-            sum(p.descriptor_count for p in self) <= self.max_connections
-        ):  # the new connection is counted already
+        # The descriptors include that of the new connection.
+        if sum(other.descriptor_count for other in self) <= self.max_connections:
             return True
         idle = self._longest_idle_connection(pool, min_idle_ns)
         if idle is None:
@@ -156,8 +153,9 @@
     def _longest_idle_connection(
         self, requesting_pool: NodePool, min_idle_ns: int
     ) -> tuple[NodePool, NodeConnection] | None:
-        """The connection idle for the longest time, at least `min_idle_ns`; nodes on which nothing plays come
-        first.
+        """Returns the connection of another node that has been idle for longest, at least for `min_idle_ns`.
+
+        Nodes without playing sessions come first.
         """
         now = self.clock.now()
         idle = [
--- a/oakcroft/platform/releases.py
+++ b/oakcroft/platform/releases.py
@@ -1,4 +1,4 @@
-"""Sends releases to viewers: the end of each session, and again until a viewer's side confirms it."""
+"""Sends releases, which tell viewers that their sessions have ended, and resends them until they are confirmed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from oakcroft.platform.playback_session import ViewerEndpoint
 from oakcroft.running.clock import Clock
 
-MAX_UNSENT = 4_096  # releases that wait for a viewer's connection; beyond it the oldest is dropped
+MAX_UNSENT = 4_096  # releases that wait for a viewer connection; over the limit the oldest is dropped
 
 
 @dataclass
@@ -23,14 +23,14 @@
 
 
 class Releases:
-    """Releases on their way to viewers over the open connections.
+    """Delivers releases to viewers over the open connections.
 
-    A release that was sent on the connection of its session's set-up needs no confirmation: it arrives, or
+    A release that was sent on the connection of its session's set-up needs no confirmation: it arrives unless
     the connection breaks.
     """
 
     def __init__(self, clock: Clock, connections: Iterable[ViewerEndpoint]) -> None:
-        """`connections` is a live view of the open connections."""
+        """Creates the queues; `connections` is a live view of the open connections."""
         self.clock = clock
         self.connections = connections
         self.unsent = OrderedDict[str, _Release]()  # by session id, for the next connection that opens
@@ -69,13 +69,17 @@
             del self._awaiting_confirmation[session_id]
 
     def _attempt(self, session_id: str, release: _Release) -> bool:
-        """Sends a release on the best connection that it was not sent on yet; returns whether there was one."""
+        """Sends a release on the best usable connection that has not carried it; returns whether there was one."""
         return any(self._send_on(connection, session_id, release) for connection in self._targets(release))
 
     def _targets(self, release: _Release) -> list[ViewerEndpoint]:
-        """The connections that the release may be sent on next, the best first."""
+        """Returns the connections on which the release has not been sent, the best first."""
         candidates = dict.fromkeys([release.own_connection, *self.connections])
-        untried = [c for c in candidates if c is not None and c not in release.sent_on]
+        untried = [
+            connection
+            for connection in candidates
+            if connection is not None and connection not in release.sent_on
+        ]
 
         def order(connection: ViewerEndpoint) -> tuple[bool, bool, bool]:
             is_own = connection is release.own_connection
--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -31,7 +31,7 @@
 from oakcroft.platform.node_pool import NodeConnection, NodePool
 from oakcroft.platform.releases import Releases
 from oakcroft.platform.playback_session import SetupRequest, PlaybackSession, ViewerEndpoint
-from oakcroft.platform.viewers import ViewerConnection, encode_release
+from oakcroft.platform.viewer_connection import ViewerConnection
 from oakcroft.platformwire import cause_codes, command_channel, framing, json_lines
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.platformwire.number_parsing import parse_finite
@@ -273,7 +273,7 @@
         """Rejects a request because a limit is reached."""
         self.count("turned away", "no place")
         request.connection.write(
-            encode_release(
+            framing.encode_release(
                 request.session_id,
                 cause_codes.FAILED if request.playing_node else cause_codes.REJECTED,
                 self.configuration.deployment_settings.max_retry_after_ns,
@@ -345,7 +345,7 @@
         if first_connection is request.connection:
             request.connection.close()  # a release here would be taken for the answer to the first request
         else:
-            request.connection.write(encode_release(request.session_id, cause_codes.FAILED))
+            request.connection.write(framing.encode_release(request.session_id, cause_codes.FAILED))
 
     def _accept_handed_over(
         self, session: PlaybackSession, connection: ViewerEndpoint, node_name: str, now: int
@@ -356,7 +356,7 @@
         pool = self.pools.get(node_name)
         if pool is None or pool.is_removed or self._is_handover_window_over(now):
             self.count("handed over in vain")
-            connection.write(encode_release(session.id, cause_codes.FAILED))
+            connection.write(framing.encode_release(session.id, cause_codes.FAILED))
             return
         session.pool, session.began_at = pool, now
         connection.session_count += 1
@@ -447,7 +447,7 @@
             if not request.playing_node:  # a playback that plays already is not tied to a connection
                 request.withdrawn = True
                 connection.write(
-                    encode_release(
+                    framing.encode_release(
                         request.session_id,
                         cause_codes.REJECTED,
                         self.configuration.deployment_settings.max_retry_after_ns,
@@ -457,7 +457,7 @@
             nothing_ran = not session.playback.tries
             retry_after_ns = self.configuration.deployment_settings.max_retry_after_ns if nothing_ran else 0
             connection.write(
-                encode_release(
+                framing.encode_release(
                     session.id, cause_codes.REJECTED if nothing_ran else cause_codes.FAILED, retry_after_ns
                 )
             )
@@ -635,7 +635,7 @@
 
     def _send_release(self, session: PlaybackSession, cause: int) -> None:
         """Sends a release for an ended playback, on the connection of its set-up if possible."""
-        self.releases.send(session.id, encode_release(session.id, cause), session.viewer)
+        self.releases.send(session.id, framing.encode_release(session.id, cause), session.viewer)
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Sends a setup try to a node."""
@@ -672,7 +672,7 @@
     def _send_final_answer(self, session: PlaybackSession, cause: int, retry_after_ns: int) -> None:
         """Sends the final answer to a set-up that does not become a playback."""
         if session.viewer is not None:
-            session.viewer.write(encode_release(session.id, cause, retry_after_ns))
+            session.viewer.write(framing.encode_release(session.id, cause, retry_after_ns))
         self._forget_session(session)
 
     def set_rung(self, playback: Playback, rung: int) -> None:
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -1,4 +1,4 @@
-"""The viewers' listener and connections."""
+"""Accepts viewer connections and handles the messages that arrive on them."""
 
 from __future__ import annotations
 
@@ -9,27 +9,29 @@
 import structlog
 import trio
 
-from oakcroft.decisions.admission.eviction import IdleConnection
 from oakcroft.decisions.admission.deadlines import PauseDetector
-from oakcroft.interface import MS, SECOND
+from oakcroft.interface import SECOND
 from oakcroft.platform.idle_connections import IdleConnections
-from oakcroft.platform.connection import RECEIVE_BYTES, BufferedConnection, configure_socket
-from oakcroft.platform.playback_session import SetupRequest, PlaybackSession
+from oakcroft.platform.connection import configure_socket
+from oakcroft.platform.playback_session import SetupRequest
+from oakcroft.platform.viewer_connection import ViewerConnection
 from oakcroft.platformwire import cause_codes, framing
 from oakcroft.platformwire.configuration import Configuration
-from oakcroft.platformwire.framing import FrameDecoder, ProtocolError
-from oakcroft.platformwire.setup_request import SetupRequestError, parse_setup_request
+from oakcroft.platformwire.framing import ProtocolError
+from oakcroft.platformwire.setup_request import SetupLimits, SetupRequestError, parse_setup_request
 from oakcroft.running.clock import Clock
 
-MESSAGE_TIMEOUT_NS = 2 * SECOND  # for the first message and any that has begun; a close is due within 3 s
+# For the first message of a connection and the rest of a partial one. The close is due within 3 s.
+MESSAGE_TIMEOUT_NS = 2 * SECOND
 MAX_SETUPS_PER_CONNECTION = 256
-MESSAGES_PER_TURN = 32  # messages of one connection before other tasks run
+MESSAGES_PER_TURN = 32  # handled on one connection before other tasks run
 OVERDUE_CHECK_INTERVAL_S = 0.1
+ACCEPT_RETRY_DELAY_S = 0.01
 LISTEN_BACKLOG = 1_024  # connections that wait in the kernel to be accepted
 
 
 class ViewerEvents(Protocol):
-    """What the viewers' side needs of the session coordinator. Calls take effect in the same step."""
+    """Receives what viewers send; implemented by the session coordinator. Calls take effect at once."""
 
     configuration: Configuration
     pause_detector: PauseDetector
@@ -40,7 +42,7 @@
         """A connection opened."""
 
     def count(self, category: str, detail: str = "") -> None:
-        """Counts a fault of a client."""
+        """Counts an error of a client."""
 
     def connection_closed(self, connection: ViewerConnection) -> None:
         """A connection closed."""
@@ -55,100 +57,6 @@
         """Queues a set-up request."""
 
 
-class ViewerConnection(BufferedConnection):
-    """A connection from viewers, with the set-ups open on it.
-
-    Its socket is read not only by its own task but by any that needs to know its state: a set-up is sent only
-    if the socket does not show that its viewer has left, however much other work waits in the front end.
-    """
-
-    def __init__(
-        self, sock: socket.socket, nursery: trio.Nursery, clock: Clock, pause_detector: PauseDetector
-    ) -> None:
-        """Wraps an accepted socket."""
-        super().__init__(sock, nursery)
-        self.clock = clock
-        self.pause_detector = pause_detector
-        self.frames = FrameDecoder()
-        self.open_setups: dict[str, PlaybackSession] = {}
-        self.queued_requests: dict[str, SetupRequest] = {}  # queued in the coordinator's inbox
-        self.idle_since = self.known_empty_at = (
-            clock.now()
-        )  # last complete message; socket last known to be empty
-        self.written_at: int | None = None  # earliest time at which the unread data may have been sent
-        self.has_sent_message = False
-        self.session_count = 0  # playing sessions whose set-up came on it
-        self.has_served = False  # a set-up that came on it became a session
-        self.has_peer_left = False  # the peer has closed or reset it
-        self.wait_scope = trio.CancelScope()
-
-    def receive_available(self) -> bool:
-        """Receives what the socket holds, without waiting; returns whether there was anything.
-
-        Stops once a maximal message is buffered, so that the buffer holds at most one message and one
-        receive.
-        """
-        has_received = False
-        while self.is_open and not self.has_peer_left and len(self.frames.buffer) < framing.MAX_MESSAGE_BYTES:
-            try:
-                data = self.sock.recv(RECEIVE_BYTES)
-            except BlockingIOError:
-                break
-            except OSError:
-                data = b""
-            has_received, now = True, self.clock.now()
-            self.has_peer_left = not data
-            if self.written_at is None:
-                self.written_at = self.pause_detector.earliest_written_at(now, self.known_empty_at)
-            if self.has_sent_message and not self.frames.has_partial_message:
-                self.idle_since = now
-            self.frames.receive_data(data)
-        if has_received:
-            self.wait_scope.cancel()  # wakes its own task, which has not seen this data arrive
-        return has_received
-
-    async def wait_for_data(self) -> None:
-        """Waits until data arrives, or until another task has received it."""
-        with trio.CancelScope() as self.wait_scope, suppress(trio.ClosedResourceError, OSError):
-            await trio.lowlevel.wait_readable(self.sock)
-
-    def has_viewer_left(self, session_id: str) -> bool:
-        """Whether the viewer of a set-up has left or released it, as far as the socket shows now.
-
-        A half-closed peer counts as having left even if it still reads, because a full close looks the same
-        from here (docs/platform.md).
-        """
-        self.receive_available()
-        if not self.is_open or self.has_peer_left or self.has_peer_closed():
-            return True
-        return any(
-            kind == framing.RELEASE and other_id == session_id
-            for kind, other_id in self.frames.pending_messages()
-        )
-
-    @property
-    def is_idle(self) -> bool:
-        """Whether no set-up is open or queued on it."""
-        return not (self.open_setups or self.queued_requests)
-
-    @property
-    def idle_state(self) -> IdleConnection:
-        """The facts that the eviction order depends on; valid while it is idle."""
-        return IdleConnection(
-            self.idle_since,
-            self.has_sent_message,
-            self.session_count,
-            self.frames.has_partial_message,
-            bool(self.send_buffer),
-        )
-
-    @property
-    def unread_count(self) -> int:
-        """Number of complete messages that have not been handled, including those still in the socket."""
-        self.receive_available()
-        return sum(1 for _ in self.frames.pending_messages())
-
-
 class ViewerServer:
     """Accepts viewers' connections and passes their messages to the session coordinator."""
 
@@ -161,13 +69,18 @@
         nursery: trio.Nursery,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
-        """Takes a bound socket and accepts connections from it once `run` is called."""
+        """Creates the server of a bound socket; `run` accepts connections from it."""
         self.listener = listener
         self.max_connections = max_connections
         self.coordinator = coordinator
         self.clock = clock
         self.nursery = nursery
         self.log = log
+        settings = coordinator.configuration.deployment_settings
+        self.setup_limits = SetupLimits(
+            coordinator.configuration.abandon_ns_by_plan, settings.cell_count, len(settings.rung_rates)
+        )
+        self.max_retry_after_ns = settings.max_retry_after_ns
         self.connections: dict[ViewerConnection, None] = {}
         self.idle_connections = IdleConnections(self.connections, clock)
         self.was_health_checked = False
@@ -188,7 +101,7 @@
                     return
             except OSError:  # no descriptor is free, or the peer has left already
                 self._make_room()
-                await trio.sleep(0.01)
+                await trio.sleep(ACCEPT_RETRY_DELAY_S)
             else:
                 await trio.lowlevel.checkpoint()
 
@@ -242,7 +155,7 @@
         return True
 
     def _shed_connection(self, connection: ViewerConnection) -> None:
-        """Closes a connection for want of room or because a message is overdue."""
+        """Closes a connection because the limit is reached or a message is overdue."""
         self.connections.pop(connection, None)
         connection.close()
         self.shed_count += 1
@@ -256,7 +169,7 @@
                 is_overdue = (
                     not connection.has_sent_message or connection.frames.has_partial_message
                 ) and now - connection.idle_since > MESSAGE_TIMEOUT_NS
-                # If the data has arrived, the delay is this front end's own.
+                # If the data has arrived but was not read, the delay is this front end's own.
                 if is_overdue and not connection.receive_available() and not connection.unread_count:
                     self._shed_connection(connection)
 
@@ -289,7 +202,7 @@
     def _handle_message(
         self, connection: ViewerConnection, kind: int, session_id: str, parameters: dict[int, bytes]
     ) -> None:
-        """Handles one message. A test is answered here, without the coordinator."""
+        """Handles one message. A health check is answered here, without the coordinator."""
         coordinator = self.coordinator
         if kind == framing.TEST:
             self.was_health_checked = self.was_health_checked or self.is_ready
@@ -308,27 +221,22 @@
     ) -> None:
         """Queues a set-up request, or rejects it if it is invalid or a limit is reached."""
         coordinator = self.coordinator
-        settings = coordinator.configuration.deployment_settings
         try:
-            setup = parse_setup_request(
-                session_id,
-                parameters,
-                coordinator.configuration.abandon_ns_by_plan,
-                settings.cell_count,
-                len(settings.rung_rates),
-            )
+            setup = parse_setup_request(session_id, parameters, self.setup_limits)
         except SetupRequestError as error:
             coordinator.count("unusable set-up", str(error))
-            self.reject_request(connection, session_id, cause_codes.FAILED)
+            connection.write(framing.encode_release(session_id, cause_codes.FAILED))
             return
-        # A playback that is set up already needs no description.
+        # A playback that plays already needs no description.
         description = "" if setup.playing_node else setup.description
-        # Bounds the memory for set-ups, on one connection by number and on all by the length of descriptions.
-        open_and_queued = len(connection.open_setups) + len(connection.queued_requests)
-        is_crowded = open_and_queued >= MAX_SETUPS_PER_CONNECTION
-        is_full = coordinator.description_chars + len(description) > coordinator.max_description_chars
-        if not setup.playing_node and (is_crowded or is_full):
-            self.reject_request(connection, session_id, cause_codes.REJECTED, settings.max_retry_after_ns)
+        # Bounds the memory for set-ups: by their number on one connection, by their descriptions on all together.
+        setup_count = len(connection.open_setups) + len(connection.queued_requests)
+        has_too_many = setup_count >= MAX_SETUPS_PER_CONNECTION
+        exceeds_memory = coordinator.description_chars + len(description) > coordinator.max_description_chars
+        if not setup.playing_node and (has_too_many or exceeds_memory):
+            connection.write(
+                framing.encode_release(session_id, cause_codes.REJECTED, self.max_retry_after_ns)
+            )
             return
         coordinator.request_received(
             SetupRequest(
@@ -345,16 +253,3 @@
                 playing_node=setup.playing_node,
             )
         )
-
-    @staticmethod
-    def reject_request(
-        connection: ViewerConnection, session_id: str, cause: int, retry_after_ns: int = 0
-    ) -> None:
-        """Sends the final answer to a request that is not queued."""
-        connection.write(encode_release(session_id, cause, retry_after_ns))
-
-
-def encode_release(session_id: str, cause: int, retry_after_ns: int = 0) -> bytes:
-    """Encodes a release, with the time to stay away if there is one."""
-    retry_after = [(framing.RETRY_AFTER, str(retry_after_ns // MS).encode())] if retry_after_ns else []
-    return framing.encode(framing.RELEASE, session_id, (framing.CAUSE, bytes((cause,))), *retry_after)
--- a/oakcroft/platformwire/framing.py
+++ b/oakcroft/platformwire/framing.py
@@ -9,6 +9,8 @@
 
 from collections.abc import Iterator
 
+from oakcroft.interface import MS
+
 MAX_MESSAGE_BYTES = 16_384
 LENGTH_BYTES = 2  # of the length field
 MIN_MESSAGE_LENGTH = 9  # least value of the length field
@@ -132,3 +134,9 @@
     ):
         raise ValueError("the message is too long")
     return length.to_bytes(LENGTH_BYTES, "big") + bytes((kind,)) + bytes.fromhex(session_id) + body
+
+
+def encode_release(session_id: str, cause: int, retry_after_ns: int = 0) -> bytes:
+    """Encodes a release; it asks the viewer to wait for `retry_after_ns` before a retry, unless that is 0."""
+    retry_after = [(RETRY_AFTER, str(retry_after_ns // MS).encode())] if retry_after_ns else []
+    return encode(RELEASE, session_id, (CAUSE, bytes((cause,))), *retry_after)
--- a/oakcroft/platformwire/setup_request.py
+++ b/oakcroft/platformwire/setup_request.py
@@ -17,11 +17,19 @@
 
 
 class SetupRequestError(Exception):
-    """A set-up request that is well-formed but cannot be served."""
+    """A set-up request is well-formed but cannot be served. The message names a counter in the logs."""
+
+
+class SetupLimits(NamedTuple):
+    """What the configuration allows in a set-up request."""
+
+    abandon_ns_by_plan: Mapping[str, int]  # abandon time of each plan
+    cell_count: int
+    rung_count: int
 
 
 class SetupParameters(NamedTuple):
-    """What a set-up request asks for."""
+    """The parsed parameters of a set-up request."""
 
     plan_name: str
     wait_ns: int
@@ -34,7 +42,7 @@
 
 
 def text_parameter(parameters: Mapping[int, bytes], code: int, max_bytes: int = MAX_NAME_BYTES) -> str:
-    """A parameter as text; raises SetupRequestError if it is missing, empty, too long or not UTF-8."""
+    """Decodes a parameter as text; raises SetupRequestError if it is missing, empty, too long or not UTF-8."""
     value = parameters.get(code, b"")
     if not value or len(value) > max_bytes:
         raise SetupRequestError(f"parameter {code} of {len(value)} octets")
@@ -45,7 +53,7 @@
 
 
 def parse_number(written: str, maximum: float, field: str) -> float:
-    """A number from 0 to `maximum`; raises SetupRequestError otherwise.
+    """Parses a number from 0 to `maximum`; raises SetupRequestError for anything else.
 
     Notations that only Python reads as a number, such as underscores or surrounding spaces, are refused.
     """
@@ -60,7 +68,7 @@
 
 
 def parse_whole_number(written: str, maximum: int, field: str) -> int:
-    """A whole number from 0 to `maximum`; raises SetupRequestError otherwise."""
+    """Parses a whole number from 0 to `maximum`; raises SetupRequestError for anything else."""
     value = parse_number(written, maximum, field)
     if value != int(value):
         raise SetupRequestError(f"{field} is not whole")
@@ -68,7 +76,7 @@
 
 
 def parse_extras(written: str) -> dict[str, str]:
-    """The extras `a:1;b:2` by name; raises SetupRequestError if they do not have that form."""
+    """Parses extras of the form `a:1;b:2` by name; raises SetupRequestError for any other form."""
     extras = dict[str, str]()
     for part in written.split(";"):
         name, colon, value = part.partition(":")
@@ -79,38 +87,30 @@
 
 
 def whole_number_extra(extras_by_name: Mapping[str, str], name: str, maximum: int) -> int:
-    """One whole number of the extras; raises SetupRequestError if it is missing or out of range."""
+    """Parses one whole number of the extras; raises SetupRequestError if it is missing or out of range."""
     if name not in extras_by_name:
         raise SetupRequestError(f"no {name}")
     return parse_whole_number(extras_by_name[name], maximum, name)
 
 
 def parse_setup_request(
-    session_id: str,
-    parameters: Mapping[int, bytes],
-    abandon_ns_by_plan: Mapping[str, int],
-    cell_count: int,
-    rung_count: int,
+    session_id: str, parameters: Mapping[int, bytes], limits: SetupLimits
 ) -> SetupParameters:
-    """The checked parameters of a set-up request; raises SetupRequestError if they cannot be served.
-
-    `abandon_ns_by_plan` has each plan's abandon time.
-    """
+    """Parses and checks a set-up request; raises SetupRequestError if it cannot be served."""
     if session_id == NULL_SESSION_ID:
         raise SetupRequestError("no id")
     plan = text_parameter(parameters, framing.PLAN)
-    if plan not in abandon_ns_by_plan:
+    if plan not in limits.abandon_ns_by_plan:
         raise SetupRequestError("a plan that does not exist")
     extras = parse_extras(text_parameter(parameters, framing.EXTRAS, MAX_EXTRAS_BYTES))
     playing_node = extras.get("at", "")
-    # Allows for the viewer's clock and for rounding; otherwise nobody waits longer than the plan's abandon time.
-    max_wait_ms = 2 * abandon_ns_by_plan[plan] / MS
-    # A playback that plays already waits for no answer.
-    wait_ms = (
-        0.0
-        if playing_node
-        else parse_number(text_parameter(parameters, framing.WAIT, MAX_NUMBER_BYTES), max_wait_ms, "wait")
-    )
+    wait_ms = 0.0  # a playback that plays already waits for no answer
+    if not playing_node:
+        # Viewers wait for the plan's abandon time at most; twice that allows for their clocks and for rounding.
+        max_wait_ms = 2 * limits.abandon_ns_by_plan[plan] / MS
+        wait_ms = parse_number(
+            text_parameter(parameters, framing.WAIT, MAX_NUMBER_BYTES), max_wait_ms, "wait"
+        )
     if framing.HINT in parameters:
         parse_number(text_parameter(parameters, framing.HINT, MAX_NUMBER_BYTES), MAX_HINT, "hint")
     title = text_parameter(parameters, framing.TITLE)
@@ -123,9 +123,9 @@
         plan_name=plan,
         wait_ns=round(wait_ms * MS),
         title_name=title,
-        home_cell=whole_number_extra(extras, "home", cell_count - 1),
-        copies=whole_number_extra(extras, "copies", cell_count),
-        top_rung=whole_number_extra(extras, "top", rung_count - 1),
+        home_cell=whole_number_extra(extras, "home", limits.cell_count - 1),
+        copies=whole_number_extra(extras, "copies", limits.cell_count),
+        top_rung=whole_number_extra(extras, "top", limits.rung_count - 1),
         description=description,
         playing_node=playing_node,
     )
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -33,7 +33,7 @@
     session_coordinator,
     node_pool,
     serve,
-    viewers as viewers_module,
+    viewer_connection,
 )
 from oakcroft.platform.connection import BufferedConnection
 from oakcroft.platform.node_pool import NodeConnection
@@ -90,13 +90,13 @@
 def gate_viewer_readers(monkeypatch: pytest.MonkeyPatch) -> Gate:
     """Returns a gate before the tasks that read viewers' connections."""
     gate = Gate()
-    wait = viewers_module.ViewerConnection.wait_for_data
+    wait = viewer_connection.ViewerConnection.wait_for_data
 
-    async def late(connection: viewers_module.ViewerConnection) -> None:
+    async def late(connection: viewer_connection.ViewerConnection) -> None:
         await wait(connection)
         await gate.released.wait()
 
-    monkeypatch.setattr(viewers_module.ViewerConnection, "wait_for_data", late)
+    monkeypatch.setattr(viewer_connection.ViewerConnection, "wait_for_data", late)
     return gate
 
 
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -129,8 +129,8 @@
 
 def test_a_set_up_is_read_and_what_can_not_be_served_is_not() -> None:
     """Valid parameters are parsed; each invalid one is refused."""
-    plans = {"paid": 1000 * MS}
-    assert setup_request.parse_setup_request("0" * 15 + "1", GOOD, plans, 2, 3) == (
+    limits = setup_request.SetupLimits({"paid": 1000 * MS}, cell_count=2, rung_count=3)
+    assert setup_request.parse_setup_request("0" * 15 + "1", GOOD, limits) == (
         "paid",
         1500 * MS,
         "7f3a",
@@ -141,12 +141,12 @@
         "",
     )
     held = GOOD | {101: b"0", 105: b"home:1;copies:2;top:2;at:s-1"}
-    assert setup_request.parse_setup_request("0" * 15 + "1", held, plans, 2, 3)[-1] == "s-1"
+    assert setup_request.parse_setup_request("0" * 15 + "1", held, limits)[-1] == "s-1"
     for bad in BAD:
         with pytest.raises(setup_request.SetupRequestError):
-            setup_request.parse_setup_request("0" * 15 + "1", GOOD | bad, plans, 2, 3)
+            setup_request.parse_setup_request("0" * 15 + "1", GOOD | bad, limits)
     with pytest.raises(setup_request.SetupRequestError):
-        setup_request.parse_setup_request(setup_request.NULL_SESSION_ID, GOOD, plans, 2, 3)
+        setup_request.parse_setup_request(setup_request.NULL_SESSION_ID, GOOD, limits)
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=6000))
