--- /dev/null
+++ b/oakcroft/platform/decision_host.py
@@ -0,0 +1,96 @@
+"""The decision module's host on the platform: queues what the module asks for, and carries it out.
+
+The module calls its host while it is being called itself. What it asks for is queued and carried out after
+that call has returned, so the module is never called from within one of its own calls.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Mapping
+from functools import partial
+
+from oakcroft.interface import Node, Playback, PlaybackState
+from oakcroft.platform.node_pool import NodePool
+from oakcroft.platform.playback_session import PlaybackSession
+from oakcroft.platform.timers import TimerQueue
+from oakcroft.platformwire import cause_codes, framing
+from oakcroft.running.inbox import Event
+
+
+class DecisionHost:
+    """Implements the host's side of the decision module for the session coordinator."""
+
+    def __init__(
+        self,
+        sessions: Mapping[Playback, PlaybackSession],
+        pools: Mapping[str, NodePool],
+        timers: TimerQueue,
+        on_try_timeout: Callable[[PlaybackSession, int], None],
+        on_final_answer: Callable[[PlaybackSession], None],
+        on_timer: Event,
+        log_mode: Callable[[str], None],
+    ) -> None:
+        """Creates a host with an empty queue; `sessions` and `pools` are live views.
+
+        `on_try_timeout` gets the session and its number of tries when a try has run out of time.
+        """
+        self.pending = deque[Event]()
+        self.sessions = sessions
+        self.pools = pools
+        self.timers = timers
+        self.on_try_timeout = on_try_timeout
+        self.on_final_answer = on_final_answer
+        self.on_timer = on_timer
+        self.log_mode = log_mode
+
+    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
+        """Sends a setup try to a node."""
+        self.pending.append(partial(self._send_setup, self.sessions[playback], node, abandon_at))
+
+    def _send_setup(self, session: PlaybackSession, node: Node, abandon_at: int) -> None:
+        """Starts the try's timer and passes the set-up to the node's pool."""
+        pool = self.pools[node.name]
+        session.pool, session.abandon_at = pool, abandon_at
+        self.timers.cancel(session.timer_id)
+        session.timer_id = self.timers.schedule(
+            abandon_at, partial(self.on_try_timeout, session, len(session.playback.tries))
+        )
+        pool.send_setup(session)
+
+    def reject(self, playback: Playback, retry_after_ns: int) -> None:
+        """Answers that the playback is rejected, and that the viewer should not retry for a time."""
+        self.pending.append(
+            partial(self._send_final_answer, self.sessions[playback], cause_codes.REJECTED, retry_after_ns)
+        )
+
+    def abort(self, playback: Playback) -> None:
+        """Answers that the playback is aborted."""
+        self.pending.append(partial(self._send_final_answer, self.sessions[playback], cause_codes.FAILED, 0))
+
+    def _send_final_answer(self, session: PlaybackSession, cause: int, retry_after_ns: int) -> None:
+        """Sends the final answer to a set-up that does not become a playback."""
+        if session.viewer is not None:
+            session.viewer.write(framing.encode_release(session.id, cause, retry_after_ns))
+        self.on_final_answer(session)
+
+    def set_rung(self, playback: Playback, rung: int) -> None:
+        """Changes the rung of a playback."""
+        if playback.state is PlaybackState.PLAYING:  # before that, the set-up itself carries the rung
+            self.pending.append(partial(self._send_rung, self.sessions[playback], rung))
+
+    def _send_rung(self, session: PlaybackSession, rung: int) -> None:
+        """Tells the node the new rung, if the playback still plays."""
+        if session.pool is not None and session.playback.state is PlaybackState.PLAYING:
+            session.pool.send_message("level", session.id, {"rung": str(rung)})
+
+    def set_timer(self, at: int) -> None:
+        """Schedules a call of the decision module."""
+        self.timers.schedule(at, self.on_timer)
+
+    def subscribe_to_nodes(self) -> None:
+        """Does nothing, since the command channel is always followed."""
+
+    def log(self, message: str) -> None:
+        """Logs a change of the decision module's mode."""
+        self.log_mode(message)
--- a/oakcroft/platform/node_pool.py
+++ b/oakcroft/platform/node_pool.py
@@ -1,54 +1,54 @@
 """The connections to one playout node.
 
-A node is identified by its id, never by its address: a new node may take the address of one that is gone.
+A node is identified by its id, never by its address, since a new node may use the address of a former one.
 """
 
 from __future__ import annotations
 
 import errno
-import socket
 from collections import deque
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from functools import partial
 from typing import Protocol
 
 import trio
 
 from oakcroft.interface import MS, SECOND, NodeStatus, Node, Outcome
-from oakcroft.platform.connection import BufferedConnection, connect
-from oakcroft.platform.playback_session import NodeEndpoint, PlaybackSession
+from oakcroft.platform.connection import connect
+from oakcroft.platform.node_connection import NodeConnection
+from oakcroft.platform.playback_session import PlaybackSession
 from oakcroft.platformwire import cause_codes, json_lines
 from oakcroft.platformwire.framing import ProtocolError
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event
 
-RETIRE_AFTER_IDLE_SHARE = 0.6  # of the idle timeout, so that the node does not close it first
-# Consecutive connects that show a node's process to be gone.
+RETIRE_IDLE_SHARE = 0.6  # share of the idle timeout; the node must not close a connection that is in use here
+# Consecutive failed connects after which a node's process counts as gone.
 REFUSALS_UNTIL_LOST = 2
 FAILURES_UNTIL_LOST = 5
-# Errors that say nothing about the node.
+# Errors of a connect that are due to this machine and say nothing about the node.
 LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-MAX_UNSENT_MESSAGES = 512
-RETIRED_CLOSE_TIMEOUT_NS = 2 * SECOND  # by then the node has closed a connection that was half-closed here
-CONNECT_INTERVAL_NS = 300 * MS  # least time between two connects for maintenance
+MAX_UNSENT_MESSAGES = 512  # per node; over the limit the oldest is dropped
+RETIRED_CLOSE_TIMEOUT_NS = 2 * SECOND  # for the node to close its side of a retired connection
+MAINTENANCE_CONNECT_INTERVAL_NS = 300 * MS  # minimum time between two connects that no set-up needs
+MIN_CONNECTIONS_FOR_RETIREMENT = 2  # the last connection is not retired for a new one
 
 
-class NodeConnection(BufferedConnection):
-    """A connection to a node, with the set-ups that await an answer on it."""
+@dataclass(frozen=True)
+class NodePoolSettings:
+    """What the pools of all nodes have in common."""
 
-    def __init__(self, sock: socket.socket, nursery: trio.Nursery, now: int) -> None:
-        """Wraps a connected socket; `now` counts as its last use."""
-        super().__init__(sock, nursery)
-        # With the bytes of each, as counted by `queued_bytes`.
-        self.pending_setups: dict[PlaybackSession, range] = {}
-        self.last_used_at = now
+    streams_per_connection: int  # set-ups that may await an answer on one connection
+    idle_timeout_ns: int  # after which a node closes an idle connection
+    connect_timeout_ns: int
+    silence_timeout_ns: int  # after which a connect checks whether a node is still there
 
 
 class NodePool:
     """The connections to one node.
 
-    The coordinator's calls take effect at once; what arrives from the node is submitted to the coordinator as
-    events.
+    Calls of the coordinator take effect at once. Messages of the node are submitted to the coordinator as events.
     """
 
     def __init__(
@@ -56,23 +56,20 @@
         node: Node,
         address: tuple[str, int],
         max_connections: int,
-        streams_per_connection: int,
-        idle_timeout_ns: int,
-        connect_timeout_ns: int,
-        silence_timeout_ns: int,
+        settings: NodePoolSettings,
         clock: Clock,
         nursery: trio.Nursery,
         submit: Callable[[Event], Awaitable[None]],
         listener: NodePoolListener,
     ) -> None:
-        """Creates a pool without connections. Timeouts are in ns."""
+        """Creates a pool without connections."""
         self.node = node
         self.address = address
         self.max_connections = max_connections
-        self.streams_per_connection = streams_per_connection
-        self.idle_timeout_ns = idle_timeout_ns
-        self.connect_timeout_ns = connect_timeout_ns
-        self.silence_timeout_ns = silence_timeout_ns
+        self.streams_per_connection = settings.streams_per_connection
+        self.idle_timeout_ns = settings.idle_timeout_ns
+        self.connect_timeout_ns = settings.connect_timeout_ns
+        self.silence_timeout_ns = settings.silence_timeout_ns
         self.clock = clock
         self.nursery = nursery
         self.submit = submit
@@ -87,7 +84,7 @@
         self.consecutive_refusals = 0
         self.consecutive_failures = 0
         self.last_connect_at = 0
-        self.last_activity_at = 0
+        self.last_activity_at = 0  # time of the last message or successful connect
         # Connections that are only read, and since when.
         self.retired_connections: dict[NodeConnection, int] = {}
         self.needs_resync = False  # messages may be lost; the node repeats them on the next connection
@@ -111,7 +108,7 @@
             self._open_connection()
 
     def _least_used_connection(self) -> NodeConnection | None:
-        """The least used connection that can take a set-up; None if there is none.
+        """Returns the connection with the fewest set-ups that can take another one; None if there is none.
 
         A connection that the node has closed is never used: a set-up that may have been read there cannot be
         sent again.
@@ -131,12 +128,12 @@
 
     def _is_due_to_retire(self, connection: NodeConnection) -> bool:
         """Whether the connection has been idle for so long that the node may soon close it."""
-        return self.clock.now() - connection.last_used_at > RETIRE_AFTER_IDLE_SHARE * self.idle_timeout_ns
+        return self.clock.now() - connection.last_used_at > RETIRE_IDLE_SHARE * self.idle_timeout_ns
 
     def _write_setup(self, connection: NodeConnection, session: PlaybackSession) -> bool:
-        """Sends a set-up on a connection; returns whether nothing more is to be done for it here.
+        """Sends a set-up on a connection; returns False if it has to be sent on another one.
 
-        The viewer is checked immediately before sending.
+        Checks immediately before sending that the viewer is still there; otherwise the set-up is cancelled.
         """
         if self.listener.cancel_if_viewer_gone(session):
             return True
@@ -148,53 +145,31 @@
             "key": session.playback.title.name,
             "rung": str(session.playback.rung),
         }
-        before = connection.queued_bytes
+        queued_before = connection.queued_bytes
         if (
             not connection.write(json_lines.encode("open", session.id, attributes, None, session.description))
-            and connection.sent_bytes <= before
+            and connection.sent_bytes <= queued_before
         ):
             self._discard_connection(connection)  # no byte of it was sent, so it can go to another connection
             return False
         session.node_connection = connection
-        connection.pending_setups[session], connection.last_used_at = (
-            range(before, connection.queued_bytes),
-            now,
-        )
+        connection.pending_setups[session] = range(queued_before, connection.queued_bytes)
+        connection.last_used_at = now
         return True
 
     def cancel_setup(self, session: PlaybackSession) -> bool:
-        """Cancels a set-up that nobody waits for; returns whether the node cannot have received all of it."""
+        """Cancels a set-up whose answer is no longer needed; returns whether the node cannot have received all
+        of it.
+        """
         connection = session.node_connection
-        never_received = connection is None or self._retract_setup(connection, session)
+        never_received = connection is None or connection.retract_setup(session)
         if connection is not None and not never_received:
             connection.write(json_lines.encode("close", session.id, {}, cause_codes.CANCELLED))
         self.setup_finished(session)
         return never_received
 
-    @staticmethod
-    def _retract_setup(connection: NodeEndpoint, session: PlaybackSession) -> bool:
-        """Removes a set-up from the send buffer; returns whether the node cannot have received all of it.
-
-        If a part of it has been sent, the connection is closed, unless it is used by other set-ups. So a
-        set-up does not reach its node after its viewer has left, or when the node may get nothing new, even
-        if the node does not read. The drawback: messages on their way from the node on a closed connection
-        arrive later.
-        """
-        queued_range = connection.pending_setups[session]
-        if connection.retract(queued_range):
-            for other, other_range in connection.pending_setups.items():
-                if other_range.start > queued_range.start:
-                    connection.pending_setups[other] = range(
-                        other_range.start - len(queued_range), other_range.stop - len(queued_range)
-                    )
-            return True
-        if connection.sent_bytes < queued_range.stop and len(connection.pending_setups) == 1:
-            connection.close()
-            return True
-        return False
-
     def setup_finished(self, session: PlaybackSession) -> None:
-        """A set-up is over; its connection takes the next one that waits."""
+        """Frees the connection of a set-up that has ended, and sends the next waiting set-up on it."""
         self.waiting_setups.pop(session, None)
         if session.node_connection is not None:
             session.node_connection.pending_setups.pop(session, None)
@@ -211,13 +186,13 @@
                 return
 
     def cancel_unsent_setups(self) -> None:
-        """The node takes nothing new: set-ups that wait for a connection or in a send buffer are not sent."""
+        """Cancels the set-ups that wait for a connection or in a send buffer, as the node takes no new ones."""
         unsent_setups, self.waiting_setups = list(self.waiting_setups), {}
         unsent_setups += [
             session
             for connection in self.connections
             for session in list(connection.pending_setups)
-            if self._retract_setup(connection, session)
+            if connection.retract_setup(session)
         ]
         for session in unsent_setups:
             self.setup_finished(session)
@@ -226,7 +201,7 @@
     def send_message(
         self, kind: str, session_id: str, attributes: json_lines.Attributes, code: int | None = None
     ) -> None:
-        """Sends a message about a playback on any open connection, else on the next one that opens."""
+        """Sends a message about a playback on any open connection, or on the next one if none is open."""
         message = json_lines.encode(kind, session_id, attributes, code)
         for connection in self.connections:
             if connection.is_open and not connection.is_at_end() and connection.write(message):
@@ -235,8 +210,9 @@
         self.maintain(self.clock.now())
 
     def _open_connection(self, min_idle_ns: int = 0) -> None:
-        """Starts a connect. If no descriptor is free, another node's connection is closed that was idle for
-        `min_idle_ns`.
+        """Starts a connect.
+
+        If no descriptor is free, closes a connection to another node that was idle for `min_idle_ns`.
         """
         self.opening_count += 1
         self.last_connect_at = self.clock.now()
@@ -247,7 +223,7 @@
             self.nursery.start_soon(self.submit, partial(self._on_connect_failed, no_descriptor))
 
     async def _connect(self) -> None:
-        """Connects, and then reads the connection until it ends."""
+        """Connects, and reads the messages of the connection until it ends."""
         try:
             sock = await connect(self.address, self.connect_timeout_ns / SECOND)
         except (OSError, trio.TooSlowError) as error:
@@ -258,7 +234,7 @@
         await self._read_messages(connection)
 
     def _on_connected(self, connection: NodeConnection) -> None:
-        """Sends what waits for a connection."""
+        """Adds a new connection to the pool, and sends the messages and set-ups that wait for one."""
         self.opening_count -= 1
         self.consecutive_refusals = 0
         self.consecutive_failures = 0
@@ -278,7 +254,7 @@
                 return
 
     def _on_connect_failed(self, error: Exception) -> None:
-        """A connect failed: set-ups that wait go to a used connection or end, and the node may count as lost."""
+        """Sends the waiting set-ups on a connection in use or ends them; reports the node as lost if it is."""
         self.opening_count -= 1
         is_local_shortage = isinstance(error, OSError) and error.errno in LOCAL_SHORTAGE_ERRNOS
         if is_local_shortage:
@@ -321,7 +297,7 @@
         await self.submit(partial(self._on_connection_ended, connection, reason))
 
     def _on_connection_ended(self, connection: NodeConnection, reason: str) -> None:
-        """A connection ended: its tries end according to how much of them was sent."""
+        """Removes a connection that has ended, and ends its tries."""
         if reason:
             self.listener.node_failed(self, reason)
         if self.retired_connections.pop(connection, None) is None:
@@ -331,7 +307,7 @@
             self.maintain(self.clock.now())
 
     def _discard_connection(self, connection: NodeConnection) -> None:
-        """Closes a connection and ends its tries: `RESET` if the kernel accepted any of it, else `NOT_SENT`."""
+        """Closes a connection and ends its tries: `RESET` if the kernel accepted part of one, else `NOT_SENT`."""
         if connection in self.connections:
             self.connections.remove(connection)
         pending, connection.pending_setups = connection.pending_setups, {}
@@ -360,7 +336,7 @@
             self.is_removed
             or self.opening_count
             or not self.playing_sessions
-            or now - self.last_connect_at < CONNECT_INTERVAL_NS
+            or now - self.last_connect_at < MAINTENANCE_CONNECT_INTERVAL_NS
         ):
             return
         if (
@@ -369,32 +345,36 @@
             or (self.consecutive_failures or now - self.last_activity_at > self.silence_timeout_ns)
         ):
             unused_connections = [candidate for candidate in self.connections if not candidate.pending_setups]
-            if unused_connections and len(self.connections) >= max(2, self.max_connections):
+            if unused_connections and len(self.connections) >= max(
+                MIN_CONNECTIONS_FOR_RETIREMENT, self.max_connections
+            ):
                 self._retire_connection(unused_connections[0], now)
             self.needs_resync = False
             self._open_connection(RETIRED_CLOSE_TIMEOUT_NS)
 
     def _retire_connection(self, connection: NodeConnection, now: int) -> None:
-        """Half-closes a connection and only reads it from now on, so that the end of a playback on its way
-        here is not lost.
+        """Half-closes a connection, which is only read from now on.
+
+        So a message of the node that is on its way, such as the end of a playback, is not lost.
         """
         self.connections.remove(connection)
         self.retired_connections[connection] = now
         connection.shut_down_writing()
 
     def close(self) -> None:
-        """Closes all connections; the node is gone for good."""
+        """Closes all connections of a node that is gone."""
         for connection in [*self.connections, *self.retired_connections]:
             self._discard_connection(connection)
 
     @property
     def descriptor_count(self) -> int:
-        """Number of descriptors that its connections hold or are about to hold."""
+        """Number of descriptors used by its connections, including those being opened."""
         return len(self.connections) + self.opening_count + len(self.retired_connections)
 
     def close_idle_connection(self, connection: NodeConnection) -> None:
-        """Closes an idle connection to give its descriptor to another node. The node repeats lost messages on
-        the next one.
+        """Closes an idle connection to free its descriptor for another node.
+
+        The node repeats messages that are lost with it on the next connection.
         """
         self.needs_resync = True
         self._discard_connection(connection)
@@ -417,11 +397,12 @@
 
 
 class NodePoolListener(Protocol):
-    """What a pool reports to and asks; implemented by the session coordinator."""
+    """Receives the events of a pool; implemented by the session coordinator."""
 
     def make_room_for_connection(self, pool: NodePool, min_idle_ns: int) -> bool:
-        """Whether a descriptor is free for one more connection, if need be by closing another that was idle
-        for `min_idle_ns`.
+        """Returns whether a descriptor is free for one more connection.
+
+        If none is, closes a connection to another node that was idle for `min_idle_ns`.
         """
 
     def cancel_if_viewer_gone(self, session: PlaybackSession) -> bool:
--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -2,27 +2,42 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Awaitable, Callable, Iterator
 from typing import Protocol
 
-from oakcroft.interface import NodeEntry, NodeStatus, Node
-from oakcroft.platform.node_pool import NodeConnection, NodePool
+import trio
+
+from oakcroft.interface import SECOND, DeploymentSettings, Node, NodeEntry, NodeStatus
+from oakcroft.platform.node_connection import NodeConnection
+from oakcroft.platform.node_pool import NodePool, NodePoolListener, NodePoolSettings
 from oakcroft.platformwire import command_channel
 from oakcroft.platformwire.configuration import Configuration
 from oakcroft.running.clock import Clock
+from oakcroft.running.inbox import Event
 
 MAX_CONNECTIONS_PER_NODE = 16
+SILENCE_TOLERANCE_NS = SECOND // 4  # for the delay of reports beyond the configured one
+# Leaves time for the connects that show a node to be gone: the ends of its sessions are due within 8 s.
+SILENCE_WITHOUT_REPORTS_NS = 4 * SECOND
 DESCRIPTOR_SHARE_DIVISOR = 3  # a third of the descriptors is for connections to nodes
 
 
-class PoolEvents(Protocol):
-    """Receives notice when a node's process was replaced or is gone."""
+class NodePoolsListener(NodePoolListener, Protocol):
+    """Receives the events of all pools; implemented by the session coordinator."""
 
     def node_restarted(self, pool: NodePool, started_at: int) -> None:
         """Another process has the node's name; sessions that began before `started_at` are over."""
 
-    def node_lost(self, pool: NodePool, reason: str) -> None:
-        """A node's process is gone, with all sessions that played there."""
+
+def silence_timeout_ns(settings: DeploymentSettings) -> int:
+    """Returns the time without a message after which a connect checks whether a node is still there.
+
+    Nodes report the link load of each playback at a fixed interval, so one that is silent for longer may be gone.
+    Where nodes send no reports, silence says little, and an occasional connect checks the node.
+    """
+    if not settings.report_interval_ns:
+        return SILENCE_WITHOUT_REPORTS_NS
+    return 3 * settings.report_interval_ns // 2 + settings.report_delay_ns + SILENCE_TOLERANCE_NS
 
 
 class NodePools:
@@ -35,14 +50,22 @@
         self,
         configuration: Configuration,
         clock: Clock,
-        events: PoolEvents,
-        make_pool: Callable[[Node, tuple[str, int]], NodePool],
+        nursery: trio.Nursery,
+        submit: Callable[[Event], Awaitable[None]],
+        listener: NodePoolsListener,
     ) -> None:
-        """Creates no pools yet; `make_pool` creates the pool of a node at an address."""
+        """Creates no pools yet; `submit` takes what arrives from nodes."""
         self.configuration = configuration
         self.clock = clock
-        self.events = events
-        self.make_pool = make_pool
+        self.nursery = nursery
+        self.submit = submit
+        self.listener = listener
+        self.pool_settings = NodePoolSettings(
+            configuration.streams_per_connection,
+            configuration.idle_timeout_ns,
+            configuration.connect_timeout_ns,
+            silence_timeout_ns(configuration.deployment_settings),
+        )
         self.by_name: dict[str, NodePool] = {}
         self.replaced: dict[NodePool, None] = {}  # pools of former addresses of nodes
         self.max_connections = max(1, configuration.max_sockets // DESCRIPTOR_SHARE_DIVISOR)
@@ -85,7 +108,7 @@
             node.zone = member.zone
             node.kind = member.kind
         if node.started_at < member.started_at:
-            self.events.node_restarted(pool, member.started_at)
+            self.listener.node_restarted(pool, member.started_at)
         link_capacity = self.configuration.link_rate_per_size * member.size
         playback_capacity = self.configuration.playback_capacity_by_kind.get(member.kind, 0.0)
         return NodeEntry(node, member.status, member.started_at, link_capacity, playback_capacity)
@@ -97,10 +120,23 @@
             node = old_pool.node
             old_pool.is_removed = True
             self.replaced[old_pool] = None
-            self.events.node_lost(old_pool, "another address")
-        pool = self.by_name[name] = self.make_pool(node, address)
+            self.listener.node_lost(old_pool, "another address")
+        pool = self.by_name[name] = self._create_pool(node, address)
         return pool
 
+    def _create_pool(self, node: Node, address: tuple[str, int]) -> NodePool:
+        """Creates the pool of a node at an address, without connections."""
+        return NodePool(
+            node,
+            address,
+            MAX_CONNECTIONS_PER_NODE,
+            self.pool_settings,
+            self.clock,
+            self.nursery,
+            self.submit,
+            self.listener,
+        )
+
     def list_applied(self) -> None:
         """Follows a list that the decision module has applied.
 
@@ -110,7 +146,7 @@
         for pool in self.by_name.values():
             if pool.node.status is NodeStatus.GONE and not pool.is_removed:
                 pool.is_removed = True
-                self.events.node_lost(pool, "removed")
+                self.listener.node_lost(pool, "removed")
             if pool.node.status is not NodeStatus.READY:
                 pool.cancel_unsent_setups()
         for pool in self.replaced:
--- a/oakcroft/platform/playback_session.py
+++ b/oakcroft/platform/playback_session.py
@@ -1,6 +1,4 @@
-"""One playback outside the decision module: its id, its viewer's connection, its description and its setup
-try.
-"""
+"""A playback session as the platform's front end sees it: its id, viewer connection, description and setup try."""
 
 from __future__ import annotations
 
@@ -41,13 +39,8 @@
 class NodeEndpoint(Protocol):
     """What a setup try needs of the connection it was sent on."""
 
-    sent_bytes: int  # bytes accepted by the kernel since the start
-
-    def retract(self, queued_range: range) -> bool:
-        """Removes bytes that were queued, if the kernel has accepted none of them; returns whether it did."""
-
-    def close(self) -> None:
-        """Closes it at once."""
+    def retract_setup(self, session: PlaybackSession) -> bool:
+        """Removes a set-up from the send buffer; returns whether the node cannot have received all of it."""
 
     @property
     def pending_setups(self) -> dict[PlaybackSession, range]:
@@ -68,10 +61,12 @@
         """Sends a set-up."""
 
     def cancel_setup(self, session: PlaybackSession) -> bool:
-        """Cancels a set-up that nobody waits for; returns whether the node cannot have received all of it."""
+        """Cancels a set-up whose answer is no longer needed; returns whether the node cannot have received all
+        of it.
+        """
 
     def setup_finished(self, session: PlaybackSession) -> None:
-        """A set-up is over."""
+        """Frees the connection of a set-up that has ended."""
 
     def send_message(
         self, kind: str, session_id: str, attributes: json_lines.Attributes, code: int | None = None
@@ -84,7 +79,7 @@
 
 @dataclass(eq=False, slots=True)
 class SetupRequest:
-    """A set-up request that has been queued and that the coordinator has not processed yet. Times are in ns."""
+    """A set-up request that waits for the coordinator. Times are in ns."""
 
     connection: ViewerEndpoint
     session_id: str
@@ -101,7 +96,7 @@
 
 
 class PlaybackSession:
-    """One playback's viewer, node and setup try; its state is in the decision module's `Playback`."""
+    """The viewer, node and setup try of a playback, whose state is in the decision module's `Playback`."""
 
     def __init__(
         self,
@@ -111,14 +106,14 @@
         description: str,
         viewer: ViewerEndpoint | None,
     ) -> None:
-        """A session that has not been sent to a node yet."""
+        """Creates a session whose set-up has not been sent to a node yet."""
         self.id = session_id
         self.playback = playback
         self.plan_name = plan_name
         self.description = description
         self.viewer = viewer
-        self.pool: SessionNode | None = None  # of its current try, or of the node it plays on
-        self.node_connection: NodeEndpoint | None = None  # while its set-up awaits an answer there
-        self.abandon_at = 0  # of its current try
-        self.timer_id = 0
-        self.began_at = 0  # 0 until it plays
+        self.pool: SessionNode | None = None  # the node of its current try, or that it plays on
+        self.node_connection: NodeEndpoint | None = None  # on which its set-up awaits an answer
+        self.abandon_at = 0  # time at which its current try ends
+        self.timer_id = 0  # timer of its current try
+        self.began_at = 0  # time at which it began to play here; 0 until then
--- a/oakcroft/platform/serve.py
+++ b/oakcroft/platform/serve.py
@@ -178,8 +178,8 @@
         while True:
             await trio.sleep(SHUTDOWN_CHECK_INTERVAL_S)
             now = clock.now()
-            if self.viewer_server.was_health_checked and not self.coordinator.first_health_check_at:
-                self.coordinator.first_health_check_at = now
+            if self.viewer_server.was_health_checked and not self.coordinator.handover.first_health_check_at:
+                self.coordinator.handover.first_health_check_at = now
             if shutdown.state in (FrontState.STARTING, FrontState.SERVING):
                 continue
             if shutdown.state is FrontState.DRAINING and now - shutdown.state_since < ACCEPT_AFTER_STOP_NS:
--- a/oakcroft/platform/viewers.py
+++ b/oakcroft/platform/viewers.py
@@ -192,7 +192,7 @@
                 await connection.wait_for_data()
         except ProtocolError as error:
             self.coordinator.count("unreadable viewer", str(error))
-        except Exception as error:  # no single connection may stop the front end and with it all sessions
+        except Exception as error:  # an error on one connection must not end all sessions
             self.log.error("connection failed", error=repr(error), exc_info=error)
         finally:
             self.connections.pop(connection, None)
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -36,7 +36,7 @@
     viewer_connection,
 )
 from oakcroft.platform.connection import BufferedConnection
-from oakcroft.platform.node_pool import NodeConnection
+from oakcroft.platform.node_connection import NodeConnection
 from oakcroft.platformwire import framing
 
 A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -178,7 +178,7 @@
         connection = node.streams[0]
         await node.send(connection, msg="event", sid=B, attrs={"note": "grade", "value": "2"})
         await node.send(connection, msg="close", sid=C, attrs={}, code=16)
-        await wait_until(lambda: len(rig.coordinator.early_messages) == 2)
+        await wait_until(lambda: len(rig.coordinator.handover.early_messages) == 2)
         await viewer.send_setup(B, at="n0", wait="0")
         await viewer.send_setup(C, at="n0", wait="0")
         assert await viewer.receive() == (framing.RELEASE, C, OVER, b"")
