--- a/oakcroft/platformwire/framing.py
+++ b/oakcroft/platformwire/framing.py
@@ -1,8 +1,8 @@
-"""The binary framing of viewers' connections.
+"""The binary framing of viewer connections.
 
 A message is `length:2 type:1 session:8 parameters`, a parameter is `code:1 length:2 value`, all big-endian.
-The length counts everything after it. An event has the type, the session id in hexadecimal, and the
-parameters by code.
+A length counts the bytes after it. A decoded event consists of the type, the session id in hexadecimal, and
+the parameters by code.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 
 MAX_MESSAGE_BYTES = 16_384
 LENGTH_BYTES = 2  # of the length field
-MIN_MESSAGE_LENGTH = 9  # least value of the length field
+MIN_MESSAGE_LENGTH = 9  # minimum of the length field: a type and a session id
+PARAMETER_HEAD_BYTES = 3  # code and length of a parameter
 
 # Message types.
 SET_UP = 1
@@ -44,14 +45,17 @@
 
 
 class ProtocolError(Exception):
-    """The peer's bytes are not a valid message, so nothing after them can be trusted either."""
+    """The peer's bytes are not a valid message, so the rest of its stream cannot be decoded either.
+
+    The message names a counter in the logs.
+    """
 
 
 class FrameDecoder:
     """Decodes the messages of one connection from bytes that arrive in any pieces.
 
-    The buffer holds less than one message and one receive, provided the caller takes all events before it
-    adds more bytes.
+    If the caller takes all events before it adds more bytes, the buffer holds less than one message and one
+    receive.
     """
 
     def __init__(self) -> None:
@@ -64,11 +68,11 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message has begun that is not complete."""
+        """Whether the buffer holds bytes; once all events are taken, they are part of an incomplete message."""
         return bool(self.buffer)
 
     def pending_messages(self) -> Iterator[tuple[int, str]]:
-        """Type and session id of each complete message in the buffer, without taking it."""
+        """Yields the type and session id of each complete message in the buffer without removing it."""
         position = 0
         while position + LENGTH_BYTES + MIN_MESSAGE_LENGTH <= len(self.buffer):
             length = int.from_bytes(self.buffer[position : position + LENGTH_BYTES], "big")
@@ -81,7 +85,7 @@
             position += LENGTH_BYTES + length
 
     def next_event(self) -> Event | None:
-        """Takes the next message; None if it is not complete.
+        """Removes the next message from the buffer and returns it; returns None if it is incomplete.
 
         Raises ProtocolError as soon as the bytes cannot become a message.
         """
@@ -104,14 +108,17 @@
 
 
 def decode_parameters(data: bytes) -> dict[int, bytes]:
-    """The parameters of a message by code; raises ProtocolError if one overruns the message or is repeated."""
+    """Decodes the parameters of a message; raises ProtocolError if one overruns the message or is repeated."""
     parameters = dict[int, bytes]()
     position = 0
     while position < len(data):
-        if position + 3 > len(data):
+        if position + PARAMETER_HEAD_BYTES > len(data):
             raise ProtocolError("a parameter without its length")
-        code, length = data[position], int.from_bytes(data[position + 1 : position + 3], "big")
-        position += 3
+        code, length = (
+            data[position],
+            int.from_bytes(data[position + 1 : position + PARAMETER_HEAD_BYTES], "big"),
+        )
+        position += PARAMETER_HEAD_BYTES
         if position + length > len(data):
             raise ProtocolError("a parameter that overruns its message")
         if code in parameters:
--- a/oakcroft/platformwire/json_lines.py
+++ b/oakcroft/platformwire/json_lines.py
@@ -1,4 +1,4 @@
-"""JSON lines to and from playout nodes: one object per line, at most 16 KiB."""
+"""The JSON lines exchanged with playout nodes: one object per line, at most 16 KiB."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from oakcroft.platformwire.framing import MAX_MESSAGE_BYTES, ProtocolError
 from oakcroft.platformwire.number_parsing import parse_finite
 
-MAX_FIELD_LENGTH = 1_024  # characters of an attribute that is read
-SETUP_OVERHEAD_BYTES = 256  # of a set-up, besides its plan, title and description
+MAX_FIELD_LENGTH = 1_024  # characters; longer attributes are ignored
+SETUP_OVERHEAD_BYTES = 256  # upper bound of a set-up's line without its plan, title and description
 SESSION_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 MESSAGE_KINDS = frozenset(
     (
@@ -39,14 +39,14 @@
     def __init__(self) -> None:
         """Starts with an empty buffer."""
         self.buffer = bytearray()
-        self.searched_bytes = 0
+        self.searched_bytes = 0  # bytes of the buffer that contain no line end
 
     def receive_data(self, data: bytes) -> None:
         """Adds received bytes; the caller takes all events before it adds more."""
         self.buffer += data
 
     def next_event(self) -> Event | None:
-        """Takes the next message; None if it is not complete.
+        """Removes the next message from the buffer and returns it; returns None if it is incomplete.
 
         Raises ProtocolError as soon as the bytes cannot become a message.
         """
@@ -111,9 +111,7 @@
 
 
 def kept_attributes(attributes: Attributes) -> Attributes:
-    """The attributes that are read of a message about a playing session, for a message that is stored
-    meanwhile.
-    """
+    """Returns the attributes that are used of messages on a playing session, for a message that is stored."""
     kept = {name: attributes[name] for name in ("note", "value", "load") if name in attributes}
     return {
         name: value
@@ -123,9 +121,9 @@
 
 
 def load_report(attributes: Attributes) -> dict[str, float] | None:
-    """The load report of a message, such as `x0:0.4;queue:3`, by name; None if there is none.
+    """Parses the load report of a message, such as `x0:0.4;queue:3`, by name; returns None if it has none.
 
-    Unreadable parts are left out, so that a bad report never costs the message that carries it.
+    Invalid parts are left out, so that an invalid report does not invalidate the message that carries it.
     """
     raw = attributes.get("load")
     if not isinstance(raw, str) or len(raw) > MAX_FIELD_LENGTH:
--- a/oakcroft/platformwire/number_parsing.py
+++ b/oakcroft/platformwire/number_parsing.py
@@ -1,4 +1,4 @@
-"""Parsing of numbers as peers write them."""
+"""Parses numbers that peers send."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def parse_finite(raw: object) -> float | None:
-    """A finite number, given as a number or as text; None for anything else."""
+    """Parses a finite number, given as a number or as text; returns None for anything else."""
     if isinstance(raw, bool) or not isinstance(raw, str | int | float):
         return None
     try:
