--- a/oakcroft/platformwire/framing.py
+++ b/oakcroft/platformwire/framing.py
@@ -112,19 +112,16 @@
     parameters = dict[int, bytes]()
     position = 0
     while position < len(data):
-        if position + PARAMETER_HEAD_BYTES > len(data):
+        value_start = position + PARAMETER_HEAD_BYTES
+        if value_start > len(data):
             raise ProtocolError("a parameter without its length")
-        code, length = (
-            data[position],
-            int.from_bytes(data[position + 1 : position + PARAMETER_HEAD_BYTES], "big"),
-        )
-        position += PARAMETER_HEAD_BYTES
-        if position + length > len(data):
+        code = data[position]
+        position = value_start + int.from_bytes(data[position + 1 : value_start], "big")
+        if position > len(data):
             raise ProtocolError("a parameter that overruns its message")
         if code in parameters:
             raise ProtocolError("a parameter that stands twice")
-        parameters[code] = data[position : position + length]
-        position += length
+        parameters[code] = data[value_start:position]
     return parameters
 
 
