--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -21,7 +21,8 @@
 import pytest
 import trio
 import trio.testing
-from helpers import SETTINGS, PlatformRig, StubNode, StubViewer, run_on_platform
+from platform_rig import SETTINGS, PlatformRig, run_on_platform
+from platform_stubs import StubNode, StubViewer
 from rig import wait_until
 
 from oakcroft.decisions.fleet.node_list_freshness import NodeListFreshness
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 import pytest
 import structlog
 import trio
-from helpers import PlatformRig, run_on_platform
+from platform_rig import PlatformRig, run_on_platform
 from rig import wait_until
 
 from oakcroft.config import pipeline as compiling
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -11,7 +11,8 @@
 import orjson
 import pytest
 import trio
-from helpers import PlatformRig, StubViewer, run_on_platform
+from platform_rig import PlatformRig, run_on_platform
+from platform_stubs import StubViewer
 from rig import wait_until
 
 from oakcroft.interface import NodeStatus
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -7,8 +7,8 @@
 
 import orjson
 import pytest
-from helpers import SETTINGS
 from hypothesis import given, strategies as st
+from platform_rig import SETTINGS
 
 from oakcroft.interface import MS, NodeStatus
 from oakcroft.platformwire import setup_request, command_channel, configuration, framing, json_lines
