--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -14,6 +14,8 @@
 from oakcroft.platform.session_coordinator import SessionCoordinator
 from oakcroft.platformwire import configuration
 
+A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"  # session ids
+FAILED, REJECTED, ENDED = 41, 42, 16  # causes of releases, as numbers on the wire
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "me": 0,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 import pytest
 import structlog
 import trio
-from platform_rig import PlatformRig, run_on_platform
+from platform_rig import ENDED, FAILED, REJECTED, A, B, C, PlatformRig, run_on_platform
 from rig import wait_until
 
 from oakcroft.config import pipeline as compiling
@@ -27,9 +27,6 @@
 from oakcroft.rulecheck.rules import check_rules
 from oakcroft.running.logs import LineRateLimiter
 
-A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
-FAILED, REFUSED, OVER = 41, 42, 16
-
 
 def site() -> Any:
     """The rules that the recorded facts are judged by."""
@@ -76,7 +73,7 @@
         )
         await node.send(node.streams[0], msg="event", sid=A, attrs={"note": "local", "value": "nan"})
         await node.send(node.streams[0], msg="close", sid=A, attrs={"load": "x0:0.5"}, code=16)
-        assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
+        assert await viewer.receive() == (framing.RELEASE, A, ENDED, b"")
         assert (
             ticket.playback.node.reported_load == 0.75
         )  # the load report in the close is older than the note
@@ -129,7 +126,7 @@
         answer = await viewer.receive()
         node = next(n for n in rig.nodes if n.received_messages("open"))
         assert answer == (framing.ANSWER, A, 255, f"{node.name} é\r\n{A}".encode())
-        assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
+        assert await viewer.receive() == (framing.RELEASE, A, ENDED, b"")
         assert sum(len(n.received_messages("open")) for n in rig.nodes) == 1
         assert not rig.coordinator.sessions
         assert broken(rig) == []
@@ -181,7 +178,7 @@
         await wait_until(lambda: len(rig.coordinator.handover.early_messages) == 2)
         await viewer.send_setup(B, at="n0", wait="0")
         await viewer.send_setup(C, at="n0", wait="0")
-        assert await viewer.receive() == (framing.RELEASE, C, OVER, b"")
+        assert await viewer.receive() == (framing.RELEASE, C, ENDED, b"")
         assert rig.coordinator.sessions[B].playback.rung == 2
         await viewer.send_setup(A, at="n0", wait="0")  # handed over already
         await viewer.send_setup("0" * 15 + "d", at="nowhere", wait="0")
@@ -254,7 +251,7 @@
         await wait_until(lambda: not rig.coordinator.viewer_connections)
         await places[B].send(places[B].streams[0], msg="close", sid=B, attrs={}, code=16)
         await wait_until(lambda: rig.coordinator.releases.unsent)
-        assert await (await rig.viewer()).receive() == (framing.RELEASE, B, OVER, b"")
+        assert await (await rig.viewer()).receive() == (framing.RELEASE, B, ENDED, b"")
 
     run_on_platform(test)
 
@@ -451,7 +448,7 @@
                 if heard[0] == framing.ANSWER:
                     node = next(n for n in rig.nodes if n.received_messages("open", sid))
                     await node.send(node.streams[0], msg="close", sid=sid, attrs={"load": "x0:0.1"}, code=16)
-                    assert await viewer.receive() == (framing.RELEASE, sid, OVER, b"")
+                    assert await viewer.receive() == (framing.RELEASE, sid, ENDED, b"")
                     node.received.clear()
             await viewer.stream.aclose()
         await wait_until(lambda: not coordinator.viewer_connections)
@@ -522,7 +519,7 @@
         assert not pool.connections
         # The node sends this before it has seen the half-close.
         await node.send(stream, msg="close", sid=A, attrs={}, code=16)
-        assert await viewer.receive() == (framing.RELEASE, A, OVER, b"")
+        assert await viewer.receive() == (framing.RELEASE, A, ENDED, b"")
         await wait_until(lambda: not pool.retired_connections)
 
     run_on_platform(test)
@@ -543,7 +540,7 @@
             lambda: all(p.node.status is NodeStatus.DRAINING for p in rig.coordinator.pools.values())
         )
         assert not any(pool.waiting_setups for pool in rig.coordinator.pools.values())
-        assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REFUSED)
+        assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REJECTED)
         assert not any(node.received for node in rig.nodes)
         assert broken(rig) == []
 
@@ -597,7 +594,7 @@
         await wait_until(lambda: coordinator.setup_count == 3)
         assert coordinator.description_chars == 45_000
         await viewer.send_setup(A, text=b"o" * 15_000)
-        assert await viewer.receive() == (framing.RELEASE, A, REFUSED, b"")
+        assert await viewer.receive() == (framing.RELEASE, A, REJECTED, b"")
         assert len(coordinator.sessions) == 3
         await viewer.stream.aclose()
         await wait_until(lambda: not coordinator.sessions)
--- /dev/null
+++ b/tests/test_platform_node_connections.py
@@ -0,0 +1,175 @@
+"""Connections to playout nodes: their choice, races with answers and time-outs, silence and descriptors."""
+
+from __future__ import annotations
+
+from functools import partial
+
+import pytest
+from platform_gates import (
+    gate_connects,
+    setup_count,
+)
+from platform_rig import A, B, C, PlatformRig, run_on_platform
+from rig import wait_until
+
+from oakcroft.interface import MS, PlaybackState
+from oakcroft.platformwire import framing
+
+
+def test_a_set_up_that_waits_takes_a_connection_that_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A set-up that waits for a connect is sent on a connection that becomes free first."""
+    connect_gate = gate_connects(monkeypatch)
+
+    async def test(rig: PlatformRig) -> None:
+        rig.add_list_change(2, rig.member(rig.nodes[1], "removed"))
+        await wait_until(
+            lambda: rig.coordinator.pools["n0"].node.status and set(rig.coordinator.pools) == {"n0"}
+        )
+        node, viewer = rig.nodes[0], await rig.viewer()
+        node.script = ["silence"]
+        await viewer.send_setup(A)
+        await wait_until(lambda: setup_count(rig))
+        connect_gate.close()
+        await viewer.send_setup(B)
+        await wait_until(lambda: rig.coordinator.pools["n0"].waiting_setups)
+        await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="answer")
+        assert (await viewer.receive() or ())[:2] == (framing.ANSWER, A)
+        # B is sent on the connection that A has freed, while its own connect is still held back.
+        assert (await viewer.receive() or ())[:2] == (framing.ANSWER, B)
+
+    run_on_platform(test)
+
+
+@pytest.mark.parametrize("repeated", ["ready", "close"])
+def test_answers_twice_late_of_others_and_to_what_was_given_up_change_nothing(repeated: str) -> None:
+    """Repeated and late answers, answers of another node, and answers to cancelled set-ups are ignored."""
+
+    async def test(rig: PlatformRig) -> None:
+        viewer, leaver = await rig.viewer(), await rig.viewer()
+        await viewer.send_setup(A, "paid")
+        assert (await viewer.receive() or ())[:2] == (framing.ANSWER, A)
+        node = next(n for n in rig.nodes if n.received_messages("open", A))
+        other = next(n for n in rig.nodes if n is not node)
+        for n in rig.nodes:
+            n.script = ["silence"]
+        await leaver.send_setup(B, "paid")
+        await wait_until(lambda: setup_count(rig, B))
+        asked_node = next(n for n in rig.nodes if n.received_messages("open", B))
+        leaver.leave("release", B)
+        await wait_until(lambda: asked_node.received_messages("close", B))
+        await asked_node.send(asked_node.streams[-1], msg=repeated, sid=B, attrs={}, text="late", code=47)
+        await viewer.send_setup(C, at=other.name, wait="0")  # connects to the other node
+        await wait_until(lambda: other.streams and C in rig.coordinator.sessions)
+        await other.send(other.streams[0], msg=repeated, sid=A, attrs={}, text="of another node", code=16)
+        await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="twice")
+        await node.send(node.streams[0], msg=repeated, sid="f" * 16, attrs={}, text="of nobody", code=34)
+        await viewer.send(framing.TEST, "e" * 16, 0)
+        assert (await viewer.receive() or ())[:2] == (framing.TESTED, "e" * 16)
+        assert rig.coordinator.sessions[A].playback.state is PlaybackState.PLAYING
+        assert setup_count(rig, B) == 1
+
+    run_on_platform(test)
+
+
+def test_a_connection_closed_in_the_step_in_which_a_set_up_is_chosen_for_it_carries_none() -> None:
+    """A connection that the node has just closed is not chosen for a set-up."""
+
+    async def test(rig: PlatformRig) -> None:
+        viewer = await rig.viewer()
+        await viewer.send_setup(A)
+        await viewer.receive()
+        node = next(n for n in rig.nodes if n.received_messages("open"))
+        pool = rig.coordinator.pools[node.name]
+        session = rig.coordinator.sessions[A]
+        node.streams[0].socket.close()  # the check follows without a turn of the event loop
+        assert pool._least_used_connection() is None
+        assert session.playback.state is PlaybackState.PLAYING
+
+    run_on_platform(test)
+
+
+def test_a_set_up_that_waits_for_an_address_its_node_has_left_is_not_sent_there(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A set-up that waits for a connect is not sent to the former address of its node."""
+    connect_gate = gate_connects(monkeypatch)
+
+    async def test(rig: PlatformRig) -> None:
+        viewer, (former, other) = await rig.viewer(), rig.nodes
+        rig.add_list_change(2, rig.member(other, "removed"))
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n0"})
+        connect_gate.close()
+        await viewer.send_setup(A, "paid")
+        await wait_until(lambda: rig.coordinator.pools["n0"].waiting_setups)
+        rig.add_list_change(3, rig.member(other, "up", "n0") | {"up_since_ms": 1})
+        await wait_until(lambda: rig.coordinator.pools["n0"].address[1] == other.port)
+        connect_gate.open()
+        assert (await viewer.receive() or ())[:2] in ((framing.ANSWER, A), (framing.RELEASE, A))
+        assert not former.received_messages("open")
+
+    run_on_platform(test)
+
+
+@pytest.mark.parametrize("plan", ["paid", "free"])
+def test_a_node_that_answers_in_the_instant_in_which_its_time_is_up_is_answered_once(plan: str) -> None:
+    """A node's answer arrives in the same step in which the try times out: the viewer gets one answer."""
+
+    async def test(rig: PlatformRig) -> None:
+        viewer = await rig.viewer()
+        for node in rig.nodes:
+            node.script = ["silence"] * 3
+        await viewer.send_setup(A, plan)
+        await wait_until(lambda: setup_count(rig))
+        node = next(n for n in rig.nodes if n.received_messages("open"))
+        node.streams[0].socket._sock.send(b'{"msg":"ready","sid":"%b","attrs":{},"text":"x"}\n' % A.encode())  # type: ignore[attr-defined]
+        session = rig.coordinator.sessions[A]
+        # In one step with the answer.
+        rig.coordinator._handle_event(
+            partial(rig.coordinator._try_timed_out, session, len(session.playback.tries))
+        )
+        for n in rig.nodes:
+            n.script.clear()
+        assert (await viewer.receive() or (0, ""))[1] == A
+        await viewer.send(framing.TEST, C, 0)
+        assert (await viewer.receive() or ())[:2] == (framing.TESTED, C)  # no second answer
+        assert node.received_messages("close", A)
+
+    run_on_platform(test)
+
+
+@pytest.mark.parametrize(("report_interval_ms", "tolerated_ms"), [(1000.0, 1_800), (0.0, 4_000)])
+def test_a_node_that_tells_nothing_unasked_is_not_taken_for_silent(
+    report_interval_ms: float, tolerated_ms: int
+) -> None:
+    """Without reports, silence is tolerated for longer before another connection checks the node.
+
+    Seen on the bench (piedmont-playback): 16,150 connections to nodes for 1,653 requests.
+    """
+
+    async def test(rig: PlatformRig) -> None:
+        viewer = await rig.viewer()
+        await viewer.send_setup(A)
+        await viewer.receive()
+        pool = next(p for p in rig.coordinator.pools.values() if p.playing_sessions)
+        now, pool.last_connect_at = rig.coordinator.clock.now(), 0
+        for silent_ms in (tolerated_ms - 100, tolerated_ms + 100):
+            pool.last_activity_at = now - silent_ms * MS
+            pool.maintain(now)
+            assert pool.opening_count == (silent_ms > tolerated_ms)
+
+    run_on_platform(test, info={"reportsEveryMs": report_interval_ms})
+
+
+def test_more_nodes_than_descriptors_leave_the_channel_and_viewers_theirs() -> None:
+    """Connections to many nodes share a bounded number of descriptors, and all set-ups are still served."""
+
+    async def test(rig: PlatformRig) -> None:
+        rig.coordinator.node_pools.max_connections = 1
+        viewer = await rig.viewer()
+        for i in range(12):
+            await viewer.send_setup(f"{i + 1:016x}", title=f"t{i}")
+            assert (await viewer.receive() or (0,))[0] == framing.ANSWER
+            assert sum(p.descriptor_count for p in rig.coordinator.pools.values()) <= 1
+        assert all(node.received_messages("open") for node in rig.nodes)
+
+    run_on_platform(test)
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -11,15 +11,13 @@
 import orjson
 import pytest
 import trio
-from platform_rig import PlatformRig, run_on_platform
+from platform_rig import FAILED, A, B, C, PlatformRig, run_on_platform
 from platform_stubs import StubViewer
 from rig import wait_until
 
 from oakcroft.interface import NodeStatus
 from oakcroft.platformwire import framing
 
-A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"
-FAILED, REFUSED = 41, 42
 SESSIONS = 8
 SET_UPS = [f"{number:016x}" for number in range(100, 100 + SESSIONS)]
 
--- /dev/null
+++ b/tests/test_platform_viewer_connections.py
@@ -0,0 +1,152 @@
+"""Viewer connections: which one is evicted for a new one, and on which one a release is sent."""
+
+from __future__ import annotations
+
+
+import pytest
+import trio
+import trio.testing
+from platform_gates import (
+    gate_viewer_readers,
+    setup_count,
+)
+from platform_rig import ENDED, A, B, C, PlatformRig, run_on_platform
+from platform_stubs import StubNode, StubViewer
+from rig import wait_until
+
+from oakcroft.platformwire import framing
+
+
+def test_a_viewer_whose_set_up_is_arriving_is_not_the_one_that_makes_room(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """An unread set-up in the socket protects its connection from eviction."""
+    reader_gate = gate_viewer_readers(monkeypatch)
+
+    async def test(rig: PlatformRig) -> None:
+        viewers = rig.platform.viewer_server
+        assert viewers is not None
+        requesting, idle = clients = await rig.viewer(), await rig.viewer()
+        await wait_until(lambda: len(viewers.connections) == len(clients))
+        reader_gate.close()
+        requesting.send_setup_now(A, "paid")
+        assert viewers._make_room()
+        reader_gate.open()
+        assert (await requesting.receive() or (0,))[0] == framing.ANSWER
+        assert await idle.receive() is None
+        assert setup_count(rig) == 1
+
+    run_on_platform(test)
+
+
+async def idle_client(rig: PlatformRig) -> StubViewer:
+    """Returns a client that has sent one message, got its answer, and keeps its connection open."""
+    client = await rig.viewer()
+    await client.send(framing.TEST, C, 0)
+    assert (await client.receive() or (0,))[0] == framing.TESTED
+    return client
+
+
+async def playing_viewer(rig: PlatformRig, sid: str) -> tuple[StubViewer, StubNode]:
+    """Returns a viewer with a playing session, and the node that it plays on."""
+    viewer = await rig.viewer()
+    await viewer.send_setup(sid)
+    assert (await viewer.receive() or (0,))[0] == framing.ANSWER
+    return viewer, next(node for node in rig.nodes if node.received_messages("open", sid))
+
+
+def test_a_crowd_that_asks_once_and_stays_closes_no_connection_with_a_session() -> None:
+    """Connections without sessions are evicted before those with sessions."""
+
+    async def test(rig: PlatformRig) -> None:
+        viewers = rig.platform.viewer_server
+        assert viewers is not None
+        viewer, node = await playing_viewer(rig, A)
+        excess = 4  # connections over the limit, with that of the playing viewer
+        idle_clients = [await idle_client(rig) for _ in range(viewers.max_connections - 1 + excess)]
+        assert viewers.shed_count == excess
+        assert [await client.receive() for client in idle_clients[:excess]] == [None] * excess
+        await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
+        assert await viewer.receive() == (framing.RELEASE, A, ENDED, b"")
+
+    run_on_platform(test)
+
+
+def test_a_newcomer_does_not_close_the_one_before_it_whose_set_up_is_on_its_way() -> None:
+    """A new connection is not evicted for the next one before its first request can arrive."""
+
+    async def test(rig: PlatformRig) -> None:
+        viewers = rig.platform.viewer_server
+        assert viewers is not None
+        idle_clients = [await idle_client(rig) for _ in range(viewers.max_connections)]
+        sids = (A, B, "0" * 15 + "d")
+        new_clients = [await rig.viewer() for _ in sids]
+        await wait_until(lambda: viewers.shed_count == len(sids))
+        for client, sid in zip(new_clients, sids, strict=True):
+            await client.send_setup(sid)
+            assert (await client.receive() or (0,))[0] == framing.ANSWER
+        assert [await client.receive() for client in idle_clients[: len(sids)]] == [None] * len(sids)
+
+    run_on_platform(test)
+
+
+def test_an_end_whose_connection_has_gone_goes_to_one_that_was_served_and_to_no_stranger() -> None:
+    """A release prefers connections on which a set-up was answered."""
+
+    async def test(rig: PlatformRig) -> None:
+        first = await idle_client(rig)
+        viewer, node = await playing_viewer(rig, A)
+        other, _ = await playing_viewer(rig, B)
+        await viewer.stream.aclose()
+        await wait_until(lambda: len(rig.coordinator.viewer_connections) == len((first, other)))
+        await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
+        assert await other.receive() == (framing.RELEASE, A, ENDED, b"")
+        await other.send(framing.RELEASE_CONFIRMED, A)
+        await wait_until(lambda: len(rig.coordinator.releases.unconfirmed) == 0)
+        await first.send(framing.TEST, C, 0)
+        assert (await first.receive() or (0,))[0] == framing.TESTED  # and no release before it
+
+    run_on_platform(test)
+
+
+@pytest.mark.parametrize("is_unsent", [False, True], ids=["strangers there", "strangers come"])
+def test_an_end_that_strangers_do_not_confirm_is_sent_again_until_a_viewer_hears_it(is_unsent: bool) -> None:
+    """A release that is not confirmed is sent again on other connections."""
+
+    async def test(rig: PlatformRig) -> None:
+        idle_clients = [] if is_unsent else [await idle_client(rig), await idle_client(rig)]
+        viewer, node = await playing_viewer(rig, A)
+        await viewer.stream.aclose()
+        await wait_until(lambda: len(rig.coordinator.viewer_connections) == len(idle_clients))
+        await node.send(node.streams[0], msg="close", sid=A, attrs={}, code=16)
+        if is_unsent:
+            await wait_until(lambda: rig.coordinator.releases.unsent)
+            idle_clients = [await rig.viewer(), await rig.viewer()]
+        for client in idle_clients:
+            assert await client.receive() == (framing.RELEASE, A, ENDED, b"")
+        late = await rig.viewer()
+        assert await late.receive() == (framing.RELEASE, A, ENDED, b"")
+        await late.send(framing.RELEASE_CONFIRMED, A)
+        await wait_until(lambda: len(rig.coordinator.releases.unconfirmed) == 0)
+
+    run_on_platform(test)
+
+
+def test_a_front_that_stood_still_does_not_hold_it_against_those_who_spoke(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A connection is not closed as overdue while its message lies unread because the front end was paused."""
+    reader_gate = gate_viewer_readers(monkeypatch)
+
+    async def test(rig: PlatformRig) -> None:
+        viewer = await rig.viewer()
+        await wait_until(lambda: rig.coordinator.viewer_connections)
+        reader_gate.close()
+        next(iter(rig.coordinator.viewer_connections)).idle_since = 0
+        viewer.send_setup_now(A)
+        with trio.move_on_after(0.3):
+            await rig.ended.wait()
+        reader_gate.open()
+        assert (await viewer.receive() or (0,))[0] == framing.ANSWER
+
+    run_on_platform(test)
