--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -92,7 +92,9 @@
         ("free", "more", 1, 255), ("free", "silence", 2, 255), ("paid", "silence", 1, FAILED),
     ],
 )  # fmt: skip
-def test_what_the_end_of_a_try_proves(plan: str, does: str | int, tries: int, cause: int) -> None:
+def test_the_end_of_a_try_decides_whether_another_may_follow(
+    plan: str, does: str | int, tries: int, cause: int
+) -> None:
     """What each end of a setup try shows decides whether another try may follow.
 
     A refusal shows that nothing ran. Any other end may have run, so a paid set-up is aborted and a free one
@@ -116,7 +118,7 @@
 
 
 @pytest.mark.parametrize("plan", ["paid", "free"])
-def test_an_end_that_brings_the_description_is_an_answer_and_the_end(plan: str) -> None:
+def test_a_close_with_a_description_is_an_answer_and_an_end(plan: str) -> None:
     """A close that carries a description is passed on as an answer and then as a release."""
 
     async def test(rig: PlatformRig) -> None:
@@ -165,7 +167,7 @@
     run_on_platform(test, dead=0)
 
 
-def test_what_is_told_of_a_playback_before_it_is_handed_over_is_believed() -> None:
+def test_messages_on_a_playback_before_its_handover_are_applied() -> None:
     """Messages of a node on a playback are kept until its viewer hands it over."""
 
     async def test(rig: PlatformRig) -> None:
@@ -188,7 +190,7 @@
     run_on_platform(test)
 
 
-def test_an_id_that_is_known_is_turned_away_alone() -> None:
+def test_a_duplicate_id_is_rejected_without_affecting_the_first() -> None:
     """A second set-up under a known id is rejected and does not affect the first."""
 
     async def test(rig: PlatformRig) -> None:
@@ -212,7 +214,7 @@
 
 
 @pytest.mark.parametrize("closes", [True, False])
-def test_a_viewer_that_leaves_gives_the_try_up_at_the_node(closes: bool) -> None:
+def test_the_try_of_a_viewer_that_leaves_is_cancelled_at_the_node(closes: bool) -> None:
     """The node is told when the viewer of an open set-up closes or releases it."""
 
     async def test(rig: PlatformRig) -> None:
@@ -232,7 +234,7 @@
     run_on_platform(test)
 
 
-def test_an_end_goes_on_its_own_connection_else_another_else_the_next() -> None:
+def test_a_release_is_sent_on_its_own_connection_or_another_or_the_next() -> None:
     """A release goes to another open connection if its own has closed, else to the next one that opens."""
 
     async def test(rig: PlatformRig) -> None:
@@ -256,7 +258,7 @@
     run_on_platform(test)
 
 
-def test_a_viewer_that_ends_its_playback_ends_it_at_the_node_too_and_hears_nothing() -> None:
+def test_a_playback_that_its_viewer_ends_is_closed_at_the_node_without_a_release() -> None:
     """The node gets the close even after its connection broke, and the viewer gets no release."""
 
     async def test(rig: PlatformRig) -> None:
@@ -276,7 +278,7 @@
     run_on_platform(test)
 
 
-def test_bad_clients_are_turned_away_and_nothing_of_theirs_reaches_a_node() -> None:
+def test_invalid_input_of_clients_is_rejected_and_reaches_no_node() -> None:
     """Invalid parameters get a release; unreadable, silent or stalled connections are closed."""
 
     async def test(rig: PlatformRig) -> None:
@@ -305,7 +307,7 @@
     run_on_platform(test)
 
 
-def test_connections_are_bounded_and_the_silent_ones_make_room() -> None:
+def test_idle_connections_are_evicted_at_the_limit() -> None:
     """Past the limit idle connections are closed, and the newest is served."""
 
     async def test(rig: PlatformRig) -> None:
@@ -322,7 +324,7 @@
     run_on_platform(test)
 
 
-def test_a_client_that_does_not_read_is_cut_off_and_delays_nobody() -> None:
+def test_a_client_that_does_not_read_is_disconnected_without_delaying_others() -> None:
     """A client that sends without reading is disconnected while others are served."""
 
     async def test(rig: PlatformRig) -> None:
@@ -378,7 +380,7 @@
     run_on_platform(test)
 
 
-def test_a_reload_moves_the_channel_and_a_broken_file_changes_nothing(tmp_path: Path) -> None:
+def test_a_reload_applies_the_channel_address_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     """A reload applies the channel's new address; a file that is not valid JSON has no effect."""
 
     async def test(rig: PlatformRig) -> None:
@@ -401,7 +403,7 @@
     run_on_platform(test)
 
 
-def test_after_the_stop_signal_what_comes_is_answered_and_nothing_standing_is_cut() -> None:
+def test_after_the_stop_signal_requests_are_answered_and_playbacks_go_on() -> None:
     """Requests after the stop signal are served, and no playback is ended at its node."""
 
     async def test(rig: PlatformRig) -> None:
@@ -418,7 +420,7 @@
     run_on_platform(test)
 
 
-def test_a_node_that_is_gone_ends_what_stood_there() -> None:
+def test_playbacks_on_a_lost_node_are_released() -> None:
     """Viewers get a release when the node of their playback cannot be reached any more."""
 
     async def test(rig: PlatformRig) -> None:
@@ -469,7 +471,7 @@
     run_on_platform(test)
 
 
-def test_a_start_without_a_sound_configuration_says_why_in_one_line(tmp_path: Path) -> None:
+def test_a_start_without_a_valid_configuration_exits_with_a_one_line_error(tmp_path: Path) -> None:
     """The process exits with code 2 and one line on standard error."""
     file = tmp_path / "config.json"
     file.write_text('{"name": "n0"}')
@@ -487,7 +489,7 @@
         assert message in done.stderr
 
 
-def test_the_platform_loads_nothing_that_it_does_not_need() -> None:
+def test_the_platform_imports_no_unneeded_packages() -> None:
     """The platform's process does not import packages that only other commands use."""
     code = "import sys, oakcroft.platform.serve; print(*sorted(m for m in sys.modules))"
     loaded = subprocess.run(
@@ -525,7 +527,7 @@
     run_on_platform(test)
 
 
-def test_what_waits_for_a_connection_is_not_sent_to_a_node_that_drains(
+def test_waiting_set_ups_are_not_sent_to_a_draining_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Set-ups that wait for a connection are rejected when their nodes begin to drain."""
@@ -547,7 +549,7 @@
     run_on_platform(test)
 
 
-def test_a_log_that_would_flood_says_how_much_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_dropped_log_lines_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Lines past the rate are dropped, and the next line tells how many."""
     now = [100.0]
     monkeypatch.setattr("oakcroft.running.logs.time.monotonic", lambda: now[0])
@@ -561,7 +563,7 @@
     assert rate(None, "info", {}) == {"dropped": 3}
 
 
-def test_what_is_taken_back_at_once_leaves_no_timer_and_no_description() -> None:
+def test_set_ups_released_at_once_leave_no_timer_and_no_description() -> None:
     """Set-ups that are released at once release their timers and descriptions."""
 
     async def test(rig: PlatformRig) -> None:
@@ -581,7 +583,7 @@
     run_on_platform(test)
 
 
-def test_descriptions_are_bounded_together_and_what_is_over_is_refused_at_once() -> None:
+def test_descriptions_are_bounded_together_and_rejected_over_the_limit() -> None:
     """The memory for descriptions is bounded and is released when set-ups end."""
 
     async def test(rig: PlatformRig) -> None:
@@ -609,7 +611,7 @@
     run_on_platform(test)
 
 
-def test_a_front_that_starts_sends_nothing_to_a_node_that_began_to_drain_meanwhile() -> None:
+def test_a_starting_front_end_sends_nothing_to_a_node_that_began_to_drain() -> None:
     """A front end that starts must not serve on the list from before its start.
 
     Seen on the bench (herd+mass): front ends served for 4 to 106 ms on the old list.
@@ -637,7 +639,7 @@
     run_on_platform(test, started=False)
 
 
-def test_a_front_that_starts_without_its_list_service_opens_on_the_kept_list(
+def test_a_front_end_that_starts_without_the_channel_uses_the_known_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """If the command channel does not answer, the front end serves on the known list after a time."""
@@ -656,7 +658,7 @@
     run_on_platform(test, started=False)
 
 
-def test_news_goes_before_set_ups_that_wait_in_a_front_that_is_behind() -> None:
+def test_list_changes_are_applied_before_queued_set_ups() -> None:
     """A list change takes effect before the set-ups that wait in the inbox of a front end that is behind."""
 
     async def test(rig: PlatformRig) -> None:
@@ -688,7 +690,7 @@
     run_on_platform(test)
 
 
-def test_a_channel_that_closes_after_each_answer_is_followed_without_a_break() -> None:
+def test_a_channel_that_closes_after_each_answer_does_not_count_as_failing() -> None:
     """Connections that the channel closes after an answer do not count as failures."""
 
     async def test(rig: PlatformRig) -> None:
--- a/tests/test_platform_channel.py
+++ b/tests/test_platform_channel.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("corruption", ["half", "break", "again", "back"])
-def test_an_answer_of_the_channel_that_is_none_neither_undoes_news_nor_keeps_it(corruption: str) -> None:
+def test_damaged_channel_answers_neither_undo_nor_withhold_changes(corruption: str) -> None:
     """Damaged answers are not applied: half an answer, a break within one, and cursors that repeat or go back."""
     assert channel_follower.POLL_OVERDUE_S < DELIVERY_TIMEOUT_S
 
@@ -35,7 +35,7 @@
     run_on_platform(test)
 
 
-def test_an_answer_to_a_question_that_was_given_up_is_not_heard() -> None:
+def test_an_answer_to_an_abandoned_poll_is_ignored() -> None:
     """An answer on the connection of an abandoned poll is ignored."""
 
     async def test(rig: PlatformRig) -> None:
--- a/tests/test_platform_node_connections.py
+++ b/tests/test_platform_node_connections.py
@@ -16,7 +16,7 @@
 from oakcroft.platformwire import framing
 
 
-def test_a_set_up_that_waits_takes_a_connection_that_comes_free(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_waiting_set_up_is_sent_on_a_connection_that_becomes_free(monkeypatch: pytest.MonkeyPatch) -> None:
     """A set-up that waits for a connect is sent on a connection that becomes free first."""
     connect_gate = gate_connects(monkeypatch)
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("repeated", ["ready", "close"])
-def test_answers_twice_late_of_others_and_to_what_was_given_up_change_nothing(repeated: str) -> None:
+def test_repeated_late_foreign_and_cancelled_answers_are_ignored(repeated: str) -> None:
     """Repeated and late answers, answers of another node, and answers to cancelled set-ups are ignored."""
 
     async def test(rig: PlatformRig) -> None:
@@ -71,7 +71,7 @@
     run_on_platform(test)
 
 
-def test_a_connection_closed_in_the_step_in_which_a_set_up_is_chosen_for_it_carries_none() -> None:
+def test_a_connection_that_the_node_has_just_closed_is_not_chosen() -> None:
     """A connection that the node has just closed is not chosen for a set-up."""
 
     async def test(rig: PlatformRig) -> None:
@@ -88,7 +88,7 @@
     run_on_platform(test)
 
 
-def test_a_set_up_that_waits_for_an_address_its_node_has_left_is_not_sent_there(
+def test_a_waiting_set_up_is_not_sent_to_a_former_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A set-up that waits for a connect is not sent to the former address of its node."""
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("plan", ["paid", "free"])
-def test_a_node_that_answers_in_the_instant_in_which_its_time_is_up_is_answered_once(plan: str) -> None:
+def test_an_answer_in_the_step_of_its_time_out_gets_the_viewer_one_answer(plan: str) -> None:
     """A node's answer arrives in the same step in which the try times out: the viewer gets one answer."""
 
     async def test(rig: PlatformRig) -> None:
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(("report_interval_ms", "tolerated_ms"), [(1000.0, 1_800), (0.0, 4_000)])
-def test_a_node_that_tells_nothing_unasked_is_not_taken_for_silent(
+def test_a_node_without_reports_may_be_silent_for_longer(
     report_interval_ms: float, tolerated_ms: int
 ) -> None:
     """Without reports, silence is tolerated for longer before another connection checks the node.
@@ -160,7 +160,7 @@
     run_on_platform(test, info={"reportsEveryMs": report_interval_ms})
 
 
-def test_more_nodes_than_descriptors_leave_the_channel_and_viewers_theirs() -> None:
+def test_connections_to_many_nodes_share_the_descriptors() -> None:
     """Connections to many nodes share a bounded number of descriptors, and all set-ups are still served."""
 
     async def test(rig: PlatformRig) -> None:
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -68,7 +68,7 @@
             await trio.sleep(0.02)
 
 
-def test_idle_clients_that_fill_all_while_the_channel_is_down_leave_it_and_good_ones_their_descriptors(
+def test_idle_clients_do_not_take_the_descriptors_of_the_channel_and_of_viewers(
     tmp_path: Path,
 ) -> None:
     """Idle connections must not take the descriptors of the command channel and of new viewers.
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("when", ["before the list", "serving", "twice", "with a reload"])
-def test_a_process_told_to_stop_ends_in_order(when: str, tmp_path: Path) -> None:
+def test_a_process_exits_in_order_on_a_stop_signal(when: str, tmp_path: Path) -> None:
     """The process answers what is open and exits with code 0."""
 
     async def test(rig: PlatformRig) -> None:
@@ -137,7 +137,7 @@
     run_on_platform(test, started=False)
 
 
-def test_thirty_fronts_together_keep_the_pace_of_cold_nodes_also_when_some_start_again(
+def test_thirty_front_ends_keep_the_common_cold_pace_across_restarts(
     tmp_path: Path,
 ) -> None:
     """Thirty processes with their own clocks and lists keep the common pace of set-ups to cold nodes.
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -25,7 +25,9 @@
 
 @pytest.mark.parametrize("where", ["kernel", "socket", "inbox"])
 @pytest.mark.parametrize("plays", [True, False])
-def test_what_came_by_the_stop_is_answered(where: str, plays: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_set_ups_received_by_the_stop_signal_are_answered(
+    where: str, plays: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Set-ups that wait in the kernel, a socket or the inbox at the stop signal are answered before the exit."""
     monkeypatch.setattr(serve, "ACCEPT_AFTER_STOP_NS", 100 * MS)
     coordinator_gate, reader_gate = gate_coordinator(monkeypatch), gate_viewer_readers(monkeypatch)
@@ -62,7 +64,7 @@
     run_on_platform(test)
 
 
-def test_an_answer_behind_a_slow_reader_is_read_whole_before_the_front_ends(
+def test_a_buffered_answer_is_flushed_before_the_exit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The process waits a while for answers in a send buffer before it exits."""
@@ -91,7 +93,7 @@
     run_on_platform(test)
 
 
-def test_a_stop_before_the_list_is_confirmed_ends_a_front_that_nobody_has_reached() -> None:
+def test_a_stop_before_the_list_is_confirmed_ends_a_front_end_that_never_listened() -> None:
     """A stop signal before the list is confirmed ends the process, which never listens."""
 
     async def test(rig: PlatformRig) -> None:
@@ -106,7 +108,7 @@
     run_on_platform(test, started=False)
 
 
-def test_a_stop_that_crosses_the_listening_finds_none_reached_or_owes_answers(
+def test_a_stop_just_before_listening_ends_the_front_end_without_listening(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The stop signal arrives after the list is confirmed and before the front end starts to listen.
@@ -131,7 +133,7 @@
     run_on_platform(test, started=False)
 
 
-def test_set_ups_after_the_listening_are_refused_and_none_waits_past_the_end(
+def test_late_set_ups_are_rejected_and_open_ones_end_before_the_exit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Late set-ups are rejected, and the waits of open ones are cut to the process's end."""
@@ -161,7 +163,7 @@
 @pytest.mark.parametrize(
     ("unanswered", "playing", "unsent"), [(1, 0, 1), (0, 1, 0), (0, 1, 1), (0, 0, 1), (0, 0, 0)]
 )
-def test_a_front_has_ended_before_it_is_killed_whatever_holds_it(
+def test_a_front_end_exits_before_it_is_killed_whatever_is_open(
     longest_abandon_ns: int, unanswered: int, playing: int, unsent: int
 ) -> None:
     """The process exits before the platform kills it, whatever is still open, and soon if nothing is."""
@@ -184,8 +186,6 @@
 @pytest.mark.parametrize(
     ("start_duration", "wait_s"), [(0, 8), (SECOND // 2, 8), (3 * SECOND, 6), (20 * SECOND, 1)]
 )
-def test_a_front_that_started_slowly_waits_for_its_list_no_longer_than_its_readiness_allows(
-    start_duration: int, wait_s: int
-) -> None:
+def test_the_wait_for_the_list_shrinks_with_the_startup_time(start_duration: int, wait_s: int) -> None:
     """The wait for the list shrinks with the time the process took to start."""
     assert NodeListFreshness(100 * SECOND, start_duration).opens_at_latest == (100 + wait_s) * SECOND
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -66,7 +66,7 @@
     run_on_platform(test)
 
 
-def test_a_whole_list_in_the_middle_removes_what_it_does_not_name() -> None:
+def test_a_later_whole_list_removes_the_nodes_that_it_lacks() -> None:
     """A later event may carry a whole list; a node that is not on it is gone, with the playbacks there."""
 
     async def test(rig: PlatformRig) -> None:
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(("plan", "answers"), [("paid", (FAILED,)), ("free", (framing.ANSWER,))])
-def test_a_node_killed_behind_its_accept_costs_one_answer_and_no_second_run(
+def test_a_node_killed_after_its_accept_causes_one_answer_and_no_second_run(
     plan: str, answers: tuple[int, ...]
 ) -> None:
     """A node accepts the connection and dies before it reads the set-up.
@@ -137,7 +137,7 @@
     run_on_platform(test)
 
 
-def test_a_request_in_pieces_is_answered_also_while_places_are_short() -> None:
+def test_a_request_in_pieces_is_answered_at_the_connection_limit() -> None:
     """Each byte is sent separately while a crowd takes every place for connections.
 
     A connection on which a request is arriving is the last to be evicted.
@@ -161,7 +161,7 @@
     run_on_platform(test)
 
 
-def test_a_request_whose_last_piece_brings_its_release_is_set_up_nowhere() -> None:
+def test_a_request_completed_together_with_its_release_is_not_sent() -> None:
     """A request that is released in the same read that completes it is never sent to a node."""
 
     async def test(rig: PlatformRig) -> None:
--- a/tests/test_platform_viewer_connections.py
+++ b/tests/test_platform_viewer_connections.py
@@ -17,7 +17,7 @@
 from oakcroft.platformwire import framing
 
 
-def test_a_viewer_whose_set_up_is_arriving_is_not_the_one_that_makes_room(
+def test_a_connection_with_an_unread_set_up_is_not_evicted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An unread set-up in the socket protects its connection from eviction."""
@@ -55,7 +55,7 @@
     return viewer, next(node for node in rig.nodes if node.received_messages("open", sid))
 
 
-def test_a_crowd_that_asks_once_and_stays_closes_no_connection_with_a_session() -> None:
+def test_idle_clients_do_not_evict_connections_with_sessions() -> None:
     """Connections without sessions are evicted before those with sessions."""
 
     async def test(rig: PlatformRig) -> None:
@@ -72,7 +72,7 @@
     run_on_platform(test)
 
 
-def test_a_newcomer_does_not_close_the_one_before_it_whose_set_up_is_on_its_way() -> None:
+def test_a_new_connection_is_not_evicted_before_its_first_request() -> None:
     """A new connection is not evicted for the next one before its first request can arrive."""
 
     async def test(rig: PlatformRig) -> None:
@@ -90,7 +90,7 @@
     run_on_platform(test)
 
 
-def test_an_end_whose_connection_has_gone_goes_to_one_that_was_served_and_to_no_stranger() -> None:
+def test_a_release_prefers_connections_that_were_served() -> None:
     """A release prefers connections on which a set-up was answered."""
 
     async def test(rig: PlatformRig) -> None:
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("is_unsent", [False, True], ids=["strangers there", "strangers come"])
-def test_an_end_that_strangers_do_not_confirm_is_sent_again_until_a_viewer_hears_it(is_unsent: bool) -> None:
+def test_an_unconfirmed_release_is_resent_on_other_connections(is_unsent: bool) -> None:
     """A release that is not confirmed is sent again on other connections."""
 
     async def test(rig: PlatformRig) -> None:
@@ -132,7 +132,7 @@
     run_on_platform(test)
 
 
-def test_a_front_that_stood_still_does_not_hold_it_against_those_who_spoke(
+def test_a_message_unread_during_a_pause_is_not_overdue(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A connection is not closed as overdue while its message lies unread because the front end was paused."""
--- a/tests/test_platform_viewer_leaving.py
+++ b/tests/test_platform_viewer_leaving.py
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "release", "late", "drains"])
-def test_a_set_up_in_unsent_bytes_is_taken_back_whole(how: str) -> None:
+def test_a_set_up_in_the_send_buffer_is_retracted(how: str) -> None:
     """A set-up in the send buffer of a node that does not read is removed when it can no longer succeed.
 
     Its viewer leaves, its time runs out, or the node drains. Other set-ups on the connection are not affected.
@@ -178,7 +178,7 @@
     run_on_platform(test)
 
 
-def test_hundreds_under_one_id_taken_back_and_sent_again_are_set_up_once_at_most() -> None:
+def test_a_paid_set_up_repeated_under_its_id_runs_at_most_once() -> None:
     """A paid set-up that was sent is not repeated under the same id after its release."""
 
     async def test(rig: PlatformRig) -> None:
@@ -201,7 +201,7 @@
     run_on_platform(test)
 
 
-def test_a_playback_ended_in_the_same_read_as_its_handing_over_ends_at_its_node(
+def test_a_playback_ended_in_the_same_read_as_its_handover_is_closed_at_its_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The release of a playback may wait in the inbox behind its own handover; the node still gets the close."""
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("plan", ["paid", "free"])
-def test_an_answer_for_a_client_that_left_ends_at_its_node(
+def test_a_playback_answered_for_a_client_that_left_is_closed_at_its_node(
     how: str, plan: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A playback whose viewer left before the node's answer is closed at the node."""
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half-close"])
-def test_a_playback_whose_connection_ends_in_the_same_read_as_its_handing_over_plays_on(
+def test_a_playback_whose_connection_ends_in_the_same_read_as_its_handover_plays_on(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A playback is not tied to the connection on which its viewer hands it over."""
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -30,14 +30,14 @@
     return events
 
 
-def test_a_frame_has_the_octets_that_the_page_states() -> None:
+def test_a_frame_is_encoded_as_specified() -> None:
     """The encoding is byte for byte that of the protocol's page."""
     data = framing.encode(framing.RELEASE, "9b1f03aa5c7e2d41", (106, b"250"), (framing.CAUSE, b"\x2a"))
     assert data == bytes.fromhex("0013 0c 9b1f03aa5c7e2d41 6a0003 323530 720001 2a")
 
 
 @given(FRAMES, CUTS)
-def test_frames_come_back_at_any_split(
+def test_frames_round_trip_at_any_split(
     some: list[tuple[int, str, dict[int, bytes]]], cuts: list[int]
 ) -> None:
     """Messages survive a round trip however the bytes are split."""
@@ -48,9 +48,7 @@
 
 
 @given(st.binary(max_size=600), CUTS)
-def test_any_bytes_are_frames_or_unreadable_and_the_split_does_not_matter(
-    data: bytes, cuts: list[int]
-) -> None:
+def test_random_bytes_are_decoded_or_refused_alike_at_any_split(data: bytes, cuts: list[int]) -> None:
     """Random bytes are decoded or refused, the same at any split, and the buffer stays bounded."""
 
     def read(cuts: list[int]) -> tuple[list[Any], bool]:
@@ -67,7 +65,7 @@
 
 
 @pytest.mark.parametrize("length", [0, 1, 8, framing.MAX_MESSAGE_BYTES - 1, 65_535])
-def test_a_length_that_no_message_has_is_unreadable_before_the_rest_comes(length: int) -> None:
+def test_an_invalid_length_is_refused_without_the_rest(length: int) -> None:
     """An impossible length is refused at once, without waiting for the message."""
     frames = framing.FrameDecoder()
     frames.receive_data(length.to_bytes(2, "big"))
@@ -79,14 +77,14 @@
 
 
 @given(st.lists(st.tuples(SIDS, TEXTS, st.integers(0, 255)), max_size=5), CUTS)
-def test_lines_come_back_at_any_split(some: list[tuple[str, str, int]], cuts: list[int]) -> None:
+def test_lines_round_trip_at_any_split(some: list[tuple[str, str, int]], cuts: list[int]) -> None:
     """JSON lines survive a round trip however the bytes are split."""
     data = b"".join(json_lines.encode("open", sid, {"key": text}, code, text) for sid, text, code in some)
     assert fed(json_lines.LineDecoder(), data, cuts) == [("open", s, {"key": t}, c, t) for s, t, c in some]
 
 
 @given(st.binary(max_size=200))
-def test_any_line_is_a_message_or_unreadable(data: bytes) -> None:
+def test_a_random_line_is_decoded_or_refused(data: bytes) -> None:
     """A random line is decoded or refused."""
     heard = json_lines.LineDecoder()
     try:
@@ -97,7 +95,7 @@
         pass
 
 
-def test_a_line_without_an_end_is_unreadable_at_the_bound() -> None:
+def test_a_line_without_an_end_is_refused_at_the_limit() -> None:
     """A line without an end is refused when it reaches the maximum length."""
     heard = json_lines.LineDecoder()
     heard.receive_data(b"x" * (framing.MAX_MESSAGE_BYTES - 1))
@@ -107,7 +105,7 @@
         heard.next_event()
 
 
-def test_a_report_keeps_what_can_be_read() -> None:
+def test_unreadable_parts_of_a_load_report_are_left_out() -> None:
     """Unreadable parts of a load report are left out."""
     assert json_lines.load_report({"load": "x0:1.5;x1:nan;queue:-1;odd;:3;b:inf;c:2"}) == {
         "x0": 1.5,
@@ -127,7 +125,7 @@
 ]  # fmt: skip
 
 
-def test_a_set_up_is_read_and_what_can_not_be_served_is_not() -> None:
+def test_valid_set_up_requests_are_parsed_and_invalid_ones_refused() -> None:
     """Valid parameters are parsed; each invalid one is refused."""
     limits = setup_request.SetupLimits({"paid": 1000 * MS}, cell_count=2, rung_count=3)
     assert setup_request.parse_setup_request("0" * 15 + "1", GOOD, limits) == (
@@ -150,7 +148,7 @@
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=6000))
-def test_what_is_taken_fits_a_line_with_its_escapes(text: str) -> None:
+def test_an_accepted_description_fits_a_line_with_its_escapes(text: str) -> None:
     """A description that is accepted fits a node's line even if JSON escapes lengthen it."""
     if json_lines.fits_line("paid", "t" * 100, text):
         attrs: json_lines.Attributes = {"class": "paid", "left": "99999", "key": "t" * 100, "rung": "63"}
@@ -161,7 +159,7 @@
           "up_since_ms": 7}  # fmt: skip
 
 
-def test_events_of_the_channel_are_read_whole_or_not_at_all() -> None:
+def test_channel_documents_are_decoded_completely_or_not_at_all() -> None:
     """A document with an invalid field, or cut off anywhere, yields no events."""
 
     def body(**odd: Any) -> bytes:
@@ -188,7 +186,7 @@
         "known": {"cursor": 0, "cmds": []}, "settings": SETTINGS}  # fmt: skip
 
 
-def test_a_faulty_configuration_says_which_field() -> None:
+def test_an_invalid_configuration_names_the_field() -> None:
     """The error names the field that is missing or invalid."""
     assert configuration.decode(orjson.dumps(TOLD)).max_sockets == 256
     faults: list[tuple[list[Any], Any, str]] = [
@@ -229,7 +227,7 @@
             configuration.decode(broken)
 
 
-def test_what_is_kept_of_a_message_is_what_is_read() -> None:
+def test_stored_messages_keep_only_used_attributes() -> None:
     """Of a stored message only the attributes that are read are kept, and no long ones."""
     said: json_lines.Attributes = {"note": "fill", "value": 1.5, "load": "x" * 5_000, "other": "o" * 9_000}
     assert json_lines.kept_attributes(said) == {"note": "fill", "value": 1.5}
