--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -19,7 +19,7 @@
 from oakcroft.decisions.sessions.answers import FinalAnswer
 from oakcroft.decisions.sessions.node_sessions import NodeSessions
 from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
-from oakcroft.decisions.routing.catalogue import CatalogueVerdict as Taken
+from oakcroft.decisions.routing.catalogue import CatalogueVerdict
 from oakcroft.decisions.state.recovery import NodePenalty, SlotUsage
 from oakcroft.decisions.state.promise import PromiseState
 from oakcroft.store.file import DeleteExpired, StateFile
@@ -612,7 +612,7 @@
             catalogues.history.max_versions = 3
             for n in range(8):
                 text = f"(catalogue (title t{n} (home 0) (copies 1)) (others yes))"
-                assert (await catalogues.replace(text, None, False, ""))[0] is Taken.TAKEN
+                assert (await catalogues.replace(text, None, False, ""))[0] is CatalogueVerdict.TAKEN
             rig.stop.set()
             await rig.exited.wait()
 
@@ -628,8 +628,9 @@
         ]
     )
     file.commit([DeleteExpired(0, 10, 8)])
-    held = file.read()
-    assert ([g.node for g in held.node_penalties], [s.node for s in held.slot_usage]) == (["new"], ["new"])
+    remaining = file.read()
+    assert [penalty.node for penalty in remaining.node_penalties] == ["new"]
+    assert [usage.node for usage in remaining.slot_usage] == ["new"]
     file.close()
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,10 +17,10 @@
 from platform_rig import ENDED, FAILED, REJECTED, A, B, C, PlatformRig, run_on_platform
 from rig import wait_until
 
-from oakcroft.config import pipeline as compiling
+from oakcroft.config import pipeline
 from oakcroft.decisions.fleet import node_list_freshness
 from oakcroft.interface import MS, SECOND, NodeStatus, PlaybackState
-from oakcroft.platform import session_coordinator as limits
+from oakcroft.platform import session_coordinator
 from oakcroft.platform.node_pool import NodePool
 from oakcroft.platform.playback_session import SetupRequest
 from oakcroft.platformwire import framing
@@ -28,9 +28,9 @@
 from oakcroft.running.logs import LineRateLimiter
 
 
-def site() -> Any:
-    """The rules that the recorded facts are judged by."""
-    found, _problems = compiling.check_file(
+def rule_settings() -> Any:
+    """Returns the deployment settings by which the recorded facts are judged."""
+    found, _problems = pipeline.check_file(
         "s",
         lambda _: (
             """(fleet (fronts 1) (cells 2) (drain-grace 250ms) (cold-share 0.5) (cold-for 200ms)
@@ -42,12 +42,12 @@
         is_front_file=False,
     )
     assert found is not None
-    return compiling.build_deployment(found).shared
+    return pipeline.build_deployment(found).shared
 
 
-def broken(rig: PlatformRig) -> list[str]:
-    """Breaches of the rules in the recorded facts."""
-    return [breach for finding in check_rules(rig.facts, site()) for breach in finding.breaches]
+def rule_breaches(rig: PlatformRig) -> list[str]:
+    """Returns the breaches of the rules in the recorded facts."""
+    return [breach for finding in check_rules(rig.facts, rule_settings()) for breach in finding.breaches]
 
 
 def test_a_playback_from_set_up_to_its_end() -> None:
@@ -65,26 +65,26 @@
         assert message["text"] == 'é\u2028"\r\n'
         assert message["attrs"]["class"] == "paid"
         assert 0 < int(message["attrs"]["left"]) <= 1000
-        ticket = rig.coordinator.sessions[A]
-        assert ticket.playback.node is not None
+        session = rig.coordinator.sessions[A]
+        assert session.playback.node is not None
         await node.send(node.streams[0], msg="event", sid=A, attrs={"note": "local", "value": "0.75"})
         await wait_until(
-            lambda: ticket.playback.node is not None and ticket.playback.node.reported_load == 0.75
+            lambda: session.playback.node is not None and session.playback.node.reported_load == 0.75
         )
         await node.send(node.streams[0], msg="event", sid=A, attrs={"note": "local", "value": "nan"})
         await node.send(node.streams[0], msg="close", sid=A, attrs={"load": "x0:0.5"}, code=16)
         assert await viewer.receive() == (framing.RELEASE, A, ENDED, b"")
         assert (
-            ticket.playback.node.reported_load == 0.75
+            session.playback.node.reported_load == 0.75
         )  # the load report in the close is older than the note
         assert not rig.coordinator.sessions
-        assert broken(rig) == []
+        assert rule_breaches(rig) == []
 
     run_on_platform(test)
 
 
 @pytest.mark.parametrize(
-    ("plan", "does", "tries", "cause"),
+    ("plan", "reaction", "tries", "cause"),
     [
         ("paid", 34, 2, 255), ("paid", 102, 2, 255), ("paid", 47, 1, FAILED), ("paid", 41, 1, FAILED),
         ("paid", "cut", 1, FAILED), ("paid", "garble", 1, FAILED), ("paid", 99, 1, FAILED),
@@ -93,7 +93,7 @@
     ],
 )  # fmt: skip
 def test_the_end_of_a_try_decides_whether_another_may_follow(
-    plan: str, does: str | int, tries: int, cause: int
+    plan: str, reaction: str | int, tries: int, cause: int
 ) -> None:
     """What each end of a setup try shows decides whether another try may follow.
 
@@ -102,17 +102,17 @@
     """
 
     async def test(rig: PlatformRig) -> None:
-        rig.nodes[0].script = rig.nodes[1].script = [does]  # applies to whichever node is tried first
+        rig.nodes[0].script = rig.nodes[1].script = [reaction]  # applies to whichever node is tried first
         first = await rig.viewer()
         await first.send_setup(A, plan, wait="700")
-        heard = await first.receive()
-        assert heard is not None
-        assert heard[:3] == (framing.ANSWER if cause == 255 else framing.RELEASE, A, cause)
+        reply = await first.receive()
+        assert reply is not None
+        assert reply[:3] == (framing.ANSWER if cause == 255 else framing.RELEASE, A, cause)
         assert sum(len(node.received_messages("open", A)) for node in rig.nodes) == tries
-        if does == "silence":
+        if reaction == "silence":
             await wait_until(lambda: any(node.received_messages("close", A) for node in rig.nodes))
         assert rig.coordinator.setup_count == 0
-        assert broken(rig) == []
+        assert rule_breaches(rig) == []
 
     run_on_platform(test)
 
@@ -131,7 +131,7 @@
         assert await viewer.receive() == (framing.RELEASE, A, ENDED, b"")
         assert sum(len(n.received_messages("open")) for n in rig.nodes) == 1
         assert not rig.coordinator.sessions
-        assert broken(rig) == []
+        assert rule_breaches(rig) == []
 
     run_on_platform(test)
 
@@ -147,7 +147,7 @@
         message = node.received_messages("open")[0]
         async with await trio.open_tcp_stream("127.0.0.1", other.port) as stream:
             await other.handle_setup(trio.SocketStream(stream.socket), message)
-        assert any("paid" in breach for breach in broken(rig))
+        assert any("paid" in breach for breach in rule_breaches(rig))
 
     run_on_platform(test)
 
@@ -159,9 +159,9 @@
         viewer = await rig.viewer()
         for i in range(8):
             await viewer.send_setup(f"{i + 1:016x}", "paid", title=f"t{i}")
-            heard = await viewer.receive()
-            assert heard is not None
-            assert heard[0] == framing.ANSWER
+            reply = await viewer.receive()
+            assert reply is not None
+            assert reply[0] == framing.ANSWER
         assert len(rig.nodes[1].received_messages("open")) == 8
 
     run_on_platform(test, dead=0)
@@ -242,16 +242,16 @@
         for sid in (A, B):
             await one.send_setup(sid)
             await one.receive()
-        places = {
+        nodes_by_sid = {
             sid: next(node for node in rig.nodes if node.received_messages("open", sid)) for sid in (A, B)
         }
         await one.stream.aclose()
         await wait_until(lambda: len(rig.coordinator.viewer_connections) == 1)
-        await places[A].send(places[A].streams[0], msg="close", sid=A, attrs={}, code=41)
+        await nodes_by_sid[A].send(nodes_by_sid[A].streams[0], msg="close", sid=A, attrs={}, code=41)
         assert await other.receive() == (framing.RELEASE, A, FAILED, b"")
         await other.stream.aclose()
         await wait_until(lambda: not rig.coordinator.viewer_connections)
-        await places[B].send(places[B].streams[0], msg="close", sid=B, attrs={}, code=16)
+        await nodes_by_sid[B].send(nodes_by_sid[B].streams[0], msg="close", sid=B, attrs={}, code=16)
         await wait_until(lambda: rig.coordinator.releases.unsent)
         assert await (await rig.viewer()).receive() == (framing.RELEASE, B, ENDED, b"")
 
@@ -312,14 +312,14 @@
 
     async def test(rig: PlatformRig) -> None:
         assert rig.platform.viewer_server is not None
-        most = rig.platform.viewer_server.max_connections
-        some = [await rig.viewer() for _ in range(most + 10)]
+        max_connections = rig.platform.viewer_server.max_connections
+        viewers = [await rig.viewer() for _ in range(max_connections + 10)]
         await wait_until(
             lambda: rig.platform.viewer_server is not None and rig.platform.viewer_server.shed_count == 10
         )
-        await some[-1].send_setup(A)
-        assert (await some[-1].receive() or (0,))[0] == framing.ANSWER
-        assert len(rig.platform.viewer_server.connections) <= most
+        await viewers[-1].send_setup(A)
+        assert (await viewers[-1].receive() or (0,))[0] == framing.ANSWER
+        assert len(rig.platform.viewer_server.connections) <= max_connections
 
     run_on_platform(test)
 
@@ -445,9 +445,9 @@
             for i in range(batch * 100, batch * 100 + 100):
                 sid = f"{i + 1:016x}"
                 await viewer.send_setup(sid, "free" if i % 3 else "paid", title=f"title {i}")
-                heard = await viewer.receive()
-                assert heard is not None
-                if heard[0] == framing.ANSWER:
+                reply = await viewer.receive()
+                assert reply is not None
+                if reply[0] == framing.ANSWER:
                     node = next(n for n in rig.nodes if n.received_messages("open", sid))
                     await node.send(node.streams[0], msg="close", sid=sid, attrs={"load": "x0:0.1"}, code=16)
                     assert await viewer.receive() == (framing.RELEASE, sid, ENDED, b"")
@@ -457,7 +457,7 @@
         assert not coordinator.sessions
         assert not coordinator.sessions_by_playback
         assert coordinator.setup_count == 0
-        assert len(coordinator.titles.titles) <= limits.MAX_TITLES
+        assert len(coordinator.titles.titles) <= session_coordinator.MAX_TITLES
         assert not coordinator.releases.unsent
         assert not coordinator.pending_decisions
         for pool in coordinator.pools.values():
@@ -544,7 +544,7 @@
         assert not any(pool.waiting_setups for pool in rig.coordinator.pools.values())
         assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, REJECTED)
         assert not any(node.received for node in rig.nodes)
-        assert broken(rig) == []
+        assert rule_breaches(rig) == []
 
     run_on_platform(test)
 
@@ -628,13 +628,13 @@
         rig.channel.is_silent = False
         await wait_until(lambda: rig.port)
         viewer = await rig.viewer()
-        heard = list[int]()
+        reply_kinds = list[int]()
         for i in range(8):
             await viewer.send_setup(f"{i:016x}", "free", title=f"t{i}")
-            heard.append((await viewer.receive() or (0,))[0])
-        assert framing.ANSWER in heard
+            reply_kinds.append((await viewer.receive() or (0,))[0])
+        assert framing.ANSWER in reply_kinds
         assert not rig.nodes[0].received_messages("open")
-        assert broken(rig) == []
+        assert rule_breaches(rig) == []
 
     run_on_platform(test, started=False)
 
@@ -651,9 +651,9 @@
         assert not rig.platform.channel_follower.freshness.is_confirmed  # type: ignore[union-attr]
         viewer = await rig.viewer()
         await viewer.send_setup(A, "free")
-        heard = await viewer.receive()
-        assert heard is not None
-        assert heard[0] == framing.ANSWER
+        reply = await viewer.receive()
+        assert reply is not None
+        assert reply[0] == framing.ANSWER
 
     run_on_platform(test, started=False)
 
--- a/tests/test_platform_terms.py
+++ b/tests/test_platform_terms.py
@@ -1,5 +1,5 @@
-"""Terms of the platform's users that no page shows in full, each tested over real connections: reloads while
-nodes drain, whole lists, nodes killed after an accept, requests in pieces, and late releases.
+"""Unusual sequences on the platform's protocol, each over real connections: reloads while nodes drain, whole
+lists, nodes killed after an accept, requests in pieces, and late releases.
 """
 
 from __future__ import annotations
@@ -22,44 +22,44 @@
 SET_UPS = [f"{number:016x}" for number in range(100, 100 + SESSIONS)]
 
 
-async def asks_all(rig: PlatformRig, viewer: StubViewer) -> None:
-    """Sets up several titles, so that every node that may be chosen is chosen."""
+async def set_up_all(rig: PlatformRig, viewer: StubViewer) -> None:
+    """Sets up several titles, enough that every node that may be chosen is chosen."""
     for sid in SET_UPS:
         await viewer.send_setup(sid, title=f"title {sid}")
         assert (await viewer.receive() or (0,))[0] == framing.ANSWER
 
 
-def listed(rig: PlatformRig, name: str) -> NodeStatus:
-    """The status of a node as the front end knows it."""
+def node_status(rig: PlatformRig, name: str) -> NodeStatus:
+    """Returns the status of a node in the front end."""
     return rig.coordinator.pools[name].node.status
 
 
-def opens(rig: PlatformRig, node: int) -> int:
-    """Number of set-ups that have reached a node."""
+def setup_count(rig: PlatformRig, node: int) -> int:
+    """Returns the number of set-ups that have reached a node."""
     return len(rig.nodes[node].received_messages("open"))
 
 
-@pytest.mark.parametrize("how", ["told on the new channel", "told on the old one as it ends"])
+@pytest.mark.parametrize("how", ["drain on the new channel", "drain on the old channel"])
 def test_a_reload_while_a_node_drains_sends_it_nothing(how: str, tmp_path: Path) -> None:
     """The command channel moves at the moment a node begins to drain."""
 
     async def test(rig: PlatformRig) -> None:
         rig.platform.configuration_file = tmp_path / "config.json"
         viewer, old, configuration = await rig.viewer(), rig.channel, rig.configuration()
-        if how == "told on the old one as it ends":
+        if how == "drain on the old channel":
             rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
-            await wait_until(lambda: listed(rig, "n0") is NodeStatus.DRAINING)
+            await wait_until(lambda: node_status(rig, "n0") is NodeStatus.DRAINING)
         new_port = await rig.listen(type(old).serve.__get__(rig.channel))
         rig.platform.configuration_file.write_bytes(
             orjson.dumps(configuration | {"channel": f"127.0.0.1:{new_port}"})
         )
         rig.platform.reload()
-        if how == "told on the new channel":
+        if how == "drain on the new channel":
             rig.add_list_change(2, rig.member(rig.nodes[0], "draining"))
-            await wait_until(lambda: listed(rig, "n0") is NodeStatus.DRAINING)
-        before = opens(rig, 0)
-        await asks_all(rig, viewer)
-        assert opens(rig, 0) == before
+            await wait_until(lambda: node_status(rig, "n0") is NodeStatus.DRAINING)
+        before = setup_count(rig, 0)
+        await set_up_all(rig, viewer)
+        assert setup_count(rig, 0) == before
         assert rig.platform.channel_follower is not None
         assert rig.platform.channel_follower.address[1] == new_port
 
@@ -75,17 +75,18 @@
         await viewer.receive()
         node = next(n for n in rig.nodes if n.received_messages("open", A))
         other = next(n for n in rig.nodes if n is not node)
-        whole = {"complete": True, "members": [rig.member(other)]}
-        rig.channel.cmds.append({"cursor": 2, "nodes": whole})
+        remaining_list = {"complete": True, "members": [rig.member(other)]}
+        rig.channel.cmds.append({"cursor": 2, "nodes": remaining_list})
         assert (await viewer.receive() or ())[:3] == (framing.RELEASE, A, FAILED)
         before = len(node.received_messages("open"))
-        await asks_all(rig, viewer)
+        await set_up_all(rig, viewer)
         assert len(node.received_messages("open")) == before
-        again = {"complete": True, "members": [rig.member(n) for n in rig.nodes]}
-        rig.channel.cmds.append({"cursor": 3, "nodes": again})
+        full_list = {"complete": True, "members": [rig.member(n) for n in rig.nodes]}
+        rig.channel.cmds.append({"cursor": 3, "nodes": full_list})
         await wait_until(
             lambda: (
-                len(rig.coordinator.pools) == len(rig.nodes) and listed(rig, node.name) is NodeStatus.READY
+                len(rig.coordinator.pools) == len(rig.nodes)
+                and node_status(rig, node.name) is NodeStatus.READY
             )
         )
 
@@ -126,11 +127,11 @@
         for number, node in enumerate(rig.nodes):
             if number not in killed:  # a dead node reads nothing
                 node.may_read.set()
-        heard = await viewer.receive()
-        assert heard is not None
-        assert (heard[2] if heard[0] == framing.RELEASE else heard[0],) == answers
+        reply = await viewer.receive()
+        assert reply is not None
+        assert (reply[2] if reply[0] == framing.RELEASE else reply[0],) == answers
         assert len(killed) == 1
-        assert sum(opens(rig, number) for number in range(2)) == (plan == "free")
+        assert sum(setup_count(rig, number) for number in range(2)) == (plan == "free")
         await viewer.send_setup(C)
         assert (await viewer.receive() or (0, ""))[1] == C  # no second answer for the first id
 
@@ -138,7 +139,7 @@
 
 
 def test_a_request_in_pieces_is_answered_at_the_connection_limit() -> None:
-    """Each byte is sent separately while a crowd takes every place for connections.
+    """Each byte is sent separately while other clients take up all connections.
 
     A connection on which a request is arriving is the last to be evicted.
     """
@@ -148,14 +149,14 @@
         assert viewers is not None
         viewer = await rig.viewer()
         request = viewer.encode_setup(A, "paid")
-        crowd = list[StubViewer]()
+        others = list[StubViewer]()
         for octet in request:
             await viewer.stream.send_all(bytes((octet,)))
-            if len(crowd) < viewers.max_connections + SESSIONS:
-                crowd.append(client := await rig.viewer())
+            if len(others) < viewers.max_connections + SESSIONS:
+                others.append(client := await rig.viewer())
                 await client.send(framing.TEST, C, 0)
                 await client.receive()
-        assert len(crowd) == viewers.max_connections + SESSIONS
+        assert len(others) == viewers.max_connections + SESSIONS
         assert (await viewer.receive() or ())[:2] == (framing.ANSWER, A)
 
     run_on_platform(test)
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -1,4 +1,4 @@
-"""Codecs of the platform's protocol: any split, damaged input, and round trips."""
+"""The codecs of the platform's protocol: round trips at any split, and invalid input."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 CUTS = st.lists(st.integers(1, 40), min_size=1, max_size=12)
 
 
-def fed(codec: Any, data: bytes, cuts: list[int]) -> list[Any]:
-    """All events of the bytes, added in pieces of these lengths over and over."""
+def decode_in_pieces(codec: Any, data: bytes, cuts: list[int]) -> list[Any]:
+    """Returns all events of the data, which is added in pieces whose lengths cycle through `cuts`."""
     events, at, i = [], 0, 0
     while at < len(data):
         codec.receive_data(data[at : at + cuts[i % len(cuts)]])
@@ -38,12 +38,12 @@
 
 @given(FRAMES, CUTS)
 def test_frames_round_trip_at_any_split(
-    some: list[tuple[int, str, dict[int, bytes]]], cuts: list[int]
+    messages: list[tuple[int, str, dict[int, bytes]]], cuts: list[int]
 ) -> None:
     """Messages survive a round trip however the bytes are split."""
-    data = b"".join(framing.encode(kind, sid, *params.items()) for kind, sid, params in some)
+    data = b"".join(framing.encode(kind, sid, *params.items()) for kind, sid, params in messages)
     frames = framing.FrameDecoder()
-    assert fed(frames, data, cuts) == some
+    assert decode_in_pieces(frames, data, cuts) == messages
     assert not frames.has_partial_message
 
 
@@ -54,7 +54,9 @@
     def read(cuts: list[int]) -> tuple[list[Any], bool]:
         frames, events = framing.FrameDecoder(), []
         try:
-            for event in (fed(frames, data[i : i + cuts[0]], cuts) for i in range(0, len(data), cuts[0])):
+            for event in (
+                decode_in_pieces(frames, data[i : i + cuts[0]], cuts) for i in range(0, len(data), cuts[0])
+            ):
                 events += event
         except framing.ProtocolError:
             return events, True
@@ -77,18 +79,20 @@
 
 
 @given(st.lists(st.tuples(SIDS, TEXTS, st.integers(0, 255)), max_size=5), CUTS)
-def test_lines_round_trip_at_any_split(some: list[tuple[str, str, int]], cuts: list[int]) -> None:
+def test_lines_round_trip_at_any_split(messages: list[tuple[str, str, int]], cuts: list[int]) -> None:
     """JSON lines survive a round trip however the bytes are split."""
-    data = b"".join(json_lines.encode("open", sid, {"key": text}, code, text) for sid, text, code in some)
-    assert fed(json_lines.LineDecoder(), data, cuts) == [("open", s, {"key": t}, c, t) for s, t, c in some]
+    data = b"".join(json_lines.encode("open", sid, {"key": text}, code, text) for sid, text, code in messages)
+    assert decode_in_pieces(json_lines.LineDecoder(), data, cuts) == [
+        ("open", s, {"key": t}, c, t) for s, t, c in messages
+    ]
 
 
 @given(st.binary(max_size=200))
 def test_a_random_line_is_decoded_or_refused(data: bytes) -> None:
     """A random line is decoded or refused."""
-    heard = json_lines.LineDecoder()
+    decoder = json_lines.LineDecoder()
     try:
-        for _, sid, attrs, _, _ in fed(heard, data + b"\n", [7]):
+        for _, sid, attrs, _, _ in decode_in_pieces(decoder, data + b"\n", [7]):
             assert sid == "" or json_lines.SESSION_ID_PATTERN.fullmatch(sid)
             json_lines.load_report(attrs)
     except framing.ProtocolError:
@@ -97,12 +101,12 @@
 
 def test_a_line_without_an_end_is_refused_at_the_limit() -> None:
     """A line without an end is refused when it reaches the maximum length."""
-    heard = json_lines.LineDecoder()
-    heard.receive_data(b"x" * (framing.MAX_MESSAGE_BYTES - 1))
-    assert heard.next_event() is None
-    heard.receive_data(b"x")
+    decoder = json_lines.LineDecoder()
+    decoder.receive_data(b"x" * (framing.MAX_MESSAGE_BYTES - 1))
+    assert decoder.next_event() is None
+    decoder.receive_data(b"x")
     with pytest.raises(framing.ProtocolError):
-        heard.next_event()
+        decoder.next_event()
 
 
 def test_unreadable_parts_of_a_load_report_are_left_out() -> None:
@@ -114,8 +118,14 @@
     assert json_lines.load_report({"load": 3}) is None
 
 
-GOOD = {100: b"paid", 101: b"1500", 104: b"7f3a", 105: b"home:1;copies:2;top:2;viewer:00", 115: b"c=IN"}
-BAD: list[dict[int, bytes]] = [
+VALID_PARAMETERS = {
+    100: b"paid",
+    101: b"1500",
+    104: b"7f3a",
+    105: b"home:1;copies:2;top:2;viewer:00",
+    115: b"c=IN",
+}
+INVALID_PARAMETERS: list[dict[int, bytes]] = [
     {100: b""}, {100: b"none"}, {100: b"\xff"}, {101: b"nan"}, {101: b"-1"}, {101: b"inf"}, {101: b"1e9"},
     {101: b"1_0"}, {101: b" 5"}, {101: b""}, {104: b""}, {104: b"a\nb"}, {104: b"x" * 129}, {105: b"home"},
     {105: b"home:1;copies:2"}, {105: b"home:2;copies:2;top:2"}, {105: b"home:-1;copies:2;top:2"},
@@ -128,7 +138,7 @@
 def test_valid_set_up_requests_are_parsed_and_invalid_ones_refused() -> None:
     """Valid parameters are parsed; each invalid one is refused."""
     limits = setup_request.SetupLimits({"paid": 1000 * MS}, cell_count=2, rung_count=3)
-    assert setup_request.parse_setup_request("0" * 15 + "1", GOOD, limits) == (
+    assert setup_request.parse_setup_request("0" * 15 + "1", VALID_PARAMETERS, limits) == (
         "paid",
         1500 * MS,
         "7f3a",
@@ -138,13 +148,13 @@
         "c=IN",
         "",
     )
-    held = GOOD | {101: b"0", 105: b"home:1;copies:2;top:2;at:s-1"}
-    assert setup_request.parse_setup_request("0" * 15 + "1", held, limits)[-1] == "s-1"
-    for bad in BAD:
+    handed_over = VALID_PARAMETERS | {101: b"0", 105: b"home:1;copies:2;top:2;at:s-1"}
+    assert setup_request.parse_setup_request("0" * 15 + "1", handed_over, limits)[-1] == "s-1"
+    for invalid in INVALID_PARAMETERS:
         with pytest.raises(setup_request.SetupRequestError):
-            setup_request.parse_setup_request("0" * 15 + "1", GOOD | bad, limits)
+            setup_request.parse_setup_request("0" * 15 + "1", VALID_PARAMETERS | invalid, limits)
     with pytest.raises(setup_request.SetupRequestError):
-        setup_request.parse_setup_request(setup_request.NULL_SESSION_ID, GOOD, limits)
+        setup_request.parse_setup_request(setup_request.NULL_SESSION_ID, VALID_PARAMETERS, limits)
 
 
 @given(st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=6000))
@@ -162,33 +172,33 @@
 def test_channel_documents_are_decoded_completely_or_not_at_all() -> None:
     """A document with an invalid field, or cut off anywhere, yields no events."""
 
-    def body(**odd: Any) -> bytes:
-        nodes = {"complete": True, "members": [MEMBER | odd]}
+    def body(**changes: Any) -> bytes:
+        nodes = {"complete": True, "members": [MEMBER | changes]}
         return orjson.dumps({"cursor": 4, "cmds": [{"cursor": 4, "nodes": nodes}]})
 
     member = ("s", ("10.1.0.9", 5070), "e", "k", 2, NodeStatus.READY, 4.0, 7 * MS)
     assert command_channel.decode_events(body()) == (4, [(4, True, [member])])
     assert command_channel.decode_events(b'{"cursor":4,"cmds":[]}') == (4, [])
-    odd: list[dict[str, Any]] = [
+    invalid_fields: list[dict[str, Any]] = [
         {"id": ""}, {"id": 3}, {"phase": "new"}, {"host_port": "name:5070"}, {"host_port": "10.1.0.9:0"}, {"size": -1},
         {"cell": -1}, {"cell": "1"}, {"up_since_ms": -4}, {"locality": 3},
     ]  # fmt: skip
-    for one in odd:
+    for fields in invalid_fields:
         with pytest.raises(command_channel.ChannelError):
-            command_channel.decode_events(body(**one))
+            command_channel.decode_events(body(**fields))
     for cut in range(len(body())):
         with pytest.raises(command_channel.ChannelError):
             command_channel.decode_events(body()[:cut])
 
 
-TOLD = {"name": "n0", "listen": "127.0.0.1:5070", "seed": "8c1f", "limits": {"sockets": 256, "memory_mb": 32},
+CONFIGURATION = {"name": "n0", "listen": "127.0.0.1:5070", "seed": "8c1f", "limits": {"sockets": 256, "memory_mb": 32},
         "channel": "127.0.0.1:9092",
         "known": {"cursor": 0, "cmds": []}, "settings": SETTINGS}  # fmt: skip
 
 
 def test_an_invalid_configuration_names_the_field() -> None:
     """The error names the field that is missing or invalid."""
-    assert configuration.decode(orjson.dumps(TOLD)).max_sockets == 256
+    assert configuration.decode(orjson.dumps(CONFIGURATION)).max_sockets == 256
     faults: list[tuple[list[Any], Any, str]] = [
         (["listen"], None, "listen"), (["channel"], "here:1", "channel"), (["seed"], "zz", "seed"),
         (["limits", "sockets"], "many", "limits.sockets"), (["limits", "sockets"], 3, "limits.sockets"),
@@ -212,23 +222,28 @@
         (["limits", "cores"], "all", "limits.cores"),
     ]  # fmt: skip
     for path, value, named in faults:
-        told = copy.deepcopy(TOLD)
-        place: Any = told
+        raw_configuration = copy.deepcopy(CONFIGURATION)
+        parent: Any = raw_configuration
         for step in path[:-1]:
-            place = place[step]
+            parent = parent[step]
         if value is None:
-            del place[path[-1]]
+            del parent[path[-1]]
         else:
-            place[path[-1]] = value
+            parent[path[-1]] = value
         with pytest.raises(configuration.ConfigurationError, match=named):
-            configuration.decode(orjson.dumps(told))
-    for broken in (b"", b"[]", b"{"):
+            configuration.decode(orjson.dumps(raw_configuration))
+    for body in (b"", b"[]", b"{"):
         with pytest.raises(configuration.ConfigurationError):
-            configuration.decode(broken)
+            configuration.decode(body)
 
 
 def test_stored_messages_keep_only_used_attributes() -> None:
     """Of a stored message only the attributes that are read are kept, and no long ones."""
-    said: json_lines.Attributes = {"note": "fill", "value": 1.5, "load": "x" * 5_000, "other": "o" * 9_000}
-    assert json_lines.kept_attributes(said) == {"note": "fill", "value": 1.5}
+    attributes: json_lines.Attributes = {
+        "note": "fill",
+        "value": 1.5,
+        "load": "x" * 5_000,
+        "other": "o" * 9_000,
+    }
+    assert json_lines.kept_attributes(attributes) == {"note": "fill", "value": 1.5}
     assert json_lines.kept_attributes({"load": "x0:1"}) == {"load": "x0:1"}
