--- a/oakcroft/platform/decision_host.py
+++ b/oakcroft/platform/decision_host.py
@@ -1,7 +1,7 @@
-"""The decision module's host on the platform: queues what the module asks for, and carries it out.
+"""The host of the decision module on the platform: queues the module's decisions and carries them out.
 
-The module calls its host while it is being called itself. What it asks for is queued and carried out after
-that call has returned, so the module is never called from within one of its own calls.
+The module calls its host while it handles an event. Its decisions are queued and carried out after that call
+has returned, so the module is never called from within one of its own calls.
 """
 
 from __future__ import annotations
--- a/oakcroft/platform/node_pool.py
+++ b/oakcroft/platform/node_pool.py
@@ -27,7 +27,7 @@
 # Consecutive failed connects after which a node's process counts as gone.
 REFUSALS_UNTIL_LOST = 2
 FAILURES_UNTIL_LOST = 5
-# Errors of a connect that are due to this machine and say nothing about the node.
+# Errors of a connect that are due to this machine, not to the node.
 LOCAL_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 MAX_UNSENT_MESSAGES = 512  # per node; over the limit the oldest is dropped
 RETIRED_CLOSE_TIMEOUT_NS = 2 * SECOND  # for the node to close its side of a retired connection
--- a/oakcroft/platform/node_pools.py
+++ b/oakcroft/platform/node_pools.py
@@ -33,7 +33,7 @@
     """Returns the time without a message after which a connect checks whether a node is still there.
 
     Nodes report the link load of each playback at a fixed interval, so one that is silent for longer may be gone.
-    Where nodes send no reports, silence says little, and an occasional connect checks the node.
+    Where nodes send no reports, silence is normal, and a connect checks the node less often.
     """
     if not settings.report_interval_ns:
         return SILENCE_WITHOUT_REPORTS_NS
@@ -109,7 +109,7 @@
             node.kind = member.kind
         if node.started_at < member.started_at:
             self.listener.node_restarted(pool, member.started_at)
-        link_capacity = self.configuration.link_rate_per_size * member.size
+        link_capacity = self.configuration.link_capacity_per_size * member.size
         playback_capacity = self.configuration.playback_capacity_by_kind.get(member.kind, 0.0)
         return NodeEntry(node, member.status, member.started_at, link_capacity, playback_capacity)
 
--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -61,8 +61,8 @@
 MAINTENANCE_INTERVAL_S = 0.1
 MAINTENANCE_ROUNDS_PER_LOG = 50
 CLOSE_CONFIRMATION_TIMEOUT_NS = 2 * SECOND  # for a node to confirm a close
-NO_CAUSE = -1  # stands for a close without a cause
-NO_RELEASE = 0  # in place of the cause of a release: none is sent
+NO_CAUSE = -1  # used for a close without a cause
+NO_RELEASE = 0  # used instead of a cause where no release is sent
 RELEASE_CAUSES = {Outcome.DONE: cause_codes.ENDED, Outcome.WITHDRAWN: NO_RELEASE}  # by the end at the node
 
 
@@ -99,7 +99,7 @@
         self.queued_requests: dict[str, SetupRequest] = {}  # by session id; they wait in the inbox
         # Ids whose set-up was sent and must not be repeated, the oldest first.
         self.non_repeatable_ids = OrderedDict[str, None]()
-        # Both are set when the front end is told to stop.
+        # Both are set by the stop signal.
         self.setups_close_at = NEVER
         self.last_answer_at = NEVER
         decision_host = self._create_decision_host()
@@ -326,7 +326,7 @@
 
     def _has_room_for(self, request: SetupRequest) -> bool:
         """Whether the limits allow one more session; those of set-ups do not apply to playbacks handed over."""
-        if len(self.sessions) >= min(MAX_SESSIONS, self.configuration.max_open):
+        if len(self.sessions) >= min(MAX_SESSIONS, self.configuration.max_sessions):
             return False
         if request.playing_node:
             return True
@@ -614,7 +614,7 @@
         self.releases.send(session.id, framing.encode_release(session.id, cause), session.viewer)
 
     def _on_decision_timer(self) -> None:
-        """Calls the decision module at a time that it has asked for."""
+        """Calls the decision module at a time that it has set."""
         self.controller.on_timer(self.clock.now())
 
     def _log_mode(self, message: str) -> None:
--- a/oakcroft/platformwire/cause_codes.py
+++ b/oakcroft/platformwire/cause_codes.py
@@ -8,4 +8,4 @@
 REJECTED = 42  # the set-up was rejected, and nothing ran
 
 # Closes to nodes.
-CANCELLED = 16  # nobody waits for the set-up any more, or the viewer ended the playback
+CANCELLED = 16  # the set-up was cancelled, or the viewer has ended the playback
--- a/oakcroft/platformwire/configuration.py
+++ b/oakcroft/platformwire/configuration.py
@@ -63,14 +63,14 @@
         self.abandon_ns_by_plan = {
             plan["name"]: terms.ms_to_ns(plan["deadlineMs"]) for plan in raw_settings["classes"]
         }
-        self.link_rate_per_size = float(family["weightKb"])
+        self.link_capacity_per_size = float(family["weightKb"])
         self.playback_capacity_by_kind: dict[str, float] = dict(
             zip(raw_settings["models"], family["kindSlots"], strict=True)
         )
         self.idle_timeout_ns = terms.ms_to_ns(permissions["connIdleMs"])
         self.connect_timeout_ns = terms.ms_to_ns(permissions["dialTimeoutMs"])
         self.streams_per_connection = int(permissions["streamsPerConn"])
-        self.max_open = int(permissions["maxOpen"])
+        self.max_sessions = int(permissions["maxOpen"])
 
 
 @contextmanager
--- a/oakcroft/platformwire/settings.py
+++ b/oakcroft/platformwire/settings.py
@@ -8,8 +8,8 @@
 
 from oakcroft import terms
 
-NOT_A_NUMBER = -1.0  # stands for a value that is not a number; below every range
-LEAST_POSITIVE = 1e-9  # for fields that must be more than 0
+NOT_A_NUMBER = -1.0  # used for a value of another type; below every range
+MIN_POSITIVE = 1e-9  # for fields that must be more than 0
 NUMBER_RANGES: dict[str, tuple[float, float]] = {
     "balancers": (0, inf),
     "me": (0, inf),
@@ -19,26 +19,36 @@
     "familyInfo.reportsEveryMs": (0, inf),
     "familyInfo.seenAfterMs": (0, inf),
     "familyInfo.uplinkKb": (0, inf),
-    "familyInfo.weightKb": (LEAST_POSITIVE, inf),
+    "familyInfo.weightKb": (MIN_POSITIVE, inf),
     "rules.coldMs": (0, inf),
     "rules.coldShare": (0, 1),
-    "rules.fallMultiple": (LEAST_POSITIVE, inf),
-    "rules.overloadForMs": (LEAST_POSITIVE, inf),
+    "rules.fallMultiple": (MIN_POSITIVE, inf),
+    "rules.overloadForMs": (MIN_POSITIVE, inf),
     "permissions.maxAttempts": (1, inf),
-    "permissions.connIdleMs": (LEAST_POSITIVE, inf),
-    "permissions.dialTimeoutMs": (LEAST_POSITIVE, inf),
+    "permissions.connIdleMs": (MIN_POSITIVE, inf),
+    "permissions.dialTimeoutMs": (MIN_POSITIVE, inf),
     "permissions.streamsPerConn": (1, inf),
     "permissions.maxOpen": (1, inf),
 }
-NUMBER_LISTS = {  # lists of numbers: minimum of each element, and the list that must have the same length
-    "familyInfo.classSeats": (0, "classes"), "familyInfo.classTop": (0, "classes"),
-    "familyInfo.floorByClass": (0, "classes"), "familyInfo.rateFactor": (LEAST_POSITIVE, "classes"),
-    "familyInfo.live": (0, "classes"), "familyInfo.ratesKb": (LEAST_POSITIVE, "familyInfo.rungWorth"),
-    "familyInfo.rungWorth": (0, "familyInfo.ratesKb"), "familyInfo.kindSlots": (0, "models"),
-}  # fmt: skip
-OPTIONAL_MINIMUMS = {"rules.extraFree": 0.0, "rules.extraShare": 0.0, "rules.budgetSpanMs": 0.0, "rules.askWithinMs": 0.0,
-            "permissions.maxRetryAfterMs": 0.0}  # fmt: skip
-CLASS_MINIMUMS = {"objectiveMs": LEAST_POSITIVE, "deadlineMs": LEAST_POSITIVE, "worth": 0.0}
+# Lists of numbers: the minimum of each element, and the list that must have the same length.
+NUMBER_LISTS = {
+    "familyInfo.classSeats": (0, "classes"),
+    "familyInfo.classTop": (0, "classes"),
+    "familyInfo.floorByClass": (0, "classes"),
+    "familyInfo.rateFactor": (MIN_POSITIVE, "classes"),
+    "familyInfo.live": (0, "classes"),
+    "familyInfo.ratesKb": (MIN_POSITIVE, "familyInfo.rungWorth"),
+    "familyInfo.rungWorth": (0, "familyInfo.ratesKb"),
+    "familyInfo.kindSlots": (0, "models"),
+}
+OPTIONAL_MINIMUMS = {
+    "rules.extraFree": 0.0,
+    "rules.extraShare": 0.0,
+    "rules.budgetSpanMs": 0.0,
+    "rules.askWithinMs": 0.0,
+    "permissions.maxRetryAfterMs": 0.0,
+}
+CLASS_MINIMUMS = {"objectiveMs": MIN_POSITIVE, "deadlineMs": MIN_POSITIVE, "worth": 0.0}
 
 
 class SettingsError(Exception):
@@ -58,7 +68,7 @@
     """Raises SettingsError if a field is not a number within a range."""
     value = float(raw) if isinstance(raw, int | float) else NOT_A_NUMBER
     if not minimum <= value <= maximum:
-        lower_bound = "greater than 0" if minimum == LEAST_POSITIVE else f"at least {minimum:g}"
+        lower_bound = "greater than 0" if minimum == MIN_POSITIVE else f"at least {minimum:g}"
         upper_bound = f" and at most {maximum:g}" if maximum < inf else ""
         raise SettingsError(f"settings.{path}: {str(raw)[:40]!r} is not a number {lower_bound}{upper_bound}")
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -215,7 +215,7 @@
 
 @pytest.mark.parametrize("closes", [True, False])
 def test_the_try_of_a_viewer_that_leaves_is_cancelled_at_the_node(closes: bool) -> None:
-    """The node is told when the viewer of an open set-up closes or releases it."""
+    """The node gets a close when the viewer of an open set-up closes its connection or releases the set-up."""
 
     async def test(rig: PlatformRig) -> None:
         viewer = await rig.viewer()
--- a/tests/test_platform_node_connections.py
+++ b/tests/test_platform_node_connections.py
@@ -62,7 +62,7 @@
         await wait_until(lambda: other.streams and C in rig.coordinator.sessions)
         await other.send(other.streams[0], msg=repeated, sid=A, attrs={}, text="of another node", code=16)
         await node.send(node.streams[0], msg="ready", sid=A, attrs={}, text="twice")
-        await node.send(node.streams[0], msg=repeated, sid="f" * 16, attrs={}, text="of nobody", code=34)
+        await node.send(node.streams[0], msg=repeated, sid="f" * 16, attrs={}, text="of no session", code=34)
         await viewer.send(framing.TEST, "e" * 16, 0)
         assert (await viewer.receive() or ())[:2] == (framing.TESTED, "e" * 16)
         assert rig.coordinator.sessions[A].playback.state is PlaybackState.PLAYING
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -142,7 +142,7 @@
 ) -> None:
     """Thirty processes with their own clocks and lists keep the common pace of set-ups to cold nodes.
 
-    All nodes count as cold, since no front end has heard of them, and a third of the front ends restart.
+    All nodes count as cold, since no front end has a report of them, and a third of the front ends restart.
     """
     window_s = 1.0
     capacity = 40
--- a/tests/test_platform_viewer_connections.py
+++ b/tests/test_platform_viewer_connections.py
@@ -109,7 +109,9 @@
     run_on_platform(test)
 
 
-@pytest.mark.parametrize("is_unsent", [False, True], ids=["strangers there", "strangers come"])
+@pytest.mark.parametrize(
+    "is_unsent", [False, True], ids=["other connections open", "other connections open later"]
+)
 def test_an_unconfirmed_release_is_resent_on_other_connections(is_unsent: bool) -> None:
     """A release that is not confirmed is sent again on other connections."""
 
