--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -10,9 +10,11 @@
 import trio
 from platform_stubs import StubChannel, StubNode, StubViewer
 
+from oakcroft.config import pipeline
 from oakcroft.platform.serve import PlatformFrontEnd
 from oakcroft.platform.session_coordinator import SessionCoordinator
 from oakcroft.platformwire import configuration
+from oakcroft.rulecheck.rules import check_rules
 
 A, B, C = "000000000000000a", "000000000000000b", "000000000000000c"  # session ids
 FAILED, REJECTED, ENDED = 41, 42, 16  # causes of releases, as numbers on the wire
@@ -147,6 +149,28 @@
         self.channel.cmds.append({"cursor": cursor, "nodes": {"complete": False, "members": list(members)}})
 
 
+def rule_settings() -> Any:
+    """Returns the deployment settings by which the recorded facts are judged."""
+    found, _problems = pipeline.check_file(
+        "s",
+        lambda _: (
+            """(fleet (fronts 1) (cells 2) (drain-grace 250ms) (cold-share 0.5) (cold-for 200ms)
+    (fall-multiple 50) (fall-window 1s)) (ladder (rates 100kB/s 200kB/s 400kB/s) (worth 0.3 0.6 1))
+  (plan paid (effect paid) (startup-target 300ms) (abandon 1200ms) (revenue 2))
+  (plan free (effect free) (startup-target 400ms) (abandon 1500ms) (revenue 1))
+  (route p (path "/p/") (plan paid)) (route f (path "/f/") (plan free))"""
+        ),
+        is_front_file=False,
+    )
+    assert found is not None
+    return pipeline.build_deployment(found).shared
+
+
+def rule_breaches(rig: PlatformRig) -> list[str]:
+    """Returns the breaches of the rules in the recorded facts."""
+    return [breach for finding in check_rules(rig.facts, rule_settings()) for breach in finding.breaches]
+
+
 def run_on_platform(
     test: Callable[[PlatformRig], Awaitable[None]],
     dead: int = -1,
--- a/tests/test_node_changes.py
+++ b/tests/test_node_changes.py
@@ -8,7 +8,6 @@
 
 import pytest
 import trio
-import trio.testing
 from oakcroft.decisions.sessions.answers import FinalAnswer
 from oakcroft.decisions.routing.catalogue import CatalogueVerdict
 from oakcroft.decisions.state.recovery import NodePenalty, SlotUsage
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -2,54 +2,19 @@
 
 from __future__ import annotations
 
-import os
-import subprocess
-import sys
-import time
-from functools import partial
-from pathlib import Path
-from typing import Any
-
-import orjson
 import pytest
 import structlog
 import trio
-from platform_rig import ENDED, FAILED, REJECTED, A, B, C, PlatformRig, run_on_platform
+from platform_rig import ENDED, FAILED, REJECTED, A, B, C, PlatformRig, rule_breaches, run_on_platform
 from rig import wait_until
 
-from oakcroft.config import pipeline
-from oakcroft.decisions.fleet import node_list_freshness
-from oakcroft.interface import MS, SECOND, NodeStatus, PlaybackState
+from oakcroft.interface import NodeStatus, PlaybackState
 from oakcroft.platform import session_coordinator
 from oakcroft.platform.node_pool import NodePool
-from oakcroft.platform.playback_session import SetupRequest
 from oakcroft.platformwire import framing
-from oakcroft.rulecheck.rules import check_rules
 from oakcroft.running.logs import LineRateLimiter
 
 
-def rule_settings() -> Any:
-    """Returns the deployment settings by which the recorded facts are judged."""
-    found, _problems = pipeline.check_file(
-        "s",
-        lambda _: (
-            """(fleet (fronts 1) (cells 2) (drain-grace 250ms) (cold-share 0.5) (cold-for 200ms)
-    (fall-multiple 50) (fall-window 1s)) (ladder (rates 100kB/s 200kB/s 400kB/s) (worth 0.3 0.6 1))
-  (plan paid (effect paid) (startup-target 300ms) (abandon 1200ms) (revenue 2))
-  (plan free (effect free) (startup-target 400ms) (abandon 1500ms) (revenue 1))
-  (route p (path "/p/") (plan paid)) (route f (path "/f/") (plan free))"""
-        ),
-        is_front_file=False,
-    )
-    assert found is not None
-    return pipeline.build_deployment(found).shared
-
-
-def rule_breaches(rig: PlatformRig) -> list[str]:
-    """Returns the breaches of the rules in the recorded facts."""
-    return [breach for finding in check_rules(rig.facts, rule_settings()) for breach in finding.breaches]
-
-
 def test_a_playback_from_set_up_to_its_end() -> None:
     """A paid playback from the health check to its release: messages, reports and the final state."""
 
@@ -347,79 +312,6 @@
     run_on_platform(test)
 
 
-def test_the_list_changes_while_serving_and_a_new_node_may_take_an_address() -> None:
-    """Removals, drains and restarts on the command channel apply while it is served, also after a damaged
-    answer.
-
-    A new node that takes the address of a removed one is a different node.
-    """
-
-    async def test(rig: PlatformRig) -> None:
-        viewer, (gone, stays) = await rig.viewer(), rig.nodes
-        await viewer.send_setup(A, at="n0", wait="0")
-        await wait_until(lambda: A in rig.coordinator.sessions and rig.coordinator.pools["n0"].connections)
-        rig.channel.truncated_answers = 1
-        rig.add_list_change(2, rig.member(gone, "removed"), rig.member(gone, "up", "n0b"))
-        assert await viewer.receive() == (framing.RELEASE, A, FAILED, b"")
-        await wait_until(lambda: set(rig.coordinator.pools) == {"n0b", "n1"})
-        rig.channel.is_silent = True
-        await wait_until(lambda: rig.channel.polls.count(2) >= 2)
-        rig.channel.is_silent = False
-        rig.add_list_change(3, rig.member(stays, "draining"))
-        await wait_until(lambda: rig.channel.polls[-1] == 3)
-        await viewer.send_setup(B)
-        assert (await viewer.receive() or (0,))[0] == framing.ANSWER
-        assert not stays.received_messages("open")
-        assert rig.coordinator.pools["n0b"].playing_sessions
-        rig.add_list_change(
-            4, rig.member(stays, "removed"), rig.member(gone, "up", "n0b") | {"up_since_ms": 10**13}
-        )
-        assert await viewer.receive() == (framing.RELEASE, B, FAILED, b"")  # its node was restarted
-        await wait_until(lambda: set(rig.coordinator.pools) == {"n0b"})
-
-    run_on_platform(test)
-
-
-def test_a_reload_applies_the_channel_address_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    """A reload applies the channel's new address; a file that is not valid JSON has no effect."""
-
-    async def test(rig: PlatformRig) -> None:
-        rig.platform.configuration_file = tmp_path / "config.json"
-        rig.platform.configuration_file.write_bytes(b"{")
-        rig.platform.reload()
-        configuration = rig.configuration()
-        rig.channel.polls.clear()
-        await wait_until(lambda: rig.channel.polls)
-        old, rig.channel.port = rig.channel, await rig.listen(rig.channel.serve)
-        rig.platform.configuration_file.write_bytes(
-            orjson.dumps(configuration | {"channel": f"127.0.0.1:{old.port}"})
-        )
-        rig.platform.reload()
-        assert rig.platform.channel_follower is not None
-        assert rig.platform.channel_follower.address[1] == old.port
-        rig.add_list_change(2, rig.member(rig.nodes[0], "removed"))
-        await wait_until(lambda: set(rig.coordinator.pools) == {"n1"})
-
-    run_on_platform(test)
-
-
-def test_after_the_stop_signal_requests_are_answered_and_playbacks_go_on() -> None:
-    """Requests after the stop signal are served, and no playback is ended at its node."""
-
-    async def test(rig: PlatformRig) -> None:
-        viewer = await rig.viewer()
-        await viewer.send_setup(A)
-        await viewer.receive()
-        rig.stop.set()
-        late = await rig.viewer()
-        await late.send_setup(B)
-        assert (await late.receive() or (0,))[0] == framing.ANSWER
-        await rig.ended.wait()
-        assert not any(node.received_messages("close") for node in rig.nodes)
-
-    run_on_platform(test)
-
-
 def test_playbacks_on_a_lost_node_are_released() -> None:
     """Viewers get a release when the node of their playback cannot be reached any more."""
 
@@ -471,43 +363,6 @@
     run_on_platform(test)
 
 
-def test_a_start_without_a_valid_configuration_exits_with_a_one_line_error(tmp_path: Path) -> None:
-    """The process exits with code 2 and one line on standard error."""
-    file = tmp_path / "config.json"
-    file.write_text('{"name": "n0"}')
-    for name, message in (
-        ("", "PROXY_CONFIG is not set"),
-        (str(file), "listen"),
-        (str(tmp_path / "none"), "none"),
-    ):
-        done = subprocess.run(
-            [sys.executable, "-m", "oakcroft", "platform"], capture_output=True, text=True, check=False,
-            env={**os.environ, "PROXY_CONFIG": name},
-        )  # fmt: skip
-        assert done.returncode == 2
-        assert len(done.stderr.splitlines()) == 1
-        assert message in done.stderr
-
-
-def test_the_platform_imports_no_unneeded_packages() -> None:
-    """The platform's process does not import packages that only other commands use."""
-    code = "import sys, oakcroft.platform.serve; print(*sorted(m for m in sys.modules))"
-    loaded = subprocess.run(
-        [sys.executable, "-c", code], capture_output=True, text=True, check=True
-    ).stdout.split()
-    for part in (
-        "apsw",
-        "lark",
-        "click",
-        "wsproto",
-        "hdrh",
-        "oakcroft.config",
-        "oakcroft.store",
-        "oakcroft.front",
-    ):
-        assert part not in loaded
-
-
 def test_a_connection_that_is_retired_is_read_to_its_end() -> None:
     """A close that is on its way when a connection is retired still arrives."""
 
@@ -609,97 +464,3 @@
         assert coordinator.description_chars == 0
 
     run_on_platform(test)
-
-
-def test_a_starting_front_end_sends_nothing_to_a_node_that_began_to_drain() -> None:
-    """A front end that starts must not serve on the list from before its start.
-
-    Seen on the bench (herd+mass): front ends served for 4 to 106 ms on the old list.
-    """
-
-    async def test(rig: PlatformRig) -> None:
-        rig.channel.is_silent = True  # the command channel is slow to answer
-        rig.nursery.start_soon(rig.start)
-        await wait_until(lambda: rig.channel.polls == [1])
-        with pytest.raises(OSError, match=r"."):
-            await trio.open_tcp_stream("127.0.0.1", rig.platform.port)  # not listening yet
-        drains = rig.member(rig.nodes[0], "draining")
-        rig.channel.cmds.append({"cursor": 2, "nodes": {"complete": False, "members": [drains]}})
-        rig.channel.is_silent = False
-        await wait_until(lambda: rig.port)
-        viewer = await rig.viewer()
-        reply_kinds = list[int]()
-        for i in range(8):
-            await viewer.send_setup(f"{i:016x}", "free", title=f"t{i}")
-            reply_kinds.append((await viewer.receive() or (0,))[0])
-        assert framing.ANSWER in reply_kinds
-        assert not rig.nodes[0].received_messages("open")
-        assert rule_breaches(rig) == []
-
-    run_on_platform(test, started=False)
-
-
-def test_a_front_end_that_starts_without_the_channel_uses_the_known_list(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """If the command channel does not answer, the front end serves on the known list after a time."""
-    monkeypatch.setattr(node_list_freshness, "MAX_LIST_WAIT", 300 * MS)
-
-    async def test(rig: PlatformRig) -> None:
-        rig.channel.is_silent = True
-        await rig.start()
-        assert not rig.platform.channel_follower.freshness.is_confirmed  # type: ignore[union-attr]
-        viewer = await rig.viewer()
-        await viewer.send_setup(A, "free")
-        reply = await viewer.receive()
-        assert reply is not None
-        assert reply[0] == framing.ANSWER
-
-    run_on_platform(test, started=False)
-
-
-def test_list_changes_are_applied_before_queued_set_ups() -> None:
-    """A list change takes effect before the set-ups that wait in the inbox of a front end that is behind."""
-
-    async def test(rig: PlatformRig) -> None:
-        viewer = await rig.viewer()
-        await wait_until(lambda: rig.coordinator.viewer_connections)
-        connection, coordinator = next(iter(rig.coordinator.viewer_connections)), rig.coordinator
-        for i in range(100, 124):
-            await viewer.send_setup(f"{i:016x}", title=f"t{i}")
-            await viewer.receive()
-        before = [len(node.received_messages("open")) for node in rig.nodes]
-        assert all(before)  # an open connection to each node, so that a set-up is sent at once
-        for pool in coordinator.pools.values():
-            pool.max_connections = 1
-        rig.channel.is_silent = True
-        rig.channel.polls.clear()
-        await wait_until(lambda: rig.channel.polls)
-        now = coordinator.clock.now()
-        for i in range(24):  # half a second of work, and the requests that arrive meanwhile
-            coordinator.event_sender.send_nowait(partial(time.sleep, 0.02))
-            coordinator.request_received(
-                SetupRequest(connection, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", "")
-            )
-        rig.channel.answer_now(2, rig.member(rig.nodes[0], "draining"))
-        for _ in range(24):
-            await viewer.receive()
-        assert len(rig.nodes[1].received_messages("open")) > before[1]
-        assert len(rig.nodes[0].received_messages("open")) <= before[0] + 2  # those of one turn of the loop
-
-    run_on_platform(test)
-
-
-def test_a_channel_that_closes_after_each_answer_does_not_count_as_failing() -> None:
-    """Connections that the channel closes after an answer do not count as failures."""
-
-    async def test(rig: PlatformRig) -> None:
-        rig.channel.closes_after_answer = True
-        for cursor in (2, 3, 4):
-            rig.add_list_change(cursor, rig.member(rig.nodes[0], "draining" if cursor % 2 == 0 else "up"))
-            await wait_until(lambda expected=cursor: rig.platform.channel_follower.last_cursor == expected)  # type: ignore[misc,union-attr]
-        assert rig.coordinator.pools["n0"].node.status is NodeStatus.DRAINING
-        assert rig.platform.channel_follower is not None
-        assert rig.platform.channel_follower.freshness.is_current
-
-    run_on_platform(test)
--- a/tests/test_platform_channel.py
+++ b/tests/test_platform_channel.py
@@ -1,15 +1,23 @@
-"""A command channel that sends damaged answers or falls silent."""
+"""Changes on the command channel while a front end starts or serves, and a channel that fails."""
 
 from __future__ import annotations
 
+import time
 from contextlib import suppress
+from functools import partial
+from pathlib import Path
 
+import orjson
 import pytest
-from platform_rig import PlatformRig, run_on_platform
+import trio
+from platform_rig import FAILED, A, B, PlatformRig, rule_breaches, run_on_platform
 from rig import wait_until
 
-from oakcroft.interface import NodeStatus
+from oakcroft.decisions.fleet import node_list_freshness
+from oakcroft.interface import MS, SECOND, NodeStatus
 from oakcroft.platform import channel_follower
+from oakcroft.platform.playback_session import SetupRequest
+from oakcroft.platformwire import framing
 
 DELIVERY_TIMEOUT_S = 2  # after the wait that a poll asks for, an event counts as delivered
 
@@ -53,3 +61,154 @@
         assert rig.coordinator.pools["n0"].node.status is NodeStatus.READY
 
     run_on_platform(test)
+
+
+def test_the_list_changes_while_serving_and_a_new_node_may_take_an_address() -> None:
+    """Removals, drains and restarts on the command channel apply while it is served, also after a damaged
+    answer.
+
+    A new node that takes the address of a removed one is a different node.
+    """
+
+    async def test(rig: PlatformRig) -> None:
+        viewer, (gone, stays) = await rig.viewer(), rig.nodes
+        await viewer.send_setup(A, at="n0", wait="0")
+        await wait_until(lambda: A in rig.coordinator.sessions and rig.coordinator.pools["n0"].connections)
+        rig.channel.truncated_answers = 1
+        rig.add_list_change(2, rig.member(gone, "removed"), rig.member(gone, "up", "n0b"))
+        assert await viewer.receive() == (framing.RELEASE, A, FAILED, b"")
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n0b", "n1"})
+        rig.channel.is_silent = True
+        await wait_until(lambda: rig.channel.polls.count(2) > 1)
+        rig.channel.is_silent = False
+        drain_cursor = 3
+        rig.add_list_change(drain_cursor, rig.member(stays, "draining"))
+        await wait_until(lambda: rig.channel.polls[-1] == drain_cursor)
+        await viewer.send_setup(B)
+        assert (await viewer.receive() or (0,))[0] == framing.ANSWER
+        assert not stays.received_messages("open")
+        assert rig.coordinator.pools["n0b"].playing_sessions
+        rig.add_list_change(
+            4, rig.member(stays, "removed"), rig.member(gone, "up", "n0b") | {"up_since_ms": 10**13}
+        )
+        assert await viewer.receive() == (framing.RELEASE, B, FAILED, b"")  # its node was restarted
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n0b"})
+
+    run_on_platform(test)
+
+
+def test_a_reload_applies_the_channel_address_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    """A reload applies the channel's new address; a file that is not valid JSON has no effect."""
+
+    async def test(rig: PlatformRig) -> None:
+        rig.platform.configuration_file = tmp_path / "config.json"
+        rig.platform.configuration_file.write_bytes(b"{")
+        rig.platform.reload()
+        configuration = rig.configuration()
+        rig.channel.polls.clear()
+        await wait_until(lambda: rig.channel.polls)
+        old, rig.channel.port = rig.channel, await rig.listen(rig.channel.serve)
+        rig.platform.configuration_file.write_bytes(
+            orjson.dumps(configuration | {"channel": f"127.0.0.1:{old.port}"})
+        )
+        rig.platform.reload()
+        assert rig.platform.channel_follower is not None
+        assert rig.platform.channel_follower.address[1] == old.port
+        rig.add_list_change(2, rig.member(rig.nodes[0], "removed"))
+        await wait_until(lambda: set(rig.coordinator.pools) == {"n1"})
+
+    run_on_platform(test)
+
+
+def test_a_starting_front_end_sends_nothing_to_a_node_that_began_to_drain() -> None:
+    """A front end that starts must not serve on the list from before its start.
+
+    Seen on the bench (herd+mass): front ends served for 4 to 106 ms on the old list.
+    """
+
+    async def test(rig: PlatformRig) -> None:
+        rig.channel.is_silent = True  # the command channel is slow to answer
+        rig.nursery.start_soon(rig.start)
+        await wait_until(lambda: rig.channel.polls == [1])
+        with pytest.raises(OSError, match=r"."):
+            await trio.open_tcp_stream("127.0.0.1", rig.platform.port)  # not listening yet
+        drains = rig.member(rig.nodes[0], "draining")
+        rig.channel.cmds.append({"cursor": 2, "nodes": {"complete": False, "members": [drains]}})
+        rig.channel.is_silent = False
+        await wait_until(lambda: rig.port)
+        viewer = await rig.viewer()
+        reply_kinds = list[int]()
+        for i in range(8):
+            await viewer.send_setup(f"{i:016x}", "free", title=f"t{i}")
+            reply_kinds.append((await viewer.receive() or (0,))[0])
+        assert framing.ANSWER in reply_kinds
+        assert not rig.nodes[0].received_messages("open")
+        assert rule_breaches(rig) == []
+
+    run_on_platform(test, started=False)
+
+
+def test_a_front_end_that_starts_without_the_channel_uses_the_known_list(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """If the command channel does not answer, the front end serves on the known list after a time."""
+    monkeypatch.setattr(node_list_freshness, "MAX_LIST_WAIT", 300 * MS)
+
+    async def test(rig: PlatformRig) -> None:
+        rig.channel.is_silent = True
+        await rig.start()
+        assert not rig.platform.channel_follower.freshness.is_confirmed  # type: ignore[union-attr]
+        viewer = await rig.viewer()
+        await viewer.send_setup(A, "free")
+        reply = await viewer.receive()
+        assert reply is not None
+        assert reply[0] == framing.ANSWER
+
+    run_on_platform(test, started=False)
+
+
+def test_list_changes_are_applied_before_queued_set_ups() -> None:
+    """A list change takes effect before the set-ups that wait in the inbox of a front end that is behind."""
+
+    async def test(rig: PlatformRig) -> None:
+        viewer = await rig.viewer()
+        await wait_until(lambda: rig.coordinator.viewer_connections)
+        connection, coordinator = next(iter(rig.coordinator.viewer_connections)), rig.coordinator
+        for i in range(100, 124):
+            await viewer.send_setup(f"{i:016x}", title=f"t{i}")
+            await viewer.receive()
+        before = [len(node.received_messages("open")) for node in rig.nodes]
+        assert all(before)  # an open connection to each node, so that a set-up is sent at once
+        for pool in coordinator.pools.values():
+            pool.max_connections = 1
+        rig.channel.is_silent = True
+        rig.channel.polls.clear()
+        await wait_until(lambda: rig.channel.polls)
+        now = coordinator.clock.now()
+        for i in range(24):  # half a second of work, and the requests that arrive meanwhile
+            coordinator.event_sender.send_nowait(partial(time.sleep, 0.02))
+            coordinator.request_received(
+                SetupRequest(connection, f"{i:016x}", now, "free", SECOND, f"t{i}", 0, 0, 2, "offer", "")
+            )
+        rig.channel.answer_now(2, rig.member(rig.nodes[0], "draining"))
+        for _ in range(24):
+            await viewer.receive()
+        assert len(rig.nodes[1].received_messages("open")) > before[1]
+        assert len(rig.nodes[0].received_messages("open")) <= before[0] + 2  # those of one turn of the loop
+
+    run_on_platform(test)
+
+
+def test_a_channel_that_closes_after_each_answer_does_not_count_as_failing() -> None:
+    """Connections that the channel closes after an answer do not count as failures."""
+
+    async def test(rig: PlatformRig) -> None:
+        rig.channel.closes_after_answer = True
+        for cursor in (2, 3, 4):
+            rig.add_list_change(cursor, rig.member(rig.nodes[0], "draining" if cursor % 2 == 0 else "up"))
+            await wait_until(lambda expected=cursor: rig.platform.channel_follower.last_cursor == expected)  # type: ignore[misc,union-attr]
+        assert rig.coordinator.pools["n0"].node.status is NodeStatus.DRAINING
+        assert rig.platform.channel_follower is not None
+        assert rig.platform.channel_follower.freshness.is_current
+
+    run_on_platform(test)
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""Front ends as processes of their own, as the platform starts them."""
+"""Front ends as processes of their own: start, descriptors, stop signals and the common cold pace."""
 
 from __future__ import annotations
 
@@ -17,10 +17,7 @@
 import orjson
 import pytest
 import trio
-import trio.testing
-from platform_gates import (
-    setup_count,
-)
+from platform_gates import setup_count
 from platform_rig import FAILED, SETTINGS, A, PlatformRig, run_on_platform
 from platform_stubs import StubViewer
 from rig import wait_until
@@ -29,6 +26,8 @@
 from oakcroft.platform import serve
 from oakcroft.platformwire import framing
 
+CONFIGURATION_EXIT_CODE = 2
+
 
 @asynccontextmanager
 async def running_process(
@@ -186,3 +185,40 @@
             assert len(times) > setup_budget / 2  # a front end that sends nothing would keep any pace
 
     run_on_platform(test, started=False, within=90)
+
+
+def test_a_start_without_a_valid_configuration_exits_with_a_one_line_error(tmp_path: Path) -> None:
+    """The process exits with code 2 and one line on standard error."""
+    file = tmp_path / "config.json"
+    file.write_text('{"name": "n0"}')
+    for name, message in (
+        ("", "PROXY_CONFIG is not set"),
+        (str(file), "listen"),
+        (str(tmp_path / "none"), "none"),
+    ):
+        done = subprocess.run(
+            [sys.executable, "-m", "oakcroft", "platform"], capture_output=True, text=True, check=False,
+            env={**os.environ, "PROXY_CONFIG": name},
+        )  # fmt: skip
+        assert done.returncode == CONFIGURATION_EXIT_CODE
+        assert len(done.stderr.splitlines()) == 1
+        assert message in done.stderr
+
+
+def test_the_platform_imports_no_unneeded_packages() -> None:
+    """The platform's process does not import packages that only other commands use."""
+    code = "import sys, oakcroft.platform.serve; print(*sorted(m for m in sys.modules))"
+    loaded = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    ).stdout.split()
+    for part in (
+        "apsw",
+        "lark",
+        "click",
+        "wsproto",
+        "hdrh",
+        "oakcroft.config",
+        "oakcroft.store",
+        "oakcroft.front",
+    ):
+        assert part not in loaded
--- a/tests/test_platform_shutdown.py
+++ b/tests/test_platform_shutdown.py
@@ -7,11 +7,7 @@
 import pytest
 import trio
 import trio.testing
-from platform_gates import (
-    fill_send_buffer,
-    gate_coordinator,
-    gate_viewer_readers,
-)
+from platform_gates import fill_send_buffer, gate_coordinator, gate_viewer_readers
 from platform_rig import FAILED, REJECTED, A, B, C, PlatformRig, run_on_platform
 from platform_stubs import StubViewer
 from rig import wait_until
@@ -189,3 +185,20 @@
 def test_the_wait_for_the_list_shrinks_with_the_startup_time(start_duration: int, wait_s: int) -> None:
     """The wait for the list shrinks with the time the process took to start."""
     assert NodeListFreshness(100 * SECOND, start_duration).opens_at_latest == (100 + wait_s) * SECOND
+
+
+def test_after_the_stop_signal_requests_are_answered_and_playbacks_go_on() -> None:
+    """Requests after the stop signal are served, and no playback is ended at its node."""
+
+    async def test(rig: PlatformRig) -> None:
+        viewer = await rig.viewer()
+        await viewer.send_setup(A)
+        await viewer.receive()
+        rig.stop.set()
+        late = await rig.viewer()
+        await late.send_setup(B)
+        assert (await late.receive() or (0,))[0] == framing.ANSWER
+        await rig.ended.wait()
+        assert not any(node.received_messages("close") for node in rig.nodes)
+
+    run_on_platform(test)
--- a/tests/test_platform_viewer_connections.py
+++ b/tests/test_platform_viewer_connections.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-
 import pytest
 import trio
-import trio.testing
 from platform_gates import (
     gate_viewer_readers,
     setup_count,
--- a/tests/test_platform_viewer_leaving.py
+++ b/tests/test_platform_viewer_leaving.py
@@ -6,10 +6,8 @@
 
 from __future__ import annotations
 
-
 import pytest
 import trio
-import trio.testing
 from platform_gates import (
     check_cleaned_up,
     fill_send_buffer,
--- a/tests/test_platformwire.py
+++ b/tests/test_platformwire.py
@@ -191,14 +191,21 @@
             command_channel.decode_events(body()[:cut])
 
 
-CONFIGURATION = {"name": "n0", "listen": "127.0.0.1:5070", "seed": "8c1f", "limits": {"sockets": 256, "memory_mb": 32},
-        "channel": "127.0.0.1:9092",
-        "known": {"cursor": 0, "cmds": []}, "settings": SETTINGS}  # fmt: skip
+MAX_SOCKETS = 256
+CONFIGURATION = {
+    "name": "n0",
+    "listen": "127.0.0.1:5070",
+    "seed": "8c1f",
+    "limits": {"sockets": MAX_SOCKETS, "memory_mb": 32},
+    "channel": "127.0.0.1:9092",
+    "known": {"cursor": 0, "cmds": []},
+    "settings": SETTINGS,
+}
 
 
 def test_an_invalid_configuration_names_the_field() -> None:
     """The error names the field that is missing or invalid."""
-    assert configuration.decode(orjson.dumps(CONFIGURATION)).max_sockets == 256
+    assert configuration.decode(orjson.dumps(CONFIGURATION)).max_sockets == MAX_SOCKETS
     faults: list[tuple[list[Any], Any, str]] = [
         (["listen"], None, "listen"), (["channel"], "here:1", "channel"), (["seed"], "zz", "seed"),
         (["limits", "sockets"], "many", "limits.sockets"), (["limits", "sockets"], 3, "limits.sockets"),
--- a/tests/test_repeated_requests.py
+++ b/tests/test_repeated_requests.py
@@ -10,7 +10,6 @@
 import orjson
 import pytest
 import trio
-import trio.testing
 from oakcroft.decisions.sessions.answers import FinalAnswer
 from oakcroft.decisions.sessions.node_sessions import NodeSessions
 from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
