--- a/oakcroft/platform/session_coordinator.py
+++ b/oakcroft/platform/session_coordinator.py
@@ -544,9 +544,8 @@
             answer = framing.encode(framing.ANSWER, session.id, (framing.TEXT, (text or "").encode()))
         except ValueError:
             text = None
-        if (
-            not text
-        ):  # the viewer cannot use the answer: the node gets a close, and the try counts as one that ran
+        if not text:
+            # The viewer cannot use the answer: the node gets a close, and the try counts as one that ran.
             pool.cancel_setup(session)
             self.try_ended(session, Outcome.ERROR, None)
             return
