--- a/oakcroft/platform/handover.py
+++ b/oakcroft/platform/handover.py
@@ -12,9 +12,7 @@
 from oakcroft.interface import SECOND
 from oakcroft.running.inbox import Event
 
-HANDOVER_WINDOW_NS = (
-    15 * SECOND
-)  # from the platform's first health check; viewers hand over playbacks by then
+HANDOVER_WINDOW_NS = 15 * SECOND  # after the first health check; viewers hand over their playbacks by then
 MAX_EARLY_SESSIONS = 4_096  # sessions with messages of nodes before their viewers hand them over
 EARLY_MESSAGES_PER_SESSION = 4
 
