--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -23,7 +23,7 @@
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.node_list_client import NodeListError, NodeListFollower, load_list, parse_response
-from oakcroft.front.operators_api import OPERATORS_PATH as OPERATORS, OperatorsApi
+from oakcroft.front.operators_api import OPERATORS_PATH, OperatorsApi
 from oakcroft.front.node_client import FrontIdentity
 from oakcroft.front.service_levels import ServiceLevelControl
 from oakcroft.front.zone_routing import ZoneRouting
@@ -87,8 +87,8 @@
         self.session_api: SessionApi | None = None
         self.read_count = 0
         self.restored_state: StateContents | None = None
-        self.catalogues: CatalogueVersions | None = None
-        self.adopting: TakeoverRunner | None = None
+        self.catalogue_versions: CatalogueVersions | None = None
+        self.takeover_runner: TakeoverRunner | None = None
         self.open_state_file: Callable[[str], StateFile] | None = None  # replaces the file system's
 
     async def run(
@@ -127,18 +127,20 @@
                 front_settings.zone, coordinator, connection_table, shutdown, clock, self.log
             )
             session_api = SessionApi(service, nursery, self.log)
-            self.catalogues = catalogues = CatalogueVersions(coordinator, self.log)
-            service.service_levels = service_levels = ServiceLevelControl(
+            self.catalogue_versions = catalogue_versions = CatalogueVersions(coordinator, self.log)
+            service.level_control = level_control = ServiceLevelControl(
                 coordinator, Random(front_settings.seed + 4), self.log
             )
-            nursery.start_soon(service_levels.run)
+            nursery.start_soon(level_control.run)
             service.zone_routing = zone_routing = ZoneRouting(
                 coordinator, front_settings.zone, Random(front_settings.seed + 5), self.log
             )
             nursery.start_soon(zone_routing.run)
-            operators_api = OperatorsApi(coordinator, catalogues, service_levels, zone_routing)
+            operators_api = OperatorsApi(coordinator, catalogue_versions, level_control, zone_routing)
             whip_whep_api = WhipWhepApi(
-                service, (SESSION_API_PATH, session_api.upgrade_response), (OPERATORS, operators_api.handle)
+                service,
+                (SESSION_API_PATH, session_api.upgrade_response),
+                (OPERATORS_PATH, operators_api.handle),
             )
             nursery.start_soon(session_api.expire_client_sessions)
             self.session_api = session_api
@@ -153,8 +155,8 @@
             self.pending_requests = service.pending_requests
             store = await self._open_store(coordinator, clock)
             peers = self._create_peers(coordinator, clock)
-            catalogues.restore(self.restored_state)
-            nursery.start_soon(catalogues.run)
+            catalogue_versions.restore(self.restored_state)
+            nursery.start_soon(catalogue_versions.run)
             nursery.start_soon(service.run_queue)
             nursery.start_soon(coordinator.run)
             nursery.start_soon(coordinator.monitor_pauses)
@@ -169,7 +171,7 @@
                 peer, clock, rng, front_settings.node_list_file, pseudonym, coordinator.apply_list, self.log
             )
             nursery.start_soon(follower.run)
-            leave = await self._join_fleet(peers, service, operators_api, catalogues, nursery)
+            leave = await self._join_fleet(peers, service, operators_api, catalogue_versions, nursery)
             await self._wait_for_node_list(follower, coordinator)
             listeners = await trio.open_tcp_listeners(
                 front_settings.port, host=front_settings.host, backlog=4096
@@ -234,8 +236,8 @@
                     fronts=coordinator.site.terms.front_count,
                     left=view.left_count(),
                 )
-            if self.adopting is not None:
-                self.adopting.update_fronts()
+            if self.takeover_runner is not None:
+                self.takeover_runner.update_fronts()
 
         try:
             record = (
@@ -268,7 +270,7 @@
         peers: PeerEndpoint | None,
         service: SessionService,
         operators: OperatorsApi,
-        catalogues: CatalogueVersions,
+        catalogue_versions: CatalogueVersions,
         nursery: trio.Nursery,
     ) -> Callable[[], Awaitable[None]] | None:
         """Joins the membership of the fleet; returns the function by which to leave it in order."""
@@ -281,7 +283,7 @@
             from oakcroft.front.catalogue_rollout import CatalogueRollout
 
             operators.leases = peers.leases
-            operators.rollout = rollout = CatalogueRollout(coordinator, catalogues, peers, self.log)
+            operators.rollout = rollout = CatalogueRollout(coordinator, catalogue_versions, peers, self.log)
             nursery.start_soon(rollout.run)
         if peer_settings.probe_interval_ns:
             from oakcroft.front.load_probing import LoadProbing
@@ -298,7 +300,7 @@
             def register_publisher(session: PlaybackSession) -> None:
                 service.publishers[session.playback.title.name] = session
 
-            self.adopting = TakeoverRunner(
+            self.takeover_runner = TakeoverRunner(
                 coordinator,
                 peers.membership,
                 peer_settings.takeover_bounds,
@@ -306,8 +308,8 @@
                 service.shutdown.accepts_requests,
                 self.log,
             )
-            operators.takeover = self.adopting
-            nursery.start_soon(self.adopting.run)
+            operators.takeover = self.takeover_runner
+            nursery.start_soon(self.takeover_runner.run)
         await nursery.start(peers.run)
         return peers.leave
 
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -53,10 +53,10 @@
     def status(self) -> dict[str, object]:
         """The leases as this front end knows them."""
 
-    def held_term(self, duty: str) -> object | None:
+    def held_term(self, lease_name: str) -> object | None:
         """The running term of a lease, if this front end holds it."""
 
-    def yield_lease(self, duty: str) -> None:
+    def yield_lease(self, lease_name: str) -> None:
         """Releases a lease before its term ends."""
 
 
@@ -88,14 +88,14 @@
     def __init__(
         self,
         coordinator: SessionCoordinator,
-        catalogues: CatalogueVersions,
-        service_levels: ServiceLevelControl,
+        catalogue_versions: CatalogueVersions,
+        level_control: ServiceLevelControl,
         zone_routing: ZoneRouting,
     ) -> None:
         """Parts that a front end may lack (fleet, leases, roll-out, takeover, load probing) are set after creation."""
         self.coordinator = coordinator
-        self.catalogues = catalogues
-        self.service_levels = service_levels
+        self.catalogue_versions = catalogue_versions
+        self.level_control = level_control
         self.zone_routing = zone_routing
         # The fleet as this front end sees it, if it has peers.
         self.fleet_status: Callable[[], dict[str, object]] | None = None
@@ -204,11 +204,11 @@
 
     def _get_catalogue(self, request: Request) -> Response:
         version = request.query_parameter("version")
-        text = self.catalogues.active_text
+        text = self.catalogue_versions.active_text
         if version:
-            if not version.isdigit() or int(version) not in self.catalogues.texts_by_version:
+            if not version.isdigit() or int(version) not in self.catalogue_versions.texts_by_version:
                 raise RequestError(404, "no-version", "This version is not kept here")
-            text = self.catalogues.texts_by_version[int(version)]
+            text = self.catalogue_versions.texts_by_version[int(version)]
         elif request.header("if-none-match") == self._etag():
             return Response(304, [("ETag", self._etag())])
         headers = [("Content-Type", CATALOGUE_MEDIA_TYPE), ("Cache-Control", "no-cache")]
@@ -236,7 +236,9 @@
         (force, reason, share) = self._change_options(request)
         try:
             text = request.body.decode("utf-8")
-            submit_change = self.catalogues.replace if request.method == "PUT" else self.catalogues.change
+            submit_change = (
+                self.catalogue_versions.replace if request.method == "PUT" else self.catalogue_versions.change
+            )
             return self._change_response(await submit_change(text, base_digest, force, reason, share))
         except UnicodeDecodeError as fault:
             raise RequestError(400, "catalogue", "The text is not UTF-8", str(fault)) from None
@@ -251,7 +253,7 @@
     async def _roll_back(self, request: Request) -> Response:
         number = request.query_parameter("to") or ""
         base_digest = self._base_digest(request)
-        result = await self.catalogues.roll_back(
+        result = await self.catalogue_versions.roll_back(
             int(number) if number.isdigit() else -1, base_digest, self._change_options(request)[0]
         )
         if result is None:
@@ -291,7 +293,7 @@
                 "why": version.reason,
                 "in_force": version.number == active_number,
             }
-            for version in self.catalogues.history.versions
+            for version in self.catalogue_versions.history.versions
         ]
         return Response(200, [("Content-Type", "application/json")], orjson.dumps(versions))
 
@@ -299,7 +301,7 @@
         """Pins a service level for a number of seconds; without a name, removes the pin."""
         name = request.query_parameter("name") or ""
         seconds = request.query_parameter("for") or "600"
-        controller = self.service_levels.controller
+        controller = self.level_control.controller
         if not name:
             controller.unpin()
         elif not seconds.isdigit() or not 0 < int(seconds) <= MAX_PIN_S:
@@ -311,9 +313,9 @@
                 "There is no such level",
                 ", ".join(level.name for level in controller.levels),
             )
-        self.service_levels.update()
+        self.level_control.update()
         return Response(
-            200, [("Content-Type", "application/json")], orjson.dumps(self.service_levels.status())
+            200, [("Content-Type", "application/json")], orjson.dumps(self.level_control.status())
         )
 
     def _get_status(self) -> Response:
@@ -326,9 +328,9 @@
             "catalogue": coordinator.catalogue.number,
             "configuration": coordinator.active_configuration.version.number,
             "nodes": len(coordinator.node_list.listed_nodes),
-            "level": self.service_levels.status(),
+            "level": self.level_control.status(),
             "wings": self.zone_routing.status(),
-            "steps_waiting": len(self.catalogues.step_downs.waiting),
+            "steps_waiting": len(self.catalogue_versions.step_downs.waiting),
         }
         if self.load_probing is not None:
             status["probing"] = self.load_probing.status()
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -125,7 +125,7 @@
         self.shed_count = 0  # requests rejected unread
         self.shed_logged = 0  # of those, the ones that the log has reported
         self.is_shedding = False
-        self.service_levels: ServiceLevelControl | None = None
+        self.level_control: ServiceLevelControl | None = None
         self.zone_routing: ZoneRouting | None = None
         self.turn_events: dict[int, trio.Event] = {}
         self.granted_numbers: set[int] = set()
@@ -145,8 +145,8 @@
             await trio.sleep(HEARTBEAT_INTERVAL_NS / 1e9)
             elapsed_ns = round((trio.current_time() - slept_at) * 1e9)
             self.fair_queue.heartbeat(elapsed_ns - HEARTBEAT_INTERVAL_NS, elapsed_ns)
-            if self.service_levels is not None:
-                self.service_levels.record_loop_lag(max(0, elapsed_ns - HEARTBEAT_INTERVAL_NS))
+            if self.level_control is not None:
+                self.level_control.record_loop_lag(max(0, elapsed_ns - HEARTBEAT_INTERVAL_NS))
             self._log_shedding()
             for request in self.fair_queue.remove_expired(self.clock.now()):
                 self.turn_events.pop(request.number).set()
@@ -333,7 +333,7 @@
             self._forget_ended_publishers()
         if publishes and title in self.publishers:
             raise RequestError(409, "published", "This title is being published already")
-        lag_ns = self.service_levels.loop_lag_ns if self.service_levels is not None else 0
+        lag_ns = self.level_control.loop_lag_ns if self.level_control is not None else 0
         deadline = request_deadline(
             request.written_at,
             plan.abandon_ns,
@@ -343,10 +343,10 @@
         if is_too_late(deadline, now, MIN_SETUP_TIME_NS):
             return REFUSAL_REPLIES[Refusal.TOO_LATE], True
         requested_top = self._highest_requested_rung(site, request, offer, route)
-        if self.service_levels is not None:
-            if not self.service_levels.admit(plan.name):
+        if self.level_control is not None:
+            if not self.level_control.admit(plan.name):
                 return REFUSAL_REPLIES[Refusal.REDUCED], True
-            requested_top = self.service_levels.limit_top_rung(requested_top, plan.plan.floor)
+            requested_top = self.level_control.limit_top_rung(requested_top, plan.plan.floor)
         catalogue_number = self.coordinator.catalogue.number
         top = self.coordinator.title_top_rung(title, max(requested_top, plan.plan.floor), plan.plan.floor)
         if top is None:
@@ -578,8 +578,8 @@
                 422, "layer", "No such layer in this plan", f"rungs {plan.floor} to {plan.top_rung}"
             )
         # A level of reduced service limits increases only and takes nothing away.
-        if self.service_levels is not None and rung > session.playback.top_rung:
-            rung = max(session.playback.top_rung, self.service_levels.limit_top_rung(rung, plan.floor))
+        if self.level_control is not None and rung > session.playback.top_rung:
+            rung = max(session.playback.top_rung, self.level_control.limit_top_rung(rung, plan.floor))
         await self.coordinator.submit(partial(self.coordinator.set_requested_top, session, rung))
 
     def open_reader(
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -32,8 +32,8 @@
 
 def catalogues(rig: Rig) -> CatalogueVersions:
     assert rig.front_end is not None
-    assert rig.front_end.catalogues is not None
-    return rig.front_end.catalogues
+    assert rig.front_end.catalogue_versions is not None
+    return rig.front_end.catalogue_versions
 
 
 async def replace_catalogue(rig: Rig, text: str) -> None:
@@ -114,9 +114,9 @@
         async with running_front_end(tmp_path) as rig:
             core = rig.front_end.service if rig.front_end else None
             assert core is not None
-            assert core.service_levels is not None
+            assert core.level_control is not None
             first_answer, first = await start_playback(rig)
-            core.service_levels.controller.levels[0] = ServiceLevel("careful", (), LevelEffects(max_rung=1))
+            core.level_control.controller.levels[0] = ServiceLevel("careful", (), LevelEffects(max_rung=1))
             second_answer, second = await start_playback(rig)
             assert (first.playback.top_rung, second.playback.top_rung) == (2, 1)
             for answer in (first_answer, second_answer):
