--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -8,8 +8,6 @@
 from pathlib import Path
 from random import Random
 
-from typing import TYPE_CHECKING
-
 import structlog
 import trio
 
@@ -24,7 +22,7 @@
 from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.node_list_client import NodeListError, NodeListFollower, load_list, parse_response
 from oakcroft.front.operators_api import OPERATORS_PATH, OperatorsApi
-from oakcroft.front.node_client import FrontIdentity
+from oakcroft.front.fleet_participation import FleetParticipation
 from oakcroft.front.service_levels import ServiceLevelControl
 from oakcroft.front.zone_routing import ZoneRouting
 from oakcroft.front.protocols import ChangeNotifier, PolicyFactory
@@ -35,32 +33,10 @@
 from oakcroft.interface import MS
 from oakcroft.httpwire.server import Server
 from oakcroft.config.settings import Deployment
-from oakcroft.store.file import NamedValue, StateContents, StateFile
+from oakcroft.store.file import StateContents, StateFile
 from oakcroft.store.writer import StateWriter
 
-if TYPE_CHECKING:
-    from oakcroft.decisions.membership.membership import Membership
-    from oakcroft.front.session_takeover import TakeoverRunner
-    from oakcroft.front.playback_session import PlaybackSession
-    from oakcroft.peers.peer_endpoint import PeerEndpoint
-
-
-class StateRecord:
-    """The state file, as the acceptor of fleet leases uses it."""
-
-    def __init__(self, store: StateWriter) -> None:
-        """Wraps an open store."""
-        self.store = store
-
-    async def save(self, name: str, value: bytes) -> bool:
-        """Stores a value durably; returns False where that is not known to have succeeded."""
-        return await self.store.write_durably(NamedValue(name, value))
-
-    def held(self) -> tuple[dict[str, bytes], bool] | None:
-        """What the file held when it was read, and whether it was complete then; None before that."""
-        return (self.store.named_values, self.store.was_complete) if self.store.is_read else None
-
-
+LISTEN_BACKLOG = 4_096
 ConfigurationSource = Callable[[dict[str, int]], "Deployment | list[str]"]
 """Reads the configuration again: a deployment (plans keep the family ids that are passed in), or its errors."""
 
@@ -88,7 +64,6 @@
         self.read_count = 0
         self.restored_state: StateContents | None = None
         self.catalogue_versions: CatalogueVersions | None = None
-        self.takeover_runner: TakeoverRunner | None = None
         self.open_state_file: Callable[[str], StateFile] | None = None  # replaces the file system's
 
     async def run(
@@ -101,91 +76,25 @@
 
         `ready` is called with the port; `stop` works like a stop signal where there are none.
         """
-        site = self.configuration.shared
-        front_settings = self.configuration.front
         clock = Clock()
-        longest_abandon_ns = max(plan_terms.abandon_ns for plan_terms in site.plans.values())
-        shutdown = Shutdown(site.drain_timeout_ns, site.leave_timeout_ns, longest_abandon_ns)
-        # A front end with stored state keeps its pseudonym across restarts.
-        pseudonym = f"front-{site.terms.front_index}-" + (
-            "0" if front_settings.state_file else f"{clock.now() // 1_000_000:x}"
-        )
+        shutdown = self._create_shutdown()
+        pseudonym = self._pseudonym(clock)
         async with trio.open_nursery() as nursery:
-            coordinator = SessionCoordinator(
-                self.configuration,
-                front_settings.seed,
-                pseudonym,
-                clock,
-                nursery,
-                self.log,
-                self.policy_factory,
-            )
-            connection_table = ConnectionTable(site.connection_limits)
-            self.coordinator = coordinator
-            self.connection_table = connection_table
-            self.service = service = SessionService(
-                front_settings.zone, coordinator, connection_table, shutdown, clock, self.log
-            )
-            session_api = SessionApi(service, nursery, self.log)
-            self.catalogue_versions = catalogue_versions = CatalogueVersions(coordinator, self.log)
-            service.level_control = level_control = ServiceLevelControl(
-                coordinator, Random(front_settings.seed + 4), self.log
-            )
-            nursery.start_soon(level_control.run)
-            service.zone_routing = zone_routing = ZoneRouting(
-                coordinator, front_settings.zone, Random(front_settings.seed + 5), self.log
-            )
-            nursery.start_soon(zone_routing.run)
-            operators_api = OperatorsApi(coordinator, catalogue_versions, level_control, zone_routing)
-            whip_whep_api = WhipWhepApi(
-                service,
-                (SESSION_API_PATH, session_api.upgrade_response),
-                (OPERATORS_PATH, operators_api.handle),
-            )
-            nursery.start_soon(session_api.expire_client_sessions)
-            self.session_api = session_api
-            server = Server(
-                whip_whep_api.handle,
-                connection_table,
-                clock.now,
-                self._log_request_failure,
-                whip_whep_api.shed_response,
-                operators_api.allows_large_body,
-            )
-            self.pending_requests = service.pending_requests
+            coordinator = self._create_coordinator(pseudonym, clock, nursery)
+            service, catalogue_versions = self._create_service(coordinator, shutdown, nursery)
+            operators_api, server = self._create_apis(service, catalogue_versions, nursery)
             store = await self._open_store(coordinator, clock)
-            peers = self._create_peers(coordinator, clock)
+            fleet = FleetParticipation(self.configuration, service, self.log)
+            fleet.create_endpoint()
             catalogue_versions.restore(self.restored_state)
-            nursery.start_soon(catalogue_versions.run)
-            nursery.start_soon(service.run_queue)
-            nursery.start_soon(coordinator.run)
-            nursery.start_soon(coordinator.monitor_pauses)
-            nursery.start_soon(coordinator.run_maintenance)
-            nursery.start_soon(coordinator.move_executor.run)
+            self._start_tasks(coordinator, service, catalogue_versions, nursery)
             await self._load_cached_list(coordinator)
             if coordinator.durable_state is not None and store is not None:
                 await self._restore_state(coordinator, service, store, nursery)
-            peer = HttpClient(front_settings.list_service_host, front_settings.list_service_port)
-            rng = Random(front_settings.seed + 2)
-            follower = NodeListFollower(
-                peer, clock, rng, front_settings.node_list_file, pseudonym, coordinator.apply_list, self.log
-            )
-            nursery.start_soon(follower.run)
-            leave = await self._join_fleet(peers, service, operators_api, catalogue_versions, nursery)
+            follower = self._follow_node_list(coordinator, nursery)
+            await fleet.join(operators_api, catalogue_versions, nursery)
             await self._wait_for_node_list(follower, coordinator)
-            listeners = await trio.open_tcp_listeners(
-                front_settings.port, host=front_settings.host, backlog=4096
-            )
-            port = listeners[0].socket.getsockname()[1]
-            shutdown.start_serving(clock.now())
-            self.log.info(
-                "serving",
-                host=front_settings.host,
-                port=port,
-                pseudonym=pseudonym,
-                fronts=site.terms.front_count,
-            )
-            nursery.start_soon(server.run, listeners)
+            port = await self._start_serving(server, shutdown, coordinator, nursery)
             if ready is not None:
                 await ready(port)
             if signals:
@@ -194,11 +103,133 @@
             if stop is not None:
                 nursery.start_soon(self._wait_for_stop, stop, shutdown, clock, coordinator.count_changed)
             await self._wait_for_shutdown(shutdown, coordinator, clock)
-            if leave is not None:
-                await leave()
+            await fleet.leave()
             self.log.info("gone", unanswered=coordinator.unanswered_count, playing=coordinator.playing_count)
             nursery.cancel_scope.cancel()
 
+    # Parts of the front end.
+
+    def _create_shutdown(self) -> Shutdown:
+        """Creates the state of the shutdown, with the time limits of the configuration."""
+        site = self.configuration.shared
+        longest_abandon_ns = max(plan_terms.abandon_ns for plan_terms in site.plans.values())
+        return Shutdown(site.drain_timeout_ns, site.leave_timeout_ns, longest_abandon_ns)
+
+    def _pseudonym(self, clock: Clock) -> str:
+        """Name of this front end towards nodes; one with stored state keeps it across restarts."""
+        start = "0" if self.configuration.front.state_file else f"{clock.now() // MS:x}"
+        return f"front-{self.configuration.shared.terms.front_index}-{start}"
+
+    def _create_coordinator(self, pseudonym: str, clock: Clock, nursery: trio.Nursery) -> SessionCoordinator:
+        """Creates the coordinator, whose tasks are not started yet."""
+        self.coordinator = SessionCoordinator(
+            self.configuration,
+            self.configuration.front.seed,
+            pseudonym,
+            clock,
+            nursery,
+            self.log,
+            self.policy_factory,
+        )
+        return self.coordinator
+
+    def _create_service(
+        self, coordinator: SessionCoordinator, shutdown: Shutdown, nursery: trio.Nursery
+    ) -> tuple[SessionService, CatalogueVersions]:
+        """Creates the session operations and what restricts new requests; starts the latter."""
+        front_settings = self.configuration.front
+        self.connection_table = ConnectionTable(self.configuration.shared.connection_limits)
+        self.service = service = SessionService(
+            front_settings.zone, coordinator, self.connection_table, shutdown, coordinator.clock, self.log
+        )
+        self.pending_requests = service.pending_requests
+        self.catalogue_versions = CatalogueVersions(coordinator, self.log)
+        service.level_control = ServiceLevelControl(coordinator, Random(front_settings.seed + 4), self.log)
+        nursery.start_soon(service.level_control.run)
+        service.zone_routing = ZoneRouting(
+            coordinator, front_settings.zone, Random(front_settings.seed + 5), self.log
+        )
+        nursery.start_soon(service.zone_routing.run)
+        return service, self.catalogue_versions
+
+    def _create_apis(
+        self, service: SessionService, catalogue_versions: CatalogueVersions, nursery: trio.Nursery
+    ) -> tuple[OperatorsApi, Server]:
+        """Creates the APIs and the HTTP server in front of them, which does not listen yet."""
+        assert service.level_control is not None
+        assert service.zone_routing is not None
+        self.session_api = SessionApi(service, nursery, self.log)
+        operators_api = OperatorsApi(
+            service.coordinator, catalogue_versions, service.level_control, service.zone_routing
+        )
+        whip_whep_api = WhipWhepApi(
+            service,
+            (SESSION_API_PATH, self.session_api.upgrade_response),
+            (OPERATORS_PATH, operators_api.handle),
+        )
+        nursery.start_soon(self.session_api.expire_client_sessions)
+        server = Server(
+            whip_whep_api.handle,
+            service.connection_table,
+            service.clock.now,
+            self._log_request_failure,
+            whip_whep_api.shed_response,
+            operators_api.allows_large_body,
+        )
+        return operators_api, server
+
+    @staticmethod
+    def _start_tasks(
+        coordinator: SessionCoordinator,
+        service: SessionService,
+        catalogue_versions: CatalogueVersions,
+        nursery: trio.Nursery,
+    ) -> None:
+        """Starts the tasks that handle events, requests and moves."""
+        nursery.start_soon(catalogue_versions.run)
+        nursery.start_soon(service.run_queue)
+        nursery.start_soon(coordinator.run)
+        nursery.start_soon(coordinator.monitor_pauses)
+        nursery.start_soon(coordinator.run_maintenance)
+        nursery.start_soon(coordinator.move_executor.run)
+
+    def _follow_node_list(self, coordinator: SessionCoordinator, nursery: trio.Nursery) -> NodeListFollower:
+        """Starts to follow the list of the node list service."""
+        front_settings = self.configuration.front
+        follower = NodeListFollower(
+            HttpClient(front_settings.list_service_host, front_settings.list_service_port),
+            coordinator.clock,
+            Random(front_settings.seed + 2),
+            front_settings.node_list_file,
+            coordinator.pseudonym,
+            coordinator.apply_list,
+            self.log,
+        )
+        nursery.start_soon(follower.run)
+        return follower
+
+    async def _start_serving(
+        self, server: Server, shutdown: Shutdown, coordinator: SessionCoordinator, nursery: trio.Nursery
+    ) -> int:
+        """Opens the listening sockets and starts the server; returns the port."""
+        front_settings = self.configuration.front
+        listeners = await trio.open_tcp_listeners(
+            front_settings.port, host=front_settings.host, backlog=LISTEN_BACKLOG
+        )
+        port: int = listeners[0].socket.getsockname()[1]
+        shutdown.start_serving(coordinator.clock.now())
+        self.log.info(
+            "serving",
+            host=front_settings.host,
+            port=port,
+            pseudonym=coordinator.pseudonym,
+            fronts=self.configuration.shared.terms.front_count,
+        )
+        nursery.start_soon(server.run, listeners)
+        return port
+
+    # Start.
+
     async def _wait_for_node_list(self, follower: NodeListFollower, coordinator: SessionCoordinator) -> None:
         """Waits until the list service has answered, or its time is up.
 
@@ -215,104 +246,6 @@
                 waited_ms=timeout_ns // MS,
             )
 
-    def _create_peers(self, coordinator: SessionCoordinator, clock: Clock) -> PeerEndpoint | None:
-        """Creates this front end's endpoint for membership, where the configuration has peers.
-
-        It sends nothing yet. Raises OSError for a key file that cannot be used.
-        """
-        front_settings = self.configuration.front
-        if front_settings.peers is None:
-            return None
-        from oakcroft.decisions.membership.shares import rate_divisor
-        from oakcroft.peers.peer_endpoint import PeerEndpoint
-        from oakcroft.peerwire.sealing import KeyFileError
-
-        def membership_changed(view: Membership) -> None:
-            rate_shares = rate_divisor(coordinator.site.terms.front_count, view.left_count())
-            if coordinator.limit_ledger.set_rate_shares(rate_shares):
-                self.log.info(
-                    "shares of rates",
-                    parts=rate_shares,
-                    fronts=coordinator.site.terms.front_count,
-                    left=view.left_count(),
-                )
-            if self.takeover_runner is not None:
-                self.takeover_runner.update_fronts()
-
-        try:
-            record = (
-                StateRecord(coordinator.durable_state.store)
-                if coordinator.durable_state is not None
-                else None
-            )
-            peers = PeerEndpoint(
-                front_settings.peers,
-                front_settings.zone,
-                front_settings.seed + 6,
-                clock,
-                self.log,
-                membership_changed,
-                record,
-            )
-        except KeyFileError as error:
-            raise OSError(f"key file {front_settings.peers.key_file}: {error}") from error
-        if front_settings.peers.takeover_bounds is not None:
-            view = peers.membership
-            coordinator.identity = FrontIdentity(
-                front_settings.peers.name,
-                lambda: view.me.generation,
-                front_settings.peers.takeover_bounds.session_lease,
-            )
-        return peers
-
-    async def _join_fleet(
-        self,
-        peers: PeerEndpoint | None,
-        service: SessionService,
-        operators: OperatorsApi,
-        catalogue_versions: CatalogueVersions,
-        nursery: trio.Nursery,
-    ) -> Callable[[], Awaitable[None]] | None:
-        """Joins the membership of the fleet; returns the function by which to leave it in order."""
-        coordinator = service.coordinator
-        peer_settings = self.configuration.front.peers
-        if peers is None or peer_settings is None:
-            return None
-        operators.fleet_status = peers.status
-        if peers.leases is not None:
-            from oakcroft.front.catalogue_rollout import CatalogueRollout
-
-            operators.leases = peers.leases
-            operators.rollout = rollout = CatalogueRollout(coordinator, catalogue_versions, peers, self.log)
-            nursery.start_soon(rollout.run)
-        if peer_settings.probe_interval_ns:
-            from oakcroft.front.load_probing import LoadProbing
-
-            seed = self.configuration.front.seed + 8
-            operators.load_probing = load_probing = LoadProbing(
-                coordinator, peers, peer_settings.name, peer_settings.probe_interval_ns, seed, self.log
-            )
-            peers.on_loads = load_probing.receive_reports
-            nursery.start_soon(load_probing.run)
-        if peer_settings.takeover_bounds is not None:
-            from oakcroft.front.session_takeover import TakeoverRunner
-
-            def register_publisher(session: PlaybackSession) -> None:
-                service.publishers[session.playback.title.name] = session
-
-            self.takeover_runner = TakeoverRunner(
-                coordinator,
-                peers.membership,
-                peer_settings.takeover_bounds,
-                register_publisher,
-                service.shutdown.accepts_requests,
-                self.log,
-            )
-            operators.takeover = self.takeover_runner
-            nursery.start_soon(self.takeover_runner.run)
-        await nursery.start(peers.run)
-        return peers.leave
-
     async def _open_store(self, coordinator: SessionCoordinator, clock: Clock) -> StateWriter | None:
         """Opens and reads the state file; None where none is configured."""
         front_settings = self.configuration.front
@@ -353,15 +286,9 @@
                 self.restored_state.service,
                 is_cached=True,
             )
-        done = trio.Event()
-
-        def restore() -> None:
-            assert coordinator.durable_state is not None
-            coordinator.durable_state.restore(self.restored_state)
-            done.set()
-
-        await coordinator.submit(restore)
-        await done.wait()
+        restored = trio.Event()
+        await coordinator.submit(partial(self._restore_sessions, coordinator.durable_state, restored))
+        await restored.wait()
         service.publishers.update(
             {
                 session.playback.title.name: session
@@ -371,6 +298,11 @@
         )
         nursery.start_soon(store.run)
 
+    def _restore_sessions(self, durable_state: FrontEndState, restored: trio.Event) -> None:
+        """Restores the stored sessions in the event task, then sets `restored`."""
+        durable_state.restore(self.restored_state)
+        restored.set()
+
     async def _load_cached_list(self, coordinator: SessionCoordinator) -> None:
         """Applies the cached node list, if there is a usable one."""
         if not self.configuration.front.node_list_file:
@@ -383,6 +315,8 @@
         except (NodeListError, OSError) as error:
             self.log.warning("kept list unusable", why=str(error))
 
+    # Shutdown and reload.
+
     async def _wait_for_shutdown(
         self, shutdown: Shutdown, coordinator: SessionCoordinator, clock: Clock
     ) -> None:
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -381,6 +381,10 @@
             session, self.last_request_number, fingerprint, request.client or client_name
         )
 
+    def register_publisher(self, session: PlaybackSession) -> None:
+        """Registers a publishing session, which holds its title until it ends."""
+        self.publishers[session.playback.title.name] = session
+
     def _forget_ended_publishers(self) -> None:
         """Drops publishing sessions that have ended, which no longer hold their titles."""
         self.publishers = {
@@ -431,7 +435,7 @@
                 self.coordinator.limit_ledger.release(session.limit_reservation)
             return REFUSAL_REPLIES[Refusal.BUSY], True
         if session.publishes:
-            self.publishers[session.playback.title.name] = session
+            self.register_publisher(session)
         self.coordinator.unanswered_count += 1
         has_turn = is_submitted = False
         try:
