--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -145,6 +145,7 @@
         self.pending_requests = service.pending_requests
         self.catalogue_versions = CatalogueVersions(coordinator, self.log)
         service.level_control = ServiceLevelControl(coordinator, Random(front_settings.seed + 4), self.log)
+        service.request_queue.on_loop_lag = service.level_control.record_loop_lag
         nursery.start_soon(service.level_control.run)
         service.zone_routing = ZoneRouting(
             coordinator, front_settings.zone, Random(front_settings.seed + 5), self.log
@@ -187,7 +188,7 @@
     ) -> None:
         """Starts the tasks that handle events, requests and moves."""
         nursery.start_soon(catalogue_versions.run)
-        nursery.start_soon(service.run_queue)
+        nursery.start_soon(service.request_queue.run)
         nursery.start_soon(coordinator.run)
         nursery.start_soon(coordinator.monitor_pauses)
         nursery.start_soon(coordinator.run_maintenance)
@@ -383,7 +384,7 @@
             if self.pending_requests is not None:
                 self.pending_requests.limits = connection_table.limits
             if self.service is not None:
-                self.service.apply_configuration()
+                self.service.request_queue.apply_configuration()
         return verdict
 
     async def _handle_stop_signals(
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -11,12 +11,13 @@
 import secrets
 from dataclasses import dataclass, field
 from functools import partial
+from http import HTTPStatus
 from urllib.parse import unquote
 
 import structlog
 import trio
 
-from oakcroft.config.settings import SharedSettings, BearerToken
+from oakcroft.config.settings import SharedSettings, BearerToken, PlanTerms
 from oakcroft.decisions.sessions import answers
 from oakcroft.decisions.routing import ladder
 from oakcroft.decisions.sessions.answers import REFUSAL_REPLIES, FinalAnswer, Refusal, Reply
@@ -29,13 +30,18 @@
 from oakcroft.decisions.moving.handover import MoveState, MoveEvent
 from oakcroft.decisions.admission.request_limits import LimitExceeded, RequestSubject
 from oakcroft.decisions.admission.deadlines import (
-    HEARTBEAT_INTERVAL_NS,
+    Deadline,
     request_deadline,
     is_too_late,
     response_margin,
 )
 from oakcroft.decisions.sessions.idempotency import KeyDecision
-from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE, ResourceAction, ResourceError
+from oakcroft.decisions.sessions.session_resource import (
+    SDPFRAG_MEDIA_TYPE,
+    ResourceAction,
+    ResourceError,
+    SessionResource,
+)
 from oakcroft.decisions.routing.route_table import (
     RouteRequest,
     Route,
@@ -43,15 +49,17 @@
     RouteMismatch,
     find_mismatch,
 )
-from oakcroft.decisions.admission.load_shedding import FairQueue, QueuedRequest, ConcurrencyWindow
+from oakcroft.decisions.admission.load_shedding import QueuedRequest
 from oakcroft.decisions.fleet.shutdown import Shutdown
 from oakcroft.running.clock import Clock
 from oakcroft.front.session_coordinator import SessionCoordinator
+from oakcroft.front.node_client import NodeClient
+from oakcroft.front.request_queue import RequestQueue
 from oakcroft.front.move_executor import STAY_REPLY, NodeFilter, Move
 from oakcroft.front.service_levels import ServiceLevelControl
 from oakcroft.front.zone_routing import ZoneRouting
-from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
-from oakcroft.interface import Outcome
+from oakcroft.front.playback_session import SessionEventReader, PlaybackSession, UpstreamSession
+from oakcroft.interface import Effect, Outcome
 from oakcroft.signalling import http_formats, sdp
 
 EVENT_KINDS = ("active", "inactive", "layers", "move")
@@ -110,7 +118,7 @@
         clock: Clock,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
-        """Creates the service of a front end in `zone`; `run_queue` has to run beside it."""
+        """Creates the service of a front end in `zone`; its request queue has to run beside it."""
         self.zone = zone
         self.coordinator = coordinator
         self.connection_table = connection_table
@@ -120,94 +128,9 @@
         self.pending_requests = PendingRequests(connection_table.limits)
         self.last_request_number = 0
         self.publishers: dict[str, PlaybackSession] = {}
-        self.fair_queue = FairQueue({}, ConcurrencyWindow(), MIN_SETUP_TIME_NS)
-        self.apply_configuration()
-        self.shed_count = 0  # requests rejected unread
-        self.shed_logged = 0  # of those, the ones that the log has reported
-        self.is_shedding = False
+        self.request_queue = RequestQueue(coordinator, log)
         self.level_control: ServiceLevelControl | None = None
         self.zone_routing: ZoneRouting | None = None
-        self.turn_events: dict[int, trio.Event] = {}
-        self.granted_numbers: set[int] = set()
-
-    def apply_configuration(self) -> None:
-        """Applies the revenues and startup targets of the plans in force."""
-        plans = {name: plan_terms.plan for name, plan_terms in self.coordinator.site.plans.items()}
-        targets = {name: plan.startup_target_ns for name, plan in plans.items()}
-        self.fair_queue.set_plans({name: plan.revenue for name, plan in plans.items()}, targets)
-
-    # Queue in front of the policy.
-
-    async def run_queue(self) -> None:
-        """Measures how late the event loop runs, and lets queued requests go on as their turn comes."""
-        while True:
-            slept_at = trio.current_time()
-            await trio.sleep(HEARTBEAT_INTERVAL_NS / 1e9)
-            elapsed_ns = round((trio.current_time() - slept_at) * 1e9)
-            self.fair_queue.heartbeat(elapsed_ns - HEARTBEAT_INTERVAL_NS, elapsed_ns)
-            if self.level_control is not None:
-                self.level_control.record_loop_lag(max(0, elapsed_ns - HEARTBEAT_INTERVAL_NS))
-            self._log_shedding()
-            for request in self.fair_queue.remove_expired(self.clock.now()):
-                self.turn_events.pop(request.number).set()
-            self._start_next_requests()
-
-    def _start_next_requests(self) -> None:
-        """Gives queued requests their turn while there is room."""
-        while (request := self.fair_queue.next_request()) is not None:
-            self.granted_numbers.add(request.number)
-            self.turn_events.pop(request.number).set()
-
-    def should_shed(self, path: str) -> bool:
-        """Whether to reject a request for this path unread, because its plan's queue is too long."""
-        if not self.fair_queue.waiting:
-            return False
-        plans = self.coordinator.site.route_table.plans.get(path[: path.rfind("/") + 1])
-        if not plans or not all(self.fair_queue.should_shed(plan) for plan in plans):
-            return False
-        self.shed_count += 1
-        return True
-
-    def _log_shedding(self) -> None:
-        """Logs once when shedding begins and once when it has ended, with its figures."""
-        newly_shed = self.shed_count - self.shed_logged
-        ended = not self.fair_queue.waiting
-        begins = newly_shed > 0 and not self.is_shedding
-        ends = self.is_shedding and ended
-        if begins or ends:
-            self.shed_logged = self.shed_count
-            self.is_shedding = begins
-            self.log.warning(
-                "shedding" if begins else "shedding over",
-                turned_away=newly_shed,
-                pace=round(self.fair_queue.throughput),
-                window=round(self.fair_queue.window.size),
-                waiting=len(self.fair_queue.waiting),
-            )
-
-    async def _wait_for_turn(self, queued_request: QueuedRequest) -> bool:
-        """Waits for a request's turn; returns False where it cannot be answered in time, or too many wait."""
-        if self.fair_queue.is_full:
-            return False
-        if self.fair_queue.submit(queued_request):
-            return True
-        turn_event = self.turn_events[queued_request.number] = trio.Event()
-        has_turn = False
-        try:
-            await turn_event.wait()
-            has_turn = (
-                queued_request.number in self.granted_numbers
-                and queued_request.abandon_at - self.clock.now() >= MIN_SETUP_TIME_NS
-            )
-        finally:
-            if not turn_event.is_set():
-                self.turn_events.pop(queued_request.number, None)
-                self.fair_queue.remove(queued_request.number)
-            if queued_request.number in self.granted_numbers:
-                self.granted_numbers.discard(queued_request.number)
-                if not has_turn:  # its turn came too late, or its viewer left at that moment
-                    self.fair_queue.finish()
-        return has_turn
 
     # Requests.
 
@@ -306,11 +229,10 @@
         site = self.coordinator.site  # the request is decided under this version throughout
         title = unquote(request.path.rpartition("/")[2], errors="replace")
         # Before anything is parsed, since parsing dominates the cost of a rejected request.
-        if not self.has_replay(request.key, request.token) and self.should_shed(request.path):
+        if not self.has_replay(request.key, request.token) and self.request_queue.should_shed(request.path):
             return REFUSAL_REPLIES[Refusal.BUSY], True
         self._check_key(request.key)
         now = self.clock.now()
-        client_name = request.token.name if request.token else ""
         key = self._client_key(
             request.key if request.key is not None else secrets.token_urlsafe(15), request.token
         )
@@ -322,64 +244,95 @@
             if self.coordinator.durable_state is not None:
                 self.coordinator.durable_state.session_claimed(earlier_session)
             return earlier_session, False
+        session = self._admit(site, request, title, key, fingerprint, now)
+        if isinstance(session, Reply):
+            return session, True
+        self.last_request_number += 1
+        return await self._queue_and_answer(
+            session, self.last_request_number, fingerprint, request.client or session.token_name
+        )
+
+    def _admit(
+        self,
+        site: SharedSettings,
+        request: PlaybackRequest,
+        title: str,
+        key: str,
+        fingerprint: str,
+        now: int,
+    ) -> PlaybackSession | Reply:
+        """Session of a request that passes all checks and limits, or the reply that rejects it.
+
+        Raises RequestError where the request itself is wrong.
+        """
         offer = self.parse_offer(request.offer)
         route = self._find_route(site, request, offer, title)
         publishes = route.match.role is ClientRole.PUBLISH
         plan = site.plans[route.plan]
         self._check_offer(offer, publishes)
         if not self.shutdown.accepts_requests():
-            return REFUSAL_REPLIES[Refusal.DRAINING], True
+            return REFUSAL_REPLIES[Refusal.DRAINING]
         if publishes:
-            self._forget_ended_publishers()
-        if publishes and title in self.publishers:
-            raise RequestError(409, "published", "This title is being published already")
-        lag_ns = self.level_control.loop_lag_ns if self.level_control is not None else 0
-        deadline = request_deadline(
-            request.written_at,
-            plan.abandon_ns,
-            request.prefer_headers,
-            response_margin(site.answer_margin_ns, lag_ns),
-        )
+            self._check_unpublished(title)
+        deadline = self._request_deadline(site, request, plan)
         if is_too_late(deadline, now, MIN_SETUP_TIME_NS):
-            return REFUSAL_REPLIES[Refusal.TOO_LATE], True
+            return REFUSAL_REPLIES[Refusal.TOO_LATE]
         requested_top = self._highest_requested_rung(site, request, offer, route)
         if self.level_control is not None:
             if not self.level_control.admit(plan.name):
-                return REFUSAL_REPLIES[Refusal.REDUCED], True
+                return REFUSAL_REPLIES[Refusal.REDUCED]
             requested_top = self.level_control.limit_top_rung(requested_top, plan.plan.floor)
+        requested_top = max(requested_top, plan.plan.floor)
         catalogue_number = self.coordinator.catalogue.number
-        top = self.coordinator.title_top_rung(title, max(requested_top, plan.plan.floor), plan.plan.floor)
-        if top is None:
+        top_rung = self.coordinator.title_top_rung(title, requested_top, plan.plan.floor)
+        if top_rung is None:
             self.coordinator.answer_counts[FinalAnswer.REJECTED] += 1
-            return REFUSAL_REPLIES[Refusal.NO_TITLE], True
+            return REFUSAL_REPLIES[Refusal.NO_TITLE]
         session = self.coordinator.new_session(
-            request.path, title, plan, publishes, key, request.offer, sdp.ice_ufrag(offer), top, deadline
+            request.path, title, plan, publishes, key, request.offer, sdp.ice_ufrag(offer), top_rung, deadline
         )
         if session is None or not self.pending_requests.has_room():
-            return REFUSAL_REPLIES[Refusal.BUSY], True
+            return REFUSAL_REPLIES[Refusal.BUSY]
         session.in_client_session = request.in_client_session
         session.has_client_key = request.key is not None
-        session.token_name = client_name
+        session.token_name = request.token.name if request.token else ""
         session.fingerprint = fingerprint
-        session.requested_top = max(requested_top, plan.plan.floor)
+        session.requested_top = requested_top
         session.catalogue_number = catalogue_number
-        if (
-            self.coordinator.durable_state is not None
-            and (reply := self.coordinator.durable_state.rejection(session)) is not None
-        ):
-            return reply, True
+        return self._reserve(site, session, route, now) or session
+
+    def _request_deadline(self, site: SharedSettings, request: PlaybackRequest, plan: PlanTerms) -> Deadline:
+        """Time by which a request has to be answered."""
+        lag_ns = self.level_control.loop_lag_ns if self.level_control is not None else 0
+        return request_deadline(
+            request.written_at,
+            plan.abandon_ns,
+            request.prefer_headers,
+            response_margin(site.answer_margin_ns, lag_ns),
+        )
+
+    def _reserve(
+        self, site: SharedSettings, session: PlaybackSession, route: Route, now: int
+    ) -> Reply | None:
+        """Reserves what a session needs of the request limits; returns the reply that rejects it, or None."""
+        durable_state = self.coordinator.durable_state
+        if durable_state is not None and (reply := durable_state.rejection(session)) is not None:
+            return reply
         session.pool = site.pools[route.pool] if route.pool else None
         session.playback.node_filter = self._node_filter(session)
         reservation = self.coordinator.limit_ledger.acquire(
-            RequestSubject(client_name, route.name, route.plan, self.zone), now
+            RequestSubject(session.token_name, route.name, route.plan, self.zone), now
         )
         if isinstance(reservation, LimitExceeded):
-            return answers.limit_reply(reservation), True
+            return answers.limit_reply(reservation)
         session.limit_reservation = reservation
-        self.last_request_number += 1
-        return await self._queue_and_answer(
-            session, self.last_request_number, fingerprint, request.client or client_name
-        )
+        return None
+
+    def _check_unpublished(self, title: str) -> None:
+        """Raises RequestError 409 for a title that has a publisher."""
+        self._forget_ended_publishers()
+        if title in self.publishers:
+            raise RequestError(409, "published", "This title is being published already")
 
     def register_publisher(self, session: PlaybackSession) -> None:
         """Registers a publishing session, which holds its title until it ends."""
@@ -424,73 +377,92 @@
         self, session: PlaybackSession, number: int, fingerprint: str, client: str
     ) -> tuple[PlaybackSession | Reply, bool]:
         """Queues a request in front of the policy and waits for its answer."""
-        is_paid = session.plan.plan.effect.value == "paid"
         self.pending_requests.add(number)
-        if (
-            not self.coordinator.idempotency_store.begin(session.key, fingerprint, is_paid, self.clock.now())
-            and is_paid
-        ):
-            self.pending_requests.remove(number)  # without a record, a repeat would be set up again
-            if session.limit_reservation is not None:
-                self.coordinator.limit_ledger.release(session.limit_reservation)
+        if not self._begin_key(session, fingerprint):
+            self.pending_requests.remove(number)
+            self._release_limits(session)
             return REFUSAL_REPLIES[Refusal.BUSY], True
         if session.publishes:
             self.register_publisher(session)
         self.coordinator.unanswered_count += 1
         has_turn = is_submitted = False
         try:
-            has_turn = await self._wait_for_turn(
+            has_turn = await self.request_queue.wait_for_turn(
                 QueuedRequest(session.deadline.abandon_at, number, session.plan.name, client)
             )
             is_submitted = has_turn and self.coordinator.try_submit(
                 partial(self.coordinator.request_placement, session)
             )
             if not is_submitted:
-                reply = REFUSAL_REPLIES[
-                    Refusal.BUSY if has_turn or self.fair_queue.is_full else Refusal.TOO_LATE
-                ]
-                session.set_answer(FinalAnswer.REJECTED, reply)
-                self.coordinator.idempotency_store.record_answer(
-                    session.key, FinalAnswer.REJECTED, session, self.clock.now()
-                )
+                is_busy = has_turn or self.request_queue.fair_queue.is_full
+                reply = REFUSAL_REPLIES[Refusal.BUSY if is_busy else Refusal.TOO_LATE]
+                self._reject_unsubmitted(session, reply)
                 return reply, True
-            with trio.CancelScope(deadline=self.clock.trio_time(session.deadline.abandon_at)):
-                await session.answered.wait()
-            if session.final_answer is None:  # both fell due at once, as after a pause: the policy goes first
-                with trio.move_on_after(ANSWER_GRACE_SECONDS):
-                    await session.answered.wait()
-            if session.final_answer is None:  # the policy owes the answer; guards against any fault there
-                self.log.error("no answer in time", playback=session.id, plan=session.plan.name)
-                session.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(session.plan.plan.effect))
-                self.coordinator.idempotency_store.record_answer(
-                    session.key, FinalAnswer.ABORTED, session, self.clock.now()
-                )
-                if self.coordinator.durable_state is not None:
-                    self.coordinator.durable_state.answer_given(session, FinalAnswer.ABORTED)
-                self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
+            await self._wait_for_answer(session)
             return session, True
         finally:
             if has_turn:
-                self.fair_queue.finish()
-                self._start_next_requests()
+                self.request_queue.finish_request()
             self.coordinator.unanswered_count -= 1
             self.pending_requests.remove(number)
-            if not is_submitted and session.limit_reservation is not None:
-                self.coordinator.limit_ledger.release(session.limit_reservation)
-            # The viewer left; its key stays in use until the end of the set-up is known.
+            if not is_submitted:
+                self._release_limits(session)
             if session.final_answer is None:
-                if is_submitted:
-                    self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
-                else:
-                    session.set_answer(FinalAnswer.REJECTED)
-                    self.coordinator.idempotency_store.record_answer(
-                        session.key, FinalAnswer.REJECTED, session, self.clock.now()
-                    )
-                session.answered.set()
+                self._handle_viewer_left(session, is_submitted)
             if session.publishes and session.final_answer is not FinalAnswer.PLAYS:
                 self.publishers.pop(session.playback.title.name, None)
             self.coordinator.count_changed.notify()
 
+    def _begin_key(self, session: PlaybackSession, fingerprint: str) -> bool:
+        """Records a key as in use; returns False for a paid plan whose key cannot be recorded.
+
+        Without a record, a repeat of a paid request would be set up again.
+        """
+        is_paid = session.plan.plan.effect is Effect.PAID
+        is_recorded = self.coordinator.idempotency_store.begin(
+            session.key, fingerprint, is_paid, self.clock.now()
+        )
+        return is_recorded or not is_paid
+
+    def _release_limits(self, session: PlaybackSession) -> None:
+        """Releases what a session holds of the request limits."""
+        if session.limit_reservation is not None:
+            self.coordinator.limit_ledger.release(session.limit_reservation)
+
+    def _reject_unsubmitted(self, session: PlaybackSession, reply: Reply | None) -> None:
+        """Rejects a request that has not reached the policy."""
+        session.set_answer(FinalAnswer.REJECTED, reply)
+        self.coordinator.idempotency_store.record_answer(
+            session.key, FinalAnswer.REJECTED, session, self.clock.now()
+        )
+
+    async def _wait_for_answer(self, session: PlaybackSession) -> None:
+        """Waits for the policy's answer until the request's deadline; aborts the request where none comes."""
+        with trio.CancelScope(deadline=self.clock.trio_time(session.deadline.abandon_at)):
+            await session.answered.wait()
+        if session.final_answer is None:  # both fell due at once, as after a pause: the policy goes first
+            with trio.move_on_after(ANSWER_GRACE_SECONDS):
+                await session.answered.wait()
+        if session.final_answer is not None:
+            return
+        # The policy owes the answer; this guards against any fault there.
+        self.log.error("no answer in time", playback=session.id, plan=session.plan.name)
+        session.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(session.plan.plan.effect))
+        self.coordinator.idempotency_store.record_answer(
+            session.key, FinalAnswer.ABORTED, session, self.clock.now()
+        )
+        if self.coordinator.durable_state is not None:
+            self.coordinator.durable_state.answer_given(session, FinalAnswer.ABORTED)
+        self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
+
+    def _handle_viewer_left(self, session: PlaybackSession, is_submitted: bool) -> None:
+        """Handles a viewer that left before its answer; its key stays in use until its set-up has ended."""
+        if is_submitted:
+            self.coordinator.submit_later(partial(self.coordinator.viewer_left, session))
+        else:
+            self._reject_unsubmitted(session, None)
+        session.answered.set()
+
     # Playing sessions.
 
     def find_session(self, session_id: str, token: BearerToken | None) -> PlaybackSession:
@@ -527,29 +499,49 @@
         """
         assert session.resource is not None
         assert session.upstream is not None
-        fragment = sdp.Fragment("", "", [], True)
-        if content_type == SDPFRAG_MEDIA_TYPE:
-            try:
-                fragment = sdp.parse_fragment(body.decode("utf-8"))
-            except (UnicodeDecodeError, sdp.SdpError) as error:
-                raise RequestError(400, "sdp", "This is no trickle fragment", str(error)) from None
+        fragment = self._parse_fragment(content_type, body)
         action = session.resource.patch(content_type, etags, fragment.ufrag, len(fragment.candidates))
         if isinstance(action, ResourceError):
             raise self._resource_error(action)
-        # A move may replace both meanwhile.
-        upstream = session.upstream
-        resource = session.resource
-        node_client = self.coordinator.node_clients.get(upstream.node)
-        if action is ResourceAction.TRICKLE:
-            reply = await node_client.patch(upstream, f'"{upstream.etag}"', body) if node_client else None
-            if reply is None or reply.status not in (200, 204):
-                raise RequestError(502, "node", "The playout node did not take the candidates")
-            return PatchResult()
+        node_client = self.coordinator.node_clients.get(session.upstream.node)
+        if action is not ResourceAction.TRICKLE:
+            return await self._restart_ice(node_client, session.upstream, session.resource, fragment, body)
+        reply = (
+            await node_client.patch(session.upstream, f'"{session.upstream.etag}"', body)
+            if node_client
+            else None
+        )
+        if reply is None or reply.status not in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
+            raise RequestError(502, "node", "The playout node did not take the candidates")
+        return PatchResult()
+
+    @staticmethod
+    def _parse_fragment(content_type: str, body: bytes) -> sdp.Fragment:
+        """Parses a trickle ICE fragment; empty for another content type. Raises RequestError 400."""
+        if content_type != SDPFRAG_MEDIA_TYPE:
+            return sdp.Fragment("", "", [], True)
+        try:
+            return sdp.parse_fragment(body.decode("utf-8"))
+        except (UnicodeDecodeError, sdp.SdpError) as error:
+            raise RequestError(400, "sdp", "This is no trickle fragment", str(error)) from None
+
+    @staticmethod
+    async def _restart_ice(
+        node_client: NodeClient | None,
+        upstream: UpstreamSession,
+        resource: SessionResource,
+        fragment: sdp.Fragment,
+        body: bytes,
+    ) -> PatchResult:
+        """Forwards an ICE restart to the node. Raises RequestError 502 where the node failed.
+
+        `upstream` and `resource` are those of the start of the request, as a move may replace the session's.
+        """
         is_restarted = False
         try:
             reply = await node_client.patch(upstream, "*", body) if node_client else None
             etag = (reply.header("etag") or "").strip('"') if reply is not None else ""
-            if reply is None or reply.status != 200 or not etag:
+            if reply is None or reply.status != HTTPStatus.OK or not etag:
                 raise RequestError(502, "node", "The playout node did not restart ICE")
             upstream.etag = etag
             resource.restart_succeeded(etag, fragment.ufrag)
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -80,9 +80,9 @@
     def shed_response(self, raw_request: bytes) -> bytes | None:
         """Response to a complete unparsed request that is to be shed; None where it is to be handled."""
         target = raw_request[5 : raw_request.find(b" ", 5)].decode("latin-1").partition("?")[0]
-        if not self.service.fair_queue.waiting or self._raw_request_has_replay(raw_request):
+        if not self.service.request_queue.fair_queue.waiting or self._raw_request_has_replay(raw_request):
             return None
-        return self.busy_response if self.service.should_shed(target) else None
+        return self.busy_response if self.service.request_queue.should_shed(target) else None
 
     def _raw_request_has_replay(self, raw_request: bytes) -> bool:
         """Whether a complete unparsed request has a key that already has its answer; False in any doubt."""
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -91,10 +91,10 @@
     """The request waits in the fair queue."""
     service = scenario.rig.front_end.service if scenario.rig.front_end else None
     assert service is not None
-    service.fair_queue.window.size = service.fair_queue.window.max_size = 0
-    scenario.release = lambda: setattr(service.fair_queue.window, "max_size", 512)
+    service.request_queue.fair_queue.window.size = service.request_queue.fair_queue.window.max_size = 0
+    scenario.release = lambda: setattr(service.request_queue.fair_queue.window, "max_size", 512)
     scenario.nursery.start_soon(scenario.ask)
-    await wait_until(lambda: service.fair_queue.waiting)
+    await wait_until(lambda: service.request_queue.fair_queue.waiting)
 
 
 async def setup_running(scenario: Scenario) -> None:
@@ -415,10 +415,10 @@
             "roles": coordinator.move_executor.moves_by_participant,
             "wishes": coordinator.move_executor.scheduler.planned,
             "targets": coordinator.move_executor.scheduler.targets,
-            "turns": service.turn_events,
-            "granted": service.granted_numbers,
-            "at work": service.fair_queue.in_progress,
-            "line": service.fair_queue.waiting,
+            "turns": service.request_queue.turn_events,
+            "granted": service.request_queue.granted_numbers,
+            "at work": service.request_queue.fair_queue.in_progress,
+            "line": service.request_queue.fair_queue.waiting,
             "queue": service.pending_requests.pending,
             "seats": front.session_api.clients,
             "taken": [
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -586,7 +586,7 @@
         async with running_front_end(tmp_path) as rig:
             assert rig.front_end is not None
             assert rig.front_end.service is not None
-            fair_queue = rig.front_end.service.fair_queue
+            fair_queue = rig.front_end.service.request_queue.fair_queue
             peer = HttpClient("127.0.0.1", rig.port)
             headers = [("Content-Type", sdp.MEDIA_TYPE)]
             body = offer(900, 1).encode()
@@ -601,7 +601,7 @@
                 rejection = await peer.request("POST", "/whep/open/t", headers, body)
                 assert (rejection.status, rejection.header("retry-after")) == (503, "1")
                 assert http_formats.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
-                assert rig.front_end.service.shed_count == 1
+                assert rig.front_end.service.request_queue.shed_count == 1
                 # The same connection.
                 options = await peer.request("OPTIONS", "/whep/open/t", [], b"")
                 assert options.status == 204
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -442,7 +442,7 @@
             await client_connection.receive()
             over_session = await request_playback(client_connection, "seat")
             paid = await rig.request_playback("/whep/course/t", Idempotency_Key='"paid"')
-            service.should_shed = lambda path: True  # type: ignore[method-assign]
+            service.request_queue.should_shed = lambda path: True  # type: ignore[method-assign]
             for api_client in coordinator_and_api(rig)[1].clients.values():
                 api_client.usage.pending_requests = api_client.usage.limits.pending_requests
             service.coordinator.site.route_table.plans.clear()
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -151,7 +151,7 @@
         async with running_front_end(tmp_path) as rig:
             core = rig.front_end.service if rig.front_end else None
             assert core is not None
-            assert core.fair_queue.plans["course"].weight == 0.5
+            assert core.request_queue.fair_queue.plans["course"].weight == 0.5
             site = rig.coordinator().site
             plan = site.plans["course"]
             costly_plan = replace(plan, plan=replace(plan.plan, revenue=8.0, startup_target_ns=5))
@@ -164,8 +164,8 @@
             assert rig.front_end is not None
             verdict = await rig.front_end.apply_configuration(1, configuration)
             assert verdict is ConfigurationVerdict.TAKEN
-            assert core.fair_queue.plans["course"].weight == 0.8
-            assert core.fair_queue.startup_targets["course"] == 5
+            assert core.request_queue.fair_queue.plans["course"].weight == 0.8
+            assert core.request_queue.fair_queue.startup_targets["course"] == 5
 
     run_async_test(test)
 
