--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -691,7 +691,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Their playbacks continue, and other clients are served."""
-    monkeypatch.setattr("oakcroft.front.websocket_api.WRITE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("oakcroft.front.websocket_connection.WRITE_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig, AsyncExitStack() as stack:
