--- a/oakcroft/front/move_executor.py
+++ b/oakcroft/front/move_executor.py
@@ -31,18 +31,24 @@
     MoveScheduler,
     MoveLimits,
     MoveReason,
+    PlannedMove,
     next_attempt_at,
 )
 from oakcroft.decisions.moving.drain_notice import DrainNotices
 from oakcroft.decisions.sessions.session_resource import SessionResource
 from oakcroft.front.protocols import Coordinator
 from oakcroft.front.playback_session import PlaybackSession
-from oakcroft.interface import SECOND, NodeEntry, NodeStatus, Node, PlaybackState
+from oakcroft.interface import MS, SECOND, NodeEntry, NodeStatus, Node, PlaybackState
 
 STAY_REPLY = Reply(
     503, "urn:oakcroft:problem:stay", "No other place was found: stay where you are", None, False
 )
 NodeFilter = Callable[[Node], bool]
+DEFAULT_TIME_LEFT_NS = 5 * SECOND  # assumed where no drain states or implies one
+UNLIMITED_TIME_LEFT_NS = 60 * SECOND  # stands for no limit: longer than any move takes
+PAUSED_CHECK_SECONDS = 0.25
+START_INTERVAL_SECONDS = 0.02
+MAX_IDLE_SECONDS = 3_600
 TIMEOUTS_NS = {MoveEvent.OFFER_TIMEOUT: OFFER_TIMEOUT_NS, MoveEvent.CONFIRM_TIMEOUT: CONFIRM_TIMEOUT_NS}
 
 
@@ -124,35 +130,10 @@
 
     def _plan_moves_from(self, node_name: str, reason: MoveReason, now: int) -> None:
         """Plans the moves away from a node."""
-        node = self.coordinator.node_list.nodes.get(node_name)
-        playing = (
-            [
-                self.coordinator.sessions_by_playback[playback]
-                for playback in node.playbacks
-                if playback in self.coordinator.sessions_by_playback
-            ]
-            if node
-            else []
-        )
         movable = []
         staying_count = 0
-        for session in playing:
-            if (
-                session.copy_of is not None
-                or session.is_ending
-                or session.id not in self.coordinator.sessions_by_id
-            ):
-                continue
-            if (
-                reason_to_stay(
-                    session.playback.plan,
-                    session.playback.tries[0][1],
-                    now,
-                    TIMEOUTS_NS[MoveEvent.OFFER_TIMEOUT],
-                    is_movable(session),
-                )
-                is not None
-            ):
+        for session in self._sessions_on(node_name):
+            if self._must_stay(session, now):
                 staying_count += 1
                 continue
             value = (
@@ -162,12 +143,38 @@
             movable.append((session.id, value))
         notice = self.drain_notices.time_left(node_name, now)
         planned = self.scheduler.plan_node(
-            node_name, movable, 5 * SECOND if notice is None else notice, reason, now
+            node_name, movable, DEFAULT_TIME_LEFT_NS if notice is None else notice, reason, now
         )
         self.log.info("leaving node", node=node_name, why=reason.value, moves=planned, stay=staying_count,
-                      notice_ms=None if notice is None else notice // 1_000_000)  # fmt: skip
+                      notice_ms=None if notice is None else notice // MS)  # fmt: skip
         self._wake_scheduler()
 
+    def _sessions_on(self, node_name: str) -> list[PlaybackSession]:
+        """Sessions that play on a node, without those that are ending and the copies of moves."""
+        node = self.coordinator.node_list.nodes.get(node_name)
+        if node is None:
+            return []
+        sessions = [
+            self.coordinator.sessions_by_playback[playback]
+            for playback in node.playbacks
+            if playback in self.coordinator.sessions_by_playback
+        ]
+        return [
+            session
+            for session in sessions
+            if session.copy_of is None
+            and not session.is_ending
+            and session.id in self.coordinator.sessions_by_id
+        ]
+
+    @staticmethod
+    def _must_stay(session: PlaybackSession, now: int) -> bool:
+        """Whether the rules of moves or its player keep a session on its node."""
+        reason = reason_to_stay(
+            session.playback.plan, session.playback.tries[0][1], now, OFFER_TIMEOUT_NS, is_movable(session)
+        )
+        return reason is not None
+
     def _cancel_moves_from(self, node_name: str) -> None:
         """Cancels the moves away from a node that is usable again."""
         for session_id in self.scheduler.cancel_node(node_name):
@@ -194,14 +201,14 @@
             now = self.coordinator.clock.now()
             due_at = self.scheduler.next_due_at(now)
             if self.is_paused:  # moves wait at this level of service
-                await trio.sleep(0.25)
+                await trio.sleep(PAUSED_CHECK_SECONDS)
                 continue
             if due_at is not None and due_at <= now:
                 await self.coordinator.submit(self._start_due_moves)
-                await trio.sleep(0.02)
+                await trio.sleep(START_INTERVAL_SECONDS)
                 continue
             schedule_changed = self.schedule_changed
-            with trio.move_on_after(3600 if due_at is None else (due_at - now) / 1e9):
+            with trio.move_on_after(MAX_IDLE_SECONDS if due_at is None else (due_at - now) / 1e9):
                 await schedule_changed.wait()
 
     def _start_due_moves(self) -> None:
@@ -210,40 +217,39 @@
         for planned_move in self.scheduler.start_due(now, self.scheduler.limits.max_concurrent):
             session = self.coordinator.sessions_by_id.get(planned_move.key)
             time_left = self.drain_notices.time_left(planned_move.node, now)
-            if session is None or session.is_ending or session.playback.state is not PlaybackState.PLAYING:
-                self.scheduler.forget(planned_move.key)
-                continue
             if (
-                reason_to_stay(
-                    session.playback.plan,
-                    session.playback.tries[0][1],
-                    now,
-                    OFFER_TIMEOUT_NS,
-                    is_movable(session),
-                )
-                is not None
+                session is None
+                or session.is_ending
+                or session.playback.state is not PlaybackState.PLAYING
+                or self._must_stay(session, now)
             ):
                 self.scheduler.forget(planned_move.key)
                 continue
-            seats_taken = session.playback.title.seats_taken.get(session.playback.plan, 0)
-            method = move_method(
-                session.playback.plan,
-                seats_taken,
-                60 * SECOND if time_left is None else time_left,
-                self.scheduler.limits.move_duration,
-            )
-            if method is MoveMethod.MAKE_BEFORE_BREAK:
-                move = Move(session, Handover(), planned_move.node, started_at=now)
-                self.moves[session.id] = self.moves_by_participant[session] = move
-                self.handle(move, MoveEvent.DUE)
-            elif method is MoveMethod.WAIT_FOR_SEAT:
-                planned_move.in_progress = False
-                planned_move.attempts -= 1
-                planned_move.due_at = next_attempt_at(method, now, self.rng)
-            else:
-                self.log.info("move breaks first", playback=session.id, node=planned_move.node)
-                self.scheduler.forget(planned_move.key)
-                self.coordinator.break_before_make(session)
+            self._start_move(planned_move, session, time_left, now)
+
+    def _start_move(
+        self, planned_move: PlannedMove, session: PlaybackSession, time_left: int | None, now: int
+    ) -> None:
+        """Starts a planned move by the method that seats and time allow, or postpones it."""
+        seats_taken = session.playback.title.seats_taken.get(session.playback.plan, 0)
+        method = move_method(
+            session.playback.plan,
+            seats_taken,
+            UNLIMITED_TIME_LEFT_NS if time_left is None else time_left,
+            self.scheduler.limits.move_duration,
+        )
+        if method is MoveMethod.MAKE_BEFORE_BREAK:
+            move = Move(session, Handover(), planned_move.node, started_at=now)
+            self.moves[session.id] = self.moves_by_participant[session] = move
+            self.handle(move, MoveEvent.DUE)
+        elif method is MoveMethod.WAIT_FOR_SEAT:
+            planned_move.in_progress = False
+            planned_move.attempts -= 1
+            planned_move.due_at = next_attempt_at(method, now, self.rng)
+        else:
+            self.log.info("move breaks first", playback=session.id, node=planned_move.node)
+            self.scheduler.forget(planned_move.key)
+            self.coordinator.break_before_make(session)
 
     # One move.
 
@@ -382,10 +388,15 @@
                 self.moves_by_participant.pop(participant, None)
         time_left = self.drain_notices.time_left(move.source_node, now)
         if time_left is None and move.source_node in self.degrading_nodes.leaving_since:
-            time_left = 5 * SECOND
+            time_left = DEFAULT_TIME_LEFT_NS
         is_retried = self.scheduler.finish(move.session.id, state is not MoveState.STAYED, now, time_left)
         if is_retried:
             self._wake_scheduler()
+        self._log_end(move, is_retried, now)
+
+    def _log_end(self, move: Move, is_retried: bool, now: int) -> None:
+        """Logs the end of a move."""
+        state = move.handover.state
         target_node = (
             move.session.playback.node.name
             if state is MoveState.DONE and move.session.playback.node
@@ -398,7 +409,7 @@
             target=target_node,
             end=state.value,
             again=is_retried,
-            ms=(now - move.started_at) // 1_000_000,
+            ms=(now - move.started_at) // MS,
             way=[visited.name for visited in move.handover.history],
         )
 
