--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -9,23 +9,25 @@
 import hashlib
 import hmac
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Protocol
 
 import orjson
 
 from oakcroft.catalogue.text import CatalogueError
 from oakcroft.decisions.routing.catalogue import CatalogueVerdict
+from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.catalogue_versions import ChangeResult, CatalogueVersions
 from oakcroft.front.session_service import RequestError
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.service_levels import ServiceLevelControl
 from oakcroft.front.zone_routing import ZoneRouting
-from oakcroft.interface import SECOND
+from oakcroft.interface import MS, SECOND
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling import http_formats
 
 OPERATORS_PATH = "/operators/"
-MAX_PIN_S = 86_400  # seconds
+MAX_PIN_S = 86_400
 MAX_WATCH_S = 86_400
 CATALOGUE_MEDIA_TYPE = "application/vnd.oakcroft.catalogue"
 STATUS_BY_VERDICT = {
@@ -67,7 +69,7 @@
         """The last roll-out as this front end knows it."""
 
     async def submit(
-        self, text: str, base_digest: str, watch_time: int, force: bool, change_reason: str
+        self, text: str, base_digest: str, watch_time_ns: int, force: bool, change_reason: str
     ) -> str:
         """Starts a roll-out; returns why not, or ""."""
 
@@ -132,6 +134,10 @@
             raise RequestError(404, "no-route", "Nothing is served at this path")
         if request.method not in METHODS_BY_PATH[path].split(", "):
             return Response(405, [("Allow", METHODS_BY_PATH[path])])
+        return await self._route_request(path, request)
+
+    async def _route_request(self, path: str, request: Request) -> Response:
+        """Dispatches a request whose path and method are allowed."""
         match path, request.method:
             case "catalogue", "GET":
                 return self._get_catalogue(request)
@@ -144,30 +150,32 @@
             case "status", _:
                 return self._get_status()
             case "fleet", _:
-                if self.fleet_status is None:
-                    raise RequestError(404, "no-peers", "This front has no (peers …) in its configuration")
-                return Response(
-                    200, [("Content-Type", "application/json")], orjson.dumps(self.fleet_status())
-                )
-            case "fleet/owners", method:
-                if self.leases is None:
-                    raise RequestError(
-                        404, "no-keepers", "This front has no (keepers …) in its configuration"
-                    )
-                if method == "DELETE":
-                    lease_name = request.query_parameter("duty") or ""
-                    if self.leases.held_term(lease_name) is None:
-                        raise RequestError(
-                            409, "not-mine", "This front has no such duty: ask the one that has"
-                        )
-                    self.leases.yield_lease(lease_name)
-                return Response(
-                    200, [("Content-Type", "application/json")], orjson.dumps(self.leases.status())
-                )
+                return self._get_fleet()
+            case "fleet/owners", _:
+                return self._handle_leases(request)
             case "fleet/roll-out", _:
                 return await self._handle_rollout(request)
         return await self._roll_back(request)
 
+    # The fleet.
+
+    def _get_fleet(self) -> Response:
+        """Shows the fleet as this front end sees it."""
+        if self.fleet_status is None:
+            raise RequestError(404, "no-peers", "This front has no (peers …) in its configuration")
+        return json_response(self.fleet_status())
+
+    def _handle_leases(self, request: Request) -> Response:
+        """Shows the fleet's leases, or releases one that this front end holds."""
+        if self.leases is None:
+            raise RequestError(404, "no-keepers", "This front has no (keepers …) in its configuration")
+        if request.method == "DELETE":
+            lease_name = request.query_parameter("duty") or ""
+            if self.leases.held_term(lease_name) is None:
+                raise RequestError(409, "not-mine", "This front has no such duty: ask the one that has")
+            self.leases.yield_lease(lease_name)
+        return json_response(self.leases.status())
+
     async def _handle_rollout(self, request: Request) -> Response:
         """Starts, shows or rolls back a roll-out over the whole fleet."""
         rollout = self.rollout
@@ -175,34 +183,38 @@
             raise RequestError(404, "no-keepers", "This front has no (keepers …) in its configuration")
         rejection = ""
         if request.method == "PUT":
-            named_base = self._base_digest(request)
-            (force, reason, _) = self._change_options(request)
-            watch_s = request.query_parameter("watch") or "10"
-            if not watch_s.isdigit() or int(watch_s) > MAX_WATCH_S:
-                raise RequestError(400, "watch", f"watch is whole seconds up to {MAX_WATCH_S}")
-            base_digest = self.coordinator.catalogue.digest if named_base is None else named_base
-            try:
-                rejection = await rollout.submit(
-                    request.body.decode("utf-8"), base_digest, int(watch_s) * SECOND, force, reason
-                )
-            except UnicodeDecodeError as fault:
-                raise RequestError(400, "catalogue", "The text is not UTF-8", str(fault)) from None
-            except CatalogueError as fault:
-                faults = "\n".join(item.format() for item in fault.faults)
-                raise RequestError(
-                    422, "catalogue", f"{len(fault.faults)} faults; nothing is begun", faults
-                ) from None
+            rejection = await self._start_rollout(rollout, request)
         elif request.method == "DELETE":
             rejection = await rollout.roll_back((request.query_parameter("why") or "")[:100])
         if rejection:
             raise RequestError(409, "roll-out", rejection)
-        status = 200 if request.method == "GET" else 202
-        return Response(status, [("Content-Type", "application/json")], orjson.dumps(rollout.status()))
+        return json_response(rollout.status(), 200 if request.method == "GET" else 202)
+
+    async def _start_rollout(self, rollout: RolloutControl, request: Request) -> str:
+        """Starts a roll-out of the catalogue in a request; returns why not, or ""."""
+        named_base = self._base_digest(request)
+        (force, reason, _) = self._change_options(request)
+        watch_s = request.query_parameter("watch") or "10"
+        if not watch_s.isdigit() or int(watch_s) > MAX_WATCH_S:
+            raise RequestError(400, "watch", f"watch is whole seconds up to {MAX_WATCH_S}")
+        base_digest = self.coordinator.catalogue.digest if named_base is None else named_base
+        try:
+            return await rollout.submit(
+                request.body.decode("utf-8"), base_digest, int(watch_s) * SECOND, force, reason
+            )
+        except UnicodeDecodeError as fault:
+            raise invalid_encoding(fault) from None
+        except CatalogueError as fault:
+            raise invalid_catalogue(fault, "nothing is begun") from None
+
+    # The catalogue.
 
     def _etag(self) -> str:
+        """The entity tag of the catalogue in force."""
         return f'"{self.coordinator.catalogue.digest or "none"}"'
 
     def _get_catalogue(self, request: Request) -> Response:
+        """Shows the catalogue in force, or a version that is kept."""
         version = request.query_parameter("version")
         text = self.catalogue_versions.active_text
         if version:
@@ -215,6 +227,7 @@
         return Response(200, headers + ([] if version else [("ETag", self._etag())]), text.encode())
 
     def _base_digest(self, request: Request) -> str | None:
+        """Digest of the version that a change was made from; None for any. Raises RequestError 428 without one."""
         etag = request.header("if-match")
         if etag is None:
             raise RequestError(428, "if-match", "A change names the version that it was made from: If-Match")
@@ -222,6 +235,7 @@
 
     @staticmethod
     def _change_options(request: Request) -> tuple[bool, str, float]:
+        """Whether a change is forced, its reason, and the share of front ends that take it."""
         written_share = request.query_parameter("share") or "1"
         try:
             share = float(written_share)
@@ -232,6 +246,7 @@
         return request.query_parameter("force") == "yes", (request.query_parameter("why") or "")[:200], share
 
     async def _change_catalogue(self, request: Request) -> Response:
+        """Replaces or changes the catalogue of this front end."""
         base_digest = self._base_digest(request)
         (force, reason, share) = self._change_options(request)
         try:
@@ -241,16 +256,12 @@
             )
             return self._change_response(await submit_change(text, base_digest, force, reason, share))
         except UnicodeDecodeError as fault:
-            raise RequestError(400, "catalogue", "The text is not UTF-8", str(fault)) from None
+            raise invalid_encoding(fault) from None
         except CatalogueError as fault:
-            raise RequestError(
-                422,
-                "catalogue",
-                f"{len(fault.faults)} faults; nothing is taken",
-                "\n".join(item.format() for item in fault.faults),
-            ) from None
+            raise invalid_catalogue(fault, "nothing is taken") from None
 
     async def _roll_back(self, request: Request) -> Response:
+        """Rolls the catalogue of this front end back to a version that is kept."""
         number = request.query_parameter("to") or ""
         base_digest = self._base_digest(request)
         result = await self.catalogue_versions.roll_back(
@@ -261,41 +272,40 @@
         return self._change_response(result)
 
     def _change_response(self, result: ChangeResult) -> Response:
+        """Response to a change, with its verdict."""
         verdict, reasons = result
+        status = STATUS_BY_VERDICT[verdict]
         body_fields = {
             "verdict": verdict.name.lower(),
             "version": self.coordinator.catalogue.number,
             "reasons": reasons,
         }
-        if STATUS_BY_VERDICT[verdict] >= 400:
+        if status >= HTTPStatus.BAD_REQUEST:
             body = http_formats.problem_body(
-                STATUS_BY_VERDICT[verdict],
-                "urn:oakcroft:problem:catalogue",
-                verdict.value,
-                "; ".join(reasons),
-                **body_fields,
+                status, "urn:oakcroft:problem:catalogue", verdict.value, "; ".join(reasons), **body_fields
             )
             return Response(
-                STATUS_BY_VERDICT[verdict],
-                [("Content-Type", http_formats.PROBLEM_MEDIA_TYPE), ("ETag", self._etag())],
-                body,
+                status, [("Content-Type", http_formats.PROBLEM_MEDIA_TYPE), ("ETag", self._etag())], body
             )
         headers = [("Content-Type", "application/json"), ("ETag", self._etag())]
-        return Response(STATUS_BY_VERDICT[verdict], headers, orjson.dumps(body_fields))
+        return Response(status, headers, orjson.dumps(body_fields))
 
     def _list_versions(self) -> Response:
+        """Lists the versions that are kept."""
         active_number = self.coordinator.catalogue.number
         versions = [
             {
                 "version": version.number,
                 "digest": version.digest,
-                "taken_ms": version.activated_at // 1_000_000,
+                "taken_ms": version.activated_at // MS,
                 "why": version.reason,
                 "in_force": version.number == active_number,
             }
             for version in self.catalogue_versions.history.versions
         ]
-        return Response(200, [("Content-Type", "application/json")], orjson.dumps(versions))
+        return json_response(versions)
+
+    # This front end.
 
     def _pin_level(self, request: Request) -> Response:
         """Pins a service level for a number of seconds; without a name, removes the pin."""
@@ -314,11 +324,10 @@
                 ", ".join(level.name for level in controller.levels),
             )
         self.level_control.update()
-        return Response(
-            200, [("Content-Type", "application/json")], orjson.dumps(self.level_control.status())
-        )
+        return json_response(self.level_control.status())
 
     def _get_status(self) -> Response:
+        """Shows this front end's state and counts."""
         coordinator = self.coordinator
         durable_state = self.coordinator.durable_state
         status: dict[str, object] = {
@@ -337,17 +346,38 @@
         if self.takeover is not None:
             status["adopting"] = self.takeover.status()
         if durable_state is not None:
-            health = durable_state.store.health
-            counts = durable_state.store.counts
-            status["state"] = {
-                "disk": health.state.value,
-                "trouble": health.fault.value if health.fault else None,
-                "phase": durable_state.recovery.phase.value,
-                "promises": len(durable_state.promises),
-                "held": len(durable_state.uncertain),
-                "commits": counts.commits,
-                "refused": counts.refused,
-                "dropped": counts.dropped,
-                "longest_ms": counts.longest_ns // 1_000_000,
-            }
-        return Response(200, [("Content-Type", "application/json")], orjson.dumps(status))
+            status["state"] = self._state_status(durable_state)
+        return json_response(status)
+
+    @staticmethod
+    def _state_status(durable_state: FrontEndState) -> dict[str, object]:
+        """The condition of the state file, and the counts of what it has to keep."""
+        health = durable_state.store.health
+        counts = durable_state.store.counts
+        return {
+            "disk": health.state.value,
+            "trouble": health.fault.value if health.fault else None,
+            "phase": durable_state.recovery.phase.value,
+            "promises": len(durable_state.promises),
+            "held": len(durable_state.uncertain),
+            "commits": counts.commits,
+            "refused": counts.refused,
+            "dropped": counts.dropped,
+            "longest_ms": counts.longest_ns // MS,
+        }
+
+
+def json_response(body: object, status: int = 200) -> Response:
+    """A response with a JSON body."""
+    return Response(status, [("Content-Type", "application/json")], orjson.dumps(body))
+
+
+def invalid_encoding(fault: UnicodeDecodeError) -> RequestError:
+    """The error for a catalogue that is not UTF-8."""
+    return RequestError(400, "catalogue", "The text is not UTF-8", str(fault))
+
+
+def invalid_catalogue(fault: CatalogueError, consequence: str) -> RequestError:
+    """The error for a catalogue with faults, which are listed; `consequence` says what has not been done."""
+    faults = "\n".join(item.format() for item in fault.faults)
+    return RequestError(422, "catalogue", f"{len(fault.faults)} faults; {consequence}", faults)
