--- a/oakcroft/front/protocols.py
+++ b/oakcroft/front/protocols.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
@@ -14,10 +15,11 @@
 
 from oakcroft.decisions.fleet.node_list import NodeList
 from oakcroft.decisions.routing.title_cache import TitleCache
+from oakcroft.decisions.sessions.answers import FinalAnswer
 from oakcroft.decisions.sessions.idempotency import IdempotencyStore
 from oakcroft.front.node_client import NodeClient, NodeEvent
 from oakcroft.front.playback_session import PlaybackSession
-from oakcroft.config.settings import SharedSettings
+from oakcroft.config.settings import PlanTerms, SharedSettings
 from oakcroft.interface import (
     Host,
     NodeListKind,
@@ -96,7 +98,16 @@
 
 
 class DurableState(Protocol):
-    """The stored state, as moves and node events use it."""
+    """The stored state, as moves, node events and final answers use it."""
+
+    def must_record_answer(self, session: PlaybackSession) -> bool:
+        """Whether the answer that a session plays must be recorded before it is given."""
+
+    async def record_playing(self, session: PlaybackSession) -> bool:
+        """Records that a session plays; returns False if that did not succeed in time."""
+
+    def answer_given(self, session: PlaybackSession, final: FinalAnswer) -> None:
+        """Records the final answer of a session."""
 
     def move_started(self, session: PlaybackSession, copy: PlaybackSession) -> None:
         """Records that a copy of a session may be set up from now on."""
@@ -147,6 +158,8 @@
     sessions_by_upstream: dict[tuple[str, str], PlaybackSession]
     idempotency_store: IdempotencyStore
     playing_count: int
+    answer_counts: Counter[FinalAnswer]
+    on_answer: Callable[[bool, PlanTerms, int], None] | None
     on_sessions_taken_over: Callable[[int], None]
     on_link_load: Callable[[str, float, int], None]
 
@@ -165,6 +178,9 @@
     async def submit(self, event: Event) -> None:
         """Submits an event and waits for room in the channel."""
 
+    def submit_later(self, event: Event) -> None:
+        """Submits an event that must not be lost, from code that cannot wait."""
+
     def request_placement(self, session: PlaybackSession) -> None:
         """Asks the policy to place a session."""
 
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -38,13 +38,14 @@
 )
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event, handle_events
+from oakcroft.front.answer_delivery import AnswerDelivery
 from oakcroft.front.node_events import NodeEventHandler
 from oakcroft.front.move_executor import MoveExecutor
 from oakcroft.front.node_client import MAX_TRY_GRACE_NS, NodeClient, FrontIdentity, TryResult
 from oakcroft.front.rendition_bound import RenditionBound
 from oakcroft.front.protocols import ChangeNotifier, PolicyFactory, DecisionPolicy
 from oakcroft.front.playback_session import PlaybackSession
-from oakcroft.interface import Node, PlaybackMetric, Outcome, Playback, PlaybackState
+from oakcroft.interface import MS, Node, PlaybackMetric, Outcome, Playback, PlaybackState
 from oakcroft.config.settings import Deployment, PlanTerms, SharedSettings
 from oakcroft.signalling import http_formats
 
@@ -56,9 +57,8 @@
 EMPTY_LOAD_REPORT = http_formats.LoadReport()
 MAX_QUEUED_EVENTS = 4_096
 MAX_TITLES = 50_000
+MAINTENANCE_INTERVAL_SECONDS = 0.5
 MAX_IDEMPOTENCY_KEYS = 100_000
-# A session whose answer was not delivered is kept for this long, in which its viewer may ask again.
-UNDELIVERED_ANSWER_SECONDS = 10.0
 
 
 class SessionCoordinator:
@@ -115,6 +115,7 @@
         self.move_executor = MoveExecutor(self, Random(seed + 3), site.default_drain_notice_ns, log)
         self.policy: DecisionPolicy = policy_factory(site.terms, seed, self, clock.now())
         self.rendition_bound = RenditionBound(self, self.rng, log)
+        self.answer_delivery = AnswerDelivery(self, self.move_executor, log)
         self.node_events = NodeEventHandler(self, self.move_executor, log)
         self.durable_state: FrontEndState | None = None
         self.catalogue = Catalogue()
@@ -147,24 +148,27 @@
                 self.longest_abandon_ns, *(plan_terms.abandon_ns for plan_terms in site.plans.values())
             )
             self.idempotency_store.retention = site.key_retention_ns
-            over_seats = [
-                f"{title.name}: {title.seats_taken[plan_terms.plan]} of {plan_terms.plan.seats}"
-                for title in self.title_cache.titles.values()
-                for plan_terms in site.plans.values()
-                if plan_terms.plan.seats and title.seats_taken.get(plan_terms.plan, 0) > plan_terms.plan.seats
-            ]
             removed_plans = sorted(set(before.plans) - set(site.plans))
             self.logger.info(
                 "configuration taken",
                 version=self.active_configuration.version.number,
                 routes=len(site.route_table.routes),
-                over_seats=over_seats[:10],
+                over_seats=self._titles_over_seats()[:10],
                 plans_gone=removed_plans,
             )
         else:
             self.logger.warning("configuration not taken", verdict=verdict.value, parts=parts)
         return verdict, parts
 
+    def _titles_over_seats(self) -> list[str]:
+        """Titles of which more seats are taken than a plan has, each with its numbers."""
+        return [
+            f"{title.name}: {title.seats_taken[plan_terms.plan]} of {plan_terms.plan.seats}"
+            for title in self.title_cache.titles.values()
+            for plan_terms in self.site.plans.values()
+            if plan_terms.plan.seats and title.seats_taken.get(plan_terms.plan, 0) > plan_terms.plan.seats
+        ]
+
     # Events.
 
     async def run(self) -> None:
@@ -201,7 +205,7 @@
         """
         pause_ns = self.pause_detector.heartbeat(now)
         if pause_ns:
-            self.logger.warning("stood still", ms=pause_ns // 1_000_000, unanswered=self.unanswered_count)
+            self.logger.warning("stood still", ms=pause_ns // MS, unanswered=self.unanswered_count)
             for node_client in self.node_clients.values():
                 node_client.node_sessions.discount_pause(pause_ns)
                 node_client.stream_health.discount_pause(pause_ns)
@@ -209,22 +213,24 @@
     async def run_maintenance(self) -> None:
         """Checks periodically for silent nodes and for sessions that no setup try has claimed."""
         while True:
-            await trio.sleep(0.5)
+            await trio.sleep(MAINTENANCE_INTERVAL_SECONDS)
             now = self.clock.now()
             self.discount_pause(now)
             if self.durable_state is not None:
                 await self.submit(self.durable_state.maintain)
             for node_client in list(self.node_clients.values()):
-                if node_client.is_watched and (loss := node_client.stream_health.check(now)) is not None:
-                    await self.submit(
-                        partial(self.node_events.node_lost, node_client, loss, "silent for too long")
-                    )
-                for resource in node_client.node_sessions.take_orphans(now):
-                    self.logger.info("orphan ended", node=node_client.name)
-                    self.nursery.start_soon(node_client.end_session, resource)
-                if node_client.name not in self.node_list.nodes and not node_client.node_sessions.claimed:
-                    del self.node_clients[node_client.name]
-                    await node_client.close()
+                await self._maintain_node_client(node_client, now)
+
+    async def _maintain_node_client(self, node_client: NodeClient, now: int) -> None:
+        """Checks a node for silence and for unclaimed sessions; closes the client of one that is no longer needed."""
+        if node_client.is_watched and (loss := node_client.stream_health.check(now)) is not None:
+            await self.submit(partial(self.node_events.node_lost, node_client, loss, "silent for too long"))
+        for resource in node_client.node_sessions.take_orphans(now):
+            self.logger.info("orphan ended", node=node_client.name)
+            self.nursery.start_soon(node_client.end_session, resource)
+        if node_client.name not in self.node_list.nodes and not node_client.node_sessions.claimed:
+            del self.node_clients[node_client.name]
+            await node_client.close()
 
     # Node list.
 
@@ -341,22 +347,26 @@
             return
         self.sessions_by_playback[session.playback] = session
         # A newer catalogue has come into force since the request was read.
-        if session.catalogue_number != self.catalogue.number:
-            top_rung = self.title_top_rung(
-                session.playback.title.name, session.requested_top, session.playback.plan.floor
-            )
-            if top_rung is None:
-                self._finish_request(
-                    session, FinalAnswer.REJECTED, answers.REFUSAL_REPLIES[answers.Refusal.NO_TITLE]
-                )
-                del self.sessions_by_playback[session.playback]
-                self._release_limits(session)
-                return
-            session.playback.top_rung = top_rung
-            session.catalogue_number = self.catalogue.number
+        if session.catalogue_number != self.catalogue.number and not self._apply_catalogue(session):
+            return
         self.policy.on_request(session.playback, self.clock.now())
         self._forget_if_over(session)
 
+    def _apply_catalogue(self, session: PlaybackSession) -> bool:
+        """Applies the catalogue in force to a new session; returns False for one that it makes rejected."""
+        top_rung = self.title_top_rung(
+            session.playback.title.name, session.requested_top, session.playback.plan.floor
+        )
+        if top_rung is None:
+            reply = answers.REFUSAL_REPLIES[answers.Refusal.NO_TITLE]
+            self.answer_delivery.finish_request(session, FinalAnswer.REJECTED, reply)
+            del self.sessions_by_playback[session.playback]
+            self._release_limits(session)
+            return False
+        session.playback.top_rung = top_rung
+        session.catalogue_number = self.catalogue.number
+        return True
+
     def title_top_rung(self, title: str, requested_top: int, floor: int) -> int | None:
         """Highest rung for a request under the catalogue in force; None where the title cannot be served.
 
@@ -475,28 +485,25 @@
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Starts a setup try; implements `Host.send_setup`. `abandon_at` is its deadline."""
-        if self.sessions_by_playback[playback].copy_of is not None:
-            self.move_executor.target_chosen(self.sessions_by_playback[playback], node.name)
+        session = self.sessions_by_playback[playback]
+        if session.copy_of is not None:
+            self.move_executor.target_chosen(session, node.name)
         if self.durable_state is not None:
             self.durable_state.setup_sent(node)
-        self.sessions_by_playback[playback].catalogue_number = self.catalogue.number
+        session.catalogue_number = self.catalogue.number
         self.nursery.start_soon(
-            self._run_try,
-            self.sessions_by_playback[playback],
-            self.node_clients[node.name],
-            playback.rung,
-            abandon_at,
+            self._run_try, session, self.node_clients[node.name], playback.rung, abandon_at
         )
 
     def reject(self, playback: Playback, retry_after_ns: int) -> None:
         """Answers a request as rejected; implements `Host.reject`."""
-        self._finish_request(
+        self.answer_delivery.finish_request(
             self.sessions_by_playback[playback], FinalAnswer.REJECTED, answers.rejected_reply(retry_after_ns)
         )
 
     def abort(self, playback: Playback) -> None:
         """Answers a request as aborted; implements `Host.abort`."""
-        self._finish_request(
+        self.answer_delivery.finish_request(
             self.sessions_by_playback[playback],
             FinalAnswer.ABORTED,
             answers.aborted_reply(playback.plan.effect),
@@ -504,13 +511,13 @@
 
     def set_rung(self, playback: Playback, rung: int) -> None:
         """Sends a rung to the node of a playing session; implements `Host.set_rung`."""
-        v = self.sessions_by_playback[playback]
+        session = self.sessions_by_playback[playback]
         if playback.state is not PlaybackState.PLAYING:
             return  # the set-up itself carries the rung
-        v.rung_to_send = rung
-        if not v.is_sending_rung:
-            v.is_sending_rung = True
-            self.nursery.start_soon(self._send_rung_changes, v)
+        session.rung_to_send = rung
+        if not session.is_sending_rung:
+            session.is_sending_rung = True
+            self.nursery.start_soon(self._send_rung_changes, session)
 
     def set_timer(self, at: int) -> None:
         """Calls the policy's `on_timer` at a time; implements `Host.set_timer`."""
@@ -584,7 +591,7 @@
         if self.durable_state is not None:
             self.durable_state.try_ended(session, result.outcome)
         if is_closed and session.final_answer is None:
-            self._abort_unanswered(session)
+            self.answer_delivery.abort_unanswered(session)
         self.logger.debug(
             "try",
             playback=session.id,
@@ -623,7 +630,7 @@
         session.upstream = result.upstream
         if playback.state is not PlaybackState.SETTING_UP:  # the viewer left during the set-up
             if session.final_answer is None:
-                self._abort_unanswered(session)
+                self.answer_delivery.abort_unanswered(session)
             session.is_ending = True
             self._start_session_end(session)
             return
@@ -637,7 +644,7 @@
         if session.copy_of is None:
             session.resource = SessionResource(result.upstream.etag, session.ufrag)
             self.sessions_by_id[session.id] = session
-            self._finish_request(session, FinalAnswer.PLAYS, None)
+            self.answer_delivery.finish_request(session, FinalAnswer.PLAYS, None)
         elif (move := self.move_executor.move_of(session)) is not None:
             self.move_executor.handle(move, MoveEvent.TARGET_PLAYS)
         else:
@@ -645,13 +652,6 @@
         if not still_runs:
             self.playback_ended(session, Outcome.RESET)
 
-    def _abort_unanswered(self, session: PlaybackSession) -> None:
-        """Answers a set-up that may have run, or has, and whose viewer did not wait for its answer."""
-        session.set_answer(FinalAnswer.ABORTED, answers.aborted_reply(session.plan.plan.effect))
-        self.idempotency_store.record_answer(session.key, FinalAnswer.ABORTED, session, self.clock.now())
-        if self.durable_state is not None:
-            self.durable_state.answer_given(session, FinalAnswer.ABORTED)
-
     def follow_events(self, node_client: NodeClient, events_path: str) -> None:
         """Keeps the event stream of a node open from now on; `events_path` is the path of the stream."""
         self.node_events.follow(node_client, events_path)
@@ -708,89 +708,7 @@
             reader.send.close()
         session.readers.clear()
 
-    def answer_undelivered(self, session: PlaybackSession) -> None:
-        """Handles an answer that could not be written because the viewer's connection broke.
-
-        Nobody then knows the session's name. A viewer that chose its idempotency key may ask again and gets
-        the same answer; it has `UNDELIVERED_ANSWER_SECONDS` for that, since a paid playback would not be set
-        up a second time. The cost: the playback of a viewer that does not come back holds its place for that
-        long.
-        """
-        if not session.has_client_key:
-            self.submit_later(partial(self.end_session, session))
-        elif not session.answer_undelivered:
-            session.answer_undelivered = True
-            self.nursery.start_soon(self._end_if_undelivered, session)
-
-    async def _end_if_undelivered(self, session: PlaybackSession) -> None:
-        """Ends a session whose undelivered answer was not asked for again in time."""
-        await trio.sleep(UNDELIVERED_ANSWER_SECONDS)
-        if session.answer_undelivered:
-            await self.submit(partial(self.end_session, session))
-
-    # Answers, event readers and removal.
-
-    def _finish_request(
-        self, session: PlaybackSession, final_answer: FinalAnswer, reply: answers.Reply | None
-    ) -> None:
-        """Gives a request its final answer, or passes the result to the move that the session is part of."""
-        if session.copy_of is not None:
-            if (move := self.move_executor.move_of(session)) is not None:
-                self.move_executor.handle(move, MoveEvent.TARGET_FAILED)
-            return
-        if (
-            final_answer is FinalAnswer.PLAYS
-            and self.durable_state is not None
-            and self.durable_state.must_record_answer(session)
-        ):
-            self.nursery.start_soon(self._answer_when_recorded, session)
-            return
-        self._give_answer(session, final_answer, reply)
-
-    async def _answer_when_recorded(self, session: PlaybackSession) -> None:
-        """Answers that a session plays, once that is stored or could not be stored in time."""
-        assert self.durable_state is not None
-        if not await self.durable_state.record_playing(session):
-            self.logger.warning("answer not on record", playback=session.id, plan=session.plan.name)
-        await self.submit(partial(self._promise_recorded, session))
-
-    def _promise_recorded(self, session: PlaybackSession) -> None:
-        """Gives the answer of a session whose promise has been stored, if it still plays."""
-        if session.playback.state is PlaybackState.PLAYING and not session.is_ending:
-            self._give_answer(session, FinalAnswer.PLAYS, None)
-        elif session.final_answer is None:  # it was lost, or its viewer left, while it was being stored
-            self._abort_unanswered(session)
-
-    def _give_answer(
-        self, session: PlaybackSession, final_answer: FinalAnswer, reply: answers.Reply | None
-    ) -> None:
-        """Gives a request its final answer, unless it has one."""
-        if not session.set_answer(final_answer, reply):
-            return
-        self.answer_counts[final_answer] += 1
-        if final_answer is FinalAnswer.PLAYS:
-            self.playing_count += 1
-        if self.durable_state is not None:
-            self.durable_state.answer_given(session, final_answer)
-        self.idempotency_store.record_answer(session.key, final_answer, session, self.clock.now())
-        if self.on_answer is not None:
-            self.on_answer(
-                final_answer is FinalAnswer.REJECTED,
-                session.plan,
-                self.clock.now() - session.deadline.written_at,
-            )
-        elapsed_ms = (self.clock.now() - session.deadline.written_at) // 1_000_000
-        node = session.upstream.node if session.upstream else None
-        self.logger.info(
-            "answer",
-            playback=session.id,
-            plan=session.plan.name,
-            final=final_answer.value,
-            ms=elapsed_ms,
-            tries=len(session.playback.tries),
-            node=node,
-            rung=session.playback.rung,
-        )
+    # Event readers and removal.
 
     def publish_event(self, session: PlaybackSession, kind: str, data: dict[str, str]) -> None:
         """Sends an event to the readers of a session that take events of its kind."""
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -240,7 +240,7 @@
             ]
         headers.append(("Accept-Patch", SDPFRAG_MEDIA_TYPE))
         on_unsent = (
-            partial(self.coordinator.answer_undelivered, session)
+            partial(self.coordinator.answer_delivery.handle_undelivered, session)
             if is_first or session.answer_undelivered
             else None
         )
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -315,13 +315,13 @@
             first = await rig.request_playback(path, Idempotency_Key='"k"')
             session = coordinator.sessions_by_id[(first.header("location") or "").rpartition("/")[2]]
             # As if the connection was lost while the answer was written.
-            coordinator.answer_undelivered(session)
+            coordinator.answer_delivery.handle_undelivered(session)
             assert (await rig.request_playback(path, Idempotency_Key='"k"')).header(
                 "location"
             ) == first.header("location")
             assert not session.answer_undelivered
-            monkeypatch.setattr("oakcroft.front.session_coordinator.UNDELIVERED_ANSWER_SECONDS", 0.05)
-            coordinator.answer_undelivered(session)
+            monkeypatch.setattr("oakcroft.front.answer_delivery.UNDELIVERED_ANSWER_SECONDS", 0.05)
+            coordinator.answer_delivery.handle_undelivered(session)
             await wait_until(lambda: not coordinator.sessions_by_playback)
             assert len(rig.recorded("ran")) == 1
             rig.assert_rules_hold()
