--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -11,6 +11,7 @@
 import math
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
+from http import HTTPStatus
 from random import Random
 from typing import TypeVar
 from urllib.parse import quote, urljoin, urlsplit
@@ -44,6 +45,8 @@
 
 EVENT_NAMES = ("share", "link", "rung", "ended", "started")
 REQUEST_TIMEOUT_SECONDS = 2.0
+MAX_TRY_GRACE_NS = 2 * SECOND  # added to the longest abandon time: no setup try lasts longer
+MAX_REPORTED_VALUE = 1e6  # exclusive
 ResponseT = TypeVar("ResponseT")
 
 
@@ -84,7 +87,7 @@
     """
 
     def __init__(self, front_name: str, generation: Callable[[], int], lease_ns: int) -> None:
-        """Creates an identity; the lease is in nanoseconds."""
+        """Creates an identity that goes with every request to a node."""
         self.front_name = front_name
         self.generation = generation
         self.lease_ns = lease_ns
@@ -100,8 +103,8 @@
         ]
 
 
-def takeover_memo(session: PlaybackSession) -> str:
-    """Memo that lets another front end take a session over.
+def encode_session_memo(session: PlaybackSession) -> str:
+    """Encodes what another front end needs to know of a session to take it over.
 
     Empty where it would be too long, in which case the session cannot be taken over.
     """
@@ -132,7 +135,7 @@
 
     def __init__(
         self, name: str, host: str, port: int, pseudonym: str, clock: Clock, rng: Random, connect_timeout_ns: int,
-        timeouts: StreamTimeouts, claim_timeout: int,
+        timeouts: StreamTimeouts, claim_timeout_ns: int,
     ) -> None:  # fmt: skip
         """Creates the client; `watch` has to run before events come. Times are in nanoseconds."""
         self.name = name
@@ -142,7 +145,7 @@
         self.address = (host, port)
         self.peer = HttpClient(host, port, connect_timeout_ns / 1e9)
         self.stream_health = EventStreamHealth(timeouts, clock.now())
-        self.node_sessions = NodeSessions(claim_timeout)
+        self.node_sessions = NodeSessions(claim_timeout_ns)
         self.events_path = ""
         self.is_watched = False
         self.stream_requested_at = 0  # the hello event of the stream is no older than this
@@ -153,13 +156,13 @@
         self.discount_pause: Callable[[int], None] = lambda _: None  # called before elapsed time is judged
         self.identity: FrontIdentity | None = None  # where sessions are to outlive this front end
 
-    def _headers(self, **more: str) -> Headers:
-        """Headers of every request, and further ones whose names have underscores for hyphens."""
+    def _headers(self, **extra_headers: str) -> Headers:
+        """Headers of every request, and extra ones whose names have underscores for hyphens."""
         identity_headers = self.identity.headers() if self.identity is not None else []
         return [
             ("Via", f"1.1 {self.pseudonym}"),
             *identity_headers,
-            *((name.replace("_", "-"), value) for name, value in more.items()),
+            *((name.replace("_", "-"), value) for name, value in extra_headers.items()),
         ]
 
     async def set_up(self, session: PlaybackSession, rung: int, abandon_at: int) -> TryResult:
@@ -175,7 +178,7 @@
                 )
                 if session.catalogue_number:
                     headers.append((http_formats.CATALOGUE_HEADER, str(session.catalogue_number)))
-                if self.identity is not None and (memo := takeover_memo(session)):
+                if self.identity is not None and (memo := encode_session_memo(session)):
                     headers.append((takeover_messages.MEMO_HEADER, memo))
                 response = await self.peer.request(
                     "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), progress
@@ -188,8 +191,10 @@
         upstream = None
         if response is not None:
             load_report = http_formats.parse_load_report(response.header(http_formats.LOAD_HEADER))
-            progress.problem_type = http_formats.problem_type(response.body) if response.status != 201 else ""
-            if response.status == 201:
+            progress.problem_type = (
+                http_formats.problem_type(response.body) if response.status != HTTPStatus.CREATED else ""
+            )
+            if response.status == HTTPStatus.CREATED:
                 upstream = self._parse_upstream(session.path, response)
                 if upstream is None:
                     end = RequestEnd.INVALID_RESPONSE
@@ -252,7 +257,7 @@
         """
         while True:
             response = await self._request(method, target, self._headers() + headers, body)
-            if response is not None and response.status < 500:
+            if response is not None and response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
                 return response
             if self.stream_health.state is StreamState.LOST and not even_if_lost:
                 return None
@@ -275,7 +280,7 @@
         headers = [("Content-Type", "application/json")]
         backoff = RetryBackoff(RUNG_CHANGE_RETRY, self.rng, self.clock.now())
         response = await self._request_with_retry(backoff, "POST", upstream.layer_path, headers, body)
-        return response is not None and response.status in (200, 204)
+        return response is not None and response.status in (HTTPStatus.OK, HTTPStatus.NO_CONTENT)
 
     async def patch(self, upstream: UpstreamSession, if_match: str, body: bytes) -> Response | None:
         """Forwards a trickle ICE fragment, once; None when it got no answer."""
@@ -315,10 +320,14 @@
             return None, True
         link_load = (
             http_formats.parse_load_report(response.header(http_formats.LOAD_HEADER)).link_demand
-            if response.status < 300
+            if response.status < HTTPStatus.MULTIPLE_CHOICES
             else None
         )
-        return (link_load, True) if is_valid_value(link_load) else (None, response.status >= 500)
+        return (
+            (link_load, True)
+            if is_valid_value(link_load)
+            else (None, response.status >= HTTPStatus.INTERNAL_SERVER_ERROR)
+        )
 
     async def _request_json(
         self, method: str, target: str, body: bytes, decoder: msgspec.json.Decoder[ResponseT]
@@ -327,7 +336,11 @@
         headers = self._headers(**({"Content_Type": "application/json"} if body else {}))
         response = await self._request(method, target, headers, body)
         try:
-            return decoder.decode(response.body) if response is not None and response.status == 200 else None
+            return (
+                decoder.decode(response.body)
+                if response is not None and response.status == HTTPStatus.OK
+                else None
+            )
         except (ValueError, msgspec.MsgspecError):
             return None
 
@@ -360,7 +373,7 @@
         backoff = RetryBackoff(EVENT_STREAM_RETRY, self.rng, self.clock.now())
         while True:
             await self.stream_wanted.wait()
-            cause = await self._read_stream(on_event, on_lost, backoff)
+            cause = await self._read_stream(on_event, backoff)
             self.discount_pause(self.clock.now())
             loss = self.stream_health.stream_broken(cause, self.clock.now())
             if loss is not None:
@@ -370,11 +383,9 @@
                 continue
             await trio.sleep((backoff.record_failure(self.clock.now()) or 0) / 1e9)
 
-    async def _read_stream(
-        self, on_event: EventHandler, on_lost: LossHandler, backoff: RetryBackoff
-    ) -> StreamBreak:
+    async def _read_stream(self, on_event: EventHandler, backoff: RetryBackoff) -> StreamBreak:
         """Reads one event stream to its end; returns how it ended."""
-        reader = http_formats.EventStreamParser()
+        parser = http_formats.EventStreamParser()
         headers = self._headers(Accept=http_formats.EVENT_STREAM_MEDIA_TYPE)
         self.stream_requested_at = self.clock.now()
         try:
@@ -383,23 +394,15 @@
                 self.is_reopening = False
                 silence.deadline = trio.current_time() + self._silence_seconds()
                 async with self.peer.stream("GET", self.events_path, headers) as (head, chunks):
-                    if head.status in (404, 410):
+                    if head.status in (HTTPStatus.NOT_FOUND, HTTPStatus.GONE):
                         return StreamBreak.SESSIONS_UNKNOWN
-                    if head.status != 200:
+                    if head.status != HTTPStatus.OK:
                         return StreamBreak.CLOSED
                     async for chunk in chunks:
                         silence.deadline = trio.current_time() + self._silence_seconds()
                         self.stream_health.message_received(self.clock.now())
-                        for name, data in reader.feed(chunk):
-                            if name == "hello":
-                                backoff.record_success(self.clock.now())
-                                event = msgspec.json.decode(data, type=NodeEvent)
-                                loss = self.stream_health.stream_opened(event.process, self.clock.now())
-                                # The event's own list of sessions tells what is lost.
-                                event.why = loss.value if loss is not None else ""
-                                await on_event(name, event)
-                            elif name in EVENT_NAMES:
-                                await on_event(name, msgspec.json.decode(data, type=NodeEvent))
+                        for name, data in parser.feed(chunk):
+                            await self._handle_event(name, data, on_event, backoff)
             if silence.cancelled_caught:
                 return StreamBreak.CLOSED if self.is_reopening else StreamBreak.TIMED_OUT
         except ExchangeError as ended:
@@ -408,6 +411,20 @@
             return StreamBreak.RESET
         return StreamBreak.CLOSED
 
+    async def _handle_event(
+        self, name: str, data: bytes, on_event: EventHandler, backoff: RetryBackoff
+    ) -> None:
+        """Decodes an event and reports it; hello, the first of a stream, tells whether sessions were lost."""
+        if name == "hello":
+            backoff.record_success(self.clock.now())
+            event = msgspec.json.decode(data, type=NodeEvent)
+            loss = self.stream_health.stream_opened(event.process, self.clock.now())
+            # The event's own list of sessions tells what is lost.
+            event.why = loss.value if loss is not None else ""
+            await on_event(name, event)
+        elif name in EVENT_NAMES:
+            await on_event(name, msgspec.json.decode(data, type=NodeEvent))
+
     def _silence_seconds(self) -> float:
         """Seconds without data after which the stream is reopened."""
         return self.stream_health.timeouts.silent_after / 1e9
@@ -415,7 +432,4 @@
 
 def is_valid_value(value: float | None) -> bool:
     """Whether a reported value is present and within bounds."""
-    return value is not None and math.isfinite(value) and 0 <= value < 1e6
-
-
-MAX_TRY_GRACE_NS = 2 * SECOND
+    return value is not None and math.isfinite(value) and 0 <= value < MAX_REPORTED_VALUE
--- a/oakcroft/front/node_list_client.py
+++ b/oakcroft/front/node_list_client.py
@@ -10,6 +10,7 @@
 import hashlib
 import os
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from pathlib import Path
 from random import Random
 
@@ -27,6 +28,9 @@
 DISCOVERY_PATH = "/v3/discovery:endpoints"
 TYPE_URL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 MAX_POLL_SECONDS = 25.0
+POLL_MARGIN_SECONDS = 5  # for the response of a poll that took its whole time
+MAX_VERSION_DIGITS = 17
+MAX_TIME_MS = 1e15  # some 30,000 years
 STATUSES_BY_HEALTH = {
     "HEALTHY": NodeStatus.READY,
     "UNKNOWN": NodeStatus.READY,
@@ -133,13 +137,13 @@
     except msgspec.DecodeError as error:
         raise NodeListError(str(error)) from None
     version = response.version_info
-    if not (version.isascii() and version.isdigit() and len(version) < 18):
-        raise NodeListError(f"version_info is a whole number here, not {version[:40]!r}")
+    if not (version.isascii() and version.isdigit() and len(version) <= MAX_VERSION_DIGITS):
+        raise NodeListError(f"version_info must be a whole number, not {version[:40]!r}")
     listed_nodes = []
     for locality in (group for cluster in response.resources for group in cluster.endpoints):
         for endpoint in locality.lb_endpoints:
             if endpoint.health_status not in STATUSES_BY_HEALTH:
-                raise NodeListError(f"health_status {endpoint.health_status[:40]!r} is unknown")
+                raise NodeListError(f"unknown health_status {endpoint.health_status[:40]!r}")
             metadata = endpoint.metadata.filter_metadata.oakcroft
             address = endpoint.endpoint.address.socket_address
             listed_nodes.append(
@@ -163,8 +167,8 @@
 
 def _ms_to_ns(ms: float) -> int:
     """Nanoseconds of a time in milliseconds. Raises NodeListError for a time out of range."""
-    if not abs(ms) < 1e15:  # some 30,000 years
-        raise NodeListError(f"a time of {ms:g} ms is out of range")
+    if not abs(ms) < MAX_TIME_MS:  # false for NaN, too
+        raise NodeListError(f"time of {ms:g} ms is out of range")
     return round(ms * MS)
 
 
@@ -193,7 +197,7 @@
     except FileNotFoundError:
         return None
     if hashlib.sha256(body).hexdigest().encode() != digest:
-        raise NodeListError(f"{path} is damaged")
+        raise NodeListError(f"{path} does not match its checksum")
     return body
 
 
@@ -246,25 +250,29 @@
         headers = [("Content-Type", "application/json"), ("Via", f"1.1 {self.pseudonym}")]
         body = request_body(self.list_version, self.pseudonym)
         try:
-            with trio.fail_after(MAX_POLL_SECONDS + 5):
+            with trio.fail_after(MAX_POLL_SECONDS + POLL_MARGIN_SECONDS):
                 response = await self.peer.request("POST", DISCOVERY_PATH, headers, body)
         except (ExchangeError, trio.TooSlowError) as error:
-            return str(error) or "no answer"
-        if response.status == 304:
+            return str(error) or "no response in time"
+        if response.status == HTTPStatus.NOT_MODIFIED:
             return None
-        if response.status != 200:
-            return f"status {response.status}"
+        if response.status != HTTPStatus.OK:
+            return f"HTTP status {response.status}"
         try:
             listed_nodes, version, service = parse_response(response.body)
         except NodeListError as error:
-            return f"bad list: {error}"
+            return f"invalid node list: {error}"
         if not await self.apply_list(listed_nodes, version, service):
-            return "list refused"
+            return "node list rejected"
         self.list_version = version
         self.list_confirmed.set()
         if self.cache_path is not None:
-            try:
-                await trio.to_thread.run_sync(save_list, self.cache_path, response.body)
-            except OSError as error:
-                self.log.error("list not kept", why=str(error))
+            await self._save_cache(self.cache_path, response.body)
         return None
+
+    async def _save_cache(self, path: Path, body: bytes) -> None:
+        """Caches a list on disk in a worker thread; a failure is logged, and the list is in force all the same."""
+        try:
+            await trio.to_thread.run_sync(save_list, path, body)
+        except OSError as error:
+            self.log.error("list not kept", why=str(error))
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -6,6 +6,7 @@
 import secrets
 from collections.abc import AsyncIterator, Awaitable, Callable
 from functools import partial
+from http import HTTPStatus
 from pathlib import Path
 
 import orjson
@@ -28,6 +29,7 @@
 KEY_HEADER_PATTERN = re.compile(rb"\r\nidempotency-key:([^\r\n]*)\r\n", re.IGNORECASE)
 BEARER_HEADER_PATTERN = re.compile(rb"\r\nauthorization:[ \t]*bearer ([^\r\n]*)\r\n", re.IGNORECASE)
 ENDPOINT_METHODS = "OPTIONS, POST"
+KEEP_ALIVE_SECONDS = 10
 ALLOWED_HEADERS = "Authorization, Content-Type, If-Match, Idempotency-Key, Prefer"
 
 
@@ -106,7 +108,7 @@
                 ("Content-Type", http_formats.PROBLEM_MEDIA_TYPE),
                 *(error.headers if isinstance(error, HttpRequestError) else []),
             ]
-            if error.status == 401:
+            if error.status == HTTPStatus.UNAUTHORIZED:
                 challenge = 'Bearer realm="oakcroft"' + (f', error="{error.detail}"' if error.detail else "")
                 headers.append(("WWW-Authenticate", challenge))
             body = http_formats.problem_body(error.status, error.problem_type, error.title, error.detail)
@@ -221,10 +223,21 @@
         ):
             return self._problem_response(session.reply or answers.rejected_reply(0))
         location = f"/session/{session.id}"
+        headers = self._session_headers(session, session.resource.etag, location)
+        on_unsent = (
+            partial(self.coordinator.answer_delivery.handle_undelivered, session)
+            if is_first or session.answer_undelivered
+            else None
+        )
+        session.answer_undelivered = False
+        return Response(201, headers, session.upstream.sdp_answer.encode(), on_unsent=on_unsent)
+
+    def _session_headers(self, session: PlaybackSession, etag: str, location: str) -> Headers:
+        """Headers of the answer that a session plays."""
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE),
             ("Location", location),
-            ("ETag", f'"{session.resource.etag}"'),
+            ("ETag", f'"{etag}"'),
         ]
         headers += [
             ("Link", http_formats.format_link(server, http_formats.REL_ICE_SERVER))
@@ -239,13 +252,7 @@
                 ("Link", http_formats.format_link(f"{location}/layer", http_formats.REL_LAYER)),
             ]
         headers.append(("Accept-Patch", SDPFRAG_MEDIA_TYPE))
-        on_unsent = (
-            partial(self.coordinator.answer_delivery.handle_undelivered, session)
-            if is_first or session.answer_undelivered
-            else None
-        )
-        session.answer_undelivered = False
-        return Response(201, headers, session.upstream.sdp_answer.encode(), on_unsent=on_unsent)
+        return headers
 
     async def _handle_session(self, request: Request) -> Response:
         """Handles a request on a session resource or one of its sub-resources."""
@@ -274,6 +281,10 @@
         if request.method == "DELETE":
             await self.service.end_session(session)
             return Response(200)
+        return await self._patch(request, session)
+
+    async def _patch(self, request: Request, session: PlaybackSession) -> Response:
+        """Handles a trickle ICE fragment."""
         if_match = request.header("if-match")
         etags = http_formats.parse_entity_tags(if_match) if if_match is not None else None
         content_type = http_formats.parse_media_type(request.header("content-type") or "")
@@ -319,14 +330,8 @@
         """
         location = f"/session/{session.id}/events"
         if request.method == "POST":
-            try:
-                kinds = orjson.loads(request.body)
-            except orjson.JSONDecodeError:
-                kinds = None
-            if not isinstance(kinds, list) or not all(isinstance(kind, str) for kind in kinds):
-                raise RequestError(400, "events", 'Events are named as ["active", "inactive"]')
-            wanted = [kind for kind in EVENT_KINDS if kind in kinds]
-            return Response(201, [("Location", f"{location}?kinds={'.'.join(wanted)}")])
+            kinds = self._read_event_kinds(request)
+            return Response(201, [("Location", f"{location}?kinds={'.'.join(kinds)}")])
         if not http_formats.accepts_media_type(
             request.header("accept"), http_formats.EVENT_STREAM_MEDIA_TYPE
         ):
@@ -338,14 +343,25 @@
         headers = [("Content-Type", http_formats.EVENT_STREAM_MEDIA_TYPE), ("Cache-Control", "no-store")]
         return Response(200, headers, stream=self._event_stream(session, reader))
 
+    @staticmethod
+    def _read_event_kinds(request: Request) -> list[str]:
+        """Kinds of events that a request names, without unknown ones. Raises RequestError 400."""
+        try:
+            kinds = orjson.loads(request.body)
+        except orjson.JSONDecodeError:
+            kinds = None
+        if not isinstance(kinds, list) or not all(isinstance(kind, str) for kind in kinds):
+            raise RequestError(400, "events", 'Events are named as ["active", "inactive"]')
+        return [kind for kind in EVENT_KINDS if kind in kinds]
+
     async def _event_stream(
         self, session: PlaybackSession, reader: SessionEventReader
     ) -> AsyncIterator[bytes]:
-        """Server-sent events of a reader, with a comment as keepalive every 10 seconds."""
+        """Server-sent events of a reader, with a comment as keepalive while there are none."""
         try:
             while True:
                 chunk = http_formats.KEEP_ALIVE_COMMENT
-                with trio.move_on_after(10):
+                with trio.move_on_after(KEEP_ALIVE_SECONDS):
                     try:
                         chunk = http_formats.format_event(*await reader.receive.receive())
                     except trio.EndOfChannel:
