--- a/oakcroft/client/session.py
+++ b/oakcroft/client/session.py
@@ -68,7 +68,7 @@
         self.pending_calls: dict[int, object] = {}  # calls without an answer, by call id
         self.playbacks: dict[str, Playback] = {}
         self.stream: trio.SocketStream | None = None
-        self.ws: wsproto.WSConnection | None = None
+        self.websocket: wsproto.WSConnection | None = None
         self.connected = trio.Event()
         self.resumed = 0  # reconnects that resumed the session
         self.lost = 0  # playbacks that the front end lost
@@ -94,6 +94,7 @@
                 nursery.cancel_scope.cancel()
 
     async def _run(self) -> None:
+        """Connects and reads messages until the client closes; reconnects with growing, random delays."""
         failures = 0
         while not self.closing:
             try:
@@ -116,12 +117,13 @@
             await trio.sleep(min(MAX_RECONNECT_DELAY_S, delay) * (0.5 + self.retries.rng.random()))
 
     async def _connect(self) -> None:
+        """Opens a connection and resumes the client session, or starts a new one. Raises OSError if it is rejected."""
         self.stream = await trio.open_tcp_stream(self.host, self.port)
-        self.ws = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
+        self.websocket = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
         request = events.Request(
             host=f"{self.host}:{self.port}", target=SESSION_API_PATH, subprotocols=[self.subprotocol]
         )
-        await self.stream.send_all(self.ws.send(request))
+        await self.stream.send_all(self.websocket.send(request))
         accepted = await self._next_event()
         if not isinstance(accepted, events.AcceptConnection):
             raise OSError("the front end rejected the WebSocket handshake")
@@ -147,26 +149,26 @@
         repeat under its key could set it up again, so it is not repeated: its caller gets a `front-lost` answer.
         """
         self.last_seen = 0
-        for name, playback in list(self.playbacks.items()):
+        for playback_id, playback in list(self.playbacks.items()):
             if remembers and playback.request is not None and playback.request.key:
-                self.nursery.start_soon(self._request_again, playback, playback.request)
+                self.nursery.start_soon(self._resume_playback, playback, playback.request)
                 continue
             self.lost += 1
             playback.event_sender.close()
-            del self.playbacks[name]
-        for id_, message in list(self.pending_calls.items()):
+            del self.playbacks[playback_id]
+        for call_id, message in list(self.pending_calls.items()):
             if not self.resume_token or (remembers and isinstance(message, api.Ask) and message.key):
                 self.nursery.start_soon(self._send, message)
-            elif id_ in self.reply_channels:
-                lost = LOST_REQUEST_ANSWER if isinstance(message, api.Ask) else LOST_CALL_RESULT
-                self.reply_channels.pop(id_).send_nowait(lost)
+            elif call_id in self.reply_channels:
+                lost_result = LOST_REQUEST_ANSWER if isinstance(message, api.Ask) else LOST_CALL_RESULT
+                self.reply_channels.pop(call_id).send_nowait(lost_result)
 
-    async def _request_again(self, playback: Playback, request: api.Ask) -> None:
-        """Requests a playback of a restarted front end under its key; it continues, or it is lost."""
-        again = api.Ask(
+    async def _resume_playback(self, playback: Playback, request: api.Ask) -> None:
+        """Requests a playback again under its key after the front end restarted; it continues, or it is lost."""
+        repeat = api.Ask(
             next(self.call_ids), request.path, request.offer, request.key, request.wait_s, request.top
         )
-        answer = await self.call(again)
+        answer = await self.call(repeat)
         has_continued = (
             isinstance(answer, api.Answer)
             and answer.status == HTTPStatus.CREATED
@@ -179,14 +181,16 @@
             playback.event_sender.close()
 
     async def _next_event(self) -> events.Event:
-        assert self.ws is not None
+        """The next WebSocket event of the connection."""
+        assert self.websocket is not None
         assert self.stream is not None
         while True:
-            for event in self.ws.events():
+            for event in self.websocket.events():
                 return event
-            self.ws.receive_data(await self.stream.receive_some(READ_BYTES) or None)
+            self.websocket.receive_data(await self.stream.receive_some(READ_BYTES) or None)
 
     async def _receive(self) -> api.ToClient:
+        """The next message; answers pings. Raises OSError when the front end closes the connection."""
         data = bytearray()
         while True:
             event = await self._next_event()
@@ -194,13 +198,14 @@
                 data += event.data.encode() if isinstance(event.data, str) else bytes(event.data)
                 if event.message_finished:
                     return self.codec.decode_server_message(bytes(data))
-            elif isinstance(event, events.Ping) and self.ws is not None and self.stream is not None:
+            elif isinstance(event, events.Ping) and self.websocket is not None and self.stream is not None:
                 async with self.send_lock:
-                    await self.stream.send_all(self.ws.send(event.response()))
+                    await self.stream.send_all(self.websocket.send(event.response()))
             elif isinstance(event, events.CloseConnection):
-                raise OSError(f"closed: {event.code} {event.reason}")
+                raise OSError(f"the front end closed the connection: {event.code} {event.reason}")
 
     async def _read(self) -> None:
+        """Reads and acknowledges messages until the connection is lost; skips those received before."""
         while True:
             message = await self._receive()
             number = getattr(message, "n", 0)
@@ -209,46 +214,49 @@
                     continue
                 self.last_seen = number
                 await self._send(api.Ack(number))
-            match message:
-                case api.Answer() | api.Done() | api.MovedTo():
-                    self.pending_calls.pop(message.id, None)
-                    if message.id in self.reply_channels:
-                        self.reply_channels.pop(message.id).send_nowait(message)
-                case api.Event() if message.playback in self.playbacks:
-                    playback = self.playbacks[message.playback]
-                    with suppress(
-                        trio.WouldBlock, trio.BrokenResourceError
-                    ):  # drops events that nobody reads
-                        playback.event_sender.send_nowait(message)
-                    if message.kind == "inactive":
-                        playback.event_sender.close()
-                        del self.playbacks[message.playback]
+            self._handle_message(message)
+
+    def _handle_message(self, message: api.ToClient) -> None:
+        """Passes an answer to its call, or an event to its playback."""
+        match message:
+            case api.Answer() | api.Done() | api.MovedTo():
+                self.pending_calls.pop(message.id, None)
+                if message.id in self.reply_channels:
+                    self.reply_channels.pop(message.id).send_nowait(message)
+            case api.Event() if message.playback in self.playbacks:
+                playback = self.playbacks[message.playback]
+                with suppress(trio.WouldBlock, trio.BrokenResourceError):  # drops events that nobody reads
+                    playback.event_sender.send_nowait(message)
+                if message.kind == "inactive":
+                    playback.event_sender.close()
+                    del self.playbacks[message.playback]
 
     async def _send(self, message: object) -> None:
+        """Sends a message, unless the connection is lost."""
         data = self.codec.encode(message)
         frame = (
             events.BytesMessage(data=data) if self.codec.is_binary else events.TextMessage(data=data.decode())
         )
         try:
             async with self.send_lock:
-                if self.ws is not None and self.stream is not None:
-                    await self.stream.send_all(self.ws.send(frame))
+                if self.websocket is not None and self.stream is not None:
+                    await self.stream.send_all(self.websocket.send(frame))
         except (trio.BrokenResourceError, trio.ClosedResourceError, wsproto.utilities.LocalProtocolError):
             pass  # it is sent again after the reconnect, or has its answer already
 
     async def call(self, message: object) -> object:
         """Sends a message with an id and waits for its answer, over as many connections as that takes."""
-        id_ = getattr(message, "id", 0)
-        send, receive = trio.open_memory_channel[object](1)
-        self.reply_channels[id_] = send
-        self.pending_calls[id_] = message
+        call_id = getattr(message, "id", 0)
+        reply_sender, replies = trio.open_memory_channel[object](1)
+        self.reply_channels[call_id] = reply_sender
+        self.pending_calls[call_id] = message
         try:
             await self.connected.wait()
             await self._send(message)
-            return await receive.receive()
+            return await replies.receive()
         finally:
-            self.reply_channels.pop(id_, None)
-            self.pending_calls.pop(id_, None)
+            self.reply_channels.pop(call_id, None)
+            self.pending_calls.pop(call_id, None)
 
     async def play(self, path: str, offer: str, wait: int = 0, top: int | None = None) -> Playback:
         """Requests a playback, and retries where that is safe; raises Refused or Unsure if no try succeeds.
--- a/oakcroft/front/load_probing.py
+++ b/oakcroft/front/load_probing.py
@@ -38,52 +38,58 @@
         coordinator: SessionCoordinator,
         peers: LoadPeers,
         front_name: str,
-        probe_interval: int,
+        probe_interval_ns: int,
         seed: int,
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
-        """`probe_interval` in ns; `seed` spreads the probes."""
+        """Creates the probing; `run` has to run beside it. `seed` spreads the probes of the front ends."""
         self.coordinator = coordinator
         self.peers = peers
         self.log = log
-        self.load_sharing = LoadSharing(front_name, probe_interval, Random(seed))
+        self.load_sharing = LoadSharing(front_name, probe_interval_ns, Random(seed))
         coordinator.on_link_load = self.record_own_load
 
-    def record_own_load(self, node: str, load: float, age_ns: int) -> None:
+    def record_own_load(self, node_name: str, load: float, age_ns: int) -> None:
         """Records a node's load, reported with this front end's own traffic `age_ns` ago."""
-        self.load_sharing.record_own_load(node, load, age_ns, self.coordinator.clock.now())
+        self.load_sharing.record_own_load(node_name, load, age_ns, self.coordinator.clock.now())
 
     def receive_reports(self, reports: list[LoadReport]) -> None:
         """Handles load reports from another front end."""
         now = self.coordinator.clock.now()
-        for node, load, age_ns in self.load_sharing.receive_reports(reports, now):
-            self.coordinator.try_submit(partial(self.coordinator.apply_peer_load, node, load, now - age_ns))
+        for node_name, load, age_ns in self.load_sharing.receive_reports(reports, now):
+            self.coordinator.try_submit(
+                partial(self.coordinator.apply_peer_load, node_name, load, now - age_ns)
+            )
 
     async def run(self) -> None:
         """Probes nodes and sends load reports as they are due, until cancelled."""
         while True:
             now = self.coordinator.clock.now()
             self.load_sharing.update_nodes(
-                {line.name: line.started_at for line in self.coordinator.node_list.listed_nodes.values()}
+                {
+                    listed_node.name: listed_node.started_at
+                    for listed_node in self.coordinator.node_list.listed_nodes.values()
+                }
             )
             self.load_sharing.update_present_fronts(self.peers.present())
-            for node in self.load_sharing.due_probes(now):
-                self.coordinator.nursery.start_soon(self._probe, node)
+            for node_name in self.load_sharing.due_probes(now):
+                self.coordinator.nursery.start_soon(self._probe, node_name)
             for peer, reports in self.load_sharing.due_messages(now):
                 self.peers.send_loads(peer, reports)
             await trio.sleep(CHECK_INTERVAL_NS / SECOND)
 
-    async def _probe(self, node: str) -> None:
+    async def _probe(self, node_name: str) -> None:
+        """Asks a node for its load and passes it to the decision module."""
         load = None
         is_supported = True
         try:
-            if (node_client := self.coordinator.node_clients.get(node)) is not None:
+            if (node_client := self.coordinator.node_clients.get(node_name)) is not None:
                 load, is_supported = await node_client.fetch_load()
         finally:
             now = self.coordinator.clock.now()
-            self.load_sharing.probe_finished(node, load, is_supported, now)
+            self.load_sharing.probe_finished(node_name, load, is_supported, now)
         if load is not None:
-            await self.coordinator.submit(partial(self.coordinator.apply_peer_load, node, load, now))
+            await self.coordinator.submit(partial(self.coordinator.apply_peer_load, node_name, load, now))
 
     def status(self) -> dict[str, object]:
         """Probe counts and the ages of known loads, for operators."""
--- a/oakcroft/front/rendition_bound.py
+++ b/oakcroft/front/rendition_bound.py
@@ -57,15 +57,18 @@
         self.coordinator.nursery.start_soon(self._retry_after, session, delay_ns)
 
     async def _retry_after(self, session: PlaybackSession, delay_ns: int) -> None:
+        """Repeats a step down after a delay."""
         await trio.sleep(delay_ns / 1e9)
         await self.coordinator.submit(lambda: self._retry_step_down(session))
 
     def _retry_step_down(self, session: PlaybackSession) -> None:
+        """Repeats a step down in the event task, if the session is still above its bound."""
         session.bound_retry_pending = False
         if self._is_playing(session) and session.playback.rung > session.playback.top_rung:
             self._step_down(session)
 
     def _give_up(self, session: PlaybackSession) -> None:
+        """Logs a bound that its node has not applied, and tells the viewer the rendition in force."""
         node = session.upstream.node if session.upstream is not None else ""
         self.log.warning(
             "rendition bound not in force",
@@ -87,6 +90,7 @@
         self.coordinator.set_rung(session.playback, session.playback.top_rung)
 
     def _is_playing(self, session: PlaybackSession) -> bool:
+        """Whether a session plays and is not being ended."""
         return (
             session.playback in self.coordinator.sessions_by_playback
             and session.playback.state is PlaybackState.PLAYING
--- a/oakcroft/front/service_levels.py
+++ b/oakcroft/front/service_levels.py
@@ -22,7 +22,9 @@
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.interface import MS
 
-CHECK_INTERVAL_S = 0.25  # seconds between checks
+CHECK_INTERVAL_S = 0.25
+LAG_DECAY = 0.9  # of the recorded lag from one measurement to the next
+MAX_STATUS_CHANGES = 10
 
 
 class ServiceLevelControl:
@@ -42,6 +44,7 @@
         coordinator.on_answer = self.record_answer
 
     def _new_controller(self) -> LevelController:
+        """A controller of the configured levels, at full service."""
         site = self.coordinator.site
         return LevelController(site.levels, site.level_bounds, self.rng, self.coordinator.clock.now())
 
@@ -56,7 +59,7 @@
 
     def record_loop_lag(self, lag_ns: int) -> None:
         """Records how late the event loop ran a periodic task, in ns."""
-        self.loop_lag_ns = max(lag_ns, round(self.loop_lag_ns * 0.9))
+        self.loop_lag_ns = max(lag_ns, round(self.loop_lag_ns * LAG_DECAY))
 
     def signals(self, now: int) -> dict[LoadSignal, float]:
         """The current load signals."""
@@ -93,6 +96,7 @@
             self.coordinator.durable_state.store.upkeep.is_paused = not effects.maintenance_allowed
 
     def _log_change(self, change: LevelChange, signals: dict[LoadSignal, float]) -> None:
+        """Logs a change of level with the load signals, and restarts the counts of rejected requests."""
         signal_values = {
             signal.value: round(value / MS) if signal is LoadSignal.LAG else round(value, 3)
             for signal, value in signals.items()
@@ -134,7 +138,7 @@
             "next": controller.next_change_conditions(signals, now),
             "changes": [
                 [change.changed_at // MS, change.previous, change.current, change.reason]
-                for change in list(controller.history)[-10:]
+                for change in list(controller.history)[-MAX_STATUS_CHANGES:]
             ],
             "held_back": controller.suppressed_changes,
             "turned_away": dict(self.gate.rejected_counts),
--- a/oakcroft/front/zone_routing.py
+++ b/oakcroft/front/zone_routing.py
@@ -18,7 +18,7 @@
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.interface import SECOND, NodeStatus, Node
 
-CHECK_INTERVAL_S = 0.25  # seconds between checks
+CHECK_INTERVAL_S = 0.25
 RECONNECT_INTERVAL_NS = SECOND  # between two attempts to reconnect to one lost node
 
 
@@ -44,6 +44,7 @@
         self.preference = self._new_preference()
 
     def _new_preference(self) -> ZonePreference | None:
+        """The configured preference, or None for all zones."""
         site = self.coordinator.site
         if site.zone_preference is None or not self.zone:
             return None
@@ -67,6 +68,7 @@
         return counts_by_zone
 
     def _node_evidence(self, node: Node, now: int) -> NodeEvidence:
+        """Evidence on the health of a node that the list has."""
         if node.status is NodeStatus.DRAINING:
             return NodeEvidence.DRAINS
         node_client = self.coordinator.node_clients.get(node.name)
@@ -93,18 +95,15 @@
         return {zone: zone_load(loads) for zone, loads in loads_by_zone.items()}
 
     async def run(self) -> None:
-        """Updates the zones' health until cancelled."""
-        applied_settings = (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones)
+        """Updates the zones' health until cancelled; a changed configuration starts a new preference."""
+        site = self.coordinator.site
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
-            if (
-                self.coordinator.site.zone_preference,
-                self.coordinator.site.preferred_zones,
-            ) != applied_settings:
-                applied_settings = (
-                    self.coordinator.site.zone_preference,
-                    self.coordinator.site.preferred_zones,
-                )
+            if (self.coordinator.site.zone_preference, self.coordinator.site.preferred_zones) != (
+                site.zone_preference,
+                site.preferred_zones,
+            ):
+                site = self.coordinator.site
                 self.preference = self._new_preference()
             if self.preference is not None:
                 self.update(self.preference)
@@ -128,7 +127,7 @@
                 before=before.value,
                 after=after.value,
                 falters=health.relapses,
-                ramp_s=health.ramp_time // 1_000_000_000,
+                ramp_s=health.ramp_time // SECOND,
                 turned_away=preference.rejected_count,
                 nodes={
                     evidence.name.lower(): count for evidence, count in evidence_by_zone.get(zone, {}).items()
@@ -170,18 +169,18 @@
         if self.preference is None:
             return {}
         now = self.coordinator.clock.now()
-        out: dict[str, object] = {
+        zones: dict[str, object] = {
             zone: {
                 "state": health.state.value,
                 "since_s": round((now - health.state_since) / 1e9, 1),
                 "share": round(health.traffic_share(now), 3),
                 "falters": health.relapses,
-                "ramp_s": health.ramp_time // 1_000_000_000,
+                "ramp_s": health.ramp_time // SECOND,
             }
             for zone, health in self.preference.health.items()
         }
         overflow = self.preference.overflow
-        return out | {
+        return zones | {
             "spilled": f"{overflow.overflowed} of {len(overflow.requests)}",
             "turned_away": self.preference.rejected_count,
         }
