--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -18,7 +18,7 @@
 from oakcroft.decisions.routing.catalogue import CatalogueVerdict
 from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.catalogue_versions import ChangeResult, CatalogueVersions
-from oakcroft.front.session_service import RequestError
+from oakcroft.front.request_checks import RequestError
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.service_levels import ServiceLevelControl
 from oakcroft.front.zone_routing import ZoneRouting
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -37,7 +37,6 @@
 )
 from oakcroft.decisions.sessions.idempotency import KeyDecision
 from oakcroft.decisions.sessions.session_resource import (
-    SDPFRAG_MEDIA_TYPE,
     ResourceAction,
     ResourceError,
     SessionResource,
@@ -54,6 +53,14 @@
 from oakcroft.running.clock import Clock
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.node_client import NodeClient
+from oakcroft.front.request_checks import (
+    RequestError,
+    check_key,
+    check_offer,
+    parse_fragment,
+    parse_offer,
+    resource_error,
+)
 from oakcroft.front.request_queue import RequestQueue
 from oakcroft.front.move_executor import STAY_REPLY, NodeFilter, Move
 from oakcroft.front.service_levels import ServiceLevelControl
@@ -68,18 +75,6 @@
 ANSWER_GRACE_SECONDS = 0.02  # taken from the margin for the answer's way to the viewer
 
 
-class RequestError(Exception):
-    """A request that is answered with a problem document (RFC 9457)."""
-
-    def __init__(self, status: int, kind: str, title: str, detail: str = "") -> None:
-        """Creates an error with an HTTP status, the last part of a problem type, a title and a detail."""
-        super().__init__(title)
-        self.status = status
-        self.problem_type = f"urn:oakcroft:problem:{kind}"
-        self.title = title
-        self.detail = detail
-
-
 @dataclass
 class PlaybackRequest:
     """A request for a playback, whichever protocol it came by.
@@ -162,28 +157,6 @@
             raise RequestError(404, "no-route", "Nothing is served at this path")
         return roles
 
-    @staticmethod
-    def parse_offer(offer_text: str) -> sdp.Description:
-        """Parses an offer. Raises RequestError 400."""
-        try:
-            return sdp.parse(offer_text)
-        except sdp.SdpError as fault:
-            raise RequestError(400, "sdp", "The offer is no session description", str(fault)) from None
-
-    @staticmethod
-    def _check_offer(offer: sdp.Description, publishes: bool) -> None:
-        """Checks that an offer can be answered. Raises RequestError 422."""
-        try:
-            sdp.check_offer(offer, publishes)
-        except sdp.SdpError as fault:
-            raise RequestError(422, "offer", "The offer cannot be answered", str(fault)) from None
-
-    @staticmethod
-    def _check_key(key: str | None) -> None:
-        """Checks the form of an idempotency key. Raises RequestError 400."""
-        if key is not None and not http_formats.is_idempotency_key(key):
-            raise RequestError(400, "key", 'A key is 1 to 255 visible characters or spaces but " and \\')
-
     def _find_route(
         self, site: SharedSettings, request: PlaybackRequest, offer: sdp.Description, title: str
     ) -> Route:
@@ -231,7 +204,7 @@
         # Before anything is parsed, since parsing dominates the cost of a rejected request.
         if not self.has_replay(request.key, request.token) and self.request_queue.should_shed(request.path):
             return REFUSAL_REPLIES[Refusal.BUSY], True
-        self._check_key(request.key)
+        check_key(request.key)
         now = self.clock.now()
         key = self._client_key(
             request.key if request.key is not None else secrets.token_urlsafe(15), request.token
@@ -265,11 +238,11 @@
 
         Raises RequestError where the request itself is wrong.
         """
-        offer = self.parse_offer(request.offer)
+        offer = parse_offer(request.offer)
         route = self._find_route(site, request, offer, title)
         publishes = route.match.role is ClientRole.PUBLISH
         plan = site.plans[route.plan]
-        self._check_offer(offer, publishes)
+        check_offer(offer, publishes)
         if not self.shutdown.accepts_requests():
             return REFUSAL_REPLIES[Refusal.DRAINING]
         if publishes:
@@ -484,11 +457,6 @@
         ):
             raise RequestError(404, "no-session", "No such session")
 
-    @staticmethod
-    def _resource_error(error: ResourceError) -> RequestError:
-        """The error of a session resource as RequestError."""
-        return RequestError(error.status, error.problem_type.rpartition(":")[2], error.title)
-
     async def patch(
         self, session: PlaybackSession, content_type: str, etags: list[str] | None, body: bytes
     ) -> PatchResult:
@@ -499,10 +467,10 @@
         """
         assert session.resource is not None
         assert session.upstream is not None
-        fragment = self._parse_fragment(content_type, body)
+        fragment = parse_fragment(content_type, body)
         action = session.resource.patch(content_type, etags, fragment.ufrag, len(fragment.candidates))
         if isinstance(action, ResourceError):
-            raise self._resource_error(action)
+            raise resource_error(action)
         node_client = self.coordinator.node_clients.get(session.upstream.node)
         if action is not ResourceAction.TRICKLE:
             return await self._restart_ice(node_client, session.upstream, session.resource, fragment, body)
@@ -515,16 +483,6 @@
             raise RequestError(502, "node", "The playout node did not take the candidates")
         return PatchResult()
 
-    @staticmethod
-    def _parse_fragment(content_type: str, body: bytes) -> sdp.Fragment:
-        """Parses a trickle ICE fragment; empty for another content type. Raises RequestError 400."""
-        if content_type != SDPFRAG_MEDIA_TYPE:
-            return sdp.Fragment("", "", [], True)
-        try:
-            return sdp.parse_fragment(body.decode("utf-8"))
-        except (UnicodeDecodeError, sdp.SdpError) as error:
-            raise RequestError(400, "sdp", "This is no trickle fragment", str(error)) from None
-
     @staticmethod
     async def _restart_ice(
         node_client: NodeClient | None,
@@ -556,7 +514,7 @@
         assert session.resource is not None
         action = session.resource.delete()
         if isinstance(action, ResourceError):
-            raise self._resource_error(action)
+            raise resource_error(action)
         if session.publishes:
             self.publishers.pop(session.playback.title.name, None)
         await self.coordinator.submit(partial(self.coordinator.end_session, session))
@@ -621,19 +579,18 @@
         RequestError 409 where the session is not being moved.
         """
         self._check_active(session)
-        self._check_key(key)
-        offer = self.parse_offer(offer_text)
-        self._check_offer(offer, session.publishes)
+        check_key(key)
+        offer = parse_offer(offer_text)
+        check_offer(offer, session.publishes)
         move = self.coordinator.move_executor.moves.get(session.id)
         if move is None or not move.handover.awaits_offer():
             raise RequestError(409, "no-move", "This session is not being moved")
         deadline = request_deadline(
             self.clock.now(), session.plan.abandon_ns, prefer_headers, self.coordinator.site.answer_margin_ns
         )
-        title = session.playback.title.name
         counterpart = self.coordinator.new_session(
             session.path,
-            title,
+            session.playback.title.name,
             session.plan,
             session.publishes,
             key,
--- a/oakcroft/front/websocket_api.py
+++ b/oakcroft/front/websocket_api.py
@@ -24,7 +24,8 @@
 from oakcroft.decisions.admission.resume_tokens import TokenError, ResumeTokens
 from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
 from oakcroft.decisions.sessions.client_session import Outbox, ClientSession, ClientSessionState
-from oakcroft.front.session_service import PlaybackRequest, SessionService, RequestError
+from oakcroft.front.request_checks import RequestError
+from oakcroft.front.session_service import PlaybackRequest, SessionService
 from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.front.websocket_connection import ApiClient, WebSocketConnection
 from oakcroft.front.websocket_messages import (
--- a/oakcroft/front/whip_whep.py
+++ b/oakcroft/front/whip_whep.py
@@ -15,7 +15,8 @@
 from oakcroft.decisions.sessions import answers
 from oakcroft.decisions.sessions.answers import FinalAnswer, Reply
 from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
-from oakcroft.front.session_service import EVENT_KINDS, PlaybackRequest, SessionService, RequestError
+from oakcroft.front.request_checks import RequestError
+from oakcroft.front.session_service import EVENT_KINDS, PlaybackRequest, SessionService
 from oakcroft.front.playback_session import SessionEventReader, PlaybackSession
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling import http_formats, sdp
