--- a/oakcroft/client/blocking.py
+++ b/oakcroft/client/blocking.py
@@ -31,6 +31,7 @@
         )
 
     async def _run(self) -> None:
+        """Runs the client in the thread until it is stopped."""
         self.trio_token = trio.lowlevel.current_trio_token()
         self.stop_requested = trio.Event()
         self.client = WhepClient(self.base, self.token)
@@ -52,9 +53,11 @@
         self.thread.join(THREAD_TIMEOUT_S)
 
     async def _stop(self) -> None:
+        """Asks the thread to end."""
         self.stop_requested.set()
 
     def _call(self, function: Callable[..., Awaitable[T]], *arguments: object) -> T:
+        """Runs a coroutine function in the client's thread and waits for its result."""
         return trio.from_thread.run(function, *arguments, trio_token=self.trio_token)
 
     def ask(self, path: str, offer: str, wait: int | None = None) -> WhepSession:
--- a/oakcroft/client/retry.py
+++ b/oakcroft/client/retry.py
@@ -100,6 +100,7 @@
 
     @staticmethod
     def _action_after_failure(status: int | None, kind: str, retry: bool) -> RetryAction:
+        """The action that a failure allows, whatever the budget and the tries so far."""
         if status is None or kind.endswith(":outstanding"):
             return RetryAction.SAME_KEY
         return RetryAction.NEW_KEY if status in RETRYABLE_STATUSES and retry else RetryAction.GIVE_UP
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -242,16 +242,18 @@
         `version` is the list's version, `service` the name of the list service, and `is_cached` says that the
         list was read from the cache of an earlier process.
         """
-        verdict: list[bool] = []
-        done = trio.Event()
+        is_accepted = False
+        applied = trio.Event()
 
         def apply() -> None:
-            verdict.append(self._apply_list(listed_nodes, version, service, is_cached))
-            done.set()
+            """Applies the list in the event task."""
+            nonlocal is_accepted
+            is_accepted = self._apply_list(listed_nodes, version, service, is_cached)
+            applied.set()
 
         await self.submit(apply)
-        await done.wait()
-        return verdict[0]
+        await applied.wait()
+        return is_accepted
 
     def _apply_list(
         self, listed_nodes: list[ListedNode], version: int, service: str, is_cached: bool
--- a/oakcroft/front/websocket_api.py
+++ b/oakcroft/front/websocket_api.py
@@ -456,45 +456,39 @@
             case api.Pause():
                 await self.service.select_layer(session, str(session.playback.plan.floor))
             case api.Resume():
-                await self.service.select_layer(
-                    session,
-                    str(
-                        min(
-                            api_client.requested_rungs.get(session.id, session.playback.plan.top_rung),
-                            session.playback.plan.top_rung,
-                        )
-                    ),
-                )
+                top_rung = session.playback.plan.top_rung
+                rung = min(api_client.requested_rungs.get(session.id, top_rung), top_rung)
+                await self.service.select_layer(session, str(rung))
             case api.Trickle():
-                etags = ["*"] if message.tag == "*" else [f'"{message.tag}"']
-                patched = await self.service.patch(
-                    session, SDPFRAG_MEDIA_TYPE, etags, message.fragment.encode()
-                )
-                self.enqueue(
-                    api_client,
-                    partial(
-                        done_message,
-                        call_id,
-                        200,
-                        "",
-                        "",
-                        etag=patched.etag,
-                        fragment=patched.fragment.decode(),
-                    ),
-                )
+                await self._trickle(api_client, session, message)
                 return
             case api.MoveOffer():
-                moved = await self.service.accept_move_offer(
-                    session, message.offer, message.key or secrets.token_urlsafe(15), []
-                )
-                if isinstance(moved, Reply):
-                    raise RequestError(moved.status, moved.problem_type.rpartition(":")[2], moved.title)
-                self.enqueue(api_client, partial(moved_message, call_id, session.id, *moved))
+                await self._accept_move_offer(api_client, session, message)
                 return
             case api.MoveDone():
                 await self.service.confirm_move(session)
         self.enqueue(api_client, partial(done_message, call_id, 200, "", ""))
 
+    async def _trickle(self, api_client: ApiClient, session: PlaybackSession, message: api.Trickle) -> None:
+        """Passes a trickle ICE fragment on and sends the result."""
+        etags = ["*"] if message.tag == "*" else [f'"{message.tag}"']
+        result = await self.service.patch(session, SDPFRAG_MEDIA_TYPE, etags, message.fragment.encode())
+        make_message = partial(
+            done_message, message.id, 200, "", "", etag=result.etag, fragment=result.fragment.decode()
+        )
+        self.enqueue(api_client, make_message)
+
+    async def _accept_move_offer(
+        self, api_client: ApiClient, session: PlaybackSession, message: api.MoveOffer
+    ) -> None:
+        """Handles the offer of a player that was told to move, and sends the target's answer."""
+        result = await self.service.accept_move_offer(
+            session, message.offer, message.key or secrets.token_urlsafe(15), []
+        )
+        if isinstance(result, Reply):
+            raise RequestError(result.status, result.problem_type.rpartition(":")[2], result.title)
+        self.enqueue(api_client, partial(moved_message, message.id, session.id, *result))
+
     @staticmethod
     def _client_playback(api_client: ApiClient, playback_id: str) -> PlaybackSession:
         """Playback of a client session. Raises RequestError 404 where it has none of that id."""
--- a/oakcroft/signalling/http_formats.py
+++ b/oakcroft/signalling/http_formats.py
@@ -156,6 +156,7 @@
 
 
 def _parse_text_metrics(text: str) -> dict[str, object]:
+    """Maps the names in the text form of a load report to their values."""
     metrics: dict[str, object] = {}
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
@@ -164,6 +165,7 @@
 
 
 def _parse_json_metrics(text: str) -> dict[str, object]:
+    """Maps the names in the JSON form of a load report to their values; empty for another form."""
     try:
         body = orjson.loads(text)
     except orjson.JSONDecodeError:
--- a/oakcroft/signalling/sdp.py
+++ b/oakcroft/signalling/sdp.py
@@ -138,6 +138,7 @@
 
 
 def _parse_media_line(value: str, number: int) -> MediaSection:
+    """Returns the media section that an m= line begins."""
     match = MEDIA_PATTERN.match(value)
     if not match or int(match[2]) > MAX_PORT:
         raise SdpError("m= names kind, port, protocol and formats", number)
@@ -167,6 +168,7 @@
 def _apply_line(
     description: Description, media: MediaSection | None, kind: str, value: str, number: int
 ) -> None:
+    """Adds a line other than m= to its media section, or to the session before the first one."""
     if kind == "o":
         if not ORIGIN_PATTERN.match(value):
             raise SdpError("o= names user, two numbers and an address", number)
@@ -212,6 +214,7 @@
 
 
 def _check_media(offer: Description, media: MediaSection, directions: tuple[str, str]) -> None:
+    """Checks one media section: transport, direction, ICE credentials, fingerprint and setup role."""
     if media.proto not in SECURE_PROTOCOLS:
         raise SdpError(f"{media.proto} is not secured media", media.line)
     direction = offer.direction(media)
@@ -228,6 +231,7 @@
 
 
 def _check_bundle(offer: Description, mids: set[str], media_count: int) -> None:
+    """Checks that all media sections are in one BUNDLE group (RFC 9143)."""
     group = offer.attribute("group") or ""
     bundled_mids = set(group.split(" ")[1:])
     if not group.startswith("BUNDLE ") or not mids <= bundled_mids or len(mids) < media_count:
@@ -250,6 +254,7 @@
 
 
 def _bandwidth(offer: Description, modifier: str) -> int | None:
+    """Returns the bandwidth of the session, or the sum over its media sections; None if neither is stated."""
     if modifier in offer.bandwidth:
         return offer.bandwidth[modifier]
     parts = [media.bandwidth[modifier] for media in offer.media if modifier in media.bandwidth]
@@ -309,6 +314,7 @@
 
 
 def _apply_fragment_attribute(fragment: Fragment, name: str, value: str, number: int) -> None:
+    """Adds an attribute to a fragment; the first credentials win."""
     if name == "ice-ufrag":
         if not UFRAG_PATTERN.match(value):
             raise SdpError("no usable ice-ufrag", number)
--- a/oakcroft/signalling/session_api.py
+++ b/oakcroft/signalling/session_api.py
@@ -220,6 +220,7 @@
 
 
 def _message_reference(message_class: type[msgspec.Struct]) -> list[str]:
+    """Returns the section of the reference page on one message."""
     description = " ".join((message_class.__doc__ or "").split())
     lines = [f"### `{message_class.__struct_config__.tag}`", "", description, ""]
     fields = msgspec.structs.fields(message_class)
@@ -231,12 +232,14 @@
 
 
 def _type_name(type_: object) -> str:
+    """Returns the name of a field type as the reference page has it."""
     name = type_.__name__ if isinstance(type_, type) else str(type_)
     name = name.replace(f"typing.Optional[{SafeInteger}]", "int | None").replace(str(SafeInteger), "int")
     return name.replace("|", "or")
 
 
 def _default(field: msgspec.structs.FieldInfo) -> str:
+    """Returns the default of a field as the reference page has it."""
     if field.required:
         return "required"
     return f"`{field.default!r}`" if field.default is not msgspec.NODEFAULT else "`[]`"
