--- a/tests/rig.py
+++ b/tests/rig.py
@@ -48,11 +48,12 @@
 def run_async_test(test: Callable[[], Awaitable[None]], timeout_seconds: float = 30) -> None:
     """Runs an async test with a timeout."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
+        """Runs the test, and fails it after the timeout."""
         with trio.fail_after(timeout_seconds):
             await test()
 
-    trio.run(bounded)
+    trio.run(run_with_timeout)
 
 
 async def wait_until(condition: Callable[[], object], timeout_seconds: float = 6) -> None:
@@ -175,11 +176,11 @@
     record = Record(folder / "fleet.jsonl")
     log_output = io.BytesIO()
     async with trio.open_nursery() as nursery:
-        nodes = Fleet(scenario, record, Clock())
+        fleet_nodes = Fleet(scenario, record, Clock())
         fleet_up = trio.Event()
-        nursery.start_soon(nodes.run, fleet_up)
+        nursery.start_soon(fleet_nodes.run, fleet_up)
         await fleet_up.wait()
-        rig = Rig(0, nodes, record, folder, log_output, trio.Event(), trio.CancelScope(), site)
+        rig = Rig(0, fleet_nodes, record, folder, log_output, trio.Event(), trio.CancelScope(), site)
         await start_front_end(nursery, rig, with_state=with_state)
         await wait_until(lambda: any(e["event"] == "list" for e in rig.log_entries()))
         yield rig
@@ -191,6 +192,7 @@
     """Waits until the front end has recovered and stores promises."""
 
     def is_serving() -> bool:
+        """Whether recovery has ended."""
         coordinator = rig.front_end.coordinator if rig.front_end is not None else None
         state = coordinator.durable_state if coordinator is not None else None
         return state is not None and state.recovery.phase is RecoveryPhase.SERVING
@@ -207,13 +209,15 @@
     open_state_file: Callable[[str], StateFile] | None = None,
 ) -> None:
     """Starts or restarts a front end."""
-    service = rig.fleet.list_port if list_port is None else list_port
-    places = f'(listen "127.0.0.1:{port}") (list-service "127.0.0.1:{service}") (kept "{rig.directory}/kept")'
+    list_port = rig.fleet.list_port if list_port is None else list_port
+    endpoints = (
+        f'(listen "127.0.0.1:{port}") (list-service "127.0.0.1:{list_port}") (kept "{rig.directory}/kept")'
+    )
     if with_state:
-        places += f' (state "{rig.directory}/state")'
-    text = f"(front (zone west) {places})"
-    found, problems = check_file("front", lambda _: f"{text}\n{rig.site_text}")
-    assert found is not None, [problems.format(p) for p in problems.errors]
+        endpoints += f' (state "{rig.directory}/state")'
+    text = f"(front (zone west) {endpoints})"
+    checked, diagnostics = check_file("front", lambda _: f"{text}\n{rig.site_text}")
+    assert checked is not None, [diagnostics.format(error) for error in diagnostics.errors]
     log = structlog.wrap_logger(
         structlog.BytesLogger(rig.log_output),
         wrapper_class=structlog.make_filtering_bound_logger(10),
@@ -227,15 +231,17 @@
     scope = trio.CancelScope()
 
     async def ready(listen_port: int) -> None:
+        """Takes the port of the front end that serves now."""
         rig.port = listen_port
         rig.serving.set()
 
-    rig.front_end = front = FrontEnd(build_deployment(found), log)
-    front.open_state_file = open_state_file
+    rig.front_end = front_end = FrontEnd(build_deployment(checked), log)
+    front_end.open_state_file = open_state_file
 
     async def serve() -> None:
+        """Runs the front end until it stops or is killed."""
         with scope:
-            await front.run(ready, signals=False, stop=stop)
+            await front_end.run(ready, signals=False, stop=stop)
         rig.exited.set()
 
     nursery.start_soon(serve)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -20,11 +20,11 @@
 CREATED = b"HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok"
 
 
-async def after_request(stream: trio.SocketStream) -> None:
+async def read_request(stream: trio.SocketStream) -> None:
     """Reads a request up to its end."""
-    got = b""
-    while b"the end" not in got:
-        got += await stream.receive_some(4096)
+    request = b""
+    while b"the end" not in request:
+        request += await stream.receive_some(4096)
 
 
 async def reset_at_once(stream: trio.SocketStream) -> None:
@@ -35,36 +35,36 @@
 
 async def reset_after(stream: trio.SocketStream) -> None:
     """Resets the connection after the request."""
-    await after_request(stream)
+    await read_request(stream)
     reset_connection(stream)
 
 
 async def close_after(stream: trio.SocketStream) -> None:
     """Closes the connection after the request."""
-    await after_request(stream)
+    await read_request(stream)
 
 
-async def silence(stream: trio.SocketStream) -> None:
+async def no_answer(stream: trio.SocketStream) -> None:
     """Never reads or answers."""
     await trio.sleep_forever()
 
 
-async def half_an_answer(stream: trio.SocketStream) -> None:
+async def partial_answer(stream: trio.SocketStream) -> None:
     """Closes the connection within the response."""
-    await after_request(stream)
+    await read_request(stream)
     await stream.send_all(CREATED[:-1])
 
 
-async def garbage(stream: trio.SocketStream) -> None:
+async def invalid_answer(stream: trio.SocketStream) -> None:
     """Answers with something other than HTTP."""
-    await after_request(stream)
+    await read_request(stream)
     await stream.send_all(b"SSH-2.0-x\r\n\r\n")
 
 
-async def endless(stream: trio.SocketStream) -> None:
+async def oversized_answer(stream: trio.SocketStream) -> None:
     """Answers with a body over the limit of the client."""
-    await after_request(stream)
-    with suppress(trio.BrokenResourceError):  # the client has had enough
+    await read_request(stream)
+    with suppress(trio.BrokenResourceError):  # the client closes the connection
         await stream.send_all(b"HTTP/1.1 201 Created\r\nContent-Length: 9999999\r\n\r\n" + b"x" * 400_000)
 
 
@@ -75,9 +75,9 @@
     await trio.sleep(0.1)
 
 
-async def well(stream: trio.SocketStream) -> None:
+async def complete_answer(stream: trio.SocketStream) -> None:
     """Answers correctly."""
-    await after_request(stream)
+    await read_request(stream)
     await stream.send_all(CREATED)
     await trio.sleep(0.2)
 
@@ -86,8 +86,8 @@
     ("behaviour", "expected"),
     [
         (reset_at_once, Outcome.RESET), (reset_after, Outcome.RESET), (close_after, Outcome.RESET),
-        (silence, Outcome.LATE), (half_an_answer, Outcome.RESET), (garbage, Outcome.ERROR), (endless, Outcome.ERROR),
-        (early_refusal, Outcome.ERROR), (well, Outcome.DONE),
+        (no_answer, Outcome.LATE), (partial_answer, Outcome.RESET), (invalid_answer, Outcome.ERROR),
+        (oversized_answer, Outcome.ERROR), (early_refusal, Outcome.ERROR), (complete_answer, Outcome.DONE),
     ],
 )  # fmt: skip
 def test_each_kind_of_failed_exchange_has_its_outcome(behaviour: Behaviour, expected: Outcome) -> None:
@@ -111,19 +111,21 @@
     run_async_test(test)
 
 
-def test_a_refused_connection_and_a_request_that_waited_in_vain_have_their_outcomes() -> None:
+def test_a_refused_connection_and_a_request_that_got_no_connection_have_their_outcomes() -> None:
     """Nothing was sent where the connection was refused, or where no other exchange ended in time."""
 
     async def test() -> None:
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
+        with socket.socket() as unused_port:
+            unused_port.bind(("127.0.0.1", 0))
             progress = RequestProgress()
             with pytest.raises(ExchangeError) as caught:
-                await HttpClient("127.0.0.1", free.getsockname()[1]).request("POST", "/", [], b"x", progress)
+                await HttpClient("127.0.0.1", unused_port.getsockname()[1]).request(
+                    "POST", "/", [], b"x", progress
+                )
             assert setup_outcome(progress, caught.value.end) is Outcome.NO_CONNECTION
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, silence, listeners)
+            nursery.start_soon(trio.serve_listeners, no_answer, listeners)
             peer = HttpClient("127.0.0.1", listeners[0].socket.getsockname()[1], max_concurrent=1)
             nursery.start_soon(peer.request, "POST", "/", [], b"x")
             await trio.testing.wait_all_tasks_blocked(0.02)
@@ -142,15 +144,16 @@
     async def test() -> None:
         closed = trio.Event()
 
-        async def once(stream: trio.SocketStream) -> None:
-            await after_request(stream)
+        async def answer_once(stream: trio.SocketStream) -> None:
+            """Answers one request and closes the connection."""
+            await read_request(stream)
             await stream.send_all(CREATED)
             await stream.aclose()
             closed.set()
 
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            nursery.start_soon(trio.serve_listeners, once, listeners)
+            nursery.start_soon(trio.serve_listeners, answer_once, listeners)
             peer = HttpClient("127.0.0.1", listeners[0].socket.getsockname()[1])
             for _ in range(3):
                 assert (await peer.request("POST", "/", [], b"to the end")).status == 201
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -26,7 +26,7 @@
 
 
 def test_a_full_link_without_new_reports_is_forgotten() -> None:
-    """Without new reports, a link must not count as full for ever."""
+    """Guards against a link that counts as full for ever once its node sends no more reports."""
     harness = ControllerHarness()
     for node in range(4):
         playback = hand_over(harness, node)
@@ -136,7 +136,7 @@
 
 
 def test_after_its_own_start_a_front_end_paces_every_node() -> None:
-    """A front end that has just started can't know which nodes are cold."""
+    """A front end that has just started cannot know which nodes are cold, so it paces all of them."""
     harness = ControllerHarness(warm=False)
     for _ in range(40):
         harness.controller.on_playing(harness.request(), harness.now)
@@ -186,7 +186,7 @@
 
 
 def test_a_start_is_at_most_one_rung_above_what_the_node_plays() -> None:
-    """The first viewers must not take the capacity that later ones lack."""
+    """Guards against first viewers that take the capacity which later ones lack."""
     harness = ControllerHarness(nodes=1)
     playback, *_ = [hand_over(harness, 0) for _ in range(3)]
     harness.now += 3 * SECOND
@@ -195,9 +195,9 @@
 
 
 def test_a_front_end_without_playbacks_starts_by_the_middle_of_the_ladder() -> None:
-    """Front ends that came back without playbacks must not start at the lowest rung.
+    """Guards against front ends that start at the lowest rung after a restart.
 
-    Seen in a simulation of a mass restart: each of them began at the bottom of the ladder.
+    In a simulation of a mass restart each of them began at the bottom of the ladder.
     """
     harness = ControllerHarness(nodes=1)
     node = harness.nodes[0]
@@ -209,7 +209,7 @@
 
 
 def test_an_overloaded_link_and_a_stalled_node_do_not_cause_rejections() -> None:
-    """A single overloaded or dead node must not have the whole cluster reject."""
+    """Guards against one overloaded or stalled node that makes its whole cluster reject."""
     harness = ControllerHarness()
     for node, load in enumerate((0.5, 0.5, 5.0, 0.5)):
         harness.controller.on_metric(hand_over(harness, node), PlaybackMetric.LINK_LOAD, load, harness.now)
@@ -249,7 +249,7 @@
 
 
 def test_stale_reports_raise_the_prediction_error_to_one() -> None:
-    """Without fresh reports the prediction counts for nothing."""
+    """Without fresh reports, predictions are not relied on."""
     harness = ControllerHarness()
     for node in range(4):
         harness.controller.on_metric(hand_over(harness, node), PlaybackMetric.LINK_LOAD, 0.5, harness.now)
@@ -301,7 +301,7 @@
     assert TERMS.max_tries * MS > 0
 
 
-def test_short_delivery_of_a_node_that_left_the_list_is_taken_in() -> None:
+def test_short_delivery_of_a_node_that_left_the_list_is_accepted() -> None:
     """A report of short delivery must not raise when the node has left the list and no listed node of its rack plays.
 
     The rack then has no delivered shares to compare; the playback just plays on.
@@ -321,14 +321,14 @@
     for share, inferred_load in ((0.7, 1 / 0.7), (1.0, 0.0)):
         harness = ControllerHarness()
         playback = hand_over(harness, 0)
-        left, idle_neighbour = harness.nodes.pop(0), harness.nodes[1]
+        removed, idle_neighbour = harness.nodes.pop(0), harness.nodes[1]
         harness.apply_list(NodeListKind.WHOLE)
-        assert left.rack is idle_neighbour.rack
+        assert removed.rack is idle_neighbour.rack
         neighbour_load = idle_neighbour.estimated_load
         harness.controller.on_metric(playback, PlaybackMetric.DELIVERED_SHARE, share, harness.now)
-        assert left.rack.uplink_correction == 1.0
-        assert left.reported_load == inferred_load
-        assert left.delivered_share == share
+        assert removed.rack.uplink_correction == 1.0
+        assert removed.reported_load == inferred_load
+        assert removed.delivered_share == share
         assert idle_neighbour.estimated_load == neighbour_load
 
 
@@ -383,19 +383,20 @@
 
 
 def test_a_started_front_end_does_not_send_cold_nodes_many_more_random_setups() -> None:
-    """A front end must not take the few requests since its start for its usual request rate.
+    """Guards against taking the few requests since the start of a front end for its usual request rate.
 
     In a simulation (benchmarks/cold_ramp.py) of a crowd in which 70% of 200 front ends restarted, 223 of 5,941 windows
     exceeded the bound for cold nodes for that reason.
     """
     settings = replace(TERMS, front_count=400, overload_multiple=250.0)
-    sent = {"young": 0, "old": 0}
+    sent = {"started": 0, "running": 0}
     for seed in range(40):
         for front_age in sent:
             harness = ControllerHarness(nodes=8, terms=settings, warm=False)
             harness.controller.rng.seed(seed)
 
             def request_once(harness: ControllerHarness = harness) -> None:
+                """Plays one playback to its end, if it is placed."""
                 harness.now += 100 * MS
                 if (playback := harness.request()).node:
                     harness.controller.on_playing(playback, harness.now)
@@ -403,12 +404,12 @@
                         playback, Outcome.DONE, True, 0.1, None, None, harness.now
                     )
 
-            for _ in range(0 if front_age == "young" else 80):
+            for _ in range(0 if front_age == "started" else 80):
                 request_once()
-            if front_age == "old":
+            if front_age == "running":
                 harness.apply_list(NodeListKind.CHANGES, started_at=harness.now)  # all nodes have restarted
             before = len(harness.sent_nodes())
             for _ in range(10):
                 request_once()
             sent[front_age] += len(harness.sent_nodes()) - before
-    assert 0 < sent["young"] <= 2.5 * sent["old"]
+    assert 0 < sent["started"] <= 2.5 * sent["running"]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -34,6 +34,7 @@
 from oakcroft.standins.playout import PlayoutNode, reset_connection
 
 TAG = '"1"'
+MAX_GROWTH = 2  # of a count over six cycles of faults
 
 
 @dataclass
@@ -78,6 +79,7 @@
     coordinator.try_submit = lambda event: not held_events.append(event)  # type: ignore[method-assign,func-returns-value]
 
     async def submit_held() -> None:
+        """Submits the events that were held back."""
         coordinator.try_submit = try_submit  # type: ignore[method-assign]
         for event in held_events:
             await coordinator.submit(event)
@@ -107,23 +109,25 @@
 
 async def answer_being_written(scenario: Scenario) -> None:
     """The 201 response is about to be written; `release` lets it go."""
-    let_go = trio.Event()
+    released = trio.Event()
     reached = trio.Event()
     write = Connection._write
 
     async def held_write(self: Connection, response: Response) -> None:
+        """Holds the first answer with a session until it is released."""
         # Only a response of the front end names a session like this, not one of a node.
         names_session = (response.header("location") or "").startswith("/session/")
         if names_session and response.on_unsent is not None and not reached.is_set():
             reached.set()
-            await let_go.wait()
+            await released.wait()
         await write(self, response)
 
     Connection._write = held_write  # type: ignore[method-assign]
 
     def release() -> None:
+        """Lets the answer go."""
         Connection._write = write  # type: ignore[method-assign]
-        let_go.set()
+        released.set()
 
     scenario.release = release
     scenario.nursery.start_soon(scenario.ask)
@@ -143,42 +147,43 @@
 
 
 class Gate:
-    """Holds the rung changes that a node has read, while it is shut."""
+    """Holds the rung changes that nodes have read, while it is shut."""
 
     def __init__(self) -> None:
         """Creates an open gate."""
-        self.shut = False
-        self.there = trio.Event()
-        self.go = trio.Event()
+        self.is_shut = False
+        self.reached = trio.Event()
+        self.opened = trio.Event()
         self.handle = PlayoutNode.handle
 
-    def around(self) -> Callable[[PlayoutNode, Request], Awaitable[Response]]:
+    def wrap_handler(self) -> Callable[[PlayoutNode, Request], Awaitable[Response]]:
         """A request handler of a node that waits while the gate is shut."""
 
         async def handle(node: PlayoutNode, request: Request) -> Response:
-            if self.shut and request.path.endswith("/layer"):
-                self.there.set()
-                await self.go.wait()
+            """Handles a request of a node, a rung change only once the gate is open."""
+            if self.is_shut and request.path.endswith("/layer"):
+                self.reached.set()
+                await self.opened.wait()
             return await self.handle(node, request)
 
         return handle
 
     def open(self) -> None:
         """Lets held rung changes go on."""
-        self.shut = False
-        self.go.set()
+        self.is_shut = False
+        self.opened.set()
 
 
 async def rung_change_sent(scenario: Scenario) -> None:
     """A rung change has been sent to the node, which holds it."""
     await session_playing(scenario)
-    scenario.gate.shut = True
+    scenario.gate.is_shut = True
     scenario.release = scenario.gate.open
     session = scenario.rig.coordinator().sessions_by_id[scenario.location.rpartition("/")[2]]
     scenario.rig.coordinator().submit_later(
         lambda: scenario.rig.coordinator().set_rung(session.playback, session.playback.rung)
     )
-    await scenario.gate.there.wait()
+    await scenario.gate.reached.wait()
 
 
 async def session_moving(scenario: Scenario) -> None:
@@ -191,6 +196,7 @@
     target.faults.is_hung = True
 
     async def send_offer() -> None:
+        """Sends the player's offer."""
         with suppress(ExchangeError):  # the front end may die
             await player.offer()
 
@@ -265,6 +271,7 @@
     """Requests on the session that come late, or with outdated entity tags."""
 
     async def patch(**headers: str) -> int:
+        """Status of an ICE restart with these headers."""
         fragment = b"a=ice-ufrag:fresh001\r\na=ice-pwd:" + b"q" * 24 + b"\r\n"
         return (
             await scenario.rig.request(
@@ -321,15 +328,15 @@
 
 async def stream_cut(scenario: Scenario) -> None:
     """The node closes its event streams."""
-    for ear in scenario.node().subscriptions.values():
-        if ear.channel is not None:
-            ear.channel.close()
+    for subscription in scenario.node().subscriptions.values():
+        if subscription.channel is not None:
+            subscription.channel.close()
 
 
 async def list_wrong(scenario: Scenario) -> None:
     """The node list service sends malformed and empty lists and then fails."""
-    for trouble in ("list-broken", "list-empty", "list-down"):
-        scenario.rig.fleet.list_service.fault = trouble
+    for fault in ("list-broken", "list-empty", "list-down"):
+        scenario.rig.fleet.list_service.fault = fault
         scenario.rig.fleet.publish_list()
     if not scenario.rig.exited.is_set():
         await wait_until(
@@ -376,21 +383,20 @@
     "list wrong": list_wrong,
     "front killed": front_killed,
 }
-EARLY = ("taken", "waiting")
-BOUND = ("try out", "answered", "playing", "stepping down", "moving", "ended")
-CANNOT = {
+STAGES_BEFORE_SETUP = ("taken", "waiting")
+IMPOSSIBLE = {
     (fault, stage)
     for fault in ("late calls", "node cut", "node silent", "node dies", "node drains", "stream cut")
-    for stage in EARLY
+    for stage in STAGES_BEFORE_SETUP
 }  # nothing has reached a node, and no session has an id
-CANNOT |= {("late calls", "try out"), ("late calls", "front restarting"), ("key repeated", "front restarting"),
+IMPOSSIBLE |= {("late calls", "try out"), ("late calls", "front restarting"), ("key repeated", "front restarting"),
            ("viewer cut", "front restarting"), ("front killed", "front restarting"), ("viewer cut", "ended"),
            ("node cut", "front restarting"), ("node silent", "front restarting"),
            ("stream cut", "front restarting")}  # fmt: skip
-CELLS = [(f, s) for f in FAULTS for s in STAGES if (f, s) not in CANNOT]
+COMBINATIONS = [(f, s) for f in FAULTS for s in STAGES if (f, s) not in IMPOSSIBLE]
 
 
-# The end of each.
+# The end of each combination.
 
 
 def unreleased(rig: Rig, front: FrontEnd) -> dict[str, Any]:
@@ -404,41 +410,41 @@
     return {
         name: rest
         for name, rest in {
-            "viewings": coordinator.sessions_by_playback,
-            "sessions": coordinator.sessions_by_id,
-            "upstreams": coordinator.sessions_by_upstream,
+            "sessions by playback": coordinator.sessions_by_playback,
+            "sessions by id": coordinator.sessions_by_id,
+            "sessions by upstream": coordinator.sessions_by_upstream,
             "playing": coordinator.playing_count,
             "unanswered": coordinator.unanswered_count,
-            "farewells": coordinator.pending_session_ends,
-            "places": coordinator.limit_ledger.concurrent,
+            "pending session ends": coordinator.pending_session_ends,
+            "limit reservations": coordinator.limit_ledger.concurrent,
             "moves": coordinator.move_executor.moves,
-            "roles": coordinator.move_executor.moves_by_participant,
-            "wishes": coordinator.move_executor.scheduler.planned,
-            "targets": coordinator.move_executor.scheduler.targets,
-            "turns": service.request_queue.turn_events,
-            "granted": service.request_queue.granted_numbers,
-            "at work": service.request_queue.fair_queue.in_progress,
-            "line": service.request_queue.fair_queue.waiting,
-            "queue": service.pending_requests.pending,
-            "seats": front.session_api.clients,
-            "taken": [
+            "move participants": coordinator.move_executor.moves_by_participant,
+            "planned moves": coordinator.move_executor.scheduler.planned,
+            "move targets": coordinator.move_executor.scheduler.targets,
+            "turn events": service.request_queue.turn_events,
+            "granted turns": service.request_queue.granted_numbers,
+            "requests in progress": service.request_queue.fair_queue.in_progress,
+            "waiting requests": service.request_queue.fair_queue.waiting,
+            "pending requests": service.pending_requests.pending,
+            "client sessions": front.session_api.clients,
+            "titles with taken seats": [
                 title.name
                 for title in coordinator.title_cache.titles.values()
                 if any(title.seats_taken.values())
             ],
-            "on nodes": [node.name for node in nodes if node.playbacks or node.pending_setups],
-            "claims": [
+            "nodes with playbacks": [node.name for node in nodes if node.playbacks or node.pending_setups],
+            "nodes with claimed sessions": [
                 node_client.name
                 for node_client in coordinator.node_clients.values()
                 if node_client.node_sessions.claimed
             ],
-            "keys": [
+            "keys in use": [
                 key
                 for key, record in coordinator.idempotency_store.records.items()
                 if record.final is None or record.is_playing
             ],
-            "held": coordinator.durable_state.uncertain if coordinator.durable_state else None,
-            "guests": front.connection_table.connections if front.connection_table else None,
+            "uncertain sessions": coordinator.durable_state.uncertain if coordinator.durable_state else None,
+            "connections": front.connection_table.connections if front.connection_table else None,
             "node sessions": [node.name for node in rig.fleet.nodes.values() if node.sessions],
         }.items()
         if rest
@@ -463,6 +469,7 @@
     front = rig.front_end
 
     async def end() -> None:
+        """Ends all sessions, again and again."""
         while True:
             for name in list(front.coordinator.sessions_by_id if front.coordinator else ()):
                 await rig.request("DELETE", f"/session/{name}")
@@ -476,13 +483,13 @@
     rig.assert_rules_hold()
 
 
-@pytest.mark.parametrize(("fault", "stage"), CELLS, ids=[f"{f} while {s}" for f, s in CELLS])
+@pytest.mark.parametrize(("fault", "stage"), COMBINATIONS, ids=[f"{f} while {s}" for f, s in COMBINATIONS])
 def test_fault(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fault: str, stage: str) -> None:
     """One fault at one stage leaves nothing behind and violates no rule."""
 
     async def test() -> None:
         gate = Gate()
-        monkeypatch.setattr(PlayoutNode, "handle", gate.around())
+        monkeypatch.setattr(PlayoutNode, "handle", gate.wrap_handler())
         async with running_front_end(tmp_path, with_state=True) as rig, trio.open_nursery() as nursery:
             await wait_until_recovered(rig)
             scenario = Scenario(rig, nursery, gate=gate)
@@ -573,8 +580,8 @@
         rig.fleet.publish_list()
         for scenario in unanswered:
             await scenario.request_finished.wait()
-        for holder in front.session_api.clients.values():
-            holder.client_session.resume_timeout = 0
+        for api_client in front.session_api.clients.values():
+            api_client.client_session.resume_timeout = 0
         for name in list(coordinator.sessions_by_id):
             await rig.request("DELETE", f"/session/{name}")
         await wait_until(lambda: not unreleased(rig, front), 12)
@@ -586,10 +593,11 @@
     coordinator.idempotency_store.records.clear()  # bounded by keep-keys and MAX_IDEMPOTENCY_KEYS
     coordinator.idempotency_store.evictable.clear()
     gc.collect()
-    kinds = [type(one) for one in gc.get_objects()]
+    kinds = [type(instance) for instance in gc.get_objects()]
     return {
         "files": len(os.listdir("/proc/self/fd")), "tasks": len(coordinator.nursery.child_tasks),
-        "playbacks": kinds.count(Playback), "viewings": kinds.count(PlaybackSession), "legs": kinds.count(NodeClient),
+        "playbacks": kinds.count(Playback), "sessions": kinds.count(PlaybackSession),
+        "node clients": kinds.count(NodeClient),
         "events": coordinator.event_sender.statistics().current_buffer_used,
     }  # fmt: skip
 
@@ -608,6 +616,7 @@
     since = rig.coordinator().clock.now()
 
     def is_at_rest() -> bool:
+        """Whether each node has one event stream and the front end no connection."""
         is_alive = all(
             node_client.stream_requested_at > since and node_client.stream_health.state is StreamState.ALIVE
             for node_client in node_clients.values()
@@ -640,13 +649,17 @@
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
             await wait_until_recovered(rig)
-            stocks = list[dict[str, int]]()
+            counts_by_cycle = list[dict[str, int]]()
             for number in range(8):
                 await fault_cycle(rig, number)
                 await wait_for_rest(rig)
-                stocks.append(resource_counts(rig))
-            last = stocks[-1]
-            assert {k: last[k] - n for k, n in stocks[1].items() if last[k] - n > 2} == {}, stocks
+                counts_by_cycle.append(resource_counts(rig))
+            last = counts_by_cycle[-1]
+            assert {
+                kind: last[kind] - count
+                for kind, count in counts_by_cycle[1].items()
+                if last[kind] - count > MAX_GROWTH
+            } == {}, counts_by_cycle
             rig.assert_rules_hold()
 
     run_async_test(test, 60)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,6 +1,4 @@
-"""End-to-end tests on loopback: viewers over HTTP, all decisions and the nodes, with the failures to be
-survived.
-"""
+"""End-to-end tests on loopback: viewers over HTTP, all decisions and the nodes, and failures of each."""
 
 from __future__ import annotations
 
@@ -122,9 +120,9 @@
         async with running_front_end(tmp_path) as rig:
             for node in rig.fleet.nodes.values():
                 node.faults.is_hung = True
-            began = trio.current_time()
+            requested_at = trio.current_time()
             answer = await rig.request_playback("/whep/course/t", Idempotency_Key='"k"')
-            assert trio.current_time() - began < 1.2
+            assert trio.current_time() - requested_at < 1.2
             assert answer.status == 504
             assert orjson.loads(answer.body)["retry"] is False
             assert answer.header("retry-after") is None
@@ -149,24 +147,28 @@
                 node.faults.is_hung = True
             answers: list[Response] = []
 
-            async def ask() -> None:
+            async def request() -> None:
                 answers.append(await rig.request_playback("/whep/open/t"))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(request)
                 await wait_until(lambda: len(rig.recorded("setup")) == 1)
-                hung = rig.recorded("setup")[0]["node"]
+                hung_node = rig.recorded("setup")[0]["node"]
                 for node in rig.fleet.nodes.values():
-                    node.faults.is_hung = node.name == hung
+                    node.faults.is_hung = node.name == hung_node
             assert answers[0].status == 201
-            assert rig.recorded("setup")[0]["node"] == hung
-            assert {f["node"] for f in rig.recorded("answer")} == {n for n in rig.fleet.nodes if n != hung}
+            assert rig.recorded("setup")[0]["node"] == hung_node
+            assert {f["node"] for f in rig.recorded("answer")} == {
+                n for n in rig.fleet.nodes if n != hung_node
+            }
 
     run_async_test(test)
 
 
-@pytest.mark.parametrize("how", ["dead", "full", "draining"])
-def test_a_paid_playback_is_tried_elsewhere_when_it_provably_did_not_run(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("condition", ["dead", "full", "draining"])
+def test_a_paid_playback_is_tried_elsewhere_when_it_provably_did_not_run(
+    tmp_path: Path, condition: str
+) -> None:
     """A paid playback is tried on another node where the first one provably did not run it."""
 
     async def test() -> None:
@@ -175,9 +177,9 @@
             chosen = rig.nodes_in_use()[0]
             await rig.request("DELETE", first.header("location") or "")
             await wait_until(lambda: not rig.nodes_in_use())
-            if how == "dead":
+            if condition == "dead":
                 chosen.kill()  # the node list still has it
-            elif how == "full":
+            elif condition == "full":
                 chosen.machine.playback_capacity = 0
             else:
                 chosen.faults.is_draining = True
@@ -196,11 +198,11 @@
         async with running_front_end(tmp_path) as rig:
             answer = await rig.request_playback()
             location = answer.header("location") or ""
-            placed = await rig.request("POST", location + "/events", b'["inactive", "nonsense"]')
-            assert placed.status == 201
-            heard: list[str] = []
+            subscription = await rig.request("POST", location + "/events", b'["inactive", "nonsense"]')
+            assert subscription.status == 201
+            event_names: list[str] = []
             async with HttpClient("127.0.0.1", rig.port).stream(
-                "GET", placed.header("location") or "", []
+                "GET", subscription.header("location") or "", []
             ) as (
                 head,
                 chunks,
@@ -211,8 +213,8 @@
                 rig.nodes_in_use()[0].kill()
                 reader = http_formats.EventStreamParser()
                 async for chunk in chunks:
-                    heard += [name for name, _ in reader.feed(chunk) if name]
-            assert heard == ["inactive"]
+                    event_names += [name for name, _ in reader.feed(chunk) if name]
+            assert event_names == ["inactive"]
             assert (await rig.request("DELETE", location)).status == 404
 
     run_async_test(test)
@@ -345,8 +347,8 @@
 
     async def test() -> None:
         async with running_front_end(tmp_path) as rig:
-            for trouble, event in (("list-empty", "list refused"), ("list-broken", "list service failing")):
-                rig.fleet.list_service.fault = trouble
+            for fault, event in (("list-empty", "list refused"), ("list-broken", "list service failing")):
+                rig.fleet.list_service.fault = fault
                 rig.fleet.list_service.changed.set()
                 rig.fleet.list_service.changed = trio.Event()
                 await wait_until(lambda event=event: any(e["event"] == event for e in rig.log_entries()))  # type: ignore[misc]
@@ -441,12 +443,12 @@
             assert coordinator is not None
             await wait_until(lambda: not coordinator.sessions_by_playback)
             assert (await rig.request_playback("/whep/seats/t")).status in (201, 503)
-            count = 0
-            for _, step in sorted(
+            seats_taken = 0
+            for _, change in sorted(
                 [(f["t"], 1) for f in rig.recorded("ran")] + [(f["t"], -1) for f in rig.recorded("over")]
             ):
-                count += step
-                assert count <= 2
+                seats_taken += change
+                assert seats_taken <= 2
 
     run_async_test(test, 40)
 
@@ -493,7 +495,7 @@
             coordinator = rig.front_end.coordinator if rig.front_end else None
             assert coordinator is not None
             open_events = PlayoutNode.open_event_stream
-            let_go = trio.Event()
+            released = trio.Event()
 
             def delayed_open_events(self: PlayoutNode, front: str) -> Response:
                 response = open_events(self, front)  # the hello event is written now and arrives late
@@ -501,7 +503,7 @@
                 assert chunks is not None
 
                 async def delayed_chunks() -> AsyncIterator[bytes]:
-                    await let_go.wait()
+                    await released.wait()
                     async for chunk in chunks:
                         yield chunk
 
@@ -512,7 +514,7 @@
                 node.open_event_stream = delayed_open_events.__get__(node)  # type: ignore[method-assign]
             viewer_answers = [await rig.request_playback("/whep/open/t") for _ in range(6)]
             assert [answer.status for answer in viewer_answers] == [201] * 6
-            let_go.set()
+            released.set()
             await wait_until(
                 lambda: all(
                     node_client.stream_health.process
@@ -540,12 +542,13 @@
             node_client.node_sessions.session_started("/sessions/unheard", now)
             for at in range(now, now + node_client.node_sessions.claim_timeout // 2, 20 * MS):
                 coordinator.discount_pause(at)
-            woke = now + 2 * node_client.node_sessions.claim_timeout  # the process was paused for the rest
-            coordinator.discount_pause(woke)
-            assert node_client.node_sessions.take_orphans(woke) == []
-            assert node_client.node_sessions.take_orphans(woke + node_client.node_sessions.claim_timeout) == [
-                "/sessions/unheard"
-            ]
+            # The process is paused for the rest.
+            resumed_at = now + 2 * node_client.node_sessions.claim_timeout
+            coordinator.discount_pause(resumed_at)
+            assert node_client.node_sessions.take_orphans(resumed_at) == []
+            assert node_client.node_sessions.take_orphans(
+                resumed_at + node_client.node_sessions.claim_timeout
+            ) == ["/sessions/unheard"]
             assert answer.status == 201
 
     run_async_test(test)
@@ -591,7 +594,7 @@
             headers = [("Content-Type", sdp.MEDIA_TYPE)]
             body = offer(900, 1).encode()
             assert (await peer.request("POST", "/whep/open/t", headers, body)).status == 201
-            # Nothing is started: four requests of a plan wait, and no more.
+            # No request gets its turn: four requests of a plan may wait, and no more.
             fair_queue.window.size = fair_queue.window.max_size = 0
             async with trio.open_nursery() as nursery:
                 for _ in range(4):
@@ -602,7 +605,7 @@
                 assert (rejection.status, rejection.header("retry-after")) == (503, "1")
                 assert http_formats.problem_type(rejection.body) == "urn:oakcroft:problem:busy"
                 assert rig.front_end.service.request_queue.shed_count == 1
-                # The same connection.
+                # The connection is still usable.
                 options = await peer.request("OPTIONS", "/whep/open/t", [], b"")
                 assert options.status == 204
                 fair_queue.window.size = fair_queue.window.max_size = 512
