--- a/examples/viewer.py
+++ b/examples/viewer.py
@@ -23,12 +23,12 @@
     try:
         playback = await client.ask(path, offer(MAX_KBIT, 1), wait=WAIT_S)
     except Unsure as unsure:
-        print(f"it may have been paid for and is not asked for again: {unsure}")
+        print(f"the playback may have been paid for, so it is not requested again: {unsure}")
         return
     except Refused as refused:
-        print(f"not now: {refused}")
+        print(f"request rejected: {refused}")
         return
-    print(f"plays as {playback.resource}")
+    print(f"playing as {playback.resource}")
     await trio.sleep(DURATION_S)
     await client.end(playback)
 
--- a/examples/wall.py
+++ b/examples/wall.py
@@ -41,8 +41,8 @@
             nursery.start_soon(tile, client, number, path, rungs)
         for _ in range(DURATION_S):
             await trio.sleep(1)
-            shown = " ".join(rungs.get(number, ".") for number in range(int(tile_count)))
-            print(shown, f" resumed {client.resumed}")
+            rung_list = " ".join(rungs.get(number, ".") for number in range(int(tile_count)))
+            print(rung_list, f" resumed {client.resumed}")
         nursery.cancel_scope.cancel()
 
 
--- a/oakcroft/front/playback_session.py
+++ b/oakcroft/front/playback_session.py
@@ -63,9 +63,8 @@
     is_ending: bool = False
     readers: list[SessionEventReader] = field(default_factory=list)
     token_name: str = ""  # empty where the request had no token
-    copy_of: PlaybackSession | None = (
-        None  # the session that the player knows, of which this is the copy in a move
-    )
+    # The session that the player knows, of which this is the copy in a move.
+    copy_of: PlaybackSession | None = None
     limit_reservation: LimitReservation | None = None  # what it holds of the request limits
     pool: Pool | None = None  # nodes of its route for every set-up; None: all nodes
     in_client_session: bool = False  # whether it belongs to a client session of the session API
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -153,10 +153,10 @@
     while frontier:
         world = frontier.pop()
         for event in possible_events(world):
-            following = after(world, event)
-            if following not in seen:
-                seen.add(following)
-                frontier.append(following)
+            next_world = after(world, event)
+            if next_world not in seen:
+                seen.add(next_world)
+                frontier.append(next_world)
     states = Counter(world.state for world in seen)
     assert set(states) == set(MoveState)
     assert len(seen) == 38, len(seen)  # written in docs/moving.md
@@ -275,7 +275,7 @@
 
 def test_two_hundred_front_ends_spread_the_moves_of_a_drain() -> None:
     """The moves of many front ends spread over the notice, without a burst in any second."""
-    begun: list[int] = []
+    start_times: list[int] = []
     notice = 20 * SECOND
     step = 50 * MS
     for front in range(200):
@@ -286,11 +286,11 @@
         )
         for now in range(0, notice, step):
             for move in scheduler.start_due(now, 99):
-                begun.append(now)
+                start_times.append(now)
                 assert scheduler.finish(move.key, True, now + 100 * MS, notice - now) is False
-    assert len(begun) == 600
-    assert max(begun) <= notice * 0.7
-    seconds = Counter(t // SECOND for t in begun)
+    assert len(start_times) == 600
+    assert max(start_times) <= notice * 0.7
+    seconds = Counter(at // SECOND for at in start_times)
     assert max(seconds.values()) < 2 * 600 / (20 * 0.7 - 1.5)  # no burst in any second
 
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -336,9 +336,9 @@
 async def open_raw_client(rig: Rig) -> RawClient:
     """Opens a WebSocket connection to the front end."""
     stream = await trio.open_tcp_stream("127.0.0.1", rig.port)
-    ws = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
-    await stream.send_all(ws.send(events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])))
-    client_connection = RawClient(stream, ws)
+    websocket = wsproto.WSConnection(wsproto.ConnectionType.CLIENT)
+    await stream.send_all(websocket.send(events.Request(host="a", target="/api/v1", subprotocols=[api.JSON])))
+    client_connection = RawClient(stream, websocket)
     assert isinstance(await client_connection.next_event(), events.AcceptConnection)
     return client_connection
 
@@ -434,6 +434,7 @@
             received, numbers, playing, resume_token = list[object](), list[int](), dict[int, str](), ""
 
             async def connect() -> RawClient:
+                """Opens a connection that resumes the client session, if there is one."""
                 nonlocal resume_token
                 client_connection = await open_raw_client(rig)
                 await client_connection.send(api.Hello(resume_token, numbers[-1] if numbers else 0))
@@ -564,8 +565,8 @@
             assert isinstance(await client_connection.receive(), api.Welcome)
             await client_connection.send(api.Ack(7))
             assert await client_connection.close_code() == 1008
-            huge = await rig.request("GET", "/api/v1")
-            assert huge.status == 426
+            without_upgrade = await rig.request("GET", "/api/v1")
+            assert without_upgrade.status == 426
 
     run_async_test(test)
 
@@ -602,14 +603,15 @@
                 node.faults.is_hung = False
                 node.notify_changed()
 
-            def plain() -> int:
+            def play_blocking() -> int:
+                """Plays with the blocking client; returns the length of the answer."""
                 with BlockingWhepClient(f"http://127.0.0.1:{rig.port}") as blocking:
                     answer = blocking.ask("/whep/open/t", OFFER)
                     blocking.end(answer)
                     return len(answer.answer)
 
             await wait_until(lambda: not rig.nodes_in_use(), 10)
-            assert await trio.to_thread.run_sync(plain) > 100
+            assert await trio.to_thread.run_sync(play_blocking) > 100
 
     run_async_test(test)
 
@@ -626,12 +628,13 @@
             ) as client:
                 unsure: list[Unsure] = []
 
-                async def ask() -> None:
+                async def request_in_vain() -> None:
+                    """Requests a paid playback, which must end in doubt."""
                     with pytest.raises(Unsure) as caught:
                         await client.play("/whep/course/t", OFFER)
                     unsure.append(caught.value)
 
-                nursery.start_soon(ask)
+                nursery.start_soon(request_in_vain)
                 await wait_until(lambda: rig.recorded("setup"))
                 rig.front_end_scope.cancel()
                 await start_front_end(nursery, rig, port=rig.port)
@@ -660,7 +663,7 @@
                         for node in rig.fleet.nodes.values():
                             node.faults.is_hung = True
 
-                        async def cut(
+                        async def cut_connection(
                             stream: trio.SocketStream = stream, so_far: int = i, cuts: int = cuts
                         ) -> None:
                             await wait_until(lambda: len(rig.recorded("setup")) > so_far)
@@ -672,7 +675,7 @@
 
                     async with trio.open_nursery() as nursery:  # or while its set-up is pending at a node
                         if not i % 2:
-                            nursery.start_soon(cut)
+                            nursery.start_soon(cut_connection)
                         playback = await client.play(f"/whep/course/t{i}", OFFER)
                     assert playback.answer
                     await wait_until(lambda cuts=cuts: client.resumed > cuts)  # type: ignore[misc]
@@ -697,11 +700,12 @@
                     node.faults.is_silent = True  # a third request is pending when the front end stops
                 answers = list[object]()
 
-                async def third() -> None:
+                async def request_third() -> None:
+                    """Makes the request that is pending in the restart."""
                     ask = api.Ask(next(client.call_ids), "/whep/course/c", offer(900, 1), "third")
                     answers.append(await client.call(ask))
 
-                nursery.start_soon(third)
+                nursery.start_soon(request_third)
                 await wait_until(lambda: len(rig.recorded("setup")) == 3)
                 await wait_until(
                     lambda: (
