--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -203,7 +203,7 @@
             Random(front_settings.seed + 2),
             front_settings.node_list_file,
             coordinator.pseudonym,
-            coordinator.apply_list,
+            coordinator.node_list_updater.apply,
             self.log,
         )
         nursery.start_soon(follower.run)
@@ -281,7 +281,7 @@
             and self.restored_state.listed_nodes
             and not coordinator.node_list.listed_nodes
         ):
-            await coordinator.apply_list(
+            await coordinator.node_list_updater.apply(
                 self.restored_state.listed_nodes,
                 self.restored_state.list_version,
                 self.restored_state.service,
@@ -312,7 +312,7 @@
             body = load_list(Path(self.configuration.front.node_list_file))
             if body is not None:
                 listed_nodes, version, service = parse_response(body)
-                await coordinator.apply_list(listed_nodes, version, service, is_cached=True)
+                await coordinator.node_list_updater.apply(listed_nodes, version, service, is_cached=True)
         except (NodeListError, OSError) as error:
             self.log.warning("kept list unusable", why=str(error))
 
--- a/oakcroft/front/protocols.py
+++ b/oakcroft/front/protocols.py
@@ -13,11 +13,11 @@
 
 import trio
 
-from oakcroft.decisions.fleet.node_list import NodeList
+from oakcroft.decisions.fleet.node_list import ListedNode, NodeList
 from oakcroft.decisions.routing.title_cache import TitleCache
 from oakcroft.decisions.sessions.answers import FinalAnswer
 from oakcroft.decisions.sessions.idempotency import IdempotencyStore
-from oakcroft.front.node_client import NodeClient, NodeEvent
+from oakcroft.front.node_client import FrontIdentity, NodeClient, NodeEvent
 from oakcroft.front.playback_session import PlaybackSession
 from oakcroft.config.settings import PlanTerms, SharedSettings
 from oakcroft.interface import (
@@ -98,7 +98,7 @@
 
 
 class DurableState(Protocol):
-    """The stored state, as moves, node events and final answers use it."""
+    """The stored state, as the parts of the coordinator use it."""
 
     def must_record_answer(self, session: PlaybackSession) -> bool:
         """Whether the answer that a session plays must be recorded before it is given."""
@@ -109,6 +109,12 @@
     def answer_given(self, session: PlaybackSession, final: FinalAnswer) -> None:
         """Records the final answer of a session."""
 
+    def node_list_changed(self, listed_nodes: Iterable[ListedNode], version: int, service: str) -> None:
+        """Stores a changed node list."""
+
+    def nodes_listed(self, listed_nodes: Iterable[ListedNode]) -> None:
+        """Handles the nodes of an applied list, which recovery may have to ask."""
+
     def move_started(self, session: PlaybackSession, copy: PlaybackSession) -> None:
         """Records that a copy of a session may be set up from now on."""
 
@@ -162,6 +168,8 @@
     on_answer: Callable[[bool, PlanTerms, int], None] | None
     on_sessions_taken_over: Callable[[int], None]
     on_link_load: Callable[[str, float, int], None]
+    longest_abandon_ns: int
+    identity: FrontIdentity | None
 
     @property
     def site(self) -> SharedSettings:
@@ -181,6 +189,9 @@
     def submit_later(self, event: Event) -> None:
         """Submits an event that must not be lost, from code that cannot wait."""
 
+    def discount_pause(self, now: int) -> None:
+        """Detects a pause of the process that ends now, and excludes its duration from all node timeouts."""
+
     def request_placement(self, session: PlaybackSession) -> None:
         """Asks the policy to place a session."""
 
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -24,12 +24,11 @@
 from oakcroft.decisions.sessions.answers import FinalAnswer
 from oakcroft.decisions.routing.catalogue import Catalogue, PlaybackEffect, highest_rung, effect_on_playback
 from oakcroft.decisions.moving.handover import MoveEvent
-from oakcroft.decisions.sessions.event_stream_health import LossCertainty, StreamTimeouts
 from oakcroft.decisions.admission.request_limits import LimitLedger
 from oakcroft.decisions.admission.deadlines import HEARTBEAT_INTERVAL_NS, Deadline, PauseDetector
 from oakcroft.decisions.sessions.idempotency import IdempotencyStore
 from oakcroft.decisions.sessions.session_resource import SessionResource
-from oakcroft.decisions.fleet.node_list import ListedNode, ListRejection, NodeList
+from oakcroft.decisions.fleet.node_list import NodeList
 from oakcroft.decisions.routing.title_cache import TitleCache
 from oakcroft.decisions.routing.configuration_version import (
     ActiveConfiguration,
@@ -39,9 +38,10 @@
 from oakcroft.running.clock import Clock
 from oakcroft.running.inbox import Event, handle_events
 from oakcroft.front.answer_delivery import AnswerDelivery
+from oakcroft.front.node_list_updates import NodeListUpdater
 from oakcroft.front.node_events import NodeEventHandler
 from oakcroft.front.move_executor import MoveExecutor
-from oakcroft.front.node_client import MAX_TRY_GRACE_NS, NodeClient, FrontIdentity, TryResult
+from oakcroft.front.node_client import NodeClient, FrontIdentity, TryResult
 from oakcroft.front.rendition_bound import RenditionBound
 from oakcroft.front.protocols import ChangeNotifier, PolicyFactory, DecisionPolicy
 from oakcroft.front.playback_session import PlaybackSession
@@ -117,6 +117,7 @@
         self.rendition_bound = RenditionBound(self, self.rng, log)
         self.answer_delivery = AnswerDelivery(self, self.move_executor, log)
         self.node_events = NodeEventHandler(self, self.move_executor, log)
+        self.node_list_updater = NodeListUpdater(self, self.move_executor, self.node_events, self.rng, log)
         self.durable_state: FrontEndState | None = None
         self.catalogue = Catalogue()
         self.answer_counts = Counter[FinalAnswer]()  # answers given since the start
@@ -232,85 +233,6 @@
             del self.node_clients[node_client.name]
             await node_client.close()
 
-    # Node list.
-
-    async def apply_list(
-        self, listed_nodes: list[ListedNode], version: int, service: str, is_cached: bool = False
-    ) -> bool:
-        """Submits a node list and waits until it is applied; returns whether it was accepted.
-
-        `version` is the list's version, `service` the name of the list service, and `is_cached` says that the
-        list was read from the cache of an earlier process.
-        """
-        is_accepted = False
-        applied = trio.Event()
-
-        def apply() -> None:
-            """Applies the list in the event task."""
-            nonlocal is_accepted
-            is_accepted = self._apply_list(listed_nodes, version, service, is_cached)
-            applied.set()
-
-        await self.submit(apply)
-        await applied.wait()
-        return is_accepted
-
-    def _apply_list(
-        self, listed_nodes: list[ListedNode], version: int, service: str, is_cached: bool
-    ) -> bool:
-        """Applies a node list; returns False when it was rejected."""
-        now = self.clock.now()
-        applied = self.node_list.apply(listed_nodes, version, service, now, is_cached)
-        if isinstance(applied, ListRejection):
-            self.logger.warning("list refused", why=applied.reason, nodes=len(self.node_list.listed_nodes))
-            return False
-        if applied is None:
-            return True
-        kind, entries = applied
-        for listed_node in self.node_list.listed_nodes.values():
-            node_client = self.node_clients.get(listed_node.name)
-            if node_client is None or node_client.address != (listed_node.address, listed_node.port):
-                self._add_node_client(listed_node)
-        self.policy.on_node_list(kind, entries, now)
-        if self.durable_state is not None and not is_cached:
-            self.durable_state.node_list_changed(self.node_list.listed_nodes.values(), version, service)
-            self.durable_state.nodes_listed(self.node_list.listed_nodes.values())
-        self.move_executor.on_node_list(
-            entries, {node.name: node.drains_until for node in self.node_list.listed_nodes.values()}, now
-        )
-        changes = ", ".join(f"{entry.node.name} {entry.status.value}" for entry in entries[:6])
-        self.logger.info(
-            "list",
-            kind=kind.value,
-            version=version,
-            nodes=len(self.node_list.listed_nodes),
-            changes=changes,
-            changed=len(entries),
-        )
-        return True
-
-    def _add_node_client(self, listed_node: ListedNode) -> None:
-        """Creates the client of a listed node, in place of one for another address."""
-        previous = self.node_clients.get(listed_node.name)
-        if previous is not None:
-            self.node_events.node_lost(previous, LossCertainty.PROVEN, "it has another address")
-            self.nursery.start_soon(previous.close)
-        timeouts = StreamTimeouts(self.site.silence_timeout_ns, self.site.loss_timeout_ns)
-        claim_timeout_ns = self.longest_abandon_ns + MAX_TRY_GRACE_NS
-        self.node_clients[listed_node.name] = NodeClient(
-            listed_node.name,
-            listed_node.address,
-            listed_node.port,
-            self.pseudonym,
-            self.clock,
-            self.rng,
-            self.site.connect_timeout_ns,
-            timeouts,
-            claim_timeout_ns,
-        )
-        self.node_clients[listed_node.name].identity = self.identity
-        self.node_clients[listed_node.name].discount_pause = self.discount_pause
-
     # Requests.
 
     def new_session(
