--- a/oakcroft/front/fleet_participation.py
+++ b/oakcroft/front/fleet_participation.py
@@ -139,9 +139,9 @@
         self, peers: PeerEndpoint, peer_settings: PeerSettings, operators: OperatorsApi, nursery: trio.Nursery
     ) -> None:
         """Starts sharing the nodes' loads with the other front ends."""
-        from oakcroft.front.load_probing import LoadProbing
+        from oakcroft.front.load_probing import LoadProber
 
-        operators.load_probing = load_probing = LoadProbing(
+        operators.load_prober = load_prober = LoadProber(
             self.coordinator,
             peers,
             peer_settings.name,
@@ -149,8 +149,8 @@
             self.front_settings.seed + 8,
             self.log,
         )
-        peers.on_loads = load_probing.receive_reports
-        nursery.start_soon(load_probing.run)
+        peers.on_loads = load_prober.receive_reports
+        nursery.start_soon(load_prober.run)
 
     def _start_takeovers(
         self, peers: PeerEndpoint, bounds: TakeoverBounds, operators: OperatorsApi, nursery: trio.Nursery
--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -24,7 +24,7 @@
 from oakcroft.front.operators_api import OPERATORS_PATH, OperatorsApi
 from oakcroft.front.fleet_participation import FleetParticipation
 from oakcroft.front.service_levels import ServiceLevelControl
-from oakcroft.front.zone_routing import ZoneRouting
+from oakcroft.front.zone_routing import ZoneRouter
 from oakcroft.front.protocols import ChangeNotifier, PolicyFactory
 from oakcroft.front.websocket_api import SESSION_API_PATH, SessionApi
 from oakcroft.front.whip_whep import WhipWhepApi
@@ -147,10 +147,10 @@
         service.level_control = ServiceLevelControl(coordinator, Random(front_settings.seed + 4), self.log)
         service.request_queue.on_loop_lag = service.level_control.record_loop_lag
         nursery.start_soon(service.level_control.run)
-        service.zone_routing = ZoneRouting(
+        service.zone_router = ZoneRouter(
             coordinator, front_settings.zone, Random(front_settings.seed + 5), self.log
         )
-        nursery.start_soon(service.zone_routing.run)
+        nursery.start_soon(service.zone_router.run)
         return service, self.catalogue_versions
 
     def _create_apis(
@@ -158,10 +158,10 @@
     ) -> tuple[OperatorsApi, Server]:
         """Creates the APIs and the HTTP server in front of them, which does not listen yet."""
         assert service.level_control is not None
-        assert service.zone_routing is not None
+        assert service.zone_router is not None
         self.session_api = SessionApi(service, nursery, self.log)
         operators_api = OperatorsApi(
-            service.coordinator, catalogue_versions, service.level_control, service.zone_routing
+            service.coordinator, catalogue_versions, service.level_control, service.zone_router
         )
         whip_whep_api = WhipWhepApi(
             service,
--- a/oakcroft/front/load_probing.py
+++ b/oakcroft/front/load_probing.py
@@ -30,7 +30,7 @@
         """The names of the present front ends."""
 
 
-class LoadProbing:
+class LoadProber:
     """One front end's part in sharing nodes' loads."""
 
     def __init__(
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -21,7 +21,7 @@
 from oakcroft.front.request_checks import RequestError
 from oakcroft.front.session_coordinator import SessionCoordinator
 from oakcroft.front.service_levels import ServiceLevelControl
-from oakcroft.front.zone_routing import ZoneRouting
+from oakcroft.front.zone_routing import ZoneRouter
 from oakcroft.interface import MS, SECOND
 from oakcroft.httpwire.message import Headers, Request, Response
 from oakcroft.signalling import http_formats
@@ -92,19 +92,19 @@
         coordinator: SessionCoordinator,
         catalogue_versions: CatalogueVersions,
         level_control: ServiceLevelControl,
-        zone_routing: ZoneRouting,
+        zone_router: ZoneRouter,
     ) -> None:
         """Parts that a front end may lack (fleet, leases, roll-out, takeover, load probing) are set after creation."""
         self.coordinator = coordinator
         self.catalogue_versions = catalogue_versions
         self.level_control = level_control
-        self.zone_routing = zone_routing
+        self.zone_router = zone_router
         # The fleet as this front end sees it, if it has peers.
         self.fleet_status: Callable[[], dict[str, object]] | None = None
         self.leases: FleetLeases | None = None  # if lease acceptors are configured
         self.rollout: RolloutControl | None = None
         self.takeover: StatusSource | None = None  # if session takeover is configured
-        self.load_probing: StatusSource | None = None  # if nodes' loads are shared among front ends
+        self.load_prober: StatusSource | None = None  # if nodes' loads are shared among front ends
 
     def is_authorized(self, authorization: str | None) -> bool:
         """Whether an Authorization header has the operators' token."""
@@ -338,11 +338,11 @@
             "configuration": coordinator.active_configuration.version.number,
             "nodes": len(coordinator.node_list.listed_nodes),
             "level": self.level_control.status(),
-            "wings": self.zone_routing.status(),
+            "wings": self.zone_router.status(),
             "steps_waiting": len(self.catalogue_versions.step_downs.waiting),
         }
-        if self.load_probing is not None:
-            status["probing"] = self.load_probing.status()
+        if self.load_prober is not None:
+            status["probing"] = self.load_prober.status()
         if self.takeover is not None:
             status["adopting"] = self.takeover.status()
         if durable_state is not None:
--- a/oakcroft/front/session_coordinator.py
+++ b/oakcroft/front/session_coordinator.py
@@ -93,6 +93,7 @@
         site = configuration.shared
         self.rng = Random(seed + 1)  # for retries of requests to nodes; the policy has its own generator
         self.event_sender, self.event_receiver = trio.open_memory_channel[Event](MAX_QUEUED_EVENTS)
+        # Nodes and titles.
         self.node_list = NodeList()
         self.node_clients: dict[str, NodeClient] = {}
         self.title_cache = TitleCache(
@@ -100,11 +101,10 @@
         )
         self.limit_ledger = LimitLedger(site.terms.front_index, site.terms.front_count)
         self.limit_ledger.set_limits(site.limits)
+        # Sessions.
         self.sessions_by_playback: dict[Playback, PlaybackSession] = {}
-        # By the id of the session resource that viewers use.
-        self.sessions_by_id: dict[str, PlaybackSession] = {}
-        # By node name and path of the resource there.
-        self.sessions_by_upstream: dict[tuple[str, str], PlaybackSession] = {}
+        self.sessions_by_id: dict[str, PlaybackSession] = {}  # by the id that viewers use
+        self.sessions_by_upstream: dict[tuple[str, str], PlaybackSession] = {}  # by node name and path there
         self.idempotency_store = IdempotencyStore(MAX_IDEMPOTENCY_KEYS, site.key_retention_ns)
         self.pause_detector = PauseDetector(clock.now())
         self.unanswered_count = 0
@@ -112,6 +112,7 @@
         self.pending_session_ends = 0
         self.count_changed = ChangeNotifier()
         self.longest_abandon_ns = max(plan_terms.abandon_ns for plan_terms in site.plans.values())
+        # The policy and the parts of this coordinator.
         self.move_executor = MoveExecutor(self, Random(seed + 3), site.default_drain_notice_ns, log)
         self.policy: DecisionPolicy = policy_factory(site.terms, seed, self, clock.now())
         self.rendition_bound = RenditionBound(self, self.rng, log)
--- a/oakcroft/front/session_service.py
+++ b/oakcroft/front/session_service.py
@@ -64,7 +64,7 @@
 from oakcroft.front.request_queue import RequestQueue
 from oakcroft.front.move_executor import STAY_REPLY, NodeFilter, Move
 from oakcroft.front.service_levels import ServiceLevelControl
-from oakcroft.front.zone_routing import ZoneRouting
+from oakcroft.front.zone_routing import ZoneRouter
 from oakcroft.front.playback_session import SessionEventReader, PlaybackSession, UpstreamSession
 from oakcroft.interface import Effect, Outcome
 from oakcroft.signalling import http_formats, sdp
@@ -125,7 +125,7 @@
         self.publishers: dict[str, PlaybackSession] = {}
         self.request_queue = RequestQueue(coordinator, log)
         self.level_control: ServiceLevelControl | None = None
-        self.zone_routing: ZoneRouting | None = None
+        self.zone_router: ZoneRouter | None = None
 
     # Requests.
 
@@ -338,7 +338,7 @@
         These are the nodes of its route's pool, in the zones that may take it at present.
         """
         zone_filter = (
-            self.zone_routing.node_filter() if self.zone_routing is not None and applies_zones else None
+            self.zone_router.node_filter() if self.zone_router is not None and applies_zones else None
         )
         pool = session.pool
         rack_count = self.coordinator.site.terms.rack_count
--- a/oakcroft/front/zone_routing.py
+++ b/oakcroft/front/zone_routing.py
@@ -22,7 +22,7 @@
 RECONNECT_INTERVAL_NS = SECOND  # between two attempts to reconnect to one lost node
 
 
-class ZoneRouting:
+class ZoneRouter:
     """The zones that new requests to one front end may use.
 
     Without a (preference …) form in the configuration, or without a zone of its own, all zones.
