--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -98,12 +98,12 @@
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
     import signal
 
-    import test_adopting
+    import test_takeover_processes
     import test_peers
 
     from oakcroft.rulecheck.session_ownership import takeover_delays
 
-    class Fronts(test_adopting.TakeoverFronts):
+    class Fronts(test_takeover_processes.TakeoverFronts):
         pass
 
     Fronts.adopting_form = form
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings, strategies as st
 from helpers import ControllerHarness
 from rig import run_async_test
-from test_adopting import TakeoverFronts
+from test_takeover_processes import TakeoverFronts
 from test_peers import KEY, fronts
 
 from oakcroft.decisions.fleet.load_sharing import (
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -52,7 +52,7 @@
 from oakcroft.standins.fleet import Fleet
 from oakcroft.standins.record import Record
 from oakcroft.standins.record import read_facts as read_record
-from test_view import ALIVE, SECRET, update as named
+from test_membership import ALIVE, SECRET, update as named
 
 
 def update(name: str, *more: Any) -> MemberUpdate:
--- a/tests/test_takeover_records.py
+++ b/tests/test_takeover_records.py
@@ -22,7 +22,7 @@
     restart_front_end,
     wait_until_state_file_is_healthy,
 )
-from test_view import SECRET, update
+from test_membership import SECRET, update
 
 from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.decisions.membership.membership import Membership
