--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -107,7 +107,7 @@
         if message.kind is MessageKind.PUSH_PULL:
             own_state = self.view.full_state()
             return Outgoing(message.address, own_state, self._sizes.full_state(own_state), stream=True)
-        me = self.view.me
+        me = self.view.own_update
         message, octets = self._sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
 
@@ -117,7 +117,7 @@
             return ()
         changes = self.view.changes
         self.view.changes = []
-        own_name = self.view.me.name
+        own_name = self.view.own_update.name
         return [
             Transition(change.name, OBSERVED_STATES[change.now])
             for change in changes
@@ -159,7 +159,7 @@
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
         """Merges the updates of all into each, and drops the pending dissemination and full-state exchanges."""
         flat = [membership for membership in memberships if isinstance(membership, FlatMembershipAdapter)]
-        all_updates = [membership.view.me for membership in flat]
+        all_updates = [membership.view.own_update for membership in flat]
         for position, membership in enumerate(flat):
             sender = all_updates[position - 1]
             membership.view.receive_full_state(sender, all_updates, now)
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -87,7 +87,7 @@
         """Wraps a membership; `fleet` is shared by all front ends."""
         self.membership = membership
         self._fleet = fleet
-        me = membership.local.me
+        me = membership.local.own_update
         self._zone = me.zone
         self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
 
@@ -141,7 +141,7 @@
         ]
 
     def _zone_outgoing(self, out: OutgoingZoneMessage) -> Outgoing:
-        me = self.membership.local.me
+        me = self.membership.local.own_update
         if me.generation != self._contact.generation:
             self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
         octets = self._fleet.zone_sizes.datagram(self._contact, out.message)
@@ -153,7 +153,7 @@
             return Outgoing(
                 message.address, own_state, self._fleet.flat_sizes.full_state(own_state), stream=True
             )
-        me = self.membership.local.me
+        me = self.membership.local.own_update
         message, octets = self._fleet.flat_sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
 
--- a/oakcroft/decisions/fleet/acceptor.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -35,12 +35,14 @@
 class LeaseAcceptor:
     """One acceptor of the fleet's leases. Times in ns."""
 
-    def __init__(self, me: str, acceptors: Iterable[str], term_length: int, epoch: int, now: int) -> None:
-        """`me` is its name among `acceptors`, `term_length` the longest term that it grants.
+    def __init__(
+        self, own_name: str, acceptors: Iterable[str], term_length: int, epoch: int, now: int
+    ) -> None:
+        """`own_name` is its name among `acceptors`, `term_length` the longest term that it grants.
 
         `epoch` numbers its record: each new record has a higher epoch than the one before.
         """
-        self.me = me
+        self.own_name = own_name
         self.acceptors = tuple(sorted(acceptors))
         self.term_length = term_length
         self.epoch = epoch
@@ -117,7 +119,7 @@
         return LeaseAnswer(
             kind,
             request.lease_name,
-            self.me,
+            self.own_name,
             self.epoch,
             request.term.fencing_token,
             request.seq,
@@ -178,7 +180,7 @@
         return (
             []
             if self.has_full_record
-            else [k for k in self.acceptors if k != self.me and k not in self.peer_records]
+            else [k for k in self.acceptors if k != self.own_name and k not in self.peer_records]
         )
 
     def record_for_peer(self, peer: str, epoch: int) -> AcceptorRecord | None:
@@ -189,12 +191,14 @@
         This guards against two processes under one acceptor's name: a vote on the older record is not counted together
         with a vote of any acceptor that knows of the newer one.
         """
-        if peer not in self.acceptors or peer == self.me or epoch < self.peer_epochs.get(peer, 0):
+        if peer not in self.acceptors or peer == self.own_name or epoch < self.peer_epochs.get(peer, 0):
             return None
         if self.peer_epochs.get(peer) != epoch:
             self.peer_epochs[peer] = epoch
             self.unsaved.add("")
-        return AcceptorRecord(self.me, self.epoch, self.has_full_record, tuple(sorted(self.records.items())))
+        return AcceptorRecord(
+            self.own_name, self.epoch, self.has_full_record, tuple(sorted(self.records.items()))
+        )
 
     def receive_peer_record(self, peer_record: AcceptorRecord, now: int) -> bool:
         """Takes the record of another acceptor.
@@ -204,7 +208,7 @@
         if (
             self.has_full_record
             or peer_record.acceptor not in self.acceptors
-            or peer_record.acceptor == self.me
+            or peer_record.acceptor == self.own_name
         ):
             return False
         self.peer_records[peer_record.acceptor] = peer_record
--- a/oakcroft/decisions/fleet/candidate.py
+++ b/oakcroft/decisions/fleet/candidate.py
@@ -65,7 +65,7 @@
     def __init__(
         self,
         lease_name: str,
-        me: str,
+        own_name: str,
         generation: int,
         acceptors: Iterable[str],
         term_length: int,
@@ -75,7 +75,7 @@
     ) -> None:
         """`term_length` must not exceed that of any acceptor; fencing tokens of this candidate are above `min_token`."""
         self.lease_name = lease_name
-        self.me = me
+        self.own_name = own_name
         self.generation = generation
         self.term_length = term_length
         self.rng = rng
@@ -188,7 +188,7 @@
 
     def _start_round(self, now: int) -> list[AcceptorMessage]:
         self.highest_token = min(NUMBER_LIMIT - 2, self.highest_token + 1)
-        self.term = LeaseTerm(self.highest_token, self.me, self.generation)
+        self.term = LeaseTerm(self.highest_token, self.own_name, self.generation)
         self.state = CandidateState.PREPARING
         self.answers = {}
         self.refusals = {}
@@ -235,7 +235,7 @@
         if answer.acceptor not in self.acceptors:
             return []
         running = answer.running_term
-        if running is not None and (running.holder, running.generation) != (self.me, self.generation):
+        if running is not None and (running.holder, running.generation) != (self.own_name, self.generation):
             self.other_term = running
             self.other_term_until = now + answer.time_left
         if self.state is CandidateState.IDLE:
--- a/oakcroft/decisions/fleet/load_sharing.py
+++ b/oakcroft/decisions/fleet/load_sharing.py
@@ -121,14 +121,14 @@
 class LoadSharing:
     """Load sharing of one front: which nodes to probe, and what to send to whom."""
 
-    def __init__(self, me: str, probe_interval: int, rng: Random) -> None:
-        """`me` is this front's name, `probe_interval` the configured time between two reports of a node in ns."""
-        self.me = me
+    def __init__(self, own_name: str, probe_interval: int, rng: Random) -> None:
+        """`own_name` is this front's name, `probe_interval` the configured time between two reports of a node in ns."""
+        self.own_name = own_name
         self.probe_interval = probe_interval
         self.rng = rng
         self.nodes: dict[str, NodeLoad] = {}
         self.by_process_id: dict[bytes, NodeLoad] = {}
-        self.present_fronts: list[str] = [me]
+        self.present_fronts: list[str] = [own_name]
         self.unranked_nodes: list[NodeLoad] = []
         self.next_gossip_at = 0
         self.probes_in_flight = 0
@@ -154,7 +154,7 @@
 
     def update_present_fronts(self, present_fronts: Iterable[str]) -> None:
         """Sets the fronts that are alive; this one always counts among them."""
-        present = sorted({*present_fronts, self.me})
+        present = sorted({*present_fronts, self.own_name})
         if present != self.present_fronts:
             self.present_fronts = present
             self.unranked_nodes = list(self.nodes.values())
@@ -222,7 +222,7 @@
         """Computes some of the missing ranks. Only the first two places matter, so counting stops at 2."""
         for _ in range(min(MAX_RANKS_PER_TURN, len(self.unranked_nodes))):
             node = self.unranked_nodes.pop()
-            node.probe_rank = rank(node.name, self.me, self.present_fronts, 2)
+            node.probe_rank = rank(node.name, self.own_name, self.present_fronts, 2)
 
     def due_probes(self, now: int) -> list[str]:
         """Returns the nodes to probe now; `probe_finished` must be called for each."""
@@ -297,7 +297,7 @@
             reports.append(LoadReport(node.process_id, node.latest.load, now - node.latest.measured_at))
         if not reports:
             return []
-        others = [front for front in self.present_fronts if front != self.me]
+        others = [front for front in self.present_fronts if front != self.own_name]
         return [(to, reports) for to in self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))]
 
     def known_ages(self, now: int) -> list[int]:
--- a/oakcroft/decisions/fleet/session_takeover.py
+++ b/oakcroft/decisions/fleet/session_takeover.py
@@ -143,9 +143,9 @@
 class SessionTakeover:
     """The takeovers of one front: which requests are due, and what became of them."""
 
-    def __init__(self, me: str, bounds: TakeoverBounds) -> None:
-        """`me` is this front's name in the membership."""
-        self.me = me
+    def __init__(self, own_name: str, bounds: TakeoverBounds) -> None:
+        """`own_name` is this front's name in the membership."""
+        self.own_name = own_name
         self.bounds = bounds
         self.failed_fronts: dict[str, FailedFront] = {}
         self.listed_nodes: set[str] = set()
@@ -172,11 +172,13 @@
             self.known_fronts |= self.present_fronts
             self.preceding_fronts.clear()
         ended = [
-            front for name, front in self.failed_fronts.items() if name not in failed and name != self.me
+            front
+            for name, front in self.failed_fronts.items()
+            if name not in failed and name != self.own_name
         ]
         for front in ended:
             del self.failed_fronts[front.name]
-        for name in sorted(set(failed) - set(self.failed_fronts) - {self.me}):
+        for name in sorted(set(failed) - set(self.failed_fronts) - {self.own_name}):
             self._add_failed_front(name, now, self.bounds.delay)
         if len(self.known_fronts) > 4 * max(64, len(self.present_fronts) + len(failed)):
             # Bounds the table where names come and go.
@@ -186,7 +188,7 @@
 
     def add_own_earlier_generation(self, now: int) -> None:
         """Begins the takeover of this front's own earlier sessions, for a front without a record of them."""
-        self._add_failed_front(self.me, now, 0)
+        self._add_failed_front(self.own_name, now, 0)
 
     def _add_failed_front(self, name: str, now: int, delay: int) -> None:
         slot = weight("slot", name) % HASH_SLOTS_PER_NODE
@@ -226,8 +228,8 @@
             if not budget[0]:
                 return None
             budget[0] -= 1
-            order = rank_order(f"{node}/{slot}", self.known_fronts | {self.me})
-            preceding = self.preceding_fronts[node, slot] = tuple(order[: order.index(self.me)])
+            order = rank_order(f"{node}/{slot}", self.known_fronts | {self.own_name})
+            preceding = self.preceding_fronts[node, slot] = tuple(order[: order.index(self.own_name)])
         rank = 0
         for front in preceding:
             if front in self.present_fronts:
@@ -274,7 +276,7 @@
         return requests
 
     def _is_own_turn(self, task: TakeoverTask, now: int, budget: list[int]) -> bool:
-        if task.front.name == self.me:
+        if task.front.name == self.own_name:
             return True
         rank = self._own_rank(task.node, task.front.hash_slot, budget)
         if rank is None or rank >= MAX_ADOPTERS_PER_NODE:
@@ -299,7 +301,7 @@
                 else TakeoverAnswer.RECENTLY_CONNECTED
             )
             if answer is TakeoverAnswer.ALLOWED:
-                if not task.is_second_round and front.name != self.me:
+                if not task.is_second_round and front.name != self.own_name:
                     self._add_task(front, request.node, now + ROUND_INTERVAL, is_second_round=True)
             elif answer is not TakeoverAnswer.CALLER_NOT_ELIGIBLE:
                 self._add_task(front, request.node, now + RETRY_DELAY, task.is_second_round)
--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -58,22 +58,22 @@
     """The membership of one front in a fleet of zones."""
 
     def __init__(
-        self, me: MemberUpdate, secret: bytes, rng: Random, now: int, placement: ZonePlacement
+        self, own_update: MemberUpdate, secret: bytes, rng: Random, now: int, placement: ZonePlacement
     ) -> None:
-        """`me.zone` is the own zone. Raises ValueError if it is among the other zones of `placement`."""
-        if any(other.zone == me.zone for other in placement.others):
-            raise ValueError(f"own zone {me.zone} is listed among the other zones")
-        self.zone = me.zone
+        """`own_update.zone` is the own zone. Raises ValueError if it is among the other zones of `placement`."""
+        if any(other.zone == own_update.zone for other in placement.others):
+            raise ValueError(f"own zone {own_update.zone} is listed among the other zones")
+        self.zone = own_update.zone
         self.started_at = now
-        self.first_generation = me.generation
+        self.first_generation = own_update.generation
         self.budget = TrafficBudget(now)
-        self.pool = PacedPool(me, secret, rng, now, placement.seeds, self.budget)
+        self.pool = PacedPool(own_update, secret, rng, now, placement.seeds, self.budget)
         seeds = {other.zone: other.addresses for other in placement.others}
-        self.directory = ZoneDirectory(me.zone, seeds)
+        self.directory = ZoneDirectory(own_update.zone, seeds)
         self.gossip = ZoneGossip(self.directory, OtherZones(seeds), self.budget, rng, now)
-        self.author = ZoneAuthor(contact_of(me), placement.region, now)
+        self.author = ZoneAuthor(contact_of(own_update), placement.region, now)
         self.reporter = ZoneReporter(self.local, self.author, now)
-        self.selection = DelegateSelection(me.zone)
+        self.selection = DelegateSelection(own_update.zone)
         self.lookups = ZoneLookups(rng)
         self.out: list[Message | OutgoingZoneMessage] = []
         self.changes: list[StateChange | ZoneChange] = []
@@ -133,7 +133,7 @@
         if now - self.started_at < DELEGATE_START_DELAY or self.local.displaced or self.local.left:
             return None
         delegates = self.selection.delegates(self._clock(now))
-        own_name = self.local.me.name
+        own_name = self.local.own_update.name
         return delegates.index(own_name) if own_name in delegates else None
 
     # Time.
@@ -258,7 +258,7 @@
 
     def _clock(self, now: int) -> int:
         """Clock time in microseconds, comparable with generations: this front's generation plus its uptime."""
-        own = max(self.first_generation, self.local.me.generation)
+        own = max(self.first_generation, self.local.own_update.generation)
         return own + (now - self.started_at) // NS_PER_US
 
     def _latest_generation(self, now: int) -> int:
@@ -272,7 +272,7 @@
         present = self.local.present()
         if present is not self._processed_present:
             self._processed_present = present
-            own_name = self.local.me.name
+            own_name = self.local.own_update.name
             members = self.local.members
             self.selection.observe({name: members[name].latest.generation for name in present})
             self.gossip.local.peers = [members[name].latest.address for name in present if name != own_name]
--- a/oakcroft/decisions/membership/member_table.py
+++ b/oakcroft/decisions/membership/member_table.py
@@ -72,20 +72,20 @@
 class MemberTable:
     """All members that this front knows, including itself."""
 
-    def __init__(self, me: MemberUpdate, rng: Random, now: int) -> None:
-        """Starts with only this front, whose update is `me`."""
-        self.own_name = me.name
+    def __init__(self, own_update: MemberUpdate, rng: Random, now: int) -> None:
+        """Starts with only this front, whose update is `own_update`."""
+        self.own_name = own_update.name
         self.rng = rng
-        self.members: dict[str, Member] = {me.name: Member(me, now)}
+        self.members: dict[str, Member] = {own_update.name: Member(own_update, now)}
         self.suspects: dict[str, Member] = {}
         self.former_addresses: dict[Address, None] = {}
         self.changes: list[StateChange] = []
         self.queue = UpdateQueue()
-        self.queue.add(me)
+        self.queue.add(own_update)
         self._present: list[str] | None = None  # cached result of `present`
 
     @property
-    def me(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """This front's own update."""
         return self.members[self.own_name].latest
 
@@ -116,18 +116,18 @@
     def full_state(self) -> list[MemberUpdate]:
         """The latest updates of all members, this front's own first."""
         others = [m.latest for n, m in sorted(self.members.items()) if n != self.own_name]
-        return [self.me, *others]
+        return [self.own_update, *others]
 
     # Changes.
 
-    def announce(self, me: MemberUpdate) -> None:
+    def announce(self, own_update: MemberUpdate) -> None:
         """Replaces this front's own update and queues it for dissemination."""
-        self.members[self.own_name].latest = me
-        self.queue.add(me)
+        self.members[self.own_name].latest = own_update
+        self.queue.add(own_update)
 
-    def set_left(self, me: MemberUpdate) -> None:
+    def set_left(self, own_update: MemberUpdate) -> None:
         """Replaces this front's own update by its last one, a leave."""
-        self.members[self.own_name].latest = me
+        self.members[self.own_name].latest = own_update
         self._present = None
 
     def record_own_change(self, was: str, now: str, why: str) -> None:
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -52,12 +52,12 @@
     """Membership of one front."""
 
     def __init__(
-        self, me: MemberUpdate, secret: bytes, rng: Random, now: int, seeds: Iterable[Address] = ()
+        self, own_update: MemberUpdate, secret: bytes, rng: Random, now: int, seeds: Iterable[Address] = ()
     ) -> None:
-        """`me` is the own update, `secret` proves a leave, and `seeds` are addresses to join the fleet through."""
+        """`secret` proves a leave, and `seeds` are addresses through which to join the fleet."""
         self.counts = Counters()
         self.health = LocalHealth()
-        self.table = MemberTable(me, rng, now)
+        self.table = MemberTable(own_update, rng, now)
         self.outbox = Outbox(self.table, rng)
         self.identity = OwnIdentity(self.table, self.outbox, secret)
         self.prober = Prober(self.table, self.outbox, self.health, rng, now)
@@ -102,9 +102,9 @@
     # Queries.
 
     @property
-    def me(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """This front's own update."""
-        return self.table.me
+        return self.table.own_update
 
     @property
     def displaced(self) -> bool:
@@ -240,7 +240,7 @@
         """Merges another front's full state, received by push-pull."""
         if self.left:
             return
-        if (sender.name, sender.generation) == (self.me.name, self.me.generation):
+        if (sender.name, sender.generation) == (self.own_update.name, self.own_update.generation):
             self.push_pull.remove_seed(sender.address)
             return
         if not self._accept_sender(sender, MessageKind.GOSSIP, 0, now):
@@ -254,7 +254,7 @@
         if not sender.is_plausible():
             self.counts.unsound += 1
             return False
-        if sender.name == self.me.name:
+        if sender.name == self.own_update.name:
             if self.identity.received_from_namesake(sender, kind, sequence, now):
                 self.prober.probes.clear()
             return False
@@ -283,8 +283,8 @@
     def _answer_ping(self, sender: MemberUpdate, sequence: int, to: MemberId) -> None:
         known = self.members[sender.name].latest
         accusation = known if known.precedence > sender.precedence else None
-        is_for_other_name = to[0] not in ("", self.me.name)
-        is_for_other_generation = to[1] not in (0, self.me.generation)
+        is_for_other_name = to[0] not in ("", self.own_update.name)
+        is_for_other_generation = to[1] not in (0, self.own_update.generation)
         if is_for_other_name:
             # Another member had this address: the sender learns who has it now, but gets no answer to its probe.
             self.counts.misaddressed += 1
--- a/oakcroft/decisions/membership/own_identity.py
+++ b/oakcroft/decisions/membership/own_identity.py
@@ -43,7 +43,7 @@
     """Maintains this front's own update and resolves conflicts over its name."""
 
     def __init__(self, table: MemberTable, outbox: Outbox, secret: bytes) -> None:
-        """`secret` proves a leave; `table.me` contains its digest."""
+        """`secret` proves a leave; `table.own_update` contains its digest."""
         self.table = table
         self.outbox = outbox
         self.secret = secret
@@ -52,32 +52,32 @@
         self.left = False
 
     @property
-    def me(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """This front's own update."""
-        return self.table.me
+        return self.table.own_update
 
     def _is_earlier(self, other: MemberUpdate) -> bool:
-        return (other.generation, other.address) < (self.me.generation, self.me.address)
+        return (other.generation, other.address) < (self.own_update.generation, self.own_update.address)
 
     def merge_own_update(self, update: MemberUpdate, by: str, now: int) -> bool:
         """Processes an update about this front that another sent; returns whether it had to be refuted."""
-        if update.generation == self.me.generation:
+        if update.generation == self.own_update.generation:
             return self._refute(update, by)
-        if update.generation > self.me.generation:
-            if update.address == self.me.address or update.state is MemberState.LEFT:
+        if update.generation > self.own_update.generation:
+            if update.address == self.own_update.address or update.state is MemberState.LEFT:
                 self._supersede(update, f"{by} knows a later start")
             elif self.conflict is None or self.conflict.other.generation < update.generation:
                 self._ping_other(update, now)
         return False
 
     def _refute(self, update: MemberUpdate, by: str) -> bool:
-        if update.state is MemberState.LEFT or update.precedence <= self.me.precedence:
+        if update.state is MemberState.LEFT or update.precedence <= self.own_update.precedence:
             return False
-        me = replace(self.me, incarnation=update.incarnation + 1)
-        if me.incarnation >= MAX_INCARNATION:
+        own_update = replace(self.own_update, incarnation=update.incarnation + 1)
+        if own_update.incarnation >= MAX_INCARNATION:
             # A faulty member claimed the highest incarnation; a higher one would be dropped by all others.
-            me = replace(self.me, generation=self.me.generation + 1, incarnation=0)
-        self.table.announce(me)
+            own_update = replace(self.own_update, generation=self.own_update.generation + 1, incarnation=0)
+        self.table.announce(own_update)
         if update.state is not MemberState.ALIVE:
             why = f"refuted what {update.reported_by or by} said"
             self.table.record_own_change(update.state.label, ALIVE, why)
@@ -87,26 +87,26 @@
         """Raises the generation above an earlier process's: the clock went back, or the generation file was lost."""
         self.conflict = None
         self.displaced = False
-        self.table.announce(replace(self.me, generation=former.generation + 1, incarnation=0))
-        self.table.record_own_change(ALIVE, ALIVE, f"start {self.me.generation}: {why}")
+        self.table.announce(replace(self.own_update, generation=former.generation + 1, incarnation=0))
+        self.table.record_own_change(ALIVE, ALIVE, f"start {self.own_update.generation}: {why}")
 
     def _ping_other(self, other: MemberUpdate, now: int, missed: int = 0) -> None:
         """Pings the address of a process that is reported to use this front's name with a later generation."""
         sequence = self.outbox.new_sequence()
         self.conflict = NameConflict(other, sequence, now + CONFLICT_ANSWER_TIMEOUT, missed)
         to = MemberId(other.name, other.generation)
-        self.outbox.put(Message(MessageKind.PING, other.address, sequence, to, updates=[self.me]))
+        self.outbox.put(Message(MessageKind.PING, other.address, sequence, to, updates=[self.own_update]))
 
     def received_from_namesake(
         self, sender: MemberUpdate, kind: MessageKind, sequence: int, now: int
     ) -> bool:
         """Processes a message under this front's own name; returns whether this front has just been displaced."""
-        if sender.generation == self.me.generation and sender.address == self.me.address:
+        if sender.generation == self.own_update.generation and sender.address == self.own_update.address:
             return False  # its own message
         if self._is_earlier(sender):
             self._answer_earlier(sender, kind, sequence, now)
             return False
-        if sender.address == self.me.address:
+        if sender.address == self.own_update.address:
             self._supersede(sender, "an earlier process here had a later generation")
             return False
         is_newly_displaced = not self.displaced
@@ -121,8 +121,8 @@
         """Lets a process that started earlier under this name know that this one is alive."""
         if kind is MessageKind.PING:
             to = MemberId(sender.name, sender.generation)
-            self.outbox.put(Message(MessageKind.ACK, sender.address, sequence, to, updates=[self.me]))
-        if sender.address == self.me.address:
+            self.outbox.put(Message(MessageKind.ACK, sender.address, sequence, to, updates=[self.own_update]))
+        if sender.address == self.own_update.address:
             return
         if self.conflict is None or self.conflict.other != sender:
             why = f"another process under this name at {sender.host}:{sender.port}, started earlier"
@@ -148,7 +148,7 @@
         """Leaves the fleet: sends a last update, with the secret that proves it, to some of the others."""
         if self.left or self.displaced:
             return
-        last = replace(self.me, state=MemberState.LEFT, proof=self.secret)
+        last = replace(self.own_update, state=MemberState.LEFT, proof=self.secret)
         self.table.set_left(last)
         for name in self.table.sample(LEAVE_FANOUT):
             address = self.table.members[name].latest.address
--- a/oakcroft/decisions/membership/paced_pool.py
+++ b/oakcroft/decisions/membership/paced_pool.py
@@ -86,7 +86,7 @@
 
     def __init__(
         self,
-        me: MemberUpdate,
+        own_update: MemberUpdate,
         secret: bytes,
         rng: Random,
         now: int,
@@ -94,11 +94,11 @@
         budget: TrafficBudget,
     ) -> None:
         """Creates the membership of a front that starts now."""
-        self.zone = me.zone
+        self.zone = own_update.zone
         self.rng = rng
         self.budget = budget
-        self.membership = Membership(me, secret, rng, now, seeds)
-        self.queue = PacedUpdateQueue(self.membership.table.queue, me.name, budget)
+        self.membership = Membership(own_update, secret, rng, now, seeds)
+        self.queue = PacedUpdateQueue(self.membership.table.queue, own_update.name, budget)
         self.membership.table.queue = self.queue
         self.counts = PoolCounters()
         self.out: list[Message] = []
@@ -285,7 +285,7 @@
 
     def _queue_random_exchange(self) -> None:
         """Queues an exchange with a random member; with a seed only if no other is known, since all know the seeds."""
-        own_name = self.membership.me.name
+        own_name = self.membership.own_update.name
         members = self.membership.members
         others = [members[name].latest.address for name in self.membership.present() if name != own_name]
         candidates = [address for address in others if address not in self.seeds] or others
--- a/oakcroft/decisions/membership/push_pull.py
+++ b/oakcroft/decisions/membership/push_pull.py
@@ -42,7 +42,7 @@
         self.table = table
         self.outbox = outbox
         self.rng = rng
-        self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != table.me.address]
+        self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != table.own_update.address]
         self.joined = False
         self.wanted: dict[Address, None] = {}
         self.next_join_at = now
--- a/oakcroft/decisions/membership/rendezvous.py
+++ b/oakcroft/decisions/membership/rendezvous.py
@@ -24,8 +24,8 @@
     return sorted(fronts, key=lambda front: (-weight(work, front), front))
 
 
-def rank(work: str, me: str, fronts: Iterable[str], most: int | None = None) -> int:
-    """Number of fronts that rank before `me`, counted up to `most`."""
-    own_key = (-weight(work, me), me)
-    before = (front for front in fronts if (-weight(work, front), front) < own_key)
-    return sum(1 for _ in islice(before, most))
+def rank(work: str, front: str, fronts: Iterable[str], limit: int | None = None) -> int:
+    """Number of fronts that rank before `front`, counted up to `limit`."""
+    own_key = (-weight(work, front), front)
+    before = (other for other in fronts if (-weight(work, other), other) < own_key)
+    return sum(1 for _ in islice(before, limit))
--- a/oakcroft/decisions/membership/zone_author.py
+++ b/oakcroft/decisions/membership/zone_author.py
@@ -61,9 +61,9 @@
 class ZoneAuthor:
     """Authors the summary of a front's own zone while this front is the author."""
 
-    def __init__(self, me: ZoneContact, region: str, now: int) -> None:
+    def __init__(self, own_contact: ZoneContact, region: str, now: int) -> None:
         """Starts without changes."""
-        self.me = me
+        self.own_contact = own_contact
         self.region = region
         self.recent: dict[str, RecentChange] = {}
         self.contested: dict[str, MemberChange] = {}
@@ -138,11 +138,11 @@
         return is_own and has_only_aged and desired.has_same_content(replace(held, changes=desired.changes))
 
     def _content(self, local: LocalState, record: ZoneRecord | None, now: int) -> ZoneSummary:
-        epoch, version = next_key(_greatest_known(record), self.me.generation)
+        epoch, version = next_key(_greatest_known(record), self.own_contact.generation)
         without_changes = ZoneSummary(
-            self.me.zone,
+            self.own_contact.zone,
             self.region,
-            self.me.name,
+            self.own_contact.name,
             epoch,
             version,
             0,
--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -352,7 +352,7 @@
         others = [
             front_name
             for front_name in self.peers.membership.present()
-            if front_name not in (sender, self.peers.membership.me.name)
+            if front_name not in (sender, self.peers.membership.own_update.name)
         ]
         for name in (sender, *others[:2]):
             encoded_text = await self.peers.fetch(name, plan.digest)
@@ -548,7 +548,7 @@
             while key not in self.request_replies:
                 if self.duties.held_term(CATALOGUE_LEASE) is not None:
                     self.request_replies[key] = await self._start_request(
-                        request, self.peers.membership.me.name
+                        request, self.peers.membership.own_update.name
                     )
                     break
                 self.duties.request_token_floor(CATALOGUE_LEASE)  # the acceptors' answers name the owner
--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -258,7 +258,7 @@
             view = peers.membership
             coordinator.identity = FrontIdentity(
                 front_settings.peers.name,
-                lambda: view.me.generation,
+                lambda: view.own_update.generation,
                 front_settings.peers.takeover_bounds.session_lease,
             )
         return peers
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -77,7 +77,7 @@
         self.on_published = on_published
         self.log = log
         self.accepts_new = accepts_new  # a front end that is leaving would at once end what it took over
-        self.takeover = SessionTakeover(membership.me.name, bounds)
+        self.takeover = SessionTakeover(membership.own_update.name, bounds)
         self.adopted_playbacks: dict[str, PlaybackSession] = {}  # adopted sessions by id
         self.adopted_counts = Counter[str]()
         self.lost_to_others = 0
@@ -95,7 +95,9 @@
             for name, member in self.membership.members.items()
             if member.latest.state is MemberState.FAILED
         ]
-        present_fronts = [self.membership.me.name] if self.membership.displaced else self.membership.present()
+        present_fronts = (
+            [self.membership.own_update.name] if self.membership.displaced else self.membership.present()
+        )
         for returned_front in self.takeover.update_fronts(
             () if self.membership.displaced else failed_fronts, present_fronts, self.coordinator.clock.now()
         ):
@@ -120,7 +122,7 @@
                 if (
                     failed_front.adopted
                     or failed_front.declined
-                    or failed_front.name != self.membership.me.name
+                    or failed_front.name != self.membership.own_update.name
                 ):
                     self.log.info(
                         "adoption done",
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -36,7 +36,7 @@
     known = set(acceptor.acceptor.records) if acceptor is not None else set[str]()
     leases = [_one_lease(host, duty, now) for duty in sorted(host.wanted | known)]
     status: dict[str, object] = {
-        "name": host.membership.me.name,
+        "name": host.membership.own_update.name,
         "keepers": list(host.settings.keepers),
         "duties": leases,
         "term_ms": host.settings.term_ns // MS,
--- a/oakcroft/peers/leases.py
+++ b/oakcroft/peers/leases.py
@@ -90,13 +90,13 @@
         now = boot_time()
         if settings.name not in settings.keepers or record is None:
             return None
-        generation = self.membership.me.generation
+        generation = self.membership.own_update.generation
         acceptor = LeaseAcceptor(settings.name, settings.keepers, settings.term_ns, generation, now)
         return AcceptorHost(
             acceptor,
             record,
             self.codec,
-            self._name_and_generation,
+            self.identity,
             self._send_to,
             self.dropped,
             self.log,
@@ -162,7 +162,7 @@
 
     def request_token_floor(self, duty: str) -> None:
         """Asks the acceptors for their highest promised token: they refuse a token of 1 and name it in the refusal."""
-        request = LeaseRequest(LeaseMessageKind.PREPARE, duty, LeaseTerm(1, *self.me))
+        request = LeaseRequest(LeaseMessageKind.PREPARE, duty, LeaseTerm(1, *self.identity()))
         self._send_requests([AcceptorMessage(acceptor, request) for acceptor in self.settings.keepers])
 
     def yield_lease(self, duty: str) -> None:
@@ -214,28 +214,24 @@
 
     # Messages sent.
 
-    @property
-    def me(self) -> tuple[str, int]:
+    def identity(self) -> tuple[str, int]:
         """This front's name and generation."""
-        return self.membership.me.name, self.membership.me.generation
-
-    def _name_and_generation(self) -> tuple[str, int]:
-        return self.me
+        return self.membership.own_update.name, self.membership.own_update.generation
 
     def _send_requests(self, messages: list[AcceptorMessage]) -> None:
         for message in messages:
             with suppress(MessageError):
-                self._send_to(message.acceptor, self.codec.encode_request(*self.me, message.request))
+                self._send_to(message.acceptor, self.codec.encode_request(*self.identity(), message.request))
 
     def order(self, to: str, order: Order) -> None:
         """Sends an order to a front, as the holder of a lease."""
-        self._send_to(to, self.codec.encode_order(*self.me, order))
+        self._send_to(to, self.codec.encode_order(*self.identity(), order))
 
     def _send_report(self, to: str, report: OrderReport) -> None:
-        self._send_to(to, self.codec.encode_report(*self.me, report))
+        self._send_to(to, self.codec.encode_report(*self.identity(), report))
 
     def _send_to(self, to: str, octets: bytes) -> None:
-        if to != self.membership.me.name:
+        if to != self.membership.own_update.name:
             self.send(to, octets)
         elif self.nursery is not None:
             # A message to itself does not use the network, but arrives asynchronously too.
@@ -289,14 +285,14 @@
         present = self.membership.present()
         if present is not self.ranked:
             self.ranked = present
-            self.ranks = {duty: rank(duty, self.membership.me.name, present) for duty in self.wanted}
+            self.ranks = {duty: rank(duty, self.membership.own_update.name, present) for duty in self.wanted}
 
     def _candidate(self, duty: str, now: int) -> LeaseCandidate:
         known = self.candidates.get(duty)
-        generation = self.membership.me.generation
+        generation = self.membership.own_update.generation
         if known is not None and (known.generation == generation or known.held_term(now) is not None):
             return known
-        name = self.membership.me.name
+        name = self.membership.own_update.name
         acceptors = self.settings.keepers
         term_length = self.settings.term_ns
         candidate = LeaseCandidate(duty, name, generation, acceptors, term_length, self.rng, generation, now)
--- a/oakcroft/peers/membership_start.py
+++ b/oakcroft/peers/membership_start.py
@@ -29,7 +29,7 @@
     if file_error:
         log.warning("start not kept", file=settings.start_count_file, why=file_error)
     secret = secrets.token_bytes(SECRET_LENGTH)
-    me = MemberUpdate(
+    own_update = MemberUpdate(
         settings.name,
         generation,
         0,
@@ -40,10 +40,10 @@
         commitment(secret),
     )
     if not settings.region:
-        return Membership(me, secret, Random(seed), now, settings.seeds)
+        return Membership(own_update, secret, Random(seed), now, settings.seeds)
     others = tuple(ZoneSeeds(other.zone, other.region, other.addresses) for other in settings.other_zones)
     placement = ZonePlacement(settings.region, settings.seeds, others)
-    return ZonedMembership(me, secret, Random(seed), now, placement)
+    return ZonedMembership(own_update, secret, Random(seed), now, placement)
 
 
 def own_zone_membership(hosted: HostedMembership) -> Membership:
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -84,7 +84,7 @@
         if isinstance(self.hosted, ZonedMembership):
             zone_codec = ZoneCodec(settings.fleet_name, self.key_file.ring)
             self.zones = ZoneService(self.hosted, settings.region, zone_codec)
-        self.stored_generation = self.membership.me.generation
+        self.stored_generation = self.membership.own_update.generation
         self.datagrams = DatagramSocket(settings.listen, self.dropped)
         own_host = settings.listen[0]
         self.push_pulls = PushPullService(
@@ -139,9 +139,15 @@
                 task_status.started()
 
     def _log_start(self) -> None:
-        me = self.membership.me
+        own_update = self.membership.own_update
         seeds = len(self.membership.seeds)
-        self.log.info("peers", name=me.name, start=me.generation, address=f"{me.host}:{me.port}", seeds=seeds)
+        self.log.info(
+            "peers",
+            name=own_update.name,
+            start=own_update.generation,
+            address=f"{own_update.host}:{own_update.port}",
+            seeds=seeds,
+        )
 
     async def leave(self) -> None:
         """Announces that this front leaves. Call it once no requests are admitted: others take over its rate shares."""
@@ -174,8 +180,8 @@
         membership = self.membership
         log_changes(self.hosted.changes, len(membership.present()), self.log)
         self.hosted.changes = []
-        if membership.me.generation != self.stored_generation:
-            self.stored_generation = membership.me.generation
+        if membership.own_update.generation != self.stored_generation:
+            self.stored_generation = membership.own_update.generation
             if error := store_generation(self.settings.start_count_file, self.stored_generation):
                 self.log.warning("start not kept", file=self.settings.start_count_file, why=error)
         self.on_change(membership)
@@ -186,7 +192,7 @@
         elif message.kind is MessageKind.PUSH_PULL:
             self.nursery.start_soon(self.push_pulls.begin, message.address)
         else:
-            self.datagrams.send(self.codec.encode(self.membership.me, message), message.address)
+            self.datagrams.send(self.codec.encode(self.membership.own_update, message), message.address)
 
     def _send_between_zones(self, message: OutgoingZoneMessage) -> None:
         assert self.zones is not None
@@ -207,8 +213,10 @@
         """Sends node loads to a member by name."""
         membership = self.membership
         if not membership.displaced and not membership.left:
-            me = membership.me
-            self._send_to_member(peer, self.load_codec.encode(me.name, me.generation, reports))
+            own_update = membership.own_update
+            self._send_to_member(
+                peer, self.load_codec.encode(own_update.name, own_update.generation, reports)
+            )
 
     # Receiving.
 
@@ -257,7 +265,7 @@
     def present(self) -> list[str]:
         """Present members including this front; only this front if another process displaced it."""
         membership = self.membership
-        return [membership.me.name] if membership.displaced else membership.present()
+        return [membership.own_update.name] if membership.displaced else membership.present()
 
     async def fetch(self, name: str, digest: str) -> bytes | None:
         """Fetches a text from another front by digest; None if that fails."""
--- a/oakcroft/peers/status.py
+++ b/oakcroft/peers/status.py
@@ -15,9 +15,9 @@
     """Status of the membership: this front itself and all members."""
     members = [member_status(member, now) for _, member in sorted(membership.members.items())]
     return {
-        "name": membership.me.name,
-        "start": membership.me.generation,
-        "incarnation": membership.me.incarnation,
+        "name": membership.own_update.name,
+        "start": membership.own_update.generation,
+        "incarnation": membership.own_update.incarnation,
         "displaced": membership.displaced,
         "joined": membership.joined,
         "slow": membership.health.multiplier,
--- a/oakcroft/peers/text_transfer.py
+++ b/oakcroft/peers/text_transfer.py
@@ -49,7 +49,7 @@
             self.dropped[str(error)] += 1
             return
         text = self.leases.find_text(digest) or b""
-        for part in self.leases.codec.encode_text(*self.leases.me, text):
+        for part in self.leases.codec.encode_text(*self.leases.identity(), text):
             await stream.send_all(part)
 
     async def _read_request(self, stream: trio.SocketStream, first: bytes) -> str:
@@ -68,7 +68,7 @@
         expected_part = 0
         with trio.move_on_after(TEXT_TIMEOUT_S), suppress(*STREAM_ERRORS, MessageError):
             async with await connect(address, self.own_host) as stream:
-                await stream.send_all(self.leases.codec.encode_text_request(*self.leases.me, digest))
+                await stream.send_all(self.leases.codec.encode_text_request(*self.leases.identity(), digest))
                 async for chunk in self._chunks(stream):
                     text += chunk.octets
                     if chunk.part != expected_part or len(text) > MAX_TEXT_BYTES:
--- a/oakcroft/peers/zone_service.py
+++ b/oakcroft/peers/zone_service.py
@@ -21,8 +21,10 @@
 
     def encode(self, outgoing: OutgoingZoneMessage) -> bytes:
         """Encodes a message as a datagram. Raises MessageError if it does not fit."""
-        me = self.zoned.local.me
-        sender = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
+        own_update = self.zoned.local.own_update
+        sender = ZoneContact(
+            own_update.name, own_update.generation, own_update.zone, own_update.host, own_update.port
+        )
         return self.codec.encode(sender, outgoing.message)
 
     def receive(self, opened: bytes, now: int) -> None:
--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -83,7 +83,7 @@
         """Starts a process under a name, again or for the first time."""
         earlier = self.processes.get(name)
         secret = self.rng.randbytes(16)
-        me = MemberUpdate(
+        own_update = MemberUpdate(
             name,
             start or self.now // 1_000 + 1,
             0,
@@ -94,14 +94,14 @@
             "1",
             commitment(secret),
         )
-        view = Membership(me, secret, Random(self.rng.getrandbits(64)), self.now, seeds)
+        view = Membership(own_update, secret, Random(self.rng.getrandbits(64)), self.now, seeds)
         process = SimulatedProcess(name, view)
         if earlier is not None:
             process.messages = earlier.messages
             process.octets = earlier.octets
             earlier.alive = False
         self.processes[name] = process
-        self.processes_by_address[me.address] = process
+        self.processes_by_address[own_update.address] = process
         self.send_output(process)
         return process
 
@@ -192,7 +192,7 @@
             return
         sender.messages += 1
         sender.octets += HEADER_BYTES + UPDATE_BYTES * (1 + len(message.updates))
-        sender_update = sender.view.me
+        sender_update = sender.view.own_update
         copies = 2 if self.rng.random() < self.double else 1
         for _ in range(copies):
             if self.rng.random() >= self.loss:
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -155,7 +155,7 @@
     def take_outgoing(self) -> Sequence[Outgoing]:
         """The messages, fifty times each on the faulty front end."""
         messages = super().take_outgoing()
-        return [*messages] * 50 if self.view.me.name == "front-0007" else messages
+        return [*messages] * 50 if self.view.own_update.name == "front-0007" else messages
 
 
 class FalseVerdictMembership(FlatMembershipAdapter):
@@ -166,7 +166,11 @@
     def take_transitions(self) -> Sequence[Transition]:
         """The transitions, with the false verdict once on the faulty front end."""
         transitions = super().take_transitions()
-        if self.view.me.name != "front-0007" or self.is_reported or self.view.last_tick_at < 5 * SECOND:
+        if (
+            self.view.own_update.name != "front-0007"
+            or self.is_reported
+            or self.view.last_tick_at < 5 * SECOND
+        ):
             return transitions
         self.is_reported = True
         return [*transitions, Transition("front-0009", ObservedState.FAILED)]
@@ -178,7 +182,7 @@
     def take_transitions(self) -> Sequence[Transition]:
         """The transitions, without failures on the faulty front end."""
         transitions = super().take_transitions()
-        if self.view.me.name != "front-0039":
+        if self.view.own_update.name != "front-0039":
             return transitions
         return [transition for transition in transitions if transition.state is not ObservedState.FAILED]
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -131,7 +131,7 @@
         views = {n: Membership(update(n), SECRET, Random(ord(n)), 0) for n in names}
         for view in views.values():
             for other in names:
-                if other != view.me.name:
+                if other != view.own_update.name:
                     view.receive_message(update(other), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
         views["a"].receive_message(
             update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, by="b")], 0
@@ -143,7 +143,7 @@
             for message in view.out:
                 to = message.address[0].removeprefix("host-")
                 if message.kind is not MessageKind.PUSH_PULL and len(in_flight) < 6:
-                    in_flight.append((to, view.me, message))
+                    in_flight.append((to, view.own_update, message))
             view.out = []
             view.changes = []
 
@@ -297,7 +297,7 @@
     net.run(1 * SECOND)
     net.add("f3", (("host-f0", 1),), start=1)  # no file, and the clock went back
     assert net.run(5 * SECOND, net.is_settled)
-    assert net.processes["f3"].view.me.generation > 1
+    assert net.processes["f3"].view.own_update.generation > 1
     assert not net.processes["f3"].view.displaced
 
 
@@ -401,7 +401,7 @@
                 for to in view.table.sample(3):
                     receiver = net.processes[to]
                     receiver.view.receive_message(
-                        view.me, MessageKind.GOSSIP, 0, ANYONE, None, accusations, net.now
+                        view.own_update, MessageKind.GOSSIP, 0, ANYONE, None, accusations, net.now
                     )
                     net.send_output(receiver)
         net.run(100 * MS)
@@ -415,8 +415,10 @@
     """The accused cannot raise its incarnation further, so without a new generation others would drop its updates."""
     net = settled_network(8, 17)
     net.state_changes.clear()
-    accusation = replace(net.processes["f5"].view.me.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1)
-    sender = net.processes["f3"].view.me
+    accusation = replace(
+        net.processes["f5"].view.own_update.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1
+    )
+    sender = net.processes["f3"].view.own_update
     for process in net.running_processes():
         if process.name not in ("f3", "f5"):
             process.view.receive_message(sender, MessageKind.GOSSIP, 0, ANYONE, None, [accusation], net.now)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -118,7 +118,7 @@
     def check(self) -> None:
         """Checks the invariants: one holder, growing fencing tokens, no lost note."""
         owners = [c for c in self.candidates.values() if c.held_term(self.now) is not None]
-        assert len(owners) <= 1, f"owned by {[c.me for c in owners]}"
+        assert len(owners) <= 1, f"owned by {[c.own_name for c in owners]}"
         for one in owners:
             assert one.term is not None
             if one.term.fencing_token not in self.tokens:
@@ -129,7 +129,7 @@
                 assert one.note.body == self.recorded_note.body or one.note.body > self.recorded_note.body, (
                     "a note on record is lost"
                 )
-                self.terms.append((one.term.fencing_token, one.me))
+                self.terms.append((one.term.fencing_token, one.own_name))
             if one.note.version == one.recorded_version and one.note.body >= self.recorded_note.body:
                 self.recorded_note = one.note
 
@@ -502,7 +502,7 @@
     candidate.set_wanted(True, 0)
     words = candidate.tick(0)
     for at in (old, others[0]):
-        answer = at.handle_request(next(w for w in words if w.acceptor == at.me).request, 0)
+        answer = at.handle_request(next(w for w in words if w.acceptor == at.own_name).request, 0)
         assert answer is not None
         candidate.receive_answer(answer, 0)
     assert candidate.state is CandidateState.PREPARING
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -611,7 +611,7 @@
 def forged(fleet: ZoneFleet, reader: Front, state: MemberState, author: str = "") -> ZoneSummary:
     """A summary with a state of the victim that supersedes the reader's; by default in the correct author's name."""
     record = reader.membership.directory.records["r1z0"]
-    latest = fleet.fronts[VICTIM].membership.local.me
+    latest = fleet.fronts[VICTIM].membership.local.own_update
     accusation = MemberChange(VICTIM, latest.generation, latest.incarnation, state)
     epoch, version = next_key(record.entry, 1)
     return replace(
@@ -636,7 +636,7 @@
 
 def contact(front: Front) -> ZoneContact:
     """The contact of a front."""
-    me = front.membership.local.me
+    me = front.membership.local.own_update
     return ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
 
 
@@ -743,7 +743,7 @@
     """A front of another zone joins a zone by the flat protocol; returns the members that the zone then lists."""
     stranger = fleet.fronts["r2z0f0"].membership
     insider = fleet.fronts["r0z0f0"]
-    insider.membership.receive_full_state(stranger.local.me, stranger.local.full_state(), fleet.now)
+    insider.membership.receive_full_state(stranger.local.own_update, stranger.local.full_state(), fleet.now)
     fleet.run(10 * SECOND)
     return {name for f in fleet.living() if f.zone == "r0z0" for name in f.membership.present()}
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -234,7 +234,7 @@
         sender.sent.count(self.now, octets + IP_HEADERS_BYTES)
         if receiver is None or self.rng.random() < self.loss:
             return
-        me = sender.membership.local.me
+        me = sender.membership.local.own_update
 
         def arrive() -> None:
             if receiver.alive and not self.cut(sender, receiver):
