--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -74,7 +74,7 @@
             message.sender,
             received.kind,
             received.sequence,
-            received.to,
+            received.receiver,
             received.target,
             received.updates,
             now,
@@ -97,10 +97,10 @@
 
     def take_outgoing(self) -> Sequence[Outgoing]:
         """Returns and removes the messages to send since the last call."""
-        if not self.view.out:
+        if not self.view.outgoing:
             return ()
-        messages = self.view.out
-        self.view.out = []
+        messages = self.view.outgoing
+        self.view.outgoing = []
         return [self._outgoing(message) for message in messages]
 
     def _outgoing(self, message: Message) -> Outgoing:
@@ -164,7 +164,7 @@
             sender = all_updates[position - 1]
             membership.view.receive_full_state(sender, all_updates, now)
             membership.view.table.queue.pending.clear()
-            membership.view.push_pull.wanted.clear()
+            membership.view.push_pull.queued_addresses.clear()
 
     def encode(self, message: object) -> bytes:
         """Encodes and seals a datagram."""
@@ -178,7 +178,7 @@
             received.kind,
             received.sender.address,
             received.sequence,
-            received.to,
+            received.receiver,
             received.target,
             received.updates,
         )
--- a/benchmarks/capacity/fleet_flat_sizes.py
+++ b/benchmarks/capacity/fleet_flat_sizes.py
@@ -93,8 +93,8 @@
             + self.update(sender)
             + integer_octets(message.kind.value)
             + integer_octets(message.sequence)
-            + string_octets(message.to[0])
-            + integer_octets(message.to[1])
+            + string_octets(message.receiver[0])
+            + integer_octets(message.receiver[1])
             + _target_octets(message)
             + 1  # the flag that another part follows
         )
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -108,7 +108,7 @@
         assert isinstance(message, FlatDatagram)
         flat = message.message
         self.membership.receive_message(
-            message.sender, flat.kind, flat.sequence, flat.to, flat.target, flat.updates, now
+            message.sender, flat.kind, flat.sequence, flat.receiver, flat.target, flat.updates, now
         )
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
@@ -131,10 +131,10 @@
 
     def take_outgoing(self) -> Sequence[Outgoing]:
         """Returns and removes the messages to send since the last call."""
-        if not self.membership.out:
+        if not self.membership.outgoing:
             return ()
-        messages = self.membership.out
-        self.membership.out = []
+        messages = self.membership.outgoing
+        self.membership.outgoing = []
         return [
             self._flat_outgoing(message) if isinstance(message, Message) else self._zone_outgoing(message)
             for message in messages
--- a/oakcroft/decisions/membership/dissemination.py
+++ b/oakcroft/decisions/membership/dissemination.py
@@ -35,10 +35,10 @@
         """Whether any update is waiting to be sent."""
         return bool(self.pending)
 
-    def take(self, most: int, members: int) -> list[MemberUpdate]:
-        """At most `most` updates for the next message; `members` is the size of the fleet."""
+    def take(self, limit: int, members: int) -> list[MemberUpdate]:
+        """At most `limit` updates for the next message; `members` is the size of the fleet."""
         retransmit_limit = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(members + 1))
-        chosen = sorted(self.pending.values(), key=lambda entry: (entry[1], entry[0].name))[:most]
+        chosen = sorted(self.pending.values(), key=lambda entry: (entry[1], entry[0].name))[:limit]
         for update, times_sent in chosen:
             if times_sent + 1 >= retransmit_limit:
                 del self.pending[update.name]
--- a/oakcroft/decisions/membership/failure_detector.py
+++ b/oakcroft/decisions/membership/failure_detector.py
@@ -42,7 +42,7 @@
 
     SENT = 0
     RETRIED_INDIRECTLY = 1
-    RETRIED_AGAIN = 2
+    RETRIED_TWICE = 2
 
 
 @dataclass
@@ -56,7 +56,7 @@
 
     def deadline(self, multiplier: int) -> int:
         """When the next step is due, given the front's health multiplier."""
-        if self.stage is ProbeStage.RETRIED_AGAIN:
+        if self.stage is ProbeStage.RETRIED_TWICE:
             return self.started_at + PROBE_TIMEOUT * multiplier
         return self.started_at + RETRY_INTERVAL * (self.stage + 1) * multiplier
 
--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -1,7 +1,8 @@
 """Membership in two layers: the flat protocol inside a zone, and zone summaries between zones. No I/O.
 
 Time is passed in with each call, and random numbers come from the generator given at the start. After each call the
-host takes `out`, `changes` and `found` and replaces them with empty lists. docs/membership.md describes the design.
+host takes `outgoing`, `changes` and `lookup_results` and replaces them with empty lists. docs/membership.md describes
+the design.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from oakcroft.decisions.membership.member_table import StateChange
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.membership.messages import MemberId, Message, MessageKind, ProbeTarget
-from oakcroft.decisions.membership.paced_pool import PacedPool
+from oakcroft.decisions.membership.paced_membership import PacedMembership
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
 from oakcroft.decisions.membership.zone_author import ZoneAuthor
 from oakcroft.decisions.membership.zone_directory import RemoteState, ZoneChange, ZoneDirectory
@@ -67,7 +68,7 @@
         self.started_at = now
         self.first_generation = own_update.generation
         self.budget = TrafficBudget(now)
-        self.pool = PacedPool(own_update, secret, rng, now, placement.seeds, self.budget)
+        self.paced_membership = PacedMembership(own_update, secret, rng, now, placement.seeds, self.budget)
         seeds = {other.zone: other.addresses for other in placement.others}
         self.directory = ZoneDirectory(own_update.zone, seeds)
         self.gossip = ZoneGossip(self.directory, OtherZones(seeds), self.budget, rng, now)
@@ -75,7 +76,7 @@
         self.reporter = ZoneReporter(self.local, self.author, now)
         self.selection = DelegateSelection(own_update.zone)
         self.lookups = ZoneLookups(rng)
-        self.out: list[Message | OutgoingZoneMessage] = []
+        self.outgoing: list[Message | OutgoingZoneMessage] = []
         self.changes: list[StateChange | ZoneChange] = []
         self._processed_present: list[str] | None = None
         self._next_author_at = now + DELEGATE_START_DELAY
@@ -86,16 +87,16 @@
     @property
     def local(self) -> Membership:
         """The flat membership of the own zone."""
-        return self.pool.membership
+        return self.paced_membership.membership
 
     @property
-    def found(self) -> list[LookupResult]:
+    def lookup_results(self) -> list[LookupResult]:
         """Results of finished lookups. The host takes the list and replaces it with an empty one."""
-        return self.lookups.found
+        return self.lookups.results
 
-    @found.setter
-    def found(self, results: list[LookupResult]) -> None:
-        self.lookups.found = results
+    @lookup_results.setter
+    def lookup_results(self, results: list[LookupResult]) -> None:
+        self.lookups.results = results
 
     def present(self) -> list[str]:
         """Present members of the own zone, including this front."""
@@ -114,7 +115,7 @@
 
         The answering side passes the updates that it has received from the other.
         """
-        return self.pool.exchange_state(known_to_peer)
+        return self.paced_membership.exchange_state(known_to_peer)
 
     def remote_state(self, zone: str, name: str) -> RemoteState:
         """State of a member of another zone."""
@@ -141,14 +142,14 @@
     @property
     def due(self) -> int:
         """The latest time by which `tick` must be called."""
-        times = [self.pool.due, self.gossip.due(), self._next_author_at]
+        times = [self.paced_membership.due, self.gossip.due(), self._next_author_at]
         times += [at for at in (self.directory.due(), self.lookups.due()) if at is not None]
         return min(times)
 
     def tick(self, now: int) -> None:
         """Performs everything that is due."""
         self.budget.advance(now)
-        self.pool.tick(now)
+        self.paced_membership.tick(now)
         if not self.local.left and not self.local.displaced:
             self.gossip.tick(now)
         if now >= self._next_author_at:
@@ -177,9 +178,9 @@
         if record is None:
             return
         if self.reporter.differs_for(record.summary, now) >= DIFFERENCE_TOLERANCE:
-            self.pool.on_digest_mismatch(now)
+            self.paced_membership.on_digest_mismatch(now)
         else:
-            self.pool.on_digest_match(now)
+            self.paced_membership.on_digest_match(now)
 
     # Received messages.
 
@@ -188,25 +189,25 @@
         sender: MemberUpdate,
         kind: MessageKind,
         sequence: int,
-        to: MemberId,
+        receiver: MemberId,
         target: ProbeTarget | None,
         updates: Sequence[MemberUpdate],
         now: int,
     ) -> None:
         """Processes a datagram of the flat protocol."""
         self.budget.advance(now)
-        self.pool.receive_message(sender, kind, sequence, to, target, updates, now)
+        self.paced_membership.receive_message(sender, kind, sequence, receiver, target, updates, now)
         self._apply_local_changes(now)
 
     def accepts_exchange(self, now: int) -> bool:
         """Whether to answer an exchange now; if not, the stream is closed and the other side tries again."""
         self.budget.advance(now)
-        return self.pool.accepts_exchange()
+        return self.paced_membership.accepts_exchange()
 
     def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
         """Merges another front's full state."""
         self.budget.advance(now)
-        self.pool.receive_full_state(sender, updates, now)
+        self.paced_membership.receive_full_state(sender, updates, now)
         self._apply_local_changes(now)
 
     def receive_zone_message(self, sender: ZoneContact, message: ZoneMessage, now: int) -> None:
@@ -229,7 +230,7 @@
         self._apply_local_changes(now)
 
     def lookup(self, zone: str, name: str, now: int) -> None:
-        """Starts a lookup of a member of another zone; the result is added to `found`."""
+        """Starts a lookup of a member of another zone; the result is added to `lookup_results`."""
         self.budget.advance(now)
         addresses = self.gossip.contacts(zone, LOOKUP_FANOUT)
         request = self.lookups.begin(zone, name, len(addresses), now)
@@ -285,8 +286,8 @@
         self.local.changes = []
         self.changes += self.directory.changes
         self.directory.changes = []
-        self.pool.collect(now)
-        self.out += self.pool.out
-        self.pool.out = []
-        self.out += self.gossip.out
-        self.gossip.out = []
+        self.paced_membership.collect(now)
+        self.outgoing += self.paced_membership.outgoing
+        self.paced_membership.outgoing = []
+        self.outgoing += self.gossip.outgoing
+        self.gossip.outgoing = []
--- a/oakcroft/decisions/membership/member_table.py
+++ b/oakcroft/decisions/membership/member_table.py
@@ -48,12 +48,13 @@
 class Member:
     """One member as this front sees it.
 
-    `since` is the time of the last state change, `heard_at` that of the last message received from it (0 for none).
+    `since` is the time of the last state change, `last_received_at` that of the last message received from the member
+    (0 for none).
     """
 
     latest: MemberUpdate
     since: int
-    heard_at: int = 0
+    last_received_at: int = 0
     suspicion: Suspicion | None = None
     restarts: int = 0  # number of new generations, decreasing over time
     restarted_at: int = 0
@@ -104,10 +105,10 @@
         """Whether `name` is another member that is present."""
         return name != self.own_name and self.state(name) in PRESENT_STATES
 
-    def sample(self, most: int, except_for: str = "") -> list[str]:
+    def sample(self, limit: int, except_for: str = "") -> list[str]:
         """A random sample of the other present members."""
         others = [n for n in self.present() if n not in (self.own_name, except_for)]
-        return self.rng.sample(others, min(most, len(others)))
+        return self.rng.sample(others, min(limit, len(others)))
 
     def count(self, state: MemberState) -> int:
         """Number of members in a state."""
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -1,7 +1,7 @@
 """Membership of the fleet as one front sees it: a state machine without sockets, clock or threads.
 
 Time is passed in with each call, and random numbers come from the generator given at the start. Messages to send are in
-`out` and changes in `changes`; the host takes both after each call. The protocol combines SWIM (probes, indirect
+`outgoing` and changes in `changes`; the host takes both after each call. The protocol combines SWIM (probes, indirect
 probes, suspicion, incarnations, piggybacked updates), Lifeguard (suspicion timeouts that shorten with confirmations,
 local health, informing a suspected member first) and periodic push-pull. docs/fleet.md describes where it differs;
 above all, no member is declared failed because others say so. An update that a member has failed makes this front probe
@@ -82,12 +82,12 @@
     # Output, which the host takes after each call.
 
     @property
-    def out(self) -> list[Message]:
+    def outgoing(self) -> list[Message]:
         """Messages to send. The host takes the list and replaces it with an empty one."""
         return self.outbox.messages
 
-    @out.setter
-    def out(self, messages: list[Message]) -> None:
+    @outgoing.setter
+    def outgoing(self, messages: list[Message]) -> None:
         self.outbox.messages = messages
 
     @property
@@ -219,7 +219,7 @@
         sender: MemberUpdate,
         kind: MessageKind,
         sequence: int,
-        to: MemberId,
+        receiver: MemberId,
         target: ProbeTarget | None,
         updates: Sequence[MemberUpdate],
         now: int,
@@ -228,7 +228,7 @@
         if self.left or not self._accept_sender(sender, kind, sequence, now):
             return
         if kind is MessageKind.PING:
-            self._answer_ping(sender, sequence, to)
+            self._answer_ping(sender, sequence, receiver)
         elif kind is MessageKind.ACK:
             self.prober.acknowledged(sequence, sender.name)
         elif kind is MessageKind.PING_REQUEST and target is not None:
@@ -269,22 +269,22 @@
         known = self.members.get(sender.name)
         if known is None:
             return False
-        known.heard_at = now
+        known.last_received_at = now
         if is_stranger and known.latest.state is not MemberState.LEFT:
-            self.push_pull.want(sender.address)
+            self.push_pull.queue_exchange(sender.address)
         if known.latest.precedence > sender.precedence and kind is not MessageKind.PING:
             self._notify_accused(sender, known.latest)  # the answer to a ping carries the accusation anyway
         return True
 
     def _notify_accused(self, sender: MemberUpdate, accusation: MemberUpdate) -> None:
-        to = MemberId(sender.name, sender.generation)
-        self.outbox.put(Message(MessageKind.GOSSIP, sender.address, to=to, updates=[accusation]))
+        receiver = MemberId(sender.name, sender.generation)
+        self.outbox.put(Message(MessageKind.GOSSIP, sender.address, receiver=receiver, updates=[accusation]))
 
-    def _answer_ping(self, sender: MemberUpdate, sequence: int, to: MemberId) -> None:
+    def _answer_ping(self, sender: MemberUpdate, sequence: int, receiver: MemberId) -> None:
         known = self.members[sender.name].latest
         accusation = known if known.precedence > sender.precedence else None
-        is_for_other_name = to[0] not in ("", self.own_update.name)
-        is_for_other_generation = to[1] not in (0, self.own_update.generation)
+        is_for_other_name = receiver[0] not in ("", self.own_update.name)
+        is_for_other_generation = receiver[1] not in (0, self.own_update.generation)
         if is_for_other_name:
             # Another member had this address: the sender learns who has it now, but gets no answer to its probe.
             self.counts.misaddressed += 1
--- a/oakcroft/decisions/membership/messages.py
+++ b/oakcroft/decisions/membership/messages.py
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True)
 class Message:
-    """A message to send to an address, meant for the process `to`."""
+    """A message to send to an address, meant for the process `receiver`."""
 
     kind: MessageKind
     address: Address
     sequence: int = 0
-    to: MemberId = ANYONE
+    receiver: MemberId = ANYONE
     target: ProbeTarget | None = None
     updates: Sequence[MemberUpdate] = ()
 
@@ -64,6 +64,6 @@
     sender: MemberUpdate
     kind: MessageKind
     sequence: int
-    to: MemberId
+    receiver: MemberId
     target: ProbeTarget | None
     updates: Sequence[MemberUpdate]
--- a/oakcroft/decisions/membership/outbox.py
+++ b/oakcroft/decisions/membership/outbox.py
@@ -47,16 +47,16 @@
     ) -> None:
         """Sends a message to a known member, with `first` or else an accusation of it, and queued updates."""
         latest = self.table.members[name].latest
-        to = MemberId(name, latest.generation)
+        receiver = MemberId(name, latest.generation)
         updates = self.updates(first or self.accusation(name))
-        self.put(Message(kind, latest.address, sequence, to, target, updates))
+        self.put(Message(kind, latest.address, sequence, receiver, target, updates))
 
     def reply(
         self, kind: MessageKind, sender: MemberUpdate, sequence: int = 0, first: MemberUpdate | None = None
     ) -> None:
         """Replies to the sender of a message, with `first` and queued updates."""
-        to = MemberId(sender.name, sender.generation)
-        self.put(Message(kind, sender.address, sequence, to, updates=self.updates(first)))
+        receiver = MemberId(sender.name, sender.generation)
+        self.put(Message(kind, sender.address, sequence, receiver, updates=self.updates(first)))
 
     def ping_address(self, address: Address) -> None:
         """Pings any member at an address."""
--- a/oakcroft/decisions/membership/own_identity.py
+++ b/oakcroft/decisions/membership/own_identity.py
@@ -59,18 +59,18 @@
     def _is_earlier(self, other: MemberUpdate) -> bool:
         return (other.generation, other.address) < (self.own_update.generation, self.own_update.address)
 
-    def merge_own_update(self, update: MemberUpdate, by: str, now: int) -> bool:
+    def merge_own_update(self, update: MemberUpdate, sender: str, now: int) -> bool:
         """Processes an update about this front that another sent; returns whether it had to be refuted."""
         if update.generation == self.own_update.generation:
-            return self._refute(update, by)
+            return self._refute(update, sender)
         if update.generation > self.own_update.generation:
             if update.address == self.own_update.address or update.state is MemberState.LEFT:
-                self._supersede(update, f"{by} knows a later start")
+                self._supersede(update, f"{sender} knows a later start")
             elif self.conflict is None or self.conflict.other.generation < update.generation:
                 self._ping_other(update, now)
         return False
 
-    def _refute(self, update: MemberUpdate, by: str) -> bool:
+    def _refute(self, update: MemberUpdate, sender: str) -> bool:
         if update.state is MemberState.LEFT or update.precedence <= self.own_update.precedence:
             return False
         own_update = replace(self.own_update, incarnation=update.incarnation + 1)
@@ -79,7 +79,7 @@
             own_update = replace(self.own_update, generation=self.own_update.generation + 1, incarnation=0)
         self.table.announce(own_update)
         if update.state is not MemberState.ALIVE:
-            why = f"refuted what {update.reported_by or by} said"
+            why = f"refuted what {update.reported_by or sender} said"
             self.table.record_own_change(update.state.label, ALIVE, why)
         return True
 
@@ -94,8 +94,10 @@
         """Pings the address of a process that is reported to use this front's name with a later generation."""
         sequence = self.outbox.new_sequence()
         self.conflict = NameConflict(other, sequence, now + CONFLICT_ANSWER_TIMEOUT, missed)
-        to = MemberId(other.name, other.generation)
-        self.outbox.put(Message(MessageKind.PING, other.address, sequence, to, updates=[self.own_update]))
+        receiver = MemberId(other.name, other.generation)
+        self.outbox.put(
+            Message(MessageKind.PING, other.address, sequence, receiver, updates=[self.own_update])
+        )
 
     def received_from_namesake(
         self, sender: MemberUpdate, kind: MessageKind, sequence: int, now: int
@@ -120,8 +122,10 @@
     def _answer_earlier(self, sender: MemberUpdate, kind: MessageKind, sequence: int, now: int) -> None:
         """Lets a process that started earlier under this name know that this one is alive."""
         if kind is MessageKind.PING:
-            to = MemberId(sender.name, sender.generation)
-            self.outbox.put(Message(MessageKind.ACK, sender.address, sequence, to, updates=[self.own_update]))
+            receiver = MemberId(sender.name, sender.generation)
+            self.outbox.put(
+                Message(MessageKind.ACK, sender.address, sequence, receiver, updates=[self.own_update])
+            )
         if sender.address == self.own_update.address:
             return
         if self.conflict is None or self.conflict.other != sender:
--- a/oakcroft/decisions/membership/paced_pool.py
+++ b/oakcroft/decisions/membership/paced_membership.py
@@ -70,7 +70,7 @@
 
 
 @dataclass
-class PoolCounters:
+class PacedMembershipCounters:
     """Counts of what was dropped, by reason. The field names appear in the status and do not change."""
 
     other_zone: int = 0  # messages and updates of members of other zones
@@ -78,10 +78,10 @@
     refused_exchanges: int = 0  # exchanges not answered because the budget was exhausted
 
 
-class PacedPool:
+class PacedMembership:
     """One front's flat membership of its zone.
 
-    `membership` may be read directly, but messages are passed in here, and those to send are in `out`.
+    `membership` may be read directly, but messages are passed in here, and those to send are in `outgoing`.
     """
 
     def __init__(
@@ -100,8 +100,8 @@
         self.membership = Membership(own_update, secret, rng, now, seeds)
         self.queue = PacedUpdateQueue(self.membership.table.queue, own_update.name, budget)
         self.membership.table.queue = self.queue
-        self.counts = PoolCounters()
-        self.out: list[Message] = []
+        self.counts = PacedMembershipCounters()
+        self.outgoing: list[Message] = []
         self.seeds = frozenset(seeds)
         self.started_at = now
         self._exchanges: dict[Address, None] = {}
@@ -176,14 +176,14 @@
         sender: MemberUpdate,
         kind: MessageKind,
         sequence: int,
-        to: MemberId,
+        receiver: MemberId,
         target: ProbeTarget | None,
         updates: Sequence[MemberUpdate],
         now: int,
     ) -> None:
         """Processes a datagram of the flat protocol."""
         if self._is_own(sender):
-            self.membership.receive_message(sender, kind, sequence, to, target, self._own(updates), now)
+            self.membership.receive_message(sender, kind, sequence, receiver, target, self._own(updates), now)
 
     def accepts_exchange(self) -> bool:
         """Whether the budget allows an answer now; protects a seed that a whole starting zone asks at once."""
@@ -251,18 +251,18 @@
     # Sent messages.
 
     def collect(self, now: int) -> None:
-        """Collects the membership's messages in `out`, and charges them to the budget."""
-        for message in self.membership.out:
+        """Collects the membership's messages in `outgoing`, and charges them to the budget."""
+        for message in self.membership.outgoing:
             if message.kind is not MessageKind.PUSH_PULL:
                 if message.kind is MessageKind.ACK and now - self.started_at < INTRODUCTION_TIME:
                     message = self._with_introductions(message)
                 self.budget.charge(FLAT_MESSAGE_BYTES + UPDATE_BYTES * len(message.updates))
-                self.out.append(message)
+                self.outgoing.append(message)
             elif not self.membership.joined:
                 self._ping(message.address)
             elif not self.is_starting:
                 self._queue_exchange(message.address)
-        self.membership.out = []
+        self.membership.outgoing = []
         # Piggybacked updates were already charged when they were taken from the queue.
         self.budget.charge(-self.queue.charged)
         self.queue.charged = 0
@@ -270,10 +270,10 @@
             address = next(iter(self._exchanges))
             del self._exchanges[address]
             self._last_requested = address
-            self.out.append(Message(MessageKind.PUSH_PULL, address))
+            self.outgoing.append(Message(MessageKind.PUSH_PULL, address))
 
     def _with_introductions(self, message: Message) -> Message:
-        names = self.membership.table.sample(INTRODUCTIONS, message.to.name)
+        names = self.membership.table.sample(INTRODUCTIONS, message.receiver.name)
         introduced = [self.membership.members[name].latest for name in names]
         return replace(message, updates=[*message.updates, *introduced][:MAX_UPDATES])
 
@@ -281,7 +281,7 @@
         """Pings a seed to join: the answer introduces other members, and an exchange with one of them follows."""
         self.budget.charge(FLAT_MESSAGE_BYTES)
         sequence = self.membership.outbox.new_sequence()
-        self.out.append(Message(MessageKind.PING, seed, sequence))
+        self.outgoing.append(Message(MessageKind.PING, seed, sequence))
 
     def _queue_random_exchange(self) -> None:
         """Queues an exchange with a random member; with a seed only if no other is known, since all know the seeds."""
--- a/oakcroft/decisions/membership/paced_queue.py
+++ b/oakcroft/decisions/membership/paced_queue.py
@@ -40,11 +40,11 @@
         """Whether any update is waiting and the budget allows a message."""
         return bool(self.pending) and self.budget.available >= FLAT_MESSAGE_BYTES
 
-    def take(self, most: int, members: int) -> list[MemberUpdate]:
-        """At most `most` updates, as many as the budget allows."""
+    def take(self, limit: int, members: int) -> list[MemberUpdate]:
+        """At most `limit` updates, as many as the budget allows."""
         if len(self.pending) > CROWDED_QUEUE:
             members = min(members, CROWDED_MEMBERS)
-        taken = super().take(min(most, self.budget.available // UPDATE_BYTES), members)
+        taken = super().take(min(limit, self.budget.available // UPDATE_BYTES), members)
         self.budget.charge(UPDATE_BYTES * len(taken))
         self.charged += UPDATE_BYTES * len(taken)
         return taken
--- a/oakcroft/decisions/membership/prober.py
+++ b/oakcroft/decisions/membership/prober.py
@@ -79,7 +79,7 @@
         if member is None or member.latest.state not in PRESENT_STATES:
             del self.probes[probe.sequence]
             return None
-        if probe.stage is ProbeStage.RETRIED_AGAIN:
+        if probe.stage is ProbeStage.RETRIED_TWICE:
             del self.probes[probe.sequence]
             return member
         probe.stage = ProbeStage(probe.stage + 1)
@@ -126,15 +126,15 @@
             return
         own_sequence = self.outbox.new_sequence()
         self.relayed[own_sequence] = RelayedProbe(requester, sequence, now + RELAYED_PROBE_LIFETIME)
-        to = MemberId(target.name, target.generation)
+        receiver = MemberId(target.name, target.generation)
         updates = self.outbox.updates(self.outbox.accusation(target.name))
-        self.outbox.put(Message(MessageKind.PING, target.address, own_sequence, to, updates=updates))
+        self.outbox.put(Message(MessageKind.PING, target.address, own_sequence, receiver, updates=updates))
 
-    def acknowledged(self, sequence: int, by: str) -> None:
+    def acknowledged(self, sequence: int, responder: str) -> None:
         """Processes an answer to an own or a relayed probe."""
         if (probe := self.probes.pop(sequence, None)) is not None:
             self.health.improve()
-            if probe.name != by:
-                self.last_relay = by
+            if probe.name != responder:
+                self.last_relay = responder
         elif (relayed := self.relayed.pop(sequence, None)) is not None:
             self.outbox.reply(MessageKind.ACK, relayed.requester, relayed.sequence)
--- a/oakcroft/decisions/membership/push_pull.py
+++ b/oakcroft/decisions/membership/push_pull.py
@@ -22,7 +22,7 @@
 PUSH_PULL_SPACING = SECOND
 """Minimum time between two exchanges that this front begins."""
 
-MAX_WANTED = 4
+MAX_QUEUED_EXCHANGES = 4
 """Addresses queued for an exchange; further ones are dropped, since gossip or a later exchange reaches them."""
 
 JOIN_INTERVAL = SECOND
@@ -44,7 +44,7 @@
         self.rng = rng
         self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != table.own_update.address]
         self.joined = False
-        self.wanted: dict[Address, None] = {}
+        self.queued_addresses: dict[Address, None] = {}
         self.next_join_at = now
         self.next_rejoin_at = now + rng.randrange(REJOIN_INTERVAL)
         self.next_push_pull_at = now + rng.randrange(PUSH_PULL_INTERVAL)
@@ -56,7 +56,7 @@
         yield self.next_push_pull_at
         if not self.joined and self.seeds:
             yield self.next_join_at
-        if self.wanted:
+        if self.queued_addresses:
             yield self.last_push_pull_at + PUSH_PULL_SPACING
 
     def postpone(self, until: int) -> None:
@@ -64,10 +64,10 @@
         self.next_rejoin_at = until
         self.next_push_pull_at = until
 
-    def want(self, address: Address) -> None:
+    def queue_exchange(self, address: Address) -> None:
         """Queues an exchange with the member at an address."""
-        if len(self.wanted) < MAX_WANTED:
-            self.wanted[address] = None
+        if len(self.queued_addresses) < MAX_QUEUED_EXCHANGES:
+            self.queued_addresses[address] = None
 
     def remove_seed(self, address: Address) -> None:
         """Removes a seed that turned out to be this front itself."""
@@ -77,18 +77,18 @@
         """Performs everything that is due."""
         if not self.joined and self.seeds and now >= self.next_join_at:
             self.next_join_at = now + JOIN_INTERVAL + self.rng.randrange(JOIN_INTERVAL // 2)
-            self.want(self.rng.choice(self.seeds))
+            self.queue_exchange(self.rng.choice(self.seeds))
         if now >= self.next_rejoin_at:
             self.next_rejoin_at = now + REJOIN_INTERVAL + self.rng.randrange(REJOIN_INTERVAL // 4)
             self._ping_absent()
         if now >= self.next_push_pull_at:
             self.next_push_pull_at = now + PUSH_PULL_INTERVAL // 2 + self.rng.randrange(PUSH_PULL_INTERVAL)
             for name in self.table.sample(1):
-                self.want(self.table.members[name].latest.address)
-        if self.wanted and now - self.last_push_pull_at >= PUSH_PULL_SPACING:
+                self.queue_exchange(self.table.members[name].latest.address)
+        if self.queued_addresses and now - self.last_push_pull_at >= PUSH_PULL_SPACING:
             self.last_push_pull_at = now
-            address = next(iter(self.wanted))
-            del self.wanted[address]
+            address = next(iter(self.queued_addresses))
+            del self.queued_addresses[address]
             self.outbox.put(Message(MessageKind.PUSH_PULL, address))
 
     def _ping_absent(self) -> None:
--- a/oakcroft/decisions/membership/shares.py
+++ b/oakcroft/decisions/membership/shares.py
@@ -16,6 +16,6 @@
     return max(1, fronts - max(0, min(left, fronts - 1)))
 
 
-def max_overshoot(fronts: int, unheard: int) -> float:
-    """Maximum fraction by which a rate is exceeded while `unheard` fronts have returned and not all others know."""
-    return unheard / fronts
+def max_overshoot(fronts: int, unknown_returns: int) -> float:
+    """Maximum fraction by which a rate is exceeded while not all fronts know of `unknown_returns` fronts' return."""
+    return unknown_returns / fronts
--- a/oakcroft/decisions/membership/suspicion_tracker.py
+++ b/oakcroft/decisions/membership/suspicion_tracker.py
@@ -42,13 +42,13 @@
             self.table.set_suspicion(member, Suspicion(now, own_name, self.health.multiplier))
             self.table.transition(member, suspected, now, "no answer, directly or through other members")
 
-    def confirm(self, member: Member, update: MemberUpdate, by: str) -> None:
+    def confirm(self, member: Member, update: MemberUpdate, sender: str) -> None:
         """Counts another member's accusation, suspected or failed, as a confirmation of an existing suspicion."""
         latest = member.latest
         is_same = (update.generation, update.incarnation) == (latest.generation, latest.incarnation)
         if member.suspicion is None or not is_same or update.state not in ACCUSATIONS:
             return
-        accuser = update.reported_by or by
+        accuser = update.reported_by or sender
         if member.suspicion.confirm(accuser):
             self.table.queue.add(update.with_state(MemberState.SUSPECTED, accuser))
 
--- a/oakcroft/decisions/membership/update_merger.py
+++ b/oakcroft/decisions/membership/update_merger.py
@@ -52,49 +52,49 @@
         self.disputed: dict[str, MemberUpdate] = {}
         self.next_dispute_at = now
 
-    def merge(self, update: MemberUpdate, by: str, now: int) -> None:
-        """Merges one update, received from the member `by`."""
+    def merge(self, update: MemberUpdate, sender: str, now: int) -> None:
+        """Merges one update, received from the member `sender`."""
         if not update.is_plausible():
             self.counters.unsound += 1
             return
         if update.name == self.table.own_name:
-            if self.identity.merge_own_update(update, by, now):
+            if self.identity.merge_own_update(update, sender, now):
                 self.counters.refuted += 1
             return
         member = self.table.members.get(update.name)
         if member is None:
-            self._admit(update, by, now)
+            self._admit(update, sender, now)
         elif supersedes(update, member.latest):
-            self._apply(member, update, by, now)
+            self._apply(member, update, sender, now)
         else:
-            self._handle_outdated(member, update, by)
+            self._handle_outdated(member, update, sender)
 
-    def _admit(self, update: MemberUpdate, by: str, now: int) -> None:
+    def _admit(self, update: MemberUpdate, sender: str, now: int) -> None:
         if update.state is MemberState.FAILED:
             return  # otherwise fronts would pass failed members on to each other forever
         suspicion = None
         if update.state is MemberState.SUSPECTED:
-            suspicion = Suspicion(now, update.reported_by or by)
-        if self.table.admit(update, suspicion, now, _source(update, by)):
+            suspicion = Suspicion(now, update.reported_by or sender)
+        if self.table.admit(update, suspicion, now, _source(update, sender)):
             self.prober.round.add(update.name)
         else:
             self.counters.full += 1
 
-    def _handle_outdated(self, member: Member, update: MemberUpdate, by: str) -> None:
+    def _handle_outdated(self, member: Member, update: MemberUpdate, sender: str) -> None:
         """Handles an update without precedence, which may confirm a suspicion or be a leave without proof."""
         latest = member.latest
-        self.suspicions.confirm(member, update, by)
+        self.suspicions.confirm(member, update, sender)
         leaves = update.state is MemberState.LEFT and latest.state is not MemberState.LEFT
         if leaves and update.generation == latest.generation:
             self.counters.refused_leaves += 1
 
-    def _apply(self, member: Member, update: MemberUpdate, by: str, now: int) -> None:
+    def _apply(self, member: Member, update: MemberUpdate, sender: str, now: int) -> None:
         latest = member.latest
         if update.state is MemberState.FAILED and latest.state in PRESENT_STATES:
-            self._dispute(member, update, by)
+            self._dispute(member, update, sender)
             return
         if update.state is MemberState.SUSPECTED:
-            accuser = update.reported_by or by
+            accuser = update.reported_by or sender
             self.table.set_suspicion(member, Suspicion(now, accuser))
             self.table.transition(member, update, now, f"suspected by {accuser}")
             return
@@ -103,14 +103,14 @@
         if was_own_suspicion and update.state is MemberState.ALIVE:
             self.health.worsen()
         self.table.set_suspicion(member, None)
-        why = _source(update, by)
+        why = _source(update, sender)
         if update.generation > latest.generation:
             member.count_restart(now)
             why += ", a new start"
         self.table.transition(member, update, now, why)
 
-    def _dispute(self, member: Member, update: MemberUpdate, by: str) -> None:
-        self.suspicions.confirm(member, update, by)
+    def _dispute(self, member: Member, update: MemberUpdate, sender: str) -> None:
+        self.suspicions.confirm(member, update, sender)
         if member.latest.state is MemberState.ALIVE and len(self.disputed) < MAX_DISPUTED:
             self.disputed[update.name] = update
 
@@ -129,6 +129,6 @@
                 self.outbox.send(MessageKind.GOSSIP, name, first=accusation)
 
 
-def _source(update: MemberUpdate, by: str) -> str:
+def _source(update: MemberUpdate, sender: str) -> str:
     """Source of an update, for the reason of a change."""
-    return f"told by {by}" if by != update.name else "by its own message"
+    return f"told by {sender}" if sender != update.name else "by its own message"
--- a/oakcroft/decisions/membership/zone_gossip.py
+++ b/oakcroft/decisions/membership/zone_gossip.py
@@ -79,7 +79,7 @@
 
 
 class ZoneGossip:
-    """Sends and processes the messages that disseminate zone summaries. Messages to send are in `out`."""
+    """Sends and processes the messages that disseminate zone summaries. Messages to send are in `outgoing`."""
 
     def __init__(
         self, directory: ZoneDirectory, others: OtherZones, budget: TrafficBudget, rng: Random, now: int
@@ -90,7 +90,7 @@
         self.budget = budget
         self.rng = rng
         self.local = LocalZone()
-        self.out: list[OutgoingZoneMessage] = []
+        self.outgoing: list[OutgoingZoneMessage] = []
         self.counts = GossipCounters()
         self._requested_at: dict[str, int] = {}
         self._offered_at: dict[str, int] = {}  # contents of known zones that are not held yet
@@ -136,7 +136,7 @@
             address = self._contact(zone)
             if address is not None:
                 # Not charged: otherwise an author's heartbeats would leave it no budget for answers.
-                self.out.append(
+                self.outgoing.append(
                     OutgoingZoneMessage(address, ZoneDigest((summary.entry,), wants_answer=False))
                 )
 
@@ -242,14 +242,14 @@
         candidates = delegates + seeds if is_silent else delegates or seeds
         return self.rng.choice(candidates) if candidates else None
 
-    def contacts(self, zone: str, most: int) -> list[Address]:
-        """Up to `most` random addresses of a zone."""
-        candidates = [self._contact(zone) for _ in range(2 * most)]
-        return list(dict.fromkeys(address for address in candidates if address is not None))[:most]
+    def contacts(self, zone: str, limit: int) -> list[Address]:
+        """Up to `limit` random addresses of a zone."""
+        candidates = [self._contact(zone) for _ in range(2 * limit)]
+        return list(dict.fromkeys(address for address in candidates if address is not None))[:limit]
 
     def _send(self, address: Address, message: ZoneMessage) -> None:
         self.budget.charge(estimated_size(message))
-        self.out.append(OutgoingZoneMessage(address, message))
+        self.outgoing.append(OutgoingZoneMessage(address, message))
 
     def send_each(self, addresses: Iterable[Address], message: ZoneMessage) -> None:
         """Sends a message to each address without waiting for the budget."""
@@ -261,7 +261,7 @@
         if not self.budget.spend(estimated_size(message)):
             self.counts.deferred += 1
             return False
-        self.out.append(OutgoingZoneMessage(address, message))
+        self.outgoing.append(OutgoingZoneMessage(address, message))
         return True
 
 
--- a/oakcroft/decisions/membership/zone_lookup.py
+++ b/oakcroft/decisions/membership/zone_lookup.py
@@ -36,12 +36,12 @@
 
 
 class ZoneLookups:
-    """The open lookups of one front; results are added to `found`."""
+    """The open lookups of one front; results are added to `results`."""
 
     def __init__(self, rng: Random) -> None:
         """Starts without open lookups."""
         self.rng = rng
-        self.found: list[LookupResult] = []
+        self.results: list[LookupResult] = []
         self._open: dict[int, Lookup] = {}
 
     def begin(self, zone: str, name: str, asked: int, now: int) -> LookupRequest | None:
@@ -50,7 +50,7 @@
         Returns None, with an unanswered result, if too many lookups are open or there is no front to ask.
         """
         if asked == 0 or len(self._open) >= MAX_LOOKUPS:
-            self.found.append(LookupResult(zone, name, None, is_answered=False))
+            self.results.append(LookupResult(zone, name, None, is_answered=False))
             return None
         request = LookupRequest(self.rng.getrandbits(NUMBER_BITS), zone, name)
         self._open[request.number] = Lookup(request, now + LOOKUP_TIMEOUT, asked)
@@ -64,7 +64,7 @@
         lookup.outstanding -= 1
         if answer.member is not None or lookup.outstanding == 0:
             del self._open[answer.number]
-            self.found.append(LookupResult(answer.zone, answer.name, answer.member, is_answered=True))
+            self.results.append(LookupResult(answer.zone, answer.name, answer.member, is_answered=True))
 
     def due(self) -> int | None:
         """When the first lookup expires; None if none is open."""
@@ -76,4 +76,4 @@
             if now >= lookup.expires_at:
                 del self._open[number]
                 request = lookup.request
-                self.found.append(LookupResult(request.zone, request.name, None, is_answered=False))
+                self.results.append(LookupResult(request.zone, request.name, None, is_answered=False))
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -163,13 +163,13 @@
     # Sending.
 
     def _take_messages(self) -> list[Message | OutgoingZoneMessage]:
-        messages: list[Message | OutgoingZoneMessage] = [*self.hosted.out]
-        self.hosted.out = []
+        messages: list[Message | OutgoingZoneMessage] = [*self.hosted.outgoing]
+        self.hosted.outgoing = []
         return messages
 
     def _process_output(self) -> None:
         """Sends the membership's messages and reports its changes. Called after each call to the membership."""
-        while self.hosted.out:
+        while self.hosted.outgoing:
             for message in self._take_messages():
                 self._send(message)
         if self.hosted.changes:
@@ -250,7 +250,13 @@
         message = self.codec.read(opened)
         self.received += 1
         self.hosted.receive_message(
-            message.sender, message.kind, message.sequence, message.to, message.target, message.updates, now
+            message.sender,
+            message.kind,
+            message.sequence,
+            message.receiver,
+            message.target,
+            message.updates,
+            now,
         )
         self._process_output()
 
--- a/oakcroft/peers/status.py
+++ b/oakcroft/peers/status.py
@@ -37,6 +37,6 @@
         "wing": latest.zone,
         "version": latest.version,
         "since_ms": (now - member.since) // MS,
-        "heard_ms": (now - member.heard_at) // MS if member.heard_at else None,
+        "heard_ms": (now - member.last_received_at) // MS if member.last_received_at else None,
         "by": latest.reported_by,
     }
--- a/oakcroft/peers/zone_service.py
+++ b/oakcroft/peers/zone_service.py
@@ -40,7 +40,7 @@
             "region": self.region,
             "zones": [_zone_status(zone, now) for zone in zoned.zones()],
             "zone_counts": {
-                **vars(zoned.pool.counts),
+                **vars(zoned.paced_membership.counts),
                 **vars(zoned.gossip.counts),
                 **vars(zoned.directory.counts),
             },
--- a/oakcroft/peerwire/membership_codec.py
+++ b/oakcroft/peerwire/membership_codec.py
@@ -1,6 +1,7 @@
 """Codec of membership messages: sealed MessagePack.
 
-message = seal:16 format:1 body       body: an array [fleet, sender, kind, sequence, to, to generation, target, updates]
+message = seal:16 format:1 body
+body = [fleet, sender, kind, sequence, receiver, receiver generation, target, updates, more]
 update = [name, generation, incarnation, state, host, port, zone, version, proof, reported by]
 
 Neighbouring formats are compatible: a later format may add fields at the end of an array and kinds of messages; a
@@ -63,8 +64,8 @@
     sender: WireUpdate
     kind: int
     sequence: int = 0
-    to: str = ""
-    to_generation: int = 0
+    receiver: str = ""
+    receiver_generation: int = 0
     target: tuple[str, int, str, int] | None = None
     updates: list[WireUpdate] = []
     more: bool = False
@@ -144,7 +145,7 @@
             to_wire(sender),
             message.kind.value,
             message.sequence,
-            *message.to,
+            *message.receiver,
             wire_target,
             updates,
         )
@@ -180,8 +181,8 @@
         if sender is None:
             raise MessageError("malformed")
         updates = [update for wire in body.updates[:MAX_UPDATES] if (update := from_wire(wire)) is not None]
-        to = MemberId(body.to, body.to_generation)
-        return ReceivedMessage(sender, kind, body.sequence, to, _target(body), updates)
+        receiver = MemberId(body.receiver, body.receiver_generation)
+        return ReceivedMessage(sender, kind, body.sequence, receiver, _target(body), updates)
 
     def read_body(self, opened: bytes) -> WireBody:
         """Decodes the body of an opened message. Raises MessageError if it is not one of this fleet."""
--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -164,8 +164,8 @@
     def send_output(self, process: SimulatedProcess) -> None:
         """Sends the messages that a process has written, records its state changes and schedules its next tick."""
         view = process.view
-        messages = view.out
-        view.out = []
+        messages = view.outgoing
+        view.outgoing = []
         for message in messages:
             self._send(process, message)
         changes = view.changes
@@ -209,7 +209,7 @@
                 sender_update,
                 message.kind,
                 message.sequence,
-                message.to,
+                message.receiver,
                 message.target,
                 message.updates,
                 self.now,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -140,11 +140,11 @@
 
     def collect(views: dict[str, Membership], in_flight: list[tuple[str, MemberUpdate, Message]]) -> None:
         for view in views.values():
-            for message in view.out:
+            for message in view.outgoing:
                 to = message.address[0].removeprefix("host-")
                 if message.kind is not MessageKind.PUSH_PULL and len(in_flight) < 6:
                     in_flight.append((to, view.own_update, message))
-            view.out = []
+            view.outgoing = []
             view.changes = []
 
     def fingerprint(
@@ -181,7 +181,7 @@
                 else:
                     to, sender, sent = in_flight.pop(step)
                     views[to].receive_message(
-                        sender, sent.kind, sent.sequence, sent.to, sent.target, sent.updates, then
+                        sender, sent.kind, sent.sequence, sent.receiver, sent.target, sent.updates, then
                     )
                 for name, view in views.items():
                     for about, member in view.members.items():
@@ -436,8 +436,8 @@
         view.receive_message(
             update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50, now
         )
-        assert all(len(out.updates) <= MAX_UPDATES for out in view.out)
-        view.out.clear()
+        assert all(len(out.updates) <= MAX_UPDATES for out in view.outgoing)
+        view.outgoing.clear()
         if i % 100 == 0:
             now += 100 * MS
             view.tick(now)
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -16,7 +16,7 @@
 from oakcroft.decisions.membership import hierarchy, zone_directory
 from oakcroft.decisions.membership.delegates import SETTLING_TIME_US, DelegateSelection
 from oakcroft.decisions.membership.member import MemberState
-from oakcroft.decisions.membership.paced_pool import PacedPool
+from oakcroft.decisions.membership.paced_membership import PacedMembership
 from oakcroft.decisions.membership.traffic_budget import BURST_BYTES, RATE_BYTES_PER_S, TrafficBudget
 from oakcroft.decisions.membership.zone_author import LocalState, ZoneAuthor
 from oakcroft.decisions.membership.zone_directory import (
@@ -757,7 +757,7 @@
 def test_planted_a_zone_that_accepts_all_members_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check above finds members of the other zone."""
     fleet = small_fleet(13)
-    monkeypatch.setattr(PacedPool, "_is_own", lambda *_: True)
+    monkeypatch.setattr(PacedMembership, "_is_own", lambda *_: True)
     assert join_by_wrong_seed(fleet) > set(fleet.names("r0z0"))
 
 
@@ -810,7 +810,7 @@
     fleet.look_up(front, "r1z0", VICTIM)
     fleet.look_up(front, "r1z0", "nobody")
     fleet.run(SECOND)
-    answered, unknown = sorted(front.membership.found, key=lambda result: result.name, reverse=True)
+    answered, unknown = sorted(front.membership.lookup_results, key=lambda result: result.name, reverse=True)
     assert answered.member is not None
     assert (answered.member.host, answered.member.port) == fleet.address(VICTIM)
     assert unknown.is_answered
@@ -824,7 +824,7 @@
     front = fleet.fronts["r0z0f0"]
     for _ in range(MAX_LOOKUPS + 1):
         fleet.look_up(front, "r1z0", VICTIM)
-    assert len(front.membership.found) == 1
+    assert len(front.membership.lookup_results) == 1
     fleet.run(LOOKUP_TIMEOUT + SECOND)
-    assert len(front.membership.found) == MAX_LOOKUPS + 1
-    assert not any(result.is_answered for result in front.membership.found)
+    assert len(front.membership.lookup_results) == MAX_LOOKUPS + 1
+    assert not any(result.is_answered for result in front.membership.lookup_results)
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -294,7 +294,7 @@
         unsealed = {forged, datagrams[-1]}
         await wait_until(lambda: endpoint.dropped["not sealed"] >= len(unsealed))
         await wait_until(lambda: endpoint.dropped["other fleet"] >= 1 and endpoint.dropped["malformed"] >= 1)
-        await wait_until(lambda: rig.zoned("north-0").pool.counts.other_zone >= 1)
+        await wait_until(lambda: rig.zoned("north-0").paced_membership.counts.other_zone >= 1)
         assert rig.zoned("north-0").state_of("south-9") is None
         assert rig.know_each_other()
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -202,8 +202,8 @@
 
     def _after(self, front: Front) -> None:
         membership = front.membership
-        messages = membership.out
-        membership.out = []
+        messages = membership.outgoing
+        membership.outgoing = []
         for message in messages:
             self._send(front, message)
         changes = membership.changes
@@ -249,7 +249,13 @@
     def _deliver(self, me: MemberUpdate, receiver: Front, message: Message | OutgoingZoneMessage) -> None:
         if isinstance(message, Message):
             receiver.membership.receive_message(
-                me, message.kind, message.sequence, message.to, message.target, message.updates, self.now
+                me,
+                message.kind,
+                message.sequence,
+                message.receiver,
+                message.target,
+                message.updates,
+                self.now,
             )
             self._after(receiver)
         else:
