--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -69,16 +69,7 @@
     def receive(self, message: object, now: int) -> None:
         """Handles a received datagram."""
         assert isinstance(message, FlatDatagram)
-        received = message.message
-        self.view.receive_message(
-            message.sender,
-            received.kind,
-            received.sequence,
-            received.receiver,
-            received.target,
-            received.updates,
-            now,
-        )
+        self.view.receive_message(message.message.as_received(message.sender), now)
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
         """Merges the full state of another front end and replies with the full state after the merge."""
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -106,10 +106,7 @@
             self.membership.receive_zone_message(message.sender, message.message, now)
             return
         assert isinstance(message, FlatDatagram)
-        flat = message.message
-        self.membership.receive_message(
-            message.sender, flat.kind, flat.sequence, flat.receiver, flat.target, flat.updates, now
-        )
+        self.membership.receive_message(message.message.as_received(message.sender), now)
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
         """Merges the full state of another front end and replies with its own, if the budget for exchanges allows it."""
--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -14,7 +14,7 @@
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate
 from oakcroft.decisions.membership.member_table import StateChange
 from oakcroft.decisions.membership.membership import Membership
-from oakcroft.decisions.membership.messages import MemberId, Message, MessageKind, ProbeTarget
+from oakcroft.decisions.membership.messages import Message, ReceivedMessage
 from oakcroft.decisions.membership.paced_membership import PacedMembership
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
 from oakcroft.decisions.membership.zone_author import ZoneAuthor
@@ -184,19 +184,10 @@
 
     # Received messages.
 
-    def receive_message(
-        self,
-        sender: MemberUpdate,
-        kind: MessageKind,
-        sequence: int,
-        receiver: MemberId,
-        target: ProbeTarget | None,
-        updates: Sequence[MemberUpdate],
-        now: int,
-    ) -> None:
+    def receive_message(self, message: ReceivedMessage, now: int) -> None:
         """Processes a datagram of the flat protocol."""
         self.budget.advance(now)
-        self.paced_membership.receive_message(sender, kind, sequence, receiver, target, updates, now)
+        self.paced_membership.receive_message(message, now)
         self._apply_local_changes(now)
 
     def accepts_exchange(self, now: int) -> bool:
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -23,7 +23,7 @@
     MemberId,
     Message,
     MessageKind,
-    ProbeTarget,
+    ReceivedMessage,
 )
 from oakcroft.decisions.membership.outbox import Outbox
 from oakcroft.decisions.membership.own_identity import OwnIdentity
@@ -214,26 +214,20 @@
 
     # Received messages.
 
-    def receive_message(
-        self,
-        sender: MemberUpdate,
-        kind: MessageKind,
-        sequence: int,
-        receiver: MemberId,
-        target: ProbeTarget | None,
-        updates: Sequence[MemberUpdate],
-        now: int,
-    ) -> None:
-        """Processes a datagram; `sender` is the sender's own update."""
+    def receive_message(self, message: ReceivedMessage, now: int) -> None:
+        """Processes a datagram."""
+        sender = message.sender
+        kind = message.kind
+        sequence = message.sequence
         if self.left or not self._accept_sender(sender, kind, sequence, now):
             return
         if kind is MessageKind.PING:
-            self._answer_ping(sender, sequence, receiver)
+            self._answer_ping(sender, sequence, message.receiver)
         elif kind is MessageKind.ACK:
             self.prober.acknowledged(sequence, sender.name)
-        elif kind is MessageKind.PING_REQUEST and target is not None:
-            self.prober.relay(sender, sequence, target, now)
-        for update in updates[:MAX_UPDATES]:
+        elif kind is MessageKind.PING_REQUEST and message.target is not None:
+            self.prober.relay(sender, sequence, message.target, now)
+        for update in message.updates[:MAX_UPDATES]:
             self.merger.merge(update, sender.name, now)
 
     def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
@@ -283,8 +277,8 @@
     def _answer_ping(self, sender: MemberUpdate, sequence: int, receiver: MemberId) -> None:
         known = self.members[sender.name].latest
         accusation = known if known.precedence > sender.precedence else None
-        is_for_other_name = receiver[0] not in ("", self.own_update.name)
-        is_for_other_generation = receiver[1] not in (0, self.own_update.generation)
+        is_for_other_name = receiver.name not in ("", self.own_update.name)
+        is_for_other_generation = receiver.generation not in (0, self.own_update.generation)
         if is_for_other_name:
             # Another member had this address: the sender learns who has it now, but gets no answer to its probe.
             self.counts.misaddressed += 1
--- a/oakcroft/decisions/membership/messages.py
+++ b/oakcroft/decisions/membership/messages.py
@@ -56,6 +56,10 @@
     target: ProbeTarget | None = None
     updates: Sequence[MemberUpdate] = ()
 
+    def as_received(self, sender: MemberUpdate) -> ReceivedMessage:
+        """The message as its receiver decodes it, for simulations that send it without encoding it."""
+        return ReceivedMessage(sender, self.kind, self.sequence, self.receiver, self.target, self.updates)
+
 
 @dataclass(frozen=True)
 class ReceivedMessage:
--- a/oakcroft/decisions/membership/paced_membership.py
+++ b/oakcroft/decisions/membership/paced_membership.py
@@ -15,10 +15,9 @@
 from oakcroft.decisions.membership.messages import (
     MAX_UPDATES,
     Address,
-    MemberId,
     Message,
     MessageKind,
-    ProbeTarget,
+    ReceivedMessage,
 )
 from oakcroft.decisions.membership.paced_queue import FLAT_MESSAGE_BYTES, UPDATE_BYTES, PacedUpdateQueue
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
@@ -171,19 +170,14 @@
 
     # Received messages.
 
-    def receive_message(
-        self,
-        sender: MemberUpdate,
-        kind: MessageKind,
-        sequence: int,
-        receiver: MemberId,
-        target: ProbeTarget | None,
-        updates: Sequence[MemberUpdate],
-        now: int,
-    ) -> None:
-        """Processes a datagram of the flat protocol."""
-        if self._is_own(sender):
-            self.membership.receive_message(sender, kind, sequence, receiver, target, self._own(updates), now)
+    def receive_message(self, message: ReceivedMessage, now: int) -> None:
+        """Processes a datagram of the flat protocol, without its updates about members of other zones."""
+        if not self._is_own(message.sender):
+            return
+        own_updates = self._own(message.updates)
+        if len(own_updates) < len(message.updates):
+            message = replace(message, updates=own_updates)
+        self.membership.receive_message(message, now)
 
     def accepts_exchange(self) -> bool:
         """Whether the budget allows an answer now; protects a seed that a whole starting zone asks at once."""
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -249,15 +249,7 @@
     def _receive_membership(self, opened: bytes, now: int) -> None:
         message = self.codec.read(opened)
         self.received += 1
-        self.hosted.receive_message(
-            message.sender,
-            message.kind,
-            message.sequence,
-            message.receiver,
-            message.target,
-            message.updates,
-            now,
-        )
+        self.hosted.receive_message(message, now)
         self._process_output()
 
     def _read_loads(self, opened: bytes) -> list[LoadReport]:
--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -205,15 +205,7 @@
             return
 
         def handle() -> None:
-            receiver.view.receive_message(
-                sender_update,
-                message.kind,
-                message.sequence,
-                message.receiver,
-                message.target,
-                message.updates,
-                self.now,
-            )
+            receiver.view.receive_message(message.as_received(sender_update), self.now)
             self.send_output(receiver)
 
         if receiver.is_paused:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -31,7 +31,7 @@
 from oakcroft.decisions.membership.shares import max_overshoot, rate_divisor
 from oakcroft.decisions.membership.member_table import FAILED_RETENTION, MAX_FORMER_ADDRESSES, MAX_MEMBERS
 from oakcroft.decisions.membership.membership import Membership
-from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, Message, MessageKind
+from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, Message, MessageKind, ReceivedMessage
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.membership_simulation import SimulatedNetwork, settled_network
 from oakcroft.rulecheck.membership import check_membership
@@ -83,19 +83,21 @@
     for view in views:
         rng.shuffle(updates)
         for received in updates:
-            view.receive_message(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [received], 0)
+            view.receive_message(
+                ReceivedMessage(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [received]), 0
+            )
     held = [{name: member.latest.precedence for name, member in view.members.items()} for view in views]
     assert held[0] == held[1]
 
 
 def test_only_a_member_itself_can_announce_that_it_leaves() -> None:
     view = Membership(update("me"), SECRET, Random(1), 0)
-    view.receive_message(update("x"), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+    view.receive_message(ReceivedMessage(update("x"), MessageKind.GOSSIP, 0, ANYONE, None, []), 0)
     forged = replace(update("x", LEFT), proof=b"f" * 16)
-    view.receive_message(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [forged], 0)
+    view.receive_message(ReceivedMessage(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [forged]), 0)
     assert view.state_of("x") is ALIVE
     assert view.counts.refused_leaves == 1
-    view.receive_message(update("x", LEFT), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+    view.receive_message(ReceivedMessage(update("x", LEFT), MessageKind.GOSSIP, 0, ANYONE, None, []), 0)
     assert view.state_of("x") is LEFT
 
 
@@ -106,7 +108,7 @@
         update("x", generation=1 << 60),
         replace(update("x"), proof=b""),
     ):
-        view.receive_message(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [bad], 0)
+        view.receive_message(ReceivedMessage(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [bad]), 0)
     assert view.state_of("x") is None
     assert view.counts.unsound == 3
 
@@ -132,9 +134,14 @@
         for view in views.values():
             for other in names:
                 if other != view.own_update.name:
-                    view.receive_message(update(other), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+                    view.receive_message(
+                        ReceivedMessage(update(other), MessageKind.GOSSIP, 0, ANYONE, None, []), 0
+                    )
         views["a"].receive_message(
-            update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, by="b")], 0
+            ReceivedMessage(
+                update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, by="b")]
+            ),
+            0,
         )
         return views, []
 
@@ -180,9 +187,7 @@
                     in_flight.pop(int(step.split()[1]))
                 else:
                     to, sender, sent = in_flight.pop(step)
-                    views[to].receive_message(
-                        sender, sent.kind, sent.sequence, sent.receiver, sent.target, sent.updates, then
-                    )
+                    views[to].receive_message(sent.as_received(sender), then)
                 for name, view in views.items():
                     for about, member in view.members.items():
                         latest = member.latest
@@ -401,7 +406,8 @@
                 for to in view.table.sample(3):
                     receiver = net.processes[to]
                     receiver.view.receive_message(
-                        view.own_update, MessageKind.GOSSIP, 0, ANYONE, None, accusations, net.now
+                        ReceivedMessage(view.own_update, MessageKind.GOSSIP, 0, ANYONE, None, accusations),
+                        net.now,
                     )
                     net.send_output(receiver)
         net.run(100 * MS)
@@ -421,7 +427,9 @@
     sender = net.processes["f3"].view.own_update
     for process in net.running_processes():
         if process.name not in ("f3", "f5"):
-            process.view.receive_message(sender, MessageKind.GOSSIP, 0, ANYONE, None, [accusation], net.now)
+            process.view.receive_message(
+                ReceivedMessage(sender, MessageKind.GOSSIP, 0, ANYONE, None, [accusation]), net.now
+            )
             net.send_output(process)
     net.run(30 * SECOND)
     assert reported(net, FAILED) == set()
@@ -434,7 +442,10 @@
     now = 0
     for i in range(3 * MAX_MEMBERS):
         view.receive_message(
-            update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50, now
+            ReceivedMessage(
+                update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50
+            ),
+            now,
         )
         assert all(len(out.updates) <= MAX_UPDATES for out in view.outgoing)
         view.outgoing.clear()
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -248,15 +248,7 @@
 
     def _deliver(self, me: MemberUpdate, receiver: Front, message: Message | OutgoingZoneMessage) -> None:
         if isinstance(message, Message):
-            receiver.membership.receive_message(
-                me,
-                message.kind,
-                message.sequence,
-                message.receiver,
-                message.target,
-                message.updates,
-                self.now,
-            )
+            receiver.membership.receive_message(message.as_received(me), self.now)
             self._after(receiver)
         else:
             sender = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
