--- a/benchmarks/capacity/measure_rollout.py
+++ b/benchmarks/capacity/measure_rollout.py
@@ -123,7 +123,7 @@
             self.active_digests[name] = plan.digest
         body = ReportBody(plan.step, True, self.active_digests[name], activates, "", 100, 1, False)
         octets = self.codec.encode_report(
-            name, 1, OrderReport(CATALOGUE_LEASE, order.number, order.step, True, ENCODER.encode(body))
+            name, 1, OrderReport(CATALOGUE_LEASE, order.fencing_token, order.step, True, ENCODER.encode(body))
         )
         self._deliver(lambda: self._receive_report(name, octets, body))
 
--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -177,7 +177,7 @@
         self.coordinator = coordinator
         self.catalogues = catalogues
         self.peers = peers
-        self.duties = peers.leases
+        self.leases = peers.leases
         self.log = log
         stored_fence = (
             coordinator.durable_state.store.named_values.get(FENCE_FACT)
@@ -206,8 +206,8 @@
         self.pending_requests: set[str] = set()  # keys of requests whose reply is awaited
         self.wake = trio.Event()
         self.plan_lock = trio.Lock()
-        leases = self.duties
-        leases.want(CATALOGUE_LEASE)
+        leases = self.leases
+        leases.become_candidate(CATALOGUE_LEASE)
         leases.order_handlers[CATALOGUE_LEASE] = self._handle_order
         leases.report_handlers[CATALOGUE_LEASE] = self._handle_report
         leases.order_handlers[REQUEST_ORDER] = self._handle_request
@@ -235,29 +235,29 @@
             # the order.
             if (
                 not self.is_fence_complete
-                or order.number > self.fence.highest_seen.get(CATALOGUE_LEASE, (0, 0))[0]
+                or order.fencing_token > self.fence.highest_seen.get(CATALOGUE_LEASE, (0, 0))[0]
             ):
-                promised_number = self.duties.token_floor(CATALOGUE_LEASE)
-                if promised_number is None or promised_number < order.number:
-                    self.duties.request_token_floor(CATALOGUE_LEASE)
+                promised_number = self.leases.token_floor(CATALOGUE_LEASE)
+                if promised_number is None or promised_number < order.fencing_token:
+                    self.leases.request_token_floor(CATALOGUE_LEASE)
                     return None
                 if not self.is_fence_complete:
                     self.fence.record(CATALOGUE_LEASE, promised_number, 0)
                     self.is_fence_complete = True
-            if not self.fence.admits(CATALOGUE_LEASE, order.number, order.step):
+            if not self.fence.admits(CATALOGUE_LEASE, order.fencing_token, order.step):
                 number, step = self.fence.highest_seen[CATALOGUE_LEASE]
                 self.log.warning(
                     "late order",
                     sender=received.sender,
-                    order=[order.number, order.step],
+                    order=[order.fencing_token, order.step],
                     stands=[number, step],
                 )
                 return OrderReport(CATALOGUE_LEASE, number, step, False, b"")
             is_new = False
-            if self.fence.highest_seen.get(CATALOGUE_LEASE) != (order.number, order.step):
-                if not await self._record_fence(order.number, order.step):
+            if self.fence.highest_seen.get(CATALOGUE_LEASE) != (order.fencing_token, order.step):
+                if not await self._record_fence(order.fencing_token, order.step):
                     return self._make_report(plan, order, "its state file does not take the order")
-                self.fence.record(CATALOGUE_LEASE, order.number, order.step)
+                self.fence.record(CATALOGUE_LEASE, order.fencing_token, order.step)
                 if self.ordered_plan is None or self.ordered_plan.step != plan.step:
                     self.step_start_answers = Counter(self.coordinator.answer_counts)
                 self.ordered_plan = plan
@@ -267,7 +267,7 @@
                 self.log.info(
                     "order",
                     duty=CATALOGUE_LEASE,
-                    number=order.number,
+                    number=order.fencing_token,
                     step=order.step,
                     stage=plan.stage.name.lower(),
                     in_force=self.active_digest,
@@ -298,7 +298,7 @@
             failures,
             self.active_digest == EMPTY_DIGEST and plan.base_digest != EMPTY_DIGEST,
         )
-        return OrderReport(CATALOGUE_LEASE, order.number, order.step, True, ENCODER.encode(body))
+        return OrderReport(CATALOGUE_LEASE, order.fencing_token, order.step, True, ENCODER.encode(body))
 
     @property
     def active_digest(self) -> str:
@@ -421,16 +421,16 @@
         self.wake.set()
 
     def _handle_report(self, sender: str, report: OrderReport) -> None:
-        term = self.duties.held_term(CATALOGUE_LEASE)
+        term = self.leases.held_term(CATALOGUE_LEASE)
         rollout = self.rollout
         if term is None or rollout is None:
             return
-        if not report.taken:
-            if (report.number, report.step) > (term.fencing_token, rollout.plan.step):
+        if not report.accepted:
+            if (report.fencing_token, report.step) > (term.fencing_token, rollout.plan.step):
                 # The acceptors have promised numbers that this owner never saw: it asks for a term with a higher one.
-                self.duties.raise_token(CATALOGUE_LEASE, report.number)
+                self.leases.raise_token(CATALOGUE_LEASE, report.fencing_token)
             return
-        if report.number != term.fencing_token:
+        if report.fencing_token != term.fencing_token:
             return
         try:
             body = REPORT_DECODER.decode(report.body)
@@ -458,7 +458,7 @@
         """
         while True:
             self.wake = trio.Event()
-            term = self.duties.held_term(CATALOGUE_LEASE)
+            term = self.leases.held_term(CATALOGUE_LEASE)
             if term is not None:
                 await self._advance_rollout(term)
             with trio.move_on_after(ORDER_INTERVAL_S):
@@ -476,7 +476,7 @@
             next_plan = rollout.next_plan(present, now)
             if next_plan is not None:
                 await self._record_plan(rollout, next_plan)
-        if self.duties.held_term(CATALOGUE_LEASE) != term or self.rollout is not rollout:
+        if self.leases.held_term(CATALOGUE_LEASE) != term or self.rollout is not rollout:
             return
         body = encode_plan(rollout.plan)
         # During the roll-out all front ends report; after its end only those that have not confirmed it, or were absent.
@@ -484,11 +484,11 @@
             rollout.unconfirmed_fronts(present, now) if rollout.plan.stage in FINAL_STAGES else present
         )
         for name in fronts_to_order:
-            self.duties.order(name, Order(CATALOGUE_LEASE, term.fencing_token, rollout.plan.step, body))
+            self.leases.send_order(name, Order(CATALOGUE_LEASE, term.fencing_token, rollout.plan.step, body))
 
     def _load_plan(self, term: LeaseTerm) -> None:
         """Continues the roll-out whose plan the previous owner recorded."""
-        recorded_plan = self.duties.recorded_note(CATALOGUE_LEASE)
+        recorded_plan = self.leases.recorded_note(CATALOGUE_LEASE)
         if self.rollout is not None or not recorded_plan:
             return
         try:
@@ -505,7 +505,7 @@
         )
 
     async def _record_plan(self, rollout: Rollout, new_plan: RolloutPlan) -> bool:
-        if not await self.duties.record_note(CATALOGUE_LEASE, encode_plan(new_plan)):
+        if not await self.leases.record_note(CATALOGUE_LEASE, encode_plan(new_plan)):
             return False
         rollout.set_recorded_plan(new_plan)
         self.log.info(
@@ -546,14 +546,14 @@
         self.pending_requests.add(key)
         with trio.move_on_after(SUBMIT_TIMEOUT_S):
             while key not in self.request_replies:
-                if self.duties.held_term(CATALOGUE_LEASE) is not None:
+                if self.leases.held_term(CATALOGUE_LEASE) is not None:
                     self.request_replies[key] = await self._start_request(
                         request, self.peers.membership.own_update.name
                     )
                     break
-                self.duties.request_token_floor(CATALOGUE_LEASE)  # the acceptors' answers name the owner
-                if owner := self.duties.current_term(CATALOGUE_LEASE):
-                    self.duties.order(
+                self.leases.request_token_floor(CATALOGUE_LEASE)  # the acceptors' answers name the owner
+                if owner := self.leases.current_term(CATALOGUE_LEASE):
+                    self.leases.send_order(
                         owner.holder, Order(REQUEST_ORDER, owner.fencing_token, 0, ENCODER.encode(request))
                     )
                 await trio.sleep(0.3)
@@ -564,7 +564,7 @@
 
     async def _handle_request(self, received: ReceivedLeaseMessage, order: Order) -> OrderReport | None:
         """Handles an operator's request that another front end has forwarded; None if it is invalid or misdirected."""
-        if self.duties.held_term(CATALOGUE_LEASE) is None:
+        if self.leases.held_term(CATALOGUE_LEASE) is None:
             return None
         try:
             request = REQUEST_DECODER.decode(order.body)
@@ -579,7 +579,7 @@
         rejection = await self._start_request(request, received.sender)
         return OrderReport(
             REQUEST_REPLY,
-            order.number,
+            order.fencing_token,
             0,
             not rejection,
             f"{request.digest or 'back'} {rejection}".encode()[:300],
@@ -598,7 +598,7 @@
                 RolloutPlan(0, request.digest, request.base_digest, RolloutStage.HANDED, 0), sender
             )
         async with self.plan_lock:
-            term = self.duties.held_term(CATALOGUE_LEASE)
+            term = self.leases.held_term(CATALOGUE_LEASE)
             if term is None:
                 return "the term ended meanwhile: ask again"
             self._load_plan(term)
@@ -648,7 +648,7 @@
         """The last roll-out as this front end knows it, for operators."""
         rollout = self.rollout
         plan = rollout.plan if rollout is not None else self.ordered_plan
-        owner = self.duties.current_term(CATALOGUE_LEASE)
+        owner = self.leases.current_term(CATALOGUE_LEASE)
         told: dict[str, object] = {
             "owner": owner.holder if owner else None,
             "number": owner.fencing_token if owner else 0,
--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         acceptor: LeaseAcceptor,
-        record: NamedValueStore,
+        store: NamedValueStore,
         codec: LeaseCodec,
         identity: Callable[[], tuple[str, int]],
         send: Callable[[str, bytes], None],
@@ -65,9 +65,9 @@
         log: structlog.typing.FilteringBoundLogger,
         now: int,
     ) -> None:
-        """`record` is the state file; `dropped` counts messages dropped because too many saves were pending."""
+        """`store` is the state file; `dropped` counts messages dropped because too many saves were pending."""
         self.acceptor = acceptor
-        self.record = record
+        self.store = store
         self.codec = codec
         self.identity = identity
         self.send = send
@@ -93,9 +93,9 @@
         if answer is not None:
             self._when_saved(partial(self._send_answer, sender, answer))
 
-    def _send_answer(self, to: str, answer: LeaseAnswer) -> None:
+    def _send_answer(self, receiver: str, answer: LeaseAnswer) -> None:
         with suppress(MessageError):  # a candidate whose name does not fit in a datagram gets no answer
-            self.send(to, self.codec.encode_answer(*self.identity(), answer))
+            self.send(receiver, self.codec.encode_answer(*self.identity(), answer))
 
     def receive_record_request(self, sender: str, epoch: int) -> None:
         """Processes the request of another acceptor, which has lost its record, for this one's record."""
@@ -109,27 +109,35 @@
         else:  # an incomplete record holds nothing that has to be durable first
             self._send_record(sender, record)
 
-    def _send_record(self, to: str, record: AcceptorRecord) -> None:
+    def _send_record(self, receiver: str, record: AcceptorRecord) -> None:
         with suppress(MessageError):
             for part in self.codec.encode_record(*self.identity(), record):
-                self.send(to, part)
+                self.send(receiver, part)
 
     def receive_record_part(self, sender: str, part: RecordPart, now: int) -> None:
         """Processes one part of another acceptor's record. Raises MessageError if it is invalid."""
         acceptor = self.acceptor
         if acceptor.has_full_record or sender not in acceptor.acceptors:
             return
-        if not 0 <= part.part < part.parts <= MAX_LEASES:
+        if not 0 <= part.part_index < part.part_count <= MAX_LEASES:
             raise MessageError("malformed")
         parts = self.record_parts.setdefault(sender, {})
-        if any((p.epoch, p.sound, p.parts) != (part.epoch, part.sound, part.parts) for p in parts.values()):
+        if any(
+            (known.epoch, known.has_full_record, known.part_count)
+            != (part.epoch, part.has_full_record, part.part_count)
+            for known in parts.values()
+        ):
             parts.clear()
-        parts[part.part] = part
-        if len(parts) < part.parts:
+        parts[part.part_index] = part
+        if len(parts) < part.part_count:
             return
         del self.record_parts[sender]
-        rows = tuple((p.row.duty, row_from_wire(p.row)) for p in parts.values() if p.row is not None)
-        if acceptor.receive_peer_record(AcceptorRecord(sender, part.epoch, part.sound, rows), now):
+        rows = tuple(
+            (known.row.lease_name, row_from_wire(known.row))
+            for known in parts.values()
+            if known.row is not None
+        )
+        if acceptor.receive_peer_record(AcceptorRecord(sender, part.epoch, part.has_full_record, rows), now):
             mute_ms = max(0, acceptor.silent_until - now) // MS
             self.log.info("keeper learnt", duties=len(acceptor.records), mute_ms=mute_ms)
             self._when_saved(lambda: None)
@@ -157,7 +165,7 @@
         is_saved = False
         self.active_writes += 1
         try:
-            is_saved = acceptor.has_full_record and await self.record.save(RECORD_NAME, value)
+            is_saved = acceptor.has_full_record and await self.store.save(RECORD_NAME, value)
         finally:
             self.pending_saves -= 1
             self.active_writes -= 1
@@ -172,20 +180,20 @@
 
     def _encode_record(self) -> bytes:
         acceptor = self.acceptor
-        rows = [row_to_wire(duty, row) for duty, row in sorted(acceptor.records.items())]
+        rows = [row_to_wire(lease_name, row) for lease_name, row in sorted(acceptor.records.items())]
         return ENCODER.encode((acceptor.epoch, sorted(acceptor.peer_epochs.items()), rows))
 
     def _begin(self, now: int) -> None:
         """Loads the record, as soon as the state file can be read."""
         acceptor = self.acceptor
-        stored = self.record.held()
+        stored = self.store.held()
         if stored is None:
             return
         values, is_latest = stored
         self.has_begun = True
         try:
             epoch, peer_epochs, wire_rows = RECORD_DECODER.decode(values[RECORD_NAME])
-            rows = {wire.duty: row_from_wire(wire) for wire in wire_rows}
+            rows = {wire.lease_name: row_from_wire(wire) for wire in wire_rows}
             acceptor.load_record(epoch, dict(peer_epochs), rows, is_latest, now)
         except KeyError:
             pass  # this front was never an acceptor, or its record is lost
@@ -216,16 +224,16 @@
             acceptor.has_full_record = True  # there is no other acceptor to ask
             acceptor.unsaved = {EPOCHS}
 
-    def promised_token(self, duty: str) -> int | None:
+    def promised_token(self, lease_name: str) -> int | None:
         """The highest fencing token promised for a lease; None if there is none."""
-        row = self.acceptor.records.get(duty)
+        row = self.acceptor.records.get(lease_name)
         return row.promised_token if row is not None else None
 
-    def time_left(self, duty: str, now: int) -> int | None:
+    def time_left(self, lease_name: str, now: int) -> int | None:
         """Milliseconds until the running term of a lease ends here; None if no term runs."""
-        if self.acceptor.running_term(duty, now) is None:
+        if self.acceptor.running_term(lease_name, now) is None:
             return None
-        return (self.acceptor.running_until[duty] - now) // MS
+        return (self.acceptor.running_until[lease_name] - now) // MS
 
     def status(self, now: int) -> dict[str, object]:
         """Status for operators; the keys are an interface and do not change."""
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -23,10 +23,10 @@
     membership: Membership
     acceptor_host: AcceptorHost | None
     candidates: dict[str, LeaseCandidate]
-    wanted: set[str]
+    wanted_leases: set[str]
     dropped: Counter[str]
 
-    def current_term(self, duty: str) -> LeaseTerm | None:
+    def current_term(self, lease_name: str) -> LeaseTerm | None:
         """Current term of a lease, as far as this front knows."""
 
 
@@ -34,7 +34,7 @@
     """Status of all known leases, their holders and this front's acceptor."""
     acceptor = host.acceptor_host
     known = set(acceptor.acceptor.records) if acceptor is not None else set[str]()
-    leases = [_one_lease(host, duty, now) for duty in sorted(host.wanted | known)]
+    leases = [_lease_entry(host, lease_name, now) for lease_name in sorted(host.wanted_leases | known)]
     status: dict[str, object] = {
         "name": host.membership.own_update.name,
         "keepers": list(host.settings.keepers),
@@ -47,17 +47,17 @@
     return status
 
 
-def _one_lease(host: LeaseStatusSource, duty: str, now: int) -> dict[str, object]:
-    candidate = host.candidates.get(duty)
-    holder = host.current_term(duty)
+def _lease_entry(host: LeaseStatusSource, lease_name: str, now: int) -> dict[str, object]:
+    candidate = host.candidates.get(lease_name)
+    holder = host.current_term(lease_name)
     acceptor = host.acceptor_host
     return {
-        "duty": duty,
+        "duty": lease_name,
         "owner": holder.holder if holder is not None else None,
         "number": holder.fencing_token if holder is not None else 0,
         "mine": candidate is not None and candidate.held_term(now) is not None,
         "course": candidate.state.value if candidate is not None else None,
         "in_line": candidate.rank if candidate is not None else None,
-        "promised": acceptor.promised_token(duty) if acceptor is not None else None,
-        "left_ms": acceptor.time_left(duty, now) if acceptor is not None else None,
+        "promised": acceptor.promised_token(lease_name) if acceptor is not None else None,
+        "left_ms": acceptor.time_left(lease_name, now) if acceptor is not None else None,
     }
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -63,9 +63,9 @@
         clock: Clock,
         log: structlog.typing.FilteringBoundLogger,
         on_change: Callable[[Membership], None] = lambda _: None,
-        record: NamedValueStore | None = None,
+        store: NamedValueStore | None = None,
     ) -> None:
-        """Opens no sockets yet. Raises KeyFileError if the key file cannot be used; `record` is the state file."""
+        """Opens no sockets yet. Raises KeyFileError if the key file cannot be used; `store` is the state file."""
         self.settings = settings
         self.clock = clock
         self.log = log
@@ -95,7 +95,7 @@
         self.text_transfer: TextTransfer | None = None
         if settings.keepers:
             self.leases = LeaseHost(
-                settings, self.key_file.ring, self.membership, record, seed + 1, self._send_to_member, log
+                settings, self.key_file.ring, self.membership, store, seed + 1, self._send_to_member, log
             )
             self.text_transfer = TextTransfer(self.codec, self.leases, own_host, self.now, self.dropped)
             self.streams.register(LEASE_FORMAT, self.text_transfer.answer, TEXT_TIMEOUT_S)
--- a/oakcroft/peerwire/lease_codec.py
+++ b/oakcroft/peerwire/lease_codec.py
@@ -130,8 +130,8 @@
         """An acceptor's record, one row per datagram."""
         parts = max(1, len(record.records))
         wire = [
-            RecordPart(record.epoch, record.has_full_record, number, parts, row_to_wire(duty, row))
-            for number, (duty, row) in enumerate(record.records)
+            RecordPart(record.epoch, record.has_full_record, number, parts, row_to_wire(lease_name, row))
+            for number, (lease_name, row) in enumerate(record.records)
         ]
         wire = wire or [RecordPart(record.epoch, record.has_full_record, 0, 1)]
         return [self._datagram(sender, generation, LeaseMessageKind.LEARNT.value, part) for part in wire]
@@ -182,7 +182,7 @@
             if body.fleet != self.fleet:
                 raise MessageError("other fleet")
             sender = checked_name(body.sender)
-            generation = checked_number(body.start)
+            generation = checked_number(body.generation)
             return ReceivedLeaseMessage(sender, generation, _read(body))
         except msgspec.MsgspecError as error:
             raise MessageError("malformed") from error
@@ -208,8 +208,8 @@
 
 
 def _check_order_fields(message: Order | OrderReport) -> None:
-    checked_name(message.duty)
-    checked_number(message.number)
+    checked_name(message.lease_name)
+    checked_number(message.fencing_token)
     checked_number(message.step)
 
 
@@ -217,28 +217,30 @@
     wire = LEASE_REQUEST_DECODER.decode(body.payload)
     return LeaseRequest(
         MESSAGE_KINDS[body.kind],
-        checked_name(wire.duty),
+        checked_name(wire.lease_name),
         term_from_wire(wire.term),
         checked_number(wire.seq),
-        checked_number(wire.length),
+        checked_number(wire.term_length),
         note_from_wire(wire.note),
     )
 
 
 def _read_answer(body: WireBody) -> LeaseAnswer:
     wire = LEASE_ANSWER_DECODER.decode(body.payload)
-    epochs = tuple((checked_name(name), checked_number(epoch)) for name, epoch in wire.epochs[:MAX_ACCEPTORS])
-    running = None if wire.running is None else term_from_wire(wire.running)
+    epochs = tuple(
+        (checked_name(name), checked_number(epoch)) for name, epoch in wire.peer_epochs[:MAX_ACCEPTORS]
+    )
+    running = None if wire.running_term is None else term_from_wire(wire.running_term)
     return LeaseAnswer(
         MESSAGE_KINDS[body.kind],
-        checked_name(wire.duty),
+        checked_name(wire.lease_name),
         checked_name(body.sender),
         checked_number(wire.epoch),
-        checked_number(wire.number),
+        checked_number(wire.fencing_token),
         checked_number(wire.seq),
-        checked_number(wire.highest),
+        checked_number(wire.highest_promised),
         running,
-        checked_number(wire.left),
+        checked_number(wire.time_left),
         note_from_wire(wire.note),
         epochs,
     )
--- a/oakcroft/peerwire/lease_wire.py
+++ b/oakcroft/peerwire/lease_wire.py
@@ -1,7 +1,6 @@
 """Wire structures of lease messages, and their conversion to and from the types of `oakcroft.decisions.fleet`.
 
-Field names are not sent, since structures are encoded as arrays. In them a lease is a `duty` and a generation a
-`start`.
+Structures are encoded as arrays: the order of their fields is the wire format, their names are not sent.
 """
 
 from __future__ import annotations
@@ -14,21 +13,21 @@
 MAX_NAME_LENGTH = 64
 
 MAX_PROMISED_TO_LENGTH = 2 * MAX_NAME_LENGTH
-"""Maximum length of `WireRow.to`, which is a name and a generation in one string."""
+"""Maximum length of `WireRow.promised_to`, which is a name and a generation in one string."""
 
 
 class WireTerm(msgspec.Struct, array_like=True):
     """A `LeaseTerm` on the wire."""
 
-    number: int
-    owner: str
-    start: int
+    fencing_token: int
+    holder: str
+    generation: int
 
 
 class WireNote(msgspec.Struct, array_like=True, frozen=True):
     """A `LeaseNote` on the wire."""
 
-    number: int = 0
+    fencing_token: int = 0
     step: int = 0
     body: bytes = b""
 
@@ -36,25 +35,25 @@
 class WireLeaseRequest(msgspec.Struct, array_like=True):
     """A `LeaseRequest` on the wire."""
 
-    duty: str
+    lease_name: str
     term: WireTerm
     seq: int = 0
-    length: int = 0
+    term_length: int = 0
     note: WireNote = WireNote()
 
 
 class WireLeaseAnswer(msgspec.Struct, array_like=True):
     """A `LeaseAnswer` on the wire."""
 
-    duty: str
+    lease_name: str
     epoch: int
-    number: int
+    fencing_token: int
     seq: int = 0
-    highest: int = 0
-    running: WireTerm | None = None
-    left: int = 0
+    highest_promised: int = 0
+    running_term: WireTerm | None = None
+    time_left: int = 0
     note: WireNote = WireNote()
-    epochs: list[tuple[str, int]] = []
+    peer_epochs: list[tuple[str, int]] = []
 
 
 class RecordRequest(msgspec.Struct, array_like=True):
@@ -66,10 +65,10 @@
 class WireRow(msgspec.Struct, array_like=True):
     """A row of an acceptor's record, on the wire and in the state file."""
 
-    duty: str
-    promised: int
-    to: str
-    term: WireTerm | None
+    lease_name: str
+    promised_token: int
+    promised_to: str
+    accepted_term: WireTerm | None
     note: WireNote
 
 
@@ -77,30 +76,30 @@
     """One part of an acceptor's record: a row, or none if the record is empty."""
 
     epoch: int
-    sound: bool
-    part: int
-    parts: int
+    has_full_record: bool
+    part_index: int
+    part_count: int
     row: WireRow | None = None
 
 
 class Order(msgspec.Struct, array_like=True):
-    """A holder's order, fenced by its term's token (`number`) and a step within the term; `body` depends on the
+    """A holder's order, fenced by its term's token and a step within the term; `body` depends on the
     lease."""
 
-    duty: str
-    number: int
+    lease_name: str
+    fencing_token: int
     step: int
     body: bytes
 
 
 class OrderReport(msgspec.Struct, array_like=True):
-    """Report on an order. If `taken` is false, it was rejected, and `number` and `step` are those of the order in
-    force."""
+    """Report on an order. If `accepted` is false, it was rejected, and `fencing_token` and `step` are those of the
+    order in force."""
 
-    duty: str
-    number: int
+    lease_name: str
+    fencing_token: int
     step: int
-    taken: bool
+    accepted: bool
     body: bytes
 
 
@@ -123,7 +122,7 @@
 
     fleet: str
     sender: str
-    start: int
+    generation: int
     kind: int
     payload: msgspec.Raw
 
@@ -149,7 +148,9 @@
 
 def term_from_wire(wire: WireTerm) -> LeaseTerm:
     """Converts a wire structure to a term. Raises MessageError if it is invalid."""
-    return LeaseTerm(checked_number(wire.number), checked_name(wire.owner), checked_number(wire.start))
+    return LeaseTerm(
+        checked_number(wire.fencing_token), checked_name(wire.holder), checked_number(wire.generation)
+    )
 
 
 def note_to_wire(note: LeaseNote) -> WireNote:
@@ -161,17 +162,17 @@
     """Converts a wire structure to a note. Raises MessageError if it is invalid."""
     if len(wire.body) > MAX_NOTE_OCTETS:
         raise MessageError("malformed")
-    return LeaseNote(checked_number(wire.number), checked_number(wire.step), wire.body)
+    return LeaseNote(checked_number(wire.fencing_token), checked_number(wire.step), wire.body)
 
 
-def row_to_wire(duty: str, row: LeaseRecord) -> WireRow:
+def row_to_wire(lease_name: str, row: LeaseRecord) -> WireRow:
     """Converts a row to its structure on the wire and in the state file."""
     term = None if row.accepted_term is None else term_to_wire(row.accepted_term)
-    return WireRow(duty, row.promised_token, row.promised_to, term, note_to_wire(row.note))
+    return WireRow(lease_name, row.promised_token, row.promised_to, term, note_to_wire(row.note))
 
 
 def row_from_wire(wire: WireRow) -> LeaseRecord:
     """Converts a wire structure to a row. Raises MessageError if it is invalid."""
-    term = None if wire.term is None else term_from_wire(wire.term)
-    to = checked_name(wire.to, MAX_PROMISED_TO_LENGTH)
-    return LeaseRecord(checked_number(wire.promised), to, term, note_from_wire(wire.note))
+    term = None if wire.accepted_term is None else term_from_wire(wire.accepted_term)
+    promised_to = checked_name(wire.promised_to, MAX_PROMISED_TO_LENGTH)
+    return LeaseRecord(checked_number(wire.promised_token), promised_to, term, note_from_wire(wire.note))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -240,7 +240,7 @@
     ]
     assert len(parts) == 64
     assert (
-        tuple((p.row.duty, row_from_wire(p.row)) for p in parts if isinstance(p, RecordPart) and p.row)
+        tuple((p.row.lease_name, row_from_wire(p.row)) for p in parts if isinstance(p, RecordPart) and p.row)
         == records
     )
     assert len(lease_codec.encode_record("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
