--- a/benchmarks/capacity/measure_rollout.py
+++ b/benchmarks/capacity/measure_rollout.py
@@ -13,14 +13,8 @@
 from oakcroft.catalogue.text import text_digest, read_catalogue, format_catalogue
 from oakcroft.decisions.fleet.rollout import FINAL_STAGES, RolloutPlan, FrontReport, Rollout, RolloutStage
 from oakcroft.decisions.routing.catalogue import Catalogue, CatalogueTitle, changed_titles, is_in_share
-from oakcroft.front.catalogue_rollout import (
-    CATALOGUE_LEASE,
-    ENCODER,
-    ORDER_INTERVAL_S,
-    ReportBody,
-    decode_plan,
-    encode_plan,
-)
+from oakcroft.front.catalogue_rollout import ORDER_INTERVAL_S
+from oakcroft.front.rollout_messages import CATALOGUE_LEASE, ENCODER, ReportBody, decode_plan, encode_plan
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.lease_wire import Order, OrderReport
@@ -115,7 +109,7 @@
             heapq.heappush(self.events, (arrives_at, self.event_count, event))
 
     def _execute_order(self, front: int, order: Order) -> None:
-        """A front's part in `front/catalogue_rollout.py`, without its state file and the text transfer."""
+        """A front's part as in `front/rollout_participant.py`, without its state file and the text transfer."""
         plan = decode_plan(order.body)
         name = self.names[front]
         activates = is_in_share(front, len(self.names), int(plan.digest, 16), plan.target_share)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -32,7 +32,7 @@
     LeaseMessageKind,
     LeaseTerm,
 )
-from oakcroft.front.catalogue_rollout import PLAN_DECODER, decode_plan, encode_plan
+from oakcroft.front.rollout_messages import PLAN_DECODER, decode_plan, encode_plan
 from oakcroft.interface import SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
 from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, row_from_wire
