--- a/oakcroft/decisions/fleet/session_takeover.py
+++ b/oakcroft/decisions/fleet/session_takeover.py
@@ -21,8 +21,8 @@
 from oakcroft.decisions.membership.rendezvous import rank_order, weight
 from oakcroft.interface import MS, SECOND
 
-MAX_ADOPTERS_PER_NODE = 3
-"""Fronts that ask one node for the sessions of one failed front."""
+MAX_REQUESTING_FRONTS = 3
+"""Fronts that request the sessions of one failed front from one node."""
 
 ROUND_INTERVAL = SECOND
 """Time between the two rounds of requests; a successful request takes some tens of ms."""
@@ -45,6 +45,11 @@
 MAX_ORDERS_COMPUTED = 12
 """Rendezvous orders computed in one turn; they take 2 ms at 200 fronts."""
 
+KNOWN_FRONTS_FACTOR = 4
+MIN_KNOWN_FRONTS = 64
+"""Names of absent fronts are dropped once there are KNOWN_FRONTS_FACTOR times as many names as present and failed
+fronts, of which at least MIN_KNOWN_FRONTS are counted."""
+
 HASH_SLOTS_PER_NODE = 4
 """Rendezvous orders of each node, so that the sessions of many failed fronts on one node go to more than three fronts."""
 
@@ -59,7 +64,7 @@
     session_lease: int
     """Lease that fronts ask nodes for."""
 
-    max_adopted: int
+    max_taken_over: int
     """Playbacks taken over that one front may hold at a time."""
 
 
@@ -70,9 +75,9 @@
     UNKNOWN_PLAN = "no such plan here"
     TITLE_NOT_SERVED = "its title has no place here"
     NO_SEAT_FREE = "its seats are taken"
-    TOO_MANY_ADOPTED = "this front holds as many as it may"
+    TOO_MANY_TAKEN_OVER = "this front holds as many as it may"
     ALREADY_HELD = "it is held here already"
-    UNREADABLE_MEMO = "its memo can't be read"
+    UNREADABLE_CONTEXT = "its memo can't be read"
 
 
 @dataclass
@@ -92,7 +97,7 @@
     pending_nodes: set[str] = field(default_factory=set)
     """Nodes that are still to be asked, or are being asked."""
 
-    adopted: int = 0
+    taken_over: int = 0
     """Sessions taken over."""
 
     declined: Counter[str] = field(default_factory=Counter)
@@ -113,14 +118,14 @@
 
     is_second_round: bool = False
     rank: int = 0
-    """This front's place among those that ask."""
+    """This front's place among the requesting fronts."""
 
-    adopter_count: int = 1
-    """Number of fronts that ask, and share the sessions."""
+    requesting_fronts: int = 1
+    """Number of fronts that request the sessions and share them."""
 
     def is_own(self, session_id: str) -> bool:
         """Returns whether this front takes a session in this round."""
-        return self.is_second_round or weight("session", session_id) % self.adopter_count == self.rank
+        return self.is_second_round or weight("session", session_id) % self.requesting_fronts == self.rank
 
 
 @dataclass(frozen=True)
@@ -133,11 +138,11 @@
     @property
     def front_names(self) -> list[str]:
         """Names of the failed fronts."""
-        return [p.front.name for p in self.tasks]
+        return [task.front.name for task in self.tasks]
 
     def is_own(self, front_name: str, session_id: str) -> bool:
         """Returns whether this front takes a session of a failed front now."""
-        return any(p.front.name == front_name and p.is_own(session_id) for p in self.tasks)
+        return any(task.front.name == front_name and task.is_own(session_id) for task in self.tasks)
 
 
 class SessionTakeover:
@@ -156,8 +161,9 @@
         self.tasks: deque[TakeoverTask] = deque()
         self.active_requests: dict[str, TakeoverRequest] = {}  # by node
         self.dropped_tasks = 0
+        self.orders_left = 0  # rendezvous orders that may still be computed in this turn
 
-    # Updates.
+    # Changes of the fleet.
 
     def update_fronts(
         self, failed: Collection[str], present_fronts: Iterable[str], now: int
@@ -180,7 +186,9 @@
             del self.failed_fronts[front.name]
         for name in sorted(set(failed) - set(self.failed_fronts) - {self.own_name}):
             self._add_failed_front(name, now, self.bounds.delay)
-        if len(self.known_fronts) > 4 * max(64, len(self.present_fronts) + len(failed)):
+        if len(self.known_fronts) > KNOWN_FRONTS_FACTOR * max(
+            MIN_KNOWN_FRONTS, len(self.present_fronts) + len(failed)
+        ):
             # Bounds the table where names come and go.
             self.known_fronts = set(self.present_fronts) | set(failed)
             self.preceding_fronts.clear()
@@ -218,23 +226,23 @@
 
     # Due actions.
 
-    def _own_rank(self, node: str, slot: int, budget: list[int]) -> int | None:
-        """Returns how many present fronts precede this one; None where the budget of this turn is used up."""
+    def _own_rank(self, node: str, slot: int) -> int | None:
+        """Returns how many present fronts precede this one; None where no more orders may be computed in this turn."""
         rank = self.own_ranks.get((node, slot))
         if rank is not None:
             return rank
         preceding = self.preceding_fronts.get((node, slot))
         if preceding is None:
-            if not budget[0]:
+            if not self.orders_left:
                 return None
-            budget[0] -= 1
+            self.orders_left -= 1
             order = rank_order(f"{node}/{slot}", self.known_fronts | {self.own_name})
             preceding = self.preceding_fronts[node, slot] = tuple(order[: order.index(self.own_name)])
         rank = 0
         for front in preceding:
             if front in self.present_fronts:
                 rank += 1
-                if rank >= MAX_ADOPTERS_PER_NODE:
+                if rank >= MAX_REQUESTING_FRONTS:
                     break
         self.own_ranks[node, slot] = rank
         return rank
@@ -242,7 +250,7 @@
     def due_requests(self, now: int) -> list[TakeoverRequest]:
         """Returns the requests to begin now. The cost of a turn does not grow with the number of failed fronts."""
         tasks_by_node: dict[str, list[TakeoverTask]] = {}
-        budget = [MAX_ORDERS_COMPUTED]
+        self.orders_left = MAX_ORDERS_COMPUTED
         remaining = list[TakeoverTask]()
         for _ in range(min(MAX_TASKS_SCANNED, len(self.tasks))):
             task = self.tasks.popleft()
@@ -255,11 +263,7 @@
             ):
                 front.pending_nodes.discard(node)
                 continue
-            if (
-                now >= task.due_at
-                and node not in self.active_requests
-                and self._is_own_turn(task, now, budget)
-            ):
+            if now >= task.due_at and node not in self.active_requests and self._is_own_turn(task):
                 batch = tasks_by_node.get(node)
                 if batch is None and len(self.active_requests) + len(tasks_by_node) < MAX_CONCURRENT_REQUESTS:
                     tasks_by_node[node] = [task]
@@ -275,14 +279,15 @@
             requests.append(request)
         return requests
 
-    def _is_own_turn(self, task: TakeoverTask, now: int, budget: list[int]) -> bool:
+    def _is_own_turn(self, task: TakeoverTask) -> bool:
+        """Returns whether this front is among those that request the sessions; sets its place and their number."""
         if task.front.name == self.own_name:
             return True
-        rank = self._own_rank(task.node, task.front.hash_slot, budget)
-        if rank is None or rank >= MAX_ADOPTERS_PER_NODE:
+        rank = self._own_rank(task.node, task.front.hash_slot)
+        if rank is None or rank >= MAX_REQUESTING_FRONTS:
             return False
         task.rank = rank
-        task.adopter_count = max(1, min(MAX_ADOPTERS_PER_NODE, len(self.present_fronts)))
+        task.requesting_fronts = max(1, min(MAX_REQUESTING_FRONTS, len(self.present_fronts)))
         return True
 
     def request_finished(
--- a/oakcroft/front/front_end.py
+++ b/oakcroft/front/front_end.py
@@ -88,7 +88,7 @@
         self.read_count = 0
         self.restored_state: StateContents | None = None
         self.catalogues: CatalogueVersions | None = None
-        self.adopting: TakeoverRunner | None = None
+        self.takeover_runner: TakeoverRunner | None = None
         self.open_state_file: Callable[[str], StateFile] | None = None  # replaces the file system's
 
     async def run(
@@ -234,8 +234,8 @@
                     fronts=coordinator.site.terms.front_count,
                     left=view.left_count(),
                 )
-            if self.adopting is not None:
-                self.adopting.update_fronts()
+            if self.takeover_runner is not None:
+                self.takeover_runner.update_fronts()
 
         try:
             record = (
@@ -298,7 +298,7 @@
             def register_publisher(session: PlaybackSession) -> None:
                 service.publishers[session.playback.title.name] = session
 
-            self.adopting = TakeoverRunner(
+            self.takeover_runner = TakeoverRunner(
                 coordinator,
                 peers.membership,
                 peer_settings.takeover_bounds,
@@ -306,8 +306,8 @@
                 service.shutdown.accepts_requests,
                 self.log,
             )
-            operators.takeover = self.adopting
-            nursery.start_soon(self.adopting.run)
+            operators.takeover = self.takeover_runner
+            nursery.start_soon(self.takeover_runner.run)
         await nursery.start(peers.run)
         return peers.leave
 
--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -100,14 +100,14 @@
         ]
 
 
-def takeover_memo(session: PlaybackSession) -> str:
+def takeover_context(session: PlaybackSession) -> str:
     """Memo that lets another front end take a session over.
 
     Empty where it would be too long, in which case the session cannot be taken over.
     """
     playback = session.playback
-    return takeover_messages.encode_memo(
-        takeover_messages.SessionMemo(
+    return takeover_messages.encode_context(
+        takeover_messages.SessionContext(
             session.id,
             session.fingerprint,
             session.path,
@@ -175,8 +175,8 @@
                 )
                 if session.catalogue_number:
                     headers.append((http_formats.CATALOGUE_HEADER, str(session.catalogue_number)))
-                if self.identity is not None and (memo := takeover_memo(session)):
-                    headers.append((takeover_messages.MEMO_HEADER, memo))
+                if self.identity is not None and (context := takeover_context(session)):
+                    headers.append((takeover_messages.CONTEXT_HEADER, context))
                 response = await self.peer.request(
                     "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), progress
                 )
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -17,6 +17,7 @@
 import structlog
 import trio
 
+from oakcroft.config.settings import PlanTerms
 from oakcroft.decisions.fleet.session_takeover import (
     SessionTakeover,
     TakeoverBounds,
@@ -37,8 +38,10 @@
 from oakcroft.signalling import http_formats, takeover_messages
 
 CHECK_INTERVAL_NS = 50 * MS
-ANSWERS_BY_VALUE = {w.value: w for w in TakeoverAnswer}
-MAX_PAGES_PER_REQUEST = 64  # of one node's list in one request; the second round asks for the rest
+ANSWERS_BY_VALUE = {answer.value: answer for answer in TakeoverAnswer}
+
+MAX_PAGES_PER_REQUEST = 64
+"""Pages of one node's list that one request reads; the second round asks for the rest."""
 
 
 @dataclass(frozen=True)
@@ -70,7 +73,7 @@
         accepts_new: Callable[[], bool],
         log: structlog.typing.FilteringBoundLogger,
     ) -> None:
-        """`on_published` is called with each adopted session that publishes."""
+        """`on_published` is called with each session taken over that publishes."""
         self.coordinator = coordinator
         self.membership = membership
         self.bounds = bounds
@@ -78,15 +81,15 @@
         self.log = log
         self.accepts_new = accepts_new  # a front end that is leaving would at once end what it took over
         self.takeover = SessionTakeover(membership.own_update.name, bounds)
-        self.adopted_playbacks: dict[str, PlaybackSession] = {}  # adopted sessions by id
-        self.adopted_counts = Counter[str]()
+        self.taken_over_sessions: dict[str, PlaybackSession] = {}  # taken over here, by id
+        self.takeover_counts = Counter[str]()
         self.lost_to_others = 0
         self.declined_counts = Counter[str]()
-        coordinator.on_sessions_taken_over = self.playbacks_lost
+        coordinator.on_sessions_taken_over = self.record_lost_sessions
 
-    def playbacks_lost(self, playback_count: int) -> None:
+    def record_lost_sessions(self, session_count: int) -> None:
         """Counts sessions of this front end that nodes report as taken over by others."""
-        self.lost_to_others += playback_count
+        self.lost_to_others += session_count
 
     def update_fronts(self) -> None:
         """Applies a change of the fleet's membership."""
@@ -105,7 +108,7 @@
                 "adoption over",
                 of=returned_front.name,
                 why="it is back, or forgotten",
-                taken=returned_front.adopted,
+                taken=returned_front.taken_over,
             )
 
     async def run(self) -> None:
@@ -120,14 +123,14 @@
                 self.coordinator.nursery.start_soon(self._run_request, request)
             for failed_front in self.takeover.take_finished(now):
                 if (
-                    failed_front.adopted
+                    failed_front.taken_over
                     or failed_front.declined
                     or failed_front.name != self.membership.own_update.name
                 ):
                     self.log.info(
                         "adoption done",
                         of=failed_front.name,
-                        taken=failed_front.adopted,
+                        taken=failed_front.taken_over,
                         left=dict(failed_front.declined),
                         ms=(now - failed_front.failed_at) // MS,
                     )
@@ -159,20 +162,22 @@
                         if request.is_own(offered.front, offered.session)
                     ]
                     if own_sessions:
-                        await self._adopt(node_client, own_sessions)
+                        await self._take_over_sessions(node_client, own_sessions)
                     next_page = listing.next
                     if not next_page:
                         break
         finally:
             self.takeover.request_finished(request, answers, self.coordinator.clock.now())
 
-    async def _adopt(self, node_client: NodeClient, offered: list[takeover_messages.OfferedSession]) -> None:
+    async def _take_over_sessions(
+        self, node_client: NodeClient, offered: list[takeover_messages.OfferedSession]
+    ) -> None:
         """Takes over the offered sessions that can be served here."""
         chosen: dict[str, ChosenSession] = {}
         done = trio.Event()
 
         def choose() -> None:
-            self._forget_ended()
+            self._drop_ended()
             for offered_session in offered:
                 decision, session = self._restore_offered(node_client, offered_session)
                 if session is not None:
@@ -185,14 +190,16 @@
         await done.wait()
         if not chosen:
             return
-        given: set[str] | None = set()  # no session is handed over before the node is asked
+        handed_over: set[str] | None = set()  # no session is handed over before the node is asked
         try:
             await self._record_promises(chosen.values())
-            given = None
-            given = await node_client.take_over(list(chosen))
+            handed_over = None
+            handed_over = await node_client.take_over(list(chosen))
         finally:
             with trio.CancelScope(shield=True):
-                await self.coordinator.submit(partial(self._finish_adoption, node_client, chosen, given))
+                await self.coordinator.submit(
+                    partial(self._finish_takeover, node_client, chosen, handed_over)
+                )
 
     def _choose(
         self, node_client: NodeClient, offered: takeover_messages.OfferedSession, session: PlaybackSession
@@ -219,11 +226,11 @@
         if promises and self.coordinator.durable_state is not None:
             await self.coordinator.durable_state.record_takeovers(promises)
 
-    def _forget_ended(self) -> None:
-        """Drops adopted sessions that have ended."""
-        self.adopted_playbacks = {
+    def _drop_ended(self) -> None:
+        """Drops sessions taken over that have ended."""
+        self.taken_over_sessions = {
             session_id: session
-            for session_id, session in self.adopted_playbacks.items()
+            for session_id, session in self.taken_over_sessions.items()
             if session.playback in self.coordinator.sessions_by_playback
         }
 
@@ -240,50 +247,78 @@
         Returns why it is declined otherwise. Its seat is checked before the playback is counted (rule 5).
         """
         coordinator = self.coordinator
-        memo = takeover_messages.decode_memo(offered.memo)
+        context = takeover_messages.decode_context(offered.context)
         if (
-            memo is None
-            or not http_formats.is_request_path(memo.path)
+            context is None
+            or not http_formats.is_request_path(context.path)
             or not http_formats.is_request_path(offered.session)
         ):
-            return TakeoverDecision.UNREADABLE_MEMO, None
-        plan = coordinator.site.plans.get(memo.plan)
+            return TakeoverDecision.UNREADABLE_CONTEXT, None
+        plan = coordinator.site.plans.get(context.plan)
         if plan is None:
             return TakeoverDecision.UNKNOWN_PLAN, None
-        if (
-            memo.id in coordinator.sessions_by_id
-            or (node_client.name, offered.session) in coordinator.sessions_by_upstream
-        ):
+        if self._is_held(node_client, offered, context):
             return TakeoverDecision.ALREADY_HELD, None
-        if len(self.adopted_playbacks) >= self.bounds.max_adopted:
-            return TakeoverDecision.TOO_MANY_ADOPTED, None
+        if len(self.taken_over_sessions) >= self.bounds.max_taken_over:
+            return TakeoverDecision.TOO_MANY_TAKEN_OVER, None
         node = coordinator.node_list.nodes.get(node_client.name)
         top_rung = coordinator.title_top_rung(
-            memo.title, max(memo.top_rung, plan.plan.floor), plan.plan.floor
+            context.title, max(context.top_rung, plan.plan.floor), plan.plan.floor
         )
         if (
             node is None
             or top_rung is None
             or offered.rung < plan.plan.floor
-            or len(memo.title) > MAX_TITLE_LENGTH
+            or len(context.title) > MAX_TITLE_LENGTH
         ):
             return TakeoverDecision.TITLE_NOT_SERVED, None
-        now = coordinator.clock.now()
-        promise = Promise(
-            memo.id,
+        promise = self._promise_of(node_client, offered, context, plan, top_rung)
+        session = session_from_promise(coordinator, promise)
+        if session is None:
+            return TakeoverDecision.TITLE_NOT_SERVED, None
+        if plan.plan.seats and session.playback.title.seats_taken.get(plan.plan, 0) >= plan.plan.seats:
+            return TakeoverDecision.NO_SEAT_FREE, None
+        resume_playback(coordinator, session, node)
+        self.taken_over_sessions[session.id] = session
+        return TakeoverDecision.ACCEPTED, session
+
+    def _is_held(
+        self,
+        node_client: NodeClient,
+        offered: takeover_messages.OfferedSession,
+        context: takeover_messages.SessionContext,
+    ) -> bool:
+        """Returns whether this front end has the session already, by its id or by its resource on the node."""
+        return (
+            context.id in self.coordinator.sessions_by_id
+            or (node_client.name, offered.session) in self.coordinator.sessions_by_upstream
+        )
+
+    def _promise_of(
+        self,
+        node_client: NodeClient,
+        offered: takeover_messages.OfferedSession,
+        context: takeover_messages.SessionContext,
+        plan: PlanTerms,
+        top_rung: int,
+    ) -> Promise:
+        """Returns the record of an offered session, as if this front end had made its playback."""
+        now = self.coordinator.clock.now()
+        return Promise(
+            context.id,
             offered.key,
-            memo.fingerprint,
-            memo.path,
-            memo.title,
-            memo.plan,
+            context.fingerprint,
+            context.path,
+            context.title,
+            context.plan,
             plan.plan.effect.value,
             plan.plan.seats > 0,
-            memo.publishes,
-            memo.ufrag,
+            context.publishes,
+            context.ufrag,
             top_rung,
-            memo.token,
-            memo.written_at,
-            memo.abandon_at,
+            context.token,
+            context.written_at,
+            context.abandon_at,
             PromiseState.PLAYS,
             node_client.name,
             node_client.stream_health.process,
@@ -291,26 +326,19 @@
             rung=offered.rung,
             changed=now,
         )
-        session = session_from_promise(coordinator, promise)
-        if session is None:
-            return TakeoverDecision.TITLE_NOT_SERVED, None
-        if plan.plan.seats and session.playback.title.seats_taken.get(plan.plan, 0) >= plan.plan.seats:
-            return TakeoverDecision.NO_SEAT_FREE, None
-        resume_playback(coordinator, session, node)
-        self.adopted_playbacks[session.id] = session
-        return TakeoverDecision.ACCEPTED, session
 
-    def _finish_adoption(
-        self, node_client: NodeClient, chosen: dict[str, ChosenSession], given: set[str] | None
+    def _finish_takeover(
+        self, node_client: NodeClient, chosen: dict[str, ChosenSession], handed_over: set[str] | None
     ) -> None:
-        """Keeps the sessions that the node has given and ends the others.
+        """Keeps the sessions that the node has handed over and ends the others.
 
-        `given` is None if the node's answer was lost; its event stream is then reopened, whose start lists the sessions.
+        `handed_over` is None if the node's answer was lost; its event stream is then reopened, whose start lists the
+        sessions.
         """
         coordinator = self.coordinator
         for resource, chosen_session in chosen.items():
             session = chosen_session.session
-            was_refused = given is not None and resource not in given
+            was_refused = handed_over is not None and resource not in handed_over
             has_ended = (
                 session.playback not in coordinator.sessions_by_playback
                 or session.playback.state is not PlaybackState.PLAYING
@@ -319,19 +347,19 @@
                 self._keep_session(node_client, chosen_session)
                 continue
             if not has_ended:
-                self.adopted_playbacks.pop(session.id, None)
+                self.taken_over_sessions.pop(session.id, None)
                 coordinator.playback_ended(session, Outcome.WITHDRAWN)
             if chosen_session.promise is not None and coordinator.durable_state is not None:
                 coordinator.durable_state.takeover_failed(chosen_session.promise, was_refused)
-        if given is None:
+        if handed_over is None:
             node_client.reopen_stream()
         else:
             self.log.info(
                 "adopted",
                 node=node_client.name,
-                taken=len(given),
+                taken=len(handed_over),
                 asked=len(chosen),
-                held=len(self.adopted_playbacks),
+                held=len(self.taken_over_sessions),
             )
 
     def _keep_session(self, node_client: NodeClient, chosen_session: ChosenSession) -> None:
@@ -357,17 +385,17 @@
         if session.playback.rung > session.playback.top_rung:
             coordinator.set_rung_bound(session, session.playback.top_rung)
         front_name = chosen_session.offered.front
-        self.adopted_counts[front_name] += 1
+        self.takeover_counts[front_name] += 1
         if (failed_front := self.takeover.failed_fronts.get(front_name)) is not None:
-            failed_front.adopted += 1
+            failed_front.taken_over += 1
 
     def status(self) -> dict[str, object]:
         """Counts and failed front ends, for operators."""
         takeover = self.takeover
-        self._forget_ended()
+        self._drop_ended()
         return {
-            "held": len(self.adopted_playbacks),
-            "adopted": sum(self.adopted_counts.values()),
+            "held": len(self.taken_over_sessions),
+            "adopted": sum(self.takeover_counts.values()),
             "passed_on": self.lost_to_others,
             "left": dict(self.declined_counts),
             "asking": sorted(
--- a/oakcroft/signalling/takeover_messages.py
+++ b/oakcroft/signalling/takeover_messages.py
@@ -1,9 +1,9 @@
 """Messages between front ends and playout nodes about sessions that outlive their front end (docs/adopting.md).
 
 A front end identifies itself in `Oakcroft-Front: NAME;start=NUMBER`. `Oakcroft-Lease: SECONDS` states how long its
-sessions shall outlive the loss of its event stream. Each set-up carries a memo in `Oakcroft-Memo`. The node does not
-interpret it but passes it to the front end that takes the session over. All values are bounded, and an invalid one
-counts as absent.
+sessions shall outlive the loss of its event stream. Each set-up carries the context of its session in `Oakcroft-Memo`:
+the node stores it without interpreting it, and passes it to the front end that takes the session over. All values are
+bounded, and an invalid one counts as absent.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 FRONT_HEADER = "Oakcroft-Front"
 LEASE_HEADER = "Oakcroft-Lease"
-MEMO_HEADER = "Oakcroft-Memo"
+CONTEXT_HEADER = "Oakcroft-Memo"
 SESSIONS_PATH = "/fronts/sessions"
 NOT_HELD_PROBLEM = "urn:oakcroft:problem:not-held"
 """Problem type of a 409 to a front end that does not hold the session, or no longer does."""
 
-MAX_MEMO_LENGTH = 4_096  # characters of the encoded header field
+MAX_CONTEXT_LENGTH = 4_096  # characters of the encoded header field
 MAX_SESSIONS_PER_PAGE = 32
 MAX_FRONTS_PER_REQUEST = 16
 MAX_LEASE_DIGITS = 4
@@ -36,8 +36,8 @@
 TimestampNs = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
 
 
-class SessionMemo(msgspec.Struct, frozen=True, array_like=True):
-    """State of a playback that another front end needs to continue it. Times in ns since the epoch.
+class SessionContext(msgspec.Struct, frozen=True, array_like=True):
+    """What another front end needs to know of a playback to continue it. Times in ns since the epoch.
 
     It is encoded as an array, so new fields go to the end.
     """
@@ -63,7 +63,7 @@
     front: ShortText  # name of the front end that holds it
     rung: Annotated[int, msgspec.Meta(ge=0, lt=256)]
     tag: ShortText
-    memo: Annotated[str, msgspec.Meta(max_length=MAX_MEMO_LENGTH)]
+    context: Annotated[str, msgspec.Meta(max_length=MAX_CONTEXT_LENGTH)] = msgspec.field(name="memo")
     answer: Annotated[str, msgspec.Meta(max_length=65_536)]
 
 
@@ -104,16 +104,16 @@
     return int(text) * SECOND_NS if is_valid else 0
 
 
-def encode_memo(memo: SessionMemo) -> str:
-    """Returns the value of an `Oakcroft-Memo` field; "" if it would be longer than `MAX_MEMO_LENGTH`."""
-    text = base64.urlsafe_b64encode(msgspec.msgpack.encode(memo)).decode("ascii")
-    return text if len(text) <= MAX_MEMO_LENGTH else ""
+def encode_context(context: SessionContext) -> str:
+    """Returns the value of an `Oakcroft-Memo` field; "" if it would be longer than `MAX_CONTEXT_LENGTH`."""
+    text = base64.urlsafe_b64encode(msgspec.msgpack.encode(context)).decode("ascii")
+    return text if len(text) <= MAX_CONTEXT_LENGTH else ""
 
 
-def decode_memo(text: str) -> SessionMemo | None:
-    """Returns the memo of an `Oakcroft-Memo` field; None if it is invalid."""
+def decode_context(text: str) -> SessionContext | None:
+    """Returns the session context of an `Oakcroft-Memo` field; None if it is invalid."""
     try:
-        return msgspec.msgpack.decode(base64.urlsafe_b64decode(text.encode("ascii")), type=SessionMemo)
+        return msgspec.msgpack.decode(base64.urlsafe_b64decode(text.encode("ascii")), type=SessionContext)
     except (ValueError, binascii.Error, msgspec.MsgspecError):
         return None
 
--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -43,7 +43,7 @@
     entity_tag: int = 1
     """Entity tag of its ICE session; an ICE restart increments it."""
     holder: Caller = field(default_factory=lambda: Caller(""))
-    memo: str = ""
+    takeover_context: str = ""
     """What its front end stored for the one that may take it over."""
     answer: str = ""
     media_address: tuple[str, int] | None = None
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -271,8 +271,8 @@
         await self._wait_setup_duration()
         session.media_address = rtp.media_address(offer)
         session.holder = caller_of(request)
-        session.memo = (request.header(takeover_messages.MEMO_HEADER.lower()) or "")[
-            : takeover_messages.MAX_MEMO_LENGTH
+        session.takeover_context = (request.header(takeover_messages.CONTEXT_HEADER.lower()) or "")[
+            : takeover_messages.MAX_CONTEXT_LENGTH
         ]
         session.answer = sdp.create_answer(offer, self.setup_count, (ICE_USERNAME, ICE_PASSWORD), FINGERPRINT)
         self.start_session(session, rung)
--- a/oakcroft/standins/takeover.py
+++ b/oakcroft/standins/takeover.py
@@ -16,7 +16,7 @@
 """Size of one page of sessions that may be taken over."""
 
 SESSION_OVERHEAD_BYTES = 1_000
-"""Upper bound on the size of a session in a page beside its answer and its memo."""
+"""Upper bound on the size of a session in a page beside its answer and its context."""
 
 MAX_TAKEN_OVER = 1_024
 """Sessions taken over from one front end that a node still reports to it."""
@@ -42,7 +42,7 @@
     bytes_left = MAX_LISTING_BYTES
     last_number = 0
     for session in sorted(node.sessions.values(), key=lambda session: session.setup_number):
-        if session.holder.member not in states or not session.memo:
+        if session.holder.member not in states or not session.takeover_context:
             continue
         answer = _check_takeover(node, session, caller)
         if answer is not TakeoverAnswer.ALLOWED:
@@ -50,7 +50,7 @@
             continue
         if session.setup_number <= after:
             continue
-        bytes_left -= len(session.answer) + len(session.memo) + SESSION_OVERHEAD_BYTES
+        bytes_left -= len(session.answer) + len(session.takeover_context) + SESSION_OVERHEAD_BYTES
         if len(page) == takeover_messages.MAX_SESSIONS_PER_PAGE or bytes_left < 0:
             next_page = str(last_number)
             break
@@ -65,7 +65,7 @@
     rung = node.machine.streams[session.id].rung
     tag = str(session.entity_tag)
     return takeover_messages.OfferedSession(
-        path, session.key, session.holder.member, rung, tag, session.memo, session.answer
+        path, session.key, session.holder.member, rung, tag, session.takeover_context, session.answer
     )
 
 
--- a/tests/test_session_takeover.py
+++ b/tests/test_session_takeover.py
@@ -201,19 +201,19 @@
 
 
 @given(TEXT, TEXT, st.integers(0, 1 << 40), st.booleans())
-def test_a_memo_survives_encoding_and_decoding(id_: str, title: str, when: int, publishes: bool) -> None:
-    """Decoding an encoded memo gives the same memo."""
-    memo = takeover_messages.SessionMemo(
+def test_a_context_survives_encoding_and_decoding(id_: str, title: str, when: int, publishes: bool) -> None:
+    """Decoding an encoded context gives the same context."""
+    context = takeover_messages.SessionContext(
         id_, "a", "/whep/open/t", title, "open", "u", "", 3, when, when + 1, publishes
     )
-    assert takeover_messages.decode_memo(takeover_messages.encode_memo(memo)) == memo
+    assert takeover_messages.decode_context(takeover_messages.encode_context(context)) == context
 
 
 @given(st.text(max_size=80) | st.binary(max_size=80).map(lambda b: b.decode("latin-1")))
-def test_invalid_memos_fronts_and_leases_are_ignored(text: str) -> None:
+def test_invalid_contexts_fronts_and_leases_are_ignored(text: str) -> None:
     """Arbitrary header values decode to a valid value or count as absent."""
-    memo = takeover_messages.decode_memo(text)
-    assert memo is None or takeover_messages.encode_memo(memo)
+    context = takeover_messages.decode_context(text)
+    assert context is None or takeover_messages.encode_context(context)
     name, start = takeover_messages.parse_front(text)
     assert (name == "") == (start == 0) or start == 0
     assert 0 <= takeover_messages.parse_lease(text) < 10_000 * SECOND
@@ -229,11 +229,13 @@
     assert takeover_messages.parse_front(takeover_messages.format_front(name, start)) == (name, start)
 
 
-def test_a_memo_that_does_not_fit_its_field_is_empty() -> None:
-    """A memo over the limit is not sent, and an invalid one is not decoded."""
-    memo = takeover_messages.SessionMemo("i", "a", "/" + "x" * 5_000, "t", "open", "u", "", 3, 0, 1, False)
-    assert takeover_messages.encode_memo(memo) == ""
-    assert takeover_messages.decode_memo("A" * 100) is None
+def test_a_context_that_does_not_fit_its_field_is_empty() -> None:
+    """A context over the limit is not sent, and an invalid one is not decoded."""
+    context = takeover_messages.SessionContext(
+        "i", "a", "/" + "x" * 5_000, "t", "open", "u", "", 3, 0, 1, False
+    )
+    assert takeover_messages.encode_context(context) == ""
+    assert takeover_messages.decode_context("A" * 100) is None
 
 
 def test_takeovers_and_probes_are_off_unless_configured() -> None:
--- a/tests/test_takeover_records.py
+++ b/tests/test_takeover_records.py
@@ -90,14 +90,14 @@
 async def set_up_as_failed_front(rig: Rig, key: str) -> Response:
     """Sets a paid session up on a node as the front end that is going to fail, which the node lost long ago."""
     now = rig.fleet.clock.now()
-    memo = takeover_messages.SessionMemo(
+    context = takeover_messages.SessionContext(
         session_id(key), fingerprint(), PATH, "t", "course", "v0000001", "", 2, now, now + SECOND, False
     )
     headers = [
         ("Via", f"1.1 {FAILED_PSEUDONYM}"),
         (takeover_messages.FRONT_HEADER, takeover_messages.format_front(FAILED_FRONT_NAME, 1)),
         (takeover_messages.LEASE_HEADER, str(LEASE_NS // SECOND)),
-        (takeover_messages.MEMO_HEADER, takeover_messages.encode_memo(memo)),
+        (takeover_messages.CONTEXT_HEADER, takeover_messages.encode_context(context)),
         ("Content-Type", sdp.MEDIA_TYPE),
         ("Idempotency-Key", http_formats.quoted_string(key)),
     ]
@@ -286,7 +286,7 @@
             async def end_meanwhile(node_client: NodeClient, resources: list[str]) -> set[str] | None:
                 given = await take_over(node_client, resources)
                 coordinator = rig.coordinator()
-                (session,) = runner.adopted_playbacks.values()
+                (session,) = runner.taken_over_sessions.values()
                 await coordinator.submit(partial(coordinator.end_session, session))
                 taken.set()
                 return given
