--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -28,7 +28,7 @@
     gaps_s = list[float]()
     while len(gaps_s) < kills:
         fleet.run(fleet.rng.randrange(term))
-        holder = fleet.owner()
+        holder = fleet.holder()
         terms_before = len(fleet.terms_begun)
         if holder is None:  # message loss has just ended a term
             continue
