--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -26,7 +26,7 @@
 from oakcroft.rulecheck.facts import Fact, Finding
 from oakcroft.rulecheck.membership import check_membership
 from oakcroft.rulecheck.session_ownership import check_session_ownership
-from oakcroft.rulecheck.owners import check_owners
+from oakcroft.rulecheck.lease_holders import check_lease_holders
 from oakcroft.rulecheck.rules import check_rules
 from oakcroft.running.clock import Clock
 from oakcroft.standins.peer_network import PeerNetwork
@@ -191,7 +191,7 @@
             findings += check_membership(facts, names)
         if self.day.keepers:
             with_orders = facts + orders_in_effect(self.fronts)
-            findings += check_owners(with_orders, names, frozenset(self.day.keepers), self.day.term_ns)
+            findings += check_lease_holders(with_orders, names, frozenset(self.day.keepers), self.day.term_ns)
         if self.day.has_takeovers:
             findings += check_session_ownership(facts)
         return findings
--- a/oakcroft/rulecheck/owners.py
+++ b/oakcroft/rulecheck/lease_holders.py
@@ -1,12 +1,11 @@
-"""Checks from outside that each duty of the fleet had one owner at a time.
+"""Checks from outside that each lease of the fleet had one holder at a time.
 
-An owner is the front that holds the lease of a duty. The input is what fronts answered when they were asked which duties
-they own, the orders that took effect on each front, in the order of its own log over all its processes, and what was
-done to the fronts.
+The input is what fronts answered when they were asked which leases they hold, the orders that took effect on each front,
+in the order of its own log over all its processes, and what was done to the fronts.
 
-Facts, beside those of membership.py: `owners` (front, asked: when it was asked, duties: name to number of those that it
-takes for its own), `stands` (front, fence: number and step, in_force, stage of the last roll-out) and `effect` (front,
-place: its line in the front's log, number, step).
+Facts, beside those of membership.py: `owners` (front, asked: when it was asked, duties: fencing token by the name of
+each lease that it believes to hold), `stands` (front, fence: fencing token and step, in_force, stage of the last
+rollout) and `effect` (front, place: its line in the front's log, number: fencing token, step).
 """
 
 from __future__ import annotations
@@ -23,12 +22,12 @@
 POLL_INTERVAL_NS = SECOND
 """Longest time between two polls of the same front on a busy machine."""
 
-MAX_OWNERLESS_TERMS = 2
-"""Longest time without an owner, in terms, beside the time until the death of the first candidates is known."""
+MAX_VACANT_TERMS = 2
+"""Longest time without a holder, in terms, beside the time until the death of the first candidates is known."""
 
 
-class OwnedTerm(NamedTuple):
-    """The time (ns) in which fronts surely owned a duty: from the first answer that says so to the last question."""
+class HeldTerm(NamedTuple):
+    """The time (ns) in which fronts certainly held a lease: from the first answer that says so to the last question."""
 
     number: int
     begin: int
@@ -36,27 +35,27 @@
     fronts: set[int]
 
 
-def check_owners(
-    facts: list[Fact], names: Mapping[int, str], keepers: frozenset[int], term: int
+def check_lease_holders(
+    facts: list[Fact], names: Mapping[int, str], acceptors: frozenset[int], term: int
 ) -> list[Finding]:
-    """Checks four properties: 21 one owner at a time, 22 no order of an older term takes effect after one of a newer
-    term, 23 no long time without an owner, 24 all fronts are in the same state in the end.
+    """Checks four properties: 21 one holder at a time, 22 no order of an older term takes effect after one of a newer
+    term, 23 no long time without a holder, 24 all fronts are in the same state in the end.
 
-    `keepers` are the numbers of the fronts that grant leases, and `term` is the length of a lease in ns.
+    `acceptors` are the numbers of the fronts that grant leases, and `term` is the length of a lease in ns.
     """
     facts = sorted(facts, key=lambda fact: fact["t"])
     last = max((fact["t"] for fact in facts if fact["kind"] == "owners"), default=0)
     outages = find_outages(facts, last)
     return [
-        _check_one_owner(facts),
+        _check_one_holder(facts),
         _check_order_of_effects(facts),
-        _check_ownerless_times(facts, outages, keepers, term, last),
+        _check_vacant_times(facts, outages, acceptors, term, last),
         _check_same_state(facts, outages, names),
     ]
 
 
-def _check_one_owner(facts: list[Fact]) -> Finding:
-    """Checks that each number belongs to one front and that the times of two numbers do not overlap.
+def _check_one_holder(facts: list[Fact]) -> Finding:
+    """Checks that each fencing token belongs to one front and that the times of two tokens do not overlap.
 
     A front's claim held at some moment between the question and its answer.
     """
@@ -64,23 +63,23 @@
     claims = defaultdict[tuple[str, int], list[Fact]](list)
     for fact in facts:
         if fact["kind"] == "owners":
-            for duty, number in fact["duties"].items():
-                claims[duty, number].append(fact)
-    terms_by_duty = defaultdict[str, list[OwnedTerm]](list)
-    for (duty, number), claims_of_number in claims.items():
+            for lease_name, number in fact["duties"].items():
+                claims[lease_name, number].append(fact)
+    terms_by_lease = defaultdict[str, list[HeldTerm]](list)
+    for (lease_name, number), claims_of_number in claims.items():
         finding.cases += len(claims_of_number)
         fronts = {claim["front"] for claim in claims_of_number}
         if len(fronts) > 1:
-            finding.add_breach(f"number {number} of {duty} is owned by fronts {sorted(fronts)}")
+            finding.add_breach(f"number {number} of {lease_name} is owned by fronts {sorted(fronts)}")
         begin = min(claim["t"] for claim in claims_of_number)
         end = max(claim["asked"] for claim in claims_of_number)
-        terms_by_duty[duty].append(OwnedTerm(number, begin, end, fronts))
-    for duty, terms in terms_by_duty.items():
+        terms_by_lease[lease_name].append(HeldTerm(number, begin, end, fronts))
+    for lease_name, terms in terms_by_lease.items():
         terms.sort()
         for earlier, later in pairwise(terms):
             if min(later.end, later.begin) < earlier.end and earlier.fronts != later.fronts:
                 finding.add_breach(
-                    f"{duty}: fronts {sorted(later.fronts)} had {later.number} "
+                    f"{lease_name}: fronts {sorted(later.fronts)} had {later.number} "
                     f"while {sorted(earlier.fronts)} still had {earlier.number}"
                 )
     if not finding.cases:
@@ -89,7 +88,7 @@
 
 
 def _check_order_of_effects(facts: list[Fact]) -> Finding:
-    """Checks that neither the orders in effect on a front nor its fence go back to an older number or step."""
+    """Checks that neither the orders in effect on a front nor its fence go back to an older token or step."""
     finding = Finding(22, "no older number after a newer")
     highest = defaultdict[int, tuple[int, int]](lambda: (0, 0))
     effects = (fact for fact in facts if fact["kind"] == "effect")
@@ -112,12 +111,12 @@
     return finding
 
 
-def _check_ownerless_times(
-    facts: list[Fact], outages: list[Outage], keepers: frozenset[int], term: int, last: int
+def _check_vacant_times(
+    facts: list[Fact], outages: list[Outage], acceptors: frozenset[int], term: int, last: int
 ) -> Finding:
-    """Checks that no time without an owner is longer than two terms and the time until a death is known.
+    """Checks that no time without a holder is longer than two terms and the time until a death is known.
 
-    Times in which no majority of keepers was available, or the network was cut, do not count.
+    Times in which no majority of acceptors was available, or the network was cut, do not count.
     """
     finding = Finding(23, "not without an owner for long")
     claim_times = sorted(
@@ -125,29 +124,29 @@
     )
     if not claim_times:
         return finding
-    allowed = MAX_OWNERLESS_TERMS * term + DEATH_KNOWN_WITHIN_NS + POLL_INTERVAL_NS
+    allowed = MAX_VACANT_TERMS * term + DEATH_KNOWN_WITHIN_NS + POLL_INTERVAL_NS
     for (since, _), (until, _) in zip(claim_times, [*claim_times[1:], (last, last)], strict=True):
         finding.cases += 1
-        if until - since > allowed and not _is_excused(outages, keepers, since, until, term):
+        if until - since > allowed and not _is_excused(outages, acceptors, since, until, term):
             finding.add_breach(f"nobody owned it for {(until - since) / SECOND:.1f} s")
     return finding
 
 
-def _is_excused(outages: list[Outage], keepers: frozenset[int], since: int, until: int, term: int) -> bool:
-    """Whether in a time the network was cut or no majority of keepers was available."""
+def _is_excused(outages: list[Outage], acceptors: frozenset[int], since: int, until: int, term: int) -> bool:
+    """Whether in a time the network was cut or no majority of acceptors was available."""
     unavailable = set[int]()
     for outage in outages:
-        # A keeper that was away grants nothing for a term after its return.
+        # An acceptor that was away grants nothing for a term after its return.
         if outage.begin >= until or outage.end + 2 * term <= since:
             continue
         if outage.kind == "cut":
             return True
         unavailable |= outage.fronts
-    return 2 * len(keepers & unavailable) >= len(keepers)
+    return 2 * len(acceptors & unavailable) >= len(acceptors)
 
 
 def _check_same_state(facts: list[Fact], outages: list[Outage], names: Mapping[int, str]) -> Finding:
-    """Checks that all running fronts end with the same version in force and no roll-out in progress."""
+    """Checks that all running fronts end with the same version in force and no rollout in progress."""
     finding = Finding(24, "all stand alike in the end")
     last_states = dict[int, Fact]()
     for fact in facts:
--- a/tests/test_lease_holder_check.py
+++ b/tests/test_lease_holder_check.py
@@ -10,7 +10,7 @@
 
 from oakcroft.decisions.fleet.lease import Fence
 from oakcroft.interface import MS, SECOND
-from oakcroft.rulecheck.owners import check_owners
+from oakcroft.rulecheck.lease_holders import check_lease_holders
 from oakcroft.rulecheck.facts import Fact
 
 TERM = 2 * SECOND
@@ -67,14 +67,14 @@
 def breaches(facts: list[Fact]) -> dict[int, list[str]]:
     return {
         finding.rule: finding.breaches
-        for finding in check_owners(facts, NAMES, KEEPERS, TERM)
+        for finding in check_lease_holders(facts, NAMES, KEEPERS, TERM)
         if finding.breaches
     }
 
 
 def test_a_correct_fleet_has_no_breaches() -> None:
     assert breaches(model_records()) == {}
-    assert all(finding.cases for finding in check_owners(model_records(), NAMES, KEEPERS, TERM))
+    assert all(finding.cases for finding in check_lease_holders(model_records(), NAMES, KEEPERS, TERM))
 
 
 @pytest.mark.parametrize(
