--- a/oakcroft/rulecheck/cold_nodes.py
+++ b/oakcroft/rulecheck/cold_nodes.py
@@ -18,8 +18,8 @@
     """
     finding = Finding(4, "no cold node pushed over")
     tries_by_node: dict[str, list[SetUp]] = defaultdict(list)
-    for one in tries:
-        tries_by_node[one.node].append(one)
+    for set_up in tries:
+        tries_by_node[set_up.node].append(set_up)
     deaths_known = _deaths_known(facts)
     lists_told = [fact for fact in facts if fact["kind"] == "told"]
     for start in facts:
@@ -32,9 +32,9 @@
         if overload["kind"] == "fell" and not any(overload["node"] in breach for breach in finding.breaches):
             window_start = overload["t"] - site.terms.overload_window_ns
             fronts = {
-                one.front
-                for one in tries_by_node[overload["node"]]
-                if window_start < one.received_at <= overload["t"]
+                set_up.front
+                for set_up in tries_by_node[overload["node"]]
+                if window_start < set_up.received_at <= overload["t"]
             }
             if fronts & set(deaths_known[overload["node"]]):
                 finding.add_breach(f"{overload['node']}: fell over")
@@ -72,12 +72,14 @@
     node = start["node"]
     started_at = start["t"]
     cold_until = started_at + terms.cold_duration_ns
-    while_cold = [one for one in tries if started_at <= one.received_at < cold_until]
+    while_cold = [set_up for set_up in tries if started_at <= set_up.received_at < cold_until]
     for index, last in enumerate(while_cold):
         window_start = last.received_at - terms.overload_window_ns
-        window = [one for one in while_cold[: index + 1] if one.received_at > window_start]
+        window = [set_up for set_up in while_cold[: index + 1] if set_up.received_at > window_start]
         of_informed_fronts = [
-            one for one in window if one.front not in known_at or known_at[one.front] <= one.received_at
+            set_up
+            for set_up in window
+            if set_up.front not in known_at or known_at[set_up.front] <= set_up.received_at
         ]
         age_ns = last.received_at - started_at
         allowed = _allowed_set_ups(age_ns, places, terms)
--- a/oakcroft/rulecheck/drains.py
+++ b/oakcroft/rulecheck/drains.py
@@ -29,21 +29,23 @@
     """
     finding = Finding(3, "drains kept")
     lists_by_front = _node_lists_sent(facts)
-    for one in tries:
-        lists = lists_by_front.get(one.front, [])
+    for set_up in tries:
+        lists = lists_by_front.get(set_up.front, [])
         if not lists:
             continue
         finding.cases += 1
-        applied_before = one.received_at - site.drain_grace_ns - MAX_TRANSIT_NS
+        applied_before = set_up.received_at - site.drain_grace_ns - MAX_TRANSIT_NS
         last_applied = max(
             (index for index, sent in enumerate(lists) if sent.applied_at <= applied_before), default=None
         )
         if last_applied is None:
             continue
         since = lists[last_applied:]
-        if all(one.node not in sent.ready_nodes for sent in since if sent.written_at <= one.received_at):
-            late_ms = (one.received_at - since[0].applied_at) / MS
-            finding.add_breach(f"{one.key}: sent to {one.node} {late_ms:.0f} ms after it was not ready")
+        if all(
+            set_up.node not in sent.ready_nodes for sent in since if sent.written_at <= set_up.received_at
+        ):
+            late_ms = (set_up.received_at - since[0].applied_at) / MS
+            finding.add_breach(f"{set_up.key}: sent to {set_up.node} {late_ms:.0f} ms after it was not ready")
     return finding
 
 
--- a/oakcroft/rulecheck/lease_holders.py
+++ b/oakcroft/rulecheck/lease_holders.py
@@ -29,7 +29,7 @@
 class HeldTerm(NamedTuple):
     """The time (ns) in which fronts certainly held a lease: from the first answer that says so to the last question."""
 
-    number: int
+    fencing_token: int
     begin: int
     end: int
     fronts: set[int]
@@ -63,24 +63,24 @@
     claims = defaultdict[tuple[str, int], list[Fact]](list)
     for fact in facts:
         if fact["kind"] == "owners":
-            for lease_name, number in fact["duties"].items():
-                claims[lease_name, number].append(fact)
+            for lease_name, token in fact["duties"].items():
+                claims[lease_name, token].append(fact)
     terms_by_lease = defaultdict[str, list[HeldTerm]](list)
-    for (lease_name, number), claims_of_number in claims.items():
-        finding.cases += len(claims_of_number)
-        fronts = {claim["front"] for claim in claims_of_number}
+    for (lease_name, token), claims_of_token in claims.items():
+        finding.cases += len(claims_of_token)
+        fronts = {claim["front"] for claim in claims_of_token}
         if len(fronts) > 1:
-            finding.add_breach(f"number {number} of {lease_name} is owned by fronts {sorted(fronts)}")
-        begin = min(claim["t"] for claim in claims_of_number)
-        end = max(claim["asked"] for claim in claims_of_number)
-        terms_by_lease[lease_name].append(HeldTerm(number, begin, end, fronts))
+            finding.add_breach(f"number {token} of {lease_name} is owned by fronts {sorted(fronts)}")
+        begin = min(claim["t"] for claim in claims_of_token)
+        end = max(claim["asked"] for claim in claims_of_token)
+        terms_by_lease[lease_name].append(HeldTerm(token, begin, end, fronts))
     for lease_name, terms in terms_by_lease.items():
         terms.sort()
         for earlier, later in pairwise(terms):
             if min(later.end, later.begin) < earlier.end and earlier.fronts != later.fronts:
                 finding.add_breach(
-                    f"{lease_name}: fronts {sorted(later.fronts)} had {later.number} "
-                    f"while {sorted(earlier.fronts)} still had {earlier.number}"
+                    f"{lease_name}: fronts {sorted(later.fronts)} had {later.fencing_token} "
+                    f"while {sorted(earlier.fronts)} still had {earlier.fencing_token}"
                 )
     if not finding.cases:
         finding.add_breach("nobody ever owned anything")
--- a/oakcroft/rulecheck/plan_terms.py
+++ b/oakcroft/rulecheck/plan_terms.py
@@ -15,15 +15,15 @@
     """Checks that no rung is under its plan's floor and that no front holds more seats of a title than the plan has."""
     finding = Finding(5, "terms kept")
     seat_changes: SeatChanges = defaultdict(list)
-    for one in tries:
-        if one.plan not in site.plans:
+    for set_up in tries:
+        if set_up.plan not in site.plans:
             continue
-        plan = site.plans[one.plan].plan
+        plan = site.plans[set_up.plan].plan
         finding.cases += 1
-        if one.rung < plan.floor:
-            finding.add_breach(f"{one.key}: set up on rung {one.rung} under the floor {plan.floor}")
+        if set_up.rung < plan.floor:
+            finding.add_breach(f"{set_up.key}: set up on rung {set_up.rung} under the floor {plan.floor}")
         if plan.seats:
-            _add_seat_changes(one, seat_changes)
+            _add_seat_changes(set_up, seat_changes)
     for fact in facts:
         if fact["kind"] == "rung" and fact["rung"] < site.plans[fact["plan"]].plan.floor:
             finding.add_breach(f"{fact['session']}: set to rung {fact['rung']} under its floor")
--- a/oakcroft/rulecheck/repeated_set_ups.py
+++ b/oakcroft/rulecheck/repeated_set_ups.py
@@ -20,8 +20,8 @@
     a try that may have run."""
     finding = Finding(2, "no set-up twice")
     tries_by_key: dict[str, list[SetUp]] = defaultdict(list)
-    for one in tries:
-        tries_by_key[one.key].append(one)
+    for set_up in tries:
+        tries_by_key[set_up.key].append(set_up)
     for tries_of_key in tries_by_key.values():
         _check_tries(tries_of_key, site, finding)
     _check_answers(facts, tries_by_key, site, finding)
@@ -65,7 +65,7 @@
         kind = fact["kind"]
         if kind == "got" and fact["status"] == UNAVAILABLE and fact.get("type") == REJECTED:
             tries = tries_by_key.get(fact["key"], [])
-            if tries and _is_paid(site, tries[0].plan) and not all(one.proved_not_run for one in tries):
+            if tries and _is_paid(site, tries[0].plan) and not all(set_up.proved_not_run for set_up in tries):
                 finding.add_breach(f"{fact['key']}: paid and rejected though a try may have run")
         elif kind == "both ways" and fact["status"] == CREATED and not fact["same"]:
             finding.add_breach(f"{fact['key']}: asked over both ways, it became two playbacks")
@@ -86,10 +86,10 @@
     """Checks a playback together with its copies: a paid one has no copies, no try of one copy is open beside a try of
     another, and never more than two copies play."""
     tries_by_playback: dict[str, list[SetUp]] = defaultdict(list)
-    for one in tries:
-        tries_by_playback[playback_key(one.key)].append(one)
+    for set_up in tries:
+        tries_by_playback[playback_key(set_up.key)].append(set_up)
     for key, tries_of_playback in tries_by_playback.items():
-        if len({one.key for one in tries_of_playback}) == 1:
+        if len({set_up.key for set_up in tries_of_playback}) == 1:
             continue
         finding.cases += 1
         if _is_paid(site, tries_of_playback[0].plan):
@@ -105,10 +105,12 @@
 def _max_playing_copies(tries: list[SetUp]) -> int:
     """Returns how many copies of a playback played at once: the first count over the bound, else the highest."""
     # Of each key only the last try counts, as the answers to earlier ones came too late.
-    played = {one.key: one for one in tries if one.status == CREATED}.values()
-    changes = [(one.ended_at or one.received_at, 1) for one in played]
+    played = {set_up.key: set_up for set_up in tries if set_up.status == CREATED}.values()
+    changes = [(set_up.ended_at or set_up.received_at, 1) for set_up in played]
     changes += [
-        (one.session_ended_at + MAX_TRANSIT_NS, -1) for one in played if one.session_ended_at is not None
+        (set_up.session_ended_at + MAX_TRANSIT_NS, -1)
+        for set_up in played
+        if set_up.session_ended_at is not None
     ]
     playing = 0
     highest = 0
--- a/oakcroft/rulecheck/retry_budget.py
+++ b/oakcroft/rulecheck/retry_budget.py
@@ -38,8 +38,8 @@
     """By front: when it sent tries beyond a playback's first."""
     seen_keys: set[str] = set()
     times: dict[str, list[int]] = defaultdict(list)
-    for one in tries:
-        if one.key in seen_keys:
-            times[one.front].append(one.received_at)
-        seen_keys.add(one.key)
+    for set_up in tries:
+        if set_up.key in seen_keys:
+            times[set_up.front].append(set_up.received_at)
+        seen_keys.add(set_up.key)
     return times
