--- a/oakcroft/rulecheck/cold_nodes.py
+++ b/oakcroft/rulecheck/cold_nodes.py
@@ -16,7 +16,7 @@
     connected to the node when its process died, or that started later. An overload that a node recorded is a breach too
     if a front that was connected to it at a death sent it a set-up within the window before.
     """
-    finding = Finding(4, "no cold node pushed over")
+    finding = Finding(4, "no cold node overloaded")
     tries_by_node: dict[str, list[SetUp]] = defaultdict(list)
     for set_up in tries:
         tries_by_node[set_up.node].append(set_up)
@@ -37,7 +37,7 @@
                 if window_start < set_up.received_at <= overload["t"]
             }
             if fronts & set(deaths_known[overload["node"]]):
-                finding.add_breach(f"{overload['node']}: fell over")
+                finding.add_breach(f"{overload['node']}: overloaded")
     return finding
 
 
@@ -85,7 +85,7 @@
         allowed = _allowed_set_ups(age_ns, places, terms)
         if places and len(window) > allowed and len(of_informed_fronts) * 2 > len(window):
             finding.add_breach(
-                f"{node}: {len(window)} set-ups in a window that stands {allowed:.1f}, {age_ns / MS:.0f} ms old"
+                f"{node}: {len(window)} set-ups in a window that allows {allowed:.1f}, {age_ns / MS:.0f} ms old"
             )
             return
 
--- a/oakcroft/rulecheck/drains.py
+++ b/oakcroft/rulecheck/drains.py
@@ -27,7 +27,7 @@
 
     A front knows a list when it polls for the next version, which it does once it has applied the list.
     """
-    finding = Finding(3, "drains kept")
+    finding = Finding(3, "no set-up to a draining node")
     lists_by_front = _node_lists_sent(facts)
     for set_up in tries:
         lists = lists_by_front.get(set_up.front, [])
--- a/oakcroft/rulecheck/lease_holders.py
+++ b/oakcroft/rulecheck/lease_holders.py
@@ -59,7 +59,7 @@
 
     A front's claim held at some moment between the question and its answer.
     """
-    finding = Finding(21, "one owner at a time")
+    finding = Finding(21, "one lease holder at a time")
     claims = defaultdict[tuple[str, int], list[Fact]](list)
     for fact in facts:
         if fact["kind"] == "owners":
@@ -89,7 +89,7 @@
 
 def _check_order_of_effects(facts: list[Fact]) -> Finding:
     """Checks that neither the orders in effect on a front nor its fence go back to an older token or step."""
-    finding = Finding(22, "no older number after a newer")
+    finding = Finding(22, "no older token after a newer one")
     highest = defaultdict[int, tuple[int, int]](lambda: (0, 0))
     effects = (fact for fact in facts if fact["kind"] == "effect")
     for effect in sorted(effects, key=lambda effect: (effect["front"], effect["place"])):
@@ -118,7 +118,7 @@
 
     Times in which no majority of acceptors was available, or the network was cut, do not count.
     """
-    finding = Finding(23, "not without an owner for long")
+    finding = Finding(23, "no long time without a lease holder")
     claim_times = sorted(
         (fact["t"], fact["asked"]) for fact in facts if fact["kind"] == "owners" and fact["duties"]
     )
@@ -147,7 +147,7 @@
 
 def _check_same_state(facts: list[Fact], outages: list[Outage], names: Mapping[int, str]) -> Finding:
     """Checks that all running fronts end with the same version in force and no rollout in progress."""
-    finding = Finding(24, "all stand alike in the end")
+    finding = Finding(24, "all fronts are in the same state in the end")
     last_states = dict[int, Fact]()
     for fact in facts:
         if fact["kind"] == "stands":
@@ -159,12 +159,12 @@
     if len(set(in_force.values())) > 1:
         finding.add_breach(f"in force: {in_force}")
     if set(in_force) != set(names) - down:
-        finding.add_breach(f"nothing was heard of fronts {sorted(set(names) - down - set(in_force))}")
+        finding.add_breach(f"no state is on record of fronts {sorted(set(names) - down - set(in_force))}")
     unfinished = sorted(
         front
         for front, state in last_states.items()
         if state["stage"] not in ("done", "stopped") and front not in down
     )
     if unfinished:
-        finding.add_breach(f"the last roll-out is not over on fronts {unfinished}")
+        finding.add_breach(f"the last rollout is not over on fronts {unfinished}")
     return finding
--- a/oakcroft/rulecheck/membership.py
+++ b/oakcroft/rulecheck/membership.py
@@ -79,7 +79,7 @@
     facts = sorted(facts, key=lambda fact: fact["t"])
     views = [fact for fact in facts if fact["kind"] == "seen"]
     if not views:
-        return [Finding(11, "the view was asked for", 1, ["no front said how it sees the others"])]
+        return [Finding(11, "views are on record", 1, ["no front answered with its view"])]
     last = views[-1]["t"]
     outages = find_outages(facts, last)
     numbers = {name: number for number, name in names.items()}
@@ -92,7 +92,7 @@
 
 
 def _check_living(views: list[Fact], outages: list[Outage], numbers: Mapping[str, int]) -> Finding:
-    finding = Finding(11, "the living are not called gone")
+    finding = Finding(11, "no living front is called gone")
     for view in views:
         for name, (standing, _start) in view["members"].items():
             member = numbers.get(name)
@@ -101,7 +101,7 @@
             finding.cases += 1
             since = view["t"] - SETTLED_WITHIN_NS
             if standing == "gone" and not were_separated(view["front"], member, outages, since, view["t"]):
-                finding.add_breach(f"front {view['front']} calls {name} gone, and nothing kept them apart")
+                finding.add_breach(f"front {view['front']} calls {name} gone, although the two could reach each other")
     return finding
 
 
@@ -138,7 +138,7 @@
 
 
 def _check_dead_stay_dead(views: list[Fact], outages: list[Outage], numbers: Mapping[str, int]) -> Finding:
-    finding = Finding(13, "the dead stay dead")
+    finding = Finding(13, "no dead front is called alive again")
     gone_since = dict[tuple[int, str, int], int]()
     """When a front first called a start of a member gone, by front, member name and start."""
     for view in views:
@@ -170,7 +170,7 @@
 def _check_agreement(
     views: list[Fact], outages: list[Outage], names: Mapping[int, str], last: int
 ) -> Finding:
-    finding = Finding(14, "all agree in the end")
+    finding = Finding(14, "all views agree in the end")
     last_end = max((outage.end for outage in outages if outage.end <= last), default=0)
     settled_at = last_end + SETTLED_WITHIN_NS
     down = {
@@ -188,5 +188,5 @@
             if (standing == "alive") == (number in down):
                 finding.add_breach(f"front {view['front']} calls {name} {standing}")
     if not finding.cases:
-        finding.add_breach("nobody was asked after the last trouble had settled: the day is too short")
+        finding.add_breach("no front was asked after the last outage had settled: the run is too short")
     return finding
--- a/oakcroft/rulecheck/plan_terms.py
+++ b/oakcroft/rulecheck/plan_terms.py
@@ -13,7 +13,7 @@
 
 def check_plan_terms(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """Checks that no rung is under its plan's floor and that no front holds more seats of a title than the plan has."""
-    finding = Finding(5, "terms kept")
+    finding = Finding(5, "plan terms kept")
     seat_changes: SeatChanges = defaultdict(list)
     for set_up in tries:
         if set_up.plan not in site.plans:
--- a/oakcroft/rulecheck/repeated_set_ups.py
+++ b/oakcroft/rulecheck/repeated_set_ups.py
@@ -18,7 +18,7 @@
 def check_repeated_set_ups(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """Checks that no try is open beside another, and, for paid plans, that neither a further try nor a rejection follows
     a try that may have run."""
-    finding = Finding(2, "no set-up twice")
+    finding = Finding(2, "no harmful repeat of a set-up")
     tries_by_key: dict[str, list[SetUp]] = defaultdict(list)
     for set_up in tries:
         tries_by_key[set_up.key].append(set_up)
@@ -50,7 +50,7 @@
     paid = _is_paid(site, tries[0].plan)
     for earlier, later in pairwise(tries):
         if _overlaps(earlier, later):
-            finding.add_breach(f"{earlier.key}: tries on {earlier.node} and {later.node} out at once")
+            finding.add_breach(f"{earlier.key}: tries on {earlier.node} and {later.node} open at once")
         if paid and not earlier.proved_not_run:
             finding.add_breach(
                 f"{earlier.key}: paid, sent to {later.node} though {earlier.node} may have run it"
@@ -68,7 +68,7 @@
             if tries and _is_paid(site, tries[0].plan) and not all(set_up.proved_not_run for set_up in tries):
                 finding.add_breach(f"{fact['key']}: paid and rejected though a try may have run")
         elif kind == "both ways" and fact["status"] == CREATED and not fact["same"]:
-            finding.add_breach(f"{fact['key']}: asked over both ways, it became two playbacks")
+            finding.add_breach(f"{fact['key']}: requested over HTTP and WebSocket, it became two playbacks")
 
 
 def _check_paid_runs(facts: list[Fact], site: SharedSettings, finding: Finding) -> None:
--- a/oakcroft/rulecheck/retry_budget.py
+++ b/oakcroft/rulecheck/retry_budget.py
@@ -13,7 +13,7 @@
 
 def check_retry_budget(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """Checks that the retries of each front are within the configured budget over any window."""
-    finding = Finding(6, "further tries within the budget")
+    finding = Finding(6, "retries within the budget")
     terms = site.terms
     if terms.retry_budget_base is None:
         return finding
@@ -30,7 +30,7 @@
             requests = sum(window_start < time <= window_end for time in requested_at)
             allowed = terms.retry_budget_base + terms.retry_budget_share * requests
             if retries > allowed + ROUNDING_TOLERANCE:
-                finding.add_breach(f"{front}: {retries} further tries in a window that allows {allowed:.1f}")
+                finding.add_breach(f"{front}: {retries} retries in a window that allows {allowed:.1f}")
     return finding
 
 
