--- a/oakcroft/decisions/fleet/acceptor.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -31,6 +31,9 @@
 MAX_LEASES = 64
 """Leases that one acceptor has on record."""
 
+PEER_EPOCHS = ""
+"""In a set of unsaved leases, stands for the epochs of the other acceptors."""
+
 
 class LeaseAcceptor:
     """One acceptor of the fleet's leases. Times in ns."""
@@ -38,7 +41,7 @@
     def __init__(
         self, own_name: str, acceptors: Iterable[str], term_length: int, epoch: int, now: int
     ) -> None:
-        """`own_name` is its name among `acceptors`, `term_length` the longest term that it grants.
+        """`own_name` is one of `acceptors`, `term_length` the longest term that this acceptor grants.
 
         `epoch` numbers its record: each new record has a higher epoch than the one before.
         """
@@ -53,7 +56,9 @@
         self.peer_epochs: dict[str, int] = {}  # record epochs of the other acceptors
         self.has_full_record = False
         self.peer_records: dict[str, AcceptorRecord] = {}
-        self.unsaved: set[str] = set()  # leases whose records must be durable first; "" for the peers' epochs
+        self.unsaved: set[str] = (
+            set()
+        )  # leases whose records must be durable first; PEER_EPOCHS for the peers' epochs
 
     def load_record(
         self,
@@ -177,11 +182,13 @@
 
     def peers_to_ask(self) -> list[str]:
         """Returns the acceptors that one without its record still has to ask for theirs."""
-        return (
-            []
-            if self.has_full_record
-            else [k for k in self.acceptors if k != self.own_name and k not in self.peer_records]
-        )
+        if self.has_full_record:
+            return []
+        return [
+            acceptor
+            for acceptor in self.acceptors
+            if acceptor != self.own_name and acceptor not in self.peer_records
+        ]
 
     def record_for_peer(self, peer: str, epoch: int) -> AcceptorRecord | None:
         """Returns its record for an acceptor that lost its own, and notes the epoch of that acceptor's new record.
@@ -195,7 +202,7 @@
             return None
         if self.peer_epochs.get(peer) != epoch:
             self.peer_epochs[peer] = epoch
-            self.unsaved.add("")
+            self.unsaved.add(PEER_EPOCHS)
         return AcceptorRecord(
             self.own_name, self.epoch, self.has_full_record, tuple(sorted(self.records.items()))
         )
@@ -212,9 +219,8 @@
         ):
             return False
         self.peer_records[peer_record.acceptor] = peer_record
-        has_majority = sum(t.has_full_record for t in self.peer_records.values()) >= majority(
-            len(self.acceptors)
-        )
+        full_records = sum(record.has_full_record for record in self.peer_records.values())
+        has_majority = full_records >= majority(len(self.acceptors))
         if not has_majority and len(self.peer_records) < len(self.acceptors) - 1:
             return False
         for peer in self.peer_records.values():
@@ -222,16 +228,14 @@
             for lease_name, record in peer.records[:MAX_LEASES]:
                 self._merge_record(lease_name, record, now)
         self.has_full_record = True
-        self.unsaved |= {"", *self.records}
+        self.unsaved |= {PEER_EPOCHS, *self.records}
         return True
 
     def _merge_record(self, lease_name: str, record: LeaseRecord, now: int) -> None:
         own = self.records.get(lease_name, LeaseRecord())
-        latest = max(
-            (own, record), key=lambda r: r.accepted_term.fencing_token if r.accepted_term is not None else 0
-        )
-        promised = max((own, record), key=lambda r: r.promised_token)
-        note = max((own.note, record.note), key=lambda n: n.version)
+        latest = max((own, record), key=_accepted_token)
+        promised = max((own, record), key=lambda either: either.promised_token)
+        note = max((own.note, record.note), key=lambda either: either.version)
         self.records[lease_name] = LeaseRecord(
             promised.promised_token, promised.promised_to, latest.accepted_term, note
         )
@@ -241,6 +245,11 @@
             )
 
 
+def _accepted_token(record: LeaseRecord) -> int:
+    """Returns the fencing token of the term that was accepted last, 0 where none was."""
+    return record.accepted_term.fencing_token if record.accepted_term is not None else 0
+
+
 def process_key(term: LeaseTerm) -> str:
     """Returns the holder's name and generation as one string."""
     return f"{term.holder}/{term.generation}"
--- a/oakcroft/decisions/fleet/candidate.py
+++ b/oakcroft/decisions/fleet/candidate.py
@@ -32,6 +32,9 @@
 MAX_ROUNDS = 4
 """Times that the requests of a round are sent before the candidate backs off."""
 
+RETRY_MARGIN = 20 * MS
+"""Added to the wait for running terms, so that the next request arrives after their end."""
+
 
 class CandidateState(Enum):
     """State of a candidate; operators read the values."""
@@ -95,7 +98,7 @@
         self.recorded_version = (0, 0)  # version of the last note that a majority has
         self.answers: dict[str, LeaseAnswer] = {}
         self.refusals: dict[str, int] = {}  # of the present round: time left of the running term, by acceptor
-        self.other_term: LeaseTerm | None = None  # term of another holder, as last told
+        self.other_term: LeaseTerm | None = None  # term of another holder, as last reported
         self.other_term_until = 0
         self.terms_won = 0  # terms held so far
 
@@ -130,8 +133,8 @@
             self.held_until = 0
             if was_holder and term is not None:
                 return [
-                    AcceptorMessage(k, LeaseRequest(LeaseMessageKind.RELEASE, self.lease_name, term))
-                    for k in self.acceptors
+                    AcceptorMessage(acceptor, LeaseRequest(LeaseMessageKind.RELEASE, self.lease_name, term))
+                    for acceptor in self.acceptors
                 ]
         return []
 
@@ -166,7 +169,7 @@
             # Either an acceptor has promised a higher token, and the next round soon goes above it. Or a term of another
             # process runs there: it may be about to get its majority, and a request now would take away its promises.
             longest_wait = max(self.refusals.values())
-            self._back_off(now, longest_wait + 20 * MS + self.rng.randrange(self.term_length // 16 + 1))
+            self._back_off(now, longest_wait + RETRY_MARGIN + self.rng.randrange(self.term_length // 16 + 1))
             return []
         if self.rounds >= MAX_ROUNDS:
             self._back_off(now, self.term_length // 16 + self.rng.randrange(self.term_length // 8 + 1))
@@ -200,9 +203,9 @@
         self.requested_at = now
         self.due_at = now + ROUND_TIMEOUT
         return [
-            AcceptorMessage(k, LeaseRequest(LeaseMessageKind.PREPARE, self.lease_name, self.term))
-            for k in self.acceptors
-            if k not in self.answers
+            AcceptorMessage(acceptor, LeaseRequest(LeaseMessageKind.PREPARE, self.lease_name, self.term))
+            for acceptor in self.acceptors
+            if acceptor not in self.answers
         ]
 
     def _propose(self, now: int, is_resend: bool = False) -> list[AcceptorMessage]:
@@ -226,7 +229,7 @@
         request = LeaseRequest(
             LeaseMessageKind.PROPOSE, self.lease_name, self.term, self.seq, self.term_length, self.note
         )
-        return [AcceptorMessage(k, request) for k in self.acceptors]
+        return [AcceptorMessage(acceptor, request) for acceptor in self.acceptors]
 
     # Answers of acceptors.
 
@@ -252,7 +255,9 @@
         if len(self.counted_answers()) < majority(len(self.acceptors)):
             return []
         if self.state is CandidateState.PREPARING:
-            latest_note = max((a.note for a in self.answers.values()), key=lambda n: n.version)
+            latest_note = max(
+                (promise.note for promise in self.answers.values()), key=lambda note: note.version
+            )
             # The note gets this term's token, so that a note which an earlier holder put on a minority only cannot
             # supersede it later.
             self.note = LeaseNote(
@@ -272,7 +277,7 @@
             latest_epochs[answer.acceptor] = max(latest_epochs.get(answer.acceptor, 0), answer.epoch)
             for name, epoch in answer.peer_epochs:
                 latest_epochs[name] = max(latest_epochs.get(name, 0), epoch)
-        return [a for a in self.answers.values() if a.epoch >= latest_epochs[a.acceptor]]
+        return [answer for answer in self.answers.values() if answer.epoch >= latest_epochs[answer.acceptor]]
 
     def _majority_accepted(self) -> None:
         if self.state is CandidateState.PROPOSING:
@@ -300,6 +305,7 @@
             return []
         wait = sorted(self.refusals.values())[needed - 1]  # until enough acceptors are free again
         self.term = None
-        self._back_off(now, wait + self.rank * self.term_length // 8 * (wait > 0) + 20 * MS
-                         + self.rng.randrange(self.term_length // 16 + 1))  # fmt: skip
+        delay_by_rank = self.rank * self.term_length // 8 if wait > 0 else 0
+        jitter = self.rng.randrange(self.term_length // 16 + 1)
+        self._back_off(now, wait + delay_by_rank + RETRY_MARGIN + jitter)
         return []
--- a/oakcroft/decisions/fleet/load_sharing.py
+++ b/oakcroft/decisions/fleet/load_sharing.py
@@ -52,6 +52,9 @@
 BACKUP_PROBE_INTERVALS = 3
 """Intervals without a report after which the second front probes a node."""
 
+MAX_PROBE_RANK = 2
+"""Stands for all later places in a node's rendezvous order: only the first two fronts probe a node."""
+
 MAX_RANKS_PER_TURN = 40
 """Rendezvous ranks computed in one turn; they take 5 ms at 200 fronts."""
 
@@ -109,7 +112,7 @@
     """The last known load; None where none is known."""
 
     probe_rank: int | None = None
-    """This front's place in the node's rendezvous order, 2 for all later places; None until it is computed."""
+    """This front's place in the node's rendezvous order, at most MAX_PROBE_RANK; None until it is computed."""
 
     next_probe_at: int = 0
     """No probe is due before this time."""
@@ -142,8 +145,8 @@
 
     def update_nodes(self, nodes: Mapping[str, int]) -> None:
         """Sets the listed nodes and their start times in ns. The loads of earlier processes are dropped."""
-        for name in [n for n, known_node in self.nodes.items() if nodes.get(n) != known_node.started_at]:
-            node = self.nodes.pop(name)
+        for node in [node for node in self.nodes.values() if nodes.get(node.name) != node.started_at]:
+            del self.nodes[node.name]
             del self.by_process_id[node.process_id]
             self.probes_in_flight -= node.is_being_probed
         for name, started_at in nodes.items():
@@ -177,11 +180,9 @@
             return
         # Only the first front of the node's order reports what its traffic shows, once in an interval.
         is_reported = from_probe or (known_node.probe_rank == 0 and now >= known_node.next_probe_at)
-        known_node.latest = KnownLoad(
-            load,
-            measured_at,
-            self._gossip_rounds() if is_reported else previous.rounds_left if previous else 0,
-        )
+        kept_rounds = previous.rounds_left if previous is not None else 0
+        rounds_left = self._gossip_rounds() if is_reported else kept_rounds
+        known_node.latest = KnownLoad(load, measured_at, rounds_left)
         if is_reported:
             known_node.next_probe_at = now + self.effective_interval()
 
@@ -190,7 +191,7 @@
 
         New reports are passed on to other fronts in the next rounds.
         """
-        news = []
+        new_loads = []
         for report in reports:
             node = self.by_process_id.get(report.process_id)
             if node is None:  # a node or a process that this front's list does not have
@@ -207,22 +208,25 @@
             node.latest = KnownLoad(report.load, measured_at, self._gossip_rounds())
             node.next_probe_at = max(node.next_probe_at, measured_at + self.effective_interval())
             self.reports_accepted += 1
-            news.append((node.name, report.load, age))
-        return news
+            new_loads.append((node.name, report.load, age))
+        return new_loads
 
     def _gossip_rounds(self) -> int:
-        fronts = len(self.present_fronts)
-        if fronts < 2:
+        if not self._has_others():
             return 0
-        return min(MAX_GOSSIP_ROUNDS, 1 + math.ceil(math.log(fronts, 1 + GOSSIP_FANOUT)))
+        return min(MAX_GOSSIP_ROUNDS, 1 + math.ceil(math.log(len(self.present_fronts), 1 + GOSSIP_FANOUT)))
+
+    def _has_others(self) -> bool:
+        """Returns whether another front is present."""
+        return len(self.present_fronts) > 1
 
     # Due actions.
 
     def _compute_ranks(self) -> None:
-        """Computes some of the missing ranks. Only the first two places matter, so counting stops at 2."""
+        """Computes some of the missing ranks. Only the first two places matter, so counting stops after them."""
         for _ in range(min(MAX_RANKS_PER_TURN, len(self.unranked_nodes))):
             node = self.unranked_nodes.pop()
-            node.probe_rank = rank(node.name, self.own_name, self.present_fronts, 2)
+            node.probe_rank = rank(node.name, self.own_name, self.present_fronts, MAX_PROBE_RANK)
 
     def due_probes(self, now: int) -> list[str]:
         """Returns the nodes to probe now; `probe_finished` must be called for each."""
@@ -270,35 +274,26 @@
 
         Reports with the most rounds left come first, then the newest; what does not fit waits for the next turn.
         """
-        if now < self.next_gossip_at or len(self.present_fronts) < 2:
+        if now < self.next_gossip_at or not self._has_others():
             return []
         self.next_gossip_at = now + GOSSIP_INTERVAL
         pending = [
-            known_node
-            for known_node in self.nodes.values()
-            if known_node.latest is not None and known_node.latest.rounds_left > 0
+            (node.process_id, node.latest)
+            for node in self.nodes.values()
+            if node.latest is not None
+            and node.latest.rounds_left > 0
+            and now - node.latest.measured_at <= MAX_REPORT_AGE
         ]
-        pending = [
-            known_node
-            for known_node in pending
-            if known_node.latest is not None and now - known_node.latest.measured_at <= MAX_REPORT_AGE
-        ]
-        pending.sort(
-            key=lambda known_node: (
-                (-known_node.latest.rounds_left, -known_node.latest.measured_at)
-                if known_node.latest is not None
-                else (0, 0)
-            )
-        )
+        pending.sort(key=lambda entry: (-entry[1].rounds_left, -entry[1].measured_at))
         reports = []
-        for node in pending[:MAX_REPORTS_PER_MESSAGE]:
-            assert node.latest is not None
-            node.latest.rounds_left -= 1
-            reports.append(LoadReport(node.process_id, node.latest.load, now - node.latest.measured_at))
+        for reported_process, known in pending[:MAX_REPORTS_PER_MESSAGE]:
+            known.rounds_left -= 1
+            reports.append(LoadReport(reported_process, known.load, now - known.measured_at))
         if not reports:
             return []
         others = [front for front in self.present_fronts if front != self.own_name]
-        return [(to, reports) for to in self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))]
+        receivers = self.rng.sample(others, min(GOSSIP_FANOUT, len(others)))
+        return [(receiver, reports) for receiver in receivers]
 
     def known_ages(self, now: int) -> list[int]:
         """Returns the ages of the known loads in ns, ascending; loads older than MAX_REPORT_AGE are left out."""
--- a/oakcroft/decisions/fleet/node_list.py
+++ b/oakcroft/decisions/fleet/node_list.py
@@ -19,6 +19,12 @@
 """A host name (RFC 1123 2.1, with underscores allowed) or an IP address; nothing else can be resolved."""
 
 
+MAX_PORT = 65_535
+MAX_LINK_KB_PER_S = 1e12
+MAX_PLACES = 1e9
+"""Bounds of figures that are taken for valid; a link or a number of places must be below its bound."""
+
+
 @dataclass(frozen=True, order=True)
 class ListedNode:
     """One node of a list. The field names are stored in the state file. Times in ns since the epoch."""
@@ -130,9 +136,10 @@
             del self.listed_nodes[name]
             self.removed_at[name] = now
             entries.append(self._make_entry(node, NodeStatus.GONE))
-        for name in [n for n, at in self.removed_at.items() if now - at > self.REMOVED_RETENTION]:
-            del self.removed_at[name]
-            del self.nodes[name]
+        for name, removed_at in list(self.removed_at.items()):
+            if now - removed_at > self.REMOVED_RETENTION:
+                del self.removed_at[name]
+                del self.nodes[name]
         return entries
 
     def _make_entry(self, listed_node: ListedNode, listing: NodeStatus) -> NodeEntry:
@@ -152,11 +159,11 @@
         return "it has no name"
     if not HOST_PATTERN.fullmatch(listed_node.address):
         return f"address {listed_node.address[:40]!r} is no host name and no IP address"
-    if not 0 < listed_node.port < 65_536:
+    if not 0 < listed_node.port <= MAX_PORT:
         return f"port {listed_node.port} does not exist"
-    if not (0 < listed_node.link < 1e12):
+    if not 0 < listed_node.link < MAX_LINK_KB_PER_S:
         return f"a link of {listed_node.link} kB a second cannot be"
-    if not (0 <= listed_node.places < 1e9):
+    if not 0 <= listed_node.places < MAX_PLACES:
         return f"{listed_node.places} places cannot be"
     if listed_node.cell < 0:
         return f"cell {listed_node.cell} is under 0"
--- a/oakcroft/decisions/fleet/node_list_freshness.py
+++ b/oakcroft/decisions/fleet/node_list_freshness.py
@@ -56,9 +56,9 @@
         """Records that the list service cannot be reached, or was replaced by another."""
         self.is_current = False
 
-    def poll_timeout_ms(self, standing_timeout_ms: int) -> int:
-        """Returns the timeout in ms of the next poll; `standing_timeout_ms` is that of a poll on a current list."""
-        return standing_timeout_ms if self.is_current else IMMEDIATE_POLL_MS
+    def poll_timeout_ms(self, long_poll_timeout_ms: int) -> int:
+        """Returns the timeout in ms of the next poll; `long_poll_timeout_ms` is that of a poll on a current list."""
+        return long_poll_timeout_ms if self.is_current else IMMEDIATE_POLL_MS
 
     @property
     def opens_at_latest(self) -> int:
--- a/oakcroft/decisions/fleet/rollout.py
+++ b/oakcroft/decisions/fleet/rollout.py
@@ -146,8 +146,14 @@
 
     def unconfirmed_fronts(self, present_fronts: Iterable[str], now: int) -> list[str]:
         """Returns the present fronts without a recent report that they are as the plan wants."""
-        return [f for f in present_fronts if (told := self.reports.get(f)) is None or now - told[1] > MAX_REPORT_AGE
-                or not self._matches_plan(told[0])]  # fmt: skip
+        return [front for front in present_fronts if not self._is_confirmed(front, now)]
+
+    def _is_confirmed(self, front: str, now: int) -> bool:
+        """Returns whether a recent report of a front says that it is as the plan wants."""
+        if front not in self.reports:
+            return False
+        report, reported_at = self.reports[front]
+        return now - reported_at <= MAX_REPORT_AGE and self._matches_plan(report)
 
     def _matches_plan(self, report: FrontReport) -> bool:
         plan = self.plan
@@ -172,24 +178,35 @@
         present = list(present_fronts)
         if plan.stage in FINAL_STAGES:
             return None
-        refusals = sorted((f, told.refused) for f, (told, _) in self.reports.items() if told.refused)
+        refusals = sorted(
+            (front, report.refused) for front, (report, _) in self.reports.items() if report.refused
+        )
         if refusals and plan.stage is not RolloutStage.BACK:
             return self._reversed_plan(f"{refusals[0][0]} refused it: {refusals[0][1]}")
         missing = self.unconfirmed_fronts(present, now)
-        waited = self._time_incomplete(bool(missing), now)
+        incomplete_for = self._time_incomplete(bool(missing), now)
         if plan.stage is RolloutStage.HANDED:
-            if not missing:
-                return self._advanced_plan(RolloutStage.TAKEN, 0)
-            if waited <= DISTRIBUTION_TIMEOUT:
-                return None
-            return self._reversed_plan(f"{missing[0]} did not take it in")
+            return self._plan_after_distribution(missing, incomplete_for)
         if plan.stage is RolloutStage.BACK:
             return self._advanced_plan(RolloutStage.STOPPED, plan.share_index) if not missing else None
+        return self._plan_after_activation(missing, incomplete_for, now)
+
+    def _plan_after_distribution(self, missing: list[str], incomplete_for: int) -> RolloutPlan | None:
+        """Returns the plan that follows the distribution of the text; `missing` are the fronts without it."""
+        if not missing:
+            return self._advanced_plan(RolloutStage.TAKEN, 0)
+        if incomplete_for <= DISTRIBUTION_TIMEOUT:
+            return None
+        return self._reversed_plan(f"{missing[0]} did not take it in")
+
+    def _plan_after_activation(self, missing: list[str], incomplete_for: int, now: int) -> RolloutPlan | None:
+        """Returns the plan that follows the activation by a share; `missing` are its fronts that have not activated."""
+        plan = self.plan
         if increase := self._failure_increase():
             return self._reversed_plan(increase)
         if missing:
             self.complete_since = None
-            if waited <= ACTIVATION_TIMEOUT:
+            if incomplete_for <= ACTIVATION_TIMEOUT:
                 return None
             return self._reversed_plan(f"{missing[0]} did not take it")
         if self.complete_since is None:
--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -16,7 +16,7 @@
 import structlog
 import trio
 
-from oakcroft.decisions.fleet.acceptor import MAX_LEASES, LeaseAcceptor
+from oakcroft.decisions.fleet.acceptor import MAX_LEASES, PEER_EPOCHS, LeaseAcceptor
 from oakcroft.decisions.fleet.lease import LeaseAnswer, LeaseRequest, AcceptorRecord
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.errors import MessageError
@@ -32,9 +32,6 @@
 RECORD_NAME = "keeper"
 """Named value in the state file that holds the epoch, the other acceptors' epochs and all rows, always together."""
 
-EPOCHS = ""
-"""In the set of unsaved leases: stands for the epochs of the other acceptors."""
-
 RECORD_DECODER = msgspec.msgpack.Decoder(tuple[int, list[tuple[str, int]], list[WireRow]])
 
 
@@ -222,7 +219,7 @@
             self.send(other, self.codec.encode_record_request(*self.identity(), acceptor.epoch))
         if len(acceptor.acceptors) == 1:
             acceptor.has_full_record = True  # there is no other acceptor to ask
-            acceptor.unsaved = {EPOCHS}
+            acceptor.unsaved = {PEER_EPOCHS}
 
     def promised_token(self, lease_name: str) -> int | None:
         """The highest fencing token promised for a lease; None if there is none."""
--- a/oakcroft/rulecheck/lease_holders.py
+++ b/oakcroft/rulecheck/lease_holders.py
@@ -89,7 +89,7 @@
 
 def _check_order_of_effects(facts: list[Fact]) -> Finding:
     """Checks that neither the orders in effect on a front nor its fence go back to an older token or step."""
-    finding = Finding(22, "no older token after a newer one")
+    finding = Finding(22, "no older token after a newer")
     highest = defaultdict[int, tuple[int, int]](lambda: (0, 0))
     effects = (fact for fact in facts if fact["kind"] == "effect")
     for effect in sorted(effects, key=lambda effect: (effect["front"], effect["place"])):
@@ -118,7 +118,7 @@
 
     Times in which no majority of acceptors was available, or the network was cut, do not count.
     """
-    finding = Finding(23, "no long time without a lease holder")
+    finding = Finding(23, "no long time without a holder")
     claim_times = sorted(
         (fact["t"], fact["asked"]) for fact in facts if fact["kind"] == "owners" and fact["duties"]
     )
@@ -147,7 +147,7 @@
 
 def _check_same_state(facts: list[Fact], outages: list[Outage], names: Mapping[int, str]) -> Finding:
     """Checks that all running fronts end with the same version in force and no rollout in progress."""
-    finding = Finding(24, "all fronts are in the same state in the end")
+    finding = Finding(24, "all fronts equal at the end")
     last_states = dict[int, Fact]()
     for fact in facts:
         if fact["kind"] == "stands":
--- a/oakcroft/rulecheck/membership.py
+++ b/oakcroft/rulecheck/membership.py
@@ -138,7 +138,7 @@
 
 
 def _check_dead_stay_dead(views: list[Fact], outages: list[Outage], numbers: Mapping[str, int]) -> Finding:
-    finding = Finding(13, "no dead front is called alive again")
+    finding = Finding(13, "no dead front called alive")
     gone_since = dict[tuple[int, str, int], int]()
     """When a front first called a start of a member gone, by front, member name and start."""
     for view in views:
--- a/oakcroft/rulecheck/session_ownership.py
+++ b/oakcroft/rulecheck/session_ownership.py
@@ -44,7 +44,7 @@
 
 
 def _check_listening_owners(facts: list[Fact]) -> Finding:
-    finding = Finding(32, "no session taken from a connected front")
+    finding = Finding(32, "no takeover while connected")
     open_streams = set[tuple[str, str]]()
     """Node and front of each open event stream."""
     for fact in facts:
@@ -66,7 +66,7 @@
 
 
 def _check_single_takeover(facts: list[Fact]) -> Finding:
-    finding = Finding(33, "no session taken twice from one front")
+    finding = Finding(33, "no repeated takeover")
     takeovers = Counter((fact["session"], fact["before"]) for fact in facts if fact["kind"] == "passed")
     for (session, before), times in takeovers.items():
         finding.cases += 1
