--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -67,7 +67,7 @@
         orphan_count = killed_count * playbacks_each
         live_count = fronts - killed_count
         held = [
-            sum(holder.member == front.name for node in fleet.nodes for holder in node.holder.values())
+            sum(holder.member == front.name for node in fleet.nodes for holder in node.holders.values())
             for front in fleet.fronts.values()
             if not front.is_dead
         ]
--- a/oakcroft/rehearsal/takeover_simulation.py
+++ b/oakcroft/rehearsal/takeover_simulation.py
@@ -53,7 +53,7 @@
 
 @dataclass
 class Front:
-    """One front: its takeover decisions, and the sessions that it believes to own."""
+    """One front: its takeover decisions, and the sessions that it believes to hold."""
 
     name: str
     start: int
@@ -87,16 +87,75 @@
 
 @dataclass
 class Node:
-    """One node: who owns its sessions."""
+    """One node: who holds its sessions."""
 
-    holder: dict[str, Caller] = field(default_factory=dict)
-    """The owner of each session."""
+    holders: dict[str, Caller] = field(default_factory=dict)
+    """The holder of each session."""
     streams: dict[str, EventStream] = field(default_factory=dict)
     """Event streams by the pseudonym of the front."""
     requests_by_second: Counter[int] = field(default_factory=Counter)
     rejected_changes: int = 0
 
 
+class TakeoverExchange:
+    """One takeover request: the front asks the node for sessions, chooses its own, and takes them over."""
+
+    def __init__(self, simulation: TakeoverSimulation, front: Front, request: TakeoverRequest) -> None:
+        """`start` sends the first message."""
+        self.simulation = simulation
+        self.front = front
+        self.request = request
+        self.node_number = int(request.node)
+        self.answers: dict[str, TakeoverAnswer] = {}
+        self.chosen = list[str]()
+        self.is_finished = False
+
+    def start(self) -> None:
+        """Asks the node, and gives up after `REQUEST_TIMEOUT_NS`."""
+        self.simulation.send(self._node_offers_sessions, self._fail)
+        self.simulation.schedule(self.simulation.now + REQUEST_TIMEOUT_NS, self._fail)
+
+    def _node_offers_sessions(self) -> None:
+        simulation = self.simulation
+        simulation.nodes[self.node_number].requests_by_second[simulation.now // SECOND] += 1
+        answers, offered = simulation.offer(self.front.caller, self.node_number, self.request.front_names)
+        simulation.send(lambda: self._front_chooses(answers, offered), self._fail)
+
+    def _front_chooses(self, answers: dict[str, TakeoverAnswer], offered: list[tuple[str, str]]) -> None:
+        if self.front.is_stopped or self.is_finished:
+            return
+        self.answers.update(answers)
+        free = max(0, self.front.capacity - len(self.front.sessions))
+        own = [session for session, holder in offered if self.request.is_own(holder, session)][:free]
+        self.chosen.extend(own)
+        # The sessions count against its capacity before it asks for them.
+        self.front.sessions.update(dict.fromkeys(own, self.node_number))
+        if own:
+            self.simulation.send(lambda: self._node_hands_over(own), self._fail)
+        else:
+            self._front_receives([])
+
+    def _node_hands_over(self, sessions: list[str]) -> None:
+        handed_over = self.simulation.take_over(self.front.caller, self.node_number, sessions)
+        self.simulation.send(lambda: self._front_receives(handed_over), self._fail)
+
+    def _front_receives(self, handed_over: list[str]) -> None:
+        if self.front.is_stopped:
+            return
+        for session in set(self.chosen) - set(handed_over):
+            self.front.sessions.pop(session, None)
+        self._finish(self.answers)
+
+    def _fail(self) -> None:
+        self._finish(None)
+
+    def _finish(self, answers: dict[str, TakeoverAnswer] | None) -> None:
+        """Passes the result to the front once; answers is None if the node did not answer in time."""
+        if not self.is_finished:
+            self.is_finished = True
+            self.front.takeover.request_finished(self.request, answers, self.simulation.now)
+
+
 class TakeoverSimulation:
     """The simulated fronts, nodes and network."""
 
@@ -104,20 +163,20 @@
         self,
         fronts: int,
         nodes: int,
-        each: int,
+        sessions_per_front: int,
         seed: int,
         bounds: TakeoverBounds,
         net: NetworkConditions | None = None,
         capacity: int = 10_000,
-        checks: bool = True,
+        checks_holders: bool = True,
     ) -> None:
-        """`each`: sessions that a front begins with; `capacity`: sessions that it takes; `checks`: whether nodes check
-        who asks."""
+        """`sessions_per_front`: sessions that a front begins with; `capacity`: sessions that it takes; `checks_holders`:
+        whether nodes check who holds a session."""
         self.rng = Random(seed)
         self.net = net or NetworkConditions()
         self.bounds = bounds
         self.now = 0
-        self.checks = checks
+        self.checks_holders = checks_holders
         self.nodes = [Node() for _ in range(nodes)]
         self.fronts: dict[str, Front] = {}
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -135,10 +194,10 @@
         for name in self.names:
             self._start_front(name, 1, capacity)
         for front_number, name in enumerate(self.names):
-            for session_number in range(each):
+            for session_number in range(sessions_per_front):
                 node_number = self.rng.randrange(nodes)
                 session = f"s{front_number}-{session_number}"
-                self.nodes[node_number].holder[session] = self.fronts[name].caller
+                self.nodes[node_number].holders[session] = self.fronts[name].caller
                 self.fronts[name].sessions[session] = node_number
 
     def _start_front(self, name: str, start: int, capacity: int) -> None:
@@ -152,7 +211,7 @@
 
     # The network.
 
-    def _send(self, deliver: Callable[[], None], on_lost: Callable[[], None] = lambda: None) -> None:
+    def send(self, deliver: Callable[[], None], on_lost: Callable[[], None] = lambda: None) -> None:
         """Delivers a message late, twice or never; `on_lost` runs at the sender when it gives up a lost message."""
         if self.rng.random() < self.net.loss:
             self.schedule(self.now + LOST_MESSAGE_TIMEOUT_NS, on_lost)
@@ -171,15 +230,15 @@
 
     # Fronts.
 
-    def kill(self, names: Iterable[str], heard_after: int = 0) -> None:
-        """Kills fronts now. Nodes lose their streams after `heard_after` ns, and the other fronts see it later."""
+    def kill(self, names: Iterable[str], streams_lost_after: int = 0) -> None:
+        """Kills fronts now. Nodes lose their streams after `streams_lost_after` ns, and the other fronts see it later."""
         for name in names:
             front = self.fronts[name]
             front.is_dead = True
             for session, node_number in front.sessions.items():
-                if self.nodes[node_number].holder.get(session) == front.caller:
+                if self.nodes[node_number].holders.get(session) == front.caller:
                     self.orphaned.setdefault(session, self.now)
-            self._lose_streams(front, heard_after)
+            self._lose_streams(front, streams_lost_after)
             self._schedule_death_seen(name, DEATH_SEEN_WITHIN_NS)
 
     def pause(self, name: str, seconds: float, loses_streams: bool) -> None:
@@ -196,16 +255,16 @@
                 self._see_returned(other, name)
             for node in self.nodes:
                 node.streams[front.caller.pseudonym] = EventStream()
-            # It changes all sessions that it believes to own before any node has told it otherwise.
+            # It changes all sessions that it believes to hold before any node has told it otherwise.
             for session, node_number in list(front.sessions.items()):
-                self._send(lambda s=session, n=node_number: self._change_session(front, n, s))  # type: ignore[misc]
+                self.send(lambda s=session, n=node_number: self._change_session(front, n, s))  # type: ignore[misc]
 
         self.schedule(self.now + round(seconds * SECOND), resume)
 
-    def suspect(self, by: str, whom: str) -> None:
+    def suspect(self, observer: str, suspected: str) -> None:
         """Makes one front see another as gone that is running."""
-        front = self.fronts[by]
-        front.gone[whom] = self.fronts[whom].start
+        front = self.fronts[observer]
+        front.gone[suspected] = self.fronts[suspected].start
         self._update_view(front)
 
     def _lose_streams(self, front: Front, after: int) -> None:
@@ -237,125 +296,79 @@
         present = [name for name in self.names if name not in front.gone]
         front.takeover.update_fronts(front.gone, present, self.now)
 
-    def _send_request(self, front: Front, request: TakeoverRequest) -> None:
-        """Runs one takeover request: the front asks the node for sessions, chooses its own, and takes them over."""
-        answers: dict[str, TakeoverAnswer] = {}
-        is_finished = False
-        chosen = list[str]()
-
-        def fail() -> None:
-            nonlocal is_finished
-            if not is_finished:
-                is_finished = True
-                front.takeover.request_finished(request, None, self.now)
-
-        def node_passes_sessions(sessions: list[str]) -> None:
-            passed = self._take_over(front.caller, node_number, sessions)
-            self._send(lambda: front_receives_sessions(passed), fail)
-
-        def front_receives_sessions(passed: list[str]) -> None:
-            nonlocal is_finished
-            if front.is_stopped:
-                return
-            for session in set(chosen) - set(passed):
-                front.sessions.pop(session, None)
-            if not is_finished:
-                is_finished = True
-                front.takeover.request_finished(request, answers, self.now)
-
-        def node_offers_sessions() -> None:
-            second = self.now // SECOND
-            self.nodes[node_number].requests_by_second[second] += 1
-            node_answers, offered = self._offer(front.caller, node_number, request.front_names)
-            self._send(lambda: front_chooses(node_answers, offered), fail)
-
-        def front_chooses(node_answers: dict[str, TakeoverAnswer], offered: list[tuple[str, str]]) -> None:
-            if front.is_stopped or is_finished:
-                return
-            answers.update(node_answers)
-            free = max(0, front.capacity - len(front.sessions))
-            own = [session for session, owner in offered if request.is_own(owner, session)][:free]
-            chosen.extend(own)
-            # The sessions count against its capacity before it asks for them.
-            front.sessions.update(dict.fromkeys(own, node_number))
-            if own:
-                self._send(lambda: node_passes_sessions(own), fail)
-            else:
-                front_receives_sessions([])
-
-        node_number = int(request.node)
-        self._send(node_offers_sessions, fail)
-        self.schedule(self.now + REQUEST_TIMEOUT_NS, fail)
-
     # Nodes.
 
-    def _offer(
+    def offer(
         self, caller: Caller, node_number: int, names: Iterable[str]
     ) -> tuple[dict[str, TakeoverAnswer], list[tuple[str, str]]]:
-        """Returns the node's answer for each front asked about, and the sessions (with their owner) to take over."""
+        """Returns the node's answer for each front asked about, and the sessions (with their holder) to take over."""
         node = self.nodes[node_number]
         answers = dict.fromkeys(names, TakeoverAnswer.ALLOWED)
         offered = list[tuple[str, str]]()
-        for session, owner in node.holder.items():
-            if owner.member in answers:
-                answer = self._check_takeover(node, owner, caller)
+        for session, holder in node.holders.items():
+            if holder.member in answers:
+                answer = self._check_takeover(node, holder, caller)
                 if answer is TakeoverAnswer.ALLOWED:
-                    offered.append((session, owner.member))
+                    offered.append((session, holder.member))
                 else:
-                    answers[owner.member] = answer
+                    answers[holder.member] = answer
         return answers, offered
 
-    def _check_takeover(self, node: Node, owner: Caller, caller: Caller) -> TakeoverAnswer:
-        stream = node.streams.get(owner.pseudonym)
+    def _check_takeover(self, node: Node, holder: Caller, caller: Caller) -> TakeoverAnswer:
+        stream = node.streams.get(holder.pseudonym)
         caller_stream = node.streams.get(caller.pseudonym)
         silent_for: int | None = None
         if stream is None or not stream.is_open:
             silent_for = self.now - (stream.closed_at if stream is not None else 0)
         is_caller_connected = caller_stream is not None and caller_stream.is_open
-        return check_takeover(owner, caller, silent_for, is_caller_connected)
+        return check_takeover(holder, caller, silent_for, is_caller_connected)
 
-    def _take_over(self, caller: Caller, node_number: int, sessions: list[str]) -> list[str]:
+    def take_over(self, caller: Caller, node_number: int, sessions: list[str]) -> list[str]:
+        """Hands over to the caller all requested sessions that it may take over, and returns these."""
         node = self.nodes[node_number]
-        passed = list[str]()
+        handed_over = list[str]()
         for session in sessions:
-            owner = node.holder.get(session)
-            if owner is None:
+            holder = node.holders.get(session)
+            if holder is None:
                 continue
-            if self.checks and self._check_takeover(node, owner, caller) is not TakeoverAnswer.ALLOWED:
+            if (
+                self.checks_holders
+                and self._check_takeover(node, holder, caller) is not TakeoverAnswer.ALLOWED
+            ):
                 continue
-            if self._is_listening(node, owner):
-                self.breaches.append(f"{session} taken from {owner.member}, which listens")
-            node.holder[session] = caller
+            if self._is_listening(node, holder):
+                self.breaches.append(f"{session} taken from {holder.member}, which listens")
+            node.holders[session] = caller
             self.takeover_count += 1
-            passed.append(session)
+            handed_over.append(session)
             orphaned_at = self.orphaned.pop(session, None)
             if orphaned_at is not None:
                 self.takeover_delays.append(self.now - orphaned_at)
-        return passed
+        return handed_over
 
     @staticmethod
-    def _is_listening(node: Node, owner: Caller) -> bool:
-        stream = node.streams.get(owner.pseudonym)
+    def _is_listening(node: Node, holder: Caller) -> bool:
+        stream = node.streams.get(holder.pseudonym)
         return stream is not None and stream.is_open
 
     def _change_session(self, front: Front, node_number: int, session: str) -> None:
         """A front changes a session: a rung, a release."""
         node = self.nodes[node_number]
-        owner = node.holder.get(session)
-        if owner is None:
+        holder = node.holders.get(session)
+        if holder is None:
             return
-        if self.checks and not may_control(owner, front.caller):
+        if self.checks_holders and not may_control(holder, front.caller):
             node.rejected_changes += 1
-        elif owner.member != front.name:
-            self.breaches.append(f"{session}: {front.name} changed what {owner.member} has")
+        elif holder.member != front.name:
+            self.breaches.append(f"{session}: {front.name} changed what {holder.member} has")
 
     def _expire_leases(self) -> None:
         lease = effective_lease(self.bounds.session_lease, NODE_LEASE_NS)
         for node in self.nodes:
-            for session, owner in list(node.holder.items()):
-                stream = node.streams.get(owner.pseudonym)
+            for session, holder in list(node.holders.items()):
+                stream = node.streams.get(holder.pseudonym)
                 if stream is not None and not stream.is_open and self.now - stream.closed_at > lease:
-                    del node.holder[session]
+                    del node.holders[session]
                     self.ended_by_lease += 1
                     self.orphaned.pop(session, None)
 
@@ -379,11 +392,11 @@
                 front.takeover.take_finished(self.now)
                 self.processor_seconds += time.perf_counter() - began
                 for request in requests:
-                    self._send_request(front, request)
+                    TakeoverExchange(self, front, request).start()
 
     def session_count(self) -> int:
         """How many sessions run."""
-        return sum(len(node.holder) for node in self.nodes)
+        return sum(len(node.holders) for node in self.nodes)
 
     def max_requests_per_second(self) -> int:
         """The most requests that any node got in a second."""
--- a/tests/test_session_takeover.py
+++ b/tests/test_session_takeover.py
@@ -265,7 +265,7 @@
     """All sessions of failed front ends continue elsewhere within eight seconds."""
     fleet = TakeoverSimulation(12, 6, 20, seed, BOUNDS)
     fleet.run(1)
-    fleet.kill([f"f{i}" for i in range(1 + 3 * (seed % 3))], heard_after=seed * 100 * MS)
+    fleet.kill([f"f{i}" for i in range(1 + 3 * (seed % 3))], streams_lost_after=seed * 100 * MS)
     fleet.run(25)
     assert (fleet.session_count(), fleet.ended_by_lease, fleet.breaches) == (240, 0, [])
     assert fleet.takeover_count == 20 * (1 + 3 * (seed % 3))
@@ -282,7 +282,7 @@
         up = [f.name for f in fleet.fronts.values() if not f.is_dead and not f.is_paused]
         match rng.randrange(4):
             case 0 if len(up) > 3:
-                fleet.kill([rng.choice(up)], heard_after=rng.randrange(3) * SECOND)
+                fleet.kill([rng.choice(up)], streams_lost_after=rng.randrange(3) * SECOND)
             case 1 if len(up) > 2:
                 fleet.pause(rng.choice(up), rng.uniform(1, 20), rng.random() < 0.7)
             case _ if len(up) > 1:
@@ -290,7 +290,7 @@
     fleet.run(40)
     assert fleet.breaches == []
     dead = {f.name for f in fleet.fronts.values() if f.is_dead}
-    assert not [h for n in fleet.nodes for h in n.holder.values() if h.member in dead]
+    assert not [h for n in fleet.nodes for h in n.holders.values() if h.member in dead]
 
 
 def test_the_simulation_detects_nodes_that_do_not_check_ownership() -> None:
@@ -299,7 +299,7 @@
     for seed in range(20):
         rng = Random(seed)
         net = NetworkConditions(loss=0.1, duplication=0.2, long_delay_share=0.2)
-        fleet = TakeoverSimulation(8, 4, 10, seed, BOUNDS, net, checks=False)
+        fleet = TakeoverSimulation(8, 4, 10, seed, BOUNDS, net, checks_holders=False)
         fleet.pause("f1", 12, loses_streams=True)
         fleet.run(rng.uniform(5, 8))
         fleet.kill(["f2"])
