--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -40,7 +40,7 @@
 from oakcroft.running.clock import Clock
 
 RESTART_DELAY_S = 1.0
-"""After an unexpected exception in this part of the program."""
+"""Delay before this part of the program is restarted after an unexpected exception."""
 
 LEAVE_REPEATS = 3
 """Times that the last update is sent, in case datagrams are lost."""
@@ -80,30 +80,38 @@
         self.on_loads: Callable[[list[LoadReport]], None] | None = None
         self.hosted = begin_membership(settings, zone, seed, self.now(), log)
         self.membership = own_zone_membership(self.hosted)
-        self.zones: ZoneService | None = None
-        if isinstance(self.hosted, ZonedMembership):
-            zone_codec = ZoneCodec(settings.fleet_name, self.key_file.ring)
-            self.zones = ZoneService(self.hosted, settings.region, zone_codec)
+        self.zones = self._make_zone_service()
         self.stored_generation = self.membership.own_update.generation
         self.datagrams = DatagramSocket(settings.listen, self.dropped)
-        own_host = settings.listen[0]
         self.push_pulls = PushPullService(
-            self.codec, self.hosted, own_host, self.now, self.dropped, self._process_output
+            self.codec, self.hosted, settings.listen[0], self.now, self.dropped, self._process_output
         )
         self.streams = StreamServer(self.push_pulls.answer, PUSH_PULL_TIMEOUT_S, self.dropped)
         self.leases: LeaseHost | None = None
         self.text_transfer: TextTransfer | None = None
         if settings.keepers:
-            self.leases = LeaseHost(
-                settings, self.key_file.ring, self.membership, store, seed + 1, self._send_to_member, log
-            )
-            self.text_transfer = TextTransfer(self.codec, self.leases, own_host, self.now, self.dropped)
-            self.streams.register(LEASE_FORMAT, self.text_transfer.answer, TEXT_TIMEOUT_S)
+            self._add_leases(store, seed + 1)
         self.has_begun = False
         self.timers_changed = trio.Event()
 
+    def _make_zone_service(self) -> ZoneService | None:
+        if not isinstance(self.hosted, ZonedMembership):
+            return None
+        zone_codec = ZoneCodec(self.settings.fleet_name, self.key_file.ring)
+        return ZoneService(self.hosted, self.settings.region, zone_codec)
+
+    def _add_leases(self, store: NamedValueStore | None, seed: int) -> None:
+        """Adds the fleet's leases, and the transfer of the texts that a lease holder's orders name."""
+        ring = self.key_file.ring
+        self.leases = LeaseHost(
+            self.settings, ring, self.membership, store, seed, self._send_to_member, self.log
+        )
+        own_host = self.settings.listen[0]
+        self.text_transfer = TextTransfer(self.codec, self.leases, own_host, self.now, self.dropped)
+        self.streams.register(LEASE_FORMAT, self.text_transfer.answer, TEXT_TIMEOUT_S)
+
     def now(self) -> int:
-        """Current time of the front's clock, which steps of the wall clock do not change."""
+        """Returns the time of the front's clock in ns, which steps of the wall clock do not change."""
         return self.clock.now()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -253,7 +261,7 @@
         self._process_output()
 
     def _read_loads(self, opened: bytes) -> list[LoadReport]:
-        """Node loads; accepted from any known member, whatever its generation."""
+        """Decodes node loads; they are accepted from any known member, whatever its generation."""
         sender, rows = self.load_codec.decode(opened)
         if sender not in self.membership.members or self.membership.displaced:
             raise MessageError("no member")
@@ -261,7 +269,7 @@
         return rows
 
     def present(self) -> list[str]:
-        """Present members including this front; only this front if another process displaced it."""
+        """Returns the present members including this front; only this front if another process displaced it."""
         membership = self.membership
         return [membership.own_update.name] if membership.displaced else membership.present()
 
@@ -287,7 +295,7 @@
     # Status.
 
     def status(self) -> dict[str, object]:
-        """The membership and its counters as plain values, for operators; the keys do not change."""
+        """Returns the membership and its counters as plain values, for operators; the keys do not change."""
         now = self.now()
         return {
             **membership_status(self.membership, now),
--- a/oakcroft/rulecheck/membership.py
+++ b/oakcroft/rulecheck/membership.py
@@ -101,7 +101,9 @@
             finding.cases += 1
             since = view["t"] - SETTLED_WITHIN_NS
             if standing == "gone" and not were_separated(view["front"], member, outages, since, view["t"]):
-                finding.add_breach(f"front {view['front']} calls {name} gone, although the two could reach each other")
+                finding.add_breach(
+                    f"front {view['front']} calls {name} gone, although the two could reach each other"
+                )
     return finding
 
 
