--- a/oakcroft/decisions/fleet/backoff.py
+++ b/oakcroft/decisions/fleet/backoff.py
@@ -33,9 +33,9 @@
 EVENT_STREAM_RETRY = RetryPolicy(50 * MS, SECOND, 2.0, 0)
 RUNG_CHANGE_RETRY = RetryPolicy(50 * MS, 400 * MS, 2.0, 1500 * MS)
 RENDITION_BOUND_RETRY = RetryPolicy(250 * MS, 5 * SECOND, 2.0, 30 * SECOND)
-"""For a node that refused to step a playback down."""
+"""Retries at a node that refused to step a playback down."""
 SESSION_END_RETRY = RetryPolicy(200 * MS, 5 * SECOND, 2.0, 30 * SECOND)
-"""For telling a node that a session has ended."""
+"""Retries to tell a node that a session has ended."""
 
 
 class RetryBackoff:
--- a/oakcroft/decisions/membership/failure_detector.py
+++ b/oakcroft/decisions/membership/failure_detector.py
@@ -16,15 +16,15 @@
 from oakcroft.interface import MS, SECOND
 
 PROBE_INTERVAL = 300 * MS
-"""Between two probes by one front. All fronts together then probe each member 3.3 times a second, whatever their
-number: a crashed member is first probed within 1.4 s in 99 of 100 cases (4.6 intervals), which leaves 4.6 s of the 6 s
-in which a crash must be known."""
+"""Interval between two probes by one front. All fronts together then probe each member 3.3 times a second, whatever
+their number: a crashed member is first probed within 1.4 s in 99 of 100 cases (4.6 intervals), which leaves 4.6 s of
+the 6 s in which a crash must be known."""
 
 RETRY_INTERVAL = 300 * MS
 """Delay before a probe is repeated directly and through others, and before the second repetition."""
 
 PROBE_TIMEOUT = SECOND
-"""After which a probe without an answer has failed."""
+"""Time after which a probe without an answer has failed."""
 
 INDIRECT_PROBES = 3
 """Members asked to probe in this front's place (k in SWIM). With three of them and three direct pings, 6 of a million
--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -37,19 +37,19 @@
 from oakcroft.interface import MS, SECOND
 
 DELEGATE_START_DELAY = 10 * SECOND
-"""After its start, before a front acts as a delegate: when all start at once, each sees only itself and would rank
+"""Time from its start before a front acts as a delegate: when all start at once, each sees only itself and would rank
 first."""
 
 AUTHOR_INTERVAL = 500 * MS
-"""Between checks whether this front is a delegate and has to author its zone's summary."""
+"""Interval between checks whether this front is a delegate and has to author its zone's summary."""
 
 CLOCK_TOLERANCE_US = 86_400 * 1_000_000
-"""By which a generation may be ahead of this front's clock: one day."""
+"""Bound by which a generation may be ahead of this front's clock: one day."""
 
 NS_PER_US = 1_000
 
 DIFFERENCE_TOLERANCE = 2 * SECOND
-"""For which a front's members may differ from its zone's summary: gossip takes that long to reach all."""
+"""Time for which a front's members may differ from its zone's summary: gossip takes that long to reach all."""
 
 LOOKUP_FANOUT = 2
 """Delegates that are asked for a member, in case one gives a false answer or has just failed."""
--- a/oakcroft/decisions/membership/member_table.py
+++ b/oakcroft/decisions/membership/member_table.py
@@ -30,8 +30,8 @@
 """Interval after which the restart count of a member decreases by one."""
 
 FREQUENT_RESTARTS = 4
-"""Above this count, changes are reported only at powers of two, so that a member that keeps restarting cannot fill the
-log."""
+"""Restart count above which changes are reported only at powers of two, so that a member that keeps restarting cannot
+fill the log."""
 
 
 @dataclass(frozen=True)
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -34,7 +34,7 @@
 from oakcroft.interface import MS, SECOND
 
 GOSSIP_INTERVAL = 200 * MS
-"""Between messages that carry only updates, while any are queued."""
+"""Interval between messages that carry only updates, while any are queued."""
 
 GOSSIP_FANOUT = 3
 """Members that receive gossip in each interval."""
--- a/oakcroft/decisions/membership/own_identity.py
+++ b/oakcroft/decisions/membership/own_identity.py
@@ -15,7 +15,7 @@
 from oakcroft.interface import SECOND
 
 CONFLICT_RECHECK = 5 * SECOND
-"""After which the other process under this name is pinged again."""
+"""Time after which the other process under this name is pinged again."""
 
 CONFLICT_ANSWER_TIMEOUT = 3 * SECOND
 
--- a/oakcroft/decisions/membership/paced_membership.py
+++ b/oakcroft/decisions/membership/paced_membership.py
@@ -27,30 +27,30 @@
 MAX_WAITING_EXCHANGES = 4
 
 START_EXCHANGE_INTERVAL = SECOND
-"""Between exchanges of a front that has just started. When a zone starts as a whole, each exchange doubles the known
-members, and all find each other with an eighth of the octets that gossip takes."""
+"""Interval between exchanges of a front that has just started. When a zone starts as a whole, each exchange doubles the
+known members, and all find each other with an eighth of the octets that gossip takes."""
 
 MAX_START_EXCHANGES = 15
-"""After which a front no longer counts as just started, even if exchanges still bring new members."""
+"""Exchanges after which a front no longer counts as just started, even if exchanges still bring new members."""
 
 MAX_FRUITLESS_EXCHANGES = 2
 """Consecutive exchanges without a new member after which a front has found its zone."""
 
 REPAIR_INTERVAL = 3 * SECOND
 MAX_REPAIR_INTERVAL = 24 * SECOND
-"""Between exchanges of a front whose members differ from its zone's summary. The interval doubles while the exchanges
-bring no new member, so that a wrong summary costs little traffic."""
+"""Bounds of the interval between exchanges of a front whose members differ from its zone's summary. The interval
+doubles while the exchanges bring no new member, so that a wrong summary costs little traffic."""
 
 EARLY_EXCHANGE_TIME = 45 * SECOND
-"""After its start, in which a front keeps exchanging states even if its members match the summary."""
+"""Time from its start in which a front keeps exchanging states even if its members match the summary."""
 
 INTRODUCTION_TIME = 15 * SECOND
-"""After its start, in which a front adds other members' updates to its answers to probes."""
+"""Time from its start in which a front adds other members' updates to its answers to probes."""
 
 FEW_MEMBERS = 16
 START_PROBE_INTERVAL = SECOND
-"""Between probes of a front that has just started and knows fewer than `FEW_MEMBERS`: when a zone starts as a whole,
-all know only the seeds, and would overload them with probes."""
+"""Interval between probes of a front that has just started and knows fewer than `FEW_MEMBERS`: when a zone starts as a
+whole, all know only the seeds, and would overload them with probes."""
 
 INTRODUCTIONS = 3
 """Random members added to an answer to a probe, so that a front that knows only the seeds soon probes others too."""
--- a/oakcroft/decisions/membership/push_pull.py
+++ b/oakcroft/decisions/membership/push_pull.py
@@ -26,10 +26,10 @@
 """Addresses queued for an exchange; further ones are dropped, since gossip or a later exchange reaches them."""
 
 JOIN_INTERVAL = SECOND
-"""Between two attempts to join through a seed until one succeeds, plus up to half of it at random."""
+"""Interval between two attempts to join through a seed until one succeeds, plus up to half of it at random."""
 
 REJOIN_INTERVAL = 2 * SECOND
-"""Between two pings to addresses of absent members or seeds, plus up to a quarter of it at random."""
+"""Interval between two pings to addresses of absent members or seeds, plus up to a quarter of it at random."""
 
 
 class PushPull:
--- a/oakcroft/decisions/membership/suspicion.py
+++ b/oakcroft/decisions/membership/suspicion.py
@@ -19,8 +19,8 @@
 maximum of 193 was 0.42 s (simulated, docs/fleet.md); four times that, for machines that are short of processor time."""
 
 MAX_TIMEOUT = 6 * SECOND
-"""Without confirmations. The fleet probes each member about three times a second, so a crash is confirmed within a
-second; a front that stays alone with a suspicion is more likely to be cut off itself."""
+"""Timeout without confirmations. The fleet probes each member about three times a second, so a crash is confirmed
+within a second; a front that stays alone with a suspicion is more likely to be cut off itself."""
 
 MAX_CONFIRMATIONS = 2
 """Confirmations, beside the first accuser's, that shorten the timeout to the minimum."""
--- a/oakcroft/decisions/membership/zone_author.py
+++ b/oakcroft/decisions/membership/zone_author.py
@@ -25,14 +25,14 @@
 from oakcroft.interface import SECOND
 
 HEARTBEAT_INTERVAL = 3 * SECOND
-"""Between two heartbeats of a zone's summary. The author sends them to each zone directly, 1.4 kB a second at 32
-zones."""
+"""Interval between two heartbeats of a zone's summary. The author sends them to each zone directly, 1.4 kB a second at
+32 zones."""
 
 PUBLICATION_SPACING = 2 * SECOND
 """Minimum time between two contents by one author; changes in between are published together."""
 
 RECENT_CHANGE_TIME = 60 * SECOND
-"""For which every change is listed, up to `MAX_CHANGES`: ten times what it takes to reach all readers."""
+"""Time for which every change is listed, up to `MAX_CHANGES`: ten times what it takes to reach all readers."""
 
 MIN_LISTED_CHANGES = 8
 """Changes that are listed even if they are older, for a region that returns after a long partition."""
--- a/oakcroft/decisions/membership/zone_directory.py
+++ b/oakcroft/decisions/membership/zone_directory.py
@@ -17,19 +17,20 @@
 
 MAX_ZONES = 64
 MAX_REMEMBERED_CHANGES = 128
-"""For one other zone; beyond it the oldest is dropped, and its member is `UNLISTED` again."""
+"""Changes that are remembered of one other zone; beyond it the oldest is dropped, and its member is `UNLISTED`
+again."""
 
 CONFIRMATION_TIME = 6 * SECOND
-"""For which a failure reported by another zone remains a suspicion. A refutation takes as long as any change to reach
-the accused's zone, then the accused, and to come back."""
+"""Time for which a failure reported by another zone remains a suspicion. A refutation takes as long as any change to
+reach the accused's zone, then the accused, and to come back."""
 
 UNREACHABLE_TIME = 12 * SECOND
-"""Without a new heartbeat, after which a zone counts as unreachable. In an hour of two zones of 85 at 2% loss,
+"""Time without a new heartbeat after which a zone counts as unreachable. In an hour of two zones of 85 at 2% loss,
 heartbeats were at most 10.0 s apart at any front (simulated, docs/membership.md); after an error the next heartbeat
 corrects it."""
 
 FORGETTING_TIME = 86_400 * SECOND
-"""After which an unreachable zone that is not configured is removed."""
+"""Time after which an unreachable zone that is not configured is removed."""
 
 
 class RemoteState(Enum):
--- a/oakcroft/decisions/membership/zone_gossip.py
+++ b/oakcroft/decisions/membership/zone_gossip.py
@@ -31,12 +31,12 @@
 from oakcroft.interface import MS, SECOND
 
 LOCAL_DIGEST_INTERVAL = SECOND
-"""Between digests to a random member of the own zone; a heartbeat reaches all of a zone of 85 in about seven
+"""Interval between digests to a random member of the own zone; a heartbeat reaches all of a zone of 85 in about seven
 intervals."""
 
 REMOTE_DIGEST_INTERVAL = 4 * SECOND
-"""Between digests of a delegate to one of another zone, so that a zone is known even if only a third zone can reach
-it."""
+"""Interval between digests of a delegate to one of another zone, so that a zone is known even if only a third zone can
+reach it."""
 
 LOCAL_FANOUT = 3
 REMOTE_FANOUT = 3
@@ -44,13 +44,13 @@
 Massoulié and Ganesh 2003), and digests reach the rest."""
 
 FORWARDING_TIME = SECOND
-"""In which forwarding delivers most contents; a missing one is requested only after it."""
+"""Time in which forwarding delivers most contents; a missing one is requested only after it."""
 
 REQUEST_SPACING = 500 * MS
-"""Between two requests for one zone's summary, which several members may offer at the same time."""
+"""Minimum time between two requests for one zone's summary, which several members may offer at the same time."""
 
 MAX_RECORD_DATAGRAMS = 3
-"""In answer to one request; the next digest brings the rest."""
+"""Datagrams in answer to one request; the next digest brings the rest."""
 
 T = TypeVar("T")
 
--- a/oakcroft/decisions/membership/zone_lookup.py
+++ b/oakcroft/decisions/membership/zone_lookup.py
@@ -9,7 +9,7 @@
 from oakcroft.interface import SECOND
 
 MAX_LOOKUPS = 256
-"""Open at once; a further one ends immediately without an answer."""
+"""Lookups open at once; a further one ends immediately without an answer."""
 
 LOOKUP_TIMEOUT = 2 * SECOND
 NUMBER_BITS = 48
--- a/oakcroft/decisions/membership/zone_messages.py
+++ b/oakcroft/decisions/membership/zone_messages.py
@@ -12,21 +12,21 @@
 from oakcroft.decisions.membership.zone_summary import DigestEntry, MemberChange, ZoneContact, ZoneSummary
 
 MAX_PAYLOAD_BYTES = 1_200
-"""For entries or summaries in one datagram of 1,400; the rest is for seal and envelope."""
+"""Room for entries or summaries in one datagram of 1,400; the rest is for seal and envelope."""
 
 ENVELOPE_BYTES = 79
-"""For a datagram's seal, fleet, sender and kind, with names and addresses of 10 octets."""
+"""Size of a datagram's seal, fleet, sender and kind, with names and addresses of 10 octets."""
 
 ENTRY_BYTES = 28
-"""For a digest entry without the zone's name."""
+"""Size of a digest entry without the zone's name."""
 
 SUMMARY_BYTES = 52
-"""For a summary without names, delegates and changes."""
+"""Size of a summary without names, delegates and changes."""
 
 CONTACT_BYTES = 15
 CHANGE_BYTES = 15
 LOOKUP_BYTES = 24
-"""For a contact, a change and a lookup without the strings in them."""
+"""Sizes of a contact, a change and a lookup without the strings in them."""
 
 
 @dataclass(frozen=True)
--- a/oakcroft/decisions/membership/zone_reporter.py
+++ b/oakcroft/decisions/membership/zone_reporter.py
@@ -25,7 +25,8 @@
 from oakcroft.interface import SECOND
 
 NEWCOMER_REPORT_DELAY = 60 * SECOND
-"""After the front's start. Members found earlier did not join the zone: they were present before this front."""
+"""Time from the front's start before a member found counts as one that joined the zone: those found earlier were
+present before this front."""
 
 ABSENT_LABELS = ("", MemberState.FAILED.label, MemberState.LEFT.label)
 """Previous states, in a change, of a member that was not present before."""
--- a/oakcroft/decisions/membership/zone_summary.py
+++ b/oakcroft/decisions/membership/zone_summary.py
@@ -17,10 +17,10 @@
 from oakcroft.decisions.membership.messages import Address
 
 MAX_DELEGATES = 3
-"""For one zone: two may fail within one detection time and the zone still has a delegate."""
+"""Delegates of one zone: two may fail within one detection time and the zone still has a delegate."""
 
 MAX_CHANGES = 32
-"""In one summary, which then takes about 980 octets of a datagram's 1,400, with names of ten octets."""
+"""Changes in one summary, which then takes about 980 octets of a datagram's 1,400, with names of ten octets."""
 
 MAX_ZONE_NAME_LENGTH = 32
 MAX_ZONE_MEMBERS = 256
@@ -158,7 +158,11 @@
 
     @cached_property
     def fingerprint(self) -> int:
-        """Digest of the content: all but epoch, version and heartbeat."""
+        """Digest of the content: all but epoch, version and heartbeat.
+
+        It is compared between fronts and made of `repr`, so the names of the fields and types in a summary are part of
+        the wire format.
+        """
         content = replace(self, epoch=0, version=0, heartbeat=0)
         digest = hashlib.blake2b(
             repr(content).encode(), digest_size=FINGERPRINT_OCTETS, person=b"oakcroft-zone"
--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -34,13 +34,13 @@
 from oakcroft.peerwire.lease_wire import Order, OrderReport
 
 ORDER_INTERVAL_S = 0.5
-"""Between orders to one front end, until it reports the wanted state."""
+"""Interval between orders to one front end, until it reports the wanted state."""
 
 REQUEST_INTERVAL_S = 0.3
-"""Between two attempts to pass an operator's request on to the lease holder."""
+"""Interval between two attempts to pass an operator's request on to the lease holder."""
 
 REQUEST_TIMEOUT_S = 12.0
-"""For an operator's request."""
+"""Timeout of an operator's request."""
 
 ROLLBACK_KEY = "back"
 """Stands for the digest in the key of a request to roll back."""
--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -24,7 +24,7 @@
 from oakcroft.peerwire.lease_wire import RecordPart, WireRow, row_from_wire, row_to_wire
 
 RECORD_REQUEST_INTERVAL = SECOND // 2
-"""Between two requests for the other acceptors' records, while this acceptor has lost its own."""
+"""Interval between two requests for the other acceptors' records, while this acceptor has lost its own."""
 
 MAX_PENDING_SAVES = 64
 """Answers that wait for the disk; further messages are dropped, as any datagram may be."""
--- a/oakcroft/peers/push_pull_service.py
+++ b/oakcroft/peers/push_pull_service.py
@@ -18,7 +18,7 @@
 from oakcroft.peerwire.push_pull_stream import MAX_PART_BYTES, FullStateReader, write_full_state
 
 PUSH_PULL_TIMEOUT_S = 2.0
-"""For one exchange, from the first octet to the last."""
+"""Timeout of one exchange, from the first octet to the last."""
 
 
 class PushPullService:
--- a/oakcroft/peers/text_transfer.py
+++ b/oakcroft/peers/text_transfer.py
@@ -18,7 +18,7 @@
 from oakcroft.peerwire.push_pull_stream import LENGTH_OCTETS
 
 TEXT_TIMEOUT_S = 10.0
-"""For one transfer; a text has at most 16 MiB."""
+"""Timeout of one transfer; a text has at most 16 MiB."""
 
 READ_BYTES = 65_536
 
--- a/oakcroft/peerwire/membership_codec.py
+++ b/oakcroft/peerwire/membership_codec.py
@@ -33,10 +33,10 @@
 """Formats that are decoded; there is none before the first."""
 
 MAX_DATAGRAM_BYTES = 1_400
-"""Including the seal; crosses an Ethernet path unfragmented, with room for tunnel headers."""
+"""Size of a datagram, including the seal; crosses an Ethernet path unfragmented, with room for tunnel headers."""
 
 MAX_TEXT_LENGTH = MAX_NAME_LENGTH
-"""For host, zone, version and reporter."""
+"""Characters of a host, zone, version or reporter."""
 
 STATES = {state.value: state for state in MemberState}
 KINDS = {kind.value: kind for kind in MessageKind}
--- a/oakcroft/peerwire/push_pull_stream.py
+++ b/oakcroft/peerwire/push_pull_stream.py
@@ -12,7 +12,7 @@
 
 MAX_PART_BYTES = 16_384
 MAX_PARTS = 64
-"""For one full state, in each direction."""
+"""Parts of one full state, in each direction."""
 
 UPDATES_PER_PART = 96
 LENGTH_OCTETS = 2
--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -18,13 +18,13 @@
 from oakcroft.interface import MS, SECOND
 
 HEADER_BYTES = 28 + 80
-"""Of IP and UDP, and of a message without updates as sealed by peerwire."""
+"""Size of the headers of IP and UDP, and of a message without updates as sealed by peerwire."""
 
 MAX_WAITING_MESSAGES = 256
 """Messages that wait for a paused process, as in the buffer of its socket."""
 
 UPDATE_BYTES = 78
-"""Of one member update, as measured of the codec for names of 9 bytes."""
+"""Size of one member update, as measured of the codec for names of 9 bytes."""
 
 UPDATES_PER_FRAME = 15
 """Updates that fit one frame of a full exchange."""
