--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -106,7 +106,7 @@
     class Fronts(test_takeover_processes.TakeoverFronts):
         pass
 
-    Fronts.adopting_form = form
+    Fronts.takeover_form = form
     with tempfile.TemporaryDirectory() as folder:
         async with test_peers.fronts(Path(folder), 5, Fronts) as rig:
             assert isinstance(rig, Fronts)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -199,7 +199,7 @@
 class Probers(TakeoverFronts):
     """Fronts that share the loads of nodes."""
 
-    adopting_form = "(probing (every 500ms))"
+    takeover_form = "(probing (every 500ms))"
 
     async def knows(self, name: str, within: float = 10, **more: Any) -> dict[str, Any]:
         """Waits until a front knows the loads of both nodes."""
@@ -246,7 +246,7 @@
             lies = [LoadReport(process_id(n, at), 40.0, 0) for n, at in place.items()]
             with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as out:
                 for _ in range(20):
-                    await out.sendto(codec.encode(first, 1, lies), rig.between.front_addresses[honest])
+                    await out.sendto(codec.encode(first, 1, lies), rig.network.front_addresses[honest])
                     await trio.sleep(0.01)
                 await rig.request_until_playing(honest, "/whep/open/t1", "beside")
             rig.assert_rules_hold()
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -144,10 +144,10 @@
         assert (await rig.start_rollout(second, SECOND_CATALOGUE, watch=60))["status"] == 202
         await rig.wait_for_rollout(rig.names, stage="taken")
         for name in others:
-            rig.between.faults_on(second, name).delay_seconds = (4 * TERM, 4 * TERM + 1)
-        delayed_before = rig.between.delayed_count
+            rig.network.faults_on(second, name).delay_seconds = (4 * TERM, 4 * TERM + 1)
+        delayed_before = rig.network.delayed_count
         with trio.fail_after(6):
-            while rig.between.delayed_count < delayed_before + 40:  # 40 of its messages are in flight
+            while rig.network.delayed_count < delayed_before + 40:  # 40 of its messages are in flight
                 await trio.sleep(0.02)
         rig.signal(second, signal.SIGSTOP)
         third, third_token = await rig.wait_for_holder(others, timeout_s=6 * TERM)
@@ -161,7 +161,7 @@
                 await trio.sleep(0.05)
         fences = await rig.fences(others)
         assert all(after >= before for after, before in zip(fences, fences_before, strict=True))
-        rig.between.heal()
+        rig.network.heal()
         await rig.wait_for_rollout(rig.names, stage="stopped")
         for name in rig.names:
             assert (await rig.rollout_state(name))["in_force"] in first_versions
@@ -176,15 +176,15 @@
         minority = {first}
         majority = {name for name in rig.names if name != first}
         acceptors = {"f0", "f1", "f2"}
-        rig.between.cut(minority, majority)
-        rig.between.cut(majority, minority)
+        rig.network.cut(minority, majority)
+        rig.network.cut(majority, minority)
         second, second_token = await rig.wait_for_holder(sorted(majority), timeout_s=6 * TERM)
         assert second_token > first_token
         with trio.fail_after(3 * TERM):
             while await rig.is_holder(first):
                 await trio.sleep(0.05)
         assert (await rig.rollout_state(first))["status"] == 200  # it still serves
-        rig.between.heal()
+        rig.network.heal()
 
         # An acceptor loses its record: it grants nothing for a term, gets the records of the others, and tokens grow on.
         wiped = next(name for name in sorted(acceptors) if name != second)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -85,7 +85,7 @@
             port = probe.getsockname()[1]
         listen = {name: (f"127.0.71.{i + 1}", port) for i, name in enumerate(self.names)}
         relays = {name: (f"127.0.72.{i + 1}", port) for i, name in enumerate(self.names)}
-        self.between = PeerNetwork(listen, relays, Random(1))
+        self.network = PeerNetwork(listen, relays, Random(1))
         self.processes: dict[str, trio.Process] = {}
         self.ports: dict[str, int] = {}
         (folder / "key").write_text(KEY)
@@ -93,10 +93,10 @@
     def file(self, name: str) -> Path:
         number = self.names.index(name)
         path = self.folder / f"{name}.oak"
-        host, port = self.between.front_addresses[name]
-        relay, _ = self.between.relay_addresses[name]
+        host, port = self.network.front_addresses[name]
+        relay, _ = self.network.relay_addresses[name]
         seeds = " ".join(
-            f'"{seed}:{seed_port}"' for seed, seed_port in list(self.between.relay_addresses.values())[:2]
+            f'"{seed}:{seed_port}"' for seed, seed_port in list(self.network.relay_addresses.values())[:2]
         )
         site = SITE_TEMPLATE.replace("(fronts 1)", f"(fronts {len(self.names)})")
         site = site.replace("EXTRA", f'(operators (secret "{TOKEN}")) (limit all (on all) (rate 50/s))')
@@ -180,7 +180,7 @@
         nursery.start_soon(nodes.run, nodes_up)
         await nodes_up.wait()
         rig = kind(folder, many, nodes, record, nursery)
-        await nursery.start(rig.between.run)
+        await nursery.start(rig.network.run)
         try:
             async with trio.open_nursery() as starting:
                 for name in rig.names:
@@ -230,26 +230,26 @@
     async def test(rig: Fronts) -> None:
         one = {"f0", "f1"}
         other = {"f2", "f3", "f4"}
-        rig.between.cut(one, other)
-        rig.between.cut(other, one)
+        rig.network.cut(one, other)
+        rig.network.cut(other, one)
         await rig.wait_for_states(sorted(one), dict.fromkeys(other, "gone"))
         await rig.wait_for_states(sorted(other), dict.fromkeys(one, "gone"))
-        rig.between.heal()
+        rig.network.heal()
         assert await rig.wait_for_states(rig.names, dict.fromkeys(rig.names, "alive")) < 10
         for sender in rig.names:
             for receiver in rig.names:
-                link_faults = rig.between.faults_on(sender, receiver)
+                link_faults = rig.network.faults_on(sender, receiver)
                 link_faults.loss_rate = 0.33
                 link_faults.duplicate_rate = 0.2
                 link_faults.delay_seconds = (0.0, 0.1)
-        rig.between.cut({"f0"}, {"f1"})  # one way only
-        passed = rig.between.forwarded_count
+        rig.network.cut({"f0"}, {"f1"})  # one way only
+        passed = rig.network.forwarded_count
         with trio.fail_after(30):
-            while rig.between.forwarded_count < passed + 400:  # a number of messages, whatever time they take
+            while rig.network.forwarded_count < passed + 400:  # a number of messages, whatever time they take
                 for name in rig.names:
                     assert "gone" not in (await rig.member_states(name)).values()
                 await trio.sleep(0.1)
-        rig.between.heal()
+        rig.network.heal()
         await rig.wait_for_states(rig.names, dict.fromkeys(rig.names, "alive"))
 
     on_fronts(tmp_path, test)
@@ -277,7 +277,7 @@
 def test_unsealed_messages_are_dropped_and_a_key_changes_while_serving(tmp_path: Path) -> None:
     async def test(rig: Fronts) -> None:
         rng = Random(1)
-        address = rig.between.front_addresses["f0"]
+        address = rig.network.front_addresses["f0"]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for i in range(4_000):  # 4 MB
                 sock.sendto(rng.randbytes(1_024), address)
@@ -393,7 +393,7 @@
         text = text.replace("(zone west)", f"(zone {self.zone(name)})")
         text = re.sub(r'\(seeds "[^)]*\)', "", text)
         for zone, region in self.ZONES.items():
-            relays = [self.between.relay_addresses[n] for n in self.names if self.zone(n) == zone]
+            relays = [self.network.relay_addresses[n] for n in self.names if self.zone(n) == zone]
             seeds = " ".join(f'"{host}:{port}"' for host, port in relays)
             text += f"(zone {zone} (region {region}) (seeds {seeds}))"
         path.write_text(text)
--- a/tests/test_takeover_processes.py
+++ b/tests/test_takeover_processes.py
@@ -32,7 +32,7 @@
 class TakeoverFronts(Fronts):
     """Front ends that take over each other's sessions."""
 
-    adopting_form = "(adopting (after 200ms) (lease 10s))"
+    takeover_form = "(adopting (after 200ms) (lease 10s))"
     has_state_file = False
     has_planted_breach = False  # set by a test that has caused a breach on purpose
 
@@ -41,13 +41,13 @@
         text = path.read_text()
         if self.has_state_file:
             text = text.replace("(zone west)", f'(zone west) (state "{self.folder}/{name}.state")', 1)
-        path.write_text(f"{text}\n{self.adopting_form}")
+        path.write_text(f"{text}\n{self.takeover_form}")
         return path
 
     async def request(self, name: str, method: str, path: str, body: bytes = b"", **headers: str) -> Response:
         peer = HttpClient("127.0.0.1", self.ports[name], connect_timeout_s=0.5)
         try:
-            fields = [(k.replace("_", "-"), v) for k, v in headers.items()]
+            fields = [(header.replace("_", "-"), value) for header, value in headers.items()]
             return await peer.request(method, path, fields, body)
         finally:
             await peer.close()
@@ -142,14 +142,14 @@
     run_async_test(run_and_check, 100)
 
 
-def test_playbacks_outlive_their_front_and_its_adopters_and_their_keys_are_known(tmp_path: Path) -> None:
+def test_playbacks_outlive_their_front_and_the_next_one_and_their_keys_are_known(tmp_path: Path) -> None:
     async def test(rig: TakeoverFronts) -> None:
         keys = await rig.start_playbacks("f2", 12) + await rig.start_playbacks("f2", 6, "course")
         first = await rig.request_until_playing("f2", "/whep/course/t9", "paid")
         other_fronts = {n for n in rig.names if n != "f2"}
         rig.signal("f2", signal.SIGKILL)
         spread = await rig.wait_until_held_by([*keys, "paid"], other_fronts)
-        assert len(spread) >= 3, spread  # the three adopters of each node take a share each
+        assert len(spread) >= 3, spread  # the three requesting fronts of each node take a share each
 
         # A paid request repeated at the new holder gets the same answer, without a second set-up.
         holder = rig.holders_by_key()["paid"]
@@ -163,7 +163,7 @@
         assert ended.status == 200
         await rig.wait_until(lambda: "paid" not in rig.holders_by_key())
 
-        # The front end that adopted most fails too: its sessions are taken over, including the adopted ones.
+        # The front end that took over most fails too: its sessions are taken over, including those.
         second = spread.most_common(1)[0][0]
         rig.signal(second, signal.SIGKILL)
         await rig.wait_until_held_by(keys, other_fronts - {second})
@@ -178,7 +178,7 @@
     run_on_takeover_fronts(tmp_path, test)
 
 
-def test_a_front_that_sleeps_while_its_playbacks_pass_on_does_nothing_late(tmp_path: Path) -> None:
+def test_a_front_paused_during_a_takeover_changes_nothing_late(tmp_path: Path) -> None:
     async def test(rig: TakeoverFronts) -> None:
         keys = await rig.start_playbacks("f1", 8)
         first = await rig.request_until_playing("f1", "/whep/open/t5", "mine")
@@ -212,18 +212,18 @@
     run_on_takeover_fronts(tmp_path, test)
 
 
-def test_a_partition_moves_nothing_and_a_restarted_front_has_its_own_again(tmp_path: Path) -> None:
+def test_a_partition_causes_no_takeover_and_a_restarted_front_gets_its_sessions_back(tmp_path: Path) -> None:
     async def test(rig: TakeoverFronts) -> None:
         keys = {n: await rig.start_playbacks(n, 4) for n in rig.names}
         halves = {"f0", "f1"}, {"f2", "f3", "f4"}
         for one_half, other_half in (halves, halves[::-1]):
-            rig.between.cut(one_half, other_half)
+            rig.network.cut(one_half, other_half)
         await rig.wait_for_states(["f0", "f1"], dict.fromkeys(halves[1], "gone"), 12)
         await rig.wait_for_states(sorted(halves[1]), dict.fromkeys(halves[0], "gone"), 12)
         with trio.fail_after(10):
             while not any([(await rig.status(n))["adopting"]["asking"] for n in rig.names]):
                 await trio.sleep(0.05)
-        rig.between.heal()
+        rig.network.heal()
         await rig.wait_for_states(rig.names, dict.fromkeys(rig.names, "alive"), 12)
         assert not rig.facts("passed")
         assert all([await rig.wait_until_held_by(keys[n], {n}) for n in rig.names])
@@ -249,7 +249,9 @@
     has_state_file = True
 
 
-def test_with_a_file_a_front_comes_back_to_its_own_and_the_lost_one_is_shared_out(tmp_path: Path) -> None:
+def test_a_front_with_a_state_file_restores_its_sessions_and_others_share_those_of_a_failed_one(
+    tmp_path: Path,
+) -> None:
     async def test(rig: TakeoverFronts) -> None:
         keys = await rig.start_playbacks("f1", 4) + await rig.start_playbacks("f1", 4, "course")
         rig.signal("f1", signal.SIGKILL)
@@ -265,7 +267,7 @@
         await rig.processes["f1"].wait()
         spread = await rig.wait_until_held_by(keys, other_fronts)
         holder = rig.holders_by_key()[keys[4]]
-        # An adopter records the adopted session: after a restart it knows the key and sets nothing up.
+        # A front end records a session that it takes over: after a restart it knows the key and sets nothing up.
         rig.signal(holder, signal.SIGKILL)
         await rig.processes[holder].wait()
         await rig.start(holder)
@@ -316,7 +318,7 @@
     run_on_takeover_fronts(tmp_path, test, FrontsWithLongDrain)
 
 
-def test_what_has_no_seat_is_left_and_no_rule_broken(tmp_path: Path) -> None:
+def test_sessions_without_a_free_seat_are_declined_and_no_rule_is_broken(tmp_path: Path) -> None:
     async def test(rig: TakeoverFronts) -> None:
         for name in ("f0", "f1", "f2", "f3"):  # each front end has two seats a title
             for i in range(2):
@@ -335,7 +337,7 @@
     run_on_takeover_fronts(tmp_path, test)
 
 
-def test_a_node_that_does_not_check_is_found_out() -> None:
+def test_the_check_finds_takeovers_and_changes_that_a_node_must_not_allow() -> None:
     def fact(t: int, kind: str, **fields: Any) -> dict[str, Any]:
         return {"t": t, "kind": kind, "node": "n1", **fields}
 
@@ -357,7 +359,7 @@
     assert [len(rule.breaches) for rule in check_session_ownership(twice)] == [1, 0, 1]
 
 
-def test_late_words_of_the_one_that_had_it_are_turned_away_and_a_node_that_trusts_all_is_found(
+def test_late_requests_of_a_former_holder_are_rejected_and_a_node_that_accepts_them_is_found(
     tmp_path: Path,
 ) -> None:
     async def test(rig: TakeoverFronts) -> None:
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -73,7 +73,7 @@
     """Six fronts in one event loop, and the relay between them."""
 
     folder: Path
-    between: PeerNetwork
+    network: PeerNetwork
     nursery: trio.Nursery
     clock: Clock = field(default_factory=FastClock)
     endpoints: dict[str, PeerEndpoint] = field(default_factory=dict)
@@ -85,12 +85,12 @@
         """Settings of a front, with two seeds of its own zone and two of the other."""
         zone = name.split("-")[0]
         other = next(each for each in REGIONS if each != zone)
-        relays = self.between.relay_addresses
+        relays = self.network.relay_addresses
         seeds = tuple(relays[f"{zone}-{i}"] for i in (0, 1))
         others = (OtherZone(other, REGIONS[other], tuple(relays[f"{other}-{i}"] for i in (0, 1))),)
         return PeerSettings(
             name,
-            self.between.front_addresses[name],
+            self.network.front_addresses[name],
             relays[name],
             seeds,
             str(self.folder / "key"),
@@ -176,7 +176,7 @@
     relays = {name: (f"127.0.76.{i + 1}", port) for i, name in enumerate(NAMES)}
     async with trio.open_nursery() as nursery:
         rig = Zones(folder, PeerNetwork(listen, relays, Random(1)), nursery)
-        await nursery.start(rig.between.run)
+        await nursery.start(rig.network.run)
         for name in NAMES:
             await rig.start(name)
         await wait_until(rig.know_each_other, START_SECONDS)
@@ -243,8 +243,8 @@
     """A crash during the partition is known after it; rate shares do not change, since no front of the zone left."""
 
     async def test(rig: Zones) -> None:
-        rig.between.cut(NORTH, SOUTH)
-        rig.between.cut(SOUTH, NORTH)
+        rig.network.cut(NORTH, SOUTH)
+        rig.network.cut(SOUTH, NORTH)
         await wait_until(
             lambda: all(not zone.is_reachable for n in rig.endpoints for zone in rig.zoned(n).zones()),
             UNREACHABLE_SECONDS,
@@ -256,7 +256,7 @@
             lambda: all(rig.zoned(n).state_of("south-2") is MemberState.FAILED for n in rig.in_zone(SOUTH)),
             FAILED_IN_ZONE_SECONDS,
         )
-        rig.between.heal()
+        rig.network.heal()
         await wait_until(rig.know_each_other, HEAL_SECONDS)
         await wait_until(
             lambda: rig.remote_states(NORTH, "south-2") == {RemoteState.FAILED}, FAILED_EVERYWHERE_SECONDS
