--- a/oakcroft/commands/fleet.py
+++ b/oakcroft/commands/fleet.py
@@ -1,4 +1,8 @@
-"""The `status` and `fleet` commands, which query a running front end for its own state and its view of its peers."""
+"""The `status` and `fleet` commands, which query a running front end for its own state and its view of its peers.
+
+In the operators' interface a lease is a `duty`, its holder an `owner`, its fencing token a `number` and an acceptor a
+`keeper`.
+"""
 
 from __future__ import annotations
 
@@ -27,20 +31,20 @@
 @click.command()
 @FRONT_OPTION
 def status(address: str) -> None:
-    """Tell how a running front stands."""
+    """Show the status of a running front."""
     print_and_exit(request_front(address, "GET", "status"))
 
 
 @click.group()
 def fleet() -> None:
-    """Ask a running front how it sees the others."""
+    """Query a running front about the fleet."""
 
 
 @fleet.command("view")
 @FRONT_OPTION
-@click.option("--json", "as_json", is_flag=True, help="For tools: what the front said, as it said it.")
+@click.option("--json", "as_json", is_flag=True, help="Print the front's answer unchanged, for tools.")
 def fleet_view(address: str, as_json: bool) -> None:
-    """Tell who is there, by one front: a line each, with how it stands, since when, and by whose word."""
+    """List the members that a front knows, one a line: state, since when, and who reported it."""
     answer = request_front(address, "GET", "fleet")
     if as_json or is_error(answer):
         print_and_exit(answer)
@@ -50,16 +54,16 @@
 
 @fleet.command("owners")
 @FRONT_OPTION
-@click.option("--json", "as_json", is_flag=True, help="For tools: what the front said, as it said it.")
+@click.option("--json", "as_json", is_flag=True, help="Print the front's answer unchanged, for tools.")
 @click.option(
     "--give-back",
-    "duty",
+    "lease_name",
     default="",
-    help="A duty of this front: it lets go of it, for another.",
+    help="Name of a duty that this front is to release, so that another front takes it.",
 )
-def fleet_owners(address: str, as_json: bool, duty: str) -> None:
-    """Tell who owns which duty of the fleet, under which number, and how this front's keeper stands."""
-    method, query = ("DELETE", f"?duty={duty}") if duty else ("GET", "")
+def fleet_owners(address: str, as_json: bool, lease_name: str) -> None:
+    """List the duties of the fleet with their owners and numbers, and the state of this front's keeper."""
+    method, query = ("DELETE", f"?duty={lease_name}") if lease_name else ("GET", "")
     answer = request_front(address, method, f"fleet/owners{query}")
     if as_json or is_error(answer):
         print_and_exit(answer)
@@ -71,18 +75,21 @@
 @click.argument("file", type=EXISTING_FILE, required=False)
 @FRONT_OPTION
 @click.option(
-    "--watch", type=click.IntRange(0, 86_400), default=10, help="Seconds between one share and the next."
+    "--watch",
+    type=click.IntRange(0, 86_400),
+    default=10,
+    help="Seconds for which a share of the fronts is watched before the next.",
 )
-@click.option("--force", is_flag=True, help="Take it although a title would have no ready holder.")
-@click.option("--why", default="", help="Kept with the version.")
-@click.option("--take-back", is_flag=True, help="Have the one under way, or the last, taken back.")
+@click.option("--force", is_flag=True, help="Accept it although a title would have no ready holder.")
+@click.option("--why", default="", help="Reason, kept with the version.")
+@click.option("--take-back", is_flag=True, help="Roll back the rollout under way, or the last one.")
 def fleet_roll_out(
     file: Path | None, address: str, watch: int, force: bool, why: str, take_back: bool
 ) -> None:
-    """Take the catalogue FILE to all fronts, a share after the other; without FILE tell how the last one stands.
+    """Roll out the catalogue FILE to all fronts in stages; without FILE show the state of the last rollout.
 
-    Any front takes it and hands it to the one that owns the catalogue. A version that a front refuses, or under which
-    more answers fail than without it, is taken back everywhere.
+    Any front accepts it and forwards it to the one that owns the catalogue. A version that a front refuses, or under
+    which more answers fail than without it, is rolled back everywhere.
     """
     if take_back:
         print_and_exit(request_front(address, "DELETE", f"fleet/roll-out?why={escape_query_text(why)}"))
@@ -95,7 +102,7 @@
 
 
 def describe_owners(status: dict[str, Any]) -> list[str]:
-    """Describes the duties' owners in lines of text, from a decoded answer."""
+    """Returns lines of text that describe the duties and their owners, from a decoded answer."""
     term = status["term_ms"] / MS_PER_SECOND
     lines = [f"{status['name']}: keepers {', '.join(status['keepers'])}; a term is {term:g} s"]
     if keeper := status.get("keeper"):
@@ -117,16 +124,16 @@
 
 
 def describe_members(view: dict[str, Any]) -> list[str]:
-    """Describes a front end's view of its peers in lines of text, from a decoded answer."""
+    """Returns lines of text that describe a front end's view of its peers, from a decoded answer."""
     members = view["members"]
     states = Counter(member["standing"] for member in members)
-    own = "displaced by another of its name" if view["displaced"] else "alive"
+    own_state = "displaced by another of its name" if view["displaced"] else "alive"
     counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
-    width = max(len(member["name"]) for member in members)
-    dropped = ", ".join(f"{what} {count}" for what, count in sorted(view["dropped"].items())) or "nothing"
+    name_width = max(len(member["name"]) for member in members)
+    dropped = ", ".join(f"{reason} {count}" for reason, count in sorted(view["dropped"].items())) or "nothing"
     return [
-        f"{view['name']}, start {view['start']}, {own}: {counts}",
-        *(_describe_member(member, width) for member in members),
+        f"{view['name']}, start {view['start']}, {own_state}: {counts}",
+        *(_describe_member(member, name_width) for member in members),
         *(_describe_zone(zone) for zone in view.get("zones", ())),
         f"  sent {view['sent']}, taken {view['taken']}, dropped: {dropped}",
     ]
@@ -135,15 +142,15 @@
 def _describe_zone(zone: dict[str, Any]) -> str:
     reach = "reachable" if zone["reachable"] else "unreachable"
     counts = f"{zone['present']} present, {zone['failed']} gone, {zone['left']} left"
-    moved = f"heard {zone['moved_ms'] / MS_PER_SECOND:.1f} s ago"
-    return f"  zone {zone['zone']} of {zone['region']}: {reach}, {counts}, {moved}"
+    last_received = f"heard {zone['moved_ms'] / MS_PER_SECOND:.1f} s ago"
+    return f"  zone {zone['zone']} of {zone['region']}: {reach}, {counts}, {last_received}"
 
 
-def _describe_member(member: dict[str, Any], width: int) -> str:
-    heard = ""
+def _describe_member(member: dict[str, Any], name_width: int) -> str:
+    last_received = ""
     if member["heard_ms"] is not None:
-        heard = f", heard {member['heard_ms'] / MS_PER_SECOND:.1f} s ago"
-    by = f" by {member['by']}" if member["by"] else ""
-    name = f"{member['name']:{width}}"
+        last_received = f", heard {member['heard_ms'] / MS_PER_SECOND:.1f} s ago"
+    reporter = f" by {member['by']}" if member["by"] else ""
+    name = f"{member['name']:{name_width}}"
     since = f"{member['since_ms'] / MS_PER_SECOND:8.1f} s"
-    return f"  {name} {member['standing']:9} {since}  {member['address']} {member['wing']}{heard}{by}"
+    return f"  {name} {member['standing']:9} {since}  {member['address']} {member['wing']}{last_received}{reporter}"
