--- a/oakcroft/peers/zone_service.py
+++ b/oakcroft/peers/zone_service.py
@@ -5,7 +5,7 @@
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
 from oakcroft.decisions.membership.zone_messages import OutgoingZoneMessage
 from oakcroft.decisions.membership.zone_placement import ZoneStatus
-from oakcroft.decisions.membership.zone_summary import ZoneContact
+from oakcroft.decisions.membership.zone_reporter import contact_of
 from oakcroft.interface import MS
 from oakcroft.peerwire.zone_codec import ZoneCodec
 
@@ -21,11 +21,7 @@
 
     def encode(self, outgoing: OutgoingZoneMessage) -> bytes:
         """Encodes a message as a datagram. Raises MessageError if it does not fit."""
-        own_update = self.zoned.local.own_update
-        sender = ZoneContact(
-            own_update.name, own_update.generation, own_update.zone, own_update.host, own_update.port
-        )
-        return self.codec.encode(sender, outgoing.message)
+        return self.codec.encode(contact_of(self.zoned.local.own_update), outgoing.message)
 
     def receive(self, opened: bytes, now: int) -> None:
         """Processes an authenticated datagram of this protocol. Raises MessageError if it is not valid."""
--- a/oakcroft/rehearsal/membership_simulation.py
+++ b/oakcroft/rehearsal/membership_simulation.py
@@ -56,15 +56,15 @@
     """Processes and the network between them. `now` in ns from 0."""
 
     def __init__(
-        self, seed: int, loss: float = 0.0, double: float = 0.0, latency: tuple[int, int] = (MS, 5 * MS)
+        self, seed: int, loss: float = 0.0, duplication: float = 0.0, latency: tuple[int, int] = (MS, 5 * MS)
     ) -> None:
         """Creates a network without processes.
 
-        `loss` and `double` are the chances of each message to be lost or duplicated; `latency` is its range in ns.
+        `loss` and `duplication` are the chances of each message to be lost or duplicated; `latency` is its range in ns.
         """
         self.rng = Random(seed)
         self.loss = loss
-        self.double = double
+        self.duplication = duplication
         self.latency = latency
         self.now = 0
         self.event_count = 0
@@ -78,14 +78,14 @@
     # Processes.
 
     def add(
-        self, name: str, seeds: tuple[tuple[str, int], ...] = (), start: int = 0, host: str = ""
+        self, name: str, seeds: tuple[tuple[str, int], ...] = (), generation: int = 0, host: str = ""
     ) -> SimulatedProcess:
         """Starts a process under a name, again or for the first time."""
         earlier = self.processes.get(name)
         secret = self.rng.randbytes(16)
         own_update = MemberUpdate(
             name,
-            start or self.now // 1_000 + 1,
+            generation or self.now // 1_000 + 1,
             0,
             MemberState.ALIVE,
             host or f"host-{name}",
@@ -193,7 +193,7 @@
         sender.messages += 1
         sender.octets += HEADER_BYTES + UPDATE_BYTES * (1 + len(message.updates))
         sender_update = sender.view.own_update
-        copies = 2 if self.rng.random() < self.double else 1
+        copies = 2 if self.rng.random() < self.duplication else 1
         for _ in range(copies):
             if self.rng.random() >= self.loss:
                 latency = self.rng.randint(*self.latency)
@@ -241,10 +241,10 @@
 
     # The state of the views.
 
-    def all_see(self, names: set[str], standing: MemberState) -> bool:
+    def all_see(self, names: set[str], state: MemberState) -> bool:
         """Whether all running processes see all these members in one state."""
         return all(
-            process.view.state_of(name) is standing
+            process.view.state_of(name) is state
             for process in self.running_processes()
             for name in names
             if name != process.name
@@ -262,9 +262,9 @@
         return all(view.state_of(name) is MemberState.ALIVE for name in names)
 
 
-def settled_network(size: int, seed: int, loss: float = 0.0, double: float = 0.0) -> SimulatedNetwork:
+def settled_network(size: int, seed: int, loss: float = 0.0, duplication: float = 0.0) -> SimulatedNetwork:
     """Returns a network of `size` fronts that know each other and whose views agree."""
-    net = SimulatedNetwork(seed, loss, double)
+    net = SimulatedNetwork(seed, loss, duplication)
     seeds = (("host-f0", 1), ("host-f1", 1))
     for number in range(size):
         net.schedule(net.rng.randrange(500 * MS), partial(net.start, f"f{number}", seeds))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -264,7 +264,7 @@
     net = settled_network(10, 5)
     net.state_changes.clear()
     net.loss = 0.33
-    net.double = 0.2
+    net.duplication = 0.2
     net.latency = (MS, 150 * MS)
     net.run(120 * SECOND)
     assert reported(net, FAILED) == set()
@@ -300,7 +300,7 @@
     net = settled_network(5, 8)
     net.kill("f3")
     net.run(1 * SECOND)
-    net.add("f3", (("host-f0", 1),), start=1)  # no file, and the clock went back
+    net.add("f3", (("host-f0", 1),), generation=1)  # no file, and the clock went back
     assert net.run(5 * SECOND, net.is_settled)
     assert net.processes["f3"].view.own_update.generation > 1
     assert not net.processes["f3"].view.displaced
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -35,7 +35,7 @@
     ZoneRequest,
     summary_size,
 )
-from oakcroft.decisions.membership.zone_reporter import ZoneReporter
+from oakcroft.decisions.membership.zone_reporter import ZoneReporter, contact_of
 from oakcroft.decisions.membership.zone_summary import (
     MAX_CHANGES,
     MAX_COUNTER,
@@ -629,15 +629,14 @@
     for _ in range(times):
         for front in fleet.living():
             if front.zone == "r0z0":
-                fleet.tell(sender, front, ZoneRecords((forged(fleet, front, state, author),)))
+                fleet.deliver_zone_message(sender, front, ZoneRecords((forged(fleet, front, state, author),)))
         fleet.run(2 * SECOND)
     fleet.run(20 * SECOND)
 
 
 def contact(front: Front) -> ZoneContact:
     """The contact of a front."""
-    me = front.membership.local.own_update
-    return ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
+    return contact_of(front.membership.local.own_update)
 
 
 def absence_reports(fleet: ZoneFleet) -> list[tuple[str, str]]:
@@ -708,7 +707,7 @@
     reader = fleet.fronts["r0z0f1"]
     before = reader.membership.directory.records["r1z0"].summary
     absurd = replace(before, epoch=1 << 55, author="liar")
-    fleet.tell(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
+    fleet.deliver_zone_message(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
     assert reader.membership.directory.records["r1z0"].summary is before
     assert reader.membership.gossip.counts.implausible == 1
 
@@ -719,7 +718,7 @@
     fleet = small_fleet(11)
     reader = fleet.fronts["r0z0f1"]
     absurd = replace(reader.membership.directory.records["r1z0"].summary, epoch=1 << 55, author="liar")
-    fleet.tell(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
+    fleet.deliver_zone_message(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
     assert reader.membership.directory.records["r1z0"].summary.author == "liar"
 
 
@@ -729,7 +728,7 @@
     reader = fleet.fronts["r0z0f1"]
     known = reader.membership.directory.records["r1z0"].summary
     latest = replace(known, version=MAX_COUNTER - 1, heartbeat=MAX_COUNTER - 1, author="liar")
-    fleet.tell(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((latest,)))
+    fleet.deliver_zone_message(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((latest,)))
     assert fleet.run(
         40 * SECOND,
         lambda: all(
@@ -778,9 +777,9 @@
             MemberChange(f"m{rng.randrange(10_000)}", 1, 0, MemberState.FAILED) for _ in range(MAX_CHANGES)
         )
         fake = ZoneSummary(zone, "r", "liar", 1, version, 0, StateCounts(1, 1, 1), (), 1, changes)
-        fleet.tell(sender, front, ZoneRecords((fake,)))
-        fleet.tell(sender, front, ZoneDigest((), wants_answer=True))
-        fleet.tell(sender, front, ZoneRequest(tuple(fleet.layout)))
+        fleet.deliver_zone_message(sender, front, ZoneRecords((fake,)))
+        fleet.deliver_zone_message(sender, front, ZoneDigest((), wants_answer=True))
+        fleet.deliver_zone_message(sender, front, ZoneRequest(tuple(fleet.layout)))
     directory = front.membership.directory
     assert len(directory.records) <= MAX_ZONES
     assert all(zone in directory.records for zone in fleet.layout)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -15,6 +15,7 @@
 from oakcroft.decisions.membership.zone_directory import RemoteState, ZoneChange
 from oakcroft.decisions.membership.zone_messages import ZoneMessage, OutgoingZoneMessage, estimated_size
 from oakcroft.decisions.membership.zone_placement import ZonePlacement, ZoneSeeds
+from oakcroft.decisions.membership.zone_reporter import contact_of
 from oakcroft.decisions.membership.zone_summary import ZoneContact
 from oakcroft.interface import MS, SECOND
 
@@ -58,7 +59,7 @@
     region: str
     membership: ZonedMembership
     alive: bool = True
-    scheduled: int = -1
+    next_tick_at: int = -1
     changes: list[tuple[int, StateChange | ZoneChange]] = field(default_factory=list)
     sent: Traffic = field(default_factory=Traffic)
     received: Traffic = field(default_factory=Traffic)
@@ -80,7 +81,7 @@
         self.event_count = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.fronts: dict[str, Front] = {}
-        self.at: dict[Address, Front] = {}
+        self.fronts_by_address: dict[Address, Front] = {}
         self.cut: Callable[[Front, Front], bool] = lambda _a, _b: False
         self.layout = {f"r{r}z{z}": f"r{r}" for r in range(regions) for z in range(zones)}
         self.members = members
@@ -102,9 +103,11 @@
         secret = self.rng.randbytes(16)
         host, port = self.address(name)
         generation = generation or self.now // 1_000 + 1
-        me = MemberUpdate(name, generation, 0, MemberState.ALIVE, host, port, zone, "1", commitment(secret))
+        own_update = MemberUpdate(
+            name, generation, 0, MemberState.ALIVE, host, port, zone, "1", commitment(secret)
+        )
         membership = ZonedMembership(
-            me, secret, Random(self.rng.getrandbits(64)), self.now, self._placement(zone)
+            own_update, secret, Random(self.rng.getrandbits(64)), self.now, self._placement(zone)
         )
         former = self.fronts.get(name)
         if former is not None:
@@ -112,8 +115,8 @@
         front = Front(name, zone, self.layout[zone], membership)
         if former is not None:
             front.sent, front.received = former.sent, former.received
-        self.fronts[name] = self.at[host, port] = front
-        self._after(front)
+        self.fronts[name] = self.fronts_by_address[host, port] = front
+        self._process_output(front)
         return front
 
     def _placement(self, zone: str) -> ZonePlacement:
@@ -127,9 +130,9 @@
         """Schedules the start of all fronts at random times within a duration."""
         for zone in self.layout:
             for name in self.names(zone):
-                self.later(self.now + self.rng.randrange(within), self._starting(name))
+                self.schedule(self.now + self.rng.randrange(within), self._start_event(name))
 
-    def _starting(self, name: str) -> Callable[[], None]:
+    def _start_event(self, name: str) -> Callable[[], None]:
         def event() -> None:
             self.start(name)
 
@@ -164,13 +167,13 @@
         """A front leaves the fleet, and stops a second later."""
         front = self.fronts[name]
         front.membership.leave(self.now)
-        self._after(front)
-        self.later(self.now + SECOND, lambda: setattr(front, "alive", False))
+        self._process_output(front)
+        self.schedule(self.now + SECOND, lambda: setattr(front, "alive", False))
 
     def restart_at(self, at: int, name: str) -> None:
         """Schedules that a front leaves at a time and then starts again."""
-        self.later(at, lambda: self.leave(name))
-        self.later(at + RESTART_DURATION, self._starting(name))
+        self.schedule(at, lambda: self.leave(name))
+        self.schedule(at + RESTART_DURATION, self._start_event(name))
 
     def living(self) -> list[Front]:
         """The running fronts."""
@@ -178,7 +181,7 @@
 
     # Time.
 
-    def later(self, at: int, event: Callable[[], None]) -> None:
+    def schedule(self, at: int, event: Callable[[], None]) -> None:
         """Schedules an event."""
         self.event_count += 1
         heapq.heappush(self.heap, (max(at, self.now), self.event_count, event))
@@ -200,7 +203,7 @@
 
     # The network.
 
-    def _after(self, front: Front) -> None:
+    def _process_output(self, front: Front) -> None:
         membership = front.membership
         messages = membership.outgoing
         membership.outgoing = []
@@ -210,20 +213,20 @@
         membership.changes = []
         front.changes += [(self.now, change) for change in changes]
         due = max(membership.due, self.now + MS)
-        if front.scheduled < self.now or due < front.scheduled:
-            front.scheduled = due
-            self.later(due, lambda: self._tick(front, due))
+        if front.next_tick_at < self.now or due < front.next_tick_at:
+            front.next_tick_at = due
+            self.schedule(due, lambda: self._tick(front, due))
 
     def _tick(self, front: Front, due: int) -> None:
-        if front.scheduled != due:
+        if front.next_tick_at != due:
             return
-        front.scheduled = -1
+        front.next_tick_at = -1
         if front.alive:
             front.membership.tick(self.now)
-            self._after(front)
+            self._process_output(front)
 
     def _send(self, sender: Front, message: Message | OutgoingZoneMessage) -> None:
-        receiver = self.at.get(message.address)
+        receiver = self.fronts_by_address.get(message.address)
         if isinstance(message, Message) and message.kind is MessageKind.PUSH_PULL:
             self._exchange(sender, receiver)
             return
@@ -234,35 +237,36 @@
         sender.sent.count(self.now, octets + IP_HEADERS_BYTES)
         if receiver is None or self.rng.random() < self.loss:
             return
-        me = sender.membership.local.own_update
+        sender_update = sender.membership.local.own_update
 
         def arrive() -> None:
             if receiver.alive and not self.cut(sender, receiver):
                 receiver.received.count(self.now, octets + IP_HEADERS_BYTES)
-                self._deliver(me, receiver, message)
+                self._deliver(sender_update, receiver, message)
 
-        self.later(self.now + self._latency(sender, receiver), arrive)
+        self.schedule(self.now + self._latency(sender, receiver), arrive)
 
     def _latency(self, sender: Front, receiver: Front) -> int:
         return self.rng.randint(*(LOCAL_LATENCY if sender.region == receiver.region else REMOTE_LATENCY))
 
-    def _deliver(self, me: MemberUpdate, receiver: Front, message: Message | OutgoingZoneMessage) -> None:
+    def _deliver(
+        self, sender_update: MemberUpdate, receiver: Front, message: Message | OutgoingZoneMessage
+    ) -> None:
         if isinstance(message, Message):
-            receiver.membership.receive_message(message.as_received(me), self.now)
-            self._after(receiver)
+            receiver.membership.receive_message(message.as_received(sender_update), self.now)
+            self._process_output(receiver)
         else:
-            sender = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
-            self.tell(sender, receiver, message.message)
+            self.deliver_zone_message(contact_of(sender_update), receiver, message.message)
 
-    def tell(self, sender: ZoneContact, receiver: Front, message: ZoneMessage) -> None:
+    def deliver_zone_message(self, sender: ZoneContact, receiver: Front, message: ZoneMessage) -> None:
         """Delivers a message between zones to a front, from any sender."""
         receiver.membership.receive_zone_message(sender, message, self.now)
-        self._after(receiver)
+        self._process_output(receiver)
 
     def look_up(self, front: Front, zone: str, name: str) -> None:
         """Starts a front's lookup of a member of another zone."""
         front.membership.lookup(zone, name, self.now)
-        self._after(front)
+        self._process_output(front)
 
     def _exchange(self, one: Front, other: Front | None) -> None:
         if other is None or not other.alive or self.cut(one, other) or self.cut(other, one):
@@ -278,9 +282,9 @@
             for receiver, state in ((other, request), (one, answer)):
                 if receiver.alive:
                     receiver.membership.receive_full_state(state[0], state, self.now)
-                    self._after(receiver)
+                    self._process_output(receiver)
 
-        self.later(self.now + 4 * LOCAL_LATENCY[1], deliver)
+        self.schedule(self.now + 4 * LOCAL_LATENCY[1], deliver)
 
     def _count_state(self, sender: Front, receiver: Front, state: list[MemberUpdate]) -> None:
         octets = STREAM_BYTES + UPDATE_BYTES * len(state)
