--- a/oakcroft/decisions/fleet/node_list.py
+++ b/oakcroft/decisions/fleet/node_list.py
@@ -106,7 +106,7 @@
 
     def _find_fault(self, listed_nodes: Sequence[ListedNode], version: int, same_service: bool) -> str | None:
         if not listed_nodes:
-            return "it names no node"
+            return "it lists no node"
         if same_service and version < self.version:
             return f"its version {version} is older than {self.version}"
         names = set[str]()
@@ -115,9 +115,9 @@
             if fault := node_fault(node):
                 return f"node {node.name!r}: {fault}"
             if node.name in names:
-                return f"node {node.name!r} stands in it twice"
+                return f"node {node.name!r} is listed twice"
             if (node.address, node.port) in addresses:
-                return f"node {node.name!r} has the address of another"
+                return f"node {node.name!r} has the address of another node"
             names.add(node.name)
             addresses.add((node.address, node.port))
         return None
@@ -154,19 +154,19 @@
 
 
 def node_fault(listed_node: ListedNode) -> str | None:
-    """Returns what is impossible about one node, None where nothing is."""
+    """Returns why a node's entry is invalid, None where it is valid."""
     if not listed_node.name:
         return "it has no name"
     if not HOST_PATTERN.fullmatch(listed_node.address):
-        return f"address {listed_node.address[:40]!r} is no host name and no IP address"
+        return f"address {listed_node.address[:40]!r} is neither a host name nor an IP address"
     if not 0 < listed_node.port <= MAX_PORT:
-        return f"port {listed_node.port} does not exist"
+        return f"port {listed_node.port} is out of range"
     if not 0 < listed_node.link < MAX_LINK_KB_PER_S:
-        return f"a link of {listed_node.link} kB a second cannot be"
+        return f"link of {listed_node.link} kB/s is out of range"
     if not 0 <= listed_node.places < MAX_PLACES:
-        return f"{listed_node.places} places cannot be"
+        return f"number of places {listed_node.places} is out of range"
     if listed_node.cell < 0:
-        return f"cell {listed_node.cell} is under 0"
+        return f"cell {listed_node.cell} is negative"
     if listed_node.started_at < 0:
-        return "it started before the epoch"
+        return "its start time is before the epoch"
     return None
--- a/oakcroft/decisions/membership/member_table.py
+++ b/oakcroft/decisions/membership/member_table.py
@@ -98,7 +98,9 @@
     def present(self) -> list[str]:
         """Sorted names of the present members, including this front. Callers must not modify the list."""
         if self._present is None:
-            self._present = sorted(n for n, m in self.members.items() if m.latest.state in PRESENT_STATES)
+            self._present = sorted(
+                name for name, member in self.members.items() if member.latest.state in PRESENT_STATES
+            )
         return self._present
 
     def is_present(self, name: str) -> bool:
@@ -107,16 +109,16 @@
 
     def sample(self, limit: int, except_for: str = "") -> list[str]:
         """A random sample of the other present members."""
-        others = [n for n in self.present() if n not in (self.own_name, except_for)]
+        others = [name for name in self.present() if name not in (self.own_name, except_for)]
         return self.rng.sample(others, min(limit, len(others)))
 
     def count(self, state: MemberState) -> int:
         """Number of members in a state."""
-        return sum(m.latest.state is state for m in self.members.values())
+        return sum(member.latest.state is state for member in self.members.values())
 
     def full_state(self) -> list[MemberUpdate]:
         """The latest updates of all members, this front's own first."""
-        others = [m.latest for n, m in sorted(self.members.items()) if n != self.own_name]
+        others = [member.latest for name, member in sorted(self.members.items()) if name != self.own_name]
         return [self.own_update, *others]
 
     # Changes.
@@ -183,10 +185,10 @@
 
     def _make_room(self) -> bool:
         """Removes the member that failed or left the longest ago; returns False if all are present."""
-        absent = [m for m in self.members.values() if m.latest.state not in PRESENT_STATES]
+        absent = [member for member in self.members.values() if member.latest.state not in PRESENT_STATES]
         if not absent:
             return False
-        self._forget(min(absent, key=lambda m: (m.since, m.latest.name)).latest.name)
+        self._forget(min(absent, key=lambda member: (member.since, member.latest.name)).latest.name)
         return True
 
     def _forget(self, name: str) -> None:
--- a/oakcroft/peerwire/sealing.py
+++ b/oakcroft/peerwire/sealing.py
@@ -43,7 +43,7 @@
             raise KeyFileError(f"line {number} is not {2 * KEY_LENGTH} hexadecimal digits")
         keys.append(key)
     if not 0 < len(keys) <= MAX_KEYS:
-        raise KeyFileError(f"it holds {len(keys)} keys; 1 to {MAX_KEYS} are wanted")
+        raise KeyFileError(f"it has {len(keys)} keys; 1 to {MAX_KEYS} are required")
     return tuple(keys)
 
 
