--- a/oakcroft/rulecheck/membership.py
+++ b/oakcroft/rulecheck/membership.py
@@ -94,13 +94,13 @@
 def _check_living(views: list[Fact], outages: list[Outage], numbers: Mapping[str, int]) -> Finding:
     finding = Finding(11, "no living front is called gone")
     for view in views:
-        for name, (standing, _start) in view["members"].items():
+        for name, (state, _generation) in view["members"].items():
             member = numbers.get(name)
             if member is None or member == view["front"]:
                 continue
             finding.cases += 1
             since = view["t"] - SETTLED_WITHIN_NS
-            if standing == "gone" and not were_separated(view["front"], member, outages, since, view["t"]):
+            if state == "gone" and not were_separated(view["front"], member, outages, since, view["t"]):
                 finding.add_breach(
                     f"front {view['front']} calls {name} gone, although the two could reach each other"
                 )
@@ -119,11 +119,11 @@
             if _was_down(view["front"], outages, outage.begin, view["t"]):
                 continue
             finding.cases += 1
-            standing = view["members"].get(names[dead], ["unknown"])[0]
-            if standing in ("alive", "suspected"):
+            state = view["members"].get(names[dead], ["unknown"])[0]
+            if state in ("alive", "suspected"):
                 late = (view["t"] - outage.begin) / SECOND
                 finding.add_breach(
-                    f"front {view['front']} calls {names[dead]} {standing} {late:.1f} s after its death"
+                    f"front {view['front']} calls {names[dead]} {state} {late:.1f} s after its death"
                 )
     return finding
 
@@ -144,14 +144,14 @@
     gone_since = dict[tuple[int, str, int], int]()
     """When a front first called a start of a member gone, by front, member name and start."""
     for view in views:
-        for name, (standing, start) in view["members"].items():
+        for name, (state, generation) in view["members"].items():
             member = numbers.get(name)
             if member is None or member == view["front"]:
                 continue
-            key = (view["front"], name, start)
-            if standing == "gone":
+            key = (view["front"], name, generation)
+            if state == "gone":
                 gone_since.setdefault(key, view["t"])
-            elif standing == "alive" and key in gone_since:
+            elif state == "alive" and key in gone_since:
                 finding.cases += 1
                 deaths = [
                     outage
@@ -162,7 +162,7 @@
                 ]
                 if deaths and gone_since[key] > deaths[-1].begin:
                     finding.add_breach(
-                        f"front {view['front']} calls {name} alive again, which is dead since its start {start}"
+                        f"front {view['front']} calls {name} alive again, which is dead since its start {generation}"
                     )
                 else:
                     del gone_since[key]
@@ -186,9 +186,9 @@
             continue
         finding.cases += 1
         for number, name in names.items():
-            standing = view["members"].get(name, ["unknown"])[0]
-            if (standing == "alive") == (number in down):
-                finding.add_breach(f"front {view['front']} calls {name} {standing}")
+            state = view["members"].get(name, ["unknown"])[0]
+            if (state == "alive") == (number in down):
+                finding.add_breach(f"front {view['front']} calls {name} {state}")
     if not finding.cases:
         finding.add_breach("no front was asked after the last outage had settled: the run is too short")
     return finding
--- a/tests/test_lease_holder_check.py
+++ b/tests/test_lease_holder_check.py
@@ -15,8 +15,8 @@
 
 TERM = 2 * SECOND
 NAMES = {i: f"f{i}" for i in range(5)}
-KEEPERS = frozenset({0, 1, 2})
-DUTY = "catalogue"
+ACCEPTORS = frozenset({0, 1, 2})
+LEASE_NAME = "catalogue"
 
 
 class AdmitsAll(Fence):
@@ -36,27 +36,27 @@
     """
     rng, facts, arriving = Random(3), list[Fact](), list[tuple[int, int, int, int]]()
     for turn in range(4):
-        owner, number = turn % 5, 100 + (0 if forgets and turn == 2 else turn)
+        holder, token = turn % 5, 100 + (0 if forgets and turn == 2 else turn)
         begin = turn * (10 * SECOND + away) - (early if turn else 0)
         for t in range(begin, turn * (10 * SECOND + away) + 10 * SECOND, SECOND // 2):
             facts.append(
-                {"t": t + MS, "kind": "owners", "front": owner, "asked": t, "duties": {DUTY: number}}
+                {"t": t + MS, "kind": "owners", "front": holder, "asked": t, "duties": {LEASE_NAME: token}}
             )
         for step in range(3):
             for front in NAMES:
                 late = 15 * SECOND if rng.random() < 0.2 else rng.randrange(SECOND)
-                arriving.append((begin + step * 3 * SECOND + late, front, number, step + 1 + turn * 3))
+                arriving.append((begin + step * 3 * SECOND + late, front, token, step + 1 + turn * 3))
     fences, place = {f: fence() for f in NAMES}, 0
-    for t, front, number, step in sorted(arriving):
-        if fences[front].admits(DUTY, number, step):
-            fences[front].record(DUTY, number, step)
+    for t, front, token, step in sorted(arriving):
+        if fences[front].admits(LEASE_NAME, token, step):
+            fences[front].record(LEASE_NAME, token, step)
             facts.append(
-                {"t": t, "kind": "effect", "front": front, "place": place, "number": number, "step": step}
+                {"t": t, "kind": "effect", "front": front, "place": place, "number": token, "step": step}
             )
             place += 1
     last = max(fact["t"] for fact in facts)
     for front in NAMES:
-        seen = list(fences[front].highest_seen[DUTY])
+        seen = list(fences[front].highest_seen[LEASE_NAME])
         facts.append(
             {"t": last, "kind": "stands", "front": front, "fence": seen, "in_force": "x", "stage": "done"}
         )
@@ -67,14 +67,14 @@
 def breaches(facts: list[Fact]) -> dict[int, list[str]]:
     return {
         finding.rule: finding.breaches
-        for finding in check_lease_holders(facts, NAMES, KEEPERS, TERM)
+        for finding in check_lease_holders(facts, NAMES, ACCEPTORS, TERM)
         if finding.breaches
     }
 
 
 def test_a_correct_fleet_has_no_breaches() -> None:
     assert breaches(model_records()) == {}
-    assert all(finding.cases for finding in check_lease_holders(model_records(), NAMES, KEEPERS, TERM))
+    assert all(finding.cases for finding in check_lease_holders(model_records(), NAMES, ACCEPTORS, TERM))
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
     assert says in found[rule][0]
 
 
-def test_a_time_without_a_majority_of_keepers_is_no_gap() -> None:
+def test_a_time_without_a_majority_of_acceptors_is_no_gap() -> None:
     facts = model_records(away=30 * SECOND)
     for front in (0, 1):
         facts += [{"t": 9 * SECOND, "kind": "front killed", "front": front},
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -60,10 +60,10 @@
 
 
 def datagram(
-    codec: MembershipCodec, sender: MemberUpdate, kind: MessageKind, sequence: int, to: MemberId,
+    codec: MembershipCodec, sender: MemberUpdate, kind: MessageKind, sequence: int, receiver: MemberId,
     target: ProbeTarget | None, updates: Sequence[MemberUpdate],
 ) -> bytes:  # fmt: skip
-    return codec.encode(sender, Message(kind, ("127.0.74.9", 1), sequence, to, target, updates))
+    return codec.encode(sender, Message(kind, ("127.0.74.9", 1), sequence, receiver, target, updates))
 
 
 KEY = "11" * 32
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -193,11 +193,13 @@
 
 
 @given(st.sets(st.text(min_size=1, max_size=8), min_size=2, max_size=30), st.text(max_size=8), st.data())
-def test_only_the_leases_of_a_removed_front_pass_on(names: set[str], duty: str, data: st.DataObject) -> None:
-    order = rank_order(duty, names)
+def test_only_the_leases_of_a_removed_front_pass_on(
+    names: set[str], lease_name: str, data: st.DataObject
+) -> None:
+    order = rank_order(lease_name, names)
     removed = data.draw(st.sampled_from(order))
-    assert rank_order(duty, names - {removed}) == [name for name in order if name != removed]
-    assert [rank(duty, name, names) for name in order] == list(range(len(order)))
+    assert rank_order(lease_name, names - {removed}) == [name for name in order if name != removed]
+    assert [rank(lease_name, name, names) for name in order] == list(range(len(order)))
 
 
 def test_leases_are_spread_over_the_fronts() -> None:
