--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -71,7 +71,7 @@
         self.dropped = dropped
         self.log = log
         self.nursery: trio.Nursery | None = None
-        self.has_begun = False
+        self.is_loaded = False
         self.is_record_writable = True
         self.pending_saves = 0
         self.active_writes = 0
@@ -83,7 +83,7 @@
 
     def receive_request(self, sender: str, request: LeaseRequest, now: int) -> None:
         """Processes a candidate's request."""
-        if not self.has_begun or request.term.holder != sender:
+        if not self.is_loaded or request.term.holder != sender:
             return
         self.request_count += 1
         answer = self.acceptor.handle_request(request, now)
@@ -96,7 +96,7 @@
 
     def receive_record_request(self, sender: str, epoch: int) -> None:
         """Processes the request of another acceptor, which has lost its record, for this one's record."""
-        if not self.has_begun:
+        if not self.is_loaded:
             return
         record = self.acceptor.record_for_peer(sender, epoch)
         if record is None:
@@ -141,19 +141,19 @@
 
     # Record.
 
-    def _when_saved(self, then: Callable[[], object]) -> None:
-        """Calls `then` once the acceptor's record is durable; never if it cannot be written."""
+    def _when_saved(self, on_saved: Callable[[], object]) -> None:
+        """Calls `on_saved` once the acceptor's record is durable; never if it cannot be written."""
         if self.nursery is None:
             return
         if not self.acceptor.unsaved and not self.active_writes:
-            then()
+            on_saved()
         elif self.pending_saves < MAX_PENDING_SAVES:
             self.pending_saves += 1
-            self.nursery.start_soon(self._save, then)
+            self.nursery.start_soon(self._save, on_saved)
         else:
             self.dropped["too many to save"] += 1
 
-    async def _save(self, then: Callable[[], object]) -> None:
+    async def _save(self, on_saved: Callable[[], object]) -> None:
         """Writes the whole record each time, so that no part of it can be missing from a new state file."""
         acceptor = self.acceptor
         unsaved = acceptor.unsaved
@@ -173,21 +173,21 @@
             why = "on record again" if is_saved else "its record can't be written"
             self.log.warning("keeper", grants=is_saved, why=why)
         if is_saved:
-            then()
+            on_saved()
 
     def _encode_record(self) -> bytes:
         acceptor = self.acceptor
         rows = [row_to_wire(lease_name, row) for lease_name, row in sorted(acceptor.records.items())]
         return ENCODER.encode((acceptor.epoch, sorted(acceptor.peer_epochs.items()), rows))
 
-    def _begin(self, now: int) -> None:
+    def _load_record(self, now: int) -> None:
         """Loads the record, as soon as the state file can be read."""
         acceptor = self.acceptor
         stored = self.store.held()
         if stored is None:
             return
         values, is_latest = stored
-        self.has_begun = True
+        self.is_loaded = True
         try:
             epoch, peer_epochs, wire_rows = RECORD_DECODER.decode(values[RECORD_NAME])
             rows = {wire.lease_name: row_from_wire(wire) for wire in wire_rows}
@@ -204,9 +204,9 @@
 
     def tick(self, now: int) -> None:
         """Loads the record once it can be read; while it is lost, requests the other acceptors' records."""
-        if not self.has_begun:
-            self._begin(now)
-        if self.has_begun and not self.acceptor.has_full_record and now >= self.next_record_request_at:
+        if not self.is_loaded:
+            self._load_record(now)
+        if self.is_loaded and not self.acceptor.has_full_record and now >= self.next_record_request_at:
             self.next_record_request_at = now + RECORD_REQUEST_INTERVAL
             self._request_peer_records()
 
@@ -222,21 +222,21 @@
             acceptor.unsaved = {PEER_EPOCHS}
 
     def promised_token(self, lease_name: str) -> int | None:
-        """The highest fencing token promised for a lease; None if there is none."""
+        """Returns the highest fencing token promised for a lease; None if there is none."""
         row = self.acceptor.records.get(lease_name)
         return row.promised_token if row is not None else None
 
-    def time_left(self, lease_name: str, now: int) -> int | None:
-        """Milliseconds until the running term of a lease ends here; None if no term runs."""
+    def time_left_ms(self, lease_name: str, now: int) -> int | None:
+        """Returns the milliseconds until the running term of a lease ends here; None if no term runs."""
         if self.acceptor.running_term(lease_name, now) is None:
             return None
         return (self.acceptor.running_until[lease_name] - now) // MS
 
     def status(self, now: int) -> dict[str, object]:
-        """Status for operators; the keys are an interface and do not change."""
+        """Returns the status for operators; the keys are an interface and do not change."""
         acceptor = self.acceptor
         return {
-            "speaks": self.has_begun and acceptor.can_answer(now),
+            "speaks": self.is_loaded and acceptor.can_answer(now),
             "sound": acceptor.has_full_record,
             "epoch": acceptor.epoch,
             "record": self.is_record_writable,
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -59,5 +59,5 @@
         "course": candidate.state.value if candidate is not None else None,
         "in_line": candidate.rank if candidate is not None else None,
         "promised": acceptor.promised_token(lease_name) if acceptor is not None else None,
-        "left_ms": acceptor.time_left(lease_name, now) if acceptor is not None else None,
+        "left_ms": acceptor.time_left_ms(lease_name, now) if acceptor is not None else None,
     }
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -91,7 +91,7 @@
         self.text_transfer: TextTransfer | None = None
         if settings.keepers:
             self._add_leases(store, seed + 1)
-        self.has_begun = False
+        self.has_started = False
         self.timers_changed = trio.Event()
 
     def _make_zone_service(self) -> ZoneService | None:
@@ -124,7 +124,7 @@
             try:
                 await self._run_once(task_status)
             except Exception as error:
-                if not self.has_begun:
+                if not self.has_started:
                     raise
                 self.log.error("peers failed", error=repr(error)[:MAX_ERROR_LENGTH], exc_info=error)
             task_status = trio.TASK_STATUS_IGNORED
@@ -143,7 +143,7 @@
                 nursery.start_soon(trio.serve_listeners, self.streams.serve, listeners)
                 if self.leases is not None:
                     nursery.start_soon(self.leases.run)
-                self.has_begun = True
+                self.has_started = True
                 task_status.started()
 
     def _log_start(self) -> None:
