--- a/oakcroft/decisions/fleet/acceptor.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -56,9 +56,8 @@
         self.peer_epochs: dict[str, int] = {}  # record epochs of the other acceptors
         self.has_full_record = False
         self.peer_records: dict[str, AcceptorRecord] = {}
-        self.unsaved: set[str] = (
-            set()
-        )  # leases whose records must be durable first; PEER_EPOCHS for the peers' epochs
+        # Leases whose records must be durable first; PEER_EPOCHS for the epochs of the other acceptors.
+        self.unsaved: set[str] = set()
 
     def load_record(
         self,
--- a/oakcroft/decisions/fleet/load_sharing.py
+++ b/oakcroft/decisions/fleet/load_sharing.py
@@ -7,7 +7,7 @@
 on to a few others, a few times, and its age grows on the way.
 
 A report belongs to one process of a node: the wire names it by a digest of the node's name and start time, so that no
-load of an earlier process is used. A front prefers what its own traffic tells over any report. Time and random numbers
+load of an earlier process is used. A front prefers what its own traffic shows over any report. Time and random numbers
 are passed in, and nothing here sends messages.
 """
 
@@ -122,7 +122,7 @@
 
 
 class LoadSharing:
-    """Load sharing of one front: which nodes to probe, and what to send to whom."""
+    """Load sharing of one front: which nodes to probe, and which reports to send to which fronts."""
 
     def __init__(self, own_name: str, probe_interval: int, rng: Random) -> None:
         """`own_name` is this front's name, `probe_interval` the configured time between two reports of a node in ns."""
@@ -250,7 +250,7 @@
         return due
 
     def probe_finished(self, node: str, load: float | None, is_supported: bool, now: int) -> None:
-        """Takes the result of a probe: the load, or None where the node did not tell it.
+        """Takes the result of a probe: the load, or None where the node did not give it.
 
         `is_supported` is False where the node did not know the request, True also where it did not answer.
         """
--- a/oakcroft/decisions/fleet/node_list_freshness.py
+++ b/oakcroft/decisions/fleet/node_list_freshness.py
@@ -13,7 +13,7 @@
 
 MAX_LIST_WAIT = 8 * SECOND
 """How long a starting front waits for a list service that does not answer. The platform's protocol allows 7 s before
-a change is told; past that, refusing viewers does more harm than an outdated list."""
+a change is announced; past that, refusing viewers does more harm than an outdated list."""
 
 READY_DEADLINE = 9 * SECOND
 """When a front is ready at the latest, counted from the start of its process. The platform requires nine in ten
--- a/oakcroft/decisions/fleet/session_ownership.py
+++ b/oakcroft/decisions/fleet/session_ownership.py
@@ -5,8 +5,8 @@
 process, which only grows from start to start (docs/fleet.md). The checks are made at the node, from what it has observed
 itself: a caller's belief that another front has failed, or that it still holds a session, proves nothing.
 
-A node ends the sessions of a front that it has not heard for the lease that the front asked for. Until then another
-front may take them over, but never from a front whose event stream is open.
+A node ends the sessions of a front from which it has received nothing for the lease that the front requested. Until
+then another front may take them over, but never from a front whose event stream is open.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 def effective_lease(requested: int, node_default: int) -> int:
     """Returns how long a node keeps the sessions of a silent front.
 
-    `requested` is the lease that the front asked for, 0 for none; `node_default` is the node's own. All in ns.
+    `requested` is the lease that the front requested, 0 for none; `node_default` is the node's own. All in ns.
     """
     return max(node_default, min(requested, MAX_SESSION_LEASE)) if requested > 0 else node_default
 
--- a/oakcroft/decisions/membership/member_table.py
+++ b/oakcroft/decisions/membership/member_table.py
@@ -171,7 +171,7 @@
         if member.restarts_often and not is_power_of_two:
             return
         if member.restarts_often:
-            why += f", {member.restarts} starts of late"
+            why += f", {member.restarts} recent starts"
         self.changes.append(StateChange(update.name, previous.state.label, update.state.label, why))
 
     # Removal.
--- a/oakcroft/decisions/membership/own_identity.py
+++ b/oakcroft/decisions/membership/own_identity.py
@@ -65,7 +65,7 @@
             return self._refute(update, sender)
         if update.generation > self.own_update.generation:
             if update.address == self.own_update.address or update.state is MemberState.LEFT:
-                self._supersede(update, f"{sender} knows a later start")
+                self._supersede(update, f"{sender} knows a later generation")
             elif self.conflict is None or self.conflict.other.generation < update.generation:
                 self._ping_other(update, now)
         return False
@@ -79,7 +79,7 @@
             own_update = replace(self.own_update, generation=self.own_update.generation + 1, incarnation=0)
         self.table.announce(own_update)
         if update.state is not MemberState.ALIVE:
-            why = f"refuted what {update.reported_by or sender} said"
+            why = f"refuted the report of {update.reported_by or sender}"
             self.table.record_own_change(update.state.label, ALIVE, why)
         return True
 
@@ -144,7 +144,7 @@
         was_pinged = conflict.sequence != 0
         if was_pinged and (conflict.missed >= CONFLICT_MAX_MISSED or not self.displaced):
             address = f"{conflict.other.host}:{conflict.other.port}"
-            self._supersede(conflict.other, f"nobody answers at {address}")
+            self._supersede(conflict.other, f"no answer from {address}")
             return
         self._ping_other(conflict.other, now, conflict.missed + 1 if was_pinged else 0)
 
--- a/oakcroft/decisions/membership/update_merger.py
+++ b/oakcroft/decisions/membership/update_merger.py
@@ -106,7 +106,7 @@
         why = _source(update, sender)
         if update.generation > latest.generation:
             member.count_restart(now)
-            why += ", a new start"
+            why += ", a new process"
         self.table.transition(member, update, now, why)
 
     def _dispute(self, member: Member, update: MemberUpdate, sender: str) -> None:
@@ -131,4 +131,4 @@
 
 def _source(update: MemberUpdate, sender: str) -> str:
     """Source of an update, for the reason of a change."""
-    return f"told by {sender}" if sender != update.name else "by its own message"
+    return f"reported by {sender}" if sender != update.name else "by its own message"
--- a/oakcroft/decisions/membership/zone_directory.py
+++ b/oakcroft/decisions/membership/zone_directory.py
@@ -1,7 +1,7 @@
 """Directory of all zones that one front knows: the greatest summary of each, members' states, and reachability.
 
 A failure that another zone reports counts only after `CONFIRMATION_TIME`, and only if that zone's summary still lists
-it then; the member's own zone takes a false report back in the meantime. A zone whose heartbeat does not advance is
+it then; the member's own zone withdraws a false report in the meantime. A zone whose heartbeat does not advance is
 unreachable, and its members' states are unknown, never failed.
 """
 
@@ -188,7 +188,7 @@
                 self.counts.zones_full += 1
                 return False
             record = self.records[summary.zone] = ZoneRecord(summary, summary.heartbeat, now, summary.entry)
-            self._report(summary.zone, "", "", "reachable", f"told by {summary.author}")
+            self._report(summary.zone, "", "", "reachable", f"reported by {summary.author}")
         elif summary.entry.content_precedence <= record.summary.entry.content_precedence:
             self.advance(summary.entry, now)
             return False
@@ -213,12 +213,10 @@
             return
         record.is_reachable = True
         zone = record.summary.zone
-        self._report(zone, "", "unreachable", "reachable", "its heartbeat moves again")
+        self._report(zone, "", "unreachable", "reachable", "its heartbeat advances again")
+        # The zone could not withdraw failures while it was unreachable.
         for name, member in record.members.items():
-            if (
-                zone,
-                name,
-            ) in self._pending:  # its zone could not take the failure back while it was unreachable
+            if (zone, name) in self._pending:
                 member.confirm_at = self._pending[zone, name] = now + CONFIRMATION_TIME
 
     def _merge_changes(self, record: ZoneRecord, now: int) -> None:
@@ -238,7 +236,7 @@
             member.confirm_at = self._pending[zone, change.name] = now + CONFIRMATION_TIME
         was = known.state.value if known is not None else ""
         if was != member.state.value:
-            self._report(zone, change.name, was, member.state.value, f"told by {author}")
+            self._report(zone, change.name, was, member.state.value, f"reported by {author}")
         if len(record.members) > MAX_REMEMBERED_CHANGES:
             oldest = next(iter(record.members))
             del record.members[oldest]
@@ -271,7 +269,7 @@
                 self._confirm(zone, name, now)
 
     def _confirm(self, zone: str, name: str, now: int) -> None:
-        """Confirms a failure that is due, if its zone still reports it and was reachable to take it back."""
+        """Confirms a failure that is due, if its zone still reports it and was reachable to withdraw it."""
         record = self.records.get(zone)
         if record is None:
             del self._pending[zone, name]
@@ -283,10 +281,10 @@
         del self._pending[zone, name]
         if member.change in record.summary.changes:
             member.state = RemoteState.FAILED
-            why = f"told by {record.summary.author} and not taken back"
+            why = f"reported by {record.summary.author} and not withdrawn"
             self._report(zone, name, RemoteState.SUSPECTED.value, RemoteState.FAILED.value, why)
         else:
             del record.members[name]
             self.counts.taken_back += 1
-            why = f"{record.summary.author} no longer says so"
+            why = f"{record.summary.author} no longer reports it"
             self._report(zone, name, RemoteState.SUSPECTED.value, RemoteState.UNLISTED.value, why)
--- a/oakcroft/front/catalogue_rollout.py
+++ b/oakcroft/front/catalogue_rollout.py
@@ -49,7 +49,7 @@
 MAX_LISTED_FRONTS = 20
 """Unconfirmed front ends that the status names."""
 
-TERM_ENDED = "the term ended meanwhile: ask again"
+TERM_ENDED = "the term has ended: try again"
 ROLLED_BACK_STAGES = (RolloutStage.BACK, RolloutStage.STOPPED)
 
 
@@ -223,7 +223,7 @@
                 await trio.sleep(REQUEST_INTERVAL_S)
         self.pending_requests.discard(key)
         return self.request_replies.pop(
-            key, "nobody owns the duty just now: look at `fleet owners`, and ask again"
+            key, "nobody owns the duty at present: see `fleet owners`, and try again"
         )
 
     async def _handle_request(self, received: ReceivedLeaseMessage, order: Order) -> OrderReport | None:
@@ -290,7 +290,7 @@
         if isinstance(plan, str):
             return plan
         if not self.participant.has_text(request.digest):
-            return f"its text could not be had from {sender}"
+            return f"its text could not be fetched from {sender}"
         rollout = Rollout(plan)
         if not await self._record_plan(rollout, plan):
             return TERM_ENDED
--- a/oakcroft/front/rollout_participant.py
+++ b/oakcroft/front/rollout_participant.py
@@ -115,7 +115,7 @@
                 return self._report_late_order(received.sender, order)
             is_new = self.fence.highest_seen.get(CATALOGUE_LEASE) != (order.fencing_token, order.step)
             if is_new and not await self._record_order(plan, order):
-                return self._make_report(plan, order, "its state file does not take the order")
+                return self._make_report(plan, order, "the order could not be written to its state file")
             rejection = await self._apply_plan(plan, received.sender)
             if is_new:
                 self.log.info(
@@ -303,10 +303,10 @@
         else:
             version_number = self._kept_version(plan.base_digest)
             if version_number is None:
-                return "it does not keep the version before"
+                return "it does not have the version before"
             result = await self.catalogues.roll_back(version_number, None, True)
             if result is None:
-                return "it does not keep the version before"
+                return "it does not have the version before"
             verdict, reasons = result
         self.log.warning(
             "catalogue rolled back",
--- a/oakcroft/front/session_takeover.py
+++ b/oakcroft/front/session_takeover.py
@@ -367,7 +367,7 @@
         coordinator = self.coordinator
         session = chosen_session.session
         attach_to_node(coordinator, session, node_client, chosen_session.upstream)
-        # A key that was aborted because nodes told of it while the state file was lost stays aborted.
+        # A key that was aborted because nodes reported it while the state file was lost stays aborted.
         if coordinator.durable_state is None or not coordinator.durable_state.is_learned_key(session.key):
             is_paid = session.plan.plan.effect is not Effect.FREE
             coordinator.idempotency_store.restore(
--- a/oakcroft/rehearsal/takeover_simulation.py
+++ b/oakcroft/rehearsal/takeover_simulation.py
@@ -255,7 +255,7 @@
                 self._see_returned(other, name)
             for node in self.nodes:
                 node.streams[front.caller.pseudonym] = EventStream()
-            # It changes all sessions that it believes to hold before any node has told it otherwise.
+            # It changes all sessions that it believes to hold before any node has reported otherwise.
             for session, node_number in list(front.sessions.items()):
                 self.send(lambda s=session, n=node_number: self._change_session(front, n, s))  # type: ignore[misc]
 
--- a/oakcroft/rulecheck/cold_nodes.py
+++ b/oakcroft/rulecheck/cold_nodes.py
@@ -12,7 +12,7 @@
 def check_cold_nodes(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """Checks that no cold node gets more than the configured multiple of its pace over the configured window.
 
-    Only set-ups of fronts that could know of the node's start count: a front that was told of the start, that was
+    Only set-ups of fronts that could know of the node's start count: a front whose node list had the start, that was
     connected to the node when its process died, or that started later. An overload that a node recorded is a breach too
     if a front that was connected to it at a death sent it a set-up within the window before.
     """
@@ -21,11 +21,11 @@
     for set_up in tries:
         tries_by_node[set_up.node].append(set_up)
     deaths_known = _deaths_known(facts)
-    lists_told = [fact for fact in facts if fact["kind"] == "told"]
+    lists_sent = [fact for fact in facts if fact["kind"] == "told"]
     for start in facts:
         if start["kind"] == "start" and start["cold"]:
             finding.cases += 1
-            known_at = _start_known_at(start, deaths_known[start["node"]], lists_told)
+            known_at = _start_known_at(start, deaths_known[start["node"]], lists_sent)
             places = start.get("places", 0) or _places(facts, start["node"])
             _check_start(start, tries_by_node[start["node"]], known_at, places, site.terms, finding)
     for overload in facts:
@@ -51,10 +51,10 @@
     return known_at
 
 
-def _start_known_at(start: Fact, death_known_at: dict[str, int], lists_told: list[Fact]) -> dict[str, int]:
+def _start_known_at(start: Fact, death_known_at: dict[str, int], lists_sent: list[Fact]) -> dict[str, int]:
     """By front: since when it could know of a node's start."""
     known_at = {front: t for front, t in death_known_at.items() if t <= start["t"]}
-    for fact in lists_told:
+    for fact in lists_sent:
         if fact["t"] >= start["t"] and start["node"] in fact["started"]:
             known_at.setdefault(fact["front"], fact["t"])
     return known_at
