--- a/tests/test_session_takeover.py
+++ b/tests/test_session_takeover.py
@@ -40,28 +40,32 @@
 
 
 def test_control_and_takeover_in_every_case() -> None:
-    """All combinations of two fronts, three generations, event streams that are open, just broken and long gone, and
+    """All combinations of two fronts, three generations, event streams that are open, just broken and long closed, and
     callers with and without an event stream."""
-    for held_by, held_start, by, start in product("ab", (1, 2), ("a", "b", ""), (1, 2, 3)):
-        held = Caller(f"front-{held_by}", held_by, held_start)
-        caller = Caller(f"front-{by}", by, start)
-        act = may_control(held, caller)
-        assert act == (by == held_by and start >= held_start)
-        for away, listens in product(
+    callers = product("ab", (1, 2), ("a", "b", ""), (1, 2, 3))
+    for holder_name, holder_generation, caller_name, caller_generation in callers:
+        holder = Caller(f"front-{holder_name}", holder_name, holder_generation)
+        caller = Caller(f"front-{caller_name}", caller_name, caller_generation)
+        is_same_front = caller_name == holder_name
+        assert may_control(holder, caller) == (is_same_front and caller_generation >= holder_generation)
+        for disconnected_for, is_connected in product(
             (None, 0, RECONNECT_GRACE - 1, RECONNECT_GRACE, MAX_SESSION_LEASE), (True, False)
         ):
-            word = check_takeover(held, caller, away, listens)
-            taken = word is TakeoverAnswer.ALLOWED
-            assert not taken or (away is not None and away >= RECONNECT_GRACE)  # never from a connected front
-            assert not taken or listens  # never to a front that may have failed
-            assert not taken or by  # never to a front without a name
-            assert not taken or by != held_by or start > held_start  # never to an earlier generation
-            if by and by != held_by and listens and away is not None and away >= RECONNECT_GRACE:
-                assert taken
-            if taken:  # afterwards the previous holder can do nothing
+            answer = check_takeover(holder, caller, disconnected_for, is_connected)
+            is_allowed = answer is TakeoverAnswer.ALLOWED
+            is_holder_gone = disconnected_for is not None and disconnected_for >= RECONNECT_GRACE
+            assert not is_allowed or is_holder_gone  # never from a connected front
+            assert not is_allowed or is_connected  # never to a front that may have failed
+            assert not is_allowed or caller_name  # never to a front without a name
+            # Never to an earlier generation.
+            assert not is_allowed or not is_same_front or caller_generation > holder_generation
+            if caller_name and not is_same_front and is_connected and is_holder_gone:
+                assert is_allowed
+            if is_allowed:  # afterwards the previous holder can do nothing
                 assert not may_control(
-                    Caller(caller.pseudonym, by, start), Caller(held.pseudonym, held_by, held_start)
-                ) or (by == held_by and held_start >= start)
+                    Caller(caller.pseudonym, caller_name, caller_generation),
+                    Caller(holder.pseudonym, holder_name, holder_generation),
+                ) or (is_same_front and holder_generation >= caller_generation)
 
 
 def test_leases_are_bounded() -> None:
@@ -75,32 +79,34 @@
 def test_three_fronts_share_the_sessions_of_each_node_and_then_take_the_rest() -> None:
     """Each node is asked by three front ends, first for disjoint shares of its sessions and later for all of them."""
     names = [f"f{i}" for i in range(9)]
-    living = [n for n in names if n != "f4"]
-    asked: dict[str, list[tuple[str, set[str]]]] = {}
+    present = [name for name in names if name != "f4"]
+    shares_by_node: dict[str, list[tuple[str, set[str]]]] = {}
     sessions = {f"s{i}" for i in range(60)}
-    for name in living:
+    for name in present:
         takeover = SessionTakeover(name, BOUNDS)
         takeover.update_nodes(["n1", "n2", "n3"], 0)
         takeover.update_fronts([], names, 0)
         assert takeover.due_requests(10 * SECOND) == []
-        takeover.update_fronts(["f4"], living, 10 * SECOND)
+        takeover.update_fronts(["f4"], present, 10 * SECOND)
         assert takeover.due_requests(10 * SECOND + 100 * MS) == []  # the delay is not over
         for request in takeover.due_requests(10 * SECOND + 300 * MS):
             assert request.front_names == ["f4"]
-            mine = {s for s in sessions if request.is_own("f4", s)}
+            own_share = {session for session in sessions if request.is_own("f4", session)}
             assert not request.is_own("f5", "s1")
-            asked.setdefault(request.node, []).append((name, mine))
+            shares_by_node.setdefault(request.node, []).append((name, own_share))
             takeover.request_finished(request, {"f4": TakeoverAnswer.ALLOWED}, 11 * SECOND)
-            assert all(e.node != request.node for e in takeover.due_requests(11 * SECOND + 500 * MS))
-            (again,) = [e for e in takeover.due_requests(12 * SECOND + 100 * MS) if e.node == request.node]
-            assert all(again.is_own("f4", s) for s in sessions)
-            takeover.request_finished(again, {"f4": TakeoverAnswer.ALLOWED}, 12 * SECOND + 200 * MS)
-            assert not [e for e in takeover.due_requests(20 * SECOND) if e.node == request.node]
-    assert set(asked) == {"n1", "n2", "n3"}
-    for some in asked.values():
-        assert len(some) == 3
-        assert set().union(*(mine for _, mine in some)) == sessions
-        assert sum(len(mine) for _, mine in some) == len(sessions)  # each belongs to one front
+            assert all(other.node != request.node for other in takeover.due_requests(11 * SECOND + 500 * MS))
+            (second,) = [
+                other for other in takeover.due_requests(12 * SECOND + 100 * MS) if other.node == request.node
+            ]
+            assert all(second.is_own("f4", session) for session in sessions)
+            takeover.request_finished(second, {"f4": TakeoverAnswer.ALLOWED}, 12 * SECOND + 200 * MS)
+            assert not [other for other in takeover.due_requests(20 * SECOND) if other.node == request.node]
+    assert set(shares_by_node) == {"n1", "n2", "n3"}
+    for shares in shares_by_node.values():
+        assert len(shares) == 3
+        assert set().union(*(own_share for _, own_share in shares)) == sessions
+        assert sum(len(own_share) for _, own_share in shares) == len(sessions)  # each belongs to one front
 
 
 def test_a_front_that_returns_keeps_its_sessions_and_failed_requests_are_repeated() -> None:
@@ -117,8 +123,8 @@
         request, {"f1": TakeoverAnswer.CONNECTED}, 3 * SECOND
     )  # its event stream at the node is open
     (request,) = takeover.due_requests(4 * SECOND)
-    (over,) = takeover.update_fronts([], ["f0", "f1"], 4 * SECOND)
-    assert over.name == "f1"
+    (ended,) = takeover.update_fronts([], ["f0", "f1"], 4 * SECOND)
+    assert ended.name == "f1"
     takeover.request_finished(request, {"f1": TakeoverAnswer.CONNECTED}, 4 * SECOND)
     assert takeover.due_requests(9 * SECOND) == []
     assert not takeover.tasks
@@ -129,7 +135,7 @@
     assert (
         takeover.due_requests(23 * SECOND + BOUNDS.session_lease + 10 * SECOND) == []
     )  # nodes have ended its sessions
-    assert [d.name for d in takeover.take_finished(60 * SECOND)] == ["f1"]
+    assert [front.name for front in takeover.take_finished(60 * SECOND)] == ["f1"]
     assert takeover.take_finished(61 * SECOND) == []
 
 
@@ -142,13 +148,13 @@
     takeover.update_nodes([f"n{i}" for i in range(MAX_CONCURRENT_REQUESTS + 4)], 2 * SECOND)
     first = takeover.due_requests(2 * SECOND)
     assert len(first) == MAX_CONCURRENT_REQUESTS
-    assert all(e.is_own("f0", f"s{i}") for e in first for i in range(20))
+    assert all(request.is_own("f0", f"s{i}") for request in first for i in range(20))
     for request in first:
         takeover.request_finished(request, {"f0": TakeoverAnswer.ALLOWED}, 3 * SECOND)
     for request in (rest := takeover.due_requests(3 * SECOND)):
         takeover.request_finished(request, {"f0": TakeoverAnswer.CALLER_NOT_ELIGIBLE}, 3 * SECOND)
-    assert {e.node for e in first + rest} == takeover.listed_nodes
-    assert [d.name for d in takeover.take_finished(4 * SECOND)] == ["f0"]
+    assert {request.node for request in first + rest} == takeover.listed_nodes
+    assert [front.name for front in takeover.take_finished(4 * SECOND)] == ["f0"]
 
 
 @settings(max_examples=60, deadline=None)
@@ -158,37 +164,42 @@
     rng = Random(seed)
     names = [f"f{i}" for i in range(fronts)]
     takeover, now = SessionTakeover("f0", BOUNDS), 0
-    out: list[session_takeover.TakeoverRequest] = []
+    active: list[session_takeover.TakeoverRequest] = []
     for _ in range(60):
         now += rng.randrange(400 * MS)
-        gone = {n for n in names[1:] if rng.random() < 0.4}
-        takeover.update_fronts(gone, [n for n in names if n not in gone], now)
+        failed = {name for name in names[1:] if rng.random() < 0.4}
+        takeover.update_fronts(failed, [name for name in names if name not in failed], now)
         if rng.random() < 0.3:
             takeover.update_nodes([f"n{i}" for i in range(rng.randrange(nodes + 1))], now)
-        out += takeover.due_requests(now)
+        active += takeover.due_requests(now)
         assert (
-            len({e.node for e in out}) == len(out) == len(takeover.active_requests) <= MAX_CONCURRENT_REQUESTS
+            len({request.node for request in active})
+            == len(active)
+            == len(takeover.active_requests)
+            <= MAX_CONCURRENT_REQUESTS
         )
-        assert all(0 < len(e.front_names) <= MAX_FRONTS_PER_REQUEST for e in out)
-        while out and rng.random() < 0.6:
-            request = out.pop(rng.randrange(len(out)))
-            told = rng.choice([None, dict.fromkeys(request.front_names, rng.choice(list(TakeoverAnswer)))])
-            takeover.request_finished(request, told, now)
+        assert all(0 < len(request.front_names) <= MAX_FRONTS_PER_REQUEST for request in active)
+        while active and rng.random() < 0.6:
+            request = active.pop(rng.randrange(len(active)))
+            answers = rng.choice([None, dict.fromkeys(request.front_names, rng.choice(list(TakeoverAnswer)))])
+            takeover.request_finished(request, answers, now)
         takeover.take_finished(now)
-        # Each task of a current takeover is there once: waiting, or in a request.
-        stands = [
-            (p.front.name, p.node)
-            for p in takeover.tasks
-            if takeover.failed_fronts.get(p.front.name) is p.front
+        # Each task of a current takeover exists once: queued, or in a request.
+        pending = [
+            (task.front.name, task.node)
+            for task in takeover.tasks
+            if takeover.failed_fronts.get(task.front.name) is task.front
         ]
-        stands += [
-            (p.front.name, p.node)
-            for e in out
-            for p in e.tasks
-            if takeover.failed_fronts.get(p.front.name) is p.front
+        pending += [
+            (task.front.name, task.node)
+            for request in active
+            for task in request.tasks
+            if takeover.failed_fronts.get(task.front.name) is task.front
         ]
-        assert len(stands) == len(set(stands))
-        assert set(stands) == {(d.name, n) for d in takeover.failed_fronts.values() for n in d.pending_nodes}
+        assert len(pending) == len(set(pending))
+        assert set(pending) == {
+            (front.name, node) for front in takeover.failed_fronts.values() for node in front.pending_nodes
+        }
 
 
 def test_tasks_past_the_bound_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -274,23 +285,23 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_late_and_duplicated_messages_do_not_break_ownership(seed: int) -> None:
-    """Lost, late and duplicated messages never give a session two owners or a failed one."""
+    """Lost, late and duplicated messages never give a session two holders or a failed one."""
     rng, net = Random(seed), NetworkConditions(loss=0.1, duplication=0.2, long_delay_share=0.2)
     fleet = TakeoverSimulation(8, 4, 10, seed, BOUNDS, net)
     for _ in range(6):
         fleet.run(rng.random() * 6)
-        up = [f.name for f in fleet.fronts.values() if not f.is_dead and not f.is_paused]
+        running = [front.name for front in fleet.fronts.values() if not front.is_stopped]
         match rng.randrange(4):
-            case 0 if len(up) > 3:
-                fleet.kill([rng.choice(up)], streams_lost_after=rng.randrange(3) * SECOND)
-            case 1 if len(up) > 2:
-                fleet.pause(rng.choice(up), rng.uniform(1, 20), rng.random() < 0.7)
-            case _ if len(up) > 1:
-                fleet.suspect(*rng.sample(up, 2))
+            case 0 if len(running) > 3:
+                fleet.kill([rng.choice(running)], streams_lost_after=rng.randrange(3) * SECOND)
+            case 1 if len(running) > 2:
+                fleet.pause(rng.choice(running), rng.uniform(1, 20), rng.random() < 0.7)
+            case _ if len(running) > 1:
+                fleet.suspect(*rng.sample(running, 2))
     fleet.run(40)
     assert fleet.breaches == []
-    dead = {f.name for f in fleet.fronts.values() if f.is_dead}
-    assert not [h for n in fleet.nodes for h in n.holders.values() if h.member in dead]
+    dead = {front.name for front in fleet.fronts.values() if front.is_dead}
+    assert not [holder for node in fleet.nodes for holder in node.holders.values() if holder.member in dead]
 
 
 def test_the_simulation_detects_nodes_that_do_not_check_ownership() -> None:
