--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -124,8 +124,10 @@
     def zones(self) -> list[ZoneStatus]:
         """Status of the other known zones."""
         return [
-            ZoneStatus(zone, r.summary.region, r.summary.counts, r.is_reachable, r.moved_at)
-            for zone, r in sorted(self.directory.records.items())
+            ZoneStatus(
+                zone, record.summary.region, record.summary.counts, record.is_reachable, record.moved_at
+            )
+            for zone, record in sorted(self.directory.records.items())
             if zone != self.zone
         ]
 
--- a/oakcroft/decisions/membership/prober.py
+++ b/oakcroft/decisions/membership/prober.py
@@ -102,7 +102,7 @@
 
     def probe(self, name: str, now: int) -> None:
         """Probes a member now, unless a probe of it is open or too many probes are."""
-        if len(self.probes) >= MAX_PROBES or any(p.name == name for p in self.probes.values()):
+        if len(self.probes) >= MAX_PROBES or any(probe.name == name for probe in self.probes.values()):
             return
         sequence = self.outbox.new_sequence()
         self.probes[sequence] = Probe(name, sequence, now)
--- a/oakcroft/decisions/membership/push_pull.py
+++ b/oakcroft/decisions/membership/push_pull.py
@@ -95,7 +95,9 @@
         """Pings one random address of failed or removed members and seeds that no present member has."""
         members = self.table.members
         present = {members[name].latest.address for name in self.table.present()}
-        failed = [m.latest.address for m in members.values() if m.latest.state is MemberState.FAILED]
+        failed = [
+            member.latest.address for member in members.values() if member.latest.state is MemberState.FAILED
+        ]
         candidates = dict.fromkeys([*failed, *self.seeds, *self.table.former_addresses])
         absent = [address for address in candidates if address not in present]
         if absent:
--- a/oakcroft/decisions/membership/suspicion_tracker.py
+++ b/oakcroft/decisions/membership/suspicion_tracker.py
@@ -28,7 +28,7 @@
 
     def deadlines(self) -> Iterator[int]:
         """End times of all suspicions."""
-        suspicions = (m.suspicion for m in self.table.suspects.values())
+        suspicions = (member.suspicion for member in self.table.suspects.values())
         return (self._deadline(suspicion) for suspicion in suspicions if suspicion is not None)
 
     def probe_failed(self, member: Member, now: int) -> None:
--- a/oakcroft/decisions/membership/zone_directory.py
+++ b/oakcroft/decisions/membership/zone_directory.py
@@ -251,7 +251,9 @@
     def due(self) -> int | None:
         """The latest time by which `tick` must be called; None if nothing is pending."""
         deadlines = list(self._pending.values())
-        deadlines += [r.moved_at + UNREACHABLE_TIME for r in self.records.values() if r.is_reachable]
+        deadlines += [
+            record.moved_at + UNREACHABLE_TIME for record in self.records.values() if record.is_reachable
+        ]
         return min(deadlines, default=None)
 
     def tick(self, now: int) -> None:
--- a/oakcroft/decisions/membership/zone_summary.py
+++ b/oakcroft/decisions/membership/zone_summary.py
@@ -184,7 +184,10 @@
             and 0 <= self.member_digest < MAX_FINGERPRINT
             and len(self.delegates) <= MAX_DELEGATES
             and len(self.changes) <= MAX_CHANGES
-            and all(d.zone == self.zone and d.is_plausible(latest_generation) for d in self.delegates)
+            and all(
+                delegate.zone == self.zone and delegate.is_plausible(latest_generation)
+                for delegate in self.delegates
+            )
             and all(change.is_plausible(latest_generation) for change in self.changes)
         )
 
--- a/oakcroft/rulecheck/session_ownership.py
+++ b/oakcroft/rulecheck/session_ownership.py
@@ -13,37 +13,37 @@
 
 
 def check_session_ownership(facts: list[Fact]) -> list[Finding]:
-    """Checks three properties: 31 only the owner of a session changes or ends it, 32 no session is taken over from a
-    front that listens to the node, 33 no session is taken over twice from the same front."""
+    """Checks three properties: 31 only the holder of a session changes or ends it, 32 no session is taken over from a
+    front that is connected to the node, 33 no session is taken over twice from the same front."""
     facts = sorted(facts, key=lambda fact: fact["t"])
-    return [_check_one_owner(facts), _check_listening_owners(facts), _check_single_takeover(facts)]
+    return [_check_one_holder(facts), _check_connected_holders(facts), _check_single_takeover(facts)]
 
 
-def _check_one_owner(facts: list[Fact]) -> Finding:
+def _check_one_holder(facts: list[Fact]) -> Finding:
     finding = Finding(31, "one front per session")
-    owners: dict[str, str] = {}
+    holders: dict[str, str] = {}
     for fact in facts:
         session = str(fact.get("session"))
         if fact["kind"] == "ran":
-            owners[session] = fact["front"]
+            holders[session] = fact["front"]
         elif fact["kind"] == "passed":
             finding.cases += 1
-            if owners.get(session) != fact["before"]:
+            if holders.get(session) != fact["before"]:
                 finding.add_breach(
-                    f"{session}: taken from {fact['before']}, but {owners.get(session)} had it"
+                    f"{session}: taken from {fact['before']}, but {holders.get(session)} had it"
                 )
-            owners[session] = fact["front"]
+            holders[session] = fact["front"]
         elif fact["kind"] == "rung" or (fact["kind"] == "over" and fact["why"] == "deleted"):
             finding.cases += 1
             is_rung = fact["kind"] == "rung"
             front = fact["front"] if is_rung else fact["by"]
             action = "set" if is_rung else "ended"
-            if session in owners and owners[session] != front:
-                finding.add_breach(f"{session}: {action} by {front}, but {owners[session]} has it")
+            if session in holders and holders[session] != front:
+                finding.add_breach(f"{session}: {action} by {front}, but {holders[session]} has it")
     return finding
 
 
-def _check_listening_owners(facts: list[Fact]) -> Finding:
+def _check_connected_holders(facts: list[Fact]) -> Finding:
     finding = Finding(32, "no takeover while connected")
     open_streams = set[tuple[str, str]]()
     """Node and front of each open event stream."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -40,18 +40,22 @@
 ALIVE, SUSPECTED, FAILED, LEFT = MemberState
 SECRET = b"s" * 16
 member_updates = st.builds(
-    lambda generation, incarnation, state, by: MemberUpdate(
-        "x", generation, incarnation, state, "h", 1, "w", "1", SECRET if state is LEFT else commitment(SECRET), by
+    lambda generation, incarnation, state, reported_by: MemberUpdate(
+        "x", generation, incarnation, state, "h", 1, "w", "1", SECRET if state is LEFT else commitment(SECRET), reported_by
     ),
     st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState), st.sampled_from(["a", "b"]),
 )  # fmt: skip
 
 
 def update(
-    name: str = "x", state: MemberState = ALIVE, incarnation: int = 0, generation: int = 1, by: str = ""
+    name: str = "x",
+    state: MemberState = ALIVE,
+    incarnation: int = 0,
+    generation: int = 1,
+    reported_by: str = "",
 ) -> MemberUpdate:
     proof = SECRET if state is LEFT else commitment(SECRET)
-    return MemberUpdate(name, generation, incarnation, state, f"host-{name}", 1, "w", "1", proof, by)
+    return MemberUpdate(name, generation, incarnation, state, f"host-{name}", 1, "w", "1", proof, reported_by)
 
 
 def reported(net: SimulatedNetwork, state: MemberState) -> set[str]:
@@ -139,7 +143,7 @@
                     )
         views["a"].receive_message(
             ReceivedMessage(
-                update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, by="b")]
+                update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, reported_by="b")]
             ),
             0,
         )
@@ -148,9 +152,9 @@
     def collect(views: dict[str, Membership], in_flight: list[tuple[str, MemberUpdate, Message]]) -> None:
         for view in views.values():
             for message in view.outgoing:
-                to = message.address[0].removeprefix("host-")
+                receiver = message.address[0].removeprefix("host-")
                 if message.kind is not MessageKind.PUSH_PULL and len(in_flight) < 6:
-                    in_flight.append((to, view.own_update, message))
+                    in_flight.append((receiver, view.own_update, message))
             view.outgoing = []
             view.changes = []
 
@@ -161,7 +165,9 @@
             sorted((name, member.latest.precedence) for name, member in view.members.items())
             for view in views.values()
         ]
-        messages = sorted((to, sender.precedence, repr(message)) for to, sender, message in in_flight)
+        messages = sorted(
+            (receiver, sender.precedence, repr(message)) for receiver, sender, message in in_flight
+        )
         return repr((held, messages, now))
 
     def precedences(view: Membership) -> dict[str, tuple[int, bool, int, int]]:
@@ -186,8 +192,8 @@
                 elif isinstance(step, str):
                     in_flight.pop(int(step.split()[1]))
                 else:
-                    to, sender, sent = in_flight.pop(step)
-                    views[to].receive_message(sent.as_received(sender), then)
+                    receiver, sender, sent = in_flight.pop(step)
+                    views[receiver].receive_message(sent.as_received(sender), then)
                 for name, view in views.items():
                     for about, member in view.members.items():
                         latest = member.latest
@@ -403,8 +409,8 @@
                     known.with_state(FAILED, "f3"),
                     replace(known.with_state(SUSPECTED, "f3"), incarnation=known.incarnation + 1),
                 ]
-                for to in view.table.sample(3):
-                    receiver = net.processes[to]
+                for receiver_name in view.table.sample(3):
+                    receiver = net.processes[receiver_name]
                     receiver.view.receive_message(
                         ReceivedMessage(view.own_update, MessageKind.GOSSIP, 0, ANYONE, None, accusations),
                         net.now,
