--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -41,7 +41,8 @@
 SECRET = b"s" * 16
 member_updates = st.builds(
     lambda generation, incarnation, state, reported_by: MemberUpdate(
-        "x", generation, incarnation, state, "h", 1, "w", "1", SECRET if state is LEFT else commitment(SECRET), reported_by
+        "x", generation, incarnation, state, "h", 1, "w", "1",
+        SECRET if state is LEFT else commitment(SECRET), reported_by,
     ),
     st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState), st.sampled_from(["a", "b"]),
 )  # fmt: skip
