--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -53,10 +53,10 @@
     def status(self) -> dict[str, object]:
         """The leases as this front end knows them."""
 
-    def held_term(self, duty: str) -> object | None:
+    def held_term(self, lease_name: str) -> object | None:
         """The running term of a lease, if this front end holds it."""
 
-    def yield_lease(self, duty: str) -> None:
+    def yield_lease(self, lease_name: str) -> None:
         """Releases a lease before its term ends."""
 
 
