--- a/oakcroft/peers/lease_acceptor.py
+++ b/oakcroft/peers/lease_acceptor.py
@@ -21,7 +21,7 @@
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.lease_codec import ENCODER, LeaseCodec
-from oakcroft.peerwire.lease_wire import RecordPart, WireRow, row_from_wire, row_to_wire
+from oakcroft.peerwire.lease_wire import RecordPart, WireLeaseRecord, record_from_wire, record_to_wire
 
 RECORD_REQUEST_INTERVAL = SECOND // 2
 """Interval between two requests for the other acceptors' records, while this acceptor has lost its own."""
@@ -30,9 +30,10 @@
 """Answers that wait for the disk; further messages are dropped, as any datagram may be."""
 
 RECORD_NAME = "keeper"
-"""Named value in the state file that holds the epoch, the other acceptors' epochs and all rows, always together."""
+"""Named value in the state file that holds the epoch, the other acceptors' epochs and the records of all leases, always
+together."""
 
-RECORD_DECODER = msgspec.msgpack.Decoder(tuple[int, list[tuple[str, int]], list[WireRow]])
+RECORD_DECODER = msgspec.msgpack.Decoder(tuple[int, list[tuple[str, int]], list[WireLeaseRecord]])
 
 
 class NamedValueStore(Protocol):
@@ -129,12 +130,14 @@
         if len(parts) < part.part_count:
             return
         del self.record_parts[sender]
-        rows = tuple(
-            (known.row.lease_name, row_from_wire(known.row))
+        records = tuple(
+            (known.lease_record.lease_name, record_from_wire(known.lease_record))
             for known in parts.values()
-            if known.row is not None
+            if known.lease_record is not None
         )
-        if acceptor.receive_peer_record(AcceptorRecord(sender, part.epoch, part.has_full_record, rows), now):
+        if acceptor.receive_peer_record(
+            AcceptorRecord(sender, part.epoch, part.has_full_record, records), now
+        ):
             mute_ms = max(0, acceptor.silent_until - now) // MS
             self.log.info("keeper learnt", duties=len(acceptor.records), mute_ms=mute_ms)
             self._when_saved(lambda: None)
@@ -177,8 +180,10 @@
 
     def _encode_record(self) -> bytes:
         acceptor = self.acceptor
-        rows = [row_to_wire(lease_name, row) for lease_name, row in sorted(acceptor.records.items())]
-        return ENCODER.encode((acceptor.epoch, sorted(acceptor.peer_epochs.items()), rows))
+        records = [
+            record_to_wire(lease_name, record) for lease_name, record in sorted(acceptor.records.items())
+        ]
+        return ENCODER.encode((acceptor.epoch, sorted(acceptor.peer_epochs.items()), records))
 
     def _load_record(self, now: int) -> None:
         """Loads the record, as soon as the state file can be read."""
@@ -189,9 +194,9 @@
         values, is_latest = stored
         self.is_loaded = True
         try:
-            epoch, peer_epochs, wire_rows = RECORD_DECODER.decode(values[RECORD_NAME])
-            rows = {wire.lease_name: row_from_wire(wire) for wire in wire_rows}
-            acceptor.load_record(epoch, dict(peer_epochs), rows, is_latest, now)
+            epoch, peer_epochs, wire_records = RECORD_DECODER.decode(values[RECORD_NAME])
+            records = {wire.lease_name: record_from_wire(wire) for wire in wire_records}
+            acceptor.load_record(epoch, dict(peer_epochs), records, is_latest, now)
         except KeyError:
             pass  # this front was never an acceptor, or its record is lost
         except (msgspec.MsgspecError, MessageError) as error:
@@ -223,8 +228,8 @@
 
     def promised_token(self, lease_name: str) -> int | None:
         """Returns the highest fencing token promised for a lease; None if there is none."""
-        row = self.acceptor.records.get(lease_name)
-        return row.promised_token if row is not None else None
+        record = self.acceptor.records.get(lease_name)
+        return record.promised_token if record is not None else None
 
     def time_left_ms(self, lease_name: str, now: int) -> int | None:
         """Returns the milliseconds until the running term of a lease ends here; None if no term runs."""
--- a/oakcroft/peerwire/lease_codec.py
+++ b/oakcroft/peerwire/lease_codec.py
@@ -31,7 +31,7 @@
     checked_number,
     note_from_wire,
     note_to_wire,
-    row_to_wire,
+    record_to_wire,
     term_from_wire,
     term_to_wire,
 )
@@ -127,11 +127,13 @@
         return self._datagram(sender, generation, LeaseMessageKind.LEARN.value, RecordRequest(epoch))
 
     def encode_record(self, sender: str, generation: int, record: AcceptorRecord) -> list[bytes]:
-        """An acceptor's record, one row per datagram."""
+        """An acceptor's record, one lease per datagram."""
         parts = max(1, len(record.records))
         wire = [
-            RecordPart(record.epoch, record.has_full_record, number, parts, row_to_wire(lease_name, row))
-            for number, (lease_name, row) in enumerate(record.records)
+            RecordPart(
+                record.epoch, record.has_full_record, number, parts, record_to_wire(lease_name, lease_record)
+            )
+            for number, (lease_name, lease_record) in enumerate(record.records)
         ]
         wire = wire or [RecordPart(record.epoch, record.has_full_record, 0, 1)]
         return [self._datagram(sender, generation, LeaseMessageKind.LEARNT.value, part) for part in wire]
--- a/oakcroft/peerwire/lease_wire.py
+++ b/oakcroft/peerwire/lease_wire.py
@@ -13,7 +13,7 @@
 MAX_NAME_LENGTH = 64
 
 MAX_PROMISED_TO_LENGTH = 2 * MAX_NAME_LENGTH
-"""Maximum length of `WireRow.promised_to`, which is a name and a generation in one string."""
+"""Maximum length of `WireLeaseRecord.promised_to`, which is a name and a generation in one string."""
 
 
 class WireTerm(msgspec.Struct, array_like=True):
@@ -62,8 +62,8 @@
     epoch: int
 
 
-class WireRow(msgspec.Struct, array_like=True):
-    """A row of an acceptor's record, on the wire and in the state file."""
+class WireLeaseRecord(msgspec.Struct, array_like=True):
+    """A `LeaseRecord` with the name of its lease, on the wire and in the state file."""
 
     lease_name: str
     promised_token: int
@@ -73,13 +73,13 @@
 
 
 class RecordPart(msgspec.Struct, array_like=True):
-    """One part of an acceptor's record: a row, or none if the record is empty."""
+    """One part of an acceptor's record: the record of one lease, or none if the acceptor has none."""
 
     epoch: int
     has_full_record: bool
     part_index: int
     part_count: int
-    row: WireRow | None = None
+    lease_record: WireLeaseRecord | None = None
 
 
 class Order(msgspec.Struct, array_like=True):
@@ -165,14 +165,16 @@
     return LeaseNote(checked_number(wire.fencing_token), checked_number(wire.step), wire.body)
 
 
-def row_to_wire(lease_name: str, row: LeaseRecord) -> WireRow:
-    """Converts a row to its structure on the wire and in the state file."""
-    term = None if row.accepted_term is None else term_to_wire(row.accepted_term)
-    return WireRow(lease_name, row.promised_token, row.promised_to, term, note_to_wire(row.note))
+def record_to_wire(lease_name: str, record: LeaseRecord) -> WireLeaseRecord:
+    """Converts a lease record to its structure on the wire and in the state file."""
+    term = None if record.accepted_term is None else term_to_wire(record.accepted_term)
+    return WireLeaseRecord(
+        lease_name, record.promised_token, record.promised_to, term, note_to_wire(record.note)
+    )
 
 
-def row_from_wire(wire: WireRow) -> LeaseRecord:
-    """Converts a wire structure to a row. Raises MessageError if it is invalid."""
+def record_from_wire(wire: WireLeaseRecord) -> LeaseRecord:
+    """Converts a wire structure to a lease record. Raises MessageError if it is invalid."""
     term = None if wire.accepted_term is None else term_from_wire(wire.accepted_term)
     promised_to = checked_name(wire.promised_to, MAX_PROMISED_TO_LENGTH)
     return LeaseRecord(checked_number(wire.promised_token), promised_to, term, note_from_wire(wire.note))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -35,7 +35,7 @@
 from oakcroft.front.rollout_messages import PLAN_DECODER, decode_plan, encode_plan
 from oakcroft.interface import SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
-from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, row_from_wire
+from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, record_from_wire
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 from oakcroft.peerwire.sealing import KeyRing
@@ -242,7 +242,11 @@
     ]
     assert len(parts) == 64
     assert (
-        tuple((p.row.lease_name, row_from_wire(p.row)) for p in parts if isinstance(p, RecordPart) and p.row)
+        tuple(
+            (p.lease_record.lease_name, record_from_wire(p.lease_record))
+            for p in parts
+            if isinstance(p, RecordPart) and p.lease_record
+        )
         == records
     )
     assert len(lease_codec.encode_record("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
