--- a/oakcroft/commands/fleet.py
+++ b/oakcroft/commands/fleet.py
@@ -25,7 +25,7 @@
 )
 
 MS_PER_SECOND = 1000
-UNKNOWN_OWNER = "nobody, as far as this front knows"
+UNKNOWN_HOLDER = "nobody, as far as this front knows"
 
 
 @click.command()
@@ -67,7 +67,7 @@
     answer = request_front(address, method, f"fleet/owners{query}")
     if as_json or is_error(answer):
         print_and_exit(answer)
-    for line in describe_owners(orjson.loads(answer.body)):
+    for line in describe_leases(orjson.loads(answer.body)):
         click.echo(line)
 
 
@@ -101,25 +101,25 @@
         print_and_exit(request_front(address, "PUT", query, formatted_catalogue(file).encode(), If_Match=tag))
 
 
-def describe_owners(status: dict[str, Any]) -> list[str]:
+def describe_leases(status: dict[str, Any]) -> list[str]:
     """Returns lines of text that describe the duties and their owners, from a decoded answer."""
     term = status["term_ms"] / MS_PER_SECOND
     lines = [f"{status['name']}: keepers {', '.join(status['keepers'])}; a term is {term:g} s"]
-    if keeper := status.get("keeper"):
-        lines.append(_describe_keeper(keeper))
-    for duty in status["duties"]:
-        owner = f"{duty['owner']}, number {duty['number']}" if duty["owner"] else UNKNOWN_OWNER
-        own_part = f"; here: {duty['course']}, {duty['in_line'] + 1}. in line" if duty["course"] else ""
-        lines.append(f"  {duty['duty']}: {owner}{own_part}")
+    if acceptor := status.get("keeper"):
+        lines.append(_describe_acceptor(acceptor))
+    for lease in status["duties"]:
+        holder = f"{lease['owner']}, number {lease['number']}" if lease["owner"] else UNKNOWN_HOLDER
+        own_part = f"; here: {lease['course']}, {lease['in_line'] + 1}. in line" if lease["course"] else ""
+        lines.append(f"  {lease['duty']}: {holder}{own_part}")
     return lines
 
 
-def _describe_keeper(keeper: dict[str, Any]) -> str:
-    grants = "grants" if keeper["speaks"] and keeper["record"] else "grants nothing"
-    memory = "" if keeper["sound"] else ", remembers nothing"
-    mute = f", mute for {keeper['mute_ms'] / MS_PER_SECOND:.1f} s" if keeper["mute_ms"] else ""
-    waits = f", waits for {', '.join(keeper['waits_for'])}" if keeper["waits_for"] else ""
-    disk = "" if keeper["record"] else ", its record can't be written"
+def _describe_acceptor(acceptor: dict[str, Any]) -> str:
+    grants = "grants" if acceptor["speaks"] and acceptor["record"] else "grants nothing"
+    memory = "" if acceptor["sound"] else ", remembers nothing"
+    mute = f", mute for {acceptor['mute_ms'] / MS_PER_SECOND:.1f} s" if acceptor["mute_ms"] else ""
+    waits = f", waits for {', '.join(acceptor['waits_for'])}" if acceptor["waits_for"] else ""
+    disk = "" if acceptor["record"] else ", its record can't be written"
     return f"  a keeper, {grants}{memory}{mute}{waits}{disk}"
 
 
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -17,7 +17,7 @@
 from rig import DAY_TEMPLATE, SITE_TEMPLATE, run_async_test
 from test_peers import TOKEN, Fronts, fronts
 
-from oakcroft.commands.fleet import describe_owners
+from oakcroft.commands.fleet import describe_leases
 from oakcroft.config.pipeline import check_file
 from oakcroft.config.diagnostics import InvalidConfigurationError
 from oakcroft.httpwire.client import ExchangeError, HttpClient
@@ -63,17 +63,17 @@
 
     async def held_leases(self, name: str) -> list[dict[str, Any]]:
         """Returns the leases that a front holds, as it reports them."""
-        duties = (await self.call(name, "GET", "fleet/owners")).get("duties", [])
-        return [duty for duty in duties if duty["mine"]]
+        leases = (await self.call(name, "GET", "fleet/owners")).get("duties", [])
+        return [lease for lease in leases if lease["mine"]]
 
     async def wait_for_holder(self, names: list[str], timeout_s: float = 12) -> tuple[str, int]:
         """Waits until one of these fronts holds the lease and returns its name and fencing token."""
         with trio.fail_after(timeout_s):
             while True:
                 for name in names:
-                    for duty in await self.held_leases(name):
-                        if duty["duty"] == "catalogue":
-                            return name, duty["number"]
+                    for lease in await self.held_leases(name):
+                        if lease["duty"] == "catalogue":
+                            return name, lease["number"]
                 await trio.sleep(0.05)
 
     async def is_holder(self, name: str) -> bool:
@@ -262,8 +262,8 @@
 
 
 def test_operators_read_the_leases() -> None:
-    keeper = {"speaks": False, "sound": False, "record": True, "mute_ms": 1500, "waits_for": ["f1"]}
-    duty = {
+    acceptor = {"speaks": False, "sound": False, "record": True, "mute_ms": 1500, "waits_for": ["f1"]}
+    lease = {
         "duty": "catalogue",
         "owner": "f2",
         "number": 7,
@@ -271,19 +271,19 @@
         "course": "waits before it asks",
         "in_line": 0,
     }
-    leases = {
+    status = {
         "name": "f0",
         "keepers": ["f0", "f1", "f2"],
         "term_ms": 6000,
-        "duties": [duty],
-        "keeper": keeper,
+        "duties": [lease],
+        "keeper": acceptor,
     }
-    assert describe_owners(leases) == [
+    assert describe_leases(status) == [
         "f0: keepers f0, f1, f2; a term is 6 s",
         "  a keeper, grants nothing, remembers nothing, mute for 1.5 s, waits for f1",
         "  catalogue: f2, number 7; here: waits before it asks, 1. in line",
     ]
-    free_duty = {
+    free_lease = {
         "duty": "catalogue",
         "owner": None,
         "number": 0,
@@ -291,9 +291,9 @@
         "course": None,
         "in_line": None,
     }
-    keeper_with_full_disk = {"speaks": True, "sound": True, "record": False, "mute_ms": 0, "waits_for": []}
-    leases |= {"duties": [free_duty], "keeper": keeper_with_full_disk}
-    assert describe_owners(leases)[1:] == [
+    acceptor_with_full_disk = {"speaks": True, "sound": True, "record": False, "mute_ms": 0, "waits_for": []}
+    status |= {"duties": [free_lease], "keeper": acceptor_with_full_disk}
+    assert describe_leases(status)[1:] == [
         "  a keeper, grants nothing, its record can't be written",
         "  catalogue: nobody, as far as this front knows",
     ]
