--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -657,7 +657,7 @@
 
 @pytest.mark.parametrize("author", ["", "liar"], ids=["in the author's name", "in another's"])
 def test_false_summaries_make_no_living_member_of_another_zone_failed(times: int, author: str) -> None:
-    """The member's zone takes the false failure back before any front confirms it."""
+    """The member's zone withdraws the false failure before any front confirms it."""
     fleet = small_fleet(8)
     send_forged(fleet, MemberState.FAILED, times, author)
     assert absence_reports(fleet) == []
@@ -665,18 +665,18 @@
 
 @pytest.fixture
 def no_confirmation(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted fault: a failure reported by another zone counts at once."""
+    """Injected fault: a failure reported by another zone counts at once."""
     monkeypatch.setattr(zone_directory, "CONFIRMATION_TIME", 0)
 
 
-def test_planted_failures_that_count_at_once_are_found(no_confirmation: None) -> None:
+def test_the_check_finds_zones_that_confirm_failures_at_once(no_confirmation: None) -> None:
     """The check above finds that the victim failed."""
     fleet = small_fleet(8)
     send_forged(fleet, MemberState.FAILED, 1)
     assert absence_reports(fleet) != []
 
 
-def test_planted_a_zone_that_does_not_examine_summaries_of_it_is_found(
+def test_the_check_finds_a_zone_that_does_not_examine_summaries_of_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Without a refutation by the accused, a repeated false state is confirmed."""
@@ -712,7 +712,7 @@
     assert reader.membership.gossip.counts.implausible == 1
 
 
-def test_planted_a_front_without_the_bound_on_epochs_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_finds_a_front_without_the_bound_on_epochs(monkeypatch: pytest.MonkeyPatch) -> None:
     """It accepts a summary that no correct author can supersede."""
     monkeypatch.setattr(hierarchy, "CLOCK_TOLERANCE_US", 1 << 60)
     fleet = small_fleet(11)
@@ -753,7 +753,7 @@
     assert join_by_wrong_seed(fleet) == set(fleet.names("r0z0"))
 
 
-def test_planted_a_zone_that_accepts_all_members_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_finds_a_zone_that_accepts_all_members(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check above finds members of the other zone."""
     fleet = small_fleet(13)
     monkeypatch.setattr(PacedMembership, "_is_own", lambda *_: True)
