--- a/benchmarks/adopting.py
+++ b/benchmarks/adopting.py
@@ -67,7 +67,7 @@
         orphan_count = killed_count * playbacks_each
         live_count = fronts - killed_count
         held = [
-            sum(holder.member == front.name for node in fleet.nodes for holder in node.holder.values())
+            sum(holder.member == front.name for node in fleet.nodes for holder in node.holders.values())
             for front in fleet.fronts.values()
             if not front.is_dead
         ]
@@ -98,15 +98,15 @@
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
     import signal
 
-    import test_adopting
+    import test_takeover_processes
     import test_peers
 
     from oakcroft.rulecheck.session_ownership import takeover_delays
 
-    class Fronts(test_adopting.TakeoverFronts):
+    class Fronts(test_takeover_processes.TakeoverFronts):
         pass
 
-    Fronts.adopting_form = form
+    Fronts.takeover_form = form
     with tempfile.TemporaryDirectory() as folder:
         async with test_peers.fronts(Path(folder), 5, Fronts) as rig:
             assert isinstance(rig, Fronts)
--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -69,16 +69,7 @@
     def receive(self, message: object, now: int) -> None:
         """Handles a received datagram."""
         assert isinstance(message, FlatDatagram)
-        received = message.message
-        self.view.receive_message(
-            message.sender,
-            received.kind,
-            received.sequence,
-            received.to,
-            received.target,
-            received.updates,
-            now,
-        )
+        self.view.receive_message(message.message.as_received(message.sender), now)
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
         """Merges the full state of another front end and replies with the full state after the merge."""
@@ -97,17 +88,17 @@
 
     def take_outgoing(self) -> Sequence[Outgoing]:
         """Returns and removes the messages to send since the last call."""
-        if not self.view.out:
+        if not self.view.outgoing:
             return ()
-        messages = self.view.out
-        self.view.out = []
+        messages = self.view.outgoing
+        self.view.outgoing = []
         return [self._outgoing(message) for message in messages]
 
     def _outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
             own_state = self.view.full_state()
             return Outgoing(message.address, own_state, self._sizes.full_state(own_state), stream=True)
-        me = self.view.me
+        me = self.view.own_update
         message, octets = self._sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
 
@@ -117,7 +108,7 @@
             return ()
         changes = self.view.changes
         self.view.changes = []
-        own_name = self.view.me.name
+        own_name = self.view.own_update.name
         return [
             Transition(change.name, OBSERVED_STATES[change.now])
             for change in changes
@@ -159,12 +150,12 @@
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
         """Merges the updates of all into each, and drops the pending dissemination and full-state exchanges."""
         flat = [membership for membership in memberships if isinstance(membership, FlatMembershipAdapter)]
-        all_updates = [membership.view.me for membership in flat]
+        all_updates = [membership.view.own_update for membership in flat]
         for position, membership in enumerate(flat):
             sender = all_updates[position - 1]
             membership.view.receive_full_state(sender, all_updates, now)
             membership.view.table.queue.pending.clear()
-            membership.view.push_pull.wanted.clear()
+            membership.view.push_pull.queued_addresses.clear()
 
     def encode(self, message: object) -> bytes:
         """Encodes and seals a datagram."""
@@ -178,7 +169,7 @@
             received.kind,
             received.sender.address,
             received.sequence,
-            received.to,
+            received.receiver,
             received.target,
             received.updates,
         )
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -87,7 +87,7 @@
         """Wraps a membership; `fleet` is shared by all front ends."""
         self.membership = membership
         self._fleet = fleet
-        me = membership.local.me
+        me = membership.local.own_update
         self._zone = me.zone
         self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
 
@@ -106,10 +106,7 @@
             self.membership.receive_zone_message(message.sender, message.message, now)
             return
         assert isinstance(message, FlatDatagram)
-        flat = message.message
-        self.membership.receive_message(
-            message.sender, flat.kind, flat.sequence, flat.to, flat.target, flat.updates, now
-        )
+        self.membership.receive_message(message.message.as_received(message.sender), now)
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
         """Merges the full state of another front end and replies with its own, if the budget for exchanges allows it."""
@@ -131,17 +128,17 @@
 
     def take_outgoing(self) -> Sequence[Outgoing]:
         """Returns and removes the messages to send since the last call."""
-        if not self.membership.out:
+        if not self.membership.outgoing:
             return ()
-        messages = self.membership.out
-        self.membership.out = []
+        messages = self.membership.outgoing
+        self.membership.outgoing = []
         return [
             self._flat_outgoing(message) if isinstance(message, Message) else self._zone_outgoing(message)
             for message in messages
         ]
 
     def _zone_outgoing(self, out: OutgoingZoneMessage) -> Outgoing:
-        me = self.membership.local.me
+        me = self.membership.local.own_update
         if me.generation != self._contact.generation:
             self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
         octets = self._fleet.zone_sizes.datagram(self._contact, out.message)
@@ -153,7 +150,7 @@
             return Outgoing(
                 message.address, own_state, self._fleet.flat_sizes.full_state(own_state), stream=True
             )
-        me = self.membership.local.me
+        me = self.membership.local.own_update
         message, octets = self._fleet.flat_sizes.fitted(me, message)
         return Outgoing(message.address, FlatDatagram(me, message), octets)
 
--- a/oakcroft/decisions/fleet/acceptor.py
+++ b/oakcroft/decisions/fleet/acceptor.py
@@ -32,16 +32,21 @@
 MAX_LEASES = 64
 """Leases that one acceptor has on record."""
 
+PEER_EPOCHS = ""
+"""In a set of unsaved leases, stands for the epochs of the other acceptors."""
+
 
 class LeaseAcceptor:
     """One acceptor of the fleet's leases. Times in ns."""
 
-    def __init__(self, me: str, acceptors: Iterable[str], term_length: int, epoch: int, now: int) -> None:
-        """`me` is its name among `acceptors`, `term_length` the longest term that it grants.
+    def __init__(
+        self, own_name: str, acceptors: Iterable[str], term_length: int, epoch: int, now: int
+    ) -> None:
+        """`own_name` is one of `acceptors`, `term_length` the longest term that this acceptor grants.
 
         `epoch` numbers its record: each new record has a higher epoch than the one before.
         """
-        self.me = me
+        self.own_name = own_name
         self.acceptors = tuple(sorted(acceptors))
         self.term_length = term_length
         self.epoch = epoch
@@ -52,7 +57,8 @@
         self.peer_epochs: dict[str, int] = {}  # record epochs of the other acceptors
         self.has_full_record = False
         self.peer_records: dict[str, AcceptorRecord] = {}
-        self.unsaved: set[str] = set()  # leases whose records must be durable first; "" for the peers' epochs
+        # Leases whose records must be durable first; PEER_EPOCHS for the epochs of the other acceptors.
+        self.unsaved: set[str] = set()
 
     def load_record(
         self,
@@ -118,7 +124,7 @@
         return LeaseAnswer(
             kind,
             request.lease_name,
-            self.me,
+            self.own_name,
             self.epoch,
             request.term.fencing_token,
             request.seq,
@@ -176,11 +182,13 @@
 
     def peers_to_ask(self) -> list[str]:
         """Returns the acceptors that one without its record still has to ask for theirs."""
-        return (
-            []
-            if self.has_full_record
-            else [k for k in self.acceptors if k != self.me and k not in self.peer_records]
-        )
+        if self.has_full_record:
+            return []
+        return [
+            acceptor
+            for acceptor in self.acceptors
+            if acceptor != self.own_name and acceptor not in self.peer_records
+        ]
 
     def record_for_peer(self, peer: str, epoch: int) -> AcceptorRecord | None:
         """Returns its record for an acceptor that lost its own, and notes the epoch of that acceptor's new record.
@@ -190,12 +198,14 @@
         This guards against two processes under one acceptor's name: a vote on the older record is not counted together
         with a vote of any acceptor that knows of the newer one.
         """
-        if peer not in self.acceptors or peer == self.me or epoch < self.peer_epochs.get(peer, 0):
+        if peer not in self.acceptors or peer == self.own_name or epoch < self.peer_epochs.get(peer, 0):
             return None
         if self.peer_epochs.get(peer) != epoch:
             self.peer_epochs[peer] = epoch
-            self.unsaved.add("")
-        return AcceptorRecord(self.me, self.epoch, self.has_full_record, tuple(sorted(self.records.items())))
+            self.unsaved.add(PEER_EPOCHS)
+        return AcceptorRecord(
+            self.own_name, self.epoch, self.has_full_record, tuple(sorted(self.records.items()))
+        )
 
     def receive_peer_record(self, peer_record: AcceptorRecord, now: int) -> bool:
         """Takes the record of another acceptor.
@@ -205,13 +215,12 @@
         if (
             self.has_full_record
             or peer_record.acceptor not in self.acceptors
-            or peer_record.acceptor == self.me
+            or peer_record.acceptor == self.own_name
         ):
             return False
         self.peer_records[peer_record.acceptor] = peer_record
-        has_majority = sum(t.has_full_record for t in self.peer_records.values()) >= majority(
-            len(self.acceptors)
-        )
+        full_records = sum(record.has_full_record for record in self.peer_records.values())
+        has_majority = full_records >= majority(len(self.acceptors))
         if not has_majority and len(self.peer_records) < len(self.acceptors) - 1:
             return False
         for peer in self.peer_records.values():
@@ -219,16 +228,14 @@
             for lease_name, record in peer.records[:MAX_LEASES]:
                 self._merge_record(lease_name, record, now)
         self.has_full_record = True
-        self.unsaved |= {"", *self.records}
+        self.unsaved |= {PEER_EPOCHS, *self.records}
         return True
 
     def _merge_record(self, lease_name: str, record: LeaseRecord, now: int) -> None:
         own = self.records.get(lease_name, LeaseRecord())
-        latest = max(
-            (own, record), key=lambda r: r.accepted_term.fencing_token if r.accepted_term is not None else 0
-        )
-        promised = max((own, record), key=lambda r: r.promised_token)
-        note = max((own.note, record.note), key=lambda n: n.version)
+        latest = max((own, record), key=_accepted_token)
+        promised = max((own, record), key=lambda either: either.promised_token)
+        note = max((own.note, record.note), key=lambda either: either.version)
         self.records[lease_name] = LeaseRecord(
             promised.promised_token, promised.promised_to, latest.accepted_term, note
         )
@@ -238,6 +245,11 @@
             )
 
 
+def _accepted_token(record: LeaseRecord) -> int:
+    """Returns the fencing token of the term that was accepted last, 0 where none was."""
+    return record.accepted_term.fencing_token if record.accepted_term is not None else 0
+
+
 def process_key(term: LeaseTerm) -> str:
     """Returns the holder's name and generation as one string."""
     return f"{term.holder}/{term.generation}"
--- a/oakcroft/decisions/membership/hierarchy.py
+++ b/oakcroft/decisions/membership/hierarchy.py
@@ -1,7 +1,8 @@
 """Membership in two layers: the flat protocol inside a zone, and zone summaries between zones. No I/O.
 
 Time is passed in with each call, and random numbers come from the generator given at the start. After each call the
-host takes `out`, `changes` and `found` and replaces them with empty lists. docs/membership.md describes the design.
+host takes `outgoing`, `changes` and `lookup_results` and replaces them with empty lists. docs/membership.md describes
+the design.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from oakcroft.decisions.membership.member import MemberState, MemberUpdate
 from oakcroft.decisions.membership.member_table import StateChange
 from oakcroft.decisions.membership.membership import Membership
-from oakcroft.decisions.membership.messages import MemberId, Message, MessageKind, ProbeTarget
-from oakcroft.decisions.membership.paced_pool import PacedPool
+from oakcroft.decisions.membership.messages import Message, ReceivedMessage
+from oakcroft.decisions.membership.paced_membership import PacedMembership
 from oakcroft.decisions.membership.traffic_budget import TrafficBudget
 from oakcroft.decisions.membership.zone_author import ZoneAuthor
 from oakcroft.decisions.membership.zone_directory import RemoteState, ZoneChange, ZoneDirectory
@@ -36,19 +37,19 @@
 from oakcroft.interface import MS, SECOND
 
 DELEGATE_START_DELAY = 10 * SECOND
-"""After its start, before a front acts as a delegate: when all start at once, each sees only itself and would rank
+"""Time from its start before a front acts as a delegate: when all start at once, each sees only itself and would rank
 first."""
 
 AUTHOR_INTERVAL = 500 * MS
-"""Between checks whether this front is a delegate and has to author its zone's summary."""
+"""Interval between checks whether this front is a delegate and has to author its zone's summary."""
 
 CLOCK_TOLERANCE_US = 86_400 * 1_000_000
-"""By which a generation may be ahead of this front's clock: one day."""
+"""Bound by which a generation may be ahead of this front's clock: one day."""
 
 NS_PER_US = 1_000
 
 DIFFERENCE_TOLERANCE = 2 * SECOND
-"""For which a front's members may differ from its zone's summary: gossip takes that long to reach all."""
+"""Time for which a front's members may differ from its zone's summary: gossip takes that long to reach all."""
 
 LOOKUP_FANOUT = 2
 """Delegates that are asked for a member, in case one gives a false answer or has just failed."""
@@ -58,24 +59,24 @@
     """The membership of one front in a fleet of zones."""
 
     def __init__(
-        self, me: MemberUpdate, secret: bytes, rng: Random, now: int, placement: ZonePlacement
+        self, own_update: MemberUpdate, secret: bytes, rng: Random, now: int, placement: ZonePlacement
     ) -> None:
-        """`me.zone` is the own zone. Raises ValueError if it is among the other zones of `placement`."""
-        if any(other.zone == me.zone for other in placement.others):
-            raise ValueError(f"own zone {me.zone} is listed among the other zones")
-        self.zone = me.zone
+        """`own_update.zone` is the own zone. Raises ValueError if it is among the other zones of `placement`."""
+        if any(other.zone == own_update.zone for other in placement.others):
+            raise ValueError(f"own zone {own_update.zone} is listed among the other zones")
+        self.zone = own_update.zone
         self.started_at = now
-        self.first_generation = me.generation
+        self.first_generation = own_update.generation
         self.budget = TrafficBudget(now)
-        self.pool = PacedPool(me, secret, rng, now, placement.seeds, self.budget)
+        self.paced_membership = PacedMembership(own_update, secret, rng, now, placement.seeds, self.budget)
         seeds = {other.zone: other.addresses for other in placement.others}
-        self.directory = ZoneDirectory(me.zone, seeds)
+        self.directory = ZoneDirectory(own_update.zone, seeds)
         self.gossip = ZoneGossip(self.directory, OtherZones(seeds), self.budget, rng, now)
-        self.author = ZoneAuthor(contact_of(me), placement.region, now)
+        self.author = ZoneAuthor(contact_of(own_update), placement.region, now)
         self.reporter = ZoneReporter(self.local, self.author, now)
-        self.selection = DelegateSelection(me.zone)
+        self.selection = DelegateSelection(own_update.zone)
         self.lookups = ZoneLookups(rng)
-        self.out: list[Message | OutgoingZoneMessage] = []
+        self.outgoing: list[Message | OutgoingZoneMessage] = []
         self.changes: list[StateChange | ZoneChange] = []
         self._processed_present: list[str] | None = None
         self._next_author_at = now + DELEGATE_START_DELAY
@@ -86,16 +87,16 @@
     @property
     def local(self) -> Membership:
         """The flat membership of the own zone."""
-        return self.pool.membership
+        return self.paced_membership.membership
 
     @property
-    def found(self) -> list[LookupResult]:
+    def lookup_results(self) -> list[LookupResult]:
         """Results of finished lookups. The host takes the list and replaces it with an empty one."""
-        return self.lookups.found
+        return self.lookups.results
 
-    @found.setter
-    def found(self, results: list[LookupResult]) -> None:
-        self.lookups.found = results
+    @lookup_results.setter
+    def lookup_results(self, results: list[LookupResult]) -> None:
+        self.lookups.results = results
 
     def present(self) -> list[str]:
         """Present members of the own zone, including this front."""
@@ -114,7 +115,7 @@
 
         The answering side passes the updates that it has received from the other.
         """
-        return self.pool.exchange_state(known_to_peer)
+        return self.paced_membership.exchange_state(known_to_peer)
 
     def remote_state(self, zone: str, name: str) -> RemoteState:
         """State of a member of another zone."""
@@ -123,8 +124,10 @@
     def zones(self) -> list[ZoneStatus]:
         """Status of the other known zones."""
         return [
-            ZoneStatus(zone, r.summary.region, r.summary.counts, r.is_reachable, r.moved_at)
-            for zone, r in sorted(self.directory.records.items())
+            ZoneStatus(
+                zone, record.summary.region, record.summary.counts, record.is_reachable, record.moved_at
+            )
+            for zone, record in sorted(self.directory.records.items())
             if zone != self.zone
         ]
 
@@ -133,7 +136,7 @@
         if now - self.started_at < DELEGATE_START_DELAY or self.local.displaced or self.local.left:
             return None
         delegates = self.selection.delegates(self._clock(now))
-        own_name = self.local.me.name
+        own_name = self.local.own_update.name
         return delegates.index(own_name) if own_name in delegates else None
 
     # Time.
@@ -141,14 +144,14 @@
     @property
     def due(self) -> int:
         """The latest time by which `tick` must be called."""
-        times = [self.pool.due, self.gossip.due(), self._next_author_at]
+        times = [self.paced_membership.due, self.gossip.due(), self._next_author_at]
         times += [at for at in (self.directory.due(), self.lookups.due()) if at is not None]
         return min(times)
 
     def tick(self, now: int) -> None:
         """Performs everything that is due."""
         self.budget.advance(now)
-        self.pool.tick(now)
+        self.paced_membership.tick(now)
         if not self.local.left and not self.local.displaced:
             self.gossip.tick(now)
         if now >= self._next_author_at:
@@ -177,36 +180,27 @@
         if record is None:
             return
         if self.reporter.differs_for(record.summary, now) >= DIFFERENCE_TOLERANCE:
-            self.pool.on_digest_mismatch(now)
+            self.paced_membership.on_digest_mismatch(now)
         else:
-            self.pool.on_digest_match(now)
+            self.paced_membership.on_digest_match(now)
 
     # Received messages.
 
-    def receive_message(
-        self,
-        sender: MemberUpdate,
-        kind: MessageKind,
-        sequence: int,
-        to: MemberId,
-        target: ProbeTarget | None,
-        updates: Sequence[MemberUpdate],
-        now: int,
-    ) -> None:
+    def receive_message(self, message: ReceivedMessage, now: int) -> None:
         """Processes a datagram of the flat protocol."""
         self.budget.advance(now)
-        self.pool.receive_message(sender, kind, sequence, to, target, updates, now)
+        self.paced_membership.receive_message(message, now)
         self._apply_local_changes(now)
 
     def accepts_exchange(self, now: int) -> bool:
         """Whether to answer an exchange now; if not, the stream is closed and the other side tries again."""
         self.budget.advance(now)
-        return self.pool.accepts_exchange()
+        return self.paced_membership.accepts_exchange()
 
     def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
         """Merges another front's full state."""
         self.budget.advance(now)
-        self.pool.receive_full_state(sender, updates, now)
+        self.paced_membership.receive_full_state(sender, updates, now)
         self._apply_local_changes(now)
 
     def receive_zone_message(self, sender: ZoneContact, message: ZoneMessage, now: int) -> None:
@@ -229,7 +223,7 @@
         self._apply_local_changes(now)
 
     def lookup(self, zone: str, name: str, now: int) -> None:
-        """Starts a lookup of a member of another zone; the result is added to `found`."""
+        """Starts a lookup of a member of another zone; the result is added to `lookup_results`."""
         self.budget.advance(now)
         addresses = self.gossip.contacts(zone, LOOKUP_FANOUT)
         request = self.lookups.begin(zone, name, len(addresses), now)
@@ -258,7 +252,7 @@
 
     def _clock(self, now: int) -> int:
         """Clock time in microseconds, comparable with generations: this front's generation plus its uptime."""
-        own = max(self.first_generation, self.local.me.generation)
+        own = max(self.first_generation, self.local.own_update.generation)
         return own + (now - self.started_at) // NS_PER_US
 
     def _latest_generation(self, now: int) -> int:
@@ -272,7 +266,7 @@
         present = self.local.present()
         if present is not self._processed_present:
             self._processed_present = present
-            own_name = self.local.me.name
+            own_name = self.local.own_update.name
             members = self.local.members
             self.selection.observe({name: members[name].latest.generation for name in present})
             self.gossip.local.peers = [members[name].latest.address for name in present if name != own_name]
@@ -285,8 +279,8 @@
         self.local.changes = []
         self.changes += self.directory.changes
         self.directory.changes = []
-        self.pool.collect(now)
-        self.out += self.pool.out
-        self.pool.out = []
-        self.out += self.gossip.out
-        self.gossip.out = []
+        self.paced_membership.collect(now)
+        self.outgoing += self.paced_membership.outgoing
+        self.paced_membership.outgoing = []
+        self.outgoing += self.gossip.outgoing
+        self.gossip.outgoing = []
--- a/oakcroft/decisions/membership/member_table.py
+++ b/oakcroft/decisions/membership/member_table.py
@@ -30,8 +30,8 @@
 """Interval after which the restart count of a member decreases by one."""
 
 FREQUENT_RESTARTS = 4
-"""Above this count, changes are reported only at powers of two, so that a member that keeps restarting cannot fill the
-log."""
+"""Restart count above which changes are reported only at powers of two, so that a member that keeps restarting cannot
+fill the log."""
 
 
 @dataclass(frozen=True)
@@ -48,12 +48,13 @@
 class Member:
     """One member as this front sees it.
 
-    `since` is the time of the last state change, `heard_at` that of the last message received from it (0 for none).
+    `since` is the time of the last state change, `last_received_at` that of the last message received from the member
+    (0 for none).
     """
 
     latest: MemberUpdate
     since: int
-    heard_at: int = 0
+    last_received_at: int = 0
     suspicion: Suspicion | None = None
     restarts: int = 0  # number of new generations, decreasing over time
     restarted_at: int = 0
@@ -72,20 +73,20 @@
 class MemberTable:
     """All members that this front knows, including itself."""
 
-    def __init__(self, me: MemberUpdate, rng: Random, now: int) -> None:
-        """Starts with only this front, whose update is `me`."""
-        self.own_name = me.name
+    def __init__(self, own_update: MemberUpdate, rng: Random, now: int) -> None:
+        """Starts with only this front, whose update is `own_update`."""
+        self.own_name = own_update.name
         self.rng = rng
-        self.members: dict[str, Member] = {me.name: Member(me, now)}
+        self.members: dict[str, Member] = {own_update.name: Member(own_update, now)}
         self.suspects: dict[str, Member] = {}
         self.former_addresses: dict[Address, None] = {}
         self.changes: list[StateChange] = []
         self.queue = UpdateQueue()
-        self.queue.add(me)
+        self.queue.add(own_update)
         self._present: list[str] | None = None  # cached result of `present`
 
     @property
-    def me(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """This front's own update."""
         return self.members[self.own_name].latest
 
@@ -97,37 +98,39 @@
     def present(self) -> list[str]:
         """Sorted names of the present members, including this front. Callers must not modify the list."""
         if self._present is None:
-            self._present = sorted(n for n, m in self.members.items() if m.latest.state in PRESENT_STATES)
+            self._present = sorted(
+                name for name, member in self.members.items() if member.latest.state in PRESENT_STATES
+            )
         return self._present
 
     def is_present(self, name: str) -> bool:
         """Whether `name` is another member that is present."""
         return name != self.own_name and self.state(name) in PRESENT_STATES
 
-    def sample(self, most: int, except_for: str = "") -> list[str]:
+    def sample(self, limit: int, except_for: str = "") -> list[str]:
         """A random sample of the other present members."""
-        others = [n for n in self.present() if n not in (self.own_name, except_for)]
-        return self.rng.sample(others, min(most, len(others)))
+        others = [name for name in self.present() if name not in (self.own_name, except_for)]
+        return self.rng.sample(others, min(limit, len(others)))
 
     def count(self, state: MemberState) -> int:
         """Number of members in a state."""
-        return sum(m.latest.state is state for m in self.members.values())
+        return sum(member.latest.state is state for member in self.members.values())
 
     def full_state(self) -> list[MemberUpdate]:
         """The latest updates of all members, this front's own first."""
-        others = [m.latest for n, m in sorted(self.members.items()) if n != self.own_name]
-        return [self.me, *others]
+        others = [member.latest for name, member in sorted(self.members.items()) if name != self.own_name]
+        return [self.own_update, *others]
 
     # Changes.
 
-    def announce(self, me: MemberUpdate) -> None:
+    def announce(self, own_update: MemberUpdate) -> None:
         """Replaces this front's own update and queues it for dissemination."""
-        self.members[self.own_name].latest = me
-        self.queue.add(me)
+        self.members[self.own_name].latest = own_update
+        self.queue.add(own_update)
 
-    def set_left(self, me: MemberUpdate) -> None:
+    def set_left(self, own_update: MemberUpdate) -> None:
         """Replaces this front's own update by its last one, a leave."""
-        self.members[self.own_name].latest = me
+        self.members[self.own_name].latest = own_update
         self._present = None
 
     def record_own_change(self, was: str, now: str, why: str) -> None:
@@ -168,7 +171,7 @@
         if member.restarts_often and not is_power_of_two:
             return
         if member.restarts_often:
-            why += f", {member.restarts} starts of late"
+            why += f", {member.restarts} recent starts"
         self.changes.append(StateChange(update.name, previous.state.label, update.state.label, why))
 
     # Removal.
@@ -182,10 +185,10 @@
 
     def _make_room(self) -> bool:
         """Removes the member that failed or left the longest ago; returns False if all are present."""
-        absent = [m for m in self.members.values() if m.latest.state not in PRESENT_STATES]
+        absent = [member for member in self.members.values() if member.latest.state not in PRESENT_STATES]
         if not absent:
             return False
-        self._forget(min(absent, key=lambda m: (m.since, m.latest.name)).latest.name)
+        self._forget(min(absent, key=lambda member: (member.since, member.latest.name)).latest.name)
         return True
 
     def _forget(self, name: str) -> None:
--- a/oakcroft/decisions/membership/membership.py
+++ b/oakcroft/decisions/membership/membership.py
@@ -1,7 +1,7 @@
 """Membership of the fleet as one front sees it: a state machine without sockets, clock or threads.
 
 Time is passed in with each call, and random numbers come from the generator given at the start. Messages to send are in
-`out` and changes in `changes`; the host takes both after each call. The protocol combines SWIM (probes, indirect
+`outgoing` and changes in `changes`; the host takes both after each call. The protocol combines SWIM (probes, indirect
 probes, suspicion, incarnations, piggybacked updates), Lifeguard (suspicion timeouts that shorten with confirmations,
 local health, informing a suspected member first) and periodic push-pull. docs/fleet.md describes where it differs;
 above all, no member is declared failed because others say so. An update that a member has failed makes this front probe
@@ -23,7 +23,7 @@
     MemberId,
     Message,
     MessageKind,
-    ProbeTarget,
+    ReceivedMessage,
 )
 from oakcroft.decisions.membership.outbox import Outbox
 from oakcroft.decisions.membership.own_identity import OwnIdentity
@@ -34,7 +34,7 @@
 from oakcroft.interface import MS, SECOND
 
 GOSSIP_INTERVAL = 200 * MS
-"""Between messages that carry only updates, while any are queued."""
+"""Interval between messages that carry only updates, while any are queued."""
 
 GOSSIP_FANOUT = 3
 """Members that receive gossip in each interval."""
@@ -52,12 +52,12 @@
     """Membership of one front."""
 
     def __init__(
-        self, me: MemberUpdate, secret: bytes, rng: Random, now: int, seeds: Iterable[Address] = ()
+        self, own_update: MemberUpdate, secret: bytes, rng: Random, now: int, seeds: Iterable[Address] = ()
     ) -> None:
-        """`me` is the own update, `secret` proves a leave, and `seeds` are addresses to join the fleet through."""
+        """`secret` proves a leave, and `seeds` are addresses through which to join the fleet."""
         self.counts = Counters()
         self.health = LocalHealth()
-        self.table = MemberTable(me, rng, now)
+        self.table = MemberTable(own_update, rng, now)
         self.outbox = Outbox(self.table, rng)
         self.identity = OwnIdentity(self.table, self.outbox, secret)
         self.prober = Prober(self.table, self.outbox, self.health, rng, now)
@@ -82,12 +82,12 @@
     # Output, which the host takes after each call.
 
     @property
-    def out(self) -> list[Message]:
+    def outgoing(self) -> list[Message]:
         """Messages to send. The host takes the list and replaces it with an empty one."""
         return self.outbox.messages
 
-    @out.setter
-    def out(self, messages: list[Message]) -> None:
+    @outgoing.setter
+    def outgoing(self, messages: list[Message]) -> None:
         self.outbox.messages = messages
 
     @property
@@ -102,9 +102,9 @@
     # Queries.
 
     @property
-    def me(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """This front's own update."""
-        return self.table.me
+        return self.table.own_update
 
     @property
     def displaced(self) -> bool:
@@ -214,33 +214,27 @@
 
     # Received messages.
 
-    def receive_message(
-        self,
-        sender: MemberUpdate,
-        kind: MessageKind,
-        sequence: int,
-        to: MemberId,
-        target: ProbeTarget | None,
-        updates: Sequence[MemberUpdate],
-        now: int,
-    ) -> None:
-        """Processes a datagram; `sender` is the sender's own update."""
+    def receive_message(self, message: ReceivedMessage, now: int) -> None:
+        """Processes a datagram."""
+        sender = message.sender
+        kind = message.kind
+        sequence = message.sequence
         if self.left or not self._accept_sender(sender, kind, sequence, now):
             return
         if kind is MessageKind.PING:
-            self._answer_ping(sender, sequence, to)
+            self._answer_ping(sender, sequence, message.receiver)
         elif kind is MessageKind.ACK:
             self.prober.acknowledged(sequence, sender.name)
-        elif kind is MessageKind.PING_REQUEST and target is not None:
-            self.prober.relay(sender, sequence, target, now)
-        for update in updates[:MAX_UPDATES]:
+        elif kind is MessageKind.PING_REQUEST and message.target is not None:
+            self.prober.relay(sender, sequence, message.target, now)
+        for update in message.updates[:MAX_UPDATES]:
             self.merger.merge(update, sender.name, now)
 
     def receive_full_state(self, sender: MemberUpdate, updates: Sequence[MemberUpdate], now: int) -> None:
         """Merges another front's full state, received by push-pull."""
         if self.left:
             return
-        if (sender.name, sender.generation) == (self.me.name, self.me.generation):
+        if (sender.name, sender.generation) == (self.own_update.name, self.own_update.generation):
             self.push_pull.remove_seed(sender.address)
             return
         if not self._accept_sender(sender, MessageKind.GOSSIP, 0, now):
@@ -254,7 +248,7 @@
         if not sender.is_plausible():
             self.counts.unsound += 1
             return False
-        if sender.name == self.me.name:
+        if sender.name == self.own_update.name:
             if self.identity.received_from_namesake(sender, kind, sequence, now):
                 self.prober.probes.clear()
             return False
@@ -269,22 +263,22 @@
         known = self.members.get(sender.name)
         if known is None:
             return False
-        known.heard_at = now
+        known.last_received_at = now
         if is_stranger and known.latest.state is not MemberState.LEFT:
-            self.push_pull.want(sender.address)
+            self.push_pull.queue_exchange(sender.address)
         if known.latest.precedence > sender.precedence and kind is not MessageKind.PING:
             self._notify_accused(sender, known.latest)  # the answer to a ping carries the accusation anyway
         return True
 
     def _notify_accused(self, sender: MemberUpdate, accusation: MemberUpdate) -> None:
-        to = MemberId(sender.name, sender.generation)
-        self.outbox.put(Message(MessageKind.GOSSIP, sender.address, to=to, updates=[accusation]))
+        receiver = MemberId(sender.name, sender.generation)
+        self.outbox.put(Message(MessageKind.GOSSIP, sender.address, receiver=receiver, updates=[accusation]))
 
-    def _answer_ping(self, sender: MemberUpdate, sequence: int, to: MemberId) -> None:
+    def _answer_ping(self, sender: MemberUpdate, sequence: int, receiver: MemberId) -> None:
         known = self.members[sender.name].latest
         accusation = known if known.precedence > sender.precedence else None
-        is_for_other_name = to[0] not in ("", self.me.name)
-        is_for_other_generation = to[1] not in (0, self.me.generation)
+        is_for_other_name = receiver.name not in ("", self.own_update.name)
+        is_for_other_generation = receiver.generation not in (0, self.own_update.generation)
         if is_for_other_name:
             # Another member had this address: the sender learns who has it now, but gets no answer to its probe.
             self.counts.misaddressed += 1
--- a/oakcroft/front/fleet_participation.py
+++ b/oakcroft/front/fleet_participation.py
@@ -87,7 +87,7 @@
             view = self.peers.membership
             self.coordinator.identity = FrontIdentity(
                 peer_settings.name,
-                lambda: view.me.generation,
+                lambda: view.own_update.generation,
                 peer_settings.takeover_bounds.session_lease,
             )
 
--- a/oakcroft/front/node_client.py
+++ b/oakcroft/front/node_client.py
@@ -103,14 +103,14 @@
         ]
 
 
-def encode_session_memo(session: PlaybackSession) -> str:
+def encode_takeover_context(session: PlaybackSession) -> str:
     """Encodes what another front end needs to know of a session to take it over.
 
     Empty where it would be too long, in which case the session cannot be taken over.
     """
     playback = session.playback
-    return takeover_messages.encode_memo(
-        takeover_messages.SessionMemo(
+    return takeover_messages.encode_context(
+        takeover_messages.SessionContext(
             session.id,
             session.fingerprint,
             session.path,
@@ -178,8 +178,8 @@
                 )
                 if session.catalogue_number:
                     headers.append((http_formats.CATALOGUE_HEADER, str(session.catalogue_number)))
-                if self.identity is not None and (memo := encode_session_memo(session)):
-                    headers.append((takeover_messages.MEMO_HEADER, memo))
+                if self.identity is not None and (context := encode_takeover_context(session)):
+                    headers.append((takeover_messages.CONTEXT_HEADER, context))
                 response = await self.peer.request(
                     "POST", f"{session.path}?encodingId={rung}", headers, session.offer.encode(), progress
                 )
--- a/oakcroft/peers/status.py
+++ b/oakcroft/peers/status.py
@@ -15,9 +15,9 @@
     """Status of the membership: this front itself and all members."""
     members = [member_status(member, now) for _, member in sorted(membership.members.items())]
     return {
-        "name": membership.me.name,
-        "start": membership.me.generation,
-        "incarnation": membership.me.incarnation,
+        "name": membership.own_update.name,
+        "start": membership.own_update.generation,
+        "incarnation": membership.own_update.incarnation,
         "displaced": membership.displaced,
         "joined": membership.joined,
         "slow": membership.health.multiplier,
@@ -37,6 +37,6 @@
         "wing": latest.zone,
         "version": latest.version,
         "since_ms": (now - member.since) // MS,
-        "heard_ms": (now - member.heard_at) // MS if member.heard_at else None,
+        "heard_ms": (now - member.last_received_at) // MS if member.last_received_at else None,
         "by": latest.reported_by,
     }
--- a/oakcroft/rulecheck/retry_budget.py
+++ b/oakcroft/rulecheck/retry_budget.py
@@ -13,7 +13,7 @@
 
 def check_retry_budget(facts: list[Fact], tries: list[SetUp], site: SharedSettings) -> Finding:
     """Checks that the retries of each front are within the configured budget over any window."""
-    finding = Finding(6, "further tries within the budget")
+    finding = Finding(6, "retries within the budget")
     terms = site.terms
     if terms.retry_budget_base is None:
         return finding
@@ -30,7 +30,7 @@
             requests = sum(window_start < time <= window_end for time in requested_at)
             allowed = terms.retry_budget_base + terms.retry_budget_share * requests
             if retries > allowed + ROUNDING_TOLERANCE:
-                finding.add_breach(f"{front}: {retries} further tries in a window that allows {allowed:.1f}")
+                finding.add_breach(f"{front}: {retries} retries in a window that allows {allowed:.1f}")
     return finding
 
 
@@ -38,8 +38,8 @@
     """By front: when it sent tries beyond a playback's first."""
     seen_keys: set[str] = set()
     times: dict[str, list[int]] = defaultdict(list)
-    for one in tries:
-        if one.key in seen_keys:
-            times[one.front].append(one.received_at)
-        seen_keys.add(one.key)
+    for set_up in tries:
+        if set_up.key in seen_keys:
+            times[set_up.front].append(set_up.received_at)
+        seen_keys.add(set_up.key)
     return times
--- a/tests/test_load_sharing.py
+++ b/tests/test_load_sharing.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from rig import run_async_test
-from test_adopting import TakeoverFronts
+from test_takeover_processes import TakeoverFronts
 from test_peers import KEY, fronts
 
 from oakcroft.decisions.fleet.load_sharing import (
@@ -214,7 +214,7 @@
 class LoadSharingFronts(TakeoverFronts):
     """Front ends that share the loads of nodes."""
 
-    adopting_form = "(probing (every 500ms))"
+    takeover_form = "(probing (every 500ms))"
 
     async def wait_for_loads(self, name: str, timeout_seconds: float = 10) -> None:
         """Waits until a front end has recent loads of both nodes."""
@@ -264,7 +264,7 @@
             with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sender:
                 for _ in range(20):
                     await sender.sendto(
-                        codec.encode(killed, 1, false_reports), rig.between.front_addresses[receiver]
+                        codec.encode(killed, 1, false_reports), rig.network.front_addresses[receiver]
                     )
                     await trio.sleep(0.01)
                 await rig.request_until_playing(receiver, "/whep/open/t1", "beside")
--- a/tests/test_view.py
+++ b/tests/test_membership.py
@@ -31,7 +31,7 @@
 from oakcroft.decisions.membership.shares import max_overshoot, rate_divisor
 from oakcroft.decisions.membership.member_table import FAILED_RETENTION, MAX_FORMER_ADDRESSES, MAX_MEMBERS
 from oakcroft.decisions.membership.membership import Membership
-from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, Message, MessageKind
+from oakcroft.decisions.membership.messages import ANYONE, MAX_UPDATES, Message, MessageKind, ReceivedMessage
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.membership_simulation import SimulatedNetwork, settled_network
 from oakcroft.rulecheck.membership import check_membership
@@ -40,18 +40,23 @@
 ALIVE, SUSPECTED, FAILED, LEFT = MemberState
 SECRET = b"s" * 16
 member_updates = st.builds(
-    lambda generation, incarnation, state, by: MemberUpdate(
-        "x", generation, incarnation, state, "h", 1, "w", "1", SECRET if state is LEFT else commitment(SECRET), by
+    lambda generation, incarnation, state, reported_by: MemberUpdate(
+        "x", generation, incarnation, state, "h", 1, "w", "1",
+        SECRET if state is LEFT else commitment(SECRET), reported_by,
     ),
     st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState), st.sampled_from(["a", "b"]),
 )  # fmt: skip
 
 
 def update(
-    name: str = "x", state: MemberState = ALIVE, incarnation: int = 0, generation: int = 1, by: str = ""
+    name: str = "x",
+    state: MemberState = ALIVE,
+    incarnation: int = 0,
+    generation: int = 1,
+    reported_by: str = "",
 ) -> MemberUpdate:
     proof = SECRET if state is LEFT else commitment(SECRET)
-    return MemberUpdate(name, generation, incarnation, state, f"host-{name}", 1, "w", "1", proof, by)
+    return MemberUpdate(name, generation, incarnation, state, f"host-{name}", 1, "w", "1", proof, reported_by)
 
 
 def reported(net: SimulatedNetwork, state: MemberState) -> set[str]:
@@ -83,19 +88,21 @@
     for view in views:
         rng.shuffle(updates)
         for received in updates:
-            view.receive_message(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [received], 0)
+            view.receive_message(
+                ReceivedMessage(update("teller"), MessageKind.GOSSIP, 0, ANYONE, None, [received]), 0
+            )
     held = [{name: member.latest.precedence for name, member in view.members.items()} for view in views]
     assert held[0] == held[1]
 
 
 def test_only_a_member_itself_can_announce_that_it_leaves() -> None:
     view = Membership(update("me"), SECRET, Random(1), 0)
-    view.receive_message(update("x"), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+    view.receive_message(ReceivedMessage(update("x"), MessageKind.GOSSIP, 0, ANYONE, None, []), 0)
     forged = replace(update("x", LEFT), proof=b"f" * 16)
-    view.receive_message(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [forged], 0)
+    view.receive_message(ReceivedMessage(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [forged]), 0)
     assert view.state_of("x") is ALIVE
     assert view.counts.refused_leaves == 1
-    view.receive_message(update("x", LEFT), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+    view.receive_message(ReceivedMessage(update("x", LEFT), MessageKind.GOSSIP, 0, ANYONE, None, []), 0)
     assert view.state_of("x") is LEFT
 
 
@@ -106,7 +113,7 @@
         update("x", generation=1 << 60),
         replace(update("x"), proof=b""),
     ):
-        view.receive_message(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [bad], 0)
+        view.receive_message(ReceivedMessage(update("liar"), MessageKind.GOSSIP, 0, ANYONE, None, [bad]), 0)
     assert view.state_of("x") is None
     assert view.counts.unsound == 3
 
@@ -131,20 +138,25 @@
         views = {n: Membership(update(n), SECRET, Random(ord(n)), 0) for n in names}
         for view in views.values():
             for other in names:
-                if other != view.me.name:
-                    view.receive_message(update(other), MessageKind.GOSSIP, 0, ANYONE, None, [], 0)
+                if other != view.own_update.name:
+                    view.receive_message(
+                        ReceivedMessage(update(other), MessageKind.GOSSIP, 0, ANYONE, None, []), 0
+                    )
         views["a"].receive_message(
-            update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, by="b")], 0
+            ReceivedMessage(
+                update("b"), MessageKind.GOSSIP, 0, ANYONE, None, [update("c", SUSPECTED, reported_by="b")]
+            ),
+            0,
         )
         return views, []
 
     def collect(views: dict[str, Membership], in_flight: list[tuple[str, MemberUpdate, Message]]) -> None:
         for view in views.values():
-            for message in view.out:
-                to = message.address[0].removeprefix("host-")
+            for message in view.outgoing:
+                receiver = message.address[0].removeprefix("host-")
                 if message.kind is not MessageKind.PUSH_PULL and len(in_flight) < 6:
-                    in_flight.append((to, view.me, message))
-            view.out = []
+                    in_flight.append((receiver, view.own_update, message))
+            view.outgoing = []
             view.changes = []
 
     def fingerprint(
@@ -154,7 +166,9 @@
             sorted((name, member.latest.precedence) for name, member in view.members.items())
             for view in views.values()
         ]
-        messages = sorted((to, sender.precedence, repr(message)) for to, sender, message in in_flight)
+        messages = sorted(
+            (receiver, sender.precedence, repr(message)) for receiver, sender, message in in_flight
+        )
         return repr((held, messages, now))
 
     def precedences(view: Membership) -> dict[str, tuple[int, bool, int, int]]:
@@ -179,10 +193,8 @@
                 elif isinstance(step, str):
                     in_flight.pop(int(step.split()[1]))
                 else:
-                    to, sender, sent = in_flight.pop(step)
-                    views[to].receive_message(
-                        sender, sent.kind, sent.sequence, sent.to, sent.target, sent.updates, then
-                    )
+                    receiver, sender, sent = in_flight.pop(step)
+                    views[receiver].receive_message(sent.as_received(sender), then)
                 for name, view in views.items():
                     for about, member in view.members.items():
                         latest = member.latest
@@ -259,7 +271,7 @@
     net = settled_network(10, 5)
     net.state_changes.clear()
     net.loss = 0.33
-    net.double = 0.2
+    net.duplication = 0.2
     net.latency = (MS, 150 * MS)
     net.run(120 * SECOND)
     assert reported(net, FAILED) == set()
@@ -295,9 +307,9 @@
     net = settled_network(5, 8)
     net.kill("f3")
     net.run(1 * SECOND)
-    net.add("f3", (("host-f0", 1),), start=1)  # no file, and the clock went back
+    net.add("f3", (("host-f0", 1),), generation=1)  # no file, and the clock went back
     assert net.run(5 * SECOND, net.is_settled)
-    assert net.processes["f3"].view.me.generation > 1
+    assert net.processes["f3"].view.own_update.generation > 1
     assert not net.processes["f3"].view.displaced
 
 
@@ -398,10 +410,11 @@
                     known.with_state(FAILED, "f3"),
                     replace(known.with_state(SUSPECTED, "f3"), incarnation=known.incarnation + 1),
                 ]
-                for to in view.table.sample(3):
-                    receiver = net.processes[to]
+                for receiver_name in view.table.sample(3):
+                    receiver = net.processes[receiver_name]
                     receiver.view.receive_message(
-                        view.me, MessageKind.GOSSIP, 0, ANYONE, None, accusations, net.now
+                        ReceivedMessage(view.own_update, MessageKind.GOSSIP, 0, ANYONE, None, accusations),
+                        net.now,
                     )
                     net.send_output(receiver)
         net.run(100 * MS)
@@ -415,11 +428,15 @@
     """The accused cannot raise its incarnation further, so without a new generation others would drop its updates."""
     net = settled_network(8, 17)
     net.state_changes.clear()
-    accusation = replace(net.processes["f5"].view.me.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1)
-    sender = net.processes["f3"].view.me
+    accusation = replace(
+        net.processes["f5"].view.own_update.with_state(state, "f3"), incarnation=MAX_INCARNATION - 1
+    )
+    sender = net.processes["f3"].view.own_update
     for process in net.running_processes():
         if process.name not in ("f3", "f5"):
-            process.view.receive_message(sender, MessageKind.GOSSIP, 0, ANYONE, None, [accusation], net.now)
+            process.view.receive_message(
+                ReceivedMessage(sender, MessageKind.GOSSIP, 0, ANYONE, None, [accusation]), net.now
+            )
             net.send_output(process)
     net.run(30 * SECOND)
     assert reported(net, FAILED) == set()
@@ -432,10 +449,13 @@
     now = 0
     for i in range(3 * MAX_MEMBERS):
         view.receive_message(
-            update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50, now
+            ReceivedMessage(
+                update(f"m{i}"), MessageKind.PING, i, ANYONE, None, [update(f"n{i}", FAILED)] * 50
+            ),
+            now,
         )
-        assert all(len(out.updates) <= MAX_UPDATES for out in view.out)
-        view.out.clear()
+        assert all(len(out.updates) <= MAX_UPDATES for out in view.outgoing)
+        view.outgoing.clear()
         if i % 100 == 0:
             now += 100 * MS
             view.tick(now)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -32,10 +32,10 @@
     LeaseMessageKind,
     LeaseTerm,
 )
-from oakcroft.front.catalogue_rollout import PLAN_DECODER, decode_plan, encode_plan
+from oakcroft.front.rollout_messages import PLAN_DECODER, decode_plan, encode_plan
 from oakcroft.interface import SECOND
 from oakcroft.peerwire.lease_codec import LeaseCodec
-from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, row_from_wire
+from oakcroft.peerwire.lease_wire import Order, OrderReport, RecordPart, TextChunk, record_from_wire
 from oakcroft.peerwire.errors import MessageError
 from oakcroft.peerwire.membership_codec import MAX_DATAGRAM_BYTES
 from oakcroft.peerwire.sealing import KeyRing
@@ -193,11 +193,13 @@
 
 
 @given(st.sets(st.text(min_size=1, max_size=8), min_size=2, max_size=30), st.text(max_size=8), st.data())
-def test_only_the_leases_of_a_removed_front_pass_on(names: set[str], duty: str, data: st.DataObject) -> None:
-    order = rank_order(duty, names)
+def test_only_the_leases_of_a_removed_front_pass_on(
+    names: set[str], lease_name: str, data: st.DataObject
+) -> None:
+    order = rank_order(lease_name, names)
     removed = data.draw(st.sampled_from(order))
-    assert rank_order(duty, names - {removed}) == [name for name in order if name != removed]
-    assert [rank(duty, name, names) for name in order] == list(range(len(order)))
+    assert rank_order(lease_name, names - {removed}) == [name for name in order if name != removed]
+    assert [rank(lease_name, name, names) for name in order] == list(range(len(order)))
 
 
 def test_leases_are_spread_over_the_fronts() -> None:
@@ -240,7 +242,11 @@
     ]
     assert len(parts) == 64
     assert (
-        tuple((p.row.duty, row_from_wire(p.row)) for p in parts if isinstance(p, RecordPart) and p.row)
+        tuple(
+            (p.lease_record.lease_name, record_from_wire(p.lease_record))
+            for p in parts
+            if isinstance(p, RecordPart) and p.lease_record
+        )
         == records
     )
     assert len(lease_codec.encode_record("f1", 1, AcceptorRecord("f1", 4, False, ()))) == 1
--- a/tests/test_zone_membership.py
+++ b/tests/test_zone_membership.py
@@ -16,7 +16,7 @@
 from oakcroft.decisions.membership import hierarchy, zone_directory
 from oakcroft.decisions.membership.delegates import SETTLING_TIME_US, DelegateSelection
 from oakcroft.decisions.membership.member import MemberState
-from oakcroft.decisions.membership.paced_pool import PacedPool
+from oakcroft.decisions.membership.paced_membership import PacedMembership
 from oakcroft.decisions.membership.traffic_budget import BURST_BYTES, RATE_BYTES_PER_S, TrafficBudget
 from oakcroft.decisions.membership.zone_author import LocalState, ZoneAuthor
 from oakcroft.decisions.membership.zone_directory import (
@@ -35,7 +35,7 @@
     ZoneRequest,
     summary_size,
 )
-from oakcroft.decisions.membership.zone_reporter import ZoneReporter
+from oakcroft.decisions.membership.zone_reporter import ZoneReporter, contact_of
 from oakcroft.decisions.membership.zone_summary import (
     MAX_CHANGES,
     MAX_COUNTER,
@@ -611,7 +611,7 @@
 def forged(fleet: ZoneFleet, reader: Front, state: MemberState, author: str = "") -> ZoneSummary:
     """A summary with a state of the victim that supersedes the reader's; by default in the correct author's name."""
     record = reader.membership.directory.records["r1z0"]
-    latest = fleet.fronts[VICTIM].membership.local.me
+    latest = fleet.fronts[VICTIM].membership.local.own_update
     accusation = MemberChange(VICTIM, latest.generation, latest.incarnation, state)
     epoch, version = next_key(record.entry, 1)
     return replace(
@@ -629,15 +629,14 @@
     for _ in range(times):
         for front in fleet.living():
             if front.zone == "r0z0":
-                fleet.tell(sender, front, ZoneRecords((forged(fleet, front, state, author),)))
+                fleet.deliver_zone_message(sender, front, ZoneRecords((forged(fleet, front, state, author),)))
         fleet.run(2 * SECOND)
     fleet.run(20 * SECOND)
 
 
 def contact(front: Front) -> ZoneContact:
     """The contact of a front."""
-    me = front.membership.local.me
-    return ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
+    return contact_of(front.membership.local.own_update)
 
 
 def absence_reports(fleet: ZoneFleet) -> list[tuple[str, str]]:
@@ -658,7 +657,7 @@
 
 @pytest.mark.parametrize("author", ["", "liar"], ids=["in the author's name", "in another's"])
 def test_false_summaries_make_no_living_member_of_another_zone_failed(times: int, author: str) -> None:
-    """The member's zone takes the false failure back before any front confirms it."""
+    """The member's zone withdraws the false failure before any front confirms it."""
     fleet = small_fleet(8)
     send_forged(fleet, MemberState.FAILED, times, author)
     assert absence_reports(fleet) == []
@@ -666,18 +665,18 @@
 
 @pytest.fixture
 def no_confirmation(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted fault: a failure reported by another zone counts at once."""
+    """Injected fault: a failure reported by another zone counts at once."""
     monkeypatch.setattr(zone_directory, "CONFIRMATION_TIME", 0)
 
 
-def test_planted_failures_that_count_at_once_are_found(no_confirmation: None) -> None:
+def test_the_check_finds_zones_that_confirm_failures_at_once(no_confirmation: None) -> None:
     """The check above finds that the victim failed."""
     fleet = small_fleet(8)
     send_forged(fleet, MemberState.FAILED, 1)
     assert absence_reports(fleet) != []
 
 
-def test_planted_a_zone_that_does_not_examine_summaries_of_it_is_found(
+def test_the_check_finds_a_zone_that_does_not_examine_summaries_of_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Without a refutation by the accused, a repeated false state is confirmed."""
@@ -708,18 +707,18 @@
     reader = fleet.fronts["r0z0f1"]
     before = reader.membership.directory.records["r1z0"].summary
     absurd = replace(before, epoch=1 << 55, author="liar")
-    fleet.tell(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
+    fleet.deliver_zone_message(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
     assert reader.membership.directory.records["r1z0"].summary is before
     assert reader.membership.gossip.counts.implausible == 1
 
 
-def test_planted_a_front_without_the_bound_on_epochs_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_finds_a_front_without_the_bound_on_epochs(monkeypatch: pytest.MonkeyPatch) -> None:
     """It accepts a summary that no correct author can supersede."""
     monkeypatch.setattr(hierarchy, "CLOCK_TOLERANCE_US", 1 << 60)
     fleet = small_fleet(11)
     reader = fleet.fronts["r0z0f1"]
     absurd = replace(reader.membership.directory.records["r1z0"].summary, epoch=1 << 55, author="liar")
-    fleet.tell(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
+    fleet.deliver_zone_message(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((absurd,)))
     assert reader.membership.directory.records["r1z0"].summary.author == "liar"
 
 
@@ -729,7 +728,7 @@
     reader = fleet.fronts["r0z0f1"]
     known = reader.membership.directory.records["r1z0"].summary
     latest = replace(known, version=MAX_COUNTER - 1, heartbeat=MAX_COUNTER - 1, author="liar")
-    fleet.tell(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((latest,)))
+    fleet.deliver_zone_message(contact(fleet.fronts["r0z0f0"]), reader, ZoneRecords((latest,)))
     assert fleet.run(
         40 * SECOND,
         lambda: all(
@@ -743,7 +742,7 @@
     """A front of another zone joins a zone by the flat protocol; returns the members that the zone then lists."""
     stranger = fleet.fronts["r2z0f0"].membership
     insider = fleet.fronts["r0z0f0"]
-    insider.membership.receive_full_state(stranger.local.me, stranger.local.full_state(), fleet.now)
+    insider.membership.receive_full_state(stranger.local.own_update, stranger.local.full_state(), fleet.now)
     fleet.run(10 * SECOND)
     return {name for f in fleet.living() if f.zone == "r0z0" for name in f.membership.present()}
 
@@ -754,10 +753,10 @@
     assert join_by_wrong_seed(fleet) == set(fleet.names("r0z0"))
 
 
-def test_planted_a_zone_that_accepts_all_members_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_finds_a_zone_that_accepts_all_members(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check above finds members of the other zone."""
     fleet = small_fleet(13)
-    monkeypatch.setattr(PacedPool, "_is_own", lambda *_: True)
+    monkeypatch.setattr(PacedMembership, "_is_own", lambda *_: True)
     assert join_by_wrong_seed(fleet) > set(fleet.names("r0z0"))
 
 
@@ -778,9 +777,9 @@
             MemberChange(f"m{rng.randrange(10_000)}", 1, 0, MemberState.FAILED) for _ in range(MAX_CHANGES)
         )
         fake = ZoneSummary(zone, "r", "liar", 1, version, 0, StateCounts(1, 1, 1), (), 1, changes)
-        fleet.tell(sender, front, ZoneRecords((fake,)))
-        fleet.tell(sender, front, ZoneDigest((), wants_answer=True))
-        fleet.tell(sender, front, ZoneRequest(tuple(fleet.layout)))
+        fleet.deliver_zone_message(sender, front, ZoneRecords((fake,)))
+        fleet.deliver_zone_message(sender, front, ZoneDigest((), wants_answer=True))
+        fleet.deliver_zone_message(sender, front, ZoneRequest(tuple(fleet.layout)))
     directory = front.membership.directory
     assert len(directory.records) <= MAX_ZONES
     assert all(zone in directory.records for zone in fleet.layout)
@@ -810,7 +809,7 @@
     fleet.look_up(front, "r1z0", VICTIM)
     fleet.look_up(front, "r1z0", "nobody")
     fleet.run(SECOND)
-    answered, unknown = sorted(front.membership.found, key=lambda result: result.name, reverse=True)
+    answered, unknown = sorted(front.membership.lookup_results, key=lambda result: result.name, reverse=True)
     assert answered.member is not None
     assert (answered.member.host, answered.member.port) == fleet.address(VICTIM)
     assert unknown.is_answered
@@ -824,7 +823,7 @@
     front = fleet.fronts["r0z0f0"]
     for _ in range(MAX_LOOKUPS + 1):
         fleet.look_up(front, "r1z0", VICTIM)
-    assert len(front.membership.found) == 1
+    assert len(front.membership.lookup_results) == 1
     fleet.run(LOOKUP_TIMEOUT + SECOND)
-    assert len(front.membership.found) == MAX_LOOKUPS + 1
-    assert not any(result.is_answered for result in front.membership.found)
+    assert len(front.membership.lookup_results) == MAX_LOOKUPS + 1
+    assert not any(result.is_answered for result in front.membership.lookup_results)
