--- a/oakcroft/decisions/state/promise.py
+++ b/oakcroft/decisions/state/promise.py
@@ -4,6 +4,9 @@
 or limited by seats must have its intent recorded before it is sent; otherwise the next process could set it
 up again or give its seat away. A free one is recorded once it plays, so that the next process can go on with
 it.
+
+A request has one promise, which names its last try. A try of a plan with seats that may still run when it has
+ended here gets a promise of its own, which keeps its seat until its end on the node is proven.
 """
 
 from __future__ import annotations
@@ -67,6 +70,17 @@
     rung: int = 0
     changed: int = 0
     seated: bool = False  # it belongs to a client session of the session API, and ends with it
+    setup_key: str = ""  # key under which the set-up was sent, if `key` is another
+
+    @property
+    def node_key(self) -> str:
+        """The key under which the node knows its set-up."""
+        return self.setup_key or self.key
+
+    @property
+    def is_unproven_try(self) -> bool:
+        """Whether it stands for one try of a request that has a promise, or an answer, of its own."""
+        return bool(self.setup_key)
 
     @property
     def must_not_repeat(self) -> bool:
@@ -92,6 +106,21 @@
     return plan.effect is not Effect.FREE or plan.seats > 0
 
 
+def may_still_run(outcome: Outcome) -> bool:
+    """Whether a try may have left a session on its node: neither an answer nor proof that it never ran came."""
+    return outcome in (Outcome.RESET, Outcome.LATE, Outcome.WITHDRAWN)
+
+
+def unproven_try(intent: Promise, try_number: int) -> Promise:
+    """Returns the promise of a try that may still run, to be kept beside that of its request.
+
+    `intent` is the promise of the request as it was at this try. The new one keeps a seat and binds no key: the request
+    answers for its key, so an id of its own stands in its place.
+    """
+    own_id = f"{intent.id}.{try_number}"
+    return replace(intent, id=own_id, key=own_id, setup_key=intent.key, effect=Effect.FREE.value)
+
+
 def after_try(promise: Promise, outcome: Outcome, now: int) -> Promise:
     """Returns the promise after a try has ended. `now`: ns.
 
--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -2,8 +2,9 @@
 
 A promise that plays is adopted at once: its seat counts, and its viewer's key finds it, until a report of its
 node confirms it or lacks it. An intent of unknown outcome may have run: its key is answered with an abort,
-its seat stays taken, and a session that it left behind is ended. A node's report proves that an intent never
-ran only if all of this holds:
+its seat stays taken, and a session that it left behind is ended. A request that was tried on several nodes has
+a promise for each try that may still run, so that each of their seats stays taken. A node's report proves that
+an intent never ran only if all of this holds:
 
 - the report comes from a process that already ran when the set-up was sent;
 - that process remembers keys from that far back, and not this one;
@@ -90,9 +91,9 @@
             return PromiseVerdict.CONFIRMED
         # It may have begun between the request and the report; none that was recorded before the start has.
         return PromiseVerdict.OVER if promise.changed < report.requested_at else PromiseVerdict.UNPROVEN
-    if promise.key in report.running_sessions.values():
+    if promise.node_key in report.running_sessions.values():
         return PromiseVerdict.RUNNING
-    if promise.key in report.known_keys:
+    if promise.node_key in report.known_keys:
         return PromiseVerdict.RAN
     ran_already = report.received_at - report.uptime <= promise.sent_at
     remembers_that_far = report.received_at - report.key_memory <= promise.sent_at
--- a/oakcroft/front/durable_state.py
+++ b/oakcroft/front/durable_state.py
@@ -37,15 +37,18 @@
     after_answer,
     after_failed_takeover,
     after_try,
+    may_still_run,
     transition,
+    unproven_try,
     needs_durable_intent,
 )
+from oakcroft.decisions.fleet.backoff import SESSION_END_RETRY
 from oakcroft.decisions.fleet.node_list import ListedNode
 from oakcroft.front.node_client import NodeClient, NodeEvent
 from oakcroft.front.recovered_session import attach_to_node, resume_playback, session_from_promise
 from oakcroft.front.protocols import Coordinator
 from oakcroft.front.playback_session import UpstreamSession, PlaybackSession
-from oakcroft.interface import MS, SECOND, Node, Outcome
+from oakcroft.interface import MS, SECOND, Node, Outcome, Playback, PlaybackState
 from oakcroft.store.file import (
     NamedValue,
     StateContents,
@@ -60,6 +63,9 @@
 MIN_STORED_PENALTY = 0.1  # lower failure scores are not stored
 CLAIM_TIMEOUT_NS = 15 * SECOND  # the same time as a client session waits for its client to reconnect
 RECENT_FAILURE_NS = 60 * SECOND  # older failures are not stored
+PROOF_RETRY_NS = 2 * SECOND  # between two questions to the node of a try that keeps a seat
+# A node that proves nothing keeps the seat of a try for as long as one that does not confirm a session's end.
+MAX_SEAT_HOLD_NS = SESSION_END_RETRY.give_up_after
 
 
 class FrontEndState:
@@ -74,8 +80,10 @@
         self.log = log
         self.promises: dict[str, Promise] = {}  # by the session's id
         self.unconfirmed: set[str] = set()  # ids of restored sessions that no node has confirmed yet
-        # Restored intents of unknown outcome, by the session's id.
+        # Restored intents of unknown outcome, and tries of this process that may still run, by the promise's id.
         self.uncertain: dict[str, PlaybackSession] = {}
+        # Ids of those whose seat is counted here, as the policy has no playback for them.
+        self.seats_held: set[str] = set()
         self.claim_timeout = CLAIM_TIMEOUT_NS
         # Ids of restored sessions of API clients, with the time until which a client may claim them.
         self.unclaimed_until: dict[str, int] = {}
@@ -149,12 +157,53 @@
         self.store.enqueue(PutPromise(promise))
 
     def try_ended(self, session: PlaybackSession, outcome: Outcome) -> None:
-        """A setup try of a session has ended without success."""
+        """A setup try of a session has ended without success.
+
+        A try that may still run keeps a seat until its end is proven, after a restart as well. If the request is tried
+        again, the next try needs a seat of its own.
+        """
+        if session.playback.plan.seats and may_still_run(outcome):
+            self._hold_seat_of_last_try(session)
         if (promise := self.promises.get(session.id)) is not None:
             updated = after_try(promise, outcome, self.coordinator.clock.now())
             if updated is not promise:
                 self.update_promise(updated)
 
+    def _hold_seat_of_last_try(self, session: PlaybackSession) -> None:
+        """Keeps a seat for the last try of a session, until a report of its node proves its end."""
+        request = session.playback
+        if not request.tries:
+            return
+        node, sent_at = request.tries[-1]
+        intent = replace(self._intent_promise(session, node.name, request.rung), sent_at=sent_at)
+        promise = unproven_try(intent, len(request.tries))
+        playback = Playback(request.title, request.plan, request.top_rung, request.abandon_at, False)
+        self.uncertain[promise.id] = PlaybackSession(
+            promise.id,
+            session.path,
+            session.plan,
+            session.publishes,
+            promise.key,
+            "",
+            "",
+            session.deadline,
+            playback,
+        )
+        self.seats_held.add(promise.id)
+        request.title.seats_taken[request.plan] = request.title.seats_taken.get(request.plan, 0) + 1
+        self.proof_due_at[promise.id] = proof_possible_at(promise)
+        self.update_promise(promise)
+        if node_client := self.coordinator.node_clients.get(node.name):
+            events_path = node_client.events_path or f"/events/{self.coordinator.pseudonym}"
+            self.coordinator.follow_events(node_client, events_path)
+
+    def _release(self, held_session: PlaybackSession) -> None:
+        """Releases an uncertain session, which is known to hold nothing."""
+        if held_session.id in self.seats_held:
+            self.seats_held.remove(held_session.id)
+            held_session.playback.title.seats_taken[held_session.playback.plan] -= 1
+        self.coordinator.release_unproven(held_session)
+
     def playing_promise(self, session: PlaybackSession) -> Promise | None:
         """The promise to record for a playing session, whether newly set up or moved to another node."""
         if session.upstream is None or session.playback.node is None:
@@ -309,9 +358,7 @@
                 del self.promises[expired_id]  # the store expires its copy on its own
         for expired_id, due_at in list(self.proof_due_at.items()):
             if now >= due_at and expired_id in self.uncertain:
-                del self.proof_due_at[expired_id]
-                if node_client := self.coordinator.node_clients.get(self.promises[expired_id].node):
-                    node_client.reopen_stream()
+                self._ask_for_proof(expired_id, now)
         for expired_id in [session_id for session_id, until in self.unclaimed_until.items() if now > until]:
             del self.unclaimed_until[expired_id]
             if (unclaimed := self.coordinator.sessions_by_id.get(expired_id)) is not None:
@@ -324,6 +371,29 @@
         ):
             self._record_complete_state()
 
+    def _ask_for_proof(self, promise_id: str, now: int) -> None:
+        """Asks the node of an uncertain intent what became of it, as its report can prove that now.
+
+        The node of a try that keeps a seat is asked again until it has proven the try's end, for a limited time: a
+        node that stays silent must not hold the seat without end.
+        """
+        del self.proof_due_at[promise_id]
+        promise = self.promises[promise_id]
+        if promise.is_unproven_try:
+            if now - proof_possible_at(promise) > MAX_SEAT_HOLD_NS:
+                self._resolve_as_run(promise_id)
+                return
+            self.proof_due_at[promise_id] = now + PROOF_RETRY_NS
+        if node_client := self.coordinator.node_clients.get(promise.node):
+            node_client.reopen_stream()
+
+    def _resolve_as_run(self, promise_id: str) -> None:
+        """Resolves an uncertain intent as one that has run and is over."""
+        self.proof_due_at.pop(promise_id, None)
+        self._release(self.uncertain.pop(promise_id))
+        promise = self.promises[promise_id]
+        self.update_promise(apply_verdict(promise, PromiseVerdict.RAN, self.coordinator.clock.now()))
+
     # Takeover of sessions of failed front ends.
 
     def takeover_started(self, session: PlaybackSession, upstream: UpstreamSession) -> Promise | None:
@@ -527,9 +597,15 @@
         for resource in hello.sessions:
             if held_session := self.coordinator.sessions_by_upstream.get((node_client.name, resource)):
                 self.unconfirmed.discard(held_session.id)
+        # A viewer may have set a key up again on this node: its new session is not the one that is asked for.
+        unclaimed = {
+            resource: key
+            for resource, key in running.items()
+            if (node_client.name, resource) not in self.coordinator.sessions_by_upstream
+        }
         report = NodeReport(
             hello.process,
-            running,
+            unclaimed,
             frozenset(hello.ran),
             hello.up_ms * MS,
             hello.remembers_ms * MS,
@@ -543,8 +619,14 @@
             verdict = judge_promise(promise, report)
             if verdict is PromiseVerdict.UNPROVEN:
                 continue
+            if (
+                verdict is PromiseVerdict.RUNNING
+                and promise.is_unproven_try
+                and self._is_being_set_up(promise.node_key)
+            ):
+                continue  # the node is asked again
             running_resource = next(
-                (running_path for running_path, key in running.items() if key == promise.key), None
+                (running_path for running_path, key in unclaimed.items() if key == promise.node_key), None
             )
             self.log.info(
                 "promise resolved", playback=session_id, node=node_client.name, verdict=verdict.name.lower()
@@ -557,11 +639,12 @@
             self.uncertain.pop(session_id)
             self.proof_due_at.pop(session_id, None)
             if verdict is PromiseVerdict.RUNNING and running_resource is not None:
+                del unclaimed[running_resource]  # another try with this key has a session of its own
                 self.coordinator.nursery.start_soon(
                     self._end_and_release, node_client, running_resource, held_session
                 )
             else:
-                self.coordinator.release_unproven(held_session)
+                self._release(held_session)
             if updated is not promise:
                 self.update_promise(updated)
         if (
@@ -570,6 +653,13 @@
         ):
             self._record_complete_state()
 
+    def _is_being_set_up(self, key: str) -> bool:
+        """Whether a set-up with this key is out, whose session a node may report before its answer has arrived."""
+        return any(
+            session.key == key and session.playback.state is PlaybackState.SETTING_UP
+            for session in self.coordinator.sessions_by_playback.values()
+        )
+
     def session_claimed(self, session: PlaybackSession) -> None:
         """A client has requested a restored session again."""
         self.unclaimed_until.pop(session.id, None)
@@ -596,18 +686,14 @@
         self, node_client: NodeClient, resource: str, held_session: PlaybackSession
     ) -> None:
         await node_client.end_session(resource)
-        await self.coordinator.submit(partial(self.coordinator.release_unproven, held_session))
+        await self.coordinator.submit(partial(self._release, held_session))
 
     def node_lost(self, node_name: str, is_proven: bool) -> None:
         """Handles a lost node: if the loss is proven, resolves its uncertain intents as having run."""
         if not is_proven:
             return
-        for session_id, held_session in list(self.uncertain.items()):
-            promise = self.promises[session_id]
-            if promise.node == node_name:
-                self.uncertain.pop(session_id)
-                self.proof_due_at.pop(session_id, None)
-                self.coordinator.release_unproven(held_session)
-                self.update_promise(apply_verdict(promise, PromiseVerdict.RAN, self.coordinator.clock.now()))
+        for session_id in list(self.uncertain):
+            if self.promises[session_id].node == node_name:
+                self._resolve_as_run(session_id)
         if self.recovery.phase is RecoveryPhase.STATE_LOST:
             self.recovery.report_received(node_name, None, self.coordinator.clock.now())
--- /dev/null
+++ b/tests/test_unproven_tries.py
@@ -0,0 +1,241 @@
+"""Seats of setup tries whose outcome stays unknown: a plan never has more playbacks on a title than its seats.
+
+A try whose answer is late, or whose connection breaks, may have left a session on its node. Its request is tried again on
+another node, or rejected, while that session runs.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from dataclasses import fields, make_dataclass, replace
+from pathlib import Path
+from typing import get_type_hints
+
+import msgspec
+import pytest
+import trio
+from rig import Rig, run_async_test, running_front_end, start_front_end, wait_until, wait_until_recovered
+from test_state import check_rules_2_and_5, key_header, make_promise, node_report
+
+from oakcroft.choice import FAILURE_SCORE_HALF_LIFE_NS
+from oakcroft.decisions.state.promise import PromiseState, Promise, may_still_run, unproven_try
+from oakcroft.decisions.state.recovery import PromiseVerdict, RecoveryAction, judge_promise, recovery_action
+from oakcroft.front.durable_state import MAX_SEAT_HOLD_NS, FrontEndState
+from oakcroft.front.node_client import NodeClient, TryResult
+from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.interface import SECOND, Effect, Outcome
+from oakcroft.standins.playout import PlayoutNode
+
+PATH = "/whep/seats/t"
+SEATS = 2
+"""Path of a title in a plan with seats, and their number on each title."""
+
+RETENTION = 300 * SECOND
+CREATED = 201
+UNAVAILABLE = 503
+SetUp = Callable[[PlaybackSession, int, int], Awaitable[TryResult]]
+
+
+def durable_state_of(rig: Rig) -> FrontEndState:
+    """The durable state of the front end that runs."""
+    state = rig.coordinator().durable_state
+    assert state is not None
+    return state
+
+
+def make_next_try_unknown(rig: Rig, outcome: Outcome) -> list[str]:
+    """Lets the next setup try run and end with an outcome that hides it; returns a list that gets its node's name."""
+    tried_nodes: list[str] = []
+
+    def wrap(client: NodeClient, set_up: SetUp) -> SetUp:
+        async def set_up_unseen(session: PlaybackSession, rung: int, abandon_at: int) -> TryResult:
+            result = await set_up(session, rung, abandon_at)
+            if tried_nodes:
+                return result
+            tried_nodes.append(client.name)
+            return replace(result, outcome=outcome, upstream=None)
+
+        return set_up_unseen
+
+    for client in rig.coordinator().node_clients.values():
+        client.set_up = wrap(client, client.set_up)  # type: ignore[method-assign]
+    return tried_nodes
+
+
+def set_reachable(node: PlayoutNode, is_reachable: bool) -> None:
+    """Connects a node with the front end's zone, or cuts it off."""
+    node.faults.unreachable_zones = set() if is_reachable else {"west"}
+    node.notify_changed()
+
+
+def seats_taken(rig: Rig) -> int:
+    """The seats that the front end counts as taken on all titles."""
+    titles = rig.coordinator().title_cache.titles.values()
+    return sum(taken for title in titles for taken in title.seats_taken.values())
+
+
+@pytest.mark.parametrize("outcome", [Outcome.LATE, Outcome.RESET])
+def test_a_restarted_front_end_keeps_the_seat_of_a_try_whose_outcome_was_unknown(
+    tmp_path: Path, outcome: Outcome
+) -> None:
+    """Guards against a third playback on two seats after a kill.
+
+    The first try of a request runs unseen, a second one plays on another node, and the front end is killed. The state
+    file must name both nodes: the first one is out of reach when the next viewer comes.
+    """
+
+    async def test() -> None:
+        async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
+            await wait_until_recovered(rig)
+            tried_nodes = make_next_try_unknown(rig, outcome)
+            assert (await rig.request_playback(PATH, **key_header("k1"))).status == CREATED
+            assert len(rig.recorded("ran")) == SEATS
+            await wait_until(lambda: not durable_state_of(rig).store.queue)
+            rig.front_end_scope.cancel()
+            await rig.exited.wait()
+            first_node = rig.node(tried_nodes[0])
+            set_reachable(first_node, False)
+            await start_front_end(nursery, rig, with_state=True)
+            assert (await rig.request_playback(PATH, **key_header("k2"))).status == UNAVAILABLE
+            set_reachable(first_node, True)
+            await wait_until(lambda: not first_node.sessions)
+            await wait_until(lambda: seats_taken(rig) == 1)
+            assert (await rig.request_playback(PATH, **key_header("k1"))).status == CREATED
+            assert (await rig.request_playback(PATH, **key_header("k3"))).status == CREATED
+            assert len(rig.recorded("ran")) == SEATS + 1
+            check_rules_2_and_5(rig)
+            nursery.cancel_scope.cancel()
+
+    run_async_test(test)
+
+
+def test_a_try_whose_outcome_is_unknown_keeps_its_seat_until_its_node_proves_its_end(tmp_path: Path) -> None:
+    """Guards against a third playback on two seats while the first try of a request runs unseen."""
+
+    async def test() -> None:
+        async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
+            await wait_until_recovered(rig)
+            tried_nodes = make_next_try_unknown(rig, Outcome.LATE)
+            assert (await rig.request_playback(PATH, **key_header("k1"))).status == CREATED
+            assert (await rig.request_playback(PATH, **key_header("k2"))).status == UNAVAILABLE
+            assert seats_taken(rig) == SEATS
+            first_node = rig.node(tried_nodes[0])
+            await wait_until(lambda: not first_node.sessions)
+            await wait_until(lambda: seats_taken(rig) == 1)
+            assert (await rig.request_playback(PATH, **key_header("k2"))).status == CREATED
+            state = durable_state_of(rig)
+            assert [p.mark for p in state.promises.values()] == [PromiseState.PLAYS] * 2
+            assert not state.uncertain
+            assert not state.seats_held
+            check_rules_2_and_5(rig)
+            nursery.cancel_scope.cancel()
+
+    run_async_test(test)
+
+
+def test_no_try_follows_one_of_unknown_outcome_without_a_free_seat(tmp_path: Path) -> None:
+    """Guards against a retry that takes a third seat: the session of the first try may run, and has the second one."""
+
+    async def test() -> None:
+        async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
+            await wait_until_recovered(rig)
+            assert (await rig.request_playback(PATH, **key_header("k1"))).status == CREATED
+            make_next_try_unknown(rig, Outcome.RESET)
+            assert (await rig.request_playback(PATH, **key_header("k2"))).status == UNAVAILABLE
+            assert len(rig.recorded("setup")) == SEATS
+            check_rules_2_and_5(rig)
+            nursery.cancel_scope.cancel()
+
+    run_async_test(test)
+
+
+def test_a_node_that_proves_nothing_keeps_a_seat_for_a_limited_time(tmp_path: Path) -> None:
+    """Guards against a seat that is never released because its node does not come back."""
+
+    async def test() -> None:
+        async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
+            await wait_until_recovered(rig)
+            tried_nodes = make_next_try_unknown(rig, Outcome.LATE)
+            assert (await rig.request_playback(PATH, **key_header("k1"))).status == CREATED
+            set_reachable(rig.node(tried_nodes[0]), False)
+            state = durable_state_of(rig)
+            (promise_id,) = state.uncertain
+            promise = state.promises[promise_id]
+            await trio.sleep(0.6)  # one maintenance run at least
+            assert promise_id in state.uncertain
+            state.promises[promise_id] = replace(
+                promise, abandon=promise.abandon - MAX_SEAT_HOLD_NS - 4 * SECOND
+            )
+            state.proof_due_at[promise_id] = 0
+            await wait_until(lambda: not state.uncertain)
+            assert promise_id not in state.promises
+            assert seats_taken(rig) == 1
+            nursery.cancel_scope.cancel()
+
+    run_async_test(test)
+
+
+def test_a_playback_set_up_again_with_the_key_of_an_unknown_try_is_not_ended(tmp_path: Path) -> None:
+    """Guards against ending a viewer's new session on a node that was asked what became of its earlier try.
+
+    The first try of a request runs unseen and has the only other seat. The viewer asks again with the same key after
+    a seat has become free, and plays on the same node.
+    """
+
+    async def test() -> None:
+        async with trio.open_nursery() as nursery, running_front_end(tmp_path, with_state=True) as rig:
+            await wait_until_recovered(rig)
+            other = await rig.request_playback(PATH, **key_header("k1"))
+            tried_nodes = make_next_try_unknown(rig, Outcome.LATE)
+            assert (await rig.request_playback(PATH, **key_header("k2"))).status == UNAVAILABLE
+            await rig.request("DELETE", other.header("location") or "")
+            await wait_until(lambda: seats_taken(rig) == 1)
+            for node in rig.coordinator().node_list.nodes.values():
+                if node.name != tried_nodes[0]:
+                    node.failure_score.add(100.0, rig.fleet.clock.now(), FAILURE_SCORE_HALF_LIFE_NS)
+            again = await rig.request_playback(PATH, **key_header("k2"))
+            assert again.status == CREATED
+            first_node = rig.node(tried_nodes[0])
+            assert len(first_node.sessions) == SEATS
+            await wait_until(lambda: not durable_state_of(rig).uncertain)
+            await wait_until(lambda: seats_taken(rig) == 1)
+            (session,) = first_node.sessions.values()
+            assert rig.coordinator().sessions_by_upstream[first_node.name, f"/sessions/{session.id}"]
+            nursery.cancel_scope.cancel()
+
+    run_async_test(test)
+
+
+def test_the_promise_of_a_try_binds_no_key() -> None:
+    """The promise of a try is held after a restart and judged by the key on its node, and has no key of its own."""
+    intent = make_promise(effect=Effect.PAID, seats=True)
+    promise = unproven_try(intent, 1)
+    assert promise.id != intent.id
+    assert promise.key not in (intent.key, "")
+    assert promise.node_key == intent.node_key == intent.key
+    assert not promise.must_not_repeat
+    assert recovery_action(promise, True, True, RETENTION, 10 * SECOND) is RecoveryAction.HOLD
+    assert recovery_action(promise, False, True, RETENTION, 10 * SECOND) is RecoveryAction.FORGET
+    running = node_report(running_sessions={"/s/1": intent.key})
+    assert judge_promise(promise, running) is PromiseVerdict.RUNNING
+    assert judge_promise(promise, node_report(known_keys=frozenset({intent.key}))) is PromiseVerdict.RAN
+    assert judge_promise(promise, node_report()) is PromiseVerdict.NEVER_RAN
+    assert {outcome for outcome in Outcome if may_still_run(outcome)} == {
+        Outcome.LATE,
+        Outcome.RESET,
+        Outcome.WITHDRAWN,
+    }
+
+
+def test_promises_are_readable_by_builds_without_the_key_of_a_try() -> None:
+    """A promise without the field is read as before, and a reader that does not know the field reads the rest."""
+    promise = unproven_try(make_promise(seats=True), 2)
+    stored = msgspec.msgpack.decode(msgspec.msgpack.encode(promise))
+    del stored["setup_key"]
+    read = msgspec.msgpack.decode(msgspec.msgpack.encode(stored), type=Promise)
+    assert read == replace(promise, setup_key="")
+    hints = get_type_hints(Promise)
+    names = [field.name for field in fields(Promise) if field.name != "setup_key"]
+    earlier_type = make_dataclass("EarlierPromise", [(name, hints[name]) for name in names])
+    earlier = msgspec.msgpack.decode(msgspec.msgpack.encode(promise), type=earlier_type)
+    assert all(getattr(earlier, name) == getattr(promise, name) for name in names)
