--- a/oakcroft/front/service_levels.py
+++ b/oakcroft/front/service_levels.py
@@ -90,7 +90,7 @@
         effects = self.controller.level.effects
         self.coordinator.move_executor.is_paused = not effects.moves_allowed
         if self.coordinator.durable_state is not None:
-            self.coordinator.durable_state.store.upkeep.is_paused = not effects.maintenance_allowed
+            self.coordinator.durable_state.store.maintenance.is_paused = not effects.maintenance_allowed
 
     def _log_change(self, change: LevelChange, signals: dict[LoadSignal, float]) -> None:
         signal_values = {
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -70,7 +70,7 @@
     snapshot_memory: Callable[[], ReplaceContents] | None = None
     on_late_read: Callable[[StateContents], None] | None = None
     health: FileHealth = field(default_factory=FileHealth)
-    upkeep: FileMaintenance = field(default_factory=FileMaintenance)
+    maintenance: FileMaintenance = field(default_factory=FileMaintenance)
     counts: WriteCounts = field(default_factory=WriteCounts)
     file: StateFile | None = None
     was_complete: bool = False
@@ -196,7 +196,7 @@
         if self.needs_full_write and self.snapshot_memory is not None:
             self.needs_full_write = False
             batch.insert(0, QueuedChange(self.snapshot_memory()))
-        if max_rows := self.upkeep.allowance(self.health, len(self.queue), now):
+        if max_rows := self.maintenance.allowance(self.health, len(self.queue), now):
             batch.append(
                 QueuedChange(
                     DeleteExpired(
