--- a/oakcroft/store/file.py
+++ b/oakcroft/store/file.py
@@ -105,7 +105,7 @@
         if vfs is None:
             self._check_header(Path(path))
         with translated_errors():
-            self.db = apsw.Connection(path, vfs=vfs)
+            self.connection = apsw.Connection(path, vfs=vfs)
         try:
             with translated_errors():
                 self._prepare(is_synced)
@@ -133,10 +133,10 @@
                 )
 
     def _prepare(self, is_synced: bool) -> None:
-        self.db.pragma("locking_mode", "exclusive")
-        self.db.pragma("auto_vacuum", "incremental")
-        version = int(self.db.pragma("user_version"))
-        application_id = int(self.db.pragma("application_id"))
+        self.connection.pragma("locking_mode", "exclusive")
+        self.connection.pragma("auto_vacuum", "incremental")
+        version = int(self.connection.pragma("user_version"))
+        application_id = int(self.connection.pragma("application_id"))
         if application_id not in (0, OAKCROFT_APPLICATION_ID):
             raise StateFileError(FileFault.NEWER_FORMAT, f"{self.path} belongs to another program")
         if version > SCHEMA_VERSION:
@@ -144,42 +144,42 @@
                 FileFault.NEWER_FORMAT,
                 f"{self.path} has version {version}, this program knows {SCHEMA_VERSION}",
             )
-        self.db.pragma("journal_mode", "wal")
-        self.db.pragma("synchronous", "full" if is_synced else "off")
-        if (report := self.db.pragma("quick_check")) != "ok":
+        self.connection.pragma("journal_mode", "wal")
+        self.connection.pragma("synchronous", "full" if is_synced else "off")
+        if (report := self.connection.pragma("quick_check")) != "ok":
             raise StateFileError(FileFault.CORRUPT, str(report)[:MAX_REPORT_LENGTH])
         if version < SCHEMA_VERSION:
-            with self.db:
+            with self.connection:
                 for number in range(version, SCHEMA_VERSION):
-                    self.db.execute(MIGRATIONS[number])
-                self.db.pragma("application_id", OAKCROFT_APPLICATION_ID)
-                self.db.pragma("user_version", SCHEMA_VERSION)
+                    self.connection.execute(MIGRATIONS[number])
+                self.connection.pragma("application_id", OAKCROFT_APPLICATION_ID)
+                self.connection.pragma("user_version", SCHEMA_VERSION)
 
     def close(self) -> None:
         """Closes the file in any state. Data that the last checkpoint cannot write stays in the WAL."""
         with suppress(apsw.Error):
-            self.db.close(True)
+            self.connection.close(True)
 
     # Writing.
 
     def commit(self, changes: Iterable[StateChange]) -> None:
         """Writes the changes in one transaction."""
-        with translated_errors(), self.db:
+        with translated_errors(), self.connection:
             for change in changes:
-                write_change(change, self.db)
+                write_change(change, self.connection)
                 self.written_count += 1
 
     def delete_named_value(self, name: str) -> None:
         """Deletes a named value."""
         with translated_errors():
-            self.db.execute("DELETE FROM facts WHERE name = ?", (name,))
+            self.connection.execute("DELETE FROM facts WHERE name = ?", (name,))
 
     # Reading.
 
     def read(self) -> StateContents:
         """Returns all contents of the file."""
         with translated_errors():
-            execute = self.db.execute
+            execute = self.connection.execute
             contents = StateContents()
             promise_decoder = msgspec.msgpack.Decoder(Promise)
             contents.promises = [
@@ -207,7 +207,7 @@
     def size(self) -> int:
         """Returns the size of the main file in bytes, without the WAL."""
         with translated_errors():
-            return int(self.db.pragma("page_count")) * int(self.db.pragma("page_size"))
+            return int(self.connection.pragma("page_count")) * int(self.connection.pragma("page_size"))
 
     def snapshot(self, target: Path) -> None:
         """Writes a copy of the committed contents to a file, which appears complete or not at all.
@@ -219,7 +219,7 @@
         with translated_errors():
             with closing(apsw.Connection(str(temporary))) as copy:
                 copy.pragma("synchronous", "full")
-                with copy.backup("main", self.db, "main") as backup:
+                with copy.backup("main", self.connection, "main") as backup:
                     backup.step()
                 copy.pragma("journal_mode", "delete")
             temporary.replace(target)
