--- a/oakcroft/store/statements.py
+++ b/oakcroft/store/statements.py
@@ -1,4 +1,8 @@
-"""The SQL statements that write each type of change, within the caller's transaction."""
+"""SQL statements that write each type of change, within the caller's transaction.
+
+Tables and columns keep the names that they had when files were first written: node penalties are in `grudges`, slot
+usage in `spent`, named values in `facts`.
+"""
 
 from __future__ import annotations
 
@@ -50,8 +54,8 @@
 @write_change.register
 def _put_node_list(change: PutNodeList, connection: apsw.Connection) -> None:
     connection.execute("DELETE FROM nodes")
-    for line in change.listed_nodes:
-        values = (line.name, change.received_at, msgspec.msgpack.encode(line))
+    for listed_node in change.listed_nodes:
+        values = (listed_node.name, change.received_at, msgspec.msgpack.encode(listed_node))
         connection.execute("INSERT INTO nodes VALUES (?, ?, ?)", values)
     _put_named_value(
         NamedValue(NODE_LIST_KEY, msgspec.msgpack.encode((change.version, change.service))), connection
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -17,14 +17,14 @@
 import trio
 
 from oakcroft.decisions.state.state_file_health import FileState, FileHealth, FileFault, FileMaintenance
-from oakcroft.interface import SECOND
+from oakcroft.interface import MS, SECOND
 from oakcroft.store.changes import StateChange, DeleteExpired, StateContents, ReplaceContents
 from oakcroft.store.file import StateFile, StateFileError, move_damaged_file
 
 COMPLETE_KEY = "whole"  # the value's presence says that the file holds all promises
-T = TypeVar("T")
-MAX_QUEUED = 16_384
-MAX_BATCH = 1_024
+ResultT = TypeVar("ResultT")
+MAX_QUEUED = 16_384  # changes
+MAX_BATCH = 1_024  # changes in one commit
 NODE_RETENTION_NS = 3600 * SECOND  # longer than any node stays cold or penalized
 SHUTDOWN_TIMEOUT_SECONDS = 2
 IDLE_POLL_SECONDS = 0.25  # between checks of health and maintenance while nothing is queued
@@ -38,6 +38,12 @@
     finished: trio.Event | None = None
     is_durable: bool = False
 
+    def finish(self, is_durable: bool) -> None:
+        """Wakes the caller, if one waits: the change is committed, or was not written."""
+        if self.finished is not None:
+            self.is_durable = is_durable
+            self.finished.set()
+
 
 @dataclass
 class WriteCounts:
@@ -97,11 +103,14 @@
                 return None
             contents = await self._replace_damaged_file(error)
         if contents is not None:
-            self.is_read = True
-            self.named_values = contents.named_values
-            self.was_complete = COMPLETE_KEY in contents.named_values
+            self._record_first_read(contents)
         return contents
 
+    def _record_first_read(self, contents: StateContents) -> None:
+        self.is_read = True
+        self.named_values = contents.named_values
+        self.was_complete = COMPLETE_KEY in contents.named_values
+
     async def _replace_damaged_file(self, error: StateFileError) -> StateContents | None:
         try:
             damaged_path = await self._run_in_thread(partial(move_damaged_file, self.path))
@@ -127,7 +136,7 @@
             self.file.close()
             self.file = None
 
-    async def _run_in_thread(self, call: Callable[[], T]) -> T:
+    async def _run_in_thread(self, call: Callable[[], ResultT]) -> ResultT:
         return await trio.to_thread.run_sync(call, abandon_on_cancel=True, limiter=self.thread_limiter)
 
     # Queueing changes.
@@ -153,12 +162,12 @@
         if not self.health.can_record(self.clock()) or len(self.queue) >= MAX_QUEUED:
             self.counts.refused += 1
             return False
-        queued = QueuedChange(change, trio.Event())
-        assert queued.finished is not None
+        finished = trio.Event()
+        queued = QueuedChange(change, finished)
         self.queue.append(queued)
         self.wakeup.set()
-        with trio.move_on_after(self.health.slow_after / 1e9):
-            await queued.finished.wait()
+        with trio.move_on_after(self.health.slow_after / SECOND):
+            await finished.wait()
         if not queued.is_durable:
             self.counts.refused += 1
         self._log_health_change(self.health.check(self.clock()))
@@ -190,22 +199,22 @@
             if self.health.retry_due(now):
                 await self._reopen()
             else:
-                await trio.sleep(min(IDLE_POLL_SECONDS, max(0.0, (self.health.retry_at - now) / 1e9)))
+                await trio.sleep(min(IDLE_POLL_SECONDS, max(0.0, (self.health.retry_at - now) / SECOND)))
             return
+        if batch := self._next_batch(now):
+            await self._commit(batch)
+
+    def _next_batch(self, now: int) -> list[QueuedChange]:
+        """Takes the oldest changes from the queue, after everything in memory where that has to be written anew."""
         batch = [self.queue.popleft() for _ in range(min(MAX_BATCH, len(self.queue)))]
         if self.needs_full_write and self.snapshot_memory is not None:
             self.needs_full_write = False
             batch.insert(0, QueuedChange(self.snapshot_memory()))
         if max_rows := self.maintenance.allowance(self.health, len(self.queue), now):
-            batch.append(
-                QueuedChange(
-                    DeleteExpired(
-                        now - self.retention_ns, max_rows, now - max(self.retention_ns, NODE_RETENTION_NS)
-                    )
-                )
-            )
-        if batch:
-            await self._commit(batch)
+            promises_before = now - self.retention_ns
+            node_rows_before = now - max(self.retention_ns, NODE_RETENTION_NS)
+            batch.append(QueuedChange(DeleteExpired(promises_before, max_rows, node_rows_before)))
+        return batch
 
     async def _commit(self, batch: list[QueuedChange], is_full_write: bool = False) -> None:
         if self.file is None:
@@ -218,8 +227,7 @@
             self.needs_full_write = True
             self._record_failure(error)
             for queued in batch:
-                if queued.finished is not None:
-                    queued.finished.set()
+                queued.finish(is_durable=False)
             return
         now = self.clock()
         self.counts.commits += 1
@@ -227,17 +235,13 @@
         self.counts.longest_ns = max(self.counts.longest_ns, now - started_at)
         self._log_health_change(self.health.commit_succeeded(now, is_full_write))
         for queued in batch:
-            if queued.finished is not None:
-                queued.is_durable = True
-                queued.finished.set()
+            queued.finish(is_durable=True)
 
     def _fail_queued(self) -> None:
         """Empties the queue and wakes the callers of durable changes, which were not written."""
         self.needs_full_write = self.needs_full_write or bool(self.queue)
         while self.queue:
-            queued = self.queue.popleft()
-            if queued.finished is not None:
-                queued.finished.set()
+            self.queue.popleft().finish(is_durable=False)
 
     async def _reopen(self) -> None:
         """Reopens the file and writes everything in memory. Contents that were never read are reported first."""
@@ -252,9 +256,7 @@
                 return
             contents = new_contents
         if not self.is_read and self.on_late_read is not None:
-            self.is_read = True
-            self.named_values = contents.named_values
-            self.was_complete = COMPLETE_KEY in contents.named_values
+            self._record_first_read(contents)
             self.on_late_read(contents)
         if self.snapshot_memory is not None:
             self.needs_full_write = False
@@ -265,9 +267,9 @@
         has_changed = self.health.commit_failed(error.fault, now)
         if has_changed:
             self.log.error("state not written", why=str(error), disk=self.health.state.value,
-                           retry_ms=(self.health.retry_at - now) // 1_000_000)  # fmt: skip
+                           retry_ms=(self.health.retry_at - now) // MS)  # fmt: skip
 
     def _log_health_change(self, has_changed: bool) -> None:
         if has_changed:
-            self.log.warning("state file", disk=self.health.state.value, longest_ms=self.counts.longest_ns // 1_000_000,
+            self.log.warning("state file", disk=self.health.state.value, longest_ms=self.counts.longest_ns // MS,
                              commits=self.counts.commits, refused=self.counts.refused)  # fmt: skip
