--- a/oakcroft/commands/state.py
+++ b/oakcroft/commands/state.py
@@ -14,7 +14,7 @@
 from oakcroft.decisions.state.state_file_health import FileFault
 from oakcroft.decisions.state.promise import PromiseState
 from oakcroft.interface import SECOND
-from oakcroft.store.changes import StateContents
+from oakcroft.store.changes import ALIVE_KEY, COMPLETE_KEY, StateContents
 from oakcroft.store.file import StateFile, StateFileError
 from oakcroft.store.schema import SCHEMA_VERSION
 
@@ -37,21 +37,21 @@
 
 def describe_contents(contents: StateContents, now: int) -> list[str]:
     """Describes a state file's contents in lines of text. `now` is the time in ns since the epoch."""
-    alive = int(contents.named_values.get("alive", b"0"))
-    knows_all = "whole" in contents.named_values
-    marks = Counter(promise.mark for promise in contents.promises)
-    by_mark = ", ".join(f"{marks[mark]} {mark.value}" for mark in PromiseState if marks[mark])
+    last_written_at = int(contents.named_values.get(ALIVE_KEY, b"0"))
+    knows_all = COMPLETE_KEY in contents.named_values
+    counts = Counter(promise.mark for promise in contents.promises)
+    counts_by_mark = ", ".join(f"{counts[mark]} {mark.value}" for mark in PromiseState if counts[mark])
     return [
         f"version {SCHEMA_VERSION}; "
         + ("knows all promises" if knows_all else "does not know all promises: nodes are asked"),
-        f"last written {max(0, now - alive) / SECOND:.1f} s ago"
-        if alive
+        f"last written {max(0, now - last_written_at) / SECOND:.1f} s ago"
+        if last_written_at
         else "never written by a serving front",
-        f"{len(contents.promises)} promises: {by_mark}",
+        f"{len(contents.promises)} promises: {counts_by_mark}",
         *_describe_plans(contents),
         f"{len(contents.listed_nodes)} nodes in list {contents.list_version} of {contents.service or 'no service'}",
-        f"{len(contents.node_penalties)} nodes with something held against them, "
-        f"{len(contents.slot_usage)} slots of cold nodes spent",
+        f"{len(contents.node_penalties)} nodes with a penalty, "
+        f"{len(contents.slot_usage)} cold nodes with used set-up slots",
         f"{len(contents.moves)} moves under way",
         *(
             f"{version.kind} {version.number} {version.digest} {version.reason}".rstrip()
@@ -61,21 +61,22 @@
 
 
 def _describe_plans(contents: StateContents) -> list[str]:
-    plans = Counter((promise.plan, promise.mark) for promise in contents.promises)
-    in_order = sorted(plans, key=lambda plan_and_mark: (plan_and_mark[0], plan_and_mark[1].name))
-    return [f"  {plan}: {plans[plan, mark]} {mark.value}" for plan, mark in in_order]
+    """Describes how many promises of each plan have each mark, one line for each pair."""
+    counts = Counter((promise.plan, promise.mark) for promise in contents.promises)
+    in_order = sorted(counts, key=lambda plan_and_mark: (plan_and_mark[0], plan_and_mark[1].name))
+    return [f"  {plan}: {counts[plan, mark]} {mark.value}" for plan, mark in in_order]
 
 
 @state.command("show")
 @click.argument("file", type=EXISTING_FILE)
-@click.option("--promises", is_flag=True, help="Each promise on a line of its own.")
-def state_show(file: Path, promises: bool) -> None:
+@click.option("--promises", "lists_promises", is_flag=True, help="Each promise on a line of its own.")
+def state_show(file: Path, lists_promises: bool) -> None:
     """Tell what FILE holds."""
     with closing(open_or_exit(file)) as state_file:
         contents = state_file.read()
     for line in describe_contents(contents, time.time_ns()):
         click.echo(line)
-    for promise in contents.promises if promises else []:
+    for promise in contents.promises if lists_promises else []:
         mark = promise.mark.name.lower()
         click.echo(f"  {promise.id} {mark} {promise.plan} {promise.title} {promise.node} {promise.key}")
 
@@ -98,16 +99,16 @@
 
 @state.command("snapshot")
 @click.argument("file", type=EXISTING_FILE)
-@click.argument("to", type=NEW_FILE)
-def state_snapshot(file: Path, to: Path) -> None:
+@click.argument("copy", metavar="TO", type=NEW_FILE)
+def state_snapshot(file: Path, copy: Path) -> None:
     """Copy FILE to TO, whole or not at all."""
     with closing(open_or_exit(file)) as state_file:
         try:
-            state_file.snapshot(to)
+            state_file.snapshot(copy)
         except StateFileError as error:
-            click.echo(f"{to}: {error}", err=True)
+            click.echo(f"{copy}: {error}", err=True)
             sys.exit(EXIT_FAILURE)
-        click.echo(f"{to}: {len(state_file.read().promises)} promises")
+        click.echo(f"{copy}: {len(state_file.read().promises)} promises")
 
 
 @state.command("restore")
@@ -130,5 +131,5 @@
         count = len(source.read().promises)
         source.snapshot(file)
     with closing(open_or_exit(file)) as restored:
-        restored.delete_named_value("whole")
+        restored.delete_named_value(COMPLETE_KEY)
     click.echo(f"{file}: {count} promises; the front will ask its nodes for what it promised since")
--- a/oakcroft/front/durable_state.py
+++ b/oakcroft/front/durable_state.py
@@ -57,7 +57,8 @@
     PutNodeList,
     ReplaceContents,
 )
-from oakcroft.store.writer import COMPLETE_KEY, StateWriter
+from oakcroft.store.changes import ALIVE_KEY, COMPLETE_KEY, LEARNED_KEYS_KEY
+from oakcroft.store.writer import StateWriter
 
 
 MIN_STORED_PENALTY = 0.1  # lower failure scores are not stored
@@ -332,7 +333,7 @@
         now = self.coordinator.clock.now()
         if now - self.alive_recorded_at >= SECOND:
             self.alive_recorded_at = now
-            self.store.enqueue(NamedValue("alive", str(now).encode()))
+            self.store.enqueue(NamedValue(ALIVE_KEY, str(now).encode()))
             self.stored_penalties = {
                 name: penalty
                 for name, penalty in self.stored_penalties.items()
@@ -442,8 +443,10 @@
         if stored is not None:
             self._restore_promises(stored)
         was_found = stored is not None and self.store.was_complete
-        if stored is not None and "learnt" in stored.named_values:
-            at, keys = msgspec.msgpack.decode(stored.named_values["learnt"], type=tuple[int, list[str]])
+        if stored is not None and LEARNED_KEYS_KEY in stored.named_values:
+            at, keys = msgspec.msgpack.decode(
+                stored.named_values[LEARNED_KEYS_KEY], type=tuple[int, list[str]]
+            )
             if now - at <= self.store.retention_ns:
                 self.recovery.learned_keys |= set(keys)
         phase = self.recovery.state_read(was_found, self.coordinator.node_list.listed_nodes, now)
@@ -518,7 +521,7 @@
             for usage in stored.slot_usage
             if usage.node in coordinator.node_list.nodes and usage.recorded_at >= oldest_counted
         ]
-        alive_at = int(stored.named_values.get("alive", b"0"))
+        alive_at = int(stored.named_values.get(ALIVE_KEY, b"0"))
         terms = coordinator.site.terms
         coordinator.policy.on_history_restored(
             restored_further_tries(alive_at, terms.retry_budget_base, terms.retry_budget_window_ns, now),
@@ -678,7 +681,7 @@
     def _record_complete_state(self) -> None:
         """Records that the state file is complete again, together with the keys learned from nodes."""
         learned = msgspec.msgpack.encode((self.coordinator.clock.now(), sorted(self.recovery.learned_keys)))
-        self.store.enqueue(NamedValue("learnt", learned))
+        self.store.enqueue(NamedValue(LEARNED_KEYS_KEY, learned))
         self.store.enqueue(NamedValue(COMPLETE_KEY, b"1"))
         self.log.warning("state whole again", learnt=len(self.recovery.learned_keys))
 
--- a/oakcroft/store/changes.py
+++ b/oakcroft/store/changes.py
@@ -8,6 +8,15 @@
 from oakcroft.decisions.state.recovery import NodePenalty, SlotUsage
 from oakcroft.decisions.state.promise import Promise
 
+COMPLETE_KEY = "whole"
+"""Name of the value whose presence says that the file holds all promises."""
+
+ALIVE_KEY = "alive"
+"""Name of the value that says when the front end last wrote while it served: ns since the epoch, in digits."""
+
+LEARNED_KEYS_KEY = "learnt"
+"""Name of the value with the keys that nodes reported after a loss of the file, and the time (ns) of its writing."""
+
 
 @dataclass(frozen=True)
 class PutPromise:
--- a/oakcroft/store/writer.py
+++ b/oakcroft/store/writer.py
@@ -18,10 +18,9 @@
 
 from oakcroft.decisions.state.state_file_health import FileState, FileHealth, FileFault, FileMaintenance
 from oakcroft.interface import MS, SECOND
-from oakcroft.store.changes import StateChange, DeleteExpired, StateContents, ReplaceContents
+from oakcroft.store.changes import COMPLETE_KEY, StateChange, DeleteExpired, StateContents, ReplaceContents
 from oakcroft.store.file import StateFile, StateFileError, move_damaged_file
 
-COMPLETE_KEY = "whole"  # the value's presence says that the file holds all promises
 ResultT = TypeVar("ResultT")
 MAX_QUEUED = 16_384  # changes
 MAX_BATCH = 1_024  # changes in one commit
