--- a/oakcroft/decisions/state/promise.py
+++ b/oakcroft/decisions/state/promise.py
@@ -1,9 +1,9 @@
 """Promises: durable records of the playback requests that may bind a node, kept across crashes.
 
-A promise moves through defined states, in one function. A set-up of a plan that is paid, protected by a key,
-or limited by seats must have its intent recorded before it is sent; otherwise the next process could set it
-up again or give its seat away. A free one is recorded once it plays, so that the next process can go on with
-it.
+The state of a promise changes in one function, along defined transitions. A set-up of a plan that is paid,
+protected by a key, or limited by seats must have its intent recorded before it is sent; otherwise the next
+process could set it up again or give its seat away. Any other one is recorded once it plays, so that the next
+process can adopt it.
 
 A request has one promise, which names its last try. A try of a plan with seats that may still run when it has
 ended here gets a promise of its own, which keeps its seat until its end on the node is proven.
@@ -20,7 +20,7 @@
 
 
 class PromiseState(Enum):
-    """State of a promise. Promises are stored with the names of the members."""
+    """State of a promise. The stored column has the member's name, and the stored body its value."""
 
     INTENT = "may have been sent"
     PLAYS = "plays"
@@ -28,47 +28,50 @@
     GONE = "over, and nothing of it binds"
 
 
-NEXT_STATES = {
+ALLOWED_TRANSITIONS = {
     None: {PromiseState.INTENT, PromiseState.PLAYS},
     PromiseState.INTENT: {PromiseState.INTENT, PromiseState.PLAYS, PromiseState.ABORTED, PromiseState.GONE},
     PromiseState.PLAYS: {PromiseState.PLAYS, PromiseState.ABORTED, PromiseState.GONE},
     PromiseState.ABORTED: {PromiseState.GONE},
     PromiseState.GONE: set[PromiseState](),
 }
+"""The states that may follow each state; None: there is no promise yet."""
 
 
 @dataclass(frozen=True)
 class Promise:
     """One recorded request. Times in ns since the epoch, by the clock of the front end that wrote it.
 
-    It is stored with the names of its fields.
+    The names of the fields are those of the stored body.
     """
 
-    id: str
-    key: str
-    about: str
+    # The request.
+    id: str  # of the viewer's session
+    key: str  # idempotency key
+    about: str  # fingerprint of the request, by which a repeat is recognised
     path: str
     title: str
     plan: str
-    effect: str
-    seats: bool
+    effect: str  # value of the plan's `Effect`
+    seats: bool  # whether the plan has seats
     publishes: bool
-    ufrag: str
-    top: int
-    token: str
-    written: int
-    abandon: int
+    ufrag: str  # ICE username fragment of the offer
+    top: int  # highest rung
+    token: str  # name of the access token, empty without one
+    written: int  # when the viewer wrote the request
+    abandon: int  # when the viewer gives up
     mark: PromiseState = PromiseState.INTENT
+    # The set-up on the node.
     node: str = ""
     process: str = ""  # the node's process, if its event stream had named it
     sent_at: int = 0
-    resource: str = ""
-    events: str = ""
-    layer: str = ""
-    tag: str = ""
-    answer: str = ""
+    resource: str = ""  # path of the session's resource on the node
+    events: str = ""  # path of the node's event stream
+    layer: str = ""  # path at which the session's rung is set
+    tag: str = ""  # entity tag of the resource
+    answer: str = ""  # SDP answer
     rung: int = 0
-    changed: int = 0
+    changed: int = 0  # when the promise was last changed
     seated: bool = False  # it belongs to a client session of the session API, and ends with it
     setup_key: str = ""  # key under which the set-up was sent, if `key` is another
 
@@ -91,10 +94,10 @@
 def transition(promise: Promise | None, changed: Promise) -> Promise:
     """Returns a promise after a change of its state; the only place where the state changes.
 
-    Raises ValueError for an invalid step.
+    Raises ValueError for a transition that is not allowed.
     """
     mark = promise.mark if promise is not None else None
-    if changed.mark not in NEXT_STATES[mark]:
+    if changed.mark not in ALLOWED_TRANSITIONS[mark]:
         raise ValueError(
             f"a promise cannot go from {mark.value if mark else 'nothing'!r} to {changed.mark.value!r}"
         )
--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery of a front end that starts again: promises of its earlier process, the node list, node reports.
+"""Recovery of a front end after a restart: promises of its earlier process, the node list, node reports.
 
-A promise that plays is adopted at once: its seat counts, and its viewer's key finds it, until a report of its
-node confirms it or lacks it. An intent of unknown outcome may have run: its key is answered with an abort,
+A promise that plays is adopted at once: its seat counts and its key is answered, and the first report of its
+node confirms it or shows that it has ended. An intent of unknown outcome may have run: its key is answered with an abort,
 its seat stays taken, and a session that it left behind is ended. A request that was tried on several nodes has
 a promise for each try that may still run, so that each of their seats stays taken. A node's report proves that
 an intent never ran only if all of this holds:
@@ -28,7 +28,11 @@
 
 
 class RecoveryAction(Enum):
-    """What becomes of a promise at the start. The names of the members are keys of a log line."""
+    """What to do with a promise at the start. The names of the members are keys of a log line.
+
+    HOLD: its key aborts and its seat stays taken until its node has reported. REMEMBER: only its key is kept, which
+    aborts. END: its plan is gone, so its session is ended, and its key aborts if it must not repeat.
+    """
 
     ADOPT = "plays on"
     HOLD = "may have run: its key aborts, its seat is taken, its node is asked"
@@ -38,7 +42,7 @@
 
 
 class PromiseVerdict(Enum):
-    """What a node's report says of a promise. The names of the members are written to the log."""
+    """What a node's report proves about a promise. The names of the members are written to the log."""
 
     CONFIRMED = "plays"
     OVER = "does not play any more"
@@ -68,7 +72,11 @@
 def recovery_action(
     promise: Promise, node_listed: bool, plan_known: bool, retention: int, now: int
 ) -> RecoveryAction:
-    """Returns what to do with a promise at the start. `node_listed`: its node is on the list in force."""
+    """Returns what to do with a promise at the start.
+
+    `node_listed`: its node is on the list in force. `plan_known`: the configuration has its plan. `retention`: how
+    long a promise that plays no more is kept. Times in ns.
+    """
     if promise.mark is PromiseState.GONE or has_expired(promise, retention, now):
         return RecoveryAction.FORGET
     if promise.mark is PromiseState.ABORTED:
@@ -85,7 +93,7 @@
 
 
 def judge_promise(promise: Promise, report: NodeReport) -> PromiseVerdict:
-    """Returns what a node's report says of a promise that was sent to it, or that plays on it."""
+    """Returns what a node's report proves about a promise that was sent to the node, or that plays on it."""
     if promise.mark is PromiseState.PLAYS:
         if promise.resource in report.running_sessions:
             return PromiseVerdict.CONFIRMED
@@ -128,7 +136,7 @@
 
 
 class RecoveryPhase(Enum):
-    """Phase of the start of a front end."""
+    """Phase of the start of a front end. The values are part of the status that operators read."""
 
     READING = "reading its state"
     SERVING = "serving"
@@ -137,7 +145,7 @@
 
 @dataclass
 class Recovery:
-    """The start of one process of a front end. Times in ns.
+    """How far the start of one process of a front end has come. Times in ns.
 
     Without its state a front end cannot know which keys it has promised, but the nodes can: each one that is
     asked reports the keys that it ran for this front end. Requests that must be recorded are rejected until
@@ -196,7 +204,7 @@
 
 @dataclass(frozen=True)
 class SlotUsage:
-    """What an earlier process used of one node's time slot (rule 4). Times in ns."""
+    """Set-ups that an earlier process sent in one cold node's time slot (rule 4). Times in ns."""
 
     node: str
     started_at: int
@@ -207,7 +215,7 @@
 
 @dataclass(frozen=True)
 class NodePenalty:
-    """Distrust score of a node at a time, and its last failure, as an earlier process saw them. Times in ns."""
+    """Failure score of a node at a time, and its last failure, as an earlier process recorded them. Times in ns."""
 
     node: str
     score: float
@@ -216,11 +224,11 @@
 
 
 def restored_further_tries(last_seen: int, free_tries: float | None, window: int, now: int) -> list[int]:
-    """Returns times of further tries (rule 6) to count at the start, all at `last_seen`. Times in ns.
+    """Returns times of retries (rule 6) to count at the start, all at `last_seen`. Times in ns.
 
-    They are as many as the earlier process could have made beyond its share, since their records need not
-    have reached the disk. Drawback: after a restart the free part of the budget returns only as the window
-    passes.
+    They are as many as the retry budget allowed the earlier process regardless of its requests (`free_tries`), since
+    the file need not have a record of each. Drawback: after a restart this part of the budget is available only after
+    the window has passed.
     """
     if free_tries is None or now - last_seen > window:
         return []
--- a/oakcroft/decisions/state/state_file_health.py
+++ b/oakcroft/decisions/state/state_file_health.py
@@ -1,8 +1,8 @@
-"""Whether a front end may make promises: the health of its state file.
+"""Health of the state file, which decides whether a front end may make promises.
 
-While the file does not take what is written in time, no set-up that must be recorded first is sent: such
-requests are rejected, with a time after which to try again. Free plans go on. The file counts as healthy
-again only after a commit that worked and wrote everything in memory anew; that is tried at growing intervals.
+While commits fail or are slow, no set-up that must be recorded first is sent: such requests are rejected, with
+a time after which to try again. Free plans are served. A failed file is healthy again only after a commit that
+wrote everything in memory anew, which is tried at growing intervals.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 FIRST_RETRY_NS = 200 * MS
 MAX_RETRY_NS = 5 * SECOND
-MIN_ROWS = 10  # dropped in one commit, however many changes wait
+MIN_ROWS = 10  # dropped in one commit, however many changes are queued
 RECOVERY_COMMITS = 3  # commits in time, one after the other, before a slow file is healthy again
 
 
@@ -43,10 +43,10 @@
 class FileHealth:
     """Health of the state file. Times in ns.
 
-    A commit that takes longer than `slow_after` counts as slow, while it lasts and after it. This guards
-    against viewers that wait in vain for a disk that does not answer. A slow file is healthy again after
-    `RECOVERY_COMMITS` commits in time, which guards against flapping. Drawback: one commit delayed by chance
-    rejects the paid requests during the next few commits.
+    A commit that takes longer than `slow_after` makes the file slow, while it lasts and after it. This guards
+    against requests that wait for a disk that does not answer until their viewers give up. A slow file is
+    healthy again after `RECOVERY_COMMITS` commits in time, which guards against flapping. Drawback: one commit
+    delayed by chance rejects the paid requests during the next few commits.
     """
 
     slow_after: int = 250 * MS
@@ -78,7 +78,7 @@
         self.commit_started_at = now
 
     def check(self, now: int) -> bool:
-        """Notes if the commit in progress takes too long; True if the state changed."""
+        """Marks the file as slow if the commit in progress takes too long; True if the state changed."""
         if (
             self.state is FileState.HEALTHY
             and self.commit_started_at is not None
