--- a/oakcroft/front/recovered_session.py
+++ b/oakcroft/front/recovered_session.py
@@ -1,10 +1,10 @@
-"""Sessions that play already and are taken on, after a restart or from a front end that does not return."""
+"""Sessions that play already and are recovered, after a restart or from a front end that does not return."""
 
 from __future__ import annotations
 
 from oakcroft.choice import stable_hash
 from oakcroft.decisions.admission.deadlines import Deadline
-from oakcroft.decisions.sessions.answers import FinalAnswer
+from oakcroft.decisions.sessions.answers import FinalAnswer, aborted_reply
 from oakcroft.decisions.sessions.session_resource import SessionResource
 from oakcroft.decisions.state.promise import Promise
 from oakcroft.front.node_client import NodeClient
@@ -14,7 +14,7 @@
 
 
 def session_from_promise(coordinator: Coordinator, promise: Promise) -> PlaybackSession | None:
-    """Session of a stored promise; None where its plan or its title is not available here any more."""
+    """Creates the session of a stored promise; None where its plan or its title is not available here any more."""
     plan = coordinator.site.plans.get(promise.plan)
     title = coordinator.title_cache.get(
         promise.title, stable_hash(promise.title) % coordinator.site.terms.cell_count
@@ -23,8 +23,17 @@
         return None
     playback = Playback(title, plan.plan, promise.top, promise.abandon, False)
     playback.rung = max(plan.plan.floor, min(promise.rung, plan.plan.top_rung))
-    session = PlaybackSession(promise.id, promise.path, plan, promise.publishes, promise.key, "", promise.ufrag,
-                Deadline(promise.written, promise.abandon), playback)  # fmt: skip
+    session = PlaybackSession(
+        promise.id,
+        promise.path,
+        plan,
+        promise.publishes,
+        promise.key,
+        "",
+        promise.ufrag,
+        Deadline(promise.written, promise.abandon),
+        playback,
+    )
     session.token_name = promise.token
     session.fingerprint = promise.about
     session.in_client_session = promise.seated
@@ -49,3 +58,15 @@
     coordinator.sessions_by_upstream[upstream.node, upstream.resource] = session
     coordinator.playing_count += 1
     node_client.node_sessions.claim(upstream.resource, coordinator.clock.now())
+
+
+def restore_aborted_key(coordinator: Coordinator, promise: Promise, now: int) -> None:
+    """Makes repeated requests with the key of a promise that may have run abort."""
+    session = session_from_promise(coordinator, promise)
+    plan = coordinator.site.plans.get(promise.plan)
+    if session is None or plan is None:
+        return
+    session.set_answer(FinalAnswer.ABORTED, aborted_reply(plan.plan.effect))
+    coordinator.idempotency_store.restore(
+        session.key, session.fingerprint, True, FinalAnswer.ABORTED, session, now
+    )
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -725,7 +725,7 @@
                 assert (third_answer.status, third_answer.kind) == (504, "urn:oakcroft:problem:aborted")
                 assert (client.lost, sorted(client.playbacks)) == (0, sorted([paid.id, free.id]))
                 assert await client.layer(paid, 1) == 200
-                assert rig.front_end.coordinator.durable_state.unclaimed_until == {}  # type: ignore[union-attr]
+                assert rig.front_end.coordinator.durable_state.restoration.unclaimed_until == {}  # type: ignore[union-attr]
                 await client.end(free)
                 await wait_until(
                     lambda: len(
@@ -756,8 +756,10 @@
             assert rig.front_end.coordinator is not None
             durable_state = rig.front_end.coordinator.durable_state
             assert durable_state is not None
-            assert len(durable_state.unclaimed_until) == 1
-            durable_state.unclaimed_until = dict.fromkeys(durable_state.unclaimed_until, 0)
+            assert len(durable_state.restoration.unclaimed_until) == 1
+            durable_state.restoration.unclaimed_until = dict.fromkeys(
+                durable_state.restoration.unclaimed_until, 0
+            )
             await wait_until(lambda: len(rig.recorded("over")) == 1)
             nursery.cancel_scope.cancel()
 
--- a/tests/test_unproven_tries.py
+++ b/tests/test_unproven_tries.py
@@ -20,9 +20,10 @@
 from oakcroft.choice import FAILURE_SCORE_HALF_LIFE_NS
 from oakcroft.decisions.state.promise import PromiseState, Promise, may_still_run, unproven_try
 from oakcroft.decisions.state.recovery import PromiseVerdict, RecoveryAction, judge_promise, recovery_action
-from oakcroft.front.durable_state import MAX_SEAT_HOLD_NS, FrontEndState
+from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.node_client import NodeClient, TryResult
 from oakcroft.front.playback_session import PlaybackSession
+from oakcroft.front.uncertain_intents import MAX_SEAT_HOLD_NS
 from oakcroft.interface import SECOND, Effect, Outcome
 from oakcroft.standins.playout import PlayoutNode
 
@@ -126,7 +127,7 @@
             state = durable_state_of(rig)
             assert [p.mark for p in state.promises.values()] == [PromiseState.PLAYS] * 2
             assert not state.uncertain
-            assert not state.seats_held
+            assert not state.uncertain.seats_held
             check_rules_2_and_5(rig)
             nursery.cancel_scope.cancel()
 
@@ -159,14 +160,14 @@
             assert (await rig.request_playback(PATH, **key_header("k1"))).status == CREATED
             set_reachable(rig.node(tried_nodes[0]), False)
             state = durable_state_of(rig)
-            (promise_id,) = state.uncertain
+            (promise_id,) = state.uncertain.sessions
             promise = state.promises[promise_id]
             await trio.sleep(0.6)  # one maintenance run at least
-            assert promise_id in state.uncertain
+            assert promise_id in state.uncertain.sessions
             state.promises[promise_id] = replace(
                 promise, abandon=promise.abandon - MAX_SEAT_HOLD_NS - 4 * SECOND
             )
-            state.proof_due_at[promise_id] = 0
+            state.uncertain.proof_due_at[promise_id] = 0
             await wait_until(lambda: not state.uncertain)
             assert promise_id not in state.promises
             assert seats_taken(rig) == 1
