--- a/tests/test_takeover_records.py
+++ b/tests/test_takeover_records.py
@@ -14,7 +14,8 @@
 import pytest
 import trio
 from rig import Rig, run_async_test, running_front_end, start_front_end, wait_until, wait_until_recovered
-from test_state import (
+from state_rig import (
+    durable_state_of,
     key_header,
     make_disk,
     make_promise,
@@ -27,7 +28,6 @@
 from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.decisions.membership.membership import Membership
 from oakcroft.decisions.state.promise import PromiseState, Promise, after_failed_takeover
-from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.node_client import FrontIdentity, NodeClient
 from oakcroft.front.session_takeover import TakeoverRunner
 from oakcroft.httpwire.client import HttpClient
@@ -134,13 +134,6 @@
     runner.takeover.update_fronts([], [FRONT_NAME], rig.coordinator().clock.now())
 
 
-def durable_state_of(rig: Rig) -> FrontEndState:
-    """The durable state of the running front end."""
-    durable_state = rig.coordinator().durable_state
-    assert durable_state is not None
-    return durable_state
-
-
 def run_count(rig: Rig, key: str) -> int:
     """How often nodes have run the set-up of a key."""
     return len([fact for fact in rig.recorded("ran") if fact["key"] == key])
--- a/tests/test_unproven_tries.py
+++ b/tests/test_unproven_tries.py
@@ -15,12 +15,11 @@
 import pytest
 import trio
 from rig import Rig, run_async_test, running_front_end, start_front_end, wait_until, wait_until_recovered
-from test_state import check_rules_2_and_5, key_header, make_promise, node_report
+from state_rig import RETENTION, check_rules_2_and_5, durable_state_of, key_header, make_promise, node_report
 
 from oakcroft.choice import FAILURE_SCORE_HALF_LIFE_NS
 from oakcroft.decisions.state.promise import PromiseState, Promise, may_still_run, unproven_try
 from oakcroft.decisions.state.recovery import PromiseVerdict, RecoveryAction, judge_promise, recovery_action
-from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.node_client import NodeClient, TryResult
 from oakcroft.front.playback_session import PlaybackSession
 from oakcroft.front.uncertain_intents import MAX_SEAT_HOLD_NS
@@ -31,19 +30,11 @@
 SEATS = 2
 """Path of a title in a plan with seats, and their number on each title."""
 
-RETENTION = 300 * SECOND
 CREATED = 201
 UNAVAILABLE = 503
 SetUp = Callable[[PlaybackSession, int, int], Awaitable[TryResult]]
 
 
-def durable_state_of(rig: Rig) -> FrontEndState:
-    """The durable state of the front end that runs."""
-    state = rig.coordinator().durable_state
-    assert state is not None
-    return state
-
-
 def make_next_try_unknown(rig: Rig, outcome: Outcome) -> list[str]:
     """Lets the next setup try run and end with an outcome that hides it; returns a list that gets its node's name."""
     tried_nodes: list[str] = []
