--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -223,13 +223,13 @@
     failed_at: int
 
 
-def restored_further_tries(last_seen: int, free_tries: float | None, window: int, now: int) -> list[int]:
-    """Returns times of retries (rule 6) to count at the start, all at `last_seen`. Times in ns.
+def restored_retry_times(last_alive_at: int, retry_budget: float | None, window: int, now: int) -> list[int]:
+    """Returns times of retries (rule 6) to count at the start, all at `last_alive_at`. Times in ns.
 
-    They are as many as the retry budget allowed the earlier process regardless of its requests (`free_tries`), since
-    the file need not have a record of each. Drawback: after a restart this part of the budget is available only after
-    the window has passed.
+    They are as many as the earlier process was allowed in a window regardless of its requests (`retry_budget`; None:
+    any number), since retries are not recorded. Drawback: after a restart this part of the budget is available only
+    after the window has passed.
     """
-    if free_tries is None or now - last_seen > window:
+    if retry_budget is None or now - last_alive_at > window:
         return []
-    return [last_seen] * int(free_tries)
+    return [last_alive_at] * int(retry_budget)
--- a/oakcroft/front/state_restoration.py
+++ b/oakcroft/front/state_restoration.py
@@ -19,7 +19,7 @@
     NodePenalty,
     RecoveryAction,
     recovery_action,
-    restored_further_tries,
+    restored_retry_times,
 )
 from oakcroft.front.node_client import NodeClient
 from oakcroft.front.playback_session import PlaybackSession, UpstreamSession
@@ -77,7 +77,7 @@
         nodes_with_used_slot = self._nodes_with_used_slot(stored, now)
         terms = self.coordinator.site.terms
         self.coordinator.policy.on_history_restored(
-            restored_further_tries(alive_at, terms.retry_budget_base, terms.retry_budget_window_ns, now),
+            restored_retry_times(alive_at, terms.retry_budget_base, terms.retry_budget_window_ns, now),
             nodes_with_used_slot,
             now,
         )
--- a/tests/state_rig.py
+++ b/tests/state_rig.py
@@ -75,13 +75,15 @@
 
 def check_rules_2_and_5(rig: Rig) -> None:
     """Checks rules 2 and 5 on the nodes' records."""
-    facts = [f for kind in ("setup", "ran", "answer", "broken", "over") for f in rig.recorded(kind)]
-    facts.sort(key=lambda f: f["t"])
+    kinds = ("setup", "ran", "answer", "broken", "over")
+    facts = [fact for kind in kinds for fact in rig.recorded(kind)]
+    facts.sort(key=lambda fact: fact["t"])
     found, _ = check_file("site", lambda _: rig.site_text, False)
     assert found is not None
-    site, tries = build_deployment(found).shared, collect_set_ups(facts)
-    assert check_repeated_set_ups(facts, tries, site).breaches == []
-    assert check_plan_terms(facts, tries, site).breaches == []
+    site = build_deployment(found).shared
+    set_ups = collect_set_ups(facts)
+    assert check_repeated_set_ups(facts, set_ups, site).breaches == []
+    assert check_plan_terms(facts, set_ups, site).breaches == []
 
 
 async def restart_front_end(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -32,7 +32,7 @@
     apply_verdict,
     judge_promise,
     recovery_action,
-    restored_further_tries,
+    restored_retry_times,
 )
 from oakcroft.interface import SECOND, Effect, KeyScope, Outcome, Plan
 
@@ -162,12 +162,12 @@
     recovery = Recovery(RETENTION, 0)
     recovery.state_read(False, ["a"], 0)
     assert recovery.check(RETENTION + 1) is RecoveryPhase.SERVING
-    assert restored_further_tries(90, 3.0, 10, 95) == [90, 90, 90]
-    assert restored_further_tries(90, 3.0, 10, 101) == []
-    assert restored_further_tries(90, None, 10, 95) == []
+    assert restored_retry_times(90, 3.0, 10, 95) == [90, 90, 90]
+    assert restored_retry_times(90, 3.0, 10, 101) == []
+    assert restored_retry_times(90, None, 10, 95) == []
 
 
-class World:
+class RestartModel:
     """Model of paid requests with seats, one node, and a front end that is killed; it uses only pure functions."""
 
     SEATS = 2
@@ -320,8 +320,8 @@
         """Checks that no paid key ran twice, no seat is exceeded, and each key has one answer."""
         assert max(self.ran.values(), default=0) <= 1, "a paid playback was set up twice"
         assert len(self.running) <= self.SEATS, "more than the seats"
-        for key, heard in self.answers.items():
-            assert len(set(heard)) <= 1, f"{key}: {heard}"
+        for key, answers in self.answers.items():
+            assert len(set(answers)) <= 1, f"{key}: {answers}"
 
 
 @settings(max_examples=400, deadline=None)
@@ -331,7 +331,7 @@
     seed: int, steps: list[str]
 ) -> None:
     """Guards against double set-ups and exceeded seats across restarts, for any sequence of events."""
-    world = World(Random(seed))
+    model = RestartModel(Random(seed))
     for step in steps:
-        world.steps[step]()
-        world.check()
+        model.steps[step]()
+        model.check()
