--- a/oakcroft/decisions/state/recovery.py
+++ b/oakcroft/decisions/state/recovery.py
@@ -1,9 +1,10 @@
-"""Recovery of a front end that starts again: promises of its earlier process, the node list, node reports.
+"""Recovery of a front end after a restart: promises of its earlier process, the node list, node reports.
 
-A promise that plays is adopted at once: its seat counts, and its viewer's key finds it, until a report of its
-node confirms it or lacks it. An intent of unknown outcome may have run: its key is answered with an abort,
-its seat stays taken, and a session that it left behind is ended. A node's report proves that an intent never
-ran only if all of this holds:
+A promise that plays is adopted at once: its seat counts and its key is answered, and the first report of its
+node confirms it or shows that it has ended. An intent of unknown outcome may have run: its key is answered with an abort,
+its seat stays taken, and a session that it left behind is ended. A request that was tried on several nodes has
+a promise for each try that may still run, so that each of their seats stays taken. A node's report proves that
+an intent never ran only if all of this holds:
 
 - the report comes from a process that already ran when the set-up was sent;
 - that process remembers keys from that far back, and not this one;
@@ -27,7 +28,11 @@
 
 
 class RecoveryAction(Enum):
-    """What becomes of a promise at the start. The names of the members are keys of a log line."""
+    """What to do with a promise at the start. The names of the members are keys of a log line.
+
+    HOLD: its key aborts and its seat stays taken until its node has reported. REMEMBER: only its key is kept, which
+    aborts. END: its plan is gone, so its session is ended, and its key aborts if it must not repeat.
+    """
 
     ADOPT = "plays on"
     HOLD = "may have run: its key aborts, its seat is taken, its node is asked"
@@ -37,7 +42,7 @@
 
 
 class PromiseVerdict(Enum):
-    """What a node's report says of a promise. The names of the members are written to the log."""
+    """What a node's report proves about a promise. The names of the members are written to the log."""
 
     CONFIRMED = "plays"
     OVER = "does not play any more"
@@ -67,7 +72,11 @@
 def recovery_action(
     promise: Promise, node_listed: bool, plan_known: bool, retention: int, now: int
 ) -> RecoveryAction:
-    """Returns what to do with a promise at the start. `node_listed`: its node is on the list in force."""
+    """Returns what to do with a promise at the start.
+
+    `node_listed`: its node is on the list in force. `plan_known`: the configuration has its plan. `retention`: how
+    long a promise that plays no more is kept. Times in ns.
+    """
     if promise.mark is PromiseState.GONE or has_expired(promise, retention, now):
         return RecoveryAction.FORGET
     if promise.mark is PromiseState.ABORTED:
@@ -84,15 +93,15 @@
 
 
 def judge_promise(promise: Promise, report: NodeReport) -> PromiseVerdict:
-    """Returns what a node's report says of a promise that was sent to it, or that plays on it."""
+    """Returns what a node's report proves about a promise that was sent to the node, or that plays on it."""
     if promise.mark is PromiseState.PLAYS:
         if promise.resource in report.running_sessions:
             return PromiseVerdict.CONFIRMED
         # It may have begun between the request and the report; none that was recorded before the start has.
         return PromiseVerdict.OVER if promise.changed < report.requested_at else PromiseVerdict.UNPROVEN
-    if promise.key in report.running_sessions.values():
+    if promise.node_key in report.running_sessions.values():
         return PromiseVerdict.RUNNING
-    if promise.key in report.known_keys:
+    if promise.node_key in report.known_keys:
         return PromiseVerdict.RAN
     ran_already = report.received_at - report.uptime <= promise.sent_at
     remembers_that_far = report.received_at - report.key_memory <= promise.sent_at
@@ -127,7 +136,7 @@
 
 
 class RecoveryPhase(Enum):
-    """Phase of the start of a front end."""
+    """Phase of the start of a front end. The values are part of the status that operators read."""
 
     READING = "reading its state"
     SERVING = "serving"
@@ -136,7 +145,7 @@
 
 @dataclass
 class Recovery:
-    """The start of one process of a front end. Times in ns.
+    """How far the start of one process of a front end has come. Times in ns.
 
     Without its state a front end cannot know which keys it has promised, but the nodes can: each one that is
     asked reports the keys that it ran for this front end. Requests that must be recorded are rejected until
@@ -195,7 +204,7 @@
 
 @dataclass(frozen=True)
 class SlotUsage:
-    """What an earlier process used of one node's time slot (rule 4). Times in ns."""
+    """Set-ups that an earlier process sent in one cold node's time slot (rule 4). Times in ns."""
 
     node: str
     started_at: int
@@ -206,7 +215,7 @@
 
 @dataclass(frozen=True)
 class NodePenalty:
-    """Distrust score of a node at a time, and its last failure, as an earlier process saw them. Times in ns."""
+    """Failure score of a node at a time, and its last failure, as an earlier process recorded them. Times in ns."""
 
     node: str
     score: float
@@ -214,13 +223,13 @@
     failed_at: int
 
 
-def restored_further_tries(last_seen: int, free_tries: float | None, window: int, now: int) -> list[int]:
-    """Returns times of further tries (rule 6) to count at the start, all at `last_seen`. Times in ns.
+def restored_retry_times(last_alive_at: int, retry_budget: float | None, window: int, now: int) -> list[int]:
+    """Returns times of retries (rule 6) to count at the start, all at `last_alive_at`. Times in ns.
 
-    They are as many as the earlier process could have made beyond its share, since their records need not
-    have reached the disk. Drawback: after a restart the free part of the budget returns only as the window
-    passes.
+    They are as many as the earlier process was allowed in a window regardless of its requests (`retry_budget`; None:
+    any number), since retries are not recorded. Drawback: after a restart this part of the budget is available only
+    after the window has passed.
     """
-    if free_tries is None or now - last_seen > window:
+    if retry_budget is None or now - last_alive_at > window:
         return []
-    return [last_seen] * int(free_tries)
+    return [last_alive_at] * int(retry_budget)
