--- a/tests/platform_stubs.py
+++ b/tests/platform_stubs.py
@@ -206,6 +206,7 @@
         """Records requests and answers in `facts`, and the ids of answered sessions in `answered_ids`.
 
         All connections of a rig share both, since a release may arrive on another connection than the answer.
+        The ids could be derived from `facts`, but a scan of them for each message is quadratic in the sessions.
         """
         self.stream = stream
         self.facts = facts
