--- a/oakcroft/interface.py
+++ b/oakcroft/interface.py
@@ -95,7 +95,7 @@
     revenue: float  # revenue of a playback on the highest rung
     floor: int  # lowest rung
     top_rung: int  # highest rung
-    seats: int  # limit of concurrent playbacks of the plan on one title; 0: none
+    seats: int  # largest number of concurrent playbacks of the plan on one title; 0: no limit
     rate_factor: float  # factor on the rates of the rungs
     shares_stream: bool  # whether playbacks of one title on one node share a stream
     family_id: int = -1  # the same for all versions of a plan; -1: it has only one
