--- a/oakcroft/rehearsal/firstcome.py
+++ b/oakcroft/rehearsal/firstcome.py
@@ -11,12 +11,12 @@
 
 from oakcroft.cli import serve_file
 from oakcroft.decisions.admission.load_shedding import ConcurrencyWindow
-from oakcroft.front import session_service
+from oakcroft.front import request_queue
 
 UNLIMITED = 1 << 40
 
 if __name__ == "__main__":
-    session_service.ConcurrencyWindow = lambda: ConcurrencyWindow(  # type: ignore[assignment, misc, attr-defined]
+    request_queue.ConcurrencyWindow = lambda: ConcurrencyWindow(  # type: ignore[assignment, misc, attr-defined]
         min_size=UNLIMITED, max_size=UNLIMITED, size=float(UNLIMITED)
     )
     sys.exit(serve_file(Path(sys.argv[1])))
--- a/tests/test_odd_input.py
+++ b/tests/test_odd_input.py
@@ -517,7 +517,7 @@
     kept = {x.name: x for x in coordinator.node_list.listed_nodes.values()} | {
         x.name: x for x in listed_nodes
     }
-    assert await coordinator.apply_list(
+    assert await coordinator.node_list_updater.apply(
         list(kept.values()), coordinator.node_list.version + 100, coordinator.node_list.service
     )
 
@@ -607,7 +607,7 @@
 
     async def test() -> None:
         async with running_front_end(tmp_path, with_state=True) as rig:
-            catalogues = rig.front_end.catalogues if rig.front_end else None
+            catalogues = rig.front_end.catalogue_versions if rig.front_end else None
             assert catalogues is not None
             catalogues.history.max_versions = 3
             for n in range(8):
