--- a/tests/test_unproven_tries.py
+++ b/tests/test_unproven_tries.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
 from dataclasses import fields, make_dataclass, replace
 from pathlib import Path
 from random import Random
-from typing import get_type_hints
+from typing import Any, get_type_hints
 
 import msgspec
 import pytest
@@ -44,7 +44,7 @@
 
 CREATED = 201
 UNAVAILABLE = 503
-SetUp = Callable[[PlaybackSession, int, int], Awaitable[TryResult]]
+SetUp = Callable[..., Coroutine[Any, Any, TryResult]]
 
 
 def make_next_try_unknown(rig: Rig, outcome: Outcome, cuts_node: bool = True) -> list[str]:
@@ -72,8 +72,8 @@
 
 
 def set_reachable(node: PlayoutNode, is_reachable: bool) -> None:
-    """Connects a node with the front end's zone, or cuts it off."""
-    node.faults.unreachable_zones = set() if is_reachable else {"west"}
+    """Lets a node answer, or cuts it off: nothing that it sends arrives."""
+    node.faults.is_silent = not is_reachable
     node.notify_changed()
 
 
@@ -294,5 +294,5 @@
     hints = get_type_hints(Promise)
     names = [field.name for field in fields(Promise) if field.name != "setup_key"]
     earlier_type = make_dataclass("EarlierPromise", [(name, hints[name]) for name in names])
-    earlier = msgspec.msgpack.decode(msgspec.msgpack.encode(promise), type=earlier_type)
+    earlier: Any = msgspec.msgpack.decode(msgspec.msgpack.encode(promise), type=earlier_type)
     assert all(getattr(earlier, name) == getattr(promise, name) for name in names)
