--- a/oakcroft/config/checks/fronts.py
+++ b/oakcroft/config/checks/fronts.py
@@ -16,7 +16,9 @@
     fronts = records.fleet_value("fronts")
     wings = records.fleet_value("wings")
     if front.get("number") >= fronts:
-        message = f"front {front.get('number')} of {fronts}: fronts count from 0"
+        message = (
+            f"front number {front.get('number')} is out of range: there are {fronts} fronts, numbered from 0"
+        )
         diagnostics.error(
             front.location_of("number"), message, f"write (number {max(0, fronts - 1)}) or less"
         )
@@ -41,5 +43,5 @@
     for plan in records.named_records(forms.PLAN).values():
         abandon = plan.values.get("abandon")
         if abandon and way_back * 2 > abandon:
-            message = f"the way back takes over half of plan {plan.name}'s abandon time {format_value(TIME_TYPE, abandon)}"
-            diagnostics.error(signalling.location_of("way-back"), message, "write a shorter one")
+            message = f"way-back is more than half of plan {plan.name}'s abandon time {format_value(TIME_TYPE, abandon)}"
+            diagnostics.error(signalling.location_of("way-back"), message, "write a shorter time")
--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -20,7 +20,7 @@
             message = f"levels {other} and {name} have the same rank"
             diagnostics.error(level.location_of("rank"), message, "number them from 1")
         if not any(sign in level.field_locations for sign in forms.SIGNAL_FIELDS):
-            message = f"level {name} names no sign and is never entered"
+            message = f"level {name} has no signal threshold and is never entered"
             diagnostics.error(level.location, message, "add (x 1.05 0.9)")
         _check_signs(level, diagnostics)
         _check_admitted(level, records, diagnostics)
@@ -35,9 +35,7 @@
         entry, leave = bounds
         if entry <= leave:
             message = f"level {level.name} is left at {sign} {leave:g} and entered at {entry:g}"
-            diagnostics.error(
-                level.location_of(sign), message, "write the entry first, and the exit under it"
-            )
+            diagnostics.error(level.location_of(sign), message, "write the entry first, and a lower exit")
 
 
 def _check_admitted(level: Record, records: Records, diagnostics: Diagnostics) -> None:
@@ -59,7 +57,7 @@
     for wing in order:
         check_defined(preference, "then", dict.fromkeys(wings), "wing", diagnostics, wing)
     if len(set(order)) != len(order):
-        diagnostics.error(preference.location_of("then"), "a wing stands twice in the order", "take one out")
+        diagnostics.error(preference.location_of("then"), "a wing is listed twice", "remove one of them")
     if len(wings) <= 1:
-        message = "a preference needs two wings or more"
-        diagnostics.error(preference.location, message, "name them in (fleet (wings …))")
+        message = "a preference needs at least two wings"
+        diagnostics.error(preference.location, message, "list them in (fleet (wings …))")
--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -23,7 +23,7 @@
         if not _check_scope(record, records, diagnostics):
             continue
         if "rate" not in record.field_locations and "at-once" not in record.field_locations:
-            message = f"limit {name} says neither rate nor at-once"
+            message = f"limit {name} has neither rate nor at-once"
             diagnostics.error(record.location, message, "add (rate 40/s) or (at-once 200)")
             continue
         _check_figures(record, records.fleet_value("fronts"), diagnostics)
@@ -31,8 +31,8 @@
     for name, limit in made.items():
         if other := limit_reached_first(limit, made):
             place = records.named_records(forms.LIMIT)[name].location
-            message = f"limit {name} can never bind: {other}, on all, is always reached first"
-            diagnostics.warn(place, message, "lower it, or take it out")
+            message = f"limit {name} never takes effect: limit {other}, on all, is always reached first"
+            diagnostics.warn(place, message, "lower it, or remove it")
 
 
 def _check_scope(record: Record, records: Records, diagnostics: Diagnostics) -> bool:
@@ -44,14 +44,14 @@
     names = on[1:]
     kinds = [kind.value for kind in LimitScope]
     if scope not in kinds:
-        message = f"a limit stands on {join_alternatives(kinds)}, not on {scope}"
+        message = f"a limit applies to {join_alternatives(kinds)}, not to {scope}"
         diagnostics.error(
             record.location_of("on"), message, f"write (on {closest_match(scope, kinds) or 'all'})"
         )
         return False
     is_for_all = scope == LimitScope.ALL.value
     if bool(names) == is_for_all:
-        message = "a limit on all has no name, one on anything else has one"
+        message = "a limit on all takes no name, any other limit needs one"
         diagnostics.error(
             record.location_of("on"), message, "write (on all)" if is_for_all else f"write (on {scope} *)"
         )
@@ -78,12 +78,12 @@
     at_once = record.get("at-once")
     if "burst" in record.values and rate is None:
         message = f"limit {name} has a burst without a rate"
-        diagnostics.error(record.location_of("burst"), message, "add (rate …) or take the burst out")
+        diagnostics.error(record.location_of("burst"), message, "add (rate …) or remove the burst")
     if at_once == 0 or rate == 0:
-        message = f"limit {name} admits nothing at all"
-        diagnostics.warn(record.location, message, "take the route out instead, if that is meant")
+        message = f"limit {name} admits nothing"
+        diagnostics.warn(record.location, message, "remove the route instead, if that was meant")
     if record.get("of") == "whole" and at_once and at_once < front_count:
-        message = f"limit {name} has {at_once} places for {front_count} fronts: {front_count - at_once} of them admit none"
+        message = f"limit {name} allows {at_once} playbacks for {front_count} fronts: {front_count - at_once} of the fronts cannot admit any"
         diagnostics.warn(
             record.location_of("at-once"), message, f"write (at-once {front_count}) or more, or (of front)"
         )
@@ -99,8 +99,8 @@
         first = seen.setdefault(secret, name)
         if first != name:
             message = f"tokens {first} and {name} have the same secret"
-            diagnostics.error(token.location_of("secret"), message, "make another one")
+            diagnostics.error(token.location_of("secret"), message, "generate another one")
     asking = [route for route in records.named_records(forms.ROUTE).values() if route.get("claim")]
     if asking and not seen:
-        message = "a route asks for a claim, but there is no (token …)"
+        message = "a route requires a claim, but there is no (token …)"
         diagnostics.error(asking[0].location_of("claim"), message, 'add (token NAME (secret "…") (claim …))')
--- a/oakcroft/config/checks/peers.py
+++ b/oakcroft/config/checks/peers.py
@@ -28,16 +28,16 @@
     _check_address(peers, "advertise", advertised, True, diagnostics)
     seeds = peers.get("seeds")
     if len(set(seeds)) < len(seeds):
-        diagnostics.warn(peers.location_of("seeds"), "a seed stands twice", "keep one of them")
+        diagnostics.warn(peers.location_of("seeds"), "a seed is listed twice", "keep one of them")
     zone_seeds = [
         seed for zone in records.named_records(forms.ZONE).values() for seed in zone.values.get("seeds", ())
     ]
     if not [seed for seed in (*seeds, *zone_seeds) if seed != (advertised or listen)]:
-        message = "there is no seed but this front: it waits for others to find it"
+        message = "there is no seed other than this front: it has to wait until a peer contacts it"
         diagnostics.warn(peers.location_of("seeds"), message, "add (seeds …)")
     front = records.find_single(forms.FRONT)
     if front is not None and listen is not None and listen == front.values.get("listen"):
-        message = "viewers are listened for at the same address"
+        message = "the front listens for viewers at the same address"
         diagnostics.error(peers.location_of("listen"), message, "write another port")
 
 
@@ -56,11 +56,13 @@
         return
     if port == 0:
         diagnostics.error(
-            peers.location_of(field_name), "port 0: the others could not know which it is", "write a port"
+            peers.location_of(field_name),
+            "port 0 is not allowed: peers could not know the actual port",
+            "write a port",
         )
     if host.is_unspecified and is_advertised:
         fix = "add (advertise ADDRESS:PORT)" if field_name == "listen" else "write an address of this machine"
-        diagnostics.error(peers.location_of(field_name), f"the others cannot reach {host}", fix)
+        diagnostics.error(peers.location_of(field_name), f"peers cannot reach {host}", fix)
 
 
 def check_keepers(records: Records, diagnostics: Diagnostics) -> None:
@@ -72,16 +74,16 @@
     names = keepers.get("names")
     many = len(set(names))
     if many < len(names):
-        message = "a keeper stands twice: its vote would count twice"
+        message = "a keeper is listed twice: its vote would count twice"
         diagnostics.error(keepers.location_of("names"), message, "keep one of them")
     if many % 2 == 0:
-        message = f"{many} keepers bear no more losses than {many - 1}"
-        diagnostics.warn(keepers.location_of("names"), message, "name an odd number")
-    if not check_has_peers(records, keepers, "names", "keepers are reached among the peers", diagnostics):
+        message = f"{many} keepers tolerate no more failures than {many - 1}"
+        diagnostics.warn(keepers.location_of("names"), message, "list an odd number")
+    if not check_has_peers(records, keepers, "names", "keepers are reached as peers", diagnostics):
         return
     peers = records.find_single(forms.PEERS)
     if front is not None and peers is not None and peers.get("name") in names and not front.get("state"):
-        message = f"{peers.get('name')} is a keeper and would forget what it has granted"
+        message = f"{peers.get('name')} is a keeper and would lose its grants in a restart"
         diagnostics.error(front.location_of("zone"), message, 'add (state "FILE") to the front')
 
 
@@ -89,7 +91,7 @@
     """Checks that there are peers to share node loads with."""
     probing = records.find_single(forms.PROBING)
     if probing is not None:
-        check_has_peers(records, probing, "every", "loads are told among the peers", diagnostics)
+        check_has_peers(records, probing, "every", "node loads are shared between peers", diagnostics)
 
 
 def check_adopting(records: Records, diagnostics: Diagnostics) -> None:
@@ -97,13 +99,13 @@
     adopting = records.find_single(forms.ADOPTING)
     if adopting is None:
         return
-    check_has_peers(records, adopting, "after", "who is gone is told by the peers", diagnostics)
+    check_has_peers(records, adopting, "after", "failed fronts are detected by their peers", diagnostics)
     noticed = FAILURE_DETECTION_NS + adopting.get("after")
     if adopting.get("lease") > MAX_SESSION_LEASE:
-        message = f"nodes keep nothing for longer than {MAX_SESSION_LEASE // SECOND} s"
-        diagnostics.error(adopting.location_of("lease"), message, "write less")
+        message = f"nodes keep sessions for at most {MAX_SESSION_LEASE // SECOND} s"
+        diagnostics.error(adopting.location_of("lease"), message, "write a shorter time")
     elif adopting.get("lease") < noticed:
-        message = "it may be over before the others have noticed and asked"
+        message = "the lease may expire before the peers detect the failure and take the sessions over"
         diagnostics.warn(adopting.location_of("lease"), message, f"write {noticed // SECOND + 1}s or more")
 
 
@@ -116,5 +118,5 @@
     """
     if records.find_single(forms.PEERS) is not None or records.find_single(forms.FRONT) is None:
         return True
-    diagnostics.error(record.location_of(field_name), f"{reason}, and there are none", "add (peers …)")
+    diagnostics.error(record.location_of(field_name), f"{reason}, but there is no (peers …)", "add (peers …)")
     return False
--- a/oakcroft/config/checks/plans.py
+++ b/oakcroft/config/checks/plans.py
@@ -18,14 +18,14 @@
     rates = ladder.get("rates")
     worth = ladder.get("worth")
     if len(rates) != len(worth):
-        message = f"{len(worth)} worths stand for {len(rates)} rates"
-        diagnostics.error(ladder.location_of("worth"), message, "name one worth for each rate")
+        message = f"the number of worths ({len(worth)}) differs from the number of rates ({len(rates)})"
+        diagnostics.error(ladder.location_of("worth"), message, "write one worth for each rate")
     if any(higher <= lower for lower, higher in pairwise(rates)):
-        message = "rates do not rise from rung to rung"
-        diagnostics.error(ladder.location_of("rates"), message, "name the lowest rung first, each rate once")
+        message = "rates are not in ascending order"
+        diagnostics.error(ladder.location_of("rates"), message, "write the lowest rung first, each rate once")
     if any(higher < lower for lower, higher in pairwise(worth)):
         message = "a higher rung is worth less than a lower one"
-        diagnostics.warn(ladder.location_of("worth"), message, "let worths rise")
+        diagnostics.warn(ladder.location_of("worth"), message, "write worths in ascending order")
 
 
 def check_plans(records: Records, diagnostics: Diagnostics) -> None:
@@ -36,9 +36,7 @@
         _check_times(plan, diagnostics)
         _check_effect(plan, diagnostics)
         if used - {None} and name not in used:
-            diagnostics.warn(
-                plan.location, f"no route leads to plan {name}", f"add a route with (plan {name})"
-            )
+            diagnostics.warn(plan.location, f"no route uses plan {name}", f"add a route with (plan {name})")
 
 
 def _check_rungs(plan: Record, rung_count: int, diagnostics: Diagnostics) -> None:
@@ -51,7 +49,7 @@
         message = f"plan {plan.name} has floor {floor}, but the ladder ends at rung {rung_count - 1}"
         diagnostics.error(plan.location_of("floor"), message, f"write (floor {rung_count - 1}) or less")
     elif top is not None and floor > top:
-        message = f"plan {plan.name} has its floor {floor} over its top {top}"
+        message = f"plan {plan.name} has floor {floor} above its top {top}"
         diagnostics.error(plan.location_of("floor"), message, f"write (floor {top}) or less")
 
 
@@ -60,7 +58,7 @@
     abandon = plan.values.get("abandon")
     if target and abandon and abandon < target:
         shown = format_value(TIME_TYPE, target)
-        message = f"plan {plan.name} is given up ({format_value(TIME_TYPE, abandon)}) before its startup target ({shown})"
+        message = f"the abandon time of plan {plan.name} ({format_value(TIME_TYPE, abandon)}) is shorter than its startup target ({shown})"
         diagnostics.error(plan.location_of("abandon"), message, f"write (abandon {shown}) or more")
 
 
@@ -69,5 +67,5 @@
         return
     for only in ("key-lasts", "group"):
         if only in plan.field_locations:
-            message = f"{only} means nothing for plan {plan.name}, whose effect is {plan.get('effect')}"
-            diagnostics.warn(plan.location_of(only), message, f"take ({only} …) out")
+            message = f"{only} does not apply to plan {plan.name}, whose effect is {plan.get('effect')}"
+            diagnostics.warn(plan.location_of(only), message, f"remove ({only} …)")
--- a/oakcroft/config/checks/pools.py
+++ b/oakcroft/config/checks/pools.py
@@ -17,10 +17,10 @@
             _check_names(pool, field, records.fleet_value(field), label, diagnostics)
         _check_racks(pool, records.fleet_value("racks"), diagnostics)
         if why := build_pool_from_record(name, pool).empty_reason():
-            diagnostics.error(pool.location, f"pool {name} matches nothing: {why}", "correct nodes or but")
+            diagnostics.error(pool.location, f"pool {name} matches no node: {why}", "correct nodes or but")
         if not any(pool.get(field.name) for field in forms.POOL.fields):
-            message = f"pool {name} says nothing, so it holds every node"
-            diagnostics.warn(pool.location, message, "take it out, and (pool …) from its routes")
+            message = f"pool {name} has no conditions, so it contains every node"
+            diagnostics.warn(pool.location, message, "remove it, and (pool …) from its routes")
         if name not in used:
             diagnostics.warn(pool.location, f"no route uses pool {name}", "")
 
@@ -36,7 +36,7 @@
         fix = f"write {guess}" if guess else f"add {word} to ({field_name} …) of the fleet"
         diagnostics.error(
             pool.location_of(field_name),
-            f"pool {pool.name} names {label} {word}, which (fleet …) does not",
+            f"pool {pool.name} refers to {label} {word}, which (fleet …) does not list",
             fix,
         )
 
@@ -44,5 +44,5 @@
 def _check_racks(pool: Record, rack_count: int, diagnostics: Diagnostics) -> None:
     for rack in pool.get("racks"):
         if rack >= rack_count:
-            message = f"pool {pool.name} names rack {rack}, but racks end at {rack_count - 1}"
-            diagnostics.error(pool.location_of("racks"), message, "racks count from 0")
+            message = f"pool {pool.name} refers to rack {rack}, but the last rack is {rack_count - 1}"
+            diagnostics.error(pool.location_of("racks"), message, "racks are numbered from 0")
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -63,17 +63,17 @@
     if top is None:
         return
     if top < floor:
-        message = f"route {record.name} has top {top} under the floor {floor} of plan {plan.name}"
+        message = f"route {record.name} has top {top} below the floor {floor} of plan {plan.name}"
         diagnostics.error(record.location_of("top"), message, f"write (top {floor}) or more")
     elif rung_count and top >= rung_count:
         message = f"route {record.name} has top {top}, but the ladder ends at rung {rung_count - 1}"
-        diagnostics.warn(record.location_of("top"), message, "take it out")
+        diagnostics.warn(record.location_of("top"), message, "remove it")
 
 
 def _check_redundant_titles(record: Record, diagnostics: Diagnostics) -> None:
     if "*" in record.get("titles") and len(record.get("titles")) > 1:
-        message = f"route {record.name} takes all titles by *; the others beside it say nothing"
-        diagnostics.warn(record.location_of("titles"), message, "take the others out")
+        message = f"route {record.name} matches all titles by *, so its other titles have no effect"
+        diagnostics.warn(record.location_of("titles"), message, "remove the others")
 
 
 def _check_ambiguous_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
@@ -81,11 +81,13 @@
     places = {name: record.location for name, record in records.named_records(forms.ROUTE).items()}
     for first, second, title in ambiguous_routes(routes):
         message = (
-            f"routes {first.name} and {second.name} both take {title} under {first.match.prefix}, "
-            "and neither is more particular"
+            f"routes {first.name} and {second.name} both match requests under {first.match.prefix} "
+            f"(titles: {title}), and neither is more specific"
+        )
+        fix = "give one of them titles, a wing or a claim that the other does not have"
+        diagnostics.error(
+            places[second.name], message, fix, [f"{first.name} is defined at {places[first.name]}"]
         )
-        fix = "give one of them titles, a wing or a claim that the other has not"
-        diagnostics.error(places[second.name], message, fix, [f"{first.name} stands at {places[first.name]}"])
 
 
 def _check_unreachable_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
@@ -104,8 +106,8 @@
                 continue
             place = records.named_records(forms.ROUTE)[route.name].location
             names = join_alternatives(rival.name for rival in ahead)
-            message = f"route {route.name} is never reached for {pattern or 'any title'}: {names} always go before it"
-            diagnostics.warn(place, message, "take it out, or give it a condition of its own")
+            message = f"route {route.name} is never reached for {pattern or 'any title'}: precedence always goes to {names}"
+            diagnostics.warn(place, message, "remove it, or give it a condition of its own")
 
 
 def _competing_routes(routes: list[Route]) -> list[tuple[str | None, list[Route]]]:
@@ -139,5 +141,5 @@
     patterns = [pattern for pattern in route.match.title_patterns if pattern.endswith("*")]
     for pattern in patterns:
         if any(other != pattern and pattern.startswith(other[:-1]) for other in patterns):
-            message = f"route {route.name} names {pattern}, which another of its titles takes in"
-            diagnostics.warn(record.location_of("titles"), message, f"take {pattern} out")
+            message = f"route {route.name} lists {pattern}, which another of its titles already covers"
+            diagnostics.warn(record.location_of("titles"), message, f"remove {pattern}")
--- a/oakcroft/config/checks/zones.py
+++ b/oakcroft/config/checks/zones.py
@@ -22,25 +22,25 @@
     first = next(iter(zones.values()))
     if len(zones) > MAX_ZONES:
         diagnostics.error(
-            first.location, f"there are {len(zones)} zones, and {MAX_ZONES} at most can be", "join some"
+            first.location, f"there are {len(zones)} zones, but at most {MAX_ZONES} are allowed", "merge some"
         )
     for name, zone in zones.items():
         _check_names(name, zone, diagnostics)
         _check_seeds(zone, diagnostics)
-    if not check_has_peers(records, first, "region", "zones are of the peers", diagnostics):
+    if not check_has_peers(records, first, "region", "zones consist of peers", diagnostics):
         return
     front = records.find_single(forms.FRONT)
     if front is not None and front.get("zone") not in zones:
         shown = front.get("zone") or "none"
-        message = f"this front stands in no zone that is listed, but in {shown}"
-        diagnostics.error(front.location_of("zone"), message, f"add (zone {shown} …), or write another")
+        message = f"this front is not in a listed zone, but in {shown}"
+        diagnostics.error(front.location_of("zone"), message, f"add (zone {shown} …), or write another zone")
     _check_keepers(records, diagnostics)
 
 
 def _check_names(name: str, zone: Record, diagnostics: Diagnostics) -> None:
     for text in (name, zone.values.get("region", "")):
         if len(text) > MAX_ZONE_NAME_LENGTH:
-            message = f"{text} is longer than the {MAX_ZONE_NAME_LENGTH} letters that go to other zones"
+            message = f"{text} is longer than {MAX_ZONE_NAME_LENGTH} characters, the limit for names that are sent to other zones"
             diagnostics.error(zone.location, message, "write a shorter name")
 
 
@@ -52,7 +52,7 @@
             message = f"{host} is not an IP address; names are not looked up"
             diagnostics.error(zone.location_of("seeds"), message, "write its address")
         if port == 0:
-            diagnostics.error(zone.location_of("seeds"), "port 0: nobody listens there", "write its port")
+            diagnostics.error(zone.location_of("seeds"), "port 0 is not a valid seed port", "write its port")
 
 
 def _check_keepers(records: Records, diagnostics: Diagnostics) -> None:
@@ -63,7 +63,5 @@
     """
     keepers = records.find_single(forms.KEEPERS)
     if keepers is not None:
-        message = (
-            "with (zone …) a front knows by name the fronts of its own zone alone, and could not reach these"
-        )
-        diagnostics.error(keepers.location_of("names"), message, "take (keepers …) out, or all (zone …)")
+        message = "with (zone …) a front knows only the fronts of its own zone by name, and cannot reach other keepers"
+        diagnostics.error(keepers.location_of("names"), message, "remove (keepers …), or all (zone …)")
--- a/oakcroft/config/expander.py
+++ b/oakcroft/config/expander.py
@@ -42,12 +42,12 @@
         """
         path = (self.root / file_name).resolve()
         if not path.is_relative_to(self.root):
-            raise PermissionError("it lies outside the folder of the first file")
+            raise PermissionError("it is outside the folder of the main file")
         body = path.read_bytes()
         try:
             return body.decode("utf-8")
         except UnicodeDecodeError as error:
-            raise OSError(f"it is not UTF-8 (byte {error.start})") from None
+            raise OSError(f"it is not valid UTF-8 (byte {error.start})") from None
 
 
 class Expander:
@@ -76,15 +76,15 @@
         reported_at = location or SourceLocation(file_name, 1, 1)
         if file_name in include_chain:
             circle = " -> ".join([*include_chain[include_chain.index(file_name) :], file_name])
-            self.diagnostics.error(
-                reported_at, f"this include goes in a circle: {circle}", "take out one include of the circle"
-            )
+            self.diagnostics.error(reported_at, f"circular include: {circle}", "remove one of these includes")
             return
         if file_name in self.loaded_files:
             return  # each file is included once, however many includes name it
         self.loaded_files.add(file_name)
         if len(self.loaded_files) > MAX_FILES:
-            self.diagnostics.error(reported_at, f"over {MAX_FILES} files are included", "join some of them")
+            self.diagnostics.error(
+                reported_at, f"more than {MAX_FILES} files are included", "merge some of them"
+            )
             return
         try:
             text = self.read_text(file_name)
@@ -94,14 +94,14 @@
             self.diagnostics.error(
                 reported_at,
                 f"{file_name} cannot be read: {reason}",
-                "correct the path; it counts from the including file",
+                "correct the path; it is relative to the including file",
             )
             return
         for part in without_comments(parse_text(text, file_name, self.diagnostics)):
             if isinstance(part, Atom):
                 self.diagnostics.error(
                     part.location,
-                    f"{part.source_text} stands alone; a file holds forms (name …)",
+                    f"unexpected {part.source_text}; a file contains only forms (name …)",
                     f"write ({part.source_text} …)",
                 )
             elif part.name == "include":
@@ -116,12 +116,14 @@
     ) -> None:
         path = form.items[1] if len(form.items) == 2 else None
         if not isinstance(path, Atom):
-            self.diagnostics.error(form.location, "include names one file", 'write (include "plans.oak")')
+            self.diagnostics.error(
+                form.location, "include takes exactly one file", 'write (include "plans.oak")'
+            )
             return
         if path.text.startswith(("/", "~")) or "\\" in path.text:
             self.diagnostics.error(
                 path.location,
-                "an include is a path from the file it stands in, with /",
+                "an include path must be relative to the including file and use / as separator",
                 "write a relative path",
             )
             return
@@ -130,8 +132,8 @@
             if segment == ".." and not segments:
                 self.diagnostics.error(
                     path.location,
-                    f"{path.text} leads out of the folder of the first file",
-                    "keep files in that folder",
+                    f"{path.text} is outside the folder of the main file",
+                    "move the file into that folder",
                 )
                 return
             if segment == "..":
@@ -145,7 +147,7 @@
         head = items[1] if len(items) > 1 else None
         parameters = items[2] if len(items) > 2 else None
         if not isinstance(head, Atom) or not isinstance(parameters, Form):
-            self.diagnostics.error(form.location, "define names itself, its parameters, and what it stands for",
+            self.diagnostics.error(form.location, "define takes a name, a list of parameters, and the forms that it expands to",
                                 "write (define half (plan) (limit $plan (at-once 20)))")  # fmt: skip
             return
         names = [part.text for part in parameters.items if isinstance(part, Atom)]
@@ -153,31 +155,33 @@
         if len(names) != len(parameters.items) or len(set(names)) != len(names):
             self.diagnostics.error(
                 parameters.location,
-                "after its name a definition lists its parameters, each once",
+                "the name of a definition is followed by the list of its parameters, each once",
                 "write (plan rate), or () for none",
             )
             return
         if len(body) != len(items) - 3 or not body:
             self.diagnostics.error(
-                form.location, f"definition {head.text} holds forms (name …), one at least", ""
+                form.location, f"definition {head.text} must contain only forms (name …), at least one", ""
             )
             return
         if head.text in self.definitions:
             first = self.definitions[head.text].location
             self.diagnostics.error(
-                form.location, f"definition {head.text} stands twice; first at {first}", "rename one of them"
+                form.location,
+                f"definition {head.text} is defined twice; first at {first}",
+                "rename one of them",
             )
             return
         used = {name for body_form in body for atom in _atoms_in(body_form) for name in _parameters_in(atom)}
         for name in sorted(used - set(names)):
             guess = closest_match(name, names)
-            self.diagnostics.error(form.location, f"definition {head.text} uses ${name}, which is none of its parameters",
+            self.diagnostics.error(form.location, f"definition {head.text} uses ${name}, which is not one of its parameters",
                                 f"write ${guess}" if guess else f"add {name} to its parameters")  # fmt: skip
         for name in sorted(set(names) - used):
             self.diagnostics.warn(
                 parameters.location,
                 f"definition {head.text} never uses its parameter {name}",
-                f"take out {name}",
+                f"remove {name}",
             )
         self.definitions[head.text] = Definition(head.text, tuple(names), tuple(body), form.location)
 
@@ -186,7 +190,7 @@
         if self.form_count > MAX_FORMS:
             if self.form_count == MAX_FORMS + 1:
                 self.diagnostics.error(
-                    form.location, f"over {MAX_FORMS} forms come of this configuration", ""
+                    form.location, f"the configuration expands to more than {MAX_FORMS} forms", ""
                 )
             return
         if form.name != "use":
@@ -196,7 +200,7 @@
         if not isinstance(head, Atom):
             self.diagnostics.error(
                 form.location,
-                "use names a definition and gives its parameters' values",
+                "use takes the name of a definition and a value for each of its parameters",
                 "write (use half plan-a)",
             )
             return
@@ -210,8 +214,8 @@
             circle = " -> ".join([*use_chain, head.text])
             self.diagnostics.error(
                 form.location,
-                f"this use goes in a circle: {circle}",
-                "take the use out of its own definition",
+                f"circular use: {circle}",
+                "remove the use from its own definition",
             )
             return
         arguments = form.items[2:]
--- a/oakcroft/config/form_reader.py
+++ b/oakcroft/config/form_reader.py
@@ -46,7 +46,7 @@
         if items and isinstance(items[0], Atom):
             record.name = _parse_value(schema.name_type, items.pop(0), diagnostics, use_notes) or ""
         else:
-            message = f"({schema.name} …) is named first: {schema.name_doc}"
+            message = f"({schema.name} …) must begin with a name: {schema.name_doc}"
             fix = f"write {schema.example}" if schema.example else ""
             diagnostics.error(form.location, message, fix, use_notes)
     for item in items:
@@ -60,8 +60,8 @@
     schema = record.schema
     use_notes = record.notes
     if not isinstance(item, Form) or not item.name:
-        shown = item.source_text if isinstance(item, Atom) else "a list without a name"
-        message = f"{shown} stands alone in ({schema.name} …), which holds fields (name value …)"
+        shown = item.source_text if isinstance(item, Atom) else "list without a name"
+        message = f"unexpected {shown} in ({schema.name} …), which contains only fields (name value …)"
         diagnostics.error(item.location, message, "", use_notes)
         return
     field = schema.find_field(item.name)
@@ -70,7 +70,7 @@
         return
     if field.name in record.field_locations and not field.is_repeatable:
         first = record.field_locations[field.name]
-        message = f"{field.name} stands twice; first at line {first.line}"
+        message = f"{field.name} is given twice; first at line {first.line}"
         diagnostics.error(item.location, message, "keep one of them", use_notes)
         return
     record.field_locations.setdefault(field.name, item.location)
@@ -86,7 +86,11 @@
 def _report_unknown(item: Form, schema: Schema, use_notes: UseNotes, diagnostics: Diagnostics) -> None:
     names = [field.name for field in schema.fields]
     guess = closest_match(item.name, names)
-    known = f"did you mean {guess}?" if guess else f"known are {join_alternatives(names, MAX_FIELDS_SHOWN)}"
+    known = (
+        f"did you mean {guess}?"
+        if guess
+        else f"known fields are {join_alternatives(names, MAX_FIELDS_SHOWN)}"
+    )
     message = f"({schema.name} …) has no field {item.name}; {known}"
     diagnostics.error(item.location, message, f"write {guess}" if guess else "", use_notes)
 
@@ -122,7 +126,7 @@
     if isinstance(item, Form):
         diagnostics.error(
             item.location,
-            f"a list stands where a {value_type.name} is wanted: {value_type.description}",
+            f"expected a value of type {value_type.name}, found a list: {value_type.description}",
             "",
             use_notes,
         )
@@ -134,7 +138,7 @@
         if error.lacks_unit and field is not None and field.usual_range is not None:
             low, high, _ = field.usual_range
             respelled = respell_in_usual_unit(field, item, low, high)
-            fix = f"write {respelled}, if so meant" if respelled else fix
+            fix = f"write {respelled}, if that was meant" if respelled else fix
         diagnostics.error(item.location, error.message, fix, use_notes)
         return None
 
@@ -149,7 +153,7 @@
         return read_form(field.subform, form, diagnostics)
     items = form.items[1:]
     if not field.min_values <= len(items) <= field.max_values:
-        message = f"{field.name} holds {_describe_value_count(field)}, not {len(items)}: {field.doc}"
+        message = f"{field.name} takes {_describe_value_count(field)}, not {len(items)}: {field.doc}"
         diagnostics.error(form.location, message, f"write {sample_field(field)}", use_notes)
         return None
     values = []
@@ -171,7 +175,7 @@
     return (
         f"{field.min_values} to {field.max_values} values"
         if field.max_values < UNBOUNDED_COUNT
-        else "one value or more"
+        else "one or more values"
     )
 
 
@@ -182,16 +186,16 @@
     if isinstance(value, str):
         return
     if field.minimum is not None and value < field.minimum:
-        message = f"{field.name} is {atom.source_text}, but no less than {format_value(field.value_type, field.minimum)} can be"
+        message = f"{field.name} is {atom.source_text}, but must be at least {format_value(field.value_type, field.minimum)}"
         diagnostics.error(atom.location, message, "", use_notes)
     elif field.maximum is not None and value > field.maximum:
-        message = f"{field.name} is {atom.source_text}, but no more than {format_value(field.value_type, field.maximum)} can be"
+        message = f"{field.name} is {atom.source_text}, but must be at most {format_value(field.value_type, field.maximum)}"
         diagnostics.error(atom.location, message, "", use_notes)
     elif field.usual_range is not None and not field.usual_range[0] <= value <= field.usual_range[1]:
         low, high, hint = field.usual_range
         between = f"{format_value(field.value_type, low)} to {format_value(field.value_type, high)}"
         guess = respell_in_usual_unit(field, atom, low, high)
-        message = f"{field.name} {atom.source_text} is suspicious: usual are {between}" + (
+        message = f"{field.name} {atom.source_text} is outside the usual range of {between}" + (
             f"; {hint}" if hint else ""
         )
         diagnostics.warn(
--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -19,7 +19,7 @@
         raise InvalidValueError(f"{atom.source_text} is not an address", 'write it as "127.0.0.1:8080"')
     if not port.isascii() or not port.isdigit() or int(port) > 65_535:
         raise InvalidValueError(
-            f"port {port} does not exist", "write a port from 0 to 65535 (0: any free one)"
+            f"{port} is not a valid port", "write a port from 0 to 65535 (0: any free port)"
         )
     return host.strip("[]"), int(port)
 
@@ -28,13 +28,16 @@
     path = atom.text
     if not path.startswith("/") or not path.endswith("/"):
         raise InvalidValueError(
-            f"{atom.source_text} is not a path that a title can follow", f'write "/{path.strip("/")}/"'
+            f"{atom.source_text} is not a valid path: it must begin and end with /",
+            f'write "/{path.strip("/")}/"',
         )
     if path.startswith("/session/"):
-        raise InvalidValueError("/session/ is the front's own", "choose another path")
+        raise InvalidValueError(
+            "paths under /session/ are reserved for the front's own use", "choose another path"
+        )
     if not re.fullmatch(r"[A-Za-z0-9._~!$&'()*+,;=:@%/\-]+", path) or "//" in path:
         raise InvalidValueError(
-            f"{atom.source_text} holds what a path cannot",
+            f"{atom.source_text} contains characters that a path cannot contain",
             "use letters, digits and -._~ between single slashes",
         )
     return path
@@ -43,8 +46,8 @@
 def _parse_title_pattern(atom: Atom) -> str:
     if "*" in atom.text[:-1] or "/" in atom.text or not atom.text:
         raise InvalidValueError(
-            f"{atom.source_text} is not a title or a beginning of titles",
-            "write a title, or how titles begin and then *",
+            f"{atom.source_text} is not a title or a title prefix",
+            "write a title, or a title prefix followed by *",
         )
     return atom.text
 
@@ -58,7 +61,8 @@
 def _parse_secret(atom: Atom) -> str:
     if len(atom.text) < 8 or not re.fullmatch(r"[A-Za-z0-9._~+/\-]+=*", atom.text):
         raise InvalidValueError(
-            "this secret is no bearer token of 8 letters or more", "make one with: openssl rand -hex 16"
+            "this secret is not a bearer token of at least 8 characters",
+            "generate one with: openssl rand -hex 16",
         )
     return atom.text
 
@@ -66,7 +70,9 @@
 def _parse_share(atom: Atom) -> float:
     value = float(NUMBER_TYPE.parse(atom))
     if not 0 <= value <= 1:
-        raise InvalidValueError(f"{atom.source_text} is not a share", "write a share from 0 to 1, or in %")
+        raise InvalidValueError(
+            f"{atom.source_text} is not a share", "write a number from 0 to 1, or a percentage"
+        )
     return value
 
 
@@ -97,7 +103,7 @@
     (
         Field("free", "so many in any window", NUMBER_TYPE, required=True),
         Field("share", "and so many for each playback taken in it", SHARE_TYPE, required=True),
-        Field("window", "the window", TIME_TYPE, required=True, minimum=1, usual_range=(100 * MS, 600 * SECOND, "a budget over moments or hours guards little")),
+        Field("window", "the window", TIME_TYPE, required=True, minimum=1, usual_range=(100 * MS, 600 * SECOND, "a budget over milliseconds or hours has little effect")),
     ),
 )  # fmt: skip
 FLEET = Schema(
@@ -111,14 +117,14 @@
         Field("uplink", "mean uplink of a rack; 0kB/s: none binds", RATE_TYPE, 0.0),
         Field("copies", "cells that hold a title; 0: all", INTEGER_TYPE, 0),
         Field("join-adds", "part of a stream's rate that a further viewer of a live title adds", SHARE_TYPE, 1.0),
-        Field("seen-after", "how late a node's notes are", TIME_TYPE, SECOND, usual_range=(0, 30 * SECOND, "notes later than that tell nothing")),
-        Field("reports-every", "how often nodes tell of their load", TIME_TYPE, 3 * SECOND, usual_range=(100 * MS, 60 * SECOND, "the module's interval is a second")),
+        Field("seen-after", "how late a node's notes are", TIME_TYPE, SECOND, usual_range=(0, 30 * SECOND, "later load reports are useless")),
+        Field("reports-every", "how often nodes tell of their load", TIME_TYPE, 3 * SECOND, usual_range=(100 * MS, 60 * SECOND, "the decision module's interval is one second")),
         Field("most-tries", "setup tries for a playback", INTEGER_TYPE, 3, minimum=1, usual_range=(1, 10, "each try costs time")),
-        Field("stay-away-most", "longest Retry-After; 0s: none is named", TIME_TYPE, 0, usual_range=(0, 60 * SECOND, "viewers are gone by then")),
+        Field("stay-away-most", "longest Retry-After; 0s: none is named", TIME_TYPE, 0, usual_range=(0, 60 * SECOND, "viewers have left by then")),
         Field("cold-share", "share of its pace that a node begins with", SHARE_TYPE, 0.4),
-        Field("cold-for", "how long a node warms up", TIME_TYPE, 10 * SECOND, usual_range=(0, 3600 * SECOND, "nodes warm in seconds")),
+        Field("cold-for", "how long a node warms up", TIME_TYPE, 10 * SECOND, usual_range=(0, 3600 * SECOND, "nodes warm up within seconds")),
         Field("fall-multiple", "times its present pace that pushes a cold node over", NUMBER_TYPE, 2.5, minimum=1),
-        Field("fall-window", "over so long", TIME_TYPE, SECOND, minimum=1, usual_range=(100 * MS, 60 * SECOND, "the rule counts seconds")),
+        Field("fall-window", "over so long", TIME_TYPE, SECOND, minimum=1, usual_range=(100 * MS, 60 * SECOND, "the rule works in seconds")),
         Field("drain-grace", "rule 3: nothing new to a draining node later than this", TIME_TYPE, SECOND, usual_range=(0, 60 * SECOND, "")),
         Field("usual-notice", "how long a draining node stays, until drains have taught it", TIME_TYPE, 3 * SECOND, usual_range=(200 * MS, 3600 * SECOND, "")),
         Field("tries-budget", TRIES_BUDGET.doc, subform=TRIES_BUDGET),
@@ -127,7 +133,7 @@
 LADDER = Schema(
     "ladder", "The rungs of quality, lowest first. A change needs a restart.",
     (
-        Field("rates", "rate of each rung", RATE_TYPE, required=True, max_values=64, usual_range=(1, 1e6, "a video stream has kB/s to MB/s")),
+        Field("rates", "rate of each rung", RATE_TYPE, required=True, max_values=64, usual_range=(1, 1e6, "video streams use kB/s to MB/s")),
         Field("worth", "what each rung earns", NUMBER_TYPE, required=True, max_values=64),
     ),
 )  # fmt: skip
@@ -209,7 +215,7 @@
     "signalling", "How the front speaks with viewers.",
     (
         Field("ice-servers", "told to clients", ICE_SERVER_TYPE, (), max_values=32),
-        Field("way-back", "kept of each abandon time for the answer's way", TIME_TYPE, 40 * MS, usual_range=(1 * MS, 2 * SECOND, "it is taken off every wait")),
+        Field("way-back", "kept of each abandon time for the answer's way", TIME_TYPE, 40 * MS, usual_range=(1 * MS, 2 * SECOND, "it is subtracted from every abandon time")),
         Field("keep-keys", "how long an answer is remembered by its Idempotency-Key", TIME_TYPE, 300 * SECOND),
     ),
 )  # fmt: skip
--- a/oakcroft/config/records.py
+++ b/oakcroft/config/records.py
@@ -71,20 +71,22 @@
 def _report_unknown(form: Form, diagnostics: Diagnostics) -> None:
     known = [*forms.SCHEMAS_BY_NAME, *forms.KEYWORDS]
     guess = closest_match(form.name, known)
-    shown = form.name or "without a name"
-    hint = f"; did you mean {guess}?" if guess else f"; known are {join_alternatives(known, MAX_NAMES_SHOWN)}"
-    use_notes = tuple(f"used at {place}" for place in form.use_locations)
-    diagnostics.error(
-        form.location, f"there is no form {shown}{hint}", f"write ({guess} …)" if guess else "", use_notes
+    hint = (
+        f"did you mean {guess}?" if guess else f"known forms are {join_alternatives(known, MAX_NAMES_SHOWN)}"
+    )
+    message = (
+        f"there is no form {form.name}; {hint}" if form.name else f"a form must begin with a name; {hint}"
     )
+    use_notes = tuple(f"used at {place}" for place in form.use_locations)
+    diagnostics.error(form.location, message, f"write ({guess} …)" if guess else "", use_notes)
 
 
 def _add_single(record: Record, records: Records, diagnostics: Diagnostics) -> None:
     name = record.schema.name
     first = records.single_by_form.setdefault(name, record)
     if first is not record:
-        message = f"({name} …) stands twice; first at {first.location}"
-        diagnostics.error(record.location, message, "join them", record.notes)
+        message = f"({name} …) is given twice; first at {first.location}"
+        diagnostics.error(record.location, message, "merge them", record.notes)
 
 
 def _add_named(record: Record, records: Records, diagnostics: Diagnostics) -> None:
@@ -99,7 +101,7 @@
     start = SourceLocation(min(diagnostics.source_lines, default="configuration"), 1, 1)
     for wanted in [forms.FLEET, forms.LADDER, *([forms.FRONT] if is_front_file else [])]:
         if records.find_single(wanted) is None:
-            diagnostics.error(start, f"there is no ({wanted.name} …): {wanted.doc}", f"add ({wanted.name} …)")
+            diagnostics.error(start, f"({wanted.name} …) is missing: {wanted.doc}", f"add ({wanted.name} …)")
     for plural in (forms.PLAN, forms.ROUTE):
         if not records.named_records(plural):
-            diagnostics.error(start, f"there is no ({plural.name} …): {plural.doc}", f"add {plural.example}")
+            diagnostics.error(start, f"({plural.name} …) is missing: {plural.doc}", f"add {plural.example}")
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -73,24 +73,24 @@
         match = NUMBER_WITH_UNIT.match(atom.text) if not atom.is_quoted else None
         if match is None:
             raise InvalidValueError(
-                f"{atom.source_text} is not a {name}", f"write a figure with a unit, as {examples[0]}"
+                f"{atom.source_text} is not a {name}", f"write a number with a unit, such as {examples[0]}"
             )
         number = float(match[1])
         unit = match[2] or ""
         if not unit:
             raise InvalidValueError(
-                f"{atom.source_text} has no unit; a {name} is written with one",
-                f"write {match[1]}{_unit_of(examples[0])}, if so meant",
+                f"{atom.source_text} has no unit; a {name} needs one",
+                f"write {match[1]}{_unit_of(examples[0])}, if that was meant",
                 True,
             )
         if unit not in units:
             guess = closest_match(unit, units) or _unit_of(examples[0])
             raise InvalidValueError(
-                f"{unit} is not a unit of {name}; known are {', '.join(units)}",
-                f"write {match[1]}{guess}, if so meant",
+                f"{unit} is not a unit of {name}; known units are {', '.join(units)}",
+                f"write {match[1]}{guess}, if that was meant",
             )
         if number < 0:
-            raise InvalidValueError(f"a {name} is not under 0", f"write {atom.text[1:]}")
+            raise InvalidValueError(f"a {name} must not be negative", f"write {atom.text[1:]}")
         value = number * units[unit]
         return round(value) if is_whole else value
 
@@ -108,7 +108,7 @@
     match = NUMBER_WITH_UNIT.match(atom.text) if not atom.is_quoted else None
     if match is None or match[2] not in (None, "%"):
         raise InvalidValueError(
-            f"{atom.source_text} is not a plain figure", "write a figure without a unit, or a share in %"
+            f"{atom.source_text} is not a plain number", "write a number without a unit, or a percentage"
         )
     return float(match[1]) * (0.01 if match[2] else 1.0)
 
@@ -123,9 +123,9 @@
 
 def _parse_word(atom: Atom) -> str:
     if atom.text.startswith("$") and not atom.is_quoted:
-        raise InvalidValueError(f"{atom.text} is a parameter, which has a value only within (define …)")
+        raise InvalidValueError(f"{atom.text} is a parameter, which has a value only inside (define …)")
     if not atom.text:
-        raise InvalidValueError("an empty name", "write a name")
+        raise InvalidValueError("the name is empty", "write a name")
     return atom.text
 
 
@@ -146,7 +146,7 @@
         if atom.text not in words:
             guess = closest_match(atom.text, words)
             raise InvalidValueError(
-                f"{atom.source_text} is no {name}; it is {join_alternatives(words)}",
+                f"{atom.source_text} is not a valid {name}; use {join_alternatives(words)}",
                 f"write {guess}" if guess else "",
             )
         return atom.text
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -133,7 +133,7 @@
         diagnostics.is_incomplete = True
         diagnostics.error(
             SourceLocation(file_name, 1, 1),
-            f"the file is over {MAX_TEXT_LENGTH // 1_000_000} MB",
+            f"the file is larger than {MAX_TEXT_LENGTH // 1_000_000} MB",
             "split it with (include …)",
         )
         return []
@@ -141,8 +141,8 @@
         diagnostics.is_incomplete = True
         diagnostics.error(
             SourceLocation(file_name, excess[0], excess[1]),
-            f"lists are nested over {MAX_NESTING_DEPTH} deep here",
-            "flatten them",
+            f"lists are nested more than {MAX_NESTING_DEPTH} levels deep",
+            "reduce the nesting",
         )
         return []
     parser, builder = _thread_parser()
@@ -205,7 +205,7 @@
         unclosed = _find_unclosed_list(text)
         if unclosed is not None:
             location = SourceLocation(file_name, *unclosed)
-            diagnostics.error(location, "this list is never closed", "add ) where it ends")
+            diagnostics.error(location, "this list is not closed", "add the missing )")
             return
     line = max(1, error.line)
     column = max(1, error.column)
@@ -213,16 +213,16 @@
     if token_type == "RPAR":
         diagnostics.error(
             SourceLocation(file_name, line, column),
-            "this ) closes nothing",
-            "take it out, or add the ( that it closes",
+            "unmatched )",
+            "remove it, or add the missing (",
         )
     elif rest.startswith('"'):
         diagnostics.error(
-            SourceLocation(file_name, line, column, max(1, len(rest.rstrip()))), "this string does not end on its line",
-            'end it with "; within it write \\" for ", \\\\ for \\ and \\n for a new line',
+            SourceLocation(file_name, line, column, max(1, len(rest.rstrip()))), "unterminated string or invalid escape sequence",
+            'close it with "; inside it, write \\" for ", \\\\ for \\ and \\n for a newline',
         )  # fmt: skip
     else:
-        diagnostics.error(SourceLocation(file_name, line, column), "this is out of place here")
+        diagnostics.error(SourceLocation(file_name, line, column), "unexpected input")
 
 
 def _find_unclosed_list(text: str) -> tuple[int, int] | None:
--- a/oakcroft/decisions/routing/pools.py
+++ b/oakcroft/decisions/routing/pools.py
@@ -44,5 +44,5 @@
     def empty_reason(self) -> str | None:
         """Returns why the pool's own conditions admit no node; None where they may admit some."""
         if self.nodes and all(node in self.excluded_nodes for node in self.nodes):
-            return "every node that it names is taken out again"
+            return "every node in nodes is also in but"
         return None
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -253,12 +253,12 @@
 
     valid = "(keepers (names f0 f1 f2))"
     assert problem_messages(valid) == []
-    assert "stands twice" in problem_messages("(keepers (names f0 f1 f1))")[0]
-    assert "there are none" in problem_messages(valid, has_peers=False)[0]
-    assert "would forget what it has granted" in problem_messages(valid, has_state=False)[0]
+    assert "is listed twice" in problem_messages("(keepers (names f0 f1 f1))")[0]
+    assert "there is no (peers …)" in problem_messages(valid, has_peers=False)[0]
+    assert "would lose its grants in a restart" in problem_messages(valid, has_state=False)[0]
     # This front is no acceptor.
     assert problem_messages("(keepers (names f1 f2 f3))", has_state=False) == []
-    assert "2 keepers bear no more losses than 1" in problem_messages("(keepers (names f0 f1))")[0]
+    assert "2 keepers tolerate no more failures than 1" in problem_messages("(keepers (names f0 f1))")[0]
 
 
 def test_operators_read_the_leases() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -356,16 +356,16 @@
 @pytest.mark.parametrize(
     ("text", "error"),
     [
-        (zoned(own="west"), "stands in no zone that is listed, but in west"),
-        (zoned(peers=False), "zones are of the peers, and there are none"),
-        (zoned(more="(keepers (names a b c))"), "knows by name the fronts of its own zone alone"),
+        (zoned(own="west"), "is not in a listed zone, but in west"),
+        (zoned(peers=False), "zones consist of peers, but there is no (peers …)"),
+        (zoned(more="(keepers (names a b c))"), "knows only the fronts of its own zone by name"),
         (zoned(zones=ZONES.replace("127.0.0.2", "host")), "names are not looked up"),
         (zoned(zones=ZONES.replace("127.0.0.2:7946", "127.0.0.2:0")), "port 0"),
-        (zoned(zones=ZONES.replace("africa", "a" * 40)), "longer than the 32 letters"),
+        (zoned(zones=ZONES.replace("africa", "a" * 40)), "longer than 32 characters"),
         (zoned(zones=ZONES.replace("(region africa)", "")), "lacks region"),
         (
             zoned(more="".join(f'(zone z{i} (region r) (seeds "127.0.0.3:1"))' for i in range(64))),
-            "64 at most",
+            "at most 64 are allowed",
         ),
     ],
 )
