--- a/oakcroft/catalogue/text.py
+++ b/oakcroft/catalogue/text.py
@@ -1,5 +1,4 @@
-"""The text format of a catalogue: S-expressions as in the configuration. The format has its own scanner, since a
-catalogue has a hundred thousand titles where a configuration has a few hundred forms.
+"""The text format of a catalogue: S-expressions as in the configuration.
 
     (catalogue
       (others no)
@@ -14,55 +13,24 @@
 import hashlib
 import re
 from collections.abc import Iterable, Iterator, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from difflib import get_close_matches
 from itertools import pairwise
 
+from oakcroft.catalogue.syntax import CatalogueError, Fault, Form, parse_forms
 from oakcroft.config.schema import NUMBER_WITH_UNIT, RATE_UNITS
 from oakcroft.decisions.routing.catalogue import CatalogueTitle
 
-TOKEN_PATTERN = re.compile(
-    r'\s+|;[^\n]*|(?P<open>\()|(?P<close>\))|"(?P<text>(?:[^"\\\n]|\\["\\])*)"|(?P<word>[^\s();"]+)'
-)
 MAX_TITLES = 200_000
+MAX_TITLE_LENGTH = 200
 MAX_FAULTS = 50
 TITLE_FIELDS = ("holders", "home", "copies", "renditions")
 FORMATTED_TITLE_LINE = re.compile(r'  \(title ([^\s();"]+)((?: \([a-z]+(?: [^\s();"]+)+\))*)\)')
-PLAIN_WORD = re.compile(r'[^\s();"$]+')
+FORMATTED_FRAME_LINES = 4
+"""Lines around the titles of a formatted catalogue: two before them, the closing one, and an empty rest."""
 
-
-@dataclass
-class Fault:
-    """An error in a catalogue text: its line, the message, and a suggested fix."""
-
-    line: int
-    message: str
-    fix: str = ""
-
-    def format(self, file_name: str = "catalogue") -> str:
-        """Formats the error for people."""
-        return f"{file_name}:{self.line}: {self.message}" + (f"\n    {self.fix}" if self.fix else "")
-
-
-class CatalogueError(Exception):
-    """Raised for a catalogue text with errors; `faults` holds them."""
-
-    def __init__(self, faults: list[Fault]) -> None:
-        super().__init__(faults[0].format() if faults else "unsound")
-        self.faults = faults
-
-
-@dataclass
-class Form:
-    """A list and the line that it begins on."""
-
-    line: int
-    items: list[str | Form] = field(default_factory=list)
-
-    @property
-    def name(self) -> str:
-        """The word that the list begins with, "" if there is none."""
-        return self.items[0] if self.items and isinstance(self.items[0], str) else ""
+SYMBOL = re.compile(r'[^\s();"$]+')
+"""A name that may be written without quotes."""
 
 
 @dataclass
@@ -73,100 +41,60 @@
     others: bool = False
 
 
-def parse_forms(text: str) -> list[Form]:
-    """Parses a text into forms. Raises CatalogueError at the first syntax error."""
-    forms = list[Form]()
-    stack = list[Form]()
-    line = 1
-    position = 0
-    size = len(text)
-    match = TOKEN_PATTERN.match
-    while position < size:
-        token = match(text, position)
-        if token is None:
-            raise CatalogueError(
-                [
-                    Fault(
-                        line,
-                        f"{text[position : position + 12]!r} cannot be read",
-                        'a string ends with " on its line',
-                    )
-                ]
-            )
-        position = token.end()
-        kind = token.lastgroup
-        if kind == "word" or kind == "text":
-            if not stack:
-                raise CatalogueError(
-                    [Fault(line, f"{token[0]} stands outside every form", "write (catalogue …)")]
-                )
-            stack[-1].items.append(token[kind] if kind == "word" else re.sub(r"\\(.)", r"\1", token[kind]))
-        elif kind == "open":
-            form = Form(line)
-            (stack[-1].items if stack else forms).append(form)
-            stack.append(form)
-            if len(stack) > 6:
-                raise CatalogueError([Fault(line, "forms stand more than six deep")])
-        elif kind == "close":
-            if not stack:
-                raise CatalogueError([Fault(line, "a bracket closes what was never opened", "take it out")])
-            stack.pop()
-        else:
-            line += token[0].count("\n")
-    if stack:
-        raise CatalogueError([Fault(stack[-1].line, f"({stack[-1].name} …) is never closed", "add )")])
-    return forms
-
-
 class TitleReader:
     """Reads (title …) forms and collects the errors in them."""
 
     def __init__(self) -> None:
+        """Starts without errors."""
         self.faults: list[Fault] = []
-        self.rate_cache: dict[str, float] = {}  # by their text; a catalogue has few different rates
+        self.rate_cache: dict[str, float] = {}  # rates by their text; a catalogue has few different ones
 
     def add_fault(self, line: int, message: str, fix: str = "") -> None:
-        """Records an error, up to a bound."""
+        """Records an error. Errors beyond MAX_FAULTS are dropped."""
         if len(self.faults) < MAX_FAULTS:
             self.faults.append(Fault(line, message, fix))
 
     def read_title(self, form: Form) -> tuple[str, CatalogueTitle] | None:
         """Reads one (title …). Returns its name and content, None after an error that leaves no usable title."""
-        if len(form.items) < 2 or not isinstance(form.items[1], str):
+        name = form.items[1] if len(form.items) > 1 else None
+        if not isinstance(name, str):
             self.add_fault(form.line, "(title …) begins with its name", "(title intro (home 0) (copies 6))")
             return None
-        name = form.items[1]
-        if not name or len(name) > 200 or "/" in name or not name.isprintable():
+        if not _is_valid_name(name):
             self.add_fault(
                 form.line,
-                f"{name!r} cannot be a title: it is one part of a path",
-                "take out / and what is unprintable",
+                f"{name!r} cannot be a title: a title is one segment of a path",
+                "remove / and unprintable characters",
             )
             return None
         field_values: dict[str, list[str]] = {}
         for part in form.items[2:]:
             if isinstance(part, str) or not part.name:
-                self.add_fault(
-                    form.line,
-                    f"title {name} holds {part if isinstance(part, str) else 'a list'} outside of a field",
-                )
+                shown = part if isinstance(part, str) else "a list"
+                self.add_fault(form.line, f"title {name} has {shown} outside of a field")
                 return None
-            if part.name not in TITLE_FIELDS:
-                guess = get_close_matches(part.name, TITLE_FIELDS, 1)
-                self.add_fault(
-                    part.line,
-                    f"title {name} has no field {part.name}",
-                    f"write {guess[0] if guess else ' or '.join(TITLE_FIELDS)}",
-                )
-                continue
-            if part.name in field_values:
-                self.add_fault(part.line, f"title {name} has {part.name} twice", "join them")
-            values = [value for value in part.items[1:] if isinstance(value, str)]
-            if len(values) != len(part.items) - 1 or not values:
-                self.add_fault(part.line, f"({part.name} …) of title {name} holds plain values, one at least")
-            field_values[part.name] = values
+            self._read_field(part, name, field_values)
         return self.build_title(form, name, field_values)
 
+    def _read_field(self, form: Form, title_name: str, field_values: dict[str, list[str]]) -> None:
+        """Reads one field of a title into `field_values`."""
+        if form.name not in TITLE_FIELDS:
+            guess = get_close_matches(form.name, TITLE_FIELDS, 1)
+            self.add_fault(
+                form.line,
+                f"title {title_name} has no field {form.name}",
+                f"write {guess[0] if guess else ' or '.join(TITLE_FIELDS)}",
+            )
+            return
+        if form.name in field_values:
+            self.add_fault(form.line, f"title {title_name} has {form.name} twice", "merge them")
+        values = [value for value in form.items[1:] if isinstance(value, str)]
+        if len(values) != len(form.items) - 1 or not values:
+            self.add_fault(
+                form.line, f"({form.name} …) of title {title_name} takes plain values, at least one"
+            )
+        field_values[form.name] = values
+
     def build_title(
         self, form: Form, title_name: str, field_values: Mapping[str, list[str]]
     ) -> tuple[str, CatalogueTitle]:
@@ -176,18 +104,18 @@
         home = self._parse_integer(form, title_name, "home", field_values.get("home", ["-1"]))
         copies = self._parse_integer(form, title_name, "copies", field_values.get("copies", ["0"]))
         if holders and ("home" in field_values or "copies" in field_values):
-            self.add_fault(form.line, f"title {title_name} has holders and cells", "keep one of them")
+            self.add_fault(form.line, f"title {title_name} has both holders and cells", "keep one of them")
         if ("home" in field_values) != ("copies" in field_values):
             self.add_fault(
                 form.line, f"title {title_name} has home or copies alone", "write both, or (holders …)"
             )
         if len(set(holders)) != len(holders):
-            self.add_fault(form.line, f"title {title_name} names a holder twice", "take one out")
+            self.add_fault(form.line, f"title {title_name} lists a holder twice", "remove one")
         if any(lower >= higher for lower, higher in pairwise(rates)):
             self.add_fault(
                 form.line,
-                f"the renditions of title {title_name} do not rise",
-                "lowest rate first, none twice",
+                f"the renditions of title {title_name} are not in ascending order",
+                "write the lowest rate first, each rate once",
             )
         return title_name, CatalogueTitle(tuple(holders), home, copies, tuple(rates))
 
@@ -195,7 +123,7 @@
         if len(values) == 1 and re.fullmatch(r"-1|\d{1,6}", values[0]):
             return int(values[0])
         self.add_fault(
-            form.line, f"{field_name} of title {title_name} is one whole number, not {' '.join(values)}"
+            form.line, f"{field_name} of title {title_name} must be one whole number, not {' '.join(values)}"
         )
         return 0
 
@@ -206,11 +134,13 @@
         unit = (match[2] or "") if match else ""
         if match is None or unit not in RATE_UNITS or float(match[1]) <= 0:
             fix = (
-                f"write {match[1]}kB/s, if so meant"
+                f"write {match[1]}kB/s, if that was meant"
                 if match and not unit
-                else f"write a rate, as 400kB/s; units: {', '.join(RATE_UNITS)}"
+                else f"write a rate such as 400kB/s; units: {', '.join(RATE_UNITS)}"
+            )
+            self.add_fault(
+                form.line, f"{text} is not a valid rate for a rendition of title {title_name}", fix
             )
-            self.add_fault(form.line, f"{text} is no rate for a rendition of title {title_name}", fix)
             return 0.0
         self.rate_cache[text] = rate = float(match[1]) * RATE_UNITS[unit]
         return rate
@@ -222,7 +152,7 @@
     Returns None for any other text and for one with errors.
     """
     lines = text.split("\n")
-    if len(lines) < 4 or lines[0] != "(catalogue" or lines[-2:] != [")", ""]:
+    if len(lines) < FORMATTED_FRAME_LINES or lines[0] != "(catalogue" or lines[-2:] != [")", ""]:
         return None
     if lines[1] not in ("  (others yes)", "  (others no)"):
         return None
@@ -230,13 +160,7 @@
     titles = dict[str, CatalogueTitle]()
     for line_number, line in enumerate(lines[2:-2], 3):
         match = FORMATTED_TITLE_LINE.fullmatch(line)
-        if (
-            match is None
-            or match[1] in titles
-            or len(match[1]) > 200
-            or "/" in match[1]
-            or not match[1].isprintable()
-        ):
+        if match is None or match[1] in titles or not _is_valid_name(match[1]):
             return None
         field_values: dict[str, list[str]] = {}
         for part in match[2][2:-1].split(") (") if match[2] else ():
@@ -258,43 +182,48 @@
     reader = TitleReader()
     content = CatalogueContent({})
     first_lines = dict[str, int]()
-    forms = parse_forms(text)
-    if len(forms) != 1 or forms[0].name != "catalogue":
-        line = forms[1].line if len(forms) > 1 else forms[0].line if forms else 1
-        raise CatalogueError(
-            [Fault(line, "a catalogue is one form, (catalogue …)", "put all titles into one (catalogue …)")]
-        )
-    for form in forms[0].items[1:]:
+    catalogue_form = _parse_catalogue_form(text)
+    for form in catalogue_form.items[1:]:
         if isinstance(form, str):
-            reader.add_fault(
-                forms[0].line, f"{form} stands alone in (catalogue …)", "write (title …) or (others yes)"
-            )
+            message = f"unexpected {form} in (catalogue …)"
+            reader.add_fault(catalogue_form.line, message, "write (title …) or (others yes)")
         elif form.name == "others":
             if form.items[1:] not in (["yes"], ["no"]):
-                reader.add_fault(form.line, "(others …) is yes or no")
+                reader.add_fault(form.line, "(others …) must be yes or no")
             content.others = form.items[1:] == ["yes"]
         elif form.name == "title":
             if (title_entry := reader.read_title(form)) is not None:
                 name, title = title_entry
                 if name in content.titles:
-                    reader.add_fault(
-                        form.line,
-                        f"title {name} stands twice; first at line {first_lines[name]}",
-                        "take one out",
-                    )
+                    message = f"title {name} is listed twice; first at line {first_lines[name]}"
+                    reader.add_fault(form.line, message, "remove one")
                 content.titles[name] = title
                 first_lines[name] = form.line
         else:
-            reader.add_fault(
-                form.line,
-                f"there is no form {form.name or 'without a name'} here",
-                "write (title …) or (others yes)",
-            )
+            message = f"there is no form {form.name or 'without a name'} here"
+            reader.add_fault(form.line, message, "write (title …) or (others yes)")
+    _raise_faults(reader, content)
+    return content
+
+
+def _parse_catalogue_form(text: str) -> Form:
+    """Parses a text that holds one (catalogue …) form. Raises CatalogueError for any other text."""
+    forms = parse_forms(text)
+    if len(forms) != 1 or forms[0].name != "catalogue":
+        line = forms[1].line if len(forms) > 1 else forms[0].line if forms else 1
+        message = "a catalogue is one form, (catalogue …)"
+        raise CatalogueError([Fault(line, message, "put all titles into one (catalogue …)")])
+    return forms[0]
+
+
+def _raise_faults(reader: TitleReader, content: CatalogueContent) -> None:
+    """Raises CatalogueError if errors were recorded or the catalogue has too many titles."""
     if len(content.titles) > MAX_TITLES:
-        reader.add_fault(1, f"{len(content.titles)} titles are more than {MAX_TITLES}")
+        reader.add_fault(
+            1, f"the catalogue has {len(content.titles)} titles, more than the limit of {MAX_TITLES}"
+        )
     if reader.faults:
         raise CatalogueError(reader.faults)
-    return content
 
 
 def apply_change(text: str, catalogue: CatalogueContent) -> CatalogueContent:
@@ -305,7 +234,7 @@
         if form.name == "put":
             for part in form.items[1:]:
                 if isinstance(part, str) or part.name != "title":
-                    reader.add_fault(form.line, "(put …) holds (title …) forms")
+                    reader.add_fault(form.line, "(put …) takes only (title …) forms")
                 elif (title_entry := reader.read_title(part)) is not None:
                     changed.titles[title_entry[0]] = title_entry[1]
         elif form.name == "drop":
@@ -319,24 +248,27 @@
         else:
             reader.add_fault(
                 form.line,
-                f"there is no change {form.name or 'without a name'}",
+                f"there is no change form {form.name or 'without a name'}",
                 "write (put (title …)) or (drop NAME)",
             )
-    if len(changed.titles) > MAX_TITLES:
-        reader.add_fault(1, f"{len(changed.titles)} titles are more than {MAX_TITLES}")
-    if reader.faults:
-        raise CatalogueError(reader.faults)
+    _raise_faults(reader, changed)
     return changed
 
 
-def _format_word(text: str) -> str:
-    return text if PLAIN_WORD.fullmatch(text) else '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
+def _is_valid_name(name: str) -> bool:
+    """Whether a name can be a title, which is one segment of a path."""
+    return bool(name) and len(name) <= MAX_TITLE_LENGTH and "/" not in name and name.isprintable()
+
+
+def _format_name(text: str) -> str:
+    """Formats a name, in quotes if it needs them."""
+    return text if SYMBOL.fullmatch(text) else '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
 def _format_title_parts(name: str, title: CatalogueTitle) -> Iterator[str]:
-    yield f"(title {_format_word(name)}"
+    yield f"(title {_format_name(name)}"
     if title.holders:
-        yield f"(holders {' '.join(_format_word(holder) for holder in title.holders)})"
+        yield f"(holders {' '.join(_format_name(holder) for holder in title.holders)})"
     if title.home >= 0:
         yield f"(home {title.home}) (copies {title.copies})"
     if title.rates:
--- a/oakcroft/commands/catalogue.py
+++ b/oakcroft/commands/catalogue.py
@@ -7,7 +7,8 @@
 
 import click
 
-from oakcroft.catalogue.text import CatalogueError, read_catalogue, format_catalogue
+from oakcroft.catalogue.syntax import CatalogueError
+from oakcroft.catalogue.text import read_catalogue, format_catalogue
 from oakcroft.commands.arguments import EXIT_INVALID_INPUT, EXISTING_FILE
 from oakcroft.commands.operators import (
     FRONT_OPTION,
--- a/oakcroft/front/operators_api.py
+++ b/oakcroft/front/operators_api.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from oakcroft.catalogue.text import CatalogueError
+from oakcroft.catalogue.syntax import CatalogueError
 from oakcroft.decisions.routing.catalogue import CatalogueVerdict
 from oakcroft.front.durable_state import FrontEndState
 from oakcroft.front.catalogue_versions import ChangeResult, CatalogueVersions
--- a/oakcroft/front/rollout_participant.py
+++ b/oakcroft/front/rollout_participant.py
@@ -14,7 +14,8 @@
 import structlog
 import trio
 
-from oakcroft.catalogue.text import CatalogueError, format_catalogue, read_catalogue, text_digest
+from oakcroft.catalogue.syntax import CatalogueError
+from oakcroft.catalogue.text import format_catalogue, read_catalogue, text_digest
 from oakcroft.decisions.fleet.lease import Fence
 from oakcroft.decisions.fleet.rollout import RolloutPlan, RolloutStage
 from oakcroft.decisions.routing.catalogue import CatalogueVerdict, is_in_share
