--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -13,7 +13,7 @@
 def check_levels(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that each level has a unique rank, a load signal with entry over exit, and only admits defined plans."""
     ranks: dict[int, str] = {}
-    for name, level in records.named_records(forms.LEVEL).items():
+    for name, level in records.named_records(forms.SERVICE_LEVEL).items():
         rank = level.get("rank")
         other = ranks.setdefault(rank, name)
         if other != name:
@@ -49,7 +49,7 @@
 
 def check_preference(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that the preference names wings of the fleet, each once, and that the fleet has at least two."""
-    preference = records.find_single(forms.PREFERENCE)
+    preference = records.find_single(forms.ZONE_PREFERENCE)
     if preference is None:
         return
     wings = records.fleet_value("wings")
--- a/oakcroft/config/checks/peers.py
+++ b/oakcroft/config/checks/peers.py
@@ -67,7 +67,7 @@
 
 def check_keepers(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that the keepers can reach a majority and that this one, if it is a keeper, keeps its grants on disk."""
-    keepers = records.find_single(forms.KEEPERS)
+    keepers = records.find_single(forms.LEASE_ACCEPTORS)
     front = records.find_single(forms.FRONT)
     if keepers is None or "names" not in keepers.values:  # missing names are reported already
         return
@@ -89,14 +89,14 @@
 
 def check_probing(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that there are peers to share node loads with."""
-    probing = records.find_single(forms.PROBING)
+    probing = records.find_single(forms.LOAD_PROBING)
     if probing is not None:
         check_has_peers(records, probing, "every", "node loads are shared between peers", diagnostics)
 
 
 def check_adopting(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that nodes keep the sessions of a failed front end long enough for the others to take them over."""
-    adopting = records.find_single(forms.ADOPTING)
+    adopting = records.find_single(forms.SESSION_TAKEOVER)
     if adopting is None:
         return
     check_has_peers(records, adopting, "after", "failed fronts are detected by their peers", diagnostics)
--- a/oakcroft/config/checks/zones.py
+++ b/oakcroft/config/checks/zones.py
@@ -61,7 +61,7 @@
     Keepers are reached by name, and a front end knows only the names of its own zone. Each zone would have an owner of
     its own for a duty, and a catalogue version would be rolled out in one zone only.
     """
-    keepers = records.find_single(forms.KEEPERS)
+    keepers = records.find_single(forms.LEASE_ACCEPTORS)
     if keepers is not None:
         message = "with (zone …) a front knows only the fronts of its own zone by name, and cannot reach other keepers"
         diagnostics.error(keepers.location_of("names"), message, "remove (keepers …), or all (zone …)")
--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -228,7 +228,7 @@
         Field("list-within", "a starting front listens once the list service has answered, or after so long", TIME_TYPE, 8 * SECOND),
     ),
 )  # fmt: skip
-DOOR = Schema(
+CONNECTION_LIMITS = Schema(
     "door", "What one client may cost.",
     (
         Field("connections", "at once", INTEGER_TYPE, 20_000, minimum=1),
@@ -244,7 +244,7 @@
         Field("event-backlog", "events that a reader may be behind", INTEGER_TYPE, 64, minimum=4),
     ),
 )  # fmt: skip
-STOPPING = Schema(
+SHUTDOWN = Schema(
     "stopping", "How a front ends.",
     (
         Field("drain-within", "playbacks may play on for so long", TIME_TYPE, 60 * SECOND),
@@ -257,7 +257,7 @@
         Field("secret", "the bearer token that it asks for", SECRET_TYPE, ""),
     ),
 )  # fmt: skip
-LEVELS = Schema(
+LEVEL_CHANGES = Schema(
     "levels", "How levels of reduced service change.",
     (
         Field("least", "time in a level before the next change", TIME_TYPE, 10 * SECOND, minimum=1, usual_range=(SECOND, 3600 * SECOND, "viewers notice each change")),
@@ -267,7 +267,7 @@
         Field("strong", "a sign past its entry by this factor counts at once", NUMBER_TYPE, 1.5, minimum=1),
     ),
 )  # fmt: skip
-PREFERENCE = Schema(
+ZONE_PREFERENCE = Schema(
     "preference", "A front's own wing first. Without this form wings take no side.",
     (
         Field("then", "other wings, in order of preference; none: those of the fleet", NAME_TYPE, (), max_values=MAX_VALUES),
@@ -301,14 +301,14 @@
     ),
     NAME_TYPE, "the zone's name", '(zone north (region europe) (seeds "10.0.0.5:7946" "10.0.0.6:7946"))',
 )  # fmt: skip
-KEEPERS = Schema(
+LEASE_ACCEPTORS = Schema(
     "keepers", "The fronts that grant terms of duties done on behalf of the fleet, one owner at a time; the same on all fronts.",
     (
         Field("names", "their names among the peers; of three one may be away, of five two", NAME_TYPE, required=True, max_values=7),
         Field("term", "how long a duty is its owner's; the longest that it may be without one is twice that", TIME_TYPE, 6 * SECOND, minimum=SECOND),
     ),
 )  # fmt: skip
-ADOPTING = Schema(
+SESSION_TAKEOVER = Schema(
     "adopting", "Playbacks of a front that will not come back are taken over by the others; the same on all fronts.",
     (
         Field("after", "how long after the others see it as gone", TIME_TYPE, SECOND),
@@ -316,13 +316,13 @@
         Field("most", "playbacks taken over that one front may hold at once", INTEGER_TYPE, 1_000, minimum=1),
     ),
 )  # fmt: skip
-PROBING = Schema(
+LOAD_PROBING = Schema(
     "probing", "Each node's load is asked by one front and told to the others; the same on all fronts.",
     (
         Field("every", "between two figures of a node; longer where the fleet has over a hundred", TIME_TYPE, 2500 * MS, minimum=500 * MS),
     ),
 )  # fmt: skip
-LEVEL = Schema(
+SERVICE_LEVEL = Schema(
     "level", "A level of reduced service: entered when one of its signs is over its entry, left when all are under their exits.",
     (
         Field("rank", "its place in the order, from 1; a higher one reduces more", INTEGER_TYPE, required=True, minimum=1),
@@ -345,16 +345,16 @@
     LADDER,
     SIGNALLING,
     NODES,
-    DOOR,
-    STOPPING,
+    CONNECTION_LIMITS,
+    SHUTDOWN,
     OPERATORS,
-    LEVELS,
-    PREFERENCE,
+    LEVEL_CHANGES,
+    ZONE_PREFERENCE,
     PEERS,
-    KEEPERS,
-    ADOPTING,
-    PROBING,
+    LEASE_ACCEPTORS,
+    SESSION_TAKEOVER,
+    LOAD_PROBING,
 )
-NAMED_FORMS = (PLAN, POOL, ROUTE, LIMIT, TOKEN, TITLE_FORM, LEVEL, ZONE)
+NAMED_FORMS = (PLAN, POOL, ROUTE, LIMIT, TOKEN, TITLE_FORM, SERVICE_LEVEL, ZONE)
 SCHEMAS_BY_NAME = {s.name: s for s in (*SINGLE_FORMS, *NAMED_FORMS)}
 KEYWORDS = ("include", "define", "use")
--- a/oakcroft/config/resolved.py
+++ b/oakcroft/config/resolved.py
@@ -13,7 +13,7 @@
 """Resolved field values by form name; for a named form the values of each instance by the instance's name."""
 
 OPTIONAL_FORMS = (
-    forms.FRONT, forms.FLEET, forms.LADDER, forms.PREFERENCE, forms.PEERS, forms.KEEPERS, forms.ADOPTING, forms.PROBING,
+    forms.FRONT, forms.FLEET, forms.LADDER, forms.ZONE_PREFERENCE, forms.PEERS, forms.LEASE_ACCEPTORS, forms.SESSION_TAKEOVER, forms.LOAD_PROBING,
 )  # fmt: skip
 """Forms that are left out when absent: a form with only default values would have another meaning."""
 
