--- a/oakcroft/config/deployment_builder.py
+++ b/oakcroft/config/deployment_builder.py
@@ -81,9 +81,9 @@
     fleet = resolved["fleet"]
     signalling = resolved["signalling"]
     nodes = resolved["nodes"]
-    stopping = resolved["stopping"]
+    shutdown = resolved["stopping"]
     preference = resolved.get("preference")
-    levels = sorted(resolved["level"].items(), key=lambda level: level[1]["rank"])
+    levels_by_rank = sorted(resolved["level"].items(), key=lambda level: level[1]["rank"])
     return SharedSettings(
         terms=_terms(fleet, resolved["ladder"], front_index), plans=_plans(resolved, known_families),
         route_table=RouteTable(build_route(name, route) for name, route in resolved["route"].items()),
@@ -93,11 +93,11 @@
         titles={name: TitlePlacement(title["home"], title["copies"]) for name, title in resolved["title"].items()},
         copy_count=fleet["copies"], ice_servers=tuple(signalling["ice-servers"]),
         connection_limits=replace(ConnectionLimits(), **_by_field_name(ConnectionLimits, resolved["door"])), answer_margin_ns=signalling["way-back"],
-        drain_grace_ns=fleet["drain-grace"], default_drain_notice_ns=fleet["usual-notice"], drain_timeout_ns=stopping["drain-within"],
-        leave_timeout_ns=stopping["leave-within"], silence_timeout_ns=nodes["silent-after"], loss_timeout_ns=nodes["lost-after"],
+        drain_grace_ns=fleet["drain-grace"], default_drain_notice_ns=fleet["usual-notice"], drain_timeout_ns=shutdown["drain-within"],
+        leave_timeout_ns=shutdown["leave-within"], silence_timeout_ns=nodes["silent-after"], loss_timeout_ns=nodes["lost-after"],
         connect_timeout_ns=nodes["connect-within"], list_timeout_ns=nodes["list-within"], key_retention_ns=signalling["keep-keys"],
         operator_token_digest=bytes.fromhex(resolved["operators"]["secret"]),
-        levels=tuple(build_level(name, level) for name, level in levels),
+        levels=tuple(build_level(name, level) for name, level in levels_by_rank),
         level_bounds=LevelBounds(**_by_field_name(LevelBounds, resolved["levels"])),
         zone_preference=ZonePreferenceBounds(**_by_field_name(ZonePreferenceBounds, preference)) if preference is not None else None,
         preferred_zones=tuple(preference["then"] or fleet["wings"]) if preference is not None else (),
@@ -123,9 +123,12 @@
 
 
 def _plans(resolved: ResolvedConfig, known_families: Mapping[str, int]) -> dict[str, PlanTerms]:
-    rungs = len(resolved["ladder"]["rates"])
-    numbers = plan_families(known_families, list(resolved["plan"]))
-    return {name: build_plan(name, plan, rungs, numbers[name]) for name, plan in resolved["plan"].items()}
+    rung_count = len(resolved["ladder"]["rates"])
+    family_numbers = plan_families(known_families, list(resolved["plan"]))
+    return {
+        name: build_plan(name, plan, rung_count, family_numbers[name])
+        for name, plan in resolved["plan"].items()
+    }
 
 
 def _tokens(tokens: Mapping[str, FieldValues]) -> dict[bytes, BearerToken]:
@@ -138,18 +141,18 @@
 def _peer_settings(resolved: ResolvedConfig, own_zone: str) -> PeerSettings:
     """Builds a front end's peer settings, with those of the functions that depend on its peers."""
     peers = resolved["peers"]
-    keepers = resolved.get("keepers")
-    adopting = resolved.get("adopting")
+    acceptors = resolved.get("keepers")
+    takeover = resolved.get("adopting")
     probing = resolved.get("probing")
     zones = resolved["zone"]
-    own = zones.get(own_zone, {"region": "", "seeds": ()})
+    own_zone_values = zones.get(own_zone, {"region": "", "seeds": ()})
     return PeerSettings(
         name=peers["name"], listen=peers["listen"], advertise=peers["advertise"] or peers["listen"],
-        seeds=tuple(dict.fromkeys([*peers["seeds"], *own["seeds"]])), key_file=peers["key-file"], fleet_name=peers["fleet"],
-        start_count_file=peers["starts"], keepers=tuple(keepers["names"]) if keepers is not None else (),
-        term_ns=keepers["term"] if keepers is not None else 0, probe_interval_ns=probing["every"] if probing is not None else 0,
-        takeover_bounds=TakeoverBounds(adopting["after"], adopting["lease"], adopting["most"]) if adopting is not None else None,
-        region=own["region"], other_zones=tuple(
+        seeds=tuple(dict.fromkeys([*peers["seeds"], *own_zone_values["seeds"]])), key_file=peers["key-file"], fleet_name=peers["fleet"],
+        start_count_file=peers["starts"], lease_acceptors=tuple(acceptors["names"]) if acceptors is not None else (),
+        term_ns=acceptors["term"] if acceptors is not None else 0, probe_interval_ns=probing["every"] if probing is not None else 0,
+        takeover_bounds=TakeoverBounds(takeover["after"], takeover["lease"], takeover["most"]) if takeover is not None else None,
+        region=own_zone_values["region"], other_zones=tuple(
             OtherZone(name, zone["region"], tuple(zone["seeds"])) for name, zone in zones.items() if name != own_zone
         ),
     )  # fmt: skip
@@ -157,8 +160,8 @@
 
 def build_route(name: str, values: FieldValues) -> Route:
     """Builds a route from its resolved field values."""
-    side = ClientRole(values["for"])
-    match = Match(side, values["path"], tuple(values["titles"]), values["wing"], tuple(values["claim"]))
+    role = ClientRole(values["for"])
+    match = Match(role, values["path"], tuple(values["titles"]), values["wing"], tuple(values["claim"]))
     return Route(name, match, values["plan"], values["pool"], values["top"])
 
 
--- a/oakcroft/config/settings.py
+++ b/oakcroft/config/settings.py
@@ -94,8 +94,8 @@
     key_file: str
     fleet_name: str
     start_count_file: str
-    keepers: tuple[str, ...] = ()  # names of the front ends that grant terms of duties by majority
-    term_ns: int = 0  # length of a term, ns
+    lease_acceptors: tuple[str, ...] = ()  # names of the front ends that grant leases by majority
+    term_ns: int = 0  # duration of a lease, ns
     probe_interval_ns: int = 0  # time between two load probes of a node, ns; 0: loads are not shared
     takeover_bounds: TakeoverBounds | None = None  # None: playbacks of failed front ends are not taken over
     region: str = ""  # region of this front end's zone; empty: one flat membership of all front ends
--- a/oakcroft/peers/lease_status.py
+++ b/oakcroft/peers/lease_status.py
@@ -37,7 +37,7 @@
     leases = [_lease_entry(host, lease_name, now) for lease_name in sorted(host.wanted_leases | known)]
     status: dict[str, object] = {
         "name": host.membership.own_update.name,
-        "keepers": list(host.settings.keepers),
+        "keepers": list(host.settings.lease_acceptors),
         "duties": leases,
         "term_ms": host.settings.term_ns // MS,
         "dropped": dict(host.dropped),
--- a/oakcroft/peers/leases.py
+++ b/oakcroft/peers/leases.py
@@ -88,10 +88,10 @@
     def _make_acceptor(self, store: NamedValueStore | None) -> AcceptorHost | None:
         settings = self.settings
         now = boot_time()
-        if settings.name not in settings.keepers or store is None:
+        if settings.name not in settings.lease_acceptors or store is None:
             return None
         generation = self.membership.own_update.generation
-        acceptor = LeaseAcceptor(settings.name, settings.keepers, settings.term_ns, generation, now)
+        acceptor = LeaseAcceptor(settings.name, settings.lease_acceptors, settings.term_ns, generation, now)
         return AcceptorHost(
             acceptor,
             store,
@@ -160,12 +160,16 @@
     def token_floor(self, lease_name: str) -> int | None:
         """An upper bound on the tokens of a lease's terms so far; None until a majority of acceptors has answered."""
         promised = self.highest_promised.get(lease_name, {})
-        return max(promised.values()) if len(promised) >= majority(len(self.settings.keepers)) else None
+        return (
+            max(promised.values()) if len(promised) >= majority(len(self.settings.lease_acceptors)) else None
+        )
 
     def request_token_floor(self, lease_name: str) -> None:
         """Asks the acceptors for their highest promised token: they refuse a token of 1 and name it in the refusal."""
         request = LeaseRequest(LeaseMessageKind.PREPARE, lease_name, LeaseTerm(1, *self.identity()))
-        self._send_requests([AcceptorMessage(acceptor, request) for acceptor in self.settings.keepers])
+        self._send_requests(
+            [AcceptorMessage(acceptor, request) for acceptor in self.settings.lease_acceptors]
+        )
 
     def yield_lease(self, lease_name: str) -> None:
         """Releases a lease on an operator's request and lets the other candidates go first for some terms."""
@@ -209,7 +213,7 @@
         candidate = self.candidates.get(answer.lease_name)
         if candidate is None:
             return
-        if answer.acceptor in self.settings.keepers:
+        if answer.acceptor in self.settings.lease_acceptors:
             self.highest_promised.setdefault(answer.lease_name, {})[answer.acceptor] = answer.highest_promised
         self._send_requests(candidate.receive_answer(answer, now))
         self._report_change(answer.lease_name, candidate, now)
@@ -298,7 +302,7 @@
         if known is not None and (known.generation == generation or known.held_term(now) is not None):
             return known
         name = self.membership.own_update.name
-        acceptors = self.settings.keepers
+        acceptors = self.settings.lease_acceptors
         term_length = self.settings.term_ns
         candidate = LeaseCandidate(
             lease_name, name, generation, acceptors, term_length, self.rng, generation, now
--- a/oakcroft/peers/peer_endpoint.py
+++ b/oakcroft/peers/peer_endpoint.py
@@ -89,7 +89,7 @@
         self.streams = StreamServer(self.push_pulls.answer, PUSH_PULL_TIMEOUT_S, self.dropped)
         self.leases: LeaseHost | None = None
         self.text_transfer: TextTransfer | None = None
-        if settings.keepers:
+        if settings.lease_acceptors:
             self._add_leases(store, seed + 1)
         self.has_started = False
         self.timers_changed = trio.Event()
