--- a/oakcroft/config/checks/peers.py
+++ b/oakcroft/config/checks/peers.py
@@ -1,4 +1,5 @@
-"""Checks of the forms on communication between front ends: peers, keepers, adopting and probing."""
+"""Checks of the forms for communication between front ends: peers, lease acceptors (keepers), session takeover
+(adopting) and load probing."""
 
 from __future__ import annotations
 
@@ -65,21 +66,22 @@
         diagnostics.error(peers.location_of(field_name), f"peers cannot reach {host}", fix)
 
 
-def check_keepers(records: Records, diagnostics: Diagnostics) -> None:
-    """Checks that the keepers can reach a majority and that this one, if it is a keeper, keeps its grants on disk."""
-    keepers = records.find_single(forms.LEASE_ACCEPTORS)
+def check_lease_acceptors(records: Records, diagnostics: Diagnostics) -> None:
+    """Checks that the lease acceptors can form a majority, and that this front end keeps its grants on disk if it is one
+    of them."""
+    acceptors = records.find_single(forms.LEASE_ACCEPTORS)
     front = records.find_single(forms.FRONT)
-    if keepers is None or "names" not in keepers.values:  # missing names are reported already
+    if acceptors is None or "names" not in acceptors.values:  # missing names are reported already
         return
-    names = keepers.get("names")
-    many = len(set(names))
-    if many < len(names):
+    names = acceptors.get("names")
+    acceptor_count = len(set(names))
+    if acceptor_count < len(names):
         message = "a keeper is listed twice: its vote would count twice"
-        diagnostics.error(keepers.location_of("names"), message, "keep one of them")
-    if many % 2 == 0:
-        message = f"{many} keepers tolerate no more failures than {many - 1}"
-        diagnostics.warn(keepers.location_of("names"), message, "list an odd number")
-    if not check_has_peers(records, keepers, "names", "keepers are reached as peers", diagnostics):
+        diagnostics.error(acceptors.location_of("names"), message, "keep one of them")
+    if acceptor_count % 2 == 0:
+        message = f"{acceptor_count} keepers tolerate no more failures than {acceptor_count - 1}"
+        diagnostics.warn(acceptors.location_of("names"), message, "list an odd number")
+    if not check_has_peers(records, acceptors, "names", "keepers are reached as peers", diagnostics):
         return
     peers = records.find_single(forms.PEERS)
     if front is not None and peers is not None and peers.get("name") in names and not front.get("state"):
@@ -87,26 +89,28 @@
         diagnostics.error(front.location_of("zone"), message, 'add (state "FILE") to the front')
 
 
-def check_probing(records: Records, diagnostics: Diagnostics) -> None:
+def check_load_probing(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that there are peers to share node loads with."""
     probing = records.find_single(forms.LOAD_PROBING)
     if probing is not None:
         check_has_peers(records, probing, "every", "node loads are shared between peers", diagnostics)
 
 
-def check_adopting(records: Records, diagnostics: Diagnostics) -> None:
+def check_session_takeover(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that nodes keep the sessions of a failed front end long enough for the others to take them over."""
-    adopting = records.find_single(forms.SESSION_TAKEOVER)
-    if adopting is None:
+    takeover = records.find_single(forms.SESSION_TAKEOVER)
+    if takeover is None:
         return
-    check_has_peers(records, adopting, "after", "failed fronts are detected by their peers", diagnostics)
-    noticed = FAILURE_DETECTION_NS + adopting.get("after")
-    if adopting.get("lease") > MAX_SESSION_LEASE:
+    check_has_peers(records, takeover, "after", "failed fronts are detected by their peers", diagnostics)
+    earliest_takeover_ns = FAILURE_DETECTION_NS + takeover.get("after")
+    if takeover.get("lease") > MAX_SESSION_LEASE:
         message = f"nodes keep sessions for at most {MAX_SESSION_LEASE // SECOND} s"
-        diagnostics.error(adopting.location_of("lease"), message, "write a shorter time")
-    elif adopting.get("lease") < noticed:
+        diagnostics.error(takeover.location_of("lease"), message, "write a shorter time")
+    elif takeover.get("lease") < earliest_takeover_ns:
         message = "the lease may expire before the peers detect the failure and take the sessions over"
-        diagnostics.warn(adopting.location_of("lease"), message, f"write {noticed // SECOND + 1}s or more")
+        diagnostics.warn(
+            takeover.location_of("lease"), message, f"write {earliest_takeover_ns // SECOND + 1}s or more"
+        )
 
 
 def check_has_peers(
--- a/oakcroft/config/checks/zones.py
+++ b/oakcroft/config/checks/zones.py
@@ -34,7 +34,7 @@
         shown = front.get("zone") or "none"
         message = f"this front is not in a listed zone, but in {shown}"
         diagnostics.error(front.location_of("zone"), message, f"add (zone {shown} …), or write another zone")
-    _check_keepers(records, diagnostics)
+    _check_no_lease_acceptors(records, diagnostics)
 
 
 def _check_names(name: str, zone: Record, diagnostics: Diagnostics) -> None:
@@ -55,13 +55,13 @@
             diagnostics.error(zone.location_of("seeds"), "port 0 is not a valid seed port", "write its port")
 
 
-def _check_keepers(records: Records, diagnostics: Diagnostics) -> None:
-    """Checks that there are no keepers beside zones.
+def _check_no_lease_acceptors(records: Records, diagnostics: Diagnostics) -> None:
+    """Checks that no lease acceptors are configured together with zones.
 
-    Keepers are reached by name, and a front end knows only the names of its own zone. Each zone would have an owner of
-    its own for a duty, and a catalogue version would be rolled out in one zone only.
+    Acceptors are reached by name, and a front end knows only the names of its own zone. Each zone would have a lease
+    holder of its own, and a catalogue version would be rolled out in one zone only.
     """
-    keepers = records.find_single(forms.LEASE_ACCEPTORS)
-    if keepers is not None:
+    acceptors = records.find_single(forms.LEASE_ACCEPTORS)
+    if acceptors is not None:
         message = "with (zone …) a front knows only the fronts of its own zone by name, and cannot reach other keepers"
-        diagnostics.error(keepers.location_of("names"), message, "remove (keepers …), or all (zone …)")
+        diagnostics.error(acceptors.location_of("names"), message, "remove (keepers …), or all (zone …)")
