--- a/oakcroft/config/checks/fronts.py
+++ b/oakcroft/config/checks/fronts.py
@@ -9,23 +9,21 @@
 
 
 def check_front(records: Records, diagnostics: Diagnostics) -> None:
-    """Checks that the front end's number and wing are among those of the fleet."""
+    """Checks that the front end's number and zone are among those of the fleet."""
     front = records.find_single(forms.FRONT)
     if front is None:
         return
-    fronts = records.fleet_value("fronts")
-    wings = records.fleet_value("wings")
-    if front.get("number") >= fronts:
-        message = (
-            f"front number {front.get('number')} is out of range: there are {fronts} fronts, numbered from 0"
-        )
+    front_count = records.fleet_value("fronts")
+    zones = records.fleet_value("wings")
+    if front.get("number") >= front_count:
+        message = f"front number {front.get('number')} is out of range: there are {front_count} fronts, numbered from 0"
         diagnostics.error(
-            front.location_of("number"), message, f"write (number {max(0, fronts - 1)}) or less"
+            front.location_of("number"), message, f"write (number {max(0, front_count - 1)}) or less"
         )
     zone = front.get("zone")
-    if wings and zone and zone not in wings:
-        guess = closest_match(zone, wings)
-        fix = f"write {guess}" if guess else f"write {join_alternatives(wings)}"
+    if zones and zone and zone not in zones:
+        guess = closest_match(zone, zones)
+        fix = f"write {guess}" if guess else f"write {join_alternatives(zones)}"
         diagnostics.error(front.location_of("zone"), f"there is no wing {zone}", fix)
 
 
@@ -39,9 +37,9 @@
     signalling = records.find_single(forms.SIGNALLING)
     if signalling is None:
         return
-    way_back = signalling.get("way-back")
+    answer_margin_ns = signalling.get("way-back")
     for plan in records.named_records(forms.PLAN).values():
-        abandon = plan.values.get("abandon")
-        if abandon and way_back * 2 > abandon:
-            message = f"way-back is more than half of plan {plan.name}'s abandon time {format_value(TIME_TYPE, abandon)}"
+        abandon_ns = plan.values.get("abandon")
+        if abandon_ns and answer_margin_ns * 2 > abandon_ns:
+            message = f"way-back is more than half of plan {plan.name}'s abandon time {format_value(TIME_TYPE, abandon_ns)}"
             diagnostics.error(signalling.location_of("way-back"), message, "write a shorter time")
--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -1,4 +1,4 @@
-"""Checks of the levels of reduced service and of the preference between wings."""
+"""Checks of the levels of reduced service and of the preference between zones."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
         if other != name:
             message = f"levels {other} and {name} have the same rank"
             diagnostics.error(level.location_of("rank"), message, "number them from 1")
-        if not any(sign in level.field_locations for sign in forms.SIGNAL_FIELDS):
+        if not any(signal in level.field_locations for signal in forms.SIGNAL_FIELDS):
             message = f"level {name} has no signal threshold and is never entered"
             diagnostics.error(level.location, message, "add (x 1.05 0.9)")
-        _check_signs(level, diagnostics)
+        _check_thresholds(level, diagnostics)
         _check_admitted(level, records, diagnostics)
 
 
-def _check_signs(level: Record, diagnostics: Diagnostics) -> None:
+def _check_thresholds(level: Record, diagnostics: Diagnostics) -> None:
     """Checks that the entry threshold of each signal exceeds its exit, so that the level doesn't flap."""
-    for sign in forms.SIGNAL_FIELDS:
-        bounds = level.get(sign)
+    for signal in forms.SIGNAL_FIELDS:
+        bounds = level.get(signal)
         if not bounds:
             continue
-        entry, leave = bounds
-        if entry <= leave:
-            message = f"level {level.name} is left at {sign} {leave:g} and entered at {entry:g}"
-            diagnostics.error(level.location_of(sign), message, "write the entry first, and a lower exit")
+        entry_threshold, exit_threshold = bounds
+        if entry_threshold <= exit_threshold:
+            message = f"level {level.name} is left at {signal} {exit_threshold:g} and entered at {entry_threshold:g}"
+            diagnostics.error(level.location_of(signal), message, "write the entry first, and a lower exit")
 
 
 def _check_admitted(level: Record, records: Records, diagnostics: Diagnostics) -> None:
@@ -43,21 +43,21 @@
         check_defined(level, "admits", records.named_records(forms.PLAN), "plan", diagnostics, plan)
         try:
             forms.SHARE_TYPE.parse(Atom(share, level.location_of("admits"), False, share))
-        except InvalidValueError as bad:
-            diagnostics.error(level.location_of("admits"), bad.message, bad.fix)
+        except InvalidValueError as error:
+            diagnostics.error(level.location_of("admits"), error.message, error.fix)
 
 
 def check_preference(records: Records, diagnostics: Diagnostics) -> None:
-    """Checks that the preference names wings of the fleet, each once, and that the fleet has at least two."""
+    """Checks that the preference names zones of the fleet, each once, and that the fleet has at least two."""
     preference = records.find_single(forms.ZONE_PREFERENCE)
     if preference is None:
         return
-    wings = records.fleet_value("wings")
-    order = preference.get("then")
-    for wing in order:
-        check_defined(preference, "then", dict.fromkeys(wings), "wing", diagnostics, wing)
-    if len(set(order)) != len(order):
+    zones = records.fleet_value("wings")
+    preferred_zones = preference.get("then")
+    for zone in preferred_zones:
+        check_defined(preference, "then", dict.fromkeys(zones), "wing", diagnostics, zone)
+    if len(set(preferred_zones)) != len(preferred_zones):
         diagnostics.error(preference.location_of("then"), "a wing is listed twice", "remove one of them")
-    if len(wings) <= 1:
+    if len(zones) <= 1:
         message = "a preference needs at least two wings"
         diagnostics.error(preference.location, message, "list them in (fleet (wings …))")
--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -18,7 +18,7 @@
 
 def check_limits(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that each limit applies to something defined, states a rate or a concurrency, and can be reached."""
-    made = dict[str, RequestLimit]()
+    limits = dict[str, RequestLimit]()
     for name, record in records.named_records(forms.LIMIT).items():
         if not _check_scope(record, records, diagnostics):
             continue
@@ -26,27 +26,27 @@
             message = f"limit {name} has neither rate nor at-once"
             diagnostics.error(record.location, message, "add (rate 40/s) or (at-once 200)")
             continue
-        _check_figures(record, records.fleet_value("fronts"), diagnostics)
-        made[name] = build_limit_from_record(name, record)
-    for name, limit in made.items():
-        if other := limit_reached_first(limit, made):
-            place = records.named_records(forms.LIMIT)[name].location
+        _check_values(record, records.fleet_value("fronts"), diagnostics)
+        limits[name] = build_limit_from_record(name, record)
+    for name, limit in limits.items():
+        if other := limit_reached_first(limit, limits):
+            location = records.named_records(forms.LIMIT)[name].location
             message = f"limit {name} never takes effect: limit {other}, on all, is always reached first"
-            diagnostics.warn(place, message, "lower it, or remove it")
+            diagnostics.warn(location, message, "lower it, or remove it")
 
 
 def _check_scope(record: Record, records: Records, diagnostics: Diagnostics) -> bool:
     """Whether the scope of a limit is valid. Records an error if it isn't, and for an undefined name in it."""
-    on = record.values.get("on")
-    if on is None:
+    scope_and_name = record.values.get("on")
+    if scope_and_name is None:
         return False
-    scope = on[0]
-    names = on[1:]
-    kinds = [kind.value for kind in LimitScope]
-    if scope not in kinds:
-        message = f"a limit applies to {join_alternatives(kinds)}, not to {scope}"
+    scope = scope_and_name[0]
+    names = scope_and_name[1:]
+    known_scopes = [known.value for known in LimitScope]
+    if scope not in known_scopes:
+        message = f"a limit applies to {join_alternatives(known_scopes)}, not to {scope}"
         diagnostics.error(
-            record.location_of("on"), message, f"write (on {closest_match(scope, kinds) or 'all'})"
+            record.location_of("on"), message, f"write (on {closest_match(scope, known_scopes) or 'all'})"
         )
         return False
     is_for_all = scope == LimitScope.ALL.value
@@ -57,14 +57,14 @@
         )
         return False
     if names and names[0] != ANY_NAME:
-        known = _names_in_scope(scope, records)
-        if scope != LimitScope.ZONE.value or known:
-            check_defined(record, "on", known, scope, diagnostics, names[0])
+        known_names = _names_in_scope(scope, records)
+        if scope != LimitScope.ZONE.value or known_names:
+            check_defined(record, "on", known_names, scope, diagnostics, names[0])
     return True
 
 
 def _names_in_scope(scope: str, records: Records) -> list[str]:
-    """Returns the names that a limit of a scope may refer to. There are no wings if the fleet names none."""
+    """Returns the names that a limit of a scope may refer to. There are no zones if the fleet lists none."""
     by_scope: dict[str, Iterable[str]] = {
         "plan": records.named_records(forms.PLAN), "route": records.named_records(forms.ROUTE), "token": records.named_records(forms.TOKEN),
         "wing": records.fleet_value("wings"),
@@ -72,7 +72,7 @@
     return list(by_scope[scope])
 
 
-def _check_figures(record: Record, front_count: int, diagnostics: Diagnostics) -> None:
+def _check_values(record: Record, front_count: int, diagnostics: Diagnostics) -> None:
     name = record.name
     rate = record.get("rate")
     at_once = record.get("at-once")
@@ -91,16 +91,20 @@
 
 def check_tokens(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that the secrets of tokens are unique, and that there is a token if a route requires a claim."""
-    seen: dict[str, str] = {}
+    names_by_secret: dict[str, str] = {}
     for name, token in records.named_records(forms.TOKEN).items():
         secret = token.values.get("secret")
         if secret is None:
             continue
-        first = seen.setdefault(secret, name)
+        first = names_by_secret.setdefault(secret, name)
         if first != name:
             message = f"tokens {first} and {name} have the same secret"
             diagnostics.error(token.location_of("secret"), message, "generate another one")
-    asking = [route for route in records.named_records(forms.ROUTE).values() if route.get("claim")]
-    if asking and not seen:
+    routes_with_claims = [
+        route for route in records.named_records(forms.ROUTE).values() if route.get("claim")
+    ]
+    if routes_with_claims and not names_by_secret:
         message = "a route requires a claim, but there is no (token …)"
-        diagnostics.error(asking[0].location_of("claim"), message, 'add (token NAME (secret "…") (claim …))')
+        diagnostics.error(
+            routes_with_claims[0].location_of("claim"), message, 'add (token NAME (secret "…") (claim …))'
+        )
--- a/oakcroft/config/checks/plans.py
+++ b/oakcroft/config/checks/plans.py
@@ -16,20 +16,20 @@
     if ladder is None or "rates" not in ladder.values or "worth" not in ladder.values:
         return
     rates = ladder.get("rates")
-    worth = ladder.get("worth")
-    if len(rates) != len(worth):
-        message = f"the number of worths ({len(worth)}) differs from the number of rates ({len(rates)})"
+    worths = ladder.get("worth")
+    if len(rates) != len(worths):
+        message = f"the number of worths ({len(worths)}) differs from the number of rates ({len(rates)})"
         diagnostics.error(ladder.location_of("worth"), message, "write one worth for each rate")
     if any(higher <= lower for lower, higher in pairwise(rates)):
         message = "rates are not in ascending order"
         diagnostics.error(ladder.location_of("rates"), message, "write the lowest rung first, each rate once")
-    if any(higher < lower for lower, higher in pairwise(worth)):
+    if any(higher < lower for lower, higher in pairwise(worths)):
         message = "a higher rung is worth less than a lower one"
         diagnostics.warn(ladder.location_of("worth"), message, "write worths in ascending order")
 
 
 def check_plans(records: Records, diagnostics: Diagnostics) -> None:
-    """Checks that each plan's rungs are on the ladder, its times are in order, and a route leads to it."""
+    """Checks that each plan's rungs are on the ladder, its times are in order, and a route uses it."""
     used = {route.values.get("plan") for route in records.named_records(forms.ROUTE).values()}
     for name, plan in records.named_records(forms.PLAN).items():
         _check_rungs(plan, records.ladder_length(), diagnostics)
@@ -54,18 +54,18 @@
 
 
 def _check_times(plan: Record, diagnostics: Diagnostics) -> None:
-    target = plan.values.get("startup-target")
-    abandon = plan.values.get("abandon")
-    if target and abandon and abandon < target:
-        shown = format_value(TIME_TYPE, target)
-        message = f"the abandon time of plan {plan.name} ({format_value(TIME_TYPE, abandon)}) is shorter than its startup target ({shown})"
-        diagnostics.error(plan.location_of("abandon"), message, f"write (abandon {shown}) or more")
+    target_ns = plan.values.get("startup-target")
+    abandon_ns = plan.values.get("abandon")
+    if target_ns and abandon_ns and abandon_ns < target_ns:
+        shown_target = format_value(TIME_TYPE, target_ns)
+        message = f"the abandon time of plan {plan.name} ({format_value(TIME_TYPE, abandon_ns)}) is shorter than its startup target ({shown_target})"
+        diagnostics.error(plan.location_of("abandon"), message, f"write (abandon {shown_target}) or more")
 
 
 def _check_effect(plan: Record, diagnostics: Diagnostics) -> None:
     if plan.values.get("effect") in (None, "keyed"):
         return
-    for only in ("key-lasts", "group"):
-        if only in plan.field_locations:
-            message = f"{only} does not apply to plan {plan.name}, whose effect is {plan.get('effect')}"
-            diagnostics.warn(plan.location_of(only), message, f"remove ({only} …)")
+    for field_name in ("key-lasts", "group"):
+        if field_name in plan.field_locations:
+            message = f"{field_name} does not apply to plan {plan.name}, whose effect is {plan.get('effect')}"
+            diagnostics.warn(plan.location_of(field_name), message, f"remove ({field_name} …)")
--- a/oakcroft/config/checks/pools.py
+++ b/oakcroft/config/checks/pools.py
@@ -16,8 +16,8 @@
         for field, label in (("wings", "wing"), ("kinds", "kind")):
             _check_names(pool, field, records.fleet_value(field), label, diagnostics)
         _check_racks(pool, records.fleet_value("racks"), diagnostics)
-        if why := build_pool_from_record(name, pool).empty_reason():
-            diagnostics.error(pool.location, f"pool {name} matches no node: {why}", "correct nodes or but")
+        if reason := build_pool_from_record(name, pool).empty_reason():
+            diagnostics.error(pool.location, f"pool {name} matches no node: {reason}", "correct nodes or but")
         if not any(pool.get(field.name) for field in forms.POOL.fields):
             message = f"pool {name} has no conditions, so it contains every node"
             diagnostics.warn(pool.location, message, "remove it, and (pool …) from its routes")
@@ -29,14 +29,14 @@
     pool: Record, field_name: str, known_names: tuple[str, ...], label: str, diagnostics: Diagnostics
 ) -> None:
     """Checks names against those of the fleet. A fleet that lists none allows any name."""
-    for word in pool.get(field_name) if known_names else ():
-        if word in known_names:
+    for name in pool.get(field_name) if known_names else ():
+        if name in known_names:
             continue
-        guess = closest_match(word, known_names)
-        fix = f"write {guess}" if guess else f"add {word} to ({field_name} …) of the fleet"
+        guess = closest_match(name, known_names)
+        fix = f"write {guess}" if guess else f"add {name} to ({field_name} …) of the fleet"
         diagnostics.error(
             pool.location_of(field_name),
-            f"pool {pool.name} refers to {label} {word}, which (fleet …) does not list",
+            f"pool {pool.name} refers to {label} {name}, which (fleet …) does not list",
             fix,
         )
 
--- a/oakcroft/config/checks/references.py
+++ b/oakcroft/config/checks/references.py
@@ -25,11 +25,11 @@
     if not name or name in names:
         return True
     guess = closest_match(name, names)
-    there = (
+    hint = (
         f"; did you mean {guess}?" if guess else f"; defined are {join_alternatives(names)}" if names else ""
     )
     fix = f"write {guess}" if guess else f"add ({form_name} {name} …)"
     diagnostics.error(
-        record.location_of(field_name), f"there is no {form_name} {name}{there}", fix, record.notes
+        record.location_of(field_name), f"there is no {form_name} {name}{hint}", fix, record.notes
     )
     return False
--- a/oakcroft/config/checks/routes.py
+++ b/oakcroft/config/checks/routes.py
@@ -18,22 +18,22 @@
 def check_routes(records: Records, diagnostics: Diagnostics) -> None:
     """Checks that each route refers to a defined plan and pool, and that some request can reach it."""
     plans = records.named_records(forms.PLAN)
-    sound = list[Route]()
+    valid_routes = list[Route]()
     for name, record in records.named_records(forms.ROUTE).items():
-        is_sound = check_defined(record, "plan", plans, "plan", diagnostics)
+        has_known_plan = check_defined(record, "plan", plans, "plan", diagnostics)
         check_defined(record, "pool", records.named_records(forms.POOL), "pool", diagnostics)
-        wings = records.fleet_value("wings")
-        if wings and record.get("wing"):
-            check_defined(record, "wing", wings, "wing", diagnostics)
+        zones = records.fleet_value("wings")
+        if zones and record.get("wing"):
+            check_defined(record, "wing", zones, "wing", diagnostics)
         _check_claims(record, records, diagnostics)
-        if is_sound and record.values.get("plan") in plans:
+        if has_known_plan and record.values.get("plan") in plans:
             _check_top(record, plans[record.values["plan"]], records.ladder_length(), diagnostics)
         _check_redundant_titles(record, diagnostics)
-        if "path" in record.values and is_sound:
-            sound.append(build_route_from_record(name, record))
-    _check_ambiguous_routes(sound, records, diagnostics)
-    _check_unreachable_routes(sound, records, diagnostics)
-    for route in sound:
+        if "path" in record.values and has_known_plan:
+            valid_routes.append(build_route_from_record(name, record))
+    _check_ambiguous_routes(valid_routes, records, diagnostics)
+    _check_unreachable_routes(valid_routes, records, diagnostics)
+    for route in valid_routes:
         _check_redundant_patterns(route, records.named_records(forms.ROUTE)[route.name], diagnostics)
 
 
@@ -78,7 +78,7 @@
 
 def _check_ambiguous_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
     """Checks that no two routes of equal specificity match the same request, since either could be chosen."""
-    places = {name: record.location for name, record in records.named_records(forms.ROUTE).items()}
+    locations = {name: record.location for name, record in records.named_records(forms.ROUTE).items()}
     for first, second, title in ambiguous_routes(routes):
         message = (
             f"routes {first.name} and {second.name} both match requests under {first.match.prefix} "
@@ -86,28 +86,28 @@
         )
         fix = "give one of them titles, a wing or a claim that the other does not have"
         diagnostics.error(
-            places[second.name], message, fix, [f"{first.name} is defined at {places[first.name]}"]
+            locations[second.name], message, fix, [f"{first.name} is defined at {locations[first.name]}"]
         )
 
 
 def _check_unreachable_routes(routes: list[Route], records: Records, diagnostics: Diagnostics) -> None:
-    """Warns of routes that take no request: for every wing and every token, another route of the same titles has a
+    """Warns of routes that take no request: for every zone and every token, another route of the same titles has a
     higher specificity and matches."""
-    wings = list(records.fleet_value("wings")) or [""]
-    askers = [(wing, claims) for wing in wings for claims in _token_claims(records) or [{}]]
+    zones = list(records.fleet_value("wings")) or [""]
+    request_origins = [(zone, claims) for zone in zones for claims in _token_claims(records) or [{}]]
     for pattern, rivals in _competing_routes(routes):
         for route in rivals:
-            ahead = [
+            more_specific = [
                 rival
                 for rival in rivals
                 if specificity(pattern, rival.match) > specificity(pattern, route.match)
             ]
-            if not _is_always_outranked(route, ahead, askers):
+            if not _is_always_outranked(route, more_specific, request_origins):
                 continue
-            place = records.named_records(forms.ROUTE)[route.name].location
-            names = join_alternatives(rival.name for rival in ahead)
+            location = records.named_records(forms.ROUTE)[route.name].location
+            names = join_alternatives(rival.name for rival in more_specific)
             message = f"route {route.name} is never reached for {pattern or 'any title'}: precedence always goes to {names}"
-            diagnostics.warn(place, message, "remove it, or give it a condition of its own")
+            diagnostics.warn(location, message, "remove it, or give it a condition of its own")
 
 
 def _competing_routes(routes: list[Route]) -> list[tuple[str | None, list[Route]]]:
@@ -126,9 +126,9 @@
 
     False if the route accepts none of the origins.
     """
-    taken = [(wing, claims) for wing, claims in request_origins if _accepts(route, wing, claims)]
-    return bool(taken) and all(
-        any(_accepts(other, wing, claims) for other in higher_ranked) for wing, claims in taken
+    accepted = [(zone, claims) for zone, claims in request_origins if _accepts(route, zone, claims)]
+    return bool(accepted) and all(
+        any(_accepts(other, zone, claims) for other in higher_ranked) for zone, claims in accepted
     )
 
 
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -97,7 +97,7 @@
             if change.before is ABSENT:
                 lines.append(f"+ {subject} added: {_summarize_fields(schema, change.after)}")
             else:
-                lines.append(f"- {subject} taken out")
+                lines.append(f"- {subject} removed")
             continue
         field = schema.find_field(change.field)
         assert field is not None
@@ -107,7 +107,7 @@
 
 def _describe_field_change(field: Field, old: Any, new: Any) -> str:
     if field.name == "secret":
-        return "its secret is another"
+        return "its secret changed"
     if (isinstance(old, tuple) and isinstance(new, tuple) and field.max_values > 2) or field.is_repeatable:
         added = [_format_field_value(field, value) for value in new if value not in old]
         removed = [_format_field_value(field, value) for value in old if value not in new]
@@ -126,7 +126,7 @@
         value = values.get(field.name)
         if value not in (None, "", ()) and value != field.default and field.name != "secret":
             parts.append(f"{field.name} {_format_field_value(field, value)}")
-    return ", ".join(parts) or "as by default"
+    return ", ".join(parts) or "all defaults"
 
 
 def _format_field_value(field: Field, value: Any) -> str:
@@ -160,16 +160,17 @@
     The examples are derived from every route of both configurations, in each zone. At most `max_requests` are returned.
     """
     route_maps = [
-        {name: build_route(name, r) for name, r in resolved["route"].items()} for resolved in (old, new)
+        {name: build_route(name, route) for name, route in resolved["route"].items()}
+        for resolved in (old, new)
     ]
-    tables = [RouteTable(r.values()) for r in route_maps]
-    wings = sorted({*old["fleet"]["wings"], *new["fleet"]["wings"]}) or [""]
+    tables = [RouteTable(routes_by_name.values()) for routes_by_name in route_maps]
+    zones = sorted({*old["fleet"]["wings"], *new["fleet"]["wings"]}) or [""]
     seen: set[tuple[str, str, str]] = set()
     rerouted: list[ReroutedRequest] = []
     examples: list[RouteRequest] = []
     for routes_by_name in route_maps:
         for route in routes_by_name.values():
-            examples += [example_request(route, wing) for wing in wings]
+            examples += [example_request(route, zone) for zone in zones]
     for request in sorted(
         examples,
         key=lambda example: (example.path, example.role.value, example.zone, sorted(example.claims.items())),
@@ -190,7 +191,7 @@
 def _describe_destination(resolved: ResolvedConfig, route_table: RouteTable, request: RouteRequest) -> str:
     route = route_table.find(request)
     if route is None:
-        return "nothing"
+        return "no route"
     pool = f" in pool {route.pool}" if route.pool else ""
     return f"route {route.name}, plan {route.plan}{pool}"
 
@@ -199,5 +200,5 @@
     """Describes a rerouted request in one line."""
     request = rerouted.request
     claims = "".join(f" with {claim} {value}" for claim, value in sorted(request.claims.items()))
-    wing = f" in {request.zone}" if request.zone else ""
-    return f"{request.role.value} {request.path}{wing}{claims}: from {rerouted.before} to {rerouted.after}"
+    zone = f" in {request.zone}" if request.zone else ""
+    return f"{request.role.value} {request.path}{zone}{claims}: from {rerouted.before} to {rerouted.after}"
--- a/oakcroft/config/diagnostics.py
+++ b/oakcroft/config/diagnostics.py
@@ -103,7 +103,9 @@
     def __init__(self, diagnostics: Diagnostics) -> None:
         """The exception's text holds the errors only; `diagnostics` holds the warnings as well."""
         super().__init__(
-            "\n".join(diagnostics.format(p) for p in diagnostics.sorted() if p.severity is Severity.ERROR)
+            "\n".join(
+                diagnostics.format(item) for item in diagnostics.sorted() if item.severity is Severity.ERROR
+            )
         )
         self.diagnostics = diagnostics
 
--- a/oakcroft/config/form_reader.py
+++ b/oakcroft/config/form_reader.py
@@ -137,8 +137,8 @@
         fix = error.fix
         if error.lacks_unit and field is not None and field.usual_range is not None:
             low, high, _ = field.usual_range
-            respelled = respell_in_usual_unit(field, item, low, high)
-            fix = f"write {respelled}, if that was meant" if respelled else fix
+            suggestion = suggest_usual_unit(field, item, low, high)
+            fix = f"write {suggestion}, if that was meant" if suggestion else fix
         diagnostics.error(item.location, error.message, fix, use_notes)
         return None
 
@@ -193,25 +193,25 @@
         diagnostics.error(atom.location, message, "", use_notes)
     elif field.usual_range is not None and not field.usual_range[0] <= value <= field.usual_range[1]:
         low, high, hint = field.usual_range
-        between = f"{format_value(field.value_type, low)} to {format_value(field.value_type, high)}"
-        guess = respell_in_usual_unit(field, atom, low, high)
-        message = f"{field.name} {atom.source_text} is outside the usual range of {between}" + (
+        usual_range = f"{format_value(field.value_type, low)} to {format_value(field.value_type, high)}"
+        suggestion = suggest_usual_unit(field, atom, low, high)
+        message = f"{field.name} {atom.source_text} is outside the usual range of {usual_range}" + (
             f"; {hint}" if hint else ""
         )
         diagnostics.warn(
-            atom.location, message, f"write {guess}, if that was meant" if guess else "", use_notes
+            atom.location, message, f"write {suggestion}, if that was meant" if suggestion else "", use_notes
         )
 
 
-def respell_in_usual_unit(field: Field, atom: Atom, low: float, high: float) -> str:
+def suggest_usual_unit(field: Field, atom: Atom, low: float, high: float) -> str:
     """Returns the same number with a unit that brings it into the usual range, "" if there is none.
 
-    This finds slips such as seconds written for milliseconds.
+    This catches mistakes such as seconds in place of milliseconds.
     """
     match = NUMBER_WITH_UNIT.match(atom.text)
     units = UNIT_FACTORS.get(field.value_type.name)
     if match is None or units is None:
         return ""
-    fitting = [unit for unit, worth in units.items() if low <= float(match[1]) * worth <= high]
+    fitting = [unit for unit, factor in units.items() if low <= float(match[1]) * factor <= high]
     preferred = [unit for unit in PREFERRED_UNITS if unit in fitting]
     return match[1] + (preferred or fitting)[0] if fitting else ""
--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -356,5 +356,5 @@
     LOAD_PROBING,
 )
 NAMED_FORMS = (PLAN, POOL, ROUTE, LIMIT, TOKEN, TITLE_FORM, SERVICE_LEVEL, ZONE)
-SCHEMAS_BY_NAME = {s.name: s for s in (*SINGLE_FORMS, *NAMED_FORMS)}
+SCHEMAS_BY_NAME = {schema.name: schema for schema in (*SINGLE_FORMS, *NAMED_FORMS)}
 KEYWORDS = ("include", "define", "use")
--- a/oakcroft/config/reference.py
+++ b/oakcroft/config/reference.py
@@ -96,4 +96,4 @@
             None,
         )
         names = [field.name for field in schema.fields] if schema else []
-    return sorted(n for n in names if n.startswith(prefix))
+    return sorted(name for name in names if name.startswith(prefix))
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -70,6 +70,7 @@
     """
 
     def parse(atom: Atom) -> float | int:
+        """Parses a number with a unit."""
         match = NUMBER_WITH_UNIT.match(atom.text) if not atom.is_quoted else None
         if match is None:
             raise InvalidValueError(
@@ -121,7 +122,7 @@
     return int(atom.text)
 
 
-def _parse_word(atom: Atom) -> str:
+def _parse_name(atom: Atom) -> str:
     if atom.text.startswith("$") and not atom.is_quoted:
         raise InvalidValueError(f"{atom.text} is a parameter, which has a value only inside (define …)")
     if not atom.text:
@@ -135,14 +136,15 @@
 PACE_TYPE = quantity_type("pace", PACE_UNITS, ("40/s", "600/min"))
 NUMBER_TYPE = ValueType("figure", "a plain figure, or a share in %", _parse_number)
 INTEGER_TYPE = ValueType("whole number", "a whole number, 0 or more", _parse_integer)
-NAME_TYPE = ValueType("name", "a symbol or a string", _parse_word)
-TEXT_TYPE = ValueType("text", "a string or a symbol", _parse_word)
+NAME_TYPE = ValueType("name", "a symbol or a string", _parse_name)
+TEXT_TYPE = ValueType("text", "a string or a symbol", _parse_name)
 
 
 def choice_type(name: str, words: Sequence[str]) -> ValueType:
     """Returns the type of a value that is one of `words`."""
 
     def parse(atom: Atom) -> str:
+        """Returns the atom's text if it is one of the words."""
         if atom.text not in words:
             guess = closest_match(atom.text, words)
             raise InvalidValueError(
@@ -193,7 +195,7 @@
 
     def find_field(self, name: str) -> Field | None:
         """Returns a field by name, None if there is none."""
-        return next((f for f in self.fields if f.name == name), None)
+        return next((field for field in self.fields if field.name == name), None)
 
 
 @dataclass
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -51,12 +51,12 @@
     @property
     def items(self) -> tuple[Form | Atom, ...]:
         """The children without comments."""
-        return tuple(p for p in self.children if not isinstance(p, Comment))
+        return tuple(child for child in self.children if not isinstance(child, Comment))
 
     @property
     def name(self) -> str:
         """The symbol that the list begins with, "" if it begins with something else."""
-        head = next((p for p in self.children if not isinstance(p, Comment)), None)
+        head = next((child for child in self.children if not isinstance(child, Comment)), None)
         return head.text if isinstance(head, Atom) and not head.is_quoted else ""
 
 
@@ -72,18 +72,21 @@
         return SourceLocation(self.file_name, token.line or 1, token.column or 1, length)
 
     def start(self, parts: list[SyntaxNode]) -> list[SyntaxNode]:
+        """Returns the parts of the whole text."""
         return parts
 
     def form(self, parts: Sequence[Token | SyntaxNode]) -> Form:
+        """Builds a list. Its location spans the opening parenthesis and the first atom."""
         opening, *content, closing = parts
         assert isinstance(opening, Token)
         assert isinstance(closing, Token)
         head = content[0] if content else None
         length = 1 + len(head.source_text) if isinstance(head, Atom) else 1
-        children = tuple(p for p in content if not isinstance(p, Token))
+        children = tuple(part for part in content if not isinstance(part, Token))
         return Form(children, self._location(opening, length), closing.line or 1)
 
     def text(self, parts: list[Token]) -> Atom:
+        """Builds a string and replaces its escape sequences."""
         source_text = str(parts[0])
         content = source_text[1:-1]
         characters = []
@@ -98,10 +101,12 @@
         return Atom("".join(characters), self._location(parts[0], len(source_text)), True, source_text)
 
     def atom(self, parts: list[Token]) -> Atom:
+        """Builds a symbol, number or parameter."""
         source_text = str(parts[0])
         return Atom(source_text, self._location(parts[0], len(source_text)), False, source_text)
 
     def comment(self, parts: list[Token]) -> Comment:
+        """Builds a comment without trailing white space."""
         source_text = str(parts[0]).rstrip()
         return Comment(source_text, self._location(parts[0], len(source_text)))
 
@@ -116,14 +121,14 @@
 
 def _thread_parser() -> tuple[Lark, _FormBuilder]:
     """Returns this thread's parser and its builder. The builder holds the file name, so threads cannot share it."""
-    if not hasattr(THREAD_LOCAL, "pair"):
+    if not hasattr(THREAD_LOCAL, "parser_and_builder"):
         builder = _FormBuilder()
-        THREAD_LOCAL.pair = (
+        THREAD_LOCAL.parser_and_builder = (
             Lark((Path(__file__).parent / "grammar.lark").read_text(), parser="lalr", transformer=builder),
             builder,
         )
-    pair: tuple[Lark, _FormBuilder] = THREAD_LOCAL.pair
-    return pair
+    parser_and_builder: tuple[Lark, _FormBuilder] = THREAD_LOCAL.parser_and_builder
+    return parser_and_builder
 
 
 def parse_text(text: str, file_name: str, diagnostics: Diagnostics) -> list[SyntaxNode]:
@@ -244,4 +249,4 @@
 
 def without_comments(parts: list[SyntaxNode]) -> list[Form | Atom]:
     """Returns the parts without comments."""
-    return [p for p in parts if not isinstance(p, Comment)]
+    return [part for part in parts if not isinstance(part, Comment)]
