--- a/oakcroft/config/expander.py
+++ b/oakcroft/config/expander.py
@@ -186,49 +186,60 @@
         self.definitions[head.text] = Definition(head.text, tuple(names), tuple(body), form.location)
 
     def _expand(self, form: Form, use_chain: tuple[str, ...], expanded: list[Form]) -> None:
+        """Appends a form to `expanded`, or for a (use …) the forms that it stands for.
+
+        `use_chain` holds the names of the definitions that are being expanded.
+        """
         self.form_count += 1
         if self.form_count > MAX_FORMS:
             if self.form_count == MAX_FORMS + 1:
-                self.diagnostics.error(
-                    form.location, f"the configuration expands to more than {MAX_FORMS} forms", ""
-                )
+                message = f"the configuration expands to more than {MAX_FORMS} forms"
+                self.diagnostics.error(form.location, message, "")
             return
         if form.name != "use":
             expanded.append(form)
             return
-        head = form.items[1] if len(form.items) > 1 else None
-        if not isinstance(head, Atom):
-            self.diagnostics.error(
-                form.location,
-                "use takes the name of a definition and a value for each of its parameters",
-                "write (use half plan-a)",
-            )
-            return
-        definition = self.definitions.get(head.text)
-        if definition is None:
-            guess = closest_match(head.text, self.definitions)
-            self.diagnostics.error(head.location, f"there is no definition {head.text}" + (f"; did you mean {guess}?" if guess else ""),
-                                f"write {guess}" if guess else f"add (define {head.text} () …)")  # fmt: skip
+        definition = self._find_used_definition(form)
+        if definition is None or not self._check_use(form, definition, use_chain):
             return
-        if head.text in use_chain or len(use_chain) >= MAX_USE_DEPTH:
-            circle = " -> ".join([*use_chain, head.text])
-            self.diagnostics.error(
-                form.location,
-                f"circular use: {circle}",
-                "remove the use from its own definition",
-            )
-            return
-        arguments = form.items[2:]
-        if len(arguments) != len(definition.parameters):
-            wanted = " ".join(definition.parameters) or "none"
-            self.diagnostics.error(form.location, f"{head.text} takes {len(definition.parameters)} values ({wanted}), not {len(arguments)}",
-                                f"write (use {' '.join([head.text, *(parameter.upper() for parameter in definition.parameters)])})")  # fmt: skip
-            return
-        values = dict(zip(definition.parameters, arguments, strict=True))
+        values = dict(zip(definition.parameters, form.items[2:], strict=True))
         for body_form in definition.body:
             instance = _substitute(body_form, values, form.location)
             assert isinstance(instance, Form)
-            self._expand(instance, (*use_chain, head.text), expanded)
+            self._expand(instance, (*use_chain, definition.name), expanded)
+
+    def _find_used_definition(self, form: Form) -> Definition | None:
+        """Returns the definition that a (use …) names. Records an error if there is none."""
+        name = form.items[1] if len(form.items) > 1 else None
+        if not isinstance(name, Atom):
+            message = "use takes the name of a definition and a value for each of its parameters"
+            self.diagnostics.error(form.location, message, "write (use half plan-a)")
+            return None
+        definition = self.definitions.get(name.text)
+        if definition is None:
+            guess = closest_match(name.text, self.definitions)
+            message = f"there is no definition {name.text}" + (f"; did you mean {guess}?" if guess else "")
+            fix = f"write {guess}" if guess else f"add (define {name.text} () …)"
+            self.diagnostics.error(name.location, message, fix)
+        return definition
+
+    def _check_use(self, form: Form, definition: Definition, use_chain: tuple[str, ...]) -> bool:
+        """Whether a (use …) is not circular and has a value for each parameter. Records an error otherwise."""
+        name = definition.name
+        if name in use_chain or len(use_chain) >= MAX_USE_DEPTH:
+            circle = " -> ".join([*use_chain, name])
+            fix = "remove the use from its own definition"
+            self.diagnostics.error(form.location, f"circular use: {circle}", fix)
+            return False
+        parameters = definition.parameters
+        argument_count = len(form.items) - 2
+        if argument_count != len(parameters):
+            wanted = " ".join(parameters) or "none"
+            message = f"{name} takes {len(parameters)} values ({wanted}), not {argument_count}"
+            example = " ".join([name, *(parameter.upper() for parameter in parameters)])
+            self.diagnostics.error(form.location, message, f"write (use {example})")
+            return False
+        return True
 
 
 def _atoms_in(form: Form) -> list[Atom]:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -222,9 +222,9 @@
                         '(limit each (on plan *) (rate 8/s) (at-once 6))')).shared  # fmt: skip
     lines = explain_request(shared, RouteRequest(ClientRole.WATCH, "/whep/course/a", "west", {}), "", 0)
     assert "  not route vip: the title is none of its titles" in lines
-    assert "route course takes it" in lines
+    assert "route course matches" in lines
     assert "limit each on plan *: 8/s, here 2/s; 6 at once, here 2" in lines
-    assert "no route takes it: 404" in explain_request(
+    assert "no route matches: 404" in explain_request(
         shared, RouteRequest(ClientRole.WATCH, "/nope/a", "", {}), "", 0
     )
 
@@ -250,7 +250,7 @@
     assert cli.invoke(main, ["config", "diff", str(good), str(good)]).exit_code == 0
     assert cli.invoke(main, ["config", "diff", str(good), str(bad)]).exit_code == 2
     explained = cli.invoke(main, ["config", "explain", str(good), "/whep/course/x"])
-    assert "route course takes it" in explained.output
+    assert "route course matches" in explained.output
     assert cli.invoke(main, ["serve", str(bad)]).exit_code == 2
 
 
