--- a/oakcroft/__main__.py
+++ b/oakcroft/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-if sys.argv[1:] == ["platform"]:  # a small machine: nothing else is loaded
+if sys.argv[1:] == ["platform"]:  # runs on small machines, so no other module is loaded
     from oakcroft.platform.serve import main as platform
 
     sys.exit(platform())
--- a/oakcroft/cli.py
+++ b/oakcroft/cli.py
@@ -35,7 +35,7 @@
 def main() -> None:
     """oakcroft places and shapes video sessions on streaming servers.
 
-    Exit codes: 0 all well, 1 a rule broken or a run failed, 2 wrong usage or configuration.
+    Exit codes: 0 success, 1 a rule was violated or a run failed, 2 invalid usage or configuration.
     """
 
 
@@ -47,7 +47,7 @@
     try:
         return build_deployment(load_resolved(file), known_families)
     except InvalidConfigurationError as error:
-        return [error.diagnostics.format(problem) for problem in error.diagnostics.errors]
+        return [error.diagnostics.format(diagnostic) for diagnostic in error.diagnostics.errors]
     except OSError as error:
         return [f"{file}: {error}"]
 
@@ -70,33 +70,36 @@
         return EXIT_INVALID_INPUT
     front = deployment.front
 
-    async def ready(port: int) -> None:
+    async def report_ready(port: int) -> None:
+        """Reports that the front end accepts connections."""
         print(f"serving on {front.host}:{port}", flush=True)
 
     log = configure_logging(front.log_format, deployment.shared.terms.front_index)
-    code = 0
+    exit_code = 0
     reduce_gc_frequency()
     try:
-        trio.run(FrontEnd(deployment, log, decide, partial(read_deployment_in_subprocess, file)).run, ready)
+        trio.run(
+            FrontEnd(deployment, log, decide, partial(read_deployment_in_subprocess, file)).run, report_ready
+        )
     except* OSError as group:
-        code = EXIT_FAILURE
+        exit_code = EXIT_FAILURE
         for error in group.exceptions:
             click.echo(f"cannot serve: {error}", err=True)
-    return code
+    return exit_code
 
 
 @main.command()
 @click.argument("file", type=EXISTING_FILE)
 def serve(file: Path) -> None:
-    """Run one front by FILE. SIGTERM lets it answer what is open and ends it; SIGHUP has it read FILE again."""
+    """Run a front with the configuration FILE. SIGTERM drains and stops it; SIGHUP reloads FILE."""
     sys.exit(serve_file(file))
 
 
 @main.command()
 def platform() -> None:
-    """Serve on the platform's protocol by the file that PROXY_CONFIG names, until a stop signal.
+    """Serve the platform's protocol with the configuration file named by PROXY_CONFIG, until a stop signal.
 
-    `python -m oakcroft platform` does the same and loads nothing else.
+    `python -m oakcroft platform` does the same without loading any other module.
     """
     from oakcroft.platform.serve import main as serve
 
--- a/oakcroft/commands/__init__.py
+++ b/oakcroft/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands for operators, beside those that run a front: state files, catalogues, and fronts that run."""
+"""The subcommands of the command line, except those that run a front end."""
--- a/oakcroft/commands/catalogue.py
+++ b/oakcroft/commands/catalogue.py
@@ -24,7 +24,7 @@
 
 @click.group()
 def catalogue() -> None:
-    """Check catalogues, and change the one that a front serves by."""
+    """Check catalogues, and read or change the active catalogue of a front."""
 
 
 def formatted_catalogue(file: Path) -> str:
@@ -32,8 +32,8 @@
     try:
         content = read_catalogue(file.read_text(encoding="utf-8"))
     except CatalogueError as error:
-        for one in error.faults:
-            click.echo(one.format(str(file)), err=True)
+        for fault in error.faults:
+            click.echo(fault.format(str(file)), err=True)
         sys.exit(EXIT_INVALID_INPUT)
     except UnicodeDecodeError as error:
         click.echo(f"{file}: not UTF-8: {error}", err=True)
@@ -44,7 +44,7 @@
 @catalogue.command("check")
 @click.argument("files", nargs=-1, required=True, type=EXISTING_FILE)
 def catalogue_check(files: tuple[Path, ...]) -> None:
-    """Show every fault of FILES."""
+    """Show every error in FILES."""
     for file in files:
         click.echo(f"{file}: sound, {formatted_catalogue(file).count(chr(10)) - NON_TITLE_LINES} titles")
 
@@ -52,36 +52,39 @@
 @catalogue.command("fmt")
 @click.argument("file", type=EXISTING_FILE)
 def catalogue_fmt(file: Path) -> None:
-    """Bring FILE into its layout: titles by name, one a line."""
+    """Format FILE: titles sorted by name, one a line."""
     file.write_text(formatted_catalogue(file), encoding="utf-8")
 
 
 @catalogue.command("get")
 @FRONT_OPTION
-@click.option("--version", default="", help="An earlier version.")
+@click.option("--version", default="", help="Print an earlier version.")
 def catalogue_get(address: str, version: str) -> None:
-    """Print the catalogue in force."""
+    """Print the active catalogue."""
     print_and_exit(request_front(address, "GET", f"catalogue?version={version}" if version else "catalogue"))
 
 
 @catalogue.command("put")
 @click.argument("file", type=EXISTING_FILE)
 @FRONT_OPTION
-@click.option("--change", is_flag=True, help="FILE holds changes, (put …) and (drop …).")
+@click.option("--change", is_flag=True, help="FILE contains changes, (put …) and (drop …).")
 @click.option(
-    "--from", "made_from", default="", help="ETag of the version it was made from; else the one in force now."
+    "--from",
+    "base_etag",
+    default="",
+    help="ETag of the version that FILE is based on; by default the active one.",
 )
-@click.option("--force", is_flag=True, help="Take it although a title would have no ready holder.")
-@click.option("--share", type=float, default=1.0, help="Only this share of the fronts takes it.")
-@click.option("--why", default="", help="Kept with the version.")
+@click.option("--force", is_flag=True, help="Accept it although a title would have no ready holder.")
+@click.option("--share", type=float, default=1.0, help="Apply it on this share of the fronts only.")
+@click.option("--why", "reason", default="", help="The reason, which is kept with the version.")
 def catalogue_put(
-    file: Path, address: str, change: bool, made_from: str, force: bool, share: float, why: str
+    file: Path, address: str, change: bool, base_etag: str, force: bool, share: float, reason: str
 ) -> None:
-    """Offer FILE to a front."""
+    """Submit FILE to a front."""
     body = file.read_bytes() if change else formatted_catalogue(file).encode()
-    query = f"catalogue?share={share}&why={escape_query_text(why)}" + ("&force=yes" if force else "")
+    query = f"catalogue?share={share}&why={escape_query_text(reason)}" + ("&force=yes" if force else "")
     method = "PATCH" if change else "PUT"
-    print_and_exit(request_front(address, method, query, body, If_Match=made_from or catalogue_etag(address)))
+    print_and_exit(request_front(address, method, query, body, If_Match=base_etag or catalogue_etag(address)))
 
 
 @catalogue.command("versions")
@@ -92,10 +95,10 @@
 
 
 @catalogue.command("roll-back")
-@click.argument("to", type=int)
+@click.argument("version", metavar="TO", type=int)
 @FRONT_OPTION
-def catalogue_roll_back(to: int, address: str) -> None:
-    """Put version TO into force again, as a new version."""
+def catalogue_roll_back(version: int, address: str) -> None:
+    """Activate version TO again, as a new version."""
     print_and_exit(
-        request_front(address, "POST", f"catalogue/roll-back?to={to}", If_Match=catalogue_etag(address))
+        request_front(address, "POST", f"catalogue/roll-back?to={version}", If_Match=catalogue_etag(address))
     )
--- a/oakcroft/commands/configuration.py
+++ b/oakcroft/commands/configuration.py
@@ -20,7 +20,7 @@
 
 @click.group()
 def config() -> None:
-    """Check, lay out, compare and explain configurations."""
+    """Check, format, compare and explain configurations."""
 
 
 def check_in_folder(file: Path, is_front_file: bool) -> tuple[ResolvedConfig | None, Diagnostics]:
@@ -45,8 +45,8 @@
 
 @config.command("check")
 @click.argument("files", nargs=-1, required=True, type=EXISTING_FILE)
-@click.option("--json", "as_json", is_flag=True, help="For tools: a JSON object a file.")
-@click.option("--strict", is_flag=True, help="Warnings count as errors.")
+@click.option("--json", "as_json", is_flag=True, help="For tools: print one JSON object for each file.")
+@click.option("--strict", is_flag=True, help="Treat warnings as errors.")
 @SHARED_OPTION
 def config_check(files: tuple[Path, ...], as_json: bool, strict: bool, shared: bool) -> None:
     """Show every error and warning of FILES and of what they include."""
@@ -72,7 +72,7 @@
 @click.argument("files", nargs=-1, required=True, type=EXISTING_FILE)
 @click.option("--check", "only_check", is_flag=True, help="Change nothing; exit 2 if any file would change.")
 def config_fmt(files: tuple[Path, ...], only_check: bool) -> None:
-    """Bring FILES into their layout. Comments stay; meaning never changes."""
+    """Format FILES. Comments are kept, and semantics never change."""
     changed = False
     for file in files:
         before = file.read_text(encoding="utf-8")
@@ -90,19 +90,22 @@
 
 
 @config.command("diff")
-@click.argument("a", type=EXISTING_FILE)
-@click.argument("b", type=EXISTING_FILE)
+@click.argument("old_file", metavar="A", type=EXISTING_FILE)
+@click.argument("new_file", metavar="B", type=EXISTING_FILE)
 @SHARED_OPTION
-def config_diff(a: Path, b: Path, shared: bool) -> None:
-    """Show what B means otherwise than A, and example requests that would go elsewhere. Exit 1 where they differ."""
-    old = load_or_exit(a, not shared)
-    new = load_or_exit(b, not shared)
+def config_diff(old_file: Path, new_file: Path, shared: bool) -> None:
+    """Show the semantic differences from A to B, and example requests that are routed differently.
+
+    Exit code 1 if there are any.
+    """
+    old = load_or_exit(old_file, not shared)
+    new = load_or_exit(new_file, not shared)
     changes = compare.find_changes(old, new)
     for line in compare.describe_changes(changes):
         click.echo(line)
     rerouted = compare.find_rerouted_requests(old, new)
     if rerouted:
-        click.echo("these requests would go elsewhere:")
+        click.echo("these requests would be routed differently:")
     for request in rerouted:
         click.echo("  " + compare.describe_rerouted_request(request))
     sys.exit(EXIT_FAILURE if changes else 0)
@@ -111,47 +114,50 @@
 @config.command("explain")
 @click.argument("file", type=EXISTING_FILE)
 @click.argument("path")
-@click.option("--publish", is_flag=True, help="As a publisher asks.")
-@click.option("--wing", default=None, help="At a front in this wing; else that of the file's own front.")
-@click.option("--token", default="", help="With the token of this name.")
+@click.option("--publish", is_flag=True, help="Explain a publisher's request.")
+@click.option(
+    "--wing", "zone", default=None, help="At a front in this wing; by default that of the file's front."
+)
+@click.option("--token", "token_name", default="", help="With the bearer token of this name.")
 @SHARED_OPTION
-def config_explain(file: Path, path: str, publish: bool, wing: str | None, token: str, shared: bool) -> None:
-    """Tell which route takes a request for PATH, why others do not, and which plan, pool and limits follow."""
+def config_explain(
+    file: Path, path: str, publish: bool, zone: str | None, token_name: str, shared: bool
+) -> None:
+    """Show which route matches a request for PATH, why others don't, and its plan, pool and limits."""
     deployment = build_deployment(load_or_exit(file, not shared))
     tokens = {bearer_token.name: bearer_token for bearer_token in deployment.shared.tokens.values()}
-    if token and token not in tokens:
-        click.echo(f"there is no token {token}", err=True)
+    if token_name and token_name not in tokens:
+        click.echo(f"there is no token {token_name}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
-    zone = deployment.front.zone if wing is None else wing
     request = RouteRequest(
         ClientRole.PUBLISH if publish else ClientRole.WATCH,
         path,
-        zone,
-        tokens[token].claims if token else {},
+        deployment.front.zone if zone is None else zone,
+        tokens[token_name].claims if token_name else {},
     )
     for line in explaining.explain_request(
-        deployment.shared, request, token, deployment.shared.terms.front_index
+        deployment.shared, request, token_name, deployment.shared.terms.front_index
     ):
         click.echo(line)
 
 
 @config.command("meaning", hidden=True)
 @click.argument("file", type=EXISTING_FILE)
-def config_meaning(file: Path) -> None:
-    """Print what FILE means, for a serving front that reads it again."""
+def config_resolve(file: Path) -> None:
+    """Write the resolved configuration of FILE in pickle format, for a serving front end that reloads it."""
     sys.stdout.buffer.write(pickle.dumps(load_or_exit(file, True)))
 
 
 @config.command("reference")
 def config_reference() -> None:
-    """Print the reference page, made from the schemas."""
+    """Print the reference page, which is generated from the schemas."""
     click.echo(reference.reference_page(), nl=False)
 
 
 @config.command("complete")
-@click.argument("within", default="")
-@click.argument("word", default="")
-def config_complete(within: str, word: str) -> None:
-    """For editors: names that may stand in form WITHIN ("" for a file) and begin with WORD."""
-    for name in reference.completions(within, word):
+@click.argument("form_name", metavar="[FORM]", default="")
+@click.argument("prefix", metavar="[PREFIX]", default="")
+def config_complete(form_name: str, prefix: str) -> None:
+    """For editors: list the names that may be used in FORM ("" for a file) and begin with PREFIX."""
+    for name in reference.completions(form_name, prefix):
         click.echo(name)
--- a/oakcroft/commands/operators.py
+++ b/oakcroft/commands/operators.py
@@ -39,14 +39,15 @@
         *((name.replace("_", "-"), value) for name, value in headers.items()),
     ]
 
-    async def ask() -> Response:
+    async def send_request() -> Response:
+        """Sends the request and waits for the response, up to a timeout."""
         with trio.fail_after(ANSWER_TIMEOUT_SECONDS):
             return await HttpClient(host or "127.0.0.1", int(port)).request(
                 method, f"/operators/{path}", header_fields, body
             )
 
     try:
-        return trio.run(ask)
+        return trio.run(send_request)
     except (ExchangeError, trio.TooSlowError, ValueError) as error:
         click.echo(f"{address}: {error or 'no answer'}", err=True)
         sys.exit(EXIT_FAILURE)
@@ -64,10 +65,10 @@
 
 
 def catalogue_etag(address: str) -> str:
-    """Returns the entity tag of the catalogue in force at a front end, for a change that is based on it."""
+    """Returns the entity tag of the catalogue in force at a front end, to base a change on."""
     return request_front(address, "GET", "catalogue").header("etag") or ANY_VERSION
 
 
 def escape_query_text(text: str) -> str:
     """Makes text safe for a query: any character but a letter, digit, hyphen, underscore or dot becomes a space."""
-    return "".join(letter if letter.isalnum() or letter in "-_." else "%20" for letter in text)
+    return "".join(character if character.isalnum() or character in "-_." else "%20" for character in text)
--- a/oakcroft/commands/rehearsal.py
+++ b/oakcroft/commands/rehearsal.py
@@ -1,4 +1,4 @@
-"""The `rehearse` and `stand-in` commands, which play a day on loopback.
+"""The `rehearse` and `stand-in` commands, which run a rehearsal day on loopback.
 
 The commands import what they run only when called, since a serving front end starts from the same command line and
 doesn't need it.
@@ -24,17 +24,17 @@
 
 @click.command()
 @click.argument("file", required=False)
-@click.option("--seed", type=int, help="Play the day from another seed.")
-@click.option("--baseline/--no-baseline", default=True, help="Play the same day with the naive baseline too.")
+@click.option("--seed", type=int, help="Use another seed for the day.")
+@click.option("--baseline/--no-baseline", default=True, help="Also run the same day with the naive baseline.")
 @click.option(
-    "--day", "bench_day", type=EXISTING_FILE, help="Play the troubles of a day file as the bench draws it."
+    "--day", "bench_day", type=EXISTING_FILE, help="Run the faults of a day file in the format of the bench."
 )
 @click.option(
     "--keep", type=click.Path(file_okay=False, path_type=Path), help="Keep records and logs in this folder."
 )
-@click.option("--mixed", is_flag=True, help="Every second viewer comes over the WebSocket session API.")
-@click.option("--state", "with_state", is_flag=True, help="Fronts keep a state file over their deaths.")
-@click.option("--patient", is_flag=True, help="Players look for their sessions again when a front dies.")
+@click.option("--mixed", is_flag=True, help="Every second viewer uses the WebSocket session API.")
+@click.option("--state", "with_state", is_flag=True, help="Fronts keep a state file over their crashes.")
+@click.option("--patient", is_flag=True, help="Players look up their sessions again after a front crashes.")
 def rehearse(
     file: str | None,
     seed: int | None,
@@ -45,9 +45,9 @@
     with_state: bool,
     patient: bool,
 ) -> None:
-    """Play a day FILE through real fronts on loopback and judge the rules from the sockets.
+    """Run the day FILE with real fronts on loopback and check the rules on what the sockets carried.
 
-    FILE may be the name of a shipped day, bad-day, split-fleet or late-owner; without it the bad day is played.
+    FILE may be the name of a shipped day, bad-day, split-fleet or late-owner; by default bad-day is run.
     """
     from oakcroft.rehearsal import report, runner
     from oakcroft.rehearsal.mixed_audience import MixedAudience
@@ -90,11 +90,11 @@
 @click.argument("file", type=EXISTING_FILE)
 @click.option("--seed", type=int, required=True)
 @click.option(
-    "--start", type=int, help="When the day begins, ns since the epoch; by default read from standard input."
+    "--start", type=int, help="Start of the day, ns since the epoch; by default read from standard input."
 )
 @click.option("--record", type=click.Path(dir_okay=False, path_type=Path), required=True)
 def stand_in(file: Path, seed: int, start: int | None, record: Path) -> None:
-    """Run the fleet of a day: its nodes, its list service and its faults."""
+    """Run the simulated fleet of a day: its nodes, its list service and its faults."""
     from oakcroft.standins import program
     from oakcroft.standins.day import load_day
 
--- a/oakcroft/config/expander.py
+++ b/oakcroft/config/expander.py
@@ -73,37 +73,34 @@
     def _load_file(
         self, file_name: str, include_chain: list[str], location: SourceLocation | None, gathered: list[Form]
     ) -> None:
+        """Appends the forms of a file and of its includes to `gathered`. Each file is loaded once.
+
+        `include_chain` holds the files whose includes lead to this one, and `location` is that of the include.
+        """
         reported_at = location or SourceLocation(file_name, 1, 1)
         if file_name in include_chain:
             circle = " -> ".join([*include_chain[include_chain.index(file_name) :], file_name])
             self.diagnostics.error(reported_at, f"circular include: {circle}", "remove one of these includes")
             return
         if file_name in self.loaded_files:
-            return  # each file is included once, however many includes name it
+            return
         self.loaded_files.add(file_name)
         if len(self.loaded_files) > MAX_FILES:
-            self.diagnostics.error(
-                reported_at, f"more than {MAX_FILES} files are included", "merge some of them"
-            )
+            message = f"more than {MAX_FILES} files are included"
+            self.diagnostics.error(reported_at, message, "merge some of them")
             return
         try:
             text = self.read_text(file_name)
         except OSError as error:
-            reason = error.strerror or str(error)
             self.diagnostics.is_incomplete = True
-            self.diagnostics.error(
-                reported_at,
-                f"{file_name} cannot be read: {reason}",
-                "correct the path; it is relative to the including file",
-            )
+            message = f"{file_name} cannot be read: {error.strerror or error}"
+            fix = "correct the path; it is relative to the including file"
+            self.diagnostics.error(reported_at, message, fix)
             return
         for part in without_comments(parse_text(text, file_name, self.diagnostics)):
             if isinstance(part, Atom):
-                self.diagnostics.error(
-                    part.location,
-                    f"unexpected {part.source_text}; a file contains only forms (name …)",
-                    f"write ({part.source_text} …)",
-                )
+                message = f"unexpected {part.source_text}; a file contains only forms (name …)"
+                self.diagnostics.error(part.location, message, f"write ({part.source_text} …)")
             elif part.name == "include":
                 self._load_include(part, file_name, [*include_chain, file_name], gathered)
             elif part.name == "define":
@@ -114,6 +111,7 @@
     def _load_include(
         self, form: Form, file_name: str, include_chain: list[str], gathered: list[Form]
     ) -> None:
+        """Loads the file of an (include …). Records an error if its path is not below the main file's folder."""
         path = form.items[1] if len(form.items) == 2 else None
         if not isinstance(path, Atom):
             self.diagnostics.error(
@@ -143,47 +141,52 @@
         self._load_file("/".join(segments), include_chain, path.location, gathered)
 
     def _add_definition(self, form: Form) -> None:
+        """Adds the definition of a (define …). Records an error if it is malformed or its name is taken."""
         items = form.items
-        head = items[1] if len(items) > 1 else None
+        name = items[1] if len(items) > 1 else None
         parameters = items[2] if len(items) > 2 else None
-        if not isinstance(head, Atom) or not isinstance(parameters, Form):
-            self.diagnostics.error(form.location, "define takes a name, a list of parameters, and the forms that it expands to",
-                                "write (define half (plan) (limit $plan (at-once 20)))")  # fmt: skip
+        if not isinstance(name, Atom) or not isinstance(parameters, Form):
+            message = "define takes a name, a list of parameters, and the forms that it expands to"
+            fix = "write (define half (plan) (limit $plan (at-once 20)))"
+            self.diagnostics.error(form.location, message, fix)
             return
-        names = [part.text for part in parameters.items if isinstance(part, Atom)]
+        parameter_names = [part.text for part in parameters.items if isinstance(part, Atom)]
         body = [part for part in items[3:] if isinstance(part, Form)]
-        if len(names) != len(parameters.items) or len(set(names)) != len(names):
-            self.diagnostics.error(
-                parameters.location,
-                "the name of a definition is followed by the list of its parameters, each once",
-                "write (plan rate), or () for none",
-            )
+        if len(parameter_names) != len(parameters.items) or len(set(parameter_names)) != len(parameter_names):
+            message = "the name of a definition is followed by the list of its parameters, each once"
+            self.diagnostics.error(parameters.location, message, "write (plan rate), or () for none")
             return
         if len(body) != len(items) - 3 or not body:
-            self.diagnostics.error(
-                form.location, f"definition {head.text} must contain only forms (name …), at least one", ""
-            )
+            message = f"definition {name.text} must contain only forms (name …), at least one"
+            self.diagnostics.error(form.location, message, "")
             return
-        if head.text in self.definitions:
-            first = self.definitions[head.text].location
-            self.diagnostics.error(
-                form.location,
-                f"definition {head.text} is defined twice; first at {first}",
-                "rename one of them",
+        if name.text in self.definitions:
+            message = (
+                f"definition {name.text} is defined twice; first at {self.definitions[name.text].location}"
             )
+            self.diagnostics.error(form.location, message, "rename one of them")
             return
-        used = {name for body_form in body for atom in _atoms_in(body_form) for name in _parameters_in(atom)}
-        for name in sorted(used - set(names)):
-            guess = closest_match(name, names)
-            self.diagnostics.error(form.location, f"definition {head.text} uses ${name}, which is not one of its parameters",
-                                f"write ${guess}" if guess else f"add {name} to its parameters")  # fmt: skip
-        for name in sorted(set(names) - used):
-            self.diagnostics.warn(
-                parameters.location,
-                f"definition {head.text} never uses its parameter {name}",
-                f"remove {name}",
-            )
-        self.definitions[head.text] = Definition(head.text, tuple(names), tuple(body), form.location)
+        definition = Definition(name.text, tuple(parameter_names), tuple(body), form.location)
+        self._check_parameters(definition, parameters.location)
+        self.definitions[name.text] = definition
+
+    def _check_parameters(self, definition: Definition, parameters_location: SourceLocation) -> None:
+        """Checks that the body of a definition uses all of its parameters and no others."""
+        declared = set(definition.parameters)
+        used = {
+            parameter
+            for form in definition.body
+            for atom in _atoms_in(form)
+            for parameter in _parameters_in(atom)
+        }
+        for name in sorted(used - declared):
+            guess = closest_match(name, definition.parameters)
+            message = f"definition {definition.name} uses ${name}, which is not one of its parameters"
+            fix = f"write ${guess}" if guess else f"add {name} to its parameters"
+            self.diagnostics.error(definition.location, message, fix)
+        for name in sorted(declared - used):
+            message = f"definition {definition.name} never uses its parameter {name}"
+            self.diagnostics.warn(parameters_location, message, f"remove {name}")
 
     def _expand(self, form: Form, use_chain: tuple[str, ...], expanded: list[Form]) -> None:
         """Appends a form to `expanded`, or for a (use …) the forms that it stands for.
