--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -8,6 +8,7 @@
 from oakcroft.config.records import Records
 from oakcroft.config.schema import InvalidValueError, Record
 from oakcroft.config.syntax import Atom
+from oakcroft.config.value_types import SHARE_TYPE
 
 
 def check_levels(records: Records, diagnostics: Diagnostics) -> None:
@@ -42,7 +43,7 @@
     for plan, share in level.get("admits"):
         check_defined(level, "admits", records.named_records(forms.PLAN), "plan", diagnostics, plan)
         try:
-            forms.SHARE_TYPE.parse(Atom(share, level.location_of("admits"), False, share))
+            SHARE_TYPE.parse(Atom(share, level.location_of("admits"), False, share))
         except InvalidValueError as error:
             diagnostics.error(level.location_of("admits"), error.message, error.fix)
 
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -11,9 +11,14 @@
 from oakcroft.config.deployment_builder import build_route
 from oakcroft.config.resolved import ResolvedConfig
 from oakcroft.config.schema import Field, Schema, format_value
+from oakcroft.config.value_types import ADDRESS_TYPE
 from oakcroft.decisions.routing.route_table import RouteRequest, RouteTable, example_request
 
 ABSENT = object()
+"""Stands for a missing form or field in a change."""
+
+PAIR_SIZE = 2
+"""A field of up to this many values is a pair, such as an entry and an exit, and is compared as a whole."""
 
 
 @dataclass(frozen=True)
@@ -108,7 +113,9 @@
 def _describe_field_change(field: Field, old: Any, new: Any) -> str:
     if field.name == "secret":
         return "its secret changed"
-    if (isinstance(old, tuple) and isinstance(new, tuple) and field.max_values > 2) or field.is_repeatable:
+    if (
+        isinstance(old, tuple) and isinstance(new, tuple) and field.max_values > PAIR_SIZE
+    ) or field.is_repeatable:
         added = [_format_field_value(field, value) for value in new if value not in old]
         removed = [_format_field_value(field, value) for value in old if value not in new]
         parts = [f"{field.name} now with {', '.join(added)}"] if added else []
@@ -135,7 +142,7 @@
     if isinstance(value, Mapping):
         return ", ".join(f"{key} {item}" for key, item in value.items())
     if isinstance(value, tuple):
-        if field.value_type is forms.ADDRESS_TYPE:
+        if field.value_type is ADDRESS_TYPE:
             return f"{value[0]}:{value[1]}"
         return " ".join(_format_field_value(field, item) for item in value)
     if isinstance(value, int | float) and not isinstance(value, bool):
--- a/oakcroft/config/expander.py
+++ b/oakcroft/config/expander.py
@@ -112,7 +112,8 @@
         self, form: Form, file_name: str, include_chain: list[str], gathered: list[Form]
     ) -> None:
         """Loads the file of an (include …). Records an error if its path is not below the main file's folder."""
-        path = form.items[1] if len(form.items) == 2 else None
+        arguments = form.items[1:]
+        path = arguments[0] if len(arguments) == 1 else None
         if not isinstance(path, Atom):
             self.diagnostics.error(
                 form.location, "include takes exactly one file", 'write (include "plans.oak")'
@@ -142,21 +143,21 @@
 
     def _add_definition(self, form: Form) -> None:
         """Adds the definition of a (define …). Records an error if it is malformed or its name is taken."""
-        items = form.items
-        name = items[1] if len(items) > 1 else None
-        parameters = items[2] if len(items) > 2 else None
+        arguments = form.items[1:]
+        name = arguments[0] if arguments else None
+        parameters = arguments[1] if len(arguments) > 1 else None
         if not isinstance(name, Atom) or not isinstance(parameters, Form):
             message = "define takes a name, a list of parameters, and the forms that it expands to"
             fix = "write (define half (plan) (limit $plan (at-once 20)))"
             self.diagnostics.error(form.location, message, fix)
             return
         parameter_names = [part.text for part in parameters.items if isinstance(part, Atom)]
-        body = [part for part in items[3:] if isinstance(part, Form)]
+        body = [part for part in arguments[2:] if isinstance(part, Form)]
         if len(parameter_names) != len(parameters.items) or len(set(parameter_names)) != len(parameter_names):
             message = "the name of a definition is followed by the list of its parameters, each once"
             self.diagnostics.error(parameters.location, message, "write (plan rate), or () for none")
             return
-        if len(body) != len(items) - 3 or not body:
+        if len(body) != len(arguments) - 2 or not body:
             message = f"definition {name.text} must contain only forms (name …), at least one"
             self.diagnostics.error(form.location, message, "")
             return
--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -2,86 +2,15 @@
 
 from __future__ import annotations
 
-import re
-
 from oakcroft.config.schema import (
-    NAME_TYPE, NUMBER_TYPE, PACE_TYPE, RATE_TYPE, SIZE_TYPE, TEXT_TYPE, TIME_TYPE, INTEGER_TYPE, InvalidValueError, Field, ValueType, Schema, choice_type,
+    NAME_TYPE, NUMBER_TYPE, PACE_TYPE, RATE_TYPE, SIZE_TYPE, TEXT_TYPE, TIME_TYPE, INTEGER_TYPE, Field, Schema, choice_type,
+)  # fmt: skip
+from oakcroft.config.value_types import (
+    ADDRESS_TYPE, ICE_SERVER_TYPE, PATH_TYPE, SECRET_TYPE, SHARE_TYPE, TITLE_TYPE,
 )  # fmt: skip
-from oakcroft.config.syntax import Atom
 from oakcroft.interface import MS, SECOND
 
 MAX_VALUES = 10_000
-
-
-def _parse_address(atom: Atom) -> tuple[str, int]:
-    host, colon, port = atom.text.rpartition(":")
-    if not colon or not host:
-        raise InvalidValueError(f"{atom.source_text} is not an address", 'write it as "127.0.0.1:8080"')
-    if not port.isascii() or not port.isdigit() or int(port) > 65_535:
-        raise InvalidValueError(
-            f"{port} is not a valid port", "write a port from 0 to 65535 (0: any free port)"
-        )
-    return host.strip("[]"), int(port)
-
-
-def _parse_path_prefix(atom: Atom) -> str:
-    path = atom.text
-    if not path.startswith("/") or not path.endswith("/"):
-        raise InvalidValueError(
-            f"{atom.source_text} is not a valid path: it must begin and end with /",
-            f'write "/{path.strip("/")}/"',
-        )
-    if path.startswith("/session/"):
-        raise InvalidValueError(
-            "paths under /session/ are reserved for the front's own use", "choose another path"
-        )
-    if not re.fullmatch(r"[A-Za-z0-9._~!$&'()*+,;=:@%/\-]+", path) or "//" in path:
-        raise InvalidValueError(
-            f"{atom.source_text} contains characters that a path cannot contain",
-            "use letters, digits and -._~ between single slashes",
-        )
-    return path
-
-
-def _parse_title_pattern(atom: Atom) -> str:
-    if "*" in atom.text[:-1] or "/" in atom.text or not atom.text:
-        raise InvalidValueError(
-            f"{atom.source_text} is not a title or a title prefix",
-            "write a title, or a title prefix followed by *",
-        )
-    return atom.text
-
-
-def _parse_ice_server(atom: Atom) -> str:
-    if not re.fullmatch(r"(stun|stuns|turn|turns):\S+", atom.text):
-        raise InvalidValueError(f"{atom.source_text} is not an ICE server", 'write it as "stun:host:3478"')
-    return atom.text
-
-
-def _parse_secret(atom: Atom) -> str:
-    if len(atom.text) < 8 or not re.fullmatch(r"[A-Za-z0-9._~+/\-]+=*", atom.text):
-        raise InvalidValueError(
-            "this secret is not a bearer token of at least 8 characters",
-            "generate one with: openssl rand -hex 16",
-        )
-    return atom.text
-
-
-def _parse_share(atom: Atom) -> float:
-    value = float(NUMBER_TYPE.parse(atom))
-    if not 0 <= value <= 1:
-        raise InvalidValueError(
-            f"{atom.source_text} is not a share", "write a number from 0 to 1, or a percentage"
-        )
-    return value
-
-
-ADDRESS_TYPE = ValueType("address", 'a host and a port, as "127.0.0.1:8080"', _parse_address)
-PATH_TYPE = ValueType("path", 'a path that a title can follow, as "/whep/open/"', _parse_path_prefix)
-TITLE_TYPE = ValueType("title", "a title, or how titles begin and then *", _parse_title_pattern)
-ICE_SERVER_TYPE = ValueType("ICE server", 'as "stun:host:3478"', _parse_ice_server)
-SECRET_TYPE = ValueType("secret", "a bearer token of 8 letters or more", _parse_secret)
-SHARE_TYPE = ValueType("share", "from 0 to 1, or in %", _parse_share)
 EFFECTS = ("free", "keyed", "paid")
 
 FRONT = Schema(
--- a/oakcroft/config/resolved.py
+++ b/oakcroft/config/resolved.py
@@ -8,6 +8,7 @@
 from oakcroft.config import forms
 from oakcroft.config.records import Records
 from oakcroft.config.schema import Record
+from oakcroft.config.value_types import ADDRESS_TYPE
 
 ResolvedConfig = dict[str, dict[str, Any]]
 """Resolved field values by form name; for a named form the values of each instance by the instance's name."""
@@ -57,7 +58,7 @@
     if field_name == "secret" and value:
         return hashlib.blake2b(value.encode(), digest_size=DIGEST_BYTES).hexdigest()
     field = record.schema.find_field(field_name)
-    is_address = field is not None and field.value_type is forms.ADDRESS_TYPE
+    is_address = field is not None and field.value_type is ADDRESS_TYPE
     if isinstance(value, list | tuple) and not is_address:
         items = [tuple(item) if isinstance(item, list) else item for item in value]
         return tuple(sorted(set(items)) if field_name in UNORDERED_FIELDS else items)
