--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,7 +1,8 @@
-"""The configuration language: its checker, formatter and diff, and the routing, limits and versions that it feeds."""
+"""The configuration language: its checker, formatter and diff; and routing, limits and versions of a configuration."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
 
 import pytest
@@ -58,7 +59,8 @@
 HERE = Path(__file__).parent
 
 
-def sections() -> dict[str, dict[str, str]]:
+def read_sections() -> dict[str, dict[str, str]]:
+    """Returns the files and the expected output of each section of broken.txt, by section name."""
     sections_by_name: dict[str, dict[str, str]] = {}
     for section in (HERE / "broken.txt").read_text().split("=== ")[1:]:
         name, _, body = section.partition("\n")
@@ -67,11 +69,13 @@
     return sections_by_name
 
 
-BROKEN = sections()
+BROKEN = read_sections()
 BASE = BROKEN.pop("base")["base.oak"]
 
 
-def text_reader(files: dict[str, str]):  # type: ignore[no-untyped-def]
+def text_reader(files: dict[str, str]) -> Callable[[str], str]:
+    """Returns a reader of texts by file name, for `check_file`."""
+
     def read_text(name: str) -> str:
         if name not in files:
             raise OSError("no such file")
@@ -81,14 +85,16 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_a_broken_file_is_told_with_place_and_fix(name: str) -> None:
+def test_an_invalid_file_is_reported_with_location_and_fix(name: str) -> None:
+    """The output of a check is exactly that of broken.txt, and only errors reject the configuration."""
     files = {"base.oak": BASE, **BROKEN[name]}
     resolved, diagnostics = check_file("main.oak", text_reader(files))
-    assert "\n".join(diagnostics.format(item) for item in diagnostics.sorted()) == files["says"]
-    assert (resolved is None) == (": error: " in files["says"])
+    assert "\n".join(diagnostics.format(item) for item in diagnostics.sorted()) == files["output"]
+    assert (resolved is None) == (": error: " in files["output"])
 
 
-def test_there_are_enough_broken_files_and_the_base_is_sound() -> None:
+def test_the_base_file_is_valid() -> None:
+    """Guards against sections that are invalid only because of the base file, and against lost sections."""
     assert len(BROKEN) >= 60
     resolved, diagnostics = check_file("base.oak", text_reader({"base.oak": BASE}))
     assert resolved is not None
@@ -96,9 +102,10 @@
 
 
 def resolved_config(text: str) -> ResolvedConfig:
-    found, problems = check_file("main.oak", text_reader({"main.oak": text, "base.oak": BASE}))
-    assert found is not None, [problems.format(p) for p in problems.errors]
-    return found
+    """Returns the resolved configuration of a text that may include the base file."""
+    resolved, diagnostics = check_file("main.oak", text_reader({"main.oak": text, "base.oak": BASE}))
+    assert resolved is not None, [diagnostics.format(error) for error in diagnostics.errors]
+    return resolved
 
 
 # Generated configurations.
@@ -111,23 +118,24 @@
 
 @st.composite
 def configurations(draw: st.DrawFn) -> str:
-    quiet = st.sampled_from(["", " ", "\n", "\n\n", "\n ; said\n", "  ; so\n", "\n\n\n  "])
+    """Draws a valid configuration with a random layout."""
+    separators = st.sampled_from(["", " ", "\n", "\n\n", "\n ; said\n", "  ; so\n", "\n\n\n  "])
     forms = ['(include "base.oak")']
-    for i in range(draw(st.integers(0, 3))):
+    for number in range(draw(st.integers(0, 3))):
         target, abandon = draw(st.sampled_from([("1s", "5s"), ("1000ms", "0.1min"), ("800ms", "2s")]))
-        seats = f"(seats {i})" if draw(st.booleans()) else ""
+        seats = f"(seats {number})" if draw(st.booleans()) else ""
         forms.append(
-            f"(plan p{i} (effect free) (startup-target {target}) (abandon {abandon}) (revenue {i}) {seats})"
+            f"(plan p{number} (effect free) (startup-target {target}) (abandon {abandon}) (revenue {number}) {seats})"
         )
-    plans = ["course", *(f"p{i}" for i in range(len(forms) - 1))]
-    for i in range(draw(st.integers(0, 3))):
-        titles = " ".join(f'"{t}"' for t in draw(st.lists(TITLES, min_size=1, max_size=3)))
+    plans = ["course", *(f"p{number}" for number in range(len(forms) - 1))]
+    for number in range(draw(st.integers(0, 3))):
+        titles = " ".join(f'"{title}"' for title in draw(st.lists(TITLES, min_size=1, max_size=3)))
         wing = draw(st.sampled_from(["", "(wing west)"]))
         plan = draw(st.sampled_from(plans))
-        forms.append(f'(route r{i} (path "/r{i}/") (titles {titles}) {wing} (plan {plan}))')
-    for i in range(draw(st.integers(0, 2))):
-        on = draw(st.sampled_from(["all", "plan course", "plan *", "wing west"]))
-        forms.append(f"(limit l{i} (on {on}) {draw(PACES)})")
+        forms.append(f'(route r{number} (path "/r{number}/") (titles {titles}) {wing} (plan {plan}))')
+    for number in range(draw(st.integers(0, 2))):
+        scope = draw(st.sampled_from(["all", "plan course", "plan *", "wing west"]))
+        forms.append(f"(limit l{number} (on {scope}) {draw(PACES)})")
     if draw(st.booleans()):
         forms.append(
             '(pool w (wings west east)(but n1 n2))\n(route pooled (path "/w/") (plan course) (pool w))'
@@ -135,14 +143,15 @@
     head, rest = forms[0], draw(st.permutations(forms[1:]))
     text = head
     for form in rest:
-        spaced = form.replace(") (", f"){draw(quiet) or ' '}(").replace("))", f"){draw(quiet)})")
-        text += (draw(quiet) or "\n") + spaced
+        spaced = form.replace(") (", f"){draw(separators) or ' '}(").replace("))", f"){draw(separators)})")
+        text += (draw(separators) or "\n") + spaced
     return text + draw(st.sampled_from(["", "\n", "\n; the end", "\n\n"]))
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(configurations())
-def test_layout_is_a_fixed_point_and_never_changes_meaning(text: str) -> None:
+def test_formatting_is_idempotent_and_keeps_the_semantics(text: str) -> None:
+    """Formatting twice changes nothing more, and formatting keeps values and comments."""
     formatted = format_text(text, "main.oak")
     assert format_text(formatted, "main.oak") == formatted
     assert resolved_config(formatted) == resolved_config(text)
@@ -153,7 +162,8 @@
 
 @settings(derandomize=True, deadline=None, max_examples=120)
 @given(configurations(), configurations())
-def test_a_diff_is_empty_only_for_equals_and_leads_from_one_to_the_other(one: str, other: str) -> None:
+def test_a_diff_is_empty_only_for_equal_configurations_and_can_be_applied(one: str, other: str) -> None:
+    """Applying the changes to the old configuration gives the new one."""
     old, new = resolved_config(one), resolved_config(other)
     changes = find_changes(old, new)
     assert (not changes) == (old == new)
@@ -165,7 +175,8 @@
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(st.text(alphabet='()"; $ab1s%/\n\\{}', max_size=120))
-def test_no_text_crashes_the_reader_the_checker_or_the_formatter(text: str) -> None:
+def test_any_text_is_parsed_checked_and_formatted_or_rejected(text: str) -> None:
+    """Guards against input that raises any other exception."""
     diagnostics = Diagnostics()
     parts = parse_text(text, "f", diagnostics)
     check_file("f", text_reader({"f": text}))
@@ -178,7 +189,8 @@
         assert parts or not formatted.strip() or formatted.lstrip().startswith(";")
 
 
-def test_what_is_too_deep_or_leads_out_of_the_folder_is_refused(tmp_path: Path) -> None:
+def test_deep_nesting_and_files_outside_the_folder_are_rejected(tmp_path: Path) -> None:
+    """A symbolic link cannot include a file outside of the folder; a file that is not UTF-8 is rejected too."""
     _, diagnostics = check_file("f", text_reader({"f": "(" * 5000}))
     assert "nested" in diagnostics.errors[0].message
     (tmp_path / "in").mkdir()
@@ -193,6 +205,7 @@
 
 
 def test_order_units_includes_and_definitions_make_no_difference() -> None:
+    """Texts that differ only in these resolve to the same configuration."""
     plain = resolved_config(
         '(include "base.oak")\n(limit a (on plan course) (rate 60/min))\n(limit b (on all) (at-once 9))'
     )
@@ -201,7 +214,8 @@
     assert find_changes(plain, other) == []
 
 
-def test_a_diff_speaks_of_meaning_and_shows_requests_that_go_elsewhere() -> None:
+def test_a_diff_describes_changes_and_rerouted_requests() -> None:
+    """Changes are described by field, and an example shows each request that is routed differently."""
     old = resolved_config('(include "base.oak")\n(pool w (nodes n1))\n(route w (path "/w/") (plan course) (pool w))\n'
                 "(limit all (on all) (rate 40/s))")  # fmt: skip
     new = resolved_config('(include "base.oak")\n(pool w (nodes n1 n2 n3))\n(route w (path "/w/") (plan course) (pool w))\n'
@@ -217,7 +231,8 @@
     assert any(line.startswith("- route live") for line in describe_changes(find_changes(new, old)))
 
 
-def test_explain_names_the_route_and_why_others_do_not() -> None:
+def test_explain_shows_the_matching_route_and_why_others_do_not_match() -> None:
+    """The explanation also shows the limits that apply, with this front end's share."""
     shared = build_deployment(resolved_config('(include "base.oak")\n(route vip (path "/whep/course/") (titles "vip-*") (plan course) (top 1))\n'
                         '(limit each (on plan *) (rate 8/s) (at-once 6))')).shared  # fmt: skip
     lines = explain_request(shared, RouteRequest(ClientRole.WATCH, "/whep/course/a", "west", {}), "", 0)
@@ -229,14 +244,16 @@
     )
 
 
-def test_the_reference_page_is_as_the_schemas_make_it() -> None:
+def test_the_reference_page_is_generated_from_the_schemas() -> None:
+    """Guards against a reference page that is out of date."""
     assert (HERE.parent / "docs" / "reference.md").read_text() == reference.reference_page()
     assert reference.completions("", "pl") == ["plan"]
     assert reference.completions("plan", "s") == ["seats", "shares-stream", "startup-target"]
     assert reference.completions("tries-budget", "") == ["free", "share", "window"]
 
 
-def test_the_commands(tmp_path: Path) -> None:
+def test_the_config_commands(tmp_path: Path) -> None:
+    """The commands report errors by their exit codes."""
     cli, good, bad = CliRunner(), tmp_path / "good.oak", tmp_path / "bad.oak"
     good.write_text(BASE)
     bad.write_text(BASE.replace("(effect paid)", "(effect pade)"))
@@ -270,10 +287,11 @@
     st.booleans(),
     st.booleans(),
 )
-def test_the_table_finds_what_a_walk_over_all_routes_finds(
+def test_the_route_table_agrees_with_a_linear_search(
     matches: list[Match], title: str, west: bool, claims: bool
 ) -> None:
-    routes = [Route(f"r{i}", match, "p") for i, match in enumerate(matches)]
+    """The table finds a route of the highest specificity; routes that tie are reported as ambiguous."""
+    routes = [Route(f"r{number}", match, "p") for number, match in enumerate(matches)]
     request = RouteRequest(
         ClientRole.WATCH,
         "/a/" + title,
@@ -282,46 +300,53 @@
     )
 
     def specificity_of(route: Route) -> tuple[int, int, int]:
+        """Returns the specificity of the most specific pattern of a route that matches."""
         fits = [pattern for pattern in route.match.title_patterns if pattern_matches(pattern, title)]
         return max(
             (specificity(pattern, route.match) for pattern in fits), default=specificity(None, route.match)
         )
 
-    matching = [r for r in routes if find_mismatch(r.match, request) is None]
+    matching = [route for route in routes if find_mismatch(route.match, request) is None]
     found = RouteTable(routes).find(request)
     if not matching:
         assert found is None
         return
-    best = max(specificity_of(r) for r in matching)
+    best = max(specificity_of(route) for route in matching)
     assert found is not None
     assert specificity_of(found) == best
-    if sum(specificity_of(r) == best for r in matching) > 1:
+    if sum(specificity_of(route) == best for route in matching) > 1:
         assert ambiguous_routes(routes)
     assert highest_specificity(found) >= best
 
 
 def test_a_lookup_does_not_visit_routes_that_cannot_match() -> None:
-    routes = [Route(f"r{i}", Match(ClientRole.WATCH, f"/p{i % 50}/", (f"t{i}*",)), "p") for i in range(5000)]
+    """Guards against a lookup whose cost grows with the number of routes."""
+    routes = [
+        Route(f"r{number}", Match(ClientRole.WATCH, f"/p{number % 50}/", (f"t{number}*",)), "p")
+        for number in range(5000)
+    ]
     bucket = RouteTable(routes).by_prefix[ClientRole.WATCH, "/p7/"]
-    assert [[r.name for r in some] for some in bucket.candidates("t57-x") if some] == [["r57"]]
+    assert [[route.name for route in level] for level in bucket.candidates("t57-x") if level] == [["r57"]]
     found = RouteTable(routes).find(RouteRequest(ClientRole.WATCH, "/p7/t57-x", "", {}))
     assert found is not None
     assert found.name == "r57"
 
 
-def test_pools_admit_by_every_part_that_stands() -> None:
+def test_a_pool_admits_only_nodes_that_meet_all_of_its_conditions() -> None:
+    """A node that fails any one condition is not admitted."""
     node = Node("n1+2")
     node.zone, node.cell, node.kind, node.tags = "west", 4, "big", frozenset({"gpu", "new"})
     assert Pool("p", ("west",), (1,), ("big",), ("gpu",), ("n1",)).admits(node, 3)
-    for wrong in (Pool("p", ("east",)), Pool("p", racks=(0,)), Pool("p", kinds=("small",)), Pool("p", tags=("gpu", "old")),
+    for other in (Pool("p", ("east",)), Pool("p", racks=(0,)), Pool("p", kinds=("small",)), Pool("p", tags=("gpu", "old")),
                   Pool("p", nodes=("n2",)), Pool("p", excluded_nodes=("n1+2",))):  # fmt: skip
-        assert not wrong.admits(node, 3)
+        assert not other.admits(node, 3)
 
 
 # Limits.
 
 
-def test_limits_charge_all_or_nothing_in_their_order() -> None:
+def test_limits_are_charged_together_or_not_at_all() -> None:
+    """A rejected request is charged to none of its limits, and a reservation is released once."""
     ledger = LimitLedger()
     ledger.set_limits([
         RequestLimit("slow", LimitScope.ALL, "", rate=1.0, burst=2), RequestLimit("each", LimitScope.PLAN, "*", max_concurrent=1),
@@ -342,7 +367,8 @@
     assert isinstance(ledger.acquire(subject, SECOND), LimitReservation)
 
 
-def test_clocks_that_jump_or_stand_still_give_nothing_away() -> None:
+def test_clock_jumps_do_not_exceed_a_limit() -> None:
+    """A clock that jumps forward, stands still or goes back never admits more than the burst."""
     ledger, subject = LimitLedger(), RequestSubject("", "r", "p", "w")
     ledger.set_limits([RequestLimit("l", LimitScope.ALL, "", rate=10.0, burst=3)])
     assert sum(isinstance(ledger.acquire(subject, 0), LimitReservation) for _ in range(5)) == 3
@@ -351,7 +377,8 @@
     assert isinstance(ledger.acquire(subject, 3600 * SECOND), LimitExceeded)
 
 
-def test_counts_outlive_a_version() -> None:
+def test_concurrency_counts_survive_a_new_configuration() -> None:
+    """Playbacks admitted under an older limit count against a lower one."""
     ledger, subject = LimitLedger(), RequestSubject("", "r", "p", "w")
     ledger.set_limits([RequestLimit("l", LimitScope.ALL, "", max_concurrent=3)])
     tickets = [answer for _ in range(3) if isinstance(answer := ledger.acquire(subject, 0), LimitReservation)]
@@ -364,7 +391,8 @@
 
 
 @given(st.integers(0, 200), st.integers(1, 60))
-def test_the_shares_of_all_fronts_are_the_whole(at_once: int, fronts: int) -> None:
+def test_the_shares_of_all_front_ends_add_up_to_the_limit(at_once: int, fronts: int) -> None:
+    """Guards against places that are lost or granted twice by rounding."""
     whole = RequestLimit("l", LimitScope.ALL, "", rate=30.0, burst=60.0, max_concurrent=at_once)
     shares = [share_of_limit(whole, front_index, fronts) for front_index in range(fronts)]
     assert sum(share.max_concurrent or 0 for share in shares) == at_once
@@ -373,7 +401,8 @@
 
 @settings(derandomize=True, deadline=None, max_examples=120)
 @given(st.lists(st.tuples(st.integers(0, 2 * SECOND), st.sampled_from("pq"), st.booleans()), max_size=60))
-def test_no_window_ever_passes_more_than_burst_and_rate(steps: list[tuple[int, str, bool]]) -> None:
+def test_no_window_admits_more_than_burst_and_rate(steps: list[tuple[int, str, bool]]) -> None:
+    """Also, no plan exceeds its concurrency."""
     limits = [
         RequestLimit("all", LimitScope.ALL, "", rate=2.0, burst=4.0),
         RequestLimit("each", LimitScope.PLAN, "*", rate=1.0, max_concurrent=3),
@@ -393,17 +422,18 @@
         if isinstance(answer, LimitReservation):
             passed.append((now, plan))
             held.append((plan, answer))
-        assert sum(p == plan for p, _ in held) <= 3
-    for i, (start, _) in enumerate(passed):
-        for j in range(i, len(passed)):
-            span = (passed[j][0] - start) / SECOND
-            assert j - i + 1 <= burst_size(limits[0]) + 2.0 * span + 1e-6
+        assert sum(held_plan == plan for held_plan, _ in held) <= 3
+    for first, (start, _) in enumerate(passed):
+        for last in range(first, len(passed)):
+            span = (passed[last][0] - start) / SECOND
+            assert last - first + 1 <= burst_size(limits[0]) + 2.0 * span + 1e-6
 
 
 # Versions.
 
 
-def test_versions_are_taken_whole_in_the_order_of_their_reading() -> None:
+def test_configuration_versions_apply_only_in_the_order_they_were_read() -> None:
+    """An older, invalid, equal or incompatible version leaves the active one in force."""
     a, b, c = ({"plan": {"p": i}, "ladder": {"": 1}} for i in range(3))
     active = ActiveConfiguration(ConfigurationVersion(0, a, "a"))
     assert active.apply(None) == (ConfigurationVerdict.INVALID, [])
@@ -418,7 +448,8 @@
     assert plan_families({"x": 0}, ["y", "x"]) == {"x": 0, "y": 1}
 
 
-def test_seats_count_over_versions_of_a_plan() -> None:
+def test_seats_are_counted_across_versions_of_a_plan() -> None:
+    """A plan of a new version is equal to the old one as a key."""
     one = build_deployment(resolved_config('(include "base.oak")')).shared.plans["course"].plan
     two = (
         build_deployment(
