--- a/oakcroft/config/checks/__init__.py
+++ b/oakcroft/config/checks/__init__.py
@@ -7,11 +7,22 @@
 from oakcroft.config.records import Records
 
 CHECKS = (
-    plans.check_ladder, plans.check_plans, pools.check_pools, routes.check_routes, limits.check_limits,
-    limits.check_tokens, fronts.check_front, fronts.check_nodes, levels.check_levels, levels.check_preference,
-    peers.check_peers, peers.check_lease_acceptors, peers.check_session_takeover, peers.check_load_probing,
+    plans.check_ladder,
+    plans.check_plans,
+    pools.check_pools,
+    routes.check_routes,
+    limits.check_limits,
+    limits.check_tokens,
+    fronts.check_front,
+    fronts.check_nodes,
+    levels.check_levels,
+    levels.check_preference,
+    peers.check_peers,
+    peers.check_lease_acceptors,
+    peers.check_session_takeover,
+    peers.check_load_probing,
     zones.check_zones,
-)  # fmt: skip
+)
 """All checks in the order in which they run, which matters where the bound on diagnostics is reached."""
 
 
--- a/oakcroft/config/checks/limits.py
+++ b/oakcroft/config/checks/limits.py
@@ -66,9 +66,11 @@
 def _names_in_scope(scope: str, records: Records) -> list[str]:
     """Returns the names that a limit of a scope may refer to. There are no zones if the fleet lists none."""
     by_scope: dict[str, Iterable[str]] = {
-        "plan": records.named_records(forms.PLAN), "route": records.named_records(forms.ROUTE), "token": records.named_records(forms.TOKEN),
+        "plan": records.named_records(forms.PLAN),
+        "route": records.named_records(forms.ROUTE),
+        "token": records.named_records(forms.TOKEN),
         "wing": records.fleet_value("wings"),
-    }  # fmt: skip
+    }
     return list(by_scope[scope])
 
 
--- a/oakcroft/config/compare.py
+++ b/oakcroft/config/compare.py
@@ -63,8 +63,11 @@
         if old is new:
             return []
         return [Change(form_name, name, None, ABSENT if old is None else old, ABSENT if new is None else new)]
-    return [Change(form_name, name, field_name, old.get(field_name, ABSENT), new.get(field_name, ABSENT))
-            for field_name in [*old, *(field_name for field_name in new if field_name not in old)] if old.get(field_name, ABSENT) != new.get(field_name, ABSENT)]  # fmt: skip
+    return [
+        Change(form_name, name, field_name, old.get(field_name, ABSENT), new.get(field_name, ABSENT))
+        for field_name in [*old, *(field_name for field_name in new if field_name not in old)]
+        if old.get(field_name, ABSENT) != new.get(field_name, ABSENT)
+    ]
 
 
 def apply_changes(changes: list[Change], old: ResolvedConfig) -> ResolvedConfig:
--- a/oakcroft/config/deployment_builder.py
+++ b/oakcroft/config/deployment_builder.py
@@ -57,10 +57,18 @@
     list_host, list_port = front["list-service"]
     host, port = front["listen"]
     front_settings = FrontSettings(
-        host=host, port=port, list_service_host=list_host, list_service_port=list_port, node_list_file=front["kept"], state_file=front["state"],
-        is_state_synced=_is_yes(front["state-sync"]), zone=front["zone"], seed=front["seed"], log_format=front["log"],
+        host=host,
+        port=port,
+        list_service_host=list_host,
+        list_service_port=list_port,
+        node_list_file=front["kept"],
+        state_file=front["state"],
+        is_state_synced=_is_yes(front["state-sync"]),
+        zone=front["zone"],
+        seed=front["seed"],
+        log_format=front["log"],
         peers=_peer_settings(resolved, front["zone"]) if "peers" in resolved else None,
-    )  # fmt: skip
+    )
     return Deployment(
         _shared_settings(resolved, front["number"], known_families or {}), front_settings, resolved
     )
@@ -85,23 +93,36 @@
     preference = resolved.get("preference")
     levels_by_rank = sorted(resolved["level"].items(), key=lambda level: level[1]["rank"])
     return SharedSettings(
-        terms=_terms(fleet, resolved["ladder"], front_index), plans=_plans(resolved, known_families),
+        terms=_terms(fleet, resolved["ladder"], front_index),
+        plans=_plans(resolved, known_families),
         route_table=RouteTable(build_route(name, route) for name, route in resolved["route"].items()),
         pools={name: build_pool(name, pool) for name, pool in resolved["pool"].items()},
         limits=tuple(build_limit(name, limit) for name, limit in resolved["limit"].items()),
         tokens=_tokens(resolved["token"]),
-        titles={name: TitlePlacement(title["home"], title["copies"]) for name, title in resolved["title"].items()},
-        copy_count=fleet["copies"], ice_servers=tuple(signalling["ice-servers"]),
-        connection_limits=replace(ConnectionLimits(), **_by_field_name(ConnectionLimits, resolved["door"])), answer_margin_ns=signalling["way-back"],
-        drain_grace_ns=fleet["drain-grace"], default_drain_notice_ns=fleet["usual-notice"], drain_timeout_ns=shutdown["drain-within"],
-        leave_timeout_ns=shutdown["leave-within"], silence_timeout_ns=nodes["silent-after"], loss_timeout_ns=nodes["lost-after"],
-        connect_timeout_ns=nodes["connect-within"], list_timeout_ns=nodes["list-within"], key_retention_ns=signalling["keep-keys"],
+        titles={
+            name: TitlePlacement(title["home"], title["copies"]) for name, title in resolved["title"].items()
+        },
+        copy_count=fleet["copies"],
+        ice_servers=tuple(signalling["ice-servers"]),
+        connection_limits=replace(ConnectionLimits(), **_by_field_name(ConnectionLimits, resolved["door"])),
+        answer_margin_ns=signalling["way-back"],
+        drain_grace_ns=fleet["drain-grace"],
+        default_drain_notice_ns=fleet["usual-notice"],
+        drain_timeout_ns=shutdown["drain-within"],
+        leave_timeout_ns=shutdown["leave-within"],
+        silence_timeout_ns=nodes["silent-after"],
+        loss_timeout_ns=nodes["lost-after"],
+        connect_timeout_ns=nodes["connect-within"],
+        list_timeout_ns=nodes["list-within"],
+        key_retention_ns=signalling["keep-keys"],
         operator_token_digest=bytes.fromhex(resolved["operators"]["secret"]),
         levels=tuple(build_level(name, level) for name, level in levels_by_rank),
         level_bounds=LevelBounds(**_by_field_name(LevelBounds, resolved["levels"])),
-        zone_preference=ZonePreferenceBounds(**_by_field_name(ZonePreferenceBounds, preference)) if preference is not None else None,
+        zone_preference=ZonePreferenceBounds(**_by_field_name(ZonePreferenceBounds, preference))
+        if preference is not None
+        else None,
         preferred_zones=tuple(preference["then"] or fleet["wings"]) if preference is not None else (),
-    )  # fmt: skip
+    )
 
 
 def _by_field_name(bounds: Any, values: FieldValues) -> dict[str, Any]:
@@ -112,14 +133,28 @@
 def _terms(fleet: FieldValues, ladder: FieldValues, front_index: int) -> DeploymentSettings:
     budget = fleet["tries-budget"]
     return DeploymentSettings(
-        front_count=fleet["fronts"], front_index=front_index, must_subscribe=False, subscribe_within_ns=0, cell_count=fleet["cells"],
-        rack_count=fleet["racks"], rung_rates=ladder["rates"], rung_revenue_shares=ladder["worth"], uplink_capacity=fleet["uplink"],
-        join_rate_share=fleet["join-adds"], report_delay_ns=fleet["seen-after"], report_interval_ns=fleet["reports-every"],
-        max_tries=fleet["most-tries"], max_retry_after_ns=fleet["stay-away-most"], cold_pace_share=fleet["cold-share"],
-        cold_duration_ns=fleet["cold-for"], overload_multiple=fleet["fall-multiple"], overload_window_ns=fleet["fall-window"],
-        retry_budget_base=budget["free"] if budget else None, retry_budget_share=budget["share"] if budget else 0.0,
+        front_count=fleet["fronts"],
+        front_index=front_index,
+        must_subscribe=False,
+        subscribe_within_ns=0,
+        cell_count=fleet["cells"],
+        rack_count=fleet["racks"],
+        rung_rates=ladder["rates"],
+        rung_revenue_shares=ladder["worth"],
+        uplink_capacity=fleet["uplink"],
+        join_rate_share=fleet["join-adds"],
+        report_delay_ns=fleet["seen-after"],
+        report_interval_ns=fleet["reports-every"],
+        max_tries=fleet["most-tries"],
+        max_retry_after_ns=fleet["stay-away-most"],
+        cold_pace_share=fleet["cold-share"],
+        cold_duration_ns=fleet["cold-for"],
+        overload_multiple=fleet["fall-multiple"],
+        overload_window_ns=fleet["fall-window"],
+        retry_budget_base=budget["free"] if budget else None,
+        retry_budget_share=budget["share"] if budget else 0.0,
         retry_budget_window_ns=budget["window"] if budget else DEFAULT_TRIES_WINDOW_NS,
-    )  # fmt: skip
+    )
 
 
 def _plans(resolved: ResolvedConfig, known_families: Mapping[str, int]) -> dict[str, PlanTerms]:
@@ -147,15 +182,26 @@
     zones = resolved["zone"]
     own_zone_values = zones.get(own_zone, {"region": "", "seeds": ()})
     return PeerSettings(
-        name=peers["name"], listen=peers["listen"], advertise=peers["advertise"] or peers["listen"],
-        seeds=tuple(dict.fromkeys([*peers["seeds"], *own_zone_values["seeds"]])), key_file=peers["key-file"], fleet_name=peers["fleet"],
-        start_count_file=peers["starts"], lease_acceptors=tuple(acceptors["names"]) if acceptors is not None else (),
-        term_ns=acceptors["term"] if acceptors is not None else 0, probe_interval_ns=probing["every"] if probing is not None else 0,
-        takeover_bounds=TakeoverBounds(takeover["after"], takeover["lease"], takeover["most"]) if takeover is not None else None,
-        region=own_zone_values["region"], other_zones=tuple(
-            OtherZone(name, zone["region"], tuple(zone["seeds"])) for name, zone in zones.items() if name != own_zone
+        name=peers["name"],
+        listen=peers["listen"],
+        advertise=peers["advertise"] or peers["listen"],
+        seeds=tuple(dict.fromkeys([*peers["seeds"], *own_zone_values["seeds"]])),
+        key_file=peers["key-file"],
+        fleet_name=peers["fleet"],
+        start_count_file=peers["starts"],
+        lease_acceptors=tuple(acceptors["names"]) if acceptors is not None else (),
+        term_ns=acceptors["term"] if acceptors is not None else 0,
+        probe_interval_ns=probing["every"] if probing is not None else 0,
+        takeover_bounds=TakeoverBounds(takeover["after"], takeover["lease"], takeover["most"])
+        if takeover is not None
+        else None,
+        region=own_zone_values["region"],
+        other_zones=tuple(
+            OtherZone(name, zone["region"], tuple(zone["seeds"]))
+            for name, zone in zones.items()
+            if name != own_zone
         ),
-    )  # fmt: skip
+    )
 
 
 def build_route(name: str, values: FieldValues) -> Route:
@@ -227,9 +273,16 @@
     """Builds a plan from its resolved field values. The top rung is bounded by the ladder's `rung_count`."""
     top = rung_count - 1 if values["top"] is None else min(values["top"], rung_count - 1)
     plan = Plan(
-        effect=Effect(values["effect"]), key_scope=KeyScope(values["group"]), key_ttl_ns=values["key-lasts"],
-        startup_target_ns=values["startup-target"], revenue=values["revenue"], floor=values["floor"], top_rung=top,
-        seats=values["seats"], rate_factor=values["rate-factor"], shares_stream=_is_yes(values["shares-stream"]),
+        effect=Effect(values["effect"]),
+        key_scope=KeyScope(values["group"]),
+        key_ttl_ns=values["key-lasts"],
+        startup_target_ns=values["startup-target"],
+        revenue=values["revenue"],
+        floor=values["floor"],
+        top_rung=top,
+        seats=values["seats"],
+        rate_factor=values["rate-factor"],
+        shares_stream=_is_yes(values["shares-stream"]),
         family_id=family_number,
-    )  # fmt: skip
+    )
     return PlanTerms(name, plan, values["abandon"])
--- a/oakcroft/config/diagnostics.py
+++ b/oakcroft/config/diagnostics.py
@@ -92,9 +92,15 @@
         """Returns a diagnostic as a JSON object for tools."""
         location = diagnostic.location
         return {
-            "grade": diagnostic.severity.value, "file": location.file, "line": location.line, "column": location.column, "length": location.length,
-            "what": diagnostic.message, "fix": diagnostic.fix, "also": list(diagnostic.notes),
-        }  # fmt: skip
+            "grade": diagnostic.severity.value,
+            "file": location.file,
+            "line": location.line,
+            "column": location.column,
+            "length": location.length,
+            "what": diagnostic.message,
+            "fix": diagnostic.fix,
+            "also": list(diagnostic.notes),
+        }
 
 
 class InvalidConfigurationError(Exception):
--- a/oakcroft/config/form_reader.py
+++ b/oakcroft/config/form_reader.py
@@ -24,10 +24,21 @@
 """Messages describe a field that may hold this many values as unbounded."""
 
 SAMPLE_VALUES = {
-    "time": "1s", "size": "64KiB", "rate": "400kB/s", "pace": "40/s", "whole number": "3", "figure": "1", "share": "20%",
-    "name": "NAME", "text": "TEXT", "path": '"/whep/open/"', "title": "intro", "address": '"127.0.0.1:8080"',
-    "ICE server": '"stun:host:3478"', "secret": '"…"',
-}  # fmt: skip
+    "time": "1s",
+    "size": "64KiB",
+    "rate": "400kB/s",
+    "pace": "40/s",
+    "whole number": "3",
+    "figure": "1",
+    "share": "20%",
+    "name": "NAME",
+    "text": "TEXT",
+    "path": '"/whep/open/"',
+    "title": "intro",
+    "address": '"127.0.0.1:8080"',
+    "ICE server": '"stun:host:3478"',
+    "secret": '"…"',
+}
 """A sample value by the name of the value type, for suggested fixes."""
 
 PREFERRED_UNITS = ("ms", "s", "kB/s", "MB/s", "Mbit/s", "KiB", "kB", "/s", "/min")
--- a/oakcroft/config/resolved.py
+++ b/oakcroft/config/resolved.py
@@ -14,8 +14,15 @@
 """Resolved field values by form name; for a named form the values of each instance by the instance's name."""
 
 OPTIONAL_FORMS = (
-    forms.FRONT, forms.FLEET, forms.LADDER, forms.ZONE_PREFERENCE, forms.PEERS, forms.LEASE_ACCEPTORS, forms.SESSION_TAKEOVER, forms.LOAD_PROBING,
-)  # fmt: skip
+    forms.FRONT,
+    forms.FLEET,
+    forms.LADDER,
+    forms.ZONE_PREFERENCE,
+    forms.PEERS,
+    forms.LEASE_ACCEPTORS,
+    forms.SESSION_TAKEOVER,
+    forms.LOAD_PROBING,
+)
 """Forms that are left out when absent: a form with only default values would have another meaning."""
 
 UNORDERED_FIELDS = {"wings", "kinds", "racks", "tags", "nodes", "but", "titles", "claim"}
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -223,9 +223,10 @@
         )
     elif rest.startswith('"'):
         diagnostics.error(
-            SourceLocation(file_name, line, column, max(1, len(rest.rstrip()))), "unterminated string or invalid escape sequence",
+            SourceLocation(file_name, line, column, max(1, len(rest.rstrip()))),
+            "unterminated string or invalid escape sequence",
             'close it with "; inside it, write \\" for ", \\\\ for \\ and \\n for a newline',
-        )  # fmt: skip
+        )
     else:
         diagnostics.error(SourceLocation(file_name, line, column), "unexpected input")
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -209,17 +209,23 @@
     plain = resolved_config(
         '(include "base.oak")\n(limit a (on plan course) (rate 60/min))\n(limit b (on all) (at-once 9))'
     )
-    other = resolved_config('(define l (n p) (limit $n (on plan $p) (rate 1/s)))\n(limit b (at-once 9) (on all))\n(use l a course)\n'
-                    '(include "base.oak")')  # fmt: skip
+    other = resolved_config(
+        "(define l (n p) (limit $n (on plan $p) (rate 1/s)))\n(limit b (at-once 9) (on all))\n(use l a course)\n"
+        '(include "base.oak")'
+    )
     assert find_changes(plain, other) == []
 
 
 def test_a_diff_describes_changes_and_rerouted_requests() -> None:
     """Changes are described by field, and an example shows each request that is routed differently."""
-    old = resolved_config('(include "base.oak")\n(pool w (nodes n1))\n(route w (path "/w/") (plan course) (pool w))\n'
-                "(limit all (on all) (rate 40/s))")  # fmt: skip
-    new = resolved_config('(include "base.oak")\n(pool w (nodes n1 n2 n3))\n(route w (path "/w/") (plan course) (pool w))\n'
-                '(route live (path "/w/") (titles "live-*") (plan course))\n(limit all (on all) (rate 60/s))')  # fmt: skip
+    old = resolved_config(
+        '(include "base.oak")\n(pool w (nodes n1))\n(route w (path "/w/") (plan course) (pool w))\n'
+        "(limit all (on all) (rate 40/s))"
+    )
+    new = resolved_config(
+        '(include "base.oak")\n(pool w (nodes n1 n2 n3))\n(route w (path "/w/") (plan course) (pool w))\n'
+        '(route live (path "/w/") (titles "live-*") (plan course))\n(limit all (on all) (rate 60/s))'
+    )
     lines = describe_changes(find_changes(old, new))
     assert "~ pool w: nodes now with n2, n3" in lines
     assert "~ limit all: rate from 40/s to 60/s" in lines
@@ -233,8 +239,12 @@
 
 def test_explain_shows_the_matching_route_and_why_others_do_not_match() -> None:
     """The explanation also shows the limits that apply, with this front end's share."""
-    shared = build_deployment(resolved_config('(include "base.oak")\n(route vip (path "/whep/course/") (titles "vip-*") (plan course) (top 1))\n'
-                        '(limit each (on plan *) (rate 8/s) (at-once 6))')).shared  # fmt: skip
+    shared = build_deployment(
+        resolved_config(
+            '(include "base.oak")\n(route vip (path "/whep/course/") (titles "vip-*") (plan course) (top 1))\n'
+            "(limit each (on plan *) (rate 8/s) (at-once 6))"
+        )
+    ).shared
     lines = explain_request(shared, RouteRequest(ClientRole.WATCH, "/whep/course/a", "west", {}), "", 0)
     assert "  not route vip: the title is none of its titles" in lines
     assert "route course matches" in lines
@@ -274,10 +284,13 @@
 # The route table against a linear search over all routes.
 
 MATCHES = st.builds(
-    Match, st.sampled_from(list(ClientRole)), st.sampled_from(["/a/", "/b/"]),
+    Match,
+    st.sampled_from(list(ClientRole)),
+    st.sampled_from(["/a/", "/b/"]),
     st.lists(st.sampled_from(["x", "xy", "x*", "xy*", "z*"]), max_size=2, unique=True).map(tuple),
-    st.sampled_from(["", "west"]), st.sampled_from([(), (("r", "1"),), (("r", "1"), ("s", "2")), (("s", "2"),)]),
-)  # fmt: skip
+    st.sampled_from(["", "west"]),
+    st.sampled_from([(), (("r", "1"),), (("r", "1"), ("s", "2")), (("s", "2"),)]),
+)
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
@@ -337,8 +350,14 @@
     node = Node("n1+2")
     node.zone, node.cell, node.kind, node.tags = "west", 4, "big", frozenset({"gpu", "new"})
     assert Pool("p", ("west",), (1,), ("big",), ("gpu",), ("n1",)).admits(node, 3)
-    for other in (Pool("p", ("east",)), Pool("p", racks=(0,)), Pool("p", kinds=("small",)), Pool("p", tags=("gpu", "old")),
-                  Pool("p", nodes=("n2",)), Pool("p", excluded_nodes=("n1+2",))):  # fmt: skip
+    for other in (
+        Pool("p", ("east",)),
+        Pool("p", racks=(0,)),
+        Pool("p", kinds=("small",)),
+        Pool("p", tags=("gpu", "old")),
+        Pool("p", nodes=("n2",)),
+        Pool("p", excluded_nodes=("n1+2",)),
+    ):
         assert not other.admits(node, 3)
 
 
@@ -348,10 +367,13 @@
 def test_limits_are_charged_together_or_not_at_all() -> None:
     """A rejected request is charged to none of its limits, and a reservation is released once."""
     ledger = LimitLedger()
-    ledger.set_limits([
-        RequestLimit("slow", LimitScope.ALL, "", rate=1.0, burst=2), RequestLimit("each", LimitScope.PLAN, "*", max_concurrent=1),
-        RequestLimit("tok", LimitScope.TOKEN, "t", max_concurrent=5),
-    ])  # fmt: skip
+    ledger.set_limits(
+        [
+            RequestLimit("slow", LimitScope.ALL, "", rate=1.0, burst=2),
+            RequestLimit("each", LimitScope.PLAN, "*", max_concurrent=1),
+            RequestLimit("tok", LimitScope.TOKEN, "t", max_concurrent=5),
+        ]
+    )
     subject = RequestSubject("t", "r", "p", "w")
     first = ledger.acquire(subject, 0)
     assert isinstance(first, LimitReservation)
