--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -11,6 +11,8 @@
 from oakcroft.interface import MS, SECOND
 
 MAX_VALUES = 10_000
+"""Bound on the values of one field that may have many."""
+
 EFFECTS = ("free", "keyed", "paid")
 
 FRONT = Schema(
--- a/oakcroft/config/records.py
+++ b/oakcroft/config/records.py
@@ -99,9 +99,9 @@
 
 def _report_missing(records: Records, diagnostics: Diagnostics, is_front_file: bool) -> None:
     start = SourceLocation(min(diagnostics.source_lines, default="configuration"), 1, 1)
-    for wanted in [forms.FLEET, forms.LADDER, *([forms.FRONT] if is_front_file else [])]:
-        if records.find_single(wanted) is None:
-            diagnostics.error(start, f"({wanted.name} …) is missing: {wanted.doc}", f"add ({wanted.name} …)")
-    for plural in (forms.PLAN, forms.ROUTE):
-        if not records.named_records(plural):
-            diagnostics.error(start, f"({plural.name} …) is missing: {plural.doc}", f"add {plural.example}")
+    for schema in [forms.FLEET, forms.LADDER, *([forms.FRONT] if is_front_file else [])]:
+        if records.find_single(schema) is None:
+            diagnostics.error(start, f"({schema.name} …) is missing: {schema.doc}", f"add ({schema.name} …)")
+    for schema in (forms.PLAN, forms.ROUTE):
+        if not records.named_records(schema):
+            diagnostics.error(start, f"({schema.name} …) is missing: {schema.doc}", f"add {schema.example}")
--- a/oakcroft/config/syntax.py
+++ b/oakcroft/config/syntax.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import re
 import threading
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,6 +16,8 @@
 MAX_TEXT_LENGTH = 8_000_000
 MAX_NESTING_DEPTH = 64
 ESCAPES = {"n": "\n", "\\": "\\", '"': '"'}
+NESTING_TOKEN = re.compile(r'"(?:\\.|[^"\\\n])*"?|;[^\n]*|[()]')
+"""A string, which ends on its line at the latest, a comment, or a parenthesis."""
 
 
 @dataclass(frozen=True)
@@ -168,40 +171,21 @@
     It scans without recursion, so that no text can exhaust the stack.
     """
     depth = 0
-    line = 1
-    line_start = 0
-    in_string = False
-    in_comment = False
-    is_escaped = False
-    for position, character in enumerate(text):
-        if character == "\n":
-            line += 1
-            line_start = position + 1
-            in_comment = False
-            in_string = False
-        elif in_comment:
-            continue
-        elif in_string:
-            if is_escaped:
-                is_escaped = False
-            elif character == "\\":
-                is_escaped = True
-            elif character == '"':
-                in_string = False
-        elif character == '"':
-            in_string = True
-            is_escaped = False
-        elif character == ";":
-            in_comment = True
-        elif character == "(":
+    for token in NESTING_TOKEN.finditer(text):
+        if token[0] == "(":
             depth += 1
             if depth > MAX_NESTING_DEPTH:
-                return line, position - line_start + 1
-        elif character == ")":
+                return _line_and_column(text, token.start())
+        elif token[0] == ")":
             depth -= 1
     return None
 
 
+def _line_and_column(text: str, position: int) -> tuple[int, int]:
+    """Returns line and column of a position in a text, both counted from 1."""
+    return text.count("\n", 0, position) + 1, position - text.rfind("\n", 0, position)
+
+
 def _report_syntax_error(text: str, file_name: str, error: UnexpectedInput, diagnostics: Diagnostics) -> None:
     """Records an error for a text that cannot be parsed, as specific as the parser's error allows."""
     token_type = getattr(getattr(error, "token", None), "type", "")
