--- a/oakcroft/commands/catalogue.py
+++ b/oakcroft/commands/catalogue.py
@@ -27,7 +27,7 @@
     """Check catalogues, and read or change the active catalogue of a front."""
 
 
-def formatted_catalogue(file: Path) -> str:
+def format_file_or_exit(file: Path) -> str:
     """Returns a catalogue file's text in the canonical layout. Ends the command if the file has errors."""
     try:
         content = read_catalogue(file.read_text(encoding="utf-8"))
@@ -46,14 +46,14 @@
 def catalogue_check(files: tuple[Path, ...]) -> None:
     """Show every error in FILES."""
     for file in files:
-        click.echo(f"{file}: sound, {formatted_catalogue(file).count(chr(10)) - NON_TITLE_LINES} titles")
+        click.echo(f"{file}: sound, {format_file_or_exit(file).count(chr(10)) - NON_TITLE_LINES} titles")
 
 
 @catalogue.command("fmt")
 @click.argument("file", type=EXISTING_FILE)
 def catalogue_fmt(file: Path) -> None:
     """Format FILE: titles sorted by name, one a line."""
-    file.write_text(formatted_catalogue(file), encoding="utf-8")
+    file.write_text(format_file_or_exit(file), encoding="utf-8")
 
 
 @catalogue.command("get")
@@ -81,7 +81,7 @@
     file: Path, address: str, change: bool, base_etag: str, force: bool, share: float, reason: str
 ) -> None:
     """Submit FILE to a front."""
-    body = file.read_bytes() if change else formatted_catalogue(file).encode()
+    body = file.read_bytes() if change else format_file_or_exit(file).encode()
     query = f"catalogue?share={share}&why={escape_query_text(reason)}" + ("&force=yes" if force else "")
     method = "PATCH" if change else "PUT"
     print_and_exit(request_front(address, method, query, body, If_Match=base_etag or catalogue_etag(address)))
--- a/oakcroft/commands/configuration.py
+++ b/oakcroft/commands/configuration.py
@@ -10,8 +10,9 @@
 import orjson
 
 from oakcroft.commands.arguments import EXIT_FAILURE, EXIT_INVALID_INPUT, EXISTING_FILE
-from oakcroft.config import compare, explain as explaining, reference
-from oakcroft.config.pipeline import ResolvedConfig, check_file as check_config, build_deployment
+from oakcroft.config import compare, reference
+from oakcroft.config.explain import explain_request
+from oakcroft.config.pipeline import ResolvedConfig, check_file, build_deployment
 from oakcroft.config.expander import RootFolder
 from oakcroft.config.format import format_text
 from oakcroft.config.diagnostics import Severity, Diagnostics, InvalidConfigurationError
@@ -25,7 +26,7 @@
 
 def check_in_folder(file: Path, is_front_file: bool) -> tuple[ResolvedConfig | None, Diagnostics]:
     """Checks a file; its includes are relative to its folder."""
-    return check_config(file.name, RootFolder(file.parent).read_text, is_front_file)
+    return check_file(file.name, RootFolder(file.parent).read_text, is_front_file)
 
 
 def load_or_exit(file: Path, is_front_file: bool) -> ResolvedConfig:
@@ -56,9 +57,11 @@
         items = diagnostics.sorted()
         has_failed = has_failed or bool(diagnostics.errors) or (strict and bool(items))
         if as_json:
-            plain = [diagnostics.to_dict(item) for item in items]
+            problems = [diagnostics.to_dict(item) for item in items]
             click.echo(
-                orjson.dumps({"file": str(file), "sound": not diagnostics.errors, "problems": plain}).decode()
+                orjson.dumps(
+                    {"file": str(file), "sound": not diagnostics.errors, "problems": problems}
+                ).decode()
             )
             continue
         for diagnostic in items:
@@ -135,9 +138,7 @@
         deployment.front.zone if zone is None else zone,
         tokens[token_name].claims if token_name else {},
     )
-    for line in explaining.explain_request(
-        deployment.shared, request, token_name, deployment.shared.terms.front_index
-    ):
+    for line in explain_request(deployment.shared, request, token_name, deployment.shared.terms.front_index):
         click.echo(line)
 
 
--- a/oakcroft/config/diagnostics.py
+++ b/oakcroft/config/diagnostics.py
@@ -7,6 +7,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+DUPLICATE_WINDOW = 64
+"""A diagnostic that is equal to one of this many last ones is dropped."""
+
+MIN_SIMILARITY = 0.7
+"""From this similarity on, 1 for equal words, a known word is suggested."""
+
 
 class Severity(Enum):
     """Severity of a diagnostic. An error rejects the whole configuration, a warning doesn't."""
@@ -62,7 +68,7 @@
         self._add(Diagnostic(Severity.WARNING, location, message, fix, tuple(notes)))
 
     def _add(self, diagnostic: Diagnostic) -> None:
-        if len(self.items) < self.max_items and diagnostic not in self.items[-64:]:
+        if len(self.items) < self.max_items and diagnostic not in self.items[-DUPLICATE_WINDOW:]:
             self.items.append(diagnostic)
 
     @property
@@ -118,7 +124,7 @@
 
 def closest_match(word: str, known: Iterable[str]) -> str:
     """Returns the known word that is most similar to `word`, "" if none is close enough to suggest."""
-    matches = difflib.get_close_matches(word, sorted(known), 1, 0.7)
+    matches = difflib.get_close_matches(word, sorted(known), 1, MIN_SIMILARITY)
     return matches[0] if matches else ""
 
 
--- a/oakcroft/config/settings.py
+++ b/oakcroft/config/settings.py
@@ -53,7 +53,7 @@
     copy_count: int
     ice_servers: tuple[str, ...]
     connection_limits: ConnectionLimits
-    answer_margin_ns: int  # kept of each abandon time for the answer to reach the viewer
+    answer_margin_ns: int  # part of each abandon time that is reserved for the answer's way to the viewer
     drain_grace_ns: int
     default_drain_notice_ns: int
     drain_timeout_ns: int
