--- a/oakcroft/commands/fleet.py
+++ b/oakcroft/commands/fleet.py
@@ -14,7 +14,7 @@
 import orjson
 
 from oakcroft.commands.arguments import EXISTING_FILE
-from oakcroft.commands.catalogue import formatted_catalogue
+from oakcroft.commands.catalogue import format_file_or_exit
 from oakcroft.commands.operators import (
     FRONT_OPTION,
     request_front,
@@ -98,7 +98,7 @@
     else:
         tag = catalogue_etag(address)
         query = f"fleet/roll-out?watch={watch}&why={escape_query_text(why)}" + ("&force=yes" if force else "")
-        print_and_exit(request_front(address, "PUT", query, formatted_catalogue(file).encode(), If_Match=tag))
+        print_and_exit(request_front(address, "PUT", query, format_file_or_exit(file).encode(), If_Match=tag))
 
 
 def describe_leases(status: dict[str, Any]) -> list[str]:
