--- a/oakcroft/config/checks/levels.py
+++ b/oakcroft/config/checks/levels.py
@@ -35,7 +35,7 @@
             continue
         entry_threshold, exit_threshold = bounds
         if entry_threshold <= exit_threshold:
-            message = f"level {level.name} is left at {signal} {exit_threshold:g} and entered at {entry_threshold:g}"
+            message = f"level {level.name} has {signal} entry {entry_threshold:g}, which must be above its exit {exit_threshold:g}"
             diagnostics.error(level.location_of(signal), message, "write the entry first, and a lower exit")
 
 
--- a/tests/test_service_levels.py
+++ b/tests/test_service_levels.py
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize(("form", "message"), [
     ("(level a (rank 1) (x 1 0.9)) (level b (rank 1) (x 2 1))", "have the same rank"),
     ("(level a (rank 1))", "is never entered"),
-    ("(level a (rank 1) (x 0.9 1))", "is left at x 1 and entered at 0.9"),
+    ("(level a (rank 1) (x 0.9 1))", "has x entry 0.9, which must be above its exit 1"),
     ("(level a (rank 1) (x 1 0.9) (admits opne 0.5))", "opne"),
     ("(level a (rank 1) (x 1 0.9) (admits open 1.5))", "is not a share"),
     ("(level a (rank 1) (refused 200% 10%))", "is not a share"),
