--- a/oakcroft/config/expander.py
+++ b/oakcroft/config/expander.py
@@ -42,12 +42,12 @@
         """
         path = (self.root / file_name).resolve()
         if not path.is_relative_to(self.root):
-            raise PermissionError("it lies outside the folder of the first file")
+            raise PermissionError("it is outside the folder of the main file")
         body = path.read_bytes()
         try:
             return body.decode("utf-8")
         except UnicodeDecodeError as error:
-            raise OSError(f"it is not UTF-8 (byte {error.start})") from None
+            raise OSError(f"it is not valid UTF-8 (byte {error.start})") from None
 
 
 class Expander:
@@ -73,37 +73,34 @@
     def _load_file(
         self, file_name: str, include_chain: list[str], location: SourceLocation | None, gathered: list[Form]
     ) -> None:
+        """Appends the forms of a file and of its includes to `gathered`. Each file is loaded once.
+
+        `include_chain` holds the files whose includes lead to this one, and `location` is that of the include.
+        """
         reported_at = location or SourceLocation(file_name, 1, 1)
         if file_name in include_chain:
             circle = " -> ".join([*include_chain[include_chain.index(file_name) :], file_name])
-            self.diagnostics.error(
-                reported_at, f"this include goes in a circle: {circle}", "take out one include of the circle"
-            )
+            self.diagnostics.error(reported_at, f"circular include: {circle}", "remove one of these includes")
             return
         if file_name in self.loaded_files:
-            return  # each file is included once, however many includes name it
+            return
         self.loaded_files.add(file_name)
         if len(self.loaded_files) > MAX_FILES:
-            self.diagnostics.error(reported_at, f"over {MAX_FILES} files are included", "join some of them")
+            message = f"more than {MAX_FILES} files are included"
+            self.diagnostics.error(reported_at, message, "merge some of them")
             return
         try:
             text = self.read_text(file_name)
         except OSError as error:
-            reason = error.strerror or str(error)
             self.diagnostics.is_incomplete = True
-            self.diagnostics.error(
-                reported_at,
-                f"{file_name} cannot be read: {reason}",
-                "correct the path; it counts from the including file",
-            )
+            message = f"{file_name} cannot be read: {error.strerror or error}"
+            fix = "correct the path; it is relative to the including file"
+            self.diagnostics.error(reported_at, message, fix)
             return
         for part in without_comments(parse_text(text, file_name, self.diagnostics)):
             if isinstance(part, Atom):
-                self.diagnostics.error(
-                    part.location,
-                    f"{part.source_text} stands alone; a file holds forms (name …)",
-                    f"write ({part.source_text} …)",
-                )
+                message = f"unexpected {part.source_text}; a file contains only forms (name …)"
+                self.diagnostics.error(part.location, message, f"write ({part.source_text} …)")
             elif part.name == "include":
                 self._load_include(part, file_name, [*include_chain, file_name], gathered)
             elif part.name == "define":
@@ -114,14 +111,18 @@
     def _load_include(
         self, form: Form, file_name: str, include_chain: list[str], gathered: list[Form]
     ) -> None:
-        path = form.items[1] if len(form.items) == 2 else None
+        """Loads the file of an (include …). Records an error if its path is not below the main file's folder."""
+        arguments = form.items[1:]
+        path = arguments[0] if len(arguments) == 1 else None
         if not isinstance(path, Atom):
-            self.diagnostics.error(form.location, "include names one file", 'write (include "plans.oak")')
+            self.diagnostics.error(
+                form.location, "include takes exactly one file", 'write (include "plans.oak")'
+            )
             return
         if path.text.startswith(("/", "~")) or "\\" in path.text:
             self.diagnostics.error(
                 path.location,
-                "an include is a path from the file it stands in, with /",
+                "an include path must be relative to the including file and use / as separator",
                 "write a relative path",
             )
             return
@@ -130,8 +131,8 @@
             if segment == ".." and not segments:
                 self.diagnostics.error(
                     path.location,
-                    f"{path.text} leads out of the folder of the first file",
-                    "keep files in that folder",
+                    f"{path.text} is outside the folder of the main file",
+                    "move the file into that folder",
                 )
                 return
             if segment == "..":
@@ -141,90 +142,108 @@
         self._load_file("/".join(segments), include_chain, path.location, gathered)
 
     def _add_definition(self, form: Form) -> None:
-        items = form.items
-        head = items[1] if len(items) > 1 else None
-        parameters = items[2] if len(items) > 2 else None
-        if not isinstance(head, Atom) or not isinstance(parameters, Form):
-            self.diagnostics.error(form.location, "define names itself, its parameters, and what it stands for",
-                                "write (define half (plan) (limit $plan (at-once 20)))")  # fmt: skip
+        """Adds the definition of a (define …). Records an error if it is malformed or its name is taken."""
+        arguments = form.items[1:]
+        name = arguments[0] if arguments else None
+        parameters = arguments[1] if len(arguments) > 1 else None
+        if not isinstance(name, Atom) or not isinstance(parameters, Form):
+            message = "define takes a name, a list of parameters, and the forms that it expands to"
+            fix = "write (define half (plan) (limit $plan (at-once 20)))"
+            self.diagnostics.error(form.location, message, fix)
             return
-        names = [part.text for part in parameters.items if isinstance(part, Atom)]
-        body = [part for part in items[3:] if isinstance(part, Form)]
-        if len(names) != len(parameters.items) or len(set(names)) != len(names):
-            self.diagnostics.error(
-                parameters.location,
-                "after its name a definition lists its parameters, each once",
-                "write (plan rate), or () for none",
-            )
+        parameter_names = [part.text for part in parameters.items if isinstance(part, Atom)]
+        body = [part for part in arguments[2:] if isinstance(part, Form)]
+        if len(parameter_names) != len(parameters.items) or len(set(parameter_names)) != len(parameter_names):
+            message = "the name of a definition is followed by the list of its parameters, each once"
+            self.diagnostics.error(parameters.location, message, "write (plan rate), or () for none")
             return
-        if len(body) != len(items) - 3 or not body:
-            self.diagnostics.error(
-                form.location, f"definition {head.text} holds forms (name …), one at least", ""
-            )
+        if len(body) != len(arguments) - 2 or not body:
+            message = f"definition {name.text} must contain only forms (name …), at least one"
+            self.diagnostics.error(form.location, message, "")
             return
-        if head.text in self.definitions:
-            first = self.definitions[head.text].location
-            self.diagnostics.error(
-                form.location, f"definition {head.text} stands twice; first at {first}", "rename one of them"
+        if name.text in self.definitions:
+            message = (
+                f"definition {name.text} is defined twice; first at {self.definitions[name.text].location}"
             )
+            self.diagnostics.error(form.location, message, "rename one of them")
             return
-        used = {name for body_form in body for atom in _atoms_in(body_form) for name in _parameters_in(atom)}
-        for name in sorted(used - set(names)):
-            guess = closest_match(name, names)
-            self.diagnostics.error(form.location, f"definition {head.text} uses ${name}, which is none of its parameters",
-                                f"write ${guess}" if guess else f"add {name} to its parameters")  # fmt: skip
-        for name in sorted(set(names) - used):
-            self.diagnostics.warn(
-                parameters.location,
-                f"definition {head.text} never uses its parameter {name}",
-                f"take out {name}",
-            )
-        self.definitions[head.text] = Definition(head.text, tuple(names), tuple(body), form.location)
+        definition = Definition(name.text, tuple(parameter_names), tuple(body), form.location)
+        self._check_parameters(definition, parameters.location)
+        self.definitions[name.text] = definition
+
+    def _check_parameters(self, definition: Definition, parameters_location: SourceLocation) -> None:
+        """Checks that the body of a definition uses all of its parameters and no others."""
+        declared = set(definition.parameters)
+        used = {
+            parameter
+            for form in definition.body
+            for atom in _atoms_in(form)
+            for parameter in _parameters_in(atom)
+        }
+        for name in sorted(used - declared):
+            guess = closest_match(name, definition.parameters)
+            message = f"definition {definition.name} uses ${name}, which is not one of its parameters"
+            fix = f"write ${guess}" if guess else f"add {name} to its parameters"
+            self.diagnostics.error(definition.location, message, fix)
+        for name in sorted(declared - used):
+            message = f"definition {definition.name} never uses its parameter {name}"
+            self.diagnostics.warn(parameters_location, message, f"remove {name}")
 
     def _expand(self, form: Form, use_chain: tuple[str, ...], expanded: list[Form]) -> None:
+        """Appends a form to `expanded`, or for a (use …) the forms that it stands for.
+
+        `use_chain` holds the names of the definitions that are being expanded.
+        """
         self.form_count += 1
         if self.form_count > MAX_FORMS:
             if self.form_count == MAX_FORMS + 1:
-                self.diagnostics.error(
-                    form.location, f"over {MAX_FORMS} forms come of this configuration", ""
-                )
+                message = f"the configuration expands to more than {MAX_FORMS} forms"
+                self.diagnostics.error(form.location, message, "")
             return
         if form.name != "use":
             expanded.append(form)
             return
-        head = form.items[1] if len(form.items) > 1 else None
-        if not isinstance(head, Atom):
-            self.diagnostics.error(
-                form.location,
-                "use names a definition and gives its parameters' values",
-                "write (use half plan-a)",
-            )
-            return
-        definition = self.definitions.get(head.text)
-        if definition is None:
-            guess = closest_match(head.text, self.definitions)
-            self.diagnostics.error(head.location, f"there is no definition {head.text}" + (f"; did you mean {guess}?" if guess else ""),
-                                f"write {guess}" if guess else f"add (define {head.text} () …)")  # fmt: skip
-            return
-        if head.text in use_chain or len(use_chain) >= MAX_USE_DEPTH:
-            circle = " -> ".join([*use_chain, head.text])
-            self.diagnostics.error(
-                form.location,
-                f"this use goes in a circle: {circle}",
-                "take the use out of its own definition",
-            )
+        definition = self._find_used_definition(form)
+        if definition is None or not self._check_use(form, definition, use_chain):
             return
-        arguments = form.items[2:]
-        if len(arguments) != len(definition.parameters):
-            wanted = " ".join(definition.parameters) or "none"
-            self.diagnostics.error(form.location, f"{head.text} takes {len(definition.parameters)} values ({wanted}), not {len(arguments)}",
-                                f"write (use {' '.join([head.text, *(parameter.upper() for parameter in definition.parameters)])})")  # fmt: skip
-            return
-        values = dict(zip(definition.parameters, arguments, strict=True))
+        values = dict(zip(definition.parameters, form.items[2:], strict=True))
         for body_form in definition.body:
             instance = _substitute(body_form, values, form.location)
             assert isinstance(instance, Form)
-            self._expand(instance, (*use_chain, head.text), expanded)
+            self._expand(instance, (*use_chain, definition.name), expanded)
+
+    def _find_used_definition(self, form: Form) -> Definition | None:
+        """Returns the definition that a (use …) names. Records an error if there is none."""
+        name = form.items[1] if len(form.items) > 1 else None
+        if not isinstance(name, Atom):
+            message = "use takes the name of a definition and a value for each of its parameters"
+            self.diagnostics.error(form.location, message, "write (use half plan-a)")
+            return None
+        definition = self.definitions.get(name.text)
+        if definition is None:
+            guess = closest_match(name.text, self.definitions)
+            message = f"there is no definition {name.text}" + (f"; did you mean {guess}?" if guess else "")
+            fix = f"write {guess}" if guess else f"add (define {name.text} () …)"
+            self.diagnostics.error(name.location, message, fix)
+        return definition
+
+    def _check_use(self, form: Form, definition: Definition, use_chain: tuple[str, ...]) -> bool:
+        """Whether a (use …) is not circular and has a value for each parameter. Records an error otherwise."""
+        name = definition.name
+        if name in use_chain or len(use_chain) >= MAX_USE_DEPTH:
+            circle = " -> ".join([*use_chain, name])
+            fix = "remove the use from its own definition"
+            self.diagnostics.error(form.location, f"circular use: {circle}", fix)
+            return False
+        parameters = definition.parameters
+        argument_count = len(form.items) - 2
+        if argument_count != len(parameters):
+            wanted = " ".join(parameters) or "none"
+            message = f"{name} takes {len(parameters)} values ({wanted}), not {argument_count}"
+            example = " ".join([name, *(parameter.upper() for parameter in parameters)])
+            self.diagnostics.error(form.location, message, f"write (use {example})")
+            return False
+        return True
 
 
 def _atoms_in(form: Form) -> list[Atom]:
--- a/oakcroft/config/form_reader.py
+++ b/oakcroft/config/form_reader.py
@@ -24,10 +24,21 @@
 """Messages describe a field that may hold this many values as unbounded."""
 
 SAMPLE_VALUES = {
-    "time": "1s", "size": "64KiB", "rate": "400kB/s", "pace": "40/s", "whole number": "3", "figure": "1", "share": "20%",
-    "name": "NAME", "text": "TEXT", "path": '"/whep/open/"', "title": "intro", "address": '"127.0.0.1:8080"',
-    "ICE server": '"stun:host:3478"', "secret": '"…"',
-}  # fmt: skip
+    "time": "1s",
+    "size": "64KiB",
+    "rate": "400kB/s",
+    "pace": "40/s",
+    "whole number": "3",
+    "figure": "1",
+    "share": "20%",
+    "name": "NAME",
+    "text": "TEXT",
+    "path": '"/whep/open/"',
+    "title": "intro",
+    "address": '"127.0.0.1:8080"',
+    "ICE server": '"stun:host:3478"',
+    "secret": '"…"',
+}
 """A sample value by the name of the value type, for suggested fixes."""
 
 PREFERRED_UNITS = ("ms", "s", "kB/s", "MB/s", "Mbit/s", "KiB", "kB", "/s", "/min")
@@ -46,7 +57,7 @@
         if items and isinstance(items[0], Atom):
             record.name = _parse_value(schema.name_type, items.pop(0), diagnostics, use_notes) or ""
         else:
-            message = f"({schema.name} …) is named first: {schema.name_doc}"
+            message = f"({schema.name} …) must begin with a name: {schema.name_doc}"
             fix = f"write {schema.example}" if schema.example else ""
             diagnostics.error(form.location, message, fix, use_notes)
     for item in items:
@@ -60,8 +71,8 @@
     schema = record.schema
     use_notes = record.notes
     if not isinstance(item, Form) or not item.name:
-        shown = item.source_text if isinstance(item, Atom) else "a list without a name"
-        message = f"{shown} stands alone in ({schema.name} …), which holds fields (name value …)"
+        shown = item.source_text if isinstance(item, Atom) else "list without a name"
+        message = f"unexpected {shown} in ({schema.name} …), which contains only fields (name value …)"
         diagnostics.error(item.location, message, "", use_notes)
         return
     field = schema.find_field(item.name)
@@ -70,7 +81,7 @@
         return
     if field.name in record.field_locations and not field.is_repeatable:
         first = record.field_locations[field.name]
-        message = f"{field.name} stands twice; first at line {first.line}"
+        message = f"{field.name} is given twice; first at line {first.line}"
         diagnostics.error(item.location, message, "keep one of them", use_notes)
         return
     record.field_locations.setdefault(field.name, item.location)
@@ -86,7 +97,11 @@
 def _report_unknown(item: Form, schema: Schema, use_notes: UseNotes, diagnostics: Diagnostics) -> None:
     names = [field.name for field in schema.fields]
     guess = closest_match(item.name, names)
-    known = f"did you mean {guess}?" if guess else f"known are {join_alternatives(names, MAX_FIELDS_SHOWN)}"
+    known = (
+        f"did you mean {guess}?"
+        if guess
+        else f"known fields are {join_alternatives(names, MAX_FIELDS_SHOWN)}"
+    )
     message = f"({schema.name} …) has no field {item.name}; {known}"
     diagnostics.error(item.location, message, f"write {guess}" if guess else "", use_notes)
 
@@ -122,7 +137,7 @@
     if isinstance(item, Form):
         diagnostics.error(
             item.location,
-            f"a list stands where a {value_type.name} is wanted: {value_type.description}",
+            f"expected a value of type {value_type.name}, found a list: {value_type.description}",
             "",
             use_notes,
         )
@@ -133,8 +148,8 @@
         fix = error.fix
         if error.lacks_unit and field is not None and field.usual_range is not None:
             low, high, _ = field.usual_range
-            respelled = respell_in_usual_unit(field, item, low, high)
-            fix = f"write {respelled}, if so meant" if respelled else fix
+            suggestion = suggest_usual_unit(field, item, low, high)
+            fix = f"write {suggestion}, if that was meant" if suggestion else fix
         diagnostics.error(item.location, error.message, fix, use_notes)
         return None
 
@@ -149,7 +164,7 @@
         return read_form(field.subform, form, diagnostics)
     items = form.items[1:]
     if not field.min_values <= len(items) <= field.max_values:
-        message = f"{field.name} holds {_describe_value_count(field)}, not {len(items)}: {field.doc}"
+        message = f"{field.name} takes {_describe_value_count(field)}, not {len(items)}: {field.doc}"
         diagnostics.error(form.location, message, f"write {sample_field(field)}", use_notes)
         return None
     values = []
@@ -171,7 +186,7 @@
     return (
         f"{field.min_values} to {field.max_values} values"
         if field.max_values < UNBOUNDED_COUNT
-        else "one value or more"
+        else "one or more values"
     )
 
 
@@ -182,32 +197,32 @@
     if isinstance(value, str):
         return
     if field.minimum is not None and value < field.minimum:
-        message = f"{field.name} is {atom.source_text}, but no less than {format_value(field.value_type, field.minimum)} can be"
+        message = f"{field.name} is {atom.source_text}, but must be at least {format_value(field.value_type, field.minimum)}"
         diagnostics.error(atom.location, message, "", use_notes)
     elif field.maximum is not None and value > field.maximum:
-        message = f"{field.name} is {atom.source_text}, but no more than {format_value(field.value_type, field.maximum)} can be"
+        message = f"{field.name} is {atom.source_text}, but must be at most {format_value(field.value_type, field.maximum)}"
         diagnostics.error(atom.location, message, "", use_notes)
     elif field.usual_range is not None and not field.usual_range[0] <= value <= field.usual_range[1]:
         low, high, hint = field.usual_range
-        between = f"{format_value(field.value_type, low)} to {format_value(field.value_type, high)}"
-        guess = respell_in_usual_unit(field, atom, low, high)
-        message = f"{field.name} {atom.source_text} is suspicious: usual are {between}" + (
+        usual_range = f"{format_value(field.value_type, low)} to {format_value(field.value_type, high)}"
+        suggestion = suggest_usual_unit(field, atom, low, high)
+        message = f"{field.name} {atom.source_text} is outside the usual range of {usual_range}" + (
             f"; {hint}" if hint else ""
         )
         diagnostics.warn(
-            atom.location, message, f"write {guess}, if that was meant" if guess else "", use_notes
+            atom.location, message, f"write {suggestion}, if that was meant" if suggestion else "", use_notes
         )
 
 
-def respell_in_usual_unit(field: Field, atom: Atom, low: float, high: float) -> str:
+def suggest_usual_unit(field: Field, atom: Atom, low: float, high: float) -> str:
     """Returns the same number with a unit that brings it into the usual range, "" if there is none.
 
-    This finds slips such as seconds written for milliseconds.
+    This catches mistakes such as seconds in place of milliseconds.
     """
     match = NUMBER_WITH_UNIT.match(atom.text)
     units = UNIT_FACTORS.get(field.value_type.name)
     if match is None or units is None:
         return ""
-    fitting = [unit for unit, worth in units.items() if low <= float(match[1]) * worth <= high]
+    fitting = [unit for unit, factor in units.items() if low <= float(match[1]) * factor <= high]
     preferred = [unit for unit in PREFERRED_UNITS if unit in fitting]
     return match[1] + (preferred or fitting)[0] if fitting else ""
--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -2,80 +2,17 @@
 
 from __future__ import annotations
 
-import re
-
 from oakcroft.config.schema import (
-    NAME_TYPE, NUMBER_TYPE, PACE_TYPE, RATE_TYPE, SIZE_TYPE, TEXT_TYPE, TIME_TYPE, INTEGER_TYPE, InvalidValueError, Field, ValueType, Schema, choice_type,
+    NAME_TYPE, NUMBER_TYPE, PACE_TYPE, RATE_TYPE, SIZE_TYPE, TEXT_TYPE, TIME_TYPE, INTEGER_TYPE, Field, Schema, choice_type,
+)  # fmt: skip
+from oakcroft.config.value_types import (
+    ADDRESS_TYPE, ICE_SERVER_TYPE, PATH_TYPE, SECRET_TYPE, SHARE_TYPE, TITLE_TYPE,
 )  # fmt: skip
-from oakcroft.config.syntax import Atom
 from oakcroft.interface import MS, SECOND
 
 MAX_VALUES = 10_000
+"""Bound on the values of one field that may have many."""
 
-
-def _parse_address(atom: Atom) -> tuple[str, int]:
-    host, colon, port = atom.text.rpartition(":")
-    if not colon or not host:
-        raise InvalidValueError(f"{atom.source_text} is not an address", 'write it as "127.0.0.1:8080"')
-    if not port.isascii() or not port.isdigit() or int(port) > 65_535:
-        raise InvalidValueError(
-            f"port {port} does not exist", "write a port from 0 to 65535 (0: any free one)"
-        )
-    return host.strip("[]"), int(port)
-
-
-def _parse_path_prefix(atom: Atom) -> str:
-    path = atom.text
-    if not path.startswith("/") or not path.endswith("/"):
-        raise InvalidValueError(
-            f"{atom.source_text} is not a path that a title can follow", f'write "/{path.strip("/")}/"'
-        )
-    if path.startswith("/session/"):
-        raise InvalidValueError("/session/ is the front's own", "choose another path")
-    if not re.fullmatch(r"[A-Za-z0-9._~!$&'()*+,;=:@%/\-]+", path) or "//" in path:
-        raise InvalidValueError(
-            f"{atom.source_text} holds what a path cannot",
-            "use letters, digits and -._~ between single slashes",
-        )
-    return path
-
-
-def _parse_title_pattern(atom: Atom) -> str:
-    if "*" in atom.text[:-1] or "/" in atom.text or not atom.text:
-        raise InvalidValueError(
-            f"{atom.source_text} is not a title or a beginning of titles",
-            "write a title, or how titles begin and then *",
-        )
-    return atom.text
-
-
-def _parse_ice_server(atom: Atom) -> str:
-    if not re.fullmatch(r"(stun|stuns|turn|turns):\S+", atom.text):
-        raise InvalidValueError(f"{atom.source_text} is not an ICE server", 'write it as "stun:host:3478"')
-    return atom.text
-
-
-def _parse_secret(atom: Atom) -> str:
-    if len(atom.text) < 8 or not re.fullmatch(r"[A-Za-z0-9._~+/\-]+=*", atom.text):
-        raise InvalidValueError(
-            "this secret is no bearer token of 8 letters or more", "make one with: openssl rand -hex 16"
-        )
-    return atom.text
-
-
-def _parse_share(atom: Atom) -> float:
-    value = float(NUMBER_TYPE.parse(atom))
-    if not 0 <= value <= 1:
-        raise InvalidValueError(f"{atom.source_text} is not a share", "write a share from 0 to 1, or in %")
-    return value
-
-
-ADDRESS_TYPE = ValueType("address", 'a host and a port, as "127.0.0.1:8080"', _parse_address)
-PATH_TYPE = ValueType("path", 'a path that a title can follow, as "/whep/open/"', _parse_path_prefix)
-TITLE_TYPE = ValueType("title", "a title, or how titles begin and then *", _parse_title_pattern)
-ICE_SERVER_TYPE = ValueType("ICE server", 'as "stun:host:3478"', _parse_ice_server)
-SECRET_TYPE = ValueType("secret", "a bearer token of 8 letters or more", _parse_secret)
-SHARE_TYPE = ValueType("share", "from 0 to 1, or in %", _parse_share)
 EFFECTS = ("free", "keyed", "paid")
 
 FRONT = Schema(
@@ -97,7 +34,7 @@
     (
         Field("free", "so many in any window", NUMBER_TYPE, required=True),
         Field("share", "and so many for each playback taken in it", SHARE_TYPE, required=True),
-        Field("window", "the window", TIME_TYPE, required=True, minimum=1, usual_range=(100 * MS, 600 * SECOND, "a budget over moments or hours guards little")),
+        Field("window", "the window", TIME_TYPE, required=True, minimum=1, usual_range=(100 * MS, 600 * SECOND, "a budget over milliseconds or hours has little effect")),
     ),
 )  # fmt: skip
 FLEET = Schema(
@@ -111,14 +48,14 @@
         Field("uplink", "mean uplink of a rack; 0kB/s: none binds", RATE_TYPE, 0.0),
         Field("copies", "cells that hold a title; 0: all", INTEGER_TYPE, 0),
         Field("join-adds", "part of a stream's rate that a further viewer of a live title adds", SHARE_TYPE, 1.0),
-        Field("seen-after", "how late a node's notes are", TIME_TYPE, SECOND, usual_range=(0, 30 * SECOND, "notes later than that tell nothing")),
-        Field("reports-every", "how often nodes tell of their load", TIME_TYPE, 3 * SECOND, usual_range=(100 * MS, 60 * SECOND, "the module's interval is a second")),
+        Field("seen-after", "how late a node's notes are", TIME_TYPE, SECOND, usual_range=(0, 30 * SECOND, "later load reports are useless")),
+        Field("reports-every", "how often nodes tell of their load", TIME_TYPE, 3 * SECOND, usual_range=(100 * MS, 60 * SECOND, "the decision module's interval is one second")),
         Field("most-tries", "setup tries for a playback", INTEGER_TYPE, 3, minimum=1, usual_range=(1, 10, "each try costs time")),
-        Field("stay-away-most", "longest Retry-After; 0s: none is named", TIME_TYPE, 0, usual_range=(0, 60 * SECOND, "viewers are gone by then")),
+        Field("stay-away-most", "longest Retry-After; 0s: none is named", TIME_TYPE, 0, usual_range=(0, 60 * SECOND, "viewers have left by then")),
         Field("cold-share", "share of its pace that a node begins with", SHARE_TYPE, 0.4),
-        Field("cold-for", "how long a node warms up", TIME_TYPE, 10 * SECOND, usual_range=(0, 3600 * SECOND, "nodes warm in seconds")),
+        Field("cold-for", "how long a node warms up", TIME_TYPE, 10 * SECOND, usual_range=(0, 3600 * SECOND, "nodes warm up within seconds")),
         Field("fall-multiple", "times its present pace that pushes a cold node over", NUMBER_TYPE, 2.5, minimum=1),
-        Field("fall-window", "over so long", TIME_TYPE, SECOND, minimum=1, usual_range=(100 * MS, 60 * SECOND, "the rule counts seconds")),
+        Field("fall-window", "over so long", TIME_TYPE, SECOND, minimum=1, usual_range=(100 * MS, 60 * SECOND, "the rule works in seconds")),
         Field("drain-grace", "rule 3: nothing new to a draining node later than this", TIME_TYPE, SECOND, usual_range=(0, 60 * SECOND, "")),
         Field("usual-notice", "how long a draining node stays, until drains have taught it", TIME_TYPE, 3 * SECOND, usual_range=(200 * MS, 3600 * SECOND, "")),
         Field("tries-budget", TRIES_BUDGET.doc, subform=TRIES_BUDGET),
@@ -127,7 +64,7 @@
 LADDER = Schema(
     "ladder", "The rungs of quality, lowest first. A change needs a restart.",
     (
-        Field("rates", "rate of each rung", RATE_TYPE, required=True, max_values=64, usual_range=(1, 1e6, "a video stream has kB/s to MB/s")),
+        Field("rates", "rate of each rung", RATE_TYPE, required=True, max_values=64, usual_range=(1, 1e6, "video streams use kB/s to MB/s")),
         Field("worth", "what each rung earns", NUMBER_TYPE, required=True, max_values=64),
     ),
 )  # fmt: skip
@@ -209,7 +146,7 @@
     "signalling", "How the front speaks with viewers.",
     (
         Field("ice-servers", "told to clients", ICE_SERVER_TYPE, (), max_values=32),
-        Field("way-back", "kept of each abandon time for the answer's way", TIME_TYPE, 40 * MS, usual_range=(1 * MS, 2 * SECOND, "it is taken off every wait")),
+        Field("way-back", "kept of each abandon time for the answer's way", TIME_TYPE, 40 * MS, usual_range=(1 * MS, 2 * SECOND, "it is subtracted from every abandon time")),
         Field("keep-keys", "how long an answer is remembered by its Idempotency-Key", TIME_TYPE, 300 * SECOND),
     ),
 )  # fmt: skip
@@ -222,7 +159,7 @@
         Field("list-within", "a starting front listens once the list service has answered, or after so long", TIME_TYPE, 8 * SECOND),
     ),
 )  # fmt: skip
-DOOR = Schema(
+CONNECTION_LIMITS = Schema(
     "door", "What one client may cost.",
     (
         Field("connections", "at once", INTEGER_TYPE, 20_000, minimum=1),
@@ -238,7 +175,7 @@
         Field("event-backlog", "events that a reader may be behind", INTEGER_TYPE, 64, minimum=4),
     ),
 )  # fmt: skip
-STOPPING = Schema(
+SHUTDOWN = Schema(
     "stopping", "How a front ends.",
     (
         Field("drain-within", "playbacks may play on for so long", TIME_TYPE, 60 * SECOND),
@@ -251,7 +188,7 @@
         Field("secret", "the bearer token that it asks for", SECRET_TYPE, ""),
     ),
 )  # fmt: skip
-LEVELS = Schema(
+LEVEL_CHANGES = Schema(
     "levels", "How levels of reduced service change.",
     (
         Field("least", "time in a level before the next change", TIME_TYPE, 10 * SECOND, minimum=1, usual_range=(SECOND, 3600 * SECOND, "viewers notice each change")),
@@ -261,7 +198,7 @@
         Field("strong", "a sign past its entry by this factor counts at once", NUMBER_TYPE, 1.5, minimum=1),
     ),
 )  # fmt: skip
-PREFERENCE = Schema(
+ZONE_PREFERENCE = Schema(
     "preference", "A front's own wing first. Without this form wings take no side.",
     (
         Field("then", "other wings, in order of preference; none: those of the fleet", NAME_TYPE, (), max_values=MAX_VALUES),
@@ -295,14 +232,14 @@
     ),
     NAME_TYPE, "the zone's name", '(zone north (region europe) (seeds "10.0.0.5:7946" "10.0.0.6:7946"))',
 )  # fmt: skip
-KEEPERS = Schema(
+LEASE_ACCEPTORS = Schema(
     "keepers", "The fronts that grant terms of duties done on behalf of the fleet, one owner at a time; the same on all fronts.",
     (
         Field("names", "their names among the peers; of three one may be away, of five two", NAME_TYPE, required=True, max_values=7),
         Field("term", "how long a duty is its owner's; the longest that it may be without one is twice that", TIME_TYPE, 6 * SECOND, minimum=SECOND),
     ),
 )  # fmt: skip
-ADOPTING = Schema(
+SESSION_TAKEOVER = Schema(
     "adopting", "Playbacks of a front that will not come back are taken over by the others; the same on all fronts.",
     (
         Field("after", "how long after the others see it as gone", TIME_TYPE, SECOND),
@@ -310,13 +247,13 @@
         Field("most", "playbacks taken over that one front may hold at once", INTEGER_TYPE, 1_000, minimum=1),
     ),
 )  # fmt: skip
-PROBING = Schema(
+LOAD_PROBING = Schema(
     "probing", "Each node's load is asked by one front and told to the others; the same on all fronts.",
     (
         Field("every", "between two figures of a node; longer where the fleet has over a hundred", TIME_TYPE, 2500 * MS, minimum=500 * MS),
     ),
 )  # fmt: skip
-LEVEL = Schema(
+SERVICE_LEVEL = Schema(
     "level", "A level of reduced service: entered when one of its signs is over its entry, left when all are under their exits.",
     (
         Field("rank", "its place in the order, from 1; a higher one reduces more", INTEGER_TYPE, required=True, minimum=1),
@@ -339,16 +276,16 @@
     LADDER,
     SIGNALLING,
     NODES,
-    DOOR,
-    STOPPING,
+    CONNECTION_LIMITS,
+    SHUTDOWN,
     OPERATORS,
-    LEVELS,
-    PREFERENCE,
+    LEVEL_CHANGES,
+    ZONE_PREFERENCE,
     PEERS,
-    KEEPERS,
-    ADOPTING,
-    PROBING,
+    LEASE_ACCEPTORS,
+    SESSION_TAKEOVER,
+    LOAD_PROBING,
 )
-NAMED_FORMS = (PLAN, POOL, ROUTE, LIMIT, TOKEN, TITLE_FORM, LEVEL, ZONE)
-SCHEMAS_BY_NAME = {s.name: s for s in (*SINGLE_FORMS, *NAMED_FORMS)}
+NAMED_FORMS = (PLAN, POOL, ROUTE, LIMIT, TOKEN, TITLE_FORM, SERVICE_LEVEL, ZONE)
+SCHEMAS_BY_NAME = {schema.name: schema for schema in (*SINGLE_FORMS, *NAMED_FORMS)}
 KEYWORDS = ("include", "define", "use")
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -70,27 +70,28 @@
     """
 
     def parse(atom: Atom) -> float | int:
+        """Parses a number with a unit."""
         match = NUMBER_WITH_UNIT.match(atom.text) if not atom.is_quoted else None
         if match is None:
             raise InvalidValueError(
-                f"{atom.source_text} is not a {name}", f"write a figure with a unit, as {examples[0]}"
+                f"{atom.source_text} is not a {name}", f"write a number with a unit, such as {examples[0]}"
             )
         number = float(match[1])
         unit = match[2] or ""
         if not unit:
             raise InvalidValueError(
-                f"{atom.source_text} has no unit; a {name} is written with one",
-                f"write {match[1]}{_unit_of(examples[0])}, if so meant",
+                f"{atom.source_text} has no unit; a {name} needs one",
+                f"write {match[1]}{_unit_of(examples[0])}, if that was meant",
                 True,
             )
         if unit not in units:
             guess = closest_match(unit, units) or _unit_of(examples[0])
             raise InvalidValueError(
-                f"{unit} is not a unit of {name}; known are {', '.join(units)}",
-                f"write {match[1]}{guess}, if so meant",
+                f"{unit} is not a unit of {name}; known units are {', '.join(units)}",
+                f"write {match[1]}{guess}, if that was meant",
             )
         if number < 0:
-            raise InvalidValueError(f"a {name} is not under 0", f"write {atom.text[1:]}")
+            raise InvalidValueError(f"a {name} must not be negative", f"write {atom.text[1:]}")
         value = number * units[unit]
         return round(value) if is_whole else value
 
@@ -108,7 +109,7 @@
     match = NUMBER_WITH_UNIT.match(atom.text) if not atom.is_quoted else None
     if match is None or match[2] not in (None, "%"):
         raise InvalidValueError(
-            f"{atom.source_text} is not a plain figure", "write a figure without a unit, or a share in %"
+            f"{atom.source_text} is not a plain number", "write a number without a unit, or a percentage"
         )
     return float(match[1]) * (0.01 if match[2] else 1.0)
 
@@ -121,11 +122,11 @@
     return int(atom.text)
 
 
-def _parse_word(atom: Atom) -> str:
+def _parse_name(atom: Atom) -> str:
     if atom.text.startswith("$") and not atom.is_quoted:
-        raise InvalidValueError(f"{atom.text} is a parameter, which has a value only within (define …)")
+        raise InvalidValueError(f"{atom.text} is a parameter, which has a value only inside (define …)")
     if not atom.text:
-        raise InvalidValueError("an empty name", "write a name")
+        raise InvalidValueError("the name is empty", "write a name")
     return atom.text
 
 
@@ -135,18 +136,19 @@
 PACE_TYPE = quantity_type("pace", PACE_UNITS, ("40/s", "600/min"))
 NUMBER_TYPE = ValueType("figure", "a plain figure, or a share in %", _parse_number)
 INTEGER_TYPE = ValueType("whole number", "a whole number, 0 or more", _parse_integer)
-NAME_TYPE = ValueType("name", "a symbol or a string", _parse_word)
-TEXT_TYPE = ValueType("text", "a string or a symbol", _parse_word)
+NAME_TYPE = ValueType("name", "a symbol or a string", _parse_name)
+TEXT_TYPE = ValueType("text", "a string or a symbol", _parse_name)
 
 
 def choice_type(name: str, words: Sequence[str]) -> ValueType:
     """Returns the type of a value that is one of `words`."""
 
     def parse(atom: Atom) -> str:
+        """Returns the atom's text if it is one of the words."""
         if atom.text not in words:
             guess = closest_match(atom.text, words)
             raise InvalidValueError(
-                f"{atom.source_text} is no {name}; it is {join_alternatives(words)}",
+                f"{atom.source_text} is not a valid {name}; use {join_alternatives(words)}",
                 f"write {guess}" if guess else "",
             )
         return atom.text
@@ -193,7 +195,7 @@
 
     def find_field(self, name: str) -> Field | None:
         """Returns a field by name, None if there is none."""
-        return next((f for f in self.fields if f.name == name), None)
+        return next((field for field in self.fields if field.name == name), None)
 
 
 @dataclass
