--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.experiments import Experiment, Quantity
 from benchmarks.capacity.targets import TARGET
 from benchmarks.cold_ramp import LOADS, SETTINGS, Day
-from benchmarks.figures import play
+from benchmarks.load_sharing import play
 from oakcroft.decisions.fleet.session_takeover import (
     MAX_ORDERS_COMPUTED,
     MAX_TASKS_SCANNED,
--- a/benchmarks/owners.py
+++ b/benchmarks/lease_failover.py
@@ -1,6 +1,6 @@
 """Measures how long a lease has no holder after its holder's crash, and how many messages keeping the lease takes.
 
-    python -m benchmarks.owners [--kills 200] [--term 6] [--loss 0 0.05 0.2] [--sizes 7 50 200]
+    python -m benchmarks.lease_failover [--kills 200] [--term 6] [--loss 0 0.05 0.2] [--sizes 7 50 200]
 
 The acceptors and candidates run on a simulated network (oakcroft/rehearsal/lease_simulation.py); the same seed gives the
 same result. A killed front restarts after ten terms. The printed table calls an acceptor a keeper and a holder an owner.
--- a/benchmarks/figures.py
+++ b/benchmarks/load_sharing.py
@@ -1,6 +1,6 @@
 """Simulates whole fleets that share nodes' loads, with datagram loss, and measures the cost and the age of known loads.
 
-python -m benchmarks.figures
+python -m benchmarks.load_sharing
 """
 
 from __future__ import annotations
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/membership_convergence.py
@@ -2,7 +2,8 @@
 
 The members run on a simulated network; the same seed gives the same result. Compared with an all-to-all heartbeat.
 
-    python -m benchmarks.fleet_view [--sizes 5,50,200] [--losses 0,0.05,0.2] [--crashes 20] [--hours 0] [--plot FILE]
+    python -m benchmarks.membership_convergence [--sizes 5,50,200] [--losses 0,0.05,0.2] [--crashes 20]
+        [--hours 0] [--plot FILE]
 
 All results are simulated except the processor time, which the members used on this machine.
 """
--- a/benchmarks/levels.py
+++ b/benchmarks/service_levels.py
@@ -1,6 +1,6 @@
 """Simulates service levels on many fronts: how often each front changes its level, and how many change at once.
 
-    python -m benchmarks.levels [--fronts 200] [--minutes 10] [--seeds 10]
+    python -m benchmarks.service_levels [--fronts 200] [--minutes 10] [--seeds 10]
 
 Either the load swings around an entry threshold, and each front sees it with its own error; or all links lose capacity at
 once and recover. Compared with a plain threshold without hysteresis. The same seeds give the same result.
--- a/benchmarks/adopting.py
+++ b/benchmarks/session_takeover.py
@@ -1,7 +1,7 @@
 """Measures session takeover: the decisions of a whole simulated fleet, and real processes of which some are killed.
 
-python -m benchmarks.adopting            simulated: up to 200 fronts and 200 nodes, 1 to 140 fronts killed at once
-python -m benchmarks.adopting processes  five fronts, two nodes, one and two killed, with and without (adopting …)
+python -m benchmarks.session_takeover            simulated: up to 200 fronts and 200 nodes, 1 to 140 fronts killed at once
+python -m benchmarks.session_takeover processes  five fronts, two nodes, one and two killed, with and without (adopting …)
 """
 
 from __future__ import annotations
--- a/benchmarks/untold_loads.py
+++ b/benchmarks/unreported_loads.py
@@ -1,6 +1,6 @@
 """Simulates a fleet whose nodes report no loads: the real decision module in each front, a simple model of the links.
 
-python -m benchmarks.untold_loads [SEEDS]
+python -m benchmarks.unreported_loads [SEEDS]
 
 Fronts receive only delivered shares: once a second, for one session per node, while the node delivers too little. The
 middle third of a simulated day has a burst of requests. The result is the revenue earned divided by the revenue wanted;
