--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -8,8 +8,6 @@
 
 from dataclasses import dataclass
 
-COMMIT = "414ace3"
-
 
 @dataclass(frozen=True)
 class Bound:
@@ -26,11 +24,7 @@
 MAX_MEMBERS = Bound(1_024, "`decisions/membership/member_table.py` MAX_MEMBERS")
 MAX_LEASES = Bound(64, "`decisions/fleet/acceptor.py` MAX_LEASES")
 MAX_TAKEOVER_PAIRS = Bound(65_536, "`decisions/fleet/session_takeover.py` MAX_TASKS")
-STAGED_ROLLOUT_S = Bound(
-    30.0, "`decisions/fleet/rollout.py` ROLLOUT_SHARES, three of them, each watched for 10 s"
-)
 MAX_LOAD_AGE_S = Bound(20.0, "`decisions/fleet/load_sharing.py` MAX_REPORT_AGE")
-MAX_LOAD_REPORTS_PER_S = Bound(36.0, "`decisions/fleet/load_sharing.py` MAX_FLEET_REPORTS_PER_SECOND")
 KEPT_VERSIONS = Bound(50, "`decisions/routing/catalogue.py` VersionHistory.max_versions")
 SESSION_LEASE_S = Bound(15.0, "docs/adopting.md, the lease of a failed front's sessions")
 CRASH_DETECTION_S = Bound(6.0, "docs/fleet.md, time until all members know of a crash")
--- a/benchmarks/capacity/roles_nodes.py
+++ b/benchmarks/capacity/roles_nodes.py
@@ -39,8 +39,8 @@
     )
     if rounds is None or change is None or title is None:
         return None
-    spent_ms = change * WORST_LIST_CHANGES_PER_S + title * demand.arrivals_per_front()
-    return rounds + spent_ms / MS_PER_S * PERCENT
+    cpu_ms_per_s = change * WORST_LIST_CHANGES_PER_S + title * demand.arrivals_per_front()
+    return rounds + cpu_ms_per_s / MS_PER_S * PERCENT
 
 
 def share_cell(share: float | None) -> str:
@@ -50,72 +50,80 @@
 
 def lists(slopes: Readings) -> Row:
     """The node list, and the placement of titles on its nodes."""
+    in_use = demand.titles_in_use(WORST_SESSIONS_PER_FRONT)
+    return Row(
+        "lists of nodes, placement of titles",
+        "3% of a core, shared with all other control work; a list is applied as a whole",
+        "`platform/channel_follower.py`, `platform/session_coordinator.py`, `choice.py` `_holders`, "
+        "`decisions/routing/title_cache.py`",
+        _list_loads(slopes, in_use),
+        (*_title_limits(in_use), *_list_limits(slopes)),
+    )
+
+
+def _list_loads(slopes: Readings, in_use: float) -> tuple[Load, ...]:
+    """`in_use` is the number of different titles among the sessions of one front end."""
     today = list_share(slopes, TODAY_NODES)
     target = list_share(slopes, TARGET_NODES)
+    return (
+        Load(
+            "state",
+            f"{format_number(TODAY_NODES)} nodes, {format_number(TODAY_TITLES)} titles",
+            f"{format_number(TARGET_NODES)} nodes, {format_number(in_use)} titles in use",
+        ),
+        Load(
+            "messages",
+            NOT_MEASURED,
+            f"{format_number(WORST_LIST_CHANGES_PER_S)} changes a second during a release",
+        ),
+        Load("CPU", share_cell(today), share_cell(target)),
+        load_at_both_sizes(
+            "CPU, ordering the holders of one title", slopes["list.title"], TODAY_NODES, TARGET_NODES
+        ),
+        load_at_both_sizes(
+            "memory of titles, each with an order of 300 nodes",
+            slopes["titles.memory"],
+            TODAY_TITLES,
+            in_use,
+        ),
+        load_at_both_sizes(
+            "memory of a front without sessions", slopes["nodes.memory"], TODAY_NODES, TARGET_NODES
+        ),
+        load_at_both_sizes("network, a whole list", slopes["list.octets"], TODAY_NODES, TARGET_NODES),
+        load_at_both_sizes("time from start to ready", slopes["nodes.ready"], TODAY_NODES, TARGET_NODES),
+    )
+
+
+def _title_limits(in_use: float) -> tuple[Limit, ...]:
+    title_rejected = "a session of a further title is rejected while all cached titles are in use"
+    return assumed_limits(
+        assumed.TITLE_SKEW,
+        constant_limit(bounds.MAX_TITLES, "titles in use at one front", in_use, title_rejected),
+    )
+
+
+def _list_limits(slopes: Readings) -> tuple[Limit, ...]:
     carried = None
-    if target is not None:
+    if list_share(slopes, TARGET_NODES) is not None:
         carried = bisect_largest_size(
             lambda size: list_share(slopes, size) or 0.0, CONTROL_CPU_PERCENT, SUFFICIENT_RATIO * TARGET_NODES
         )
-    in_use = demand.titles_in_use(WORST_SESSIONS_PER_FRONT)
     nodes_per_answer = slopes["list.octets"].largest_size_within(bounds.MAX_LIST_OCTETS.value / KB)
     list_rejected = "a whole list is rejected and the previous one stays in use"
-    title_rejected = "a session of a further title is rejected while all cached titles are in use"
     within_answer = f"`list.octets` within {bounds.MAX_LIST_OCTETS.source}"
     in_release = "`list.rounds`, `list.change`, `list.title` during a release"
-    return Row(
-        "lists of nodes, placement of titles",
-        "3% of a core, shared with all other control work; a list is applied as a whole",
-        "`platform/channel_follower.py`, `platform/session_coordinator.py`, `choice.py` `_holders`, "
-        "`decisions/routing/title_cache.py`",
-        (
-            Load(
-                "state",
-                f"{format_number(TODAY_NODES)} nodes, {format_number(TODAY_TITLES)} titles",
-                f"{format_number(TARGET_NODES)} nodes, {format_number(in_use)} titles in use",
-            ),
-            Load(
-                "messages",
-                NOT_MEASURED,
-                f"{format_number(WORST_LIST_CHANGES_PER_S)} changes a second during a release",
-            ),
-            Load("CPU", share_cell(today), share_cell(target)),
-            load_at_both_sizes(
-                "CPU, ordering the holders of one title", slopes["list.title"], TODAY_NODES, TARGET_NODES
-            ),
-            load_at_both_sizes(
-                "memory of titles, each with an order of 300 nodes",
-                slopes["titles.memory"],
-                TODAY_TITLES,
-                in_use,
-            ),
-            load_at_both_sizes(
-                "memory of a front without sessions", slopes["nodes.memory"], TODAY_NODES, TARGET_NODES
-            ),
-            load_at_both_sizes("network, a whole list", slopes["list.octets"], TODAY_NODES, TARGET_NODES),
-            load_at_both_sizes("time from start to ready", slopes["nodes.ready"], TODAY_NODES, TARGET_NODES),
-        ),
-        (
-            *assumed_limits(
-                assumed.TITLE_SKEW,
-                constant_limit(bounds.MAX_TITLES, "titles in use at one front", in_use, title_rejected),
-            ),
-            *assumed_limits(
-                assumed.PLAYOUT_NODES,
-                derived_limit(
-                    nodes_per_answer, within_answer, "nodes on a whole list", TARGET_NODES, list_rejected
-                ),
-                constant_limit(bounds.MAX_LIST_NODES, "nodes on the list", TARGET_NODES, list_rejected),
-                derived_limit(carried, in_release, "nodes, by CPU time", TARGET_NODES, OVER_CPU_BUDGET),
-                measured_limit(
-                    slopes,
-                    "nodes.processor",
-                    CONTROL_CPU_PERCENT,
-                    "nodes, by CPU time of an idle process",
-                    TARGET_NODES,
-                    OVER_CPU_BUDGET,
-                ),
-            ),
+    return assumed_limits(
+        assumed.PLAYOUT_NODES,
+        derived_limit(nodes_per_answer, within_answer, "nodes on a whole list", TARGET_NODES, list_rejected),
+        constant_limit(bounds.MAX_LIST_NODES, "nodes on the list", TARGET_NODES, list_rejected),
+        derived_limit(carried, in_release, "nodes, by CPU time", TARGET_NODES, OVER_CPU_BUDGET),
+        measured_limit(
+            slopes,
+            "nodes.processor",
+            CONTROL_CPU_PERCENT,
+            "nodes, by CPU time of an idle process",
+            TARGET_NODES,
+            OVER_CPU_BUDGET,
         ),
     )
 
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,6 +1,6 @@
 """Rows of the page, one per role: its resource use today and at the target, and its limits.
 
-The roles are in `roles_sessions.py`, `roles_nodes.py` and `roles_control.py`.
+The roles are in the modules `roles_*.py`.
 """
 
 from __future__ import annotations
