--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 
 MAX_LISTED_TESTS = 3
+FIELDS_PER_LINE = 3
 
 
 def main(test_command: list[str], list_file: Path) -> int:
@@ -22,10 +23,11 @@
         print(f"{list_file.name} lists {len(lines)} tests, {MAX_LISTED_TESTS} at most", file=sys.stderr)
         return 1
     for line in lines:
-        test, *cause_and_issue = line.split(": ")
-        if len(cause_and_issue) != 2 or not all(part.strip() for part in cause_and_issue):
+        fields = line.split(": ")
+        if len(fields) != FIELDS_PER_LINE or not all(field.strip() for field in fields[1:]):
             print(f"{list_file.name}: not `TEST: cause: issue`: {line}", file=sys.stderr)
             return 1
+        test = fields[0]
         completed = subprocess.run([*test_command, test], capture_output=True, text=True, check=False)
         # pytest's exit code 1: tests ran and some failed.
         if completed.returncode != 1 or " failed" not in completed.stdout.splitlines()[-1]:
--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -12,13 +12,16 @@
 import os
 import platform
 import tempfile
+import sys
 import time
+from http import HTTPStatus
 from pathlib import Path
+from typing import Any
 
 import trio
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.front_cost import new_latencies, record_latency
+from benchmarks.load_generator import PERCENTILES, new_latencies, record_latency
 from oakcroft.config.pipeline import check_file, build_deployment
 from oakcroft.decisions.routing.route_table import RouteRequest, ClientRole
 from oakcroft.front.front_end import FrontEnd
@@ -28,8 +31,6 @@
 (ladder (rates 200kB/s 400kB/s 800kB/s) (worth 0.3 0.6 1))
 (plan course (effect paid) (startup-target 1s) (abandon 5s) (revenue 2))
 """
-
-
 PATH_COUNT = 50
 MAX_DIFFERENT_REQUESTS = 1000
 LOOKUP_COUNT = 20_000
@@ -73,10 +74,33 @@
     )
 
 
+async def send_requests(rig: Any, latencies: HdrHistogram) -> None:
+    """Sends requests open-loop to the front of a test rig and ends each playback that was set up."""
+    start = trio.current_time()
+
+    async def play_once(due_at: float, number: int) -> None:
+        """Requests a playback and ends it once it was set up."""
+        response = await rig.request_playback(f"/whep/open/t{number % 5}")
+        record_latency(latencies, due_at)
+        if response.status == HTTPStatus.CREATED:
+            await rig.request("DELETE", response.header("location") or "")
+
+    async with trio.open_nursery() as nursery:
+        for i in range(MEASURED_S * REQUESTS_PER_SECOND):
+            due_at = start + i / REQUESTS_PER_SECOND
+            await trio.sleep_until(due_at)
+            nursery.start_soon(play_once, due_at, i)
+
+
+async def change_configuration(front: FrontEnd, versions: list[Any]) -> None:
+    """Applies the versions of a configuration in turn, until it is cancelled."""
+    for number in range(1, 10_000):
+        await front.apply_configuration(number, versions[number % len(versions)])
+        await trio.sleep(CHANGE_INTERVAL_S)
+
+
 async def measure_changes() -> None:
     """Measures answers with and without configuration changes at the same time."""
-    import sys
-
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
     from rig import running_front_end  # type: ignore[import-not-found,unused-ignore]
     from test_configuration_reload import build_version, front_form  # type: ignore[import-not-found,unused-ignore]
@@ -87,37 +111,17 @@
             assert isinstance(front, FrontEnd)
             versions = [build_version(i, front_form(rig)) for i in range(6)]
 
-            async def send_requests(latencies: HdrHistogram) -> None:
-                start = trio.current_time()
-
-                async def play_once(due_at: float, number: int) -> None:
-                    response = await rig.request_playback(f"/whep/open/t{number % 5}")
-                    record_latency(latencies, due_at)
-                    if response.status == 201:
-                        await rig.request("DELETE", response.header("location") or "")
-
-                async with trio.open_nursery() as nursery:
-                    for i in range(MEASURED_S * REQUESTS_PER_SECOND):
-                        due_at = start + i / REQUESTS_PER_SECOND
-                        await trio.sleep_until(due_at)
-                        nursery.start_soon(play_once, due_at, i)
-
             without_changes = new_latencies()
             with_changes = new_latencies()
-            await send_requests(without_changes)
+            await send_requests(rig, without_changes)
             async with trio.open_nursery() as nursery:
-
-                async def change_configuration() -> None:
-                    for i in range(1, 10_000):
-                        await front.apply_configuration(i, versions[i % len(versions)])
-                        await trio.sleep(CHANGE_INTERVAL_S)
-
-                nursery.start_soon(change_configuration)
-                await send_requests(with_changes)
+                nursery.start_soon(change_configuration, front, versions)
+                await send_requests(rig, with_changes)
                 nursery.cancel_scope.cancel()
             for case, latencies in (("no change", without_changes), ("a change every 100 ms", with_changes)):
                 percentiles = "  ".join(
-                    f"p{p:g} {latencies.get_value_at_percentile(p) / 1000:.2f}" for p in (50, 99, 99.9)
+                    f"p{percentile:g} {latencies.get_value_at_percentile(percentile) / 1000:.2f}"
+                    for percentile in PERCENTILES
                 )
                 print(f"answers with {case}: {percentiles} ms")
 
--- a/benchmarks/membership_convergence.py
+++ b/benchmarks/membership_convergence.py
@@ -134,58 +134,84 @@
     )
 
 
-def measure(size: int, loss: float, crashes: int, seed: int, hours: float) -> Row:
-    """Measures one row of the table."""
-    network = settled_network(size, seed, loss)
-    rng = Random(seed)
-    network.run(60 * SECOND)  # until the gossip of the joins has ended
-    quiet_seconds = max(60.0, hours * 3600)
-    quiet = measure_quiet_time(network, quiet_seconds)
-    false_failures = count_false_failures(network, set())
+@dataclass
+class CrashDetections:
+    """What single crashes showed, one after the other. Times in seconds."""
 
-    first_detections = list[float]()
-    full_detections = list[float]()
+    first: list[float]
+    full: list[float]
+    false_failures: int
+
+
+def measure_crashes(network: SimulatedNetwork, crashes: int, rng: Random) -> CrashDetections:
+    """Kills random members one after the other; each is restarted before the next is killed."""
+    found = CrashDetections([], [], 0)
     for _ in range(crashes):
-        name = f"f{rng.randrange(len(SEEDS), size)}"
+        name = f"f{rng.randrange(len(SEEDS), len(network.processes))}"
         first, full = measure_crash(network, name)
-        first_detections.append(first)
-        full_detections.append(full)
-        false_failures += count_false_failures(network, {name})
+        found.first.append(first)
+        found.full.append(full)
+        found.false_failures += count_false_failures(network, {name})
         network.add(name, SEEDS)
         network.run(5 * SECOND)
+    return found
 
-    network.run(10 * SECOND)
+
+def measure_mass_crash(network: SimulatedNetwork, rng: Random) -> tuple[float, float, int]:
+    """Kills most members and restarts them.
+
+    Returns the times to agree after the crash and after the restart, and the number of false failures.
+    """
+    size = len(network.processes)
     candidates = [f"f{i}" for i in range(len(SEEDS), size)]
     killed = set(rng.sample(candidates, max(1, round(KILLED_SHARE * size) - 1)))
     network.state_changes.clear()
     for name in killed:
         network.kill(name)
-    mass_failure = measure_settling(network)
-    false_failures += count_false_failures(network, killed)
+    after_crash_s = measure_settling(network)
+    false_failures = count_false_failures(network, killed)
     network.run(5 * SECOND)
     network.state_changes.clear()
     for name in sorted(killed):
         network.add(name, SEEDS)
-    mass_rejoin = measure_settling(network)
+    return after_crash_s, measure_settling(network), false_failures
 
-    network.run(10 * SECOND)
-    half = {f"f{i}" for i in range(size // 2)}
+
+def measure_partition(network: SimulatedNetwork) -> tuple[float, int]:
+    """Separates two halves for 40 s; returns the time to agree after the heal, and the number of false failures."""
+    half = {f"f{i}" for i in range(len(network.processes) // 2)}
     network.state_changes.clear()
     network.cut = lambda one, other: (one in half) != (other in half)
     network.run(40 * SECOND)
     network.cut = lambda _one, _other: False
-    partition_heal = measure_settling(network)
-    false_failures += sum(
+    heal_s = measure_settling(network)
+    false_failures = sum(
         state == "gone" and (observer in half) == (member in half)
         for _, observer, member, _, state in network.state_changes
     )
+    return heal_s, false_failures
+
 
+def measure(size: int, loss: float, crashes: int, seed: int, hours: float) -> Row:
+    """Measures one row of the table."""
+    network = settled_network(size, seed, loss)
+    rng = Random(seed)
+    network.run(60 * SECOND)  # until the gossip of the joins has ended
+    quiet_seconds = max(60.0, hours * 3600)
+    quiet = measure_quiet_time(network, quiet_seconds)
+    false_failures = count_false_failures(network, set())
+    detections = measure_crashes(network, crashes, rng)
+    network.run(10 * SECOND)
+    mass_failure, mass_rejoin, false_in_crash = measure_mass_crash(network, rng)
+    network.run(10 * SECOND)
+    partition_heal, false_in_partition = measure_partition(network)
+    false_failures += detections.false_failures + false_in_crash + false_in_partition
     joined = settled_network(size, seed + 1, loss)
     return Row(
         size=size,
         loss=loss,
-        first_detections=first_detections,
-        full_detections=full_detections,
+        first_detections=detections.first,
+        full_detections=detections.full,
         false_failures=false_failures,
         quiet_hours=quiet_seconds / 3600,
         join=(joined.now - 500 * MS) / SECOND,
@@ -213,9 +239,9 @@
         for _other in range(size - 1):
             phase = rng.random()
             last_received_at = 0.0
-            for k in range(13):  # backwards to the last heartbeat before the crash that was received
-                if phase - k <= crashed_at and rng.random() >= loss:
-                    last_received_at = phase - k
+            for step in range(13):  # backwards to the last heartbeat before the crash that was received
+                if phase - step <= crashed_at and rng.random() >= loss:
+                    last_received_at = phase - step
                     break
             detections.append(last_received_at + MISSED_HEARTBEATS * interval_s - crashed_at)
         first_detections.append(min(detections))
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -18,19 +18,22 @@
 import subprocess
 import sys
 import tempfile
+from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
 from random import Random
 
 import orjson
 import trio
 
-from benchmarks.front_cost import SITE, WARM_UP_S, Process, day_text, start_front
+from benchmarks.child_processes import SITE, WARM_UP_S, Process, day_text, start_front
 from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
 from oakcroft.running.clock import Clock
 from oakcroft.front.node_list_client import DISCOVERY_PATH
 from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
+from oakcroft.interface import SECOND
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import sdp
 
@@ -54,6 +57,8 @@
 FLEETS = 3
 NODES_PER_FLEET = 10
 LONG_POLL_S = 20
+CONNECTION_IDLE_NS = 3600 * SECOND
+TITLE_COUNT = 50
 
 
 async def send_requests(port: int, rate: float, seconds: float, seed: int) -> None:
@@ -65,14 +70,18 @@
     body = offer(20_000, 1).encode()
 
     async def play_once(due_at: float) -> None:
+        """Requests a playback, counts the answer if it came in time, and ends the playback."""
         plan = HIGH_REVENUE_PLAN if rng.random() < HIGH_REVENUE_SHARE else LOW_REVENUE_PLAN
         requested[plan] += 1
         try:
             with trio.move_on_at(due_at + ABANDON_S):
                 response = await client.request(
-                    "POST", f"/whep/{plan}/t{rng.randrange(50)}", [("Content-Type", sdp.MEDIA_TYPE)], body
+                    "POST",
+                    f"/whep/{plan}/t{rng.randrange(TITLE_COUNT)}",
+                    [("Content-Type", sdp.MEDIA_TYPE)],
+                    body,
                 )
-                if response.status == 201:
+                if response.status == HTTPStatus.CREATED:
                     in_time[plan] += trio.current_time() - due_at <= STARTUP_TARGET_S
                     await client.request("DELETE", response.header("location") or "", [], b"")
         except ExchangeError:
@@ -99,63 +108,105 @@
     return day
 
 
+async def start_fleet(folder: Path, site: str, number: int) -> tuple[Process, bytes]:
+    """Starts one fleet; returns its process and its node list."""
+    day_file = folder / f"day-{number}.oak"
+    day_file.write_text(fleet_day(site, number))
+    fleet = Process(
+        "stand-in",
+        str(day_file),
+        "--seed",
+        str(number),
+        "--start",
+        str(1 << 62),
+        "--record",
+        str(folder / f"record-{number}"),
+    )
+    port = orjson.loads(await fleet.start(folder / f"fleet-{number}.log"))["list"]
+    response = await HttpClient("127.0.0.1", port).request("POST", DISCOVERY_PATH, [], b"{}")
+    return fleet, response.body
+
+
 async def start_fleets(folder: Path, site: str) -> tuple[list[Process], int, trio.CancelScope]:
     """Starts the fleets and a discovery service that lists all of their nodes.
 
     Returns the processes, the service's port and the scope that stops it.
     """
     fleets = list[Process]()
-    lists = list[bytes]()
-    for i in range(FLEETS):
-        day_file = folder / f"day-{i}.oak"
-        day_file.write_text(fleet_day(site, i))
-        fleet = Process(
-            "stand-in",
-            str(day_file),
-            "--seed",
-            str(i),
-            "--start",
-            str(1 << 62),
-            "--record",
-            str(folder / f"record-{i}"),
-        )
-        port = orjson.loads(await fleet.start(folder / f"fleet-{i}.log"))["list"]
-        response = await HttpClient("127.0.0.1", port).request("POST", DISCOVERY_PATH, [], b"{}")
+    node_lists = list[bytes]()
+    for number in range(FLEETS):
+        fleet, node_list = await start_fleet(folder, site, number)
         fleets.append(fleet)
-        lists.append(response.body)
-    joined_list = orjson.loads(lists[0])
-    version = joined_list["version_info"]
-    for other in lists[1:]:
+        node_lists.append(node_list)
+    joined_list = orjson.loads(node_lists[0])
+    for other in node_lists[1:]:
         joined_list["resources"][0]["endpoints"] += orjson.loads(other)["resources"][0]["endpoints"]
-    joined_body = orjson.dumps(joined_list)
+    port, scope = await start_discovery_service(joined_list["version_info"], orjson.dumps(joined_list))
+    return fleets, port, scope
+
+
+async def start_discovery_service(version: str, node_list: bytes) -> tuple[int, trio.CancelScope]:
+    """Starts a discovery service whose node list never changes; returns its port and the scope that stops it."""
 
     async def handle(request: Request) -> Response:
+        """Answers with the list, or after the long poll's time to a client that has it."""
         if orjson.loads(request.body).get("version_info") == version:
             await trio.sleep(LONG_POLL_S)
-            return Response(304)
-        return Response(200, [("Content-Type", "application/json")], joined_body)
+            return Response(HTTPStatus.NOT_MODIFIED.value)
+        return Response(HTTPStatus.OK.value, [("Content-Type", "application/json")], node_list)
 
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-    server = Server(
-        handle, ConnectionTable(ConnectionLimits(idle=3600 * 10**9)), Clock().now, lambda *_: None
-    )
+    limits = ConnectionLimits(idle=CONNECTION_IDLE_NS)
+    server = Server(handle, ConnectionTable(limits), Clock().now, lambda *_: None)
     scope = trio.CancelScope()
 
     async def serve() -> None:
+        """Runs the server until its scope is cancelled."""
         with scope:
             await server.run(listeners)
 
     trio.lowlevel.spawn_system_task(serve)
-    return fleets, listeners[0].socket.getsockname()[1], scope
+    return listeners[0].socket.getsockname()[1], scope
 
 
-async def measure(
-    module: list[str], rate: float, seconds: float
-) -> tuple[dict[str, int], dict[str, int], list[float]]:
-    """Measures one front under one load.
+@dataclass
+class PlanCounts:
+    """Numbers of requests and of answers in time, by plan."""
 
-    Returns the numbers of requests and of answers in time by plan, and the cores that the front and each fleet used.
-    """
+    requested: dict[str, int]
+    in_time: dict[str, int]
+
+
+async def run_load(port: int, rate: float, seconds: float) -> PlanCounts:
+    """Runs the load processes and returns the sums of their counts."""
+    counts = PlanCounts(dict.fromkeys(PLANS, 0), dict.fromkeys(PLANS, 0))
+    totals = (counts.requested, counts.in_time)
+
+    async def run_load_process(seed: int) -> None:
+        """Runs one load process and adds its counts."""
+        command = [
+            sys.executable,
+            "-m",
+            "benchmarks.overload",
+            "--load",
+            str(port),
+            str(rate / LOAD_PROCESSES),
+            str(seconds),
+            str(seed),
+        ]
+        completed = await trio.run_process(command, capture_stdout=True, stderr=subprocess.DEVNULL)
+        for total, process_counts in zip(totals, orjson.loads(completed.stdout), strict=True):
+            for plan, count in process_counts.items():
+                total[plan] += count
+
+    async with trio.open_nursery() as nursery:
+        for seed in range(LOAD_PROCESSES):
+            nursery.start_soon(run_load_process, seed)
+    return counts
+
+
+async def measure(module: list[str], rate: float, seconds: float) -> tuple[PlanCounts, list[float]]:
+    """Measures one front under one load; returns the counts, and the cores that the front and each fleet used."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         site = SITE_WITH_PLANS.format(nodes=FLEETS * NODES_PER_FLEET)
@@ -165,33 +216,12 @@
         front = Process()
         front.command = [sys.executable, "-m", *module, str(folder / "front.oak")]
         port = await start_front(front, folder / "front.log")
-        requested = dict.fromkeys(PLANS, 0)
-        in_time = dict.fromkeys(PLANS, 0)
         try:
             await trio.sleep(WARM_UP_S)
-
-            async def run_load_process(seed: int) -> None:
-                command = [
-                    sys.executable,
-                    "-m",
-                    "benchmarks.overload",
-                    "--load",
-                    str(port),
-                    str(rate / LOAD_PROCESSES),
-                    str(seconds),
-                    str(seed),
-                ]
-                completed = await trio.run_process(command, capture_stdout=True, stderr=subprocess.DEVNULL)
-                for total, counts in zip((requested, in_time), orjson.loads(completed.stdout), strict=True):
-                    for plan, count in counts.items():
-                        total[plan] += count
-
             processes = (front, *fleets)
             processor_before = [process.processor_seconds() for process in processes]
             began = trio.current_time()
-            async with trio.open_nursery() as nursery:
-                for seed in range(LOAD_PROCESSES):
-                    nursery.start_soon(run_load_process, seed)
+            counts = await run_load(port, rate, seconds)
             elapsed = trio.current_time() - began
             cores = [
                 (process.processor_seconds() - before) / elapsed
@@ -205,7 +235,7 @@
             for fleet in fleets:
                 await fleet.stop()
             scope.cancel()
-        return requested, in_time, cores
+        return counts, cores
 
 
 def main() -> None:
@@ -229,11 +259,9 @@
             ("line", ["oakcroft", "serve"]),
             ("first come", ["oakcroft.rehearsal.firstcome"]),
         ):
-            requested, in_time, cores = trio.run(
-                measure, module, arguments.capacity * times, arguments.seconds
-            )
-            revenue = HIGH_REVENUE * in_time[HIGH_REVENUE_PLAN] + in_time[LOW_REVENUE_PLAN]
-            answered = ", ".join(f"{plan} {in_time[plan]}/{requested[plan]}" for plan in PLANS)
+            counts, cores = trio.run(measure, module, arguments.capacity * times, arguments.seconds)
+            revenue = HIGH_REVENUE * counts.in_time[HIGH_REVENUE_PLAN] + counts.in_time[LOW_REVENUE_PLAN]
+            answered = ", ".join(f"{plan} {counts.in_time[plan]}/{counts.requested[plan]}" for plan in PLANS)
             core_shares = " ".join(f"{share:.2f}" for share in cores)
             print(
                 f"{times:4.0f} times, {variant:10}: revenue in time {revenue:6}, {answered}; cores {core_shares}",
--- a/benchmarks/peers_lag.py
+++ b/benchmarks/peers_lag.py
@@ -18,22 +18,12 @@
 from pathlib import Path
 from random import Random
 
-import orjson
 import structlog
 import trio
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.front_cost import (
-    SITE,
-    WARM_UP_S,
-    LoadGenerator,
-    Process,
-    day_text,
-    format_percentiles,
-    new_latencies,
-    stand_in_process,
-    start_front,
-)
+from benchmarks.child_processes import SITE, WARM_UP_S, Process, day_text, start_front_and_nodes
+from benchmarks.load_generator import LoadGenerator, format_percentiles, new_latencies
 from oakcroft.config.settings import PeerSettings
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.running.clock import Clock
@@ -64,6 +54,7 @@
     rng = Random(1)
 
     async def run_peer(number: int, scope: trio.CancelScope) -> None:
+        """Runs the peer of this number until its scope is cancelled."""
         with scope:
             own_settings = replace(
                 settings, name=f"peer{number:03}", listen=address(number), advertise=address(number)
@@ -109,36 +100,32 @@
         folder = Path(name)
         key_file = folder / "key"
         key_file.write_text(KEY)
-        fleet = stand_in_process(folder, day_text(NODES))
-        greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
         host, port = address(0)
         seeds = f"{address(1)[0]}:{PORT}"
         peers_form = (
             f'(peers (name front) (listen "{host}:{port}") (seeds "{seeds}") (key-file "{key_file}"))'
         )
-        front_form = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
-        (folder / "front.oak").write_text(
-            f"{front_form}\n{SITE.format(nodes=NODES)}" + ("" if case == "off" else peers_form)
+        further_forms = "" if case == "off" else peers_form
+        rig = await start_front_and_nodes(
+            folder, day_text(NODES), SITE.format(nodes=NODES), further_forms=further_forms
         )
-        front = Process("serve", str(folder / "front.oak"))
         peers = Process()
-        front_port = await start_front(front, folder / "front.log")
         try:
             if case != "off":
                 peers.command = peers_command(key_file, peer_count, case == CHURN_CASE)
                 await peers.start(folder / "talk.log")
-            load = LoadGenerator(front_port, greeting["nodes"])
+            load = LoadGenerator(rig.port, rig.node_ports)
             await trio.sleep(WARM_UP_S + DISCOVERY_S)
             load.failed_count = 0
-            processor_before = front.processor_seconds()
+            processor_before = rig.front.processor_seconds()
             began = trio.current_time()
             await load.run_open_loop(rate, seconds, False, latencies)
-            core_share = (front.processor_seconds() - processor_before) / (trio.current_time() - began)
+            core_share = (rig.front.processor_seconds() - processor_before) / (trio.current_time() - began)
             return f"front {core_share:.0%} of a core, failed {load.failed_count}"
         finally:
-            await front.stop()
+            await rig.front.stop()
             await peers.stop()
-            await fleet.stop()
+            await rig.nodes.stop()
 
 
 async def measure(peers: int, rate: float, seconds: float, rounds: int) -> None:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -20,6 +20,7 @@
 import tempfile
 from collections import Counter
 from contextlib import suppress
+from http import HTTPStatus
 from pathlib import Path
 from random import Random
 from typing import Any, NamedTuple
@@ -27,7 +28,7 @@
 import orjson
 import trio
 
-from benchmarks.front_cost import Process, stand_in_process
+from benchmarks.child_processes import Process, stand_in_process
 from oakcroft.config.pipeline import check_file, build_deployment
 from oakcroft.decisions.state.promise import PromiseState, Promise
 from oakcroft.running.clock import Clock
@@ -50,8 +51,10 @@
 OFFER = offer(20_000, 1).encode()
 CLIENTS = 12
 MAX_REQUESTS_PER_KEY = 6
+REPEATED_SHARE = 0.5
+"""Share of the running playbacks that are requested once more under the same key."""
 CHECKED_RULES = (2, 3, 4, 5, 6)
-BINDING_STATUSES = (201, 504)
+BINDING_STATUSES = (HTTPStatus.CREATED, HTTPStatus.GATEWAY_TIMEOUT)
 """A playback, or the answer that a set-up may have been carried out. Both stand for all later requests of the key."""
 
 
@@ -149,15 +152,15 @@
             if answer is NO_ANSWER:
                 await trio.sleep(rng.uniform(0, 0.1))
                 continue
-            if answer.status == 201 and rng.random() < 0.5:
+            if answer.status == HTTPStatus.CREATED and rng.random() < REPEATED_SHARE:
                 await trio.sleep(rng.uniform(0, 1.0))
                 await rig.front_is_up.wait()
                 # The playback is running, so the front must repeat its answer.
                 answers[key].append(await request_playback(rig.port, path, key))
-            if answer.status == 201:
+            if answer.status == HTTPStatus.CREATED:
                 await trio.sleep(rng.uniform(0, 0.3))
                 await end_playback(rig.port, answer.location)
-            if answer.status != 503:
+            if answer.status != HTTPStatus.SERVICE_UNAVAILABLE:
                 break
             await trio.sleep(answer.retry_after_s * rng.random())
         await trio.sleep(rng.uniform(0, 0.05))
@@ -290,7 +293,7 @@
         for plan in ("open", "paid"):
             for n in range(4000):
                 answer = await request_playback(rig.port, f"/whep/{plan}/t1", f"{plan}{n}")
-                if answer.status == 201:
+                if answer.status == HTTPStatus.CREATED:
                     break
                 await trio.sleep(0.005)
             first_answers_s.append(trio.current_time() - began)
--- a/benchmarks/service_levels.py
+++ b/benchmarks/service_levels.py
@@ -43,6 +43,9 @@
 )
 STEP_NS = 250 * MS
 LOAD_ERROR_SIGMA = 0.05
+"""Standard deviation of the error with which a front sees the load."""
+WEAK_PERIODS_S = ((60, 180), (300, 420))
+"""Begin and end of each time in which all links have half of their capacity."""
 
 
 def swinging(seconds: float) -> float:
@@ -51,8 +54,9 @@
 
 
 def weakening(seconds: float) -> float:
-    """Returns the load when all links have half of their capacity for two minutes, twice."""
-    return 1.7 if 60 <= seconds < 180 or 300 <= seconds < 420 else 0.7
+    """Returns a load that is over all entry thresholds while the links are weak."""
+    is_weak = any(begin <= seconds < end for begin, end in WEAK_PERIODS_S)
+    return 1.7 if is_weak else 0.7
 
 
 def max_within_second(times: list[int]) -> int:
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -13,33 +13,28 @@
 import os
 import platform
 import tempfile
+from http import HTTPStatus
 from pathlib import Path
 from random import Random
 from typing import Any
 
-import orjson
 import trio
 import wsproto
 from hdrh.histogram import HdrHistogram
 from wsproto import events
 
-from benchmarks.front_cost import (
-    SITE,
-    WARM_UP_S,
+from benchmarks.child_processes import SITE, WARM_UP_S, day_text, start_front_and_nodes
+from benchmarks.load_generator import (
+    TITLE_COUNT,
     LoadGenerator,
-    Process,
-    day_text,
     format_percentiles,
     new_latencies,
     record_latency,
-    stand_in_process,
-    start_front,
 )
 from oakcroft.client import Retries, SessionClient
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import session_api as api
 
-
 NODES = 10
 SLOW_RECEIVE_BUFFER_BYTES = 4096
 SLOW_CALL_INTERVAL_S = 0.05
@@ -103,15 +98,17 @@
     sdp_offer = offer(20_000, 1)
 
     async def keep_open(task_status: Any) -> None:
+        """Opens a connection, reports it as started and keeps it until it is cancelled."""
         async with SessionClient.open(f"http://127.0.0.1:{port}", retries=Retries(rng, most=1)) as client:
             task_status.started(client)
             await trio.sleep_forever()
 
     async def play_once(client: SessionClient, due_at: float) -> None:
-        request = api.Ask(next(client.call_ids), f"/whep/open/t{rng.randrange(50)}", sdp_offer)
+        """Requests a playback over WebSocket and ends it once it was set up."""
+        request = api.Ask(next(client.call_ids), f"/whep/open/t{rng.randrange(TITLE_COUNT)}", sdp_offer)
         answer = await client.call(request)
         record_latency(websocket_latencies, due_at)
-        if isinstance(answer, api.Answer) and answer.status == 201:
+        if isinstance(answer, api.Answer) and answer.status == HTTPStatus.CREATED:
             await client.call(api.End(answer.playback, next(client.call_ids)))
         else:
             load.failed_count += 1
@@ -138,17 +135,12 @@
 
 async def measure(idle_count: int, busy_count: int, rate: float, seconds: float, slow_count: int) -> None:
     """Measures one front."""
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        fleet = stand_in_process(folder, day_text(NODES))
-        greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
-        front_form = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
-        (folder / "front.oak").write_text(f"{front_form}\n{SITE.format(nodes=NODES)}")
-        front = Process("serve", str(folder / "front.oak"))
-        port = await start_front(front, folder / "front.log")
+    with tempfile.TemporaryDirectory() as folder:
+        rig = await start_front_and_nodes(Path(folder), day_text(NODES), SITE.format(nodes=NODES))
+        front, port = rig.front, rig.port
         try:
             await trio.sleep(WARM_UP_S)
-            load = LoadGenerator(port, greeting["nodes"])
+            load = LoadGenerator(port, rig.node_ports)
             initial_bytes = front.resident_bytes()
             streams = [await open_idle_connection(port) for _ in range(idle_count)]
             each_kb = (front.resident_bytes() - initial_bytes) / max(1, idle_count) / 1000
@@ -176,8 +168,7 @@
             for stream in streams:
                 await trio.aclose_forcefully(stream)
         finally:
-            await front.stop()
-            await fleet.stop()
+            await rig.stop()
 
 
 def main() -> None:
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -15,22 +15,13 @@
 import tempfile
 import time
 import tracemalloc
+from http import HTTPStatus
 from pathlib import Path
 
-import orjson
 import trio
 
-from benchmarks.front_cost import (
-    SITE,
-    WARM_UP_S,
-    LoadGenerator,
-    Process,
-    day_text,
-    format_percentiles,
-    new_latencies,
-    stand_in_process,
-    start_front,
-)
+from benchmarks.child_processes import SITE, WARM_UP_S, Process, day_text, start_front_and_nodes
+from benchmarks.load_generator import TITLE_COUNT, LoadGenerator, format_percentiles, new_latencies
 from oakcroft.catalogue.text import text_digest, read_catalogue, format_catalogue
 from oakcroft.decisions.routing.catalogue import (
     Catalogue,
@@ -48,6 +39,7 @@
 STARTUP_TARGET_US = 1_000_000
 FLEET_NODES = 200
 CACHED_TITLES = 50_000
+HOLDERS_PER_TITLE = 4
 
 
 def written_bytes(process: Process) -> int:
@@ -62,17 +54,13 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         site = SITE_PAID.format(nodes=NODES)
-        fleet = stand_in_process(folder, day_text(NODES).replace(SITE.format(nodes=NODES), site))
-        greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
-        settings = f'(listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}")'
-        if kind != "off":
-            settings += f' (state "{folder}/state") (state-sync {"yes" if kind == "synced" else "no"})'
-        (folder / "front.oak").write_text(f"(front {settings})\n{site}")
-        front = Process("serve", str(folder / "front.oak"))
-        port = await start_front(front, folder / "front.log")
+        day = day_text(NODES).replace(SITE.format(nodes=NODES), site)
+        state_options = f' (state "{folder}/state") (state-sync {"yes" if kind == "synced" else "no"})'
+        rig = await start_front_and_nodes(folder, day, site, "" if kind == "off" else state_options)
+        front = rig.front
         try:
             await trio.sleep(WARM_UP_S)
-            load = LoadGenerator(port, greeting["nodes"])
+            load = LoadGenerator(rig.port, rig.node_ports)
             latencies = new_latencies()
             written_before = written_bytes(front)
             processor_before = front.processor_seconds()
@@ -88,66 +76,87 @@
                 flush=True,
             )
         finally:
-            await front.stop()
-            await fleet.stop()
+            await rig.stop()
+
+
+class CatalogueReplacer:
+    """Replaces the whole catalogue of a front each second."""
+
+    def __init__(self, port: int, title_count: int) -> None:
+        """Sends catalogues with this number of titles that no viewer requests, and those that viewers request."""
+        self.port = port
+        self.title_count = title_count
+        self.accepted_count = 0
+
+    async def run(self) -> None:
+        """Sends catalogues that differ in the nodes of every title, until it is cancelled."""
+        client = HttpClient("127.0.0.1", self.port)
+        for version in range(1 << 30):
+            entries = {
+                f"t{i}": CatalogueTitle(("n0", f"n{1 + (i + version) % 9}")) for i in range(TITLE_COUNT)
+            }
+            entries |= {
+                f"lesson-{i}": CatalogueTitle((f"n{(i + version) % NODES}",)) for i in range(self.title_count)
+            }
+            text = format_catalogue(entries.items(), False).encode()
+            headers = [("Authorization", f"Bearer {SECRET}"), ("If-Match", "*")]
+            response = await client.request("PUT", "/operators/catalogue", headers, text)
+            self.accepted_count += response.status == HTTPStatus.OK
+            await trio.sleep(1)
 
 
 async def measure_catalogue_changes(titles: int, rate: float, seconds: float) -> None:
     """Measures set-ups without catalogue changes, and while the whole catalogue is replaced each second."""
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        fleet = stand_in_process(folder, day_text(NODES))
-        greeting = orjson.loads(await fleet.start(folder / "fleet.log"))
-        front_form = f'(front (listen "127.0.0.1:0") (list-service "127.0.0.1:{greeting["list"]}"))'
-        operators_form = f'(operators (secret "{SECRET}"))'
-        (folder / "front.oak").write_text(f"{front_form}\n{SITE.format(nodes=NODES)}\n{operators_form}")
-        front = Process("serve", str(folder / "front.oak"))
-        port = await start_front(front, folder / "front.log")
-        load = LoadGenerator(port, greeting["nodes"])
-        accepted_count = 0
-
-        async def replace_catalogue() -> None:
-            nonlocal accepted_count
-            client = HttpClient("127.0.0.1", port)
-            for n in range(1 << 30):
-                entries = {f"t{i}": CatalogueTitle(("n0", f"n{1 + (i + n) % 9}")) for i in range(50)}
-                entries |= {f"lesson-{i}": CatalogueTitle((f"n{(i + n) % NODES}",)) for i in range(titles)}
-                text = format_catalogue(entries.items(), False).encode()
-                headers = [("Authorization", f"Bearer {SECRET}"), ("If-Match", "*")]
-                response = await client.request("PUT", "/operators/catalogue", headers, text)
-                accepted_count += response.status == 200
-                await trio.sleep(1)
-
+    with tempfile.TemporaryDirectory() as folder:
+        operators_form = f'\n(operators (secret "{SECRET}"))'
+        rig = await start_front_and_nodes(
+            Path(folder), day_text(NODES), SITE.format(nodes=NODES), further_forms=operators_form
+        )
+        load = LoadGenerator(rig.port, rig.node_ports)
+        replacer = CatalogueReplacer(rig.port, titles)
         try:
             await trio.sleep(WARM_UP_S)
             for case in ("alone", "swapped"):
                 latencies = new_latencies()
                 async with trio.open_nursery() as nursery:
                     if case == "swapped":
-                        nursery.start_soon(replace_catalogue)
+                        nursery.start_soon(replacer.run)
                     await load.run_open_loop(rate, seconds, False, latencies)
                     nursery.cancel_scope.cancel()
                 some_late = "; some late" if latencies.get_max_value() > STARTUP_TARGET_US else ""
                 print(
                     f"{case:8} {format_percentiles(latencies)}; longest {latencies.get_max_value() / 1e3:.0f}; "
-                    f"failed {load.failed_count}; {accepted_count} swaps of {titles} titles{some_late}",
+                    f"failed {load.failed_count}; {replacer.accepted_count} swaps of {titles} titles{some_late}",
                     flush=True,
                 )
         finally:
-            await front.stop()
-            await fleet.stop()
+            await rig.stop()
+
+
+def filled_cache(titles: list[str]) -> TitleCache:
+    """Returns the cache of a front that has met these titles."""
+    cache = TitleCache(CACHED_TITLES, FLEET_NODES, 6, {})
+    for title in titles:
+        cache.get(title, 0)
+    return cache
+
+
+def catalogue_titles(count: int) -> dict[str, CatalogueTitle]:
+    """Returns the titles of a catalogue, each with holders and rates."""
+    return {
+        f"lesson-{i}": CatalogueTitle(
+            tuple(f"n{(i + holder) % FLEET_NODES}" for holder in range(HOLDERS_PER_TITLE)),
+            rates=(200.0, 400.0, 800.0),
+        )
+        for i in range(count)
+    }
 
 
 def measure_catalogue_size(size: int) -> None:
     """Measures reading, comparing and applying a catalogue of this size, and its memory."""
     node_names = frozenset(f"n{i}" for i in range(FLEET_NODES))
     fleet = FleetSnapshot(node_names, node_names, 5, FLEET_NODES, {})
-    titles = {
-        f"lesson-{i}": CatalogueTitle(
-            tuple(f"n{(i + k) % FLEET_NODES}" for k in range(4)), rates=(200.0, 400.0, 800.0)
-        )
-        for i in range(size)
-    }
+    titles = catalogue_titles(size)
     text = format_catalogue(titles.items(), False)
     began = time.perf_counter()
     old_content = read_catalogue(text)
@@ -162,9 +171,7 @@
     old = Catalogue(1, text_digest(text), old_content.titles, False)
     changes = {"lesson-0": CatalogueTitle(("n7",)), "another": CatalogueTitle(("n9",))}
     new = Catalogue(2, "new", new_content.titles | changes, False)
-    cache = TitleCache(CACHED_TITLES, FLEET_NODES, 6, {})
-    for name in list(titles)[:CACHED_TITLES]:
-        cache.get(name, 0)
+    cache = filled_cache(list(titles)[:CACHED_TITLES])
     began = time.perf_counter()
     names = changed_titles(old, new)
     compare_s = time.perf_counter() - began
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,6 +25,7 @@
     ],
 )
 def test_a_listed_test_has_to_fail(listed: list[str], exit_code: int, message: str, tmp_path: Path) -> None:
+    """It is deselected then. A passing or missing test, a malformed line and a list that is too long are errors."""
     (tmp_path / "test_a.py").write_text("def test_red(): assert 0\ndef test_green(): pass\n")
     (tmp_path / "KNOWN-RED.txt").write_text("\n".join(listed))
     command = [sys.executable, str(SCRIPT), "KNOWN-RED.txt", sys.executable, "-m", "pytest", "-q"]
