--- a/benchmarks/capacity/measure_module.py
+++ b/benchmarks/capacity/measure_module.py
@@ -6,6 +6,7 @@
 import tracemalloc
 from collections.abc import Callable, Sequence
 from dataclasses import replace
+from functools import partial
 from random import Random
 
 import orjson
@@ -14,6 +15,7 @@
 
 from benchmarks.capacity.experiments import Experiment, Quantity
 from benchmarks.capacity.platform_process import SETTINGS, node_members
+from benchmarks.decision_module import NullHost
 from oakcroft import terms
 from oakcroft.choice import Controller
 from oakcroft.decisions.routing.title_cache import TitleCache
@@ -72,6 +74,7 @@
     """Measures a whole list, a change of it, ordering the holders of a title after it, and the periodic passes."""
 
     async def main() -> ValuesBySize:
+        """Measures each number of nodes; the coordinator needs a nursery."""
         async with trio.open_nursery() as nursery:
             return {count: measure_list(count, nursery) for count in NODES}
 
@@ -87,6 +90,7 @@
     change = channel_answer(2, False, node_members([1], count)[:1])
 
     def apply_answer(octets: bytes) -> None:
+        """Decodes an answer of the command channel and applies its lists."""
         for _, complete, listed in command_channel.decode_events(octets)[1]:
             coordinator.apply_list_immediately(complete, listed)
 
@@ -98,6 +102,7 @@
     )
 
     def run_one_second() -> None:
+        """Runs the periodic passes over all nodes that are due in one second."""
         for _ in range(10):
             coordinator._maintain()
         coordinator.controller._end_interval(coordinator.clock.now())
@@ -117,31 +122,6 @@
     return orjson.dumps({"cursor": cursor, "cmds": [cmd]})
 
 
-class NullHost:
-    """A host of the decision module that does nothing."""
-
-    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
-        """Ignores a set-up try."""
-
-    def reject(self, playback: Playback, retry_after_ns: int) -> None:
-        """Ignores a rejection."""
-
-    def abort(self, playback: Playback) -> None:
-        """Ignores an abort."""
-
-    def set_rung(self, playback: Playback, rung: int) -> None:
-        """Ignores a change of rendition."""
-
-    def set_timer(self, at: int) -> None:
-        """Ignores the timer; the caller calls the module itself."""
-
-    def subscribe_to_nodes(self) -> None:
-        """Ignores the subscription; the caller supplies the list itself."""
-
-    def log(self, message: str) -> None:
-        """Ignores a log message."""
-
-
 def measure_held_sessions(seed: int) -> ValuesBySize:
     """Measures the module's interval and a set-up while it holds sessions on a region's nodes."""
     rng = Random(seed)
@@ -173,10 +153,8 @@
         setup_ms = 1e3 * (time.process_time() - started_at) / (count - playing_before)
         now += SECOND
 
-        def end_interval(at: int = now) -> None:
-            controller._end_interval(at)
-
-        found[count] = cpu_milliseconds(end_interval, INTERVAL_REPEATS) / MS_PER_S_PER_PERCENT, setup_ms
+        interval_ms = cpu_milliseconds(partial(controller._end_interval, now), INTERVAL_REPEATS)
+        found[count] = interval_ms / MS_PER_S_PER_PERCENT, setup_ms
         now += MS
     return found
 
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -12,8 +12,9 @@
 from benchmarks.capacity import assumptions as assumed
 from benchmarks.capacity.experiments import Experiment, Quantity
 from benchmarks.capacity.targets import TARGET
-from benchmarks.cold_ramp import LOADS, SETTINGS, Day
-from benchmarks.load_sharing import play
+from benchmarks.cold_ramp import LOADS, SETTINGS
+from benchmarks.cold_ramp_simulation import Day
+from benchmarks.load_sharing import play as play_load_sharing
 from oakcroft.decisions.fleet.session_takeover import (
     MAX_ORDERS_COMPUTED,
     MAX_TASKS_SCANNED,
@@ -85,7 +86,7 @@
 
 def measure_load_sharing(size: int, seed: int) -> Sequence[float]:
     """Measures load sharing with as many nodes as fronts: sent octets, age of known loads, and CPU time of a front."""
-    found = play(size, size, LOSS, seed=seed)
+    found = play_load_sharing(size, size, LOSS, seed=seed)
     _median_age, p99_age, _maximum_age = found.ages
     return found.kilobytes, p99_age, found.core_ms / MS_PER_S_PER_PERCENT
 
@@ -95,8 +96,8 @@
 
     The first value is that share over the share that a single front with the same requests per node uses.
     """
-    *_, used_by_one = Day(SETTINGS[0], 1, LOADS[0], seed).play()
-    *_, used = Day(SETTINGS[0], size, LOADS[0], seed).play()
+    used_by_one = Day(SETTINGS[0], 1, LOADS[0], seed).play().used_share
+    used = Day(SETTINGS[0], size, LOADS[0], seed).play().used_share
     return used / used_by_one, used
 
 
--- a/benchmarks/mass_drain.py
+++ b/benchmarks/mass_drain.py
@@ -16,27 +16,26 @@
 from random import Random
 from typing import NamedTuple
 
+from benchmarks.decision_module import NullHost, create_plan
 from oakcroft.choice import Controller
 from oakcroft.decisions.moving.move_scheduler import MoveScheduler, MoveLimits, MoveReason
 from oakcroft.interface import (
     MS,
     SECOND,
-    Effect,
     NodeEntry,
-    KeyScope,
     NodeStatus,
     NodeListKind,
     Node,
     PlaybackMetric,
     Outcome,
-    Plan,
     Playback,
     DeploymentSettings,
     Title,
 )
 from oakcroft.standins.links import Machine, Rack, Stream, WarmUp
 
-PLAN = Plan(Effect.FREE, KeyScope.ALL, SECOND, SECOND, 1.0, 0, 2, 0, 1.0, False)
+TOP_RUNG = 2
+PLAN = create_plan(TOP_RUNG)
 STEP_NS = 20 * MS
 COLD_DURATION_NS = 8 * SECOND
 COLD_PACE_SHARE = 0.4
@@ -102,7 +101,7 @@
     node: Node
 
 
-class Front:
+class Front(NullHost):
     """One front: a decision module and a move scheduler, with their own objects for nodes and titles."""
 
     def __init__(self, simulation: DrainSimulation, number: int) -> None:
@@ -128,7 +127,7 @@
             entries.append(NodeEntry(node, status, started_at, LINK_CAPACITY, float(NODE_CAPACITY)))
         self.controller.on_node_list(kind, entries, now)
 
-    # The host interface that the decision module calls.
+    # The host interface that the decision module calls. The simulation calls its timer each second.
 
     def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
         """Sends the set-up of a copy."""
@@ -148,18 +147,6 @@
             self.simulation.outcome_counts["refused"] += 1
             self.scheduler.finish(key, False, self.simulation.now, self.simulation.remaining_notice())
 
-    def set_rung(self, playback: Playback, rung: int) -> None:
-        """Does nothing, as rungs do not matter here."""
-
-    def set_timer(self, at: int) -> None:
-        """Does nothing, as the simulation calls the timer each second."""
-
-    def subscribe_to_nodes(self) -> None:
-        """Does nothing, as list changes are sent to all fronts."""
-
-    def log(self, message: str) -> None:
-        """Discards the message."""
-
 
 class DrainSimulation:
     """Fronts, nodes and the clock."""
@@ -192,7 +179,7 @@
         front = self.rng.choice(self.fronts)
         title = self.rng.choice(front.titles)
         node_name = f"n{(title.home_cell + self.rng.randrange(TITLE_COPIES)) % self.cell_count}"
-        playback = Playback(title, PLAN, 2, self.now, False)
+        playback = Playback(title, PLAN, TOP_RUNG, self.now, False)
         front.controller.on_handed_over(playback, front.nodes[node_name], self.now)
         front.playing[key] = playback
         self.machines[node_name].add_stream(key, Stream(STREAM_RATE, 1, RUNG_REVENUE_SHARES, 0))
@@ -211,22 +198,13 @@
 
     def run(self, drained: list[str]) -> None:
         """Drains nodes and runs until their notice has ended."""
-        replacements = {name: f"{name}+1" for name in drained}
         self.drained_at = self.now
         drain_known_at = {front: self.now + self.rng.randrange(MAX_LIST_DELAY_NS) for front in self.fronts}
         replacements_known_at = {
             front: drain_known_at[front] + REPLACEMENT_DELAY_NS + self.rng.randrange(SECOND)
             for front in self.fronts
         }
-        started_at = self.now + REPLACEMENT_DELAY_NS
-        for old, new in replacements.items():
-            self.machines[new] = new_machine(new, self.machines[old].warm_up)
-            self.machines[new].restart(started_at)
-            self.setups_by_second[new] = Counter()
-            self.cells[new] = self.cells[old]
-        replacement_list = [
-            ListedNode(name, self.cells[name], NodeStatus.READY, started_at) for name in replacements.values()
-        ]
+        replacement_list = self._add_replacements(drained)
         next_timer_at = {front: self.now + self.rng.randrange(SECOND) for front in self.fronts}
         while self.now < self.drained_at + self.notice:
             for front in self.fronts:
@@ -244,6 +222,19 @@
             self._answer_setups()
             self.now += STEP_NS
 
+    def _add_replacements(self, drained: list[str]) -> list[ListedNode]:
+        """Adds a node for each drained one, which starts after a delay; returns the list of the new nodes."""
+        started_at = self.now + REPLACEMENT_DELAY_NS
+        replacement_list = []
+        for old in drained:
+            new = f"{old}+1"
+            self.machines[new] = new_machine(new, self.machines[old].warm_up)
+            self.machines[new].restart(started_at)
+            self.setups_by_second[new] = Counter()
+            self.cells[new] = self.cells[old]
+            replacement_list.append(ListedNode(new, self.cells[new], NodeStatus.READY, started_at))
+        return replacement_list
+
     def _drain(self, front: Front, drained: list[str]) -> None:
         listed_nodes = [ListedNode(name, self.cells[name], NodeStatus.DRAINING, 0) for name in drained]
         front.receive_node_list(NodeListKind.CHANGES, listed_nodes, self.now)
@@ -256,7 +247,7 @@
 
     def _request_copy(self, front: Front, key: str) -> None:
         original = front.playing[key]
-        copy = Playback(original.title, PLAN, 2, self.now + 4 * SECOND, True)
+        copy = Playback(original.title, PLAN, TOP_RUNG, self.now + 4 * SECOND, True)
         copy.copy_of = original
         copy.node_filter = lambda node: front.scheduler.has_room_on(key, node.name)
         front.keys_by_copy[copy] = key
@@ -288,27 +279,11 @@
     return Machine(name, Rack(0.0), LINK_CAPACITY, NODE_CAPACITY, warm_up)
 
 
-def main() -> None:
-    """Parses the arguments, runs the simulation and prints the result."""
-    parser = argparse.ArgumentParser(
-        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
-    )
-    for name, value in (("fronts", 200), ("nodes", 60), ("playbacks", 1800), ("notice", 15), ("seed", 1)):
-        parser.add_argument(f"--{name}", type=int, default=value)
-    arguments = parser.parse_args()
-    began = time.perf_counter()
-    simulation = DrainSimulation(
-        arguments.fronts, arguments.nodes, arguments.playbacks, arguments.notice * SECOND, arguments.seed
-    )
-    drained = [f"n{i}" for i in range(0, arguments.nodes, 5)]
-    simulation.run(drained)
+def print_result(simulation: DrainSimulation, drained: list[str], began: float) -> None:
+    """Prints the outcome of the playbacks, the load of warm and of cold target nodes, and the time since `began`."""
     warm = [name for name in simulation.machines if name not in drained and "+" not in name]
     cold = [name for name in simulation.machines if "+" in name]
     left = sum(len(simulation.machines[name].streams) for name in drained)
-    where = (
-        f"{arguments.fronts} fronts, {arguments.nodes} nodes, {len(drained)} drain in {arguments.notice} s"
-    )
-    print(f"{where}, seed {arguments.seed}")
     print(f"  {dict(simulation.outcome_counts)}; left on draining nodes {left}")
     for kind, names in (("warm", warm), ("cold", cold)):
         counts = [simulation.setups_by_second[name] for name in names]
@@ -330,5 +305,26 @@
     )
 
 
+def main() -> None:
+    """Parses the arguments, runs the simulation and prints the result."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    for name, value in (("fronts", 200), ("nodes", 60), ("playbacks", 1800), ("notice", 15), ("seed", 1)):
+        parser.add_argument(f"--{name}", type=int, default=value)
+    arguments = parser.parse_args()
+    began = time.perf_counter()
+    simulation = DrainSimulation(
+        arguments.fronts, arguments.nodes, arguments.playbacks, arguments.notice * SECOND, arguments.seed
+    )
+    drained = [f"n{i}" for i in range(0, arguments.nodes, 5)]
+    simulation.run(drained)
+    where = (
+        f"{arguments.fronts} fronts, {arguments.nodes} nodes, {len(drained)} drain in {arguments.notice} s"
+    )
+    print(f"{where}, seed {arguments.seed}")
+    print_result(simulation, drained, began)
+
+
 if __name__ == "__main__":
     main()
--- a/benchmarks/unreported_loads.py
+++ b/benchmarks/unreported_loads.py
@@ -15,14 +15,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 from random import Random
+from typing import NamedTuple
 
+from benchmarks.decision_module import NullHost, create_plan
 from oakcroft.choice import Controller
 from oakcroft.interface import (
     MS,
     SECOND,
     Effect,
     NodeEntry,
-    KeyScope,
     NodeStatus,
     NodeListKind,
     Node,
@@ -74,23 +75,12 @@
 """Weight of the newest delivered share in its moving average."""
 
 
-def create_plan(effect: Effect, revenue: float, rate_factor: float) -> Plan:
-    """Returns a plan without seats or floor."""
-    return Plan(
-        effect=effect,
-        key_scope=KeyScope.ALL,
-        key_ttl_ns=SECOND,
-        startup_target_ns=1500 * MS,
-        revenue=revenue,
-        floor=0,
-        top_rung=len(RUNG_RATES) - 1,
-        seats=0,
-        rate_factor=rate_factor,
-        shares_stream=False,
-    )
-
-
-PLANS = (create_plan(Effect.FREE, 1.0, 0.7), create_plan(Effect.PAID, 2.0, 1.4))
+TOP_RUNG = len(RUNG_RATES) - 1
+STARTUP_TARGET_NS = 1500 * MS
+PLANS = (
+    create_plan(TOP_RUNG, Effect.FREE, 1.0, 0.7, STARTUP_TARGET_NS),
+    create_plan(TOP_RUNG, Effect.PAID, 2.0, 1.4, STARTUP_TARGET_NS),
+)
 PLAN_SHARES = (0.75, 0.25)
 
 
@@ -123,7 +113,7 @@
     rung: int = 0
 
 
-class Front:
+class Front(NullHost):
     """One front: the host of a decision module."""
 
     def __init__(self, day: Day, number: int) -> None:
@@ -211,11 +201,43 @@
         """Schedules the end of an interval."""
         self.day.schedule(at, lambda: self.controller.on_timer(self.day.now))
 
-    def subscribe_to_nodes(self) -> None:
-        """Does nothing, as the node list does not change."""
 
-    def log(self, message: str) -> None:
-        """Discards the message."""
+class DayResult(NamedTuple):
+    """The result of one simulated day."""
+
+    earned_share: float
+    """Earned over wanted revenue."""
+    rejected_share: float
+    """Rejections over requests."""
+    mean_x: float
+    """Mean x of the fronts at the end."""
+
+
+def create_settings(fronts: int, nodes: int, racks: int, uplink: float) -> DeploymentSettings:
+    """Returns the settings of a deployment; `uplink` is the capacity of a rack's uplink in kB/s."""
+    return DeploymentSettings(
+        front_count=fronts,
+        front_index=0,
+        must_subscribe=False,
+        subscribe_within_ns=0,
+        cell_count=nodes,
+        rack_count=racks,
+        rung_rates=RUNG_RATES,
+        rung_revenue_shares=RUNG_REVENUE_SHARES,
+        uplink_capacity=uplink,
+        join_rate_share=1.0,
+        report_delay_ns=REPORT_DELAY_NS,
+        report_interval_ns=0,
+        max_tries=4,
+        max_retry_after_ns=500 * MS,
+        cold_pace_share=0.5,
+        cold_duration_ns=SECOND,
+        overload_multiple=2.5,
+        overload_window_ns=1500 * MS,
+        retry_budget_base=None,
+        retry_budget_share=0.0,
+        retry_budget_window_ns=0,
+    )
 
 
 class Day:
@@ -235,29 +257,7 @@
         self.nodes = [self._create_node(i % racks) for i in range(nodes)]
         uplink = UPLINK_SHARE * sum(node.listed_link_capacity for node in self.nodes) / racks
         self.uplinks = [uplink * self._draw_capacity_factor() for _ in range(racks)]
-        self.settings = DeploymentSettings(
-            front_count=fronts,
-            front_index=0,
-            must_subscribe=False,
-            subscribe_within_ns=0,
-            cell_count=nodes,
-            rack_count=racks,
-            rung_rates=RUNG_RATES,
-            rung_revenue_shares=RUNG_REVENUE_SHARES,
-            uplink_capacity=uplink,
-            join_rate_share=1.0,
-            report_delay_ns=REPORT_DELAY_NS,
-            report_interval_ns=0,
-            max_tries=4,
-            max_retry_after_ns=500 * MS,
-            cold_pace_share=0.5,
-            cold_duration_ns=SECOND,
-            overload_multiple=2.5,
-            overload_window_ns=1500 * MS,
-            retry_budget_base=None,
-            retry_budget_share=0.0,
-            retry_budget_window_ns=0,
-        )
+        self.settings = create_settings(fronts, nodes, racks, uplink)
         self.fronts = [Front(self, i) for i in range(fronts)]
         self.front_weights = [self.rng.lognormvariate(0, 0.5) for _ in range(fronts)]
         mean_rate = MEAN_RATE * sum(
@@ -278,7 +278,8 @@
     def _start(self) -> None:
         for _ in range(round(self.sessions_per_second * MEAN_SESSION_S * INITIAL_SESSION_SHARE)):
             front, plan, top_rung, ends_at = self._draw_viewer()
-            node = self.rng.choices(list(front.nodes), [n.listed_link_capacity for n in self.nodes])[0]
+            weights = [model.listed_link_capacity for model in self.nodes]
+            node = self.rng.choices(list(front.nodes), weights)[0]
             front.hand_over(plan, top_rung, ends_at, node, min(top_rung, self.rng.choice((0, 1, 1, 2))))
         self._schedule_next_request()
         self.schedule(0, self._step)
@@ -299,6 +300,7 @@
 
     def _schedule_next_request(self) -> None:
         def request() -> None:
+            """Requests a playback and schedules the next request."""
             front, plan, top_rung, ends_at = self._draw_viewer()
             front.request(plan, top_rung, ends_at)
             self._schedule_next_request()
@@ -335,7 +337,7 @@
     def _report_short_delivery(self, node: ModelNode) -> None:
         """Reports short delivery to each front that has a session on the node, and once more after it has ended."""
         for front in self.fronts:
-            session = next((s for s in node.sessions if s.playback in front.sessions), None)
+            session = next((own for own in node.sessions if own.playback in front.sessions), None)
             is_short = node.smoothed_share < FULL_DELIVERY_SHARE
             if session is not None and (is_short or node.was_short.get(front, False)):
                 report = self._create_report(front, session.playback, min(1.0, node.smoothed_share))
@@ -345,14 +347,14 @@
     def _create_report(self, front: Front, playback: Playback, share: float) -> Callable[[], None]:
         return lambda: front.controller.on_metric(playback, PlaybackMetric.DELIVERED_SHARE, share, self.now)
 
-    def play(self) -> tuple[float, float, float]:
-        """Returns earned over wanted revenue, rejections over requests, and the mean x of the fronts at the end."""
+    def play(self) -> DayResult:
+        """Runs the day."""
         while self.event_heap[0][0] < DAY_NS:
             self.now, _, event = heapq.heappop(self.event_heap)
             event()
         x = sum(front.controller.x for front in self.fronts) / len(self.fronts)
         rejected_share = self.rejected_count / max(1, self.request_count)
-        return self.earned_revenue / self.wanted_revenue, rejected_share, x
+        return DayResult(self.earned_revenue / self.wanted_revenue, rejected_share, x)
 
 
 CASES = ((40, 40, 0.47), (40, 40, 0.9), (40, 40, 1.4), (200, 60, 0.47), (3, 16, 0.47), (3, 16, 1.2))
@@ -366,9 +368,9 @@
     print("| --- " * 7 + "|")
     for fronts, nodes, load in CASES:
         days = [Day(fronts, nodes, load, seed).play() for seed in range(seeds)]
-        earned = [day[0] for day in days]
-        rejected = sum(day[1] for day in days) / seeds
-        x = sum(day[2] for day in days) / seeds
+        earned = [day.earned_share for day in days]
+        rejected = sum(day.rejected_share for day in days) / seeds
+        x = sum(day.mean_x for day in days) / seeds
         earned_cells = f"{sum(earned) / seeds:.3f} | {min(earned):.3f}, {max(earned):.3f}"
         print(
             f"| {fronts} | {nodes} | {load} | {earned_cells} | {rejected:.0%} | {x:.2f} |",
