--- a/benchmarks/capacity/experiments.py
+++ b/benchmarks/capacity/experiments.py
@@ -68,7 +68,8 @@
         found = experiment.measure(seed)
         for size, values in found.items():
             shown = "  ".join(
-                f"{q.name} {v:.4g} {q.unit}" for q, v in zip(experiment.quantities, values, strict=True)
+                f"{quantity.name} {value:.4g} {quantity.unit}"
+                for quantity, value in zip(experiment.quantities, values, strict=True)
             )
             report_line(f"{experiment.name}: seed {seed}, {size} {experiment.against}: {shown}")
         runs.append(found)
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -83,7 +83,7 @@
     if form == "power":
         factor, exponent = coefficients
         return factor * float(size**exponent)
-    return sum(c * size**i for i, c in enumerate(coefficients))
+    return sum(coefficient * size**i for i, coefficient in enumerate(coefficients))
 
 
 def fit(points: Sequence[Point]) -> Fit:
@@ -121,7 +121,7 @@
     """Fits one form to all points, which are in order of size."""
     coefficients = FORMS[form](points)
     errors = [relative_error(form, coefficients, point) for point in points]
-    residual = math.sqrt(sum(e * e for e in errors) / len(errors))
+    residual = math.sqrt(sum(error * error for error in errors) / len(errors))
     prediction = abs(relative_error(form, FORMS[form](points[:-1]), points[-1]))
     return Fit(form, coefficients, points[0][0], points[-1][0], residual, prediction)
 
@@ -164,16 +164,17 @@
 def polynomial_fitter(degree: int) -> Callable[[Sequence[Point]], tuple[float, ...]]:
     """Returns a function that fits a polynomial of a degree by least squares of the relative error."""
 
-    def solve(points: Sequence[Point]) -> tuple[float, ...]:
+    def fit_polynomial(points: Sequence[Point]) -> tuple[float, ...]:
+        """Returns the coefficients, that of the lowest power first."""
         unit = max(size for size, _ in points)  # keeps the powers of large sizes near 1
         rows = [[(size / unit) ** i / value for i in range(degree + 1)] for size, value in points]
         matrix = [
             [sum(row[i] * row[j] for row in rows) for j in range(degree + 1)] for i in range(degree + 1)
         ]
         right_side = [sum(row[i] for row in rows) for i in range(degree + 1)]
-        return tuple(c / unit**i for i, c in enumerate(solve_linear_system(matrix, right_side)))
+        return tuple(scaled / unit**i for i, scaled in enumerate(solve_linear_system(matrix, right_side)))
 
-    return solve
+    return fit_polynomial
 
 
 def fit_power(points: Sequence[Point]) -> tuple[float, ...]:
@@ -191,15 +192,17 @@
     size = len(right_side)
     rows = [[*row, value] for row, value in zip(matrix, right_side, strict=True)]
     for column in range(size):
-        pivot = max(range(column, size), key=lambda r: abs(rows[r][column]))
+        pivot = max(range(column, size), key=lambda row: abs(rows[row][column]))
         rows[column], rows[pivot] = rows[pivot], rows[column]
-        for r in range(column + 1, size):
-            factor = rows[r][column] / rows[column][column]
-            rows[r] = [a - factor * b for a, b in zip(rows[r], rows[column], strict=True)]
+        for lower in range(column + 1, size):
+            factor = rows[lower][column] / rows[column][column]
+            rows[lower] = [
+                value - factor * above for value, above in zip(rows[lower], rows[column], strict=True)
+            ]
     solution = [0.0] * size
-    for r in reversed(range(size)):
-        known = sum(rows[r][c] * solution[c] for c in range(r + 1, size))
-        solution[r] = (rows[r][size] - known) / rows[r][r]
+    for row in reversed(range(size)):
+        known = sum(rows[row][column] * solution[column] for column in range(row + 1, size))
+        solution[row] = (rows[row][size] - known) / rows[row][row]
     return solution
 
 
--- a/benchmarks/capacity/fleet_flat.py
+++ b/benchmarks/capacity/fleet_flat.py
@@ -52,63 +52,63 @@
 class FlatMembershipAdapter:
     """Adapts the flat membership of one front end to the simulation."""
 
-    def __init__(self, view: CoreMembership, sizes: FlatSizes) -> None:
+    def __init__(self, membership: CoreMembership, sizes: FlatSizes) -> None:
         """Wraps a membership; `sizes` is shared by all front ends."""
-        self.view = view
+        self.membership = membership
         self._sizes = sizes
 
     @property
     def due(self) -> int:
         """The time at which `tick` must be called next."""
-        return self.view.due
+        return self.membership.due
 
     def tick(self, now: int) -> None:
         """Runs the timers that are due."""
-        self.view.tick(now)
+        self.membership.tick(now)
 
     def receive(self, message: object, now: int) -> None:
         """Handles a received datagram."""
         assert isinstance(message, FlatDatagram)
-        self.view.receive_message(message.message.as_received(message.sender), now)
+        self.membership.receive_message(message.message.as_received(message.sender), now)
 
     def answer_stream(self, message: object, now: int) -> StreamReply | None:
         """Merges the full state of another front end and replies with the full state after the merge."""
         self.receive_reply(message, now)
-        own_state = self.view.full_state()
+        own_state = self.membership.full_state()
         return StreamReply(own_state, self._sizes.full_state(own_state))
 
     def receive_reply(self, message: object, now: int) -> None:
         """Merges a received full state."""
         assert isinstance(message, list)
-        self.view.receive_full_state(message[0], message, now)
+        self.membership.receive_full_state(message[0], message, now)
 
     def leave(self, now: int) -> None:
         """Starts an orderly stop."""
-        self.view.leave()
+        self.membership.leave()
 
     def take_outgoing(self) -> Sequence[Outgoing]:
         """Returns and removes the messages to send since the last call."""
-        if not self.view.outgoing:
+        if not self.membership.outgoing:
             return ()
-        messages = self.view.outgoing
-        self.view.outgoing = []
+        messages = self.membership.outgoing
+        self.membership.outgoing = []
         return [self._outgoing(message) for message in messages]
 
     def _outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
-            own_state = self.view.full_state()
+            own_state = self.membership.full_state()
             return Outgoing(message.address, own_state, self._sizes.full_state(own_state), stream=True)
-        me = self.view.own_update
-        message, octets = self._sizes.fitted(me, message)
-        return Outgoing(message.address, FlatDatagram(me, message), octets)
+        sender = self.membership.own_update
+        message, octets = self._sizes.fitted(sender, message)
+        return Outgoing(message.address, FlatDatagram(sender, message), octets)
 
     def take_transitions(self) -> Sequence[Transition]:
         """Returns and removes the changes of the list since the last call."""
-        if not self.view.changes:
+        if not self.membership.changes:
             return ()
-        changes = self.view.changes
-        self.view.changes = []
-        own_name = self.view.own_update.name
+        changes = self.membership.changes
+        self.membership.changes = []
+        own_name = self.membership.own_update.name
         return [
             Transition(change.name, OBSERVED_STATES[change.now])
             for change in changes
@@ -117,15 +117,15 @@
 
     def is_listed(self, member: str) -> bool:
         """Whether the list holds the member as present."""
-        return self.view.state_of(member) in (MemberState.ALIVE, MemberState.SUSPECTED)
+        return self.membership.state_of(member) in (MemberState.ALIVE, MemberState.SUSPECTED)
 
     def entry_count(self) -> int:
         """The number of entries in the list of members."""
-        return len(self.view.members)
+        return len(self.membership.members)
 
     def state(self) -> object:
         """The whole state."""
-        return self.view
+        return self.membership
 
 
 class FlatImplementation:
@@ -144,18 +144,18 @@
     def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembershipAdapter:
         """Creates the membership of a process that starts now."""
         secret = random.randbytes(SECRET_OCTETS)
-        me = own_update(site, generation, secret)
-        return FlatMembershipAdapter(CoreMembership(me, secret, random, now, self._seeds), self._sizes)
+        update = own_update(site, generation, secret)
+        return FlatMembershipAdapter(CoreMembership(update, secret, random, now, self._seeds), self._sizes)
 
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
         """Merges the updates of all into each, and drops the pending dissemination and full-state exchanges."""
-        flat = [membership for membership in memberships if isinstance(membership, FlatMembershipAdapter)]
-        all_updates = [membership.view.own_update for membership in flat]
-        for position, membership in enumerate(flat):
+        adapters = [adapter for adapter in memberships if isinstance(adapter, FlatMembershipAdapter)]
+        all_updates = [adapter.membership.own_update for adapter in adapters]
+        for position, adapter in enumerate(adapters):
             sender = all_updates[position - 1]
-            membership.view.receive_full_state(sender, all_updates, now)
-            membership.view.table.queue.pending.clear()
-            membership.view.push_pull.queued_addresses.clear()
+            adapter.membership.receive_full_state(sender, all_updates, now)
+            adapter.membership.table.queue.pending.clear()
+            adapter.membership.push_pull.queued_addresses.clear()
 
     def encode(self, message: object) -> bytes:
         """Encodes and seals a datagram."""
--- a/benchmarks/capacity/fleet_sockets.py
+++ b/benchmarks/capacity/fleet_sockets.py
@@ -32,7 +32,6 @@
 MAX_PROCESSES = 64
 START_SECONDS = 20.0
 QUIET_SECONDS = 20.0
-READY_TIMEOUT_SECONDS = 60.0
 RESULT_SLACK_SECONDS = 60.0
 """Time allowed for a process's result beyond the run time of its front ends."""
 
@@ -113,7 +112,10 @@
 
 
 def run_processes(membership: str, front_ends: int, processes: int, seed: int) -> list[HostResult]:
-    """Runs the fleet over sockets. Raises SocketFleetError if a process fails."""
+    """Runs the fleet over sockets. Raises SocketFleetError if a process fails.
+
+    Waits without a time limit until each process is ready.
+    """
     if not 0 < processes <= MAX_PROCESSES:
         raise SocketFleetError(f"{processes} processes; 1 to {MAX_PROCESSES} are allowed")
     with tempfile.TemporaryDirectory() as folder:
@@ -145,7 +147,10 @@
     """The mean loads over the front ends of all processes."""
 
     def load(begin: str, end: str, seconds: float) -> Load:
+        """Returns the loads between two readings of each result, which are given by their names."""
+
         def rate(field: str) -> float:
+            """Returns the mean growth of a total per front end and second."""
             total = sum(
                 getattr(getattr(result, end), field) - getattr(getattr(result, begin), field)
                 for result in results
--- a/benchmarks/capacity/fleet_streams.py
+++ b/benchmarks/capacity/fleet_streams.py
@@ -23,9 +23,11 @@
     deadline: int
 
     def client_runs(self) -> bool:
+        """Returns whether the process that opened the stream still runs."""
         return self.client.membership is not None and self.client.process_count == self.client_process
 
     def server_runs(self) -> bool:
+        """Returns whether the process to which the stream was opened still runs."""
         return self.server.membership is not None and self.server.process_count == self.server_process
 
 
--- a/benchmarks/capacity/fleet_zoned.py
+++ b/benchmarks/capacity/fleet_zoned.py
@@ -21,6 +21,7 @@
 from benchmarks.capacity.fleet_membership import Membership, ObservedState, Outgoing, StreamReply, Transition
 from benchmarks.capacity.topology import Address, Site, Topology
 from oakcroft.decisions.membership.hierarchy import ZonedMembership
+from oakcroft.decisions.membership.member import MemberUpdate
 from oakcroft.decisions.membership.member_table import PRESENT_STATES, StateChange
 from oakcroft.decisions.membership.messages import Message, MessageKind
 from oakcroft.decisions.membership.zone_directory import RemoteState, ZoneChange
@@ -80,6 +81,11 @@
     return strings + integer_octets(sender.generation) + integer_octets(sender.port)
 
 
+def own_contact(update: MemberUpdate) -> ZoneContact:
+    """Returns the contact of a member as other zones know it."""
+    return ZoneContact(update.name, update.generation, update.zone, update.host, update.port)
+
+
 class ZonedMembershipAdapter:
     """Adapts the zoned membership of one front end to the simulation."""
 
@@ -87,9 +93,9 @@
         """Wraps a membership; `fleet` is shared by all front ends."""
         self.membership = membership
         self._fleet = fleet
-        me = membership.local.own_update
-        self._zone = me.zone
-        self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
+        update = membership.local.own_update
+        self._zone = update.zone
+        self._contact = own_contact(update)
 
     @property
     def due(self) -> int:
@@ -137,12 +143,12 @@
             for message in messages
         ]
 
-    def _zone_outgoing(self, out: OutgoingZoneMessage) -> Outgoing:
-        me = self.membership.local.own_update
-        if me.generation != self._contact.generation:
-            self._contact = ZoneContact(me.name, me.generation, me.zone, me.host, me.port)
-        octets = self._fleet.zone_sizes.datagram(self._contact, out.message)
-        return Outgoing(out.address, ZoneDatagram(self._contact, out.message), octets)
+    def _zone_outgoing(self, outgoing: OutgoingZoneMessage) -> Outgoing:
+        update = self.membership.local.own_update
+        if update.generation != self._contact.generation:
+            self._contact = own_contact(update)
+        octets = self._fleet.zone_sizes.datagram(self._contact, outgoing.message)
+        return Outgoing(outgoing.address, ZoneDatagram(self._contact, outgoing.message), octets)
 
     def _flat_outgoing(self, message: Message) -> Outgoing:
         if message.kind is MessageKind.PUSH_PULL:
@@ -150,9 +156,9 @@
             return Outgoing(
                 message.address, own_state, self._fleet.flat_sizes.full_state(own_state), stream=True
             )
-        me = self.membership.local.own_update
-        message, octets = self._fleet.flat_sizes.fitted(me, message)
-        return Outgoing(message.address, FlatDatagram(me, message), octets)
+        sender = self.membership.local.own_update
+        message, octets = self._fleet.flat_sizes.fitted(sender, message)
+        return Outgoing(message.address, FlatDatagram(sender, message), octets)
 
     def take_transitions(self) -> Sequence[Transition]:
         """Returns and removes the changes since the last call, of members of its own zone and of others."""
@@ -233,10 +239,10 @@
     def create(self, site: Site, generation: int, random: Random, now: int) -> ZonedMembershipAdapter:
         """Creates the membership of a process that starts now."""
         secret = random.randbytes(SECRET_OCTETS)
-        me = own_update(site, generation, secret)
+        update = own_update(site, generation, secret)
         others = tuple(seeds for zone, seeds in self._seeds.items() if zone != site.zone_name)
         placement = ZonePlacement(site.region_name, self._seeds[site.zone_name].addresses, others)
-        return ZonedMembershipAdapter(ZonedMembership(me, secret, random, now, placement), self)
+        return ZonedMembershipAdapter(ZonedMembership(update, secret, random, now, placement), self)
 
     def preload(self, memberships: Sequence[Membership], now: int) -> None:
         """Not supported: the simulation of a whole start takes little time with this membership."""
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -47,6 +47,7 @@
     """Runs a measurement with a front end that has `nodes` listed nodes, and with its emulators."""
 
     async def main() -> ValuesBySize:
+        """Starts the emulators and the front end, measures, and stops them."""
         async with trio.open_nursery() as nursery:
             emulators = Emulators(nursery)
             await emulators.start()
@@ -62,6 +63,7 @@
     """Opens viewer connections until there are `count`, and sends a test on each."""
 
     async def connect_share(share: int) -> None:
+        """Opens connections one after the other."""
         for _ in range(share):
             viewer = await Viewer.connect(front.port)
             await viewer.test()
@@ -84,6 +86,7 @@
     """
 
     async def set_up_share(numbers: range) -> None:
+        """Sets up the sessions of these numbers one after the other."""
         for number in numbers:
             viewer = await Viewer.connect(front.port)
             if not await viewer.set_up(f"{number + 1:016x}", title or f"title-{number % TITLES}"):
@@ -99,6 +102,7 @@
     """Measures memory, share of a core and descriptors with idle connections."""
 
     async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
+        """Measures each number of connections."""
         found, viewers = ValuesBySize(), list[Viewer]()
         for count in CONNECTIONS:
             await connect_more(front, viewers, count)
@@ -114,6 +118,7 @@
     """Measures memory and share of a core with held sessions, and the CPU time of a set-up and of a node's report."""
 
     async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        """Measures each number of sessions."""
         await trio.sleep(WARMUP_S)
         found, viewers = ValuesBySize(), list[Viewer]()
         for count in SESSIONS:
@@ -137,6 +142,7 @@
     share = list[float]()
 
     async def sample_cpu() -> None:
+        """Measures the share of a core while the reports are sent."""
         share.append(await front.cpu_share_over(REPORTS_S))
 
     async with trio.open_nursery() as nursery:
@@ -159,6 +165,7 @@
     """Measures the end of all sessions of a title at once by their nodes: time until the last release, and CPU time."""
 
     async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        """Measures each number of sessions, which are set up anew."""
         await trio.sleep(WARMUP_S)
         found = ValuesBySize()
         for count in ENDED_SESSIONS:
@@ -191,7 +198,9 @@
     messages = [
         (
             stream.socket.fileno(),
-            b"".join(encode_line(msg="close", sid=s, attrs={}, code=CAUSE_DONE) for s in sessions),
+            b"".join(
+                encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE) for session in sessions
+            ),
         )
         for stream, sessions in sessions_by_stream.items()
     ]
@@ -222,6 +231,7 @@
     """Measures the time from start to ready, memory and idle share of a core with listed nodes."""
 
     async def measure(front: FrontProcess, _emulators: Emulators) -> ValuesBySize:
+        """Measures one front end; the caller knows its number of nodes."""
         await trio.sleep(SETTLE_S)
         share = await front.cpu_share_over(IDLE_S)
         return {0: (front.ready_s, front.resident_octets / MB, 100 * share)}
@@ -229,39 +239,41 @@
     return {count: run_with_front(count, measure)[0] for count in NODES}
 
 
-def measure_arrivals(_seed: int) -> ValuesBySize:
-    """Measures the share of a core with set-ups at a rate, each session ended by its node at once."""
+async def play_briefly(front: FrontProcess, emulators: Emulators, number: int) -> None:
+    """Sets up a session, which its node ends at once, and waits for the release."""
+    viewer = await Viewer.connect(front.port)
+    session = f"{number + 1:016x}"
+    if await viewer.set_up(session, f"title-{number % TITLES}"):
+        # Writes to the socket itself, as a task of the emulated node may be sending on the stream. A message as short
+        # as this is never split.
+        stream = emulators.sessions.pop(session)
+        write_all(stream.socket.fileno(), encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE))
+        await viewer.receive()
+    viewer.close()
 
-    async def play_one(front: FrontProcess, emulators: Emulators, number: int) -> None:
-        viewer = await Viewer.connect(front.port)
-        session = f"{number + 1:016x}"
-        if await viewer.set_up(session, f"title-{number % TITLES}"):
-            # Writes to the socket itself, as a task of the emulated node may be sending on the stream. A message as
-            # short as this is never split.
-            stream = emulators.sessions.pop(session)
-            write_all(
-                stream.socket.fileno(), encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE)
-            )
-            await viewer.receive()
-        viewer.close()
 
-    async def cpu_share_at_rate(
-        front: FrontProcess, emulators: Emulators, rate: int, first_number: int
-    ) -> float:
-        share = list[float]()
-        started_at = trio.current_time()
+async def cpu_share_at_rate(front: FrontProcess, emulators: Emulators, rate: int, first_number: int) -> float:
+    """Returns the front end's share of a core with set-ups at a rate, numbered from `first_number`."""
+    share = list[float]()
+    started_at = trio.current_time()
 
-        async def sample_cpu() -> None:
-            share.append(await front.cpu_share_over(ARRIVALS_S))
+    async def sample_cpu() -> None:
+        """Measures the share of a core while the set-ups are sent."""
+        share.append(await front.cpu_share_over(ARRIVALS_S))
 
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(sample_cpu)
-            for i in range(round(rate * ARRIVALS_S)):
-                await trio.sleep_until(started_at + i / rate)
-                nursery.start_soon(play_one, front, emulators, first_number + i)
-        return share[0]
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(sample_cpu)
+        for i in range(round(rate * ARRIVALS_S)):
+            await trio.sleep_until(started_at + i / rate)
+            nursery.start_soon(play_briefly, front, emulators, first_number + i)
+    return share[0]
+
+
+def measure_arrivals(_seed: int) -> ValuesBySize:
+    """Measures the share of a core with set-ups at a rate, each session ended by its node at once."""
 
     async def measure(front: FrontProcess, emulators: Emulators) -> ValuesBySize:
+        """Measures each rate."""
         await trio.sleep(WARMUP_S)
         found = ValuesBySize()
         for rate in SETUPS_PER_S:
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.targets import TARGET
 from benchmarks.cold_ramp import LOADS, SETTINGS
 from benchmarks.cold_ramp_simulation import Day
-from benchmarks.load_sharing import play as play_load_sharing
+from benchmarks.load_sharing import simulate as simulate_load_sharing
 from oakcroft.decisions.fleet.session_takeover import (
     MAX_ORDERS_COMPUTED,
     MAX_TASKS_SCANNED,
@@ -86,7 +86,7 @@
 
 def measure_load_sharing(size: int, seed: int) -> Sequence[float]:
     """Measures load sharing with as many nodes as fronts: sent octets, age of known loads, and CPU time of a front."""
-    found = play_load_sharing(size, size, LOSS, seed=seed)
+    found = simulate_load_sharing(size, size, LOSS, seed=seed)
     _median_age, p99_age, _maximum_age = found.ages
     return found.kilobytes, p99_age, found.core_ms / MS_PER_S_PER_PERCENT
 
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -137,7 +137,7 @@
     body = []
     for slope in file.slopes:
         fitted = Readings(file)[slope.name].fitted
-        points = ", ".join(f"{format_number(m.size)}: {format_number(m.median)}" for m in slope.measurements)
+        points = ", ".join(f"{format_number(size)}: {format_number(median)}" for size, median in slope.points)
         mechanism = "" if slope.text == "today" else " (new mechanism)"
         seeds = ", ".join(map(str, slope.seeds))
         body.append(
@@ -193,8 +193,14 @@
 def demand_table() -> str:
     """Formats the table of the derived load."""
     body = [
-        [d.role, f"{d.quantity}, {d.unit}", format_number(d.mean), format_number(d.worst), d.worst_hour]
-        for d in demand.demand_lines()
+        [
+            line.role,
+            f"{line.quantity}, {line.unit}",
+            format_number(line.mean),
+            format_number(line.worst),
+            line.worst_hour,
+        ]
+        for line in demand.demand_lines()
     ]
     return markdown_table(("role", "load", "mean", "worst hour", "event of the worst hour"), body)
 
@@ -219,7 +225,9 @@
     places = [match["name"] for match in TABLE_BLOCK.finditer(text)]
     if sorted(places) != sorted(made):
         raise PageError(f"the page has markers for {sorted(places)}, the generated tables are {sorted(made)}")
-    return TABLE_BLOCK.sub(lambda m: f"<!-- table: {m['name']} -->\n{made[m['name']]}<!-- end -->", text)
+    return TABLE_BLOCK.sub(
+        lambda match: f"<!-- table: {match['name']} -->\n{made[match['name']]}<!-- end -->", text
+    )
 
 
 def differences(file: Path = PAGE_FILE, known: slopes.SlopeFile | None = None) -> list[str]:
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -95,9 +95,10 @@
     Rows with a limit that rests on no assumption come before all others, and rows without a measured limit last.
     """
 
-    def key(row: Row) -> tuple[bool, float]:
+    def sort_key(row: Row) -> tuple[bool, float]:
+        """Returns whether the row has no measured limit without an assumption, and its lowest ratio."""
         limit = row.tightest or row.tightest_assumed
         ratio = limit.ratio if limit is not None else None
         return row.tightest is None, float("inf") if ratio is None else ratio
 
-    return sorted(rows, key=key)
+    return sorted(rows, key=sort_key)
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -56,25 +56,27 @@
         """Raises SlopeError if the command, commit, cores, seeds, sizes or runs are missing or too few."""
         if not self.command.startswith("python -m "):
             raise SlopeError(f"{self.name}: the command is not a `python -m` command")
-        if len(self.commit) < MIN_COMMIT_DIGITS or not all(c in "0123456789abcdef" for c in self.commit):
+        if len(self.commit) < MIN_COMMIT_DIGITS or not all(
+            digit in "0123456789abcdef" for digit in self.commit
+        ):
             raise SlopeError(f"{self.name}: the commit is not a hash of at least {MIN_COMMIT_DIGITS} digits")
         if self.cores < 1 or not self.seeds:
             raise SlopeError(f"{self.name}: the number of cores or the seeds are missing")
-        if len({m.size for m in self.measurements}) < MIN_SIZES:
+        if len({measurement.size for measurement in self.measurements}) < MIN_SIZES:
             raise SlopeError(f"{self.name}: fewer than {MIN_SIZES} sizes")
-        short = [m.size for m in self.measurements if len(m.runs) < MIN_RUNS]
-        if short:
-            raise SlopeError(f"{self.name}: fewer than {MIN_RUNS} runs at size {short[0]:g}")
+        for measurement in self.measurements:
+            if len(measurement.runs) < MIN_RUNS:
+                raise SlopeError(f"{self.name}: fewer than {MIN_RUNS} runs at size {measurement.size:g}")
 
     @property
     def points(self) -> list[Point]:
         """Each size with the median of its runs."""
-        return [(m.size, m.median) for m in self.measurements]
+        return [(measurement.size, measurement.median) for measurement in self.measurements]
 
     @property
     def spread(self) -> float:
         """The largest spread of the runs at any size."""
-        return max(m.spread for m in self.measurements)
+        return max(measurement.spread for measurement in self.measurements)
 
     def fitted(self) -> Fit | None:
         """Returns the fit, None if no form describes the points."""
--- a/benchmarks/lease_failover.py
+++ b/benchmarks/lease_failover.py
@@ -14,12 +14,13 @@
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.lease_simulation import LeaseSimulation
 
+ACCEPTOR_COUNTS = (3, 5)
 HEADER = "| fronts | keepers | term, s | loss | no owner after a crash, s (p50, p99, most) | messages a second, all |"
 
 
-def measure(fronts: int, keepers: int, term: int, loss: float, kills: int) -> str:
+def measure(fronts: int, acceptors: int, term: int, loss: float, kills: int) -> str:
     """Measures crashes of the holder, and messages without crashes; returns one row."""
-    fleet = LeaseSimulation(fronts, keepers, term, loss)
+    fleet = LeaseSimulation(fronts, acceptors, term, loss)
     assert fleet.run(20 * SECOND, lambda: bool(fleet.terms_begun))
     fleet.run(5 * term)
     fleet.message_count = 0
@@ -38,9 +39,9 @@
         gaps_s.append((fleet.now - killed_at) / SECOND)
         fleet.run(11 * term)
     gaps_s.sort()
-    p50, p99 = (gaps_s[min(len(gaps_s) - 1, int(q * len(gaps_s)))] for q in (0.5, 0.99))
+    p50, p99 = (gaps_s[min(len(gaps_s) - 1, int(share * len(gaps_s)))] for share in (0.5, 0.99))
     gaps = f"{p50:.1f}, {p99:.1f}, {gaps_s[-1]:.1f}"
-    return f"| {fronts} | {keepers} | {term / SECOND:g} | {loss:.0%} | {gaps} | {messages_per_second:.1f} |"
+    return f"| {fronts} | {acceptors} | {term / SECOND:g} | {loss:.0%} | {gaps} | {messages_per_second:.1f} |"
 
 
 def has_new_term(fleet: LeaseSimulation, terms_before: int) -> bool:
@@ -61,10 +62,10 @@
     print(HEADER)
     print("| --- | --- | --- | --- | --- | --- |")
     for fronts in arguments.sizes:
-        for keepers in (3, 5):
+        for acceptors in ACCEPTOR_COUNTS:
             for loss in arguments.loss:
                 print(
-                    measure(fronts, keepers, round(arguments.term * SECOND), loss, arguments.kills),
+                    measure(fronts, acceptors, round(arguments.term * SECOND), loss, arguments.kills),
                     flush=True,
                 )
 
--- a/benchmarks/load_sharing.py
+++ b/benchmarks/load_sharing.py
@@ -131,7 +131,7 @@
             self.sample_count += 1
 
 
-def play(fronts: int, nodes: int, loss: float, seconds: int = 60, seed: int = 1) -> FleetResult:
+def simulate(fronts: int, nodes: int, loss: float, seconds: int = 60, seed: int = 1) -> FleetResult:
     """Simulates one fleet for this time; the first third is not counted."""
     fleet = LoadSharingSimulation(fronts, nodes, loss, seed)
     while fleet.now < seconds * SECOND:
@@ -141,7 +141,7 @@
             fleet.sample_ages()
     ages = sorted(fleet.ages)
     counted_seconds = seconds * 2 / 3
-    p50, p99, longest = (ages[min(len(ages) - 1, int(q * len(ages)))] / 1e9 for q in (0.5, 0.99, 1))
+    p50, p99, longest = (ages[min(len(ages) - 1, int(share * len(ages)))] / 1e9 for share in (0.5, 0.99, 1))
     front_seconds = fronts * counted_seconds
     return FleetResult(
         fronts=fronts,
@@ -159,4 +159,4 @@
 if __name__ == "__main__":
     print(" | ".join(HEAD))
     for row in ROWS:
-        print(" | ".join(play(*row).cells()), flush=True)
+        print(" | ".join(simulate(*row).cells()), flush=True)
--- a/benchmarks/moving.py
+++ b/benchmarks/moving.py
@@ -99,7 +99,10 @@
     gaps_us = HdrHistogram(1, 60_000_000, 3)
     for gap_ns in playback_gaps_ns:
         gaps_us.record_value(max(1, gap_ns // 1000))
-    percentiles = "  ".join(f"p{p:g} {gaps_us.get_value_at_percentile(p) / 1000:.0f}" for p in PERCENTILES)
+    percentiles = "  ".join(
+        f"p{percentile:g} {gaps_us.get_value_at_percentile(percentile) / 1000:.0f}"
+        for percentile in PERCENTILES
+    )
     print(f"  longest gap of each playback, ms: {percentiles}")
     if move_gaps_ns:
         gaps_ns = sorted(move_gaps_ns)
--- a/benchmarks/session_takeover.py
+++ b/benchmarks/session_takeover.py
@@ -6,9 +6,11 @@
 
 from __future__ import annotations
 
+import signal
 import sys
 import tempfile
 from pathlib import Path
+from typing import NamedTuple
 
 import trio
 
@@ -16,15 +18,27 @@
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.takeover_simulation import NetworkConditions, TakeoverSimulation
 
-ROWS = [
-    (7, 5, 100, 1, 0.0),
-    (50, 40, 40, 1, 0.0),
-    (200, 200, 40, 1, 0.0),
-    (200, 200, 40, 20, 0.0),
-    (200, 200, 40, 140, 0.0),
-    (200, 200, 40, 140, 0.05),
-]
-"""Fronts, nodes, playbacks of each front, killed fronts and message loss of each row."""
+
+class Case(NamedTuple):
+    """One row of the table of simulated fleets."""
+
+    fronts: int
+    nodes: int
+    playbacks_each: int
+    """Of each front."""
+    killed_count: int
+    loss: float
+    """Share of the messages."""
+
+
+CASES = (
+    Case(7, 5, 100, 1, 0.0),
+    Case(50, 40, 40, 1, 0.0),
+    Case(200, 200, 40, 1, 0.0),
+    Case(200, 200, 40, 20, 0.0),
+    Case(200, 200, 40, 140, 0.0),
+    Case(200, 200, 40, 140, 0.05),
+)
 HEAD = (
     "fronts",
     "nodes",
@@ -48,24 +62,30 @@
     return sorted(values_ns)[min(len(values_ns) - 1, int(share * len(values_ns)))] / 1e9
 
 
-def simulated() -> None:
-    """Prints a row for each case."""
+def simulate_case(case: Case) -> TakeoverSimulation:
+    """Simulates a fleet for `OBSERVED_S` after the kill."""
+    fleet = TakeoverSimulation(
+        case.fronts,
+        case.nodes,
+        case.playbacks_each,
+        1,
+        TakeoverBounds(SECOND, 15 * SECOND, 1_000),
+        NetworkConditions(loss=case.loss),
+    )
+    fleet.run(2)
+    fleet.processor_seconds = 0.0
+    fleet.kill([f"f{i}" for i in range(case.killed_count)])
+    fleet.run(OBSERVED_S)
+    return fleet
+
+
+def print_simulated() -> None:
+    """Prints the table of simulated fleets."""
     print(" | ".join(HEAD))
-    for fronts, nodes, playbacks_each, killed_count, loss in ROWS:
-        fleet = TakeoverSimulation(
-            fronts,
-            nodes,
-            playbacks_each,
-            1,
-            TakeoverBounds(SECOND, 15 * SECOND, 1_000),
-            NetworkConditions(loss=loss),
-        )
-        fleet.run(2)
-        fleet.processor_seconds = 0.0
-        fleet.kill([f"f{i}" for i in range(killed_count)])
-        fleet.run(OBSERVED_S)
-        orphan_count = killed_count * playbacks_each
-        live_count = fronts - killed_count
+    for case in CASES:
+        fleet = simulate_case(case)
+        orphan_count = case.killed_count * case.playbacks_each
+        live_count = case.fronts - case.killed_count
         held = [
             sum(holder.member == front.name for node in fleet.nodes for holder in node.holders.values())
             for front in fleet.fronts.values()
@@ -75,11 +95,11 @@
         assert not fleet.breaches, fleet.breaches[:3]
         delays = fleet.takeover_delays
         cells = (
-            f"{fronts}",
-            f"{nodes}",
-            f"{playbacks_each}",
-            f"{killed_count}",
-            f"{loss:.0%}",
+            f"{case.fronts}",
+            f"{case.nodes}",
+            f"{case.playbacks_each}",
+            f"{case.killed_count}",
+            f"{case.loss:.0%}",
             f"{100 * len(delays) / orphan_count:.1f}%",
             ", ".join(f"{quantile_s(delays, share):.1f}" for share in (0.5, 0.99, 1)),
             f"{fleet.max_requests_per_second()}",
@@ -96,17 +116,16 @@
     playback had no front.
     """
     sys.path.insert(0, str(Path(__file__).parents[1] / "tests"))
-    import signal
-
     import test_takeover_processes
     import test_peers
 
     from oakcroft.rulecheck.session_ownership import takeover_delays
 
     class Fronts(test_takeover_processes.TakeoverFronts):
-        pass
+        """Fronts with this form for takeovers in their configuration."""
+
+        takeover_form = form
 
-    Fronts.takeover_form = form
     with tempfile.TemporaryDirectory() as folder:
         async with test_peers.fronts(Path(folder), 5, Fronts) as rig:
             assert isinstance(rig, Fronts)
@@ -121,7 +140,7 @@
             return playing_count, len(keys), delays[-1] if delays else 0.0
 
 
-def processes() -> None:
+def print_processes() -> None:
     """Prints the results with and without takeover, for one and two killed fronts."""
     for form in ("", "(adopting (after 200ms) (lease 15s))"):
         for victims in (["f1"], ["f1", "f2"]):
@@ -133,4 +152,4 @@
 
 
 if __name__ == "__main__":
-    processes() if sys.argv[1:] == ["processes"] else simulated()
+    print_processes() if sys.argv[1:] == ["processes"] else print_simulated()
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -155,7 +155,7 @@
     def take_outgoing(self) -> Sequence[Outgoing]:
         """The messages, fifty times each on the faulty front end."""
         messages = super().take_outgoing()
-        return [*messages] * 50 if self.view.own_update.name == "front-0007" else messages
+        return [*messages] * 50 if self.membership.own_update.name == "front-0007" else messages
 
 
 class FalseVerdictMembership(FlatMembershipAdapter):
@@ -167,9 +167,9 @@
         """The transitions, with the false verdict once on the faulty front end."""
         transitions = super().take_transitions()
         if (
-            self.view.own_update.name != "front-0007"
+            self.membership.own_update.name != "front-0007"
             or self.is_reported
-            or self.view.last_tick_at < 5 * SECOND
+            or self.membership.last_tick_at < 5 * SECOND
         ):
             return transitions
         self.is_reported = True
@@ -182,7 +182,7 @@
     def take_transitions(self) -> Sequence[Transition]:
         """The transitions, without failures on the faulty front end."""
         transitions = super().take_transitions()
-        if self.view.own_update.name != "front-0039":
+        if self.membership.own_update.name != "front-0039":
             return transitions
         return [transition for transition in transitions if transition.state is not ObservedState.FAILED]
 
@@ -193,7 +193,7 @@
     class FaultyImplementation(FlatImplementation):
         def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembershipAdapter:
             correct = super().create(site, generation, random, now)
-            return membership(correct.view, self._sizes)
+            return membership(correct.membership, self._sizes)
 
     monkeypatch.setitem(fleet_command.IMPLEMENTATIONS, "flat", FaultyImplementation)
 
