--- a/benchmarks/capacity/assumptions.py
+++ b/benchmarks/capacity/assumptions.py
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True)
 class Assumption:
-    """An assumed figure. `doubled` says which results change, and how, if it is twice as large."""
+    """An assumed figure. `effect_if_doubled` says which results change, and how, if it is twice as large."""
 
     name: str
     value: float
     unit: str
-    why: str
-    doubled: str
+    reason: str
+    effect_if_doubled: str
 
 
 PLAYOUT_NODES = Assumption(
--- a/benchmarks/capacity/experiments.py
+++ b/benchmarks/capacity/experiments.py
@@ -13,8 +13,13 @@
 
 ROOT = Path(__file__).parents[2]
 MEASURED_CODE = "oakcroft"
+CPU_MS_PER_S_PER_PERCENT = 10.0
+"""CPU milliseconds per second that are 1% of a core."""
 SEEDS = tuple(range(1, MIN_RUNS + 1))
 
+ValuesBySize = dict[int, Sequence[float]]
+"""The values of the quantities of an experiment, in their order, for each size."""
+
 
 class UncommittedChangesError(Exception):
     """The measured program has uncommitted changes, so that its commit would not identify it."""
@@ -40,7 +45,7 @@
     quantities: tuple[Quantity, ...]
     measure: Callable[[int], Mapping[int, Sequence[float]]]
     seeds: tuple[int, ...] = SEEDS
-    text: Literal["today", "mechanism"] = "today"
+    program: Literal["today", "mechanism"] = "today"
 
 
 def measured_commit() -> str:
@@ -85,7 +90,7 @@
     measurements = tuple(Measurement(size, tuple(found[size][index] for found in runs)) for size in sizes)
     command = f"python -m benchmarks.capacity slopes --only {experiment.name}"
     return Slope(
-        quantity.name, quantity.quantity, quantity.unit, experiment.against, experiment.kind, experiment.text, command,
+        quantity.name, quantity.quantity, quantity.unit, experiment.against, experiment.kind, experiment.program, command,
         experiment.seeds, measured_at, os.cpu_count() or 1, measurements, quantity.note,
     )  # fmt: skip
 
--- a/benchmarks/capacity/fleet_command.py
+++ b/benchmarks/capacity/fleet_command.py
@@ -9,7 +9,7 @@
 
 import click
 
-from benchmarks.capacity.fleet_faults import DurationError, Fault, FaultTerms, phases, schedule_fault
+from benchmarks.capacity.fleet_faults import DurationError, Fault, FaultParameters, phases, schedule_fault
 from benchmarks.capacity.fleet_flat import FlatImplementation
 from benchmarks.capacity.fleet_membership import Implementation
 from benchmarks.capacity.fleet_memory import resident_octets
@@ -44,7 +44,7 @@
     seed: int
     duration: int
     network: NetworkParameters
-    fault: FaultTerms
+    fault: FaultParameters
     membership: str
     preloaded: bool
     alone: bool
@@ -144,10 +144,12 @@
     if sockets:
         _compare_with_sockets(membership, fronts, seed, processes)
         return
-    fault_terms = FaultTerms(Fault(fault), round(cut_seconds * SECOND), restarts, speed_up)
+    fault_parameters = FaultParameters(Fault(fault), round(cut_seconds * SECOND), restarts, speed_up)
     duration = round(minutes * 60 * SECOND)
     network = NetworkParameters.with_loss(*parse_losses(loss))
-    run = FleetRun(fronts, seed, duration, network, fault_terms, membership, preloaded, alone, wall_seconds)
+    run = FleetRun(
+        fronts, seed, duration, network, fault_parameters, membership, preloaded, alone, wall_seconds
+    )
     began = time.monotonic()
     try:
         head, found, finished = simulate(run)
--- a/benchmarks/capacity/fleet_faults.py
+++ b/benchmarks/capacity/fleet_faults.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class FaultTerms:
+class FaultParameters:
     """A fault and its size.
 
     `duration`: of a region's cut or a zone's loss. `restarts_per_minute`: of a release. `speed_up`: factor on the
@@ -79,51 +79,51 @@
     """The run is too short for its fault."""
 
 
-def phases(terms: FaultTerms, duration: int, preloaded: bool) -> list[Phase]:
+def phases(parameters: FaultParameters, duration: int, preloaded: bool) -> list[Phase]:
     """The phases of a run: whole start, quiet, fault, and after the fault."""
     fault_begin = PRELOADED_FAULT_BEGIN_NS if preloaded else FAULT_BEGIN_NS
     start_end = 0 if preloaded else min(duration, WHOLE_START_NS)
     start_phases = [] if preloaded else [Phase("whole start", 0, start_end)]
-    if terms.fault is Fault.NONE:
+    if parameters.fault is Fault.NONE:
         return [*start_phases, Phase("quiet", start_end, duration)]
-    fault_end = _fault_end(terms, fault_begin, duration)
+    fault_end = _fault_end(parameters, fault_begin, duration)
     if fault_end + OBSERVATION_NS > duration or fault_end <= fault_begin:
-        required_minutes = (fault_begin + OBSERVATION_NS + terms.duration) / MINUTE_NS
-        raise DurationError(f"fault {terms.fault.value} needs {required_minutes:.2f} minutes at least")
+        required_minutes = (fault_begin + OBSERVATION_NS + parameters.duration) / MINUTE_NS
+        raise DurationError(f"fault {parameters.fault.value} needs {required_minutes:.2f} minutes at least")
     return [
         *start_phases,
         Phase("quiet", start_end, fault_begin),
-        Phase(terms.fault.value, fault_begin, fault_end),
+        Phase(parameters.fault.value, fault_begin, fault_end),
         Phase("after it", fault_end, duration),
     ]
 
 
-def _fault_end(terms: FaultTerms, fault_begin: int, duration: int) -> int:
-    if terms.fault in (Fault.REGION, Fault.ZONE):
-        return fault_begin + terms.duration
-    if terms.fault is Fault.RACK:
+def _fault_end(parameters: FaultParameters, fault_begin: int, duration: int) -> int:
+    if parameters.fault in (Fault.REGION, Fault.ZONE):
+        return fault_begin + parameters.duration
+    if parameters.fault is Fault.RACK:
         return fault_begin + OBSERVATION_NS
     return duration - OBSERVATION_NS
 
 
-def schedule_fault(simulation: FleetSimulation, terms: FaultTerms, run_phases: list[Phase]) -> str:
+def schedule_fault(simulation: FleetSimulation, parameters: FaultParameters, run_phases: list[Phase]) -> str:
     """Schedules the events of a fault on the simulation's queue and returns a description for the report."""
-    if terms.fault is Fault.NONE:
+    if parameters.fault is Fault.NONE:
         return "no fault"
-    phase = next(phase for phase in run_phases if phase.name == terms.fault.value)
-    return _SCHEDULERS[terms.fault](simulation, terms, phase)
+    phase = next(phase for phase in run_phases if phase.name == parameters.fault.value)
+    return _SCHEDULERS[parameters.fault](simulation, parameters, phase)
 
 
-def _schedule_region(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
+def _schedule_region(simulation: FleetSimulation, parameters: FaultParameters, phase: Phase) -> str:
     topology = simulation.topology
     region = topology.largest_region()
     simulation.queue.schedule(phase.begin, simulation.cut, region)
     simulation.queue.schedule(phase.end, simulation.heal, region)
     members = len(topology.region_members(region))
-    return f"region {region + 1} of {members} front ends cut off for {terms.duration / SECOND:g} s"
+    return f"region {region + 1} of {members} front ends cut off for {parameters.duration / SECOND:g} s"
 
 
-def _schedule_zone(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
+def _schedule_zone(simulation: FleetSimulation, parameters: FaultParameters, phase: Phase) -> str:
     zone = simulation.topology.largest_zone()
     members = [simulation.fronts[site.index] for site in simulation.topology.zone_members(zone)]
     random = Random(f"zone {simulation.seed}")
@@ -133,10 +133,10 @@
         simulation.queue.schedule(phase.end + delay, simulation.start, front)
     simulation.queue.schedule(phase.begin, simulation.record_disturbance, "loss of a zone")
     simulation.queue.schedule(phase.end, simulation.record_disturbance, "return of a zone")
-    return f"zone {zone + 1} of {len(members)} front ends lost, and back after {terms.duration / SECOND:g} s"
+    return f"zone {zone + 1} of {len(members)} front ends lost, and back after {parameters.duration / SECOND:g} s"
 
 
-def _schedule_rack(simulation: FleetSimulation, _terms: FaultTerms, phase: Phase) -> str:
+def _schedule_rack(simulation: FleetSimulation, _parameters: FaultParameters, phase: Phase) -> str:
     zone = simulation.topology.largest_zone()
     members = [simulation.fronts[site.index] for site in simulation.topology.zone_members(zone)]
     rack = Random(f"rack {simulation.seed}").sample(members, max(1, round(len(members) / RACKS_PER_ZONE)))
@@ -146,9 +146,9 @@
     return f"{len(rack)} of the {len(members)} front ends of zone {zone + 1} killed at once"
 
 
-def _schedule_release(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
+def _schedule_release(simulation: FleetSimulation, parameters: FaultParameters, phase: Phase) -> str:
     """Restarts front ends zone by zone."""
-    interval = round(MINUTE_NS / terms.restarts_per_minute)
+    interval = round(MINUTE_NS / parameters.restarts_per_minute)
     times = range(phase.begin, phase.end, interval)
     for position, at in enumerate(times):
         front = simulation.fronts[position % len(simulation.fronts)]
@@ -156,14 +156,14 @@
     simulation.queue.schedule(
         times[-1] + LEAVE_NOTICES_NS + RESTART_NS, simulation.record_disturbance, "last restart"
     )
-    return f"{len(times)} restarts, {terms.restarts_per_minute:g} a minute, zone by zone"
+    return f"{len(times)} restarts, {parameters.restarts_per_minute:g} a minute, zone by zone"
 
 
-def _schedule_churn(simulation: FleetSimulation, terms: FaultTerms, phase: Phase) -> str:
+def _schedule_churn(simulation: FleetSimulation, parameters: FaultParameters, phase: Phase) -> str:
     random = Random(f"churn {simulation.seed}")
     span = phase.end - phase.begin
-    failures = max(1, round(FAILURES_PER_DAY * terms.speed_up * span / DAY_NS))
-    restarts = max(1, round(RESTARTS_PER_DAY * terms.speed_up * span / DAY_NS))
+    failures = max(1, round(FAILURES_PER_DAY * parameters.speed_up * span / DAY_NS))
+    restarts = max(1, round(RESTARTS_PER_DAY * parameters.speed_up * span / DAY_NS))
     affected = min(failures + restarts, len(simulation.fronts))
     for position, front in enumerate(random.sample(simulation.fronts, affected)):
         at = phase.begin + random.randrange(span)
@@ -173,7 +173,10 @@
         else:
             _schedule_restart(simulation, front, at)
     simulation.queue.schedule(phase.end, simulation.record_disturbance, "end of churn")
-    return f"{failures} failures and {affected - failures} restarts, an ordinary day's rates times {terms.speed_up:g}"
+    speed_up = parameters.speed_up
+    return (
+        f"{failures} failures and {affected - failures} restarts, an ordinary day's rates times {speed_up:g}"
+    )
 
 
 def _schedule_restart(simulation: FleetSimulation, front: SimulatedFront, at: int) -> None:
--- a/benchmarks/capacity/fleet_simulation.py
+++ b/benchmarks/capacity/fleet_simulation.py
@@ -56,7 +56,7 @@
     def __init__(
         self,
         topology: Topology,
-        terms: NetworkParameters,
+        network_parameters: NetworkParameters,
         implementation: Implementation,
         seed: int,
         duration: int,
@@ -67,7 +67,7 @@
         self.duration = duration
         self.implementation = implementation
         self.queue = EventQueue()
-        self.network = Network(topology, terms, seed)
+        self.network = Network(topology, network_parameters, seed)
         self.fronts = [SimulatedFront(site, duration) for site in topology.sites]
         self._streams = StreamSimulator(
             self.queue, self.network, topology, self.fronts, implementation, self._after_call
--- a/benchmarks/capacity/fleet_socket_host.py
+++ b/benchmarks/capacity/fleet_socket_host.py
@@ -17,7 +17,7 @@
 import trio
 
 from benchmarks.capacity.fleet_memory import resident_octets
-from benchmarks.capacity.fleet_socket_messages import HostResult, HostTask, Reading
+from benchmarks.capacity.fleet_socket_messages import HostResult, HostTask, ProcessTotals
 from benchmarks.capacity.fleet_zoned import seed_addresses
 from benchmarks.capacity.topology import LOOPBACK_FIRST_OCTET, Site, Topology
 from oakcroft.config.settings import OtherZone, PeerSettings
@@ -89,9 +89,9 @@
     raise structlog.DropEvent
 
 
-def read_totals(fronts: Sequence[HostedFront]) -> Reading:
+def read_totals(fronts: Sequence[HostedFront]) -> ProcessTotals:
     """The current totals over these front ends."""
-    return Reading(
+    return ProcessTotals(
         sum(front.peers.datagrams.sent for front in fronts),
         sum(front.peers.datagrams.octets_sent for front in fronts),
         sum(front.codec.stream_octets for front in fronts),
--- a/benchmarks/capacity/fleet_socket_messages.py
+++ b/benchmarks/capacity/fleet_socket_messages.py
@@ -21,7 +21,7 @@
     quiet_seconds: float
 
 
-class Reading(msgspec.Struct, frozen=True):
+class ProcessTotals(msgspec.Struct, frozen=True):
     """Totals over the front ends of one process since their start; octets without UDP, TCP and IP headers."""
 
     datagrams: int
@@ -32,14 +32,14 @@
 
 
 class HostResult(msgspec.Struct, frozen=True):
-    """Readings of a process before its front ends were created, after the whole start, and at the end.
+    """Totals of a process before its front ends were created, after the whole start, and at the end.
 
     `members`: the fewest and the most members that any front end listed at the end. `dropped`: messages dropped, by
     reason.
     """
 
-    before: Reading
-    started: Reading
-    ended: Reading
+    before: ProcessTotals
+    started: ProcessTotals
+    ended: ProcessTotals
     members: tuple[int, int]
     dropped: dict[str, int]
--- a/benchmarks/capacity/fleet_sockets.py
+++ b/benchmarks/capacity/fleet_sockets.py
@@ -203,10 +203,10 @@
 ) -> FleetLoads:
     """The loads of the same fleet on simulated links as fast as loopback."""
     topology = Topology(front_ends, first_octet=LOOPBACK_FIRST_OCTET)
-    terms = NetworkParameters(LOOPBACK_LINK, LOOPBACK_LINK, LOOPBACK_LINK, 0)
+    network_parameters = NetworkParameters(LOOPBACK_LINK, LOOPBACK_LINK, LOOPBACK_LINK, 0)
     started_at = round(START_SECONDS * SECOND)
     ended_at = round((START_SECONDS + QUIET_SECONDS) * SECOND)
-    simulation = FleetSimulation(topology, terms, make_implementation(topology), seed, ended_at)
+    simulation = FleetSimulation(topology, network_parameters, make_implementation(topology), seed, ended_at)
     simulation.start_all()
     simulation.run(started_at)
     started = _Totals(simulation)
--- a/benchmarks/capacity/measure_fleet.py
+++ b/benchmarks/capacity/measure_fleet.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from benchmarks.capacity.experiments import ROOT, Experiment, Quantity
+from benchmarks.capacity.experiments import ROOT, Experiment, Quantity, ValuesBySize
 
 FLAT_SIZES = (32, 50, 100, 200)
 ZONED_SIZES = (75, 150, 300, 600)
@@ -29,8 +29,6 @@
 )
 """Patterns of the report of `python -m benchmarks.capacity fleet`, in the order of the quantities."""
 
-ValuesBySize = dict[int, Sequence[float]]
-
 
 class FleetReportError(Exception):
     """The report of a fleet lacks a line."""
@@ -96,6 +94,6 @@
         "simulated",
         membership_quantities("zoned"),
         measure_zoned,
-        text="mechanism",
+        program="mechanism",
     ),
 )
--- a/benchmarks/capacity/measure_module.py
+++ b/benchmarks/capacity/measure_module.py
@@ -13,8 +13,9 @@
 import structlog
 import trio
 
-from benchmarks.capacity.experiments import Experiment, Quantity
+from benchmarks.capacity.experiments import CPU_MS_PER_S_PER_PERCENT, Experiment, Quantity, ValuesBySize
 from benchmarks.capacity.platform_process import SETTINGS, node_members
+from benchmarks.capacity.targets import MB
 from benchmarks.decision_module import NullHost
 from oakcroft import terms
 from oakcroft.choice import Controller
@@ -46,11 +47,6 @@
 START_NS = 1_000 * SECOND
 LINK_CAPACITY = 4e8
 PLAYBACK_CAPACITY = 4_000.0
-MB = 1e6
-MS_PER_S_PER_PERCENT = 10.0
-"""CPU milliseconds per second that are 1% of a core."""
-
-ValuesBySize = dict[int, Sequence[float]]
 
 
 def front_configuration() -> configuration.Configuration:
@@ -111,7 +107,7 @@
         whole_ms,
         change_ms,
         title_ms,
-        cpu_milliseconds(run_one_second, INTERVAL_REPEATS) / MS_PER_S_PER_PERCENT,
+        cpu_milliseconds(run_one_second, INTERVAL_REPEATS) / CPU_MS_PER_S_PER_PERCENT,
         len(whole) / 1e3,
     )
 
@@ -154,7 +150,7 @@
         now += SECOND
 
         interval_ms = cpu_milliseconds(partial(controller._end_interval, now), INTERVAL_REPEATS)
-        found[count] = interval_ms / MS_PER_S_PER_PERCENT, setup_ms
+        found[count] = interval_ms / CPU_MS_PER_S_PER_PERCENT, setup_ms
         now += MS
     return found
 
--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -5,11 +5,11 @@
 import os
 import select
 import time
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Awaitable, Callable
 
 import trio
 
-from benchmarks.capacity.experiments import Experiment, Quantity
+from benchmarks.capacity.experiments import Experiment, Quantity, ValuesBySize
 from benchmarks.capacity.platform_process import (
     WARMUP_S,
     Emulators,
@@ -18,8 +18,8 @@
     encode_line,
     running_front,
 )
+from benchmarks.capacity.targets import MB
 
-MB = 1e6
 CONNECTIONS = (500, 1_000, 2_000, 4_000, 8_000)
 SESSIONS = (500, 1_000, 2_000, 4_000)
 ENDED_SESSIONS = (250, 500, 1_000, 2_000)
@@ -39,7 +39,6 @@
 CAUSE_DONE = 16
 """Code with which a node closes a session that has ended normally."""
 
-ValuesBySize = dict[int, Sequence[float]]
 Measure = Callable[[FrontProcess, Emulators], Awaitable[ValuesBySize]]
 
 
--- a/benchmarks/capacity/measure_rollout.py
+++ b/benchmarks/capacity/measure_rollout.py
@@ -5,11 +5,13 @@
 import heapq
 import time
 import tracemalloc
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from functools import partial
 from random import Random
 
-from benchmarks.capacity.experiments import Experiment, Quantity
+from benchmarks.capacity.experiments import Experiment, Quantity, ValuesBySize
+from benchmarks.capacity.network import DATAGRAM_HEADER_OCTETS
+from benchmarks.capacity.targets import KB, MB
 from oakcroft.catalogue.text import text_digest, read_catalogue, format_catalogue
 from oakcroft.decisions.fleet.rollout import FINAL_STAGES, RolloutPlan, FrontReport, Rollout, RolloutStage
 from oakcroft.decisions.routing.catalogue import Catalogue, CatalogueTitle, changed_titles, is_in_share
@@ -24,15 +26,10 @@
 TITLE_SIZES = (1_000, 10_000, 40_000, 170_000)
 LOSS = 0.01
 LATENCY_RANGE_NS = (MS, 5 * MS)
-IP_UDP_HEADER_OCTETS = 28
 ROLLOUT_TIMEOUT_NS = 300 * SECOND
 QUIET_TIME_NS = 60 * SECOND
 HOLDERS_PER_TITLE = 4
 NODES = 2_700
-KB = 1e3
-MB = 1e6
-
-ValuesBySize = dict[int, Sequence[float]]
 
 
 class SimulatedRollout:
@@ -97,7 +94,7 @@
         orders = [self.codec.encode_order(self.names[0], 1, order) for _ in receivers]
         self.holder_cpu_seconds += time.process_time() - started_at
         for name, octets in zip(receivers, orders, strict=True):
-            self.sent_octets += len(octets) + IP_UDP_HEADER_OCTETS
+            self.sent_octets += len(octets) + DATAGRAM_HEADER_OCTETS
             front = self.index_by_name[name]
             self._deliver(partial(self._execute_order, front, order))
 
@@ -123,7 +120,7 @@
 
     def _receive_report(self, name: str, octets: bytes, body: ReportBody) -> None:
         """The holder's work for one report."""
-        self.received_octets += len(octets) + IP_UDP_HEADER_OCTETS
+        self.received_octets += len(octets) + DATAGRAM_HEADER_OCTETS
         started_at = time.process_time()
         opened = self.codec.ring.open(octets, self.now)
         assert opened is not None
--- a/benchmarks/capacity/measure_simulated.py
+++ b/benchmarks/capacity/measure_simulated.py
@@ -10,8 +10,9 @@
 from random import Random
 
 from benchmarks.capacity import assumptions as assumed
-from benchmarks.capacity.experiments import Experiment, Quantity
-from benchmarks.capacity.targets import TARGET
+from benchmarks.capacity.experiments import CPU_MS_PER_S_PER_PERCENT, Experiment, Quantity, ValuesBySize
+from benchmarks.capacity.network import DATAGRAM_HEADER_OCTETS
+from benchmarks.capacity.targets import KB, TARGET
 from benchmarks.cold_ramp import LOADS, SETTINGS
 from benchmarks.cold_ramp_simulation import Day
 from benchmarks.load_sharing import simulate as simulate_load_sharing
@@ -41,12 +42,6 @@
 TAKEOVER_TIMEOUT_S = 120
 NOTE_OCTETS = 120
 """Length of a rollout plan in a lease's note."""
-IP_UDP_HEADER_OCTETS = 28
-KB = 1e3
-MS_PER_S_PER_PERCENT = 10.0
-"""CPU milliseconds per second that are 1% of a core."""
-
-ValuesBySize = dict[int, Sequence[float]]
 
 
 def measure_each_size(
@@ -81,14 +76,14 @@
         LeaseMessageKind.ACCEPTED, "catalogue", "front-0002", 1, 7, 9, 7, term, TERM_NS, note, epochs
     )
     encoded_answer = codec.encode_answer("front-0002", 1, answer)
-    return (len(request) + len(encoded_answer)) / 2 + IP_UDP_HEADER_OCTETS
+    return (len(request) + len(encoded_answer)) / 2 + DATAGRAM_HEADER_OCTETS
 
 
 def measure_load_sharing(size: int, seed: int) -> Sequence[float]:
     """Measures load sharing with as many nodes as fronts: sent octets, age of known loads, and CPU time of a front."""
     found = simulate_load_sharing(size, size, LOSS, seed=seed)
     _median_age, p99_age, _maximum_age = found.ages
-    return found.kilobytes, p99_age, found.core_ms / MS_PER_S_PER_PERCENT
+    return found.kilobytes, p99_age, found.core_ms / CPU_MS_PER_S_PER_PERCENT
 
 
 def measure_cold_setups(size: int, seed: int) -> Sequence[float]:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -22,7 +22,7 @@
     """The page lacks the markers of a table, or has markers of an unknown one."""
 
 
-def rows(file: slopes.SlopeFile) -> list[Row]:
+def role_rows(file: slopes.SlopeFile) -> list[Row]:
     """Returns the rows of all roles, the one with the lowest ratio first."""
     readings = Readings(file)
     return sorted_by_ratio([role(readings) for role in (*SESSION_ROLES, *NODE_ROLES, *CONTROL_ROLES)])
@@ -50,10 +50,10 @@
     return f"{carried}{or_more} / {format_number(limit.needed)}"
 
 
-def summary_table(found: Sequence[Row]) -> str:
+def summary_table(rows: Sequence[Row]) -> str:
     """Formats the table of the tightest limits, one line per role."""
     body = []
-    for row in found:
+    for row in rows:
         limit = row.tightest
         assumed = row.tightest_assumed
         if limit is None:
@@ -89,27 +89,27 @@
     return f"{limit.basis.value}: {limit.source}"
 
 
-def roles_table(found: Sequence[Row]) -> str:
+def roles_table(rows: Sequence[Row]) -> str:
     """Formats the table of the roles' budgets and source files."""
     return markdown_table(
-        ("role", "budget", "mechanism"), [[row.role, row.budget, row.mechanism] for row in found]
+        ("role", "budget", "mechanism"), [[row.role, row.budget, row.mechanism] for row in rows]
     )
 
 
-def loads_table(found: Sequence[Row]) -> str:
+def loads_table(rows: Sequence[Row]) -> str:
     """Formats the table of the roles' resource use, today and at the target."""
     body = [
         [row.role if i == 0 else "", load.resource, load.today, load.target]
-        for row in found
+        for row in rows
         for i, load in enumerate(row.loads)
     ]
     return markdown_table(("role", "resource", "at today's 200 fronts", "at the target"), body)
 
 
-def limits_table(found: Sequence[Row]) -> str:
+def limits_table(rows: Sequence[Row]) -> str:
     """Formats the table of all limits of all roles."""
     body = []
-    for row in found:
+    for row in rows:
         marked = [("", limit) for limit in row.limits] + [
             ("new mechanism: ", limit) for limit in row.with_mechanism
         ]
@@ -138,7 +138,7 @@
     for slope in file.slopes:
         fitted = Readings(file)[slope.name].fitted
         points = ", ".join(f"{format_number(size)}: {format_number(median)}" for size, median in slope.points)
-        mechanism = "" if slope.text == "today" else " (new mechanism)"
+        mechanism = "" if slope.program == "today" else " (new mechanism)"
         seeds = ", ".join(map(str, slope.seeds))
         body.append(
             [
@@ -182,8 +182,8 @@
         [
             assumption.name,
             f"{format_number(assumption.value)} {assumption.unit}".strip(),
-            assumption.why,
-            assumption.doubled,
+            assumption.reason,
+            assumption.effect_if_doubled,
         ]
         for assumption in assumptions.ASSUMPTIONS
     ]
@@ -207,38 +207,40 @@
 
 def tables(file: slopes.SlopeFile) -> dict[str, str]:
     """Returns all generated tables by name."""
-    found = rows(file)
+    rows = role_rows(file)
     return {
         "targets": targets_table(),
         "assumptions": assumptions_table(),
         "demand": demand_table(),
-        "rows": summary_table(found),
-        "roles": roles_table(found),
-        "loads": loads_table(found),
-        "limits": limits_table(found),
+        "rows": summary_table(rows),
+        "roles": roles_table(rows),
+        "loads": loads_table(rows),
+        "limits": limits_table(rows),
         "slopes": slopes_table(file),
     }
 
 
-def render_page(text: str, made: dict[str, str]) -> str:
+def render_page(text: str, tables_by_name: dict[str, str]) -> str:
     """Returns the page with its tables replaced. Raises PageError if its markers are not those of the tables."""
     places = [match["name"] for match in TABLE_BLOCK.finditer(text)]
-    if sorted(places) != sorted(made):
-        raise PageError(f"the page has markers for {sorted(places)}, the generated tables are {sorted(made)}")
+    if sorted(places) != sorted(tables_by_name):
+        raise PageError(
+            f"the page has markers for {sorted(places)}, the generated tables are {sorted(tables_by_name)}"
+        )
     return TABLE_BLOCK.sub(
-        lambda match: f"<!-- table: {match['name']} -->\n{made[match['name']]}<!-- end -->", text
+        lambda match: f"<!-- table: {match['name']} -->\n{tables_by_name[match['name']]}<!-- end -->", text
     )
 
 
 def differences(file: Path = PAGE_FILE, known: slopes.SlopeFile | None = None) -> list[str]:
     """Returns a message for each table of the page that differs from the generated one."""
-    made = tables(known if known is not None else slopes.load())
+    tables_by_name = tables(known if known is not None else slopes.load())
     text = file.read_text()
-    render_page(text, made)
+    render_page(text, tables_by_name)
     return [
         f"{file.name}: table {match['name']} differs from the arithmetic"
         for match in TABLE_BLOCK.finditer(text)
-        if match["body"] != made[match["name"]]
+        if match["body"] != tables_by_name[match["name"]]
     ]
 
 
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -37,14 +37,14 @@
 
 
 class Slope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One quantity against one size. `text`: the program that was measured, today's or that with the new mechanism."""
+    """One quantity against one size. `program`: the measured one, today's or that with the new mechanism."""
 
     name: str
     quantity: str
     unit: str
     against: str
     kind: Literal["measured", "simulated"]
-    text: Literal["today", "mechanism"]
+    program: Literal["today", "mechanism"] = msgspec.field(name="text")
     command: str
     seeds: tuple[int, ...]
     commit: str
--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -9,8 +9,6 @@
 from __future__ import annotations
 
 import argparse
-import os
-import platform
 import tempfile
 import sys
 import time
@@ -22,6 +20,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.load_generator import PERCENTILES, new_latencies, record_latency
+from benchmarks.results import describe_machine
 from oakcroft.config.pipeline import check_file, build_deployment
 from oakcroft.decisions.routing.route_table import RouteRequest, ClientRole
 from oakcroft.front.front_end import FrontEnd
@@ -133,7 +132,7 @@
     )
     parser.add_argument("--routes", type=int, nargs="+", default=[10, 1000, 10_000])
     arguments = parser.parse_args()
-    print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}")
+    print(describe_machine())
     measure_size(10)  # the parser's tables are built once per process
     for route_count in arguments.routes:
         measure_size(route_count)
--- a/benchmarks/front_cost.py
+++ b/benchmarks/front_cost.py
@@ -10,8 +10,6 @@
 from __future__ import annotations
 
 import argparse
-import os
-import platform
 import tempfile
 from pathlib import Path
 
@@ -19,6 +17,7 @@
 
 from benchmarks.child_processes import SITE, WARM_UP_S, Process, day_text, start_front_and_nodes
 from benchmarks.load_generator import LoadGenerator, format_percentiles, new_latencies, open_playbacks
+from benchmarks.results import describe_machine
 
 MAX_RATE_WORKERS = 32
 MAX_RATE_SECONDS = 5
@@ -84,7 +83,7 @@
     parser.add_argument("--rate", type=float, default=150)
     parser.add_argument("--seconds", type=float, default=10)
     arguments = parser.parse_args()
-    print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; times in ms")
+    print(f"{describe_machine()}; times in ms")
     for i, nodes in enumerate(arguments.nodes):
         open_counts = arguments.open if i == 0 else arguments.open[:2]
         trio.run(measure, nodes, open_counts, arguments.rate, arguments.seconds)
--- a/benchmarks/lease_failover.py
+++ b/benchmarks/lease_failover.py
@@ -11,6 +11,7 @@
 import argparse
 from functools import partial
 
+from benchmarks.results import quantile
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.lease_simulation import LeaseSimulation
 
@@ -38,9 +39,7 @@
         assert fleet.run(30 * term, partial(has_new_term, fleet, terms_before))
         gaps_s.append((fleet.now - killed_at) / SECOND)
         fleet.run(11 * term)
-    gaps_s.sort()
-    p50, p99 = (gaps_s[min(len(gaps_s) - 1, int(share * len(gaps_s)))] for share in (0.5, 0.99))
-    gaps = f"{p50:.1f}, {p99:.1f}, {gaps_s[-1]:.1f}"
+    gaps = f"{quantile(gaps_s, 0.5):.1f}, {quantile(gaps_s, 0.99):.1f}, {max(gaps_s):.1f}"
     return f"| {fronts} | {acceptors} | {term / SECOND:g} | {loss:.0%} | {gaps} | {messages_per_second:.1f} |"
 
 
--- a/benchmarks/load_sharing.py
+++ b/benchmarks/load_sharing.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
+from benchmarks.results import quantile
 from oakcroft.decisions.fleet.load_sharing import LoadSharing
 from oakcroft.interface import MS, SECOND
 from oakcroft.peerwire.load_codec import LoadCodec
@@ -16,6 +17,7 @@
 
 STEP_NS = 100 * MS
 IP_UDP_HEADER_BYTES = 28
+"""IPv4 and UDP headers."""
 ROWS = [
     (3, 20, 0.0),
     (7, 5, 0.0),
@@ -139,9 +141,8 @@
         fleet.step(is_counted)
         if is_counted and fleet.now % SECOND == 0:
             fleet.sample_ages()
-    ages = sorted(fleet.ages)
     counted_seconds = seconds * 2 / 3
-    p50, p99, longest = (ages[min(len(ages) - 1, int(share * len(ages)))] / 1e9 for share in (0.5, 0.99, 1))
+    p50, p99, longest = (quantile(fleet.ages, share) / SECOND for share in (0.5, 0.99, 1))
     front_seconds = fronts * counted_seconds
     return FleetResult(
         fronts=fronts,
--- a/benchmarks/membership_convergence.py
+++ b/benchmarks/membership_convergence.py
@@ -17,6 +17,7 @@
 
 import click
 
+from benchmarks.results import quantile
 from oakcroft.decisions.membership.member import MemberState
 from oakcroft.interface import MS, SECOND
 from oakcroft.rehearsal.membership_simulation import HEADER_BYTES, SimulatedNetwork, settled_network
@@ -76,12 +77,6 @@
     return f"{quantile(values, 0.5):.1f}, {quantile(values, 0.99):.1f}, {max(values):.1f}"
 
 
-def quantile(values: list[float], share: float) -> float:
-    """Returns a quantile of the values."""
-    ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
-
-
 def measure_crash(network: SimulatedNetwork, name: str) -> tuple[float, float]:
     """Kills a member; returns the seconds until the first member and until all members see it as failed."""
     network.state_changes.clear()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -14,7 +14,6 @@
 
 import argparse
 import os
-import platform
 import subprocess
 import sys
 import tempfile
@@ -27,6 +26,7 @@
 import trio
 
 from benchmarks.child_processes import SITE, WARM_UP_S, Process, day_text, start_front
+from benchmarks.results import describe_machine
 from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
 from oakcroft.running.clock import Clock
 from oakcroft.front.node_list_client import DISCOVERY_PATH
@@ -252,8 +252,7 @@
         port, rate, seconds, seed = arguments.load
         trio.run(send_requests, int(port), float(rate), float(seconds), int(seed))
         return
-    where = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
-    print(f"{where}; capacity taken as {arguments.capacity:.0f} a second")
+    print(f"{describe_machine()}; capacity taken as {arguments.capacity:.0f} a second")
     for times in arguments.times:
         for variant, module in (
             ("line", ["oakcroft", "serve"]),
--- a/benchmarks/peers_lag.py
+++ b/benchmarks/peers_lag.py
@@ -10,8 +10,6 @@
 from __future__ import annotations
 
 import argparse
-import os
-import platform
 import sys
 import tempfile
 from dataclasses import replace
@@ -24,6 +22,7 @@
 
 from benchmarks.child_processes import SITE, WARM_UP_S, Process, day_text, start_front_and_nodes
 from benchmarks.load_generator import LoadGenerator, format_percentiles, new_latencies
+from benchmarks.results import describe_machine
 from oakcroft.config.settings import PeerSettings
 from oakcroft.peers.peer_endpoint import PeerEndpoint
 from oakcroft.running.clock import Clock
@@ -158,9 +157,7 @@
     if arguments.talk:
         trio.run(run_peers, arguments.peers, arguments.talk, arguments.churn)
         return
-    print(
-        f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; {arguments.peers} peers"
-    )
+    print(f"{describe_machine()}; {arguments.peers} peers")
     trio.run(measure, arguments.peers, arguments.rate, arguments.seconds, arguments.rounds)
 
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -12,8 +12,6 @@
 from __future__ import annotations
 
 import argparse
-import os
-import platform
 import statistics
 import subprocess
 import sys
@@ -29,6 +27,7 @@
 import trio
 
 from benchmarks.child_processes import Process, stand_in_process
+from benchmarks.results import describe_machine
 from oakcroft.config.pipeline import check_file, build_deployment
 from oakcroft.decisions.state.promise import PromiseState, Promise
 from oakcroft.running.clock import Clock
@@ -341,7 +340,7 @@
     if arguments.worker:
         trio.run(run_worker, *arguments.worker)
         return
-    print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}")
+    print(describe_machine())
     if arguments.restarts:
         run_workers(arguments.workers, arguments.restarts)
     for kind in ("nothing", "empty", "held"):
--- a/benchmarks/service_levels.py
+++ b/benchmarks/service_levels.py
@@ -10,12 +10,11 @@
 
 import argparse
 import bisect
-import os
-import platform
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
 
+from benchmarks.results import describe_machine
 from oakcroft.decisions.admission.service_levels import (
     LevelEffects,
     LevelBounds,
@@ -126,8 +125,7 @@
     parser.add_argument("--seeds", type=int, default=10)
     arguments = parser.parse_args()
     bound = f"at most {LevelBounds().most_changes} changes in {LevelBounds().window // SECOND} s"
-    where = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
-    print(f"{where}; {arguments.fronts} fronts, {arguments.minutes:.0f} minutes, {bound}")
+    print(f"{describe_machine()}; {arguments.fronts} fronts, {arguments.minutes:.0f} minutes, {bound}")
     for load in (swinging, weakening):
         for seed in range(1, arguments.seeds + 1):
             result = simulate(load, arguments.fronts, arguments.minutes, seed)
--- a/benchmarks/session_takeover.py
+++ b/benchmarks/session_takeover.py
@@ -14,6 +14,7 @@
 
 import trio
 
+from benchmarks.results import quantile
 from oakcroft.decisions.fleet.session_takeover import TakeoverBounds
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.takeover_simulation import NetworkConditions, TakeoverSimulation
@@ -56,10 +57,8 @@
 
 
 def quantile_s(values_ns: list[int], share: float) -> float:
-    """Returns a quantile, in seconds."""
-    if not values_ns:
-        return 0.0
-    return sorted(values_ns)[min(len(values_ns) - 1, int(share * len(values_ns)))] / 1e9
+    """Returns a quantile in seconds, 0 if there are no values."""
+    return quantile(values_ns, share) / SECOND if values_ns else 0.0
 
 
 def simulate_case(case: Case) -> TakeoverSimulation:
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -10,8 +10,6 @@
 from __future__ import annotations
 
 import argparse
-import os
-import platform
 import tempfile
 from http import HTTPStatus
 from pathlib import Path
@@ -31,6 +29,7 @@
     new_latencies,
     record_latency,
 )
+from benchmarks.results import describe_machine
 from oakcroft.client import Retries, SessionClient
 from oakcroft.rehearsal.viewers import offer
 from oakcroft.signalling import session_api as api
@@ -182,7 +181,7 @@
     parser.add_argument("--slow", type=int, default=200)
     parser.add_argument("--seconds", type=float, default=12)
     arguments = parser.parse_args()
-    print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; times in ms")
+    print(f"{describe_machine()}; times in ms")
     trio.run(measure, arguments.idle, arguments.busy, arguments.rate, arguments.seconds, arguments.slow)
 
 
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -10,8 +10,6 @@
 from __future__ import annotations
 
 import argparse
-import os
-import platform
 import tempfile
 import time
 import tracemalloc
@@ -22,6 +20,7 @@
 
 from benchmarks.child_processes import SITE, WARM_UP_S, Process, day_text, start_front_and_nodes
 from benchmarks.load_generator import TITLE_COUNT, LoadGenerator, format_percentiles, new_latencies
+from benchmarks.results import describe_machine
 from oakcroft.catalogue.text import text_digest, read_catalogue, format_catalogue
 from oakcroft.decisions.routing.catalogue import (
     Catalogue,
@@ -197,7 +196,7 @@
     parser.add_argument("--titles", type=int, nargs="*", default=[100, 1000, 10_000, 100_000])
     parser.add_argument("--only", choices=("state", "catalogue", "swaps"))
     arguments = parser.parse_args()
-    print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; times in ms")
+    print(f"{describe_machine()}; times in ms")
     if arguments.only in ("state", None):
         for kind in ("off", "unsynced", "synced"):
             trio.run(measure_state, kind, arguments.rate, arguments.seconds)
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -11,7 +11,7 @@
 
 from benchmarks.capacity import fleet_command
 from benchmarks.capacity.fleet_command import FleetRun, fleet, simulate
-from benchmarks.capacity.fleet_faults import DurationError, Fault, FaultTerms, phases
+from benchmarks.capacity.fleet_faults import DurationError, Fault, FaultParameters, phases
 from benchmarks.capacity.fleet_flat import FlatImplementation, FlatMembershipAdapter
 from benchmarks.capacity.fleet_flat_sizes import FlatSizes
 from benchmarks.capacity.fleet_membership import ObservedState, Outgoing, Transition
@@ -36,9 +36,9 @@
 TWO_PERCENT = NetworkParameters.with_loss(0.02, 0.02, 0.02)
 
 
-def fault_terms(fault: Fault, duration: int = 10 * SECOND) -> FaultTerms:
+def fault_parameters(fault: Fault, duration: int = 10 * SECOND) -> FaultParameters:
     """A fault with the command's default rates."""
-    return FaultTerms(fault, duration, restarts_per_minute=60.0, speed_up=100.0)
+    return FaultParameters(fault, duration, restarts_per_minute=60.0, speed_up=100.0)
 
 
 def small_run(fault: Fault = Fault.NONE, seconds: int = 15, seed: int = 1) -> FleetRun:
@@ -48,7 +48,7 @@
         seed=seed,
         duration=seconds * SECOND,
         network=TWO_PERCENT,
-        fault=fault_terms(fault),
+        fault=fault_parameters(fault),
         membership="flat",
         preloaded=fault is not Fault.NONE,
         alone=False,
@@ -265,7 +265,7 @@
 def test_a_run_too_short_for_its_fault_is_refused(fault: Fault) -> None:
     """The run is refused before the simulation starts."""
     with pytest.raises(DurationError):
-        phases(fault_terms(fault), 30 * SECOND, preloaded=True)
+        phases(fault_parameters(fault), 30 * SECOND, preloaded=True)
 
 
 @pytest.mark.parametrize("options", [["--fronts", "31"], ["--minutes", "0.5", "--fault", "zone"]])
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -240,12 +240,12 @@
 def test_every_role_has_a_row_with_and_without_slopes() -> None:
     """The rows do not depend on what was measured."""
     for file in (slopes.load(), SlopeFile()):
-        assert {row.role for row in page.rows(file)} == ROLES
+        assert {row.role for row in page.role_rows(file)} == ROLES
 
 
 def test_unmeasured_rows_are_shown_as_not_measured() -> None:
     """Rows and limits without slopes are shown without a figure."""
-    found = page.rows(SlopeFile())
+    found = page.role_rows(SlopeFile())
     summary = page.summary_table(found)
     assert all(f"| {role} |" in summary for role in ROLES)
     assert "not measured" in page.loads_table(found)
@@ -283,13 +283,13 @@
 
 def test_slopes_of_the_new_mechanism_do_not_replace_those_of_today() -> None:
     """They change the last column only."""
-    today = [stored for stored in slopes.load().slopes if stored.text == "today"]
+    today = [stored for stored in slopes.load().slopes if stored.program == "today"]
     names = ("start", "quiet", "sent", "received", "processor", "memory")
     points: list[Point] = [(size, 0.0001 * size) for size in SIZES]
     zoned = [
-        msgspec.structs.replace(slope(f"zoned.{name}", points=points), text="mechanism") for name in names
+        msgspec.structs.replace(slope(f"zoned.{name}", points=points), program="mechanism") for name in names
     ]
-    before, after = (page.rows(SlopeFile(tuple(stored))) for stored in (today, today + zoned))
+    before, after = (page.role_rows(SlopeFile(tuple(stored))) for stored in (today, today + zoned))
     old, new = (next(row for row in found if row.role == "membership") for found in (before, after))
     assert (old.with_mechanism, old.tightest) == ((), new.tightest)
     assert new.tightest_with_mechanism is not None
@@ -347,7 +347,7 @@
 def test_each_assumption_states_its_reason_and_the_effect_of_doubling_it() -> None:
     """Names are unique, and no reason or effect is empty."""
     assert len({assumption.name for assumption in ASSUMPTIONS}) == len(ASSUMPTIONS)
-    assert all(assumption.why and assumption.doubled for assumption in ASSUMPTIONS)
+    assert all(assumption.reason and assumption.effect_if_doubled for assumption in ASSUMPTIONS)
 
 
 def test_largest_title_has_the_listeners_that_the_users_give() -> None:
--- a/tests/test_capacity_zoned.py
+++ b/tests/test_capacity_zoned.py
@@ -91,8 +91,10 @@
 def settled_fleet(seconds: int) -> FleetSimulation:
     """A zoned fleet after a whole start without loss, for at most this many simulated seconds."""
     topology = Topology(FRONT_ENDS, ZONES_BY_REGION)
-    terms = NetworkParameters.with_loss(0, 0, 0)
-    simulation = FleetSimulation(topology, terms, ZonedImplementation(topology), 1, seconds * SECOND)
+    network_parameters = NetworkParameters.with_loss(0, 0, 0)
+    simulation = FleetSimulation(
+        topology, network_parameters, ZonedImplementation(topology), 1, seconds * SECOND
+    )
     simulation.start_all()
     simulation.run(40 * SECOND)
     assert simulation.agreement.wrong_entries == 0
