--- a/benchmarks/capacity/measure_process.py
+++ b/benchmarks/capacity/measure_process.py
@@ -2,20 +2,24 @@
 
 from __future__ import annotations
 
-import os
-import select
-import time
 from collections.abc import Awaitable, Callable
 
 import trio
 
 from benchmarks.capacity.experiments import Experiment, Quantity, ValuesBySize
+from benchmarks.capacity.platform_load import (
+    REPORTS_PER_S,
+    connect_more,
+    end_all_sessions,
+    play_briefly,
+    play_more,
+    send_reports,
+)
 from benchmarks.capacity.platform_process import (
     WARMUP_S,
     Emulators,
     FrontProcess,
     Viewer,
-    encode_line,
     running_front,
 )
 from benchmarks.capacity.targets import MB
@@ -27,17 +31,8 @@
 SETUPS_PER_S = (25, 50, 100, 200)
 FEW_NODES = 40
 IDLE_S = 2.5
-REPORTS_S = 2.5
-REPORTS_PER_S = 1_000
-REPORT_TICK_S = 0.02
-"""Interval at which batches of reports are sent."""
 ARRIVALS_S = 4.0
 SETTLE_S = 1.0
-CONCURRENT_CONNECTIONS = 32
-TITLES = 500
-ENDS_TIMEOUT_S = 30.0
-CAUSE_DONE = 16
-"""Code with which a node closes a session that has ended normally."""
 
 Measure = Callable[[FrontProcess, Emulators], Awaitable[ValuesBySize]]
 
@@ -58,45 +53,6 @@
     return trio.run(main)
 
 
-async def connect_more(front: FrontProcess, viewers: list[Viewer], count: int) -> None:
-    """Opens viewer connections until there are `count`, and sends a test on each."""
-
-    async def connect_share(share: int) -> None:
-        """Opens connections one after the other."""
-        for _ in range(share):
-            viewer = await Viewer.connect(front.port)
-            await viewer.test()
-            viewers.append(viewer)
-
-    more = count - len(viewers)
-    async with trio.open_nursery() as nursery:
-        for i in range(CONCURRENT_CONNECTIONS):
-            nursery.start_soon(
-                connect_share, more // CONCURRENT_CONNECTIONS + (i < more % CONCURRENT_CONNECTIONS)
-            )
-
-
-async def play_more(
-    front: FrontProcess, emulators: Emulators, viewers: list[Viewer], count: int, title: str
-) -> None:
-    """Sets up sessions until there are `count`, each on its own connection.
-
-    The title is `title`, or one of `TITLES` in turn if that is empty. Raises RuntimeError if a set-up is rejected.
-    """
-
-    async def set_up_share(numbers: range) -> None:
-        """Sets up the sessions of these numbers one after the other."""
-        for number in numbers:
-            viewer = await Viewer.connect(front.port)
-            if not await viewer.set_up(f"{number + 1:016x}", title or f"title-{number % TITLES}"):
-                raise RuntimeError(f"the set-up of session {number} was rejected")
-            viewers.append(viewer)
-
-    async with trio.open_nursery() as nursery:
-        for i in range(CONCURRENT_CONNECTIONS):
-            nursery.start_soon(set_up_share, range(len(viewers) + i, count, CONCURRENT_CONNECTIONS))
-
-
 def measure_connections(_seed: int) -> ValuesBySize:
     """Measures memory, share of a core and descriptors with idle connections."""
 
@@ -123,7 +79,7 @@
         for count in SESSIONS:
             cpu_before = front.cpu_seconds
             held_before = len(viewers)
-            await play_more(front, emulators, viewers, count, "")
+            await play_more(front, viewers, count, "")
             set_up_ms = 1e3 * (front.cpu_seconds - cpu_before) / (count - held_before)
             await trio.sleep(SETTLE_S)
             idle = await front.cpu_share_over(IDLE_S)
@@ -135,31 +91,6 @@
     return run_with_front(FEW_NODES, measure)
 
 
-async def send_reports(front: FrontProcess, emulators: Emulators) -> float:
-    """Sends nodes' reports on their sessions at `REPORTS_PER_S`; returns the front end's share of a core meanwhile."""
-    sessions = list(emulators.sessions.items())
-    share = list[float]()
-
-    async def sample_cpu() -> None:
-        """Measures the share of a core while the reports are sent."""
-        share.append(await front.cpu_share_over(REPORTS_S))
-
-    async with trio.open_nursery() as nursery:
-        nursery.start_soon(sample_cpu)
-        reports_per_tick = round(REPORTS_PER_S * REPORT_TICK_S)
-        sent = 0
-        started_at = trio.current_time()
-        while trio.current_time() < started_at + REPORTS_S:
-            for i in range(reports_per_tick):
-                session, stream = sessions[(sent + i) % len(sessions)]
-                await stream.send_all(
-                    encode_line(msg="event", sid=session, attrs={"note": "local", "value": "0.3"})
-                )
-            sent += reports_per_tick
-            await trio.sleep_until(started_at + sent / REPORTS_PER_S)
-    return share[0]
-
-
 def measure_ends(_seed: int) -> ValuesBySize:
     """Measures the end of all sessions of a title at once by their nodes: time until the last release, and CPU time."""
 
@@ -170,7 +101,7 @@
         for count in ENDED_SESSIONS:
             viewers = list[Viewer]()
             emulators.sessions.clear()
-            await play_more(front, emulators, viewers, count, "the-largest")
+            await play_more(front, viewers, count, "the-largest")
             await trio.sleep(SETTLE_S)
             cpu_before = front.cpu_seconds
             duration_s = end_all_sessions(emulators, viewers)
@@ -183,49 +114,6 @@
     return run_with_front(FEW_NODES, measure)
 
 
-def end_all_sessions(emulators: Emulators, viewers: list[Viewer]) -> float:
-    """Ends all sessions at once and returns the seconds until the last viewer has its release.
-
-    Blocks, so that nothing else runs in this process meanwhile. Raises RuntimeError if a viewer gets no release.
-    """
-    poll = select.epoll()
-    for viewer in viewers:
-        poll.register(viewer.sock.fileno(), select.EPOLLIN)
-    sessions_by_stream: dict[trio.SocketStream, list[str]] = {}
-    for session, stream in emulators.sessions.items():
-        sessions_by_stream.setdefault(stream, []).append(session)
-    messages = [
-        (
-            stream.socket.fileno(),
-            b"".join(
-                encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE) for session in sessions
-            ),
-        )
-        for stream, sessions in sessions_by_stream.items()
-    ]
-    started_at = time.perf_counter()
-    for descriptor, octets in messages:
-        write_all(descriptor, octets)
-    left = len(viewers)
-    while left and time.perf_counter() < started_at + ENDS_TIMEOUT_S:
-        for descriptor, _ in poll.poll(1.0):
-            poll.unregister(descriptor)
-            left -= 1
-    poll.close()
-    if left:
-        raise RuntimeError(f"{left} viewers received no release")
-    return time.perf_counter() - started_at
-
-
-def write_all(descriptor: int, octets: bytes) -> None:
-    """Writes to a non-blocking socket, waiting while its buffer is full."""
-    poll = select.poll()  # select() accepts no descriptor above 1,023
-    poll.register(descriptor, select.POLLOUT)
-    while octets:
-        poll.poll(1e3 * ENDS_TIMEOUT_S)
-        octets = octets[os.write(descriptor, octets) :]
-
-
 def measure_nodes(_seed: int) -> ValuesBySize:
     """Measures the time from start to ready, memory and idle share of a core with listed nodes."""
 
@@ -238,19 +126,6 @@
     return {count: run_with_front(count, measure)[0] for count in NODES}
 
 
-async def play_briefly(front: FrontProcess, emulators: Emulators, number: int) -> None:
-    """Sets up a session, which its node ends at once, and waits for the release."""
-    viewer = await Viewer.connect(front.port)
-    session = f"{number + 1:016x}"
-    if await viewer.set_up(session, f"title-{number % TITLES}"):
-        # Writes to the socket itself, as a task of the emulated node may be sending on the stream. A message as short
-        # as this is never split.
-        stream = emulators.sessions.pop(session)
-        write_all(stream.socket.fileno(), encode_line(msg="close", sid=session, attrs={}, code=CAUSE_DONE))
-        await viewer.receive()
-    viewer.close()
-
-
 async def cpu_share_at_rate(front: FrontProcess, emulators: Emulators, rate: int, first_number: int) -> float:
     """Returns the front end's share of a core with set-ups at a rate, numbered from `first_number`."""
     share = list[float]()
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -118,6 +118,7 @@
     exact = FlatSizes.datagram
 
     def one_octet_less(sizes: FlatSizes, sender: MemberUpdate, message: Message) -> tuple[int, int]:
+        """The exact count less one octet."""
         octets, fitting = exact(sizes, sender, message)
         return octets - 1, fitting
 
@@ -191,7 +192,10 @@
     """Makes the command use this class for flat memberships."""
 
     class FaultyImplementation(FlatImplementation):
+        """Creates memberships with the injected fault."""
+
         def create(self, site: Site, generation: int, random: Random, now: int) -> FlatMembershipAdapter:
+            """The correct membership in the faulty adapter."""
             correct = super().create(site, generation, random, now)
             return membership(correct.membership, self._sizes)
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -159,7 +159,10 @@
 def test_missing_or_unknown_field_is_rejected() -> None:
     """The file format is strict."""
     fields = msgspec.to_builtins(slope())
-    for invalid in ({k: v for k, v in fields.items() if k != "commit"}, fields | {"by": "me"}):
+    for invalid in (
+        {name: value for name, value in fields.items() if name != "commit"},
+        fields | {"by": "me"},
+    ):
         with pytest.raises(SlopeError):
             slopes.decode(msgspec.json.encode({"slopes": [invalid]}))
 
@@ -189,6 +192,7 @@
     )
 
     def measure(seed: int) -> dict[int, tuple[float, float]]:
+        """Measures one size more in the first run."""
         sizes = SIZES if seed > 1 else (*SIZES, 3_200)
         return {size: (float(size * seed), float(size)) for size in sizes}
 
@@ -196,7 +200,7 @@
         experiments.Experiment("cost", "fronts", "measured", quantities, measure), lambda _line: None
     )
     assert [measured.name for measured in found] == ["cost.time", "cost.octets"]
-    assert [m.size for m in found[0].measurements] == list(SIZES)
+    assert [measurement.size for measurement in found[0].measurements] == list(SIZES)
     assert found[0].measurements[0].runs == (100.0, 200.0, 300.0)
     assert found[0].command == "python -m benchmarks.capacity slopes --only cost"
     for measured in found:
@@ -258,6 +262,7 @@
     """The first row has the lowest ratio."""
 
     def row(name: str, *carried: float | None) -> Row:
+        """Returns a row with a limit for each carried value."""
         limits = tuple(Limit("size", value, 100, Basis.MEASURED, "", "") for value in carried)
         return Row(name, "", "", (), limits)
 
@@ -271,6 +276,7 @@
     """Rows with a limit that rests on no assumption come first, and the other limits have their own column."""
 
     def limit(carried: float, assumption: str = "") -> Limit:
+        """Returns a limit of which 100 are needed."""
         return Limit("size", carried, 100, Basis.MEASURED, "", "", assumption)
 
     both = Row("both", "", "", (), (limit(40), limit(1, "a guess")))
@@ -318,7 +324,9 @@
     """A new measurement needs a new page."""
     known = slopes.load()
     first = known.slopes[0]
-    faster = tuple(Measurement(m.size, tuple(run / 2 for run in m.runs)) for m in first.measurements)
+    faster = tuple(
+        Measurement(measured.size, tuple(run / 2 for run in measured.runs)) for measured in first.measurements
+    )
     other = SlopeFile((msgspec.structs.replace(first, measurements=faster), *known.slopes[1:]))
     assert page.differences(known=other)
 
