--- a/benchmarks/capacity/platform_process.py
+++ b/benchmarks/capacity/platform_process.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import os
+import socket
 import subprocess
 import sys
 import tempfile
@@ -147,8 +148,6 @@
 
 def free_port() -> int:
     """Returns a port that is free at the moment."""
-    import socket
-
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         return int(sock.getsockname()[1])
--- a/benchmarks/lease_failover.py
+++ b/benchmarks/lease_failover.py
@@ -19,28 +19,30 @@
 HEADER = "| fronts | keepers | term, s | loss | no owner after a crash, s (p50, p99, most) | messages a second, all |"
 
 
-def measure(fronts: int, acceptors: int, term: int, loss: float, kills: int) -> str:
+def measure(fronts: int, acceptors: int, term_ns: int, loss: float, kills: int) -> str:
     """Measures crashes of the holder, and messages without crashes; returns one row."""
-    fleet = LeaseSimulation(fronts, acceptors, term, loss)
+    fleet = LeaseSimulation(fronts, acceptors, term_ns, loss)
     assert fleet.run(20 * SECOND, lambda: bool(fleet.terms_begun))
-    fleet.run(5 * term)
+    fleet.run(5 * term_ns)
     fleet.message_count = 0
-    fleet.run(10 * term)
-    messages_per_second = fleet.message_count / (10 * term / SECOND)
+    fleet.run(10 * term_ns)
+    messages_per_second = fleet.message_count / (10 * term_ns / SECOND)
     gaps_s = list[float]()
     while len(gaps_s) < kills:
-        fleet.run(fleet.rng.randrange(term))
+        fleet.run(fleet.rng.randrange(term_ns))
         holder = fleet.holder()
         terms_before = len(fleet.terms_begun)
         if holder is None:  # message loss has just ended a term
             continue
         killed_at = fleet.now
-        fleet.kill(holder, 10 * term)
-        assert fleet.run(30 * term, partial(has_new_term, fleet, terms_before))
+        fleet.kill(holder, 10 * term_ns)
+        assert fleet.run(30 * term_ns, partial(has_new_term, fleet, terms_before))
         gaps_s.append((fleet.now - killed_at) / SECOND)
-        fleet.run(11 * term)
+        fleet.run(11 * term_ns)
     gaps = f"{quantile(gaps_s, 0.5):.1f}, {quantile(gaps_s, 0.99):.1f}, {max(gaps_s):.1f}"
-    return f"| {fronts} | {acceptors} | {term / SECOND:g} | {loss:.0%} | {gaps} | {messages_per_second:.1f} |"
+    return (
+        f"| {fronts} | {acceptors} | {term_ns / SECOND:g} | {loss:.0%} | {gaps} | {messages_per_second:.1f} |"
+    )
 
 
 def has_new_term(fleet: LeaseSimulation, terms_before: int) -> bool:
