--- a/benchmarks/membership_convergence.py
+++ b/benchmarks/membership_convergence.py
@@ -24,7 +24,7 @@
 MISSED_HEARTBEATS = 5
 """After so many a member is taken for failed. With 20% loss the chance to miss five in a row is 3 in 10,000."""
 MAX_LOST_HEARTBEATS = 13
-"""Lost heartbeats before a crash that are looked at; a member that lost as many counts as heard at time 0."""
+"""Heartbeats before a crash that are looked at; if all were lost, the last one counts as received at time 0."""
 
 
 def format_cells(*cells: object) -> str:
