--- a/benchmarks/capacity/measure_module.py
+++ b/benchmarks/capacity/measure_module.py
@@ -6,14 +6,17 @@
 import tracemalloc
 from collections.abc import Callable, Sequence
 from dataclasses import replace
+from functools import partial
 from random import Random
 
 import orjson
 import structlog
 import trio
 
-from benchmarks.capacity.experiments import Experiment, Quantity
+from benchmarks.capacity.experiments import CPU_MS_PER_S_PER_PERCENT, Experiment, Quantity, ValuesBySize
 from benchmarks.capacity.platform_process import SETTINGS, node_members
+from benchmarks.capacity.targets import MB
+from benchmarks.decision_module import NullHost
 from oakcroft import terms
 from oakcroft.choice import Controller
 from oakcroft.decisions.routing.title_cache import TitleCache
@@ -44,11 +47,6 @@
 START_NS = 1_000 * SECOND
 LINK_CAPACITY = 4e8
 PLAYBACK_CAPACITY = 4_000.0
-MB = 1e6
-MS_PER_S_PER_PERCENT = 10.0
-"""CPU milliseconds per second that are 1% of a core."""
-
-ValuesBySize = dict[int, Sequence[float]]
 
 
 def front_configuration() -> configuration.Configuration:
@@ -72,6 +70,7 @@
     """Measures a whole list, a change of it, ordering the holders of a title after it, and the periodic passes."""
 
     async def main() -> ValuesBySize:
+        """Measures each number of nodes; the coordinator needs a nursery."""
         async with trio.open_nursery() as nursery:
             return {count: measure_list(count, nursery) for count in NODES}
 
@@ -87,6 +86,7 @@
     change = channel_answer(2, False, node_members([1], count)[:1])
 
     def apply_answer(octets: bytes) -> None:
+        """Decodes an answer of the command channel and applies its lists."""
         for _, complete, listed in command_channel.decode_events(octets)[1]:
             coordinator.apply_list_immediately(complete, listed)
 
@@ -98,6 +98,7 @@
     )
 
     def run_one_second() -> None:
+        """Runs the periodic passes over all nodes that are due in one second."""
         for _ in range(10):
             coordinator._maintain()
         coordinator.controller._end_interval(coordinator.clock.now())
@@ -106,7 +107,7 @@
         whole_ms,
         change_ms,
         title_ms,
-        cpu_milliseconds(run_one_second, INTERVAL_REPEATS) / MS_PER_S_PER_PERCENT,
+        cpu_milliseconds(run_one_second, INTERVAL_REPEATS) / CPU_MS_PER_S_PER_PERCENT,
         len(whole) / 1e3,
     )
 
@@ -117,31 +118,6 @@
     return orjson.dumps({"cursor": cursor, "cmds": [cmd]})
 
 
-class NullHost:
-    """A host of the decision module that does nothing."""
-
-    def send_setup(self, playback: Playback, node: Node, abandon_at: int) -> None:
-        """Ignores a set-up try."""
-
-    def reject(self, playback: Playback, retry_after_ns: int) -> None:
-        """Ignores a rejection."""
-
-    def abort(self, playback: Playback) -> None:
-        """Ignores an abort."""
-
-    def set_rung(self, playback: Playback, rung: int) -> None:
-        """Ignores a change of rendition."""
-
-    def set_timer(self, at: int) -> None:
-        """Ignores the timer; the caller calls the module itself."""
-
-    def subscribe_to_nodes(self) -> None:
-        """Ignores the subscription; the caller supplies the list itself."""
-
-    def log(self, message: str) -> None:
-        """Ignores a log message."""
-
-
 def measure_held_sessions(seed: int) -> ValuesBySize:
     """Measures the module's interval and a set-up while it holds sessions on a region's nodes."""
     rng = Random(seed)
@@ -173,10 +149,8 @@
         setup_ms = 1e3 * (time.process_time() - started_at) / (count - playing_before)
         now += SECOND
 
-        def end_interval(at: int = now) -> None:
-            controller._end_interval(at)
-
-        found[count] = cpu_milliseconds(end_interval, INTERVAL_REPEATS) / MS_PER_S_PER_PERCENT, setup_ms
+        interval_ms = cpu_milliseconds(partial(controller._end_interval, now), INTERVAL_REPEATS)
+        found[count] = interval_ms / CPU_MS_PER_S_PER_PERCENT, setup_ms
         now += MS
     return found
 
