--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -75,7 +75,7 @@
         self.channel = StubChannel()
         self.stop = trio.Event()
         self.ended = trio.Event()
-        self.port = 0
+        self.host, self.port = "127.0.0.1", 0
         self.platform: PlatformFrontEnd
         self.info: dict[str, Any] = dict(SETTINGS["familyInfo"])
 
@@ -141,7 +141,7 @@
 
     async def viewer(self) -> StubViewer:
         """Opens a viewer's connection."""
-        stream = await trio.open_tcp_stream("127.0.0.1", self.port)
+        stream = await trio.open_tcp_stream(self.host, self.port)
         return StubViewer(stream, self.facts, self.answered_ids)
 
     def add_list_change(self, cursor: int, *members: dict[str, Any]) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,6 +25,7 @@
 import pytest
 import structlog
 import trio
+from loopback_addresses import next_loopback_address
 from rig import DAY_TEMPLATE, SITE_TEMPLATE, run_async_test, running_front_end, wait_until
 
 from oakcroft import __version__
@@ -80,11 +81,8 @@
         self.record = record
         self.nursery = nursery
         self.names = [f"f{i}" for i in range(count)]
-        with socket.socket() as probe:
-            probe.bind(("127.0.71.1", 0))
-            port = probe.getsockname()[1]
-        listen = {name: (f"127.0.71.{i + 1}", port) for i, name in enumerate(self.names)}
-        relays = {name: (f"127.0.72.{i + 1}", port) for i, name in enumerate(self.names)}
+        listen = {name: next_loopback_address() for name in self.names}
+        relays = {name: next_loopback_address() for name in self.names}
         self.network = PeerNetwork(listen, relays, Random(1))
         self.processes: dict[str, trio.Process] = {}
         self.ports: dict[str, int] = {}
@@ -94,7 +92,7 @@
         number = self.names.index(name)
         path = self.folder / f"{name}.oak"
         host, port = self.network.front_addresses[name]
-        relay, _ = self.network.relay_addresses[name]
+        relay, relay_port = self.network.relay_addresses[name]
         seeds = " ".join(
             f'"{seed}:{seed_port}"' for seed, seed_port in list(self.network.relay_addresses.values())[:2]
         )
@@ -102,7 +100,7 @@
         site = site.replace("EXTRA", f'(operators (secret "{TOKEN}")) (limit all (on all) (rate 50/s))')
         path.write_text(f"""(front (number {number}) (seed {number + 1}) (zone west) (listen "127.0.0.1:0")
             (list-service "127.0.0.1:{self.nodes.list_port}"))
-            (peers (name {name}) (listen "{host}:{port}") (advertise "{relay}:{port}") (seeds {seeds})
+            (peers (name {name}) (listen "{host}:{port}") (advertise "{relay}:{relay_port}") (seeds {seeds})
               (key-file "{self.folder}/key") (starts "{self.folder}/{name}.start"))
             {site}""")
         return path
@@ -521,10 +519,7 @@
 ) -> None:
     monkeypatch.setattr(peer_endpoint, "RESTART_DELAY_S", 0.01)
     (tmp_path / "key").write_text(KEY)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
-        probe.bind(("127.0.73.1", 0))
-        port = probe.getsockname()[1]
-    address = ("127.0.73.1", port)
+    address = next_loopback_address()
     settings = PeerSettings("a", address, address, (), str(tmp_path / "key"), "one", "")
     log = io.BytesIO()
     codec = MembershipCodec("one", KeyRing(parse_keys(KEY)))
@@ -564,9 +559,7 @@
 def test_false_updates_by_a_member_that_holds_the_key_break_no_rule(tmp_path: Path) -> None:
     """The member floods a front with updates that others failed, left or restarted, and that the front is another."""
     (tmp_path / "key").write_text(KEY)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
-        probe.bind(("127.0.74.1", 0))
-        address = probe.getsockname()[:2]
+    address = next_loopback_address()
     peers = f'(peers (name a) (listen "{address[0]}:{address[1]}") (key-file "{tmp_path}/key"))'
     extra = f"{peers} (limit all (on all) (rate 500/s))"
     codec = MembershipCodec("oakcroft", KeyRing(parse_keys(KEY)))
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -17,6 +17,7 @@
 import orjson
 import pytest
 import trio
+from loopback_addresses import next_loopback_address
 from platform_gates import setup_count
 from platform_rig import FAILED, SETTINGS, A, PlatformRig, run_on_platform
 from platform_stubs import StubViewer
@@ -37,12 +38,10 @@
     rig.channel.port = rig.channel.port or await rig.listen(rig.channel.serve)
     for node in rig.nodes:
         node.port = node.port or await rig.listen(node.serve)
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        rig.port = probe.getsockname()[1]
+    rig.host, rig.port = next_loopback_address()
     config_file = folder / "config.json"
     config_file.write_bytes(
-        orjson.dumps(rig.configuration() | {"listen": f"127.0.0.1:{rig.port}"} | overrides)
+        orjson.dumps(rig.configuration() | {"listen": f"{rig.host}:{rig.port}"} | overrides)
     )
     limits = (
         partial(resource.setrlimit, resource.RLIMIT_NOFILE, (max_files, max_files)) if max_files else None
@@ -106,6 +105,23 @@
     run_on_platform(test, started=False)
 
 
+def test_a_process_starts_while_its_port_is_taken_on_127_0_0_1(tmp_path: Path) -> None:
+    """An outgoing connection of another process may take the port on 127.0.0.1 before this process listens."""
+
+    async def test(rig: PlatformRig) -> None:
+        async with running_process(rig, {}, tmp_path) as running:
+            with socket.socket() as other:
+                with suppress(OSError):  # another test run on the machine holds the port there already
+                    other.bind(("127.0.0.1", rig.port))
+                    other.listen()
+                viewer = await connect_when_listening(rig)
+                await viewer.send_setup(A)
+                assert (await viewer.receive() or (0,))[0] == framing.ANSWER
+                assert running.poll() is None
+
+    run_on_platform(test, started=False)
+
+
 @pytest.mark.parametrize("when", ["before the list", "serving", "twice", "with a reload"])
 def test_a_process_exits_in_order_on_a_stop_signal(when: str, tmp_path: Path) -> None:
     """The process answers what is open and exits with code 0."""
--- a/tests/test_zone_peers.py
+++ b/tests/test_zone_peers.py
@@ -18,6 +18,7 @@
 import orjson
 import structlog
 import trio
+from loopback_addresses import next_loopback_address
 from rig import run_async_test, wait_until
 
 from oakcroft.commands.fleet import describe_members
@@ -169,11 +170,8 @@
 async def zones(folder: Path) -> AsyncIterator[Zones]:
     """Starts two zones and waits until they know each other."""
     (folder / "key").write_text(KEY.hex())
-    with socket.socket() as probe:
-        probe.bind(("127.0.75.1", 0))
-        port = probe.getsockname()[1]
-    listen = {name: (f"127.0.75.{i + 1}", port) for i, name in enumerate(NAMES)}
-    relays = {name: (f"127.0.76.{i + 1}", port) for i, name in enumerate(NAMES)}
+    listen = {name: next_loopback_address() for name in NAMES}
+    relays = {name: next_loopback_address() for name in NAMES}
     async with trio.open_nursery() as nursery:
         rig = Zones(folder, PeerNetwork(listen, relays, Random(1)), nursery)
         await nursery.start(rig.network.run)
