--- a/tests/test_state_file.py
+++ b/tests/test_state_file.py
@@ -115,21 +115,21 @@
     file.close()
     for name, ids, moves in (("state", ["b"], 0), ("copy", ["a", "b"], 1)):
         file = StateFile(str(tmp_path / name))
-        held = file.read()
-        assert [p.id for p in held.promises] == ids
-        assert held.promises[-1] == make_promise("b", PromiseState.PLAYS, resource="/s/b")
-        assert (held.listed_nodes, held.list_version, held.service) == (
+        contents = file.read()
+        assert [p.id for p in contents.promises] == ids
+        assert contents.promises[-1] == make_promise("b", PromiseState.PLAYS, resource="/s/b")
+        assert (contents.listed_nodes, contents.list_version, contents.service) == (
             [list_entry("n1"), list_entry("n2")],
             7,
             "svc",
         )
-        assert (len(held.moves), held.node_penalties, held.slot_usage) == (
+        assert (len(contents.moves), contents.node_penalties, contents.slot_usage) == (
             moves,
             [NodePenalty("n1", 0.5, 4, 3)],
             [SlotUsage("n2", 1, 2, 3, 4)],
         )
-        assert held.versions == [VersionRecord("catalogue", 1, "d", 5, "first", b"()")]
-        assert held.named_values["alive"] == b"12"
+        assert contents.versions == [VersionRecord("catalogue", 1, "d", 5, "first", b"()")]
+        assert contents.named_values["alive"] == b"12"
         file.close()
 
 
--- a/tests/test_takeover_records.py
+++ b/tests/test_takeover_records.py
@@ -130,7 +130,7 @@
 
 
 def stop_takeover(rig: Rig, runner: TakeoverRunner) -> None:
-    """Asks no node again, as the failed front end is back."""
+    """Tells the takeover that the failed front end is back, so that it asks no node again."""
     runner.takeover.update_fronts([], [FRONT_NAME], rig.coordinator().clock.now())
 
 
@@ -151,14 +151,15 @@
     """Guards against a second set-up of a paid key by a front end that dies right after it took the session over."""
 
     async def test() -> None:
-        power, take_over = PowerCut(), NodeClient.take_over
+        power = PowerCut()
+        take_over = NodeClient.take_over
         async with trio.open_nursery() as nursery, running_front_end(tmp_path) as rig:
 
             async def take_over_and_die(node_client: NodeClient, resources: list[str]) -> set[str] | None:
-                given = await take_over(node_client, resources)
+                granted = await take_over(node_client, resources)
                 power.cut()
                 rig.front_end_scope.cancel()
-                return given
+                return granted
 
             await restart_front_end(rig, nursery, power.open)
             await wait_until_recovered(rig)
@@ -180,7 +181,7 @@
 def test_a_front_killed_right_before_the_hand_over_takes_the_session_over_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A record without a hand-over holds no seat after a restart, and the session may be taken over again."""
+    """A record without a hand-over is released after a restart, and the session may be taken over again."""
 
     async def test() -> None:
         power = PowerCut()
@@ -215,7 +216,7 @@
 def test_all_sessions_of_an_answer_are_recorded_at_once_and_refused_ones_withdrawn(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Records are on disk before the node is asked; where it refuses, nothing of them binds this front end."""
+    """Records are synced before the node is asked; if it refuses, they are withdrawn and bind no key."""
     keys = {"k1", "k2"}
 
     async def test() -> None:
@@ -237,9 +238,9 @@
             async def take_nothing(node_client: NodeClient, _resources: list[str]) -> set[str] | None:
                 asked_with.extend(power.synced_promises())
                 stop_takeover(rig, runner)
-                given = await take_over(node_client, [])
+                granted = await take_over(node_client, [])
                 refused.set()
-                return given
+                return granted
 
             await restart_front_end(rig, nursery, power.open)
             await wait_until_recovered(rig)
@@ -277,12 +278,12 @@
         async with trio.open_nursery() as nursery, running_front_end(tmp_path) as rig:
 
             async def end_meanwhile(node_client: NodeClient, resources: list[str]) -> set[str] | None:
-                given = await take_over(node_client, resources)
+                granted = await take_over(node_client, resources)
                 coordinator = rig.coordinator()
                 (session,) = runner.adopted_playbacks.values()
                 await coordinator.submit(partial(coordinator.end_session, session))
                 taken.set()
-                return given
+                return granted
 
             await restart_front_end(rig, nursery, power.open)
             await wait_until_recovered(rig)
@@ -331,7 +332,7 @@
 
 
 def test_a_session_that_comes_back_to_a_front_leaves_its_key_aborted(tmp_path: Path) -> None:
-    """A front end takes over a session of which it has an abort on record: it goes on serving, the abort stays."""
+    """A front end that takes over a session with a recorded abort serves it on, and its key stays aborted."""
 
     async def test() -> None:
         power = PowerCut()
