--- a/oakcroft/rehearsal/outcome.py
+++ b/oakcroft/rehearsal/outcome.py
@@ -4,25 +4,26 @@
 
 from dataclasses import dataclass, field
 
-from oakcroft.rehearsal.viewers import Audience, Tally
+from oakcroft.rehearsal.tally import Tally
+from oakcroft.rehearsal.viewers import Audience
 from oakcroft.rulecheck.facts import Fact, Finding
 from oakcroft.standins.day import Day
 
 
 @dataclass
 class Outcome:
-    """A day's findings and figures. `policy` names the decisions that the fronts ran: oakcroft or naive."""
+    """Findings and figures of a day. `policy` is the decision module that the fronts ran: oakcroft or naive."""
 
     day: Day
     policy: str
     findings: list[Finding]
     tally: Tally
-    earned: dict[str, float]
+    earned_revenue: dict[str, float]
     """Revenue-seconds by plan."""
     faults: list[str] = field(default_factory=list)
     """Kinds of the faults of the day."""
     failures: list[str] = field(default_factory=list)
-    """Errors of the rehearsal itself, so that the day proves nothing."""
+    """Errors of the rehearsal itself, which make its findings meaningless."""
     overloaded_cold_nodes: int = 0
     """How many times a cold node was overloaded."""
     audience: Audience | None = None
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -1,9 +1,10 @@
-"""Players of long playbacks: they receive RTP, follow moves, and measure the gaps in what they play."""
+"""Players of long playbacks, which receive RTP, follow moves, and measure the gaps in what they play."""
 
 from __future__ import annotations
 
 from contextlib import suppress
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from random import Random
 
 import orjson
@@ -12,27 +13,32 @@
 from oakcroft.httpwire.client import ExchangeError, HttpClient
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
-from oakcroft.rehearsal.viewers import Audience, Visit, offer, plan_visits
-from oakcroft.signalling import http_formats, sdp
+from oakcroft.rehearsal.viewers import (
+    EVENT_STREAM_HEADERS,
+    LATE_ANSWER_SECONDS,
+    Audience,
+    failure_kind,
+    offer,
+    problem_type_of,
+)
+from oakcroft.rehearsal.visits import Visit
+from oakcroft.signalling import http_formats
 from oakcroft.standins import rtp
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
 STALL_NS = 2 * rtp.PACKET_INTERVAL_NS
 MODES = ("move", "break", "stay")
+"""What players do when they are told to move; see `Players`."""
 
 MAX_TRIES = 40
 END_MARGIN_SECONDS = 0.05
 """A playback that ended this shortly before its viewer's end counts as complete."""
 
-FINISH_WITHIN_SECONDS = 8
+FINISH_SECONDS = 8
 """How long players may go on after the end of the day."""
 
-LATE_ANSWER_SECONDS = 3
-"""How long after its abandon time a player still waits for the answer, as the record must show a late one."""
-
-END_WITHIN_SECONDS = 2
-CONNECT_WITHIN_SECONDS = 1.0
+END_TIMEOUT_SECONDS = 2
 MAX_PACKET_BYTES = 2048
 
 OFFERED_KBIT = 50_000
@@ -42,12 +48,13 @@
 
 @dataclass
 class WatchedPlayback:
-    """What one player saw of one playback, from its first packet to its end."""
+    """What one player received, from its first packet to its end."""
 
     plan: str
     longest_gap_ns: int = 0
     moves: int = 0
     refused: int = 0
+    """Moves that the front did not answer with a session."""
     complete: bool = True
     """Whether it played to the end that its viewer wanted."""
     packets_played: int = 0
@@ -68,175 +75,211 @@
     """The longest gap around each move."""
 
 
+@dataclass
+class MoveGapMeter:
+    """Takes in the packets of one playback, and measures the longest gap around each of its moves."""
+
+    tracker: rtp.PlayoutTracker
+    gaps_ns: list[int]
+    """Where the longest gap around each move is appended."""
+    awaits_target: bool = False
+    """Whether a move was answered and its target has sent no packet yet, which would come from a new source."""
+    window_end: int | None = None
+    longest_gap_ns: int = 0
+
+    def receive(self, packet: rtp.Packet, now: int) -> bool:
+        """Takes in a packet that arrives now; returns whether it is the first one from the target of a move."""
+        is_new_source = packet.source not in self.tracker.sources
+        gap = now - self.tracker.last_played_at if self.tracker.last_played_at else 0
+        was_played = self.tracker.receive(packet, now)
+        is_from_target = is_new_source and self.awaits_target
+        if is_from_target:
+            self.awaits_target = False
+            self.window_end = now + MOVE_WINDOW_NS
+            self.longest_gap_ns = 0
+        if self.window_end is not None and was_played:
+            self.longest_gap_ns = max(self.longest_gap_ns, gap)
+            if now > self.window_end:
+                self.gaps_ns.append(self.longest_gap_ns)
+                self.window_end = None
+        return is_from_target
+
+
+@dataclass
+class Player:
+    """One player: it plays the sessions of its visit one after the other, and receives all their media on one port."""
+
+    visit: Visit
+    media: trio.socket.SocketType
+    end_at: float
+    """When its viewer wants to stop, on trio's clock."""
+    tracker: rtp.PlayoutTracker = field(default_factory=rtp.PlayoutTracker)
+    watched: WatchedPlayback | None = None
+
+    @property
+    def port(self) -> int:
+        """Port at which it receives media."""
+        return int(self.media.getsockname()[1])
+
+
+@dataclass
+class PlayedSession:
+    """One session of a player on a front; `key` is the idempotency key of the request that created it."""
+
+    player: Player
+    watched: WatchedPlayback
+    front: int
+    key: str
+    location: str
+    gaps: MoveGapMeter
+    move_count: int = 0
+
+
 class Players(Audience):
     """An audience of players.
 
-    `mode`: they follow moves ("move"), or break off and request again when told to move ("break"), or are plain players
-    that cannot be moved ("stay").
+    `mode`: they follow moves ("move"), or end the session and request again when told to move ("break"), or are plain
+    players that cannot be moved ("stay").
     """
 
     mode = "move"
 
     def __init__(self, day: Day, record: Record) -> None:
+        """`record` gets all requests and answers."""
         super().__init__(day, record)
         self.results = PlayerResults()
 
-    async def run(self, start: float) -> None:
-        async with trio.open_nursery() as nursery:
-            for visit in plan_visits(self.day):
-                await trio.sleep_until(start + visit.at / SECOND)
-                nursery.start_soon(self._play, visit)
-            await trio.sleep_until(start + self.day.duration_ns / SECOND)
-            self.stopped = True
-            nursery.cancel_scope.deadline = trio.current_time() + FINISH_WITHIN_SECONDS
-
-    def _retry_delay(self, rng: Random) -> float:
-        return rng.uniform(*self.day.viewer_model.return_delay_ns) / SECOND
+    def _finish_seconds(self) -> float:
+        return FINISH_SECONDS
 
-    async def _play(self, visit: Visit) -> None:
+    async def _visit(self, visit: Visit) -> None:
         rng = Random(visit.seed)
-        ends = trio.current_time() + visit.life / SECOND
+        end_at = trio.current_time() + visit.watch_ns / SECOND
         tries = 0
-        watched: WatchedPlayback | None = None
-        self.tally.asked[visit.plan.name] += 1
+        self.tally.viewers[visit.plan.name] += 1
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as media:
             await media.bind(("127.0.0.1", 0))
-            port = media.getsockname()[1]
-            screen = rtp.PlayoutTracker()
-            while not self.stopped and trio.current_time() < ends and tries < MAX_TRIES:
-                front = self._choose_front(rng, visit.wing)
+            player = Player(visit, media, end_at)
+            while not self.stopped and trio.current_time() < end_at and tries < MAX_TRIES:
+                front = self._choose_front(rng, visit.zone)
                 key = f"v{visit.number}.{tries}"
                 tries += 1
                 path = f"/whep/{visit.plan.name}/{visit.title}"
-                response = await self._send_offer(visit, front, key, port, path)
-                if response is None or response.status != 201:
+                response = await self._send_offer(player, front, key, path)
+                if response is None or response.status != HTTPStatus.CREATED:
                     await trio.sleep(self._retry_delay(rng))
                     continue
-                if watched is None:
-                    watched = WatchedPlayback(visit.plan.name)
-                    self.results.playbacks.append(watched)
-                await self._watch_media(visit, front, response, key, media, port, screen, watched, ends)
-                if trio.current_time() < ends - END_MARGIN_SECONDS and not self.stopped:
+                watched = self._watched_playback(player)
+                await self._play_session(player, watched, front, key, response)
+                if trio.current_time() < end_at - END_MARGIN_SECONDS and not self.stopped:
                     watched.complete = watched.complete and self.mode == "break"
                     await trio.sleep(0 if self.mode == "break" else self._retry_delay(rng))
-            if watched is not None:
-                watched.longest_gap_ns = max(watched.longest_gap_ns, screen.longest_gap_ns)
-                watched.packets_played = screen.played_count
-                watched.duplicate_packets = screen.duplicate_count
-
-    async def _send_offer(self, visit: Visit, front: int, key: str, port: int, path: str) -> Response | None:
-        """Sends one POST of an offer that receives media at `port`, and puts it on record as any request."""
-        wait = visit.plan.abandon_ns
-        headers = [
-            ("Content-Type", sdp.MEDIA_TYPE),
-            ("Idempotency-Key", http_formats.quoted_string(key)),
-            ("Prefer", f"wait={-(-wait // SECOND)}"),
-        ]
-        candidate = f"a=candidate:1 1 udp 2130706431 127.0.0.1 {port} typ host\r\n"
+            if player.watched is not None:
+                player.watched.longest_gap_ns = max(
+                    player.watched.longest_gap_ns, player.tracker.longest_gap_ns
+                )
+                player.watched.packets_played = player.tracker.played_count
+                player.watched.duplicate_packets = player.tracker.duplicate_count
+
+    def _watched_playback(self, player: Player) -> WatchedPlayback:
+        """Returns the results of a player, which are added to those of all with its first session."""
+        if player.watched is None:
+            player.watched = WatchedPlayback(player.visit.plan.name)
+            self.results.playbacks.append(player.watched)
+        return player.watched
+
+    async def _send_offer(self, player: Player, front: int, key: str, path: str) -> Response | None:
+        """Sends one POST of an offer that receives media at the player's port, and puts it on record as any request."""
+        visit = player.visit
+        headers = self._offer_headers(visit, key)
+        candidate = f"a=candidate:1 1 udp 2130706431 127.0.0.1 {player.port} typ host\r\n"
         body = offer(OFFERED_KBIT, visit.number).replace("a=rtcp-mux\r\n", f"a=rtcp-mux\r\n{candidate}", 1)
-        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
+        client = self._client_of(front)
         self._note_request(visit, front, key)
         try:
-            with trio.fail_after(wait / SECOND + LATE_ANSWER_SECONDS):
-                response = await peer.request("POST", path, headers, body.encode(), new_connection=True)
+            with trio.fail_after(visit.plan.abandon_ns / SECOND + LATE_ANSWER_SECONDS):
+                response = await client.request("POST", path, headers, body.encode(), new_connection=True)
         except (ExchangeError, trio.TooSlowError) as error:
-            is_unreached = isinstance(error, ExchangeError) and error.end.name == "UNREACHED"
-            self.record.note("unreached" if is_unreached else "cut", key=key, front=front, why=str(error))
+            self.record.note(failure_kind(error), key=key, front=front, why=str(error))
             return None
         except trio.Cancelled:
             self.record.note("left", key=key, front=front)
             raise
         finally:
             self.tally.waiting -= 1
-            await peer.close()
-        problem = http_formats.problem_type(response.body) if response.status >= 400 else ""
+            await client.close()
+        problem = problem_type_of(response)
         self.record.note("got", key=key, status=response.status, type=problem, extra=False)
-        self.tally.answers[f"{response.status} {problem.rpartition(':')[2]}".strip()] += 1
+        self._count_answer(response.status, problem)
         return response
 
-    async def _watch_media(
-        self, visit: Visit, front: int, response: Response, key: str, media: trio.socket.SocketType, port: int,
-        screen: rtp.PlayoutTracker, watched: WatchedPlayback, ends: float,
-    ) -> None:  # fmt: skip
+    async def _play_session(
+        self, player: Player, watched: WatchedPlayback, front: int, key: str, response: Response
+    ) -> None:
         """Receives the media and follows the events of a session until its viewer's end, or until it ends or breaks."""
         location = response.header("location") or ""
-        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
+        gaps = MoveGapMeter(player.tracker, self.results.move_gaps_ns)
+        session = PlayedSession(player, watched, front, key, location, gaps)
+        client = self._client_of(front)
         self.tally.playing += 1
-        left_early = False
-        is_move_answered = False
-        """Whether a move was answered and its target has sent no packet yet, which would come from a new source."""
-        move_window_end: int | None = None
-        longest_move_gap = 0
-
-        async def receive() -> None:
-            nonlocal is_move_answered, move_window_end, longest_move_gap
-            while True:
-                data, _ = await media.recvfrom(MAX_PACKET_BYTES)
-                packet = rtp.parse_packet(data)
-                if packet is None:
-                    continue
-                is_new_source = packet.source not in screen.sources
-                now = trio_now()
-                gap = now - screen.last_played_at if screen.last_played_at else 0
-                was_played = screen.receive(packet, now)
-                if is_new_source and is_move_answered:
-                    is_move_answered = False
-                    nursery.start_soon(self._confirm_move, front, location)
-                    move_window_end = now + MOVE_WINDOW_NS
-                    longest_move_gap = 0
-                if move_window_end is not None and was_played:
-                    longest_move_gap = max(longest_move_gap, gap)
-                    if now > move_window_end:
-                        self.results.move_gaps_ns.append(longest_move_gap)
-                        move_window_end = None
-
-        async def follow(moves: int = 0) -> None:
-            nonlocal left_early, is_move_answered
-            reader = http_formats.EventStreamParser()
-            kinds = "inactive" if self.mode == "stay" else "inactive.move"
-            events = f"{location}/events?kinds={kinds}"
-            try:
-                async with peer.stream("GET", events, [("Accept", http_formats.EVENT_STREAM_MEDIA_TYPE)]) as (
-                    _,
-                    chunks,
-                ):
-                    async for chunk in chunks:
-                        for name, data in reader.feed(chunk):
-                            if name == "inactive":
-                                return
-                            if name != "move":
-                                continue
-                            if self.mode == "break":
-                                left_early = True
-                                return
-                            moves += 1
-                            target = orjson.loads(data)["offer"]
-                            answer = await self._send_offer(visit, front, f"{key}~{moves}", port, target)
-                            if answer is not None and answer.status == 201:
-                                watched.moves += 1
-                                is_move_answered = True
-                            else:
-                                watched.refused += 1
-            except ExchangeError:
-                pass
-
+        has_left = False
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(receive)
-            with trio.move_on_at(ends) as life:
-                await follow()
-            if life.cancelled_caught or left_early:
-                with trio.move_on_after(END_WITHIN_SECONDS):
+            nursery.start_soon(self._receive_media, nursery, session)
+            with trio.move_on_at(player.end_at) as watch_scope:
+                has_left = await self._follow_events(client, session)
+            if watch_scope.cancelled_caught or has_left:
+                with trio.move_on_after(END_TIMEOUT_SECONDS):
                     with suppress(ExchangeError):
-                        await peer.request("DELETE", location, [], b"", new_connection=True)
+                        await client.request("DELETE", location, [], b"", new_connection=True)
             nursery.cancel_scope.cancel()
         self.tally.playing -= 1
 
-    async def _confirm_move(self, front: int, location: str) -> None:
-        """Tells the front that the media of the target arrive."""
-        peer = HttpClient("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
-        with trio.move_on_after(END_WITHIN_SECONDS):
+    async def _receive_media(self, nursery: trio.Nursery, session: PlayedSession) -> None:
+        """Receives packets until cancelled, and confirms each move at the first packet of its target."""
+        while True:
+            data, _ = await session.player.media.recvfrom(MAX_PACKET_BYTES)
+            packet = rtp.parse_packet(data)
+            if packet is not None and session.gaps.receive(packet, trio_now()):
+                nursery.start_soon(self._confirm_move, session)
+
+    async def _follow_events(self, client: HttpClient, session: PlayedSession) -> bool:
+        """Follows the events of a session until it ends; returns True if the player leaves it as it is told to move."""
+        parser = http_formats.EventStreamParser()
+        kinds = "inactive" if self.mode == "stay" else "inactive.move"
+        events = f"{session.location}/events?kinds={kinds}"
+        has_left = False
+        try:
+            async with client.stream("GET", events, EVENT_STREAM_HEADERS) as (_, chunks):
+                async for chunk in chunks:
+                    for name, data in parser.feed(chunk):
+                        if name == "inactive":
+                            return False
+                        if name == "move" and self.mode == "break":
+                            has_left = True
+                            return True
+                        if name == "move":
+                            await self._move(session, orjson.loads(data)["offer"])
+        except ExchangeError:  # also of closing the stream, after the player has left
+            pass
+        return has_left
+
+    async def _move(self, session: PlayedSession, target: str) -> None:
+        """Requests the session on the target of a move, while the present one plays on."""
+        session.move_count += 1
+        key = f"{session.key}~{session.move_count}"
+        answer = await self._send_offer(session.player, session.front, key, target)
+        if answer is not None and answer.status == HTTPStatus.CREATED:
+            session.watched.moves += 1
+            session.gaps.awaits_target = True
+        else:
+            session.watched.refused += 1
+
+    async def _confirm_move(self, session: PlayedSession) -> None:
+        """Reports to the front that media of the target arrive."""
+        client = self._client_of(session.front)
+        with trio.move_on_after(END_TIMEOUT_SECONDS):
             with suppress(ExchangeError):
-                await peer.request("POST", f"{location}/move/done", [], b"", new_connection=True)
+                await client.request("POST", f"{session.location}/move/done", [], b"", new_connection=True)
 
 
 def trio_now() -> int:
--- a/oakcroft/rehearsal/report.py
+++ b/oakcroft/rehearsal/report.py
@@ -15,7 +15,7 @@
     for finding in outcome.findings:
         lines.append(
             f"  {finding.rule} {finding.name:30} {finding.cases:6} cases  {len(finding.breaches):3} breaches"
-            + (f"  ({finding.excused} fell due while a front stood still)" if finding.excused else "")
+            + (f"  ({finding.excused} were due while a front was paused)" if finding.excused else "")
         )
         lines += [f"      {breach}" for breach in finding.breaches[:MAX_BREACHES_SHOWN]]
     return lines
@@ -27,42 +27,48 @@
 
 
 def figure_lines(outcome: Outcome) -> list[str]:
-    """Returns lines on the answers by kind, the revenue by plan and the time to an answer."""
+    """Returns lines with the answers by kind, the revenue by plan and the time to an answer."""
     tally = outcome.tally
     plans = outcome.day.site.plans
     lines = [f"  {count:6}  {answer}" for answer, count in tally.answers.most_common()]
-    asked = sum(count * plans[name].plan.revenue for name, count in tally.asked.items())
+    requested = sum(count * plans[name].plan.revenue for name, count in tally.viewers.items())
     in_target = sum(count * plans[name].plan.revenue for name, count in tally.in_target.items())
-    viewers = sum(tally.asked.values())
-    lines.append(f"  viewers {viewers}, requests {tally.requests}, playbacks broken {tally.lost}")
-    share = format_share(in_target, asked).strip()
-    lines.append(f"  revenue asked {asked:.0f}, answered within the startup target {in_target:.0f} ({share})")
-    for name in sorted(tally.asked):
-        earned = outcome.earned.get(name, 0.0)
-        offered = tally.offered.get(name, 0.0)
+    viewer_count = sum(tally.viewers.values())
+    lines.append(
+        f"  viewers {viewer_count}, requests {tally.requests}, playbacks lost {tally.lost_playbacks}"
+    )
+    share = format_share(in_target, requested).strip()
+    lines.append(
+        f"  revenue requested {requested:.0f}, served within the startup target {in_target:.0f} ({share})"
+    )
+    for name in sorted(tally.viewers):
+        earned = outcome.earned_revenue.get(name, 0.0)
+        offered = tally.offered_revenue.get(name, 0.0)
         lines.append(
-            f"  {name:16} in target {format_share(tally.in_target[name], tally.asked[name])}"
-            f"  served {format_share(tally.served[name], tally.asked[name])}"
-            f"  revenue played {format_share(earned, offered)} of what its viewers could have had"
+            f"  {name:16} in target {format_share(tally.in_target[name], tally.viewers[name])}"
+            f"  served {format_share(tally.served[name], tally.viewers[name])}"
+            f"  revenue played {format_share(earned, offered)} of what its viewers wanted"
         )
-    if tally.waits:
-        waits = sorted(tally.waits)
-        median, p99 = (waits[min(len(waits) - 1, int(len(waits) * part))] / MS for part in (0.5, 0.99))
-        lines.append(f"  a 201 took p50 {median:.0f} ms, p99 {p99:.0f} ms")
+    if tally.created_times_ns:
+        times = sorted(tally.created_times_ns)
+        median, p99 = (times[min(len(times) - 1, int(len(times) * part))] / MS for part in (0.5, 0.99))
+        lines.append(f"  time to a 201: p50 {median:.0f} ms, p99 {p99:.0f} ms")
     if outcome.day.has_takeovers:
         lines.append(_takeover_line(outcome))
     if outcome.overloaded_cold_nodes:
-        lines.append(f"  cold nodes pushed over: {outcome.overloaded_cold_nodes}")
+        lines.append(f"  cold nodes overloaded: {outcome.overloaded_cold_nodes}")
     return lines
 
 
 def _takeover_line(outcome: Outcome) -> str:
     taken_over, ended = count_taken_over_and_ended(outcome.facts)
     delays = takeover_delays(outcome.facts)
-    when = ""
+    timing = ""
     if delays:
-        when = f", {delays[len(delays) // 2]:.1f} s (p50) and {delays[-1]:.1f} s at most after its end"
-    return f"  playbacks that outlived their front {taken_over}{when}; ended with their front {ended}"
+        timing = (
+            f", p50 {delays[len(delays) // 2]:.1f} s and at most {delays[-1]:.1f} s after it disconnected"
+        )
+    return f"  playbacks taken over from a failed front {taken_over}{timing}; ended with their front {ended}"
 
 
 def render_report(outcome: Outcome, baseline: Outcome | None) -> str:
@@ -72,7 +78,7 @@
         f"day {day.name}, seed {day.seed}: {len(day.front_zones)} fronts, {len(day.nodes)} nodes, "
         f"{day.duration_ns / SECOND:.0f} s",
         f"faults ({len(outcome.faults)} kinds): {', '.join(outcome.faults)}",
-        "rules, from the sockets:",
+        "rules, checked against the recorded traffic:",
         *rule_lines(outcome),
         "answers:",
         *figure_lines(outcome),
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -167,7 +167,9 @@
 
     def _outcome(self) -> Outcome:
         facts = read_facts(self.folder / "viewers.jsonl") + read_facts(self.folder / "fleet.jsonl")
-        earned: dict[str, float] = next((fact["plans"] for fact in facts if fact["kind"] == "earned"), {})
+        earned_revenue: dict[str, float] = next(
+            (fact["plans"] for fact in facts if fact["kind"] == "earned"), {}
+        )
         node_errors = [fact for fact in facts if fact["kind"] == "stand-in failed"]
         self.failures += [f"{fact['path']}: {fact['error']}" for fact in node_errors]
         injected = {fact["what"] for fact in facts if fact["kind"] == "fault"}
@@ -176,7 +178,7 @@
             self.policy,
             self._check(facts),
             self.audience.tally,
-            earned,
+            earned_revenue,
             faults=sorted(injected | {fault.kind for fault in self.day.faults}),
             failures=self.failures,
             overloaded_cold_nodes=sum(fact["kind"] == "fell" for fact in facts),
@@ -215,12 +217,12 @@
     keep_folder: Path | None = None,
     audience: type[Audience] = Audience,
     keeps_state: bool = False,
-    patient: bool = False,
+    reconnects: bool = False,
 ) -> Outcome:
     """Plays a day whose text is `body`, and returns its outcome.
 
     Records and logs are kept in `keep_folder` if it is given. With `keeps_state`, fronts keep a state file over a
-    restart; with `patient`, players look for their sessions again after it.
+    restart; with `reconnects`, players connect to their sessions again after it.
     """
     with tempfile.TemporaryDirectory(prefix="oakcroft-") as temporary:
         folder = keep_folder or Path(temporary)
@@ -228,7 +230,7 @@
         (folder / "day.oak").write_text(body)
         os.environ.setdefault("PYTHONUNBUFFERED", "1")
         rehearsal = Rehearsal(day, folder, policy, report_progress, audience, keeps_state)
-        rehearsal.audience.patient = patient
+        rehearsal.audience.reconnects = reconnects
         outcome = trio.run(rehearsal.run)
         outcome.audience = rehearsal.audience
         return outcome
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -1,11 +1,7 @@
-"""The viewers of a day: they arrive open-loop by a seeded plan, request playbacks, watch, leave and come back."""
+"""The audience of a day: viewers arrive in an open loop, request playbacks, watch, leave and come back."""
 
 from __future__ import annotations
 
-import bisect
-import itertools
-from collections import Counter
-from dataclasses import dataclass, field
 from http import HTTPStatus
 from random import Random
 
@@ -15,111 +11,41 @@
 from oakcroft.httpwire.client import ExchangeError, HttpClient, has_pending_input
 from oakcroft.httpwire.message import Response
 from oakcroft.interface import SECOND
-from oakcroft.config.settings import PlanTerms
+from oakcroft.rehearsal.tally import Tally
+from oakcroft.rehearsal.visits import Visit, plan_visits
 from oakcroft.signalling import http_formats, sdp
 from oakcroft.standins.day import Day
 from oakcroft.standins.record import Record
 
-VISITS_SEED_FACTOR, VISITS_SEED_OFFSET = 104729, 3
 WEIGHTS_SEED_FACTOR, WEIGHTS_SEED_OFFSET = 31, 5
-"""Keep the random numbers of the visits and of the fronts' weights apart from others seeded with the day's seed."""
-
-VISIT_SEEDS = 1 << 30
-
-MIN_LIFE_SHARE, MAX_LIFE_SHARE = 0.1, 4.0
-"""The wanted playing time is distributed exponentially around its plan's mean, and limited by these shares of it."""
+"""Keep the random numbers of the fronts' weights apart from others seeded with the day's seed."""
 
 BANDWIDTH_MARGIN = 1.02
 """An offer asks for the rate of its highest rung and a little more, as rates are rounded to whole kbit/s."""
 
 GIVE_UP_AFTER_SECONDS = 30.0
-"""A rejected viewer requests no more this long after its first request."""
+"""A viewer gives up this long after its first request; over the session API its playing time is added."""
 
-RECONNECT_WITHIN_SECONDS = 8.0
-"""A patient player looks for its front again for this long, while its node plays on."""
+RECONNECT_TIMEOUT_SECONDS = 8.0
+"""How long a player that reconnects its event stream tries to reach its front, while its node plays on."""
 
 RECONNECT_INTERVAL_SECONDS = 0.2
-CONNECT_WITHIN_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 LATE_ANSWER_SECONDS = 3
 """How long after its abandon time a viewer still waits for the answer, as the record must show a late one."""
 
-END_WITHIN_SECONDS = 3
+END_TIMEOUT_SECONDS = 3
 MIN_WATCH_SECONDS = 0.01
-
-
-@dataclass(frozen=True)
-class Visit:
-    """One viewer to come: when, from which wing, for what and for how long. Times in ns from the day's start."""
-
-    at: int
-    number: int
-    wing: str
-    plan: PlanTerms
-    title: str
-    life: int
-    """How long it wants to watch."""
-    top: int
-    """The highest rung that its screen shows."""
-    seed: int
-
-
-def plan_visits(day: Day) -> list[Visit]:
-    """Returns every viewer of the day, drawn from its seed alone, in order of their arrival."""
-    rng = Random(day.seed * VISITS_SEED_FACTOR + VISITS_SEED_OFFSET)
-    crowd = day.viewer_model
-    title_weights = list(
-        itertools.accumulate(1 / (rank + 1) ** crowd.zipf_exponent for rank in range(crowd.title_count))
-    )
-    visits = list[Visit]()
-    at = 0.0
-    while True:
-        at += rng.expovariate(crowd.arrival_rate)
-        if at * SECOND >= day.duration_ns:
-            break
-        visits.append(_draw_visit(day, rng, title_weights, round(at * SECOND), len(visits), None))
-    for fault in day.faults:
-        if fault.kind != "crowd":
-            continue
-        at = fault.start_ns / SECOND
-        rate = crowd.arrival_rate * fault.size
-        crowded_title = rng.randrange(crowd.title_count)
-        while rate > 0:
-            at += rng.expovariate(rate)
-            if at * SECOND >= fault.start_ns + fault.duration_ns:
-                break
-            visits.append(
-                _draw_visit(day, rng, title_weights, round(at * SECOND), len(visits), crowded_title)
-            )
-    return sorted(visits, key=lambda visit: (visit.at, visit.number))
-
-
-def _draw_visit(
-    day: Day, rng: Random, title_weights: list[float], at: int, number: int, title: int | None
-) -> Visit:
-    """Draws a visit at a time, to a given title or to one by the cumulative weights of the titles."""
-    crowd = day.viewer_model
-    plan = day.site.plans[rng.choices(list(crowd.plan_shares), list(crowd.plan_shares.values()))[0]]
-    if title is None:
-        title = bisect.bisect(title_weights, rng.random() * title_weights[-1])
-    rungs = len(day.site.terms.rung_rates)
-    has_small_screen = rng.random() < crowd.small_screen_share
-    top = rng.randrange(1, max(2, rungs - 1)) if has_small_screen else rungs - 1
-    life = round(crowd.mean_watch_ns[plan.name] * min(MAX_LIFE_SHARE, rng.expovariate(1.0) + MIN_LIFE_SHARE))
-    return Visit(
-        at=at,
-        number=number,
-        wing=rng.choice(sorted(set(day.front_zones))),
-        plan=plan,
-        title=f"lesson-{title}",
-        life=life,
-        top=min(top, plan.plan.top_rung),
-        seed=rng.randrange(VISIT_SEEDS),
-    )
+BITS_PER_BYTE = 8
+EVENT_STREAM_HEADERS = [("Accept", http_formats.EVENT_STREAM_MEDIA_TYPE)]
 
 
 def offer(kbit: int, number: int, publishes: bool = False) -> str:
-    """Returns a browser-like SDP offer with a bandwidth line; `publishes`: it sends media instead of receiving."""
+    """Returns a browser-like SDP offer with a bandwidth line.
+
+    `number` makes its origin and ICE user name unique; with `publishes` it sends media instead of receiving.
+    """
     lines = [
         "v=0", f"o=- {number + 1} 2 IN IP4 127.0.0.1", "s=-", f"b=AS:{kbit}", "t=0 0", "a=group:BUNDLE 0 1",
     ]  # fmt: skip
@@ -132,34 +58,14 @@
     return "\r\n".join(lines) + "\r\n"
 
 
-@dataclass
-class Tally:
-    """What the viewers experienced. Counts by plan name: viewers that came, were served in time, and were served."""
-
-    asked: Counter[str] = field(default_factory=Counter)
-    in_target: Counter[str] = field(default_factory=Counter)
-    served: Counter[str] = field(default_factory=Counter)
-    offered: dict[str, float] = field(default_factory=dict)
-    """Revenue-seconds by plan name that all viewers together would have brought."""
-    answers: Counter[str] = field(default_factory=Counter)
-    """Answers by their status and problem type."""
-    requests: int = 0
-    lost: int = 0
-    """Playbacks that broke before their viewer's end."""
-    playing: int = 0
-    waiting: int = 0
-    waits: list[int] = field(default_factory=list)
-    """How long every 201 took, ns."""
-
-
 class Audience:
     """Sends the viewers of a day to the fronts.
 
-    A `patient` player whose event stream breaks looks for its session again, as its media come from the node. Others
-    count their playback as lost.
+    With `reconnects`, a player whose event stream breaks connects to its session again, as its media come from the
+    node. Otherwise its playback counts as lost.
     """
 
-    patient = False
+    reconnects = False
 
     def __init__(self, day: Day, record: Record) -> None:
         """`record` gets all requests and answers."""
@@ -176,26 +82,34 @@
         """Plays all visits, from trio's time `start` on; returns when the day is over and the last answer is in."""
         async with trio.open_nursery() as nursery:
             for visit in plan_visits(self.day):
-                await trio.sleep_until(start + visit.at / SECOND)
+                await trio.sleep_until(start + visit.arrival_ns / SECOND)
                 nursery.start_soon(self._visit, visit)
             await trio.sleep_until(start + self.day.duration_ns / SECOND)
             self.stopped = True
-            longest_wait = max(plan.abandon_ns for plan in self.day.site.plans.values()) / SECOND
-            nursery.cancel_scope.deadline = trio.current_time() + longest_wait + 1
+            nursery.cancel_scope.deadline = trio.current_time() + self._finish_seconds()
 
-    def _choose_front(self, rng: Random, wing: str) -> int:
-        """Draws one of the wing's fronts, or of all where the wing has none."""
-        fronts = [number for number, front_wing in enumerate(self.day.front_zones) if front_wing == wing]
+    def _finish_seconds(self) -> float:
+        """Returns how long viewers may go on after the end of the day."""
+        longest_wait = max(plan.abandon_ns for plan in self.day.site.plans.values()) / SECOND
+        return longest_wait + 1
+
+    def _choose_front(self, rng: Random, zone: str) -> int:
+        """Draws one of the zone's fronts, or of all where the zone has none."""
+        fronts = [number for number, front_zone in enumerate(self.day.front_zones) if front_zone == zone]
         fronts = fronts or list(range(len(self.day.front_zones)))
         return rng.choices(fronts, [self.weights[number] for number in fronts])[0]
 
-    def _peer(self, front: int) -> HttpClient:
-        return HttpClient("127.0.0.1", self.ports.get(front, 1), CONNECT_WITHIN_SECONDS)
+    def _client_of(self, front: int) -> HttpClient:
+        """Returns a new client of a front."""
+        return HttpClient("127.0.0.1", self.ports.get(front, 1), CONNECT_TIMEOUT_SECONDS)
+
+    def _retry_delay(self, rng: Random) -> float:
+        """Draws how many seconds a viewer waits before its next request."""
+        return rng.uniform(*self.day.viewer_model.return_delay_ns) / SECOND
 
     async def _visit(self, visit: Visit) -> None:
         rng = Random(visit.seed)
-        name = visit.plan.name
-        began = trio.current_time()
+        started_at = trio.current_time()
         watched = 0.0
         tries = 0
         is_served = False
@@ -203,39 +117,52 @@
         while not self.stopped:
             key = f"v{visit.number}.{tries}"
             tries += 1
-            front = self._choose_front(rng, visit.wing)
+            front = self._choose_front(rng, visit.zone)
             response = await self._request(visit, front, key)
             if response is None or response.status != HTTPStatus.CREATED:
-                may_retry = response is None or response.status == HTTPStatus.SERVICE_UNAVAILABLE
-                if (
-                    not may_retry
-                    or rng.random() > self.day.viewer_model.return_share
-                    or trio.current_time() - began > GIVE_UP_AFTER_SECONDS
-                ):
+                if not self._retries(rng, response, started_at):
                     return
-                wait = rng.uniform(*self.day.viewer_model.return_delay_ns) / SECOND
+                wait = self._retry_delay(rng)
                 if response is not None and (retry_after := response.header("retry-after")):
                     wait = max(wait, float(retry_after))
                 await trio.sleep(wait)
                 continue
             if not is_served:
                 is_served = True
-                self.tally.served[name] += 1
-                if trio.current_time() - began <= visit.plan.plan.startup_target_ns / SECOND:
-                    self.tally.in_target[name] += 1
-            watch_began = trio.current_time()
-            is_complete = await self._watch(front, response, visit.life / SECOND - watched)
-            watched += trio.current_time() - watch_began
+                self._count_served(visit, started_at)
+            watch_started_at = trio.current_time()
+            is_complete = await self._watch(front, response, visit.watch_ns / SECOND - watched)
+            watched += trio.current_time() - watch_started_at
             if is_complete or rng.random() > self.day.viewer_model.return_share:
                 return
-            self.tally.lost += 1
-            await trio.sleep(rng.uniform(*self.day.viewer_model.return_delay_ns) / SECOND)
+            self.tally.lost_playbacks += 1
+            await trio.sleep(self._retry_delay(rng))
+
+    def _retries(self, rng: Random, response: Response | None, started_at: float) -> bool:
+        """Draws whether a viewer that got no playback, or no answer at all, requests again."""
+        may_retry = response is None or response.status == HTTPStatus.SERVICE_UNAVAILABLE
+        return (
+            may_retry
+            and rng.random() <= self.day.viewer_model.return_share
+            and trio.current_time() - started_at <= GIVE_UP_AFTER_SECONDS
+        )
 
     def _count_viewer(self, visit: Visit) -> None:
         name = visit.plan.name
-        self.tally.asked[name] += 1
-        revenue = visit.plan.plan.revenue * self.day.site.terms.rung_revenue_shares[visit.top]
-        self.tally.offered[name] = self.tally.offered.get(name, 0.0) + visit.life / SECOND * revenue
+        self.tally.viewers[name] += 1
+        revenue = visit.plan.plan.revenue * self.day.site.terms.rung_revenue_shares[visit.top_rung]
+        offered = self.tally.offered_revenue.get(name, 0.0) + visit.watch_ns / SECOND * revenue
+        self.tally.offered_revenue[name] = offered
+
+    def _count_served(self, visit: Visit, started_at: float) -> None:
+        """Counts a viewer's first successful set-up, whose first request was sent at `started_at`."""
+        name = visit.plan.name
+        self.tally.served[name] += 1
+        if trio.current_time() - started_at <= visit.plan.plan.startup_target_ns / SECOND:
+            self.tally.in_target[name] += 1
+
+    def _count_answer(self, status: int, problem_type: str) -> None:
+        self.tally.answers[f"{status} {problem_type.rpartition(':')[2]}".strip()] += 1
 
     def _path_and_offer(self, visit: Visit) -> tuple[str, str]:
         """Returns the path that a visit requests, and its offer."""
@@ -245,8 +172,18 @@
             for route in site.route_table.routes.values()
             if route.plan == visit.plan.name and route.match.role is ClientRole.WATCH
         )
-        rate = site.terms.rung_rates[visit.top] * visit.plan.plan.rate_factor
-        return prefix + visit.title, offer(int(rate * 8 * BANDWIDTH_MARGIN) + 1, visit.number)
+        rate = site.terms.rung_rates[visit.top_rung] * visit.plan.plan.rate_factor
+        kbit = int(rate * BITS_PER_BYTE * BANDWIDTH_MARGIN) + 1
+        return prefix + visit.title, offer(kbit, visit.number)
+
+    @staticmethod
+    def _offer_headers(visit: Visit, key: str) -> list[tuple[str, str]]:
+        """Returns the headers of an offer, with its idempotency key and how many whole seconds it waits."""
+        return [
+            ("Content-Type", sdp.MEDIA_TYPE),
+            ("Idempotency-Key", http_formats.quoted_string(key)),
+            ("Prefer", f"wait={-(-visit.plan.abandon_ns // SECOND)}"),
+        ]
 
     def _note_request(self, visit: Visit, front: int, key: str) -> None:
         """Counts a request and puts it on record."""
@@ -257,66 +194,59 @@
 
     async def _request(self, visit: Visit, front: int, key: str) -> Response | None:
         """Sends one request; returns None if the front was not reached or the connection broke."""
-        wait = visit.plan.abandon_ns
         path, text = self._path_and_offer(visit)
-        headers = [
-            ("Content-Type", sdp.MEDIA_TYPE),
-            ("Idempotency-Key", http_formats.quoted_string(key)),
-            ("Prefer", f"wait={-(-wait // SECOND)}"),
-        ]
-        peer = self._peer(front)
-        sent = trio.current_time()
+        headers = self._offer_headers(visit, key)
+        client = self._client_of(front)
+        sent_at = trio.current_time()
         self._note_request(visit, front, key)
         try:
-            with trio.fail_after(wait / SECOND + LATE_ANSWER_SECONDS):
-                response = await peer.request("POST", path, headers, text.encode(), new_connection=True)
+            with trio.fail_after(visit.plan.abandon_ns / SECOND + LATE_ANSWER_SECONDS):
+                response = await client.request("POST", path, headers, text.encode(), new_connection=True)
         except (ExchangeError, trio.TooSlowError) as error:
-            is_unreached = isinstance(error, ExchangeError) and error.end.name == "UNREACHED"
-            kind = "unreached" if is_unreached else "cut"
+            kind = failure_kind(error)
             self.record.note(kind, key=key, front=front, why=str(error))
             self.tally.answers[kind] += 1
             return None
         finally:
             self.tally.waiting -= 1
         extra = (
-            bool(peer.idle)
-            and has_pending_input(peer.idle[-1].stream)
+            bool(client.idle)
+            and has_pending_input(client.idle[-1].stream)
             and response.header("connection") != "close"
         )
-        problem = (
-            http_formats.problem_type(response.body) if response.status >= HTTPStatus.BAD_REQUEST else ""
-        )
+        problem = problem_type_of(response)
         self.record.note("got", key=key, status=response.status, type=problem, extra=extra)
-        self.tally.answers[f"{response.status} {problem.rpartition(':')[2]}".strip()] += 1
+        self._count_answer(response.status, problem)
         if response.status == HTTPStatus.CREATED:
-            self.tally.waits.append(round((trio.current_time() - sent) * SECOND))
-        await peer.close()
+            self.tally.created_times_ns.append(round((trio.current_time() - sent_at) * SECOND))
+        await client.close()
         return response
 
-    async def _listen(self, front: int, location: str) -> bool:
-        """Listens to a session until it ends; returns True if the front closed the stream, so media may play on."""
-        reader = http_formats.EventStreamParser()
-        give_up_at = trio.current_time() + RECONNECT_WITHIN_SECONDS
-        has_listened = False
+    async def _follow_session(self, front: int, location: str) -> bool:
+        """Reads a session's event stream to its end.
+
+        Returns False if the session has ended or cannot be reached, and True if only the front closed the stream or its
+        connection broke, so that media may go on.
+        """
+        parser = http_formats.EventStreamParser()
+        give_up_at = trio.current_time() + RECONNECT_TIMEOUT_SECONDS
+        was_connected = False
         while True:
             try:
-                peer = self._peer(front)
+                client = self._client_of(front)
                 events = f"{location}/events?kinds=inactive"
-                async with peer.stream("GET", events, [("Accept", http_formats.EVENT_STREAM_MEDIA_TYPE)]) as (
-                    head,
-                    chunks,
-                ):
+                async with client.stream("GET", events, EVENT_STREAM_HEADERS) as (head, chunks):
                     if head.status != HTTPStatus.OK:
                         return False
-                    has_listened = True
+                    was_connected = True
                     async for chunk in chunks:
-                        if any(name == "inactive" for name, _ in reader.feed(chunk)):
+                        if any(name == "inactive" for name, _ in parser.feed(chunk)):
                             return False
                 return True
             except ExchangeError:
-                if not self.patient:
+                if not self.reconnects:
                     return False
-                if has_listened:
+                if was_connected:
                     return True
                 if trio.current_time() > give_up_at:
                     return False
@@ -324,21 +254,32 @@
 
     async def _watch(self, front: int, response: Response, seconds: float) -> bool:
         """Watches to the viewer's end and ends the session; returns False if the playback was lost before."""
-        peer = self._peer(front)
+        client = self._client_of(front)
         location = response.header("location") or ""
         self.tally.playing += 1
         is_lost = False
         try:
-            with trio.move_on_after(max(MIN_WATCH_SECONDS, seconds)) as life:
-                while await self._listen(front, location) and self.patient:
+            with trio.move_on_after(max(MIN_WATCH_SECONDS, seconds)) as watch_scope:
+                while await self._follow_session(front, location) and self.reconnects:
                     pass
                 is_lost = True
-            if life.cancelled_caught and not self.stopped:
+            if watch_scope.cancelled_caught and not self.stopped:
                 is_lost = False
-                with trio.move_on_after(END_WITHIN_SECONDS):
-                    await peer.request("DELETE", location, [], b"", new_connection=True)
+                with trio.move_on_after(END_TIMEOUT_SECONDS):
+                    await client.request("DELETE", location, [], b"", new_connection=True)
         except ExchangeError:
             pass
         finally:
             self.tally.playing -= 1
         return not is_lost
+
+
+def failure_kind(error: ExchangeError | trio.TooSlowError) -> str:
+    """Returns the kind of fact for a request without an answer: the front was not reached, or was lost later."""
+    is_unreached = isinstance(error, ExchangeError) and error.end.name == "UNREACHED"
+    return "unreached" if is_unreached else "cut"
+
+
+def problem_type_of(response: Response) -> str:
+    """Returns the type of the problem that a response reports, or an empty string."""
+    return http_formats.problem_type(response.body) if response.status >= HTTPStatus.BAD_REQUEST else ""
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -13,7 +13,7 @@
 from oakcroft.rehearsal import front_processes
 from oakcroft.rehearsal.bench_day import FAULT_KINDS, translate
 from oakcroft.rehearsal.outcome import Outcome
-from oakcroft.rehearsal.viewers import plan_visits
+from oakcroft.rehearsal.visits import plan_visits
 from oakcroft.rehearsal import report, runner
 from oakcroft.standins.day import FAULTS, Day, parse_day
 
