--- a/oakcroft/rehearsal/__init__.py
+++ b/oakcroft/rehearsal/__init__.py
@@ -1,4 +1,4 @@
-"""Plays a day, that is a rehearsed scenario, through real front ends on loopback and checks the rules.
+"""Plays a day, a scenario for a test, through real front ends on loopback and checks the rules.
 
 A day has a length, a fleet of emulated nodes, viewers and faults (oakcroft/standins/day.py reads its file).
 """
--- a/oakcroft/rehearsal/baseline.py
+++ b/oakcroft/rehearsal/baseline.py
@@ -1,7 +1,7 @@
-"""A naive front as a baseline: it sends each request to a random holder of the title, on the lowest rung, with one try.
+"""A naive front end as a baseline: each request gets one try on a random node that has the title, on the lowest rung.
 
-It keeps no rule on purpose. `python -m oakcroft.rehearsal.baseline FILE` serves like `oakcroft serve FILE`, with these
-decisions in place of the decision module.
+It follows no rule on purpose. `python -m oakcroft.rehearsal.baseline FILE` serves like `oakcroft serve FILE`, with this
+decision module in place of the real one.
 """
 
 from __future__ import annotations
@@ -25,34 +25,35 @@
 
 
 SETUP_MARGIN_NS = 10 * MS
-"""How long before the abandon time a set-up is given up, so that its answer is in time."""
+"""How long before the abandon time a set-up is given up, so that the viewer still gets an answer in time."""
 
 
 class NaiveController:
-    """Decides at random."""
+    """Chooses nodes at random."""
 
     def __init__(self, terms: DeploymentSettings, seed: int, host: Host, now: int) -> None:
-        """Takes the same arguments as the decision module that it replaces."""
+        """Has the same parameters as the decision module that it replaces."""
         self.terms = terms
         self.host = host
         self.rng = Random(seed)
         self.nodes: dict[Node, None] = {}
 
     def on_node_list(self, kind: NodeListKind, entries: Iterable[NodeEntry], now: int) -> None:
-        """Applies a list of nodes and drops those that are gone."""
+        """Applies a node list and removes nodes that are gone."""
         for entry in entries:
             entry.node.status = entry.status
             self.nodes[entry.node] = None
         self.nodes = {node: None for node in self.nodes if node.status is not NodeStatus.GONE}
 
     def on_request(self, playback: Playback, now: int) -> None:
-        """Sends a request to any ready holder of its title, or rejects it where there is none."""
-        cells = self.terms.cell_count
-        copies = playback.title.copies if 0 < playback.title.copies < cells else cells
+        """Sends a request to any ready node that has its title, or rejects it if there is none."""
+        cell_count = self.terms.cell_count
+        copies = playback.title.copies if 0 < playback.title.copies < cell_count else cell_count
         ready = [
             node
             for node in self.nodes
-            if node.status is NodeStatus.READY and (node.cell - playback.title.home_cell) % cells < copies
+            if node.status is NodeStatus.READY
+            and (node.cell - playback.title.home_cell) % cell_count < copies
         ]
         if not ready:
             playback.state = PlaybackState.REJECTED
@@ -66,7 +67,7 @@
         self.host.send_setup(playback, node, playback.abandon_at - SETUP_MARGIN_NS)
 
     def on_handed_over(self, playback: Playback, node: Node, now: int) -> None:
-        """A playback that played before a restart plays on."""
+        """Restores a playback that played before a restart."""
         playback.state = PlaybackState.PLAYING
         playback.node = node
         node.playbacks[playback] = None
@@ -74,26 +75,26 @@
     def on_history_restored(
         self, retry_times: Iterable[int], nodes_with_used_slot: Iterable[Node], now: int
     ) -> None:
-        """Uses no history."""
+        """Ignores the history."""
 
     def on_playing(self, playback: Playback, now: int) -> None:
-        """A set-up succeeded."""
+        """Marks a playback as playing after its set-up succeeded."""
         if playback.state is PlaybackState.SETTING_UP:
             playback.state = PlaybackState.PLAYING
 
     def on_metric(self, playback: Playback, metric: PlaybackMetric, value: float, now: int) -> None:
-        """Uses no metrics."""
+        """Ignores metrics."""
 
     def on_peer_load(self, node: Node, link_load: float, report_age_ns: int, now: int) -> None:
-        """Uses no load of peers."""
+        """Ignores loads that peers report."""
 
     def on_viewer_left(self, playback: Playback, now: int) -> None:
-        """The viewer left."""
+        """Marks a playback whose viewer has left."""
         if playback.state in (PlaybackState.SETTING_UP, PlaybackState.PLAYING):
             playback.state = PlaybackState.VIEWER_LEFT
 
     def on_timer(self, now: int) -> None:
-        """Sets no timer, so this is never called."""
+        """Does nothing; it is never called, as no timer is set."""
 
     def on_try_ended(
         self,
@@ -105,7 +106,7 @@
         uplink_load: float | None,
         now: int,
     ) -> None:
-        """A try ended; no other follows."""
+        """Ends a playback with its only try, or aborts it if it never played."""
         if playback.node:
             playback.node.playbacks.pop(playback, None)
         if is_closed or playback.state is not PlaybackState.SETTING_UP:
--- a/oakcroft/rehearsal/bench_day.py
+++ b/oakcroft/rehearsal/bench_day.py
@@ -1,6 +1,6 @@
-"""Translates a day file of the bench into a day of the rehearsal, scaled to one machine.
+"""Translates a day file of the bench into a day of the rehearsal, scaled down to one machine.
 
-Times in the bench's file are in microseconds and rates in kB/s.
+The file of the bench has times in microseconds and rates in kB/s.
 """
 
 from __future__ import annotations
@@ -18,50 +18,53 @@
 }  # fmt: skip
 EFFECTS = {"safe": "free", "keyed": "keyed", "unsafe": "paid"}
 
-MAX_NODES, MAX_FRONTS, MAX_RATE = 24, 4, 45.0
-"""Highest numbers that one machine plays: nodes, fronts, and new playbacks a second."""
+MAX_NODES, MAX_FRONTS, MAX_ARRIVAL_RATE = 24, 4, 45.0
+"""Limits of what one machine can run: nodes, fronts, and new playbacks per second."""
 
-MIN_RATE, MIN_LIFE_SHARE = 20.0, 0.15
-"""Playing times are shortened so that at least this many playbacks come a second, but at most to this share."""
+MIN_ARRIVAL_RATE, MIN_WATCH_SHARE = 20.0, 0.15
+"""Playing times are shortened to allow at least this many new playbacks per second, but not below this share."""
 
 LOAD_SHARE = 0.92
-"""Share of the drawn load that is played; why it is not all of it is not on record."""
+"""Share of the load of the bench's day that is played; the reason for playing less than all of it is not recorded."""
 
-NODES_PER_RACK, MIN_PLACES, MIN_COPIES, MAX_TITLES = 4, 4, 3, 60
+NODES_PER_RACK, MIN_PLAYBACK_CAPACITY, MIN_COPIES, MAX_TITLES = 4, 4, 3, 60
 MAX_SEED = 1_000_000
 US_PER_MS, US_PER_SECOND = 1000, 1e6
 MS_PER_SECOND = 1000
-BACK_AFTER_SPREAD = (0.7, 1.3)
-FRONT_WEIGHT_SPREAD = 0.4
+RETURN_DELAY_SPREAD = (0.7, 1.3)
+"""Range of the delay before a viewer returns, relative to that of the bench."""
+
+FRONT_SKEW = 0.4
+"""How unevenly viewers choose fronts."""
 
 MIN_CROWD_SIZE = 0.05
 MAX_STALL_SECONDS = 20
-"""A drawn size of a stall over this is in ms, not in seconds."""
+"""The size of a stall is in seconds up to this value, and in ms above it."""
 
 DEFAULT_DOWN_SECONDS = 0.5
-"""How long a killed front is down if the file does not say it."""
+"""How long a killed front is down if the file does not say."""
 
 
 @dataclass(frozen=True)
 class Scale:
-    """A drawn day scaled to one machine. Links and uplinks in kB/s."""
+    """A day of the bench scaled to one machine. Links and uplinks are in kB/s."""
 
-    picked: list[int]
-    """Numbers of the drawn servers that are kept."""
+    servers: list[int]
+    """Indices of the servers of the bench that are kept, one for each node."""
     fronts: list[dict[str, Any]]
     zones: list[str]
     links: list[float]
-    places: list[int]
+    playback_capacities: list[int]
     uplinks: list[float]
-    rate: float
-    """New playbacks a second."""
-    life_share: float
+    arrival_rate: float
+    """New playbacks per second."""
+    watch_share: float
     """Factor for the playing times of the viewers."""
     notes: list[str]
 
 
 def translate(body: bytes, name: str) -> tuple[str, list[str]]:
-    """Returns the day as text, and notes on how it was scaled and what was not mapped.
+    """Returns the day as text, and notes on how it was scaled and which faults could not be mapped.
 
     Raises ValueError if the body is not a day of the bench.
     """
@@ -69,17 +72,17 @@
         day: dict[str, Any] = orjson.loads(body)
         return _translate(day)
     except (orjson.JSONDecodeError, KeyError, TypeError, IndexError) as error:
-        raise ValueError(f"{name}: not a day as the bench draws it: {type(error).__name__} {error}") from None
+        raise ValueError(f"{name}: not a day file of the bench: {type(error).__name__}: {error}") from None
 
 
-def as_ms(value: float) -> str:
+def format_ms(value: float) -> str:
     """Formats microseconds as a time of the configuration, in ms and at least 1 ms."""
     return f"{max(1, round(value / US_PER_MS))}ms"
 
 
 def _translate(day: dict[str, Any]) -> tuple[str, list[str]]:
     scale = _scale(day)
-    node_numbers = {server: number for number, server in enumerate(scale.picked)}
+    node_numbers = {server: number for number, server in enumerate(scale.servers)}
     lines = [
         *_header_lines(day, scale),
         *_site_lines(day, scale),
@@ -87,9 +90,9 @@
         *_viewer_lines(day, scale),
     ]
     notes = list(scale.notes)
-    for drawn_fault in day["troubles"]:
+    for bench_fault in day["troubles"]:
         line, note = _fault_line(
-            drawn_fault, node_numbers, len(day["servers"]), len(scale.fronts), scale.zones
+            bench_fault, node_numbers, len(day["servers"]), len(scale.fronts), scale.zones
         )
         if line:
             lines.append("  " + line)
@@ -98,7 +101,7 @@
 
 
 def _scale(day: dict[str, Any]) -> Scale:
-    """Scales a day to one machine, with notes on how."""
+    """Scales a day to one machine, and notes how."""
     family = day["fam"]
     servers = day["servers"]
     balancers = day["balancers"]
@@ -107,25 +110,29 @@
     cores = [_server_kinds(day)[servers[number]["kind"]]["cores"] for number in picked]
     links = [count * family["core_kb"] for count in cores]
     notes = [f"scaled: {len(servers)} nodes to {len(picked)}, {len(balancers)} fronts to {len(fronts)}"]
-    rate, life_share = _rate_and_life_share(day, sum(links))
-    if rate > MAX_RATE:
-        notes.append(f"{rate:.0f} new playbacks a second held to {MAX_RATE:.0f}")
-        rate = MAX_RATE
-    notes.append(f"{rate:.1f} new playbacks a second, lives times {life_share:.2f}")
-    drawn_uplinks = family["uplink_kb"]
-    racks = max(1, min(len(drawn_uplinks), len(picked) // NODES_PER_RACK))
+    arrival_rate, watch_share = _arrival_rate_and_watch_share(day, sum(links))
+    if arrival_rate > MAX_ARRIVAL_RATE:
+        notes.append(f"{arrival_rate:.0f} new playbacks per second limited to {MAX_ARRIVAL_RATE:.0f}")
+        arrival_rate = MAX_ARRIVAL_RATE
+    notes.append(
+        f"{arrival_rate:.1f} new playbacks per second, playing times multiplied by {watch_share:.2f}"
+    )
+    bench_uplinks = family["uplink_kb"]
+    racks = max(1, min(len(bench_uplinks), len(picked) // NODES_PER_RACK))
     return Scale(
-        picked=picked,
+        servers=picked,
         fronts=fronts,
         zones=[str(zone) for zone in day["zones"]],
         links=links,
-        places=[max(MIN_PLACES, round(count * family["core_slots"])) for count in cores],
+        playback_capacities=[
+            max(MIN_PLAYBACK_CAPACITY, round(count * family["core_slots"])) for count in cores
+        ],
         uplinks=[
-            uplink * len(picked) / len(servers) * len(drawn_uplinks) / racks
-            for uplink in drawn_uplinks[:racks]
+            uplink * len(picked) / len(servers) * len(bench_uplinks) / racks
+            for uplink in bench_uplinks[:racks]
         ],
-        rate=rate,
-        life_share=life_share,
+        arrival_rate=arrival_rate,
+        watch_share=watch_share,
         notes=notes,
     )
 
@@ -135,31 +142,31 @@
     return kinds
 
 
-def _rate_and_life_share(day: dict[str, Any], links: float) -> tuple[float, float]:
-    """Returns how many new playbacks a second make the drawn load of all links, and the share of their playing time."""
+def _arrival_rate_and_watch_share(day: dict[str, Any], link_sum: float) -> tuple[float, float]:
+    """Returns the new playbacks per second that cause the load of the day, and the share of their playing times."""
     family = day["fam"]
     rates = family["rates"]
     middle_rate = rates[len(rates) // 2]
     uses = zip(family["uses"], day["classes"], strict=False)
-    scale = sum(use["scale"] * drawn_class["share"] * use["life"] for use, drawn_class in uses)
-    rate = day["traffic"]["load"] * LOAD_SHARE * links / (middle_rate * scale * family["life_s"])
-    if rate >= MIN_RATE:
-        return rate, 1.0
-    life_share = max(MIN_LIFE_SHARE, rate / MIN_RATE)
-    return rate / life_share, life_share
+    scale = sum(use["scale"] * bench_class["share"] * use["life"] for use, bench_class in uses)
+    arrival_rate = day["traffic"]["load"] * LOAD_SHARE * link_sum / (middle_rate * scale * family["life_s"])
+    if arrival_rate >= MIN_ARRIVAL_RATE:
+        return arrival_rate, 1.0
+    watch_share = max(MIN_WATCH_SHARE, arrival_rate / MIN_ARRIVAL_RATE)
+    return arrival_rate / watch_share, watch_share
 
 
 def _header_lines(day: dict[str, Any], scale: Scale) -> list[str]:
     family = day["fam"]
-    late = day["discovery"]
+    discovery = day["discovery"]
     fronts = " ".join(f'"{scale.zones[front["zone"]]}"' for front in scale.fronts)
     uplinks = " ".join(f"{uplink:.0f}kB/s" for uplink in scale.uplinks)
     return [
         "(day",
-        f"  (length {as_ms(day['length'])}) (seed {day['noise'] % MAX_SEED + 1})",
+        f"  (length {format_ms(day['length'])}) (seed {day['noise'] % MAX_SEED + 1})",
         f"  (fronts {fronts})",
         f"  (uplinks {uplinks})",
-        f"  (late {as_ms(late['add'])} {as_ms(late['notice'])}) (guard {family['guard']})",
+        f"  (late {format_ms(discovery['add'])} {format_ms(discovery['notice'])}) (guard {family['guard']})",
         f"  (stall {family['stall']})",
     ]
 
@@ -167,23 +174,23 @@
 def _site_lines(day: dict[str, Any], scale: Scale) -> list[str]:
     family = day["fam"]
     allowed = day["allow"]
-    kind = _server_kinds(day)[0]
+    server_kind = _server_kinds(day)[0]
     copies = max(MIN_COPIES, round(family["copies"] * 4)) if family["copies"] else 0
-    max_retry_after = as_ms(day["clients"]["max_retry_after"]) if allowed["retry_after"] else "0ms"
+    max_retry_after = format_ms(day["clients"]["max_retry_after"]) if allowed["retry_after"] else "0ms"
     uplink = sum(scale.uplinks) / len(scale.uplinks)
-    wings = " ".join(f'"{zone}"' for zone in scale.zones)
+    zone_names = " ".join(f'"{zone}"' for zone in scale.zones)
     rates = " ".join(f"{rate}kB/s" for rate in family["rates"])
     worth = " ".join(str(share) for share in family["worth"])
     return [
         "  (site (fleet",
-        f"      (fronts {len(scale.fronts)}) (cells {len(scale.picked)}) (racks {len(scale.uplinks)})"
+        f"      (fronts {len(scale.fronts)}) (cells {len(scale.servers)}) (racks {len(scale.uplinks)})"
         f" (uplink {uplink:.0f}kB/s)",
-        f"      (wings {wings}) (copies {copies}) (seen-after {as_ms(family['see'])})",
-        f"      (reports-every {as_ms(family['tell'])}) (most-tries {allowed['max_attempts']})"
+        f"      (wings {zone_names}) (copies {copies}) (seen-after {format_ms(family['see'])})",
+        f"      (reports-every {format_ms(family['tell'])}) (most-tries {allowed['max_attempts']})"
         f" (stay-away-most {max_retry_after})",
-        f"      (cold-share {kind['cold_from']:.3f}) (cold-for {as_ms(kind['cold'])})",
-        f"      (fall-multiple {day['fall_multiple']}) (fall-window {as_ms(day['fall_for'])})",
-        f"      (drain-grace {as_ms(day['drain_grace'])}))",
+        f"      (cold-share {server_kind['cold_from']:.3f}) (cold-for {format_ms(server_kind['cold'])})",
+        f"      (fall-multiple {day['fall_multiple']}) (fall-window {format_ms(day['fall_for'])})",
+        f"      (drain-grace {format_ms(day['drain_grace'])}))",
         "    (nodes (lost-after 6s) (silent-after 2s))",
         f"    (ladder (rates {rates})",
         f"      (worth {worth}))",
@@ -195,14 +202,14 @@
 def _plan_lines(day: dict[str, Any]) -> list[str]:
     lines = []
     top_rung = len(day["fam"]["rates"]) - 1
-    for use, drawn_class in zip(day["fam"]["uses"], day["classes"], strict=False):
-        name = drawn_class["name"]
-        effect = EFFECTS[drawn_class["effect"]]
+    for use, bench_class in zip(day["fam"]["uses"], day["classes"], strict=False):
+        name = bench_class["name"]
+        effect = EFFECTS[bench_class["effect"]]
         lines.append(
             f"    (plan {name} (effect {effect})"
-            f" (key-lasts {as_ms(drawn_class['window'])}) (group {drawn_class['group']})"
-            f" (startup-target {as_ms(drawn_class['aim'])}) (abandon {as_ms(drawn_class['deadline'])})"
-            f" (revenue {drawn_class['worth']}) (rate-factor {use['scale']})"
+            f" (key-lasts {format_ms(bench_class['window'])}) (group {bench_class['group']})"
+            f" (startup-target {format_ms(bench_class['aim'])}) (abandon {format_ms(bench_class['deadline'])})"
+            f" (revenue {bench_class['worth']}) (rate-factor {use['scale']})"
             f" (floor {use['floor']}) (top {min(use['top'], top_rung)}) (seats {use['seats']}))"
         )
         lines.append(f'    (route {name} (path "/{name}/") (plan {name}))')
@@ -211,26 +218,26 @@
 
 def _node_lines(day: dict[str, Any], scale: Scale) -> list[str]:
     lines = []
-    for cell, number in enumerate(scale.picked):
+    for cell, number in enumerate(scale.servers):
         zone = scale.zones[day["servers"][number]["zone"]]
-        link, places = scale.links[cell], scale.places[cell]
+        link, capacity = scale.links[cell], scale.playback_capacities[cell]
         lines.append(
-            f'  (node n{cell} (wing "{zone}") (cell {cell}) (link {link:.0f}kB/s) (places {places}))'
+            f'  (node n{cell} (wing "{zone}") (cell {cell}) (link {link:.0f}kB/s) (places {capacity}))'
         )
     return lines
 
 
 def _viewer_lines(day: dict[str, Any], scale: Scale) -> list[str]:
     family = day["fam"]
-    soonest, latest = (as_ms(family["rejoin_us"] * part) for part in BACK_AFTER_SPREAD)
+    soonest, latest = (format_ms(family["rejoin_us"] * factor) for factor in RETURN_DELAY_SPREAD)
     lines = [
-        f"  (viewers (rate {scale.rate:.2f}/s) (titles {min(MAX_TITLES, family['titles'])}) "
+        f"  (viewers (rate {scale.arrival_rate:.2f}/s) (titles {min(MAX_TITLES, family['titles'])}) "
         f"(zipf {family['title_zipf']:.3f}) (returns {family['returns']:.3f}) (back-after {soonest} {latest}) "
-        f"(small-screens {family['small_screens']:.3f}) (uneven {FRONT_WEIGHT_SPREAD})"
+        f"(small-screens {family['small_screens']:.3f}) (uneven {FRONT_SKEW})"
     ]
-    for use, drawn_class in zip(family["uses"], day["classes"], strict=False):
-        life = as_ms(family["life_s"] * use["life"] * scale.life_share * US_PER_SECOND)
-        lines.append(f"    (plan {drawn_class['name']} (share {drawn_class['share']}) (life {life}))")
+    for use, bench_class in zip(family["uses"], day["classes"], strict=False):
+        watch_time = format_ms(family["life_s"] * use["life"] * scale.watch_share * US_PER_SECOND)
+        lines.append(f"    (plan {bench_class['name']} (share {bench_class['share']}) (life {watch_time}))")
     return [*lines, "  )"]
 
 
@@ -242,40 +249,44 @@
 
 
 def _fault_line(
-    drawn_fault: dict[str, Any], node_numbers: dict[int, int], servers: int, fronts: int, zones: list[str]
+    bench_fault: dict[str, Any],
+    node_numbers: dict[int, int],
+    server_count: int,
+    front_count: int,
+    zones: list[str],
 ) -> tuple[str, str]:
-    """Returns the line of a fault and a note on how it was mapped; the line is empty if it was not."""
-    drawn_kind = drawn_fault["kind"]
-    size = float(drawn_fault["size"])
-    extra = float(drawn_fault["extra"])
-    kind = FAULT_KINDS.get(drawn_kind)
+    """Returns the line of a fault, which is empty if the fault has no counterpart, and a note on how it was mapped."""
+    bench_kind = bench_fault["kind"]
+    size = float(bench_fault["size"])
+    extra = float(bench_fault["extra"])
+    kind = FAULT_KINDS.get(bench_kind)
     if kind is None:
-        return "", f"not mapped: {drawn_kind}"
-    head = f"(fault {kind} (at {as_ms(drawn_fault['at'])}) (for {as_ms(drawn_fault['len'])})"
+        return "", f"not mapped: {bench_kind}"
+    head = f"(fault {kind} (at {format_ms(bench_fault['at'])}) (for {format_ms(bench_fault['len'])})"
     if kind in ("zone-loss", "zone-cut"):
-        zone = zones[int(drawn_fault["which"]) % len(zones)]
-        return f'{head} (on "{zone}") (size {size}) (extra {extra}))', f"mapped: {drawn_kind} on {zone}"
+        zone = zones[int(bench_fault["which"]) % len(zones)]
+        return f'{head} (on "{zone}") (size {size}) (extra {extra}))', f"mapped: {bench_kind} on {zone}"
     if kind == "crowd":
-        note = f"mapped: {drawn_kind} as a crowd of {size:.2f} of the rate"
+        note = f"mapped: {bench_kind} as a crowd of {size:.2f} times the arrival rate"
         return f"{head} (size {max(MIN_CROWD_SIZE, size)}))", note
     if kind in ("report-late", "shared-slow"):
-        return f"{head} (size {size}))", f"mapped: {drawn_kind}"
+        return f"{head} (size {size}))", f"mapped: {bench_kind}"
     if kind in ("front-kill", "front-stall"):
-        on = _affected_fronts(drawn_fault, fronts)
+        front_numbers = _affected_fronts(bench_fault, front_count)
         parameters = _front_fault_parameters(kind, size, extra)
-        return f"{head} (on {on}) {parameters})", f"mapped: {drawn_kind} on fronts {on}"
-    names = [f"n{node_numbers[server]}" for server in drawn_fault["on"] if server in node_numbers]
+        return f"{head} (on {front_numbers}) {parameters})", f"mapped: {bench_kind} on fronts {front_numbers}"
+    names = [f"n{node_numbers[server]}" for server in bench_fault["on"] if server in node_numbers]
     if not names:
-        count = max(1, round(len(drawn_fault["on"]) * len(node_numbers) / servers))
+        count = max(1, round(len(bench_fault["on"]) * len(node_numbers) / server_count))
         names = [f"n{number}" for number in range(count)]
     line = f"{head} (on {' '.join(names)}) (size {size}) (extra {extra}))"
-    return line, f"mapped: {drawn_kind} on {len(names)} nodes"
+    return line, f"mapped: {bench_kind} on {len(names)} nodes"
 
 
-def _affected_fronts(drawn_fault: dict[str, Any], fronts: int) -> str:
-    """As many fronts as the file names, or all."""
-    count = len(drawn_fault["on"]) or fronts
-    return " ".join(str(number) for number in range(min(fronts, max(1, count))))
+def _affected_fronts(bench_fault: dict[str, Any], front_count: int) -> str:
+    """Returns the numbers of as many fronts as the file names, or of all if it names none."""
+    count = len(bench_fault["on"]) or front_count
+    return " ".join(str(number) for number in range(min(front_count, max(1, count))))
 
 
 def _front_fault_parameters(kind: str, size: float, extra: float) -> str:
--- a/oakcroft/rehearsal/firstcome.py
+++ b/oakcroft/rehearsal/firstcome.py
@@ -1,4 +1,4 @@
-"""A front without load shedding, to measure load shedding against: requests are admitted first come, first served.
+"""A front end without load shedding, as a baseline for load shedding: requests are admitted first come, first served.
 
 `python -m oakcroft.rehearsal.firstcome FILE` serves like `oakcroft serve FILE`, with a concurrency window that is never
 full.
--- a/oakcroft/rehearsal/outcome.py
+++ b/oakcroft/rehearsal/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of a rehearsed day."""
+"""Outcome of a rehearsed day."""
 
 from __future__ import annotations
 
--- a/oakcroft/standins/day.py
+++ b/oakcroft/standins/day.py
@@ -113,8 +113,8 @@
     viewer_model: ViewerModel
     faults: tuple[Fault, ...]
     has_peers: bool = False  # whether front ends communicate with each other
-    keepers: tuple[int, ...] = ()  # numbers of the front ends that grant the leases of the fleet's duties
-    term_ns: int = 2 * SECOND  # duration of such a lease
+    lease_acceptors: tuple[int, ...] = ()  # numbers of the front ends that grant the leases of the fleet
+    lease_duration_ns: int = 2 * SECOND
     has_takeovers: bool = False  # whether front ends take over the sessions of failed ones
     shares_node_loads: bool = False  # whether front ends share the loads that nodes report
 
@@ -253,9 +253,9 @@
         "wing": set(front_zones),
         "front": {str(number) for number in range(len(front_zones))},
     }
-    keepers = tuple(record.get("keepers"))
+    lease_acceptors = tuple(record.get("keepers"))
     faults = [
-        _build_fault(fault, known_targets, has_peers, bool(keepers), problems)
+        _build_fault(fault, known_targets, has_peers, bool(lease_acceptors), problems)
         for fault in record.get("fault") or []
     ]
     return Day(
@@ -274,8 +274,8 @@
         viewer_model=_build_viewer_model(record.get("viewers"), site, problems),
         faults=tuple(sorted(faults, key=lambda fault: (fault.start_ns, fault.kind, fault.targets))),
         has_peers=has_peers,
-        keepers=keepers,
-        term_ns=record.get("term"),
+        lease_acceptors=lease_acceptors,
+        lease_duration_ns=record.get("term"),
         has_takeovers=_is_yes(record, "adopting"),
         shares_node_loads=_is_yes(record, "probing"),
     )
@@ -345,7 +345,7 @@
     record: Record,
     known_targets: dict[str, set[str]],
     has_peers: bool,
-    has_keepers: bool,
+    has_lease_acceptors: bool,
     problems: Diagnostics,
 ) -> Fault:
     fault = Fault(
@@ -359,7 +359,7 @@
     if fault.kind in ("cut", "lose") and not has_peers:
         message = f"{fault.kind} acts on messages between fronts, and they have no peers"
         problems.error(record.location, message, "add (peers yes)")
-    if fault.kind in OWNER_FAULTS and not has_keepers:
+    if fault.kind in OWNER_FAULTS and not has_lease_acceptors:
         message = f"{fault.kind} needs an owner, and nobody grants terms"
         problems.error(record.location, message, "add (keepers …)")
     if fault.kind in LIST_FAULTS + VIEWER_FAULTS:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -100,7 +100,7 @@
 def test_a_front_that_is_not_up_in_time_fails_the_day(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    monkeypatch.setattr(front_processes, "START_WITHIN_SECONDS", 5)
+    monkeypatch.setattr(front_processes, "START_TIMEOUT_SECONDS", 5)
     slow_start(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
     outcome = play_day_with_early_faults(tmp_path)
     assert any("front 1 did not start" in failure for failure in outcome.failures)
