--- a/oakcroft/rehearsal/front_faults.py
+++ b/oakcroft/rehearsal/front_faults.py
@@ -10,7 +10,8 @@
 from oakcroft.interface import SECOND
 from oakcroft.rehearsal.front_processes import FrontProcess, FrontProcesses
 from oakcroft.rehearsal.observer import Observer, request_operators_api
-from oakcroft.standins.day import FRONT_FAULTS, PEER_FAULTS, Fault
+from oakcroft.standins.day import Fault
+from oakcroft.standins.day_schema import FRONT_FAULTS, PEER_FAULTS
 
 FLAG_THRESHOLD = 0.5
 """A size above this sets a flag: all fronts at once, one direction only, or the fronts of a lost zone with its nodes."""
--- a/oakcroft/standins/day.py
+++ b/oakcroft/standins/day.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from oakcroft.interface import MS, SECOND
+from oakcroft.interface import SECOND
 from oakcroft.config.pipeline import check_forms, build_deployment
 from oakcroft.config.expander import Expander
 from oakcroft.config.format import format_on_one_line
@@ -16,44 +16,16 @@
     join_alternatives,
 )
 from oakcroft.config.form_reader import read_form
-from oakcroft.config.schema import (
-    NAME_TYPE,
-    NUMBER_TYPE,
-    PACE_TYPE,
-    RATE_TYPE,
-    TIME_TYPE,
-    INTEGER_TYPE,
-    Field,
-    Record,
-    Schema,
-    choice_type,
-)
+from oakcroft.config.schema import Record
 from oakcroft.config.syntax import Form, parse_text, without_comments
 from oakcroft.config.settings import SharedSettings
-
-NODE_FAULTS = (
-    "crash",
-    "vanish",
-    "hang",
-    "slow",
-    "shared-slow",
-    "neighbour",
-    "report-late",
-    "ageing",
-    "answer-lost",
-    "deploy",
-    "preempt",
-    "zone-loss",
-    "zone-cut",
+from oakcroft.standins.day_schema import (
+    DAY_SCHEMA,
+    FRONT_FAULTS,
+    LEASE_HOLDER_FAULTS,
+    LIST_FAULTS,
+    VIEWER_FAULTS,
 )
-LIST_FAULTS = ("list-empty", "list-broken", "list-down")
-PEER_FAULTS = ("cut", "lose", "stand", "fill", "wipe")
-OWNER_FAULTS = ("roll-out", "owner-stand", "owner-kill")
-"""Faults of the front end that owns the catalogue at that time."""
-
-FRONT_FAULTS = ("front-kill", "front-stall", *OWNER_FAULTS, *PEER_FAULTS)
-VIEWER_FAULTS = ("crowd",)
-FAULTS = NODE_FAULTS + LIST_FAULTS + FRONT_FAULTS + VIEWER_FAULTS
 
 
 @dataclass(frozen=True)
@@ -64,7 +36,7 @@
     start_ns: int  # from the start of the day
     duration_ns: int
     targets: tuple[str, ...]  # names of nodes or zones, or numbers of front ends
-    size: float  # the meaning of both figures depends on the kind
+    size: float  # the meaning of size and extra depends on the kind
     extra: float
 
 
@@ -106,7 +78,7 @@
     front_zones: tuple[str, ...]  # zone of each front end
     nodes: tuple[NodeSpec, ...]
     uplink_capacities: tuple[float, ...]  # of each rack, in kB/s; 0 for no bound
-    list_delay_ns: tuple[int, int]
+    list_delay_ns: tuple[int, int]  # of the list service
     full_link_load: float  # link load from which on a node answers that it is full; 0 for no such bound
     shortfall_penalty: float  # points of revenue lost for each point of a stream's rate that is missing
     setup_duration_ns: tuple[int, int]
@@ -123,78 +95,13 @@
         return replace(self, seed=seed)
 
 
-NODE = Schema(
-    "node", "One node of the fleet.",
-    (
-        Field("wing", "the wing it stands in", NAME_TYPE, required=True),
-        Field("cell", "its cell", INTEGER_TYPE, required=True),
-        Field("link", "its link", RATE_TYPE, required=True),
-        Field("places", "streams that it runs at most", INTEGER_TYPE, required=True, minimum=1),
-    ),
-    NAME_TYPE, "its name", "(node n1 (wing west) (cell 0) (link 24MB/s) (places 60))",
-)  # fmt: skip
-PLAN_SHARE = Schema(
-    "plan", "How many ask for a plan and how long they watch.",
-    (
-        Field("share", "share of new playbacks", NUMBER_TYPE, required=True),
-        Field("life", "mean time watched", TIME_TYPE, required=True, minimum=1),
-    ),
-    NAME_TYPE, "the plan's name",
-)  # fmt: skip
-VIEWERS = Schema(
-    "viewers", "How viewers come.",
-    (
-        Field("rate", "new viewers a second", PACE_TYPE, required=True),
-        Field("titles", "how many titles there are", INTEGER_TYPE, required=True, minimum=1),
-        Field("zipf", "how unevenly they are wanted", NUMBER_TYPE, 0.8),
-        Field("returns", "share that comes again after a loss or a rejection", NUMBER_TYPE, 0.9),
-        Field("back-after", "after how long they come again, between", TIME_TYPE, (SECOND, 2 * SECOND), max_values=2),
-        Field("small-screens", "share that cannot use the upper rungs", NUMBER_TYPE, 0.2),
-        Field("uneven", "how unevenly fronts are asked", NUMBER_TYPE, 0.3),
-        Field("plan", PLAN_SHARE.doc, subform=PLAN_SHARE, is_repeatable=True, required=True),
-    ),
-)  # fmt: skip
-FAULT = Schema(
-    "fault", "One fault.",
-    (
-        Field("at", "when it begins, from the day's start", TIME_TYPE, required=True),
-        Field("for", "how long it lasts", TIME_TYPE, 0),
-        Field("on", "nodes, wings or numbers of fronts", NAME_TYPE, (), max_values=10_000),
-        Field("size", "its size", NUMBER_TYPE, 0.0),
-        Field("extra", "its second figure", NUMBER_TYPE, 0.0),
-    ),
-    choice_type("trouble", FAULTS), "its kind",
-)  # fmt: skip
-DAY = Schema(
-    "day", "A day to rehearse.",
-    (
-        Field("length", "how long viewers come", TIME_TYPE, required=True, minimum=1),
-        Field("seed", "of all random draws", INTEGER_TYPE, 1),
-        Field("fronts", "the wing of each front", NAME_TYPE, required=True, max_values=10_000),
-        Field("late", "how late the list service is, between", TIME_TYPE, (SECOND, 2 * SECOND), max_values=2),
-        Field("setup", "how long a node takes for a set-up, between", TIME_TYPE, (5 * MS, 20 * MS), max_values=2),
-        Field("uplinks", "the uplink of each rack", RATE_TYPE, (), max_values=10_000),
-        Field("guard", "a node answers full while so much of its link is asked; 0: never", NUMBER_TYPE, 0.0),
-        Field("peers", "whether the fronts keep a view of each other", choice_type("answer", ("yes", "no")), "no"),
-        Field("keepers", "numbers of the fronts that grant terms of duties", INTEGER_TYPE, (), max_values=7),
-        Field("term", "the length of a term", TIME_TYPE, 2 * SECOND, minimum=SECOND),
-        Field("adopting", "whether they take over from those that are gone", choice_type("answer", ("yes", "no")), "no"),
-        Field("probing", "whether they share nodes' loads", choice_type("answer", ("yes", "no")), "no"),
-        Field("stall", "points of revenue lost for each point of the rate that is missing", NUMBER_TYPE, 7.0),
-        Field("node", NODE.doc, subform=NODE, is_repeatable=True, required=True),
-        Field("viewers", VIEWERS.doc, subform=VIEWERS, required=True),
-        Field("fault", FAULT.doc, subform=FAULT, is_repeatable=True),
-    ),
-)  # fmt: skip
-
-
 def load_day(path: Path) -> Day:
     """Reads a day from a file; raises InvalidConfigurationError with all problems and their locations."""
     return parse_day(path.read_text(encoding="utf-8"), path.stem)
 
 
 def parse_day(body: str, name: str) -> Day:
-    """Reads a day: one (day …) whose (site …) holds forms of the configuration language.
+    """Reads a day, which is one (day …) form whose (site …) holds forms of the configuration language.
 
     Raises InvalidConfigurationError with all problems and their locations.
     """
@@ -204,14 +111,14 @@
     if not isinstance(day, Form) or day.name != "day":
         if not problems.items:
             location = items[0].location if items else SourceLocation(name, 1, 1)
-            problems.error(location, "the file holds one (day …)")
+            problems.error(location, "the file must hold exactly one (day …)")
         raise InvalidConfigurationError(problems)
     sites = [item for item in day.items if isinstance(item, Form) and item.name == "site"]
     rest = Form(tuple(item for item in day.items if item not in sites), day.location, day.end_line)
-    record = read_form(DAY, rest, problems)
+    record = read_form(DAY_SCHEMA, rest, problems)
     if len(sites) != 1:
         problems.error(
-            day.location, "(day …) lacks one (site …), which holds the configuration", "add (site …)"
+            day.location, "(day …) needs exactly one (site …), which holds the configuration", "add (site …)"
         )
         raise InvalidConfigurationError(problems)
     forms = _expand_site(sites[0], problems)
@@ -235,11 +142,11 @@
 
 
 def _reject_include(name: str) -> str:
-    raise OSError("a day includes no files")
+    raise OSError("a day cannot include files")
 
 
 def _build_day(record: Record, site: SharedSettings, site_text: str, name: str, problems: Diagnostics) -> Day:
-    """Builds the day of a record, and reports contradictions in it."""
+    """Builds a day from its record, and reports contradictions between its fields."""
     front_zones = tuple(record.get("fronts"))
     nodes = tuple(_build_node(node) for node in record.get("node"))
     uplink_capacities = tuple(record.get("uplinks")) or (0.0,) * site.terms.rack_count
@@ -248,11 +155,7 @@
     has_peers = _is_yes(record, "peers")
     _check_sizes(record, site, len(front_zones), len(uplink_capacities), problems)
     _check_peers(record, len(front_zones), problems)
-    known_targets = {
-        "node": {node.name for node in nodes},
-        "wing": set(front_zones),
-        "front": {str(number) for number in range(len(front_zones))},
-    }
+    known_targets = _known_targets(nodes, front_zones)
     lease_acceptors = tuple(record.get("keepers"))
     faults = [
         _build_fault(fault, known_targets, has_peers, bool(lease_acceptors), problems)
@@ -281,6 +184,15 @@
     )
 
 
+def _known_targets(nodes: tuple[NodeSpec, ...], front_zones: tuple[str, ...]) -> dict[str, set[str]]:
+    """Returns the names that a fault can have as targets, by the kind of target."""
+    return {
+        "node": {node.name for node in nodes},
+        "wing": set(front_zones),
+        "front": {str(number) for number in range(len(front_zones))},
+    }
+
+
 def _is_yes(record: Record, field: str) -> bool:
     return bool(record.get(field) == "yes")
 
@@ -289,10 +201,10 @@
     record: Record, site: SharedSettings, front_count: int, uplink_count: int, problems: Diagnostics
 ) -> None:
     if front_count != site.terms.front_count:
-        message = f"{front_count} fronts are listed, the fleet has {site.terms.front_count}"
+        message = f"zones are listed for {front_count} fronts, but the fleet has {site.terms.front_count}"
         problems.error(record.location_of("fronts"), message)
     if uplink_count != site.terms.rack_count:
-        message = f"{uplink_count} uplinks are listed for {site.terms.rack_count} racks"
+        message = f"{uplink_count} uplinks are listed, but the fleet has {site.terms.rack_count} racks"
         problems.error(record.location_of("uplinks"), message)
 
 
@@ -301,7 +213,7 @@
     "adopting": "failures are reported",
     "probing": "loads are shared",
 }
-"""Fields of a day that need peers, and what for."""
+"""Fields of a day that need peers, each with the purpose."""
 
 
 def _check_peers(record: Record, front_count: int, problems: Diagnostics) -> None:
@@ -357,10 +269,10 @@
         extra=record.get("extra"),
     )
     if fault.kind in ("cut", "lose") and not has_peers:
-        message = f"{fault.kind} acts on messages between fronts, and they have no peers"
+        message = f"{fault.kind} affects messages between fronts, and they have no peers"
         problems.error(record.location, message, "add (peers yes)")
-    if fault.kind in OWNER_FAULTS and not has_lease_acceptors:
-        message = f"{fault.kind} needs an owner, and nobody grants terms"
+    if fault.kind in LEASE_HOLDER_FAULTS and not has_lease_acceptors:
+        message = f"{fault.kind} affects the holder of a lease, and nobody grants terms"
         problems.error(record.location, message, "add (keepers …)")
     if fault.kind in LIST_FAULTS + VIEWER_FAULTS:
         return fault
--- a/oakcroft/standins/list_service.py
+++ b/oakcroft/standins/list_service.py
@@ -72,7 +72,7 @@
         self.wake_polls()
 
     def set_fault(self, kind: str) -> None:
-        """Sets one of the faults in `day.LIST_FAULTS`, which held polls notice at once."""
+        """Sets one of the faults in `day_schema.LIST_FAULTS`, which held polls notice at once."""
         self.fault = kind
         self.wake_polls()
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -15,7 +15,8 @@
 from oakcroft.rehearsal.outcome import Outcome
 from oakcroft.rehearsal.visits import plan_visits
 from oakcroft.rehearsal import report, runner
-from oakcroft.standins.day import FAULTS, Day, parse_day
+from oakcroft.standins.day import Day, parse_day
+from oakcroft.standins.day_schema import FAULTS
 
 SHORT = """(day (length 7s) (seed 3) (fronts west east) (late 200ms 600ms) (guard 1.2) (setup 3ms 10ms)
   (site
