--- a/oakcroft/standins/event_streams.py
+++ b/oakcroft/standins/event_streams.py
@@ -1,4 +1,4 @@
-"""Event stream of a node to each front end: its sessions, their starts and ends, and heartbeats."""
+"""Event streams from a node to its front ends: their sessions, starts and ends of these, and heartbeats."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from oakcroft.standins.node_state import KEY_RETENTION_SECONDS, DEFAULT_LEASE_SECONDS, Subscription, NodeState
 
 MAX_QUEUED_EVENTS = 1024
-"""Events queued for a front end; its stream is closed when it falls further behind."""
+"""Most events that are queued for a front end; its stream is closed if it falls further behind."""
 
 HEARTBEAT_SECONDS = 0.5
 """Interval of heartbeats on a stream without other events."""
@@ -30,7 +30,7 @@
 
 
 def open_event_stream(node: NodeState, front: str) -> Response:
-    """Opens a front end's stream in place of an earlier one; it starts with all that the node holds for the front end."""
+    """Opens a front end's stream in place of an earlier one; its first event has the full state for that front end."""
     send, receive = trio.open_memory_channel[bytes](MAX_QUEUED_EVENTS)
     subscription = node.subscriptions.setdefault(front, Subscription())
     if subscription.channel is not None:
--- a/oakcroft/standins/faults.py
+++ b/oakcroft/standins/faults.py
@@ -1,4 +1,4 @@
-"""Injection of faults into an emulated fleet, one function per kind of fault that operators have recorded."""
+"""Injection of faults into an emulated fleet, with a function for each kind of fault that operators have seen."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from oakcroft.standins.playout import PlayoutNode
 
 SILENT_ZONE_LOSS_ABOVE = 0.5
-"""A lost zone whose `extra` is above this falls silent; otherwise its processes die and reset their connections."""
+"""A lost zone whose `extra` is above this sends nothing; otherwise its processes die and reset their connections."""
 
 MIN_NOTICE_SECONDS = 0.1
 MIN_SWITCH_SECONDS = 0.5
 MIN_DOWNTIME_SECONDS = 1.0
 MIN_SLEEP_SECONDS = 0.01
-"""Lower bounds for figures of a day's text, which are 0 where it leaves them out."""
+"""Lower bounds for values of a day's text, which are 0 by default."""
 
 PREEMPTED_BATCH_SHARE = 0.5
 """Share of the fleet that is preempted at one time, at most."""
@@ -33,15 +33,15 @@
 """Injects a fault of one kind into the nodes that it names, and returns when it has ended."""
 
 
-async def inject_all(fleet: Fleet, start: int) -> None:
-    """Injects all faults of the fleet's day, which begins at `start` (ns), and returns when the last one has ended."""
+async def inject_all(fleet: Fleet, start_ns: int) -> None:
+    """Injects all faults of the fleet's day, which begins at `start_ns`, and returns when the last one has ended."""
     async with trio.open_nursery() as nursery:
         for fault in fleet.day.faults:
-            nursery.start_soon(_inject_on_time, fleet, fault, start)
+            nursery.start_soon(_inject_on_time, fleet, fault, start_ns)
 
 
-async def _inject_on_time(fleet: Fleet, fault: Fault, start: int) -> None:
-    await trio.sleep_until(fleet.clock.trio_time(start + fault.start_ns))
+async def _inject_on_time(fleet: Fleet, fault: Fault, start_ns: int) -> None:
+    await trio.sleep_until(fleet.clock.trio_time(start_ns + fault.start_ns))
     fleet.record.note("fault", what=fault.kind, on=list(fault.targets), phase="begins")
     await inject(fleet, fault)
     fleet.record.note("fault", what=fault.kind, on=list(fault.targets), phase="ends")
@@ -62,28 +62,28 @@
 
 
 async def _crash(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _take_down(fleet, nodes, _seconds(fault), silent=False)
+    await _take_down(fleet, nodes, _seconds(fault), is_silent=False)
 
 
 async def _vanish(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _take_down(fleet, nodes, _seconds(fault), silent=True)
+    await _take_down(fleet, nodes, _seconds(fault), is_silent=True)
 
 
 async def _lose_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
     nodes = [node for node in fleet.nodes.values() if node.zone in fault.targets]
-    await _take_down(fleet, nodes, _seconds(fault), silent=fault.extra > SILENT_ZONE_LOSS_ABOVE)
+    await _take_down(fleet, nodes, _seconds(fault), is_silent=fault.extra > SILENT_ZONE_LOSS_ABOVE)
 
 
 async def _hang(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _set_for(nodes, _seconds(fault), "is_hung", True, False)
+    await _set_fault_for(nodes, _seconds(fault), "is_hung", True, False)
 
 
 async def _lose_answers(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _set_for(nodes, _seconds(fault), "lost_answer_share", fault.size, 0.0)
+    await _set_fault_for(nodes, _seconds(fault), "lost_answer_share", fault.size, 0.0)
 
 
 async def _report_late(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    await _set_for(
+    await _set_fault_for(
         nodes or list(fleet.nodes.values()), _seconds(fault), "report_delay_seconds", fault.size, 0.0
     )
 
@@ -100,18 +100,18 @@
     """Lets another program use a share of each node's link, on and off."""
     switch_seconds = max(MIN_SWITCH_SECONDS, fault.extra)
     until = trio.current_time() + _seconds(fault)
-    is_on = False
+    is_busy = False
     while trio.current_time() < until:
-        is_on = not is_on
+        is_busy = not is_busy
         for node in nodes:
-            node.machine.taken_share = fault.size if is_on else 0.0
+            node.machine.other_traffic_share = fault.size if is_busy else 0.0
         await trio.sleep(min(switch_seconds, max(MIN_SLEEP_SECONDS, until - trio.current_time())))
     for node in nodes:
-        node.machine.taken_share = 0.0
+        node.machine.other_traffic_share = 0.0
 
 
 async def _ageing(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
-    """Slows the nodes down, each over a longer time than the one before; each then dies and restarts cold."""
+    """Slows the nodes down, each over a longer time than the previous one; each then dies and restarts cold."""
     downtime_seconds = max(MIN_DOWNTIME_SECONDS, fault.extra)
     async with trio.open_nursery() as nursery:
         for index, node in enumerate(nodes):
@@ -184,7 +184,7 @@
 }
 
 
-async def _set_for(
+async def _set_fault_for(
     nodes: list[PlayoutNode], seconds: float, field: str, faulty: object, healthy: object
 ) -> None:
     """Sets one field of the nodes' faults for a time."""
@@ -197,24 +197,24 @@
         node.notify_changed()
 
 
-async def _take_down(fleet: Fleet, nodes: Iterable[PlayoutNode], seconds: float, silent: bool) -> None:
+async def _take_down(fleet: Fleet, nodes: Iterable[PlayoutNode], seconds: float, is_silent: bool) -> None:
     """Takes the nodes' processes down for a time and restarts them cold.
 
-    They are killed at once, or, with `silent`, send nothing and are killed at the end.
+    They are killed at once, or, with `is_silent`, send nothing and are killed at the end.
     """
     running = [node for node in nodes if not node.faults.is_dead]
     for node in running:
-        if silent:
+        if is_silent:
             fleet.record.note("silent", node=node.name)
             node.faults.is_silent = True
             node.notify_changed()
         else:
             node.kill()
-    if not silent:
+    if not is_silent:
         fleet.publish_list()
     await trio.sleep(seconds)
     for node in running:
-        if silent:
+        if is_silent:
             node.kill()
         await restart_cold(fleet, node)
     fleet.publish_list()
--- a/oakcroft/standins/fleet.py
+++ b/oakcroft/standins/fleet.py
@@ -25,13 +25,13 @@
 """Step in which the link model advances."""
 
 TICKS_PER_SHARE_CHECK = 10
-"""A node checks in every tenth tick whether it delivers less than its rates."""
+"""A node checks every so many ticks whether it delivers less than the rates of its streams."""
 
 SHORT_DELIVERY_SHARE = 0.98
 """Below this share of its rates a node reports short delivery."""
 
 LINK_SPREAD = (0.85, 1.15)
-"""Range of a node's true link capacity relative to the listed one, as lists are never exact."""
+"""Range of a node's real link capacity relative to the listed one, as lists are never exact."""
 
 LIST_IDLE_TIMEOUT_NS = 3600 * SECOND
 """Long enough that no connection to the list service is closed for being idle within a day."""
--- a/oakcroft/standins/links.py
+++ b/oakcroft/standins/links.py
@@ -68,20 +68,18 @@
 
 @dataclass
 class Machine:
-    """Hardware of one node: its link in kB/s, how many streams it runs at most, and its present faults."""
+    """Hardware of one node: its link in kB/s, its maximum number of streams, and its present faults."""
 
     name: str
     rack: Rack
     link_capacity: float
     playback_capacity: int
     warm_up: WarmUp
-    full_link_load: float = (
-        0.0  # link load from which on it has no room for another stream; 0 for no such bound
-    )
+    full_link_load: float = 0.0  # link load from which on it accepts no more streams; 0 for no such bound
     started_at: int = 0
     is_cold: bool = False
     is_overloaded: bool = False
-    taken_share: float = 0.0  # share of its link that another program uses
+    other_traffic_share: float = 0.0  # share of its link that other programs use
     slowdown: float = 1.0
     streams: dict[str, Stream] = field(default_factory=dict)
     pending_setups: int = 0
@@ -98,14 +96,14 @@
 
     def available_rate(self) -> float:
         """Returns the rate that its link carries now, in kB/s."""
-        return self.link_capacity * (1 - self.taken_share) / self.slowdown
+        return self.link_capacity * (1 - self.other_traffic_share) / self.slowdown
 
     def link_load(self) -> float:
         """Returns the requested rate over the available rate of its link."""
         return self.requested_rate() / max(1.0, self.available_rate())
 
     def uplink_load(self) -> float:
-        """Returns the same for the uplink of its rack, or 0 if that is never the bottleneck."""
+        """Returns the load of the uplink of its rack, or 0 if that is never the bottleneck."""
         if self.rack.uplink_capacity <= 0:
             return 0.0
         return self.rack.requested_rate() / self.rack.uplink_capacity
--- a/oakcroft/standins/list_service.py
+++ b/oakcroft/standins/list_service.py
@@ -25,7 +25,7 @@
 """A held poll checks again after this time even if no list was published."""
 
 MIN_WAIT_SECONDS = 0.001
-"""Shortest wait for a list that is about to be visible, so that the loop never spins."""
+"""Shortest wait for a list that is about to become visible, so that the loop does not spin."""
 
 EMPTY_LIST_VERSION_STEP = 1000
 """How far ahead the version of an empty list is, so that front ends take it for a newer one."""
@@ -55,7 +55,7 @@
 
 
 class ListService:
-    """Publishes versions of the list; each reaches each front end after a delay of its own."""
+    """Publishes versions of the list, each of which reaches each front end after a delay of its own."""
 
     def __init__(self, day: Day, clock: Clock, record: Record) -> None:
         """Creates a service without any version; `record` takes its polls and answers."""
@@ -66,9 +66,9 @@
         self.changed = trio.Event()
         self.fault = ""
 
-    def publish(self, nodes: list[ListedNode], at: int) -> None:
-        """Adds a version of the list that is published at a time in ns."""
-        self.versions.append((at, nodes))
+    def publish(self, nodes: list[ListedNode], published_at: int) -> None:
+        """Adds a version of the list, published at a time in ns."""
+        self.versions.append((published_at, nodes))
         self.wake_polls()
 
     def set_fault(self, kind: str) -> None:
@@ -92,14 +92,14 @@
             return Response(404)
         known = int(orjson.loads(request.body).get("version_info") or NO_VERSION)
         self.record.note("poll", front=front, version=known)
-        until = trio.current_time() + LONG_POLL_SECONDS
+        answer_at = trio.current_time() + LONG_POLL_SECONDS
         if self.fault == "list-slow":
             await trio.sleep(SLOW_ANSWER_SECONDS)
-        while trio.current_time() < until:
+        while trio.current_time() < answer_at:
             answer = self._faulty_answer() or self._newer_list(front, known)
             if answer is not None:
                 return answer
-            with trio.move_on_after(self._seconds_to_wait(front, known, until)):
+            with trio.move_on_after(self._seconds_to_wait(front, known, answer_at)):
                 await self.changed.wait()
         return Response(304)
 
@@ -133,12 +133,12 @@
         )
         return Response(200, JSON, _encode(visible, nodes))
 
-    def _seconds_to_wait(self, front: str, known: int, until: float) -> float:
+    def _seconds_to_wait(self, front: str, known: int, answer_at: float) -> float:
         """Returns the time until the next version is visible to a front end, or until its poll has to be answered."""
         now = self.clock.now()
         due = [self._visible_at(version, front) for version in range(known + 1, len(self.versions))]
         soonest = min((at for at in due if at > now), default=now + MAX_WAIT_NS)
-        return max(MIN_WAIT_SECONDS, min((soonest - now) / SECOND, until - trio.current_time()))
+        return max(MIN_WAIT_SECONDS, min((soonest - now) / SECOND, answer_at - trio.current_time()))
 
     def _visible_at(self, version: int, front: str) -> int:
         """Returns when a version becomes visible to a front end; the delay differs by version and front end."""
--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -61,7 +61,7 @@
     disconnected_at: float = 0.0
     lease_seconds: float = DEFAULT_LEASE_SECONDS
     taken_over: deque[tuple[float, str]] = field(default_factory=deque)
-    """Sessions that other front ends took over from it, each with the time."""
+    """Times and paths of sessions that other front ends took over from it."""
 
 
 @dataclass
@@ -75,12 +75,12 @@
     is_draining: bool = False
     report_delay_seconds: float = 0.0
     skips_holder_check: bool = False
-    """Violates the protocol: lets any front end control or take over any session. For tests of the rules."""
+    """Violates the protocol for tests of the rules: any front end can control or take over any session."""
     unreachable_zones: set[str] = field(default_factory=set)
 
 
 class NodeState:
-    """State of one node, and the changes of it that are common to several kinds of requests."""
+    """State of one node, and the changes of state that several kinds of requests have in common."""
 
     def __init__(
         self,
@@ -136,9 +136,9 @@
         return self.faults.is_silent or self.zone_of_front(front) in self.faults.unreachable_zones
 
     def load(self) -> http_formats.LoadReport:
-        """Returns the load of its links as it reports it."""
-        asked, uplink = self.machine.link_load(), self.machine.uplink_load()
-        return http_formats.LoadReport(asked, min(1.0, asked), uplink if uplink else None)
+        """Returns the loads of its link and its uplink in the form of its reports."""
+        link_load, uplink_load = self.machine.link_load(), self.machine.uplink_load()
+        return http_formats.LoadReport(link_load, min(1.0, link_load), uplink_load or None)
 
     def stream_rate(self, plan: str, title: str, rung: int) -> float:
         """Returns the rate of a stream in kB/s."""
@@ -167,7 +167,7 @@
         return keys
 
     def subscription_of(self, front: str) -> Subscription:
-        """Returns a front end's event stream; if it never had any, one that counts as disconnected from now on."""
+        """Returns a front end's event stream, or creates one that counts as disconnected from now on."""
         return self.subscriptions.setdefault(front, Subscription(disconnected_at=trio.current_time()))
 
     def disconnected_for(self, front: str) -> int | None:
@@ -193,18 +193,24 @@
         subscription = self.subscription_of(session.front)
         self.send_event(subscription, "started", {"session": f"/sessions/{session.id}"})
 
-    def end_session(self, session_id: str, why: str, by: str = "") -> None:
-        """Ends a session, if it exists, and reports it to its front end. `by` is the front end that requested it."""
+    def end_session(self, session_id: str, reason: str, requested_by: str = "") -> None:
+        """Ends a session, if it exists, and reports it to its front end; a front end may have requested it."""
         session = self.sessions.pop(session_id, None)
         stream = self.machine.remove_stream(session_id)
         if session is None or stream is None:
             return
         self.revenue_by_plan[session.plan] = self.revenue_by_plan.get(session.plan, 0.0) + stream.revenue
         self.record.note(
-            "over", node=self.name, session=session_id, key=session.key, front=session.front, why=why, by=by
+            "over",
+            node=self.name,
+            session=session_id,
+            key=session.key,
+            front=session.front,
+            why=reason,
+            by=requested_by,
         )
         if subscription := self.subscriptions.get(session.front):
-            self.send_event(subscription, "ended", {"session": f"/sessions/{session_id}", "why": why})
+            self.send_event(subscription, "ended", {"session": f"/sessions/{session_id}", "why": reason})
 
     @staticmethod
     def send_event(subscription: Subscription, name: str, data: object) -> None:
--- a/oakcroft/standins/peer_network.py
+++ b/oakcroft/standins/peer_network.py
@@ -1,6 +1,6 @@
 """Emulated network between front ends: relays that cut, lose, duplicate, delay and reorder their messages.
 
-Each front end advertises the address of its relay to its peers. Faults are set per pair of front ends and direction.
+Each front end advertises the address of its relay to its peers. Faults are set for a pair of front ends and a direction.
 
 The sender of a datagram is identified by its source address, as a front end sends from the socket it listens on. The
 peer of a stream is identified by its host address alone, so each front end needs one of its own (127.0.0.0/8 has
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -5,17 +5,14 @@
 import socket
 import struct
 from collections.abc import Callable
-from dataclasses import replace
+from http import HTTPStatus
 from random import Random
 
-import orjson
 import trio
 
 from oakcroft.config.settings import SharedSettings
 from oakcroft.decisions.admission.connection_limits import ConnectionLimits, ConnectionTable
-from oakcroft.decisions.fleet.session_ownership import may_control
 from oakcroft.decisions.sessions.setup_outcome import PROBLEM_DRAINING, PROBLEM_FULL
-from oakcroft.decisions.sessions.session_resource import SDPFRAG_MEDIA_TYPE
 from oakcroft.httpwire.message import Request, Response
 from oakcroft.httpwire.server import Server
 from oakcroft.interface import SECOND
@@ -23,8 +20,10 @@
 from oakcroft.standins import rtp
 from oakcroft.standins.event_streams import end_sessions_of_lost_fronts, store_lease, open_event_stream
 from oakcroft.standins.links import Machine
+from oakcroft.standins.media_sender import send_media
 from oakcroft.standins.node_state import NodeState, Session, caller_of, front_of
 from oakcroft.standins.record import Record
+from oakcroft.standins.session_requests import answer_session_request
 from oakcroft.standins.takeover import answer_takeover
 
 FINGERPRINT = "sha-256 " + ":".join(["AB"] * 32)
@@ -41,10 +40,7 @@
 """Long enough that no connection of a front end is closed for being idle within a day."""
 
 MAX_SETUP_SLOWDOWN = 20.0
-"""Bound on how much a slowed-down node delays its answers to set-ups."""
-
-PRECONDITION_FAILED = 412
-CREATED = 201
+"""Highest factor by which a slowed-down node takes longer for a set-up."""
 
 
 class PlayoutNode(NodeState):
@@ -96,10 +92,13 @@
         self.faults.is_hung = False
         self.record.note("start", node=self.name, process=self.process, cold=self.machine.is_cold)
         server = Server(
-            self.handle, ConnectionTable(ConnectionLimits(idle=IDLE_TIMEOUT_NS)), self.clock, self._failed
+            self.handle,
+            ConnectionTable(ConnectionLimits(idle=IDLE_TIMEOUT_NS)),
+            self.clock,
+            self._record_failure,
         )
 
-        async def serve(stream: trio.SocketStream) -> None:
+        async def serve_connection(stream: trio.SocketStream) -> None:
             self.connections.add(stream)
             try:
                 await server.serve(stream)
@@ -108,34 +107,10 @@
 
         with trio.CancelScope() as self.process_scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._send_media)
-                await trio.serve_listeners(serve, listeners)
-
-    async def _send_media(self) -> None:
-        """Sends RTP to every player that receives it, at each tick of the media clock."""
-        with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
-            while True:
-                tick = rtp.media_tick(self.clock()) + 1
-                await trio.sleep(max(0.0, (tick * rtp.PACKET_INTERVAL_NS - self.clock()) / SECOND))
-                if self.faults.is_hung or self.faults.is_silent:
-                    continue
-                for session in list(self.sessions.values()):
-                    await self._send_packet(sock, session, tick)
-
-    async def _send_packet(self, sock: trio.socket.SocketType, session: Session, tick: int) -> None:
-        stream = self.machine.streams.get(session.id)
-        if session.media_address is None or stream is None:  # ended while packets were sent to others
-            return
-        packet = rtp.encode_packet(
-            session.next_rtp_sequence, tick, rtp.ssrc(session.id), self.clock(), stream.rung
-        )
-        session.next_rtp_sequence += 1
-        try:
-            await sock.sendto(packet, session.media_address)
-        except OSError:
-            session.media_address = None
+                nursery.start_soon(send_media, self)
+                await trio.serve_listeners(serve_connection, listeners)
 
-    def _failed(self, request: Request, error: BaseException) -> None:
+    def _record_failure(self, request: Request, error: BaseException) -> None:
         self.record.note("stand-in failed", node=self.name, path=request.path, error=repr(error))
 
     def kill(self) -> None:
@@ -176,48 +151,12 @@
             return Response(204, [(http_formats.LOAD_HEADER, http_formats.format_load_report(self.load()))])
         if request.path == takeover_messages.SESSIONS_PATH:
             return answer_takeover(self, request)
-        return self._handle_session(request, front)
+        return answer_session_request(self, request, front)
 
     def open_event_stream(self, front: str) -> Response:
         """Opens the event stream of a front end."""
         return open_event_stream(self, front)
 
-    def _handle_session(self, request: Request, front: str) -> Response:
-        """Answers a request for one session, if it comes from the front end that holds it."""
-        _, _, subpath = request.path.partition("/sessions/")
-        session_id, _, resource = subpath.partition("/")
-        session = self.sessions.get(session_id)
-        if session is None:
-            return Response(404)
-        caller = caller_of(request)
-        if not may_control(session.holder, caller) and not self.faults.skips_holder_check:
-            self.record.note(
-                "turned away", node=self.name, session=session_id, front=front, method=request.method
-            )
-            problem = http_formats.problem_body(
-                409, takeover_messages.NOT_HELD_PROBLEM, "another front has it"
-            )
-            return Response(409, [("Content-Type", http_formats.PROBLEM_MEDIA_TYPE)], problem)
-        session.holder = replace(session.holder, generation=max(session.holder.generation, caller.generation))
-        if request.method == "DELETE":
-            self.end_session(session_id, "deleted", front)
-            return Response(200)
-        if request.method == "PATCH":
-            return _patch(request, session)
-        if resource == "layer" and request.method == "POST":
-            return self._change_rung(request, session, front)
-        return Response(405)
-
-    def _change_rung(self, request: Request, session: Session, front: str) -> Response:
-        rung = int(orjson.loads(request.body)["encodingId"])
-        self.record.note(
-            "rung", node=self.name, front=front, plan=session.plan, session=session.id, rung=rung
-        )
-        stream = self.machine.streams[session.id]
-        stream.rate = self.stream_rate(session.plan, session.title, rung)
-        stream.rung = rung
-        return Response(204)
-
     async def set_up(self, request: Request, front: str) -> Response:
         """Sets up a session and records the outcome, also if the front end closes the connection meanwhile."""
         key = http_formats.parse_idempotency_key(request.header("idempotency-key") or "") or ""
@@ -239,20 +178,20 @@
         )
         session_id = setup_id.replace(".", "-")
         session = Session(session_id, front, key, plan, title, setup_number=self.setup_count)
-        answered = False
+        is_answered = False
         try:
-            response = await self._answer(request, session, setup_id, rung)
-            answered = True
+            response = await self._answer_set_up(request, session, setup_id, rung)
+            is_answered = True
         finally:
-            if not answered:
+            if not is_answered:
                 self.record.note("broken", node=self.name, id=setup_id, key=key)
-        problem = http_formats.problem_type(response.body) if response.status != CREATED else ""
+        problem = http_formats.problem_type(response.body) if response.status != HTTPStatus.CREATED else ""
         self.record.note(
             "answer", node=self.name, id=setup_id, key=key, status=response.status, problem=problem
         )
         return response
 
-    async def _answer(self, request: Request, session: Session, setup_id: str, rung: int) -> Response:
+    async def _answer_set_up(self, request: Request, session: Session, setup_id: str, rung: int) -> Response:
         """Answers a set-up. The answer may be late or lost, or the set-up may crash the process."""
         front = session.front  # another front end may take the session over before the answer is sent
         while self.cannot_reach(front):
@@ -264,9 +203,9 @@
         if not session.plan:
             return Response(404)
         if self.faults.is_draining:
-            return self._reject(PROBLEM_DRAINING, "draining")
+            return self._unavailable_response(PROBLEM_DRAINING, "draining")
         if not self.machine.has_room():
-            return self._reject(PROBLEM_FULL, "full")
+            return self._unavailable_response(PROBLEM_FULL, "full")
         offer = sdp.parse(request.body.decode())
         await self._wait_setup_duration()
         session.media_address = rtp.media_address(offer)
@@ -282,7 +221,7 @@
         if self.rng.random() < self.faults.lost_answer_share:
             self.record.note("answer lost", node=self.name, id=setup_id, key=session.key)
             await trio.sleep_forever()
-        return self._created(session, front)
+        return self._created_response(session, front)
 
     async def _wait_setup_duration(self) -> None:
         """Waits as long as a set-up takes, which counts against the node's capacity meanwhile."""
@@ -293,7 +232,7 @@
         finally:
             self.machine.pending_setups -= 1
 
-    def _created(self, session: Session, front: str) -> Response:
+    def _created_response(self, session: Session, front: str) -> Response:
         path = f"/sessions/{session.id}"
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE),
@@ -308,7 +247,7 @@
             201, headers, body, on_unsent=lambda: self.end_session(session.id, "answer not taken")
         )
 
-    def _reject(self, kind: str, title: str) -> Response:
+    def _unavailable_response(self, kind: str, title: str) -> Response:
         headers = [
             ("Content-Type", http_formats.PROBLEM_MEDIA_TYPE),
             (http_formats.LOAD_HEADER, http_formats.format_load_report(self.load())),
@@ -316,20 +255,6 @@
         return Response(503, headers, http_formats.problem_body(503, kind, title))
 
 
-def _patch(request: Request, session: Session) -> Response:
-    """Answers a trickle ICE fragment or an ICE restart (RFC 9725, section 4.3)."""
-    fragment = sdp.parse_fragment(request.body.decode())
-    if request.header("if-match") == "*":
-        session.entity_tag += 1
-        body = f"a=ice-ufrag:new{session.entity_tag:05d}\r\na=ice-pwd:{'C' * 24}\r\n".encode()
-        return Response(
-            200, [("Content-Type", SDPFRAG_MEDIA_TYPE), ("ETag", f'"{session.entity_tag}"')], body
-        )
-    if request.header("if-match") != f'"{session.entity_tag}"':
-        return Response(PRECONDITION_FAILED)
-    return Response(204 if fragment.candidates or fragment.ended else 400)
-
-
 def reset_connection(stream: trio.SocketStream) -> None:
     """Closes a connection with a TCP reset."""
     try:
--- a/oakcroft/standins/program.py
+++ b/oakcroft/standins/program.py
@@ -2,7 +2,7 @@
 
 It prints one JSON line with its ports when it is ready and plays from the given start. Without one it serves and waits
 for the start on the first line of its standard input, since front ends need its ports before the start can be known.
-It ends on SIGTERM or when its standard input ends, so that it never outlives who started it.
+It ends on SIGTERM or when its standard input ends, so that it never outlives the process that started it.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 
 STANDARD_INPUT = 0
-"""The descriptor that whoever started the program holds the other end of."""
+"""File descriptor of a pipe from the process that started the program."""
 
 
-START_LINE_MAX_BYTES = 32
+MAX_START_LINE_BYTES = 32
 """Longer than any time in ns since the epoch."""
 
 
 class InvalidStartError(Exception):
-    """The first line of standard input is missing or no time."""
+    """Raised if the first line of standard input is missing or is not a time."""
 
 
-async def main(day: Day, start: int | None, path: Path) -> None:
-    """Plays a day that begins at `start` (ns since the epoch); `path` is where the record goes.
+async def main(day: Day, start_ns: int | None, record_path: Path) -> None:
+    """Plays a day that begins at `start_ns` (since the epoch), and writes the record to a file.
 
-    Without `start`, the first line of standard input gives it; raises InvalidStartError if that line does not.
+    Without `start_ns`, the first line of standard input gives it; raises InvalidStartError if that line does not.
     """
-    record = Record(path)
+    record = Record(record_path)
     fleet = Fleet(day, record, Clock())
     start_error: InvalidStartError | None = None
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -53,11 +53,11 @@
             print(orjson.dumps(ports).decode(), flush=True)
             standard_input = trio.lowlevel.FdStream(STANDARD_INPUT)
             try:
-                begin = await _read_start(standard_input) if start is None else start
+                day_start = await _read_start(standard_input) if start_ns is None else start_ns
             except InvalidStartError as error:
                 start_error = error
             else:
-                nursery.start_soon(inject_all, fleet, begin)
+                nursery.start_soon(inject_all, fleet, day_start)
                 await _wait_until_closed(standard_input)
             nursery.cancel_scope.cancel()
     record.note("earned", plans=fleet.revenue_by_plan())
@@ -74,10 +74,10 @@
 
 
 async def _read_start(stream: trio.abc.ReceiveStream) -> int:
-    """Reads the line that gives the start of the day, ns since the epoch."""
+    """Reads the line with the start of the day, in ns since the epoch."""
     line = b""
     with suppress(OSError, trio.BrokenResourceError):
-        while not line.endswith(b"\n") and len(line) < START_LINE_MAX_BYTES:
+        while not line.endswith(b"\n") and len(line) < MAX_START_LINE_BYTES:
             byte = await stream.receive_some(1)
             if not byte:
                 break
@@ -90,7 +90,7 @@
 
 
 async def _wait_until_closed(stream: trio.abc.ReceiveStream) -> None:
-    """Returns when whoever started the program has closed its end or was killed."""
+    """Returns when the process that started the program has closed its end of the pipe or was killed."""
     with suppress(OSError):
         while await stream.receive_some(1):
             pass
--- a/oakcroft/standins/record.py
+++ b/oakcroft/standins/record.py
@@ -28,7 +28,7 @@
 
 
 def read_facts(path: Path) -> list[dict[str, Any]]:
-    """Returns all complete facts of a file; a last line truncated by a killed writer is left out."""
+    """Returns all complete facts of a file; a last line that a killed writer has truncated is skipped."""
     facts = []
     for line in path.read_bytes().split(b"\n"):
         try:
--- a/oakcroft/standins/rtp.py
+++ b/oakcroft/standins/rtp.py
@@ -1,4 +1,4 @@
-"""RTP (RFC 3550) of the emulated nodes: small packets with true timing and sequence numbers, on one media clock."""
+"""RTP (RFC 3550) of the emulated nodes: small packets with real timing and sequence numbers, on one media clock."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from oakcroft.signalling.sdp import Description
 
 PACKET_INTERVAL_NS = 40 * MS
-"""Time between two packets; all nodes send the same media at the same tick, as copies of one lesson do."""
+"""Time between two packets; all nodes send the same media at the same tick, as they have copies of the same title."""
 
 CLOCK_RATE_HZ = 90_000
 VIDEO_PAYLOAD_TYPE = 96
 
 HEADER = struct.Struct("!BBHII")
 PAYLOAD = struct.Struct("!QB")
-"""The time of sending in ns, and the rung."""
+"""Send time in ns, and rung."""
 
 VERSION_2 = 0x80
 """First byte of a packet without padding, extension or contributing sources (RFC 3550, section 5.1)."""
@@ -44,7 +44,7 @@
 
 
 def encode_packet(sequence: int, tick: int, source: int, sent_at: int, rung: int) -> bytes:
-    """Returns one packet, whose payload is the time of sending and the rung."""
+    """Returns one packet, whose payload is its send time and the rung."""
     timestamp = tick * CLOCK_RATE_HZ * PACKET_INTERVAL_NS // SECOND & TIMESTAMP_MASK
     header = HEADER.pack(VERSION_2, VIDEO_PAYLOAD_TYPE, sequence & SEQUENCE_MASK, timestamp, source)
     return header + PAYLOAD.pack(sent_at, rung)
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Packet:
-    """A packet as received."""
+    """A received packet."""
 
     sequence: int
     timestamp: int
@@ -77,18 +77,16 @@
     for media in offer.media:
         for name, value in media.attributes:
             parts = value.split(" ")
-            if (
-                name == "candidate"
-                and len(parts) >= CANDIDATE_PARTS
-                and parts[7] == "host"
-                and parts[5].isdigit()
-            ):
-                return parts[4], int(parts[5])
+            if name != "candidate" or len(parts) < CANDIDATE_PARTS:
+                continue
+            host, port, _, kind = parts[4:CANDIDATE_PARTS]
+            if kind == "host" and port.isdigit():
+                return host, int(port)
     return None
 
 
 class PlayoutTracker:
-    """What a player has played, by the packets alone: media that two copies send plays once.
+    """Tracks what a player has played, by the packets alone: media that two nodes send plays once.
 
     A packet plays if its timestamp is later than all that have played. A gap is the time between the arrivals of two
     consecutive packets that play.
@@ -104,7 +102,7 @@
         self.sources: set[int] = set()
 
     def receive(self, packet: Packet, now: int) -> bool:
-        """Takes in a packet that arrives now, and returns whether it plays."""
+        """Processes a packet that arrives now, and returns whether it plays."""
         self.sources.add(packet.source)
         ahead = (packet.timestamp - self.last_timestamp) & TIMESTAMP_MASK
         if self.last_timestamp >= 0 and (ahead == 0 or ahead > HALF_TIMESTAMP_RANGE):
