--- a/oakcroft/rehearsal/bench_day.py
+++ b/oakcroft/rehearsal/bench_day.py
@@ -81,6 +81,7 @@
 
 
 def _translate(day: dict[str, Any]) -> tuple[str, list[str]]:
+    """Returns the text and the notes of a parsed day file."""
     scale = _scale(day)
     node_numbers = {server: number for number, server in enumerate(scale.servers)}
     lines = [
@@ -157,6 +158,7 @@
 
 
 def _header_lines(day: dict[str, Any], scale: Scale) -> list[str]:
+    """Returns the lines of the day itself: its length, fronts, uplinks and list delay."""
     family = day["fam"]
     discovery = day["discovery"]
     fronts = " ".join(f'"{scale.zones[front["zone"]]}"' for front in scale.fronts)
@@ -172,6 +174,7 @@
 
 
 def _site_lines(day: dict[str, Any], scale: Scale) -> list[str]:
+    """Returns the lines of the configuration of the site."""
     family = day["fam"]
     allowed = day["allow"]
     server_kind = _server_kinds(day)[0]
@@ -200,6 +203,7 @@
 
 
 def _plan_lines(day: dict[str, Any]) -> list[str]:
+    """Returns a plan and a route for each class of the bench."""
     lines = []
     top_rung = len(day["fam"]["rates"]) - 1
     for use, bench_class in zip(day["fam"]["uses"], day["classes"], strict=False):
@@ -290,6 +294,7 @@
 
 
 def _front_fault_parameters(kind: str, size: float, extra: float) -> str:
+    """Returns size and extra of a fault of fronts."""
     if kind == "front-kill":
         return f"(size 0.0) (extra {extra or DEFAULT_DOWN_SECONDS})"
     seconds = size / MS_PER_SECOND if size > MAX_STALL_SECONDS else size
--- a/oakcroft/rehearsal/front_faults.py
+++ b/oakcroft/rehearsal/front_faults.py
@@ -132,6 +132,7 @@
             self.peer_network.cut(others, names, cut=not one_way)
 
     def _lose_messages(self, chosen: list[FrontProcess], fault: Fault) -> None:
+        """Loses a share `size` of the messages from some fronts, and delays the others by up to `extra` seconds."""
         if self.peer_network is None:
             return
         for front in chosen:
@@ -152,6 +153,7 @@
                 self.fronts.wipe(front)
 
     def _end_fault(self, front: FrontProcess, kind: str) -> None:
+        """Ends a fault of a single front."""
         match kind:
             case "stand" if front.running and front.process is not None:
                 front.process.send_signal(signal.SIGCONT)
--- a/oakcroft/rehearsal/mixed_audience.py
+++ b/oakcroft/rehearsal/mixed_audience.py
@@ -41,6 +41,7 @@
             await super()._visit(visit)
 
     async def _visit_by_session_api(self, visit: Visit) -> None:
+        """Plays one viewer: requests, watches, and requests again after a loss or a rejection."""
         rng = Random(visit.seed)
         watch_seconds = visit.watch_ns / SECOND
         started_at = trio.current_time()
--- a/oakcroft/rehearsal/observer.py
+++ b/oakcroft/rehearsal/observer.py
@@ -41,6 +41,7 @@
                 nursery.start_soon(self._poll, front)
 
     async def _poll(self, front: FrontProcess) -> None:
+        """Polls one front until cancelled."""
         while True:
             await trio.sleep(POLL_INTERVAL_SECONDS)
             if not front.running:
@@ -56,6 +57,7 @@
                 self.record.note("seen", front=front.number, start=view["start"], members=members)
 
     async def _record_leases(self, front: FrontProcess) -> None:
+        """Records the leases that a front believes to hold, and the state of its latest rollout."""
         asked_at = time.time_ns()
         answer = await request_operators_api(front, "GET", "/operators/fleet/owners")
         if "duties" in answer:
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -153,6 +153,7 @@
         return FINISH_SECONDS
 
     async def _visit(self, visit: Visit) -> None:
+        """Plays the sessions of one viewer until it has watched enough or the day is over."""
         rng = Random(visit.seed)
         end_at = trio.current_time() + visit.watch_ns / SECOND
         tries = 0
--- a/oakcroft/rehearsal/runner.py
+++ b/oakcroft/rehearsal/runner.py
@@ -125,6 +125,7 @@
         return clock.trio_time(day_start_ns)
 
     async def _play(self, fleet: trio.Process, network_nursery: trio.Nursery) -> None:
+        """Starts the fronts, plays the day, and stops the fronts and the fleet in any case."""
         try:
             await self.fronts.start_all()
             if self.peer_network is not None:
@@ -158,6 +159,7 @@
             await trio.sleep(PROGRESS_INTERVAL_SECONDS)
 
     async def _stop_fleet(self, fleet: trio.Process) -> None:
+        """Terminates the fleet; a fleet that had already exited, or that does not exit in time, is a failure."""
         if fleet.poll() is not None:
             tail = (self.folder / "fleet.log").read_text()[-MAX_FLEET_LOG_TAIL:]
             self.failures.append(f"the fleet exited early: {tail}")
@@ -170,6 +172,7 @@
             self.failures.append(f"the fleet did not exit within {timeout} after SIGTERM")
 
     def _outcome(self) -> Outcome:
+        """Reads the records and checks the rules against them."""
         facts = read_facts(self.folder / "viewers.jsonl") + read_facts(self.folder / "fleet.jsonl")
         earned_revenue: dict[str, float] = next(
             (fact["plans"] for fact in facts if fact["kind"] == "earned"), {}
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -108,6 +108,7 @@
         return rng.uniform(*self.day.viewer_model.return_delay_ns) / SECOND
 
     async def _visit(self, visit: Visit) -> None:
+        """Plays one viewer: requests, watches, and requests again after a loss or a rejection."""
         rng = Random(visit.seed)
         started_at = trio.current_time()
         watched = 0.0
@@ -148,6 +149,7 @@
         )
 
     def _count_viewer(self, visit: Visit) -> None:
+        """Counts a viewer, and the revenue that its playback would bring on its highest rung."""
         name = visit.plan.name
         self.tally.viewers[name] += 1
         revenue = visit.plan.plan.revenue * self.day.site.terms.rung_revenue_shares[visit.top_rung]
--- a/oakcroft/standins/day.py
+++ b/oakcroft/standins/day.py
@@ -133,6 +133,7 @@
 
 
 def _expand_site(site: Form, problems: Diagnostics) -> list[Form]:
+    """Returns the forms of the site, with their definitions expanded."""
     expander = Expander(_reject_include, problems)
     expanded: list[Form] = []
     for form in site.items[1:]:
@@ -200,6 +201,7 @@
 def _check_sizes(
     record: Record, site: SharedSettings, front_count: int, uplink_count: int, problems: Diagnostics
 ) -> None:
+    """Reports numbers of fronts and uplinks that do not match the fleet."""
     if front_count != site.terms.front_count:
         message = f"zones are listed for {front_count} fronts, but the fleet has {site.terms.front_count}"
         problems.error(record.location_of("fronts"), message)
@@ -217,6 +219,7 @@
 
 
 def _check_peers(record: Record, front_count: int, problems: Diagnostics) -> None:
+    """Reports fields that need peers on a day without peers, and lease acceptors that do not exist."""
     for field, purpose in NEEDS_PEERS.items():
         is_set = _is_yes(record, field) or (field == "keepers" and bool(record.get(field)))
         if is_set and not _is_yes(record, "peers"):
@@ -260,6 +263,7 @@
     has_lease_acceptors: bool,
     problems: Diagnostics,
 ) -> Fault:
+    """Builds a fault, and reports targets that do not exist and missing features that it needs."""
     fault = Fault(
         kind=record.name,
         start_ns=record.get("at"),
@@ -286,6 +290,7 @@
 
 
 def _target_kind(fault: Fault) -> str:
+    """Returns what a fault names as its targets: nodes, wings or fronts."""
     if fault.kind.startswith("zone"):
         return "wing"
     return "front" if fault.kind in FRONT_FAULTS else "node"
--- a/oakcroft/standins/event_streams.py
+++ b/oakcroft/standins/event_streams.py
@@ -43,6 +43,7 @@
 
 
 def _hello(node: NodeState, front: str, subscription: Subscription) -> dict[str, object]:
+    """Returns the first event: the sessions and recent set-ups of a front end, and those taken over from it."""
     sessions = [session for session in node.sessions.values() if session.front == front]
     return {
         "process": node.process,
@@ -63,6 +64,7 @@
     send: trio.MemorySendChannel[bytes],
     receive: trio.MemoryReceiveChannel[bytes],
 ) -> AsyncIterator[bytes]:
+    """Yields queued events and heartbeats until the stream is replaced, closed, or the front end disconnects."""
     try:
         while True:
             chunk = http_formats.KEEP_ALIVE_COMMENT
--- a/oakcroft/standins/faults.py
+++ b/oakcroft/standins/faults.py
@@ -62,37 +62,45 @@
 
 
 async def _crash(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Kills the nodes, whose connections are reset."""
     await _take_down(fleet, nodes, _seconds(fault), is_silent=False)
 
 
 async def _vanish(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Makes the nodes send nothing, as if their machines had lost power."""
     await _take_down(fleet, nodes, _seconds(fault), is_silent=True)
 
 
 async def _lose_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
+    """Kills or silences all nodes of the named zones."""
     nodes = [node for node in fleet.nodes.values() if node.zone in fault.targets]
     await _take_down(fleet, nodes, _seconds(fault), is_silent=fault.extra > SILENT_ZONE_LOSS_ABOVE)
 
 
 async def _hang(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Makes the nodes accept requests without answering set-ups or sending media."""
     await _set_fault_for(nodes, _seconds(fault), "is_hung", True, False)
 
 
 async def _lose_answers(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Makes the nodes run a share `size` of set-ups without sending the answer."""
     await _set_fault_for(nodes, _seconds(fault), "lost_answer_share", fault.size, 0.0)
 
 
 async def _report_late(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Delays the reports of the nodes, or of all nodes, by `size` seconds."""
     await _set_fault_for(
         nodes or list(fleet.nodes.values()), _seconds(fault), "report_delay_seconds", fault.size, 0.0
     )
 
 
 async def _slow_down(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Slows the nodes down by the factor `size`."""
     await _slow(nodes, _seconds(fault), fault.size)
 
 
 async def _slow_down_all(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
+    """Slows all nodes down by the factor `size`, as a shared dependency would."""
     await _slow(list(fleet.nodes.values()), _seconds(fault), fault.size)
 
 
@@ -122,6 +130,7 @@
 async def _age(
     fleet: Fleet, node: PlayoutNode, ageing_seconds: float, slowdown: float, downtime_seconds: float
 ) -> None:
+    """Slows a node down step by step, kills it, and restarts it cold after the downtime."""
     for step in range(1, AGEING_STEPS + 1):
         await trio.sleep(ageing_seconds / AGEING_STEPS)
         node.machine.slowdown = 1 + (max(1.0, slowdown) - 1) * step / AGEING_STEPS
@@ -134,11 +143,13 @@
 
 
 async def _deploy(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Replaces the nodes in batches of a share `size` of the fleet, each with `extra` seconds of notice."""
     notice_seconds = max(MIN_NOTICE_SECONDS, fault.extra)
     await _replace(fleet, nodes, _seconds(fault), fault.size, notice_seconds, DEPLOY_GAP_SECONDS)
 
 
 async def _preempt(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
+    """Replaces the nodes in large batches with `size` seconds of notice; replacements start after `extra` seconds."""
     notice_seconds = max(MIN_NOTICE_SECONDS, fault.size)
     gap_seconds = max(DEPLOY_GAP_SECONDS, fault.extra)
     await _replace(fleet, nodes, _seconds(fault), PREEMPTED_BATCH_SHARE, notice_seconds, gap_seconds)
@@ -159,6 +170,7 @@
 
 
 async def _fail_list(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
+    """Applies a fault of the list service."""
     fleet.list_service.set_fault(fault.kind)
     await trio.sleep(_seconds(fault))
     fleet.list_service.clear_fault()
@@ -228,6 +240,7 @@
 
 
 async def _slow(nodes: list[PlayoutNode], seconds: float, factor: float) -> None:
+    """Slows the nodes down for a time; several such faults at once multiply."""
     for node in nodes:
         node.machine.slowdown *= max(1.0, factor)
     await trio.sleep(seconds)
@@ -255,6 +268,7 @@
 async def _replace_batch(
     fleet: Fleet, batch: list[PlayoutNode], notice_seconds: float, gap_seconds: float
 ) -> None:
+    """Replaces the nodes of one batch that are still part of the fleet."""
     batch = [node for node in batch if fleet.nodes.get(node.name) is node]
     for node in batch:
         node.faults.is_draining = True
--- a/oakcroft/standins/fleet.py
+++ b/oakcroft/standins/fleet.py
@@ -204,6 +204,7 @@
         self._queue_report(node, now, "link", load)
 
     def _queue_report(self, node: PlayoutNode, now: float, name: str, data: object) -> None:
+        """Queues a report of a node for delivery after the delay of reports."""
         deliver_at = now + self.day.site.terms.report_delay_ns / SECOND + node.faults.report_delay_seconds
         self._report_count += 1
         report = DelayedReport(deliver_at, self._report_count, node, node.process, name, data)
--- a/oakcroft/standins/list_service.py
+++ b/oakcroft/standins/list_service.py
@@ -104,6 +104,7 @@
         return Response(304)
 
     def _faulty_answer(self) -> Response | None:
+        """Returns the answer that the present fault causes, if any."""
         match self.fault:
             case "list-down":
                 return Response(503)
@@ -166,6 +167,7 @@
 
 
 def _endpoint(node: ListedNode) -> dict[str, object]:
+    """Returns a node as an LbEndpoint in JSON."""
     address = {"address": "127.0.0.1", "port_value": node.port}
     metadata = {
         "name": node.name,
--- a/oakcroft/standins/node_state.py
+++ b/oakcroft/standins/node_state.py
@@ -194,7 +194,10 @@
         self.send_event(subscription, "started", {"session": f"/sessions/{session.id}"})
 
     def end_session(self, session_id: str, reason: str, requested_by: str = "") -> None:
-        """Ends a session, if it exists, and reports it to its front end; a front end may have requested it."""
+        """Ends a session, if it exists, and reports that to its front end.
+
+        `requested_by` is the front end that requested the end, if one did.
+        """
         session = self.sessions.pop(session_id, None)
         stream = self.machine.remove_stream(session_id)
         if session is None or stream is None:
--- a/oakcroft/standins/peer_network.py
+++ b/oakcroft/standins/peer_network.py
@@ -72,6 +72,7 @@
             await trio.sleep_forever()
 
     async def _forward_datagrams(self, receiver: str, sock: trio.socket.SocketType) -> None:
+        """Forwards datagrams to a front end, under the faults of the link from each sender."""
         names_by_address = {address: name for name, address in self.front_addresses.items()}
         while True:
             try:
@@ -91,6 +92,7 @@
     async def _deliver(
         self, sock: trio.socket.SocketType, data: bytes, receiver: str, delay_seconds: float
     ) -> None:
+        """Delivers a datagram after a delay."""
         if delay_seconds:
             self.delayed_count += 1
             try:
@@ -104,6 +106,7 @@
             self.lost_count += 1
 
     async def _forward_stream(self, receiver: str, client: trio.SocketStream) -> None:
+        """Forwards a TCP connection to a front end; closes it at once if a direction of the link is cut."""
         names_by_host = {address[0]: name for name, address in self.front_addresses.items()}
         sender = names_by_host.get(client.socket.getpeername()[0], "")
         if self._is_cut(sender, receiver) or self._is_cut(receiver, sender):
@@ -125,6 +128,7 @@
 
     @staticmethod
     async def _copy_stream(source: trio.SocketStream, destination: trio.SocketStream) -> None:
+        """Copies one direction of a connection until it ends or breaks."""
         try:
             while data := await source.receive_some(MAX_READ_BYTES):
                 await destination.send_all(data)
--- a/oakcroft/standins/playout.py
+++ b/oakcroft/standins/playout.py
@@ -233,6 +233,7 @@
             self.machine.pending_setups -= 1
 
     def _created_response(self, session: Session, front: str) -> Response:
+        """Returns the 201 of a session, which ends if the response cannot be sent."""
         path = f"/sessions/{session.id}"
         headers = [
             ("Content-Type", sdp.MEDIA_TYPE),
@@ -248,6 +249,7 @@
         )
 
     def _unavailable_response(self, kind: str, title: str) -> Response:
+        """Returns a 503 with a problem and the load of the node."""
         headers = [
             ("Content-Type", http_formats.PROBLEM_MEDIA_TYPE),
             (http_formats.LOAD_HEADER, http_formats.format_load_report(self.load())),
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""A short day with faults through real processes, the start of the emulated fleet, and the translation of bench days."""
+"""Tests a short day with faults on real processes, the start of the emulated fleet, and the translation of bench days."""
 
 from __future__ import annotations
 
@@ -42,17 +42,17 @@
 EARLY_FAULTS = """(fault crash (at 0ms) (for 1s) (on n2))
   (fault front-stall (at 0ms) (for 100ms) (on 0) (size 0.1) (extra 1)))"""
 DAY_WITH_EARLY_FAULTS = SHORT[: SHORT.index("(fault")].replace("(length 7s)", "(length 2s)") + EARLY_FAULTS
-"""A node and a front fail as soon as the day begins."""
+"""A node and a front fail as soon as the day starts."""
 
 CLOCK_SLACK_SECONDS = 0.05
-"""Between the event loop's clock, by which the day begins, and the wall clock of the record."""
+"""Allowed difference between the clock of the event loop, which starts the day, and the wall clock of the record."""
 
 
 def parse_scenario(body: str) -> Day:
     return parse_day(body, "day")
 
 
-def test_a_short_bad_day_keeps_every_rule_on_the_sockets() -> None:
+def test_a_short_day_with_faults_keeps_every_rule() -> None:
     progress: list[str] = []
     outcome = runner.play(parse_scenario(SHORT), SHORT, "oakcroft", progress.append)
     text = report.render_report(outcome, None)
@@ -63,8 +63,8 @@
     assert progress
 
 
-def slow_start(monkeypatch: pytest.MonkeyPatch, folder: Path, cases: str) -> None:
-    """Runs a shell `case` over the arguments of every Python process that the rehearsal starts, before it starts."""
+def delay_process_starts(monkeypatch: pytest.MonkeyPatch, folder: Path, cases: str) -> None:
+    """Runs the cases of a shell `case` on the arguments of each Python process before the rehearsal starts it."""
     script = folder / "python"
     script.write_text(f'#!/bin/sh\ncase "$*" in\n{cases}\nesac\nexec "{sys.executable}" "$@"\n')
     script.chmod(0o755)
@@ -72,16 +72,16 @@
 
 
 def play_day_with_early_faults(folder: Path) -> Outcome:
-    """Plays the day whose faults begin at once; its records stay below the folder."""
+    """Plays the day with early faults, and keeps its records below the folder."""
     day = parse_scenario(DAY_WITH_EARLY_FAULTS)
     return runner.play(day, DAY_WITH_EARLY_FAULTS, "oakcroft", lambda _: None, folder / "kept")
 
 
-def test_a_day_on_a_machine_that_starts_processes_slowly_begins_settled(
+def test_a_day_starts_after_a_settle_time_even_if_processes_start_slowly(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """Guards against a begin that is fixed before the processes are up: a slow machine then failed the day."""
-    slow_start(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
+    """Guards against a start that is set before all processes are up, which made the day fail on a slow machine."""
+    delay_process_starts(monkeypatch, tmp_path, "*front-1.oak*) sleep 4 ;;\n*stand-in*) sleep 3 ;;")
     outcome = play_day_with_early_faults(tmp_path)
     assert outcome.failures == []
     assert outcome.kept, report.render_report(outcome, None)
@@ -90,19 +90,19 @@
         return [fact["t"] for fact in outcome.facts if fact["kind"] == kind]
 
     assert len(times("front started")) == 2
-    settled = max(times("front started")) + round((runner.SETTLE_SECONDS - CLOCK_SLACK_SECONDS) * SECOND)
-    assert min(times("ask")) >= settled
-    assert len(times("fault")) == 4  # the begin and the end of each
-    assert min(times("fault")) >= settled
+    earliest = max(times("front started")) + round((runner.SETTLE_SECONDS - CLOCK_SLACK_SECONDS) * SECOND)
+    assert min(times("ask")) >= earliest
+    assert len(times("fault")) == 4  # start and end of each
+    assert min(times("fault")) >= earliest
     assert len(times("front stands still")) == 1
-    assert min(times("front stands still")) >= settled
+    assert min(times("front stands still")) >= earliest
 
 
-def test_a_front_that_is_not_up_in_time_fails_the_day(
+def test_a_front_that_does_not_start_in_time_fails_the_day(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     monkeypatch.setattr(front_processes, "START_TIMEOUT_SECONDS", 5)
-    slow_start(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
+    delay_process_starts(monkeypatch, tmp_path, "*front-1.oak*) exec sleep 600 ;;")
     outcome = play_day_with_early_faults(tmp_path)
     assert any("front 1 did not start" in failure for failure in outcome.failures)
     assert not outcome.kept
@@ -117,14 +117,14 @@
 
 
 @pytest.mark.parametrize("line", [b"", b"\n", b"soon\n", b"17", b"-5\n", b"1.5\n", b"7" * 100 + b"\n"])
-def test_a_fleet_that_is_told_no_valid_start_ends_with_a_plain_error(tmp_path: Path, line: bytes) -> None:
+def test_a_fleet_without_a_valid_start_exits_with_an_error_message(tmp_path: Path, line: bytes) -> None:
     ended = run_fleet(tmp_path, line)
     assert ended.returncode == 2
     assert b"is no start in ns since the epoch" in ended.stderr
     assert b"Traceback" not in ended.stderr
 
 
-def test_a_fleet_takes_its_start_from_its_option_or_from_standard_input(tmp_path: Path) -> None:
+def test_a_fleet_reads_its_start_from_its_option_or_from_standard_input(tmp_path: Path) -> None:
     for standard_input, options in ((b"1\n", ()), (b"", ("--start", "1"))):
         ended = run_fleet(tmp_path, standard_input, *options)
         assert (ended.returncode, ended.stderr) == (0, b"")
