--- a/oakcroft/rehearsal/bench_day.py
+++ b/oakcroft/rehearsal/bench_day.py
@@ -75,9 +75,9 @@
         raise ValueError(f"{name}: not a day file of the bench: {type(error).__name__}: {error}") from None
 
 
-def format_ms(value: float) -> str:
+def format_ms(microseconds: float) -> str:
     """Formats microseconds as a time of the configuration, in ms and at least 1 ms."""
-    return f"{max(1, round(value / US_PER_MS))}ms"
+    return f"{max(1, round(microseconds / US_PER_MS))}ms"
 
 
 def _translate(day: dict[str, Any]) -> tuple[str, list[str]]:
--- a/oakcroft/rehearsal/players.py
+++ b/oakcroft/rehearsal/players.py
@@ -29,7 +29,7 @@
 
 STALL_NS = 2 * rtp.PACKET_INTERVAL_NS
 MODES = ("move", "break", "stay")
-"""What players do when they are told to move; see `Players`."""
+"""What players do on a request to move; see `Players`."""
 
 MAX_TRIES = 40
 END_MARGIN_SECONDS = 0.05
@@ -138,8 +138,8 @@
 class Players(Audience):
     """An audience of players.
 
-    `mode`: they follow moves ("move"), or end the session and request again when told to move ("break"), or are plain
-    players that cannot be moved ("stay").
+    `mode`: they follow moves ("move"), or end the session and send a new request instead ("break"), or do not support
+    moves ("stay").
     """
 
     mode = "move"
@@ -244,7 +244,7 @@
                 nursery.start_soon(self._confirm_move, session)
 
     async def _follow_events(self, client: HttpClient, session: PlayedSession) -> bool:
-        """Follows the events of a session until it ends; returns True if the player leaves it as it is told to move."""
+        """Follows the events of a session until it ends; returns True if the player leaves it on a request to move."""
         parser = http_formats.EventStreamParser()
         kinds = "inactive" if self.mode == "stay" else "inactive.move"
         events = f"{session.location}/events?kinds={kinds}"
--- a/oakcroft/rehearsal/report.py
+++ b/oakcroft/rehearsal/report.py
@@ -86,7 +86,7 @@
     if baseline is not None:
         breaches = sum(len(finding.breaches) for finding in baseline.findings)
         lines += [
-            f"the naive baseline on the same day (random holder, lowest rung; {breaches} breaches):",
+            f"the naive baseline on the same day (random node with the title, lowest rung; {breaches} breaches):",
             *figure_lines(baseline),
         ]
     lines += [f"failed: {failure}" for failure in outcome.failures]
--- a/oakcroft/rehearsal/viewers.py
+++ b/oakcroft/rehearsal/viewers.py
@@ -21,7 +21,7 @@
 """Keep the random numbers of the fronts' weights apart from others seeded with the day's seed."""
 
 BANDWIDTH_MARGIN = 1.02
-"""An offer asks for the rate of its highest rung and a little more, as rates are rounded to whole kbit/s."""
+"""An offer requests slightly more than the rate of its highest rung, as rates are rounded to whole kbit/s."""
 
 GIVE_UP_AFTER_SECONDS = 30.0
 """A viewer gives up this long after its first request; over the session API its playing time is added."""
@@ -211,13 +211,13 @@
             return None
         finally:
             self.tally.waiting -= 1
-        extra = (
+        has_extra_bytes = (
             bool(client.idle)
             and has_pending_input(client.idle[-1].stream)
             and response.header("connection") != "close"
         )
         problem = problem_type_of(response)
-        self.record.note("got", key=key, status=response.status, type=problem, extra=extra)
+        self.record.note("got", key=key, status=response.status, type=problem, extra=has_extra_bytes)
         self._count_answer(response.status, problem)
         if response.status == HTTPStatus.CREATED:
             self.tally.created_times_ns.append(round((trio.current_time() - sent_at) * SECOND))
--- a/oakcroft/standins/faults.py
+++ b/oakcroft/standins/faults.py
@@ -57,57 +57,57 @@
         await INJECTORS[fault.kind](fleet, nodes, fault)
 
 
-def _seconds(fault: Fault) -> float:
+def _duration_seconds(fault: Fault) -> float:
     return fault.duration_ns / SECOND
 
 
 async def _crash(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Kills the nodes, whose connections are reset."""
-    await _take_down(fleet, nodes, _seconds(fault), is_silent=False)
+    await _take_down(fleet, nodes, _duration_seconds(fault), is_silent=False)
 
 
 async def _vanish(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Makes the nodes send nothing, as if their machines had lost power."""
-    await _take_down(fleet, nodes, _seconds(fault), is_silent=True)
+    await _take_down(fleet, nodes, _duration_seconds(fault), is_silent=True)
 
 
 async def _lose_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
     """Kills or silences all nodes of the named zones."""
     nodes = [node for node in fleet.nodes.values() if node.zone in fault.targets]
-    await _take_down(fleet, nodes, _seconds(fault), is_silent=fault.extra > SILENT_ZONE_LOSS_ABOVE)
+    await _take_down(fleet, nodes, _duration_seconds(fault), is_silent=fault.extra > SILENT_ZONE_LOSS_ABOVE)
 
 
 async def _hang(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Makes the nodes accept requests without answering set-ups or sending media."""
-    await _set_fault_for(nodes, _seconds(fault), "is_hung", True, False)
+    await _set_fault_for(nodes, _duration_seconds(fault), "is_hung", True, False)
 
 
 async def _lose_answers(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Makes the nodes run a share `size` of set-ups without sending the answer."""
-    await _set_fault_for(nodes, _seconds(fault), "lost_answer_share", fault.size, 0.0)
+    await _set_fault_for(nodes, _duration_seconds(fault), "lost_answer_share", fault.size, 0.0)
 
 
 async def _report_late(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Delays the reports of the nodes, or of all nodes, by `size` seconds."""
     await _set_fault_for(
-        nodes or list(fleet.nodes.values()), _seconds(fault), "report_delay_seconds", fault.size, 0.0
+        nodes or list(fleet.nodes.values()), _duration_seconds(fault), "report_delay_seconds", fault.size, 0.0
     )
 
 
 async def _slow_down(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Slows the nodes down by the factor `size`."""
-    await _slow(nodes, _seconds(fault), fault.size)
+    await _slow(nodes, _duration_seconds(fault), fault.size)
 
 
 async def _slow_down_all(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
     """Slows all nodes down by the factor `size`, as a shared dependency would."""
-    await _slow(list(fleet.nodes.values()), _seconds(fault), fault.size)
+    await _slow(list(fleet.nodes.values()), _duration_seconds(fault), fault.size)
 
 
 async def _noisy_neighbour(_: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Lets another program use a share of each node's link, on and off."""
     switch_seconds = max(MIN_SWITCH_SECONDS, fault.extra)
-    until = trio.current_time() + _seconds(fault)
+    until = trio.current_time() + _duration_seconds(fault)
     is_busy = False
     while trio.current_time() < until:
         is_busy = not is_busy
@@ -123,7 +123,7 @@
     downtime_seconds = max(MIN_DOWNTIME_SECONDS, fault.extra)
     async with trio.open_nursery() as nursery:
         for index, node in enumerate(nodes):
-            ageing_seconds = _seconds(fault) * (index + 1) / (len(nodes) + 1)
+            ageing_seconds = _duration_seconds(fault) * (index + 1) / (len(nodes) + 1)
             nursery.start_soon(_age, fleet, node, ageing_seconds, fault.size, downtime_seconds)
 
 
@@ -145,14 +145,14 @@
 async def _deploy(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Replaces the nodes in batches of a share `size` of the fleet, each with `extra` seconds of notice."""
     notice_seconds = max(MIN_NOTICE_SECONDS, fault.extra)
-    await _replace(fleet, nodes, _seconds(fault), fault.size, notice_seconds, DEPLOY_GAP_SECONDS)
+    await _replace(fleet, nodes, _duration_seconds(fault), fault.size, notice_seconds, DEPLOY_GAP_SECONDS)
 
 
 async def _preempt(fleet: Fleet, nodes: list[PlayoutNode], fault: Fault) -> None:
     """Replaces the nodes in large batches with `size` seconds of notice; replacements start after `extra` seconds."""
     notice_seconds = max(MIN_NOTICE_SECONDS, fault.size)
     gap_seconds = max(DEPLOY_GAP_SECONDS, fault.extra)
-    await _replace(fleet, nodes, _seconds(fault), PREEMPTED_BATCH_SHARE, notice_seconds, gap_seconds)
+    await _replace(fleet, nodes, _duration_seconds(fault), PREEMPTED_BATCH_SHARE, notice_seconds, gap_seconds)
 
 
 async def _cut_zone(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
@@ -163,7 +163,7 @@
             zone for zone in zones if (zone in fault.targets) != (node.zone in fault.targets)
         }
         node.notify_changed()
-    await trio.sleep(_seconds(fault))
+    await trio.sleep(_duration_seconds(fault))
     for node in fleet.nodes.values():
         node.faults.unreachable_zones = set()
         node.notify_changed()
@@ -172,7 +172,7 @@
 async def _fail_list(fleet: Fleet, _: list[PlayoutNode], fault: Fault) -> None:
     """Applies a fault of the list service."""
     fleet.list_service.set_fault(fault.kind)
-    await trio.sleep(_seconds(fault))
+    await trio.sleep(_duration_seconds(fault))
     fleet.list_service.clear_fault()
 
 
