--- a/oakcroft/config/reference.py
+++ b/oakcroft/config/reference.py
@@ -7,16 +7,17 @@
 
 INTRODUCTION = """# Reference of the configuration language
 
-Made from the schemas by `oakcroft config reference`; do not edit.
+Generated from the schemas by `oakcroft config reference`; do not edit.
 
-A file holds forms: lists that begin with a name. Comments go from ; to the end of the line. A string stands in double
-quotes, with \\" \\\\ and \\n within; where it holds no space, bracket, quote or semicolon it may be written without
-them. A figure carries its unit. Order means nothing: forms may be moved and split over files freely.
+A file contains forms, which are lists that begin with a name. Comments extend from ; to the end of the line. Strings are
+enclosed in double quotes, with the escape sequences \\" \\\\ and \\n; the quotes may be omitted if the string contains no
+space, bracket, quote or semicolon. Quantities are written with their unit. The order of forms has no meaning, and they
+may be distributed over several files.
 
-- `(include "plans.oak")` takes in a file by its path from this one; a file is taken in once, and none outside the folder
-  of the first.
-- `(define half (plan) (limit $plan-limit (on plan $plan) (rate 20/s)))` names forms with parameters, `$name` by
-  itself or `${name}` within a string; `(use half open-lesson)` stands for them.
+- `(include "plans.oak")` includes a file; its path is relative to the including file. Each file is included only once,
+  and it must be in the folder of the main file or below.
+- `(define half (plan) (limit $plan-limit (on plan $plan) (rate 20/s)))` defines a template of forms with parameters,
+  referenced as `$name`, or as `${name}` within a string; `(use half open-lesson)` expands it.
 
 """
 
@@ -36,7 +37,7 @@
     lines = [f"{'#' * heading_level} ({schema.name}{placeholder} …)", "", schema.doc, ""]
     if schema.example:
         lines += [f"    {schema.example}", ""]
-    lines += ["| field | holds | default | what for |", "| --- | --- | --- | --- |"]
+    lines += ["| field | value | default | description |", "| --- | --- | --- | --- |"]
     for field in schema.fields:
         lines.append(
             f"| `{field.name}` | {_values_cell(field)} | {_default_cell(field)} | {field.doc.replace('|', '/')} |"
@@ -58,12 +59,12 @@
         if field.min_values == field.max_values
         else "one or more of "
     )
-    repetition = ", may stand again" if field.is_repeatable else ""
+    repetition = ", may be repeated" if field.is_repeatable else ""
     bounds = ""
     if field.minimum is not None:
-        bounds += f", {format_value(field.value_type, field.minimum)} or more"
+        bounds += f", at least {format_value(field.value_type, field.minimum)}"
     if field.usual_range is not None:
-        bounds += f", usual {format_value(field.value_type, field.usual_range[0])} to {format_value(field.value_type, field.usual_range[1])}"
+        bounds += f", usual range {format_value(field.value_type, field.usual_range[0])} to {format_value(field.value_type, field.usual_range[1])}"
     return f"{count}{field.value_type.name}: {field.value_type.description}{bounds}{repetition}".replace(
         "|", "/"
     )
@@ -71,7 +72,7 @@
 
 def _default_cell(field: Field) -> str:
     if field.required:
-        return "must stand"
+        return "required"
     if field.default is None or field.default == () or field.default == "":
         return "none"
     return (
--- a/oakcroft/config/schema.py
+++ b/oakcroft/config/schema.py
@@ -96,7 +96,9 @@
         return round(value) if is_whole else value
 
     return ValueType(
-        name, f"a figure with one of {', '.join(units)}, as {examples[0]} or {examples[1]}", parse
+        name,
+        f"a number with one of the units {', '.join(units)}, such as {examples[0]} or {examples[1]}",
+        parse,
     )
 
 
@@ -134,8 +136,8 @@
 SIZE_TYPE = quantity_type("size", SIZE_UNITS, ("64KiB", "1MB"), is_whole=True)
 RATE_TYPE = quantity_type("rate", RATE_UNITS, ("400kB/s", "3.2Mbit/s"))
 PACE_TYPE = quantity_type("pace", PACE_UNITS, ("40/s", "600/min"))
-NUMBER_TYPE = ValueType("figure", "a plain figure, or a share in %", _parse_number)
-INTEGER_TYPE = ValueType("whole number", "a whole number, 0 or more", _parse_integer)
+NUMBER_TYPE = ValueType("figure", "a number without a unit, or a percentage", _parse_number)
+INTEGER_TYPE = ValueType("whole number", "a non-negative whole number", _parse_integer)
 NAME_TYPE = ValueType("name", "a symbol or a string", _parse_name)
 TEXT_TYPE = ValueType("text", "a string or a symbol", _parse_name)
 
@@ -160,7 +162,7 @@
 class Field:
     """A field of a form, written (name value …).
 
-    `min_values` and `max_values` bound the number of its values; `is_repeatable`: the field may stand several times.
+    `min_values` and `max_values` bound the number of its values; `is_repeatable`: the field may occur several times.
     `minimum` and `maximum` bound a value, in the type's base unit. `usual_range` is a lower and an upper bound, outside
     of which a value gets a warning, and a hint for that warning. `subform` is the schema of a field that is a form.
     """
--- a/oakcroft/config/value_types.py
+++ b/oakcroft/config/value_types.py
@@ -79,9 +79,11 @@
     return value
 
 
-ADDRESS_TYPE = ValueType("address", 'a host and a port, as "127.0.0.1:8080"', _parse_address)
-PATH_TYPE = ValueType("path", 'a path that a title can follow, as "/whep/open/"', _parse_path_prefix)
-TITLE_TYPE = ValueType("title", "a title, or how titles begin and then *", _parse_title_pattern)
-ICE_SERVER_TYPE = ValueType("ICE server", 'as "stun:host:3478"', _parse_ice_server)
-SECRET_TYPE = ValueType("secret", "a bearer token of 8 letters or more", _parse_secret)
-SHARE_TYPE = ValueType("share", "from 0 to 1, or in %", _parse_share)
+ADDRESS_TYPE = ValueType("address", 'a host and a port, such as "127.0.0.1:8080"', _parse_address)
+PATH_TYPE = ValueType(
+    "path", 'a path prefix that precedes a title, such as "/whep/open/"', _parse_path_prefix
+)
+TITLE_TYPE = ValueType("title", "a title, or a title prefix followed by *", _parse_title_pattern)
+ICE_SERVER_TYPE = ValueType("ICE server", 'a STUN or TURN URI, such as "stun:host:3478"', _parse_ice_server)
+SECRET_TYPE = ValueType("secret", f"a bearer token of at least {MIN_SECRET_LENGTH} characters", _parse_secret)
+SHARE_TYPE = ValueType("share", "a number from 0 to 1, or a percentage", _parse_share)
