--- a/oakcroft/config/forms.py
+++ b/oakcroft/config/forms.py
@@ -120,7 +120,7 @@
     (
         Field("on", "what the limit applies to: token, route, plan or wing, followed by a name or * (each one separately), or all", NAME_TYPE, required=True, min_values=1, max_values=2),
         Field("rate", "maximum rate of new playbacks", PACE_TYPE, usual_range=(0.01, 100_000, "")),
-        Field("burst", "maximum number of new playbacks at once; none: as many as the rate allows in one second", NUMBER_TYPE, minimum=1),
+        Field("burst", "maximum number of new playbacks at one moment; none: as many as the rate allows in one second", NUMBER_TYPE, minimum=1),
         Field("at-once", "maximum number of concurrent playbacks, including set-ups in progress", INTEGER_TYPE),
         Field("of", "whole: the limit applies to all front ends together; front: to each one separately", choice_type("scope", ("whole", "front")), "whole"),
     ),
@@ -192,7 +192,7 @@
     "levels", "Bounds on changes between levels of reduced service.",
     (
         Field("least", "minimum time in a level before the next change", TIME_TYPE, 10 * SECOND, minimum=1, usual_range=(SECOND, 3600 * SECOND, "viewers notice each change")),
-        Field("hold", "time for which a signal must persist before the level changes; up to five times as long on some front ends", TIME_TYPE, 2 * SECOND, minimum=1),
+        Field("hold", "time for which a signal must persist before it takes effect; up to five times as long on some front ends", TIME_TYPE, 2 * SECOND, minimum=1),
         Field("most-changes", "maximum number of changes in any window", INTEGER_TYPE, 6, minimum=2),
         Field("window", "length of the window", TIME_TYPE, 600 * SECOND, minimum=1),
         Field("strong", "a signal that exceeds its entry threshold by this factor takes effect at once", NUMBER_TYPE, 1.5, minimum=1),
@@ -260,7 +260,7 @@
         Field("x", f"x, the load of all links, as the mode log lines report it: {ENTRY_AND_EXIT}", NUMBER_TYPE, (), min_values=2, max_values=2),
         Field("blind", f"share of the nodes that do not report their load: {ENTRY_AND_EXIT}", SHARE_TYPE, (), min_values=2, max_values=2),
         Field("refused", f"share of recent answers that were rejections: {ENTRY_AND_EXIT}", SHARE_TYPE, (), min_values=2, max_values=2),
-        Field("late", f"share of recent revenue that was not answered within its startup target: {ENTRY_AND_EXIT}", SHARE_TYPE, (), min_values=2, max_values=2),
+        Field("late", f"share of recent revenue whose requests were not answered within their startup target: {ENTRY_AND_EXIT}", SHARE_TYPE, (), min_values=2, max_values=2),
         Field("lag", f"lag of the front end's event loop: {ENTRY_AND_EXIT}", TIME_TYPE, (), min_values=2, max_values=2),
         Field("top", "highest rung of new playbacks; none: no limit", INTEGER_TYPE),
         Field("admits", "a plan, and the share of its requests that is admitted", NAME_TYPE, (), min_values=2, max_values=2, is_repeatable=True),
