--- a/tests/test_lint_list.py
+++ b/tests/test_lint_list.py
@@ -19,7 +19,7 @@
 RULES = ("C901", "D1", "N", "PLR2004")
 """Complexity, missing docstrings, names, and values without a name."""
 
-MOST_LISTED = 56
+MOST_LISTED = 52
 """Entries (a file and a rule) in the list today. Lower it with each entry that is removed; never raise it."""
 
 
